--- a/crates/drill/src/client.rs
+++ b/crates/drill/src/client.rs
@@ -4,9 +4,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use jetway::WireLimits;
-use jetway::http::{self, Bad, Body, Head};
 use snafu::{OptionExt, ResultExt, Snafu};
+use tulipridge_http1::WireLimits;
+use tulipridge_http1::http::{self, Bad, Body, Head};
 
 /// Bytes read from a socket at once.
 const READ_BYTES: usize = 64 * 1024;
--- a/crates/kiosk/src/admission.rs
+++ b/crates/kiosk/src/admission.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use jetway::http::Head;
 use timetable::lookup::RoutingTable;
 use timetable::{Configuration, Route, Tenant};
+use tulipridge_http1::http::Head;
 
 /// A configuration with its index.
 #[derive(Debug)]
--- a/crates/kiosk/src/bounds.rs
+++ b/crates/kiosk/src/bounds.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jetway::WireLimits;
 use timetable::Caps;
+use tulipridge_http1::WireLimits;
 
 use crate::notice::Notice;
 
--- a/crates/kiosk/src/client.rs
+++ b/crates/kiosk/src/client.rs
@@ -4,8 +4,8 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-use jetway::http::Head;
-use jetway::{Wire, WireLimits};
+use tulipridge_http1::http::Head;
+use tulipridge_http1::{Wire, WireLimits};
 
 use crate::bounds::HeldBytes;
 use crate::headers::{After, OwnAnswer};
--- a/crates/kiosk/src/edge.rs
+++ b/crates/kiosk/src/edge.rs
@@ -10,8 +10,8 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::future;
-use jetway::http::{self, Bad, Body, Head};
-use jetway::{Wire, WireLimits};
+use tulipridge_http1::http::{self, Bad, Body, Head};
+use tulipridge_http1::{Wire, WireLimits};
 
 use crate::bounds::{ClientPlace, HeldBytes};
 use crate::client::{self, Client, Done, Incoming};
--- a/crates/kiosk/src/exchange/answers.rs
+++ b/crates/kiosk/src/exchange/answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use jetway::http::Body;
+use tulipridge_http1::http::Body;
 
 use super::{DEADLINE_GRACE, Exchange, Final};
 use crate::client::{Client, Done, write_last, write_own};
--- a/crates/kiosk/src/proxy.rs
+++ b/crates/kiosk/src/proxy.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use intercom::feed::{ModelRevision, Replica, WeightsTable};
-use jetway::WireLimits;
 use signpost::types::ReplicaId;
 use station::clock;
 use station::settings::{Settings, TimeLimits};
 use timetable::{Caps, Configuration};
+use tulipridge_http1::WireLimits;
 
 use crate::admission::Routing;
 use crate::alarms::Alarms;
--- a/crates/kiosk/src/ready.rs
+++ b/crates/kiosk/src/ready.rs
@@ -6,7 +6,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use jetway::{Wire, WireLimits, http};
+use tulipridge_http1::{Wire, WireLimits, http};
 
 use crate::headers::{After, OwnAnswer};
 use crate::proxy::Proxy;
--- a/crates/kiosk/src/replica/attempt.rs
+++ b/crates/kiosk/src/replica/attempt.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::rc::Rc;
 
-use jetway::http::{self, Body, Head};
+use tulipridge_http1::http::{self, Body, Head};
 
 use crate::replica::connection::{Connection, Sent};
 use crate::replica::outcome::{ConnectionState, Known, SendEvent};
--- a/crates/kiosk/src/replica/connection.rs
+++ b/crates/kiosk/src/replica/connection.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::task::{Context, Poll};
 
-use jetway::http::Head;
-use jetway::{Wire, WireLimits};
+use tulipridge_http1::http::Head;
+use tulipridge_http1::{Wire, WireLimits};
 
 use crate::replica::outcome::ConnectionState;
 use crate::replica::pool::Slot;
--- a/crates/kiosk/src/replica/pool.rs
+++ b/crates/kiosk/src/replica/pool.rs
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use jetway::http::Head;
-use jetway::{Wire, WireLimits};
 use signpost::types::ReplicaId;
 use socket2::{SockRef, TcpKeepalive};
+use tulipridge_http1::http::Head;
+use tulipridge_http1::{Wire, WireLimits};
 
 use crate::replica::connection::Connection;
 
--- a/crates/kiosk/tests/heads.rs
+++ b/crates/kiosk/tests/heads.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use jetway::http::Head;
 use kiosk::headers::{Additions, After, Framing, OwnAnswer, write_answer, write_request};
 use kiosk::kv_cache::KvTransfer;
+use tulipridge_http1::http::Head;
 
 fn head(text: &str) -> Head {
     let mut lines = text.lines();
--- a/crates/kiosk/tests/pure.rs
+++ b/crates/kiosk/tests/pure.rs
@@ -2,7 +2,6 @@
 
 use std::time::{Duration, Instant};
 
-use jetway::http::Head;
 use kiosk::alarms::Alarms;
 use kiosk::bounds::Bounds;
 use kiosk::events::EventTracker;
@@ -13,6 +12,7 @@
 use kiosk::replica::outcome::SendEvent;
 use kiosk::replica::reply::Reply;
 use rstest::rstest;
+use tulipridge_http1::http::Head;
 
 fn head(start: [&str; 3], headers: &[(&str, &str)]) -> Head {
     let owned = |(name, value): &(&str, &str)| ((*name).to_owned(), (*value).to_owned());
--- a/crates/porter/tests/exchange.rs
+++ b/crates/porter/tests/exchange.rs
@@ -12,11 +12,11 @@
 use futures_lite::future;
 use intercom::feed::{ControlNode, Group, SubscriberRole};
 use intercom::node::NodeId;
-use jetway::within;
 use porter::agent::Agent;
 use station::clock;
 use station::settings::Settings;
 use timetable::Configuration;
+use tulipridge_http1::within;
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 1);
 const SEED: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 2);
--- a/crates/tower/src/api/connection.rs
+++ b/crates/tower/src/api/connection.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use async_io::Async;
-use jetway::http::{self, Bad, Body, Head};
-use jetway::{Wire, WireLimits, within};
 use snafu::{ResultExt, Snafu};
+use tulipridge_http1::http::{self, Bad, Body, Head};
+use tulipridge_http1::{Wire, WireLimits, within};
 
 use super::{Api, ControlPlane, Request, Response};
 
--- a/crates/tower/src/api/message.rs
+++ b/crates/tower/src/api/message.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use jetway::http::Head;
 use serde::Serialize;
+use tulipridge_http1::http::Head;
 
 /// A request, read whole.
 #[derive(Clone, Debug, Default)]
@@ -108,6 +108,6 @@
     match status {
         307 => "Temporary Redirect",
         412 => "Precondition Failed",
-        _ => jetway::http::reason(status),
+        _ => tulipridge_http1::http::reason(status),
     }
 }
--- a/crates/tower/src/api/mod.rs
+++ b/crates/tower/src/api/mod.rs
@@ -17,7 +17,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use jetway::within;
+use tulipridge_http1::within;
 
 pub use connection::ApiLimits;
 pub use message::{Request, Response};
--- a/crates/tower/src/change.rs
+++ b/crates/tower/src/change.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use jetway::within;
+use tulipridge_http1::within;
 
 use crate::api::ChangeOutcome;
 use crate::member::ProposalEnd;
--- a/crates/tower/src/discovery/mod.rs
+++ b/crates/tower/src/discovery/mod.rs
@@ -9,9 +9,9 @@
 
 use async_io::Timer;
 use intercom::feed::Replica;
-use jetway::WireLimits;
 use snafu::{ResultExt, Snafu};
 use station::clock;
+use tulipridge_http1::WireLimits;
 
 pub use list::{Page, PageError};
 pub use pace::{Pace, WalkEnd};
--- a/crates/tower/src/http_client.rs
+++ b/crates/tower/src/http_client.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use jetway::http::{self, Body, Head};
-use jetway::{Wire, WireLimits, within};
 use snafu::{ResultExt, Snafu};
+use tulipridge_http1::http::{self, Body, Head};
+use tulipridge_http1::{Wire, WireLimits, within};
 
 /// Interim answers that are skipped.
 const MOST_INTERIM: u32 = 8;
--- a/crates/tower/src/index/follower.rs
+++ b/crates/tower/src/index/follower.rs
@@ -7,9 +7,9 @@
 
 use async_io::Timer;
 use cabinet::{Cursor, EventPage, Followed, KeptUpdate, Listing, Liveness, SourceStatus, follow, listed};
-use jetway::WireLimits;
 use snafu::{ResultExt, Snafu};
 use station::clock;
+use tulipridge_http1::WireLimits;
 
 use super::answer::{AnswerError, read_events, read_list};
 use super::outbox::Outbox;
--- a/crates/tower/src/links/outbound.rs
+++ b/crates/tower/src/links/outbound.rs
@@ -9,8 +9,8 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use intercom::control::Envelope;
 use intercom::frame;
-use jetway::within;
 use socket2::SockRef;
+use tulipridge_http1::within;
 
 /// Time for a connection to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
--- a/crates/tower/src/rollout/mod.rs
+++ b/crates/tower/src/rollout/mod.rs
@@ -15,8 +15,8 @@
 use async_io::Timer;
 use futures_lite::future;
 use intercom::feed::{ModelRevision, ModelWeights};
-use jetway::WireLimits;
 use station::clock;
+use tulipridge_http1::WireLimits;
 
 pub use messages::{OrderAnswer, Report, RevisionOrder};
 pub use naming::{NamedBefore, NamingTimes};
--- a/crates/tower/tests/calls.rs
+++ b/crates/tower/tests/calls.rs
@@ -12,7 +12,6 @@
 use cabinet::Liveness;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use intercom::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
-use jetway::{WireLimits, within};
 use rstest::rstest;
 use socket2::{Domain, SockRef, Socket, Type};
 use station::settings::RevisionTerm;
@@ -22,6 +21,7 @@
 use tower::http_client::{Call, CallError, HttpClient};
 use tower::index::{Follower, Outbox, SourceKind};
 use tower::rollout::{PlannerSettings, Rollout, RolloutOutput};
+use tulipridge_http1::{WireLimits, within};
 
 /// Time for a call that is to run out of it.
 const SHORT: Duration = Duration::from_millis(60);
--- a/crates/tower/tests/http_client.rs
+++ b/crates/tower/tests/http_client.rs
@@ -6,9 +6,9 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use insta::assert_snapshot;
-use jetway::WireLimits;
 use rstest::rstest;
 use tower::http_client::{Answer, Call, CallError, HttpClient};
+use tulipridge_http1::WireLimits;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
--- a/crates/tower/tests/rollout_exchange.rs
+++ b/crates/tower/tests/rollout_exchange.rs
@@ -11,11 +11,11 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use insta::assert_snapshot;
 use intercom::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
-use jetway::within;
 use station::settings::RevisionTerm;
 use tower::duty::{Duty, DutyContext, DutyHolder};
 use tower::fleet::FleetTable;
 use tower::rollout::{PlannerSettings, Rollout, RolloutOutput};
+use tulipridge_http1::within;
 
 /// The epoch has risen since the member became primary.
 const DUTY: Duty = Duty { epoch: 9, tenure: 7 };
--- a/src/api_keys.rs
+++ b/src/api_keys.rs
@@ -3,7 +3,7 @@
 use sha2::{Digest, Sha256};
 use subtle::{Choice, ConditionallySelectable, ConstantTimeEq};
 
-use jetway::http::Head;
+use tulipridge_http1::http::Head;
 
 /// A key that is known.
 #[derive(Clone, Debug)]
--- a/src/front/messages/message_assembler.rs
+++ b/src/front/messages/message_assembler.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Map, Value};
 
-use jetway::http::{self, SseBlock};
+use tulipridge_http1::http::{self, SseBlock};
 
 /// A message that is being put together.
 #[derive(Default)]
--- a/src/front/messages/mod.rs
+++ b/src/front/messages/mod.rs
@@ -18,10 +18,10 @@
 use crate::engine::Ask;
 use crate::types::Nanos;
 use errors::ApiError;
-use jetway::http::Head;
 use models::Models;
 use request::{Purpose, Request};
 use route::Route;
+use tulipridge_http1::http::Head;
 
 /// Where requests come in.
 pub const PATH: &str = "/v1/messages";
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -24,11 +24,11 @@
 use crate::names::Names;
 use crate::types::Nanos;
 pub use forwarded_request::ForwardedRequest;
-use jetway::http::{self, Head, SseBlock};
 pub use reply::Reply;
 pub use responder::Responder;
 pub use response_encoder::ResponseEncoder;
 pub use translate::{OmissionLog, StreamTranslator, Usage};
+use tulipridge_http1::http::{self, Head, SseBlock};
 
 /// Headers that an answer has besides those of its form.
 pub type Headers = Vec<(&'static str, String)>;
--- a/src/front/reply.rs
+++ b/src/front/reply.rs
@@ -3,7 +3,7 @@
 use std::fmt::Display;
 use std::time::Duration;
 
-use jetway::http;
+use tulipridge_http1::http;
 
 /// A whole answer without a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/front/responder.rs
+++ b/src/front/responder.rs
@@ -7,7 +7,7 @@
 use super::{Dialect, Headers, Reply};
 use crate::engine::FailureReason;
 use crate::stream::Cause;
-use jetway::http::Bad;
+use tulipridge_http1::http::Bad;
 
 /// What a client's answers are formed by.
 #[derive(Clone, Debug)]
--- a/src/front/response_encoder.rs
+++ b/src/front/response_encoder.rs
@@ -7,7 +7,7 @@
 use super::{Dialect, OmissionLog, Reply, Responder, StreamTranslator};
 use crate::limits::Limits;
 use crate::stream::Cause;
-use jetway::http;
+use tulipridge_http1::http;
 
 /// A begun answer.
 pub struct ResponseEncoder {
--- a/src/front/translate/mod.rs
+++ b/src/front/translate/mod.rs
@@ -22,7 +22,7 @@
 use crate::limits::Limits;
 use crate::names::Dialect;
 use crate::stream::Cause;
-use jetway::http::{self, SseBlock};
+use tulipridge_http1::http::{self, SseBlock};
 
 /// Reads a stream of either dialect.
 pub enum Reader {
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use jetway::WireLimits;
+use tulipridge_http1::WireLimits;
 
 /// What a gateway may use and how long it waits. Nothing else in the network code states a bound, but for
 /// what a connection keeps to by itself.
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -15,8 +15,8 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use jetway::WireLimits;
 use rustix::io::Errno;
+use tulipridge_http1::WireLimits;
 
 use super::followers::Followers;
 use super::lifecycle_monitor::LifecycleMonitor;
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -5,7 +5,7 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use jetway::WireLimits;
+use tulipridge_http1::WireLimits;
 
 use super::held_bytes::HeldBytes;
 use super::{Edge, Wire, within};
--- a/src/syslog/mod.rs
+++ b/src/syslog/mod.rs
@@ -19,8 +19,8 @@
 use log::{Level, LevelFilter, Record};
 
 use crate::limits::Limits;
-use jetway::within;
 use queue::Gauge;
+use tulipridge_http1::within;
 
 pub use queue::Lines;
 pub use sinks::to_collector;
--- a/src/syslog/sinks.rs
+++ b/src/syslog/sinks.rs
@@ -11,7 +11,7 @@
 use super::framed;
 use super::queue::Lines;
 use crate::limits::Limits;
-use jetway::{Wire, within};
+use tulipridge_http1::{Wire, within};
 
 /// Enough for a thread that only writes.
 const STACK: usize = 64 << 10;
