--- a/crates/timetable/benches/configuration_change.rs
+++ b/crates/configuration/benches/configuration_change.rs
@@ -6,7 +6,7 @@
 
 use common::{accepted, state_with};
 use serde_json::json;
-use timetable::{ConfigurationState, Decision};
+use tulipridge_configuration::{ConfigurationState, Decision};
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/timetable/tests/change.rs
+++ b/crates/configuration/tests/change.rs
@@ -7,7 +7,7 @@
 use common::{body, sample};
 use rstest::rstest;
 use serde_json::{Value, json};
-use timetable::{Document, Patch};
+use tulipridge_configuration::{Document, Patch};
 
 fn sample_document() -> Document {
     Document::parse(&body(&sample())).expect("a valid document")
@@ -80,7 +80,10 @@
 fn replaces_caps_whole(#[case] change: Value) {
     let document = sample_document().apply(&patch(&change)).expect("the change is valid");
     assert_eq!(document.configuration().caps.idle_ms, 5);
-    assert_eq!(document.configuration().caps.head_bytes, timetable::Caps::default().head_bytes);
+    assert_eq!(
+        document.configuration().caps.head_bytes,
+        tulipridge_configuration::Caps::default().head_bytes
+    );
 }
 
 #[test]
--- a/crates/timetable/tests/check.rs
+++ b/crates/configuration/tests/check.rs
@@ -5,7 +5,7 @@
 use common::{body, sample, sample_with, sample_without};
 use rstest::rstest;
 use serde_json::{Value, json};
-use timetable::{Caps, Document, Fault, RouteKind, Service, Share};
+use tulipridge_configuration::{Caps, Document, Fault, RouteKind, Service, Share};
 
 /// The report on an invalid document.
 fn report_on(document: &Value) -> String {
@@ -261,5 +261,8 @@
     assert_eq!(findings.to_string().lines().last(), Some("and 250 more"));
     let report: Value = serde_json::from_slice(&findings.to_json()).expect("the report is JSON");
     assert_eq!(report["count"], json!(300));
-    assert_eq!(report["findings"].as_array().map(Vec::len), Some(timetable::findings::SHOWN_FINDINGS));
+    assert_eq!(
+        report["findings"].as_array().map(Vec::len),
+        Some(tulipridge_configuration::findings::SHOWN_FINDINGS)
+    );
 }
--- a/crates/timetable/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
-use timetable::{AcceptedChange, ConfigurationState, Decision};
+use tulipridge_configuration::{AcceptedChange, ConfigurationState, Decision};
 
 /// A valid configuration: two routes, two services and a store, two tenants, and fields that the system
 /// doesn't know.
--- a/crates/timetable/tests/delta.rs
+++ b/crates/configuration/tests/delta.rs
@@ -1,7 +1,7 @@
 //! The difference between two texts.
 
 use rstest::rstest;
-use timetable::Delta;
+use tulipridge_configuration::Delta;
 
 const ITEMS: &str = r#"{"revision":1,"routes":[{"label":"first","hostname":"a.example","rank":0},
 {"label":"second","hostname":"b.example","rank":1},{"label":"third","hostname":"c.example","rank":2}]}"#;
--- a/crates/timetable/tests/difference.rs
+++ b/crates/configuration/tests/difference.rs
@@ -1,7 +1,9 @@
 //! Differences between configurations.
 
-use timetable::difference::{apply, difference};
-use timetable::{Caps, Configuration, ConfigurationChanges, Route, RouteKind, Service, Share, Tenant};
+use tulipridge_configuration::difference::{apply, difference};
+use tulipridge_configuration::{
+    Caps, Configuration, ConfigurationChanges, Route, RouteKind, Service, Share, Tenant,
+};
 
 const LABELS: usize = 12;
 const VARIANTS: u64 = 3;
--- a/crates/timetable/tests/encoding.rs
+++ b/crates/configuration/tests/encoding.rs
@@ -1,7 +1,7 @@
 //! The binary form of stored values.
 
 use rstest::rstest;
-use timetable::encoding::{EncodingError, Format, decode, encode};
+use tulipridge_configuration::encoding::{EncodingError, Format, decode, encode};
 
 const FORMAT: Format = Format(*b"TST1");
 
--- a/crates/timetable/tests/entry.rs
+++ b/crates/configuration/tests/entry.rs
@@ -5,7 +5,7 @@
 use common::{accepted, body, large_configuration, large_route, sample, sample_with, state_with};
 use rstest::rstest;
 use serde_json::{Value, json};
-use timetable::{ApplyError, ChangeEntry, ConfigurationState, EntryOutcome};
+use tulipridge_configuration::{ApplyError, ChangeEntry, ConfigurationState, EntryOutcome};
 
 fn put_of(state: &ConfigurationState, document: &Value) -> ChangeEntry {
     accepted(state.decide_put(Some(state.revision()), &body(document))).entry
--- a/crates/timetable/tests/history.rs
+++ b/crates/configuration/tests/history.rs
@@ -5,7 +5,7 @@
 use common::{accepted, body, sample, sample_with, state_with};
 use rstest::rstest;
 use serde_json::{Value, json};
-use timetable::{
+use tulipridge_configuration::{
     AcceptedChange, ChangeEntry, ConfigurationState, Decision, EntryOutcome, REMEMBERED_CALLS,
 };
 
--- a/crates/timetable/tests/lookup.rs
+++ b/crates/configuration/tests/lookup.rs
@@ -4,7 +4,7 @@
 
 use common::{body, sample};
 use rstest::rstest;
-use timetable::{Configuration, Document, Route, RouteKind, RoutingTable, Share, Tenant};
+use tulipridge_configuration::{Configuration, Document, Route, RouteKind, RoutingTable, Share, Tenant};
 
 fn route(host: &str, path_prefix: &str, weights: &[f64]) -> Route {
     let share = |weight: &f64| Share { service: format!("service-{weight}"), weight: *weight };
--- a/crates/courier/src/store.rs
+++ b/crates/courier/src/store.rs
@@ -15,7 +15,7 @@
     WeightsTable,
 };
 use snafu::Snafu;
-use timetable::Configuration;
+use tulipridge_configuration::Configuration;
 
 use configurations::Configurations;
 use fleet::FleetTable;
--- a/crates/courier/src/store/configurations.rs
+++ b/crates/courier/src/store/configurations.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use intercom::feed::ConfigurationUpdate;
-use timetable::{Configuration, ConfigurationChanges, difference};
+use tulipridge_configuration::{Configuration, ConfigurationChanges, difference};
 
 use super::{FeedError, REMEMBERED_CONFIGURATIONS, Table};
 
--- a/crates/courier/tests/common/mod.rs
+++ b/crates/courier/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 use intercom::feed::{ControlNode, Group, ModelRevision, ModelWeights, Replica, ReplicaPhase};
 use intercom::node::NodeId;
-use timetable::{Configuration, Service, Tenant};
+use tulipridge_configuration::{Configuration, Service, Tenant};
 
 /// A configuration whose content follows from `content`.
 pub fn configuration(revision: u64, content: u64) -> Arc<Configuration> {
--- a/crates/courier/tests/store.rs
+++ b/crates/courier/tests/store.rs
@@ -13,7 +13,7 @@
     ToSubscriber, WeightsTable,
 };
 use rstest::rstest;
-use timetable::Configuration;
+use tulipridge_configuration::Configuration;
 
 fn position(epoch: u64, sequence: u64) -> Position {
     Position { epoch, sequence }
--- a/crates/intercom/src/feed.rs
+++ b/crates/intercom/src/feed.rs
@@ -10,8 +10,8 @@
 
 pub use cabinet::KeptUpdate;
 use musli::{Decode, Encode};
-use timetable::Configuration;
-pub use timetable::ConfigurationChanges;
+use tulipridge_configuration::Configuration;
+pub use tulipridge_configuration::ConfigurationChanges;
 
 use crate::node::NodeId;
 
--- a/crates/kiosk/src/admission.rs
+++ b/crates/kiosk/src/admission.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use timetable::lookup::RoutingTable;
-use timetable::{Configuration, Route, Tenant};
+use tulipridge_configuration::lookup::RoutingTable;
+use tulipridge_configuration::{Configuration, Route, Tenant};
 use tulipridge_http1::http::Head;
 
 /// A configuration with its index.
@@ -109,7 +109,8 @@
         let Ok((route, tenant)) = newest.judge(head) else { return false };
         let (route, own) = (&newest.configuration.routes[route], self.route());
         let tenant = tenant.map(|tenant| &newest.configuration.tenants[tenant]);
-        let leads_there = |share: &timetable::Share| share.service == self.service() && share.weight > 0.0;
+        let leads_there =
+            |share: &tulipridge_configuration::Share| share.service == self.service() && share.weight > 0.0;
         route.label == own.label
             && route.kind == own.kind
             && route.resumable == own.resumable
--- a/crates/kiosk/src/bounds.rs
+++ b/crates/kiosk/src/bounds.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use timetable::Caps;
+use tulipridge_configuration::Caps;
 use tulipridge_http1::WireLimits;
 
 use crate::notice::Notice;
--- a/crates/kiosk/src/placement/mod.rs
+++ b/crates/kiosk/src/placement/mod.rs
@@ -17,7 +17,7 @@
     Action, Class, Effect, Event, Limits, ListKind, Member, Nanos, ReplicaId, Request, RequestId, Safety,
     Settings, Verdict,
 };
-use timetable::{Configuration, Route, RouteKind};
+use tulipridge_configuration::{Configuration, Route, RouteKind};
 
 use crate::placement::prompt::Prompt;
 use crate::replica::outcome::RequestKind;
--- a/crates/kiosk/src/proxy.rs
+++ b/crates/kiosk/src/proxy.rs
@@ -10,7 +10,7 @@
 use signpost::types::ReplicaId;
 use station::clock;
 use station::settings::{Settings, TimeLimits};
-use timetable::{Caps, Configuration};
+use tulipridge_configuration::{Caps, Configuration};
 use tulipridge_http1::WireLimits;
 
 use crate::admission::Routing;
--- a/crates/kiosk/src/replica/outcome.rs
+++ b/crates/kiosk/src/replica/outcome.rs
@@ -4,7 +4,7 @@
 //! writes requests and reads answers names the event, and does what the table says. Nothing here does I/O.
 
 use signpost::types::Verdict;
-use timetable::{Route, RouteKind};
+use tulipridge_configuration::{Route, RouteKind};
 
 /// What a request allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/kiosk/tests/configuration.rs
+++ b/crates/kiosk/tests/configuration.rs
@@ -8,7 +8,7 @@
 use intercom::feed::{ModelRevision, ModelWeights, Position, ReplicaPhase, WeightsTable};
 use rstest::rstest;
 use support::{Bench, Part, header, post, post_with, status};
-use timetable::{Configuration, Service, Share};
+use tulipridge_configuration::{Configuration, Service, Share};
 
 fn with_key(key: &str) -> String {
     post("/risky/", "t1").replace(support::KEY, key)
@@ -242,7 +242,7 @@
         assert_eq!(status(&bench.ask(&post("/new/", "t1")).await), "404");
         bench.proxy.set_configuration(changed(|configuration| {
             configuration.services.push(Service { label: "second".to_owned(), ..Service::default() });
-            let mut route = support::route("new", "/new/", timetable::RouteKind::Risky);
+            let mut route = support::route("new", "/new/", tulipridge_configuration::RouteKind::Risky);
             route.shares = vec![Share { service: "second".to_owned(), weight: 1.0 }];
             configuration.routes.push(route);
         }));
--- a/crates/kiosk/tests/never_twice.rs
+++ b/crates/kiosk/tests/never_twice.rs
@@ -139,7 +139,7 @@
         // From now on the module takes the request for one that may be repeated, and finds nobody for it.
         let mut configuration = support::configuration();
         configuration.routes.iter_mut().for_each(|route| {
-            route.kind = timetable::RouteKind::Harmless;
+            route.kind = tulipridge_configuration::RouteKind::Harmless;
             route.target_ms = 50;
         });
         bench.proxy.set_configuration(configuration.into());
--- a/crates/kiosk/tests/placement.rs
+++ b/crates/kiosk/tests/placement.rs
@@ -161,8 +161,8 @@
     configuration.routes.remove(0);
     let risky = configuration.routes.iter_mut().find(|route| route.label == "risky").expect("a route");
     // What was risky may be repeated from now on.
-    risky.kind = timetable::RouteKind::Harmless;
-    configuration.routes.push(support::route("new", "/new/", timetable::RouteKind::Risky));
+    risky.kind = tulipridge_configuration::RouteKind::Harmless;
+    configuration.routes.push(support::route("new", "/new/", tulipridge_configuration::RouteKind::Risky));
     placement.configure(&configuration);
     assert_eq!(placement.class("risky"), Some(before));
     assert_eq!(placement.class("harmless"), Some(0));
@@ -177,8 +177,8 @@
 #[case::stated(400, 400)]
 #[case::a_part_of_the_time_limit(0, 2_000)]
 fn a_route_without_a_target_gets_one(#[case] stated_ms: u64, #[case] expected_ms: u64) {
-    let route = support::route("risky", "/risky/", timetable::RouteKind::Risky);
-    let route = timetable::Route { target_ms: stated_ms, ..route };
+    let route = support::route("risky", "/risky/", tulipridge_configuration::RouteKind::Risky);
+    let route = tulipridge_configuration::Route { target_ms: stated_ms, ..route };
     assert_eq!(placement::target(&route), Duration::from_millis(expected_ms));
 }
 
--- a/crates/kiosk/tests/support/mod.rs
+++ b/crates/kiosk/tests/support/mod.rs
@@ -17,7 +17,7 @@
 use kiosk::proxy::Proxy;
 use kiosk::{edge, ready};
 use station::settings::Settings;
-use timetable::{Caps, Configuration, Route, RouteKind, Service, Share, Tenant};
+use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, Share, Tenant};
 
 pub const HOST: &str = "shop.example";
 pub const KEY: &str = "k1";
--- a/crates/porter/tests/exchange.rs
+++ b/crates/porter/tests/exchange.rs
@@ -15,7 +15,7 @@
 use porter::agent::Agent;
 use station::clock;
 use station::settings::Settings;
-use timetable::Configuration;
+use tulipridge_configuration::Configuration;
 use tulipridge_http1::within;
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 1);
--- a/crates/tower/src/delivery.rs
+++ b/crates/tower/src/delivery.rs
@@ -16,7 +16,7 @@
 use courier::{FeedStore, Identity, Publisher, Subscriber};
 use intercom::feed::{ControlNode, Group, ModelWeights, Replica, SubscriberRole};
 use station::clock;
-use timetable::Configuration;
+use tulipridge_configuration::Configuration;
 
 use crate::api::{IndexSize, ReplicaWeights};
 
--- a/crates/tower/src/index/mod.rs
+++ b/crates/tower/src/index/mod.rs
@@ -15,7 +15,7 @@
 use cabinet::{KeptUpdate, SourceStatus};
 use futures_lite::future;
 use intercom::feed::Replica;
-use timetable::Configuration;
+use tulipridge_configuration::Configuration;
 
 pub use answer::{AnswerError, read_events, read_list};
 pub use follower::{Follower, SourceKind};
--- a/crates/tower/src/machine.rs
+++ b/crates/tower/src/machine.rs
@@ -10,7 +10,7 @@
 
 use async_channel::Sender;
 use snafu::{ResultExt, Snafu};
-use timetable::Configuration;
+use tulipridge_configuration::Configuration;
 
 use crate::state::{Accepted, Applied, Change, Decision, State, StateError};
 
--- a/crates/tower/src/server/duties.rs
+++ b/crates/tower/src/server/duties.rs
@@ -8,7 +8,7 @@
 
 use cabinet::{KeptUpdate, SourceStatus};
 use intercom::feed::ModelWeights;
-use timetable::Configuration;
+use tulipridge_configuration::Configuration;
 
 use crate::delivery::Delivery;
 use crate::duty::DutyHolder;
--- a/crates/tower/src/state/command.rs
+++ b/crates/tower/src/state/command.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use musli::{Decode, Encode};
-use timetable::encoding::{self, EncodingError, Format};
-use timetable::{AcceptedChange, ChangeEntry};
+use tulipridge_configuration::encoding::{self, EncodingError, Format};
+use tulipridge_configuration::{AcceptedChange, ChangeEntry};
 
 /// The form of an encoded command.
 const COMMAND_FORMAT: Format = Format(*b"CMD2");
--- a/crates/tower/src/state/mod.rs
+++ b/crates/tower/src/state/mod.rs
@@ -7,9 +7,11 @@
 
 use musli::{Decode, Encode};
 use snafu::{OptionExt, ResultExt, Snafu};
-use timetable::encoding::{self, EncodingError, Format};
-use timetable::history::Decision as ConfigurationDecision;
-use timetable::{ApplyError, ConfigurationState, Document, EntryOutcome, Findings, SnapshotError};
+use tulipridge_configuration::encoding::{self, EncodingError, Format};
+use tulipridge_configuration::history::Decision as ConfigurationDecision;
+use tulipridge_configuration::{
+    ApplyError, ConfigurationState, Document, EntryOutcome, Findings, SnapshotError,
+};
 
 use command::Prepared;
 pub use command::{Accepted, Command};
--- a/crates/tower/src/state/weights.rs
+++ b/crates/tower/src/state/weights.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use musli::{Decode, Encode};
-use timetable::{RememberedCalls, RequestDigest};
+use tulipridge_configuration::{RememberedCalls, RequestDigest};
 
 /// The newest weights of each model, and the namings that are known when they are sent again.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/tower/tests/index.rs
+++ b/crates/tower/tests/index.rs
@@ -10,8 +10,8 @@
 use insta::{assert_debug_snapshot, assert_snapshot};
 use intercom::feed::{Replica, ReplicaPhase};
 use rstest::rstest;
-use timetable::{Configuration, Service, ServiceRuntime};
 use tower::index::{Follower, Outbox, SourceKind, read_events, read_list, sources};
+use tulipridge_configuration::{Configuration, Service, ServiceRuntime};
 
 // ---- answers ----------------------------------------------------------------------------------------------
 
--- a/crates/tower/tests/support/operator/call.rs
+++ b/crates/tower/tests/support/operator/call.rs
@@ -1,7 +1,7 @@
 //! Calls of operators and their answers.
 
-use timetable::Document;
 use tower::state::Change;
+use tulipridge_configuration::Document;
 
 use crate::support::state_calls;
 
--- a/crates/tower/tests/support/operator/register.rs
+++ b/crates/tower/tests/support/operator/register.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::hash::Hash;
 
-use timetable::REMEMBERED_CALLS;
-use timetable::history::NO_REVISION;
+use tulipridge_configuration::REMEMBERED_CALLS;
+use tulipridge_configuration::history::NO_REVISION;
 
 use super::call::{Answer, ConfigurationMethod, ConfigurationOrder, Content, WeightsOrder};
 
