--- a/crates/courier/tests/kept.rs
+++ b/crates/courier/tests/kept.rs
@@ -2,12 +2,12 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use cabinet::{KeptUpdate, Liveness, PartKey};
 use courier::store::Table;
 use courier::{FeedError, FeedStore};
 use intercom::feed::{Holdings, KeptTableUpdate, Position, ToSubscriber};
 use intercom::frame;
 use rstest::rstest;
+use tulipridge_prefix_cache_index::{KeptUpdate, Liveness, PartKey};
 
 fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080)
--- a/crates/intercom/src/feed.rs
+++ b/crates/intercom/src/feed.rs
@@ -8,10 +8,10 @@
 
 use std::sync::Arc;
 
-pub use cabinet::KeptUpdate;
 use musli::{Decode, Encode};
 use tulipridge_configuration::Configuration;
 pub use tulipridge_configuration::ConfigurationChanges;
+pub use tulipridge_prefix_cache_index::KeptUpdate;
 
 use crate::node::NodeId;
 
--- a/crates/kiosk/src/kv_cache.rs
+++ b/crates/kiosk/src/kv_cache.rs
@@ -11,14 +11,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cabinet::{Index, PartKey};
 use lru::LruCache;
+use tulipridge_prefix_cache_index::{Index, PartKey};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::placement::prompt::PromptPart;
 
 /// Fewer tokens than these are read again as fast as they are fetched.
-const LEAST_TOKENS: u32 = cabinet::LEAST_TOKENS;
+const LEAST_TOKENS: u32 = tulipridge_prefix_cache_index::LEAST_TOKENS;
 /// Sources keep parts in whole blocks: a part that lacks no more than this is kept whole.
 const BLOCK_SLACK: u32 = 64;
 /// Sources that are looked at for a request.
--- a/crates/kiosk/src/placement/prompt.rs
+++ b/crates/kiosk/src/placement/prompt.rs
@@ -1,7 +1,7 @@
 //! What a request says of its prompt, and the key of the ring that follows from it.
 
-use cabinet::part_hash;
 use tulipridge_http1::http::Head;
+use tulipridge_prefix_cache_index::part_hash;
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/kiosk/src/proxy.rs
+++ b/crates/kiosk/src/proxy.rs
@@ -195,7 +195,7 @@
     }
 
     /// Looks into this index of kept prompts from now on.
-    pub fn set_index(&self, index: Rc<RefCell<cabinet::Index>>) {
+    pub fn set_index(&self, index: Rc<RefCell<tulipridge_prefix_cache_index::Index>>) {
         self.kv.borrow_mut().set_index(index);
     }
 
--- a/crates/kiosk/tests/kv_cache.rs
+++ b/crates/kiosk/tests/kv_cache.rs
@@ -6,11 +6,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cabinet::{Index, KeptUpdate, Liveness, PartKey};
 use fastrand::Rng;
 use kiosk::kv_cache::{Chain, KvDirectory, KvTransfer, Target, kept_tokens};
 use kiosk::placement::prompt::PromptPart;
 use rstest::rstest;
+use tulipridge_prefix_cache_index::{Index, KeptUpdate, Liveness, PartKey};
 
 const STORE: u8 = 200;
 const PARTS: [(&str, u32); 3] = [("a", 2_000), ("b", 100), ("c", 3_000)];
--- a/crates/cabinet/tests/index.rs
+++ b/crates/prefix-cache-index/tests/index.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use cabinet::{
+use fastrand::Rng;
+use rstest::rstest;
+use tulipridge_prefix_cache_index::{
     ChangeLog, Cursor, EventPage, Followed, Index, KeptUpdate, LEAST_TOKENS, Listing, Liveness, PartKey,
     Touched, follow, listed, part_hash,
 };
-use fastrand::Rng;
-use rstest::rstest;
 
 fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080)
--- a/crates/tower/src/delivery.rs
+++ b/crates/tower/src/delivery.rs
@@ -12,11 +12,11 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use cabinet::{KeptUpdate, SourceStatus};
 use courier::{FeedStore, Identity, Publisher, Subscriber};
 use intercom::feed::{ControlNode, Group, ModelWeights, Replica, SubscriberRole};
 use station::clock;
 use tulipridge_configuration::Configuration;
+use tulipridge_prefix_cache_index::{KeptUpdate, SourceStatus};
 
 use crate::api::{IndexSize, ReplicaWeights};
 
--- a/crates/tower/src/index/answer.rs
+++ b/crates/tower/src/index/answer.rs
@@ -1,8 +1,8 @@
 //! Reading what sources answer.
 
-use cabinet::{EventPage, Listing, PartKey};
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
+use tulipridge_prefix_cache_index::{EventPage, Listing, PartKey};
 
 /// Why an answer of a source can't be used.
 #[derive(Debug, Snafu)]
--- a/crates/tower/src/index/mod.rs
+++ b/crates/tower/src/index/mod.rs
@@ -12,10 +12,10 @@
 
 use async_executor::Task;
 use async_io::Timer;
-use cabinet::{KeptUpdate, SourceStatus};
 use futures_lite::future;
 use intercom::feed::Replica;
 use tulipridge_configuration::Configuration;
+use tulipridge_prefix_cache_index::{KeptUpdate, SourceStatus};
 
 pub use answer::{AnswerError, read_events, read_list};
 pub use follower::{Follower, SourceKind};
--- a/crates/tower/src/index/outbox.rs
+++ b/crates/tower/src/index/outbox.rs
@@ -4,7 +4,7 @@
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-use cabinet::KeptUpdate;
+use tulipridge_prefix_cache_index::KeptUpdate;
 
 /// Changes of all sources, in their order.
 #[derive(Debug, Default)]
