--- a/crates/courier/src/publisher.rs
+++ b/crates/courier/src/publisher.rs
@@ -11,8 +11,8 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use intercom::feed::{Subscribe, SubscriberRole, WaitingWork};
 use station::clock;
+use tulipridge_protocol::feed::{Subscribe, SubscriberRole, WaitingWork};
 
 use crate::signal::Signal;
 use crate::store::FeedStore;
--- a/crates/courier/src/publisher/batches.rs
+++ b/crates/courier/src/publisher/batches.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use intercom::frame::{self, FrameError};
+use tulipridge_protocol::frame::{self, FrameError};
 
 use crate::store::{FeedStore, Sent};
 
--- a/crates/courier/src/publisher/connection.rs
+++ b/crates/courier/src/publisher/connection.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use async_io::Async;
-use intercom::feed::{ToPublisher, ToSubscriber};
-use intercom::frame::FrameError;
 use snafu::{ResultExt, Snafu, ensure};
 use station::clock;
+use tulipridge_protocol::feed::{ToPublisher, ToSubscriber};
+use tulipridge_protocol::frame::FrameError;
 
 use super::{Peer, Publisher};
 use crate::link::{Event, Link};
--- a/crates/courier/src/store.rs
+++ b/crates/courier/src/store.rs
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use intercom::feed::{
-    Group, Holdings, KeptUpdate, LoadTable, ModelWeights, Position, Replica, ToSubscriber, WaitingWork,
-    WeightsTable,
-};
 use snafu::Snafu;
 use tulipridge_configuration::Configuration;
 use tulipridge_prefix_cache_index::Index;
+use tulipridge_protocol::feed::{
+    Group, Holdings, KeptUpdate, LoadTable, ModelWeights, Position, Replica, ToSubscriber, WaitingWork,
+    WeightsTable,
+};
 
 use configurations::Configurations;
 use fleet::FleetTable;
--- a/crates/courier/src/store/configurations.rs
+++ b/crates/courier/src/store/configurations.rs
@@ -4,8 +4,8 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use intercom::feed::ConfigurationUpdate;
 use tulipridge_configuration::{Configuration, ConfigurationChanges, difference};
+use tulipridge_protocol::feed::ConfigurationUpdate;
 
 use super::{FeedError, REMEMBERED_CONFIGURATIONS, Table};
 
--- a/crates/courier/src/store/fleet.rs
+++ b/crates/courier/src/store/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use intercom::feed::{FleetUpdate, Position, Replica};
+use tulipridge_protocol::feed::{FleetUpdate, Position, Replica};
 
 use super::{FeedError, Table, next_position};
 
--- a/crates/courier/src/store/kept.rs
+++ b/crates/courier/src/store/kept.rs
@@ -3,8 +3,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use intercom::feed::{KeptTableUpdate, Position};
 use tulipridge_prefix_cache_index::{ChangeLog, Index, KeptUpdate, Touched};
+use tulipridge_protocol::feed::{KeptTableUpdate, Position};
 
 use super::{FeedError, Table, next_position};
 
--- a/crates/courier/src/subscriber.rs
+++ b/crates/courier/src/subscriber.rs
@@ -11,9 +11,9 @@
 
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use intercom::feed::{Subscribe, SubscriberRole, WaitingWork};
-use intercom::frame::FrameError;
 use snafu::{ResultExt, Snafu};
+use tulipridge_protocol::feed::{Subscribe, SubscriberRole, WaitingWork};
+use tulipridge_protocol::frame::FrameError;
 
 use crate::freshness::Freshness;
 use crate::signal::Signal;
--- a/crates/courier/src/subscriber/session.rs
+++ b/crates/courier/src/subscriber/session.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use async_io::Async;
-use intercom::feed::{ToPublisher, ToSubscriber};
 use snafu::{ResultExt, ensure};
 use station::clock;
+use tulipridge_protocol::feed::{ToPublisher, ToSubscriber};
 
 use super::{
     ClosedSnafu, EndReason, FailedSnafu, MalformedSnafu, NotFreshSnafu, ReselectedSnafu, SilentSnafu,
--- a/crates/courier/src/waiting.rs
+++ b/crates/courier/src/waiting.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use intercom::feed::WaitingWork;
+use tulipridge_protocol::feed::WaitingWork;
 
 /// The sum of what several subscribers have told. Of work that refers to different tables of replicas, that of the
 /// newest counts.
--- a/crates/courier/src/wire.rs
+++ b/crates/courier/src/wire.rs
@@ -7,10 +7,10 @@
 use std::task::{Context, Poll, ready};
 
 use async_io::Async;
-use intercom::frame::{self, FrameError};
 use musli::alloc::Global;
 use musli::mode::Binary;
 use musli::{Decode, Encode};
+use tulipridge_protocol::frame::{self, FrameError};
 
 /// Bytes that one call reads at most.
 const CHUNK_BYTES: usize = 16 * 1024;
--- a/crates/courier/tests/common/mod.rs
+++ b/crates/courier/tests/common/mod.rs
@@ -6,9 +6,9 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-use intercom::feed::{ControlNode, Group, ModelRevision, ModelWeights, Replica, ReplicaPhase};
-use intercom::node::NodeId;
 use tulipridge_configuration::{Configuration, Service, Tenant};
+use tulipridge_protocol::feed::{ControlNode, Group, ModelRevision, ModelWeights, Replica, ReplicaPhase};
+use tulipridge_protocol::node::NodeId;
 
 /// A configuration whose content follows from `content`.
 pub fn configuration(revision: u64, content: u64) -> Arc<Configuration> {
--- a/crates/courier/tests/common/network.rs
+++ b/crates/courier/tests/common/network.rs
@@ -10,8 +10,8 @@
 use async_io::{Async, Timer};
 use courier::{FeedStore, Identity, Publisher, PublisherSettings, Subscriber};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
-use intercom::feed::{Holdings, Subscribe, SubscriberRole, ToPublisher, ToSubscriber};
-use intercom::frame;
+use tulipridge_protocol::feed::{Holdings, Subscribe, SubscriberRole, ToPublisher, ToSubscriber};
+use tulipridge_protocol::frame;
 
 /// Longest time for which a condition may be awaited.
 const WITHIN: Duration = Duration::from_secs(20);
--- a/crates/courier/tests/kept.rs
+++ b/crates/courier/tests/kept.rs
@@ -4,10 +4,10 @@
 
 use courier::store::Table;
 use courier::{FeedError, FeedStore};
-use intercom::feed::{Holdings, KeptTableUpdate, Position, ToSubscriber};
-use intercom::frame;
 use rstest::rstest;
 use tulipridge_prefix_cache_index::{KeptUpdate, Liveness, PartKey};
+use tulipridge_protocol::feed::{Holdings, KeptTableUpdate, Position, ToSubscriber};
+use tulipridge_protocol::frame;
 
 fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080)
--- a/crates/courier/tests/publisher.rs
+++ b/crates/courier/tests/publisher.rs
@@ -9,8 +9,10 @@
 use common::network::{self, Peer, fresh, publish, store, subscribe, until};
 use common::{configuration, group, replica, weights};
 use courier::PublisherSettings;
-use intercom::feed::{ConfigurationUpdate, FleetUpdate, Holdings, Position, ToPublisher, ToSubscriber};
 use rstest::rstest;
+use tulipridge_protocol::feed::{
+    ConfigurationUpdate, FleetUpdate, Holdings, Position, ToPublisher, ToSubscriber,
+};
 
 fn ping(id: u64) -> ToPublisher {
     ToPublisher::Ping { id, gateways: 1 }
@@ -149,7 +151,7 @@
 #[rstest]
 #[case::ping_before_subscription({
     let mut bytes = Vec::new();
-    intercom::frame::append(&ping(1), &mut bytes).expect("encodes");
+    tulipridge_protocol::frame::append(&ping(1), &mut bytes).expect("encodes");
     bytes
 })]
 #[case::no_message(vec![4, 0, 0, 0, 0xff, 0xff, 0xff, 0xff])]
--- a/crates/courier/tests/store.rs
+++ b/crates/courier/tests/store.rs
@@ -8,12 +8,12 @@
 use common::{configuration, group, replica, replica_warming, weights};
 use courier::store::{Sent, Table};
 use courier::{Changed, FeedError, FeedStore};
-use intercom::feed::{
+use rstest::rstest;
+use tulipridge_configuration::Configuration;
+use tulipridge_protocol::feed::{
     ConfigurationUpdate, FleetUpdate, Holdings, ModelWeights, Position, Replica, ReplicaPhase,
     ToSubscriber, WeightsTable,
 };
-use rstest::rstest;
-use tulipridge_configuration::Configuration;
 
 fn position(epoch: u64, sequence: u64) -> Position {
     Position { epoch, sequence }
--- a/crates/courier/tests/subscriber.rs
+++ b/crates/courier/tests/subscriber.rs
@@ -11,8 +11,8 @@
 use common::network::{self, Peer, SharedStore, fresh, listener, publish, store, subscriber, until};
 use common::{configuration, group, replica, weights};
 use courier::{EndReason, PublisherSettings, Subscriber, Tolerance, clock};
-use intercom::feed::{FleetUpdate, Position, SubscriberRole, ToPublisher, ToSubscriber};
 use rstest::rstest;
+use tulipridge_protocol::feed::{FleetUpdate, Position, SubscriberRole, ToPublisher, ToSubscriber};
 
 /// Runs a subscriber that knows one publisher.
 fn follow(executor: &LocalExecutor<'static>, subscriber: &Rc<Subscriber>, address: SocketAddr) {
@@ -204,7 +204,7 @@
         let mut peer = Peer::accept(&listener).await;
         let mut frames = Vec::new();
         for message in source.borrow().missing(&Default::default()) {
-            intercom::frame::append(&message, &mut frames).expect("encodes");
+            tulipridge_protocol::frame::append(&message, &mut frames).expect("encodes");
         }
         // A byte for each of the subscriber's pings, so that the update takes far longer than the bound of silence.
         let (slow, rest) = frames.split_at(8);
--- a/crates/courier/tests/waiting.rs
+++ b/crates/courier/tests/waiting.rs
@@ -7,10 +7,10 @@
 use common::network::{self, Peer, fresh, listener, publish, store, subscribe, subscriber, until};
 use common::replica;
 use courier::{FeedStore, PublisherSettings, waiting};
-use intercom::feed::{
+use rstest::rstest;
+use tulipridge_protocol::feed::{
     Holdings, LoadTable, Position, SubscriberRole, ToPublisher, ToSubscriber, WaitingWork,
 };
-use rstest::rstest;
 
 fn position(epoch: u64, sequence: u64) -> Position {
     Position { epoch, sequence }
--- a/crates/kiosk/src/exchange/attempts.rs
+++ b/crates/kiosk/src/exchange/attempts.rs
@@ -6,8 +6,8 @@
 use std::task::Poll;
 
 use futures_lite::future;
-use intercom::feed::ModelRevision;
 use signpost::types::{ReplicaId, Verdict};
+use tulipridge_protocol::feed::ModelRevision;
 
 use super::{Exchange, Final, RETRY_AT_ONCE, RETRY_SOON, Step};
 use crate::client::Client;
--- a/crates/kiosk/src/placement/work.rs
+++ b/crates/kiosk/src/placement/work.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use intercom::feed::WORK_UNIT_TOKENS;
 use signpost::types::ReplicaId;
+use tulipridge_protocol::feed::WORK_UNIT_TOKENS;
 
 /// Work that waits, by replica, in units of [`WORK_UNIT_TOKENS`].
 pub type WorkByReplica = BTreeMap<ReplicaId, u32>;
--- a/crates/kiosk/src/proxy.rs
+++ b/crates/kiosk/src/proxy.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use intercom::feed::{ModelRevision, Replica, WeightsTable};
 use signpost::types::ReplicaId;
 use station::clock;
 use station::settings::{Settings, TimeLimits};
 use tulipridge_configuration::{Caps, Configuration};
 use tulipridge_http1::WireLimits;
+use tulipridge_protocol::feed::{ModelRevision, Replica, WeightsTable};
 
 use crate::admission::Routing;
 use crate::alarms::Alarms;
--- a/crates/kiosk/src/replica/replicas.rs
+++ b/crates/kiosk/src/replica/replicas.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use intercom::feed::{ModelRevision, Replica, ReplicaPhase, WeightsTable};
 use signpost::types::{Member, Phase, ReplicaId};
+use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase, WeightsTable};
 
 /// Zones by name, as the numbers that the decision module knows them by.
 #[derive(Clone, Debug, Default)]
--- a/crates/kiosk/src/run.rs
+++ b/crates/kiosk/src/run.rs
@@ -10,12 +10,12 @@
 use async_io::Async;
 use courier::{Changed, FeedStore, Identity, Subscriber, clock};
 use futures_lite::future;
-use intercom::feed::SubscriberRole;
 use signpost::types::ReplicaId;
 use snafu::{OptionExt, ResultExt, Snafu};
 use socket2::{Domain, Protocol, Socket, Type};
 use station::settings::Settings;
 use station::signals::{Request, Requests};
+use tulipridge_protocol::feed::SubscriberRole;
 
 use crate::placement::held;
 use crate::proxy::Proxy;
--- a/crates/kiosk/tests/configuration.rs
+++ b/crates/kiosk/tests/configuration.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use intercom::feed::{ModelRevision, ModelWeights, Position, ReplicaPhase, WeightsTable};
 use rstest::rstest;
 use support::{Bench, Part, header, post, post_with, status};
 use tulipridge_configuration::{Configuration, Service, Share};
+use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Position, ReplicaPhase, WeightsTable};
 
 fn with_key(key: &str) -> String {
     post("/risky/", "t1").replace(support::KEY, key)
@@ -254,12 +254,12 @@
 }
 
 #[rstest]
-#[case::draining(|lines: &mut Vec<intercom::feed::Replica>| lines[0].phase = ReplicaPhase::Draining)]
-#[case::loading(|lines: &mut Vec<intercom::feed::Replica>| lines[0].phase = ReplicaPhase::Loading)]
-#[case::gone(|lines: &mut Vec<intercom::feed::Replica>| drop(lines.remove(0)))]
-#[case::of_another_service(|lines: &mut Vec<intercom::feed::Replica>| lines[0].service = "second".to_owned())]
+#[case::draining(|lines: &mut Vec<tulipridge_protocol::feed::Replica>| lines[0].phase = ReplicaPhase::Draining)]
+#[case::loading(|lines: &mut Vec<tulipridge_protocol::feed::Replica>| lines[0].phase = ReplicaPhase::Loading)]
+#[case::gone(|lines: &mut Vec<tulipridge_protocol::feed::Replica>| drop(lines.remove(0)))]
+#[case::of_another_service(|lines: &mut Vec<tulipridge_protocol::feed::Replica>| lines[0].service = "second".to_owned())]
 fn nothing_is_sent_to_a_replica_that_may_not_be_used(
-    #[case] change: impl Fn(&mut Vec<intercom::feed::Replica>),
+    #[case] change: impl Fn(&mut Vec<tulipridge_protocol::feed::Replica>),
 ) {
     let bench = Bench::start(2);
     bench.run(async {
--- a/crates/kiosk/tests/outdated.rs
+++ b/crates/kiosk/tests/outdated.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use intercom::feed::{ModelRevision, ModelWeights, Position, WeightsTable};
 use kiosk::replica::expiry::Expiry;
 use rstest::rstest;
 use station::settings::RevisionTerm;
 use support::{Bench, LAST, Part, event, ok, post_with, status, stream_head};
+use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Position, WeightsTable};
 
 /// The operator's term: a part of it is left after a withdrawal.
 const REVISION_MS: u64 = 600;
--- a/crates/kiosk/tests/support/mod.rs
+++ b/crates/kiosk/tests/support/mod.rs
@@ -12,12 +12,14 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use intercom::feed::{ModelRevision, ModelWeights, Position, Replica, ReplicaPhase, WeightsTable};
 use kiosk::placement::held;
 use kiosk::proxy::Proxy;
 use kiosk::{edge, ready};
 use station::settings::Settings;
 use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, Share, Tenant};
+use tulipridge_protocol::feed::{
+    ModelRevision, ModelWeights, Position, Replica, ReplicaPhase, WeightsTable,
+};
 
 pub const HOST: &str = "shop.example";
 pub const KEY: &str = "k1";
--- a/crates/porter/src/agent.rs
+++ b/crates/porter/src/agent.rs
@@ -8,14 +8,14 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use courier::{Attempt, FeedStore, Identity, Publisher, Subscriber, Tolerance};
-use intercom::feed::{ControlNode, SubscriberRole};
-use intercom::node::NodeId;
-use intercom::views::{Entry, Role};
 use roster::{Exchange, View};
 use snafu::Snafu;
 use station::clock;
 use station::settings::{Settings, SettingsError};
 use station::signals::{Request, Requests, SignalError};
+use tulipridge_protocol::feed::{ControlNode, SubscriberRole};
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::views::{Entry, Role};
 
 use crate::choice::HomeChoice;
 use crate::shutdown::Shutdown;
--- a/crates/porter/src/choice.rs
+++ b/crates/porter/src/choice.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use intercom::feed::ControlNode;
+use tulipridge_protocol::feed::ControlNode;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Time for which a member that has failed once comes after those that have not.
--- a/crates/porter/tests/choice.rs
+++ b/crates/porter/tests/choice.rs
@@ -4,10 +4,10 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use intercom::feed::ControlNode;
-use intercom::node::NodeId;
 use porter::choice::HomeChoice;
 use rstest::rstest;
+use tulipridge_protocol::feed::ControlNode;
+use tulipridge_protocol::node::NodeId;
 
 fn address(last: u8) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 0, last)
--- a/crates/intercom/tests/control.rs
+++ b/crates/protocol/tests/control.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use intercom::control::{ControlMessage, Entry, Envelope, TransferId};
-use intercom::frame;
-use intercom::node::NodeId;
 use rstest::rstest;
+use tulipridge_protocol::control::{ControlMessage, Entry, Envelope, TransferId};
+use tulipridge_protocol::frame;
+use tulipridge_protocol::node::NodeId;
 
 /// Bytes of a message beside the commands and the data in it.
 const MOST_OVERHEAD: usize = 100;
--- a/crates/intercom/tests/frame.rs
+++ b/crates/protocol/tests/frame.rs
@@ -2,10 +2,10 @@
 
 use std::net::Ipv4Addr;
 
-use intercom::control::{ControlMessage, Entry, Envelope, TransferId, View};
-use intercom::frame::{self, FrameError, MAX_MESSAGE_BYTES};
-use intercom::node::NodeId;
 use rstest::rstest;
+use tulipridge_protocol::control::{ControlMessage, Entry, Envelope, TransferId, View};
+use tulipridge_protocol::frame::{self, FrameError, MAX_MESSAGE_BYTES};
+use tulipridge_protocol::node::NodeId;
 
 fn member(last: u8) -> NodeId {
     NodeId::new(Ipv4Addr::new(10, 0, 0, last), u64::from(last))
--- a/crates/intercom/tests/upgrade.rs
+++ b/crates/protocol/tests/upgrade.rs
@@ -1,7 +1,7 @@
 //! Programs of two versions beside each other, as while machines are replaced one after the other.
 
-use intercom::feed::ModelWeights;
 use musli::{Decode, Encode, wire};
+use tulipridge_protocol::feed::ModelWeights;
 
 /// The line of the table of weights before it said which revisions have expired.
 #[derive(Debug, PartialEq, Encode, Decode)]
--- a/crates/roster/src/socket.rs
+++ b/crates/roster/src/socket.rs
@@ -8,8 +8,8 @@
 use async_io::{Async, Timer};
 use fastrand::Rng;
 use futures_lite::future;
-use intercom::feed::ControlNode;
-use intercom::views::{Entry, Shuffle};
+use tulipridge_protocol::feed::ControlNode;
+use tulipridge_protocol::views::{Entry, Shuffle};
 
 use crate::datagram::{self, MAX_DATAGRAM_BYTES};
 use crate::view::View;
--- a/crates/roster/src/view.rs
+++ b/crates/roster/src/view.rs
@@ -12,8 +12,8 @@
 use std::net::Ipv4Addr;
 
 use fastrand::Rng;
-use intercom::feed::ControlNode;
-use intercom::views::{Entry, Role, Shuffle};
+use tulipridge_protocol::feed::ControlNode;
+use tulipridge_protocol::views::{Entry, Role, Shuffle};
 
 /// Entries that a view holds at most.
 pub const CAPACITY: usize = 16;
--- a/crates/roster/tests/network.rs
+++ b/crates/roster/tests/network.rs
@@ -2,11 +2,11 @@
 
 mod simulation;
 
-use intercom::views::Role;
 use roster::datagram::MAX_DATAGRAM_BYTES;
 use roster::view::{CAPACITY, MAX_AGE};
 use rstest::rstest;
 use simulation::{Network, Size, TICK_MS};
+use tulipridge_protocol::views::Role;
 
 /// Ticks after which a network has mixed.
 const MIXED: u64 = 60;
--- a/crates/roster/tests/simulation/mod.rs
+++ b/crates/roster/tests/simulation/mod.rs
@@ -4,10 +4,10 @@
 use std::net::Ipv4Addr;
 
 use fastrand::Rng;
-use intercom::node::NodeId;
-use intercom::views::{Entry, Role, Shuffle};
 use roster::datagram;
 use roster::view::View;
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::views::{Entry, Role, Shuffle};
 
 /// Virtual time between ticks.
 pub const TICK_MS: u64 = 1000;
--- a/crates/roster/tests/socket.rs
+++ b/crates/roster/tests/socket.rs
@@ -6,11 +6,11 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use intercom::node::NodeId;
-use intercom::views::{Entry, Role};
 use roster::datagram::MAX_DATAGRAM_BYTES;
 use roster::{Exchange, View};
 use tulipridge_http1::within;
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::views::{Entry, Role};
 
 const FIRST: Ipv4Addr = Ipv4Addr::new(127, 0, 7, 1);
 const SECOND: Ipv4Addr = Ipv4Addr::new(127, 0, 7, 2);
--- a/crates/roster/tests/view.rs
+++ b/crates/roster/tests/view.rs
@@ -2,11 +2,11 @@
 
 use std::net::Ipv4Addr;
 
-use intercom::node::NodeId;
-use intercom::views::{Entry, Role, Shuffle};
 use roster::View;
 use roster::view::{CAPACITY, CONTROL_PLACES, MAX_AGE};
 use rstest::rstest;
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::views::{Entry, Role, Shuffle};
 
 fn entry(last: u8, role: Role) -> Entry {
     Entry { id: NodeId::new(address(last), 1), role, zone: "a".into(), age: 0 }
--- a/crates/tower/src/control_plane.rs
+++ b/crates/tower/src/control_plane.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use async_channel::{Receiver, Sender};
-use intercom::control::View;
-use intercom::node::NodeId;
+use tulipridge_protocol::control::View;
+use tulipridge_protocol::node::NodeId;
 
 use crate::api::{ChangeOutcome, ControlPlane, Standing, Status};
 use crate::change::{self, ChangeAuthority};
--- a/crates/tower/src/discovery/list.rs
+++ b/crates/tower/src/discovery/list.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddrV4;
 
-use intercom::feed::{ModelRevision, Replica, ReplicaPhase};
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use snafu::{ResultExt, Snafu};
+use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase};
 
 /// Why a page of the list can't be used.
 #[derive(Debug, Snafu)]
--- a/crates/tower/src/discovery/mod.rs
+++ b/crates/tower/src/discovery/mod.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use intercom::feed::Replica;
 use snafu::{ResultExt, Snafu};
 use station::clock;
 use tulipridge_http1::WireLimits;
+use tulipridge_protocol::feed::Replica;
 
 pub use list::{Page, PageError};
 pub use pace::{Pace, WalkEnd};
--- a/crates/tower/src/fleet.rs
+++ b/crates/tower/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use intercom::feed::{ModelRevision, Replica, ReplicaPhase};
+use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase};
 
 /// Replicas by id, as the last complete list had them.
 #[derive(Debug, Default)]
--- a/crates/tower/src/index/mod.rs
+++ b/crates/tower/src/index/mod.rs
@@ -13,9 +13,9 @@
 use async_executor::Task;
 use async_io::Timer;
 use futures_lite::future;
-use intercom::feed::Replica;
 use tulipridge_configuration::Configuration;
 use tulipridge_prefix_cache_index::{KeptUpdate, SourceStatus};
+use tulipridge_protocol::feed::Replica;
 
 pub use answer::{AnswerError, read_events, read_list};
 pub use follower::{Follower, SourceKind};
--- a/crates/tower/src/links/inbound.rs
+++ b/crates/tower/src/links/inbound.rs
@@ -8,9 +8,9 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
-use intercom::control::Envelope;
-use intercom::frame;
 use socket2::{SockRef, TcpKeepalive};
+use tulipridge_protocol::control::Envelope;
+use tulipridge_protocol::frame;
 
 use crate::accept::accept_all;
 
--- a/crates/tower/src/links/mod.rs
+++ b/crates/tower/src/links/mod.rs
@@ -17,7 +17,7 @@
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::Async;
-use intercom::control::{ControlMessage, Envelope};
+use tulipridge_protocol::control::{ControlMessage, Envelope};
 
 /// Messages that wait for one connection; more are dropped.
 const QUEUE_LENGTH: usize = 1_024;
--- a/crates/tower/src/links/outbound.rs
+++ b/crates/tower/src/links/outbound.rs
@@ -7,10 +7,10 @@
 use async_channel::{Receiver, RecvError};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use intercom::control::Envelope;
-use intercom::frame;
 use socket2::SockRef;
 use tulipridge_http1::within;
+use tulipridge_protocol::control::Envelope;
+use tulipridge_protocol::frame;
 
 /// Time for a connection to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
--- a/crates/tower/src/member/mod.rs
+++ b/crates/tower/src/member/mod.rs
@@ -14,10 +14,10 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
-use intercom::control::Envelope;
-use intercom::feed::ControlNode;
-use intercom::node::NodeId;
 use station::clock;
+use tulipridge_protocol::control::Envelope;
+use tulipridge_protocol::feed::ControlNode;
+use tulipridge_protocol::node::NodeId;
 
 use crate::change::ChangeAuthority;
 use crate::delivery::Authority;
--- a/crates/tower/src/replication/campaign.rs
+++ b/crates/tower/src/replication/campaign.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use intercom::control::{ControlMessage, View};
-use intercom::node::NodeId;
+use tulipridge_protocol::control::{ControlMessage, View};
+use tulipridge_protocol::node::NodeId;
 
 use super::machine::{Replication, jitter};
 use super::membership::{Candidate, Members, Selection};
--- a/crates/tower/src/replication/durable.rs
+++ b/crates/tower/src/replication/durable.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use intercom::control::{Entry, View};
 use musli::{Decode, Encode};
+use tulipridge_protocol::control::{Entry, View};
 
 /// All that a member keeps on disk but its generation.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
@@ -17,7 +17,7 @@
     /// The newest entry in the snapshot.
     pub snapshot_sequence: u64,
     /// The encoded state at that entry.
-    #[musli(with = intercom::shared_bytes)]
+    #[musli(with = tulipridge_protocol::shared_bytes)]
     pub snapshot: Arc<[u8]>,
     /// All entries after it.
     pub entries: Vec<Entry>,
@@ -48,7 +48,7 @@
         /// The newest entry in the snapshot.
         sequence: u64,
         /// The encoded state.
-        #[musli(with = intercom::shared_bytes)]
+        #[musli(with = tulipridge_protocol::shared_bytes)]
         snapshot: Arc<[u8]>,
     },
     /// All data is replaced.
@@ -58,7 +58,7 @@
         /// The newest entry in the snapshot.
         snapshot_sequence: u64,
         /// The encoded state.
-        #[musli(with = intercom::shared_bytes)]
+        #[musli(with = tulipridge_protocol::shared_bytes)]
         snapshot: Arc<[u8]>,
         /// All entries after it.
         entries: Vec<Entry>,
--- a/crates/tower/src/replication/follower.rs
+++ b/crates/tower/src/replication/follower.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use intercom::control::{ControlMessage, Entry, Envelope, View};
-use intercom::node::NodeId;
+use tulipridge_protocol::control::{ControlMessage, Entry, Envelope, View};
+use tulipridge_protocol::node::NodeId;
 
 use super::durable::DurableRecord;
 use super::machine::{Grant, HeardPrimary, Replication};
--- a/crates/tower/src/replication/interface.rs
+++ b/crates/tower/src/replication/interface.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use intercom::control::Envelope;
-use intercom::node::NodeId;
+use tulipridge_protocol::control::Envelope;
+use tulipridge_protocol::node::NodeId;
 
 use super::durable::DurableRecord;
 
--- a/crates/tower/src/replication/journal.rs
+++ b/crates/tower/src/replication/journal.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use intercom::control::Envelope;
+use tulipridge_protocol::control::Envelope;
 
 use super::durable::DurableRecord;
 
--- a/crates/tower/src/replication/leader.rs
+++ b/crates/tower/src/replication/leader.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use intercom::control::{ControlMessage, Entry, View};
-use intercom::node::NodeId;
+use tulipridge_protocol::control::{ControlMessage, Entry, View};
+use tulipridge_protocol::node::NodeId;
 
 use super::interface::{FailureReason, Output};
 use super::machine::{Replication, jitter};
--- a/crates/tower/src/replication/machine.rs
+++ b/crates/tower/src/replication/machine.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use intercom::control::{ControlMessage, Envelope, View};
-use intercom::node::NodeId;
+use tulipridge_protocol::control::{ControlMessage, Envelope, View};
+use tulipridge_protocol::node::NodeId;
 
 use super::campaign::Attempt;
 use super::durable::{DurableRecord, DurableState};
--- a/crates/tower/src/replication/peers.rs
+++ b/crates/tower/src/replication/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use intercom::node::NodeId;
+use tulipridge_protocol::node::NodeId;
 
 use super::settings::STANDBY_FORGOTTEN_AFTER;
 
--- a/crates/tower/src/replication/progress.rs
+++ b/crates/tower/src/replication/progress.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use intercom::node::NodeId;
+use tulipridge_protocol::node::NodeId;
 
 use super::settings::{APPEND_STALL, RESEND_INTERVAL, longest_transmission, longest_write};
 
--- a/crates/tower/src/replication/settings.rs
+++ b/crates/tower/src/replication/settings.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use intercom::control::View;
-use intercom::node::NodeId;
+use tulipridge_protocol::control::View;
+use tulipridge_protocol::node::NodeId;
 
 /// How often a primary tells all members that it is there.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
--- a/crates/tower/src/replication/sync.rs
+++ b/crates/tower/src/replication/sync.rs
@@ -12,8 +12,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use intercom::control::{ControlMessage, TransferId};
-use intercom::node::NodeId;
+use tulipridge_protocol::control::{ControlMessage, TransferId};
+use tulipridge_protocol::node::NodeId;
 
 use super::campaign::Phase;
 use super::durable::{DataMark, DurableRecord};
--- a/crates/tower/src/replication/transfer.rs
+++ b/crates/tower/src/replication/transfer.rs
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use intercom::control::{Entry, TransferId};
-use intercom::frame;
 use musli::{Decode, Encode};
+use tulipridge_protocol::control::{Entry, TransferId};
+use tulipridge_protocol::frame;
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::durable::DurableState;
@@ -31,7 +31,7 @@
     /// The newest entry in the snapshot.
     pub snapshot_sequence: u64,
     /// The encoded state at that entry.
-    #[musli(with = intercom::shared_bytes)]
+    #[musli(with = tulipridge_protocol::shared_bytes)]
     pub snapshot: Arc<[u8]>,
     /// All entries after it.
     pub entries: Vec<Entry>,
--- a/crates/tower/src/rollout/load.rs
+++ b/crates/tower/src/rollout/load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use intercom::feed::ModelRevision;
+use tulipridge_protocol::feed::ModelRevision;
 
 /// The load of a replica.
 #[derive(Clone, Debug)]
--- a/crates/tower/src/rollout/messages.rs
+++ b/crates/tower/src/rollout/messages.rs
@@ -1,7 +1,7 @@
 //! What is said to replicas about their weights.
 
-use intercom::feed::ModelRevision;
 use serde::{Deserialize, Serialize};
+use tulipridge_protocol::feed::ModelRevision;
 
 /// An order to load weights, as a replica reads it.
 #[derive(Debug, Serialize)]
--- a/crates/tower/src/server/duties.rs
+++ b/crates/tower/src/server/duties.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use intercom::feed::ModelWeights;
 use tulipridge_configuration::Configuration;
 use tulipridge_prefix_cache_index::{KeptUpdate, SourceStatus};
+use tulipridge_protocol::feed::ModelWeights;
 
 use crate::delivery::Delivery;
 use crate::duty::DutyHolder;
--- a/crates/tower/src/server/mod.rs
+++ b/crates/tower/src/server/mod.rs
@@ -12,13 +12,13 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use intercom::node::NodeId;
-use intercom::views::{Entry, Role};
 use roster::{Exchange, View};
 use snafu::{OptionExt, ResultExt};
 use station::clock;
 use station::settings::Settings;
 use station::signals::{Request, Requests};
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::views::{Entry, Role};
 
 use crate::api::{Api, ApiLimits};
 use crate::control_plane::OperatorView;
--- a/crates/tower/src/state_log.rs
+++ b/crates/tower/src/state_log.rs
@@ -9,10 +9,10 @@
 
 use std::mem;
 
-use intercom::frame::{self, FrameError};
 use logbook::{Directory, FileSystemDirectory, Logbook, LogbookError, Recovered};
 use musli::{Decode, Encode};
 use snafu::{ResultExt, Snafu};
+use tulipridge_protocol::frame::{self, FrameError};
 
 use crate::replication::{DurableRecord, DurableState};
 
--- a/crates/tower/tests/calls.rs
+++ b/crates/tower/tests/calls.rs
@@ -10,7 +10,6 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use intercom::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 use rstest::rstest;
 use socket2::{Domain, SockRef, Socket, Type};
 use station::settings::RevisionTerm;
@@ -22,6 +21,7 @@
 use tower::rollout::{PlannerSettings, Rollout, RolloutOutput};
 use tulipridge_http1::{WireLimits, within};
 use tulipridge_prefix_cache_index::Liveness;
+use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 
 /// Time for a call that is to run out of it.
 const SHORT: Duration = Duration::from_millis(60);
--- a/crates/tower/tests/disk.rs
+++ b/crates/tower/tests/disk.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use intercom::control::{Entry, View};
-use intercom::node::NodeId;
 use rstest::rstest;
 use tower::disk::{Boot, DiskError, DiskEvent, Opened};
 use tower::replication::DurableRecord;
 use tower::state_log::DiskImage;
+use tulipridge_protocol::control::{Entry, View};
+use tulipridge_protocol::node::NodeId;
 
 /// A folder that is removed when the test ends.
 struct Folder(PathBuf);
--- a/crates/tower/tests/disk_log.rs
+++ b/crates/tower/tests/disk_log.rs
@@ -5,10 +5,10 @@
 use std::sync::{Arc, Mutex};
 
 use async_channel::Receiver;
-use intercom::control::Entry;
 use log::{LevelFilter, Log, Metadata, Record};
 use tower::disk::{Boot, Disk, DiskEvent, Opened};
 use tower::replication::DurableRecord;
+use tulipridge_protocol::control::Entry;
 
 /// More than the log holds before the whole state takes its place, and more than a file of it.
 const LONG_ENTRY: usize = 5 << 20;
--- a/crates/tower/tests/fleet.rs
+++ b/crates/tower/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use intercom::feed::{ModelRevision, Replica, ReplicaPhase};
 use tower::fleet::{Corrections, FleetTable};
+use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase};
 
 const TENURE: u64 = 7;
 
--- a/crates/tower/tests/links.rs
+++ b/crates/tower/tests/links.rs
@@ -6,10 +6,10 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
-use intercom::control::{ControlMessage, Entry, Envelope};
-use intercom::frame;
-use intercom::node::NodeId;
 use tower::links::Links;
+use tulipridge_protocol::control::{ControlMessage, Entry, Envelope};
+use tulipridge_protocol::frame;
+use tulipridge_protocol::node::NodeId;
 
 /// Two machines that share a port, as in a deployment.
 const SENDER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
--- a/crates/tower/tests/model.rs
+++ b/crates/tower/tests/model.rs
@@ -21,7 +21,6 @@
 
 mod support_model;
 
-use intercom::node::NodeId;
 use rstest::rstest;
 use support_model::actions::{Action, Bounds, Budget, Ordering, possible, split};
 use support_model::breaks::{self, Break, CRASH, NOTHING, usual};
@@ -32,6 +31,7 @@
 use support_model::setup::{DRIFT_PERCENT, MS, Setup, drifted};
 use support_model::world::World;
 use tower::state::State;
+use tulipridge_protocol::node::NodeId;
 
 /// A script that leads to a state.
 type Prefix = fn(Setup) -> World;
--- a/crates/tower/tests/rated_cluster/mod.rs
+++ b/crates/tower/tests/rated_cluster/mod.rs
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use intercom::control::{ControlMessage, Envelope};
-use intercom::node::NodeId;
 use tower::member::disk_watch::DiskWatch;
 use tower::replication::{
     DurableRecord, DurableState, FailureReason, Input, Output, Replication, ReplicationSettings, Role,
 };
 use tower::state_log::LOG_BYTES;
+use tulipridge_protocol::control::{ControlMessage, Envelope};
+use tulipridge_protocol::node::NodeId;
 
 use super::support::checker::Checker;
 
--- a/crates/tower/tests/replication_directed.rs
+++ b/crates/tower/tests/replication_directed.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use intercom::node::NodeId;
 use rstest::rstest;
 use support::scenario::{assert_goes_on, started};
 use support::simulation::{Fault, MS, Network, SECOND, Shape, Simulation};
 use tower::replication::Input;
+use tulipridge_protocol::node::NodeId;
 
 fn voters_of(simulation: &Simulation) -> Vec<NodeId> {
     let primary = simulation.primary().expect("there is a primary");
--- a/crates/tower/tests/replication_member.rs
+++ b/crates/tower/tests/replication_member.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use intercom::control::{ControlMessage, Envelope, View};
-use intercom::node::NodeId;
 use tower::replication::{
     DurableRecord, FailureReason, Input, Output, Replication, ReplicationSettings, Role,
 };
+use tulipridge_protocol::control::{ControlMessage, Envelope, View};
+use tulipridge_protocol::node::NodeId;
 
 const START: Duration = Duration::from_secs(1);
 
--- a/crates/tower/tests/replication_settling.rs
+++ b/crates/tower/tests/replication_settling.rs
@@ -3,11 +3,11 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use intercom::control::View;
-use intercom::node::NodeId;
 use rstest::rstest;
 use tower::replication::{Departure, DurableState, Replication, ReplicationSettings};
 use tower::server::departure::may_end;
+use tulipridge_protocol::control::View;
+use tulipridge_protocol::node::NodeId;
 
 const LEEWAY: Duration = Duration::from_secs(8);
 
--- a/crates/tower/tests/replication_sync.rs
+++ b/crates/tower/tests/replication_sync.rs
@@ -5,13 +5,13 @@
 
 use std::time::Duration;
 
-use intercom::control::{ControlMessage, Entry, Envelope};
-use intercom::frame::MAX_MESSAGE_BYTES;
 use rated_cluster::{CONFIGURATION_BYTES, Cluster, DiskSpeed, End, FAST_LINK, Interceptor, SLOW_LINK};
 use rstest::rstest;
 use support::checker::Violation;
 use tower::replication::transfer::{EncodedData, Part};
 use tower::replication::{DataMark, DurableState, FailureReason};
+use tulipridge_protocol::control::{ControlMessage, Entry, Envelope};
+use tulipridge_protocol::frame::MAX_MESSAGE_BYTES;
 
 /// How much slower a slow disk is.
 const SLOWDOWN: u32 = 30;
--- a/crates/tower/tests/replication_sync_member.rs
+++ b/crates/tower/tests/replication_sync_member.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use intercom::control::{ControlMessage, Entry, Envelope, TransferId};
-use intercom::node::NodeId;
 use tower::replication::transfer::{EncodedData, PART_BYTES, Part};
 use tower::replication::{
     DataMark, DurableRecord, DurableState, Input, Output, Replication, ReplicationSettings,
 };
+use tulipridge_protocol::control::{ControlMessage, Entry, Envelope, TransferId};
+use tulipridge_protocol::node::NodeId;
 
 const START: Duration = Duration::from_secs(1);
 const MEMBER: NodeId = NodeId { ip: 2, generation: 0 };
--- a/crates/tower/tests/replication_transfer.rs
+++ b/crates/tower/tests/replication_transfer.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use intercom::control::{Entry, TransferId};
 use rstest::rstest;
 use tower::replication::transfer::{
     EncodedData, IncomingTransfer, LONGEST_TRANSFER, OutgoingTransfer, PART_BYTES, Part, Received,
     TransferData, WINDOW_BYTES,
 };
 use tower::replication::{DataMark, DurableState};
+use tulipridge_protocol::control::{Entry, TransferId};
 
 /// More time than any transfer of these tests takes.
 const LIMIT: Duration = Duration::from_secs(600);
--- a/crates/tower/tests/rollout_random.rs
+++ b/crates/tower/tests/rollout_random.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use intercom::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 use rstest::rstest;
 use station::settings::RevisionTerm;
 use tower::rollout::{Action, NamingTimes, OrderAnswer, Planner, PlannerSettings, Report};
+use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 
 const TERM: Duration = Duration::from_secs(12);
 const LEASE: Duration = Duration::from_secs(3);
--- a/crates/tower/tests/state_log.rs
+++ b/crates/tower/tests/state_log.rs
@@ -5,12 +5,12 @@
 
 use std::sync::Arc;
 
-use intercom::control::Entry;
 use logbook::LogbookError;
 use memory_directory::MemoryDirectory;
 use rstest::rstest;
 use tower::replication::DurableRecord;
 use tower::state_log::{Compaction, LOG_BYTES, StateLog};
+use tulipridge_protocol::control::Entry;
 
 /// A configuration of an operator.
 const CHANGE_BYTES: usize = 1_300_000;
--- a/crates/tower/tests/support/checker.rs
+++ b/crates/tower/tests/support/checker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use intercom::node::NodeId;
+use tulipridge_protocol::node::NodeId;
 
 use super::operator::client::UnexplainedObject;
 
--- a/crates/tower/tests/support/machine.rs
+++ b/crates/tower/tests/support/machine.rs
@@ -1,7 +1,7 @@
 //! A machine of the simulated cluster: its disk, its clock, and its process.
 
-use intercom::node::NodeId;
 use tower::replication::{Input, Replication};
+use tulipridge_protocol::node::NodeId;
 
 use super::clock::Clock;
 use super::disk::Disk;
--- a/crates/tower/tests/support/simulation/lifecycle.rs
+++ b/crates/tower/tests/support/simulation/lifecycle.rs
@@ -2,8 +2,8 @@
 
 use std::net::Ipv4Addr;
 
-use intercom::node::NodeId;
 use tower::replication::{DurableState, Input, Replication, ReplicationSettings};
+use tulipridge_protocol::node::NodeId;
 
 use super::{Event, Fault, SECOND, Simulation};
 use crate::support::clock::Clock;
--- a/crates/tower/tests/support/simulation/mod.rs
+++ b/crates/tower/tests/support/simulation/mod.rs
@@ -13,9 +13,9 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use fastrand::Rng;
-use intercom::control::Envelope;
-use intercom::node::NodeId;
 use tower::replication::Input;
+use tulipridge_protocol::control::Envelope;
+use tulipridge_protocol::node::NodeId;
 
 pub use departure::Leaving;
 pub use network::Network;
--- a/crates/tower/tests/support/simulation/network.rs
+++ b/crates/tower/tests/support/simulation/network.rs
@@ -1,7 +1,7 @@
 //! The network: loss, delay, duplication, cut links.
 
-use intercom::control::{ControlMessage, Envelope};
-use intercom::node::NodeId;
+use tulipridge_protocol::control::{ControlMessage, Envelope};
+use tulipridge_protocol::node::NodeId;
 
 use super::{Event, Fault, MS, SECOND, Simulation};
 use crate::support::random::chance;
--- a/crates/tower/tests/support_model/faults.rs
+++ b/crates/tower/tests/support_model/faults.rs
@@ -1,7 +1,7 @@
 //! Promises that are broken on purpose, around the code under test, to show that the checker sees them.
 
-use intercom::control::{ControlMessage, Envelope, View};
 use tower::replication::DurableRecord;
+use tulipridge_protocol::control::{ControlMessage, Envelope, View};
 
 /// A promise that is broken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/tower/tests/support_model/invariants.rs
+++ b/crates/tower/tests/support_model/invariants.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use intercom::node::NodeId;
 use tower::state::State;
+use tulipridge_protocol::node::NodeId;
 
 use super::orders::{Order, is_taken};
 
--- a/crates/tower/tests/support_model/lives.rs
+++ b/crates/tower/tests/support_model/lives.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use intercom::node::NodeId;
 use tower::replication::{DurableState, Input, Replication, ReplicationSettings};
 use tower::state::State;
+use tulipridge_protocol::node::NodeId;
 
 use super::faults::Fault;
 use super::member::Process;
--- a/crates/tower/tests/support_model/member.rs
+++ b/crates/tower/tests/support_model/member.rs
@@ -7,9 +7,9 @@
 use std::ops::Deref;
 use std::rc::Rc;
 
-use intercom::node::NodeId;
 use tower::replication::{Input, Replication};
 use tower::state::State;
+use tulipridge_protocol::node::NodeId;
 
 use super::clock::Clock;
 use super::disk::Disk;
--- a/crates/tower/tests/support_model/outputs.rs
+++ b/crates/tower/tests/support_model/outputs.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use intercom::control::Envelope;
-use intercom::node::NodeId;
 use tower::replication::{DurableRecord, Input, Output, Role};
 use tower::state::State;
+use tulipridge_protocol::control::Envelope;
+use tulipridge_protocol::node::NodeId;
 
 use super::disk::Batch;
 use super::faults::Fault;
--- a/crates/tower/tests/support_model/prefixes.rs
+++ b/crates/tower/tests/support_model/prefixes.rs
@@ -1,7 +1,7 @@
 //! Scripted beginnings.
 
-use intercom::control::ControlMessage;
 use tower::replication::Input;
+use tulipridge_protocol::control::ControlMessage;
 
 use super::actions::{Action, Bounds, Budget, Ordering, pairs, possible, split};
 use super::setup::{MS, Setup};
--- a/crates/tower/tests/support_model/world.rs
+++ b/crates/tower/tests/support_model/world.rs
@@ -5,9 +5,9 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-use intercom::control::Envelope;
-use intercom::node::NodeId;
 use tower::replication::{Input, Replication, Role};
+use tulipridge_protocol::control::Envelope;
+use tulipridge_protocol::node::NodeId;
 
 use super::actions::{Action, Bounds, Budget, Links, Ordering};
 use super::faults::Fault;
