--- a/crates/courier/src/lib.rs
+++ b/crates/courier/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod waiting;
 mod wire;
 
-pub use station::clock;
+pub use tulipridge_runtime::clock;
 
 pub use freshness::Freshness;
 pub use publisher::{Publisher, PublisherSettings};
--- a/crates/courier/src/link.rs
+++ b/crates/courier/src/link.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::Stream;
-use station::clock;
+use tulipridge_runtime::clock;
 
 use crate::signal::Signal;
 use crate::wire::{Incoming, Outgoing, Received};
--- a/crates/courier/src/publisher.rs
+++ b/crates/courier/src/publisher.rs
@@ -11,8 +11,8 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use station::clock;
 use tulipridge_protocol::feed::{Subscribe, SubscriberRole, WaitingWork};
+use tulipridge_runtime::clock;
 
 use crate::signal::Signal;
 use crate::store::FeedStore;
--- a/crates/courier/src/publisher/connection.rs
+++ b/crates/courier/src/publisher/connection.rs
@@ -7,9 +7,9 @@
 
 use async_io::Async;
 use snafu::{ResultExt, Snafu, ensure};
-use station::clock;
 use tulipridge_protocol::feed::{ToPublisher, ToSubscriber};
 use tulipridge_protocol::frame::FrameError;
+use tulipridge_runtime::clock;
 
 use super::{Peer, Publisher};
 use crate::link::{Event, Link};
--- a/crates/courier/src/subscriber/session.rs
+++ b/crates/courier/src/subscriber/session.rs
@@ -6,8 +6,8 @@
 
 use async_io::Async;
 use snafu::{ResultExt, ensure};
-use station::clock;
 use tulipridge_protocol::feed::{ToPublisher, ToSubscriber};
+use tulipridge_runtime::clock;
 
 use super::{
     ClosedSnafu, EndReason, FailedSnafu, MalformedSnafu, NotFreshSnafu, ReselectedSnafu, SilentSnafu,
--- a/crates/kiosk/src/exchange/request_head.rs
+++ b/crates/kiosk/src/exchange/request_head.rs
@@ -50,6 +50,6 @@
             other.map(|other| other.zone)
         };
         let target = Target { address: replica.address, zone: replica.zone };
-        self.proxy.kv.borrow_mut().plan(station::clock::now(), &chain, target, zone_of)
+        self.proxy.kv.borrow_mut().plan(tulipridge_runtime::clock::now(), &chain, target, zone_of)
     }
 }
--- a/crates/kiosk/src/freshness.rs
+++ b/crates/kiosk/src/freshness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use station::settings::TimeLimits;
+use tulipridge_runtime::settings::TimeLimits;
 
 /// Time that a judgement may take to reach a replica, taken off the time within which a withdrawal must hold.
 const SAFETY_MARGIN: Duration = Duration::from_millis(500);
--- a/crates/kiosk/src/main.rs
+++ b/crates/kiosk/src/main.rs
@@ -3,5 +3,10 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    station::command_line::start("kiosk", "The proxy", env!("CARGO_PKG_VERSION"), kiosk::run::run)
+    tulipridge_runtime::command_line::start(
+        "kiosk",
+        "The proxy",
+        env!("CARGO_PKG_VERSION"),
+        kiosk::run::run,
+    )
 }
--- a/crates/kiosk/src/placement/budget.rs
+++ b/crates/kiosk/src/placement/budget.rs
@@ -1,6 +1,6 @@
 //! The budget of repeated sends of one service.
 
-use station::settings::TimeLimits;
+use tulipridge_runtime::settings::TimeLimits;
 
 /// Part of the ratio that is given out: the rest is for requests that clients count in another window.
 const RATIO_PART: f64 = 0.9;
--- a/crates/kiosk/src/placement/held.rs
+++ b/crates/kiosk/src/placement/held.rs
@@ -7,7 +7,7 @@
 
 use futures_lite::future;
 use signpost::types::{Nanos, ReplicaId, RequestId, Verdict};
-use station::clock;
+use tulipridge_runtime::clock;
 
 use crate::placement::{Ask, Order, Placement};
 
--- a/crates/kiosk/src/proxy.rs
+++ b/crates/kiosk/src/proxy.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use signpost::types::ReplicaId;
-use station::clock;
-use station::settings::{Settings, TimeLimits};
 use tulipridge_configuration::{Caps, Configuration};
 use tulipridge_http1::WireLimits;
 use tulipridge_protocol::feed::{ModelRevision, Replica, WeightsTable};
+use tulipridge_runtime::clock;
+use tulipridge_runtime::settings::{Settings, TimeLimits};
 
 use crate::admission::Routing;
 use crate::alarms::Alarms;
--- a/crates/kiosk/src/replica/expiry.rs
+++ b/crates/kiosk/src/replica/expiry.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use station::settings::RevisionTerm;
 use tulipridge_protocol::feed::{ModelRevision, WeightsTable};
+use tulipridge_runtime::settings::RevisionTerm;
 
 /// The limits of all models. The time is handed in.
 #[derive(Debug)]
--- a/crates/kiosk/src/run.rs
+++ b/crates/kiosk/src/run.rs
@@ -13,9 +13,9 @@
 use signpost::types::ReplicaId;
 use snafu::{OptionExt, ResultExt, Snafu};
 use socket2::{Domain, Protocol, Socket, Type};
-use station::settings::Settings;
-use station::signals::{Request, Requests};
 use tulipridge_protocol::feed::SubscriberRole;
+use tulipridge_runtime::settings::Settings;
+use tulipridge_runtime::signals::{Request, Requests};
 
 use crate::placement::held;
 use crate::proxy::Proxy;
@@ -50,7 +50,7 @@
     #[snafu(context(false), display("{source}"))]
     Signals {
         /// What is wrong.
-        source: station::signals::SignalError,
+        source: tulipridge_runtime::signals::SignalError,
     },
 }
 
--- a/crates/kiosk/tests/outdated.rs
+++ b/crates/kiosk/tests/outdated.rs
@@ -6,9 +6,9 @@
 
 use kiosk::replica::expiry::Expiry;
 use rstest::rstest;
-use station::settings::RevisionTerm;
 use support::{Bench, LAST, Part, event, ok, post_with, status, stream_head};
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Position, WeightsTable};
+use tulipridge_runtime::settings::RevisionTerm;
 
 /// The operator's term: a part of it is left after a withdrawal.
 const REVISION_MS: u64 = 600;
--- a/crates/kiosk/tests/support/mod.rs
+++ b/crates/kiosk/tests/support/mod.rs
@@ -15,11 +15,11 @@
 use kiosk::placement::held;
 use kiosk::proxy::Proxy;
 use kiosk::{edge, ready};
-use station::settings::Settings;
 use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, Share, Tenant};
 use tulipridge_protocol::feed::{
     ModelRevision, ModelWeights, Position, Replica, ReplicaPhase, WeightsTable,
 };
+use tulipridge_runtime::settings::Settings;
 
 pub const HOST: &str = "shop.example";
 pub const KEY: &str = "k1";
--- a/crates/porter/src/agent.rs
+++ b/crates/porter/src/agent.rs
@@ -10,12 +10,12 @@
 use courier::{Attempt, FeedStore, Identity, Publisher, Subscriber, Tolerance};
 use roster::{Exchange, View};
 use snafu::Snafu;
-use station::clock;
-use station::settings::{Settings, SettingsError};
-use station::signals::{Request, Requests, SignalError};
 use tulipridge_protocol::feed::{ControlNode, SubscriberRole};
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::views::{Entry, Role};
+use tulipridge_runtime::clock;
+use tulipridge_runtime::settings::{Settings, SettingsError};
+use tulipridge_runtime::signals::{Request, Requests, SignalError};
 
 use crate::choice::HomeChoice;
 use crate::shutdown::Shutdown;
--- a/crates/porter/src/main.rs
+++ b/crates/porter/src/main.rs
@@ -3,8 +3,8 @@
 use std::process::ExitCode;
 
 use porter::agent;
-use station::command_line;
-use station::settings::Settings;
+use tulipridge_runtime::command_line;
+use tulipridge_runtime::settings::Settings;
 
 const DESCRIPTION: &str = "The agent beside each proxy: keeps the link to the control plane";
 
--- a/crates/porter/tests/exchange.rs
+++ b/crates/porter/tests/exchange.rs
@@ -11,12 +11,12 @@
 use courier::{FeedStore, Identity, Publisher, Subscriber};
 use futures_lite::future;
 use porter::agent::Agent;
-use station::clock;
-use station::settings::Settings;
 use tulipridge_configuration::Configuration;
 use tulipridge_http1::within;
 use tulipridge_protocol::feed::{ControlNode, Group, SubscriberRole};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_runtime::clock;
+use tulipridge_runtime::settings::Settings;
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 1);
 const SEED: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 2);
--- a/crates/station/tests/command_line.rs
+++ b/crates/runtime/tests/command_line.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use rstest::rstest;
-use station::command_line::{Command, parser};
+use tulipridge_runtime::command_line::{Command, parser};
 
 #[rstest]
 #[case::nothing(&[], Command::Run)]
--- a/crates/station/tests/logging.rs
+++ b/crates/runtime/tests/logging.rs
@@ -2,7 +2,7 @@
 
 use insta::assert_snapshot;
 use log::{Level, Record};
-use station::logging::line;
+use tulipridge_runtime::logging::line;
 
 #[test]
 fn a_line_is_json_with_its_key_values() {
--- a/crates/station/tests/revision_term.rs
+++ b/crates/runtime/tests/revision_term.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use station::settings::RevisionTerm;
+use tulipridge_runtime::settings::RevisionTerm;
 
 #[rstest]
 fn each_step_leaves_time_for_the_next(
--- a/crates/station/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -4,7 +4,7 @@
 
 use insta::assert_snapshot;
 use rstest::rstest;
-use station::settings::{Role, Settings, SettingsError};
+use tulipridge_runtime::settings::{Role, Settings, SettingsError};
 
 const EDGE: &str = include_str!("edge.yaml");
 
--- a/crates/tower/src/delivery.rs
+++ b/crates/tower/src/delivery.rs
@@ -13,10 +13,10 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use courier::{FeedStore, Identity, Publisher, Subscriber};
-use station::clock;
 use tulipridge_configuration::Configuration;
 use tulipridge_prefix_cache_index::{KeptUpdate, SourceStatus};
 use tulipridge_protocol::feed::{ControlNode, Group, ModelWeights, Replica, SubscriberRole};
+use tulipridge_runtime::clock;
 
 use crate::api::{IndexSize, ReplicaWeights};
 
--- a/crates/tower/src/discovery/mod.rs
+++ b/crates/tower/src/discovery/mod.rs
@@ -9,9 +9,9 @@
 
 use async_io::Timer;
 use snafu::{ResultExt, Snafu};
-use station::clock;
 use tulipridge_http1::WireLimits;
 use tulipridge_protocol::feed::Replica;
+use tulipridge_runtime::clock;
 
 pub use list::{Page, PageError};
 pub use pace::{Pace, WalkEnd};
--- a/crates/tower/src/index/follower.rs
+++ b/crates/tower/src/index/follower.rs
@@ -7,11 +7,11 @@
 
 use async_io::Timer;
 use snafu::{ResultExt, Snafu};
-use station::clock;
 use tulipridge_http1::WireLimits;
 use tulipridge_prefix_cache_index::{
     Cursor, EventPage, Followed, KeptUpdate, Listing, Liveness, SourceStatus, follow, listed,
 };
+use tulipridge_runtime::clock;
 
 use super::answer::{AnswerError, read_events, read_list};
 use super::outbox::Outbox;
--- a/crates/tower/src/main.rs
+++ b/crates/tower/src/main.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use station::command_line;
+use tulipridge_runtime::command_line;
 
 /// What the program is, for its help.
 const DESCRIPTION: &str = "The control plane: agreed state, service discovery, delivery, weights";
--- a/crates/tower/src/member/mod.rs
+++ b/crates/tower/src/member/mod.rs
@@ -14,10 +14,10 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
-use station::clock;
 use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::feed::ControlNode;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_runtime::clock;
 
 use crate::change::ChangeAuthority;
 use crate::delivery::Authority;
--- a/crates/tower/src/rollout/mod.rs
+++ b/crates/tower/src/rollout/mod.rs
@@ -14,9 +14,9 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
-use station::clock;
 use tulipridge_http1::WireLimits;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights};
+use tulipridge_runtime::clock;
 
 pub use messages::{OrderAnswer, Report, RevisionOrder};
 pub use naming::{NamedBefore, NamingTimes};
--- a/crates/tower/src/rollout/planner.rs
+++ b/crates/tower/src/rollout/planner.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use station::settings::RevisionTerm;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
+use tulipridge_runtime::settings::RevisionTerm;
 
 use super::load::{Load, Step};
 use super::messages::{OrderAnswer, Report};
--- a/crates/tower/src/rollout/target.rs
+++ b/crates/tower/src/rollout/target.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use station::settings::RevisionTerm;
+use tulipridge_runtime::settings::RevisionTerm;
 
 /// The weights that a model's replicas are to have.
 #[derive(Clone, Debug)]
--- a/crates/tower/src/server/error.rs
+++ b/crates/tower/src/server/error.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use snafu::Snafu;
-use station::signals::SignalError;
+use tulipridge_runtime::signals::SignalError;
 
 use crate::disk::DiskError;
 use crate::machine::StartError;
--- a/crates/tower/src/server/mod.rs
+++ b/crates/tower/src/server/mod.rs
@@ -14,11 +14,11 @@
 use futures_lite::future;
 use roster::{Exchange, View};
 use snafu::{OptionExt, ResultExt};
-use station::clock;
-use station::settings::Settings;
-use station::signals::{Request, Requests};
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::views::{Entry, Role};
+use tulipridge_runtime::clock;
+use tulipridge_runtime::settings::Settings;
+use tulipridge_runtime::signals::{Request, Requests};
 
 use crate::api::{Api, ApiLimits};
 use crate::control_plane::OperatorView;
--- a/crates/tower/tests/calls.rs
+++ b/crates/tower/tests/calls.rs
@@ -12,7 +12,6 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use rstest::rstest;
 use socket2::{Domain, SockRef, Socket, Type};
-use station::settings::RevisionTerm;
 use tower::discovery::Discovery;
 use tower::duty::{Duty, DutyContext, DutyHolder};
 use tower::fleet::FleetTable;
@@ -22,6 +21,7 @@
 use tulipridge_http1::{WireLimits, within};
 use tulipridge_prefix_cache_index::Liveness;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
+use tulipridge_runtime::settings::RevisionTerm;
 
 /// Time for a call that is to run out of it.
 const SHORT: Duration = Duration::from_millis(60);
--- a/crates/tower/tests/rollout.rs
+++ b/crates/tower/tests/rollout.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use station::settings::RevisionTerm;
 use tower::rollout::{Action, OrderAnswer, Planner, PlannerSettings, Report};
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
+use tulipridge_runtime::settings::RevisionTerm;
 
 const TERM: Duration = Duration::from_secs(12);
 const LEASE: Duration = Duration::from_secs(3);
--- a/crates/tower/tests/rollout_exchange.rs
+++ b/crates/tower/tests/rollout_exchange.rs
@@ -10,12 +10,12 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use insta::assert_snapshot;
-use station::settings::RevisionTerm;
 use tower::duty::{Duty, DutyContext, DutyHolder};
 use tower::fleet::FleetTable;
 use tower::rollout::{PlannerSettings, Rollout, RolloutOutput};
 use tulipridge_http1::within;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
+use tulipridge_runtime::settings::RevisionTerm;
 
 /// The epoch has risen since the member became primary.
 const DUTY: Duty = Duty { epoch: 9, tenure: 7 };
--- a/crates/tower/tests/rollout_random.rs
+++ b/crates/tower/tests/rollout_random.rs
@@ -7,9 +7,9 @@
 
 use fastrand::Rng;
 use rstest::rstest;
-use station::settings::RevisionTerm;
 use tower::rollout::{Action, NamingTimes, OrderAnswer, Planner, PlannerSettings, Report};
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
+use tulipridge_runtime::settings::RevisionTerm;
 
 const TERM: Duration = Duration::from_secs(12);
 const LEASE: Duration = Duration::from_secs(3);
--- a/crates/tower/tests/whole_member.rs
+++ b/crates/tower/tests/whole_member.rs
@@ -13,12 +13,12 @@
 use futures_lite::future;
 use rstest::rstest;
 use serde_json::{Value, json};
-use station::settings::Settings;
 use tower::http_client::{Answer, Call, HttpClient};
 use tower::member::compaction::COMPACT_AFTER_COMMANDS;
 use tower::server::run_until;
 use tulipridge_http1::{WireLimits, within};
 use tulipridge_protocol::feed::SubscriberRole;
+use tulipridge_runtime::settings::Settings;
 
 /// The last byte of the first member's address on the loopback network. Each member has an address that nobody else
 /// uses, so that ports which are free remain so.
