--- a/crates/kiosk/src/run.rs
+++ b/crates/kiosk/src/run.rs
@@ -8,7 +8,6 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use courier::{Changed, FeedStore, Identity, Subscriber, clock};
 use futures_lite::future;
 use signpost::types::ReplicaId;
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -16,6 +15,7 @@
 use tulipridge_protocol::feed::SubscriberRole;
 use tulipridge_runtime::settings::Settings;
 use tulipridge_runtime::signals::{Request, Requests};
+use tulipridge_subscription::{Changed, FeedStore, Identity, Subscriber, clock};
 
 use crate::placement::held;
 use crate::proxy::Proxy;
--- a/crates/porter/src/agent.rs
+++ b/crates/porter/src/agent.rs
@@ -7,7 +7,6 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use courier::{Attempt, FeedStore, Identity, Publisher, Subscriber, Tolerance};
 use roster::{Exchange, View};
 use snafu::Snafu;
 use tulipridge_protocol::feed::{ControlNode, SubscriberRole};
@@ -16,6 +15,7 @@
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::{Settings, SettingsError};
 use tulipridge_runtime::signals::{Request, Requests, SignalError};
+use tulipridge_subscription::{Attempt, FeedStore, Identity, Publisher, Subscriber, Tolerance};
 
 use crate::choice::HomeChoice;
 use crate::shutdown::Shutdown;
@@ -140,7 +140,7 @@
 
     fn note_failure(&self, attempt: &Attempt, now: Duration) {
         let Some(ended) = &attempt.last else { return };
-        if matches!(ended.reason, courier::EndReason::Reselected) {
+        if matches!(ended.reason, tulipridge_subscription::EndReason::Reselected) {
             return;
         }
         if let Some(member) = ipv4(ended.address) {
--- a/crates/porter/tests/exchange.rs
+++ b/crates/porter/tests/exchange.rs
@@ -8,7 +8,6 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use courier::{FeedStore, Identity, Publisher, Subscriber};
 use futures_lite::future;
 use porter::agent::Agent;
 use tulipridge_configuration::Configuration;
@@ -17,6 +16,7 @@
 use tulipridge_protocol::node::NodeId;
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::Settings;
+use tulipridge_subscription::{FeedStore, Identity, Publisher, Subscriber};
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 1);
 const SEED: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 2);
--- a/crates/courier/tests/common/network.rs
+++ b/crates/subscription/tests/common/network.rs
@@ -8,10 +8,10 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use courier::{FeedStore, Identity, Publisher, PublisherSettings, Subscriber};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
 use tulipridge_protocol::feed::{Holdings, Subscribe, SubscriberRole, ToPublisher, ToSubscriber};
 use tulipridge_protocol::frame;
+use tulipridge_subscription::{FeedStore, Identity, Publisher, PublisherSettings, Subscriber};
 
 /// Longest time for which a condition may be awaited.
 const WITHIN: Duration = Duration::from_secs(20);
--- a/crates/courier/tests/freshness.rs
+++ b/crates/subscription/tests/freshness.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use courier::Freshness;
 use rstest::rstest;
+use tulipridge_subscription::Freshness;
 
 const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
--- a/crates/courier/tests/kept.rs
+++ b/crates/subscription/tests/kept.rs
@@ -2,12 +2,12 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use courier::store::Table;
-use courier::{FeedError, FeedStore};
 use rstest::rstest;
 use tulipridge_prefix_cache_index::{KeptUpdate, Liveness, PartKey};
 use tulipridge_protocol::feed::{Holdings, KeptTableUpdate, Position, ToSubscriber};
 use tulipridge_protocol::frame;
+use tulipridge_subscription::store::Table;
+use tulipridge_subscription::{FeedError, FeedStore};
 
 fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080)
--- a/crates/courier/tests/publisher.rs
+++ b/crates/subscription/tests/publisher.rs
@@ -8,11 +8,11 @@
 
 use common::network::{self, Peer, fresh, publish, store, subscribe, until};
 use common::{configuration, group, replica, weights};
-use courier::PublisherSettings;
 use rstest::rstest;
 use tulipridge_protocol::feed::{
     ConfigurationUpdate, FleetUpdate, Holdings, Position, ToPublisher, ToSubscriber,
 };
+use tulipridge_subscription::PublisherSettings;
 
 fn ping(id: u64) -> ToPublisher {
     ToPublisher::Ping { id, gateways: 1 }
--- a/crates/courier/tests/store.rs
+++ b/crates/subscription/tests/store.rs
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 
 use common::{configuration, group, replica, replica_warming, weights};
-use courier::store::{Sent, Table};
-use courier::{Changed, FeedError, FeedStore};
 use rstest::rstest;
 use tulipridge_configuration::Configuration;
 use tulipridge_protocol::feed::{
     ConfigurationUpdate, FleetUpdate, Holdings, ModelWeights, Position, Replica, ReplicaPhase,
     ToSubscriber, WeightsTable,
 };
+use tulipridge_subscription::store::{Sent, Table};
+use tulipridge_subscription::{Changed, FeedError, FeedStore};
 
 fn position(epoch: u64, sequence: u64) -> Position {
     Position { epoch, sequence }
--- a/crates/courier/tests/subscriber.rs
+++ b/crates/subscription/tests/subscriber.rs
@@ -10,9 +10,9 @@
 use async_executor::LocalExecutor;
 use common::network::{self, Peer, SharedStore, fresh, listener, publish, store, subscriber, until};
 use common::{configuration, group, replica, weights};
-use courier::{EndReason, PublisherSettings, Subscriber, Tolerance, clock};
 use rstest::rstest;
 use tulipridge_protocol::feed::{FleetUpdate, Position, SubscriberRole, ToPublisher, ToSubscriber};
+use tulipridge_subscription::{EndReason, PublisherSettings, Subscriber, Tolerance, clock};
 
 /// Runs a subscriber that knows one publisher.
 fn follow(executor: &LocalExecutor<'static>, subscriber: &Rc<Subscriber>, address: SocketAddr) {
@@ -28,7 +28,7 @@
     let reason = Rc::new(RefCell::new(None));
     let told = Rc::clone(&reason);
     let mut tried = false;
-    let choose = move |attempt: courier::Attempt| {
+    let choose = move |attempt: tulipridge_subscription::Attempt| {
         if let Some(last) = attempt.last {
             told.replace(Some(last.reason));
         }
@@ -231,7 +231,7 @@
         let reasons = Rc::new(RefCell::new(Vec::new()));
         let told = Rc::clone(&reasons);
         let mut addresses = vec![Some(two_address), None, Some(one_address), Some(closed_address)];
-        let choose = move |attempt: courier::Attempt| {
+        let choose = move |attempt: tulipridge_subscription::Attempt| {
             let last = attempt.last.map(|last| format!("{:?}", last.reason));
             let reason = last.map(|reason| reason.split([' ', '{']).next().unwrap_or_default().to_owned());
             told.borrow_mut().push((attempt.failures, reason));
--- a/crates/courier/tests/waiting.rs
+++ b/crates/subscription/tests/waiting.rs
@@ -6,11 +6,11 @@
 
 use common::network::{self, Peer, fresh, listener, publish, store, subscribe, subscriber, until};
 use common::replica;
-use courier::{FeedStore, PublisherSettings, waiting};
 use rstest::rstest;
 use tulipridge_protocol::feed::{
     Holdings, LoadTable, Position, SubscriberRole, ToPublisher, ToSubscriber, WaitingWork,
 };
+use tulipridge_subscription::{FeedStore, PublisherSettings, waiting};
 
 fn position(epoch: u64, sequence: u64) -> Position {
     Position { epoch, sequence }
@@ -88,7 +88,7 @@
     store.set_loads(7, &work(store.fleet_position(), &[(1, 4)]));
     let earlier = Holdings::default();
     assert_eq!(table_for(&store, &earlier), None);
-    let sent = courier::store::Sent::from(earlier).later(store.newest());
+    let sent = tulipridge_subscription::store::Sent::from(earlier).later(store.newest());
     store.set_loads(7, &work(store.fleet_position(), &[(1, 5)]));
     assert_eq!(table_for(&store, &sent.holdings), None);
 }
--- a/crates/tower/src/delivery.rs
+++ b/crates/tower/src/delivery.rs
@@ -12,11 +12,11 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use courier::{FeedStore, Identity, Publisher, Subscriber};
 use tulipridge_configuration::Configuration;
 use tulipridge_prefix_cache_index::{KeptUpdate, SourceStatus};
 use tulipridge_protocol::feed::{ControlNode, Group, ModelWeights, Replica, SubscriberRole};
 use tulipridge_runtime::clock;
+use tulipridge_subscription::{FeedStore, Identity, Publisher, Subscriber};
 
 use crate::api::{IndexSize, ReplicaWeights};
 
--- a/crates/tower/tests/whole_member.rs
+++ b/crates/tower/tests/whole_member.rs
@@ -9,7 +9,6 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-use courier::{FeedStore, Identity, Subscriber, clock};
 use futures_lite::future;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -19,6 +18,7 @@
 use tulipridge_http1::{WireLimits, within};
 use tulipridge_protocol::feed::SubscriberRole;
 use tulipridge_runtime::settings::Settings;
+use tulipridge_subscription::{FeedStore, Identity, Subscriber, clock};
 
 /// The last byte of the first member's address on the loopback network. Each member has an address that nobody else
 /// uses, so that ports which are free remain so.
