--- a/crates/roster/tests/network.rs
+++ b/crates/peer-sampling/tests/network.rs
@@ -2,10 +2,10 @@
 
 mod simulation;
 
-use roster::datagram::MAX_DATAGRAM_BYTES;
-use roster::view::{CAPACITY, MAX_AGE};
 use rstest::rstest;
 use simulation::{Network, Size, TICK_MS};
+use tulipridge_peer_sampling::datagram::MAX_DATAGRAM_BYTES;
+use tulipridge_peer_sampling::view::{CAPACITY, MAX_AGE};
 use tulipridge_protocol::views::Role;
 
 /// Ticks after which a network has mixed.
--- a/crates/roster/tests/simulation/mod.rs
+++ b/crates/peer-sampling/tests/simulation/mod.rs
@@ -4,8 +4,8 @@
 use std::net::Ipv4Addr;
 
 use fastrand::Rng;
-use roster::datagram;
-use roster::view::View;
+use tulipridge_peer_sampling::datagram;
+use tulipridge_peer_sampling::view::View;
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::views::{Entry, Role, Shuffle};
 
--- a/crates/roster/tests/socket.rs
+++ b/crates/peer-sampling/tests/socket.rs
@@ -6,9 +6,9 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use roster::datagram::MAX_DATAGRAM_BYTES;
-use roster::{Exchange, View};
 use tulipridge_http1::within;
+use tulipridge_peer_sampling::datagram::MAX_DATAGRAM_BYTES;
+use tulipridge_peer_sampling::{Exchange, View};
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::views::{Entry, Role};
 
--- a/crates/roster/tests/view.rs
+++ b/crates/peer-sampling/tests/view.rs
@@ -2,9 +2,9 @@
 
 use std::net::Ipv4Addr;
 
-use roster::View;
-use roster::view::{CAPACITY, CONTROL_PLACES, MAX_AGE};
 use rstest::rstest;
+use tulipridge_peer_sampling::View;
+use tulipridge_peer_sampling::view::{CAPACITY, CONTROL_PLACES, MAX_AGE};
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::views::{Entry, Role, Shuffle};
 
--- a/crates/porter/src/agent.rs
+++ b/crates/porter/src/agent.rs
@@ -7,8 +7,8 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use roster::{Exchange, View};
 use snafu::Snafu;
+use tulipridge_peer_sampling::{Exchange, View};
 use tulipridge_protocol::feed::{ControlNode, SubscriberRole};
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::views::{Entry, Role};
