--- a/crates/tower/src/disk.rs
+++ b/crates/tower/src/disk.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use logbook::{FileSystemDirectory, LogbookError};
 use snafu::{ResultExt, Snafu};
 use tulipridge_protocol::control::View;
 use tulipridge_protocol::frame::FrameError;
+use tulipridge_write_ahead_log::{FileSystemDirectory, LogbookError};
 
 use crate::replication::DurableRecord;
 use crate::state_log::{Compaction, DiskImage, OpenError, StateLog};
--- a/crates/tower/src/state_log.rs
+++ b/crates/tower/src/state_log.rs
@@ -9,10 +9,10 @@
 
 use std::mem;
 
-use logbook::{Directory, FileSystemDirectory, Logbook, LogbookError, Recovered};
 use musli::{Decode, Encode};
 use snafu::{ResultExt, Snafu};
 use tulipridge_protocol::frame::{self, FrameError};
+use tulipridge_write_ahead_log::{Directory, FileSystemDirectory, Logbook, LogbookError, Recovered};
 
 use crate::replication::{DurableRecord, DurableState};
 
--- a/crates/tower/tests/state_log.rs
+++ b/crates/tower/tests/state_log.rs
@@ -1,16 +1,16 @@
 //! The log of a member that gets hundreds of long changes stays short, also after its disk was full for a while.
 
-#[path = "../../logbook/tests/support/mod.rs"]
+#[path = "../../write-ahead-log/tests/support/mod.rs"]
 mod memory_directory;
 
 use std::sync::Arc;
 
-use logbook::LogbookError;
 use memory_directory::MemoryDirectory;
 use rstest::rstest;
 use tower::replication::DurableRecord;
 use tower::state_log::{Compaction, LOG_BYTES, StateLog};
 use tulipridge_protocol::control::Entry;
+use tulipridge_write_ahead_log::LogbookError;
 
 /// A configuration of an operator.
 const CHANGE_BYTES: usize = 1_300_000;
--- a/crates/logbook/tests/logbook.rs
+++ b/crates/write-ahead-log/tests/logbook.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use logbook::{Logbook, LogbookError, Recovered, SEGMENT_LENGTH};
 use rstest::rstest;
 use support::{Files, MemoryDirectory};
+use tulipridge_write_ahead_log::{Logbook, LogbookError, Recovered, SEGMENT_LENGTH};
 
 fn open(files: Files) -> Result<(Logbook<MemoryDirectory>, Recovered), LogbookError> {
     Logbook::open_in(MemoryDirectory::with(files))
--- a/crates/logbook/tests/support/mod.rs
+++ b/crates/write-ahead-log/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::rc::Rc;
 
-use logbook::{Directory, DirectoryFile};
+use tulipridge_write_ahead_log::{Directory, DirectoryFile};
 
 /// What is on a disk.
 pub type Files = BTreeMap<String, Vec<u8>>;
