--- a/crates/kiosk/src/exchange/attempts.rs
+++ b/crates/kiosk/src/exchange/attempts.rs
@@ -6,7 +6,7 @@
 use std::task::Poll;
 
 use futures_lite::future;
-use signpost::types::{ReplicaId, Verdict};
+use tulipridge_load_balancer::types::{ReplicaId, Verdict};
 use tulipridge_protocol::feed::ModelRevision;
 
 use super::{Exchange, Final, RETRY_AT_ONCE, RETRY_SOON, Step};
--- a/crates/kiosk/src/placement/held.rs
+++ b/crates/kiosk/src/placement/held.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::future;
-use signpost::types::{Nanos, ReplicaId, RequestId, Verdict};
+use tulipridge_load_balancer::types::{Nanos, ReplicaId, RequestId, Verdict};
 use tulipridge_runtime::clock;
 
 use crate::placement::{Ask, Order, Placement};
--- a/crates/kiosk/src/placement/mod.rs
+++ b/crates/kiosk/src/placement/mod.rs
@@ -12,12 +12,12 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-use signpost::Gateway;
-use signpost::types::{
+use tulipridge_configuration::{Configuration, Route, RouteKind};
+use tulipridge_load_balancer::Gateway;
+use tulipridge_load_balancer::types::{
     Action, Class, Effect, Event, Limits, ListKind, Member, Nanos, ReplicaId, Request, RequestId, Safety,
     Settings, Verdict,
 };
-use tulipridge_configuration::{Configuration, Route, RouteKind};
 
 use crate::placement::prompt::Prompt;
 use crate::replica::outcome::RequestKind;
--- a/crates/kiosk/src/placement/work.rs
+++ b/crates/kiosk/src/placement/work.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use signpost::types::ReplicaId;
+use tulipridge_load_balancer::types::ReplicaId;
 use tulipridge_protocol::feed::WORK_UNIT_TOKENS;
 
 /// Work that waits, by replica, in units of [`WORK_UNIT_TOKENS`].
--- a/crates/kiosk/src/proxy.rs
+++ b/crates/kiosk/src/proxy.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use signpost::types::ReplicaId;
 use tulipridge_configuration::{Caps, Configuration};
 use tulipridge_http1::WireLimits;
+use tulipridge_load_balancer::types::ReplicaId;
 use tulipridge_protocol::feed::{ModelRevision, Replica, WeightsTable};
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::{Settings, TimeLimits};
@@ -180,7 +180,7 @@
     }
 
     /// A replica's address has gone to another one.
-    pub fn displace(&self, id: &signpost::types::ReplicaId) {
+    pub fn displace(&self, id: &tulipridge_load_balancer::types::ReplicaId) {
         let service = self.replicas.borrow_mut().displace(id);
         if let Some(service) = service {
             log::info!(replica = &*id.0; "a replica's address has gone to another one");
--- a/crates/kiosk/src/replica/outcome.rs
+++ b/crates/kiosk/src/replica/outcome.rs
@@ -3,8 +3,8 @@
 //! This is the one table of these decisions; `docs/design/calls.md` is the same table as a page. The code that
 //! writes requests and reads answers names the event, and does what the table says. Nothing here does I/O.
 
-use signpost::types::Verdict;
 use tulipridge_configuration::{Route, RouteKind};
+use tulipridge_load_balancer::types::Verdict;
 
 /// What a request allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/kiosk/src/replica/pool.rs
+++ b/crates/kiosk/src/replica/pool.rs
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use signpost::types::ReplicaId;
 use socket2::{SockRef, TcpKeepalive};
 use tulipridge_http1::http::Head;
 use tulipridge_http1::{Wire, WireLimits};
+use tulipridge_load_balancer::types::ReplicaId;
 
 use crate::replica::connection::Connection;
 
--- a/crates/kiosk/src/replica/replicas.rs
+++ b/crates/kiosk/src/replica/replicas.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use signpost::types::{Member, Phase, ReplicaId};
+use tulipridge_load_balancer::types::{Member, Phase, ReplicaId};
 use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase, WeightsTable};
 
 /// Zones by name, as the numbers that the decision module knows them by.
--- a/crates/kiosk/tests/calls.rs
+++ b/crates/kiosk/tests/calls.rs
@@ -11,9 +11,9 @@
     Known, LastAnswer, Next, Outcome, RequestKind, SendEvent, decide, last_answer, may_send_again,
 };
 use rstest::rstest;
-use signpost::types::Verdict;
 use socket2::{Domain, Socket, Type};
 use support::{Bench, LAST, Part, TestClient, answer, header, ok, post, post_long, status, stream_head};
+use tulipridge_load_balancer::types::Verdict;
 
 /// Bytes of a head that no connection takes at once.
 const LONG_HEAD: usize = 512 << 10;
--- a/crates/kiosk/tests/placement.rs
+++ b/crates/kiosk/tests/placement.rs
@@ -9,7 +9,7 @@
 use kiosk::placement::prompt::Prompt;
 use kiosk::placement::{self, Ask, Order, Placement};
 use rstest::rstest;
-use signpost::types::{Member, Nanos, Phase, ReplicaId, RequestId, Verdict};
+use tulipridge_load_balancer::types::{Member, Nanos, Phase, ReplicaId, RequestId, Verdict};
 
 const SECOND: Nanos = 1_000_000_000;
 const START: Nanos = 5 * SECOND;
--- a/crates/kiosk/tests/work.rs
+++ b/crates/kiosk/tests/work.rs
@@ -5,7 +5,7 @@
 
 use kiosk::placement::work::{WorkLedger, units};
 use rstest::rstest;
-use signpost::types::ReplicaId;
+use tulipridge_load_balancer::types::ReplicaId;
 
 #[rstest]
 #[case::nothing(0, 1)]
--- a/crates/signpost/src/choice.rs
+++ b/crates/load-balancer/src/choice.rs
@@ -1,4 +1,4 @@
-//! Every decision of a gateway; the types it speaks are in `crates/signpost/src/types.rs`.
+//! Every decision of a gateway; the types it speaks are in `crates/load-balancer/src/types.rs`.
 //!
 //! All gateways hash replica ids into one ring of virtual nodes. A request goes to the first replica
 //! clockwise from its key (its shared beginning, else its session), past those that hold too much of this
--- a/crates/signpost/tests/load.rs
+++ b/crates/load-balancer/tests/load.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use rstest::rstest;
-use signpost::Gateway;
-use signpost::load::{Estimate, Told};
-use signpost::types::{
+use tulipridge_load_balancer::Gateway;
+use tulipridge_load_balancer::load::{Estimate, Told};
+use tulipridge_load_balancer::types::{
     Action, Class, Effect, Event, Limits, ListKind, Member, Nanos, Phase, ReplicaId, Request, RequestId,
     Safety, Settings, Verdict,
 };
--- a/crates/signpost/tests/reconfigure.rs
+++ b/crates/load-balancer/tests/reconfigure.rs
@@ -1,9 +1,9 @@
 //! A gateway that is told another table of classes or another size of its group while it runs.
 
 use rstest::rstest;
-use signpost::Gateway;
-use signpost::cold::{Budget, Cold, Server};
-use signpost::types::*;
+use tulipridge_load_balancer::Gateway;
+use tulipridge_load_balancer::cold::{Budget, Cold, Server};
+use tulipridge_load_balancer::types::*;
 
 const SECOND: Nanos = 1_000_000_000;
 const MILLI: Nanos = 1_000_000;
--- a/lab/src/policy/mod.rs
+++ b/lab/src/policy/mod.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// The gateway's decision module, `crates/signpost/src/choice/`.
+    /// The gateway's decision module, `crates/load-balancer/src/choice/`.
     Module,
     /// Any server, with chances by size: what no knowledge at all gives.
     Random,
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1139,12 +1139,21 @@
 
 /// The parts of the module, in the order in which `deploy/balancer.toml` names them.
 const MODULE: [(&str, &str); 6] = [
-    ("crates/signpost/src/choice.rs", include_str!("../crates/signpost/src/choice.rs")),
-    ("crates/signpost/src/choice/ring.rs", include_str!("../crates/signpost/src/choice/ring.rs")),
-    ("crates/signpost/src/choice/walk.rs", include_str!("../crates/signpost/src/choice/walk.rs")),
-    ("crates/signpost/src/choice/admission.rs", include_str!("../crates/signpost/src/choice/admission.rs")),
-    ("crates/signpost/src/choice/attempts.rs", include_str!("../crates/signpost/src/choice/attempts.rs")),
-    ("crates/signpost/src/choice/health.rs", include_str!("../crates/signpost/src/choice/health.rs")),
+    ("crates/load-balancer/src/choice.rs", include_str!("../crates/load-balancer/src/choice.rs")),
+    ("crates/load-balancer/src/choice/ring.rs", include_str!("../crates/load-balancer/src/choice/ring.rs")),
+    ("crates/load-balancer/src/choice/walk.rs", include_str!("../crates/load-balancer/src/choice/walk.rs")),
+    (
+        "crates/load-balancer/src/choice/admission.rs",
+        include_str!("../crates/load-balancer/src/choice/admission.rs"),
+    ),
+    (
+        "crates/load-balancer/src/choice/attempts.rs",
+        include_str!("../crates/load-balancer/src/choice/attempts.rs"),
+    ),
+    (
+        "crates/load-balancer/src/choice/health.rs",
+        include_str!("../crates/load-balancer/src/choice/health.rs"),
+    ),
 ];
 
 #[test]
@@ -1152,7 +1161,7 @@
     let lines = || MODULE.iter().flat_map(|(_, text)| text.lines());
     assert!(lines().filter(|l| !l.trim().is_empty()).count() <= 950);
     assert!(lines().all(|l| l.chars().count() <= 110));
-    assert!(MODULE[0].1.lines().take(3).any(|l| l.contains("crates/signpost/src/types.rs")));
+    assert!(MODULE[0].1.lines().take(3).any(|l| l.contains("crates/load-balancer/src/types.rs")));
 }
 
 #[test]
@@ -1161,7 +1170,7 @@
     let policy = deploy.lines().find(|line| line.starts_with("policy = ")).expect("a policy");
     let named: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
     assert_eq!(named, MODULE.map(|(path, _)| path));
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/crates/signpost/src/choice");
+    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/crates/load-balancer/src/choice");
     let files = std::fs::read_dir(folder).expect("the module's folder").count();
     assert_eq!(files + 1, MODULE.len());
 }
