--- a/crates/porter/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -2,14 +2,14 @@
 
 use std::process::ExitCode;
 
-use porter::agent;
+use tulipridge_agent::agent;
 use tulipridge_runtime::command_line;
 use tulipridge_runtime::settings::Settings;
 
 const DESCRIPTION: &str = "The agent beside each proxy: keeps the link to the control plane";
 
 fn main() -> ExitCode {
-    command_line::start("porter", DESCRIPTION, env!("CARGO_PKG_VERSION"), run)
+    command_line::start("tulipridge-agent", DESCRIPTION, env!("CARGO_PKG_VERSION"), run)
 }
 
 fn run(settings: Settings) -> ExitCode {
--- a/crates/porter/tests/choice.rs
+++ b/crates/agent/tests/choice.rs
@@ -4,8 +4,8 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use porter::choice::HomeChoice;
 use rstest::rstest;
+use tulipridge_agent::choice::HomeChoice;
 use tulipridge_protocol::feed::ControlNode;
 use tulipridge_protocol::node::NodeId;
 
--- a/crates/porter/tests/exchange.rs
+++ b/crates/agent/tests/exchange.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::future;
-use porter::agent::Agent;
+use tulipridge_agent::agent::Agent;
 use tulipridge_configuration::Configuration;
 use tulipridge_http1::within;
 use tulipridge_protocol::feed::{ControlNode, Group, SubscriberRole};
--- a/crates/porter/tests/shutdown.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use porter::shutdown::Shutdown;
 use rstest::rstest;
+use tulipridge_agent::shutdown::Shutdown;
 
 const STOPPED_AT: u64 = 10_000;
 const LEEWAY_MS: u64 = 8000;
--- a/crates/drill/src/programs.rs
+++ b/crates/drill/src/programs.rs
@@ -9,7 +9,7 @@
 use crate::error::{BuildSnafu, Result, SystemSnafu};
 
 /// The packages that have the programs.
-const PACKAGES: [&str; 3] = ["tulipridge-kiosk", "tulipridge-porter", "tulipridge-tower"];
+const PACKAGES: [&str; 3] = ["tulipridge-kiosk", "tulipridge-agent", "tulipridge-tower"];
 /// The folder of a profile in which test programs lie.
 const TEST_FOLDER: &str = "deps";
 /// Where programs of the release profile lie.
@@ -36,7 +36,11 @@
             None => built.insert(build()?).clone(),
         };
         let program = |name: &str| folder.join(name);
-        Ok(Programs { tower: program("tower"), porter: program("porter"), kiosk: program("kiosk") })
+        Ok(Programs {
+            tower: program("tower"),
+            porter: program("tulipridge-agent"),
+            kiosk: program("kiosk"),
+        })
     }
 }
 
