--- a/crates/drill/src/programs.rs
+++ b/crates/drill/src/programs.rs
@@ -9,7 +9,7 @@
 use crate::error::{BuildSnafu, Result, SystemSnafu};
 
 /// The packages that have the programs.
-const PACKAGES: [&str; 3] = ["tulipridge-kiosk", "tulipridge-agent", "tulipridge-tower"];
+const PACKAGES: [&str; 3] = ["tulipridge-proxy", "tulipridge-agent", "tulipridge-tower"];
 /// The folder of a profile in which test programs lie.
 const TEST_FOLDER: &str = "deps";
 /// Where programs of the release profile lie.
@@ -39,7 +39,7 @@
         Ok(Programs {
             tower: program("tower"),
             porter: program("tulipridge-agent"),
-            kiosk: program("kiosk"),
+            kiosk: program("tulipridge-proxy"),
         })
     }
 }
--- a/crates/kiosk/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -7,6 +7,6 @@
         "kiosk",
         "The proxy",
         env!("CARGO_PKG_VERSION"),
-        kiosk::run::run,
+        tulipridge_proxy::run::run,
     )
 }
--- a/crates/kiosk/tests/calls.rs
+++ b/crates/proxy/tests/calls.rs
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kiosk::replica::outcome::{
-    Known, LastAnswer, Next, Outcome, RequestKind, SendEvent, decide, last_answer, may_send_again,
-};
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
 use support::{Bench, LAST, Part, TestClient, answer, header, ok, post, post_long, status, stream_head};
 use tulipridge_load_balancer::types::Verdict;
+use tulipridge_proxy::replica::outcome::{
+    Known, LastAnswer, Next, Outcome, RequestKind, SendEvent, decide, last_answer, may_send_again,
+};
 
 /// Bytes of a head that no connection takes at once.
 const LONG_HEAD: usize = 512 << 10;
--- a/crates/kiosk/tests/calls_page.rs
+++ b/crates/proxy/tests/calls_page.rs
@@ -1,6 +1,6 @@
 //! The page of the table of sends says what the table says.
 
-use kiosk::replica::outcome::{ConnectionState, Known, Next, RequestKind, SendEvent, decide};
+use tulipridge_proxy::replica::outcome::{ConnectionState, Known, Next, RequestKind, SendEvent, decide};
 
 const PAGE: &str = include_str!("../../../docs/design/calls.md");
 
--- a/crates/kiosk/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -115,7 +115,7 @@
     let mut newest = known.clone();
     newest.time_limits.leeway_s = 3.0;
     newest.area = "zone-b".to_owned();
-    let applied = kiosk::run::reload(&bench.proxy, &known, newest);
+    let applied = tulipridge_proxy::run::reload(&bench.proxy, &known, newest);
     assert_eq!((applied.time_limits.leeway_s, applied.area.as_str()), (3.0, "zone-a"));
 }
 
--- a/crates/kiosk/tests/connection_states.rs
+++ b/crates/proxy/tests/connection_states.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use kiosk::replica::outcome::ConnectionState;
 use rstest::rstest;
 use support::{Bench, Part, answer, ok, post, post_long, status};
+use tulipridge_proxy::replica::outcome::ConnectionState;
 
 fn write(text: impl Into<String>) -> Part {
     Part::Write(text.into())
--- a/crates/kiosk/tests/heads.rs
+++ b/crates/proxy/tests/heads.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use kiosk::headers::{Additions, After, Framing, OwnAnswer, write_answer, write_request};
-use kiosk::kv_cache::KvTransfer;
 use tulipridge_http1::http::Head;
+use tulipridge_proxy::headers::{Additions, After, Framing, OwnAnswer, write_answer, write_request};
+use tulipridge_proxy::kv_cache::KvTransfer;
 
 fn head(text: &str) -> Head {
     let mut lines = text.lines();
--- a/crates/kiosk/tests/kv_cache.rs
+++ b/crates/proxy/tests/kv_cache.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use kiosk::kv_cache::{Chain, KvDirectory, KvTransfer, Target, kept_tokens};
-use kiosk::placement::prompt::PromptPart;
 use rstest::rstest;
 use tulipridge_prefix_cache_index::{Index, KeptUpdate, Liveness, PartKey};
+use tulipridge_proxy::kv_cache::{Chain, KvDirectory, KvTransfer, Target, kept_tokens};
+use tulipridge_proxy::placement::prompt::PromptPart;
 
 const STORE: u8 = 200;
 const PARTS: [(&str, u32); 3] = [("a", 2_000), ("b", 100), ("c", 3_000)];
--- a/crates/kiosk/tests/outdated.rs
+++ b/crates/proxy/tests/outdated.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use kiosk::replica::expiry::Expiry;
 use rstest::rstest;
 use support::{Bench, LAST, Part, event, ok, post_with, status, stream_head};
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Position, WeightsTable};
+use tulipridge_proxy::replica::expiry::Expiry;
 use tulipridge_runtime::settings::RevisionTerm;
 
 /// The operator's term: a part of it is left after a withdrawal.
--- a/crates/kiosk/tests/placement.rs
+++ b/crates/proxy/tests/placement.rs
@@ -6,10 +6,10 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-use kiosk::placement::prompt::Prompt;
-use kiosk::placement::{self, Ask, Order, Placement};
 use rstest::rstest;
 use tulipridge_load_balancer::types::{Member, Nanos, Phase, ReplicaId, RequestId, Verdict};
+use tulipridge_proxy::placement::prompt::Prompt;
+use tulipridge_proxy::placement::{self, Ask, Order, Placement};
 
 const SECOND: Nanos = 1_000_000_000;
 const START: Nanos = 5 * SECOND;
--- a/crates/kiosk/tests/pure.rs
+++ b/crates/proxy/tests/pure.rs
@@ -2,17 +2,17 @@
 
 use std::time::{Duration, Instant};
 
-use kiosk::alarms::Alarms;
-use kiosk::bounds::Bounds;
-use kiosk::events::EventTracker;
-use kiosk::freshness::FreshnessGate;
-use kiosk::lifecycle::{Lifecycle, Stage};
-use kiosk::placement::budget::{RetryAllowance, RetryBudget};
-use kiosk::placement::prompt::{Prompt, PromptHeaders, PromptPart};
-use kiosk::replica::outcome::SendEvent;
-use kiosk::replica::reply::Reply;
 use rstest::rstest;
 use tulipridge_http1::http::Head;
+use tulipridge_proxy::alarms::Alarms;
+use tulipridge_proxy::bounds::Bounds;
+use tulipridge_proxy::events::EventTracker;
+use tulipridge_proxy::freshness::FreshnessGate;
+use tulipridge_proxy::lifecycle::{Lifecycle, Stage};
+use tulipridge_proxy::placement::budget::{RetryAllowance, RetryBudget};
+use tulipridge_proxy::placement::prompt::{Prompt, PromptHeaders, PromptPart};
+use tulipridge_proxy::replica::outcome::SendEvent;
+use tulipridge_proxy::replica::reply::Reply;
 
 fn head(start: [&str; 3], headers: &[(&str, &str)]) -> Head {
     let owned = |(name, value): &(&str, &str)| ((*name).to_owned(), (*value).to_owned());
--- a/crates/kiosk/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -12,13 +12,13 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use kiosk::placement::held;
-use kiosk::proxy::Proxy;
-use kiosk::{edge, ready};
 use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, Share, Tenant};
 use tulipridge_protocol::feed::{
     ModelRevision, ModelWeights, Position, Replica, ReplicaPhase, WeightsTable,
 };
+use tulipridge_proxy::placement::held;
+use tulipridge_proxy::proxy::Proxy;
+use tulipridge_proxy::{edge, ready};
 use tulipridge_runtime::settings::Settings;
 
 pub const HOST: &str = "shop.example";
--- a/crates/kiosk/tests/urgency.rs
+++ b/crates/proxy/tests/urgency.rs
@@ -1,7 +1,7 @@
 //! The urgency that replicas are told.
 
-use kiosk::placement::urgency::Urgency;
 use rstest::rstest;
+use tulipridge_proxy::placement::urgency::Urgency;
 
 const MEAN_TOKENS: u32 = 3_000;
 
--- a/crates/kiosk/tests/work.rs
+++ b/crates/proxy/tests/work.rs
@@ -3,9 +3,9 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use kiosk::placement::work::{WorkLedger, units};
 use rstest::rstest;
 use tulipridge_load_balancer::types::ReplicaId;
+use tulipridge_proxy::placement::work::{WorkLedger, units};
 
 #[rstest]
 #[case::nothing(0, 1)]
