--- a/crates/tower/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -8,16 +8,13 @@
 const DESCRIPTION: &str = "The control plane: agreed state, service discovery, delivery, weights";
 
 fn main() -> ExitCode {
-    command_line::start(
-        "tower",
-        DESCRIPTION,
-        env!("CARGO_PKG_VERSION"),
-        |settings| match tower::server::run(settings) {
+    command_line::start("tower", DESCRIPTION, env!("CARGO_PKG_VERSION"), |settings| {
+        match tulipridge_control_plane::server::run(settings) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
                 log::error!(error:% = error; "the control plane can't go on");
                 ExitCode::FAILURE
             }
-        },
-    )
+        }
+    })
 }
--- a/crates/tower/tests/api.rs
+++ b/crates/control-plane/tests/api.rs
@@ -12,10 +12,10 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use insta::assert_snapshot;
 use rstest::rstest;
-use tower::api::{
+use tulipridge_control_plane::api::{
     Api, ApiLimits, ChangeOutcome, ControlPlane, IndexSize, ReplicaWeights, Standing, Status,
 };
-use tower::state::Change;
+use tulipridge_control_plane::state::Change;
 
 const PRIMARY: Standing = Standing::Primary { tenure: 5 };
 const OTHER: Standing = Standing::Follower { primary: Ipv4Addr::new(10, 0, 0, 7) };
--- a/crates/tower/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -12,12 +12,12 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use rstest::rstest;
 use socket2::{Domain, SockRef, Socket, Type};
-use tower::discovery::Discovery;
-use tower::duty::{Duty, DutyContext, DutyHolder};
-use tower::fleet::FleetTable;
-use tower::http_client::{Call, CallError, HttpClient};
-use tower::index::{Follower, Outbox, SourceKind};
-use tower::rollout::{PlannerSettings, Rollout, RolloutOutput};
+use tulipridge_control_plane::discovery::Discovery;
+use tulipridge_control_plane::duty::{Duty, DutyContext, DutyHolder};
+use tulipridge_control_plane::fleet::FleetTable;
+use tulipridge_control_plane::http_client::{Call, CallError, HttpClient};
+use tulipridge_control_plane::index::{Follower, Outbox, SourceKind};
+use tulipridge_control_plane::rollout::{PlannerSettings, Rollout, RolloutOutput};
 use tulipridge_http1::{WireLimits, within};
 use tulipridge_prefix_cache_index::Liveness;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
@@ -389,7 +389,10 @@
             Timer::after(Duration::from_millis(900)).await;
             peer.ending.borrow_mut().take();
             table.borrow_mut().replace(DUTY.tenure, vec![replica(address)]);
-            events.send(tower::rollout::Event::Listed).await.expect("the roll-out works");
+            events
+                .send(tulipridge_control_plane::rollout::Event::Listed)
+                .await
+                .expect("the roll-out works");
         }
         peer.listen(&listener).await;
     };
--- a/crates/tower/tests/change.rs
+++ b/crates/control-plane/tests/change.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 use rstest::rstest;
-use tower::api::ChangeOutcome;
-use tower::change::{ChangeAuthority, carry_out};
-use tower::member::ProposalEnd;
-use tower::state::{Applied, Change, Decision, State};
+use tulipridge_control_plane::api::ChangeOutcome;
+use tulipridge_control_plane::change::{ChangeAuthority, carry_out};
+use tulipridge_control_plane::member::ProposalEnd;
+use tulipridge_control_plane::state::{Applied, Change, Decision, State};
 
 const TENURE: u64 = 7;
 
--- a/crates/tower/tests/discovery.rs
+++ b/crates/control-plane/tests/discovery.rs
@@ -9,8 +9,8 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use insta::{assert_debug_snapshot, assert_snapshot};
 use rstest::rstest;
-use tower::discovery::{Discovery, Pace, Page, WalkEnd};
-use tower::duty::{Duty, DutyContext, DutyHolder};
+use tulipridge_control_plane::discovery::{Discovery, Pace, Page, WalkEnd};
+use tulipridge_control_plane::duty::{Duty, DutyContext, DutyHolder};
 use tulipridge_http1::within;
 
 const ENTRY: &str = r#"{"backend":"chat","address":"10.128.0.9:8080","area":"a","revision":"v1","capacity":128,"phase":"ready","warmLeftMs":12.5,"half":"either","llms":[{"label":"m","revision":1,"addons":[]}],"ident":"i-1"}"#;
--- a/crates/tower/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -5,9 +5,9 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use rstest::rstest;
-use tower::disk::{Boot, DiskError, DiskEvent, Opened};
-use tower::replication::DurableRecord;
-use tower::state_log::DiskImage;
+use tulipridge_control_plane::disk::{Boot, DiskError, DiskEvent, Opened};
+use tulipridge_control_plane::replication::DurableRecord;
+use tulipridge_control_plane::state_log::DiskImage;
 use tulipridge_protocol::control::{Entry, View};
 use tulipridge_protocol::node::NodeId;
 
--- a/crates/tower/tests/disk_log.rs
+++ b/crates/control-plane/tests/disk_log.rs
@@ -6,8 +6,8 @@
 
 use async_channel::Receiver;
 use log::{LevelFilter, Log, Metadata, Record};
-use tower::disk::{Boot, Disk, DiskEvent, Opened};
-use tower::replication::DurableRecord;
+use tulipridge_control_plane::disk::{Boot, Disk, DiskEvent, Opened};
+use tulipridge_control_plane::replication::DurableRecord;
 use tulipridge_protocol::control::Entry;
 
 /// More than the log holds before the whole state takes its place, and more than a file of it.
--- a/crates/tower/tests/fleet.rs
+++ b/crates/control-plane/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use tower::fleet::{Corrections, FleetTable};
+use tulipridge_control_plane::fleet::{Corrections, FleetTable};
 use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase};
 
 const TENURE: u64 = 7;
--- a/crates/tower/tests/http_client.rs
+++ b/crates/control-plane/tests/http_client.rs
@@ -7,7 +7,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use insta::assert_snapshot;
 use rstest::rstest;
-use tower::http_client::{Answer, Call, CallError, HttpClient};
+use tulipridge_control_plane::http_client::{Answer, Call, CallError, HttpClient};
 use tulipridge_http1::WireLimits;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/tower/tests/index.rs
+++ b/crates/control-plane/tests/index.rs
@@ -8,8 +8,8 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use insta::{assert_debug_snapshot, assert_snapshot};
 use rstest::rstest;
-use tower::index::{Follower, Outbox, SourceKind, read_events, read_list, sources};
 use tulipridge_configuration::{Configuration, Service, ServiceRuntime};
+use tulipridge_control_plane::index::{Follower, Outbox, SourceKind, read_events, read_list, sources};
 use tulipridge_prefix_cache_index::{KeptUpdate, Liveness, PartKey};
 use tulipridge_protocol::feed::{Replica, ReplicaPhase};
 
--- a/crates/tower/tests/links.rs
+++ b/crates/control-plane/tests/links.rs
@@ -6,7 +6,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
-use tower::links::Links;
+use tulipridge_control_plane::links::Links;
 use tulipridge_protocol::control::{ControlMessage, Entry, Envelope};
 use tulipridge_protocol::frame;
 use tulipridge_protocol::node::NodeId;
--- a/crates/tower/tests/machine.rs
+++ b/crates/control-plane/tests/machine.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use async_channel::Receiver;
-use tower::machine::{Machine, Progress, Published};
-use tower::state::{Applied, Change, Decision, State, StateError};
+use tulipridge_control_plane::machine::{Machine, Progress, Published};
+use tulipridge_control_plane::state::{Applied, Change, Decision, State, StateError};
 
 fn name(revision: u64) -> Change {
     Change::NameWeights { model: "m".to_owned(), revision }
--- a/crates/tower/tests/member.rs
+++ b/crates/control-plane/tests/member.rs
@@ -3,12 +3,14 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use tower::member::ProposalEnd;
-use tower::member::compaction::{AppliedSinceSnapshot, COMPACT_AFTER_BYTES, COMPACT_AFTER_COMMANDS};
-use tower::member::disk_watch::DiskWatch;
-use tower::member::proposals::Proposals;
-use tower::replication::FailureReason;
-use tower::state::Applied;
+use tulipridge_control_plane::member::ProposalEnd;
+use tulipridge_control_plane::member::compaction::{
+    AppliedSinceSnapshot, COMPACT_AFTER_BYTES, COMPACT_AFTER_COMMANDS,
+};
+use tulipridge_control_plane::member::disk_watch::DiskWatch;
+use tulipridge_control_plane::member::proposals::Proposals;
+use tulipridge_control_plane::replication::FailureReason;
+use tulipridge_control_plane::state::Applied;
 
 fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
--- a/crates/tower/tests/model.rs
+++ b/crates/control-plane/tests/model.rs
@@ -15,8 +15,8 @@
 //! operator's interface around the state machine. Messages that are not held up take no time, which is the
 //! worst case for leases: a grant begins when its heartbeat was sent.
 //!
-//! The small bounds run with `cargo test -p tulipridge-tower --test model`, the large ones with
-//! `cargo test --release -p tulipridge-tower --test model -- --ignored --test-threads 4`; `--nocapture` shows
+//! The small bounds run with `cargo test -p tulipridge-control-plane --test model`, the large ones with
+//! `cargo test --release -p tulipridge-control-plane --test model -- --ignored --test-threads 4`; `--nocapture` shows
 //! the numbers of states. The same states are explored in every run.
 
 mod support_model;
@@ -30,7 +30,7 @@
 use support_model::prefixes;
 use support_model::setup::{DRIFT_PERCENT, MS, Setup, drifted};
 use support_model::world::World;
-use tower::state::State;
+use tulipridge_control_plane::state::State;
 use tulipridge_protocol::node::NodeId;
 
 /// A script that leads to a state.
--- a/crates/tower/tests/naming_times.rs
+++ b/crates/control-plane/tests/naming_times.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tower::rollout::NamingTimes;
+use tulipridge_control_plane::rollout::NamingTimes;
 
 const START: Duration = Duration::from_secs(100);
 /// A member that has followed for so long knows when a name is new.
--- a/crates/tower/tests/rated_cluster/mod.rs
+++ b/crates/control-plane/tests/rated_cluster/mod.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tower::member::disk_watch::DiskWatch;
-use tower::replication::{
+use tulipridge_control_plane::member::disk_watch::DiskWatch;
+use tulipridge_control_plane::replication::{
     DurableRecord, DurableState, FailureReason, Input, Output, Replication, ReplicationSettings, Role,
 };
-use tower::state_log::LOG_BYTES;
+use tulipridge_control_plane::state_log::LOG_BYTES;
 use tulipridge_protocol::control::{ControlMessage, Envelope};
 use tulipridge_protocol::node::NodeId;
 
--- a/crates/tower/tests/replication_directed.rs
+++ b/crates/control-plane/tests/replication_directed.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use support::scenario::{assert_goes_on, started};
 use support::simulation::{Fault, MS, Network, SECOND, Shape, Simulation};
-use tower::replication::Input;
+use tulipridge_control_plane::replication::Input;
 use tulipridge_protocol::node::NodeId;
 
 fn voters_of(simulation: &Simulation) -> Vec<NodeId> {
--- a/crates/tower/tests/replication_histories.rs
+++ b/crates/control-plane/tests/replication_histories.rs
@@ -1,7 +1,7 @@
 //! Thousands of short random histories of a simulated cluster: nothing acknowledged is lost, and after
 //! trouble it goes on.
 //!
-//! More of them: `HISTORIES_PER_KIND=700 cargo test --release -p tulipridge-tower --test replication_histories
+//! More of them: `HISTORIES_PER_KIND=700 cargo test --release -p tulipridge-control-plane --test replication_histories
 //! --test replication_operators -- --nocapture` plays 700 of each of the 40 kinds.
 
 mod support;
--- a/crates/tower/tests/replication_leaving.rs
+++ b/crates/control-plane/tests/replication_leaving.rs
@@ -8,8 +8,8 @@
 use support::history::PROGRESS_WITHIN;
 use support::scenario::{assert_goes_on, started};
 use support::simulation::{MS, SECOND, Simulation};
-use tower::replication::{Departure, Input};
-use tower::server::departure::may_end;
+use tulipridge_control_plane::replication::{Departure, Input};
+use tulipridge_control_plane::server::departure::may_end;
 
 const LEEWAY: Duration = Duration::from_secs(8);
 const LOOK_EVERY: u64 = 50 * MS;
--- a/crates/tower/tests/replication_member.rs
+++ b/crates/control-plane/tests/replication_member.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tower::replication::{
+use tulipridge_control_plane::replication::{
     DurableRecord, FailureReason, Input, Output, Replication, ReplicationSettings, Role,
 };
 use tulipridge_protocol::control::{ControlMessage, Envelope, View};
--- a/crates/tower/tests/replication_operators.rs
+++ b/crates/control-plane/tests/replication_operators.rs
@@ -1,6 +1,6 @@
 //! Random histories of operators at a simulated cluster: some order of their calls explains all answers.
 //!
-//! More of them: `HISTORIES_PER_KIND=700 cargo test --release -p tulipridge-tower --test replication_histories
+//! More of them: `HISTORIES_PER_KIND=700 cargo test --release -p tulipridge-control-plane --test replication_histories
 //! --test replication_operators -- --nocapture` plays 700 of each of the 40 kinds.
 
 mod support;
--- a/crates/tower/tests/replication_settling.rs
+++ b/crates/control-plane/tests/replication_settling.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use tower::replication::{Departure, DurableState, Replication, ReplicationSettings};
-use tower::server::departure::may_end;
+use tulipridge_control_plane::replication::{Departure, DurableState, Replication, ReplicationSettings};
+use tulipridge_control_plane::server::departure::may_end;
 use tulipridge_protocol::control::View;
 use tulipridge_protocol::node::NodeId;
 
--- a/crates/tower/tests/replication_sync.rs
+++ b/crates/control-plane/tests/replication_sync.rs
@@ -8,8 +8,8 @@
 use rated_cluster::{CONFIGURATION_BYTES, Cluster, DiskSpeed, End, FAST_LINK, Interceptor, SLOW_LINK};
 use rstest::rstest;
 use support::checker::Violation;
-use tower::replication::transfer::{EncodedData, Part};
-use tower::replication::{DataMark, DurableState, FailureReason};
+use tulipridge_control_plane::replication::transfer::{EncodedData, Part};
+use tulipridge_control_plane::replication::{DataMark, DurableState, FailureReason};
 use tulipridge_protocol::control::{ControlMessage, Entry, Envelope};
 use tulipridge_protocol::frame::MAX_MESSAGE_BYTES;
 
--- a/crates/tower/tests/replication_sync_member.rs
+++ b/crates/control-plane/tests/replication_sync_member.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use tower::replication::transfer::{EncodedData, PART_BYTES, Part};
-use tower::replication::{
+use tulipridge_control_plane::replication::transfer::{EncodedData, PART_BYTES, Part};
+use tulipridge_control_plane::replication::{
     DataMark, DurableRecord, DurableState, Input, Output, Replication, ReplicationSettings,
 };
 use tulipridge_protocol::control::{ControlMessage, Entry, Envelope, TransferId};
--- a/crates/tower/tests/replication_transfer.rs
+++ b/crates/control-plane/tests/replication_transfer.rs
@@ -5,11 +5,11 @@
 
 use fastrand::Rng;
 use rstest::rstest;
-use tower::replication::transfer::{
+use tulipridge_control_plane::replication::transfer::{
     EncodedData, IncomingTransfer, LONGEST_TRANSFER, OutgoingTransfer, PART_BYTES, Part, Received,
     TransferData, WINDOW_BYTES,
 };
-use tower::replication::{DataMark, DurableState};
+use tulipridge_control_plane::replication::{DataMark, DurableState};
 use tulipridge_protocol::control::{Entry, TransferId};
 
 /// More time than any transfer of these tests takes.
--- a/crates/tower/tests/rollout.rs
+++ b/crates/control-plane/tests/rollout.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use tower::rollout::{Action, OrderAnswer, Planner, PlannerSettings, Report};
+use tulipridge_control_plane::rollout::{Action, OrderAnswer, Planner, PlannerSettings, Report};
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 use tulipridge_runtime::settings::RevisionTerm;
 
--- a/crates/tower/tests/rollout_random.rs
+++ b/crates/control-plane/tests/rollout_random.rs
@@ -7,7 +7,9 @@
 
 use fastrand::Rng;
 use rstest::rstest;
-use tower::rollout::{Action, NamingTimes, OrderAnswer, Planner, PlannerSettings, Report};
+use tulipridge_control_plane::rollout::{
+    Action, NamingTimes, OrderAnswer, Planner, PlannerSettings, Report,
+};
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 use tulipridge_runtime::settings::RevisionTerm;
 
--- a/crates/tower/tests/state.rs
+++ b/crates/control-plane/tests/state.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use support::state_calls::{accepted, name, patch, put, revision, route, take};
-use tower::state::{Applied, Change, Decision, State};
+use tulipridge_control_plane::state::{Applied, Change, Decision, State};
 
 #[test]
 fn a_configuration_is_taken_on_top_of_the_newest() {
--- a/crates/tower/tests/state_log.rs
+++ b/crates/control-plane/tests/state_log.rs
@@ -7,8 +7,8 @@
 
 use memory_directory::MemoryDirectory;
 use rstest::rstest;
-use tower::replication::DurableRecord;
-use tower::state_log::{Compaction, LOG_BYTES, StateLog};
+use tulipridge_control_plane::replication::DurableRecord;
+use tulipridge_control_plane::state_log::{Compaction, LOG_BYTES, StateLog};
 use tulipridge_protocol::control::Entry;
 use tulipridge_write_ahead_log::LogbookError;
 
--- a/crates/tower/tests/state_random.rs
+++ b/crates/control-plane/tests/state_random.rs
@@ -11,7 +11,7 @@
 use support::random::{chance, pick};
 use support::reference::{Answer, Reference};
 use support::state_calls::{name, patch, patch_route, put_routes, restored, route};
-use tower::state::{Accepted, Applied, Change, Decision, State};
+use tulipridge_control_plane::state::{Accepted, Applied, Change, Decision, State};
 
 const STEPS: usize = 400;
 /// The most commands that were decided on and not yet applied.
--- a/crates/tower/tests/state_repeats.rs
+++ b/crates/control-plane/tests/state_repeats.rs
@@ -6,8 +6,8 @@
 use support::state_calls::{
     accepted, name, patch, patch_route, put, put_routes, restored, revision, route, take,
 };
-use tower::state::{Applied, Change, Decision, State};
 use tulipridge_configuration::REMEMBERED_CALLS;
+use tulipridge_control_plane::state::{Applied, Change, Decision, State};
 
 /// A state at revision 1.
 fn first_state() -> State {
--- a/crates/tower/tests/support/disk.rs
+++ b/crates/control-plane/tests/support/disk.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use fastrand::Rng;
-use tower::replication::{DurableRecord, DurableState};
+use tulipridge_control_plane::replication::{DurableRecord, DurableState};
 
 /// Records that are not synced yet.
 #[derive(Debug)]
--- a/crates/tower/tests/support/history/replacement.rs
+++ b/crates/control-plane/tests/support/history/replacement.rs
@@ -1,7 +1,7 @@
 //! Planned replacement without end: a new machine first, then the oldest one leaves.
 
 use fastrand::Rng;
-use tower::replication::Departure;
+use tulipridge_control_plane::replication::Departure;
 
 use super::{PROGRESS_WITHIN, living};
 use crate::support::checker::Violation;
--- a/crates/tower/tests/support/machine.rs
+++ b/crates/control-plane/tests/support/machine.rs
@@ -1,6 +1,6 @@
 //! A machine of the simulated cluster: its disk, its clock, and its process.
 
-use tower::replication::{Input, Replication};
+use tulipridge_control_plane::replication::{Input, Replication};
 use tulipridge_protocol::node::NodeId;
 
 use super::clock::Clock;
--- a/crates/tower/tests/support/operator/call.rs
+++ b/crates/control-plane/tests/support/operator/call.rs
@@ -1,7 +1,7 @@
 //! Calls of operators and their answers.
 
-use tower::state::Change;
 use tulipridge_configuration::Document;
+use tulipridge_control_plane::state::Change;
 
 use crate::support::state_calls;
 
--- a/crates/tower/tests/support/operator/desk.rs
+++ b/crates/control-plane/tests/support/operator/desk.rs
@@ -2,11 +2,11 @@
 
 use std::collections::VecDeque;
 
-use tower::api::ChangeOutcome;
-use tower::change::AGREEMENT_TIMEOUT;
-use tower::change::ChangeStep;
-use tower::member::ProposalEnd;
-use tower::state::{Applied, Change, Decision};
+use tulipridge_control_plane::api::ChangeOutcome;
+use tulipridge_control_plane::change::AGREEMENT_TIMEOUT;
+use tulipridge_control_plane::change::ChangeStep;
+use tulipridge_control_plane::member::ProposalEnd;
+use tulipridge_control_plane::state::{Applied, Change, Decision};
 
 use super::call::{Answer, Call, Content};
 use super::client::CallId;
--- a/crates/tower/tests/support/operator/event.rs
+++ b/crates/control-plane/tests/support/operator/event.rs
@@ -1,6 +1,6 @@
 //! What happens to calls of operators, in virtual time.
 
-use tower::state::Decision;
+use tulipridge_control_plane::state::Decision;
 
 use super::call::{Answer, Content};
 use super::client::CallId;
--- a/crates/tower/tests/support/payload.rs
+++ b/crates/control-plane/tests/support/payload.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use tower::state::{Applied, State};
+use tulipridge_control_plane::state::{Applied, State};
 
 /// Bytes of a number.
 const WORD: usize = size_of::<u64>();
--- a/crates/tower/tests/support/reference.rs
+++ b/crates/control-plane/tests/support/reference.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 use serde_json::{Value, json};
-use tower::state::{Applied, Change, Decision};
+use tulipridge_control_plane::state::{Applied, Change, Decision};
 
 /// The label of the service that all routes lead to.
 const SERVICE: &str = "chat";
--- a/crates/tower/tests/support/simulation/departure.rs
+++ b/crates/control-plane/tests/support/simulation/departure.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use tower::replication::{Departure, Input};
-use tower::server::departure::may_end;
+use tulipridge_control_plane::replication::{Departure, Input};
+use tulipridge_control_plane::server::departure::may_end;
 
 use super::{Event, MS, Simulation};
 
--- a/crates/tower/tests/support/simulation/lifecycle.rs
+++ b/crates/control-plane/tests/support/simulation/lifecycle.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use tower::replication::{DurableState, Input, Replication, ReplicationSettings};
+use tulipridge_control_plane::replication::{DurableState, Input, Replication, ReplicationSettings};
 use tulipridge_protocol::node::NodeId;
 
 use super::{Event, Fault, SECOND, Simulation};
--- a/crates/tower/tests/support/simulation/mod.rs
+++ b/crates/control-plane/tests/support/simulation/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use fastrand::Rng;
-use tower::replication::Input;
+use tulipridge_control_plane::replication::Input;
 use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::node::NodeId;
 
--- a/crates/tower/tests/support/simulation/outputs.rs
+++ b/crates/control-plane/tests/support/simulation/outputs.rs
@@ -1,8 +1,8 @@
 //! Inputs of a process, and what it asks for in return.
 
-use tower::member::ProposalEnd;
-use tower::replication::{FailureReason, Input, Output, Role};
-use tower::state::Applied;
+use tulipridge_control_plane::member::ProposalEnd;
+use tulipridge_control_plane::replication::{FailureReason, Input, Output, Role};
+use tulipridge_control_plane::state::Applied;
 
 use super::{DISK_BOUND, Event, Fault, MS, Simulation};
 use crate::support::payload::{AppliedState, NumberedCommand};
--- a/crates/tower/tests/support/simulation/proposals.rs
+++ b/crates/control-plane/tests/support/simulation/proposals.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use tower::replication::Input;
+use tulipridge_control_plane::replication::Input;
 
 use super::{MS, Simulation};
 use crate::support::payload::NumberedCommand;
--- a/crates/tower/tests/support/simulation/trouble.rs
+++ b/crates/control-plane/tests/support/simulation/trouble.rs
@@ -1,6 +1,6 @@
 //! Trouble of machines: crashes, power cuts, lost disks, replacements, pauses.
 
-use tower::replication::Input;
+use tulipridge_control_plane::replication::Input;
 
 use crate::support::disk::PowerCut;
 
--- a/crates/tower/tests/support/state_calls.rs
+++ b/crates/control-plane/tests/support/state_calls.rs
@@ -1,7 +1,7 @@
 //! Calls of an operator on the agreed state.
 
-use tower::state::{Accepted, Applied, Change, Decision, State};
 use tulipridge_configuration::Document;
+use tulipridge_control_plane::state::{Accepted, Applied, Change, Decision, State};
 
 /// A configuration with the given routes.
 pub fn configuration(revision: u64, routes: &[String]) -> Vec<u8> {
--- a/crates/tower/tests/support_model/disk.rs
+++ b/crates/control-plane/tests/support_model/disk.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use tower::replication::{DurableRecord, DurableState};
+use tulipridge_control_plane::replication::{DurableRecord, DurableState};
 
 /// A batch that is not synced yet.
 #[derive(Clone, Debug)]
--- a/crates/tower/tests/support_model/faults.rs
+++ b/crates/control-plane/tests/support_model/faults.rs
@@ -1,6 +1,6 @@
 //! Promises that are broken on purpose, around the code under test, to show that the checker sees them.
 
-use tower::replication::DurableRecord;
+use tulipridge_control_plane::replication::DurableRecord;
 use tulipridge_protocol::control::{ControlMessage, Envelope, View};
 
 /// A promise that is broken.
--- a/crates/tower/tests/support_model/invariants.rs
+++ b/crates/control-plane/tests/support_model/invariants.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use tower::state::State;
+use tulipridge_control_plane::state::State;
 use tulipridge_protocol::node::NodeId;
 
 use super::orders::{Order, is_taken};
--- a/crates/tower/tests/support_model/lives.rs
+++ b/crates/control-plane/tests/support_model/lives.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use tower::replication::{DurableState, Input, Replication, ReplicationSettings};
-use tower::state::State;
+use tulipridge_control_plane::replication::{DurableState, Input, Replication, ReplicationSettings};
+use tulipridge_control_plane::state::State;
 use tulipridge_protocol::node::NodeId;
 
 use super::faults::Fault;
--- a/crates/tower/tests/support_model/member.rs
+++ b/crates/control-plane/tests/support_model/member.rs
@@ -7,8 +7,8 @@
 use std::ops::Deref;
 use std::rc::Rc;
 
-use tower::replication::{Input, Replication};
-use tower::state::State;
+use tulipridge_control_plane::replication::{Input, Replication};
+use tulipridge_control_plane::state::State;
 use tulipridge_protocol::node::NodeId;
 
 use super::clock::Clock;
--- a/crates/tower/tests/support_model/orders.rs
+++ b/crates/control-plane/tests/support_model/orders.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use tower::state::{Change, Decision, State};
+use tulipridge_control_plane::state::{Change, Decision, State};
 
 /// An order by its number.
 pub type Order = u64;
--- a/crates/tower/tests/support_model/outputs.rs
+++ b/crates/control-plane/tests/support_model/outputs.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use tower::replication::{DurableRecord, Input, Output, Role};
-use tower::state::State;
+use tulipridge_control_plane::replication::{DurableRecord, Input, Output, Role};
+use tulipridge_control_plane::state::State;
 use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::node::NodeId;
 
--- a/crates/tower/tests/support_model/prefixes.rs
+++ b/crates/control-plane/tests/support_model/prefixes.rs
@@ -1,6 +1,6 @@
 //! Scripted beginnings.
 
-use tower::replication::Input;
+use tulipridge_control_plane::replication::Input;
 use tulipridge_protocol::control::ControlMessage;
 
 use super::actions::{Action, Bounds, Budget, Ordering, pairs, possible, split};
--- a/crates/tower/tests/support_model/world.rs
+++ b/crates/control-plane/tests/support_model/world.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-use tower::replication::{Input, Replication, Role};
+use tulipridge_control_plane::replication::{Input, Replication, Role};
 use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::node::NodeId;
 
--- a/crates/drill/src/programs.rs
+++ b/crates/drill/src/programs.rs
@@ -9,7 +9,7 @@
 use crate::error::{BuildSnafu, Result, SystemSnafu};
 
 /// The packages that have the programs.
-const PACKAGES: [&str; 3] = ["tulipridge-proxy", "tulipridge-agent", "tulipridge-tower"];
+const PACKAGES: [&str; 3] = ["tulipridge-proxy", "tulipridge-agent", "tulipridge-control-plane"];
 /// The folder of a profile in which test programs lie.
 const TEST_FOLDER: &str = "deps";
 /// Where programs of the release profile lie.
@@ -37,7 +37,7 @@
         };
         let program = |name: &str| folder.join(name);
         Ok(Programs {
-            tower: program("tower"),
+            tower: program("tulipridge-control-plane"),
             porter: program("tulipridge-agent"),
             kiosk: program("tulipridge-proxy"),
         })
