--- a/crates/drill/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use bpaf::{OptionParser, Parser, construct, long};
-use drill::error::DrillError;
-use drill::kills::{KillReport, kills};
-use drill::measure::{self, Cause};
 use serde::Serialize;
+use tulipridge_fault_injection::error::DrillError;
+use tulipridge_fault_injection::kills::{KillReport, kills};
+use tulipridge_fault_injection::measure::{self, Cause};
 
 /// What is to be played.
 #[derive(Clone, Debug)]
--- a/crates/drill/tests/answers.rs
+++ b/crates/fault-injection/tests/answers.rs
@@ -6,11 +6,11 @@
 use std::thread;
 use std::time::Duration;
 
-use drill::deployment::{ClientRequest, Deployment, Plan};
-use drill::operator::{Change, path};
-use drill::replica::Behaviour;
 use rstest::rstest;
 use support::{CHANGE_LIMIT, start, wait_for_route};
+use tulipridge_fault_injection::deployment::{ClientRequest, Deployment, Plan};
+use tulipridge_fault_injection::operator::{Change, path};
+use tulipridge_fault_injection::replica::Behaviour;
 
 /// Clients that ask at the same time.
 const CLIENTS: usize = 16;
--- a/crates/drill/tests/catch_up.rs
+++ b/crates/fault-injection/tests/catch_up.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use drill::deployment::{Deployment, Plan, SETTLE_LIMIT};
-use drill::operator::{Change, revision_of};
-use drill::wait::wait_until;
 use rstest::rstest;
 use support::{CHANGE_LIMIT, start, wait_for_route};
+use tulipridge_fault_injection::deployment::{Deployment, Plan, SETTLE_LIMIT};
+use tulipridge_fault_injection::operator::{Change, revision_of};
+use tulipridge_fault_injection::wait::wait_until;
 
 /// Changes that the tower misses.
 const MISSED: u64 = 300;
--- a/crates/drill/tests/changes.rs
+++ b/crates/fault-injection/tests/changes.rs
@@ -5,11 +5,11 @@
 use std::thread;
 use std::time::Duration;
 
-use drill::deployment::{Deployment, Plan};
-use drill::network::{Condition, Direction};
-use drill::operator::{Change, Operator, Reply, mark_of, revision_of};
-use drill::wait::{wait_for, wait_until};
 use support::{CHANGE_LIMIT, start};
+use tulipridge_fault_injection::deployment::{Deployment, Plan};
+use tulipridge_fault_injection::network::{Condition, Direction};
+use tulipridge_fault_injection::operator::{Change, Operator, Reply, mark_of, revision_of};
+use tulipridge_fault_injection::wait::{wait_for, wait_until};
 
 /// Rounds in which two operators send under one revision.
 const ROUNDS: u64 = 12;
--- a/crates/drill/tests/cuts.rs
+++ b/crates/fault-injection/tests/cuts.rs
@@ -5,14 +5,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use drill::claims::false_claim;
-use drill::deployment::{Deployment, Plan};
-use drill::network::{Condition, Direction};
-use drill::operator::{Change, Operator, Reply, revision_of};
-use drill::process::Signal;
-use drill::wait::wait_until;
 use rstest::rstest;
 use support::{CHANGE_LIMIT, IN_FORCE_LIMIT, ask_status, start, wait_for_route};
+use tulipridge_fault_injection::claims::false_claim;
+use tulipridge_fault_injection::deployment::{Deployment, Plan};
+use tulipridge_fault_injection::network::{Condition, Direction};
+use tulipridge_fault_injection::operator::{Change, Operator, Reply, revision_of};
+use tulipridge_fault_injection::process::Signal;
+use tulipridge_fault_injection::wait::wait_until;
 
 /// How long the cut goes on after the others have taken over.
 const CUT: Duration = Duration::from_secs(2);
--- a/crates/drill/tests/edge.rs
+++ b/crates/fault-injection/tests/edge.rs
@@ -5,11 +5,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use drill::deployment::{ClientRequest, Deployment, Plan, SETTLE_LIMIT};
-use drill::operator::{Change, path};
-use drill::process::Signal;
-use drill::wait::wait_until;
 use support::{CHANGE_LIMIT, ask_status, start, wait_for_route};
+use tulipridge_fault_injection::deployment::{ClientRequest, Deployment, Plan, SETTLE_LIMIT};
+use tulipridge_fault_injection::operator::{Change, path};
+use tulipridge_fault_injection::process::Signal;
+use tulipridge_fault_injection::wait::wait_until;
 
 /// A kiosk serves this long without its porter, at the least.
 const SERVED_ALONE: Duration = Duration::from_secs(2);
--- a/crates/drill/tests/harness.rs
+++ b/crates/fault-injection/tests/harness.rs
@@ -4,12 +4,12 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-use drill::address::AddressBlock;
-use drill::disk::{Lengths, drop_unconfirmed};
-use drill::machine::MachineId;
-use drill::network::{Condition, Direction, Network};
-use drill::relay::{Route, TcpRelay};
 use rstest::rstest;
+use tulipridge_fault_injection::address::AddressBlock;
+use tulipridge_fault_injection::disk::{Lengths, drop_unconfirmed};
+use tulipridge_fault_injection::machine::MachineId;
+use tulipridge_fault_injection::network::{Condition, Direction, Network};
+use tulipridge_fault_injection::relay::{Route, TcpRelay};
 
 const SENDER: MachineId = MachineId(0);
 const RECEIVER: MachineId = MachineId(1);
--- a/crates/drill/tests/kills.rs
+++ b/crates/fault-injection/tests/kills.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use drill::deployment::Plan;
-use drill::disk::{Lengths, truncate_to};
-use drill::kills::kills;
-use drill::operator::{Change, mark_of};
 use support::{CHANGE_LIMIT, start};
+use tulipridge_fault_injection::deployment::Plan;
+use tulipridge_fault_injection::disk::{Lengths, truncate_to};
+use tulipridge_fault_injection::kills::kills;
+use tulipridge_fault_injection::operator::{Change, mark_of};
 
 /// Kills that are played here; the program plays more.
 const KILLS: u64 = 6;
--- a/crates/drill/tests/replacement.rs
+++ b/crates/fault-injection/tests/replacement.rs
@@ -5,11 +5,11 @@
 use std::thread;
 use std::time::Duration;
 
-use drill::deployment::{Deployment, Plan, SETTLE_LIMIT};
-use drill::disk;
-use drill::operator::{Change, Reply, mark_of, revision_of};
-use drill::wait::{wait_for, wait_until};
 use support::{CHANGE_LIMIT, start, wait_for_route};
+use tulipridge_fault_injection::deployment::{Deployment, Plan, SETTLE_LIMIT};
+use tulipridge_fault_injection::disk;
+use tulipridge_fault_injection::operator::{Change, Reply, mark_of, revision_of};
+use tulipridge_fault_injection::wait::{wait_for, wait_until};
 
 /// Changes that are sent one after the other while a tower goes.
 const CHANGES_WHILE_STOPPING: u64 = 25;
--- a/crates/drill/tests/support/mod.rs
+++ b/crates/fault-injection/tests/support/mod.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use drill::client::CallError;
-use drill::deployment::{ClientRequest, Deployment, Plan};
-use drill::operator::{Change, path};
-use drill::wait::wait_until;
+use tulipridge_fault_injection::client::CallError;
+use tulipridge_fault_injection::deployment::{ClientRequest, Deployment, Plan};
+use tulipridge_fault_injection::operator::{Change, path};
+use tulipridge_fault_injection::wait::wait_until;
 
 /// Longest time for a change to be acknowledged, with a takeover on the way.
 pub const CHANGE_LIMIT: Duration = Duration::from_secs(15);
