--- a/lab/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `tulipridge-lab`: plays an experiment, checks one, sets two reports side by side.
+//! `tulipridge-simulator`: plays an experiment, checks one, sets two reports side by side.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use clap::{Parser, Subcommand};
-use tulipridge_lab::experiment::Experiment;
-use tulipridge_lab::report::Report;
+use tulipridge_simulator::experiment::Experiment;
+use tulipridge_simulator::report::Report;
 
 /// Fleets of gateways in virtual time.
 #[derive(Parser)]
@@ -51,7 +51,7 @@
             ExitCode::SUCCESS
         }
         Err(fault) => {
-            eprintln!("tulipridge-lab: {fault}");
+            eprintln!("tulipridge-simulator: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/lab/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -1,8 +1,8 @@
 //! Whole experiments, small ones: that a run is the same to the byte, and that its figures say what happened.
 
-use tulipridge_lab::experiment::Experiment;
-use tulipridge_lab::record::Stretch;
-use tulipridge_lab::report::Report;
+use tulipridge_simulator::experiment::Experiment;
+use tulipridge_simulator::record::Stretch;
+use tulipridge_simulator::report::Report;
 
 const RELEASE: &str = include_str!("../experiments/release.hcl");
 
@@ -224,14 +224,14 @@
     // Dead at 2 s, back at 3 s, listed at 4 s; the service would have known of its death at 5 s.
     let more = [("length   = \"6s\"", "length   = \"16s\""), ("back   = \"3s\"", "back   = \"1s\"")];
     let report = play(&fault("kill_replicas", &more));
-    let busy = |s: &&tulipridge_lab::record::Server| s.loads[15] > Some(0.0);
+    let busy = |s: &&tulipridge_simulator::record::Server| s.loads[15] > Some(0.0);
     assert_eq!(report.runs[0].servers.iter().filter(busy).count(), 10);
 }
 
 #[test]
 fn what_is_turned_down_while_others_have_room_is_told_by_whom() {
     let x = Experiment::parse("test.hcl", &release(&[])).expect("a good experiment");
-    let mut record = tulipridge_lab::record::Record::new(&x);
+    let mut record = tulipridge_simulator::record::Record::new(&x);
     (0..2).for_each(|n| record.server(&n.to_string(), "large", 1.0, false));
     let now = 4_000_000_000;
     (0..4).for_each(|_| record.first_try(now));
--- a/lab/tests/load_phases.rs
+++ b/crates/simulator/tests/load_phases.rs
@@ -1,6 +1,6 @@
 //! The phases of an experiment's load.
 
-use tulipridge_lab::experiment::Experiment;
+use tulipridge_simulator::experiment::Experiment;
 
 #[test]
 fn bursts_come_at_once_and_ramps_evenly_and_both_multiply() {
--- a/lab/tests/prompt_cache.rs
+++ b/crates/simulator/tests/prompt_cache.rs
@@ -1,6 +1,6 @@
 //! What an emulated real server keeps of prompts.
 
-use tulipridge_lab::replica::{PromptCache, PromptKey};
+use tulipridge_simulator::replica::{PromptCache, PromptKey};
 
 #[test]
 fn the_least_recently_used_is_forgotten_first_and_the_sum_stays_within_the_memory() {
--- a/lab/tests/replica.rs
+++ b/crates/simulator/tests/replica.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use tulipridge::types::Nanos;
-use tulipridge_lab::experiment::{Kind, Replicas};
-use tulipridge_lab::replica::{Job, Replica, StepEvent};
-use tulipridge_lab::time::{MILLI, SECOND};
+use tulipridge_simulator::experiment::{Kind, Replicas};
+use tulipridge_simulator::replica::{Job, Replica, StepEvent};
+use tulipridge_simulator::time::{MILLI, SECOND};
 
 fn all() -> Replicas {
     let kind = Kind {
--- a/tests/ci_script.rs
+++ b/tests/ci_script.rs
@@ -22,7 +22,7 @@
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
     let at = |name: &str| folder.join(name);
-    for name in [".ci", "bin", "crates", "tests", "lab"] {
+    for name in [".ci", "bin", "crates", "tests"] {
         fs::create_dir(at(name)).expect("a folder");
     }
     write_program(&at("bin/cargo"), CARGO);
