--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The `porter` program.
+//! The `agent` program.
 
 use std::process::ExitCode;
 
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -13,7 +13,7 @@
 use snafu::{ResultExt, Snafu};
 use tulipridge_protocol::control::View;
 use tulipridge_protocol::frame::FrameError;
-use tulipridge_write_ahead_log::{FileSystemDirectory, LogbookError};
+use tulipridge_write_ahead_log::{FileSystemDirectory, WriteAheadLogError};
 
 use crate::replication::DurableRecord;
 use crate::state_log::{Compaction, DiskImage, OpenError, StateLog};
@@ -36,11 +36,11 @@
         folder.display(),
         with_cause(source)
     ))]
-    Logbook {
+    WriteAheadLog {
         /// The folder.
         folder: PathBuf,
         /// What is wrong.
-        source: LogbookError,
+        source: WriteAheadLogError,
     },
     /// What is in the folder was not written by this program.
     #[snafu(display("{}: {source}; start with another folder, or remove what is in this one", folder.display()))]
@@ -114,7 +114,7 @@
     /// Reads what is in the folder. An empty one gets its generation and its first view in one write, which is on
     /// disk on return: a disk with the one and without the other would belong to no view ever after.
     pub fn open(folder: &Path, boot: Boot) -> Result<Opened, DiskError> {
-        let directory = FileSystemDirectory::create(folder).context(LogbookSnafu { folder })?;
+        let directory = FileSystemDirectory::create(folder).context(WriteAheadLogSnafu { folder })?;
         let mut log = StateLog::open_in(directory).map_err(|error| in_folder(error, folder))?;
         let fresh = log.is_fresh();
         if fresh {
@@ -123,7 +123,7 @@
                 Boot::Later => (new_generation()?, None),
             };
             let changes: Vec<DurableRecord> = view.into_iter().map(DurableRecord::View).collect();
-            log.format(generation, &changes).context(LogbookSnafu { folder })?;
+            log.format(generation, &changes).context(WriteAheadLogSnafu { folder })?;
         }
         Ok(Opened { image: log.image().clone(), fresh, log })
     }
@@ -146,7 +146,7 @@
 fn in_folder(error: OpenError, folder: &Path) -> DiskError {
     let folder = folder.to_owned();
     match error {
-        OpenError::Unusable { source } => DiskError::Logbook { folder, source },
+        OpenError::Unusable { source } => DiskError::WriteAheadLog { folder, source },
         OpenError::Foreign { source } => DiskError::Foreign { folder, source },
     }
 }
@@ -206,7 +206,7 @@
 }
 
 /// An error's message with what the system says.
-fn with_cause(error: &LogbookError) -> String {
+fn with_cause(error: &WriteAheadLogError) -> String {
     match error.source() {
         Some(cause) => format!("{error}: {cause}"),
         None => error.to_string(),
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -8,7 +8,7 @@
 const DESCRIPTION: &str = "The control plane: agreed state, service discovery, delivery, weights";
 
 fn main() -> ExitCode {
-    command_line::start("tower", DESCRIPTION, env!("CARGO_PKG_VERSION"), |settings| {
+    command_line::start("tulipridge-control-plane", DESCRIPTION, env!("CARGO_PKG_VERSION"), |settings| {
         match tulipridge_control_plane::server::run(settings) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
--- a/crates/control-plane/src/state_log.rs
+++ b/crates/control-plane/src/state_log.rs
@@ -12,7 +12,9 @@
 use musli::{Decode, Encode};
 use snafu::{ResultExt, Snafu};
 use tulipridge_protocol::frame::{self, FrameError};
-use tulipridge_write_ahead_log::{Directory, FileSystemDirectory, Logbook, LogbookError, Recovered};
+use tulipridge_write_ahead_log::{
+    Directory, FileSystemDirectory, Recovered, WriteAheadLog, WriteAheadLogError,
+};
 
 use crate::replication::{DurableRecord, DurableState};
 
@@ -26,7 +28,7 @@
     #[snafu(display("{source}"))]
     Unusable {
         /// What is wrong.
-        source: LogbookError,
+        source: WriteAheadLogError,
     },
     /// It was not written by this program.
     #[snafu(display("{source}"))]
@@ -84,7 +86,7 @@
     /// It was refused. The records stay, so nothing is lost; the next call tries again.
     Refused {
         /// Why.
-        error: LogbookError,
+        error: WriteAheadLogError,
         /// The one before was refused too.
         again: bool,
     },
@@ -93,7 +95,7 @@
 /// The log and what is in it.
 #[derive(Debug)]
 pub struct StateLog<D: Directory = FileSystemDirectory> {
-    logbook: Logbook<D>,
+    write_ahead_log: WriteAheadLog<D>,
     image: DiskImage,
     is_fresh: bool,
     /// Bytes of the records since the snapshot.
@@ -104,10 +106,10 @@
 impl<D: Directory> StateLog<D> {
     /// Reads what is in the directory.
     pub fn open_in(directory: D) -> Result<StateLog<D>, OpenError> {
-        let (logbook, recovered) = Logbook::open_in(directory).context(UnusableSnafu)?;
+        let (write_ahead_log, recovered) = WriteAheadLog::open_in(directory).context(UnusableSnafu)?;
         let found = DiskImage::recover(&recovered).context(ForeignSnafu)?;
         Ok(StateLog {
-            logbook,
+            write_ahead_log,
             is_fresh: found.is_none(),
             image: found.unwrap_or_default(),
             record_bytes: recovered.records.iter().map(Vec::len).sum(),
@@ -127,11 +129,11 @@
 
     /// Bytes in all files of the log.
     pub fn bytes_used(&self) -> u64 {
-        self.logbook.bytes_used()
+        self.write_ahead_log.bytes_used()
     }
 
     /// Makes the disk a member's, with its first changes, in one write.
-    pub fn format(&mut self, generation: u64, changes: &[DurableRecord]) -> Result<(), LogbookError> {
+    pub fn format(&mut self, generation: u64, changes: &[DurableRecord]) -> Result<(), WriteAheadLogError> {
         let mut encoded = vec![encode(&DiskRecord::Generation(generation))];
         encoded.extend(changes.iter().map(encode_change));
         self.append_encoded(&encoded)?;
@@ -142,16 +144,16 @@
     }
 
     /// Writes changes under one sync. After an error none of them counts.
-    pub fn append(&mut self, changes: &[&DurableRecord]) -> Result<(), LogbookError> {
+    pub fn append(&mut self, changes: &[&DurableRecord]) -> Result<(), WriteAheadLogError> {
         let encoded: Vec<Vec<u8>> = changes.iter().map(|change| encode_change(change)).collect();
         self.append_encoded(&encoded)?;
         changes.iter().for_each(|change| self.image.state.apply(change));
         Ok(())
     }
 
-    fn append_encoded(&mut self, encoded: &[Vec<u8>]) -> Result<(), LogbookError> {
+    fn append_encoded(&mut self, encoded: &[Vec<u8>]) -> Result<(), WriteAheadLogError> {
         let records: Vec<&[u8]> = encoded.iter().map(Vec::as_slice).collect();
-        self.logbook.append(&records)?;
+        self.write_ahead_log.append(&records)?;
         self.record_bytes += encoded.iter().map(Vec::len).sum::<usize>();
         Ok(())
     }
@@ -174,7 +176,7 @@
     }
 
     fn compact(&mut self, state: &[u8]) -> Compaction {
-        let outcome = self.logbook.snapshot(state);
+        let outcome = self.write_ahead_log.snapshot(state);
         let again = mem::replace(&mut self.refuses_compaction, outcome.is_err());
         match outcome {
             Ok(()) => {
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -18,7 +18,7 @@
     fn new() -> Folder {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
-        Folder(std::env::temp_dir().join(format!("tower-disk-{}-{number}", std::process::id())))
+        Folder(std::env::temp_dir().join(format!("member-disk-{}-{number}", std::process::id())))
     }
 
     fn open(&self, boot: Boot) -> Opened {
@@ -106,7 +106,7 @@
     let folder = Folder::new();
     std::fs::write(&folder.0, "a file").expect("the folder's place is free");
     let error = Opened::open(&folder.0, Boot::First { view: None }).err().expect("a file is no folder");
-    assert!(matches!(error, DiskError::Logbook { .. }));
+    assert!(matches!(error, DiskError::WriteAheadLog { .. }));
     assert!(error.to_string().starts_with(&folder.0.display().to_string()), "{error}");
     std::fs::remove_file(&folder.0).expect("the file is there");
 }
--- a/crates/control-plane/tests/disk_log.rs
+++ b/crates/control-plane/tests/disk_log.rs
@@ -46,7 +46,7 @@
 fn a_refusing_disk_is_told_of_once() {
     log::set_logger(&Keep).expect("there is no other logger");
     log::set_max_level(LevelFilter::Info);
-    let folder: PathBuf = std::env::temp_dir().join(format!("tower-disk-log-{}", std::process::id()));
+    let folder: PathBuf = std::env::temp_dir().join(format!("member-disk-log-{}", std::process::id()));
     let opened = Opened::open(&folder, Boot::First { view: None }).expect("the folder can be used");
     let (sender, events) = async_channel::unbounded();
     let (disk, _) = opened.start(sender).expect("the thread starts");
--- a/crates/control-plane/tests/state_log.rs
+++ b/crates/control-plane/tests/state_log.rs
@@ -10,7 +10,7 @@
 use tulipridge_control_plane::replication::DurableRecord;
 use tulipridge_control_plane::state_log::{Compaction, LOG_BYTES, StateLog};
 use tulipridge_protocol::control::Entry;
-use tulipridge_write_ahead_log::LogbookError;
+use tulipridge_write_ahead_log::WriteAheadLogError;
 
 /// A configuration of an operator.
 const CHANGE_BYTES: usize = 1_300_000;
@@ -43,7 +43,7 @@
     }
 
     /// Appends an entry and, as it is longer than the applied bytes after which a member compacts, the state after it.
-    fn change(&mut self) -> Result<(), LogbookError> {
+    fn change(&mut self) -> Result<(), WriteAheadLogError> {
         let sequence = self.sequence + 1;
         let bytes: Arc<[u8]> = vec![sequence as u8; CHANGE_BYTES].into();
         let entry = DurableRecord::Entry(Entry { sequence, command: bytes.clone() });
--- a/crates/control-plane/tests/whole_member.rs
+++ b/crates/control-plane/tests/whole_member.rs
@@ -58,7 +58,7 @@
         let seeds: Vec<SocketAddr> =
             addresses.iter().map(|address| SocketAddr::from((*address, operator_port))).collect();
         let machine = |operator: &SocketAddr| {
-            let folder = format!("tower-whole-member-{}-{}", std::process::id(), operator.ip());
+            let folder = format!("member-whole-member-{}-{}", std::process::id(), operator.ip());
             let folder = std::env::temp_dir().join(folder);
             Machine { folder, operator: *operator, seeds: seeds.clone(), first_spare }
         };
--- a/crates/fault-injection/src/deployment/mod.rs
+++ b/crates/fault-injection/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! Towers and edge machines with real programs, and what surrounds them.
+//! Members and edge machines with real programs, and what surrounds them.
 
 mod faults;
 mod observe;
@@ -37,8 +37,8 @@
 /// What a deployment has.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Machines for towers.
-    pub towers: usize,
+    /// Machines for members.
+    pub members: usize,
     /// How many of them, from the first on, are seeds and run from the beginning.
     pub seeds: usize,
     /// Edge machines.
@@ -51,13 +51,13 @@
 
 impl Default for Plan {
     fn default() -> Plan {
-        Plan { towers: 3, seeds: 3, edges: 1, replicas: 1, losses: 1 }
+        Plan { members: 3, seeds: 3, edges: 1, replicas: 1, losses: 1 }
     }
 }
 
-/// A tower and its disk.
+/// A member and its disk.
 #[derive(Debug)]
-pub struct Tower {
+pub struct Member {
     /// Its machine.
     pub machine: Machine,
     /// The program.
@@ -73,9 +73,9 @@
     /// The machine.
     pub machine: Machine,
     /// The agent.
-    pub porter: Process,
+    pub agent: Process,
     /// The proxy.
-    pub kiosk: Process,
+    pub proxy: Process,
 }
 
 /// A whole system. All its programs are killed when it is dropped.
@@ -84,7 +84,7 @@
     /// The paths between all machines.
     pub network: Network,
     /// The control plane, with machines that do not run yet.
-    pub towers: Vec<Tower>,
+    pub members: Vec<Member>,
     /// The edge machines.
     pub edges: Vec<Edge>,
     /// The list of replicas.
@@ -107,7 +107,7 @@
     pub fn start(plan: Plan) -> Result<Deployment> {
         let mut deployment = Deployment::build(plan)?;
         for index in 0..plan.seeds {
-            deployment.start_tower(index)?;
+            deployment.start_member(index)?;
         }
         for index in 0..plan.edges {
             deployment.start_edge(index)?;
@@ -126,9 +126,9 @@
         let mut machines = MachineFactory { addresses: &addresses, next: 0 };
         let operator_machine = machines.make("operator".to_owned())?;
         let platform_machine = machines.make("platform".to_owned())?;
-        let mut towers = Vec::new();
-        for number in 1..=plan.towers {
-            towers.push(Tower::new(machines.make(format!("middle-{number}"))?, &programs, folder.path()));
+        let mut members = Vec::new();
+        for number in 1..=plan.members {
+            members.push(Member::new(machines.make(format!("middle-{number}"))?, &programs, folder.path()));
         }
         let mut edges = Vec::new();
         for number in 1..=plan.edges {
@@ -138,7 +138,7 @@
         let replicas = start_replicas(plan.replicas, &addresses, &platform)?;
         let mut deployment = Deployment {
             network: Network::default(),
-            towers,
+            members,
             edges,
             platform,
             replicas,
@@ -154,29 +154,29 @@
         Ok(deployment)
     }
 
-    /// Starts a tower. Only the very first start of a seed is a first boot.
-    pub fn start_tower(&mut self, index: usize) -> Result<()> {
-        let first_boot = index < self.plan.seeds && !self.towers[index].has_booted;
-        let text = self.tower_settings(index, first_boot);
-        let tower = &mut self.towers[index];
-        settings::write(self.folder.path(), &tower.machine, &text)?;
-        tower.has_booted = true;
-        tower.process.start()
+    /// Starts a member. Only the very first start of a seed is a first boot.
+    pub fn start_member(&mut self, index: usize) -> Result<()> {
+        let first_boot = index < self.plan.seeds && !self.members[index].has_booted;
+        let text = self.member_settings(index, first_boot);
+        let member = &mut self.members[index];
+        settings::write(self.folder.path(), &member.machine, &text)?;
+        member.has_booted = true;
+        member.process.start()
     }
 
-    /// Starts porter and kiosk of an edge machine.
+    /// Starts agent and proxy of an edge machine.
     pub fn start_edge(&mut self, index: usize) -> Result<()> {
         self.write_edge_settings(index)?;
-        self.edges[index].porter.start()?;
-        self.edges[index].kiosk.start()
+        self.edges[index].agent.start()?;
+        self.edges[index].proxy.start()
     }
 
-    /// Names other towers as seeds: agents read them at once, towers at their next start.
+    /// Names other members as seeds: agents read them at once, members at their next start.
     pub fn set_seeds(&mut self, seeds: Vec<usize>) -> Result<()> {
         self.seeds = seeds;
         for index in 0..self.edges.len() {
             self.write_edge_settings(index)?;
-            self.edges[index].porter.signal(Signal::HUP)?;
+            self.edges[index].agent.signal(Signal::HUP)?;
         }
         Ok(())
     }
@@ -210,12 +210,12 @@
 
 impl Drop for Deployment {
     fn drop(&mut self) {
-        for tower in &mut self.towers {
-            tower.process.kill();
+        for member in &mut self.members {
+            member.process.kill();
         }
         for edge in &mut self.edges {
-            edge.porter.kill();
-            edge.kiosk.kill();
+            edge.agent.kill();
+            edge.proxy.kill();
         }
         self.network.close();
         self.relays.iter().for_each(TcpRelay::wake);
@@ -235,19 +235,19 @@
     pub timeout: Duration,
 }
 
-impl Tower {
-    fn new(machine: Machine, programs: &Programs, folder: &Path) -> Tower {
-        let process = new_process(&programs.tower, &machine, "tower", folder);
+impl Member {
+    fn new(machine: Machine, programs: &Programs, folder: &Path) -> Member {
+        let process = new_process(&programs.member, &machine, "member", folder);
         let folder = folder.join(format!("{}.data", machine.name));
-        Tower { machine, process, folder, has_booted: false }
+        Member { machine, process, folder, has_booted: false }
     }
 }
 
 impl Edge {
     fn new(machine: Machine, programs: &Programs, folder: &Path) -> Edge {
-        let porter = new_process(&programs.porter, &machine, "porter", folder);
-        let kiosk = new_process(&programs.kiosk, &machine, "kiosk", folder);
-        Edge { machine, porter, kiosk }
+        let agent = new_process(&programs.agent, &machine, "agent", folder);
+        let proxy = new_process(&programs.proxy, &machine, "proxy", folder);
+        Edge { machine, agent, proxy }
     }
 }
 
--- a/crates/fault-injection/src/deployment/observe.rs
+++ b/crates/fault-injection/src/deployment/observe.rs
@@ -12,77 +12,77 @@
 use crate::wait::{wait_for, wait_until};
 
 impl Deployment {
-    /// The operator, who knows all towers that run.
+    /// The operator, who knows all members that run.
     pub fn operator(&self) -> Operator {
         self.operator_knowing(|_| true)
     }
 
-    /// An operator who knows some of the towers that run.
+    /// An operator who knows some of the members that run.
     pub fn operator_knowing(&self, knows: impl Fn(usize) -> bool) -> Operator {
-        let running = (0..self.towers.len()).filter(|index| self.is_running(*index) && knows(*index));
+        let running = (0..self.members.len()).filter(|index| self.is_running(*index) && knows(*index));
         Operator::new(running.map(|index| self.operator_socket(index)).collect())
     }
 
-    /// Where the operator reaches a tower.
+    /// Where the operator reaches a member.
     pub fn operator_socket(&self, index: usize) -> SocketAddr {
-        self.operator_machine.socket_toward(&self.towers[index].machine, Port::Api)
+        self.operator_machine.socket_toward(&self.members[index].machine, Port::Api)
     }
 
-    /// Whether a tower runs.
+    /// Whether a member runs.
     pub fn is_running(&self, index: usize) -> bool {
-        self.towers[index].process.pid().is_some()
+        self.members[index].process.pid().is_some()
     }
 
-    /// How a tower sees the control plane, whatever the network does; none if it does not answer.
+    /// How a member sees the control plane, whatever the network does; none if it does not answer.
     pub fn status(&self, index: usize) -> Option<Status> {
         if !self.is_running(index) {
             return None;
         }
-        Status::of(self.towers[index].machine.socket(Port::Api))
+        Status::of(self.members[index].machine.socket(Port::Api))
     }
 
-    /// The tower that has the lease.
+    /// The member that has the lease.
     pub fn primary(&self) -> Option<usize> {
-        (0..self.towers.len()).find(|index| self.status(*index).is_some_and(|status| status.lease))
+        (0..self.members.len()).find(|index| self.status(*index).is_some_and(|status| status.lease))
     }
 
-    /// Waits for a tower with the lease.
+    /// Waits for a member with the lease.
     pub fn wait_for_primary(&self) -> Result<usize> {
-        wait_for("a tower with the lease", SETTLE_LIMIT, || self.primary())
+        wait_for("a member with the lease", SETTLE_LIMIT, || self.primary())
     }
 
-    /// A backup: a tower that holds the data and is not the primary.
+    /// A backup: a member that holds the data and is not the primary.
     pub fn backup(&self) -> Result<usize> {
         wait_for("a backup", SETTLE_LIMIT, || {
             let is_backup =
                 |index: &usize| self.status(*index).is_some_and(|status| status.role == "backup");
-            (0..self.towers.len()).find(is_backup)
+            (0..self.members.len()).find(is_backup)
         })
     }
 
-    /// Waits until one tower has the lease, all that run are fresh and agree, and all kiosks are ready.
+    /// Waits until one member has the lease, all that run are fresh and agree, and all proxies are ready.
     pub fn wait_until_whole(&self) -> Result<()> {
         wait_until("the deployment is whole", SETTLE_LIMIT, || {
-            self.is_control_plane_whole() && self.are_kiosks_ready()
+            self.is_control_plane_whole() && self.are_proxies_ready()
         })
         .inspect_err(|_| eprintln!("{}", self.describe()))
     }
 
-    /// How all towers see the control plane, and what all programs have logged, for a person.
+    /// How all members see the control plane, and what all programs have logged, for a person.
     pub fn describe(&self) -> String {
-        let towers = self.towers.iter().enumerate().map(|(index, tower)| {
-            format!("{}: {:?}\n{}", tower.machine.name, self.status(index), tower.process.log_text())
+        let members = self.members.iter().enumerate().map(|(index, member)| {
+            format!("{}: {:?}\n{}", member.machine.name, self.status(index), member.process.log_text())
         });
         let edges = self.edges.iter().map(|edge| {
-            format!("{}:\n{}{}", edge.machine.name, edge.porter.log_text(), edge.kiosk.log_text())
+            format!("{}:\n{}{}", edge.machine.name, edge.agent.log_text(), edge.proxy.log_text())
         });
-        towers.chain(edges).collect()
+        members.chain(edges).collect()
     }
 
-    /// Whether one tower has the lease, and all that run are fresh, agree on the view and on the configuration, with
+    /// Whether one member has the lease, and all that run are fresh, agree on the view and on the configuration, with
     /// holders and voters that all run.
     pub fn is_control_plane_whole(&self) -> bool {
-        let running: Vec<usize> = (0..self.towers.len()).filter(|index| self.is_running(*index)).collect();
+        let running: Vec<usize> = (0..self.members.len()).filter(|index| self.is_running(*index)).collect();
         let statuses: Vec<Status> = running.iter().filter_map(|index| self.status(*index)).collect();
         let Some(primary) = statuses.iter().find(|status| status.lease) else { return false };
         let nodes: Vec<&String> = statuses.iter().map(|status| &status.node).collect();
@@ -100,8 +100,8 @@
             })
     }
 
-    pub(super) fn are_kiosks_ready(&self) -> bool {
-        // Before the first configuration no kiosk can be ready.
+    pub(super) fn are_proxies_ready(&self) -> bool {
+        // Before the first configuration no proxy can be ready.
         let has_configuration = self
             .primary()
             .and_then(|primary| self.status(primary))
@@ -109,14 +109,14 @@
         !has_configuration || (0..self.edges.len()).all(|index| self.is_ready(index))
     }
 
-    /// Whether a kiosk says that it is ready.
+    /// Whether a proxy says that it is ready.
     pub fn is_ready(&self, edge: usize) -> bool {
         let ready = self.edges[edge].machine.socket(Port::Ready);
         call(ready, &Request::get("/ready"), Duration::from_millis(500))
             .is_ok_and(|answer| answer.status() == 200)
     }
 
-    /// Sends a client's request to a kiosk.
+    /// Sends a client's request to a proxy.
     pub fn ask(&self, edge: usize, ask: &ClientRequest<'_>) -> Result<Message, CallError> {
         let time_left = ask.timeout.as_millis().to_string();
         let headers =
--- a/crates/fault-injection/src/deployment/settings.rs
+++ b/crates/fault-injection/src/deployment/settings.rs
@@ -10,20 +10,20 @@
 
 impl Deployment {
     pub(super) fn seed_list(&self) -> String {
-        let seed = |index: &usize| self.towers[*index].machine.socket(Port::Api).to_string();
+        let seed = |index: &usize| self.members[*index].machine.socket(Port::Api).to_string();
         let seeds: Vec<String> = self.seeds.iter().map(|index| format!("'{}'", seed(index))).collect();
         format!("[{}]", seeds.join(", "))
     }
 
-    pub(super) fn tower_settings(&self, index: usize, first_boot: bool) -> String {
-        let tower = &self.towers[index];
-        let platform = tower.machine.socket_toward(&self.platform_machine, Port::Api);
+    pub(super) fn member_settings(&self, index: usize, first_boot: bool) -> String {
+        let member = &self.members[index];
+        let platform = member.machine.socket_toward(&self.platform_machine, Port::Api);
         format!(
             "{}listenOn: {{controlPort: '{}'}}\nfirstBoot: {first_boot}\ndataFolder: '{}'\n\
              cloudApi: {{address: '{platform}', ratePerS: {LIST_RATE}}}\n",
-            self.common_settings(&tower.machine),
-            tower.machine.socket(Port::Api),
-            tower.folder.display(),
+            self.common_settings(&member.machine),
+            member.machine.socket(Port::Api),
+            member.folder.display(),
         )
     }
 
--- a/crates/fault-injection/src/deployment/wiring.rs
+++ b/crates/fault-injection/src/deployment/wiring.rs
@@ -10,13 +10,13 @@
     /// Starts the relays between machines.
     pub(super) fn connect(&mut self) -> Result<()> {
         let mut relays = Vec::new();
-        let towers: Vec<&Machine> = self.towers.iter().map(|tower| &tower.machine).collect();
-        for to in &towers {
-            for from in towers.iter().filter(|from| from.id != to.id) {
+        let members: Vec<&Machine> = self.members.iter().map(|member| &member.machine).collect();
+        for to in &members {
+            for from in members.iter().filter(|from| from.id != to.id) {
                 for port in [Port::Control, Port::Feed] {
                     relays.push(self.relay(from.id, from, to, port)?);
                 }
-                // A tower's redirects name its own port at the other tower: it is the operator who dials it.
+                // A member's redirects name its own port at the other member: it is the operator who dials it.
                 relays.push(self.relay(self.operator_machine.id, from, to, Port::Api)?);
                 self.relay_views(from, to)?;
             }
--- a/crates/fault-injection/src/disk.rs
+++ b/crates/fault-injection/src/disk.rs
@@ -1,4 +1,4 @@
-//! The folder of a tower's log, seen from outside.
+//! The folder of a member's log, seen from outside.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -40,10 +40,10 @@
     pub bytes: u64,
 }
 
-/// Plays the loss of power at a stopped tower, as it leaves a disk that keeps what was synced: drops a random number
+/// Plays the loss of power at a stopped member, as it leaves a disk that keeps what was synced: drops a random number
 /// of bytes from the end of the log, but none that was there when the folder was measured.
 ///
-/// The caller has measured the folder while nothing of what the tower says got out, and kept it so until its end.
+/// The caller has measured the folder while nothing of what the member says got out, and kept it so until its end.
 /// Nobody was told of anything that was written later, so a disk that lost it before its sync looks the same. Where
 /// files have come or gone since, nothing is dropped: their names were synced one by one.
 pub fn drop_unconfirmed(folder: &Path, confirmed: &Lengths) -> Result<Option<Dropped>> {
--- a/crates/fault-injection/src/kills/mod.rs
+++ b/crates/fault-injection/src/kills/mod.rs
@@ -1,4 +1,4 @@
-//! Kills of towers while operators send changes: no acknowledged change may be lost, and none that was refused may be
+//! Kills of members while operators send changes: no acknowledged change may be lost, and none that was refused may be
 //! in force.
 
 mod report;
@@ -25,7 +25,7 @@
 const NOTE_BYTES: usize = 20_000;
 /// Time between two changes of an operator.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(10);
-/// Time for one try, so that an operator does not wait for a dead tower.
+/// Time for one try, so that an operator does not wait for a dead member.
 const TRY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time for a change to be decided. Kills may follow closely on each other.
 const DECISION_LIMIT: Duration = Duration::from_secs(60);
@@ -35,9 +35,9 @@
 const WATCH_LIMIT: Duration = Duration::from_millis(300);
 /// How often the log is measured.
 const WATCH_INTERVAL: Duration = Duration::from_micros(200);
-/// How long a tower whose power is lost may go on writing unheard.
+/// How long a member whose power is lost may go on writing unheard.
 const POWER_GRACE: Duration = Duration::from_millis(100);
-/// Longest time for which a killed tower stays away.
+/// Longest time for which a killed member stays away.
 const MOST_DOWNTIME_MS: u64 = 1_000;
 
 /// Plays at least `count` kills, shared out among `deployments` that run beside each other.
@@ -72,7 +72,7 @@
             let (operator, told, stop) = (operator.clone(), &told, &stop);
             scope.spawn(move || send_changes(number, &operator, told, stop));
         }
-        let outcome = kill_towers(&mut deployment, &operator, &told, count, &mut report);
+        let outcome = kill_members(&mut deployment, &operator, &told, count, &mut report);
         stop.store(true, Ordering::Relaxed);
         outcome
     });
@@ -87,7 +87,7 @@
     Ok(report)
 }
 
-fn kill_towers(
+fn kill_members(
     deployment: &mut Deployment,
     operator: &Operator,
     told: &Told,
@@ -108,14 +108,14 @@
         };
         report.all_killed += u64::from(victims.len() > 1);
         if let Some(first) = victims.first() {
-            watch_growth(&deployment.towers[*first].folder);
+            watch_growth(&deployment.members[*first].folder);
         }
         for victim in &victims {
             kill(deployment, *victim, report)?;
         }
         thread::sleep(Duration::from_millis(fastrand::u64(..MOST_DOWNTIME_MS)));
         for victim in victims {
-            deployment.start_tower(victim)?;
+            deployment.start_member(victim)?;
         }
     }
     deployment.wait_until_whole()
@@ -134,7 +134,7 @@
     report.kills += 1;
     report.primaries_killed += u64::from(deployment.status(victim).is_some_and(|status| status.lease));
     if fastrand::bool() {
-        deployment.towers[victim].process.kill();
+        deployment.members[victim].process.kill();
         return Ok(());
     }
     report.power_losses += 1;
--- a/crates/fault-injection/src/kills/report.rs
+++ b/crates/fault-injection/src/kills/report.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Debug, Default, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct KillReport {
-    /// Towers that were killed.
+    /// Members that were killed.
     pub kills: u64,
     /// Of them, those whose power was lost.
     pub power_losses: u64,
-    /// Rounds in which all towers were killed.
+    /// Rounds in which all members were killed.
     pub all_killed: u64,
     /// Kills of the primary.
     pub primaries_killed: u64,
@@ -34,7 +34,7 @@
     pub acknowledged_lost: u64,
     /// Refused changes that were in force.
     pub refused_in_force: u64,
-    /// Other violations, such as a tower that did not come back.
+    /// Other violations, such as a member that did not come back.
     pub other_violations: u64,
     /// What was found, for a person.
     pub violations: Vec<String>,
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,6 +1,6 @@
 //! Runs the real programs of the system on loopback and injects faults.
 //!
-//! A [`Deployment`](deployment::Deployment) has towers and edge machines, each with addresses of its own. All that
+//! A [`Deployment`](deployment::Deployment) has members and edge machines, each with addresses of its own. All that
 //! one machine sends to another passes a relay of the [`Network`](network::Network), which can hold it, cut it off at
 //! any byte, or reset it, in one direction or both. The platform's list, the replicas and the operator are stand-ins.
 
--- a/crates/fault-injection/src/machine.rs
+++ b/crates/fault-injection/src/machine.rs
@@ -13,19 +13,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
 pub enum Port {
-    /// Tower to tower.
+    /// Member to member.
     Control = 0,
-    /// A tower's feed.
+    /// A member's feed.
     Feed = 1,
     /// Partial views (UDP).
     Views = 2,
-    /// A porter's feed, on 127.0.0.1.
+    /// A agent's feed, on 127.0.0.1.
     LocalFeed = 3,
-    /// The operator's interface of a tower, and the platform's list.
+    /// The operator's interface of a member, and the platform's list.
     Api = 4,
-    /// A kiosk's clients.
+    /// A proxy's clients.
     Front = 5,
-    /// A kiosk's check of readiness.
+    /// A proxy's check of readiness.
     Ready = 6,
 }
 
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -58,7 +58,7 @@
     print(report);
     let verdict = if report.is_clean() { "no violation" } else { "VIOLATED" };
     println!(
-        "{verdict}: {} kills ({} of primaries, {} with loss of power, {} rounds of all towers) in {:.0} s; \
+        "{verdict}: {} kills ({} of primaries, {} with loss of power, {} rounds of all members) in {:.0} s; \
          {} changes acknowledged, {} of them lost; {} refused, {} of them in force; {} other violations",
         report.kills,
         report.primaries_killed,
@@ -94,7 +94,7 @@
             .guard(|count| *count > 0, "must be above 0")
             .fallback(4);
         let parser = construct!(Command::Kills { count, deployments });
-        command(parser, "kills", "Kills towers while operators send changes; fails if one is lost")
+        command(parser, "kills", "Kills members while operators send changes; fails if one is lost")
     };
     let takeover = {
         let cause = long("cause")
@@ -108,19 +108,19 @@
     let propagate = {
         let count = count(200);
         let parser = construct!(Command::Propagate { count });
-        command(parser, "propagate", "From an acknowledgement until a change is in force at the last kiosk")
+        command(parser, "propagate", "From an acknowledgement until a change is in force at the last proxy")
     };
     let catch_up = {
-        let changes = numbers("changes", "10,100,1000", "Numbers of changes that a tower misses");
+        let changes = numbers("changes", "10,100,1000", "Numbers of changes that a member misses");
         let count = count(10);
         let parser = construct!(Command::CatchUp { changes, count });
-        command(parser, "catch-up", "From the start of a tower that was away until all is whole")
+        command(parser, "catch-up", "From the start of a member that was away until all is whole")
     };
     let heal = {
         let seconds = long("seconds").help("Length of a cut").argument::<u64>("S").fallback(20);
         let count = count(5);
         let parser = construct!(Command::Heal { seconds, count });
-        command(parser, "heal", "From the end of a cut until tower and kiosk are current")
+        command(parser, "heal", "From the end of a cut until member and proxy are current")
     };
     let cost = {
         let notes = numbers("notes", "0,10000,50000", "Bytes by which the document is made longer");
--- a/crates/fault-injection/src/measure/catch_up.rs
+++ b/crates/fault-injection/src/measure/catch_up.rs
@@ -1,4 +1,4 @@
-//! From the start of a tower that was away until the control plane is whole again.
+//! From the start of a member that was away until the control plane is whole again.
 
 use std::time::Instant;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct CatchUpReport {
-    /// Changes that the tower has missed.
+    /// Changes that the member has missed.
     pub missed_changes: u64,
     /// From its start until it delivers the newest configuration as fresh.
     pub current: Figures,
@@ -34,19 +34,19 @@
     let mut revision = 1;
     for _ in 0..count {
         let away = deployment.backup()?;
-        deployment.towers[away].process.kill();
+        deployment.members[away].process.kill();
         let operator = deployment.operator();
         for _ in 0..missed_changes {
             let label = format!("r-{}", revision % LABELS);
             revision = operator.apply(&Change::upsert_route(revision, &label, revision), CHANGE_LIMIT)?;
         }
         let began = Instant::now();
-        deployment.start_tower(away)?;
+        deployment.start_member(away)?;
         let is_current = || {
             let status = deployment.status(away);
             status.is_some_and(|status| status.is_fresh() && status.configuration == revision)
         };
-        wait_until("the tower is current", SETTLE_LIMIT, is_current)?;
+        wait_until("the member is current", SETTLE_LIMIT, is_current)?;
         current.push(began.elapsed());
         deployment.wait_until_whole()?;
         whole.push(began.elapsed());
--- a/crates/fault-injection/src/measure/cost.rs
+++ b/crates/fault-injection/src/measure/cost.rs
@@ -45,9 +45,9 @@
 
 impl Counters {
     fn of(deployment: &Deployment, index: usize) -> Counters {
-        let tower = &deployment.towers[index];
-        let (log_bytes, appends) = disk::log_size(&tower.folder);
-        let io = tower.process.pid().and_then(|pid| fs::read_to_string(format!("/proc/{pid}/io")).ok());
+        let member = &deployment.members[index];
+        let (log_bytes, appends) = disk::log_size(&member.folder);
+        let io = member.process.pid().and_then(|pid| fs::read_to_string(format!("/proc/{pid}/io")).ok());
         let disk_bytes = io.as_deref().and_then(written_bytes).unwrap_or(0);
         Counters { log_bytes, appends, disk_bytes }
     }
--- a/crates/fault-injection/src/measure/heal.rs
+++ b/crates/fault-injection/src/measure/heal.rs
@@ -20,14 +20,14 @@
 pub struct HealReport {
     /// How long each cut lasted, in seconds.
     pub cut_s: u64,
-    /// What the tower that was cut off claimed wrongly.
+    /// What the member that was cut off claimed wrongly.
     pub false_claims: Vec<String>,
-    /// Answers of the kiosk that was cut off from a route that was withdrawn for longer than the term.
+    /// Answers of the proxy that was cut off from a route that was withdrawn for longer than the term.
     pub late_answers: usize,
-    /// From the heal until the tower delivers the newest configuration as fresh.
-    pub tower_current: Figures,
-    /// From the heal until the kiosk, which hears of it from its porter, serves a route that was added meanwhile.
-    pub kiosk_current: Figures,
+    /// From the heal until the member delivers the newest configuration as fresh.
+    pub member_current: Figures,
+    /// From the heal until the proxy, which hears of it from its agent, serves a route that was added meanwhile.
+    pub proxy_current: Figures,
 }
 
 /// `withdrawMs` of the settings.
@@ -48,8 +48,8 @@
         cut_s: cut.as_secs(),
         false_claims: report.false_claims,
         late_answers: report.late_answers,
-        tower_current: Figures::of(report.tower_current),
-        kiosk_current: Figures::of(report.kiosk_current),
+        member_current: Figures::of(report.member_current),
+        proxy_current: Figures::of(report.proxy_current),
     })
 }
 
@@ -57,8 +57,8 @@
 struct Plays {
     false_claims: Vec<String>,
     late_answers: usize,
-    tower_current: Vec<Duration>,
-    kiosk_current: Vec<Duration>,
+    member_current: Vec<Duration>,
+    proxy_current: Vec<Duration>,
 }
 
 /// One cut; the revision after it.
@@ -92,28 +92,28 @@
     }
     set_partition(deployment, primary, Condition::Open);
     let healed = Instant::now();
-    let is_tower_current = || {
+    let is_member_current = || {
         let status = deployment.status(primary);
         status.is_some_and(|status| status.is_fresh() && status.configuration >= in_force.revision)
     };
-    let (mut tower, mut kiosk) = (None, None);
-    wait_until("tower and kiosk are current", SETTLE_LIMIT, || {
-        if tower.is_none() && is_tower_current() {
-            tower = Some(healed.elapsed());
+    let (mut member, mut proxy) = (None, None);
+    wait_until("member and proxy are current", SETTLE_LIMIT, || {
+        if member.is_none() && is_member_current() {
+            member = Some(healed.elapsed());
         }
-        if kiosk.is_none() && serves(deployment, &added) {
-            kiosk = Some(healed.elapsed());
+        if proxy.is_none() && serves(deployment, &added) {
+            proxy = Some(healed.elapsed());
         }
-        tower.is_some() && kiosk.is_some()
+        member.is_some() && proxy.is_some()
     })?;
-    plays.tower_current.extend(tower);
-    plays.kiosk_current.extend(kiosk);
+    plays.member_current.extend(member);
+    plays.proxy_current.extend(proxy);
     Ok(in_force.revision)
 }
 
-/// Changes all paths between the tower and the edge machine on one side, and the others; the operator reaches all.
-fn set_partition(deployment: &Deployment, tower: usize, condition: Condition) {
-    let side = [deployment.towers[tower].machine.id, deployment.edges[0].machine.id];
+/// Changes all paths between the member and the edge machine on one side, and the others; the operator reaches all.
+fn set_partition(deployment: &Deployment, member: usize, condition: Condition) {
+    let side = [deployment.members[member].machine.id, deployment.edges[0].machine.id];
     let is_outside = |id: &MachineId| !side.contains(id) && *id != deployment.operator_machine.id;
     for machine in side {
         let outside: Vec<MachineId> = deployment.others(machine).into_iter().filter(is_outside).collect();
--- a/crates/fault-injection/src/measure/mod.rs
+++ b/crates/fault-injection/src/measure/mod.rs
@@ -20,7 +20,7 @@
 
 /// Longest time for a change to be decided.
 const CHANGE_LIMIT: Duration = Duration::from_secs(30);
-/// How long an operator waits for a tower before it tries another one.
+/// How long an operator waits for a member before it tries another one.
 const TRY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A deployment with its first configuration.
--- a/crates/fault-injection/src/measure/propagate.rs
+++ b/crates/fault-injection/src/measure/propagate.rs
@@ -1,4 +1,4 @@
-//! From the acknowledgement of a change until it is in force at the last kiosk.
+//! From the acknowledgement of a change until it is in force at the last proxy.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -20,11 +20,11 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct PropagateReport {
-    /// Kiosks that were asked for a route that was just added.
-    pub kiosks: usize,
+    /// Proxies that were asked for a route that was just added.
+    pub proxies: usize,
     /// From sending the change until its acknowledgement.
     pub sent_to_acknowledged: Figures,
-    /// From the acknowledgement until the last kiosk serves the route; 0 where it did before.
+    /// From the acknowledgement until the last proxy serves the route; 0 where it did before.
     pub acknowledged_to_in_force: Figures,
 }
 
@@ -39,14 +39,14 @@
         let label = label.as_str();
         let (sent, acknowledged, last) = thread::scope(|scope| {
             let deployment = &deployment;
-            let kiosks: Vec<_> =
+            let proxies: Vec<_> =
                 (0..EDGES).map(|edge| scope.spawn(move || served_at(deployment, edge, label))).collect();
             let sent = Instant::now();
             operator.apply(&Change::upsert_route(base, label, base), CHANGE_LIMIT)?;
             let acknowledged = Instant::now();
             let mut last = acknowledged;
-            for kiosk in kiosks {
-                let served = kiosk.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))?;
+            for proxy in proxies {
+                let served = proxy.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))?;
                 last = last.max(served);
             }
             Ok((sent, acknowledged, last))
@@ -55,13 +55,13 @@
         in_force.push(last - acknowledged);
     }
     Ok(PropagateReport {
-        kiosks: EDGES,
+        proxies: EDGES,
         sent_to_acknowledged: Figures::of(acknowledgements),
         acknowledged_to_in_force: Figures::of(in_force),
     })
 }
 
-/// Asks a kiosk again and again until it serves a route, and says when the first such answer came.
+/// Asks a proxy again and again until it serves a route, and says when the first such answer came.
 fn served_at(deployment: &Deployment, edge: usize, label: &str) -> Result<Instant> {
     let began = Instant::now();
     let path = path(label);
@@ -71,5 +71,5 @@
             return Ok(Instant::now());
         }
     }
-    TimedOutSnafu { what: format!("the kiosk serves {label}"), limit: LIMIT }.fail()
+    TimedOutSnafu { what: format!("the proxy serves {label}"), limit: LIMIT }.fail()
 }
--- a/crates/fault-injection/src/measure/takeover.rs
+++ b/crates/fault-injection/src/measure/takeover.rs
@@ -14,7 +14,7 @@
 use crate::process::Signal;
 use crate::wait::wait_until;
 
-/// How long a tower whose power is lost may go on writing unheard.
+/// How long a member whose power is lost may go on writing unheard.
 const POWER_GRACE: Duration = Duration::from_millis(50);
 
 /// What befalls the primary.
@@ -41,7 +41,7 @@
     pub cause: Cause,
     /// Until the next change was acknowledged.
     pub change_acknowledged: Figures,
-    /// Until another tower said that it has the lease.
+    /// Until another member said that it has the lease.
     pub lease_seen: Figures,
 }
 
@@ -69,7 +69,7 @@
 
 fn play(deployment: &mut Deployment, cause: Cause, base: u64) -> Result<Play> {
     let primary = deployment.wait_for_primary()?;
-    // The operator turns to the others: that one of three towers is gone costs it one try.
+    // The operator turns to the others: that one of three members is gone costs it one try.
     let operator = deployment.operator_knowing(|index| index != primary).with_try_timeout(TRY_TIMEOUT);
     // The phase of heartbeats at which the fault comes.
     thread::sleep(Duration::from_millis(fastrand::u64(..200)));
@@ -81,10 +81,10 @@
             operator.apply(&change, CHANGE_LIMIT).map(|_| began.elapsed())
         });
         let is_leased = || {
-            let others = (0..deployment.towers.len()).filter(|index| *index != primary);
+            let others = (0..deployment.members.len()).filter(|index| *index != primary);
             others.into_iter().any(|index| deployment.status(index).is_some_and(|status| status.lease))
         };
-        wait_until("another tower has the lease", SETTLE_LIMIT, is_leased)?;
+        wait_until("another member has the lease", SETTLE_LIMIT, is_leased)?;
         let leased = began.elapsed();
         let acknowledged = change.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))?;
         Ok(Play { acknowledged, leased })
@@ -96,28 +96,28 @@
 
 fn strike(deployment: &mut Deployment, cause: Cause, primary: usize) -> Result<()> {
     match cause {
-        Cause::Kill => deployment.towers[primary].process.kill(),
+        Cause::Kill => deployment.members[primary].process.kill(),
         Cause::Power => {
             deployment.lose_power(primary, POWER_GRACE)?;
         }
-        Cause::Cut => deployment.cut_tower(primary, Condition::Held),
-        Cause::Freeze => deployment.towers[primary].process.signal(Signal::STOP)?,
-        Cause::Term => deployment.towers[primary].process.signal(Signal::TERM)?,
+        Cause::Cut => deployment.cut_member(primary, Condition::Held),
+        Cause::Freeze => deployment.members[primary].process.signal(Signal::STOP)?,
+        Cause::Term => deployment.members[primary].process.signal(Signal::TERM)?,
     }
     Ok(())
 }
 
 fn restore(deployment: &mut Deployment, cause: Cause, index: usize) -> Result<()> {
     match cause {
-        Cause::Kill | Cause::Power => deployment.start_tower(index),
+        Cause::Kill | Cause::Power => deployment.start_member(index),
         Cause::Cut => {
-            deployment.cut_tower(index, Condition::Open);
+            deployment.cut_member(index, Condition::Open);
             Ok(())
         }
-        Cause::Freeze => deployment.towers[index].process.signal(Signal::CONT),
+        Cause::Freeze => deployment.members[index].process.signal(Signal::CONT),
         Cause::Term => {
-            deployment.towers[index].process.wait_for_end(SETTLE_LIMIT)?;
-            deployment.start_tower(index)
+            deployment.members[index].process.wait_for_end(SETTLE_LIMIT)?;
+            deployment.start_member(index)
         }
     }
 }
--- a/crates/fault-injection/src/operator.rs
+++ b/crates/fault-injection/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends changes to any tower, follows redirects, and repeats what had no answer.
+//! The operator: sends changes to any member, follows redirects, and repeats what had no answer.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,11 +9,11 @@
 use crate::client::{CallError, Message, Request, call};
 use crate::error::{Result, TimedOutSnafu, UnexpectedAnswerSnafu};
 
-/// Time for one try, beyond that in which a tower says that a change is undecided.
+/// Time for one try, beyond that in which a member says that a change is undecided.
 const TRY_TIMEOUT: Duration = Duration::from_secs(6);
 /// Redirects that one try follows.
 const MOST_REDIRECTS: usize = 3;
-/// The pause after all towers were tried.
+/// The pause after all members were tried.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// The host of all routes.
 pub const HOST: &str = "drill.example";
@@ -122,17 +122,17 @@
     current: u64,
 }
 
-/// An operator who knows some towers.
+/// An operator who knows some members.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    towers: Vec<SocketAddr>,
+    members: Vec<SocketAddr>,
     try_timeout: Duration,
 }
 
 impl Operator {
-    /// An operator who calls towers at these addresses.
-    pub fn new(towers: Vec<SocketAddr>) -> Operator {
-        Operator { towers, try_timeout: TRY_TIMEOUT }
+    /// An operator who calls members at these addresses.
+    pub fn new(members: Vec<SocketAddr>) -> Operator {
+        Operator { members, try_timeout: TRY_TIMEOUT }
     }
 
     /// One who gives a try up after this time.
@@ -140,19 +140,19 @@
         Operator { try_timeout, ..self }
     }
 
-    /// Sends a change once, to one tower and where that sends it.
-    pub fn send_once(&self, tower: SocketAddr, change: &Change) -> Reply {
+    /// Sends a change once, to one member and where that sends it.
+    pub fn send_once(&self, member: SocketAddr, change: &Change) -> Reply {
         let if_match = change.if_match.to_string();
         let headers = [("If-Match", if_match.as_str())];
         let request =
             Request { method: change.method, target: "/settings", headers: &headers, body: &change.body };
-        match self.follow(tower, &request) {
+        match self.follow(member, &request) {
             Ok(answer) => read_reply(&answer),
             Err(error) => Reply::Undecided { reason: error.to_string() },
         }
     }
 
-    /// Sends a change, to one tower after the other, until it is decided.
+    /// Sends a change, to one member after the other, until it is decided.
     pub fn send(&self, change: &Change, limit: Duration) -> Result<Reply> {
         Ok(self.decide(change, limit)?.reply)
     }
@@ -163,8 +163,8 @@
         let mut undecided_tries = 0;
         let mut reason = String::new();
         while began.elapsed() < limit {
-            for tower in &self.towers {
-                match self.send_once(*tower, change) {
+            for member in &self.members {
+                match self.send_once(*member, change) {
                     Reply::Undecided { reason: newest } => reason = newest,
                     reply => return Ok(Decision { reply, undecided_tries }),
                 }
@@ -189,21 +189,21 @@
         }
     }
 
-    /// Names the newest weights of a model at one tower and where that sends the call; the status of the answer, if there
+    /// Names the newest weights of a model at one member and where that sends the call; the status of the answer, if there
     /// is one.
-    pub fn name_weights(&self, tower: SocketAddr, model: &str, revision: u64) -> Option<u16> {
+    pub fn name_weights(&self, member: SocketAddr, model: &str, revision: u64) -> Option<u16> {
         let body = json!({"llm": model, "revision": revision}).to_string();
         let target = "/version-put";
         let request = Request { method: "POST", target, headers: &[], body: body.as_bytes() };
-        self.follow(tower, &request).ok().map(|answer| answer.status())
+        self.follow(member, &request).ok().map(|answer| answer.status())
     }
 
     /// The newest configuration.
     pub fn configuration(&self, limit: Duration) -> Result<Value> {
         let began = Instant::now();
         while began.elapsed() < limit {
-            for tower in &self.towers {
-                if let Some(document) = self.configuration_from(*tower) {
+            for member in &self.members {
+                if let Some(document) = self.configuration_from(*member) {
                     return Ok(document);
                 }
             }
@@ -212,14 +212,14 @@
         TimedOutSnafu { what: "an answer to GET /settings", limit }.fail()
     }
 
-    /// The newest configuration, from one tower or where that sends the call; none if there is no such answer.
-    pub fn configuration_from(&self, tower: SocketAddr) -> Option<Value> {
-        let answer = self.follow(tower, &Request::get("/settings")).ok()?;
+    /// The newest configuration, from one member or where that sends the call; none if there is no such answer.
+    pub fn configuration_from(&self, member: SocketAddr) -> Option<Value> {
+        let answer = self.follow(member, &Request::get("/settings")).ok()?;
         (answer.status() == 200).then(|| serde_json::from_slice(&answer.body).ok()).flatten()
     }
 
-    fn follow(&self, tower: SocketAddr, request: &Request<'_>) -> Result<Message, CallError> {
-        let mut address = tower;
+    fn follow(&self, member: SocketAddr, request: &Request<'_>) -> Result<Message, CallError> {
+        let mut address = member;
         let mut answer = call(address, request, self.try_timeout)?;
         for _ in 0..MOST_REDIRECTS {
             let location = answer.head.get("location").and_then(location_address);
--- a/crates/fault-injection/src/programs.rs
+++ b/crates/fault-injection/src/programs.rs
@@ -19,11 +19,11 @@
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// The control plane.
-    pub tower: PathBuf,
+    pub member: PathBuf,
     /// The agent.
-    pub porter: PathBuf,
+    pub agent: PathBuf,
     /// The proxy.
-    pub kiosk: PathBuf,
+    pub proxy: PathBuf,
 }
 
 impl Programs {
@@ -37,9 +37,9 @@
         };
         let program = |name: &str| folder.join(name);
         Ok(Programs {
-            tower: program("tulipridge-control-plane"),
-            porter: program("tulipridge-agent"),
-            kiosk: program("tulipridge-proxy"),
+            member: program("tulipridge-control-plane"),
+            agent: program("tulipridge-agent"),
+            proxy: program("tulipridge-proxy"),
         })
     }
 }
--- a/crates/fault-injection/src/status.rs
+++ b/crates/fault-injection/src/status.rs
@@ -1,4 +1,4 @@
-//! How a tower sees the control plane.
+//! How a member sees the control plane.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,10 +8,10 @@
 
 use crate::client::{Request, call};
 
-/// Time for a tower to answer.
+/// Time for a member to answer.
 const TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What a tower answers to `GET /status`, as far as it is used here.
+/// What a member answers to `GET /status`, as far as it is used here.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Status {
@@ -40,9 +40,9 @@
 }
 
 impl Status {
-    /// Asks a tower; none if it does not answer.
-    pub fn of(tower: SocketAddr) -> Option<Status> {
-        let answer = call(tower, &Request::get("/status"), TIMEOUT).ok()?;
+    /// Asks a member; none if it does not answer.
+    pub fn of(member: SocketAddr) -> Option<Status> {
+        let answer = call(member, &Request::get("/status"), TIMEOUT).ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
--- a/crates/fault-injection/tests/answers.rs
+++ b/crates/fault-injection/tests/answers.rs
@@ -24,7 +24,7 @@
 const SHORT_TIMEOUT: Duration = Duration::from_millis(400);
 
 fn two_replicas(kind: &str) -> Deployment {
-    let deployment = start(Plan { towers: 1, seeds: 1, replicas: 2, losses: 0, edges: 1 });
+    let deployment = start(Plan { members: 1, seeds: 1, replicas: 2, losses: 0, edges: 1 });
     let change = Change::upsert_route_of_kind(1, "asked", kind);
     deployment.operator().apply(&change, CHANGE_LIMIT).expect("a route");
     wait_for_route(&deployment, 0, "asked");
--- a/crates/fault-injection/tests/catch_up.rs
+++ b/crates/fault-injection/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! A tower that was away for hundreds of changes catches up, and never leads with what it had.
+//! A member that was away for hundreds of changes catches up, and never leads with what it had.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use tulipridge_fault_injection::operator::{Change, revision_of};
 use tulipridge_fault_injection::wait::wait_until;
 
-/// Changes that the tower misses.
+/// Changes that the member misses.
 const MISSED: u64 = 300;
 
 /// Sends changes one after the other; the newest revision.
@@ -24,52 +24,52 @@
 /// Waits for a primary, and for the newest revision there.
 fn assert_leads_with(deployment: &Deployment, revision: u64) {
     let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("an answer");
-    assert!(revision_of(&configuration) >= revision, "a tower leads with old state");
+    assert!(revision_of(&configuration) >= revision, "a member leads with old state");
 }
 
 #[rstest]
 #[case::it_had_only_voted(false)]
 #[case::it_had_held_the_data(true)]
-fn a_tower_that_was_away_catches_up_and_never_leads_with_old_state(#[case] held: bool) {
+fn a_member_that_was_away_catches_up_and_never_leads_with_old_state(#[case] held: bool) {
     let mut deployment = start(Plan::default());
     let backup = deployment.backup().expect("a backup");
     let primary = deployment.wait_for_primary().expect("a primary");
-    let voter = (0..3).find(|index| ![backup, primary].contains(index)).expect("a third tower");
+    let voter = (0..3).find(|index| ![backup, primary].contains(index)).expect("a third member");
     let away = if held { backup } else { voter };
-    deployment.towers[away].process.kill();
+    deployment.members[away].process.kill();
     let revision = apply_all(&deployment, 1, MISSED);
-    deployment.start_tower(away).expect("it returns");
+    deployment.start_member(away).expect("it returns");
     // The others go at once: what it has is old.
     let leader = deployment.wait_for_primary().expect("a primary");
-    deployment.towers[leader].process.kill();
+    deployment.members[leader].process.kill();
     assert_leads_with(&deployment, revision);
-    deployment.start_tower(leader).expect("it returns");
+    deployment.start_member(leader).expect("it returns");
     deployment.wait_until_whole().expect("all are back");
     let is_current = || {
         let status = deployment.status(away);
         status.is_some_and(|status| status.configuration == revision && status.is_fresh())
     };
-    wait_until("the tower is current", SETTLE_LIMIT, is_current).expect("it catches up");
+    wait_until("the member is current", SETTLE_LIMIT, is_current).expect("it catches up");
     wait_for_route(&deployment, 0, &format!("r-{}", (revision - 1) % 20));
 }
 
-/// All towers die after hundreds of changes, and the one that had missed them is the first to return.
+/// All members die after hundreds of changes, and the one that had missed them is the first to return.
 #[test]
-fn a_tower_that_returns_first_does_not_lead_with_old_state() {
+fn a_member_that_returns_first_does_not_lead_with_old_state() {
     let mut deployment = start(Plan { edges: 0, ..Plan::default() });
     let away = deployment.backup().expect("a backup");
-    deployment.towers[away].process.kill();
+    deployment.members[away].process.kill();
     let revision = apply_all(&deployment, 1, MISSED);
     for index in (0..3).filter(|index| *index != away) {
-        deployment.towers[index].process.kill();
+        deployment.members[index].process.kill();
     }
-    deployment.start_tower(away).expect("it returns");
-    let voter = (0..3).find(|index| *index != away).expect("another tower");
+    deployment.start_member(away).expect("it returns");
+    let voter = (0..3).find(|index| *index != away).expect("another member");
     let is_up = || deployment.status(away).is_some();
-    wait_until("the tower answers", SETTLE_LIMIT, is_up).expect("it is back");
-    deployment.start_tower(voter).expect("it returns");
+    wait_until("the member answers", SETTLE_LIMIT, is_up).expect("it is back");
+    deployment.start_member(voter).expect("it returns");
     for index in (0..3).filter(|index| ![away, voter].contains(index)) {
-        deployment.start_tower(index).expect("it returns");
+        deployment.start_member(index).expect("it returns");
     }
     assert_leads_with(&deployment, revision);
     deployment.wait_until_whole().expect("all are back");
--- a/crates/fault-injection/tests/changes.rs
+++ b/crates/fault-injection/tests/changes.rs
@@ -60,7 +60,7 @@
             let replies = scope.spawn(|| send_both(&[first, second], &changes));
             if round == ROUND_WITH_KILL {
                 let primary = deployment.wait_for_primary().expect("a primary");
-                deployment.towers[primary].process.kill();
+                deployment.members[primary].process.kill();
             }
             replies.join().expect("replies")
         });
@@ -70,27 +70,27 @@
 
 /// Resets the connection amid the answer to a change, and sends it again.
 #[test]
-fn a_change_whose_answer_was_lost_is_acknowledged_again_by_any_tower_and_after_a_takeover() {
+fn a_change_whose_answer_was_lost_is_acknowledged_again_by_any_member_and_after_a_takeover() {
     let mut deployment = start(Plan { edges: 0, ..Plan::default() });
     let mut changes = Vec::new();
     for (bytes, base) in CUTS.into_iter().zip(1..) {
         let primary = deployment.wait_for_primary().expect("a primary");
-        let tower = deployment.towers[primary].machine.id;
-        let answers = Direction { from: tower, to: deployment.operator_machine.id };
+        let member = deployment.members[primary].machine.id;
+        let answers = Direction { from: member, to: deployment.operator_machine.id };
         deployment.network.set_after(answers, bytes, Condition::Reset);
         let change = Change::upsert_route(base, &format!("r-{base}"), base);
         let operator = deployment.operator().with_try_timeout(TRY_TIMEOUT);
         let lost = operator.send_once(deployment.operator_socket(primary), &change);
         deployment.network.set(answers, Condition::Open);
         assert!(matches!(lost, Reply::Undecided { .. } | Reply::Taken), "{lost:?}");
-        for tower in 0..deployment.towers.len() {
-            let only = deployment.operator_knowing(|index| index == tower);
-            assert_eq!(send(&only, &change), Reply::Taken, "sent again to tower {tower}");
+        for member in 0..deployment.members.len() {
+            let only = deployment.operator_knowing(|index| index == member);
+            assert_eq!(send(&only, &change), Reply::Taken, "sent again to member {member}");
         }
         changes.push(change);
     }
     let primary = deployment.wait_for_primary().expect("a primary");
-    deployment.towers[primary].process.kill();
+    deployment.members[primary].process.kill();
     for change in &changes {
         assert_eq!(send(&deployment.operator(), change), Reply::Taken, "after a takeover");
     }
@@ -105,8 +105,8 @@
     let operator = deployment.operator().with_try_timeout(TRY_TIMEOUT);
     for (bytes, base) in [0, 1, 40, 150, 400, 4_000].into_iter().zip(1..) {
         let primary = deployment.wait_for_primary().expect("a primary");
-        let tower = deployment.towers[primary].machine.id;
-        let calls = Direction { from: deployment.operator_machine.id, to: tower };
+        let member = deployment.members[primary].machine.id;
+        let calls = Direction { from: deployment.operator_machine.id, to: member };
         deployment.network.set_after(calls, bytes, Condition::Reset);
         let change = Change::upsert_route(base, "cut", base);
         let first = operator.send_once(deployment.operator_socket(primary), &change);
@@ -118,23 +118,23 @@
     }
 }
 
-/// Weights are named again after the answer was lost, at any tower and after a takeover; older ones are refused.
+/// Weights are named again after the answer was lost, at any member and after a takeover; older ones are refused.
 #[test]
 fn weights_that_are_named_again_are_acknowledged_again() {
     let mut deployment = start(Plan { edges: 0, ..Plan::default() });
     let primary = deployment.wait_for_primary().expect("a primary");
     let answers =
-        Direction { from: deployment.towers[primary].machine.id, to: deployment.operator_machine.id };
+        Direction { from: deployment.members[primary].machine.id, to: deployment.operator_machine.id };
     let operator = deployment.operator().with_try_timeout(TRY_TIMEOUT);
     deployment.network.set_after(answers, 0, Condition::Reset);
     let lost = operator.name_weights(deployment.operator_socket(primary), MODEL, 2);
     assert_eq!(lost, None, "the answer is lost");
     deployment.network.set(answers, Condition::Open);
-    for tower in 0..deployment.towers.len() {
-        assert_eq!(name_until_answered(&deployment, tower, 2), OK);
+    for member in 0..deployment.members.len() {
+        assert_eq!(name_until_answered(&deployment, member, 2), OK);
     }
-    deployment.towers[primary].process.kill();
-    let successor = (0..3).find(|tower| *tower != primary).expect("another tower");
+    deployment.members[primary].process.kill();
+    let successor = (0..3).find(|member| *member != primary).expect("another member");
     assert_eq!(name_until_answered(&deployment, successor, 2), OK);
     assert_eq!(name_until_answered(&deployment, successor, 1), REFUSED);
     let is_named = || {
@@ -144,10 +144,10 @@
     wait_until("the weights are named", CHANGE_LIMIT, is_named).expect("they are");
 }
 
-/// The first answer that decides; a tower that knows no primary is asked again.
-fn name_until_answered(deployment: &Deployment, tower: usize, revision: u64) -> u16 {
+/// The first answer that decides; a member that knows no primary is asked again.
+fn name_until_answered(deployment: &Deployment, member: usize, revision: u64) -> u16 {
     let operator = deployment.operator().with_try_timeout(TRY_TIMEOUT);
-    let address = deployment.operator_socket(tower);
+    let address = deployment.operator_socket(member);
     wait_for("weights are decided on", CHANGE_LIMIT, || {
         let status = operator.name_weights(address, MODEL, revision);
         status.filter(|status| [OK, REFUSED].contains(status))
--- a/crates/fault-injection/tests/cuts.rs
+++ b/crates/fault-injection/tests/cuts.rs
@@ -1,4 +1,4 @@
-//! A tower that is cut off or frozen hands out nothing old, confirms nothing, and refuses nothing that is in force.
+//! A member that is cut off or frozen hands out nothing old, confirms nothing, and refuses nothing that is in force.
 
 mod support;
 
@@ -16,7 +16,7 @@
 
 /// How long the cut goes on after the others have taken over.
 const CUT: Duration = Duration::from_secs(2);
-/// How long an operator waits for a tower that is cut off.
+/// How long an operator waits for a member that is cut off.
 const TRY_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time after a heal in which all are current.
 const HEAL_LIMIT: Duration = Duration::from_secs(3);
@@ -30,13 +30,13 @@
     assert_eq!(claim, None);
 }
 
-/// Waits until a tower delivers a revision and knows that it is the newest, and a kiosk serves a route of it.
-fn assert_current_soon(deployment: &Deployment, tower: usize, revision: u64, label: &str) {
+/// Waits until a member delivers a revision and knows that it is the newest, and a proxy serves a route of it.
+fn assert_current_soon(deployment: &Deployment, member: usize, revision: u64, label: &str) {
     let is_current = || {
-        let status = deployment.status(tower);
+        let status = deployment.status(member);
         status.is_some_and(|status| status.is_fresh() && status.configuration >= revision)
     };
-    wait_until("the tower is current", HEAL_LIMIT, is_current).expect("healed");
+    wait_until("the member is current", HEAL_LIMIT, is_current).expect("healed");
     wait_for_route(deployment, 0, label);
     wait_until("the control plane is whole", IN_FORCE_LIMIT, || deployment.is_control_plane_whole())
         .expect("healed");
@@ -48,7 +48,7 @@
 fn a_primary_that_is_cut_off_claims_nothing(#[case] condition: Condition) {
     let deployment = start(Plan::default());
     let old = deployment.wait_for_primary().expect("a primary");
-    deployment.cut_tower(old, condition);
+    deployment.cut_member(old, condition);
     let others = deployment.operator_knowing(|index| index != old).with_try_timeout(TRY_TIMEOUT);
     let change = Change::upsert_route(1, "second", 1);
     others.apply(&change, CHANGE_LIMIT).expect("the others go on");
@@ -57,11 +57,11 @@
     while began.elapsed() < CUT {
         assert_claims_nothing(&impatient, &deployment, old, &change);
         let status = deployment.status(old).expect("it answers");
-        assert!(!status.lease, "two towers have the lease");
+        assert!(!status.lease, "two members have the lease");
         assert!(!status.is_fresh() || status.configuration >= change.revision, "{status:?}");
     }
     wait_for_route(&deployment, 0, "second");
-    deployment.cut_tower(old, Condition::Open);
+    deployment.cut_member(old, Condition::Open);
     assert_current_soon(&deployment, old, change.revision, "second");
 }
 
@@ -71,7 +71,7 @@
 fn a_primary_behind_a_one_way_cut_claims_nothing(#[case] is_outgoing: bool) {
     let deployment = start(Plan::default());
     let old = deployment.wait_for_primary().expect("a primary");
-    let id = deployment.towers[old].machine.id;
+    let id = deployment.members[old].machine.id;
     let operator = deployment.operator_machine.id;
     let others: Vec<_> = deployment.others(id).into_iter().filter(|other| *other != operator).collect();
     let set = |condition| match is_outgoing {
@@ -92,22 +92,22 @@
 fn a_frozen_primary_claims_nothing_when_it_wakes() {
     let deployment = start(Plan::default());
     let old = deployment.wait_for_primary().expect("a primary");
-    deployment.towers[old].process.signal(Signal::STOP).expect("it stops");
+    deployment.members[old].process.signal(Signal::STOP).expect("it stops");
     let others = deployment.operator_knowing(|index| index != old).with_try_timeout(TRY_TIMEOUT);
     let change = Change::upsert_route(1, "second", 1);
     others.apply(&change, CHANGE_LIMIT).expect("the others go on");
-    // Calls that wait at the frozen tower are the first that it sees.
+    // Calls that wait at the frozen member are the first that it sees.
     let waiting = deployment.operator();
     let address = deployment.operator_socket(old);
     thread::scope(|scope| {
         let read = scope.spawn(|| waiting.configuration_from(address));
         let rival = scope.spawn(|| waiting.send_once(address, &Change::upsert_route(1, "rival", 1)));
         let operator = deployment.operator_machine.id;
-        let direction = Direction { from: operator, to: deployment.towers[old].machine.id };
+        let direction = Direction { from: operator, to: deployment.members[old].machine.id };
         let sent = deployment.network.passed(direction);
         let has_come = || deployment.network.passed(direction) > sent + 200;
-        wait_until("the calls wait at the tower", CHANGE_LIMIT, has_come).expect("they are sent");
-        deployment.towers[old].process.signal(Signal::CONT).expect("it goes on");
+        wait_until("the calls wait at the member", CHANGE_LIMIT, has_come).expect("they are sent");
+        deployment.members[old].process.signal(Signal::CONT).expect("it goes on");
         let document = read.join().expect("a call");
         assert!(document.is_none_or(|document| revision_of(&document) >= 2), "an old configuration");
         assert!(!matches!(rival.join().expect("a call"), Reply::Taken), "a rival was confirmed");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_kiosk_that_is_cut_off_serves_no_withdrawn_route_beyond_the_term() {
+fn a_proxy_that_is_cut_off_serves_no_withdrawn_route_beyond_the_term() {
     let deployment = start(Plan::default());
     let operator = deployment.operator();
     operator.apply(&Change::upsert_route(1, "withdrawn", 1), CHANGE_LIMIT).expect("a change");
@@ -140,6 +140,6 @@
     }
     deployment.network.set_between(edge, &others, Condition::Open);
     let is_current = || matches!(ask_status(&deployment, 0, "withdrawn"), Ok(404));
-    wait_until("the kiosk is current", HEAL_LIMIT, is_current).expect("healed");
+    wait_until("the proxy is current", HEAL_LIMIT, is_current).expect("healed");
     wait_for_route(&deployment, 0, "base");
 }
--- a/crates/fault-injection/tests/kills.rs
+++ b/crates/fault-injection/tests/kills.rs
@@ -24,14 +24,15 @@
     let mut deployment = start(Plan { edges: 0, ..Plan::default() });
     deployment.operator().apply(&Change::upsert_route(1, "marked", 1), CHANGE_LIMIT).expect("a change");
     deployment.wait_until_whole().expect("the change is in force");
-    let before: Vec<Lengths> = deployment.towers.iter().map(|tower| Lengths::of(&tower.folder)).collect();
+    let before: Vec<Lengths> =
+        deployment.members.iter().map(|member| Lengths::of(&member.folder)).collect();
     deployment.operator().apply(&Change::upsert_route(2, "marked", 2), CHANGE_LIMIT).expect("a change");
-    for (tower, before) in deployment.towers.iter_mut().zip(&before) {
-        tower.process.kill();
-        truncate_to(&tower.folder, before).expect("the log is cut");
+    for (member, before) in deployment.members.iter_mut().zip(&before) {
+        member.process.kill();
+        truncate_to(&member.folder, before).expect("the log is cut");
     }
     for index in 0..3 {
-        deployment.start_tower(index).expect("it returns");
+        deployment.start_member(index).expect("it returns");
     }
     let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("an answer");
     assert_eq!(mark_of(&configuration, "marked"), Some(1));
--- a/crates/fault-injection/tests/replacement.rs
+++ b/crates/fault-injection/tests/replacement.rs
@@ -11,13 +11,13 @@
 use tulipridge_fault_injection::operator::{Change, Reply, mark_of, revision_of};
 use tulipridge_fault_injection::wait::{wait_for, wait_until};
 
-/// Changes that are sent one after the other while a tower goes.
+/// Changes that are sent one after the other while a member goes.
 const CHANGES_WHILE_STOPPING: u64 = 25;
 
-/// Loses a tower with its disk for good.
+/// Loses a member with its disk for good.
 fn lose(deployment: &mut Deployment, index: usize) {
-    deployment.towers[index].process.kill();
-    disk::wipe(&deployment.towers[index].folder).expect("the disk is emptied");
+    deployment.members[index].process.kill();
+    disk::wipe(&deployment.members[index].folder).expect("the disk is emptied");
 }
 
 fn apply(deployment: &Deployment, base: u64) {
@@ -32,10 +32,10 @@
 
 #[test]
 fn a_second_loss_right_after_a_planned_replacement_loses_nothing() {
-    let mut deployment = start(Plan { towers: 4, edges: 0, ..Plan::default() });
+    let mut deployment = start(Plan { members: 4, edges: 0, ..Plan::default() });
     apply(&deployment, 1);
     let backup = deployment.backup().expect("a backup");
-    deployment.start_tower(3).expect("it starts");
+    deployment.start_member(3).expect("it starts");
     lose(&mut deployment, backup);
     apply(&deployment, 2);
     wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
@@ -55,12 +55,12 @@
         let backup = deployment.backup().expect("a backup");
         deployment.replace_disk(backup).expect("it returns empty");
         wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
-            .expect("the tower is taken in again");
+            .expect("the member is taken in again");
         let primary = deployment.wait_for_primary().expect("a primary");
         deployment.replace_disk(primary).expect("it returns empty");
         assert_mark(&deployment, base);
         wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
-            .expect("the tower is taken in again");
+            .expect("the member is taken in again");
     }
 }
 
@@ -71,21 +71,21 @@
     apply(&deployment, 1);
     let backup = deployment.backup().expect("a backup");
     let primary = deployment.wait_for_primary().expect("a primary");
-    deployment.towers[backup].process.kill();
-    let status = deployment.terminate_tower(primary).expect("it ends");
+    deployment.members[backup].process.kill();
+    let status = deployment.terminate_member(primary).expect("it ends");
     assert!(status.success(), "{status}");
-    deployment.start_tower(backup).expect("it returns with its disk");
+    deployment.start_member(backup).expect("it returns with its disk");
     assert_mark(&deployment, 1);
     apply(&deployment, 2);
-    deployment.start_tower(primary).expect("it returns with its disk");
+    deployment.start_member(primary).expect("it returns with its disk");
     wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
         .expect("all are back");
     assert_mark(&deployment, 2);
 }
 
-/// Stops one tower after the other by SIGTERM while an operator sends changes; each returns with its disk.
+/// Stops one member after the other by SIGTERM while an operator sends changes; each returns with its disk.
 #[test]
-fn towers_that_are_stopped_one_after_the_other_lose_no_change() {
+fn members_that_are_stopped_one_after_the_other_lose_no_change() {
     let mut deployment = start(Plan { edges: 0, ..Plan::default() });
     let operator = deployment.operator();
     let changes = thread::spawn(move || {
@@ -97,9 +97,9 @@
         }
     });
     for index in 0..3 {
-        let status = deployment.terminate_tower(index).expect("it ends");
+        let status = deployment.terminate_member(index).expect("it ends");
         assert!(status.success(), "{status}");
-        deployment.start_tower(index).expect("it returns");
+        deployment.start_member(index).expect("it returns");
         wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
             .expect("it is taken in again");
     }
@@ -109,12 +109,12 @@
 
 #[test]
 fn machines_are_replaced_until_all_seeds_are_gone() {
-    let mut deployment = start(Plan { towers: 6, ..Plan::default() });
+    let mut deployment = start(Plan { members: 6, ..Plan::default() });
     for old in 0..3 {
         let new = old + 3;
         apply(&deployment, old as u64 + 1);
         deployment.set_seeds((old + 1..=new).collect()).expect("new seeds");
-        deployment.start_tower(new).expect("it starts");
+        deployment.start_member(new).expect("it starts");
         let is_known = || deployment.status(new).filter(|status| status.is_fresh());
         wait_for("the newcomer follows the primary", SETTLE_LIMIT, is_known).expect("it is taken in");
         lose(&mut deployment, old);
--- a/crates/fault-injection/tests/support/mod.rs
+++ b/crates/fault-injection/tests/support/mod.rs
@@ -9,7 +9,7 @@
 
 /// Longest time for a change to be acknowledged, with a takeover on the way.
 pub const CHANGE_LIMIT: Duration = Duration::from_secs(15);
-/// Longest time for what was acknowledged to be in force at a kiosk.
+/// Longest time for what was acknowledged to be in force at a proxy.
 pub const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
 
 /// A deployment with its first configuration, revision 1, which has a route `base`.
@@ -20,8 +20,8 @@
     deployment
 }
 
-/// The status of a kiosk's answer to a request on a route.
-#[allow(dead_code, reason = "not all tests ask kiosks")]
+/// The status of a proxy's answer to a request on a route.
+#[allow(dead_code, reason = "not all tests ask proxies")]
 pub fn ask_status(deployment: &Deployment, edge: usize, label: &str) -> Result<u16, CallError> {
     let path = path(label);
     let timeout = Duration::from_secs(1);
@@ -29,9 +29,9 @@
     deployment.ask(edge, &request).map(|answer| answer.status())
 }
 
-/// Waits until a kiosk serves a route.
-#[allow(dead_code, reason = "not all tests ask kiosks")]
+/// Waits until a proxy serves a route.
+#[allow(dead_code, reason = "not all tests ask proxies")]
 pub fn wait_for_route(deployment: &Deployment, edge: usize, label: &str) {
     let is_served = || matches!(ask_status(deployment, edge, label), Ok(200));
-    wait_until(&format!("the kiosk serves {label}"), IN_FORCE_LIMIT, is_served).expect("a route in force");
+    wait_until(&format!("the proxy serves {label}"), IN_FORCE_LIMIT, is_served).expect("a route in force");
 }
--- a/crates/runtime/tests/logging.rs
+++ b/crates/runtime/tests/logging.rs
@@ -19,7 +19,7 @@
         .key_values(&values)
         .build();
     assert_snapshot!(
-        line("porter", "edge-a-1", 1250, &record),
-        @r#"{"at_ms":1250,"count":3,"level":"WARN","message":"a peer is late","node":"edge-a-1","peer":"10.0.0.1:7\"","program":"porter","ratio":0.5,"ready":true}"#
+        line("agent", "edge-a-1", 1250, &record),
+        @r#"{"at_ms":1250,"count":3,"level":"WARN","message":"a peer is late","node":"edge-a-1","peer":"10.0.0.1:7\"","program":"agent","ratio":0.5,"ready":true}"#
     );
 }
--- a/crates/write-ahead-log/src/directory.rs
+++ b/crates/write-ahead-log/src/directory.rs
@@ -5,7 +5,7 @@
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use super::error::{self, LogbookError};
+use super::error::{self, WriteAheadLogError};
 
 /// An open file.
 pub trait DirectoryFile: fmt::Debug {
@@ -48,7 +48,7 @@
 
 impl FileSystemDirectory {
     /// Makes the directory if it is not there.
-    pub fn create(path: &Path) -> Result<Self, LogbookError> {
+    pub fn create(path: &Path) -> Result<Self, WriteAheadLogError> {
         let made = fs::create_dir_all(path);
         made.map_err(|source| error::io("create", &path.to_string_lossy(), source))?;
         Ok(FileSystemDirectory { path: path.to_owned() })
--- a/crates/write-ahead-log/src/error.rs
+++ b/crates/write-ahead-log/src/error.rs
@@ -7,7 +7,7 @@
 /// Why the log could not be opened, or a write did not succeed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum LogbookError {
+pub enum WriteAheadLogError {
     /// The disk refused.
     #[snafu(display("cannot {operation} {file}"))]
     Io {
@@ -55,6 +55,6 @@
 }
 
 /// An error of the disk.
-pub(crate) fn io(operation: &'static str, file: &str, source: io::Error) -> LogbookError {
-    LogbookError::Io { operation, file: file.to_owned(), source }
+pub(crate) fn io(operation: &'static str, file: &str, source: io::Error) -> WriteAheadLogError {
+    WriteAheadLogError::Io { operation, file: file.to_owned(), source }
 }
--- a/crates/write-ahead-log/src/format.rs
+++ b/crates/write-ahead-log/src/format.rs
@@ -4,7 +4,7 @@
 //! marker, the length of the payload, its checksum, and the payload: records with their lengths. A snapshot
 //! holds one frame whose payload is the snapshot itself. All numbers are little-endian.
 
-use super::error::LogbookError;
+use super::error::WriteAheadLogError;
 
 const VERSION: u32 = 1;
 const SEGMENT_MAGIC: [u8; 4] = *b"TLOG";
@@ -70,17 +70,21 @@
 }
 
 /// Checks a file's first bytes; `None` if they are not all there.
-pub(crate) fn check_header(kind: Kind, name: &str, content: &[u8]) -> Result<Option<()>, LogbookError> {
+pub(crate) fn check_header(
+    kind: Kind,
+    name: &str,
+    content: &[u8],
+) -> Result<Option<()>, WriteAheadLogError> {
     let expected = kind.magic();
     let length = content.len().min(expected.len());
     if content[..length] != expected[..length] {
-        return Err(LogbookError::Foreign { file: name.to_owned() });
+        return Err(WriteAheadLogError::Foreign { file: name.to_owned() });
     }
     let Some(version) = number_at(content, expected.len()) else { return Ok(None) };
     if version == VERSION {
         Ok(Some(()))
     } else {
-        Err(LogbookError::UnknownVersion { file: name.to_owned(), version })
+        Err(WriteAheadLogError::UnknownVersion { file: name.to_owned(), version })
     }
 }
 
@@ -89,8 +93,8 @@
     Some(u32::from_le_bytes(bytes.try_into().ok()?))
 }
 
-fn checked_length(length: usize) -> Result<u32, LogbookError> {
-    u32::try_from(length).map_err(|_| LogbookError::TooLong { length })
+fn checked_length(length: usize) -> Result<u32, WriteAheadLogError> {
+    u32::try_from(length).map_err(|_| WriteAheadLogError::TooLong { length })
 }
 
 fn checksum(length: u32, payload: &[u8]) -> u32 {
@@ -100,7 +104,7 @@
     hasher.finalize()
 }
 
-fn frame(payload: &[u8]) -> Result<Vec<u8>, LogbookError> {
+fn frame(payload: &[u8]) -> Result<Vec<u8>, WriteAheadLogError> {
     let length = checked_length(payload.len())?;
     let mut frame = Vec::with_capacity(FRAME_HEADER_LENGTH + payload.len());
     frame.extend(FRAME_MARKER);
@@ -111,7 +115,7 @@
 }
 
 /// The frame of an append.
-pub(crate) fn encode_frame(records: &[&[u8]]) -> Result<Vec<u8>, LogbookError> {
+pub(crate) fn encode_frame(records: &[&[u8]]) -> Result<Vec<u8>, WriteAheadLogError> {
     let mut payload = Vec::with_capacity(records.iter().map(|record| record.len() + 4).sum());
     for record in records {
         payload.extend(checked_length(record.len())?.to_le_bytes());
@@ -121,7 +125,7 @@
 }
 
 /// A snapshot's file.
-pub(crate) fn encode_snapshot(bytes: &[u8]) -> Result<Vec<u8>, LogbookError> {
+pub(crate) fn encode_snapshot(bytes: &[u8]) -> Result<Vec<u8>, WriteAheadLogError> {
     let mut content = header(Kind::Snapshot);
     content.extend(frame(bytes)?);
     Ok(content)
--- a/crates/write-ahead-log/src/lib.rs
+++ b/crates/write-ahead-log/src/lib.rs
@@ -16,7 +16,7 @@
 use std::path::Path;
 
 pub use directory::{Directory, DirectoryFile, FileSystemDirectory};
-pub use error::LogbookError;
+pub use error::WriteAheadLogError;
 use format::{HEADER_LENGTH, Kind};
 use recovery::remove_before;
 
@@ -34,7 +34,7 @@
 
 /// An open log.
 #[derive(Debug)]
-pub struct Logbook<D: Directory = FileSystemDirectory> {
+pub struct WriteAheadLog<D: Directory = FileSystemDirectory> {
     directory: D,
     file: D::File,
     segment: u64,
@@ -46,16 +46,16 @@
     other_bytes: u64,
 }
 
-impl Logbook {
+impl WriteAheadLog {
     /// Opens the log in a directory of the file system, which is made if it is not there.
-    pub fn open(path: impl AsRef<Path>) -> Result<(Self, Recovered), LogbookError> {
-        Logbook::open_in(FileSystemDirectory::create(path.as_ref())?)
+    pub fn open(path: impl AsRef<Path>) -> Result<(Self, Recovered), WriteAheadLogError> {
+        WriteAheadLog::open_in(FileSystemDirectory::create(path.as_ref())?)
     }
 }
 
-impl<D: Directory> Logbook<D> {
+impl<D: Directory> WriteAheadLog<D> {
     /// Opens the log in a directory.
-    pub fn open_in(directory: D) -> Result<(Self, Recovered), LogbookError> {
+    pub fn open_in(directory: D) -> Result<(Self, Recovered), WriteAheadLogError> {
         let contents = recovery::recover(&directory)?;
         let file = match contents.length {
             Some(length) => recovery::open_segment(&directory, contents.segment, length)?,
@@ -65,7 +65,7 @@
             recovery::make_snapshot_durable(&directory, first)?;
             remove_before(&directory, first);
         }
-        let mut logbook = Logbook {
+        let mut write_ahead_log = WriteAheadLog {
             directory,
             file,
             segment: contents.segment,
@@ -73,13 +73,13 @@
             has_rest: false,
             other_bytes: 0,
         };
-        logbook.count_other_bytes();
-        Ok((logbook, contents.recovered))
+        write_ahead_log.count_other_bytes();
+        Ok((write_ahead_log, contents.recovered))
     }
 
     /// Adds records and syncs them. After an error, none of them counts as added, though some may be found
     /// on the next open; the caller may try again.
-    pub fn append(&mut self, records: &[&[u8]]) -> Result<(), LogbookError> {
+    pub fn append(&mut self, records: &[&[u8]]) -> Result<(), WriteAheadLogError> {
         if records.is_empty() {
             return Ok(());
         }
@@ -98,7 +98,7 @@
     }
 
     /// Replaces all records so far by a snapshot. After an error, the records still count.
-    pub fn snapshot(&mut self, bytes: &[u8]) -> Result<(), LogbookError> {
+    pub fn snapshot(&mut self, bytes: &[u8]) -> Result<(), WriteAheadLogError> {
         let content = format::encode_snapshot(bytes)?;
         self.cut_off_rest()?;
         if self.length > HEADER_LENGTH {
@@ -117,7 +117,7 @@
         self.other_bytes + self.length
     }
 
-    fn write_snapshot(&self, content: &[u8]) -> Result<(), LogbookError> {
+    fn write_snapshot(&self, content: &[u8]) -> Result<(), WriteAheadLogError> {
         let name = format::file_name(Kind::Snapshot, self.segment);
         let unfinished = format::unfinished_name(&name);
         let written = self.write_file(&unfinished, content);
@@ -129,14 +129,14 @@
         self.directory.sync().map_err(|source| error::io("sync the directory of", &name, source))
     }
 
-    fn write_file(&self, name: &str, content: &[u8]) -> Result<(), LogbookError> {
+    fn write_file(&self, name: &str, content: &[u8]) -> Result<(), WriteAheadLogError> {
         let mut file =
             self.directory.create_file(name).map_err(|source| error::io("create", name, source))?;
         file.write_at(0, content).map_err(|source| error::io("write", name, source))?;
         file.sync().map_err(|source| error::io("sync", name, source))
     }
 
-    fn start_segment(&mut self) -> Result<(), LogbookError> {
+    fn start_segment(&mut self) -> Result<(), WriteAheadLogError> {
         let next = self.segment + 1;
         self.file = create_segment(&self.directory, next)?;
         self.segment = next;
@@ -146,7 +146,7 @@
     }
 
     /// Cuts off what a failed append has left.
-    fn cut_off_rest(&mut self) -> Result<(), LogbookError> {
+    fn cut_off_rest(&mut self) -> Result<(), WriteAheadLogError> {
         if !self.has_rest {
             return Ok(());
         }
@@ -166,7 +166,7 @@
 }
 
 /// Makes a segment without records, durable when this returns.
-fn create_segment<D: Directory>(directory: &D, number: u64) -> Result<D::File, LogbookError> {
+fn create_segment<D: Directory>(directory: &D, number: u64) -> Result<D::File, WriteAheadLogError> {
     let name = format::file_name(Kind::Segment, number);
     let mut file = directory.create_file(&name).map_err(|source| error::io("create", &name, source))?;
     let header = format::header(Kind::Segment);
--- a/crates/write-ahead-log/src/recovery.rs
+++ b/crates/write-ahead-log/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use super::Recovered;
 use super::directory::{Directory, DirectoryFile};
-use super::error::{self, LogbookError};
+use super::error::{self, WriteAheadLogError};
 use super::format::{self, HEADER_LENGTH, Kind};
 
 /// What a directory holds.
@@ -24,7 +24,7 @@
 }
 
 /// Reads the newest valid snapshot and the records after it.
-pub(crate) fn recover<D: Directory>(directory: &D) -> Result<Contents, LogbookError> {
+pub(crate) fn recover<D: Directory>(directory: &D) -> Result<Contents, WriteAheadLogError> {
     let names = directory.list().map_err(|source| error::io("list", "the directory", source))?;
     let segments = numbers(Kind::Segment, &names);
     let snapshots = numbers(Kind::Snapshot, &names);
@@ -32,7 +32,7 @@
     for number in snapshots.iter().rev() {
         match read_snapshot(directory, *number) {
             Ok(snapshot) => return read_segments(directory, &segments, Some((*number, snapshot))),
-            Err(error @ LogbookError::Damaged { .. }) if *number != snapshots[0] => {
+            Err(error @ WriteAheadLogError::Damaged { .. }) if *number != snapshots[0] => {
                 log::warn!(error:% = error; "an older snapshot is tried");
                 refusal.get_or_insert(error);
             }
@@ -48,7 +48,7 @@
     directory: &D,
     number: u64,
     length: u64,
-) -> Result<D::File, LogbookError> {
+) -> Result<D::File, WriteAheadLogError> {
     let name = format::file_name(Kind::Segment, number);
     let mut file = directory.open_file(&name).map_err(|source| error::io("open", &name, source))?;
     let found = directory.length(&name).map_err(|source| error::io("measure", &name, source))?;
@@ -62,7 +62,10 @@
 
 /// Makes the name of a snapshot durable: the process that wrote it may have been killed right after renaming it,
 /// and the segments before it must not be removed while that may still be lost.
-pub(crate) fn make_snapshot_durable<D: Directory>(directory: &D, number: u64) -> Result<(), LogbookError> {
+pub(crate) fn make_snapshot_durable<D: Directory>(
+    directory: &D,
+    number: u64,
+) -> Result<(), WriteAheadLogError> {
     let name = format::file_name(Kind::Snapshot, number);
     directory.sync().map_err(|source| error::io("sync the directory of", &name, source))
 }
@@ -93,18 +96,18 @@
     numbers
 }
 
-fn read<D: Directory>(directory: &D, name: &str) -> Result<Vec<u8>, LogbookError> {
+fn read<D: Directory>(directory: &D, name: &str) -> Result<Vec<u8>, WriteAheadLogError> {
     directory.read(name).map_err(|source| error::io("read", name, source))
 }
 
-fn read_snapshot<D: Directory>(directory: &D, number: u64) -> Result<Vec<u8>, LogbookError> {
+fn read_snapshot<D: Directory>(directory: &D, number: u64) -> Result<Vec<u8>, WriteAheadLogError> {
     let name = format::file_name(Kind::Snapshot, number);
     let content = read(directory, &name)?;
     let has_header = format::check_header(Kind::Snapshot, &name, &content)?.is_some();
     let whole = format::frame_at(&content, HEADER_LENGTH as usize);
     match whole {
         Some((payload, end)) if has_header && end == content.len() => Ok(payload.to_vec()),
-        _ => Err(LogbookError::Damaged { file: name, offset: HEADER_LENGTH }),
+        _ => Err(WriteAheadLogError::Damaged { file: name, offset: HEADER_LENGTH }),
     }
 }
 
@@ -112,7 +115,7 @@
     directory: &D,
     segments: &[u64],
     snapshot: Option<(u64, Vec<u8>)>,
-) -> Result<Contents, LogbookError> {
+) -> Result<Contents, WriteAheadLogError> {
     let snapshot_number = snapshot.as_ref().map(|(number, _)| *number);
     let first = snapshot_number.unwrap_or(1);
     let mut recovered = Recovered { snapshot: snapshot.map(|(_, bytes)| bytes), records: Vec::new() };
@@ -130,7 +133,7 @@
     Ok(Contents { recovered, snapshot_number, segment, length })
 }
 
-fn check_contiguous(numbers: &[u64], first: u64, must_exist: bool) -> Result<(), LogbookError> {
+fn check_contiguous(numbers: &[u64], first: u64, must_exist: bool) -> Result<(), WriteAheadLogError> {
     let is_missing = |(index, number): (usize, &u64)| *number != first + index as u64;
     let gap = numbers.iter().enumerate().find(|(index, number)| is_missing((*index, number)));
     let missing = match gap {
@@ -138,13 +141,13 @@
         None => (numbers.is_empty() && must_exist).then_some(first),
     };
     match missing {
-        Some(number) => Err(LogbookError::Missing { file: format::file_name(Kind::Segment, number) }),
+        Some(number) => Err(WriteAheadLogError::Missing { file: format::file_name(Kind::Segment, number) }),
         None => Ok(()),
     }
 }
 
 /// How many segments there are without those at the end that hold nothing yet.
-fn count_used<D: Directory>(directory: &D, numbers: &[u64]) -> Result<usize, LogbookError> {
+fn count_used<D: Directory>(directory: &D, numbers: &[u64]) -> Result<usize, WriteAheadLogError> {
     let mut used = numbers.len();
     while used > 0 {
         let name = format::file_name(Kind::Segment, numbers[used - 1]);
@@ -159,10 +162,14 @@
     Ok(used)
 }
 
-fn read_segment<D: Directory>(directory: &D, number: u64, is_last: bool) -> Result<Segment, LogbookError> {
+fn read_segment<D: Directory>(
+    directory: &D,
+    number: u64,
+    is_last: bool,
+) -> Result<Segment, WriteAheadLogError> {
     let name = format::file_name(Kind::Segment, number);
     let content = read(directory, &name)?;
-    let damaged = |offset: usize| LogbookError::Damaged { file: name.clone(), offset: offset as u64 };
+    let damaged = |offset: usize| WriteAheadLogError::Damaged { file: name.clone(), offset: offset as u64 };
     if format::check_header(Kind::Segment, &name, &content)?.is_none() {
         return Err(damaged(content.len()));
     }
--- a/crates/write-ahead-log/tests/logbook.rs
+++ b/crates/write-ahead-log/tests/write_ahead_log.rs
@@ -4,10 +4,10 @@
 
 use rstest::rstest;
 use support::{Files, MemoryDirectory};
-use tulipridge_write_ahead_log::{Logbook, LogbookError, Recovered, SEGMENT_LENGTH};
+use tulipridge_write_ahead_log::{Recovered, SEGMENT_LENGTH, WriteAheadLog, WriteAheadLogError};
 
-fn open(files: Files) -> Result<(Logbook<MemoryDirectory>, Recovered), LogbookError> {
-    Logbook::open_in(MemoryDirectory::with(files))
+fn open(files: Files) -> Result<(WriteAheadLog<MemoryDirectory>, Recovered), WriteAheadLogError> {
+    WriteAheadLog::open_in(MemoryDirectory::with(files))
 }
 
 fn reopen(directory: &MemoryDirectory) -> Recovered {
@@ -20,11 +20,11 @@
 /// Three appends: one, two and one record.
 fn small_log() -> (MemoryDirectory, Vec<Vec<u8>>) {
     let directory = MemoryDirectory::default();
-    let (mut logbook, recovered) = Logbook::open_in(directory.clone()).expect("it opens");
+    let (mut write_ahead_log, recovered) = WriteAheadLog::open_in(directory.clone()).expect("it opens");
     assert_eq!(recovered, Recovered::default());
-    logbook.append(&[b"one"]).expect("it appends");
-    logbook.append(&[b"two", b""]).expect("it appends");
-    logbook.append(&[b"four"]).expect("it appends");
+    write_ahead_log.append(&[b"one"]).expect("it appends");
+    write_ahead_log.append(&[b"two", b""]).expect("it appends");
+    write_ahead_log.append(&[b"four"]).expect("it appends");
     let records = [&b"one"[..], b"two", b"", b"four"].map(<[u8]>::to_vec).to_vec();
     (directory, records)
 }
@@ -39,15 +39,15 @@
 fn file_system_directory_keeps_records_and_snapshot() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("log");
-    let (mut logbook, _) = Logbook::open(&path).expect("it opens");
-    logbook.append(&[b"old"]).expect("it appends");
-    logbook.snapshot(b"state").expect("it takes a snapshot");
-    logbook.append(&[b"new"]).expect("it appends");
-    let bytes = logbook.bytes_used();
-    drop(logbook);
-    let (logbook, recovered) = Logbook::open(&path).expect("it opens");
+    let (mut write_ahead_log, _) = WriteAheadLog::open(&path).expect("it opens");
+    write_ahead_log.append(&[b"old"]).expect("it appends");
+    write_ahead_log.snapshot(b"state").expect("it takes a snapshot");
+    write_ahead_log.append(&[b"new"]).expect("it appends");
+    let bytes = write_ahead_log.bytes_used();
+    drop(write_ahead_log);
+    let (write_ahead_log, recovered) = WriteAheadLog::open(&path).expect("it opens");
     assert_eq!(recovered, Recovered { snapshot: Some(b"state".to_vec()), records: vec![b"new".to_vec()] });
-    assert_eq!(logbook.bytes_used(), bytes);
+    assert_eq!(write_ahead_log.bytes_used(), bytes);
     let mut names: Vec<_> = std::fs::read_dir(&path)
         .expect("it lists")
         .map(|entry| entry.expect("an entry").file_name().into_string().expect("a name"))
@@ -65,11 +65,11 @@
     for length in 0..=whole.len() {
         let files = Files::from([("log-000001".to_owned(), whole[..length].to_vec())]);
         let directory = MemoryDirectory::with(files);
-        let (mut logbook, recovered) = Logbook::open_in(directory.clone()).expect("it opens");
+        let (mut write_ahead_log, recovered) = WriteAheadLog::open_in(directory.clone()).expect("it opens");
         let count = recovered.records.len();
         assert_eq!(recovered.records, records[..count]);
         lengths.push(count);
-        logbook.append(&[b"more"]).expect("it appends");
+        write_ahead_log.append(&[b"more"]).expect("it appends");
         let after = reopen(&directory).records;
         assert_eq!(after[..count], records[..count]);
         assert_eq!(after[count..], [b"more".to_vec()]);
@@ -89,7 +89,7 @@
         content[position / 8] ^= 1 << (position % 8);
         let files = Files::from([("log-000001".to_owned(), content)]);
         let directory = MemoryDirectory::with(files.clone());
-        match Logbook::open_in(directory.clone()) {
+        match WriteAheadLog::open_in(directory.clone()) {
             Ok((_, recovered)) => {
                 assert!(position / 8 >= last, "bit {position}");
                 assert_eq!(recovered.records, records[..3]);
@@ -111,7 +111,7 @@
     files.get_mut("log-000001").expect("the segment")[8 + 19 + 12] ^= 1;
     let error = open(files).expect_err("it is refused");
     assert!(
-        matches!(error, LogbookError::Damaged { ref file, offset: 27 } if file == "log-000001"),
+        matches!(error, WriteAheadLogError::Damaged { ref file, offset: 27 } if file == "log-000001"),
         "{error}"
     );
 }
@@ -125,7 +125,7 @@
 fn files_that_do_not_fit_are_refused(#[case] name: &str, #[case] content: &[u8], #[case] message: &str) {
     let files = Files::from([(name.to_owned(), content.to_vec())]);
     let directory = MemoryDirectory::with(files.clone());
-    let error = Logbook::open_in(directory.clone()).expect_err("it is refused");
+    let error = WriteAheadLog::open_in(directory.clone()).expect_err("it is refused");
     assert_eq!(error.to_string(), message);
     assert_eq!(directory.files(), files);
 }
@@ -139,28 +139,31 @@
     let first = files.get_mut("log-000001").expect("the segment");
     first.truncate(first.len() - 1);
     let error = open(files).expect_err("it is refused");
-    assert!(matches!(error, LogbookError::Damaged { ref file, .. } if file == "log-000001"), "{error}");
+    assert!(
+        matches!(error, WriteAheadLogError::Damaged { ref file, .. } if file == "log-000001"),
+        "{error}"
+    );
 }
 
-fn long_log() -> (MemoryDirectory, Logbook<MemoryDirectory>) {
+fn long_log() -> (MemoryDirectory, WriteAheadLog<MemoryDirectory>) {
     let directory = MemoryDirectory::default();
-    let (mut logbook, _) = Logbook::open_in(directory.clone()).expect("it opens");
+    let (mut write_ahead_log, _) = WriteAheadLog::open_in(directory.clone()).expect("it opens");
     let record = vec![7; 1024 * 1024];
     for _ in 0..5 {
-        logbook.append(&[&record]).expect("it appends");
+        write_ahead_log.append(&[&record]).expect("it appends");
     }
-    (directory, logbook)
+    (directory, write_ahead_log)
 }
 
 #[test]
 fn long_segments_are_followed_by_new_ones() {
-    let (directory, mut logbook) = long_log();
+    let (directory, mut write_ahead_log) = long_log();
     assert_eq!(reopen(&directory).records.len(), 5);
     let total: usize = directory.files().values().map(Vec::len).sum();
-    assert_eq!(logbook.bytes_used(), total as u64);
+    assert_eq!(write_ahead_log.bytes_used(), total as u64);
     assert!(directory.files()["log-000001"].len() as u64 <= SEGMENT_LENGTH + 1024 * 1024 + 100);
-    logbook.snapshot(b"small").expect("it takes a snapshot");
-    assert!(logbook.bytes_used() < 100);
+    write_ahead_log.snapshot(b"small").expect("it takes a snapshot");
+    assert!(write_ahead_log.bytes_used() < 100);
 }
 
 /// A foreign name beside the log is nobody's business.
@@ -170,9 +173,9 @@
     let mut files = directory.files();
     files.insert("log-old".to_owned(), b"x".to_vec());
     let directory = MemoryDirectory::with(files);
-    let (mut logbook, recovered) = Logbook::open_in(directory.clone()).expect("it opens");
+    let (mut write_ahead_log, recovered) = WriteAheadLog::open_in(directory.clone()).expect("it opens");
     assert_eq!(recovered.records, records);
-    logbook.snapshot(b"state").expect("it takes a snapshot");
+    write_ahead_log.snapshot(b"state").expect("it takes a snapshot");
     assert!(directory.files().contains_key("log-old"));
 }
 
@@ -182,24 +185,26 @@
 fn full_disk_refuses_and_recovers() {
     for bytes in 0..60 {
         let (directory, mut records) = small_log();
-        let (mut logbook, _) = Logbook::open_in(directory.clone()).expect("it opens");
+        let (mut write_ahead_log, _) = WriteAheadLog::open_in(directory.clone()).expect("it opens");
         directory.limit_bytes(Some(bytes));
-        let appended = logbook.append(&[b"a record of some length"]);
+        let appended = write_ahead_log.append(&[b"a record of some length"]);
         match appended {
             Ok(()) => records.push(b"a record of some length".to_vec()),
-            Err(error) => assert!(matches!(error, LogbookError::Io { operation: "write", .. }), "{error}"),
+            Err(error) => {
+                assert!(matches!(error, WriteAheadLogError::Io { operation: "write", .. }), "{error}")
+            }
         }
         assert_eq!(reopen(&directory).records, records);
-        let is_snapshot = logbook.snapshot(b"the whole state, longer than the record").is_ok();
+        let is_snapshot = write_ahead_log.snapshot(b"the whole state, longer than the record").is_ok();
         if is_snapshot {
             records.clear();
         }
         assert_eq!(reopen(&directory).records, records);
         directory.limit_bytes(None);
-        logbook.append(&[b"short"]).expect("there is room");
+        write_ahead_log.append(&[b"short"]).expect("there is room");
         records.push(b"short".to_vec());
         assert_eq!(reopen(&directory).records, records);
-        logbook.snapshot(b"state").expect("there is room");
+        write_ahead_log.snapshot(b"state").expect("there is room");
         assert_eq!(
             reopen(&directory),
             Recovered { snapshot: Some(b"state".to_vec()), records: Vec::new() }
@@ -214,26 +219,26 @@
     let mut operations = 0;
     while !finished {
         let (directory, _) = small_log();
-        let (mut logbook, _) = Logbook::open_in(directory.clone()).expect("it opens");
+        let (mut write_ahead_log, _) = WriteAheadLog::open_in(directory.clone()).expect("it opens");
         directory.crash_after(operations);
         let mut acknowledged = 4;
         let mut has_snapshot = false;
-        let result = (|| -> Result<(), LogbookError> {
-            logbook.snapshot(b"4")?;
+        let result = (|| -> Result<(), WriteAheadLogError> {
+            write_ahead_log.snapshot(b"4")?;
             has_snapshot = true;
-            logbook.append(&[b"5"])?;
+            write_ahead_log.append(&[b"5"])?;
             acknowledged = 5;
-            logbook.snapshot(b"5")?;
-            logbook.append(&[b"6"])?;
+            write_ahead_log.snapshot(b"5")?;
+            write_ahead_log.append(&[b"6"])?;
             acknowledged = 6;
             Ok(())
         })();
         finished = result.is_ok();
         for files in [directory.files(), directory.synced_files()] {
-            let (mut logbook, recovered) = open(files).expect("it opens");
+            let (mut write_ahead_log, recovered) = open(files).expect("it opens");
             assert!(known(&recovered) >= acknowledged, "after {operations} operations: {recovered:?}");
             assert!(!has_snapshot || recovered.snapshot.is_some());
-            logbook.append(&[b"7"]).expect("it appends");
+            write_ahead_log.append(&[b"7"]).expect("it appends");
         }
         operations += 1;
     }
@@ -246,14 +251,14 @@
     let mut finished = false;
     let mut operations = 0;
     while !finished {
-        finished = survives_restart_and_loss_of_power(|directory, logbook| {
+        finished = survives_restart_and_loss_of_power(|directory, write_ahead_log| {
             directory.crash_after(operations);
             let mut acknowledged = SMALL_LOG;
-            let result = (|| -> Result<(), LogbookError> {
-                logbook.append(&[b"5"])?;
+            let result = (|| -> Result<(), WriteAheadLogError> {
+                write_ahead_log.append(&[b"5"])?;
                 acknowledged = 5;
-                logbook.snapshot(b"5")?;
-                logbook.append(&[b"6"])?;
+                write_ahead_log.snapshot(b"5")?;
+                write_ahead_log.append(&[b"6"])?;
                 acknowledged = 6;
                 Ok(())
             })();
@@ -269,11 +274,11 @@
 #[test]
 fn what_was_written_after_a_refusal_survives_a_loss_of_power() {
     for operation in 0..20 {
-        survives_restart_and_loss_of_power(|directory, logbook| {
+        survives_restart_and_loss_of_power(|directory, write_ahead_log| {
             directory.refuse_after(operation);
-            while logbook.append(&[b"5"]).is_err() {}
-            let _ = logbook.snapshot(b"5");
-            while logbook.append(&[b"6"]).is_err() {}
+            while write_ahead_log.append(&[b"5"]).is_err() {}
+            let _ = write_ahead_log.snapshot(b"5");
+            while write_ahead_log.append(&[b"6"]).is_err() {}
             (6, true)
         });
     }
@@ -283,14 +288,14 @@
 /// Another one opens what it left, and power is lost after any operation of that: what was acknowledged is there,
 /// and so is what the other one has read and may have answered for.
 fn survives_restart_and_loss_of_power<T>(
-    work: impl Fn(&MemoryDirectory, &mut Logbook<MemoryDirectory>) -> (usize, T),
+    work: impl Fn(&MemoryDirectory, &mut WriteAheadLog<MemoryDirectory>) -> (usize, T),
 ) -> T {
     for operations in 0.. {
         let (directory, _) = small_log();
-        let (mut logbook, _) = Logbook::open_in(directory.clone()).expect("it opens");
-        let (acknowledged, result) = work(&directory, &mut logbook);
+        let (mut write_ahead_log, _) = WriteAheadLog::open_in(directory.clone()).expect("it opens");
+        let (acknowledged, result) = work(&directory, &mut write_ahead_log);
         directory.crash_after(operations);
-        let read = Logbook::open_in(directory.clone()).map(|(_, read)| read);
+        let read = WriteAheadLog::open_in(directory.clone()).map(|(_, read)| read);
         for files in [directory.synced_files(), directory.synced_files_without_removed()] {
             let (_, found) = open(files).expect("it opens");
             assert!(known(&found) >= acknowledged, "after {operations} operations: {found:?}");
@@ -313,13 +318,13 @@
 #[test]
 fn older_snapshot_serves_while_its_segments_are_there() {
     let directory = MemoryDirectory::default();
-    let (mut logbook, _) = Logbook::open_in(directory.clone()).expect("it opens");
-    logbook.append(&[b"1"]).expect("it appends");
-    logbook.snapshot(b"1").expect("it takes a snapshot");
-    logbook.append(&[b"2"]).expect("it appends");
+    let (mut write_ahead_log, _) = WriteAheadLog::open_in(directory.clone()).expect("it opens");
+    write_ahead_log.append(&[b"1"]).expect("it appends");
+    write_ahead_log.snapshot(b"1").expect("it takes a snapshot");
+    write_ahead_log.append(&[b"2"]).expect("it appends");
     let mut files = directory.files();
-    logbook.snapshot(b"2").expect("it takes a snapshot");
-    logbook.append(&[b"3"]).expect("it appends");
+    write_ahead_log.snapshot(b"2").expect("it takes a snapshot");
+    write_ahead_log.append(&[b"3"]).expect("it appends");
     files.extend(directory.files());
     files.get_mut("snapshot-000003").expect("the newest").pop();
     let (_, recovered) = open(files).expect("it opens");
