--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -11,10 +11,10 @@
 use tulipridge_peer_sampling::{Exchange, View};
 use tulipridge_protocol::feed::{ControlNode, SubscriberRole};
 use tulipridge_protocol::node::NodeId;
-use tulipridge_protocol::views::{Entry, Role};
+use tulipridge_protocol::peer_sampling::{Entry, Role};
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::{Settings, SettingsError};
-use tulipridge_runtime::signals::{Request, Requests, SignalError};
+use tulipridge_runtime::signals::{ProcessSignal, SignalError, SignalStream};
 use tulipridge_subscription::{Attempt, FeedStore, Identity, Publisher, Subscriber, Tolerance};
 
 use crate::choice::HomeChoice;
@@ -90,8 +90,8 @@
     }
 
     /// Does what the platform asks for, until the agent is to end.
-    pub async fn attend(&self, mut requests: Requests) {
-        while requests.next().await == Request::Reload {
+    pub async fn attend(&self, mut requests: SignalStream) {
+        while requests.next().await == ProcessSignal::Reload {
             self.reload(Settings::load());
         }
         log::info!("stopping");
@@ -168,7 +168,7 @@
     }
 
     async fn exchange_views(self: Rc<Self>) {
-        let address = self.settings.views_socket(self.settings.ip_address);
+        let address = self.settings.peer_sampling_socket(self.settings.ip_address);
         // A process that starts again is another incarnation.
         let id = NodeId::new(self.settings.ip_address, fastrand::u64(1..));
         let me = Entry { id, role: Role::Agent, zone: self.settings.area.clone(), age: 0 };
@@ -204,7 +204,7 @@
 pub fn run(settings: Settings) -> Result<(), AgentError> {
     // One executor on one thread, which lives as long as the program.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::default());
-    let requests = Requests::new()?;
+    let requests = SignalStream::new()?;
     let agent = Agent::new(settings);
     agent.start(executor);
     async_io::block_on(executor.run(agent.attend(requests)));
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -5,15 +5,15 @@
 use std::sync::Arc;
 
 use async_channel::{Receiver, Sender};
-use tulipridge_protocol::control::View;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::View;
 
 use crate::api::{ChangeOutcome, ControlPlane, Standing, Status};
 use crate::change::{self, ChangeAuthority};
 use crate::delivery::Delivery;
-use crate::duty::DutyHolder;
 use crate::member::Member;
 use crate::replication::Role;
+use crate::singleton::LeaseStatus;
 use crate::state::Change;
 
 /// The duties of a primary.
--- a/crates/control-plane/src/delivery.rs
+++ b/crates/control-plane/src/delivery.rs
@@ -13,7 +13,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use tulipridge_configuration::Configuration;
-use tulipridge_prefix_cache_index::{KeptUpdate, SourceStatus};
+use tulipridge_prefix_cache_index::{CacheUpdate, SourceStatus};
 use tulipridge_protocol::feed::{ControlNode, Group, ModelWeights, Replica, SubscriberRole};
 use tulipridge_runtime::clock;
 use tulipridge_subscription::{FeedStore, Identity, Publisher, Subscriber};
@@ -42,7 +42,7 @@
     /// The feed of a member of this name and zone. All members serve theirs at the same port.
     pub fn new(name: String, zone: String, feed_port: u16, authority: Rc<dyn Authority>) -> Rc<Delivery> {
         let store = Rc::new(RefCell::new(FeedStore::new()));
-        let identity = Identity { name, zone, role: SubscriberRole::Home };
+        let identity = Identity { name, zone, role: SubscriberRole::Relay };
         let subscriber = Subscriber::new(identity, store.clone());
         let publisher = Publisher::new(store.clone(), age(authority.clone(), subscriber.clone()));
         let notified = publisher.clone();
@@ -108,7 +108,7 @@
     }
 
     /// Delivers changes of what sources keep of prompts, as primary of `epoch`.
-    pub fn set_kept(&self, epoch: u64, updates: &[KeptUpdate]) {
+    pub fn set_kept(&self, epoch: u64, updates: &[CacheUpdate]) {
         let news = self.store.borrow_mut().set_kept(epoch, updates);
         self.notify_if(news);
     }
--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -16,8 +16,8 @@
 pub use list::{Page, PageError};
 pub use pace::{Pace, WalkEnd};
 
-use crate::duty::{Duty, DutyContext};
 use crate::http_client::{Call, CallError, HttpClient};
+use crate::singleton::{SingletonContext, SingletonLease};
 
 /// Time for a page to come whole.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
@@ -38,7 +38,7 @@
     #[snafu(display("the platform answers with status {status}"))]
     Status { status: u16 },
     #[snafu(display("the duty of following the list was lost"))]
-    DutyLost,
+    LeaseLost,
 }
 
 /// The platform's status for more calls than it accepts.
@@ -46,7 +46,7 @@
 
 /// Follows the list while this member has the duty.
 pub struct Discovery {
-    context: DutyContext,
+    context: SingletonContext,
     on_list: Box<dyn Fn()>,
     client: HttpClient,
     pace: Pace,
@@ -61,7 +61,7 @@
     pub fn new(
         address: SocketAddr,
         rate_per_second: f64,
-        context: DutyContext,
+        context: SingletonContext,
         on_list: Box<dyn Fn()>,
     ) -> Discovery {
         let limits = WireLimits {
@@ -96,7 +96,7 @@
         }
     }
 
-    async fn round(&mut self, duty: Duty) -> WalkEnd {
+    async fn round(&mut self, duty: SingletonLease) -> WalkEnd {
         let outcome = self.walk(duty).await;
         self.log_change_of_health(outcome.as_ref().err());
         match outcome {
@@ -106,14 +106,14 @@
         }
     }
 
-    fn take(&mut self, duty: Duty, list: Vec<Replica>) -> WalkEnd {
+    fn take(&mut self, duty: SingletonLease, list: Vec<Replica>) -> WalkEnd {
         let changed = self.context.table.borrow_mut().replace(duty.tenure, list);
         (self.on_list)();
         if changed { WalkEnd::Changed } else { WalkEnd::Unchanged }
     }
 
     /// Reads all pages; the list counts only whole.
-    async fn walk(&mut self, duty: Duty) -> Result<Vec<Replica>, WalkError> {
+    async fn walk(&mut self, duty: SingletonLease) -> Result<Vec<Replica>, WalkError> {
         let mut replicas = Vec::new();
         let mut token = None;
         loop {
@@ -122,15 +122,15 @@
             self.log_unreadable(page.unreadable);
             token = page.next_token;
             if token.is_none() {
-                return if self.still_has(duty) { Ok(replicas) } else { DutyLostSnafu.fail() };
+                return if self.still_has(duty) { Ok(replicas) } else { LeaseLostSnafu.fail() };
             }
         }
     }
 
-    async fn page(&mut self, duty: Duty, token: Option<&str>) -> Result<Page, WalkError> {
+    async fn page(&mut self, duty: SingletonLease, token: Option<&str>) -> Result<Page, WalkError> {
         Timer::after(self.next_call.saturating_sub(clock::now())).await;
         if !self.still_has(duty) {
-            return DutyLostSnafu.fail();
+            return LeaseLostSnafu.fail();
         }
         self.next_call = clock::now() + self.pace.page_gap();
         let target = list::page_target(token);
@@ -141,7 +141,7 @@
         }
     }
 
-    fn still_has(&self, duty: Duty) -> bool {
+    fn still_has(&self, duty: SingletonLease) -> bool {
         self.context.holder.duty().is_some_and(|now| now.tenure == duty.tenure)
     }
 
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -11,8 +11,8 @@
 
 use async_channel::Sender;
 use snafu::{ResultExt, Snafu};
-use tulipridge_protocol::control::View;
 use tulipridge_protocol::frame::FrameError;
+use tulipridge_protocol::replication::View;
 use tulipridge_write_ahead_log::{FileSystemDirectory, WriteAheadLogError};
 
 use crate::replication::DurableRecord;
--- a/crates/control-plane/src/index/answer.rs
+++ b/crates/control-plane/src/index/answer.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
-use tulipridge_prefix_cache_index::{EventPage, Listing, PartKey};
+use tulipridge_prefix_cache_index::{CacheListing, EventPage, PrefixKey};
 
 /// Why an answer of a source can't be used.
 #[derive(Debug, Snafu)]
@@ -57,18 +57,18 @@
 }
 
 /// Reads the answer to a call for the list of all that is kept.
-pub fn read_list(body: &[u8]) -> Result<Listing, AnswerError> {
+pub fn read_list(body: &[u8]) -> Result<CacheListing, AnswerError> {
     let body: ListBody = serde_json::from_slice(body).context(UnreadableSnafu)?;
     let parts = body
         .holding
         .iter()
-        .map(|Held(salt, part, tokens, _)| (PartKey::new(salt, part), *tokens))
+        .map(|Held(salt, part, tokens, _)| (PrefixKey::new(salt, part), *tokens))
         .collect();
-    Ok(Listing { boot: body.boot_no, next_token: body.next_token, parts })
+    Ok(CacheListing { boot: body.boot_no, next_token: body.next_token, parts })
 }
 
-fn event(Happening(_, sign, salt, part, tokens, _): Happening) -> (PartKey, u32) {
+fn event(Happening(_, sign, salt, part, tokens, _): Happening) -> (PrefixKey, u32) {
     match sign {
-        Sign::Added | Sign::Removed => (PartKey::new(&salt, &part), tokens),
+        Sign::Added | Sign::Removed => (PrefixKey::new(&salt, &part), tokens),
     }
 }
--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -9,7 +9,7 @@
 use snafu::{ResultExt, Snafu};
 use tulipridge_http1::WireLimits;
 use tulipridge_prefix_cache_index::{
-    Cursor, EventPage, Followed, KeptUpdate, Listing, Liveness, SourceStatus, follow, listed,
+    CacheListing, CacheUpdate, Cursor, EventPage, Liveness, PollOutcome, SourceStatus, follow, listed,
 };
 use tulipridge_runtime::clock;
 
@@ -124,18 +124,18 @@
         }
         let page = self.events().await?;
         match follow(self.source, self.cursor, &page) {
-            Followed::Nothing => {}
-            Followed::Update(update) => self.take(update),
-            Followed::Restarted(update) => {
+            PollOutcome::Nothing => {}
+            PollOutcome::Update(update) => self.take(update),
+            PollOutcome::Restarted(update) => {
                 self.take(update);
                 let page = self.events().await?;
-                if let Followed::Update(update) | Followed::Gap(update) =
+                if let PollOutcome::Update(update) | PollOutcome::Gap(update) =
                     follow(self.source, self.cursor, &page)
                 {
                     self.take(update);
                 }
             }
-            Followed::Gap(update) => match self.kind {
+            PollOutcome::Gap(update) => match self.kind {
                 SourceKind::Replica => self.take(update),
                 SourceKind::Store => {
                     let listing = self.list().await?;
@@ -148,7 +148,7 @@
     }
 
     /// Delivers an update and goes on from it.
-    fn take(&mut self, update: KeptUpdate) {
+    fn take(&mut self, update: CacheUpdate) {
         self.cursor = Some(Cursor { boot: update.boot, next_token: update.next_token });
         let comes_back = self.liveness.replace(Liveness::Alive) != Some(Liveness::Alive);
         if comes_back {
@@ -175,8 +175,8 @@
         }
     }
 
-    fn status_update(&self, cursor: Cursor, liveness: Liveness) -> KeptUpdate {
-        KeptUpdate {
+    fn status_update(&self, cursor: Cursor, liveness: Liveness) -> CacheUpdate {
+        CacheUpdate {
             source: self.source,
             boot: cursor.boot,
             next_token: cursor.next_token,
@@ -196,7 +196,7 @@
         read_events(&answer.body).context(ParseSnafu)
     }
 
-    async fn list(&mut self) -> Result<Listing, FollowError> {
+    async fn list(&mut self) -> Result<CacheListing, FollowError> {
         let answer = self.call(Call::get("/kv-list")).await?;
         read_list(&answer.body).context(ParseSnafu)
     }
--- a/crates/control-plane/src/index/mod.rs
+++ b/crates/control-plane/src/index/mod.rs
@@ -14,14 +14,14 @@
 use async_io::Timer;
 use futures_lite::future;
 use tulipridge_configuration::Configuration;
-use tulipridge_prefix_cache_index::{KeptUpdate, SourceStatus};
+use tulipridge_prefix_cache_index::{CacheUpdate, SourceStatus};
 use tulipridge_protocol::feed::Replica;
 
 pub use answer::{AnswerError, read_events, read_list};
 pub use follower::{Follower, SourceKind};
 pub use outbox::Outbox;
 
-use crate::duty::{Duty, DutyContext};
+use crate::singleton::{SingletonContext, SingletonLease};
 
 /// Time for which changes are gathered before they are delivered.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
@@ -40,12 +40,12 @@
     /// All sources of which something is known.
     fn known_sources(&self) -> Vec<SocketAddrV4>;
     /// Delivers changes, as primary of `epoch`.
-    fn deliver(&self, epoch: u64, updates: &[KeptUpdate]);
+    fn deliver(&self, epoch: u64, updates: &[CacheUpdate]);
 }
 
 /// Follows all sources while this member has the duty.
 pub struct KeptIndex {
-    context: DutyContext,
+    context: SingletonContext,
     output: Rc<dyn IndexOutput>,
     outbox: Rc<Outbox>,
     tenure: Option<u64>,
@@ -54,7 +54,7 @@
 
 impl KeptIndex {
     /// Follows stores of the configuration and replicas of the table.
-    pub fn new(context: DutyContext, output: Rc<dyn IndexOutput>) -> KeptIndex {
+    pub fn new(context: SingletonContext, output: Rc<dyn IndexOutput>) -> KeptIndex {
         KeptIndex { context, output, outbox: Rc::default(), tenure: None, followers: BTreeMap::new() }
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Begins to follow sources that are new, and forgets those that are gone.
-    fn look_for_sources(&mut self, duty: Duty) {
+    fn look_for_sources(&mut self, duty: SingletonLease) {
         let Some(configuration) = self.output.configuration() else { return };
         let Some(replicas) = self.context.table.borrow().replicas(duty.tenure) else {
             // Whether a replica is gone is not known before the first list.
@@ -101,7 +101,7 @@
         self.followers.retain(|source, _| wanted.contains_key(source));
         for source in self.output.known_sources() {
             if !wanted.contains_key(&source) {
-                self.outbox.push(KeptUpdate::gone(source), false);
+                self.outbox.push(CacheUpdate::gone(source), false);
             }
         }
         self.follow(wanted);
--- a/crates/control-plane/src/index/outbox.rs
+++ b/crates/control-plane/src/index/outbox.rs
@@ -4,7 +4,7 @@
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-use tulipridge_prefix_cache_index::KeptUpdate;
+use tulipridge_prefix_cache_index::CacheUpdate;
 
 /// Changes of all sources, in their order.
 #[derive(Debug, Default)]
@@ -14,14 +14,14 @@
 
 #[derive(Debug, Default)]
 struct State {
-    updates: Vec<KeptUpdate>,
+    updates: Vec<CacheUpdate>,
     urgent: bool,
     waker: Option<Waker>,
 }
 
 impl Outbox {
     /// Adds a change; an urgent one is delivered at once.
-    pub fn push(&self, update: KeptUpdate, urgent: bool) {
+    pub fn push(&self, update: CacheUpdate, urgent: bool) {
         let mut state = self.state.borrow_mut();
         state.updates.push(update);
         state.urgent |= urgent;
@@ -33,7 +33,7 @@
     }
 
     /// Takes all changes.
-    pub fn take(&self) -> Vec<KeptUpdate> {
+    pub fn take(&self) -> Vec<CacheUpdate> {
         let mut state = self.state.borrow_mut();
         state.urgent = false;
         std::mem::take(&mut state.updates)
--- a/crates/control-plane/src/links/inbound.rs
+++ b/crates/control-plane/src/links/inbound.rs
@@ -9,8 +9,8 @@
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use socket2::{SockRef, TcpKeepalive};
-use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::frame;
+use tulipridge_protocol::replication::Envelope;
 
 use crate::accept::accept_all;
 
--- a/crates/control-plane/src/links/mod.rs
+++ b/crates/control-plane/src/links/mod.rs
@@ -17,7 +17,7 @@
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::Async;
-use tulipridge_protocol::control::{ControlMessage, Envelope};
+use tulipridge_protocol::replication::{Envelope, ReplicationMessage};
 
 /// Messages that wait for one connection; more are dropped.
 const QUEUE_LENGTH: usize = 1_024;
@@ -32,9 +32,9 @@
 }
 
 impl Channel {
-    fn of(message: &ControlMessage) -> Channel {
+    fn of(message: &ReplicationMessage) -> Channel {
         match message {
-            ControlMessage::Append { .. } | ControlMessage::Sync { .. } => Channel::Data,
+            ReplicationMessage::Append { .. } | ReplicationMessage::Sync { .. } => Channel::Data,
             _ => Channel::Control,
         }
     }
--- a/crates/control-plane/src/links/outbound.rs
+++ b/crates/control-plane/src/links/outbound.rs
@@ -9,8 +9,8 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use socket2::SockRef;
 use tulipridge_http1::within;
-use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::frame;
+use tulipridge_protocol::replication::Envelope;
 
 /// Time for a connection to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -14,18 +14,18 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
-use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::feed::ControlNode;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::Envelope;
 use tulipridge_runtime::clock;
 
 use crate::change::ChangeAuthority;
 use crate::delivery::Authority;
 use crate::disk::{Disk, DiskEvent};
-use crate::duty::{Duty, DutyHolder};
 use crate::links::Links;
 use crate::machine::{Machine, Progress, Published};
 use crate::replication::{Departure, DurableRecord, Input, Output, Replication, Role};
+use crate::singleton::{LeaseStatus, SingletonLease};
 use crate::state::{Change, Decision};
 
 use compaction::AppliedSinceSnapshot;
@@ -338,11 +338,11 @@
     }
 }
 
-impl DutyHolder for Member {
-    fn duty(&self) -> Option<Duty> {
+impl LeaseStatus for Member {
+    fn duty(&self) -> Option<SingletonLease> {
         let epoch = self.acting_epoch()?;
         let tenure = ChangeAuthority::tenure(self)?;
-        Some(Duty { epoch, tenure })
+        Some(SingletonLease { epoch, tenure })
     }
 
     fn knows_primary(&self) -> bool {
--- a/crates/control-plane/src/replication/campaign.rs
+++ b/crates/control-plane/src/replication/campaign.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use tulipridge_protocol::control::{ControlMessage, View};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{ReplicationMessage, View};
 
 use super::machine::{Replication, jitter};
 use super::membership::{Candidate, Members, Selection};
@@ -164,7 +164,7 @@
             electorate(&attempt.base).difference(&attempt.promises).copied().collect();
         for voter in missing {
             if voter != self.settings.node {
-                self.send_when_durable(voter, ControlMessage::Prepare { epoch });
+                self.send_when_durable(voter, ReplicationMessage::Prepare { epoch });
             }
         }
     }
@@ -314,7 +314,7 @@
             _ => attempt.view.holders.iter().copied().collect(),
         };
         let missing: Vec<NodeId> = targets.difference(&attempt.installed).copied().collect();
-        let message = ControlMessage::Install { view: attempt.view.clone() };
+        let message = ReplicationMessage::Install { view: attempt.view.clone() };
         for target in missing {
             self.send(target, message.clone());
         }
--- a/crates/control-plane/src/replication/durable.rs
+++ b/crates/control-plane/src/replication/durable.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use musli::{Decode, Encode};
-use tulipridge_protocol::control::{Entry, View};
+use tulipridge_protocol::replication::{Entry, View};
 
 /// All that a member keeps on disk but its generation.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
--- a/crates/control-plane/src/replication/follower.rs
+++ b/crates/control-plane/src/replication/follower.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use tulipridge_protocol::control::{ControlMessage, Entry, Envelope, View};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Entry, Envelope, ReplicationMessage, View};
 
 use super::durable::DurableRecord;
 use super::machine::{Grant, HeardPrimary, Replication};
@@ -25,7 +25,7 @@
             self.yield_to(now, from, epoch);
         }
         let view = self.state.view.clone().unwrap_or_default();
-        self.send_when_durable(from, ControlMessage::Promise { epoch, view });
+        self.send_when_durable(from, ReplicationMessage::Promise { epoch, view });
     }
 
     /// Whether no lease of another member may run on this member's word.
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn refuse(&mut self, to: NodeId, epoch: u64) {
-        self.send(to, ControlMessage::Refuse { epoch, promised: self.state.promised });
+        self.send(to, ReplicationMessage::Refuse { epoch, promised: self.state.promised });
     }
 
     /// A proposer records its view here.
@@ -71,7 +71,7 @@
             self.record_view(&view);
         }
         self.yield_to(now, from, epoch);
-        self.send_when_durable(from, ControlMessage::Installed { epoch });
+        self.send_when_durable(from, ReplicationMessage::Installed { epoch });
     }
 
     /// The primary replicates an entry.
@@ -87,7 +87,7 @@
             self.record(DurableRecord::Entry(entry));
         }
         let sequence = self.state.data.sequence;
-        self.send_when_durable(from, ControlMessage::Appended { epoch, sequence });
+        self.send_when_durable(from, ReplicationMessage::Appended { epoch, sequence });
     }
 
     /// Whether the newest promise, view and data are all of this epoch, and this member is one of its
@@ -148,7 +148,7 @@
     }
 
     fn acknowledge_heartbeat(&mut self, to: NodeId, view: &View, token: u64) {
-        let message = ControlMessage::HeartbeatAck {
+        let message = ReplicationMessage::HeartbeatAck {
             epoch: view.epoch,
             token,
             zone: self.settings.zone.clone(),
@@ -195,7 +195,7 @@
         let Some(primary) = primary else { return };
         if primary != from && !is_recent(peer.forwarded, now, JOIN_INTERVAL / 2) {
             peer.forwarded = Some(now);
-            self.deliver(Envelope { from, to: primary, message: ControlMessage::Join { zone } });
+            self.deliver(Envelope { from, to: primary, message: ReplicationMessage::Join { zone } });
         }
     }
 }
--- a/crates/control-plane/src/replication/interface.rs
+++ b/crates/control-plane/src/replication/interface.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::Envelope;
 
 use super::durable::DurableRecord;
 
--- a/crates/control-plane/src/replication/journal.rs
+++ b/crates/control-plane/src/replication/journal.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use tulipridge_protocol::control::Envelope;
+use tulipridge_protocol::replication::Envelope;
 
 use super::durable::DurableRecord;
 
--- a/crates/control-plane/src/replication/leader.rs
+++ b/crates/control-plane/src/replication/leader.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tulipridge_protocol::control::{ControlMessage, Entry, View};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Entry, ReplicationMessage, View};
 
 use super::interface::{FailureReason, Output};
 use super::machine::{Replication, jitter};
@@ -237,7 +237,7 @@
         targets.extend(&view.previous_voters);
         targets.insert(node);
         for target in targets {
-            self.send(target, ControlMessage::Heartbeat { view: view.clone(), token, committed });
+            self.send(target, ReplicationMessage::Heartbeat { view: view.clone(), token, committed });
         }
     }
 
@@ -316,7 +316,7 @@
         backups.retain(|holder| *holder != node);
         let entry = Entry { sequence, command };
         for backup in backups {
-            self.send(backup, ControlMessage::Append { epoch, entry: entry.clone() });
+            self.send(backup, ReplicationMessage::Append { epoch, entry: entry.clone() });
         }
         self.on_append(node, epoch, entry);
     }
@@ -344,7 +344,7 @@
         lagging.retain(|(holder, _)| *holder != node);
         for (holder, stored) in lagging {
             for entry in self.entries_to_resend(stored) {
-                self.send(holder, ControlMessage::Append { epoch, entry });
+                self.send(holder, ReplicationMessage::Append { epoch, entry });
             }
         }
     }
@@ -418,7 +418,7 @@
         voters.remove(&self.settings.node);
         self.step_down(now);
         for voter in voters {
-            self.send(voter, ControlMessage::Release { epoch, successor });
+            self.send(voter, ReplicationMessage::Release { epoch, successor });
         }
         true
     }
--- a/crates/control-plane/src/replication/machine.rs
+++ b/crates/control-plane/src/replication/machine.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use tulipridge_protocol::control::{ControlMessage, Envelope, View};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Envelope, ReplicationMessage, View};
 
 use super::campaign::Attempt;
 use super::durable::{DurableRecord, DurableState};
@@ -244,7 +244,7 @@
         targets.dedup_by_key(|node| node.ip);
         for target in targets {
             if target.ip != self.settings.node.ip {
-                self.send(target, ControlMessage::Join { zone: self.settings.zone.clone() });
+                self.send(target, ReplicationMessage::Join { zone: self.settings.zone.clone() });
             }
         }
     }
@@ -267,49 +267,53 @@
 
     fn receive(&mut self, now: Duration, envelope: Envelope) {
         let node = self.settings.node;
-        let is_join = matches!(envelope.message, ControlMessage::Join { .. });
+        let is_join = matches!(envelope.message, ReplicationMessage::Join { .. });
         let is_meant = envelope.to == node || (is_join && envelope.to.ip == node.ip);
         if is_meant && envelope.from != node {
             self.dispatch(now, envelope.from, envelope.message);
         }
     }
 
-    fn dispatch(&mut self, now: Duration, from: NodeId, message: ControlMessage) {
+    fn dispatch(&mut self, now: Duration, from: NodeId, message: ReplicationMessage) {
         match message {
-            ControlMessage::Prepare { epoch } => self.on_prepare(now, from, epoch),
-            ControlMessage::Promise { epoch, view } => self.on_promise(now, from, epoch, view),
-            ControlMessage::Refuse { epoch, promised } => self.on_refuse(now, from, epoch, promised),
-            ControlMessage::Sync { epoch, data_epoch, transfer, offset, bytes } => {
+            ReplicationMessage::Prepare { epoch } => self.on_prepare(now, from, epoch),
+            ReplicationMessage::Promise { epoch, view } => self.on_promise(now, from, epoch, view),
+            ReplicationMessage::Refuse { epoch, promised } => self.on_refuse(now, from, epoch, promised),
+            ReplicationMessage::Sync { epoch, data_epoch, transfer, offset, bytes } => {
                 let part = Part { transfer, offset, bytes };
                 self.on_sync(now, from, epoch, data_epoch, part);
             }
-            ControlMessage::SyncProgress { epoch, transfer, received } => {
+            ReplicationMessage::SyncProgress { epoch, transfer, received } => {
                 self.on_sync_progress(now, from, epoch, transfer, received);
             }
-            ControlMessage::Synced { epoch, sequence } => self.on_synced(now, from, epoch, sequence),
-            ControlMessage::Install { view } => self.on_install(now, from, view),
-            ControlMessage::Installed { epoch } => self.on_installed(now, from, epoch),
-            ControlMessage::Append { epoch, entry } => self.on_append(from, epoch, entry),
-            ControlMessage::Appended { epoch, sequence } => self.on_appended(now, from, epoch, sequence),
-            ControlMessage::Heartbeat { view, token, committed } => {
+            ReplicationMessage::Synced { epoch, sequence } => self.on_synced(now, from, epoch, sequence),
+            ReplicationMessage::Install { view } => self.on_install(now, from, view),
+            ReplicationMessage::Installed { epoch } => self.on_installed(now, from, epoch),
+            ReplicationMessage::Append { epoch, entry } => self.on_append(from, epoch, entry),
+            ReplicationMessage::Appended { epoch, sequence } => {
+                self.on_appended(now, from, epoch, sequence)
+            }
+            ReplicationMessage::Heartbeat { view, token, committed } => {
                 self.on_heartbeat(now, from, view, token, committed);
             }
-            ControlMessage::HeartbeatAck { epoch, token, zone, disk_healthy, leaving } => {
+            ReplicationMessage::HeartbeatAck { epoch, token, zone, disk_healthy, leaving } => {
                 let peer = PeerReport { zone, disk_healthy, leaving };
                 self.on_heartbeat_ack(now, from, (epoch, token), peer);
             }
-            ControlMessage::Release { epoch, successor } => self.on_release(now, from, epoch, successor),
-            ControlMessage::Join { zone } => self.on_join(now, from, zone),
+            ReplicationMessage::Release { epoch, successor } => {
+                self.on_release(now, from, epoch, successor)
+            }
+            ReplicationMessage::Join { zone } => self.on_join(now, from, zone),
         }
     }
 
     /// Sends now.
-    pub(super) fn send(&mut self, to: NodeId, message: ControlMessage) {
+    pub(super) fn send(&mut self, to: NodeId, message: ReplicationMessage) {
         self.deliver(Envelope { from: self.settings.node, to, message });
     }
 
     /// Sends when all records so far are on disk.
-    pub(super) fn send_when_durable(&mut self, to: NodeId, message: ControlMessage) {
+    pub(super) fn send_when_durable(&mut self, to: NodeId, message: ReplicationMessage) {
         self.journal.hold(Held::Send(Envelope { from: self.settings.node, to, message }));
     }
 
--- a/crates/control-plane/src/replication/membership.rs
+++ b/crates/control-plane/src/replication/membership.rs
@@ -1,7 +1,7 @@
 //! Chooses the voters and holders of the next view.
 
-use tulipridge_protocol::control::View;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::View;
 
 use super::quorum::is_settled;
 
--- a/crates/control-plane/src/replication/quorum.rs
+++ b/crates/control-plane/src/replication/quorum.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use tulipridge_protocol::control::View;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::View;
 
 /// Bits of the round that tell apart lives of one address, so that a member whose disk was lost repeats no
 /// epoch.
--- a/crates/control-plane/src/replication/settings.rs
+++ b/crates/control-plane/src/replication/settings.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use tulipridge_protocol::control::View;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::View;
 
 /// How often a primary tells all members that it is there.
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
--- a/crates/control-plane/src/replication/sync.rs
+++ b/crates/control-plane/src/replication/sync.rs
@@ -12,8 +12,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use tulipridge_protocol::control::{ControlMessage, TransferId};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{ReplicationMessage, TransferId};
 
 use super::campaign::Phase;
 use super::durable::{DataMark, DurableRecord};
@@ -38,9 +38,9 @@
         self.transfers.values().map(OutgoingTransfer::resend_at).min()
     }
 
-    fn message(&self, epoch: u64, offset: u64) -> ControlMessage {
+    fn message(&self, epoch: u64, offset: u64) -> ReplicationMessage {
         let Part { transfer, offset, bytes } = self.data.part(offset);
-        ControlMessage::Sync { epoch, data_epoch: self.data_epoch, transfer, offset, bytes }
+        ReplicationMessage::Sync { epoch, data_epoch: self.data_epoch, transfer, offset, bytes }
     }
 
     fn is_done(&self) -> bool {
@@ -78,7 +78,7 @@
         }
         self.record(DurableRecord::DataEpoch(epoch));
         let sequence = self.state.data.sequence;
-        self.send_when_durable(node, ControlMessage::Synced { epoch, sequence });
+        self.send_when_durable(node, ReplicationMessage::Synced { epoch, sequence });
     }
 
     /// Sends again what was not confirmed in time.
@@ -98,7 +98,7 @@
             attempt.resend_at = resend_at;
         }
         let epoch = attempt.epoch;
-        let messages: Vec<(NodeId, ControlMessage)> =
+        let messages: Vec<(NodeId, ReplicationMessage)> =
             parts.into_iter().map(|(holder, offset)| (holder, sync.message(epoch, offset))).collect();
         for (holder, message) in messages {
             self.send(holder, message);
@@ -170,7 +170,7 @@
             }
         }
         let sequence = self.state.data.sequence;
-        self.send_when_durable(from, ControlMessage::Synced { epoch, sequence });
+        self.send_when_durable(from, ReplicationMessage::Synced { epoch, sequence });
     }
 
     /// Takes a part of the data; whether this member has, with it, all that the proposer has.
@@ -184,13 +184,13 @@
         let transfer = part.transfer;
         match self.incoming.accept(part) {
             Received::Partial(received) => {
-                self.send(from, ControlMessage::SyncProgress { epoch, transfer, received });
+                self.send(from, ReplicationMessage::SyncProgress { epoch, transfer, received });
                 false
             }
             Received::Whole(data) => {
                 if transfer.length > PART_BYTES {
                     let received = transfer.length;
-                    self.send(from, ControlMessage::SyncProgress { epoch, transfer, received });
+                    self.send(from, ReplicationMessage::SyncProgress { epoch, transfer, received });
                 }
                 self.replace_data(epoch, data);
                 true
--- a/crates/control-plane/src/replication/transfer.rs
+++ b/crates/control-plane/src/replication/transfer.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use musli::{Decode, Encode};
-use tulipridge_protocol::control::{Entry, TransferId};
 use tulipridge_protocol::frame;
+use tulipridge_protocol::replication::{Entry, TransferId};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::durable::DurableState;
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -22,8 +22,8 @@
 pub use naming::{NamedBefore, NamingTimes};
 pub use planner::{Action, Planner, PlannerSettings};
 
-use crate::duty::{Duty, DutyContext};
 use crate::http_client::{Call, CallError, HttpClient};
+use crate::singleton::{SingletonContext, SingletonLease};
 
 /// Time for a replica to answer an order or a call for its report.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
@@ -63,7 +63,7 @@
 pub struct Rollout {
     name: String,
     settings: PlannerSettings,
-    context: DutyContext,
+    context: SingletonContext,
     output: Rc<dyn RolloutOutput>,
     events: Receiver<Event>,
     sender: Sender<Event>,
@@ -73,7 +73,7 @@
 
 /// This member's time as holder in one epoch.
 struct Term {
-    duty: Duty,
+    duty: SingletonLease,
     planner: Planner,
 }
 
@@ -82,7 +82,7 @@
     pub fn new(
         name: String,
         settings: PlannerSettings,
-        context: DutyContext,
+        context: SingletonContext,
         output: Rc<dyn RolloutOutput>,
     ) -> (Rollout, Sender<Event>) {
         let (sender, events) = async_channel::unbounded();
@@ -186,7 +186,7 @@
         }
     }
 
-    fn carry_out(&self, action: Action, duty: Duty) {
+    fn carry_out(&self, action: Action, duty: SingletonLease) {
         let events = self.sender.clone();
         match action {
             Action::Order { replica, address, weights } => {
--- a/crates/control-plane/src/server/duties.rs
+++ b/crates/control-plane/src/server/duties.rs
@@ -7,15 +7,15 @@
 use std::sync::Arc;
 
 use tulipridge_configuration::Configuration;
-use tulipridge_prefix_cache_index::{KeptUpdate, SourceStatus};
+use tulipridge_prefix_cache_index::{CacheUpdate, SourceStatus};
 use tulipridge_protocol::feed::ModelWeights;
 
 use crate::delivery::Delivery;
-use crate::duty::DutyHolder;
 use crate::fleet::FleetTable;
 use crate::index::IndexOutput;
 use crate::member::Member;
 use crate::rollout::RolloutOutput;
+use crate::singleton::LeaseStatus;
 
 /// What the duties deliver.
 pub(super) struct Duties {
@@ -69,7 +69,7 @@
         self.delivery.known_sources()
     }
 
-    fn deliver(&self, epoch: u64, updates: &[KeptUpdate]) {
+    fn deliver(&self, epoch: u64, updates: &[CacheUpdate]) {
         self.delivery.set_kept(epoch, updates);
     }
 }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -15,23 +15,23 @@
 use snafu::{OptionExt, ResultExt};
 use tulipridge_peer_sampling::{Exchange, View};
 use tulipridge_protocol::node::NodeId;
-use tulipridge_protocol::views::{Entry, Role};
+use tulipridge_protocol::peer_sampling::{Entry, Role};
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::Settings;
-use tulipridge_runtime::signals::{Request, Requests};
+use tulipridge_runtime::signals::{ProcessSignal, SignalStream};
 
 use crate::api::{Api, ApiLimits};
 use crate::control_plane::OperatorView;
 use crate::delivery::Delivery;
 use crate::discovery::Discovery;
 use crate::disk::{Boot, DiskEvent, NoFolderSnafu, Opened};
-use crate::duty::{DutyContext, DutyHolder};
 use crate::index::KeptIndex;
 use crate::links::Links;
 use crate::machine::{Machine, Progress};
 use crate::member::{Member, Parts};
 use crate::replication::{Replication, ReplicationSettings};
 use crate::rollout::{Event, PlannerSettings, Rollout};
+use crate::singleton::{LeaseStatus, SingletonContext};
 
 use duties::Duties;
 pub use error::ServerError;
@@ -51,7 +51,7 @@
 
 /// Runs a member until a signal tells it to stop.
 pub fn run(settings: Settings) -> Result<(), ServerError> {
-    let requests = Requests::new().context(SignalsSnafu)?;
+    let requests = SignalStream::new().context(SignalsSnafu)?;
     async_io::block_on(run_until(&settings, wait_for_stop(requests)))
 }
 
@@ -155,7 +155,7 @@
         let operator_port = settings.listen_on.control_port.map_or(0, |address| address.port());
         let api = Rc::new(Api::new(operator.clone(), operator_port, ApiLimits::default()));
         let context =
-            DutyContext { executor: executor.clone(), holder: member.clone(), table: Rc::default() };
+            SingletonContext { executor: executor.clone(), holder: member.clone(), table: Rc::default() };
         let duties = Rc::new(Duties {
             member: member.clone(),
             delivery: delivery.clone(),
@@ -272,7 +272,7 @@
 
 fn discovery(
     settings: &Settings,
-    context: DutyContext,
+    context: SingletonContext,
     duties: Rc<Duties>,
     rollout_events: &Sender<Event>,
 ) -> Option<Discovery> {
@@ -304,7 +304,7 @@
 fn views(settings: &Settings, node: NodeId) -> Result<Exchange, ServerError> {
     let seed = getrandom::u64().context(NoRandomSnafu)?;
     let me = Entry { id: node, role: Role::Control, zone: settings.area.clone(), age: 0 };
-    let address = settings.views_socket(settings.ip_address);
+    let address = settings.peer_sampling_socket(settings.ip_address);
     Exchange::bind(address, View::new(me, settings.seed_ips(), seed), seed).context(ViewsSnafu { address })
 }
 
@@ -347,8 +347,8 @@
     }
 }
 
-async fn wait_for_stop(mut requests: Requests) {
-    while requests.next().await != Request::Stop {
+async fn wait_for_stop(mut requests: SignalStream) {
+    while requests.next().await != ProcessSignal::Stop {
         log::info!("a change of the settings takes effect at the next start");
     }
 }
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -8,8 +8,8 @@
 use tulipridge_control_plane::disk::{Boot, DiskError, DiskEvent, Opened};
 use tulipridge_control_plane::replication::DurableRecord;
 use tulipridge_control_plane::state_log::DiskImage;
-use tulipridge_protocol::control::{Entry, View};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Entry, View};
 
 /// A folder that is removed when the test ends.
 struct Folder(PathBuf);
--- a/crates/control-plane/tests/disk_log.rs
+++ b/crates/control-plane/tests/disk_log.rs
@@ -8,7 +8,7 @@
 use log::{LevelFilter, Log, Metadata, Record};
 use tulipridge_control_plane::disk::{Boot, Disk, DiskEvent, Opened};
 use tulipridge_control_plane::replication::DurableRecord;
-use tulipridge_protocol::control::Entry;
+use tulipridge_protocol::replication::Entry;
 
 /// More than the log holds before the whole state takes its place, and more than a file of it.
 const LONG_ENTRY: usize = 5 << 20;
--- a/crates/control-plane/tests/index.rs
+++ b/crates/control-plane/tests/index.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use tulipridge_configuration::{Configuration, Service, ServiceRuntime};
 use tulipridge_control_plane::index::{Follower, Outbox, SourceKind, read_events, read_list, sources};
-use tulipridge_prefix_cache_index::{KeptUpdate, Liveness, PartKey};
+use tulipridge_prefix_cache_index::{CacheUpdate, Liveness, PrefixKey};
 use tulipridge_protocol::feed::{Replica, ReplicaPhase};
 
 // ---- answers ----------------------------------------------------------------------------------------------
@@ -22,14 +22,17 @@
 fn events_are_read() {
     let page = read_events(EVENTS.as_bytes()).expect("a page of events");
     assert_eq!((page.boot, page.next_token, page.gap), (77_120, 120, false));
-    assert_eq!(page.events, [(PartKey::new("s1", "5c1e07a2"), 800), (PartKey::new("s1", "91bd3f06"), 128)]);
+    assert_eq!(
+        page.events,
+        [(PrefixKey::new("s1", "5c1e07a2"), 800), (PrefixKey::new("s1", "91bd3f06"), 128)]
+    );
 }
 
 #[test]
 fn a_list_is_read() {
     let listing = read_list(LIST.as_bytes()).expect("a list");
     assert_eq!((listing.boot, listing.next_token), (77_120, 120));
-    assert_eq!(listing.parts, [(PartKey::new("s1", "5c1e07a2"), 800)]);
+    assert_eq!(listing.parts, [(PrefixKey::new("s1", "5c1e07a2"), 800)]);
 }
 
 #[rstest]
@@ -139,7 +142,7 @@
 }
 
 /// Follows a scripted source to the end of its script.
-fn exchange(kind: SourceKind, script: Vec<Reaction>) -> (Vec<String>, Vec<KeptUpdate>) {
+fn exchange(kind: SourceKind, script: Vec<Reaction>) -> (Vec<String>, Vec<CacheUpdate>) {
     let executor = LocalExecutor::new();
     let listener =
         Async::<TcpListener>::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
@@ -151,8 +154,8 @@
     (calls, outbox.take())
 }
 
-fn told(updates: &[KeptUpdate]) -> String {
-    let line = |update: &KeptUpdate| {
+fn told(updates: &[CacheUpdate]) -> String {
+    let line = |update: &CacheUpdate| {
         let liveness = match update.liveness {
             Liveness::Alive => "alive",
             Liveness::Down => "down",
--- a/crates/control-plane/tests/rated_cluster/mod.rs
+++ b/crates/control-plane/tests/rated_cluster/mod.rs
@@ -14,8 +14,8 @@
     DurableRecord, DurableState, FailureReason, Input, Output, Replication, ReplicationSettings, Role,
 };
 use tulipridge_control_plane::state_log::LOG_BYTES;
-use tulipridge_protocol::control::{ControlMessage, Envelope};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Envelope, ReplicationMessage};
 
 use super::support::checker::Checker;
 
@@ -547,12 +547,12 @@
     Duration::from_micros(bytes * 1_000_000 / speed)
 }
 
-fn message_size(message: &ControlMessage) -> (&'static str, u64) {
+fn message_size(message: &ReplicationMessage) -> (&'static str, u64) {
     let (kind, bytes) = match message {
-        ControlMessage::Sync { bytes, .. } => ("sync", bytes.len()),
-        ControlMessage::SyncProgress { .. } => ("sync progress", 0),
-        ControlMessage::Synced { .. } => ("synced", 0),
-        ControlMessage::Append { entry, .. } => ("append", entry.command.len()),
+        ReplicationMessage::Sync { bytes, .. } => ("sync", bytes.len()),
+        ReplicationMessage::SyncProgress { .. } => ("sync progress", 0),
+        ReplicationMessage::Synced { .. } => ("synced", 0),
+        ReplicationMessage::Append { entry, .. } => ("append", entry.command.len()),
         _ => ("other", 0),
     };
     (kind, bytes as u64 + MESSAGE_OVERHEAD)
--- a/crates/control-plane/tests/replication_member.rs
+++ b/crates/control-plane/tests/replication_member.rs
@@ -5,8 +5,8 @@
 use tulipridge_control_plane::replication::{
     DurableRecord, FailureReason, Input, Output, Replication, ReplicationSettings, Role,
 };
-use tulipridge_protocol::control::{ControlMessage, Envelope, View};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Envelope, ReplicationMessage, View};
 
 const START: Duration = Duration::from_secs(1);
 
@@ -26,7 +26,7 @@
     out.clear();
     for (generation, answers) in [(0, false), (77, true)] {
         let to = NodeId { ip: 2, generation };
-        let message = ControlMessage::Prepare { epoch: 1 << 40 };
+        let message = ReplicationMessage::Prepare { epoch: 1 << 40 };
         replication.handle(START, Input::Message(Envelope { from: proposer, to, message }), &mut out);
         assert_eq!(!out.is_empty(), answers);
         out.clear();
@@ -42,13 +42,13 @@
     let mut out = Vec::new();
     replication.handle(START, Input::Tick, &mut out);
     out.clear();
-    let message = ControlMessage::Prepare { epoch: 1 << 40 };
+    let message = ReplicationMessage::Prepare { epoch: 1 << 40 };
     replication.handle(START, Input::Message(Envelope { from: proposer, to: voter, message }), &mut out);
     let Some(Output::Persist { ticket, .. }) = out.pop() else { panic!("a record is written first") };
     assert!(out.is_empty(), "nothing else happens before");
     replication.handle(START, Input::Persisted { ticket }, &mut out);
     let is_promise = |output: &Output| {
-        matches!(output, Output::Send(Envelope { message: ControlMessage::Promise { .. }, .. }))
+        matches!(output, Output::Send(Envelope { message: ReplicationMessage::Promise { .. }, .. }))
     };
     assert!(out.iter().any(is_promise));
 }
@@ -80,15 +80,15 @@
         replication.handle(START, Input::Message(envelope), &mut out);
         out
     };
-    let heartbeat = ControlMessage::Heartbeat { view: settled, token: 1, committed: 0 };
+    let heartbeat = ReplicationMessage::Heartbeat { view: settled, token: 1, committed: 0 };
     let heard = receive(heartbeat);
     assert!(!heard.iter().any(|output| matches!(output, Output::Persist { .. })), "it is only heard of");
-    let mut out = receive(ControlMessage::Install { view: installed.clone() });
+    let mut out = receive(ReplicationMessage::Install { view: installed.clone() });
     let Some(Output::Persist { ticket, records }) = out.pop() else { panic!("the view is written first") };
     assert!(records.contains(&DurableRecord::View(installed)), "{records:?}");
     assert_eq!(out, [], "nothing is said before");
     replication.handle(START, Input::Persisted { ticket }, &mut out);
-    let message = ControlMessage::Installed { epoch: 1 << 40 };
+    let message = ReplicationMessage::Installed { epoch: 1 << 40 };
     assert!(out.contains(&Output::Send(Envelope { from: standby, to: primary, message })));
 }
 
--- a/crates/control-plane/tests/replication_settling.rs
+++ b/crates/control-plane/tests/replication_settling.rs
@@ -6,8 +6,8 @@
 use rstest::rstest;
 use tulipridge_control_plane::replication::{Departure, DurableState, Replication, ReplicationSettings};
 use tulipridge_control_plane::server::departure::may_end;
-use tulipridge_protocol::control::View;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::View;
 
 const LEEWAY: Duration = Duration::from_secs(8);
 
--- a/crates/control-plane/tests/replication_sync.rs
+++ b/crates/control-plane/tests/replication_sync.rs
@@ -10,8 +10,8 @@
 use support::checker::Violation;
 use tulipridge_control_plane::replication::transfer::{EncodedData, Part};
 use tulipridge_control_plane::replication::{DataMark, DurableState, FailureReason};
-use tulipridge_protocol::control::{ControlMessage, Entry, Envelope};
 use tulipridge_protocol::frame::MAX_MESSAGE_BYTES;
+use tulipridge_protocol::replication::{Entry, Envelope, ReplicationMessage};
 
 /// How much slower a slow disk is.
 const SLOWDOWN: u32 = 30;
@@ -361,16 +361,16 @@
 
 /// A receiver that says it has all on disk when it has the first part.
 fn synced_too_early(envelope: &Envelope) -> Vec<Envelope> {
-    let ControlMessage::SyncProgress { epoch, transfer, .. } = envelope.message else {
+    let ReplicationMessage::SyncProgress { epoch, transfer, .. } = envelope.message else {
         return vec![envelope.clone()];
     };
-    let message = ControlMessage::Synced { epoch, sequence: transfer.sequence };
+    let message = ReplicationMessage::Synced { epoch, sequence: transfer.sequence };
     vec![Envelope { message, ..envelope.clone() }]
 }
 
 /// A sender that gives whole other data, of the same length in entries.
 fn other_data(envelope: &Envelope) -> Vec<Envelope> {
-    let ControlMessage::Sync { epoch, data_epoch, transfer, .. } = envelope.message else {
+    let ReplicationMessage::Sync { epoch, data_epoch, transfer, .. } = envelope.message else {
         return vec![envelope.clone()];
     };
     let entry = |sequence| Entry { sequence, command: vec![0xee; 8].into() };
@@ -380,7 +380,7 @@
         ..DurableState::default()
     };
     let Part { transfer, offset, bytes } = EncodedData::of(&state).part(0);
-    let message = ControlMessage::Sync { epoch, data_epoch, transfer, offset, bytes };
+    let message = ReplicationMessage::Sync { epoch, data_epoch, transfer, offset, bytes };
     vec![Envelope { message, ..envelope.clone() }]
 }
 
@@ -424,7 +424,7 @@
     let mut mixed = 0;
     cluster.interceptor = Some(Box::new(move |envelope| {
         let mut sent = envelope.clone();
-        if let ControlMessage::Sync { offset, bytes, .. } = &mut sent.message
+        if let ReplicationMessage::Sync { offset, bytes, .. } = &mut sent.message
             && *offset == 0
             && mixed < 3
         {
--- a/crates/control-plane/tests/replication_sync_member.rs
+++ b/crates/control-plane/tests/replication_sync_member.rs
@@ -6,8 +6,8 @@
 use tulipridge_control_plane::replication::{
     DataMark, DurableRecord, DurableState, Input, Output, Replication, ReplicationSettings,
 };
-use tulipridge_protocol::control::{ControlMessage, Entry, Envelope, TransferId};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Entry, Envelope, ReplicationMessage, TransferId};
 
 const START: Duration = Duration::from_secs(1);
 const MEMBER: NodeId = NodeId { ip: 2, generation: 0 };
@@ -55,12 +55,12 @@
 
     fn sync(&mut self, epoch: u64, part: Part) -> Vec<Output> {
         let Part { transfer, offset, bytes } = part;
-        let message = ControlMessage::Sync { epoch, data_epoch: DATA_EPOCH, transfer, offset, bytes };
+        let message = ReplicationMessage::Sync { epoch, data_epoch: DATA_EPOCH, transfer, offset, bytes };
         self.input(Input::Message(Envelope { from: PROPOSER, to: MEMBER, message }))
     }
 }
 
-fn answers(out: &[Output]) -> Vec<ControlMessage> {
+fn answers(out: &[Output]) -> Vec<ReplicationMessage> {
     let answer = |output: &Output| match output {
         Output::Send(envelope) if envelope.to == PROPOSER => Some(envelope.message.clone()),
         _ => None,
@@ -84,8 +84,8 @@
     out.iter().filter_map(ticket).next_back().expect("something is written")
 }
 
-fn progress(epoch: u64, transfer: TransferId, received: u64) -> ControlMessage {
-    ControlMessage::SyncProgress { epoch, transfer, received }
+fn progress(epoch: u64, transfer: TransferId, received: u64) -> ReplicationMessage {
+    ReplicationMessage::SyncProgress { epoch, transfer, received }
 }
 
 /// The parts of the data in their order.
@@ -128,7 +128,7 @@
     // Asked again meanwhile, it says nothing before.
     assert_eq!(answers(&member.sync(FIRST_EPOCH, encoded.part(encoded.id().length))), []);
     let out = member.input(Input::Persisted { ticket });
-    let synced = ControlMessage::Synced { epoch: FIRST_EPOCH, sequence: 5 };
+    let synced = ReplicationMessage::Synced { epoch: FIRST_EPOCH, sequence: 5 };
     assert_eq!(answers(&out), [synced.clone(), synced.clone()]);
     let again = member.sync(FIRST_EPOCH, encoded.part(0));
     assert_eq!((answers(&again), records(&again)), (vec![synced], vec![]));
@@ -145,7 +145,7 @@
     );
     assert_eq!(answers(&out), []);
     let out = member.input(Input::Persisted { ticket: last_ticket(&out) });
-    assert_eq!(answers(&out), [ControlMessage::Synced { epoch: FIRST_EPOCH, sequence: 5 }]);
+    assert_eq!(answers(&out), [ReplicationMessage::Synced { epoch: FIRST_EPOCH, sequence: 5 }]);
 }
 
 /// As many entries of another epoch may be other entries.
@@ -180,7 +180,7 @@
     let out = member.sync(SECOND_EPOCH, parts[0].clone());
     assert_eq!(answers(&out), [progress(SECOND_EPOCH, encoded.id(), 2 * PART_BYTES)]);
     let late = answers(&member.sync(FIRST_EPOCH, parts[2].clone()));
-    assert_eq!(late, [ControlMessage::Refuse { epoch: FIRST_EPOCH, promised: SECOND_EPOCH }]);
+    assert_eq!(late, [ReplicationMessage::Refuse { epoch: FIRST_EPOCH, promised: SECOND_EPOCH }]);
     let out = member.sync(SECOND_EPOCH, parts[2].clone());
     assert_eq!(answers(&out), [progress(SECOND_EPOCH, encoded.id(), 3 * PART_BYTES)]);
 }
--- a/crates/control-plane/tests/replication_transfer.rs
+++ b/crates/control-plane/tests/replication_transfer.rs
@@ -10,7 +10,7 @@
     TransferData, WINDOW_BYTES,
 };
 use tulipridge_control_plane::replication::{DataMark, DurableState};
-use tulipridge_protocol::control::{Entry, TransferId};
+use tulipridge_protocol::replication::{Entry, TransferId};
 
 /// More time than any transfer of these tests takes.
 const LIMIT: Duration = Duration::from_secs(600);
--- a/crates/control-plane/tests/state_log.rs
+++ b/crates/control-plane/tests/state_log.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use tulipridge_control_plane::replication::DurableRecord;
 use tulipridge_control_plane::state_log::{Compaction, LOG_BYTES, StateLog};
-use tulipridge_protocol::control::Entry;
+use tulipridge_protocol::replication::Entry;
 use tulipridge_write_ahead_log::WriteAheadLogError;
 
 /// A configuration of an operator.
--- a/crates/control-plane/tests/support/simulation/mod.rs
+++ b/crates/control-plane/tests/support/simulation/mod.rs
@@ -14,8 +14,8 @@
 
 use fastrand::Rng;
 use tulipridge_control_plane::replication::Input;
-use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::Envelope;
 
 pub use departure::Leaving;
 pub use network::Network;
--- a/crates/control-plane/tests/support/simulation/network.rs
+++ b/crates/control-plane/tests/support/simulation/network.rs
@@ -1,7 +1,7 @@
 //! The network: loss, delay, duplication, cut links.
 
-use tulipridge_protocol::control::{ControlMessage, Envelope};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Envelope, ReplicationMessage};
 
 use super::{Event, Fault, MS, SECOND, Simulation};
 use crate::support::random::chance;
@@ -48,7 +48,7 @@
 
     /// A standby that breaks its promise answers heartbeats in the name of a voter that is cut off.
     fn in_the_name_of_a_voter(&self, from: usize, to: usize, envelope: Envelope) -> Envelope {
-        let is_heartbeat_ack = matches!(envelope.message, ControlMessage::HeartbeatAck { .. });
+        let is_heartbeat_ack = matches!(envelope.message, ReplicationMessage::HeartbeatAck { .. });
         if self.shape.fault != Fault::StandbyVotes || !is_heartbeat_ack {
             return envelope;
         }
--- a/crates/control-plane/tests/support/simulation/views.rs
+++ b/crates/control-plane/tests/support/simulation/views.rs
@@ -1,7 +1,7 @@
 //! What members take for the view, and what their states are.
 
-use tulipridge_protocol::control::View;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::View;
 
 use super::Simulation;
 use crate::support::machine::{Machine, Process};
--- a/crates/control-plane/tests/support_model/disk.rs
+++ b/crates/control-plane/tests/support_model/disk.rs
@@ -50,7 +50,7 @@
 
     /// Whether an entry with this command is synced, or in the snapshot.
     pub fn stores(&self, sequence: u64, command: &[u8]) -> bool {
-        let is_entry = |entry: &tulipridge_protocol::control::Entry| {
+        let is_entry = |entry: &tulipridge_protocol::replication::Entry| {
             entry.sequence == sequence && *entry.command == *command
         };
         sequence <= self.state.snapshot_sequence || self.state.entries.iter().any(is_entry)
--- a/crates/control-plane/tests/support_model/faults.rs
+++ b/crates/control-plane/tests/support_model/faults.rs
@@ -1,7 +1,7 @@
 //! Promises that are broken on purpose, around the code under test, to show that the checker sees them.
 
 use tulipridge_control_plane::replication::DurableRecord;
-use tulipridge_protocol::control::{ControlMessage, Envelope, View};
+use tulipridge_protocol::replication::{Envelope, ReplicationMessage, View};
 
 /// A promise that is broken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -58,15 +58,15 @@
         match (self, &mut envelope.message) {
             (
                 Fault::NoPreviousVoters,
-                ControlMessage::Install { view }
-                | ControlMessage::Heartbeat { view, .. }
-                | ControlMessage::Promise { view, .. },
+                ReplicationMessage::Install { view }
+                | ReplicationMessage::Heartbeat { view, .. }
+                | ReplicationMessage::Promise { view, .. },
             ) => view.previous_voters.clear(),
-            (Fault::RefusalCountsAsPromise, ControlMessage::Refuse { epoch, promised })
+            (Fault::RefusalCountsAsPromise, ReplicationMessage::Refuse { epoch, promised })
                 if *promised < *epoch =>
             {
                 let epoch = *epoch;
-                envelope.message = ControlMessage::Promise { epoch, view: View::default() };
+                envelope.message = ReplicationMessage::Promise { epoch, view: View::default() };
             }
             _ => {}
         }
--- a/crates/control-plane/tests/support_model/outputs.rs
+++ b/crates/control-plane/tests/support_model/outputs.rs
@@ -5,8 +5,8 @@
 
 use tulipridge_control_plane::replication::{DurableRecord, Input, Output, Role};
 use tulipridge_control_plane::state::State;
-use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::Envelope;
 
 use super::disk::Batch;
 use super::faults::Fault;
--- a/crates/control-plane/tests/support_model/prefixes.rs
+++ b/crates/control-plane/tests/support_model/prefixes.rs
@@ -1,7 +1,7 @@
 //! Scripted beginnings.
 
 use tulipridge_control_plane::replication::Input;
-use tulipridge_protocol::control::ControlMessage;
+use tulipridge_protocol::replication::ReplicationMessage;
 
 use super::actions::{Action, Bounds, Budget, Ordering, pairs, possible, split};
 use super::setup::{MS, Setup};
@@ -120,8 +120,8 @@
     }
 }
 
-fn is_prepare(message: &ControlMessage) -> bool {
-    matches!(message, ControlMessage::Prepare { .. })
+fn is_prepare(message: &ReplicationMessage) -> bool {
+    matches!(message, ReplicationMessage::Prepare { .. })
 }
 
 /// The primary 0 and the backup 1 don't hear each other any more; 2 hears both, so the lease goes on.
@@ -172,7 +172,9 @@
     let mut world = steady(setup);
     let members = world.members.len();
     world.cut(&split(members, &[1]));
-    run_until(&mut world, |world| sends(world, |message| matches!(message, ControlMessage::Sync { .. })));
+    run_until(&mut world, |world| {
+        sends(world, |message| matches!(message, ReplicationMessage::Sync { .. }))
+    });
     act(&mut world, Action::Heal);
     world
 }
@@ -184,7 +186,7 @@
     let members = world.members.len();
     world.cut(&split(members, &[2]));
     run_until(&mut world, |world| {
-        sends(world, |message| matches!(message, ControlMessage::Install { .. }))
+        sends(world, |message| matches!(message, ReplicationMessage::Install { .. }))
     });
     act(&mut world, Action::Heal);
     world
@@ -198,12 +200,12 @@
     run_until(&mut world, |world| {
         sends(
             world,
-            |message| matches!(message, ControlMessage::Install { view } if view.voters.contains(&node)),
+            |message| matches!(message, ReplicationMessage::Install { view } if view.voters.contains(&node)),
         )
     });
     world
 }
 
-fn sends(world: &World, is_wanted: impl Fn(&ControlMessage) -> bool) -> bool {
+fn sends(world: &World, is_wanted: impl Fn(&ReplicationMessage) -> bool) -> bool {
     world.network.iter().any(|message| is_wanted(&message.envelope.message))
 }
--- a/crates/control-plane/tests/support_model/world.rs
+++ b/crates/control-plane/tests/support_model/world.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use tulipridge_control_plane::replication::{Input, Replication, Role};
-use tulipridge_protocol::control::Envelope;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::Envelope;
 
 use super::actions::{Action, Bounds, Budget, Links, Ordering};
 use super::faults::Fault;
--- a/crates/peer-sampling/src/datagram.rs
+++ b/crates/peer-sampling/src/datagram.rs
@@ -1,7 +1,7 @@
 //! The bytes of a datagram.
 
 use tulipridge_protocol::frame;
-use tulipridge_protocol::views::Shuffle;
+use tulipridge_protocol::peer_sampling::Shuffle;
 
 /// Longest datagram that is sent or taken, so that none is split on its way.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
--- a/crates/peer-sampling/src/socket.rs
+++ b/crates/peer-sampling/src/socket.rs
@@ -9,7 +9,7 @@
 use fastrand::Rng;
 use futures_lite::future;
 use tulipridge_protocol::feed::ControlNode;
-use tulipridge_protocol::views::{Entry, Shuffle};
+use tulipridge_protocol::peer_sampling::{Entry, Shuffle};
 
 use crate::datagram::{self, MAX_DATAGRAM_BYTES};
 use crate::view::View;
--- a/crates/peer-sampling/src/view.rs
+++ b/crates/peer-sampling/src/view.rs
@@ -13,7 +13,7 @@
 
 use fastrand::Rng;
 use tulipridge_protocol::feed::ControlNode;
-use tulipridge_protocol::views::{Entry, Role, Shuffle};
+use tulipridge_protocol::peer_sampling::{Entry, Role, Shuffle};
 
 /// Entries that a view holds at most.
 pub const CAPACITY: usize = 16;
--- a/crates/peer-sampling/tests/network.rs
+++ b/crates/peer-sampling/tests/network.rs
@@ -6,7 +6,7 @@
 use simulation::{Network, Size, TICK_MS};
 use tulipridge_peer_sampling::datagram::MAX_DATAGRAM_BYTES;
 use tulipridge_peer_sampling::view::{CAPACITY, MAX_AGE};
-use tulipridge_protocol::views::Role;
+use tulipridge_protocol::peer_sampling::Role;
 
 /// Ticks after which a network has mixed.
 const MIXED: u64 = 60;
--- a/crates/peer-sampling/tests/simulation/mod.rs
+++ b/crates/peer-sampling/tests/simulation/mod.rs
@@ -7,7 +7,7 @@
 use tulipridge_peer_sampling::datagram;
 use tulipridge_peer_sampling::view::View;
 use tulipridge_protocol::node::NodeId;
-use tulipridge_protocol::views::{Entry, Role, Shuffle};
+use tulipridge_protocol::peer_sampling::{Entry, Role, Shuffle};
 
 /// Virtual time between ticks.
 pub const TICK_MS: u64 = 1000;
--- a/crates/peer-sampling/tests/socket.rs
+++ b/crates/peer-sampling/tests/socket.rs
@@ -10,7 +10,7 @@
 use tulipridge_peer_sampling::datagram::MAX_DATAGRAM_BYTES;
 use tulipridge_peer_sampling::{Exchange, View};
 use tulipridge_protocol::node::NodeId;
-use tulipridge_protocol::views::{Entry, Role};
+use tulipridge_protocol::peer_sampling::{Entry, Role};
 
 const FIRST: Ipv4Addr = Ipv4Addr::new(127, 0, 7, 1);
 const SECOND: Ipv4Addr = Ipv4Addr::new(127, 0, 7, 2);
--- a/crates/peer-sampling/tests/view.rs
+++ b/crates/peer-sampling/tests/view.rs
@@ -6,7 +6,7 @@
 use tulipridge_peer_sampling::View;
 use tulipridge_peer_sampling::view::{CAPACITY, CONTROL_PLACES, MAX_AGE};
 use tulipridge_protocol::node::NodeId;
-use tulipridge_protocol::views::{Entry, Role, Shuffle};
+use tulipridge_protocol::peer_sampling::{Entry, Role, Shuffle};
 
 fn entry(last: u8, role: Role) -> Entry {
     Entry { id: NodeId::new(address(last), 1), role, zone: "a".into(), age: 0 }
--- a/crates/prefix-cache-index/src/change_log.rs
+++ b/crates/prefix-cache-index/src/change_log.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 
-use crate::key::PartKey;
-use crate::update::KeptUpdate;
+use crate::key::PrefixKey;
+use crate::update::CacheUpdate;
 
 /// Steps that are remembered.
 const MAX_STEPS: usize = 128;
@@ -13,14 +13,14 @@
 
 /// Which sources, and which of their parts, may differ from an earlier state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Touched {
+pub struct ChangedKeys {
     whole: BTreeSet<SocketAddrV4>,
-    parts: BTreeMap<SocketAddrV4, BTreeSet<PartKey>>,
+    parts: BTreeMap<SocketAddrV4, BTreeSet<PrefixKey>>,
 }
 
-impl Touched {
+impl ChangedKeys {
     /// Adds what an update touches.
-    pub fn add(&mut self, update: &KeptUpdate) {
+    pub fn add(&mut self, update: &CacheUpdate) {
         if update.replace {
             self.whole.insert(update.source);
             return;
@@ -31,7 +31,7 @@
     }
 
     /// Adds a part of a source.
-    pub fn add_part(&mut self, source: SocketAddrV4, key: PartKey) {
+    pub fn add_part(&mut self, source: SocketAddrV4, key: PrefixKey) {
         self.parts.entry(source).or_default().insert(key);
     }
 
@@ -41,11 +41,11 @@
     }
 
     /// Sources of which some parts are to be told, or their status alone.
-    pub fn parts(&self) -> impl Iterator<Item = (SocketAddrV4, &BTreeSet<PartKey>)> {
+    pub fn parts(&self) -> impl Iterator<Item = (SocketAddrV4, &BTreeSet<PrefixKey>)> {
         self.parts.iter().map(|(source, parts)| (*source, parts))
     }
 
-    fn merge(&mut self, other: &Touched) {
+    fn merge(&mut self, other: &ChangedKeys) {
         self.whole.extend(&other.whole);
         for (source, parts) in &other.parts {
             self.parts.entry(*source).or_default().extend(parts);
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 struct Step<P> {
     base: P,
-    touched: Touched,
+    touched: ChangedKeys,
 }
 
 impl<P> Default for ChangeLog<P> {
@@ -78,7 +78,7 @@
 
 impl<P: PartialEq> ChangeLog<P> {
     /// Remembers a step that led on from `base`.
-    pub fn record(&mut self, base: P, touched: Touched) {
+    pub fn record(&mut self, base: P, touched: ChangedKeys) {
         self.parts += touched.count();
         self.steps.push_back(Step { base, touched });
         while self.steps.len() > MAX_STEPS || self.parts > MAX_STEP_PARTS {
@@ -93,9 +93,9 @@
     }
 
     /// What may differ since `base`; none where that is not known.
-    pub fn since(&self, base: &P) -> Option<Touched> {
+    pub fn since(&self, base: &P) -> Option<ChangedKeys> {
         let first = self.steps.iter().rposition(|step| step.base == *base)?;
-        let mut touched = Touched::default();
+        let mut touched = ChangedKeys::default();
         self.steps.range(first..).for_each(|step| touched.merge(&step.touched));
         Some(touched)
     }
--- a/crates/prefix-cache-index/src/index.rs
+++ b/crates/prefix-cache-index/src/index.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddrV4;
 
-use crate::change_log::Touched;
+use crate::change_log::ChangedKeys;
 use crate::follow::Cursor;
-use crate::key::PartKey;
-use crate::update::{KeptUpdate, Liveness};
+use crate::key::PrefixKey;
+use crate::update::{CacheUpdate, Liveness};
 
 /// Entries of the order of age that may be void before it is tidied.
 const VOID_AGES: usize = 1024;
@@ -33,10 +33,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     sources: BTreeMap<SocketAddrV4, SourceStatus>,
-    parts: HashMap<PartKey, Vec<Holder>>,
+    parts: HashMap<PrefixKey, Vec<Holder>>,
     entries: usize,
     /// Entries in the order in which they came, void ones among them.
-    ages: VecDeque<(SocketAddrV4, PartKey)>,
+    ages: VecDeque<(SocketAddrV4, PrefixKey)>,
 }
 
 impl Index {
@@ -66,19 +66,19 @@
     }
 
     /// The sources that are alive and keep a part.
-    pub fn holders(&self, key: PartKey) -> impl Iterator<Item = Holder> {
+    pub fn holders(&self, key: PrefixKey) -> impl Iterator<Item = Holder> {
         let holders = self.parts.get(&key).into_iter().flatten().copied();
         holders.filter(|holder| self.is_alive(holder.source))
     }
 
     /// Tokens that a source keeps of a part, whether or not it is alive.
-    pub fn kept(&self, source: SocketAddrV4, key: PartKey) -> u32 {
+    pub fn kept(&self, source: SocketAddrV4, key: PrefixKey) -> u32 {
         let holders = self.parts.get(&key).into_iter().flatten();
         holders.filter(|holder| holder.source == source).map(|holder| holder.tokens).next().unwrap_or(0)
     }
 
     /// Takes a change of one source.
-    pub fn apply(&mut self, update: &KeptUpdate) {
+    pub fn apply(&mut self, update: &CacheUpdate) {
         let source = update.source;
         if update.replace {
             self.forget_parts(source);
@@ -94,7 +94,7 @@
     }
 
     /// Drops the oldest entries beyond `most`, and says which.
-    pub fn drop_oldest(&mut self, most: usize) -> Vec<(SocketAddrV4, PartKey)> {
+    pub fn drop_oldest(&mut self, most: usize) -> Vec<(SocketAddrV4, PrefixKey)> {
         let mut dropped = Vec::new();
         while self.entries > most {
             let Some((source, key)) = self.ages.pop_front() else { break };
@@ -107,20 +107,20 @@
     }
 
     /// All that is known, as updates for one who knows nothing.
-    pub fn snapshot(&self) -> Vec<KeptUpdate> {
+    pub fn snapshot(&self) -> Vec<CacheUpdate> {
         let all = self.sources.keys().copied().collect();
         self.whole(&all)
     }
 
     /// The updates that bring one who missed what is `touched` up to date.
-    pub fn updates(&self, touched: &Touched) -> Vec<KeptUpdate> {
+    pub fn updates(&self, touched: &ChangedKeys) -> Vec<CacheUpdate> {
         let mut updates = self.whole(touched.whole());
         let changed = touched.parts().filter(|(source, _)| !touched.whole().contains(source));
         updates.extend(changed.map(|(source, keys)| self.difference(source, keys)));
         updates
     }
 
-    fn difference(&self, source: SocketAddrV4, keys: &BTreeSet<PartKey>) -> KeptUpdate {
+    fn difference(&self, source: SocketAddrV4, keys: &BTreeSet<PrefixKey>) -> CacheUpdate {
         let mut update = self.update_of(source, false);
         for key in keys {
             match self.kept(source, *key) {
@@ -132,8 +132,8 @@
     }
 
     /// All that these sources keep.
-    fn whole(&self, sources: &BTreeSet<SocketAddrV4>) -> Vec<KeptUpdate> {
-        let mut updates: BTreeMap<SocketAddrV4, KeptUpdate> =
+    fn whole(&self, sources: &BTreeSet<SocketAddrV4>) -> Vec<CacheUpdate> {
+        let mut updates: BTreeMap<SocketAddrV4, CacheUpdate> =
             sources.iter().map(|source| (*source, self.update_of(*source, true))).collect();
         if updates.is_empty() {
             return Vec::new();
@@ -145,14 +145,14 @@
                 }
             }
         }
-        let mut updates: Vec<KeptUpdate> = updates.into_values().collect();
+        let mut updates: Vec<CacheUpdate> = updates.into_values().collect();
         updates.iter_mut().for_each(|update| update.added.sort_unstable());
         updates
     }
 
-    fn update_of(&self, source: SocketAddrV4, replace: bool) -> KeptUpdate {
-        let Some(status) = self.sources.get(&source) else { return KeptUpdate::gone(source) };
-        KeptUpdate {
+    fn update_of(&self, source: SocketAddrV4, replace: bool) -> CacheUpdate {
+        let Some(status) = self.sources.get(&source) else { return CacheUpdate::gone(source) };
+        CacheUpdate {
             source,
             boot: status.cursor.boot,
             next_token: status.cursor.next_token,
@@ -163,7 +163,7 @@
         }
     }
 
-    fn insert(&mut self, source: SocketAddrV4, key: PartKey, tokens: u32) {
+    fn insert(&mut self, source: SocketAddrV4, key: PrefixKey, tokens: u32) {
         let holders = self.parts.entry(key).or_default();
         match holders.iter_mut().find(|holder| holder.source == source) {
             Some(holder) => holder.tokens = tokens,
@@ -176,7 +176,7 @@
         }
     }
 
-    fn remove(&mut self, source: SocketAddrV4, key: PartKey) {
+    fn remove(&mut self, source: SocketAddrV4, key: PrefixKey) {
         let Some(holders) = self.parts.get_mut(&key) else { return };
         let Some(place) = holders.iter().position(|holder| holder.source == source) else { return };
         holders.swap_remove(place);
--- a/crates/prefix-cache-index/src/key.rs
+++ b/crates/prefix-cache-index/src/key.rs
@@ -4,23 +4,23 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Hash of a part's id, the same on all machines.
-pub fn part_hash(id: &str) -> u64 {
+pub fn prefix_hash(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
 /// Hash of a cache salt and a part's id, the same on all machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[musli(transparent)]
-pub struct PartKey(pub u64);
+pub struct PrefixKey(pub u64);
 
-impl PartKey {
+impl PrefixKey {
     /// The key of a part that is kept under a salt.
-    pub fn new(salt: &str, part: &str) -> PartKey {
-        PartKey::salted(salt, part_hash(part))
+    pub fn new(salt: &str, part: &str) -> PrefixKey {
+        PrefixKey::salted(salt, prefix_hash(part))
     }
 
-    /// The same of a part whose [`part_hash`] is known.
-    pub fn salted(salt: &str, part_hash: u64) -> PartKey {
-        PartKey(xxh3_64_with_seed(salt.as_bytes(), part_hash))
+    /// The same of a part whose [`prefix_hash`] is known.
+    pub fn salted(salt: &str, prefix_hash: u64) -> PrefixKey {
+        PrefixKey(xxh3_64_with_seed(salt.as_bytes(), prefix_hash))
     }
 }
--- a/crates/prefix-cache-index/src/update.rs
+++ b/crates/prefix-cache-index/src/update.rs
@@ -4,7 +4,7 @@
 
 use musli::{Decode, Encode};
 
-use crate::key::PartKey;
+use crate::key::PrefixKey;
 
 /// Whether a source may be fetched from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
@@ -19,7 +19,7 @@
 
 /// What has changed at one source.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct KeptUpdate {
+pub struct CacheUpdate {
     /// Its address.
     pub source: SocketAddrV4,
     /// Its boot number, which changes with each restart.
@@ -31,15 +31,15 @@
     /// What was known of it before is void.
     pub replace: bool,
     /// Parts with the tokens kept of them now.
-    pub added: Vec<(PartKey, u32)>,
+    pub added: Vec<(PrefixKey, u32)>,
     /// Parts that are kept no more.
-    pub removed: Vec<PartKey>,
+    pub removed: Vec<PrefixKey>,
 }
 
-impl KeptUpdate {
+impl CacheUpdate {
     /// A source that is followed no more.
-    pub fn gone(source: SocketAddrV4) -> KeptUpdate {
-        KeptUpdate {
+    pub fn gone(source: SocketAddrV4) -> CacheUpdate {
+        CacheUpdate {
             source,
             boot: 0,
             next_token: 0,
--- a/crates/prefix-cache-index/tests/index.rs
+++ b/crates/prefix-cache-index/tests/index.rs
@@ -7,26 +7,26 @@
 use fastrand::Rng;
 use rstest::rstest;
 use tulipridge_prefix_cache_index::{
-    ChangeLog, Cursor, EventPage, Followed, Index, KeptUpdate, LEAST_TOKENS, Listing, Liveness, PartKey,
-    Touched, follow, listed, part_hash,
+    CacheListing, CacheUpdate, ChangeLog, ChangedKeys, Cursor, EventPage, Index, Liveness,
+    MIN_CACHED_TOKENS, PollOutcome, PrefixKey, follow, listed, prefix_hash,
 };
 
 fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080)
 }
 
-fn key(part: u64) -> PartKey {
-    PartKey::new("m1", &format!("{part:x}"))
+fn key(part: u64) -> PrefixKey {
+    PrefixKey::new("m1", &format!("{part:x}"))
 }
 
-fn holders(index: &Index, key: PartKey) -> Vec<(SocketAddrV4, u32)> {
+fn holders(index: &Index, key: PrefixKey) -> Vec<(SocketAddrV4, u32)> {
     let mut holders: Vec<_> = index.holders(key).map(|holder| (holder.source, holder.tokens)).collect();
     holders.sort_unstable();
     holders
 }
 
-fn added(source: SocketAddrV4, parts: &[(PartKey, u32)]) -> KeptUpdate {
-    KeptUpdate {
+fn added(source: SocketAddrV4, parts: &[(PrefixKey, u32)]) -> CacheUpdate {
+    CacheUpdate {
         source,
         boot: 1,
         next_token: 1,
@@ -41,18 +41,18 @@
 
 #[test]
 fn keys_are_the_same_on_all_machines() {
-    assert_eq!(part_hash(""), 0x2D06_8005_38D3_94C2, "the published value of XXH3 for nothing");
-    assert_eq!(part_hash("5c1e07a2"), 0xBA82_743B_1896_2CE7);
-    assert_eq!(PartKey::new("m1", "5c1e07a2"), PartKey(0xD25F_B8CA_0C46_FF19));
-    assert_eq!(PartKey::salted("m1", part_hash("5c1e07a2")), PartKey::new("m1", "5c1e07a2"));
+    assert_eq!(prefix_hash(""), 0x2D06_8005_38D3_94C2, "the published value of XXH3 for nothing");
+    assert_eq!(prefix_hash("5c1e07a2"), 0xBA82_743B_1896_2CE7);
+    assert_eq!(PrefixKey::new("m1", "5c1e07a2"), PrefixKey(0xD25F_B8CA_0C46_FF19));
+    assert_eq!(PrefixKey::salted("m1", prefix_hash("5c1e07a2")), PrefixKey::new("m1", "5c1e07a2"));
 }
 
 #[test]
 fn salts_and_parts_do_not_run_together() {
     let salts = ["", "m1", "m2", "m11", "m1-t-a", "m1-t-b"];
     let parts = ["", "1", "11", "-t-a", "5c1e07a2"];
-    let pairs = salts.iter().flat_map(|salt| parts.iter().map(move |part| PartKey::new(salt, part)));
-    let keys: std::collections::BTreeSet<PartKey> = pairs.collect();
+    let pairs = salts.iter().flat_map(|salt| parts.iter().map(move |part| PrefixKey::new(salt, part)));
+    let keys: std::collections::BTreeSet<PrefixKey> = pairs.collect();
     assert_eq!(keys.len(), salts.len() * parts.len());
 }
 
@@ -67,20 +67,20 @@
         events: vec![(key(1), 800), (key(2), 800), (key(1), 512), (key(2), 0)],
     };
     let cursor = Some(Cursor { boot: 7, next_token: 0 });
-    let Followed::Update(update) = follow(address(1), cursor, &page) else { panic!("an update") };
+    let PollOutcome::Update(update) = follow(address(1), cursor, &page) else { panic!("an update") };
     assert!(!update.replace);
     assert_eq!(update.added, [(key(1), 512)]);
     assert_eq!(update.removed, [key(2)]);
 }
 
 #[rstest]
-#[case::short(LEAST_TOKENS - 1, false)]
-#[case::long_enough(LEAST_TOKENS, true)]
+#[case::short(MIN_CACHED_TOKENS - 1, false)]
+#[case::long_enough(MIN_CACHED_TOKENS, true)]
 fn a_short_part_is_not_indexed(#[case] tokens: u32, #[case] indexed: bool) {
     let page = EventPage { boot: 1, next_token: 1, gap: false, events: vec![(key(1), tokens)] };
-    let Followed::Update(update) = follow(address(1), None, &page) else { panic!("an update") };
+    let PollOutcome::Update(update) = follow(address(1), None, &page) else { panic!("an update") };
     assert_eq!(!update.added.is_empty(), indexed);
-    let listing = Listing { boot: 1, next_token: 1, parts: vec![(key(1), tokens)] };
+    let listing = CacheListing { boot: 1, next_token: 1, parts: vec![(key(1), tokens)] };
     assert_eq!(!listed(address(1), listing).added.is_empty(), indexed);
 }
 
@@ -88,14 +88,14 @@
 fn a_page_without_news_changes_nothing() {
     let cursor = Some(Cursor { boot: 7, next_token: 4 });
     let page = EventPage { boot: 7, next_token: 4, gap: false, events: vec![] };
-    assert_eq!(follow(address(1), cursor, &page), Followed::Nothing);
+    assert_eq!(follow(address(1), cursor, &page), PollOutcome::Nothing);
 }
 
 #[test]
 fn a_restart_voids_all_and_begins_at_the_first_event() {
     let cursor = Some(Cursor { boot: 7, next_token: 4 });
     let page = EventPage { boot: 8, next_token: 2, gap: false, events: vec![(key(1), 800)] };
-    let Followed::Restarted(update) = follow(address(1), cursor, &page) else { panic!("a restart") };
+    let PollOutcome::Restarted(update) = follow(address(1), cursor, &page) else { panic!("a restart") };
     assert!(update.replace && update.added.is_empty());
     assert_eq!((update.boot, update.next_token), (8, 0));
 }
@@ -104,7 +104,7 @@
 fn a_gap_voids_what_was_known_before_it() {
     let cursor = Some(Cursor { boot: 7, next_token: 4 });
     let page = EventPage { boot: 7, next_token: 90, gap: true, events: vec![(key(1), 800)] };
-    let Followed::Gap(update) = follow(address(1), cursor, &page) else { panic!("a gap") };
+    let PollOutcome::Gap(update) = follow(address(1), cursor, &page) else { panic!("a gap") };
     assert!(update.replace);
     assert_eq!((update.added, update.next_token), (vec![(key(1), 800)], 90));
 }
@@ -115,7 +115,7 @@
 fn a_source_that_is_down_holds_nothing_until_it_is_back() {
     let mut index = Index::default();
     index.apply(&added(address(1), &[(key(1), 800)]));
-    index.apply(&KeptUpdate { liveness: Liveness::Down, ..added(address(1), &[]) });
+    index.apply(&CacheUpdate { liveness: Liveness::Down, ..added(address(1), &[]) });
     assert_eq!(holders(&index, key(1)), []);
     assert_eq!(index.kept(address(1), key(1)), 800);
     index.apply(&added(address(1), &[]));
@@ -126,7 +126,7 @@
 fn a_source_that_is_gone_is_forgotten() {
     let mut index = Index::default();
     index.apply(&added(address(1), &[(key(1), 800)]));
-    index.apply(&KeptUpdate::gone(address(1)));
+    index.apply(&CacheUpdate::gone(address(1)));
     assert!(index.is_empty());
     assert_eq!((index.len(), index.status(address(1))), (0, None));
 }
@@ -153,15 +153,15 @@
 #[derive(Clone, Default)]
 struct TrueSource {
     boot: u64,
-    kept: BTreeMap<PartKey, u32>,
-    events: Vec<(PartKey, u32)>,
+    kept: BTreeMap<PrefixKey, u32>,
+    events: Vec<(PrefixKey, u32)>,
     first: usize,
 }
 
 impl TrueSource {
     fn change(&mut self, random: &mut Rng) {
         let key = key(random.u64(..PARTS));
-        let tokens = if random.u8(..3) == 0 { 0 } else { LEAST_TOKENS + random.u32(..4_000) };
+        let tokens = if random.u8(..3) == 0 { 0 } else { MIN_CACHED_TOKENS + random.u32(..4_000) };
         match tokens {
             0 => drop(self.kept.remove(&key)),
             _ => drop(self.kept.insert(key, tokens)),
@@ -183,9 +183,9 @@
         }
     }
 
-    fn listing(&self) -> Listing {
+    fn listing(&self) -> CacheListing {
         let parts = self.kept.iter().map(|(key, tokens)| (*key, *tokens)).collect();
-        Listing { boot: self.boot, next_token: self.events.len() as u64, parts }
+        CacheListing { boot: self.boot, next_token: self.events.len() as u64, parts }
     }
 }
 
@@ -198,9 +198,9 @@
 }
 
 impl Publisher {
-    fn take(&mut self, update: &KeptUpdate) {
+    fn take(&mut self, update: &CacheUpdate) {
         self.index.apply(update);
-        let mut touched = Touched::default();
+        let mut touched = ChangedKeys::default();
         touched.add(update);
         self.log.record(self.position, touched);
         self.position += 1;
@@ -210,10 +210,10 @@
         let cursor = self.index.status(source).map(|status| status.cursor);
         let page = truth.page(cursor.map_or(0, |cursor| cursor.next_token));
         match follow(source, cursor, &page) {
-            Followed::Nothing => {}
-            Followed::Update(update) => self.take(&update),
-            Followed::Gap(_) => self.take(&listed(source, truth.listing())),
-            Followed::Restarted(update) => {
+            PollOutcome::Nothing => {}
+            PollOutcome::Update(update) => self.take(&update),
+            PollOutcome::Gap(_) => self.take(&listed(source, truth.listing())),
+            PollOutcome::Restarted(update) => {
                 self.take(&update);
                 self.poll(source, truth);
             }
@@ -253,7 +253,7 @@
         match random.u8(..100) {
             0 => truth.restart(),
             1 => truth.first = truth.events.len(),
-            2 => publisher.take(&KeptUpdate::gone(address(number))),
+            2 => publisher.take(&CacheUpdate::gone(address(number))),
             3..20 => publisher.poll(address(number), truth),
             20..30 => reader.catch_up(&publisher),
             _ => truth.change(&mut random),
@@ -270,7 +270,7 @@
         for part in 0..PARTS {
             let kept = truth.kept.get(&key(part)).copied().unwrap_or(0);
             assert_eq!(reader.index.kept(address(number as u8), key(part)), kept);
-            let other = PartKey::new("m2", &format!("{part:x}"));
+            let other = PrefixKey::new("m2", &format!("{part:x}"));
             assert_eq!(reader.index.kept(address(number as u8), other), 0, "another salt");
         }
     }
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -11,7 +11,7 @@
 use musli::{Decode, Encode};
 use tulipridge_configuration::Configuration;
 pub use tulipridge_configuration::ConfigurationChanges;
-pub use tulipridge_prefix_cache_index::KeptUpdate;
+pub use tulipridge_prefix_cache_index::CacheUpdate;
 
 use crate::node::NodeId;
 
@@ -29,12 +29,12 @@
     },
     /// What waits at replicas of the gateways that this subscriber serves. Only publishers that have sent a table of
     /// loads are told.
-    Waiting(WaitingWork),
+    Waiting(QueuedWork),
 }
 
 /// Work that gateways have sent to replicas and that these have not begun.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct WaitingWork {
+pub struct QueuedWork {
     /// The table of replicas that the places refer to, in the order of ids.
     pub fleet: Position,
     /// Replicas with work that waits, by their places, and how much it is.
@@ -51,14 +51,14 @@
     /// What it is.
     pub role: SubscriberRole,
     /// What it holds.
-    pub holds: Holdings,
+    pub holds: KnownPositions,
 }
 
 /// What a subscriber is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum SubscriberRole {
     /// A member of the control plane that serves agents.
-    Home,
+    Relay,
     /// An agent beside a proxy.
     Agent,
     /// A proxy.
@@ -67,7 +67,7 @@
 
 /// How far a subscriber's state goes; zeros where it holds nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Holdings {
+pub struct KnownPositions {
     /// Revision of the configuration.
     pub configuration: u64,
     /// Position of the table of replicas.
@@ -101,7 +101,7 @@
     /// The table of weights, always whole: it has a line for each model.
     Weights(WeightsTable),
     /// The index of kept prompts, whole or changed.
-    Kept(KeptTableUpdate),
+    Kept(CacheTableUpdate),
     /// How many gateways there are, and who serves control.
     Group(Group),
     /// Answers a ping.
@@ -152,13 +152,13 @@
 
 /// News of the index of kept prompts.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct KeptTableUpdate {
+pub struct CacheTableUpdate {
     /// Where the index must stand for the changes to apply; none where they are the whole index.
     pub base: Option<Position>,
     /// Where it stands after them.
     pub position: Position,
     /// What has changed, at most once for a source.
-    pub updates: Vec<KeptUpdate>,
+    pub updates: Vec<CacheUpdate>,
 }
 
 /// A replica as the control plane knows it.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,12 +1,12 @@
 //! Typed messages between the processes of the system, encoded with musli and framed by their length.
 //!
 //! Three protocols share the framing: [`feed`] carries state from the control plane towards the data plane,
-//! [`control`] keeps the control plane's members in agreement, and [`views`] exchanges partial views of which
+//! [`replication`] keeps the control plane's members in agreement, and [`peer_sampling`] exchanges partial views of which
 //! processes exist.
 
-pub mod control;
 pub mod feed;
 pub mod frame;
 pub mod node;
+pub mod peer_sampling;
+pub mod replication;
 pub mod shared_bytes;
-pub mod views;
--- a/crates/protocol/src/control.rs
+++ b/crates/protocol/src/replication.rs
@@ -16,7 +16,7 @@
     /// The member meant; another generation on the same machine ignores the message.
     pub to: NodeId,
     /// What it says.
-    pub message: ControlMessage,
+    pub message: ReplicationMessage,
 }
 
 /// Who votes and who holds the data, under an epoch that no two proposers share.
@@ -57,7 +57,7 @@
 
 /// What members say to each other.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum ControlMessage {
+pub enum ReplicationMessage {
     /// A holder wants to make a new view under this epoch.
     Prepare {
         /// The proposed epoch.
--- a/crates/protocol/tests/control.rs
+++ b/crates/protocol/tests/control.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use rstest::rstest;
-use tulipridge_protocol::control::{ControlMessage, Entry, Envelope, TransferId};
 use tulipridge_protocol::frame;
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Entry, Envelope, ReplicationMessage, TransferId};
 
 /// Bytes of a message beside the commands and the data in it.
 const MOST_OVERHEAD: usize = 100;
@@ -16,8 +16,8 @@
 }
 
 #[rstest]
-#[case::command(|bytes| ControlMessage::Append { epoch: 1 << 40, entry: Entry { sequence: 9, command: bytes } })]
-#[case::part_of_the_data(|bytes| ControlMessage::Sync {
+#[case::command(|bytes| ReplicationMessage::Append { epoch: 1 << 40, entry: Entry { sequence: 9, command: bytes } })]
+#[case::part_of_the_data(|bytes| ReplicationMessage::Sync {
     epoch: 1 << 40,
     data_epoch: 1 << 39,
     transfer: TransferId { snapshot_sequence: 1 << 40, sequence: 1 << 40, length: 1 << 30, checksum: u64::MAX },
@@ -25,7 +25,7 @@
     bytes,
 })]
 fn commands_and_the_data_take_no_more_room_than_their_bytes(
-    #[case] message: fn(Arc<[u8]>) -> ControlMessage,
+    #[case] message: fn(Arc<[u8]>) -> ReplicationMessage,
 ) {
     let sent = Envelope { from: NodeId::default(), to: NodeId::default(), message: message(text(300_000)) };
     let encoded = frame::encode(&sent).expect("it can be encoded");
--- a/crates/protocol/tests/frame.rs
+++ b/crates/protocol/tests/frame.rs
@@ -3,39 +3,39 @@
 use std::net::Ipv4Addr;
 
 use rstest::rstest;
-use tulipridge_protocol::control::{ControlMessage, Entry, Envelope, TransferId, View};
 use tulipridge_protocol::frame::{self, FrameError, MAX_MESSAGE_BYTES};
 use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Entry, Envelope, ReplicationMessage, TransferId, View};
 
 fn member(last: u8) -> NodeId {
     NodeId::new(Ipv4Addr::new(10, 0, 0, last), u64::from(last))
 }
 
-fn envelope(message: ControlMessage) -> Envelope {
+fn envelope(message: ReplicationMessage) -> Envelope {
     Envelope { from: member(1), to: member(2), message }
 }
 
-fn append(sequence: u64) -> ControlMessage {
-    ControlMessage::Append { epoch: 7, entry: Entry { sequence, command: vec![0, 1, 255].into() } }
+fn append(sequence: u64) -> ReplicationMessage {
+    ReplicationMessage::Append { epoch: 7, entry: Entry { sequence, command: vec![0, 1, 255].into() } }
 }
 
-fn install() -> ControlMessage {
+fn install() -> ReplicationMessage {
     let view = View {
         epoch: u64::MAX,
         voters: vec![member(1), member(2)],
         previous_voters: vec![member(3)],
         holders: vec![member(1)],
     };
-    ControlMessage::Install { view }
+    ReplicationMessage::Install { view }
 }
 
-fn sync() -> ControlMessage {
+fn sync() -> ReplicationMessage {
     let transfer = TransferId { snapshot_sequence: 3, sequence: 4, length: 1500, checksum: u64::MAX };
-    ControlMessage::Sync { epoch: 7, data_epoch: 6, transfer, offset: 500, bytes: vec![9; 1000].into() }
+    ReplicationMessage::Sync { epoch: 7, data_epoch: 6, transfer, offset: 500, bytes: vec![9; 1000].into() }
 }
 
-fn sync_progress() -> ControlMessage {
-    ControlMessage::SyncProgress { epoch: 7, transfer: TransferId::default(), received: 1500 }
+fn sync_progress() -> ReplicationMessage {
+    ReplicationMessage::SyncProgress { epoch: 7, transfer: TransferId::default(), received: 1500 }
 }
 
 fn framed(messages: &[Envelope]) -> Vec<u8> {
@@ -51,8 +51,8 @@
 #[case::install(install())]
 #[case::sync(sync())]
 #[case::sync_progress(sync_progress())]
-#[case::join(ControlMessage::Join { zone: "zone-ä".to_owned() })]
-fn a_message_is_read_as_it_was_written(#[case] message: ControlMessage) {
+#[case::join(ReplicationMessage::Join { zone: "zone-ä".to_owned() })]
+fn a_message_is_read_as_it_was_written(#[case] message: ReplicationMessage) {
     let sent = envelope(message);
     let mut bytes = framed(std::slice::from_ref(&sent));
     assert_eq!(frame::take(&mut bytes).expect("a whole message"), Some(sent));
@@ -89,7 +89,7 @@
 #[test]
 fn a_message_over_the_bound_is_not_sent() {
     let command = vec![0; MAX_MESSAGE_BYTES].into();
-    let message = ControlMessage::Append { epoch: 7, entry: Entry { sequence: 3, command } };
+    let message = ReplicationMessage::Append { epoch: 7, entry: Entry { sequence: 3, command } };
     let mut bytes = Vec::new();
     assert!(matches!(frame::append(&envelope(message), &mut bytes), Err(FrameError::TooLong { .. })));
     assert!(bytes.is_empty());
--- a/crates/proxy/src/kv_cache.rs
+++ b/crates/proxy/src/kv_cache.rs
@@ -12,13 +12,13 @@
 use std::time::Duration;
 
 use lru::LruCache;
-use tulipridge_prefix_cache_index::{Index, PartKey};
+use tulipridge_prefix_cache_index::{Index, PrefixKey};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::placement::prompt::PromptPart;
 
 /// Fewer tokens than these are read again as fast as they are fetched.
-const LEAST_TOKENS: u32 = tulipridge_prefix_cache_index::LEAST_TOKENS;
+const MIN_CACHED_TOKENS: u32 = tulipridge_prefix_cache_index::MIN_CACHED_TOKENS;
 /// Sources keep parts in whole blocks: a part that lacks no more than this is kept whole.
 const BLOCK_SLACK: u32 = 64;
 /// Sources that are looked at for a request.
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChainPart {
     /// Its name in the index.
-    pub key: PartKey,
+    pub key: PrefixKey,
     /// Its tokens.
     pub tokens: u32,
 }
@@ -47,9 +47,9 @@
 impl Chain {
     /// The chain of these parts.
     pub fn new(parts: &[PromptPart], salt: &str) -> Chain {
-        let long = parts.iter().filter(|part| part.tokens >= LEAST_TOKENS);
+        let long = parts.iter().filter(|part| part.tokens >= MIN_CACHED_TOKENS);
         let keyed =
-            long.map(|part| ChainPart { key: PartKey::salted(salt, part.hash), tokens: part.tokens });
+            long.map(|part| ChainPart { key: PrefixKey::salted(salt, part.hash), tokens: part.tokens });
         Chain(keyed.collect())
     }
 
@@ -204,7 +204,7 @@
         kept: u32,
         zone_of: impl Fn(SocketAddr) -> Option<u16>,
     ) -> Option<Source> {
-        let worth_fetching = kept.saturating_add(LEAST_TOKENS);
+        let worth_fetching = kept.saturating_add(MIN_CACHED_TOKENS);
         if chain.tokens() < worth_fetching {
             return None;
         }
@@ -246,8 +246,8 @@
                 Some(Candidate { source: holder.source, tokens, rank })
             });
             candidates
-                .filter(|candidate| candidate.tokens >= LEAST_TOKENS)
-                .max_by_key(|candidate| (candidate.tokens / LEAST_TOKENS, candidate.rank))
+                .filter(|candidate| candidate.tokens >= MIN_CACHED_TOKENS)
+                .max_by_key(|candidate| (candidate.tokens / MIN_CACHED_TOKENS, candidate.rank))
         })
     }
 
--- a/crates/proxy/src/placement/prompt.rs
+++ b/crates/proxy/src/placement/prompt.rs
@@ -1,7 +1,7 @@
 //! What a request says of its prompt, and the key of the ring that follows from it.
 
 use tulipridge_http1::http::Head;
-use tulipridge_prefix_cache_index::part_hash;
+use tulipridge_prefix_cache_index::prefix_hash;
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
 impl PromptPart {
     /// The part with this id.
     pub fn new(id: &str, tokens: u32) -> PromptPart {
-        PromptPart { hash: part_hash(id), tokens }
+        PromptPart { hash: prefix_hash(id), tokens }
     }
 }
 
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -14,7 +14,7 @@
 use tulipridge_load_balancer::types::ReplicaId;
 use tulipridge_protocol::feed::SubscriberRole;
 use tulipridge_runtime::settings::Settings;
-use tulipridge_runtime::signals::{Request, Requests};
+use tulipridge_runtime::signals::{ProcessSignal, SignalStream};
 use tulipridge_subscription::{Changed, FeedStore, Identity, Subscriber, clock};
 
 use crate::placement::held;
@@ -70,7 +70,7 @@
 async fn serve(settings: Settings, executor: Rc<LocalExecutor<'static>>) -> Result<(), StartError> {
     let front_door = listener(settings.listen_on.front_door, "frontDoor")?;
     let ready_check = listener(settings.listen_on.ready_check, "readyCheck")?;
-    let signals = Requests::new()?;
+    let signals = SignalStream::new()?;
     let store = Rc::new(RefCell::new(FeedStore::remembering(0)));
     let subscriber = Subscriber::new(identity(&settings), store.clone());
     let proxy = proxy(&settings, &subscriber);
@@ -166,14 +166,14 @@
     }
 }
 
-async fn heed_signals(proxy: Rc<Proxy>, mut signals: Requests, mut settings: Settings) {
+async fn heed_signals(proxy: Rc<Proxy>, mut signals: SignalStream, mut settings: Settings) {
     loop {
         match signals.next().await {
-            Request::Stop => {
+            ProcessSignal::Stop => {
                 log::info!(open = proxy.usage.open_clients(); "the proxy stops");
                 proxy.stop(settings.time_limits.leeway());
             }
-            Request::Reload => match Settings::load() {
+            ProcessSignal::Reload => match Settings::load() {
                 Ok(newest) => settings = reload(&proxy, &settings, newest),
                 Err(error) => log::warn!(error:% = error; "the settings can't be read again"),
             },
--- a/crates/proxy/tests/kv_cache.rs
+++ b/crates/proxy/tests/kv_cache.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use rstest::rstest;
-use tulipridge_prefix_cache_index::{Index, KeptUpdate, Liveness, PartKey};
+use tulipridge_prefix_cache_index::{CacheUpdate, Index, Liveness, PrefixKey};
 use tulipridge_proxy::kv_cache::{Chain, KvDirectory, KvTransfer, Target, kept_tokens};
 use tulipridge_proxy::placement::prompt::PromptPart;
 
@@ -38,19 +38,19 @@
     Chain::new(&PARTS.map(|(id, tokens)| PromptPart::new(id, tokens)), salt)
 }
 
-fn keeps(number: u8, liveness: Liveness, parts: &[(&str, &str, u32)]) -> KeptUpdate {
-    KeptUpdate {
+fn keeps(number: u8, liveness: Liveness, parts: &[(&str, &str, u32)]) -> CacheUpdate {
+    CacheUpdate {
         source: address(number),
         boot: 1,
         next_token: 1,
         liveness,
         replace: true,
-        added: parts.iter().map(|(salt, part, tokens)| (PartKey::new(salt, part), *tokens)).collect(),
+        added: parts.iter().map(|(salt, part, tokens)| (PrefixKey::new(salt, part), *tokens)).collect(),
         removed: Vec::new(),
     }
 }
 
-fn directory(updates: &[KeptUpdate]) -> KvDirectory {
+fn directory(updates: &[CacheUpdate]) -> KvDirectory {
     let mut index = Index::default();
     updates.iter().for_each(|update| index.apply(update));
     let mut directory = KvDirectory::default();
@@ -202,13 +202,13 @@
 const LISTED: [u8; 5] = [1, 2, 3, 4, 5];
 const SALTS: [&str; 3] = ["m1", "m2", "m1-t-x"];
 
-fn random_update(random: &mut Rng) -> KeptUpdate {
+fn random_update(random: &mut Rng) -> CacheUpdate {
     let number = pick(random, &NUMBERS);
     let liveness = pick(random, &[Liveness::Alive, Liveness::Alive, Liveness::Alive, Liveness::Down]);
     let parts: Vec<_> = (0..random.u8(..5))
         .map(|_| (pick(random, &SALTS), pick(random, &["a", "c"]), 256 + random.u32(..3_000)))
         .collect();
-    KeptUpdate { replace: random.u8(..4) == 0, ..keeps(number, liveness, &parts) }
+    CacheUpdate { replace: random.u8(..4) == 0, ..keeps(number, liveness, &parts) }
 }
 
 /// What a plan may name: neither the target, nor a source that is down or that was never sent or never kept a part
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -318,7 +318,7 @@
     }
 
     /// Where the process on machine `ip` takes datagrams of the partial views (UDP).
-    pub fn views_socket(&self, ip: Ipv4Addr) -> SocketAddr {
+    pub fn peer_sampling_socket(&self, ip: Ipv4Addr) -> SocketAddr {
         self.spare_socket(ip, 2)
     }
 
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -13,7 +13,7 @@
 
 /// What the platform asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Request {
+pub enum ProcessSignal {
     /// SIGTERM or SIGINT: finish what is held and end.
     Stop,
     /// SIGHUP: the settings file has changed.
@@ -22,23 +22,23 @@
 
 /// The requests of the platform, in their order.
 #[derive(Debug)]
-pub struct Requests {
+pub struct SignalStream {
     signals: Signals,
 }
 
-impl Requests {
+impl SignalStream {
     /// Takes over the signals, which end the process no longer by themselves.
     pub fn new() -> Result<Self, SignalError> {
         use async_signal::Signal::{Hup, Int, Term};
-        Ok(Requests { signals: Signals::new([Term, Int, Hup]).context(SignalSnafu)? })
+        Ok(SignalStream { signals: Signals::new([Term, Int, Hup]).context(SignalSnafu)? })
     }
 
     /// Waits for the next request.
-    pub async fn next(&mut self) -> Request {
+    pub async fn next(&mut self) -> ProcessSignal {
         loop {
             match self.signals.next().await {
-                Some(Ok(async_signal::Signal::Hup)) => return Request::Reload,
-                Some(Ok(_)) => return Request::Stop,
+                Some(Ok(async_signal::Signal::Hup)) => return ProcessSignal::Reload,
+                Some(Ok(_)) => return ProcessSignal::Stop,
                 Some(Err(error)) => log::warn!(error:% = error; "a signal can't be read"),
                 None => futures_lite::future::pending().await,
             }
--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -30,7 +30,7 @@
     let sockets = [
         settings.control_socket(ip),
         settings.feed_socket(ip),
-        settings.views_socket(ip),
+        settings.peer_sampling_socket(ip),
         settings.loopback_feed(),
     ];
     assert_eq!(
--- a/crates/subscription/src/publisher.rs
+++ b/crates/subscription/src/publisher.rs
@@ -11,7 +11,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use tulipridge_protocol::feed::{Subscribe, SubscriberRole, WaitingWork};
+use tulipridge_protocol::feed::{QueuedWork, Subscribe, SubscriberRole};
 use tulipridge_runtime::clock;
 
 use crate::signal::Signal;
@@ -92,7 +92,7 @@
     heard: Duration,
     gateways: u32,
     revision: u64,
-    waiting: WaitingWork,
+    waiting: QueuedWork,
 }
 
 impl Publisher {
@@ -148,7 +148,7 @@
     }
 
     /// The work that waits at replicas of the gateways that the connected subscribers serve.
-    pub fn waiting(&self) -> WaitingWork {
+    pub fn waiting(&self) -> QueuedWork {
         let peers = self.peers.borrow();
         let told: Vec<_> = peers.values().map(|peer| peer.status.borrow()).collect();
         waiting::sum(told.iter().map(|status| &status.waiting))
@@ -198,7 +198,7 @@
             heard: clock::now(),
             gateways: 0,
             revision: 0,
-            waiting: WaitingWork::default(),
+            waiting: QueuedWork::default(),
         };
         Peer { address, store_changed: Signal::default(), status: RefCell::new(status) }
     }
--- a/crates/subscription/src/publisher/batches.rs
+++ b/crates/subscription/src/publisher/batches.rs
@@ -5,7 +5,7 @@
 
 use tulipridge_protocol::frame::{self, FrameError};
 
-use crate::store::{FeedStore, Sent};
+use crate::store::{FeedStore, SentPositions};
 
 /// Batches that are kept.
 const MAX_KEPT: usize = 4;
@@ -18,14 +18,18 @@
 
 #[derive(Debug)]
 struct Batch {
-    from: Sent,
-    to: Sent,
+    from: SentPositions,
+    to: SentPositions,
     frames: Rc<Vec<u8>>,
 }
 
 impl Batches {
     /// The frames that lead a subscriber from `from` to the newest state; empty where it has that.
-    pub(super) fn frames(&mut self, store: &FeedStore, from: Sent) -> Result<Rc<Vec<u8>>, FrameError> {
+    pub(super) fn frames(
+        &mut self,
+        store: &FeedStore,
+        from: SentPositions,
+    ) -> Result<Rc<Vec<u8>>, FrameError> {
         let to = store.newest();
         if let Some(known) = self.kept.iter().find(|batch| (batch.from, batch.to) == (from, to)) {
             return Ok(Rc::clone(&known.frames));
@@ -44,7 +48,7 @@
     }
 }
 
-fn encode(store: &FeedStore, from: &Sent) -> Result<Vec<u8>, FrameError> {
+fn encode(store: &FeedStore, from: &SentPositions) -> Result<Vec<u8>, FrameError> {
     let mut frames = Vec::new();
     for message in store.missing_since(from) {
         frame::append(&message, &mut frames)?;
--- a/crates/subscription/src/publisher/connection.rs
+++ b/crates/subscription/src/publisher/connection.rs
@@ -13,7 +13,7 @@
 
 use super::{Peer, Publisher};
 use crate::link::{Event, Link};
-use crate::store::Sent;
+use crate::store::SentPositions;
 use crate::wire::Received;
 
 /// Longest message of a subscriber.
@@ -55,7 +55,7 @@
     peer: &'a Peer,
     link: Link<'a>,
     /// How far the subscriber was sent the state; none before it has subscribed.
-    sent: Option<Sent>,
+    sent: Option<SentPositions>,
     /// The newest ping that is not answered yet. Answering it answers all before it.
     unanswered: Option<u64>,
     /// When the connection took bytes last, or had none to take.
@@ -108,7 +108,7 @@
             ToPublisher::Subscribe(subscribe) => {
                 ensure!(self.sent.is_none(), OutOfPlaceSnafu);
                 status.revision = subscribe.holds.configuration;
-                self.sent = Some(Sent::from(subscribe.holds));
+                self.sent = Some(SentPositions::from(subscribe.holds));
                 status.subscriber = Some(subscribe);
             }
             ToPublisher::Ping { id, gateways } => {
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -13,8 +13,8 @@
 use tulipridge_configuration::Configuration;
 use tulipridge_prefix_cache_index::Index;
 use tulipridge_protocol::feed::{
-    Group, Holdings, KeptUpdate, LoadTable, ModelWeights, Position, Replica, ToSubscriber, WaitingWork,
-    WeightsTable,
+    CacheUpdate, Group, KnownPositions, LoadTable, ModelWeights, Position, QueuedWork, Replica,
+    ToSubscriber, WeightsTable,
 };
 
 use configurations::Configurations;
@@ -106,23 +106,23 @@
 
 /// What a subscriber has been sent, or holds already.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentPositions {
     /// How far its state goes.
-    pub holdings: Holdings,
+    pub holdings: KnownPositions,
     /// The group's version; 0 is none.
     pub group: u64,
 }
 
-impl From<Holdings> for Sent {
-    fn from(holdings: Holdings) -> Self {
-        Sent { holdings, group: 0 }
+impl From<KnownPositions> for SentPositions {
+    fn from(holdings: KnownPositions) -> Self {
+        SentPositions { holdings, group: 0 }
     }
 }
 
-impl Sent {
+impl SentPositions {
     /// The later of both, in each part.
-    pub fn later(self, other: Sent) -> Sent {
-        let holdings = Holdings {
+    pub fn later(self, other: SentPositions) -> SentPositions {
+        let holdings = KnownPositions {
             configuration: self.holdings.configuration.max(other.holdings.configuration),
             fleet: self.holdings.fleet.max(other.holdings.fleet),
             weights: self.holdings.weights.max(other.holdings.weights),
@@ -130,7 +130,7 @@
             // A subscriber that does not take the table stays one.
             loads: self.holdings.loads.map(|own| own.max(other.holdings.loads.unwrap_or_default())),
         };
-        Sent { holdings, group: self.group.max(other.group) }
+        SentPositions { holdings, group: self.group.max(other.group) }
     }
 }
 
@@ -183,13 +183,13 @@
     }
 
     /// Takes changes of what sources keep, as the primary of `epoch`; whether the position moves.
-    pub fn set_kept(&mut self, epoch: u64, updates: &[KeptUpdate]) -> bool {
+    pub fn set_kept(&mut self, epoch: u64, updates: &[CacheUpdate]) -> bool {
         self.kept.set(epoch, updates)
     }
 
     /// Sets the work that waits at replicas, as the primary of `epoch`; whether the position moves. Work that refers to
     /// another table of replicas than the one held is left out.
-    pub fn set_loads(&mut self, epoch: u64, work: &WaitingWork) -> bool {
+    pub fn set_loads(&mut self, epoch: u64, work: &QueuedWork) -> bool {
         let fleet = self.fleet.position();
         let mut waiting = vec![0; self.fleet.replicas().count()];
         for (place, amount) in work.lines.iter().filter(|_| work.fleet == fleet) {
@@ -271,10 +271,10 @@
     }
 
     /// Work that waits at replicas, as it is told along the feed.
-    pub fn waiting_work(&self, units_of: impl Fn(&str) -> Option<u32>) -> WaitingWork {
+    pub fn waiting_work(&self, units_of: impl Fn(&str) -> Option<u32>) -> QueuedWork {
         let places = self.fleet.replicas().zip(0..);
         let lines = places.filter_map(|(replica, place)| Some((place, units_of(&replica.id)?)));
-        WaitingWork { fleet: self.fleet.position(), lines: lines.collect() }
+        QueuedWork { fleet: self.fleet.position(), lines: lines.collect() }
     }
 
     /// Who takes part; empty while that is not known.
@@ -283,8 +283,8 @@
     }
 
     /// How far the state goes.
-    pub fn holdings(&self) -> Holdings {
-        Holdings {
+    pub fn holdings(&self) -> KnownPositions {
+        KnownPositions {
             configuration: self.configurations.revision(),
             fleet: self.fleet.position(),
             weights: self.weights.position,
@@ -294,18 +294,18 @@
     }
 
     /// How far a subscriber is that has been sent everything.
-    pub fn newest(&self) -> Sent {
-        Sent { holdings: self.holdings(), group: self.group_version }
+    pub fn newest(&self) -> SentPositions {
+        SentPositions { holdings: self.holdings(), group: self.group_version }
     }
 
     /// What a subscriber lacks that has just said what it holds: changes where they are known, else the whole
     /// table. The group is always among it once it is known.
-    pub fn missing(&self, holds: &Holdings) -> Vec<ToSubscriber> {
-        self.missing_since(&Sent::from(*holds))
+    pub fn missing(&self, holds: &KnownPositions) -> Vec<ToSubscriber> {
+        self.missing_since(&SentPositions::from(*holds))
     }
 
     /// What a subscriber lacks that has been sent `sent`.
-    pub fn missing_since(&self, sent: &Sent) -> Vec<ToSubscriber> {
+    pub fn missing_since(&self, sent: &SentPositions) -> Vec<ToSubscriber> {
         let mut messages = Vec::new();
         if let Some(update) = self.configurations.since(sent.holdings.configuration) {
             messages.push(ToSubscriber::Configuration(update));
--- a/crates/subscription/src/store/kept.rs
+++ b/crates/subscription/src/store/kept.rs
@@ -3,8 +3,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use tulipridge_prefix_cache_index::{ChangeLog, Index, KeptUpdate, Touched};
-use tulipridge_protocol::feed::{KeptTableUpdate, Position};
+use tulipridge_prefix_cache_index::{CacheUpdate, ChangeLog, ChangedKeys, Index};
+use tulipridge_protocol::feed::{CacheTableUpdate, Position};
 
 use super::{FeedError, Table, next_position};
 
@@ -29,7 +29,7 @@
     }
 
     /// Takes changes, as the primary of `epoch`; whether the position moves.
-    pub(super) fn set(&mut self, epoch: u64, updates: &[KeptUpdate]) -> bool {
+    pub(super) fn set(&mut self, epoch: u64, updates: &[CacheUpdate]) -> bool {
         if epoch < self.position.epoch {
             return false;
         }
@@ -42,8 +42,8 @@
         true
     }
 
-    pub(super) fn apply(&mut self, update: KeptTableUpdate) -> Result<bool, FeedError> {
-        let KeptTableUpdate { base, position, updates } = update;
+    pub(super) fn apply(&mut self, update: CacheTableUpdate) -> Result<bool, FeedError> {
+        let CacheTableUpdate { base, position, updates } = update;
         if position <= self.position {
             return Ok(false);
         }
@@ -64,7 +64,7 @@
     }
 
     /// What leads from `base` to the present index; none where the base is as new.
-    pub(super) fn since(&self, base: Position) -> Option<KeptTableUpdate> {
+    pub(super) fn since(&self, base: Position) -> Option<CacheTableUpdate> {
         if base >= self.position {
             return None;
         }
@@ -73,12 +73,12 @@
             Some(touched) => (Some(base), index.updates(&touched)),
             None => (None, index.snapshot()),
         };
-        Some(KeptTableUpdate { base, position: self.position, updates })
+        Some(CacheTableUpdate { base, position: self.position, updates })
     }
 
-    fn take(&mut self, updates: &[KeptUpdate]) -> Touched {
+    fn take(&mut self, updates: &[CacheUpdate]) -> ChangedKeys {
         let mut index = self.index.borrow_mut();
-        let mut touched = Touched::default();
+        let mut touched = ChangedKeys::default();
         for update in updates {
             index.apply(update);
             touched.add(update);
@@ -86,7 +86,7 @@
         touched
     }
 
-    fn advance(&mut self, position: Position, touched: Touched) {
+    fn advance(&mut self, position: Position, touched: ChangedKeys) {
         let base = std::mem::replace(&mut self.position, position);
         if base != Position::default() {
             self.log.record(base, touched);
--- a/crates/subscription/src/subscriber.rs
+++ b/crates/subscription/src/subscriber.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
 use snafu::{ResultExt, Snafu};
-use tulipridge_protocol::feed::{Subscribe, SubscriberRole, WaitingWork};
+use tulipridge_protocol::feed::{QueuedWork, Subscribe, SubscriberRole};
 use tulipridge_protocol::frame::FrameError;
 
 use crate::freshness::Freshness;
@@ -112,7 +112,7 @@
     freshness: RefCell<Freshness>,
     gateways: Cell<u32>,
     next_ping: Cell<u64>,
-    waiting: RefCell<WaitingWork>,
+    waiting: RefCell<QueuedWork>,
     waiting_changed: Signal,
     connected: Cell<Option<SocketAddr>>,
     reselect: Signal,
@@ -200,7 +200,7 @@
     }
 
     /// Sets the work that waits at replicas of the gateways that this subscriber serves; the publisher is told soon.
-    pub fn set_waiting(&self, waiting: WaitingWork) {
+    pub fn set_waiting(&self, waiting: QueuedWork) {
         if *self.waiting.borrow() != waiting {
             *self.waiting.borrow_mut() = waiting;
             self.waiting_changed.raise();
--- a/crates/subscription/src/waiting.rs
+++ b/crates/subscription/src/waiting.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use tulipridge_protocol::feed::WaitingWork;
+use tulipridge_protocol::feed::QueuedWork;
 
 /// The sum of what several subscribers have told. Of work that refers to different tables of replicas, that of the
 /// newest counts.
-pub fn sum<'a>(parts: impl IntoIterator<Item = &'a WaitingWork>) -> WaitingWork {
+pub fn sum<'a>(parts: impl IntoIterator<Item = &'a QueuedWork>) -> QueuedWork {
     let mut fleet = Default::default();
     let mut lines: BTreeMap<u32, u32> = BTreeMap::new();
     for part in parts {
@@ -19,5 +19,5 @@
             *line = line.saturating_add(*amount);
         }
     }
-    WaitingWork { fleet, lines: lines.into_iter().collect() }
+    QueuedWork { fleet, lines: lines.into_iter().collect() }
 }
--- a/crates/subscription/tests/common/network.rs
+++ b/crates/subscription/tests/common/network.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
-use tulipridge_protocol::feed::{Holdings, Subscribe, SubscriberRole, ToPublisher, ToSubscriber};
+use tulipridge_protocol::feed::{KnownPositions, Subscribe, SubscriberRole, ToPublisher, ToSubscriber};
 use tulipridge_protocol::frame;
 use tulipridge_subscription::{FeedStore, Identity, Publisher, PublisherSettings, Subscriber};
 
@@ -83,7 +83,7 @@
 }
 
 /// A subscriber's first message.
-pub fn subscribe(holds: Holdings) -> ToPublisher {
+pub fn subscribe(holds: KnownPositions) -> ToPublisher {
     let Identity { name, zone, role } = identity(SubscriberRole::Agent);
     ToPublisher::Subscribe(Subscribe { name, zone, role, holds })
 }
--- a/crates/subscription/tests/kept.rs
+++ b/crates/subscription/tests/kept.rs
@@ -3,8 +3,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use rstest::rstest;
-use tulipridge_prefix_cache_index::{KeptUpdate, Liveness, PartKey};
-use tulipridge_protocol::feed::{Holdings, KeptTableUpdate, Position, ToSubscriber};
+use tulipridge_prefix_cache_index::{CacheUpdate, Liveness, PrefixKey};
+use tulipridge_protocol::feed::{CacheTableUpdate, KnownPositions, Position, ToSubscriber};
 use tulipridge_protocol::frame;
 use tulipridge_subscription::store::Table;
 use tulipridge_subscription::{FeedError, FeedStore};
@@ -13,12 +13,12 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080)
 }
 
-fn key(part: u64) -> PartKey {
-    PartKey::new("m1", &part.to_string())
+fn key(part: u64) -> PrefixKey {
+    PrefixKey::new("m1", &part.to_string())
 }
 
-fn kept(number: u8, next_token: u64, parts: &[(u64, u32)]) -> KeptUpdate {
-    KeptUpdate {
+fn kept(number: u8, next_token: u64, parts: &[(u64, u32)]) -> CacheUpdate {
+    CacheUpdate {
         source: address(number),
         boot: 1,
         next_token,
@@ -33,7 +33,7 @@
     Position { epoch, sequence }
 }
 
-fn news(publisher: &FeedStore, subscriber: &FeedStore) -> Option<KeptTableUpdate> {
+fn news(publisher: &FeedStore, subscriber: &FeedStore) -> Option<CacheTableUpdate> {
     publisher.missing(&subscriber.holdings()).into_iter().find_map(|message| match message {
         ToSubscriber::Kept(update) => Some(update),
         _ => None,
@@ -93,7 +93,7 @@
     let mut store = FeedStore::new();
     store.set_kept(1, &[kept(1, 1, &[])]);
     let update =
-        KeptTableUpdate { base: Some(position(1, 7)), position: position(1, 8), updates: Vec::new() };
+        CacheTableUpdate { base: Some(position(1, 7)), position: position(1, 8), updates: Vec::new() };
     assert_eq!(
         store.apply(ToSubscriber::Kept(update)),
         Err(FeedError::Gap { table: Table::Kept }),
@@ -141,18 +141,18 @@
     }
 }
 
-fn random_update(random: &mut fastrand::Rng, step: u64) -> KeptUpdate {
+fn random_update(random: &mut fastrand::Rng, step: u64) -> CacheUpdate {
     let number = random.u8(1..5);
     match random.u32(0..20) {
-        0 => KeptUpdate::gone(address(number)),
-        1 => KeptUpdate { liveness: Liveness::Down, ..kept(number, step, &[]) },
-        2 => KeptUpdate { replace: true, ..kept(number, step, &[(random.u64(0..30), 700)]) },
-        3..7 => KeptUpdate { removed: vec![key(random.u64(0..30))], ..kept(number, step, &[]) },
+        0 => CacheUpdate::gone(address(number)),
+        1 => CacheUpdate { liveness: Liveness::Down, ..kept(number, step, &[]) },
+        2 => CacheUpdate { replace: true, ..kept(number, step, &[(random.u64(0..30), 700)]) },
+        3..7 => CacheUpdate { removed: vec![key(random.u64(0..30))], ..kept(number, step, &[]) },
         _ => kept(number, step, &[(random.u64(0..30), random.u32(256..5_000))]),
     }
 }
 
 #[test]
 fn holdings_without_an_index_are_zero() {
-    assert_eq!(FeedStore::new().holdings().kept, Holdings::default().kept);
+    assert_eq!(FeedStore::new().holdings().kept, KnownPositions::default().kept);
 }
--- a/crates/subscription/tests/publisher.rs
+++ b/crates/subscription/tests/publisher.rs
@@ -10,7 +10,7 @@
 use common::{configuration, group, replica, weights};
 use rstest::rstest;
 use tulipridge_protocol::feed::{
-    ConfigurationUpdate, FleetUpdate, Holdings, Position, ToPublisher, ToSubscriber,
+    ConfigurationUpdate, FleetUpdate, KnownPositions, Position, ToPublisher, ToSubscriber,
 };
 use tulipridge_subscription::PublisherSettings;
 
@@ -58,7 +58,7 @@
 
         transcript.note("a newcomer gets everything");
         let mut peer = Peer::connect(address).await;
-        transcript.say(&mut peer, subscribe(Holdings::default())).await;
+        transcript.say(&mut peer, subscribe(KnownPositions::default())).await;
         for _ in 0..4 {
             transcript.hear(&mut peer).await;
         }
@@ -98,7 +98,7 @@
         let settings = PublisherSettings { write_stall: patient, silence: patient, ..settings() };
         let (publisher, address) = publish(&executor, &store, fresh(), settings);
         let mut peer = Peer::connect(address).await;
-        peer.say(&subscribe(Holdings::default())).await;
+        peer.say(&subscribe(KnownPositions::default())).await;
         until(|| !publisher.subscribers().is_empty()).await;
         // All states together are far more than the buffers of the connection hold.
         for capacity in 1..=LAST {
@@ -130,10 +130,10 @@
     network::run(|executor| async move {
         let (publisher, address) = publish(&executor, &store(), fresh(), settings());
         let mut home = Peer::connect(address).await;
-        home.say(&subscribe(Holdings::default())).await;
+        home.say(&subscribe(KnownPositions::default())).await;
         home.say(&ToPublisher::Ping { id: 1, gateways: 20 }).await;
         let mut agent = Peer::connect(address).await;
-        agent.say(&subscribe(Holdings::default())).await;
+        agent.say(&subscribe(KnownPositions::default())).await;
         agent.say(&ping(1)).await;
         until(|| publisher.gateways() == 21).await;
         assert_eq!(publisher.subscribers().len(), 2);
@@ -179,7 +179,7 @@
         store.borrow_mut().set_fleet(1, replicas.collect());
         let (publisher, address) = publish(&executor, &store, fresh(), settings);
         let mut peer = Peer::connect(address).await;
-        peer.say(&subscribe(Holdings::default())).await;
+        peer.say(&subscribe(KnownPositions::default())).await;
         until(|| !publisher.subscribers().is_empty()).await;
         until(|| publisher.subscribers().is_empty()).await;
     });
@@ -191,7 +191,7 @@
         let settings = PublisherSettings { max_connections: 1, ..settings() };
         let (publisher, address) = publish(&executor, &store(), fresh(), settings);
         let mut first = Peer::connect(address).await;
-        first.say(&subscribe(Holdings::default())).await;
+        first.say(&subscribe(KnownPositions::default())).await;
         until(|| !publisher.subscribers().is_empty()).await;
         let mut second = Peer::connect(address).await;
         assert_eq!(second.hear().await, None);
@@ -200,7 +200,7 @@
         drop(first);
         until(|| publisher.subscribers().is_empty()).await;
         let mut third = Peer::connect(address).await;
-        third.say(&subscribe(Holdings::default())).await;
+        third.say(&subscribe(KnownPositions::default())).await;
         third.say(&ping(2)).await;
         assert!(third.hear().await.is_some());
     });
@@ -214,7 +214,7 @@
         store.borrow_mut().set_configuration(configuration(2, 3));
         let (_publisher, address) = publish(&executor, &store, fresh(), settings());
         let mut peer = Peer::connect(address).await;
-        peer.say(&subscribe(Holdings { configuration: 1, ..Holdings::default() })).await;
+        peer.say(&subscribe(KnownPositions { configuration: 1, ..KnownPositions::default() })).await;
         let update = peer.hear().await;
         let is_changes = matches!(
             &update,
--- a/crates/subscription/tests/store.rs
+++ b/crates/subscription/tests/store.rs
@@ -9,10 +9,10 @@
 use rstest::rstest;
 use tulipridge_configuration::Configuration;
 use tulipridge_protocol::feed::{
-    ConfigurationUpdate, FleetUpdate, Holdings, ModelWeights, Position, Replica, ReplicaPhase,
+    ConfigurationUpdate, FleetUpdate, KnownPositions, ModelWeights, Position, Replica, ReplicaPhase,
     ToSubscriber, WeightsTable,
 };
-use tulipridge_subscription::store::{Sent, Table};
+use tulipridge_subscription::store::{SentPositions, Table};
 use tulipridge_subscription::{Changed, FeedError, FeedStore};
 
 fn position(epoch: u64, sequence: u64) -> Position {
@@ -124,7 +124,7 @@
     publisher.set_fleet(1, vec![replica("a", 1)]);
     publisher.set_fleet(2, vec![replica("a", 2)]);
     let expected = FleetUpdate::Snapshot { position: position(2, 1), replicas: vec![replica("a", 2)] };
-    let holds = Holdings { fleet: held, ..Holdings::default() };
+    let holds = KnownPositions { fleet: held, ..KnownPositions::default() };
     assert_eq!(publisher.missing(&holds), vec![ToSubscriber::Fleet(expected)]);
 }
 
@@ -136,7 +136,7 @@
         publisher.set_fleet(1, vec![replica("a", capacity), replica("b", 1)]);
         held.push(publisher.holdings());
     }
-    let is_snapshot = |holds: &Holdings| {
+    let is_snapshot = |holds: &KnownPositions| {
         matches!(publisher.missing(holds)[..], [ToSubscriber::Fleet(FleetUpdate::Snapshot { .. })])
     };
     assert!(is_snapshot(&held[0]));
@@ -166,7 +166,7 @@
         old.set_weights(1, weights(capacity.into()));
     }
     let mut subscriber = FeedStore::new();
-    apply_all(&mut subscriber, old.missing(&Holdings::default())).expect("applies");
+    apply_all(&mut subscriber, old.missing(&KnownPositions::default())).expect("applies");
     let mut new = FeedStore::new();
     new.set_fleet(2, vec![replica("z", 1)]);
     new.set_weights(2, weights(1));
@@ -174,7 +174,7 @@
     apply_all(&mut subscriber, new.missing(&holdings)).expect("applies");
     assert_same(&subscriber, &new);
     assert_eq!(subscriber.fleet_position(), position(2, 1));
-    apply_all(&mut subscriber, old.missing(&Holdings::default())).expect("is not news");
+    apply_all(&mut subscriber, old.missing(&KnownPositions::default())).expect("is not news");
     assert_same(&subscriber, &new);
 }
 
@@ -184,7 +184,7 @@
     publisher.set_configuration(configuration(5, 1));
     publisher.set_fleet(1, vec![replica("a", 1)]);
     publisher.set_weights(1, weights(1));
-    let ahead = Holdings {
+    let ahead = KnownPositions {
         configuration: 6,
         fleet: position(1, 2),
         weights: position(2, 1),
@@ -197,10 +197,10 @@
 #[test]
 fn the_group_is_sent_to_newcomers_and_on_change() {
     let mut publisher = FeedStore::new();
-    assert_eq!(publisher.missing(&Holdings::default()), vec![]);
+    assert_eq!(publisher.missing(&KnownPositions::default()), vec![]);
     assert!(publisher.set_group(group(3)));
     assert!(!publisher.set_group(group(3)));
-    assert_eq!(publisher.missing(&Holdings::default()), vec![ToSubscriber::Group(group(3))]);
+    assert_eq!(publisher.missing(&KnownPositions::default()), vec![ToSubscriber::Group(group(3))]);
     let sent = publisher.newest();
     assert_eq!(publisher.missing_since(&sent), vec![]);
     assert!(publisher.set_group(group(4)));
@@ -209,7 +209,7 @@
 
 /// Updates of the configuration that a subscriber gets which holds revision `base`.
 fn configuration_update(publisher: &FeedStore, base: u64) -> ConfigurationUpdate {
-    let holds = Holdings { configuration: base, ..Holdings::default() };
+    let holds = KnownPositions { configuration: base, ..KnownPositions::default() };
     match publisher.missing(&holds).as_slice() {
         [ToSubscriber::Configuration(update)] => update.clone(),
         other => panic!("not an update of the configuration: {other:?}"),
@@ -242,7 +242,7 @@
     let mut publisher = FeedStore::new();
     publisher.set_configuration(configuration(1, 0b01));
     let mut home = FeedStore::new();
-    apply_all(&mut home, publisher.missing(&Holdings::default())).expect("applies");
+    apply_all(&mut home, publisher.missing(&KnownPositions::default())).expect("applies");
     publisher.set_configuration(configuration(2, 0b11));
     let home_holds = home.holdings();
     apply_all(&mut home, publisher.missing(&home_holds)).expect("applies");
@@ -299,7 +299,7 @@
 /// A subscriber's connection: what its publisher has sent, and what is under way.
 struct Link {
     publisher: usize,
-    sent: Sent,
+    sent: SentPositions,
     under_way: VecDeque<ToSubscriber>,
 }
 
@@ -394,7 +394,7 @@
     fn connect(&mut self, store: usize) {
         let publisher = self.random.usize(..STORES);
         if store != self.primary && publisher != store {
-            let sent = Sent::from(self.stores[store].holdings());
+            let sent = SentPositions::from(self.stores[store].holdings());
             self.links[store] = Some(Link { publisher, sent, under_way: VecDeque::new() });
         }
     }
@@ -430,7 +430,7 @@
     }
     let primary = fleet.primary;
     for store in (0..STORES).filter(|store| *store != primary) {
-        let sent = Sent::from(fleet.stores[store].holdings());
+        let sent = SentPositions::from(fleet.stores[store].holdings());
         fleet.links[store] = Some(Link { publisher: primary, sent, under_way: VecDeque::new() });
         fleet.send(store);
         while fleet.links[store].as_ref().is_some_and(|link| !link.under_way.is_empty()) {
--- a/crates/subscription/tests/subscriber.rs
+++ b/crates/subscription/tests/subscriber.rs
@@ -64,7 +64,7 @@
             (subscriber, publisher, address)
         };
         let (home, home_publisher, home_address) =
-            relay(&home_store, SubscriberRole::Home, primary_address);
+            relay(&home_store, SubscriberRole::Relay, primary_address);
         let (agent, _, agent_address) = relay(&agent_store, SubscriberRole::Agent, home_address);
         agent.set_gateways(1);
         let proxy = subscriber(&proxy_store, SubscriberRole::Proxy);
@@ -255,7 +255,7 @@
         let held = Rc::clone(&lease);
         let age = Rc::new(move || held.get().then_some(Duration::ZERO));
         let (_publisher, address) = publish(&executor, &store(), age, PublisherSettings::default());
-        let subscriber = subscriber(&store(), SubscriberRole::Home);
+        let subscriber = subscriber(&store(), SubscriberRole::Relay);
         follow(&executor, &subscriber, address);
         until(|| subscriber.age(clock::now()).is_some()).await;
         lease.set(false);
--- a/crates/subscription/tests/waiting.rs
+++ b/crates/subscription/tests/waiting.rs
@@ -8,7 +8,7 @@
 use common::replica;
 use rstest::rstest;
 use tulipridge_protocol::feed::{
-    Holdings, LoadTable, Position, SubscriberRole, ToPublisher, ToSubscriber, WaitingWork,
+    KnownPositions, LoadTable, Position, QueuedWork, SubscriberRole, ToPublisher, ToSubscriber,
 };
 use tulipridge_subscription::{FeedStore, PublisherSettings, waiting};
 
@@ -16,8 +16,8 @@
     Position { epoch, sequence }
 }
 
-fn work(fleet: Position, lines: &[(u32, u32)]) -> WaitingWork {
-    WaitingWork { fleet, lines: lines.to_vec() }
+fn work(fleet: Position, lines: &[(u32, u32)]) -> QueuedWork {
+    QueuedWork { fleet, lines: lines.to_vec() }
 }
 
 /// A primary's store with three replicas.
@@ -27,7 +27,7 @@
     store
 }
 
-fn table_for(store: &FeedStore, holds: &Holdings) -> Option<LoadTable> {
+fn table_for(store: &FeedStore, holds: &KnownPositions) -> Option<LoadTable> {
     store.missing(holds).into_iter().find_map(|message| match message {
         ToSubscriber::Loads(table) => Some(table),
         _ => None,
@@ -48,7 +48,7 @@
     &[work(position(7, 1), &[(0, u32::MAX)]), work(position(7, 1), &[(0, 9)])],
     work(position(7, 1), &[(0, u32::MAX)])
 )]
-fn work_is_summed(#[case] parts: &[WaitingWork], #[case] sum: WaitingWork) {
+fn work_is_summed(#[case] parts: &[QueuedWork], #[case] sum: QueuedWork) {
     assert_eq!(waiting::sum(parts), sum);
 }
 
@@ -57,7 +57,7 @@
     let mut store = primary();
     let fleet = store.fleet_position();
     assert!(store.set_loads(7, &work(fleet, &[(1, 4), (2, 900), (9, 1)])));
-    let table = table_for(&store, &Holdings { loads: Some(Position::default()), ..store.holdings() });
+    let table = table_for(&store, &KnownPositions { loads: Some(Position::default()), ..store.holdings() });
     assert_eq!(table, Some(LoadTable { position: position(7, 1), fleet, waiting: vec![0, 4, 255] }));
     assert!(!store.set_loads(7, &work(fleet, &[(1, 4), (2, 900)])), "nothing differs");
     assert!(!store.set_loads(6, &work(fleet, &[(1, 5)])), "an old epoch");
@@ -86,9 +86,9 @@
 fn a_program_that_does_not_know_the_table_is_never_sent_it() {
     let mut store = primary();
     store.set_loads(7, &work(store.fleet_position(), &[(1, 4)]));
-    let earlier = Holdings::default();
+    let earlier = KnownPositions::default();
     assert_eq!(table_for(&store, &earlier), None);
-    let sent = tulipridge_subscription::store::Sent::from(earlier).later(store.newest());
+    let sent = tulipridge_subscription::store::SentPositions::from(earlier).later(store.newest());
     store.set_loads(7, &work(store.fleet_position(), &[(1, 5)]));
     assert_eq!(table_for(&store, &sent.holdings), None);
 }
@@ -100,10 +100,10 @@
         let (publisher, address) = publish(&executor, &store, fresh(), PublisherSettings::default());
         let fleet = position(7, 1);
         let mut first = Peer::connect(address).await;
-        first.say(&subscribe(Holdings::default())).await;
+        first.say(&subscribe(KnownPositions::default())).await;
         first.say(&ToPublisher::Waiting(work(fleet, &[(0, 2), (1, 1)]))).await;
         let mut second = Peer::connect(address).await;
-        second.say(&subscribe(Holdings::default())).await;
+        second.say(&subscribe(KnownPositions::default())).await;
         second.say(&ToPublisher::Waiting(work(fleet, &[(1, 3)]))).await;
         until(|| publisher.waiting() == work(fleet, &[(0, 2), (1, 4)])).await;
         first.say(&ToPublisher::Waiting(work(fleet, &[]))).await;
@@ -118,7 +118,7 @@
     network::run(|executor| async move {
         let (_publisher, address) = publish(&executor, &store(), fresh(), PublisherSettings::default());
         let mut peer = Peer::connect(address).await;
-        peer.say(&ToPublisher::Waiting(WaitingWork::default())).await;
+        peer.say(&ToPublisher::Waiting(QueuedWork::default())).await;
         assert_eq!(peer.hear().await, None);
     });
 }
