--- a/crates/control-plane/src/api/connection.rs
+++ b/crates/control-plane/src/api/connection.rs
@@ -7,8 +7,8 @@
 
 use async_io::Async;
 use snafu::{ResultExt, Snafu};
-use tulipridge_http1::http::{self, Bad, Body, Head};
-use tulipridge_http1::{Wire, WireLimits, within};
+use tulipridge_http1::codec::{self, Body, Head, ParseError};
+use tulipridge_http1::{BufferedStream, Http1Limits, within};
 
 use super::{Api, ControlPlane, Request, Response};
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct ApiLimits {
     /// Sizes.
-    pub wire: WireLimits,
+    pub wire: Http1Limits,
     /// Time for which a connection may be idle between calls.
     pub idle: Duration,
     /// Time for a head to arrive whole, once it has begun.
@@ -31,7 +31,7 @@
 
 impl Default for ApiLimits {
     fn default() -> ApiLimits {
-        let wire = WireLimits { body_bytes: 8 << 20, read_bytes: 64 << 10, ..WireLimits::default() };
+        let wire = Http1Limits { body_bytes: 8 << 20, read_bytes: 64 << 10, ..Http1Limits::default() };
         ApiLimits {
             wire,
             idle: Duration::from_secs(15),
@@ -50,7 +50,7 @@
     #[snafu(display("{bad}"))]
     Malformed {
         /// What is wrong with it.
-        bad: Bad,
+        bad: ParseError,
     },
     /// The connection failed or the time ran out.
     #[snafu(display("{source}"))]
@@ -62,13 +62,13 @@
 
 /// Serves a connection up to its end.
 pub(super) async fn run<C: ControlPlane>(api: Rc<Api<C>>, stream: Async<TcpStream>) {
-    let mut wire = Wire::new(stream);
+    let mut wire = BufferedStream::new(stream);
     if let Err(error) = serve(&api, &mut wire).await {
         log::debug!(error:% = error; "a connection of the operator ended");
     }
 }
 
-async fn serve<C: ControlPlane>(api: &Api<C>, wire: &mut Wire) -> io::Result<()> {
+async fn serve<C: ControlPlane>(api: &Api<C>, wire: &mut BufferedStream) -> io::Result<()> {
     loop {
         let request = match read_request(wire, &api.limits).await {
             Ok(Some(request)) => request,
@@ -88,13 +88,18 @@
     }
 }
 
-async fn write(wire: &mut Wire, response: &Response, keep: bool, limits: &ApiLimits) -> io::Result<()> {
+async fn write(
+    wire: &mut BufferedStream,
+    response: &Response,
+    keep: bool,
+    limits: &ApiLimits,
+) -> io::Result<()> {
     let head = response.encode_head(keep);
     within(limits.answer, wire.write_both(head.as_bytes(), &response.body)).await?
 }
 
 /// Reads the next request; none if the connection ends or stays idle before one begins.
-async fn read_request(wire: &mut Wire, limits: &ApiLimits) -> Result<Option<Request>, ReadError> {
+async fn read_request(wire: &mut BufferedStream, limits: &ApiLimits) -> Result<Option<Request>, ReadError> {
     if wire.buf.is_empty() && !begins(wire, limits).await {
         return Ok(None);
     }
@@ -107,39 +112,43 @@
     Ok(Some(Request { method, target, head, body }))
 }
 
-async fn begins(wire: &mut Wire, limits: &ApiLimits) -> bool {
+async fn begins(wire: &mut BufferedStream, limits: &ApiLimits) -> bool {
     let first = within(limits.idle, wire.fill(&limits.wire)).await;
     matches!(first, Ok(Ok(count)) if count > 0)
 }
 
-async fn read_head(wire: &mut Wire, limits: &WireLimits) -> Result<Head, ReadError> {
+async fn read_head(wire: &mut BufferedStream, limits: &Http1Limits) -> Result<Head, ReadError> {
     loop {
-        if let Some(head) = http::request_head(&mut wire.buf, limits).map_err(malformed)? {
+        if let Some(head) = codec::request_head(&mut wire.buf, limits).map_err(malformed)? {
             return Ok(head);
         }
         fill(wire, limits).await?;
     }
 }
 
-async fn read_body(wire: &mut Wire, head: &Head, limits: &WireLimits) -> Result<Vec<u8>, ReadError> {
+async fn read_body(
+    wire: &mut BufferedStream,
+    head: &Head,
+    limits: &Http1Limits,
+) -> Result<Vec<u8>, ReadError> {
     let mut framing: Body = head.request_body(limits).map_err(malformed)?;
     let mut body = Vec::new();
     while !framing.take(&mut wire.buf, &mut body, limits).map_err(malformed)? {
         if body.len() > limits.body_bytes {
-            return Err(malformed(Bad { status: 413, what: "the body is too large" }));
+            return Err(malformed(ParseError { status: 413, what: "the body is too large" }));
         }
         fill(wire, limits).await?;
     }
     Ok(body)
 }
 
-async fn fill(wire: &mut Wire, limits: &WireLimits) -> Result<(), ReadError> {
+async fn fill(wire: &mut BufferedStream, limits: &Http1Limits) -> Result<(), ReadError> {
     match wire.fill(limits).await.context(BrokenSnafu)? {
         0 => Err(ReadError::Broken { source: io::ErrorKind::UnexpectedEof.into() }),
         _ => Ok(()),
     }
 }
 
-fn malformed(bad: Bad) -> ReadError {
+fn malformed(bad: ParseError) -> ReadError {
     ReadError::Malformed { bad }
 }
--- a/crates/control-plane/src/api/message.rs
+++ b/crates/control-plane/src/api/message.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use serde::Serialize;
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 
 /// A request, read whole.
 #[derive(Clone, Debug, Default)]
@@ -108,6 +108,6 @@
     match status {
         307 => "Temporary Redirect",
         412 => "Precondition Failed",
-        _ => tulipridge_http1::http::reason(status),
+        _ => tulipridge_http1::codec::reason(status),
     }
 }
--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -9,7 +9,7 @@
 
 use async_io::Timer;
 use snafu::{ResultExt, Snafu};
-use tulipridge_http1::WireLimits;
+use tulipridge_http1::Http1Limits;
 use tulipridge_protocol::feed::Replica;
 use tulipridge_runtime::clock;
 
@@ -64,10 +64,10 @@
         context: SingletonContext,
         on_list: Box<dyn Fn()>,
     ) -> Discovery {
-        let limits = WireLimits {
+        let limits = Http1Limits {
             body_bytes: PAGE_BYTES,
             connect_timeout: Duration::from_millis(400),
-            ..WireLimits::default()
+            ..Http1Limits::default()
         };
         let now = clock::now();
         Discovery {
--- a/crates/control-plane/src/http_client.rs
+++ b/crates/control-plane/src/http_client.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use snafu::{ResultExt, Snafu};
-use tulipridge_http1::http::{self, Body, Head};
-use tulipridge_http1::{Wire, WireLimits, within};
+use tulipridge_http1::codec::{self, Body, Head};
+use tulipridge_http1::{BufferedStream, Http1Limits, within};
 
 /// Interim answers that are skipped.
 const MOST_INTERIM: u32 = 8;
@@ -81,23 +81,25 @@
 /// Calls one address, over a kept connection where the last call left one in order.
 pub struct HttpClient {
     address: SocketAddr,
-    limits: WireLimits,
-    kept: Option<Wire>,
+    limits: Http1Limits,
+    kept: Option<BufferedStream>,
 }
 
 impl HttpClient {
     /// Nothing is connected before the first call.
-    pub fn new(address: SocketAddr, limits: WireLimits) -> HttpClient {
+    pub fn new(address: SocketAddr, limits: Http1Limits) -> HttpClient {
         HttpClient { address, limits, kept: None }
     }
 
     /// Makes a call and reads its answer within a time; a connection that must be made first has its own limit.
     pub async fn call(&mut self, call: Call<'_>, timeout: Duration) -> Result<Answer, CallError> {
         let address = self.address;
-        let kept = self.kept.take().filter(Wire::is_quiet);
+        let kept = self.kept.take().filter(BufferedStream::is_quiet);
         let mut wire = match kept {
             Some(wire) => wire,
-            None => Wire::connect(address, &self.limits).await.context(ConnectSnafu { address })?,
+            None => {
+                BufferedStream::connect(address, &self.limits).await.context(ConnectSnafu { address })?
+            }
         };
         // A call that is given up is withdrawn as far as that goes: the system must not deliver it later.
         wire.abort = true;
@@ -118,7 +120,7 @@
     keep: bool,
 }
 
-async fn exchange(wire: &mut Wire, request: &[u8], limits: &WireLimits) -> io::Result<Exchange> {
+async fn exchange(wire: &mut BufferedStream, request: &[u8], limits: &Http1Limits) -> io::Result<Exchange> {
     wire.write(request).await?;
     let head = read_head(wire, limits).await?;
     let framing = head.response_body().map_err(|bad| io::Error::other(bad.what))?;
@@ -128,10 +130,10 @@
 }
 
 /// Reads the head of the final answer.
-async fn read_head(wire: &mut Wire, limits: &WireLimits) -> io::Result<Head> {
+async fn read_head(wire: &mut BufferedStream, limits: &Http1Limits) -> io::Result<Head> {
     let mut interim = 0;
     loop {
-        match http::response_head(&mut wire.buf, limits).map_err(|bad| io::Error::other(bad.what))? {
+        match codec::response_head(&mut wire.buf, limits).map_err(|bad| io::Error::other(bad.what))? {
             Some(head) if head.status() >= FIRST_FINAL_STATUS => return Ok(head),
             Some(_) if interim == MOST_INTERIM => {
                 return Err(io::Error::other("interim answers without end"));
@@ -143,7 +145,11 @@
     }
 }
 
-async fn read_body(wire: &mut Wire, mut framing: Body, limits: &WireLimits) -> io::Result<Vec<u8>> {
+async fn read_body(
+    wire: &mut BufferedStream,
+    mut framing: Body,
+    limits: &Http1Limits,
+) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let whole =
--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 use snafu::{ResultExt, Snafu};
-use tulipridge_http1::WireLimits;
+use tulipridge_http1::Http1Limits;
 use tulipridge_prefix_cache_index::{
     CacheListing, CacheUpdate, Cursor, EventPage, Liveness, PollOutcome, SourceStatus, follow, listed,
 };
@@ -84,10 +84,10 @@
         known: Option<SourceStatus>,
         outbox: Rc<Outbox>,
     ) -> Follower {
-        let limits = WireLimits {
+        let limits = Http1Limits {
             body_bytes: ANSWER_BYTES,
             connect_timeout: CONNECT_TIMEOUT,
-            ..WireLimits::default()
+            ..Http1Limits::default()
         };
         Follower {
             source,
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -14,7 +14,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
-use tulipridge_http1::WireLimits;
+use tulipridge_http1::Http1Limits;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights};
 use tulipridge_runtime::clock;
 
@@ -257,6 +257,6 @@
 }
 
 fn client(address: SocketAddrV4) -> HttpClient {
-    let limits = WireLimits { connect_timeout: Duration::from_millis(400), ..WireLimits::default() };
+    let limits = Http1Limits { connect_timeout: Duration::from_millis(400), ..Http1Limits::default() };
     HttpClient::new(SocketAddr::V4(address), limits)
 }
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -18,7 +18,7 @@
 use tulipridge_control_plane::index::{Follower, Outbox, SourceKind};
 use tulipridge_control_plane::rollout::{PlannerSettings, Rollout, RolloutOutput};
 use tulipridge_control_plane::singleton::{LeaseStatus, SingletonContext, SingletonLease};
-use tulipridge_http1::{WireLimits, within};
+use tulipridge_http1::{Http1Limits, within};
 use tulipridge_prefix_cache_index::Liveness;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 use tulipridge_runtime::settings::RevisionTerm;
@@ -254,7 +254,7 @@
         peer.listen(&listener).await;
         unreachable!("it takes connections for ever")
     };
-    let limits = WireLimits { connect_timeout: SHORT, ..WireLimits::default() };
+    let limits = Http1Limits { connect_timeout: SHORT, ..Http1Limits::default() };
     let calling = async {
         let mut client = HttpClient::new(called, limits);
         let known = match client.call(Call::get("/one"), SHORT).await {
@@ -285,7 +285,7 @@
 #[test]
 fn a_call_that_is_given_up_is_withdrawn() {
     let (listener, address) = listen();
-    let mut client = HttpClient::new(address, WireLimits::default());
+    let mut client = HttpClient::new(address, Http1Limits::default());
     let ended = async_io::block_on(async {
         let answer = client.call(Call { body: b"{}", ..Call::get("/order") }, SHORT).await;
         assert!(matches!(answer, Err(CallError::Broken { .. })));
--- a/crates/control-plane/tests/http_client.rs
+++ b/crates/control-plane/tests/http_client.rs
@@ -8,7 +8,7 @@
 use insta::assert_snapshot;
 use rstest::rstest;
 use tulipridge_control_plane::http_client::{Answer, Call, CallError, HttpClient};
-use tulipridge_http1::WireLimits;
+use tulipridge_http1::Http1Limits;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -39,7 +39,7 @@
     let (listener, address) = listen();
     let headers = [("Meant-Server", "i-1")];
     let call = Call { method: "POST", target: "/order", headers: &headers, body: b"{}" };
-    let mut client = HttpClient::new(address, WireLimits::default());
+    let mut client = HttpClient::new(address, Http1Limits::default());
     let answers = [answer];
     let (answer, mut requests) =
         async_io::block_on(future::zip(client.call(call, timeout), serve(&listener, &answers)));
@@ -81,7 +81,7 @@
 #[test]
 fn a_call_that_is_not_answered_ends_in_time() {
     let (listener, address) = listen();
-    let mut client = HttpClient::new(address, WireLimits::default());
+    let mut client = HttpClient::new(address, Http1Limits::default());
     let answer = async_io::block_on(client.call(Call::get("/report"), Duration::from_millis(20)));
     assert!(matches!(answer, Err(CallError::Broken { .. })));
     drop(listener);
@@ -90,7 +90,7 @@
 #[test]
 fn a_call_that_nobody_takes_has_not_been_seen() {
     let address = listen().1;
-    let mut client = HttpClient::new(address, WireLimits::default());
+    let mut client = HttpClient::new(address, Http1Limits::default());
     let answer = async_io::block_on(client.call(Call::get("/report"), TIMEOUT));
     assert!(matches!(answer, Err(CallError::Connect { .. })));
 }
@@ -98,7 +98,7 @@
 #[test]
 fn a_connection_is_kept_until_the_other_side_closes_it() {
     let (listener, address) = listen();
-    let mut client = HttpClient::new(address, WireLimits::default());
+    let mut client = HttpClient::new(address, Http1Limits::default());
     let keep = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let close = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
     let calls = async {
--- a/crates/control-plane/tests/whole_member.rs
+++ b/crates/control-plane/tests/whole_member.rs
@@ -15,7 +15,7 @@
 use tulipridge_control_plane::http_client::{Answer, Call, HttpClient};
 use tulipridge_control_plane::member::compaction::COMPACT_AFTER_COMMANDS;
 use tulipridge_control_plane::server::run_until;
-use tulipridge_http1::{WireLimits, within};
+use tulipridge_http1::{Http1Limits, within};
 use tulipridge_protocol::feed::SubscriberRole;
 use tulipridge_runtime::settings::Settings;
 use tulipridge_subscription::{FeedStore, Identity, Subscriber, clock};
@@ -89,7 +89,7 @@
     /// The answer to a call, if it is one with 200.
     async fn call_once(&self, call: Call<'_>) -> Option<Answer> {
         future::yield_now().await;
-        let mut client = HttpClient::new(self.operator, WireLimits::default());
+        let mut client = HttpClient::new(self.operator, Http1Limits::default());
         client.call(call, CALL_LIMIT).await.ok().filter(|answer| answer.status == 200)
     }
 
--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use snafu::{OptionExt, ResultExt, Snafu};
-use tulipridge_http1::WireLimits;
-use tulipridge_http1::http::{self, Bad, Body, Head};
+use tulipridge_http1::Http1Limits;
+use tulipridge_http1::codec::{self, Body, Head, ParseError};
 
 /// Bytes read from a socket at once.
 const READ_BYTES: usize = 64 * 1024;
@@ -107,14 +107,14 @@
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
-    limits: WireLimits,
+    limits: Http1Limits,
 }
 
 impl Connection {
     /// A connection on which nothing was read yet.
     pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true);
-        let limits = WireLimits { body_bytes: BODY_BYTES, ..WireLimits::default() };
+        let limits = Http1Limits { body_bytes: BODY_BYTES, ..Http1Limits::default() };
         Connection { stream, buffer: Vec::new(), limits }
     }
 
@@ -130,7 +130,7 @@
 
     /// Reads a request, however long that takes.
     pub fn read_request(&mut self) -> Result<Message, CallError> {
-        let head = self.read_head(None, http::request_head)?;
+        let head = self.read_head(None, codec::request_head)?;
         let framing = head.request_body(&self.limits).map_err(malformed)?;
         self.read_body(head, framing, None)
     }
@@ -138,7 +138,7 @@
     /// Reads an answer until a time; interim ones are passed over.
     pub fn read_response(&mut self, until: Instant) -> Result<Message, CallError> {
         loop {
-            let head = self.read_head(Some(until), http::response_head)?;
+            let head = self.read_head(Some(until), codec::response_head)?;
             if head.status() >= 200 {
                 let framing = head.response_body().map_err(malformed)?;
                 return self.read_body(head, framing, Some(until));
@@ -149,7 +149,7 @@
     fn read_head(
         &mut self,
         until: Option<Instant>,
-        parse: fn(&mut Vec<u8>, &WireLimits) -> Result<Option<Head>, Bad>,
+        parse: fn(&mut Vec<u8>, &Http1Limits) -> Result<Option<Head>, ParseError>,
     ) -> Result<Head, CallError> {
         loop {
             if let Some(head) = parse(&mut self.buffer, &self.limits).map_err(malformed)? {
@@ -190,6 +190,6 @@
     }
 }
 
-fn malformed(bad: Bad) -> CallError {
+fn malformed(bad: ParseError) -> CallError {
     CallError::Malformed { reason: bad.what }
 }
--- a/crates/http1/src/wire.rs
+++ b/crates/http1/src/buffered_stream.rs
@@ -11,7 +11,7 @@
 use futures_lite::future;
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-use crate::WireLimits;
+use crate::Http1Limits;
 
 /// A connection is on its way, says Linux.
 const IN_PROGRESS: i32 = 115;
@@ -22,7 +22,7 @@
 }
 
 /// A connection with what was read from it and not yet taken.
-pub struct Wire {
+pub struct BufferedStream {
     stream: Async<TcpStream>,
     /// Bytes read and not yet taken.
     pub buf: Vec<u8>,
@@ -37,7 +37,7 @@
     pub abort: bool,
 }
 
-impl Drop for Wire {
+impl Drop for BufferedStream {
     fn drop(&mut self) {
         if self.abort {
             let _ = SockRef::from(self.stream.get_ref()).set_linger(Some(Duration::ZERO));
@@ -48,12 +48,12 @@
 /// Bounds what the system keeps for a connection. Guards against a peer for whom that is megabytes, which are in
 /// no budget of ours. It must be told before the connection comes up: a window that was offered is not taken back.
 /// A system that does not heed it is no reason to do without the connection.
-pub fn bound_buffers(socket: &SockRef, limits: &WireLimits) {
+pub fn bound_buffers(socket: &SockRef, limits: &Http1Limits) {
     let _ = socket.set_recv_buffer_size(limits.socket_buffer);
     let _ = socket.set_send_buffer_size(limits.socket_buffer);
 }
 
-async fn connected(addr: SocketAddr, limits: &WireLimits) -> io::Result<Async<TcpStream>> {
+async fn connected(addr: SocketAddr, limits: &Http1Limits) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     bound_buffers(&SockRef::from(&socket), limits);
     socket.set_nonblocking(true)?;
@@ -71,32 +71,32 @@
     }
 }
 
-impl Wire {
+impl BufferedStream {
     /// Wraps an accepted connection.
-    pub fn new(stream: Async<TcpStream>) -> Wire {
+    pub fn new(stream: Async<TcpStream>) -> BufferedStream {
         let _ = stream.get_ref().set_nodelay(true);
-        Wire { stream, buf: Vec::new(), dry: false, full: false, cut: false, abort: false }
+        BufferedStream { stream, buf: Vec::new(), dry: false, full: false, cut: false, abort: false }
     }
 
     /// A connection that another process of this gateway had, with what was read from it and not yet taken.
-    pub fn handed(side: OwnedFd, buf: Vec<u8>) -> io::Result<Wire> {
-        let mut wire = Wire::new(Async::new(TcpStream::from(side))?);
+    pub fn handed(side: OwnedFd, buf: Vec<u8>) -> io::Result<BufferedStream> {
+        let mut wire = BufferedStream::new(Async::new(TcpStream::from(side))?);
         wire.buf = buf;
         Ok(wire)
     }
 
     /// Connects within a time.
-    pub async fn connect(addr: SocketAddr, limits: &WireLimits) -> io::Result<Wire> {
-        Ok(Wire::new(within(limits.connect_timeout, connected(addr, limits)).await??))
+    pub async fn connect(addr: SocketAddr, limits: &Http1Limits) -> io::Result<BufferedStream> {
+        Ok(BufferedStream::new(within(limits.connect_timeout, connected(addr, limits)).await??))
     }
 
     /// Reads what is there, or waits for some; 0 is the peer's end. Nothing is lost if it is dropped.
-    pub async fn fill(&mut self, limits: &WireLimits) -> io::Result<usize> {
+    pub async fn fill(&mut self, limits: &Http1Limits) -> io::Result<usize> {
         future::poll_fn(|cx| self.poll_fill(cx, limits)).await
     }
 
     /// The same as a poll.
-    pub fn poll_fill(&mut self, cx: &mut Context<'_>, limits: &WireLimits) -> Poll<io::Result<usize>> {
+    pub fn poll_fill(&mut self, cx: &mut Context<'_>, limits: &Http1Limits) -> Poll<io::Result<usize>> {
         loop {
             if self.dry {
                 ready!(self.stream.poll_readable(cx))?;
@@ -123,12 +123,12 @@
     }
 
     /// Reads more of what may still be taken; whether there was any.
-    pub async fn more(&mut self, limits: &WireLimits) -> bool {
+    pub async fn more(&mut self, limits: &Http1Limits) -> bool {
         !self.cut && self.fill(limits).await.is_ok_and(|n| n > 0)
     }
 
     /// Has the next read ask the system, whatever that has told of so far.
-    pub fn look_anew(&mut self) {
+    pub fn recheck_readiness(&mut self) {
         self.dry = false;
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Ends the sending side and drops what still comes, up to the peer's end, its silence or the longest time.
-    pub async fn linger(&mut self, longest: Duration, limits: &WireLimits) -> io::Result<()> {
+    pub async fn linger(&mut self, longest: Duration, limits: &Http1Limits) -> io::Result<()> {
         self.stream.get_ref().shutdown(Shutdown::Write)?;
         self.buf = Vec::new();
         let drain = async {
--- a/crates/http1/src/http.rs
+++ b/crates/http1/src/codec.rs
@@ -10,25 +10,25 @@
 use memchr::{memchr_iter, memmem};
 use serde::{Deserialize, Serialize};
 
-use crate::WireLimits;
+use crate::Http1Limits;
 
 /// What is wrong with a message, and the status that says so to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct ParseError {
     /// The status.
     pub status: u16,
     /// The fault in words.
     pub what: &'static str,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} ({})", self.what, self.status)
     }
 }
 
-const fn bad<T>(status: u16, what: &'static str) -> Result<T, Bad> {
-    Err(Bad { status, what })
+const fn bad<T>(status: u16, what: &'static str) -> Result<T, ParseError> {
+    Err(ParseError { status, what })
 }
 
 /// A message's start line and headers.
@@ -65,7 +65,7 @@
 
     /// How the body of a request is framed. Guards against smuggling: whatever two readers could take for
     /// different lengths is refused.
-    pub fn request_body(&self, limits: &WireLimits) -> Result<Body, Bad> {
+    pub fn request_body(&self, limits: &Http1Limits) -> Result<Body, ParseError> {
         match self.body(limits.body_bytes)? {
             Some(body) => Ok(body),
             None => Ok(Body::Length(0)),
@@ -73,7 +73,7 @@
     }
 
     /// How the body of a response is framed.
-    pub fn response_body(&self) -> Result<Body, Bad> {
+    pub fn response_body(&self) -> Result<Body, ParseError> {
         if matches!(self.status(), 100..=199 | 204 | 304) {
             return Ok(Body::Length(0));
         }
@@ -81,7 +81,7 @@
         Ok(self.body(usize::MAX)?.unwrap_or(Body::UntilClose))
     }
 
-    fn body(&self, most_bytes: usize) -> Result<Option<Body>, Bad> {
+    fn body(&self, most_bytes: usize) -> Result<Option<Body>, ParseError> {
         let mut lengths = self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("content-length"));
         let mut codings = self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("transfer-encoding"));
         match (lengths.next(), codings.next()) {
@@ -110,7 +110,7 @@
 }
 
 /// Takes a head from the front of `buf` once it is there whole. A strict reader refuses what is not plain text.
-fn head(buf: &mut Vec<u8>, strict: bool, limits: &WireLimits) -> Result<Option<Head>, Bad> {
+fn head(buf: &mut Vec<u8>, strict: bool, limits: &Http1Limits) -> Result<Option<Head>, ParseError> {
     // Empty lines before a message are allowed, but not without end.
     let blank = buf.chunks(2).take_while(|pair| *pair == b"\r\n").count() * 2;
     buf.drain(..blank);
@@ -157,7 +157,7 @@
 }
 
 /// Takes a request's head, which has more to it than a response's.
-pub fn request_head(buf: &mut Vec<u8>, limits: &WireLimits) -> Result<Option<Head>, Bad> {
+pub fn request_head(buf: &mut Vec<u8>, limits: &Http1Limits) -> Result<Option<Head>, ParseError> {
     let Some(head) = head(buf, true, limits)? else { return Ok(None) };
     let [method, target, version] = &head.start;
     if !method.bytes().all(token) || !(target.starts_with('/') || target == "*") || target.contains(' ') {
@@ -179,7 +179,7 @@
 }
 
 /// Takes a response's head. A header's value may be garbage, which alone does not spoil an answer.
-pub fn response_head(buf: &mut Vec<u8>, limits: &WireLimits) -> Result<Option<Head>, Bad> {
+pub fn response_head(buf: &mut Vec<u8>, limits: &Http1Limits) -> Result<Option<Head>, ParseError> {
     // Guards against waiting for the end of what can't become a head: noise need not have one.
     if buf.iter().zip(b"HTTP/1.").any(|(came, due)| came != due) {
         return bad(502, "no status line");
@@ -229,7 +229,12 @@
 
 impl Body {
     /// Moves what is there of the body from the front of `buf` to `out`; true once it is whole.
-    pub fn take(&mut self, buf: &mut Vec<u8>, out: &mut Vec<u8>, limits: &WireLimits) -> Result<bool, Bad> {
+    pub fn take(
+        &mut self,
+        buf: &mut Vec<u8>,
+        out: &mut Vec<u8>,
+        limits: &Http1Limits,
+    ) -> Result<bool, ParseError> {
         if *self == Body::UntilClose && out.is_empty() {
             std::mem::swap(buf, out);
             return Ok(false);
@@ -246,8 +251,8 @@
         buf: &[u8],
         taken: &mut usize,
         out: &mut Vec<u8>,
-        limits: &WireLimits,
-    ) -> Result<bool, Bad> {
+        limits: &Http1Limits,
+    ) -> Result<bool, ParseError> {
         loop {
             let rest = &buf[*taken..];
             match self {
@@ -338,7 +343,7 @@
     }
 }
 
-fn chunk_size(line: &[u8], limits: &WireLimits) -> Result<usize, Bad> {
+fn chunk_size(line: &[u8], limits: &Http1Limits) -> Result<usize, ParseError> {
     let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
     let hex = !digits.is_empty() && digits.len() <= 8 && digits.iter().all(u8::is_ascii_hexdigit);
     let size = hex.then(|| str::from_utf8(digits).ok().and_then(|d| usize::from_str_radix(d, 16).ok()));
@@ -446,7 +451,11 @@
 
 /// Takes the whole blocks from the front of `text`, all that are there; none if there is none. `scanned` is how
 /// far it was looked through before, and begins at 0.
-pub fn sse_batch(text: &mut Vec<u8>, scanned: &mut usize, limits: &WireLimits) -> Result<Vec<u8>, Bad> {
+pub fn sse_batch(
+    text: &mut Vec<u8>,
+    scanned: &mut usize,
+    limits: &Http1Limits,
+) -> Result<Vec<u8>, ParseError> {
     let (mut start, mut fault) = (0, false);
     for end in block_ends(text, *scanned) {
         // Guards against an event without end; what came whole before it is good.
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,14 +1,14 @@
 //! HTTP/1.1 and server-sent events over connections that don't block, each within its limits.
 //!
-//! [`Wire`] is a connection with what was read from it, [`http`] has the parsers, and [`WireLimits`] the bounds
+//! [`BufferedStream`] is a connection with what was read from it, [`codec`] has the parsers, and [`Http1Limits`] the bounds
 //! that both keep to.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod http;
+mod buffered_stream;
+pub mod codec;
 mod limits;
-mod wire;
 
-pub use limits::WireLimits;
-pub use wire::{Wire, bound_buffers, within};
+pub use buffered_stream::{BufferedStream, bound_buffers, within};
+pub use limits::Http1Limits;
--- a/crates/http1/src/limits.rs
+++ b/crates/http1/src/limits.rs
@@ -4,7 +4,7 @@
 
 /// What a connection may use and how long it waits. Nothing else in this package states a bound.
 #[derive(Clone, Debug)]
-pub struct WireLimits {
+pub struct Http1Limits {
     /// Bytes of a message's head.
     pub head_bytes: usize,
     /// Header lines of a message.
@@ -28,10 +28,10 @@
     pub linger_quiet: Duration,
 }
 
-impl Default for WireLimits {
-    fn default() -> WireLimits {
+impl Default for Http1Limits {
+    fn default() -> Http1Limits {
         let event_bytes = 64 << 10;
-        WireLimits {
+        Http1Limits {
             head_bytes: 16 << 10,
             headers: 64,
             body_bytes: 256 << 10,
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -5,7 +5,7 @@
 
 use tulipridge_configuration::lookup::RoutingTable;
 use tulipridge_configuration::{Configuration, Route, Tenant};
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 
 /// A configuration with its index.
 #[derive(Debug)]
--- a/crates/proxy/src/bounds.rs
+++ b/crates/proxy/src/bounds.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use tulipridge_configuration::Caps;
-use tulipridge_http1::WireLimits;
+use tulipridge_http1::Http1Limits;
 
 use crate::notice::Notice;
 
@@ -135,24 +135,24 @@
 }
 
 /// The limits that connections of clients keep to.
-pub fn client_limits(caps: &Caps) -> WireLimits {
-    WireLimits {
+pub fn client_limits(caps: &Caps) -> Http1Limits {
+    Http1Limits {
         head_bytes: caps.head_bytes as usize,
         headers: MOST_HEADERS,
         body_bytes: caps.body_bytes as usize,
         read_bytes: READ_BYTES,
-        ..WireLimits::default()
+        ..Http1Limits::default()
     }
 }
 
 /// The limits that connections to replicas keep to.
-pub fn replica_limits() -> WireLimits {
-    WireLimits {
+pub fn replica_limits() -> Http1Limits {
+    Http1Limits {
         head_bytes: ANSWER_HEAD_BYTES,
         headers: MOST_HEADERS,
         body_bytes: LONGEST_CHUNK,
         read_bytes: READ_BYTES,
         connect_timeout: CONNECT_TIMEOUT,
-        ..WireLimits::default()
+        ..Http1Limits::default()
     }
 }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -4,8 +4,8 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-use tulipridge_http1::http::Head;
-use tulipridge_http1::{Wire, WireLimits};
+use tulipridge_http1::codec::Head;
+use tulipridge_http1::{BufferedStream, Http1Limits};
 
 use crate::bounds::HeldBytes;
 use crate::headers::{After, OwnAnswer};
@@ -61,9 +61,9 @@
 /// The client's side of a request.
 pub struct Client<'a> {
     /// The connection.
-    pub wire: &'a mut Wire,
+    pub wire: &'a mut BufferedStream,
     /// Its limits.
-    pub limits: Rc<WireLimits>,
+    pub limits: Rc<Http1Limits>,
     /// What is announced of its idle time.
     pub idle: Duration,
     /// The client keeps the connection for further requests.
--- a/crates/proxy/src/edge.rs
+++ b/crates/proxy/src/edge.rs
@@ -10,8 +10,8 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::future;
-use tulipridge_http1::http::{self, Bad, Body, Head};
-use tulipridge_http1::{Wire, WireLimits};
+use tulipridge_http1::codec::{self, Body, Head, ParseError};
+use tulipridge_http1::{BufferedStream, Http1Limits};
 
 use crate::bounds::{ClientPlace, HeldBytes};
 use crate::client::{self, Client, Done, Incoming};
@@ -41,7 +41,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let place = proxy.client_place();
-                    executor.spawn(connection(proxy.clone(), Wire::new(stream), place)).detach();
+                    executor.spawn(connection(proxy.clone(), BufferedStream::new(stream), place)).detach();
                 }
                 Err(error) => {
                     log::warn!(error:% = error; "a connection can't be accepted");
@@ -54,11 +54,11 @@
     // What the system has accepted by now would be reset with the listener.
     while let Some(Ok((stream, _))) = future::poll_once(listener.accept()).await {
         let place = proxy.client_place();
-        executor.spawn(connection(proxy.clone(), Wire::new(stream), place)).detach();
+        executor.spawn(connection(proxy.clone(), BufferedStream::new(stream), place)).detach();
     }
 }
 
-async fn connection(proxy: Rc<Proxy>, mut wire: Wire, _place: ClientPlace) {
+async fn connection(proxy: Rc<Proxy>, mut wire: BufferedStream, _place: ClientPlace) {
     loop {
         let limits = proxy.client_limits();
         let incoming = match read_request(&proxy, &mut wire, &limits).await {
@@ -80,12 +80,12 @@
 
 /// Ends a connection that was answered. What still comes is read and dropped for a while, since a reset could
 /// overtake the answer.
-async fn close(mut wire: Wire, limits: &WireLimits) {
+async fn close(mut wire: BufferedStream, limits: &Http1Limits) {
     let _ = wire.linger(LINGER, limits).await;
 }
 
 /// Answers what can't be read as a request.
-async fn reject(proxy: &Proxy, mut wire: Wire, fault: Bad, limits: &WireLimits) {
+async fn reject(proxy: &Proxy, mut wire: BufferedStream, fault: ParseError, limits: &Http1Limits) {
     log::debug!(status = fault.status; "a request can't be read: {}", fault.what);
     let mut bytes = Vec::new();
     OwnAnswer::plain(fault.status).write(None, After::Close, &mut bytes);
@@ -97,9 +97,9 @@
 /// Reads the next request whole. None: the connection ended, was idle for too long, or shall be closed.
 async fn read_request(
     proxy: &Rc<Proxy>,
-    wire: &mut Wire,
-    limits: &WireLimits,
-) -> Result<Option<Incoming>, Bad> {
+    wire: &mut BufferedStream,
+    limits: &Http1Limits,
+) -> Result<Option<Incoming>, ParseError> {
     if wire.buf.is_empty() && !wait_for_bytes(proxy, wire, limits).await {
         return Ok(None);
     }
@@ -120,12 +120,12 @@
     }
 }
 
-fn late() -> Bad {
-    Bad { status: 408, what: "the request took too long to arrive" }
+fn late() -> ParseError {
+    ParseError { status: 408, what: "the request took too long to arrive" }
 }
 
 /// Waits on an idle connection; false if it is to be closed.
-async fn wait_for_bytes(proxy: &Proxy, wire: &mut Wire, limits: &WireLimits) -> bool {
+async fn wait_for_bytes(proxy: &Proxy, wire: &mut BufferedStream, limits: &Http1Limits) -> bool {
     let mut idle = proxy.alarms.after(Duration::from_millis(proxy.caps().idle_ms));
     loop {
         if proxy.stage() >= Stage::Draining && wire.is_quiet() {
@@ -147,9 +147,9 @@
     }
 }
 
-async fn read_head(wire: &mut Wire, limits: &WireLimits) -> Result<Option<Head>, Bad> {
+async fn read_head(wire: &mut BufferedStream, limits: &Http1Limits) -> Result<Option<Head>, ParseError> {
     loop {
-        if let Some(head) = http::request_head(&mut wire.buf, limits)? {
+        if let Some(head) = codec::request_head(&mut wire.buf, limits)? {
             return Ok(Some(head));
         }
         if !wire.more(limits).await {
@@ -160,11 +160,11 @@
 
 async fn read_body(
     proxy: &Proxy,
-    wire: &mut Wire,
-    limits: &WireLimits,
+    wire: &mut BufferedStream,
+    limits: &Http1Limits,
     head: &Head,
     held: &mut HeldBytes,
-) -> Result<Option<Vec<u8>>, Bad> {
+) -> Result<Option<Vec<u8>>, ParseError> {
     let mut framing = head.request_body(limits)?;
     let mut body = Vec::new();
     if let Body::Length(length) = framing {
@@ -179,7 +179,7 @@
     loop {
         let is_whole = framing.take(&mut wire.buf, &mut body, limits)?;
         if body.len() > limits.body_bytes {
-            return Err(Bad { status: 413, what: "the body is too large" });
+            return Err(ParseError { status: 413, what: "the body is too large" });
         }
         held.set(body.len());
         if is_whole {
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -1,6 +1,6 @@
 //! Whole events of a stream, and the id of the last one, so that another replica can go on behind it.
 
-use tulipridge_http1::http::block_ends;
+use tulipridge_http1::codec::block_ends;
 
 /// A stream without the end of an event for so many bytes is passed on as it comes and can't be resumed.
 const LONGEST_EVENT: usize = 256 * 1024;
--- a/crates/proxy/src/exchange/answers.rs
+++ b/crates/proxy/src/exchange/answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use tulipridge_http1::http::Body;
+use tulipridge_http1::codec::Body;
 
 use super::{DEADLINE_GRACE, Exchange, Final};
 use crate::client::{Client, Done, write_last, write_own};
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 
 use crate::kv_cache::KvTransfer;
 
@@ -127,7 +127,7 @@
 /// are left out: a line end in one would begin a header that the replica did not send.
 pub fn write_answer(head: &Head, framing: Framing, after: After, out: &mut Vec<u8>) {
     let stated = &head.start[2];
-    let reason = if is_plain(stated) { stated } else { tulipridge_http1::http::reason(head.status()) };
+    let reason = if is_plain(stated) { stated } else { tulipridge_http1::codec::reason(head.status()) };
     line(out, &["HTTP/1.1 ", &head.start[1], " ", reason]);
     let named = named_by_connection(head);
     let drops_length = framing != Framing::None || head.status() == NO_CONTENT;
@@ -167,7 +167,8 @@
 
     /// Writes the whole answer to the try with this id.
     pub fn write(self, attempt_id: Option<&str>, after: After, out: &mut Vec<u8>) {
-        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, tulipridge_http1::http::reason(self.status));
+        let _ =
+            write!(out, "HTTP/1.1 {} {}\r\n", self.status, tulipridge_http1::codec::reason(self.status));
         if let Some(id) = attempt_id {
             line(out, &["Attempt-Id: ", id]);
         }
--- a/crates/proxy/src/placement/prompt.rs
+++ b/crates/proxy/src/placement/prompt.rs
@@ -1,6 +1,6 @@
 //! What a request says of its prompt, and the key of the ring that follows from it.
 
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 use tulipridge_prefix_cache_index::prefix_hash;
 
 /// A part of a prompt.
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use tulipridge_configuration::{Caps, Configuration};
-use tulipridge_http1::WireLimits;
+use tulipridge_http1::Http1Limits;
 use tulipridge_load_balancer::types::ReplicaId;
 use tulipridge_protocol::feed::{ModelRevision, Replica, WeightsTable};
 use tulipridge_runtime::clock;
@@ -56,7 +56,7 @@
     /// What is in use of what the process may use.
     pub usage: Rc<Usage>,
     routing: RefCell<Option<Rc<Routing>>>,
-    client_limits: RefCell<Rc<WireLimits>>,
+    client_limits: RefCell<Rc<Http1Limits>>,
     budgets: RefCell<BTreeMap<String, RetryBudget>>,
     expiry: RefCell<Expiry>,
     expiry_changed: Notice,
@@ -220,7 +220,7 @@
     }
 
     /// The limits that connections of clients keep to.
-    pub fn client_limits(&self) -> Rc<WireLimits> {
+    pub fn client_limits(&self) -> Rc<Http1Limits> {
         self.client_limits.borrow().clone()
     }
 
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/ready.rs
@@ -6,7 +6,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use tulipridge_http1::{Wire, WireLimits, http};
+use tulipridge_http1::{BufferedStream, Http1Limits, codec};
 
 use crate::headers::{After, OwnAnswer};
 use crate::proxy::Proxy;
@@ -24,7 +24,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let proxy = proxy.clone();
-                executor.spawn(async move { answer(&proxy, Wire::new(stream)).await }).detach();
+                executor.spawn(async move { answer(&proxy, BufferedStream::new(stream)).await }).detach();
             }
             Err(error) => {
                 log::warn!(error:% = error; "a check of readiness can't be accepted");
@@ -35,11 +35,11 @@
 }
 
 /// Answers the checks that come on one connection; none once it has ended.
-async fn answer(proxy: &Proxy, mut wire: Wire) -> Option<()> {
-    let limits = WireLimits::default();
+async fn answer(proxy: &Proxy, mut wire: BufferedStream) -> Option<()> {
+    let limits = Http1Limits::default();
     loop {
         let head = loop {
-            if let Some(head) = http::request_head(&mut wire.buf, &limits).ok()? {
+            if let Some(head) = codec::request_head(&mut wire.buf, &limits).ok()? {
                 break head;
             }
             let by = std::time::Instant::now() + IDLE;
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -5,7 +5,7 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
-use tulipridge_http1::http::{Body, LAST_CHUNK};
+use tulipridge_http1::codec::{Body, LAST_CHUNK};
 
 use crate::alarms::Alarm;
 use crate::client::Client;
--- a/crates/proxy/src/replica/attempt.rs
+++ b/crates/proxy/src/replica/attempt.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::rc::Rc;
 
-use tulipridge_http1::http::{self, Body, Head};
+use tulipridge_http1::codec::{self, Body, Head};
 
 use crate::replica::connection::{Connection, Sent};
 use crate::replica::outcome::{ConnectionState, Known, SendEvent};
@@ -132,7 +132,7 @@
 async fn read_head(connection: &mut Connection, pool: &Pool) -> Result<Head, NoHead> {
     let mut interim = 0;
     loop {
-        match http::response_head(&mut connection.wire.buf, pool.limits()) {
+        match codec::response_head(&mut connection.wire.buf, pool.limits()) {
             Ok(Some(head)) if head.status() >= 200 => return Ok(head),
             Ok(Some(_)) if interim < MOST_INTERIM => interim += 1,
             Ok(Some(_)) | Err(_) => return Err(NoHead::NotHttp),
--- a/crates/proxy/src/replica/connection.rs
+++ b/crates/proxy/src/replica/connection.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::task::{Context, Poll};
 
-use tulipridge_http1::http::Head;
-use tulipridge_http1::{Wire, WireLimits};
+use tulipridge_http1::codec::Head;
+use tulipridge_http1::{BufferedStream, Http1Limits};
 
 use crate::replica::outcome::ConnectionState;
 use crate::replica::pool::Slot;
@@ -14,7 +14,7 @@
 /// replica drops what it was asked.
 pub struct Connection {
     /// What was read and not yet taken, and the socket.
-    pub wire: Wire,
+    pub wire: BufferedStream,
     /// The part of the request that the answer has overtaken.
     unsent: Unsent,
     /// Worse than clean if it is not to be used again.
@@ -57,7 +57,7 @@
 
 impl Connection {
     /// A connection that has just come up.
-    pub fn new(wire: Wire, slot: Slot) -> Connection {
+    pub fn new(wire: BufferedStream, slot: Slot) -> Connection {
         Connection { wire, unsent: Unsent::default(), state: ConnectionState::Clean, _slot: slot }
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Writes a request, up to the first bytes that come from the replica.
-    pub async fn send(&mut self, head: &[u8], body: &[u8], limits: &WireLimits) -> Sent {
+    pub async fn send(&mut self, head: &[u8], body: &[u8], limits: &Http1Limits) -> Sent {
         let mut written = 0;
         let stop = poll_fn(|context| self.poll_send(context, head, body, &mut written, limits)).await;
         match stop {
@@ -101,7 +101,7 @@
         head: &[u8],
         body: &[u8],
         written: &mut usize,
-        limits: &WireLimits,
+        limits: &Http1Limits,
     ) -> Poll<Stop> {
         while *written < head.len() + body.len() {
             let head_left = &head[(*written).min(head.len())..];
@@ -121,12 +121,16 @@
     }
 
     /// Reads what is there, or waits for some; 0 is the replica's end.
-    pub async fn fill(&mut self, limits: &WireLimits) -> io::Result<usize> {
+    pub async fn fill(&mut self, limits: &Http1Limits) -> io::Result<usize> {
         poll_fn(|context| self.poll_fill(context, limits)).await
     }
 
     /// The same as a poll. What is left of the request goes out meanwhile.
-    pub fn poll_fill(&mut self, context: &mut Context<'_>, limits: &WireLimits) -> Poll<io::Result<usize>> {
+    pub fn poll_fill(
+        &mut self,
+        context: &mut Context<'_>,
+        limits: &Http1Limits,
+    ) -> Poll<io::Result<usize>> {
         self.poll_unsent(context);
         self.wire.poll_fill(context, limits)
     }
--- a/crates/proxy/src/replica/pool.rs
+++ b/crates/proxy/src/replica/pool.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use socket2::{SockRef, TcpKeepalive};
-use tulipridge_http1::http::Head;
-use tulipridge_http1::{Wire, WireLimits};
+use tulipridge_http1::codec::Head;
+use tulipridge_http1::{BufferedStream, Http1Limits};
 use tulipridge_load_balancer::types::ReplicaId;
 
 use crate::replica::connection::Connection;
@@ -54,17 +54,17 @@
     idle: RefCell<BTreeMap<ReplicaId, Vec<Idle>>>,
     open: Rc<Cell<usize>>,
     most_open: usize,
-    limits: WireLimits,
+    limits: Http1Limits,
 }
 
 impl Pool {
     /// Holds up to so many connections, each within the limits.
-    pub fn new(most_open: usize, limits: WireLimits) -> Self {
+    pub fn new(most_open: usize, limits: Http1Limits) -> Self {
         Pool { idle: RefCell::default(), open: Rc::default(), most_open, limits }
     }
 
     /// The limits that connections to replicas keep to.
-    pub fn limits(&self) -> &WireLimits {
+    pub fn limits(&self) -> &Http1Limits {
         &self.limits
     }
 
@@ -91,7 +91,7 @@
             }
         }
         let slot = Slot::new(&self.open);
-        let mut wire = Wire::connect(address, &self.limits).await?;
+        let mut wire = BufferedStream::connect(address, &self.limits).await?;
         watch_peer(&wire);
         wire.abort = true;
         Ok(Connection::new(wire, slot))
@@ -145,7 +145,7 @@
 
 /// Has the system notice a peer that is gone without a word. A system that does not heed it is no reason to do
 /// without the connection.
-fn watch_peer(wire: &Wire) {
+fn watch_peer(wire: &BufferedStream) {
     let descriptor = wire.fd();
     let socket = SockRef::from(&descriptor);
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
--- a/crates/proxy/src/replica/reply.rs
+++ b/crates/proxy/src/replica/reply.rs
@@ -1,6 +1,6 @@
 //! What the head of a replica's answer says of the request.
 
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 
 use crate::headers::is_plain;
 use crate::replica::outcome::SendEvent;
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/heads.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 use tulipridge_proxy::headers::{Additions, After, Framing, OwnAnswer, write_answer, write_request};
 use tulipridge_proxy::kv_cache::KvTransfer;
 
--- a/crates/proxy/tests/pure.rs
+++ b/crates/proxy/tests/pure.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 use tulipridge_proxy::alarms::Alarms;
 use tulipridge_proxy::bounds::Bounds;
 use tulipridge_proxy::events::EventTracker;
--- a/fuzz/fuzz_targets/events.rs
+++ b/fuzz/fuzz_targets/events.rs
@@ -8,7 +8,7 @@
 use tulipridge::front::messages::message_assembler::MessageAssembler;
 use tulipridge::front::{Dialect, OmissionLog, StreamTranslator};
 use tulipridge::limits::Limits;
-use tulipridge::net::http;
+use tulipridge::net::codec;
 
 fuzz_target!(|input: &[u8]| {
     let Some((cut, stream)) = input.split_first() else { return };
@@ -20,7 +20,7 @@
             let (mut text, mut scanned, mut out) = (Vec::new(), 0, Vec::new());
             for piece in stream.chunks(step) {
                 text.extend_from_slice(piece);
-                let Ok(batch) = http::sse_batch(&mut text, &mut scanned, &limits.wire) else { return out };
+                let Ok(batch) = codec::sse_batch(&mut text, &mut scanned, &limits.wire) else { return out };
                 translator.events(server, &batch, &mut out);
                 if translator.is_full() {
                     return out;
--- a/src/api_keys.rs
+++ b/src/api_keys.rs
@@ -3,7 +3,7 @@
 use sha2::{Digest, Sha256};
 use subtle::{Choice, ConditionallySelectable, ConstantTimeEq};
 
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 
 /// A key that is known.
 #[derive(Clone, Debug)]
--- a/src/front/forwarded_request.rs
+++ b/src/front/forwarded_request.rs
@@ -6,7 +6,7 @@
 
 use super::{AcceptedRequest, Dialect, FrontContext, messages, platform, translate};
 use crate::limits::Limits;
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 
 /// Headers that belong to one connection, or that this program states anew. A stream that is compressed could not be
 /// looked through, so none is asked for.
--- a/src/front/messages/message_assembler.rs
+++ b/src/front/messages/message_assembler.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Map, Value};
 
-use tulipridge_http1::http::{self, SseBlock};
+use tulipridge_http1::codec::{self, SseBlock};
 
 /// A message that is being put together.
 #[derive(Default)]
@@ -52,7 +52,7 @@
 
     /// Takes whole events in.
     pub fn events(&mut self, events: &[u8]) {
-        for block in http::sse_blocks(events) {
+        for block in codec::sse_blocks(events) {
             if !block.is_comment() && !self.is_full() {
                 self.event(block);
             }
--- a/src/front/messages/mod.rs
+++ b/src/front/messages/mod.rs
@@ -21,7 +21,7 @@
 use models::Models;
 use request::{Purpose, Request};
 use route::Route;
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 
 /// Where requests come in.
 pub const PATH: &str = "/v1/messages";
--- a/src/front/messages/models.rs
+++ b/src/front/messages/models.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 
 /// A model that clients may ask for.
 #[derive(Clone, Debug, Default)]
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -28,7 +28,7 @@
 pub use responder::Responder;
 pub use response_encoder::ResponseEncoder;
 pub use translate::{OmissionLog, StreamTranslator, Usage};
-use tulipridge_http1::http::{self, Head, SseBlock};
+use tulipridge_http1::codec::{self, Head, SseBlock};
 
 /// Headers that an answer has besides those of its form.
 pub type Headers = Vec<(&'static str, String)>;
@@ -150,8 +150,8 @@
             Dialect::Platform => b"\"prompt_tokens\"",
             Dialect::Messages => b"\"output_tokens\"",
         };
-        http::find(events, word)?;
-        let told = http::sse_blocks(events).filter(|block| http::find(block.0, word).is_some());
+        codec::find(events, word)?;
+        let told = codec::sse_blocks(events).filter(|block| codec::find(block.0, word).is_some());
         told.filter_map(|block| translate::usage(self, block)).reduce(Usage::most)
     }
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -4,7 +4,7 @@
 use crate::engine::Ask;
 use crate::names::Names;
 use crate::types::Nanos;
-use tulipridge_http1::http::Head;
+use tulipridge_http1::codec::Head;
 
 /// Where requests come in.
 pub const PATH: &str = "/v1/chat/completions";
--- a/src/front/reply.rs
+++ b/src/front/reply.rs
@@ -3,7 +3,7 @@
 use std::fmt::Display;
 use std::time::Duration;
 
-use tulipridge_http1::http;
+use tulipridge_http1::codec;
 
 /// A whole answer without a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     /// Its bytes, which say whether the connection stays.
     pub fn bytes(&self, keep: bool) -> Vec<u8> {
         let (status, length) = (self.status, self.body.len());
-        let reason = http::reason(status);
+        let reason = codec::reason(status);
         let mut text = format!("HTTP/1.1 {status} {reason}\r\n");
         if status != 204 {
             text.push_str(&format!("Content-Type: {}\r\nContent-Length: {length}\r\n", self.kind));
--- a/src/front/responder.rs
+++ b/src/front/responder.rs
@@ -7,7 +7,7 @@
 use super::{Dialect, Headers, Reply};
 use crate::engine::FailureReason;
 use crate::stream::Cause;
-use tulipridge_http1::http::Bad;
+use tulipridge_http1::codec::ParseError;
 
 /// What a client's answers are formed by.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
     }
 
     /// The same, of its form.
-    pub fn malformed(&self, bad: Bad) -> Reply {
+    pub fn malformed(&self, bad: ParseError) -> Reply {
         self.bad(bad.status, bad.what)
     }
 
--- a/src/front/response_encoder.rs
+++ b/src/front/response_encoder.rs
@@ -7,7 +7,7 @@
 use super::{Dialect, OmissionLog, Reply, Responder, StreamTranslator};
 use crate::limits::Limits;
 use crate::stream::Cause;
-use tulipridge_http1::http;
+use tulipridge_http1::codec;
 
 /// A begun answer.
 pub struct ResponseEncoder {
@@ -106,7 +106,7 @@
                 head(&self.responder, headed, keep, line);
                 if cause == Cause::Whole {
                     chunk(line, |line| self.translator.finish(line));
-                    line.extend_from_slice(http::LAST_CHUNK);
+                    line.extend_from_slice(codec::LAST_CHUNK);
                 } else {
                     let told = self.translator.broken(cause);
                     chunk(line, |line| line.extend_from_slice(&told));
--- a/src/front/translate/messages.rs
+++ b/src/front/translate/messages.rs
@@ -10,7 +10,7 @@
 use super::blocks::{Blocks, Lane};
 use super::event::event;
 use super::text_fragment::TextFragment;
-use tulipridge_http1::http::SseBlock;
+use tulipridge_http1::codec::SseBlock;
 
 /// Blocks that one answer may have; a real server that invents more is not heard on them.
 const MOST_BLOCKS: usize = 1024;
--- a/src/front/translate/mod.rs
+++ b/src/front/translate/mod.rs
@@ -22,7 +22,7 @@
 use crate::limits::Limits;
 use crate::names::Dialect;
 use crate::stream::Cause;
-use tulipridge_http1::http::{self, SseBlock};
+use tulipridge_http1::codec::{self, SseBlock};
 
 /// Reads a stream of either dialect.
 pub enum Reader {
@@ -156,7 +156,7 @@
             self.reader = Some((server, Reader::new(server)));
         }
         let mut parts = std::mem::take(&mut self.parts);
-        for block in http::sse_blocks(events) {
+        for block in codec::sse_blocks(events) {
             let Some((_, reader)) = &mut self.reader else { break };
             reader.read(block, &mut parts);
             for part in parts.drain(..) {
--- a/src/front/translate/platform.rs
+++ b/src/front/translate/platform.rs
@@ -9,7 +9,7 @@
 use super::text_fragment::{FragmentJoiner, TextFragment};
 use crate::front::object::{Text, object};
 use crate::front::write::{List, Object};
-use tulipridge_http1::http::SseBlock;
+use tulipridge_http1::codec::SseBlock;
 
 /// Uses of tools that one answer may have; a real server that invents more is not heard on them.
 const MOST_CALLS: u32 = 1024;
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use tulipridge_http1::WireLimits;
+use tulipridge_http1::Http1Limits;
 
 /// What a gateway may use and how long it waits. Nothing else in the network code states a bound, but for
 /// what a connection keeps to by itself.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// What each connection keeps to.
-    pub wire: WireLimits,
+    pub wire: Http1Limits,
     /// Interim answers (1xx) before one that counts.
     pub interim_heads: usize,
     /// Bytes of one object of discovery's answers.
@@ -139,7 +139,7 @@
         // fill at most, and the system doubles what it is asked for.
         let socket_buffer = ((memory_mb << 20) / 3 / edge_connections / 4).clamp(4 << 10, 64 << 10);
         Limits {
-            wire: WireLimits { socket_buffer, connect_timeout: connect, ..WireLimits::default() },
+            wire: Http1Limits { socket_buffer, connect_timeout: connect, ..Http1Limits::default() },
             interim_heads: 16,
             list_bytes: 1 << 20,
             edge_connections,
@@ -337,7 +337,7 @@
     pub span: Duration,
     /// Ends remembered of each real server.
     pub ends: usize,
-    /// Bad ends in a span before a rest is thought of.
+    /// ParseError ends in a span before a rest is thought of.
     pub faults: usize,
     /// The share of bad ends before a rest.
     pub share: f64,
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -12,10 +12,10 @@
 use futures_lite::future;
 use log::Level;
 
-use super::http::{self, Body, Head};
+use super::codec::{self, Body, Head};
 use super::objects::{NoObject, Objects, Piece};
 use super::servers::Fleet;
-use super::{Wire, within};
+use super::{BufferedStream, within};
 use crate::engine::{Engine, FleetOrder};
 use crate::limits::Limits;
 use crate::names::{Listing, Names, State};
@@ -186,14 +186,14 @@
     }
 
     /// Sends a call and reads the head of its answer.
-    async fn open(&self, path: &str) -> io::Result<(Wire, Head)> {
+    async fn open(&self, path: &str) -> io::Result<(BufferedStream, Head)> {
         let limits = &self.limits;
-        let mut wire = Wire::connect(self.addr.get(), &limits.wire).await?;
+        let mut wire = BufferedStream::connect(self.addr.get(), &limits.wire).await?;
         let request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.addr.get());
         wire.write(request.as_bytes()).await?;
         let begun = within(limits.discovery_answer, async {
             loop {
-                match http::response_head(&mut wire.buf, &limits.wire) {
+                match codec::response_head(&mut wire.buf, &limits.wire) {
                     Ok(Some(head)) => return Ok(head),
                     Ok(None) if wire.fill(&limits.wire).await? > 0 => {}
                     Ok(None) => return Err(io::ErrorKind::UnexpectedEof.into()),
@@ -208,7 +208,7 @@
     /// Reads the answer of a call that was made at `from`, up to its end.
     async fn follow(
         &self,
-        mut wire: Wire,
+        mut wire: BufferedStream,
         head: Head,
         watch: bool,
         from: Instant,
@@ -275,7 +275,7 @@
 
     /// A watch has fallen silent: the next one is due, whose beginning ends this. Guards against a line that was only
     /// late, after which no call is needed.
-    async fn listen_on(&self, wire: &mut Wire) -> io::Result<usize> {
+    async fn listen_on(&self, wire: &mut BufferedStream) -> io::Result<usize> {
         log::info!(version = self.version.get(); "watch-silent: it is opened anew unless it speaks before");
         self.silent.set(true);
         self.engine.list(ListKind::Failed, Vec::new());
--- a/src/net/edge/connection.rs
+++ b/src/net/edge/connection.rs
@@ -10,7 +10,7 @@
 use super::charge::Charge;
 use super::exchange::Exchange;
 use super::request::request_id;
-use super::{Edge, Wire, within};
+use super::{BufferedStream, Edge, within};
 use crate::admission::connection_slots::ConnectionState;
 use crate::engine;
 use crate::front::{Call, Dialect, ForwardedRequest, Responder};
@@ -20,16 +20,16 @@
 /// What becomes of a connection once it has been answered.
 pub(super) enum AfterReply {
     /// It may carry another request.
-    KeepAlive(Wire),
+    KeepAlive(BufferedStream),
     /// That was its last answer, which may still be on its way.
-    Close(Wire),
+    Close(BufferedStream),
 }
 
 impl Edge {
     /// Serves a connection until it ends.
     pub(super) async fn connection(
         self: Rc<Self>,
-        mut wire: Wire,
+        mut wire: BufferedStream,
         from: SocketAddr,
         dialect: Dialect,
         mut slot: Slot,
@@ -48,7 +48,7 @@
 
     /// Ends a connection that was answered. Guards against a reset that overtakes the answer: what still comes is
     /// read and dropped for a while, unless the slot is needed sooner.
-    pub(super) async fn close(&self, mut wire: Wire, mut slot: Slot) {
+    pub(super) async fn close(&self, mut wire: BufferedStream, mut slot: Slot) {
         slot.set_state(ConnectionState::Closing);
         let longest = match self.lifecycle.is_stopping() {
             true => self.limits.wire.linger_quiet,
@@ -64,7 +64,7 @@
     /// One request and its answer; the connection comes back unless there is nothing more to be done for it.
     async fn exchange(
         self: Rc<Self>,
-        mut wire: Wire,
+        mut wire: BufferedStream,
         dialect: Dialect,
         from: SocketAddr,
         slot: &mut Slot,
--- a/src/net/edge/exchange.rs
+++ b/src/net/edge/exchange.rs
@@ -11,18 +11,18 @@
 use super::charge::Charge;
 use super::connection::AfterReply;
 use super::held_bytes::HeldBytes;
-use super::{Edge, Wire, within};
+use super::{BufferedStream, Edge, within};
 use crate::admission::pipelined::{Disposition, PipelinedInput};
 use crate::engine::{self, FailureReason};
 use crate::front::{Reply, Responder, ResponseEncoder};
-use crate::net::http::Bad;
+use crate::net::codec::ParseError;
 use crate::net::servers::Batch;
 use crate::stream::Leaving;
 
 /// A client waiting for its answer. Each way to answer takes it, so that it gets one.
 pub(super) struct Exchange {
     pub(super) edge: Rc<Edge>,
-    pub(super) wire: Wire,
+    pub(super) wire: BufferedStream,
     /// What comes behind its request, and the bytes of it that are counted.
     pub(super) pipelined: (PipelinedInput, HeldBytes),
     pub(super) responder: Responder,
@@ -75,7 +75,7 @@
             }
             wire.cut = pipelined.is_truncated();
             // Its end may have come with these bytes.
-            wire.look_anew();
+            wire.recheck_readiness();
         }
     }
 }
@@ -88,7 +88,7 @@
     }
 
     async fn has_left(&mut self) -> bool {
-        self.wire.look_anew();
+        self.wire.recheck_readiness();
         future::poll_once(self.gone()).await.is_some()
     }
 
@@ -100,7 +100,7 @@
         let what = "more was sent behind this request than is read";
         log::info!(id = self.responder.id, after:? = self.from.elapsed(); "flooded: {what}");
         self.keep = false;
-        let reply = self.responder.malformed(Bad { status: 413, what });
+        let reply = self.responder.malformed(ParseError { status: 413, what });
         self.reply(reply).await;
     }
 
--- a/src/net/edge/handover.rs
+++ b/src/net/edge/handover.rs
@@ -12,7 +12,7 @@
 use super::charge::Charge;
 use super::connection::AfterReply;
 use super::exchange::Exchange;
-use super::{Edge, Wire};
+use super::{BufferedStream, Edge};
 use crate::admission::connection_slots::ConnectionState;
 use crate::engine::{self, BegunStream};
 use crate::front::{Dialect, Responder, ResponseEncoder};
@@ -29,7 +29,7 @@
         [client, server]: [OwnedFd; 2],
     ) -> io::Result<()> {
         let [line, buf, ..] = &mut snapshot.waiting;
-        let (line, wire) = (std::mem::take(line), Wire::handed(client, std::mem::take(buf))?);
+        let (line, wire) = (std::mem::take(line), BufferedStream::handed(client, std::mem::take(buf))?);
         let from = wire.peer()?;
         let steps = Running::unpack(self.fleet.clone(), &mut snapshot, server)?;
         let (responder, waiting) = (Responder::new(Dialect::Platform, &snapshot.name), line.len());
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -16,13 +16,13 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use rustix::io::Errno;
-use tulipridge_http1::WireLimits;
+use tulipridge_http1::Http1Limits;
 
 use super::followers::Followers;
 use super::lifecycle_monitor::LifecycleMonitor;
 use super::servers::Fleet;
 use super::slot_pool::SlotPool;
-use super::{Wire, within};
+use super::{BufferedStream, within};
 use crate::admission::connection_slots::SlotTimeouts;
 use crate::engine::Engine;
 use crate::front::{Dialect, FrontContext};
@@ -36,7 +36,7 @@
     context: Rc<FrontContext>,
     limits: Rc<Limits>,
     /// A connection's limits, with the bounds of the messages front's bodies.
-    messages_wire: WireLimits,
+    messages_wire: Http1Limits,
     lifecycle: Rc<LifecycleMonitor>,
     /// Where streams that outlast this process go, if they may.
     followers: Rc<Followers>,
@@ -64,7 +64,7 @@
         };
         let slots = Rc::new(SlotPool::new(engine.clone(), timeouts));
         let body_bytes = limits.messages.body_bytes;
-        let messages_wire = WireLimits { body_bytes, ..limits.wire.clone() };
+        let messages_wire = Http1Limits { body_bytes, ..limits.wire.clone() };
         Edge {
             engine,
             fleet,
@@ -88,7 +88,7 @@
     ) {
         self.listeners.set(self.listeners.get() + 1);
         let take = |(stream, from)| {
-            let (wire, slot) = (Wire::new(stream), self.slots.acquire());
+            let (wire, slot) = (BufferedStream::new(stream), self.slots.acquire());
             ex.spawn(self.clone().connection(wire, from, dialect, slot)).detach();
         };
         while self.lifecycle.accepting().await {
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -5,14 +5,14 @@
 
 use async_io::Timer;
 use futures_lite::future;
-use tulipridge_http1::WireLimits;
+use tulipridge_http1::Http1Limits;
 
 use super::held_bytes::HeldBytes;
-use super::{Edge, Wire, within};
+use super::{BufferedStream, Edge, within};
 use crate::admission::connection_slots::ConnectionState;
 use crate::admission::pipelined::{Bounds, PipelinedInput};
 use crate::front::Dialect;
-use crate::net::http::{self, Bad, Body, Head};
+use crate::net::codec::{self, Body, Head, ParseError};
 use crate::net::slot_pool::Slot;
 
 impl Edge {
@@ -34,7 +34,11 @@
     }
 
     /// How what comes behind a request on this connection is taken.
-    pub(super) fn pipelined(self: &Rc<Self>, dialect: Dialect, wire: &Wire) -> (PipelinedInput, HeldBytes) {
+    pub(super) fn pipelined(
+        self: &Rc<Self>,
+        dialect: Dialect,
+        wire: &BufferedStream,
+    ) -> (PipelinedInput, HeldBytes) {
         let wire_limits = self.wire_limits(dialect);
         let whole = wire_limits.head_bytes + wire_limits.body_bytes;
         let bounds = Bounds { least: wire_limits.head_bytes, most: whole, flood: self.limits.flood_bytes };
@@ -42,7 +46,7 @@
     }
 
     /// A connection's limits, with the bounds of that front's bodies.
-    fn wire_limits(&self, dialect: Dialect) -> &WireLimits {
+    fn wire_limits(&self, dialect: Dialect) -> &Http1Limits {
         match dialect {
             Dialect::Platform => &self.limits.wire,
             Dialect::Messages => &self.messages_wire,
@@ -52,10 +56,10 @@
     /// Reads the next request whole. `None`: the connection ended, was idle for too long, or shall close.
     pub(super) async fn request(
         self: &Rc<Self>,
-        wire: &mut Wire,
+        wire: &mut BufferedStream,
         dialect: Dialect,
         slot: &mut Slot,
-    ) -> Result<Option<(Head, Vec<u8>, HeldBytes)>, Bad> {
+    ) -> Result<Option<(Head, Vec<u8>, HeldBytes)>, ParseError> {
         let (limits, wire_limits) = (&self.limits, self.wire_limits(dialect));
         let silent_since = slot.silent_since();
         if wire.buf.is_empty() {
@@ -80,7 +84,7 @@
         slot.set_state(ConnectionState::Receiving);
         let whole = async {
             let head = loop {
-                if let Some(head) = http::request_head(&mut wire.buf, wire_limits)? {
+                if let Some(head) = codec::request_head(&mut wire.buf, wire_limits)? {
                     break head;
                 }
                 if !wire.more(wire_limits).await {
@@ -100,7 +104,7 @@
             loop {
                 let whole = framing.take(&mut wire.buf, &mut body, wire_limits)?;
                 if body.len() > wire_limits.body_bytes {
-                    return Err(Bad { status: 413, what: "the body is too large" });
+                    return Err(ParseError { status: 413, what: "the body is too large" });
                 }
                 bytes.grow_to(body.len());
                 if whole {
@@ -116,7 +120,7 @@
                 slot.progress();
             }
         };
-        let late = || Err(Bad { status: 408, what: "the request took too long to arrive" });
+        let late = || Err(ParseError { status: 408, what: "the request took too long to arrive" });
         let left = async {
             slot.evicted().await;
             Ok(late())
--- a/src/net/handover_message.rs
+++ b/src/net/handover_message.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::http::Body;
+use super::codec::Body;
 use crate::front::Usage;
 use crate::types::Nanos;
 
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -10,10 +10,10 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 
-use super::http::{self, Bad, Head};
+use super::codec::{self, Head, ParseError};
 use super::lifecycle_monitor::LifecycleMonitor;
 use super::slot_pool::{Slot, SlotPool};
-use super::{Wire, within};
+use super::{BufferedStream, within};
 use crate::admission::connection_slots::{ConnectionState, SlotTimeouts};
 use crate::engine::Engine;
 use crate::front::Reply;
@@ -64,8 +64,8 @@
 
     /// One call, answered within its time, whatever has come of it.
     async fn call(&self, stream: Async<TcpStream>, from: SocketAddr, mut slot: Slot) {
-        let mut wire = Wire::new(stream);
-        let late = Bad { status: 408, what: "the call took too long to arrive" };
+        let mut wire = BufferedStream::new(stream);
+        let late = ParseError { status: 408, what: "the call took too long to arrive" };
         let head =
             within(self.limits.mgmt_read, self.head(&mut wire, &mut slot)).await.unwrap_or(Err(late));
         let reply = match head {
@@ -83,9 +83,9 @@
     }
 
     /// A call's head; a body says nothing here. `None`: the caller left.
-    async fn head(&self, wire: &mut Wire, slot: &mut Slot) -> Result<Option<Head>, Bad> {
+    async fn head(&self, wire: &mut BufferedStream, slot: &mut Slot) -> Result<Option<Head>, ParseError> {
         loop {
-            if let Some(head) = http::request_head(&mut wire.buf, &self.limits.wire)? {
+            if let Some(head) = codec::request_head(&mut wire.buf, &self.limits.wire)? {
                 return Ok(Some(head));
             }
             if !wire.fill(&self.limits.wire).await.is_ok_and(|n| n > 0) {
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -13,7 +13,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use super::{Wire, within};
+use super::{BufferedStream, within};
 use crate::limits::Limits;
 use crate::store::{Digest, Entries, Store};
 
@@ -46,7 +46,7 @@
             Ok((stream, from)) => {
                 let (store, limits, free) = (store.clone(), limits.clone(), free.clone());
                 let conversation = async move {
-                    if let Err(e) = answer(Wire::new(stream), &store, &limits).await {
+                    if let Err(e) = answer(BufferedStream::new(stream), &store, &limits).await {
                         log::info!(peer:% = from; "store-connection-ended: {e}");
                     }
                     let _ = free.recv().await;
@@ -62,7 +62,7 @@
     }
 }
 
-async fn answer(mut wire: Wire, store: &Store, limits: &Limits) -> io::Result<()> {
+async fn answer(mut wire: BufferedStream, store: &Store, limits: &Limits) -> io::Result<()> {
     while let Some(line) = read(&mut wire, limits).await? {
         let reply = match line {
             Line::Digest { digest } => json!({"news": store.news_for(&digest), "digest": store.digest()}),
@@ -84,7 +84,7 @@
     let mut reached = true;
     loop {
         let outcome = async {
-            let mut wire = Wire::connect(peer, &limits.wire).await?;
+            let mut wire = BufferedStream::connect(peer, &limits.wire).await?;
             loop {
                 write(&mut wire, &json!({"digest": store.digest()}), &limits).await?;
                 let line = within(limits.discovery_answer, read(&mut wire, &limits)).await??;
@@ -118,13 +118,13 @@
     }
 }
 
-async fn write(wire: &mut Wire, value: &Value, limits: &Limits) -> io::Result<()> {
+async fn write(wire: &mut BufferedStream, value: &Value, limits: &Limits) -> io::Result<()> {
     within(limits.edge_write, wire.write(format!("{value}\n").as_bytes())).await?
 }
 
 /// The next line; `None` at the end. Guards against garbage: what is no line of ours, or is too long, ends the
 /// connection, and nothing of it is taken.
-async fn read(wire: &mut Wire, limits: &Limits) -> io::Result<Option<Line>> {
+async fn read(wire: &mut BufferedStream, limits: &Limits) -> io::Result<Option<Line>> {
     loop {
         if let Some(end) = wire.buf.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = wire.buf.drain(..=end).collect();
--- a/src/net/servers/attempt.rs
+++ b/src/net/servers/attempt.rs
@@ -13,7 +13,7 @@
 use crate::engine::Ending;
 use crate::front::{Dialect, ForwardedRequest};
 use crate::limits::Limits;
-use crate::net::http::{Body, Head};
+use crate::net::codec::{Body, Head};
 use crate::types::{ReplicaId, Verdict};
 
 /// Why no answer began.
--- a/src/net/servers/connection.rs
+++ b/src/net/servers/connection.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use crate::net::Wire;
+use crate::net::BufferedStream;
 
 /// A connection's place in the count of open ones.
 pub(super) struct ConnectionCount(Rc<Cell<usize>>);
@@ -23,6 +23,6 @@
 
 /// A connection in use.
 pub(super) struct Connection {
-    pub(super) wire: Wire,
+    pub(super) wire: BufferedStream,
     pub(super) slot: ConnectionCount,
 }
--- a/src/net/servers/mod.rs
+++ b/src/net/servers/mod.rs
@@ -20,7 +20,7 @@
 pub use self::batch::Batch;
 use self::connection::{Connection, ConnectionCount};
 pub use self::running::{Dispatch, Running};
-use super::{Wire, within};
+use super::{BufferedStream, within};
 use crate::front::{Dialect, ServerDialects};
 use crate::limits::Limits;
 use crate::names::{ServiceEntry, State};
@@ -33,7 +33,7 @@
     ready: bool,
     dialect: Dialect,
     started: f64,
-    idle: Vec<(Wire, Instant, ConnectionCount)>,
+    idle: Vec<(BufferedStream, Instant, ConnectionCount)>,
 }
 
 /// Reads a load report, in the order of the settings.
@@ -194,7 +194,7 @@
             }
         }
         let slot = ConnectionCount::new(&self.open);
-        Ok(Connection { wire: Wire::connect(addr, &self.limits.wire).await?, slot })
+        Ok(Connection { wire: BufferedStream::connect(addr, &self.limits.wire).await?, slot })
     }
 
     fn place(&self, server: &ReplicaId) -> Option<(SocketAddr, Dialect)> {
--- a/src/net/servers/open_answer.rs
+++ b/src/net/servers/open_answer.rs
@@ -6,10 +6,10 @@
 use futures_lite::future;
 
 use super::connection::Connection;
-use super::{Batch, Fleet, Wire, within};
+use super::{Batch, BufferedStream, Fleet, within};
 use crate::engine::{Arrival, Ending, Step};
 use crate::front::{Dialect, Usage};
-use crate::net::http::{self, Body};
+use crate::net::codec::{self, Body};
 use crate::stream::End;
 use crate::types::{ReplicaId, Verdict};
 
@@ -69,7 +69,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Result<Batch, Verdict>> {
         Poll::Ready(loop {
-            let batch = http::sse_batch(&mut open.text, &mut open.scanned, &self.limits.wire);
+            let batch = codec::sse_batch(&mut open.text, &mut open.scanned, &self.limits.wire);
             let Ok(mut batch) = batch else {
                 open.spoilt = true;
                 break Err(Verdict::Reset);
@@ -81,7 +81,7 @@
             if open.spoilt {
                 break Err(Verdict::Reset);
             }
-            let Wire { buf, .. } = &mut open.connection.wire;
+            let BufferedStream { buf, .. } = &mut open.connection.wire;
             let had = open.text.len();
             match open.body.take(buf, &mut open.text, &self.limits.wire) {
                 Ok(true) if open.text.len() == had => {
@@ -117,9 +117,9 @@
     fn look_through(&self, open: &mut OpenAnswer, batch: &mut Vec<u8>) -> u64 {
         let (mut events, mut blank, mut end) = (0, false, batch.len());
         let mut at = 0;
-        for block in http::sse_blocks(batch) {
+        for block in codec::sse_blocks(batch) {
             at += block.0.len();
-            if block.0[0] == b':' || http::find(block.0, b"\n:").is_some() {
+            if block.0[0] == b':' || codec::find(block.0, b"\n:").is_some() {
                 for comment in block.comments() {
                     if let Some(text) = comment.strip_prefix("X-Load:") {
                         open.report = (self.gauges)(text);
@@ -143,7 +143,8 @@
             open.usage = Some(open.usage.map_or(usage, |told| told.most(usage)));
         }
         if blank {
-            *batch = http::sse_blocks(batch).filter(|b| !b.is_blank()).flat_map(|b| b.0).copied().collect();
+            *batch =
+                codec::sse_blocks(batch).filter(|b| !b.is_blank()).flat_map(|b| b.0).copied().collect();
         }
         events
     }
--- a/src/net/servers/probe.rs
+++ b/src/net/servers/probe.rs
@@ -3,7 +3,7 @@
 use super::response_head::read_head;
 use super::{Fleet, within};
 use crate::engine::Ending;
-use crate::net::http::{Body, Head};
+use crate::net::codec::{Body, Head};
 use crate::types::{ReplicaId, Verdict};
 
 impl Fleet {
--- a/src/net/servers/response_head.rs
+++ b/src/net/servers/response_head.rs
@@ -2,15 +2,15 @@
 
 use std::io;
 
-use super::{Wire, within};
+use super::{BufferedStream, within};
 use crate::limits::Limits;
-use crate::net::http::{self, Head};
+use crate::net::codec::{self, Head};
 
 /// The head of the final answer, past interim ones.
-pub(super) async fn read_head(wire: &mut Wire, limits: &Limits) -> io::Result<Head> {
+pub(super) async fn read_head(wire: &mut BufferedStream, limits: &Limits) -> io::Result<Head> {
     let mut interim = 0;
     loop {
-        match http::response_head(&mut wire.buf, &limits.wire) {
+        match codec::response_head(&mut wire.buf, &limits.wire) {
             Ok(Some(head)) if (100..200).contains(&head.status()) => {
                 interim += 1;
                 if interim > limits.interim_heads {
--- a/src/net/servers/running.rs
+++ b/src/net/servers/running.rs
@@ -12,7 +12,7 @@
 use super::attempt::Refusal;
 use super::connection::{Connection, ConnectionCount};
 use super::open_answer::{OpenAnswer, arrived};
-use super::{Batch, Fleet, Wire, within};
+use super::{Batch, BufferedStream, Fleet, within};
 use crate::engine::{Servers, Step};
 use crate::front::{Dialect, ForwardedRequest};
 use crate::net::handover_message::StreamSnapshot;
@@ -69,7 +69,7 @@
     pub fn unpack(fleet: Rc<Fleet>, snapshot: &mut StreamSnapshot, side: OwnedFd) -> io::Result<Running> {
         let missing = || io::Error::other("no real server in it");
         let [_, _, buf, text] = &mut snapshot.waiting;
-        let mut wire = Wire::handed(side, std::mem::take(buf))?;
+        let mut wire = BufferedStream::handed(side, std::mem::take(buf))?;
         wire.abort = true;
         let open = OpenAnswer {
             server: ReplicaId::from(snapshot.server.as_str()),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -185,7 +185,7 @@
     /// The span over which ends are counted.
     #[serde(with = "humantime_serde")]
     pub span: Option<Duration>,
-    /// Bad ends in a span before a rest.
+    /// ParseError ends in a span before a rest.
     pub faults: Option<usize>,
     /// The share of bad ends before a rest, 0 to 1.
     pub share: Option<f64>,
--- a/src/syslog/sinks.rs
+++ b/src/syslog/sinks.rs
@@ -11,7 +11,7 @@
 use super::framed;
 use super::queue::Lines;
 use crate::limits::Limits;
-use tulipridge_http1::{Wire, within};
+use tulipridge_http1::{BufferedStream, within};
 
 /// Enough for a thread that only writes.
 const STACK: usize = 64 << 10;
@@ -45,11 +45,11 @@
 
 /// Feeds the collector, for ever: connects anew when it has to, and sends again the line that was not taken.
 pub async fn to_collector(collector: SocketAddr, mut lines: Lines, limits: &Limits) {
-    let mut wire: Option<Wire> = None;
+    let mut wire: Option<BufferedStream> = None;
     while let Some(line) = lines.next().await {
         loop {
             if wire.as_ref().is_none_or(|w| !w.is_quiet()) {
-                wire = Wire::connect(collector, &limits.wire).await.ok();
+                wire = BufferedStream::connect(collector, &limits.wire).await.ok();
             }
             if let Some(open) = &mut wire
                 && let Ok(Ok(())) = within(limits.edge_write, open.write(&framed(&line))).await
--- a/tests/instant.rs
+++ b/tests/instant.rs
@@ -16,7 +16,7 @@
 use socket2::SockRef;
 use support::*;
 use tulipridge::limits::Limits;
-use tulipridge::net::Wire;
+use tulipridge::net::BufferedStream;
 
 /// Another 1,000 bytes come each so many milliseconds, for 0.3 s: far longer than an answer takes.
 const PACE: Duration = Duration::from_millis(10);
@@ -259,9 +259,9 @@
     let handed = client.try_clone().expect("a copy");
     async_io::block_on(async {
         let wires = [
-            Wire::new(Async::new(accepted).expect("watched")),
-            Wire::handed(handed.into(), Vec::new()).expect("watched"),
-            Wire::connect(addr, &limits.wire).await.expect("it accepts"),
+            BufferedStream::new(Async::new(accepted).expect("watched")),
+            BufferedStream::handed(handed.into(), Vec::new()).expect("watched"),
+            BufferedStream::connect(addr, &limits.wire).await.expect("it accepts"),
         ];
         for wire in wires {
             assert!(SockRef::from(&wire.fd()).tcp_nodelay().expect("an option"));
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -13,8 +13,8 @@
 
 use quickcheck::{Gen, QuickCheck};
 use serde_json::{Value, json};
+use tulipridge::net::codec::Body;
 use tulipridge::net::handover_message::StreamSnapshot;
-use tulipridge::net::http::Body;
 
 use support::*;
 
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -20,7 +20,7 @@
 use tulipridge::front::{Dialect, ForwardedRequest};
 use tulipridge::limits::Limits;
 use tulipridge::names::{ServiceEntry, State};
-use tulipridge::net::http::{self, Body};
+use tulipridge::net::codec::{self, Body};
 use tulipridge::net::servers::{Dispatch, Fleet};
 use tulipridge::stream::{Cause, Leaving};
 use tulipridge::types::{self, *};
@@ -308,7 +308,7 @@
 
 fn dispatch(fleet: &Rc<Fleet>) -> Dispatch {
     let start = ["POST", "/v1/chat/completions", "HTTP/1.1"].map(str::to_owned);
-    let head = http::Head { start, headers: Vec::new() };
+    let head = codec::Head { start, headers: Vec::new() };
     let forwarded =
         Rc::new(ForwardedRequest::new(Dialect::Platform, head, b"{}".to_vec(), Rc::new(limits())));
     Dispatch { fleet: fleet.clone(), forwarded }
@@ -367,14 +367,14 @@
         for size in &self.chunks {
             let (chunk, left) = rest.split_at(usize::from(*size).min(rest.len()));
             if !chunk.is_empty() {
-                out.extend(http::chunk(chunk));
+                out.extend(codec::chunk(chunk));
             }
             rest = left;
         }
         if !rest.is_empty() {
-            out.extend(http::chunk(rest));
+            out.extend(codec::chunk(rest));
         }
-        out.extend(http::LAST_CHUNK);
+        out.extend(codec::LAST_CHUNK);
         out
     }
 }
@@ -388,11 +388,11 @@
 }
 
 impl Reader {
-    fn push(&mut self, bytes: &[u8], limits: &Limits) -> Result<(), http::Bad> {
+    fn push(&mut self, bytes: &[u8], limits: &Limits) -> Result<(), codec::ParseError> {
         self.buf.extend_from_slice(bytes);
         loop {
             if self.body.is_none() {
-                let Some(head) = http::request_head(&mut self.buf, &limits.wire)? else { return Ok(()) };
+                let Some(head) = codec::request_head(&mut self.buf, &limits.wire)? else { return Ok(()) };
                 self.body = Some((head.start[1].clone(), head.request_body(&limits.wire)?, Vec::new()));
             }
             let Some((_, framing, body)) = &mut self.body else { return Ok(()) };
@@ -473,7 +473,7 @@
         let end = Reader::default().push(bytes.as_bytes(), &limits());
         assert_eq!(end.map_err(|bad| bad.status), Err(status), "{chunks:?}");
     }
-    assert!(http::response_head(&mut b"noise".to_vec(), &limits().wire).is_err());
+    assert!(codec::response_head(&mut b"noise".to_vec(), &limits().wire).is_err());
 }
 
 #[test]
@@ -495,13 +495,13 @@
             let (piece, left) = rest.split_at(size);
             buf.extend_from_slice(piece);
             rest = left;
-            let batch = http::sse_batch(&mut buf, &mut scanned, &limits().wire).expect("small");
-            let blocks = http::sse_blocks(&batch).map(|b| String::from_utf8(b.0.to_vec()).expect("UTF-8"));
+            let batch = codec::sse_batch(&mut buf, &mut scanned, &limits().wire).expect("small");
+            let blocks = codec::sse_blocks(&batch).map(|b| String::from_utf8(b.0.to_vec()).expect("UTF-8"));
             out.extend(blocks);
         }
         out == events && buf.is_empty()
     }
     check(14).quickcheck(same as fn(Vec<u8>, Vec<u8>) -> bool);
     let mut endless = vec![b'x'; limits().wire.event_bytes + 1];
-    assert!(http::sse_batch(&mut endless, &mut 0, &limits().wire).is_err());
+    assert!(codec::sse_batch(&mut endless, &mut 0, &limits().wire).is_err());
 }
--- a/tests/translate.rs
+++ b/tests/translate.rs
@@ -13,7 +13,7 @@
 use tulipridge::front::translate::{to_messages, to_platform};
 use tulipridge::front::{Dialect, OmissionLog, StreamTranslator};
 use tulipridge::limits::{Limits, MessagesLimits};
-use tulipridge::net::http;
+use tulipridge::net::codec;
 
 fn limits() -> Limits {
     Limits::new(64, 64, Duration::from_secs(1), Duration::from_secs(1))
@@ -246,7 +246,7 @@
         text.extend_from_slice(piece);
         rest = after;
         let batch =
-            http::sse_batch(&mut text, &mut scanned, &limits.wire).expect("events within their bound");
+            codec::sse_batch(&mut text, &mut scanned, &limits.wire).expect("events within their bound");
         translator.events(server, &batch, &mut out);
         assert!(!translator.is_full());
     }
@@ -264,7 +264,7 @@
 
         // One block after another, each begun once and ended once.
         let (mut open, mut next) = (None, 0);
-        for block in http::sse_blocks(&whole) {
+        for block in codec::sse_blocks(&whole) {
             let value: Value = serde_json::from_str(&block.data()).expect("JSON");
             let index = value["index"].as_u64();
             match block.name() {
--- a/tests/units/api_keys.rs
+++ b/tests/units/api_keys.rs
@@ -1,7 +1,7 @@
 //! Looking up API keys by their hashes.
 
 use tulipridge::api_keys::{Holder, Key, Keys, digits_of, hash_of};
-use tulipridge::net::http::Head;
+use tulipridge::net::codec::Head;
 
 #[test]
 fn a_key_is_known_by_its_hash_in_either_header_and_no_other_is() {
--- a/tests/units/messages_order.rs
+++ b/tests/units/messages_order.rs
@@ -11,7 +11,7 @@
 use tulipridge::front::{AcceptedRequest, Call, FrontContext, ServerDialects};
 use tulipridge::limits::Limits;
 use tulipridge::names::Names;
-use tulipridge::net::http::Head;
+use tulipridge::net::codec::Head;
 use tulipridge::types::Nanos;
 
 const SECOND: Nanos = 1_000_000_000;
