--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -14,7 +14,7 @@
 
 use serde_json::{Value, json};
 
-use support::fleet::*;
+use support::fleet::{Clients, Ends, Fleet, Lists, Mood, Seen, Servers, idle_while_queued, worst_window};
 
 const GATEWAYS: usize = 300;
 const SERVERS: usize = 30;
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -56,6 +56,7 @@
 
 impl Agent {
     /// An agent that does nothing before it is started.
+    #[must_use]
     pub fn new(settings: Settings) -> Rc<Self> {
         let store = Rc::new(RefCell::new(FeedStore::remembering(REMEMBERED_CONFIGURATIONS)));
         let identity = Identity {
--- a/crates/agent/src/choice.rs
+++ b/crates/agent/src/choice.rs
@@ -43,6 +43,7 @@
 
 impl HomeChoice {
     /// A choice for the agent on `machine` in `zone` that knows of `seeds`.
+    #[must_use]
     pub fn new(machine: String, zone: String, seeds: Vec<Ipv4Addr>) -> Self {
         HomeChoice { machine, zone, seeds, failures: BTreeMap::new(), chosen_at: None }
     }
@@ -67,6 +68,7 @@
     }
 
     /// Whether to leave `current`, which works, for a better home.
+    #[must_use]
     pub fn prefers_another(&self, current: Ipv4Addr, known: &[ControlNode], now: Duration) -> bool {
         let settled = self.chosen_at.is_none_or(|since| now.saturating_sub(since) >= MIN_STAY);
         let Some(best) = self.best(known, now) else { return false };
--- a/crates/agent/src/shutdown.rs
+++ b/crates/agent/src/shutdown.rs
@@ -17,6 +17,7 @@
 
 impl Shutdown {
     /// The agent is asked to stop at `now` and killed after `leeway`.
+    #[must_use]
     pub fn new(now: Duration, leeway: Duration) -> Self {
         let deadline = now.saturating_add(leeway.saturating_sub(RESERVE));
         Shutdown { deadline, proxy_seen: now }
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -71,6 +71,7 @@
     }
 
     /// The revision that the change leads to.
+    #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -42,6 +42,7 @@
 
 impl Delta {
     /// What leads from `old` to `new`.
+    #[must_use]
     pub fn between(old: &[u8], new: &[u8]) -> Delta {
         let mut builder = DeltaBuilder { old, places: places_of_pieces(old), delta: Delta::default() };
         for piece in pieces(new) {
--- a/crates/configuration/src/difference.rs
+++ b/crates/configuration/src/difference.rs
@@ -32,6 +32,7 @@
 }
 
 /// What leads from `old` to `new`.
+#[must_use]
 pub fn difference(old: &Configuration, new: &Configuration) -> ConfigurationChanges {
     let (routes, removed_routes) = changed_items(&old.routes, &new.routes);
     let (services, removed_services) = changed_items(&old.services, &new.services);
@@ -54,6 +55,7 @@
 /// them.
 ///
 /// The caller sees to it that `old` has the revision on which the changes build (`changes.base`).
+#[must_use]
 pub fn apply(old: &Configuration, changes: &ConfigurationChanges) -> Configuration {
     Configuration {
         revision: changes.revision,
--- a/crates/configuration/src/digest.rs
+++ b/crates/configuration/src/digest.rs
@@ -47,6 +47,7 @@
     }
 
     /// The digest of a call that names weights of a model.
+    #[must_use]
     pub fn of_weights(model: &str, revision: u64) -> Self {
         let model = digest_of_bytes(tag::TEXT, model.as_bytes());
         let revision = digest_of_bytes(tag::WHOLE, &revision.to_le_bytes());
@@ -64,18 +65,18 @@
 
 /// What a hashed part is; the seed of its hash, so that values of two types don't look alike.
 mod tag {
-    pub const PUT: u64 = 0;
-    pub const PATCH: u64 = 1;
-    pub const NULL: u64 = 2;
-    pub const BOOLEAN: u64 = 3;
-    pub const WHOLE: u64 = 4;
-    pub const NEGATIVE: u64 = 5;
-    pub const FRACTION: u64 = 6;
-    pub const TEXT: u64 = 7;
-    pub const LIST: u64 = 8;
-    pub const OBJECT: u64 = 9;
-    pub const WEIGHTS: u64 = 10;
-    pub const EXACT_BODY: u64 = 11;
+    pub(super) const PUT: u64 = 0;
+    pub(super) const PATCH: u64 = 1;
+    pub(super) const NULL: u64 = 2;
+    pub(super) const BOOLEAN: u64 = 3;
+    pub(super) const WHOLE: u64 = 4;
+    pub(super) const NEGATIVE: u64 = 5;
+    pub(super) const FRACTION: u64 = 6;
+    pub(super) const TEXT: u64 = 7;
+    pub(super) const LIST: u64 = 8;
+    pub(super) const OBJECT: u64 = 9;
+    pub(super) const WEIGHTS: u64 = 10;
+    pub(super) const EXACT_BODY: u64 = 11;
 }
 
 fn digest_of_bytes(tag: u64, bytes: &[u8]) -> RawDigest {
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -37,26 +37,31 @@
     }
 
     /// The document as JSON: the bytes that the operator sent, or those that a change made.
+    #[must_use]
     pub fn to_bytes(&self) -> Arc<[u8]> {
         Arc::clone(&self.bytes)
     }
 
     /// The same bytes as [`Document::to_bytes`], borrowed.
+    #[must_use]
     pub fn text(&self) -> &[u8] {
         &self.bytes
     }
 
     /// The operator's version number.
+    #[must_use]
     pub fn revision(&self) -> u64 {
         self.configuration.revision
     }
 
     /// Which document it is.
+    #[must_use]
     pub fn version(&self) -> DocumentVersion {
         DocumentVersion { revision: self.revision(), digest: self.digest }
     }
 
     /// The typed form.
+    #[must_use]
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
--- a/crates/configuration/src/entry.rs
+++ b/crates/configuration/src/entry.rs
@@ -74,16 +74,19 @@
     }
 
     /// The document on which the change builds.
+    #[must_use]
     pub fn base(&self) -> DocumentVersion {
         self.base
     }
 
     /// The document to which the change leads.
+    #[must_use]
     pub fn result(&self) -> DocumentVersion {
         self.result
     }
 
     /// The call that led to it.
+    #[must_use]
     pub fn call(&self) -> RequestDigest {
         self.call
     }
--- a/crates/configuration/src/fields.rs
+++ b/crates/configuration/src/fields.rs
@@ -1,14 +1,14 @@
 //! Names of the fields that the operator's JSON has at the top, and of each item's label.
 
 /// The version number.
-pub const REVISION: &str = "revision";
+pub(crate) const REVISION: &str = "revision";
 /// The list of routes.
-pub const ROUTES: &str = "routes";
+pub(crate) const ROUTES: &str = "routes";
 /// The list of services.
-pub const SERVICES: &str = "backends";
+pub(crate) const SERVICES: &str = "backends";
 /// The list of tenants.
-pub const TENANTS: &str = "customers";
+pub(crate) const TENANTS: &str = "customers";
 /// The limits on clients.
-pub const CAPS: &str = "caps";
+pub(crate) const CAPS: &str = "caps";
 /// The name of an item, unique in its list.
-pub const LABEL: &str = "label";
+pub(crate) const LABEL: &str = "label";
--- a/crates/configuration/src/findings.rs
+++ b/crates/configuration/src/findings.rs
@@ -118,11 +118,13 @@
     }
 
     /// How many there are.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.list.len()
     }
 
     /// Nothing was found.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
--- a/crates/configuration/src/history.rs
+++ b/crates/configuration/src/history.rs
@@ -87,6 +87,7 @@
 
 impl ConfigurationState {
     /// The newest configuration, if there is one.
+    #[must_use]
     pub fn document(&self) -> Option<&Document> {
         self.document.as_ref()
     }
@@ -97,11 +98,13 @@
     }
 
     /// Decides on a whole configuration. Without `If-Match`, only a first configuration is taken.
+    #[must_use]
     pub fn decide_put(&self, if_match: Option<u64>, body: &[u8]) -> Decision {
         self.decide(CallKind::Put, if_match, body)
     }
 
     /// Decides on a change of named items.
+    #[must_use]
     pub fn decide_patch(&self, if_match: Option<u64>, body: &[u8]) -> Decision {
         self.decide(CallKind::Patch, if_match, body)
     }
--- a/crates/configuration/src/lookup.rs
+++ b/crates/configuration/src/lookup.rs
@@ -17,6 +17,7 @@
 
 impl RoutingTable {
     /// Indexes a configuration.
+    #[must_use]
     pub fn new(configuration: &Configuration) -> Self {
         let mut table = RoutingTable::default();
         for (index, route) in configuration.routes.iter().enumerate() {
@@ -36,11 +37,13 @@
     ///
     /// `host` is the `Host` header's value, in any case and with or without a port. `target` is the path; a
     /// query behind it is left out.
+    #[must_use]
     pub fn route(&self, host: &str, target: &str) -> Option<usize> {
         self.routes_of(without_port(host))?.longest_prefix(path_of(target))
     }
 
     /// The tenant that holds a key.
+    #[must_use]
     pub fn tenant(&self, key: &str) -> Option<usize> {
         self.tenants_by_key.get(key).copied()
     }
@@ -48,6 +51,7 @@
     /// Picks one of a route's shares by their weights. `u` is a number from 0 up to 1; equal numbers pick
     /// equal shares. The result is a position in the route's `shares`; none if the route is unknown or has
     /// no share.
+    #[must_use]
     pub fn pick_share(&self, route: usize, u: f64) -> Option<usize> {
         self.shares.get(route)?.pick(u)
     }
--- a/crates/configuration/src/remembered.rs
+++ b/crates/configuration/src/remembered.rs
@@ -17,6 +17,7 @@
 
 impl RememberedCalls {
     /// Whether the call is among those remembered.
+    #[must_use]
     pub fn contains(&self, call: &RequestDigest) -> bool {
         self.known.contains(call)
     }
@@ -36,11 +37,13 @@
     }
 
     /// The calls as bytes, for a snapshot.
+    #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         self.order.iter().flat_map(|call| call.to_bytes()).collect()
     }
 
     /// The calls from the bytes of [`RememberedCalls::to_bytes`]; none if these are of another length.
+    #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let (calls, []) = bytes.as_chunks() else { return None };
         let mut remembered = RememberedCalls::default();
--- a/crates/configuration/src/wire.rs
+++ b/crates/configuration/src/wire.rs
@@ -161,12 +161,12 @@
 
 impl Whole {
     /// The number, or the largest that fits.
-    pub fn to_u32(self) -> u32 {
+    pub(crate) fn to_u32(self) -> u32 {
         u32::try_from(self.0).unwrap_or(u32::MAX)
     }
 
     /// The number, or the largest that fits.
-    pub fn to_u8(self) -> u8 {
+    pub(crate) fn to_u8(self) -> u8 {
         u8::try_from(self.0).unwrap_or(u8::MAX)
     }
 }
@@ -206,7 +206,7 @@
 impl WireDocument {
     /// Reads a document. Where its values have wrong types, reads it again piece by piece for all their
     /// places.
-    pub fn read(bytes: &[u8]) -> Result<Self, Findings> {
+    pub(crate) fn read(bytes: &[u8]) -> Result<Self, Findings> {
         // The reader passes over the text of unknown fields unread.
         let text = std::str::from_utf8(bytes).map_err(|error| unreadable(&error))?;
         let document: Result<Object<WireDocument>, _> = serde_json::from_str(text);
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -7,7 +7,7 @@
 
 /// A valid configuration: two routes, two services and a store, two tenants, and fields that the system
 /// doesn't know.
-pub fn sample() -> Value {
+pub(crate) fn sample() -> Value {
     json!({
         "revision": 7,
         "remark": "kept as it is",
@@ -39,14 +39,14 @@
 }
 
 /// The sample with the value at a JSON pointer replaced.
-pub fn sample_with(pointer: &str, value: Value) -> Value {
+pub(crate) fn sample_with(pointer: &str, value: Value) -> Value {
     let mut document = sample();
     *document.pointer_mut(pointer).expect("the sample has the field") = value;
     document
 }
 
 /// The sample without the field at a JSON pointer.
-pub fn sample_without(pointer: &str) -> Value {
+pub(crate) fn sample_without(pointer: &str) -> Value {
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer to a field");
     let mut document = sample();
     let fields = document.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
@@ -55,7 +55,7 @@
 }
 
 /// A value as the bytes of a body.
-pub fn body(value: &Value) -> Vec<u8> {
+pub(crate) fn body(value: &Value) -> Vec<u8> {
     serde_json::to_vec(value).expect("a value can be written")
 }
 
@@ -63,7 +63,7 @@
 const LARGE_ROUTES: usize = 5_300;
 
 /// A valid configuration of about 1.3 MB at revision 1.
-pub fn large_configuration() -> Value {
+pub(crate) fn large_configuration() -> Value {
     let routes: Vec<Value> = (0..LARGE_ROUTES).map(|number| large_route(number, "shop.example")).collect();
     let services: Vec<Value> = (0..100)
         .map(|number| json!({"label": format!("service-{number}"), "checkPath": "/health"}))
@@ -72,7 +72,7 @@
 }
 
 /// A route of the large configuration.
-pub fn large_route(number: usize, host: &str) -> Value {
+pub(crate) fn large_route(number: usize, host: &str) -> Value {
     json!({
         "label": format!("route-{number}"), "hostname": host, "pathStart": format!("/part/{number}/"),
         "sort": "harmless", "timeLimitMs": 30_000, "targetMs": 2_000, "rank": 1, "tries": 2, "public": false,
@@ -84,7 +84,7 @@
 }
 
 /// The change of a call that must be accepted.
-pub fn accepted(decision: Decision) -> AcceptedChange {
+pub(crate) fn accepted(decision: Decision) -> AcceptedChange {
     match decision {
         Decision::Accept(change) => *change,
         other => panic!("not accepted: {other:?}"),
@@ -92,7 +92,7 @@
 }
 
 /// A state whose first configuration is this one.
-pub fn state_with(document: &Value) -> ConfigurationState {
+pub(crate) fn state_with(document: &Value) -> ConfigurationState {
     let mut state = ConfigurationState::default();
     let change = accepted(state.decide_put(None, &body(document)));
     state.apply_accepted(change).expect("it is the first");
--- a/crates/control-plane/src/api/message.rs
+++ b/crates/control-plane/src/api/message.rs
@@ -20,6 +20,7 @@
 
 impl Request {
     /// The path without its query.
+    #[must_use]
     pub fn path(&self) -> &str {
         self.target.split_once('?').map_or(self.target.as_str(), |(path, _)| path)
     }
@@ -73,11 +74,13 @@
     }
 
     /// An answer whose body is JSON already.
+    #[must_use]
     pub fn text(status: u16, body: Arc<[u8]>) -> Response {
         Response { status, headers: Vec::new(), body }
     }
 
     /// An answer that says why the call failed.
+    #[must_use]
     pub fn error(status: u16, what: &str) -> Response {
         Response::json(status, &Failure { error: what })
     }
@@ -89,6 +92,7 @@
     }
 
     /// The answer's head.
+    #[must_use]
     pub fn encode_head(&self, keep: bool) -> String {
         let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
         for (name, value) in &self.headers {
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -43,6 +43,7 @@
     /// Every decision is made on a state that holds all that was acknowledged, and counts only if this member has
     /// been primary from before the state was read until after it: a refusal by a deposed primary could be of a
     /// change that is in force.
+    #[must_use]
     pub fn after_decision(decision: Option<Decision>, was_primary_throughout: bool) -> ChangeStep {
         if !was_primary_throughout {
             return ChangeStep::Answer(ChangeOutcome::NotPrimary);
@@ -62,6 +63,7 @@
     /// What follows from the end of the proposal.
     ///
     /// A command that changed nothing came behind another one, so it is decided on again, by the newer state.
+    #[must_use]
     pub fn after_proposal(end: ProposalEnd) -> ChangeStep {
         match end {
             ProposalEnd::Applied(Applied::Configuration | Applied::Weights) => {
--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -58,6 +58,7 @@
 impl Discovery {
     /// Calls the platform at `address`, at most `rate_per_second` times. Each complete list goes into the table,
     /// and `on_list` is called.
+    #[must_use]
     pub fn new(
         address: SocketAddr,
         rate_per_second: f64,
@@ -159,7 +160,7 @@
     fn log_change_of_health(&mut self, error: Option<&WalkError>) {
         match error {
             Some(error) if !self.failing => {
-                log::warn!(error:% = error; "the list of replicas can't be read")
+                log::warn!(error:% = error; "the list of replicas can't be read");
             }
             None if self.failing => log::info!("the list of replicas can be read again"),
             _ => {}
--- a/crates/control-plane/src/discovery/pace.rs
+++ b/crates/control-plane/src/discovery/pace.rs
@@ -40,6 +40,7 @@
 
 impl Pace {
     /// A pace for so many calls a second from all together.
+    #[must_use]
     pub fn new(rate_per_second: f64, now: Duration) -> Pace {
         let usable_rate = (rate_per_second * RATE_SHARE).max(0.1);
         Pace {
@@ -50,6 +51,7 @@
     }
 
     /// The least time from one call to the next.
+    #[must_use]
     pub fn page_gap(&self) -> Duration {
         self.page_gap
     }
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -41,11 +41,13 @@
     }
 
     /// Replicas as the list has them; none before a complete one came in this tenure.
+    #[must_use]
     pub fn listed(&self, tenure: u64) -> Option<impl Iterator<Item = &Replica>> {
         (self.tenure == Some(tenure)).then(|| self.listed.values())
     }
 
     /// The table that is delivered, in the order of ids; none before a complete list came in this tenure.
+    #[must_use]
     pub fn replicas(&self, tenure: u64) -> Option<Vec<Replica>> {
         Some(self.listed(tenure)?.map(|replica| self.corrected(replica)).collect())
     }
--- a/crates/control-plane/src/http_client.rs
+++ b/crates/control-plane/src/http_client.rs
@@ -58,6 +58,7 @@
 
 impl<'a> Call<'a> {
     /// A call without a body.
+    #[must_use]
     pub fn get(target: &'a str) -> Call<'a> {
         Call { method: "GET", target, headers: &[], body: &[] }
     }
@@ -87,6 +88,7 @@
 
 impl HttpClient {
     /// Nothing is connected before the first call.
+    #[must_use]
     pub fn new(address: SocketAddr, limits: Http1Limits) -> HttpClient {
         HttpClient { address, limits, kept: None }
     }
--- a/crates/control-plane/src/index/mod.rs
+++ b/crates/control-plane/src/index/mod.rs
@@ -119,6 +119,7 @@
 }
 
 /// The stores of a configuration, and the replicas that keep KV cache.
+#[must_use]
 pub fn sources(configuration: &Configuration, replicas: &[Replica]) -> Sources {
     let mut sources = stores(configuration);
     let keeps_cache = |service: &str| {
--- a/crates/control-plane/src/machine.rs
+++ b/crates/control-plane/src/machine.rs
@@ -164,7 +164,8 @@
                 let _ = reply.try_send(Snapshot { sequence: self.sequence, state: self.state.snapshot() });
             }
             Job::Document(reply) => {
-                let _ = reply.try_send(self.state.document().map(|document| document.to_bytes()));
+                let _ =
+                    reply.try_send(self.state.document().map(tulipridge_configuration::Document::to_bytes));
             }
             Job::CatchUp { epoch } => {
                 let _ = self.progress.try_send(Progress::CaughtUp { epoch });
--- a/crates/control-plane/src/member/compaction.rs
+++ b/crates/control-plane/src/member/compaction.rs
@@ -22,6 +22,7 @@
     }
 
     /// Whether a snapshot is due.
+    #[must_use]
     pub fn is_snapshot_due(&self) -> bool {
         self.bytes >= COMPACT_AFTER_BYTES || self.commands >= COMPACT_AFTER_COMMANDS
     }
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -78,6 +78,7 @@
 
 impl Member {
     /// Puts the parts together.
+    #[must_use]
     pub fn new(parts: Parts) -> Rc<Member> {
         let (sender, receiver) = async_channel::bounded(1);
         Rc::new(Member {
@@ -293,7 +294,7 @@
                 self.machine.restore(sequence, snapshot);
             }
             Output::ProposalFailed { proposal, reason } => {
-                self.proposals.borrow_mut().failed(proposal, reason)
+                self.proposals.borrow_mut().failed(proposal, reason);
             }
             Output::RoleChanged(_) => {}
         }
--- a/crates/control-plane/src/replication/departure.rs
+++ b/crates/control-plane/src/replication/departure.rs
@@ -33,6 +33,7 @@
     ///
     /// A view is recorded here only after all its holders have its data on disk, so a member that the newest
     /// recorded view does not name as a holder holds nothing that is not held elsewhere.
+    #[must_use]
     pub fn departure(&self, now: Duration) -> Departure {
         if self.leadership.is_some() {
             let is_only_member = self.settings.losses == 0 && self.live_members(now).len() == 1;
--- a/crates/control-plane/src/replication/durable.rs
+++ b/crates/control-plane/src/replication/durable.rs
@@ -67,6 +67,7 @@
 
 impl DurableRecord {
     /// Bytes of the commands and the snapshot in it.
+    #[must_use]
     pub fn payload_bytes(&self) -> u64 {
         let bytes = match self {
             DurableRecord::Promised(_) | DurableRecord::View(_) | DurableRecord::DataEpoch(_) => 0,
--- a/crates/control-plane/src/replication/machine.rs
+++ b/crates/control-plane/src/replication/machine.rs
@@ -80,6 +80,7 @@
 
 impl Replication {
     /// A member that starts from what is on its disk.
+    #[must_use]
     pub fn new(settings: ReplicationSettings, durable: DurableState, now: Duration) -> Self {
         let may_have_granted = durable.promised > 0;
         let mut replication = Replication {
@@ -143,6 +144,7 @@
     }
 
     /// When [`Input::Tick`] is due at the latest.
+    #[must_use]
     pub fn next_deadline(&self) -> Duration {
         if self.starting {
             return Duration::ZERO;
@@ -160,16 +162,19 @@
     }
 
     /// Whether this member is primary and holds a running lease: no other member is primary then.
+    #[must_use]
     pub fn is_primary(&self, now: Duration) -> bool {
         self.leadership.as_ref().is_some_and(|leadership| leadership.lease_valid(now))
     }
 
     /// The epoch of the view that this member leads, or else of the newest one that it knows.
+    #[must_use]
     pub fn epoch(&self) -> u64 {
         self.view().map_or(0, |view| view.epoch)
     }
 
     /// The view that this member leads, or else the newest one that it knows.
+    #[must_use]
     pub fn view(&self) -> Option<&View> {
         match &self.leadership {
             Some(leadership) => Some(&leadership.view),
@@ -178,6 +183,7 @@
     }
 
     /// The primary, if it was heard of lately.
+    #[must_use]
     pub fn known_primary(&self, now: Duration) -> Option<NodeId> {
         if self.is_primary(now) {
             return Some(self.settings.node);
@@ -186,6 +192,7 @@
     }
 
     /// Another member that callers may be sent to, since it certainly was the primary a moment ago.
+    #[must_use]
     pub fn redirect_target(&self, now: Duration) -> Option<NodeId> {
         self.primary_heard_within(now, REDIRECT_FOR)
     }
@@ -196,6 +203,7 @@
     }
 
     /// Members that answer this primary, with their zones, itself included; empty at others.
+    #[must_use]
     pub fn live_members(&self, now: Duration) -> Vec<(NodeId, String)> {
         if self.leadership.is_none() {
             return Vec::new();
@@ -210,11 +218,13 @@
     }
 
     /// This member's part as last told by [`Output::RoleChanged`].
+    #[must_use]
     pub fn role(&self) -> Role {
         self.role
     }
 
     /// The newest entry that was applied here.
+    #[must_use]
     pub fn applied(&self) -> u64 {
         self.applied
     }
@@ -291,7 +301,7 @@
             ReplicationMessage::Installed { epoch } => self.on_installed(now, from, epoch),
             ReplicationMessage::Append { epoch, entry } => self.on_append(from, epoch, entry),
             ReplicationMessage::Appended { epoch, sequence } => {
-                self.on_appended(now, from, epoch, sequence)
+                self.on_appended(now, from, epoch, sequence);
             }
             ReplicationMessage::Heartbeat { view, token, committed } => {
                 self.on_heartbeat(now, from, view, token, committed);
@@ -301,7 +311,7 @@
                 self.on_heartbeat_ack(now, from, (epoch, token), peer);
             }
             ReplicationMessage::Release { epoch, successor } => {
-                self.on_release(now, from, epoch, successor)
+                self.on_release(now, from, epoch, successor);
             }
             ReplicationMessage::Join { zone } => self.on_join(now, from, zone),
         }
--- a/crates/control-plane/src/replication/settings.rs
+++ b/crates/control-plane/src/replication/settings.rs
@@ -65,6 +65,7 @@
 }
 
 /// How long the slowest disk that is waited for takes for so many bytes.
+#[must_use]
 pub fn longest_write(bytes: u64) -> Duration {
     Duration::from_millis(bytes * 1000 / SLOWEST_DISK)
 }
@@ -141,6 +142,7 @@
     ///
     /// It goes to the disk together with the generation, in one record: a disk of generation 0 without it
     /// must not make up a first view later, from other seeds.
+    #[must_use]
     pub fn first_view(&self) -> Option<View> {
         if !self.first_boot || self.node.generation != 0 || !self.seeds.contains(&self.node) {
             return None;
--- a/crates/control-plane/src/replication/sync.rs
+++ b/crates/control-plane/src/replication/sync.rs
@@ -65,7 +65,7 @@
         let epoch = attempt.epoch;
         attempt.sync =
             Some(SyncPhase { data_epoch: self.state.data.epoch, data, transfers, awaits_own_disk: true });
-        self.send_parts(|transfer| transfer.next_offsets());
+        self.send_parts(super::transfer::OutgoingTransfer::next_offsets);
         self.sync_itself(epoch);
     }
 
@@ -126,7 +126,7 @@
                 if outgoing.is_received() { longest_write(transfer.length) } else { Duration::ZERO };
             attempt.stalled_at = attempt.stalled_at.max(now + stall_term + write);
         }
-        self.send_parts(|transfer| transfer.next_offsets());
+        self.send_parts(super::transfer::OutgoingTransfer::next_offsets);
     }
 
     /// A future holder has all data on disk.
--- a/crates/control-plane/src/replication/transfer.rs
+++ b/crates/control-plane/src/replication/transfer.rs
@@ -57,6 +57,7 @@
 
 impl EncodedData {
     /// The data of a member.
+    #[must_use]
     pub fn of(state: &DurableState) -> EncodedData {
         let data = TransferData {
             snapshot_sequence: state.snapshot_sequence,
@@ -74,11 +75,13 @@
     }
 
     /// Its name.
+    #[must_use]
     pub fn id(&self) -> TransferId {
         self.id
     }
 
     /// The part that begins at an offset; empty at the end.
+    #[must_use]
     pub fn part(&self, offset: u64) -> Part {
         let start = offset.min(self.id.length);
         let end = (start + PART_BYTES).min(self.id.length);
@@ -107,6 +110,7 @@
 
 impl OutgoingTransfer {
     /// Nothing is sent yet. A receiver that may have all is asked first what it has, by an empty part.
+    #[must_use]
     pub fn new(length: u64, is_asked_first: bool, now: Duration) -> OutgoingTransfer {
         OutgoingTransfer {
             length,
@@ -121,11 +125,13 @@
     }
 
     /// When something has to be sent again.
+    #[must_use]
     pub fn resend_at(&self) -> Duration {
         self.resend_at
     }
 
     /// Whether the receiver has all, on disk or not.
+    #[must_use]
     pub fn is_received(&self) -> bool {
         self.received == self.length
     }
--- a/crates/control-plane/src/rollout/messages.rs
+++ b/crates/control-plane/src/rollout/messages.rs
@@ -19,13 +19,14 @@
 /// What becomes of requests that run when a replica is to load weights.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum LoadMethod {
+pub(super) enum LoadMethod {
     /// They end first.
     Hold,
 }
 
 impl<'a> RevisionOrder<'a> {
     /// An order by a holder of the duty and its fence number.
+    #[must_use]
     pub fn new(weights: &'a ModelRevision, owner: &'a str, fence: u64) -> RevisionOrder<'a> {
         RevisionOrder {
             order_kind: "revision",
@@ -59,6 +60,7 @@
 
 impl OrderAnswer {
     /// The meaning of an answer's status.
+    #[must_use]
     pub fn from_status(status: u16) -> OrderAnswer {
         match status {
             202 => OrderAnswer::Accepted,
--- a/crates/control-plane/src/rollout/naming.rs
+++ b/crates/control-plane/src/rollout/naming.rs
@@ -39,6 +39,7 @@
 
 impl NamingTimes {
     /// Nothing was heard up to now.
+    #[must_use]
     pub fn new(now: Duration) -> NamingTimes {
         NamingTimes { counted: Duration::ZERO, last_look: now, last_primary: now, heard: BTreeMap::new() }
     }
@@ -79,6 +80,7 @@
     }
 
     /// How long ago this revision was named, if it was heard of.
+    #[must_use]
     pub fn age(&self, model: &str, revision: u64) -> Option<Duration> {
         self.ages().find(|named| named.model == model && named.revision == revision).map(|named| named.age)
     }
--- a/crates/control-plane/src/rollout/planner.rs
+++ b/crates/control-plane/src/rollout/planner.rs
@@ -86,6 +86,7 @@
 
 impl Planner {
     /// A plan for a holder that begins now.
+    #[must_use]
     pub fn new(settings: PlannerSettings, now: Duration) -> Planner {
         Planner {
             settings,
@@ -262,6 +263,7 @@
     }
 
     /// Ids of replicas that have weights of this model older than a revision.
+    #[must_use]
     pub fn outdated(&self, model: &str, revision: u64) -> Vec<String> {
         let outdated = self.serving(model).filter(|replica| self.has_older(&replica.id, model, revision));
         outdated.map(|replica| replica.id.clone()).collect()
@@ -419,17 +421,20 @@
     }
 
     /// A replica has refused this holder's fence: another one holds the duty.
+    #[must_use]
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
     /// What the table of replicas should say beyond the list.
+    #[must_use]
     pub fn corrections(&self) -> Corrections {
         let loading: BTreeSet<String> = self.loads.keys().cloned().collect();
         Corrections { loading, revisions: self.seen.clone() }
     }
 
     /// The table of weights to be delivered.
+    #[must_use]
     pub fn weights(&self) -> Vec<ModelWeights> {
         let line = |(model, target): (&String, &Target)| ModelWeights {
             model: model.clone(),
--- a/crates/control-plane/src/server/departure.rs
+++ b/crates/control-plane/src/server/departure.rs
@@ -12,6 +12,7 @@
 const END_MARGIN: Duration = Duration::from_millis(500);
 
 /// Whether the process may end, `waited` after it was told to stop, if it is killed after `leeway`.
+#[must_use]
 pub fn may_end(waited: Duration, leeway: Duration, departure: Departure) -> bool {
     if waited >= leeway.saturating_sub(END_MARGIN) {
         return true;
--- a/crates/control-plane/src/state/command.rs
+++ b/crates/control-plane/src/state/command.rs
@@ -46,6 +46,7 @@
     }
 
     /// The command as bytes.
+    #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         encoding::encode(COMMAND_FORMAT, self)
     }
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -124,16 +124,19 @@
 
 impl State {
     /// The newest configuration.
+    #[must_use]
     pub fn document(&self) -> Option<&Document> {
         self.configuration.document()
     }
 
     /// The weights that were named.
+    #[must_use]
     pub fn weights(&self) -> &NamedWeights {
         &self.weights
     }
 
     /// Decides on a change; the state stays as it is.
+    #[must_use]
     pub fn decide(&self, change: &Change) -> Decision {
         match change {
             Change::PutConfiguration { if_match, body } => {
@@ -197,6 +200,7 @@
     }
 
     /// The state as bytes.
+    #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         let snapshot = Snapshot {
             configuration: self.configuration.to_snapshot(),
--- a/crates/control-plane/src/state/weights.rs
+++ b/crates/control-plane/src/state/weights.rs
@@ -36,6 +36,7 @@
 
 impl NamedWeights {
     /// Decides on a naming; nothing changes.
+    #[must_use]
     pub fn decide(&self, model: &str, revision: u64) -> WeightsDecision {
         match self.newest.get(model) {
             Some(newest) if *newest == revision => WeightsDecision::AlreadyNamed,
@@ -58,6 +59,7 @@
     }
 
     /// The newest revision of each model.
+    #[must_use]
     pub fn newest(&self) -> BTreeMap<String, u64> {
         self.newest.clone()
     }
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -194,7 +194,7 @@
                 local.spawn(self.serve(stream)).detach();
             }
         };
-        local.run(accepting).await
+        local.run(accepting).await;
     }
 
     /// The ending of the next call, if it is the one that ends in another way than the rest.
--- a/crates/control-plane/tests/rated_cluster/mod.rs
+++ b/crates/control-plane/tests/rated_cluster/mod.rs
@@ -20,11 +20,11 @@
 use super::support::checker::Checker;
 
 /// A link of 10 Mbit/s, in bytes a second.
-pub const SLOW_LINK: u64 = 10_000_000 / 8;
+pub(crate) const SLOW_LINK: u64 = 10_000_000 / 8;
 /// A link of 1 Gbit/s.
-pub const FAST_LINK: u64 = 1_000_000_000 / 8;
+pub(crate) const FAST_LINK: u64 = 1_000_000_000 / 8;
 /// A configuration of an operator.
-pub const CONFIGURATION_BYTES: usize = 1_300_000;
+pub(crate) const CONFIGURATION_BYTES: usize = 1_300_000;
 
 /// Applied bytes after which a member makes a snapshot, as a real one does.
 const COMPACT_AFTER: usize = 1 << 20;
@@ -37,7 +37,7 @@
 
 /// How fast a disk is.
 #[derive(Clone, Copy, Debug)]
-pub struct DiskSpeed {
+pub(crate) struct DiskSpeed {
     /// Bytes a second.
     pub bytes: u64,
     /// What each sync takes beside.
@@ -46,10 +46,10 @@
 
 impl DiskSpeed {
     /// A usual disk.
-    pub const USUAL: DiskSpeed = DiskSpeed { bytes: 300_000_000, sync: Duration::from_millis(3) };
+    pub(crate) const USUAL: DiskSpeed = DiskSpeed { bytes: 300_000_000, sync: Duration::from_millis(3) };
 
     /// One that takes so many times as long.
-    pub fn slower(self, times: u32) -> DiskSpeed {
+    pub(crate) fn slower(self, times: u32) -> DiskSpeed {
         DiskSpeed { bytes: self.bytes / u64::from(times), sync: self.sync * times }
     }
 }
@@ -62,7 +62,7 @@
 }
 
 /// A running process.
-pub struct Process {
+pub(crate) struct Process {
     life: u64,
     /// The state machine.
     pub replication: Replication,
@@ -74,7 +74,7 @@
 }
 
 /// A member.
-pub struct Member {
+pub(crate) struct Member {
     /// Its name.
     pub node: NodeId,
     /// What is on its disk.
@@ -117,7 +117,7 @@
 
 /// Messages and bytes of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Traffic {
+pub(crate) struct Traffic {
     /// Messages.
     pub messages: u64,
     /// Their bytes.
@@ -126,7 +126,7 @@
 
 /// How a proposal ended, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub(crate) enum End {
     /// It was acknowledged.
     Acknowledged(Duration),
     /// It failed.
@@ -134,10 +134,10 @@
 }
 
 /// Changes messages on their way out: the messages that leave in place of one.
-pub type Interceptor = Box<dyn FnMut(&Envelope) -> Vec<Envelope>>;
+pub(crate) type Interceptor = Box<dyn FnMut(&Envelope) -> Vec<Envelope>>;
 
 /// The cluster.
-pub struct Cluster {
+pub(crate) struct Cluster {
     /// True time, which all clocks show.
     pub now: Duration,
     /// All members.
@@ -171,7 +171,7 @@
 
 impl Cluster {
     /// A cluster that starts for the first time.
-    pub fn new(losses: u32, seeds: usize, members: usize) -> Cluster {
+    pub(crate) fn new(losses: u32, seeds: usize, members: usize) -> Cluster {
         let mut cluster = Cluster {
             now: Duration::from_secs(100),
             members: Vec::new(),
@@ -222,12 +222,12 @@
     }
 
     /// Lets a span pass.
-    pub fn run_for(&mut self, span: Duration) {
+    pub(crate) fn run_for(&mut self, span: Duration) {
         self.run_while_not(span, |_| false);
     }
 
     /// Lets time pass until something holds; whether it did within the span.
-    pub fn run_while_not(&mut self, span: Duration, holds: impl Fn(&Cluster) -> bool) -> bool {
+    pub(crate) fn run_while_not(&mut self, span: Duration, holds: impl Fn(&Cluster) -> bool) -> bool {
         let until = self.now + span;
         while let Some(Reverse((at, number))) = self.queue.peek().copied()
             && at <= until
@@ -302,7 +302,7 @@
     }
 
     /// Hands an input to a member.
-    pub fn input(&mut self, index: usize, input: Input) {
+    pub(crate) fn input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let member = &mut self.members[index];
         let Some(process) = &mut member.process else { return };
@@ -328,7 +328,7 @@
             Output::Send(envelope) => self.send(index, envelope),
             Output::Persist { ticket, records } => self.write(index, ticket, records),
             Output::Apply { sequence, command, proposal } => {
-                self.apply(index, sequence, &command, proposal)
+                self.apply(index, sequence, &command, proposal);
             }
             Output::Restore { sequence, snapshot } => self.restore(index, sequence, &snapshot),
             Output::RoleChanged(Role::Primary { epoch }) => {
@@ -446,7 +446,7 @@
     }
 
     /// Proposes a command of a length at a member; its ticket.
-    pub fn propose(&mut self, index: usize, length: usize) -> u64 {
+    pub(crate) fn propose(&mut self, index: usize, length: usize) -> u64 {
         let ticket = self.next_command;
         self.next_command += 1;
         self.input(index, Input::Propose { ticket, command: command(ticket, length) });
@@ -454,7 +454,7 @@
     }
 
     /// Proposes again and again, at whoever is primary, until a command is acknowledged; how long that took.
-    pub fn acknowledge(&mut self, length: usize, limit: Duration) -> Option<Duration> {
+    pub(crate) fn acknowledge(&mut self, length: usize, limit: Duration) -> Option<Duration> {
         let begin = self.now;
         while self.now < begin + limit {
             if let Some(primary) = self.primary() {
@@ -471,29 +471,29 @@
     }
 
     /// How many views have come into force.
-    pub fn views(&self) -> usize {
+    pub(crate) fn views(&self) -> usize {
         self.checker.primary_count()
     }
 
     /// What was sent of a kind.
-    pub fn sent(&self, kind: &str) -> Traffic {
+    pub(crate) fn sent(&self, kind: &str) -> Traffic {
         self.traffic.get(kind).copied().unwrap_or_default()
     }
 
     /// The member that holds a lease.
-    pub fn primary(&self) -> Option<usize> {
+    pub(crate) fn primary(&self) -> Option<usize> {
         self.members.iter().position(|member| {
             member.process.as_ref().is_some_and(|process| process.replication.is_primary(self.now))
         })
     }
 
     /// The state machine of a running member.
-    pub fn replication(&self, index: usize) -> &Replication {
+    pub(crate) fn replication(&self, index: usize) -> &Replication {
         &self.members[index].process.as_ref().expect("it runs").replication
     }
 
     /// The holders of the primary's view, the primary first.
-    pub fn holders(&self) -> Vec<usize> {
+    pub(crate) fn holders(&self) -> Vec<usize> {
         let primary = self.primary().expect("there is a primary");
         let view = self.replication(primary).view().expect("it has a view").clone();
         let index_of = |holder: &NodeId| {
@@ -503,7 +503,7 @@
     }
 
     /// The power of a member is cut; it stays away.
-    pub fn kill(&mut self, index: usize) {
+    pub(crate) fn kill(&mut self, index: usize) {
         let member = &mut self.members[index];
         member.process = None;
         member.pending.clear();
@@ -512,12 +512,12 @@
     }
 
     /// A member starts from its disk.
-    pub fn restart(&mut self, index: usize) {
+    pub(crate) fn restart(&mut self, index: usize) {
         self.schedule(self.now, Event::Start { member: index });
     }
 
     /// A member's disk is lost.
-    pub fn wipe(&mut self, index: usize) {
+    pub(crate) fn wipe(&mut self, index: usize) {
         self.kill(index);
         let member = &mut self.members[index];
         member.disk = DurableState::default();
@@ -525,12 +525,12 @@
     }
 
     /// All connections begin anew: what waits on them does not hold up what is sent from now on.
-    pub fn reconnect(&mut self) {
+    pub(crate) fn reconnect(&mut self) {
         self.link_free_at.clear();
     }
 
     /// Cuts a member off, or ends that.
-    pub fn isolate(&mut self, index: usize, is_cut: bool) {
+    pub(crate) fn isolate(&mut self, index: usize, is_cut: bool) {
         for other in 0..self.members.len() {
             for direction in [(index, other), (other, index)] {
                 if is_cut {
--- a/crates/control-plane/tests/state_random.rs
+++ b/crates/control-plane/tests/state_random.rs
@@ -113,7 +113,7 @@
         assert_eq!(self.deciding.snapshot(), self.following.snapshot());
         assert_eq!(self.restoring.snapshot(), self.following.snapshot());
         assert_eq!(self.following.weights().newest(), self.reference.newest_weights());
-        let text = self.following.document().map(|document| document.to_bytes());
+        let text = self.following.document().map(tulipridge_configuration::Document::to_bytes);
         let document: Option<Value> =
             text.as_deref().map(|text| serde_json::from_slice(text).expect("JSON"));
         assert_eq!(document.as_ref(), self.reference.document());
--- a/crates/control-plane/tests/support/checker.rs
+++ b/crates/control-plane/tests/support/checker.rs
@@ -9,7 +9,7 @@
 
 /// Something that must not happen.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Violation {
+pub(crate) enum Violation {
     /// Two members applied different commands under the same number.
     Diverged { sequence: u64, first: u64, second: u64 },
     /// A primary does not have what was acknowledged in an earlier epoch, or one with a lease what was
@@ -44,7 +44,7 @@
 
 /// Keeps what was acknowledged and who led.
 #[derive(Debug, Default)]
-pub struct Checker {
+pub(crate) struct Checker {
     committed: BTreeMap<u64, u64>,
     acknowledged: BTreeMap<u64, Acknowledgement>,
     primaries: BTreeMap<u64, NodeId>,
@@ -54,12 +54,12 @@
 
 impl Checker {
     /// How many proposals were acknowledged.
-    pub fn acknowledged_count(&self) -> usize {
+    pub(crate) fn acknowledged_count(&self) -> usize {
         self.acknowledged.len()
     }
 
     /// How many views came into force.
-    pub fn primary_count(&self) -> usize {
+    pub(crate) fn primary_count(&self) -> usize {
         self.primaries.len()
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// A member applied a command.
-    pub fn applied(&mut self, sequence: u64, command: u64) {
+    pub(crate) fn applied(&mut self, sequence: u64, command: u64) {
         let first = *self.committed.entry(sequence).or_insert(command);
         if first != command {
             self.report(Violation::Diverged { sequence, first, second: command });
@@ -76,12 +76,12 @@
     }
 
     /// A proposer was told that its command is committed.
-    pub fn acknowledge(&mut self, sequence: u64, command: u64, epoch: u64) {
+    pub(crate) fn acknowledge(&mut self, sequence: u64, command: u64, epoch: u64) {
         self.acknowledged.insert(sequence, Acknowledgement { command, epoch });
     }
 
     /// A member became primary with this state.
-    pub fn became_primary(&mut self, node: NodeId, epoch: u64, state: &[u64]) {
+    pub(crate) fn became_primary(&mut self, node: NodeId, epoch: u64, state: &[u64]) {
         let first = *self.primaries.entry(epoch).or_insert(node);
         if first != node {
             self.report(Violation::SharedEpoch { epoch });
@@ -96,7 +96,7 @@
     }
 
     /// A member with a running lease may answer from this state: all that was ever acknowledged is in it.
-    pub fn may_read(&mut self, node: NodeId, epoch: u64, state: &[u64]) {
+    pub(crate) fn may_read(&mut self, node: NodeId, epoch: u64, state: &[u64]) {
         let Some((sequence, newest)) = self.acknowledged.last_key_value() else { return };
         if state.get(*sequence as usize - 1) != Some(&newest.command) {
             let sequence = *sequence;
@@ -105,7 +105,7 @@
     }
 
     /// These members hold leases now.
-    pub fn leases(&mut self, holders: &[NodeId]) {
+    pub(crate) fn leases(&mut self, holders: &[NodeId]) {
         if let [first, second, ..] = holders {
             self.report(Violation::TwoLeases { first: *first, second: *second });
         }
--- a/crates/control-plane/tests/support/disk.rs
+++ b/crates/control-plane/tests/support/disk.rs
@@ -16,7 +16,7 @@
 
 /// Power that is lost right after a write.
 #[derive(Clone, Copy, Debug)]
-pub struct PowerCut {
+pub(crate) struct PowerCut {
     /// Writes until then.
     pub writes: u32,
     /// When the machine starts again after it.
@@ -28,7 +28,7 @@
 
 /// One machine's disk.
 #[derive(Debug, Default)]
-pub struct Disk {
+pub(crate) struct Disk {
     /// What is synced.
     pub state: DurableState,
     pending: VecDeque<PendingWrite>,
@@ -46,7 +46,7 @@
 
 impl Disk {
     /// Starts a write; the time at which it is reported as synced.
-    pub fn write(&mut self, now: u64, delay: u64, ticket: u64, records: Vec<DurableRecord>) -> u64 {
+    pub(crate) fn write(&mut self, now: u64, delay: u64, ticket: u64, records: Vec<DurableRecord>) -> u64 {
         let earliest = self.pending.back().map_or(now, |write| write.due);
         let delay = if now < self.slow_until { delay * SLOWNESS } else { delay };
         let due = (now + delay).max(self.stalled_until).max(self.full_until).max(earliest);
@@ -55,7 +55,7 @@
     }
 
     /// Ends the writes that are due; the newest ticket on disk.
-    pub fn sync(&mut self, now: u64) -> Option<u64> {
+    pub(crate) fn sync(&mut self, now: u64) -> Option<u64> {
         if now < self.full_until {
             return None;
         }
@@ -69,17 +69,17 @@
     }
 
     /// Whether a write has waited for longer than a span.
-    pub fn waits_longer_than(&self, now: u64, span: u64) -> bool {
+    pub(crate) fn waits_longer_than(&self, now: u64, span: u64) -> bool {
         self.pending.front().is_some_and(|write| now - write.since > span)
     }
 
     /// Whether a write was refused and is tried again.
-    pub fn refuses(&self, now: u64) -> bool {
+    pub(crate) fn refuses(&self, now: u64) -> bool {
         now < self.full_until && !self.pending.is_empty()
     }
 
     /// Counts a write; when the machine starts again, if power is lost now.
-    pub fn count_down_to_power_cut(&mut self) -> Option<u64> {
+    pub(crate) fn count_down_to_power_cut(&mut self) -> Option<u64> {
         let cut = self.power_cut.as_mut()?;
         cut.writes = cut.writes.saturating_sub(1);
         if cut.writes > 0 {
@@ -89,7 +89,7 @@
     }
 
     /// Ends all trouble.
-    pub fn heal(&mut self, now: u64) {
+    pub(crate) fn heal(&mut self, now: u64) {
         self.stalled_until = self.stalled_until.min(now);
         self.full_until = self.full_until.min(now);
         self.slow_until = self.slow_until.min(now);
@@ -97,14 +97,14 @@
     }
 
     /// The process ends or power is lost: of the records that are not synced some of the first are found.
-    pub fn lose_pending(&mut self, random: &mut Rng) {
+    pub(crate) fn lose_pending(&mut self, random: &mut Rng) {
         let records: Vec<DurableRecord> = self.pending.drain(..).flat_map(|write| write.records).collect();
         let kept = random.u64(0..records.len() as u64 + 1) as usize;
         self.keep(&records[..kept]);
     }
 
     /// Power is lost, and nothing that is not synced is found.
-    pub fn lose_all_pending(&mut self) {
+    pub(crate) fn lose_all_pending(&mut self) {
         self.pending.clear();
     }
 
--- a/crates/control-plane/tests/support/history/mod.rs
+++ b/crates/control-plane/tests/support/history/mod.rs
@@ -13,7 +13,7 @@
 use super::simulation::{MS, Network, SECOND, Shape, Simulation};
 
 /// After trouble ends, a primary has to take a proposal within this time.
-pub const PROGRESS_WITHIN: u64 = 6 * SECOND;
+pub(crate) const PROGRESS_WITHIN: u64 = 6 * SECOND;
 /// A machine counts as lost for so long after it is back.
 const LOST_AFTER_RETURN: u64 = 4 * SECOND;
 /// Rounds of a history with many changes, and proposals in each.
@@ -24,7 +24,7 @@
 
 /// What kinds of trouble a history has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub(crate) enum Trouble {
     /// Disks stay; any number of machines may be in trouble.
     DisksStay,
     /// Disks may be lost and machines replaced; no more than f machines are in trouble at once.
@@ -37,7 +37,7 @@
 
 /// Who asks for changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Load {
+pub(crate) enum Load {
     /// Commands that do not concern the agreed state.
     Proposals,
     /// Operators, whose answers are checked.
@@ -48,7 +48,7 @@
 const COUNT_VARIABLE: &str = "HISTORIES_PER_KIND";
 
 /// How many histories of each kind are played.
-pub fn history_count(usual: u64) -> u64 {
+pub(crate) fn history_count(usual: u64) -> u64 {
     match std::env::var(COUNT_VARIABLE) {
         Ok(count) => count.parse().expect("the number of histories is a number"),
         Err(_) => usual,
@@ -57,7 +57,7 @@
 
 /// Result of a history.
 #[derive(Debug)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     /// What went wrong.
     pub violation: Option<Violation>,
     /// Proposals acknowledged.
@@ -69,12 +69,12 @@
 }
 
 /// Plays one history of proposals.
-pub fn play(seed: u64, shape: Shape, trouble: Trouble) -> Outcome {
+pub(crate) fn play(seed: u64, shape: Shape, trouble: Trouble) -> Outcome {
     play_with(seed, shape, trouble, Load::Proposals)
 }
 
 /// Plays one history.
-pub fn play_with(seed: u64, shape: Shape, trouble: Trouble, load: Load) -> Outcome {
+pub(crate) fn play_with(seed: u64, shape: Shape, trouble: Trouble, load: Load) -> Outcome {
     let mut simulation = Simulation::new(seed, shape);
     let script = &mut Rng::with_seed(seed ^ 0xabcd);
     let is_early = trouble == Trouble::DisksStay && chance(script, 300);
--- a/crates/control-plane/tests/support/machine.rs
+++ b/crates/control-plane/tests/support/machine.rs
@@ -11,7 +11,7 @@
 use super::simulation::Leaving;
 
 /// A running process.
-pub struct Process {
+pub(crate) struct Process {
     /// Tells this run from others.
     pub life: u64,
     /// The state machine.
@@ -33,7 +33,7 @@
 }
 
 /// A machine.
-pub struct Machine {
+pub(crate) struct Machine {
     /// Its member on the present disk.
     pub node: NodeId,
     /// Its zone.
@@ -58,12 +58,12 @@
 
 impl Machine {
     /// Whether it runs and is not frozen.
-    pub fn is_running(&self, now: u64) -> bool {
+    pub(crate) fn is_running(&self, now: u64) -> bool {
         self.process.is_some() && self.frozen_until <= now
     }
 
     /// Whether it holds a running lease by its own clock.
-    pub fn lease_valid(&self, now: u64) -> bool {
+    pub(crate) fn lease_valid(&self, now: u64) -> bool {
         let local = self.clock.local(now);
         self.process.as_ref().is_some_and(|process| process.replication.is_primary(local))
     }
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -3,15 +3,15 @@
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
-pub mod checker;
-pub mod clock;
-pub mod disk;
-pub mod history;
-pub mod machine;
-pub mod operator;
-pub mod payload;
-pub mod random;
-pub mod reference;
-pub mod scenario;
-pub mod simulation;
-pub mod state_calls;
+pub(crate) mod checker;
+pub(crate) mod clock;
+pub(crate) mod disk;
+pub(crate) mod history;
+pub(crate) mod machine;
+pub(crate) mod operator;
+pub(crate) mod payload;
+pub(crate) mod random;
+pub(crate) mod reference;
+pub(crate) mod scenario;
+pub(crate) mod simulation;
+pub(crate) mod state_calls;
--- a/crates/control-plane/tests/support/operator/call.rs
+++ b/crates/control-plane/tests/support/operator/call.rs
@@ -7,7 +7,7 @@
 
 /// How a configuration is changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum ConfigurationMethod {
+pub(crate) enum ConfigurationMethod {
     /// The whole configuration is replaced.
     Put,
     /// Named items are changed.
@@ -16,7 +16,7 @@
 
 /// An order to change the configuration. Orders with another mark have another body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ConfigurationOrder {
+pub(crate) struct ConfigurationOrder {
     /// How it changes the configuration.
     pub method: ConfigurationMethod,
     /// The revision that it builds on.
@@ -29,7 +29,7 @@
 
 /// An order to name weights of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct WeightsOrder {
+pub(crate) struct WeightsOrder {
     /// The model.
     pub model: &'static str,
     /// The revision of its weights.
@@ -38,7 +38,7 @@
 
 /// What an operator asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Call {
+pub(crate) enum Call {
     /// `PUT` or `PATCH /settings`.
     Configure(ConfigurationOrder),
     /// `POST /version-put`.
@@ -49,7 +49,7 @@
 
 /// A configuration as far as the orders of the simulation differ.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Content {
+pub(crate) struct Content {
     /// Its revision.
     pub revision: u64,
     /// The marks of its routes, sorted.
@@ -58,7 +58,7 @@
 
 /// What an operator is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub(crate) enum Answer {
     /// 200: the change is in force.
     Taken,
     /// 412: another revision is in force.
@@ -83,7 +83,7 @@
 
 impl ConfigurationOrder {
     /// The change that a member decides on.
-    pub fn change(&self) -> Change {
+    pub(crate) fn change(&self) -> Change {
         let label = self.mark.to_string();
         let prefix = format!("/{label}/");
         match self.method {
@@ -99,14 +99,14 @@
 
 impl WeightsOrder {
     /// The change that a member decides on.
-    pub fn change(&self) -> Change {
+    pub(crate) fn change(&self) -> Change {
         state_calls::name(self.model, self.revision)
     }
 }
 
 impl Content {
     /// The content of a document that was made by orders of the simulation.
-    pub fn of(document: &Document) -> Content {
+    pub(crate) fn of(document: &Document) -> Content {
         let routes = &document.configuration().routes;
         let mut marks: Vec<u64> =
             routes.iter().map(|route| route.label.parse().expect("labels are marks")).collect();
--- a/crates/control-plane/tests/support/operator/client.rs
+++ b/crates/control-plane/tests/support/operator/client.rs
@@ -14,7 +14,7 @@
 
 /// Names a call of a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallId(usize);
+pub(crate) struct CallId(usize);
 
 #[derive(Debug)]
 enum CallState {
@@ -35,7 +35,7 @@
 
 /// All calls of a history.
 #[derive(Debug, Default)]
-pub struct Operators {
+pub(crate) struct Operators {
     records: Vec<CallRecord>,
     /// Starts and answers so far.
     moments: u64,
@@ -47,7 +47,7 @@
 
 /// An object whose answers can't be explained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UnexplainedObject {
+pub(crate) enum UnexplainedObject {
     /// The configuration.
     Configuration,
     /// The weights of a model.
@@ -67,12 +67,12 @@
     }
 
     /// What was asked.
-    pub fn call(&self, call: CallId) -> Call {
+    pub(crate) fn call(&self, call: CallId) -> Call {
         self.records[call.0].call
     }
 
     /// An answer has come.
-    pub fn answered(&mut self, call: CallId, answer: Answer) {
+    pub(crate) fn answered(&mut self, call: CallId, answer: Answer) {
         if !matches!(self.records[call.0].state, CallState::Open) {
             return;
         }
@@ -95,7 +95,7 @@
     }
 
     /// No answer has come in time.
-    pub fn give_up(&mut self, call: CallId) {
+    pub(crate) fn give_up(&mut self, call: CallId) {
         let record = &mut self.records[call.0];
         if matches!(record.state, CallState::Open) {
             record.state = CallState::Unknown;
@@ -103,17 +103,17 @@
     }
 
     /// How many calls wait for their answers.
-    pub fn open_count(&self) -> usize {
+    pub(crate) fn open_count(&self) -> usize {
         self.records.iter().filter(|record| matches!(record.state, CallState::Open)).count()
     }
 
     /// How many calls got an answer that says what became of them.
-    pub fn answered_count(&self) -> usize {
+    pub(crate) fn answered_count(&self) -> usize {
         self.records.iter().filter(|record| matches!(record.state, CallState::Answered(_))).count()
     }
 
     /// The answer to a call.
-    pub fn answer(&self, call: CallId) -> Option<&Answer> {
+    pub(crate) fn answer(&self, call: CallId) -> Option<&Answer> {
         match &self.records[call.0].state {
             CallState::Answered(end) => Some(&end.answer),
             _ => None,
@@ -121,12 +121,12 @@
     }
 
     /// All changes that were asked for, the newest first.
-    pub fn changes(&self) -> impl Iterator<Item = Call> {
+    pub(crate) fn changes(&self) -> impl Iterator<Item = Call> {
         self.records.iter().rev().map(|record| record.call).filter(|call| *call != Call::Read)
     }
 
     /// The first object whose answers can't be explained by any order of the calls.
-    pub fn unexplained(&self) -> Option<UnexplainedObject> {
+    pub(crate) fn unexplained(&self) -> Option<UnexplainedObject> {
         let configuration = self.operations(|call| match call {
             Call::Configure(order) => Some(ConfigurationCall::Change(order)),
             Call::Read => Some(ConfigurationCall::Read),
@@ -172,7 +172,7 @@
 
 impl Simulation {
     /// Sends a call to a member.
-    pub fn submit(&mut self, index: usize, call: Call) -> CallId {
+    pub(crate) fn submit(&mut self, index: usize, call: Call) -> CallId {
         let id = self.operators.begin(call);
         self.schedule(self.now + PATIENCE, Event::Operator(OperatorEvent::GivenUp { call: id }));
         if !chance(&mut self.random, self.operators.loss) {
--- a/crates/control-plane/tests/support/operator/desk.rs
+++ b/crates/control-plane/tests/support/operator/desk.rs
@@ -16,7 +16,7 @@
 
 /// Changes that wait at a process; they are carried out one at a time.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub(crate) struct Desk {
     queue: VecDeque<Request>,
     current: Option<CurrentChange>,
 }
@@ -98,7 +98,7 @@
     }
 
     /// A proposal has ended.
-    pub fn end_proposal(&mut self, index: usize, ticket: u64, end: ProposalEnd) {
+    pub(crate) fn end_proposal(&mut self, index: usize, ticket: u64, end: ProposalEnd) {
         let Some(process) = &self.machines[index].process else { return };
         let is_awaited = process.desk.current.as_ref().is_some_and(|change| change.ticket == Some(ticket));
         if !is_awaited {
--- a/crates/control-plane/tests/support/operator/event.rs
+++ b/crates/control-plane/tests/support/operator/event.rs
@@ -8,7 +8,7 @@
 
 /// Something that happens to a call.
 #[derive(Debug)]
-pub enum OperatorEvent {
+pub(crate) enum OperatorEvent {
     /// It reaches a member.
     Request { machine: usize, call: CallId },
     /// A process goes on with its work.
@@ -21,7 +21,7 @@
 
 /// A step of a process's work on calls.
 #[derive(Debug)]
-pub enum DeskStep {
+pub(crate) enum DeskStep {
     /// The current change is decided on.
     Decide,
     /// It was decided on.
@@ -46,7 +46,7 @@
 
 impl Simulation {
     /// Lets something happen to a call, now or when the machine is thawed.
-    pub fn take_operator_event(&mut self, event: OperatorEvent) {
+    pub(crate) fn take_operator_event(&mut self, event: OperatorEvent) {
         if let Some(index) = event.machine()
             && self.machines[index].frozen_until > self.now
             && let Some(process) = &mut self.machines[index].process
--- a/crates/control-plane/tests/support/operator/linearizability.rs
+++ b/crates/control-plane/tests/support/operator/linearizability.rs
@@ -10,7 +10,7 @@
 
 /// The answer that the caller got, and when.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KnownAnswer {
+pub(crate) struct KnownAnswer {
     /// Its place among all starts and answers.
     pub at: u64,
     /// What it says.
@@ -19,7 +19,7 @@
 
 /// One call of a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Operation<C> {
+pub(crate) struct Operation<C> {
     /// What was asked.
     pub call: C,
     /// The place of its start among all starts and answers.
@@ -29,7 +29,7 @@
 }
 
 /// Whether a history can be explained, from a register's first state. Operations are sorted by their starts.
-pub fn is_linearizable<R: Register>(first: &R, operations: &[Operation<R::Call>]) -> bool {
+pub(crate) fn is_linearizable<R: Register>(first: &R, operations: &[Operation<R::Call>]) -> bool {
     let is_sorted = operations.is_sorted_by_key(|operation| operation.started_at);
     assert!(is_sorted, "operations are sorted by their starts");
     let mut search = Search { operations, searched_states: 0, visited: HashSet::new() };
--- a/crates/control-plane/tests/support/operator/mod.rs
+++ b/crates/control-plane/tests/support/operator/mod.rs
@@ -1,9 +1,9 @@
 //! Operators of the simulated cluster: their calls, the members' side of them, and a checker of the answers.
 
-pub mod call;
-pub mod client;
-pub mod desk;
-pub mod event;
-pub mod linearizability;
-pub mod register;
-pub mod script;
+pub(crate) mod call;
+pub(crate) mod client;
+pub(crate) mod desk;
+pub(crate) mod event;
+pub(crate) mod linearizability;
+pub(crate) mod register;
+pub(crate) mod script;
--- a/crates/control-plane/tests/support/operator/register.rs
+++ b/crates/control-plane/tests/support/operator/register.rs
@@ -9,7 +9,7 @@
 use super::call::{Answer, ConfigurationMethod, ConfigurationOrder, Content, WeightsOrder};
 
 /// An object that answers calls one after the other.
-pub trait Register: Clone + Eq + Hash {
+pub(crate) trait Register: Clone + Eq + Hash {
     /// What is asked.
     type Call: Copy;
 
@@ -19,7 +19,7 @@
 
 /// A call to the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConfigurationCall {
+pub(crate) enum ConfigurationCall {
     /// `PUT` or `PATCH`.
     Change(ConfigurationOrder),
     /// `GET`.
@@ -28,7 +28,7 @@
 
 /// The configuration: a register with versions that knows orders which are repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct ConfigurationRegister {
+pub(crate) struct ConfigurationRegister {
     content: Option<Content>,
     taken: Vec<ConfigurationOrder>,
     remembered_orders: usize,
@@ -42,7 +42,7 @@
 
 impl ConfigurationRegister {
     /// An empty register that knows so many of the last orders again.
-    pub fn remembering(remembered_orders: usize) -> Self {
+    pub(crate) fn remembering(remembered_orders: usize) -> Self {
         ConfigurationRegister { content: None, taken: Vec::new(), remembered_orders }
     }
 
@@ -102,7 +102,7 @@
 
 /// The weights of one model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct WeightsRegister {
+pub(crate) struct WeightsRegister {
     named: BTreeSet<u64>,
 }
 
--- a/crates/control-plane/tests/support/operator/script.rs
+++ b/crates/control-plane/tests/support/operator/script.rs
@@ -15,7 +15,7 @@
 const REPEATED_CHANGES: usize = 6;
 
 /// Sends a random call, mostly to the primary, unless enough are under way.
-pub fn send_random_call(simulation: &mut Simulation, script: &mut Rng) {
+pub(crate) fn send_random_call(simulation: &mut Simulation, script: &mut Rng) {
     if simulation.operators.open_count() >= MOST_OPEN_CALLS {
         return;
     }
@@ -69,7 +69,7 @@
 }
 
 /// Sends some random calls over a while.
-pub fn send_calls_for_a_while(simulation: &mut Simulation, script: &mut Rng) {
+pub(crate) fn send_calls_for_a_while(simulation: &mut Simulation, script: &mut Rng) {
     for _ in 0..script.u64(2..12) {
         for _ in 0..script.u64(0..4) {
             send_random_call(simulation, script);
@@ -81,7 +81,7 @@
 /// After trouble: reads the configuration, sends the last changes once more, and reads again.
 ///
 /// Whether the last read was answered.
-pub fn send_last_calls(simulation: &mut Simulation) -> bool {
+pub(crate) fn send_last_calls(simulation: &mut Simulation) -> bool {
     simulation.operators.loss = 0;
     simulation.run_for(2 * SECOND + MS);
     let again: Vec<Call> = simulation.operators.changes().take(REPEATED_CHANGES).collect();
--- a/crates/control-plane/tests/support/payload.rs
+++ b/crates/control-plane/tests/support/payload.rs
@@ -9,7 +9,7 @@
 
 /// A command with the number by which the checkers know it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NumberedCommand {
+pub(crate) struct NumberedCommand {
     /// Its number.
     pub number: u64,
     /// The encoded command for the agreed state; empty if it changes nothing there.
@@ -18,12 +18,12 @@
 
 impl NumberedCommand {
     /// The entry's bytes.
-    pub fn encode(&self) -> Arc<[u8]> {
+    pub(crate) fn encode(&self) -> Arc<[u8]> {
         self.number.to_le_bytes().iter().chain(self.command.iter()).copied().collect()
     }
 
     /// The command from an entry's bytes.
-    pub fn decode(bytes: &[u8]) -> Self {
+    pub(crate) fn decode(bytes: &[u8]) -> Self {
         let (number, command) = bytes.split_at(WORD);
         NumberedCommand { number: decode_number(number), command: command.into() }
     }
@@ -31,7 +31,7 @@
 
 /// A member's state: the numbers of all commands so far, and the agreed state.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AppliedState {
+pub(crate) struct AppliedState {
     /// Numbers of the applied commands, in order.
     pub numbers: Vec<u64>,
     /// The agreed state.
@@ -40,7 +40,7 @@
 
 impl AppliedState {
     /// Applies an encoded command; what it changed, if it concerns the agreed state.
-    pub fn apply(&mut self, command: &[u8]) -> Option<Applied> {
+    pub(crate) fn apply(&mut self, command: &[u8]) -> Option<Applied> {
         if command.is_empty() {
             return None;
         }
@@ -48,12 +48,12 @@
     }
 
     /// The same without the agreed state.
-    pub fn without_agreed_state(&self) -> AppliedState {
+    pub(crate) fn without_agreed_state(&self) -> AppliedState {
         AppliedState { numbers: self.numbers.clone(), state: State::default() }
     }
 
     /// The snapshot's bytes.
-    pub fn encode(&self) -> Arc<[u8]> {
+    pub(crate) fn encode(&self) -> Arc<[u8]> {
         let count = self.numbers.len() as u64;
         let numbers = std::iter::once(&count).chain(&self.numbers);
         let mut bytes: Vec<u8> = numbers.flat_map(|number| number.to_le_bytes()).collect();
@@ -62,7 +62,7 @@
     }
 
     /// The state from a snapshot's bytes; the empty state from none.
-    pub fn decode(bytes: &[u8]) -> Self {
+    pub(crate) fn decode(bytes: &[u8]) -> Self {
         if bytes.is_empty() {
             return AppliedState::default();
         }
--- a/crates/control-plane/tests/support/reference.rs
+++ b/crates/control-plane/tests/support/reference.rs
@@ -10,7 +10,7 @@
 
 /// The answer to a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub(crate) enum Answer {
     /// It was taken before.
     AlreadyTaken,
     /// It builds on another version than this one.
@@ -25,7 +25,7 @@
 
 impl Answer {
     /// The answer that a decision stands for.
-    pub fn of(decision: &Decision) -> Answer {
+    pub(crate) fn of(decision: &Decision) -> Answer {
         match decision {
             Decision::AlreadyTaken => Answer::AlreadyTaken,
             Decision::Stale { current } => Answer::Stale(*current),
@@ -46,7 +46,7 @@
 
 /// The model of the agreed state.
 #[derive(Debug, Default)]
-pub struct Reference {
+pub(crate) struct Reference {
     document: Option<Value>,
     taken: Vec<ConfigurationCall>,
     weights: BTreeMap<String, Vec<u64>>,
@@ -54,23 +54,23 @@
 
 impl Reference {
     /// The configuration in force.
-    pub fn document(&self) -> Option<&Value> {
+    pub(crate) fn document(&self) -> Option<&Value> {
         self.document.as_ref()
     }
 
     /// The version in force, 0 if there is none.
-    pub fn revision(&self) -> u64 {
+    pub(crate) fn revision(&self) -> u64 {
         self.document.as_ref().map_or(0, revision_of)
     }
 
     /// The newest weights of each model.
-    pub fn newest_weights(&self) -> BTreeMap<String, u64> {
+    pub(crate) fn newest_weights(&self) -> BTreeMap<String, u64> {
         let newest = |(model, revisions): (&String, &Vec<u64>)| Some((model.clone(), *revisions.last()?));
         self.weights.iter().filter_map(newest).collect()
     }
 
     /// The answer to a change in the present state.
-    pub fn answer(&self, change: &Change) -> Answer {
+    pub(crate) fn answer(&self, change: &Change) -> Answer {
         match change {
             Change::NameWeights { model, revision } => self.answer_weights(model, *revision),
             Change::PutConfiguration { if_match, body } => {
@@ -83,7 +83,7 @@
     }
 
     /// What becomes of the command of a change that was accepted in some earlier state.
-    pub fn apply(&mut self, change: &Change) -> Applied {
+    pub(crate) fn apply(&mut self, change: &Change) -> Applied {
         match (self.answer(change), change) {
             (Answer::Accept, Change::NameWeights { model, revision }) => {
                 self.weights.entry(model.clone()).or_default().push(*revision);
--- a/crates/control-plane/tests/support/scenario.rs
+++ b/crates/control-plane/tests/support/scenario.rs
@@ -4,7 +4,7 @@
 use super::simulation::{Fault, SECOND, Shape, Simulation};
 
 /// A cluster that has acknowledged a proposal and is past its first boot.
-pub fn started(losses: u32, seeds: usize, machines: usize, seed: u64) -> Simulation {
+pub(crate) fn started(losses: u32, seeds: usize, machines: usize, seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed, Shape { losses, seeds, machines, fault: Fault::None });
     simulation.acknowledge_one();
     simulation.end_first_boot();
@@ -13,7 +13,7 @@
 }
 
 /// Asserts that no promise was broken and that a proposal is acknowledged in time.
-pub fn assert_goes_on(simulation: &mut Simulation) {
+pub(crate) fn assert_goes_on(simulation: &mut Simulation) {
     let is_live = simulation.make_progress(PROGRESS_WITHIN);
     assert_eq!(simulation.checker.violation, None);
     assert!(is_live, "a proposal is acknowledged in time");
--- a/crates/control-plane/tests/support/simulation/departure.rs
+++ b/crates/control-plane/tests/support/simulation/departure.rs
@@ -14,7 +14,7 @@
 
 /// A machine that leaves for good.
 #[derive(Clone, Copy, Debug)]
-pub struct Leaving {
+pub(crate) struct Leaving {
     /// When its process was told to stop.
     pub since: u64,
     /// What would have been missing when its process ended; none as long as it runs.
@@ -23,7 +23,7 @@
 
 impl Simulation {
     /// Tells a process to stop; it ends when it is not needed any more, and its machine does not come back.
-    pub fn leave(&mut self, index: usize) {
+    pub(crate) fn leave(&mut self, index: usize) {
         self.machines[index].leaving = Some(Leaving { since: self.now, ended: None });
         self.input(index, Input::Terminate);
         match &self.machines[index].process {
@@ -36,12 +36,12 @@
     }
 
     /// How a machine has left; none as long as it has not.
-    pub fn departure(&self, index: usize) -> Option<Departure> {
+    pub(crate) fn departure(&self, index: usize) -> Option<Departure> {
         self.machines[index].leaving.and_then(|leaving| leaving.ended)
     }
 
     /// Machines whose processes were told to stop for good, and have not ended.
-    pub fn leaving_count(&self) -> usize {
+    pub(crate) fn leaving_count(&self) -> usize {
         let is_leaving = |leaving: &Leaving| leaving.ended.is_none();
         self.machines
             .iter()
--- a/crates/control-plane/tests/support/simulation/lifecycle.rs
+++ b/crates/control-plane/tests/support/simulation/lifecycle.rs
@@ -15,7 +15,7 @@
 
 impl Simulation {
     /// Adds a machine that starts at a time; its index.
-    pub fn add_machine(&mut self, generation: u64, at: u64) -> usize {
+    pub(crate) fn add_machine(&mut self, generation: u64, at: u64) -> usize {
         let index = self.machines.len();
         let address = Ipv4Addr::new(10, 1 + (index % 3) as u8, 0, 10 + index as u8);
         let clock = self.new_clock();
@@ -113,7 +113,7 @@
     }
 
     /// The first boot is over: disks formatted from now on have random generations.
-    pub fn end_first_boot(&mut self) {
+    pub(crate) fn end_first_boot(&mut self) {
         self.first_boot = false;
     }
 }
--- a/crates/control-plane/tests/support/simulation/mod.rs
+++ b/crates/control-plane/tests/support/simulation/mod.rs
@@ -17,9 +17,9 @@
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::replication::Envelope;
 
-pub use departure::Leaving;
-pub use network::Network;
-pub use shape::{Fault, Shape};
+pub(crate) use departure::Leaving;
+pub(crate) use network::Network;
+pub(crate) use shape::{Fault, Shape};
 
 use super::checker::Checker;
 use super::machine::Machine;
@@ -27,9 +27,9 @@
 use super::operator::event::OperatorEvent;
 
 /// Microseconds in a millisecond.
-pub const MS: u64 = 1000;
+pub(crate) const MS: u64 = 1000;
 /// Microseconds in a second.
-pub const SECOND: u64 = 1_000_000;
+pub(crate) const SECOND: u64 = 1_000_000;
 /// Applied commands between compactions.
 const FEWEST_BETWEEN_COMPACTIONS: usize = 2;
 const MOST_BETWEEN_COMPACTIONS: usize = 16;
@@ -38,7 +38,7 @@
 
 /// What becomes of a machine whose process has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterEnd {
+pub(crate) enum AfterEnd {
     /// The process starts again after a delay.
     Restart { after: u64 },
     /// The machine does not come back.
@@ -47,7 +47,7 @@
 
 /// Something that happens at a time.
 #[derive(Debug)]
-pub enum Event {
+pub(crate) enum Event {
     Arrival { machine: usize, envelope: Envelope },
     Wake { machine: usize, life: u64 },
     Synced { machine: usize, life: u64 },
@@ -59,7 +59,7 @@
 }
 
 /// A cluster.
-pub struct Simulation {
+pub(crate) struct Simulation {
     /// True time in microseconds.
     pub now: u64,
     /// What all randomness comes from.
@@ -88,7 +88,7 @@
 
 impl Simulation {
     /// A cluster whose machines start within 0.3 s, in any order.
-    pub fn new(seed: u64, shape: Shape) -> Self {
+    pub(crate) fn new(seed: u64, shape: Shape) -> Self {
         let mut random = Rng::with_seed(seed);
         let compact_every = random.usize(FEWEST_BETWEEN_COMPACTIONS..=MOST_BETWEEN_COMPACTIONS);
         let mut simulation = Simulation {
@@ -116,19 +116,19 @@
     }
 
     /// The number of losses withstood.
-    pub fn losses(&self) -> usize {
+    pub(crate) fn losses(&self) -> usize {
         self.shape.losses as usize
     }
 
     /// Lets something happen at a time, or now if that is over.
-    pub fn schedule(&mut self, at: u64, event: Event) {
+    pub(crate) fn schedule(&mut self, at: u64, event: Event) {
         self.next_event += 1;
         self.events.insert(self.next_event, event);
         self.queue.push(Reverse((at.max(self.now), self.next_event)));
     }
 
     /// Lets time pass.
-    pub fn run_until(&mut self, until: u64) {
+    pub(crate) fn run_until(&mut self, until: u64) {
         while let Some(Reverse((at, number))) = self.queue.peek().copied()
             && at <= until
             && self.checker.violation.is_none()
@@ -144,12 +144,12 @@
     }
 
     /// Lets a span pass.
-    pub fn run_for(&mut self, span: u64) {
+    pub(crate) fn run_for(&mut self, span: u64) {
         self.run_until(self.now + span);
     }
 
     /// Lets time pass until something holds; whether it did within the span.
-    pub fn run_while_not(&mut self, span: u64, mut holds: impl FnMut(&Self) -> bool) -> bool {
+    pub(crate) fn run_while_not(&mut self, span: u64, mut holds: impl FnMut(&Self) -> bool) -> bool {
         let until = self.now + span;
         while self.now < until {
             if holds(self) {
@@ -210,7 +210,7 @@
     }
 
     /// Whether this run of a process goes on.
-    pub fn is_life(&self, machine: usize, life: u64) -> bool {
+    pub(crate) fn is_life(&self, machine: usize, life: u64) -> bool {
         self.machines[machine].process.as_ref().is_some_and(|process| process.life == life)
     }
 
--- a/crates/control-plane/tests/support/simulation/network.rs
+++ b/crates/control-plane/tests/support/simulation/network.rs
@@ -8,7 +8,7 @@
 
 /// How bad the network is.
 #[derive(Clone, Copy, Debug)]
-pub struct Network {
+pub(crate) struct Network {
     /// Messages lost, in a thousand.
     pub loss: u64,
     /// Messages that come twice, in a thousand.
@@ -65,7 +65,7 @@
     }
 
     /// Cuts all links of a machine, in the directions asked for.
-    pub fn isolate(&mut self, index: usize, incoming: bool, outgoing: bool) {
+    pub(crate) fn isolate(&mut self, index: usize, incoming: bool, outgoing: bool) {
         for other in 0..self.machines.len() {
             if other != index && incoming {
                 self.cuts.insert((other, index));
@@ -77,7 +77,7 @@
     }
 
     /// Cuts the cluster in two.
-    pub fn split(&mut self, side: &[usize]) {
+    pub(crate) fn split(&mut self, side: &[usize]) {
         for left in 0..self.machines.len() {
             for right in 0..self.machines.len() {
                 if side.contains(&left) != side.contains(&right) {
--- a/crates/control-plane/tests/support/simulation/outputs.rs
+++ b/crates/control-plane/tests/support/simulation/outputs.rs
@@ -9,7 +9,7 @@
 
 impl Simulation {
     /// Hands an input to a process, now or when it is thawed.
-    pub fn input(&mut self, index: usize, input: Input) {
+    pub(crate) fn input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let machine = &mut self.machines[index];
         let is_frozen = machine.frozen_until > now;
--- a/crates/control-plane/tests/support/simulation/proposals.rs
+++ b/crates/control-plane/tests/support/simulation/proposals.rs
@@ -9,12 +9,12 @@
 
 impl Simulation {
     /// Proposes a command that does not concern the agreed state; its ticket.
-    pub fn propose(&mut self, index: usize) -> u64 {
+    pub(crate) fn propose(&mut self, index: usize) -> u64 {
         self.propose_command(index, Arc::default())
     }
 
     /// Proposes a command at a machine; its ticket, which is its number too.
-    pub fn propose_command(&mut self, index: usize, command: Arc<[u8]>) -> u64 {
+    pub(crate) fn propose_command(&mut self, index: usize, command: Arc<[u8]>) -> u64 {
         let number = self.next_command;
         self.next_command += 1;
         let command = NumberedCommand { number, command }.encode();
@@ -23,7 +23,7 @@
     }
 
     /// Proposes again and again until something is acknowledged; whether it was within the span.
-    pub fn make_progress(&mut self, span: u64) -> bool {
+    pub(crate) fn make_progress(&mut self, span: u64) -> bool {
         let until = self.now + span;
         let before = self.done.len();
         while self.now < until && self.checker.violation.is_none() {
@@ -39,7 +39,7 @@
     }
 
     /// Proposes at the primary and waits for the acknowledgement; the machine that gave it.
-    pub fn acknowledge_one(&mut self) -> usize {
+    pub(crate) fn acknowledge_one(&mut self) -> usize {
         for _ in 0..400 {
             if let Some(primary) = self.primary() {
                 let ticket = self.propose(primary);
--- a/crates/control-plane/tests/support/simulation/shape.rs
+++ b/crates/control-plane/tests/support/simulation/shape.rs
@@ -2,7 +2,7 @@
 
 /// Faults of the members themselves, to show that the checker sees them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// None.
     #[default]
     None,
@@ -31,7 +31,7 @@
 
 /// Size of a cluster and its faults.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub(crate) struct Shape {
     /// f.
     pub losses: u32,
     /// Seeds.
--- a/crates/control-plane/tests/support/simulation/trouble.rs
+++ b/crates/control-plane/tests/support/simulation/trouble.rs
@@ -8,7 +8,7 @@
 
 impl Simulation {
     /// Ends a process and lets it start again after a delay.
-    pub fn kill(&mut self, index: usize, restart_after: u64) {
+    pub(crate) fn kill(&mut self, index: usize, restart_after: u64) {
         let machine = &mut self.machines[index];
         machine.process = None;
         machine.frozen_until = 0;
@@ -17,12 +17,12 @@
     }
 
     /// Asks a process to end; it does after a while, and starts again later.
-    pub fn terminate(&mut self, index: usize, ends_after: u64, restart_after: u64) {
+    pub(crate) fn terminate(&mut self, index: usize, ends_after: u64, restart_after: u64) {
         self.ask_to_end(index, ends_after, AfterEnd::Restart { after: restart_after });
     }
 
     /// Asks a process to end; it does after a while, needed or not, and its machine does not come back.
-    pub fn terminate_for_good(&mut self, index: usize, ends_after: u64) {
+    pub(crate) fn terminate_for_good(&mut self, index: usize, ends_after: u64) {
         self.ask_to_end(index, ends_after, AfterEnd::Removal);
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// The disk refuses all writes for a span; the process tries them again and again.
-    pub fn fill_disk(&mut self, index: usize, span: u64) {
+    pub(crate) fn fill_disk(&mut self, index: usize, span: u64) {
         let machine = &mut self.machines[index];
         machine.disk.full_until = self.now + span;
         let life = machine.lives;
@@ -59,18 +59,18 @@
     }
 
     /// Cuts the power right after some more writes, before the process hears of the last one.
-    pub fn cut_power_after_writes(&mut self, index: usize, writes: u32, restart_after: u64) {
+    pub(crate) fn cut_power_after_writes(&mut self, index: usize, writes: u32, restart_after: u64) {
         self.machines[index].disk.power_cut = Some(PowerCut { writes, restart_after });
     }
 
     /// Cuts the power; nothing that is not synced is found after.
-    pub fn cut_power(&mut self, index: usize, restart_after: u64) {
+    pub(crate) fn cut_power(&mut self, index: usize, restart_after: u64) {
         self.machines[index].disk.lose_all_pending();
         self.kill(index, restart_after);
     }
 
     /// Takes a machine's disk and lets it start again as a newcomer.
-    pub fn wipe(&mut self, index: usize, restart_after: u64) {
+    pub(crate) fn wipe(&mut self, index: usize, restart_after: u64) {
         self.cut_power(index, restart_after);
         let generation = self.random.u64(..) | 1;
         let keeps_generation = self.shape.fault == Fault::KeptGeneration;
@@ -82,14 +82,14 @@
     }
 
     /// Takes a machine away for good and adds another at a new address.
-    pub fn replace(&mut self, index: usize, start_after: u64) -> usize {
+    pub(crate) fn replace(&mut self, index: usize, start_after: u64) -> usize {
         self.remove(index);
         let generation = self.random.u64(..) | 1;
         self.add_machine(generation, self.now + start_after)
     }
 
     /// Stops a machine for a span; its clock goes on.
-    pub fn freeze(&mut self, index: usize, span: u64) {
+    pub(crate) fn freeze(&mut self, index: usize, span: u64) {
         let until = self.now + span;
         let machine = &mut self.machines[index];
         if machine.process.is_some() && machine.frozen_until <= self.now {
@@ -115,7 +115,7 @@
     }
 
     /// Ends all trouble of network, disks and freezes; processes that are down come back soon.
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.cuts.clear();
         self.network = Network::default();
         for index in 0..self.machines.len() {
--- a/crates/control-plane/tests/support/simulation/views.rs
+++ b/crates/control-plane/tests/support/simulation/views.rs
@@ -8,33 +8,33 @@
 
 impl Simulation {
     /// The machine that is primary by its own word.
-    pub fn primary(&self) -> Option<usize> {
+    pub(crate) fn primary(&self) -> Option<usize> {
         self.machines
             .iter()
             .position(|machine| machine.is_running(self.now) && machine.lease_valid(self.now))
     }
 
     /// The machine of a member, if it has not become another one.
-    pub fn machine_of(&self, node: NodeId) -> Option<usize> {
+    pub(crate) fn machine_of(&self, node: NodeId) -> Option<usize> {
         self.machines.iter().position(|machine| machine.node == node)
     }
 
     /// The newest view that a running machine knows.
-    pub fn view_at(&self, index: usize) -> Option<&View> {
+    pub(crate) fn view_at(&self, index: usize) -> Option<&View> {
         let machine = &self.machines[index];
         let process = machine.process.as_ref().filter(|_| machine.is_running(self.now))?;
         process.replication.view()
     }
 
     /// The machines that hold the data in the primary's view, the primary first.
-    pub fn holders(&self) -> Vec<usize> {
+    pub(crate) fn holders(&self) -> Vec<usize> {
         let view = self.primary().and_then(|primary| self.view_at(primary));
         let holders = &view.expect("a primary has a view").holders;
         holders.iter().map(|holder| self.machine_of(*holder).expect("it is a machine")).collect()
     }
 
     /// Whether there is a primary whose view has only running members, is settled, and is known to its voters.
-    pub fn is_view_settled(&self) -> bool {
+    pub(crate) fn is_view_settled(&self) -> bool {
         let Some(view) = self.primary().and_then(|primary| self.view_at(primary)) else { return false };
         let knows_view = |voter: &NodeId| {
             self.machine_of(*voter).and_then(|machine| self.view_at(machine)) == Some(view)
@@ -43,7 +43,7 @@
     }
 
     /// Whether running members that have applied equally many commands have the same state.
-    pub fn states_agree(&self) -> bool {
+    pub(crate) fn states_agree(&self) -> bool {
         let processes: Vec<&Process> =
             self.machines.iter().filter_map(|machine: &Machine| machine.process.as_ref()).collect();
         processes.iter().enumerate().all(|(position, first)| {
--- a/crates/control-plane/tests/support_model/actions.rs
+++ b/crates/control-plane/tests/support_model/actions.rs
@@ -5,7 +5,7 @@
 
 /// One step of a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
+pub(crate) enum Action {
     /// The oldest message (or with [`Ordering::Any`] any message) arrives.
     Deliver(usize),
     /// A message arrives, and the same again later.
@@ -44,7 +44,7 @@
 
 /// In which order things happen that take no time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordering {
+pub(crate) enum Ordering {
     /// Any order: each message, sync and timer may come next, and messages may stay on their way for ever,
     /// so loss and lateness cost nothing. For short histories.
     Any,
@@ -55,7 +55,7 @@
 
 /// How many more actions of each kind a history may have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Budget {
+pub(crate) struct Budget {
     /// All kinds together.
     pub total: u8,
     /// [`Action::Delay`].
@@ -86,7 +86,7 @@
 
 impl Budget {
     /// Actions of any kinds, and of some in all.
-    pub fn any(total: u8) -> Budget {
+    pub(crate) fn any(total: u8) -> Budget {
         Budget {
             total,
             delays: total,
@@ -127,13 +127,13 @@
     }
 
     /// Whether the action is within the budget.
-    pub fn allows(mut self, action: &Action) -> bool {
+    pub(crate) fn allows(mut self, action: &Action) -> bool {
         let total = self.total;
         self.part(action).is_none_or(|part| *part > 0 && total > 0)
     }
 
     /// Takes the action's cost off.
-    pub fn spend(&mut self, action: &Action) {
+    pub(crate) fn spend(&mut self, action: &Action) {
         if let Some(part) = self.part(action) {
             *part = part.saturating_sub(1);
             self.total = self.total.saturating_sub(1);
@@ -142,11 +142,11 @@
 }
 
 /// Links, as pairs of sender and receiver.
-pub type Links = Vec<(usize, usize)>;
+pub(crate) type Links = Vec<(usize, usize)>;
 
 /// What bounds the histories that are tried.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub(crate) struct Bounds {
     /// The order of things that take no time.
     pub ordering: Ordering,
     /// Actions that cost something.
@@ -168,7 +168,7 @@
 }
 
 /// Each member cut off: both ways, and in either direction alone.
-pub fn isolations(members: usize) -> Vec<Links> {
+pub(crate) fn isolations(members: usize) -> Vec<Links> {
     let others = |member: usize| (0..members).filter(move |other| *other != member);
     let mut cuts = Vec::new();
     for member in 0..members {
@@ -182,19 +182,19 @@
 }
 
 /// The link between each two members cut both ways.
-pub fn pairs(members: usize) -> Vec<Links> {
+pub(crate) fn pairs(members: usize) -> Vec<Links> {
     let pairs = (0..members).flat_map(|first| (first + 1..members).map(move |second| (first, second)));
     pairs.map(|(first, second)| vec![(first, second), (second, first)]).collect()
 }
 
 /// The members of one side cut from all others.
-pub fn split(members: usize, side: &[usize]) -> Links {
+pub(crate) fn split(members: usize, side: &[usize]) -> Links {
     let all = (0..members).flat_map(|from| (0..members).map(move |to| (from, to)));
     all.filter(|(from, to)| side.contains(from) != side.contains(to)).collect()
 }
 
 /// All actions that are possible in a state within the bounds; the usual one comes first.
-pub fn possible(world: &World, bounds: &Bounds) -> Vec<Action> {
+pub(crate) fn possible(world: &World, bounds: &Bounds) -> Vec<Action> {
     let mut actions = match bounds.ordering {
         Ordering::Usual => usual_step(world, bounds),
         Ordering::Any => any_steps(world),
--- a/crates/control-plane/tests/support_model/breaks.rs
+++ b/crates/control-plane/tests/support_model/breaks.rs
@@ -8,7 +8,7 @@
 use super::world::World;
 
 /// A promise that is broken, and the bounds within which it is seen.
-pub struct Break {
+pub(crate) struct Break {
     /// The promise.
     pub fault: Fault,
     /// Where the exploration begins.
@@ -22,7 +22,7 @@
 }
 
 /// The usual actions only.
-pub const NOTHING: Budget = Budget {
+pub(crate) const NOTHING: Budget = Budget {
     total: 0,
     delays: 0,
     duplicates: 0,
@@ -38,13 +38,13 @@
     terminations: 0,
 };
 /// One crash beside them.
-pub const CRASH: Budget = Budget { total: 1, crashes: 1, ..NOTHING };
+pub(crate) const CRASH: Budget = Budget { total: 1, crashes: 1, ..NOTHING };
 const WIPE: Budget = Budget { total: 1, wipes: 1, ..NOTHING };
 const PAUSE: Budget = Budget { total: 1, pauses: 1, ..NOTHING };
 const POWER_CUT: Budget = Budget { total: 1, power_cuts: 1, ..NOTHING };
 
 /// Histories in the usual order but for what the budget allows.
-pub fn usual(members: usize, budget: Budget, span: u64) -> Bounds {
+pub(crate) fn usual(members: usize, budget: Budget, span: u64) -> Bounds {
     Bounds {
         ordering: Ordering::Usual,
         budget,
@@ -69,7 +69,7 @@
 }
 
 /// 2 promises 1, loses power before the promise is on its disk, and promises 0 too.
-pub fn early_promise() -> Break {
+pub(crate) fn early_promise() -> Break {
     Break {
         fault: Fault::EarlyPromise,
         prefix: prefixes::race,
@@ -80,12 +80,12 @@
 }
 
 /// 2 promises 1, starts again without memory of it, and promises 0 too.
-pub fn forgotten_promise() -> Break {
+pub(crate) fn forgotten_promise() -> Break {
     Break { fault: Fault::ForgottenPromise, ..early_promise() }
 }
 
 /// The primary acknowledges an order that its backup has not synced.
-pub fn early_appended() -> Break {
+pub(crate) fn early_appended() -> Break {
     let budget = Budget { total: 2, proposals: 1, slow_disks: 1, ..NOTHING };
     Break {
         fault: Fault::EarlyAppended,
@@ -97,7 +97,7 @@
 }
 
 /// What follows from it: the backup loses power, and then becomes primary without the order.
-pub fn early_appended_lost() -> Break {
+pub(crate) fn early_appended_lost() -> Break {
     let budget = Budget { total: 3, proposals: 1, crashes: 1, cuts: 1, ..NOTHING };
     let bounds = usual(3, budget, 1000 * MS);
     Break {
@@ -109,7 +109,7 @@
 }
 
 /// A view comes into force whose backup has lost the data that it was sent.
-pub fn early_synced() -> Break {
+pub(crate) fn early_synced() -> Break {
     Break {
         fault: Fault::EarlySynced,
         prefix: prefixes::exchange,
@@ -120,7 +120,7 @@
 }
 
 /// The old backup is elected, since the new one has forgotten the view that made it one.
-pub fn forgotten_view() -> Break {
+pub(crate) fn forgotten_view() -> Break {
     Break {
         fault: Fault::ForgottenView,
         prefix: prefixes::stale_backup,
@@ -131,7 +131,7 @@
 }
 
 /// The old backup is elected by a voter whose disk was lost.
-pub fn kept_generation() -> Break {
+pub(crate) fn kept_generation() -> Break {
     Break {
         fault: Fault::KeptGeneration,
         prefix: prefixes::stale_backup,
@@ -142,7 +142,7 @@
 }
 
 /// A voter starts again, and promises 1 while 0 holds a lease on its earlier word.
-pub fn no_quiet_period() -> Break {
+pub(crate) fn no_quiet_period() -> Break {
     Break {
         fault: Fault::NoQuietPeriod,
         prefix: prefixes::pair_cut,
@@ -153,7 +153,7 @@
 }
 
 /// 1 goes on though 2 has refused because of the lease of 0.
-pub fn refusal_counts_as_promise() -> Break {
+pub(crate) fn refusal_counts_as_promise() -> Break {
     Break {
         fault: Fault::RefusalCountsAsPromise,
         prefix: prefixes::pair_cut,
@@ -164,7 +164,7 @@
 }
 
 /// 0 has lost the view in which 3 takes the place of 2; 1 has it. Each finds a majority of its own.
-pub fn no_previous_voters() -> Break {
+pub(crate) fn no_previous_voters() -> Break {
     let bounds = usual(4, Budget { total: 2, crashes: 1, cuts: 1, ..NOTHING }, 1500 * MS);
     Break {
         fault: Fault::NoPreviousVoters,
@@ -176,7 +176,7 @@
 }
 
 /// One disk is lost, and with it the only copy of an acknowledged order.
-pub fn one_holder() -> Break {
+pub(crate) fn one_holder() -> Break {
     Break {
         fault: Fault::OneHolder,
         prefix: prefixes::steady,
@@ -187,7 +187,7 @@
 }
 
 /// A primary that has paused still takes itself for one.
-pub fn role_instead_of_lease() -> Break {
+pub(crate) fn role_instead_of_lease() -> Break {
     Break {
         fault: Fault::RoleInsteadOfLease,
         prefix: prefixes::steady,
@@ -203,7 +203,7 @@
 }
 
 /// A primary acts for a little longer than the grants last.
-pub fn long_lease() -> Break {
+pub(crate) fn long_lease() -> Break {
     Break {
         fault: Fault::LongLease,
         prefix: prefixes::expiring_lease,
@@ -214,12 +214,12 @@
 }
 
 /// Clocks run 6% off true time; the terms bear 5%.
-pub fn too_much_drift() -> Break {
+pub(crate) fn too_much_drift() -> Break {
     Break { fault: Fault::Drift, setup: Setup::three_with_drift(5), ..long_lease() }
 }
 
 /// An order is repeated while its first entry waits for the backup.
-pub fn repeat_takes_effect() -> Break {
+pub(crate) fn repeat_takes_effect() -> Break {
     Break {
         fault: Fault::RepeatTakesEffect,
         prefix: prefixes::order_in_flight,
@@ -230,7 +230,7 @@
 }
 
 /// After a start from its snapshot a member knows no order any more.
-pub fn forgotten_orders() -> Break {
+pub(crate) fn forgotten_orders() -> Break {
     Break {
         fault: Fault::ForgottenOrders,
         prefix: prefixes::steady,
--- a/crates/control-plane/tests/support_model/disk.rs
+++ b/crates/control-plane/tests/support_model/disk.rs
@@ -6,7 +6,7 @@
 
 /// A batch that is not synced yet.
 #[derive(Clone, Debug)]
-pub struct Batch {
+pub(crate) struct Batch {
     /// Its ticket.
     pub ticket: u64,
     /// What is written.
@@ -15,7 +15,7 @@
 
 /// One member's disk.
 #[derive(Clone, Debug, Default)]
-pub struct Disk {
+pub(crate) struct Disk {
     /// What is synced.
     pub state: DurableState,
     /// Batches in their order.
@@ -26,7 +26,7 @@
 
 impl Disk {
     /// Syncs the oldest batch; its ticket.
-    pub fn sync_batch(&mut self) -> Option<u64> {
+    pub(crate) fn sync_batch(&mut self) -> Option<u64> {
         let batch = self.pending.pop_front()?;
         for record in &batch.records {
             self.state.apply(record);
@@ -35,12 +35,12 @@
     }
 
     /// Number of records that are not synced.
-    pub fn unsynced(&self) -> usize {
+    pub(crate) fn unsynced(&self) -> usize {
         self.pending.iter().map(|batch| batch.records.len()).sum()
     }
 
     /// The process or the power is gone: the first `kept` of the unsynced records are found later.
-    pub fn lose_unsynced(&mut self, kept: usize) {
+    pub(crate) fn lose_unsynced(&mut self, kept: usize) {
         let records: Vec<DurableRecord> = self.pending.drain(..).flat_map(|batch| batch.records).collect();
         for record in &records[..kept] {
             self.state.apply(record);
@@ -49,7 +49,7 @@
     }
 
     /// Whether an entry with this command is synced, or in the snapshot.
-    pub fn stores(&self, sequence: u64, command: &[u8]) -> bool {
+    pub(crate) fn stores(&self, sequence: u64, command: &[u8]) -> bool {
         let is_entry = |entry: &tulipridge_protocol::replication::Entry| {
             entry.sequence == sequence && *entry.command == *command
         };
--- a/crates/control-plane/tests/support_model/explorer.rs
+++ b/crates/control-plane/tests/support_model/explorer.rs
@@ -13,7 +13,7 @@
 
 /// What an exploration has met.
 #[derive(Clone, Debug, Default)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     /// Different states.
     pub states: usize,
     /// Actions that were taken.
@@ -58,7 +58,7 @@
 }
 
 /// Explores all histories that begin in a state, until the first violation.
-pub fn explore(start: World, bounds: &Bounds) -> Outcome {
+pub(crate) fn explore(start: World, bounds: &Bounds) -> Outcome {
     let began = Instant::now();
     let mut outcome = Outcome::default();
     let mut start = start.begin(bounds);
--- a/crates/control-plane/tests/support_model/faults.rs
+++ b/crates/control-plane/tests/support_model/faults.rs
@@ -5,7 +5,7 @@
 
 /// A promise that is broken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// None.
     #[default]
     None,
@@ -43,7 +43,7 @@
 
 impl Fault {
     /// Whether these records are reported as synced before they are.
-    pub fn reports_early(self, records: &[DurableRecord]) -> bool {
+    pub(crate) fn reports_early(self, records: &[DurableRecord]) -> bool {
         let is_early = |record: &DurableRecord| match self {
             Fault::EarlyPromise => matches!(record, DurableRecord::Promised(_)),
             Fault::EarlyAppended => matches!(record, DurableRecord::Entry(_)),
@@ -54,7 +54,7 @@
     }
 
     /// What becomes of a message on its way.
-    pub fn change_message(self, envelope: &mut Envelope) {
+    pub(crate) fn change_message(self, envelope: &mut Envelope) {
         match (self, &mut envelope.message) {
             (
                 Fault::NoPreviousVoters,
--- a/crates/control-plane/tests/support_model/invariants.rs
+++ b/crates/control-plane/tests/support_model/invariants.rs
@@ -9,7 +9,7 @@
 
 /// Something that must not happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Violation {
+pub(crate) enum Violation {
     /// Two members may act as primary at the same time.
     TwoLeases,
     /// Two members are primary of one epoch.
@@ -30,7 +30,7 @@
 
 /// An order that its proposer was told to be agreed.
 #[derive(Clone, Debug, Hash)]
-pub struct Acknowledgement {
+pub(crate) struct Acknowledgement {
     /// The entry's number.
     pub sequence: u64,
     /// The epoch in which it was acknowledged first.
@@ -39,7 +39,7 @@
 
 /// What happened so far, as far as the invariants need it.
 #[derive(Clone, Debug, Default, Hash)]
-pub struct History {
+pub(crate) struct History {
     /// Commands of committed entries, by their numbers.
     pub committed: BTreeMap<u64, std::sync::Arc<[u8]>>,
     /// Fingerprints of the state after an entry.
@@ -57,12 +57,12 @@
 
 impl History {
     /// Notes a violation.
-    pub fn report(&mut self, violation: Violation) {
+    pub(crate) fn report(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
     /// A member applied an entry, which took effect or not, and has this state now.
-    pub fn applied(
+    pub(crate) fn applied(
         &mut self,
         sequence: u64,
         command: &std::sync::Arc<[u8]>,
@@ -83,19 +83,19 @@
     }
 
     /// A member restored the state after an entry.
-    pub fn restored(&mut self, sequence: u64, state: u64) {
+    pub(crate) fn restored(&mut self, sequence: u64, state: u64) {
         if *self.states.entry(sequence).or_insert(state) != state {
             self.report(Violation::Diverged);
         }
     }
 
     /// A proposer was told that its order is agreed.
-    pub fn acknowledge(&mut self, order: Order, sequence: u64, epoch: u64) {
+    pub(crate) fn acknowledge(&mut self, order: Order, sequence: u64, epoch: u64) {
         self.acknowledged.entry(order).or_insert(Acknowledgement { sequence, epoch });
     }
 
     /// A member became primary with this state.
-    pub fn became_primary(&mut self, node: NodeId, epoch: u64, state: &State) {
+    pub(crate) fn became_primary(&mut self, node: NodeId, epoch: u64, state: &State) {
         if *self.primaries.entry(epoch).or_insert(node) != node {
             self.report(Violation::SharedEpoch);
         }
@@ -108,14 +108,14 @@
     }
 
     /// A member that may answer has this state.
-    pub fn may_answer(&mut self, state: &State) {
+    pub(crate) fn may_answer(&mut self, state: &State) {
         if self.acknowledged.keys().any(|order| !is_taken(state, *order)) {
             self.report(Violation::StaleRead);
         }
     }
 
     /// Number of epochs that had a primary.
-    pub fn primary_count(&self) -> usize {
+    pub(crate) fn primary_count(&self) -> usize {
         self.primaries.len()
     }
 }
--- a/crates/control-plane/tests/support_model/member.rs
+++ b/crates/control-plane/tests/support_model/member.rs
@@ -22,7 +22,7 @@
 
 /// A running process.
 #[derive(Clone, Debug)]
-pub struct Process {
+pub(crate) struct Process {
     /// The state machine under test.
     pub replication: Replication,
     /// The agreed state.
@@ -35,7 +35,7 @@
 
 /// One member.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub(crate) struct Member {
     /// Its address, and the generation of its present disk.
     pub node: NodeId,
     /// Its clock.
@@ -56,7 +56,7 @@
 
 impl Member {
     /// A machine with an empty disk.
-    pub fn new(index: usize, rate: u64) -> Member {
+    pub(crate) fn new(index: usize, rate: u64) -> Member {
         Member {
             node: NodeId::new(Ipv4Addr::new(10, 1, 0, 10 + index as u8), 0),
             clock: Clock { offset: CLOCK_START, rate },
@@ -70,12 +70,12 @@
     }
 
     /// Whether its process runs and handles inputs.
-    pub fn is_running(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         self.process.is_some() && self.paused_until.is_none()
     }
 
     /// When its next timer is due.
-    pub fn due(&self, now: u64) -> Option<u64> {
+    pub(crate) fn due(&self, now: u64) -> Option<u64> {
         if let Some(restart_at) = self.restart_at {
             return Some(restart_at.max(now));
         }
@@ -90,7 +90,7 @@
 
 /// A member, and the fingerprint that it had when it was last asked for.
 #[derive(Clone)]
-pub struct Slot {
+pub(crate) struct Slot {
     member: Rc<Member>,
     fingerprint: Option<u64>,
 }
@@ -105,17 +105,17 @@
 
 impl Slot {
     /// A member that is not asked for its fingerprint yet.
-    pub fn new(member: Member) -> Slot {
+    pub(crate) fn new(member: Member) -> Slot {
         Slot { member: Rc::new(member), fingerprint: None }
     }
 
     /// The member's fingerprint.
-    pub fn fingerprint(&mut self) -> u64 {
+    pub(crate) fn fingerprint(&mut self) -> u64 {
         *self.fingerprint.get_or_insert_with(|| fingerprint(&self.member))
     }
 
     /// The member, to be changed.
-    pub fn change(&mut self) -> &mut Member {
+    pub(crate) fn change(&mut self) -> &mut Member {
         self.fingerprint = None;
         Rc::make_mut(&mut self.member)
     }
@@ -125,7 +125,7 @@
 ///
 /// The output of a state machine shows all its fields, so two states with the same number go on alike but
 /// for a chance of about one in 2^64 for each pair.
-pub fn fingerprint(value: &impl Debug) -> u64 {
+pub(crate) fn fingerprint(value: &impl Debug) -> u64 {
     let mut hasher = DefaultHasher::new();
     format!("{value:?}").hash(&mut hasher);
     hasher.finish()
--- a/crates/control-plane/tests/support_model/mod.rs
+++ b/crates/control-plane/tests/support_model/mod.rs
@@ -11,18 +11,18 @@
 //! - [`explorer`]: depth-first search with de-duplication of states;
 //! - [`prefixes`]: scripted beginnings that lead to states worth exploring.
 
-pub mod actions;
-pub mod breaks;
+pub(crate) mod actions;
+pub(crate) mod breaks;
 #[path = "../support/clock.rs"]
-pub mod clock;
-pub mod disk;
-pub mod explorer;
-pub mod faults;
-pub mod invariants;
-pub mod lives;
-pub mod member;
-pub mod orders;
-pub mod outputs;
-pub mod prefixes;
-pub mod setup;
-pub mod world;
+pub(crate) mod clock;
+pub(crate) mod disk;
+pub(crate) mod explorer;
+pub(crate) mod faults;
+pub(crate) mod invariants;
+pub(crate) mod lives;
+pub(crate) mod member;
+pub(crate) mod orders;
+pub(crate) mod outputs;
+pub(crate) mod prefixes;
+pub(crate) mod setup;
+pub(crate) mod world;
--- a/crates/control-plane/tests/support_model/orders.rs
+++ b/crates/control-plane/tests/support_model/orders.rs
@@ -8,10 +8,10 @@
 use tulipridge_control_plane::state::{Change, Decision, State};
 
 /// An order by its number.
-pub type Order = u64;
+pub(crate) type Order = u64;
 
 /// The answer to an order.
-pub enum Answer {
+pub(crate) enum Answer {
     /// It has taken effect before.
     Taken,
     /// It is to be agreed on.
@@ -21,7 +21,7 @@
 }
 
 /// What a state answers to an order.
-pub fn answer(state: &State, order: Order) -> Answer {
+pub(crate) fn answer(state: &State, order: Order) -> Answer {
     match state.decide(&Change::NameWeights { model: "model".to_owned(), revision: order }) {
         Decision::AlreadyTaken => Answer::Taken,
         Decision::Accept(accepted) => Answer::Agree(accepted.command.clone()),
@@ -30,11 +30,11 @@
 }
 
 /// Whether a state answers that it has taken the order.
-pub fn is_taken(state: &State, order: Order) -> bool {
+pub(crate) fn is_taken(state: &State, order: Order) -> bool {
     matches!(answer(state, order), Answer::Taken)
 }
 
 /// Whether a command is the one of an order.
-pub fn is_command_of(command: &[u8], order: Order) -> bool {
+pub(crate) fn is_command_of(command: &[u8], order: Order) -> bool {
     matches!(answer(&State::default(), order), Answer::Agree(own) if *own == *command)
 }
--- a/crates/control-plane/tests/support_model/prefixes.rs
+++ b/crates/control-plane/tests/support_model/prefixes.rs
@@ -11,7 +11,7 @@
 const MOST_STEPS: usize = 20_000;
 
 /// Bounds that leave only the usual steps.
-pub fn usual() -> Bounds {
+pub(crate) fn usual() -> Bounds {
     Bounds {
         ordering: Ordering::Usual,
         budget: Budget::default(),
@@ -26,7 +26,7 @@
 }
 
 /// Takes usual steps until something holds.
-pub fn run_until(world: &mut World, holds: impl Fn(&World) -> bool) {
+pub(crate) fn run_until(world: &mut World, holds: impl Fn(&World) -> bool) {
     let bounds = usual();
     for _ in 0..MOST_STEPS {
         if holds(world) {
@@ -40,7 +40,7 @@
 }
 
 /// Takes usual steps for a span.
-pub fn run_for(world: &mut World, span: u64) {
+pub(crate) fn run_for(world: &mut World, span: u64) {
     let until = world.now + span;
     run_until(world, |world| is_quiet(world) && world.next_due().is_none_or(|(due, _)| due > until));
 }
@@ -50,12 +50,12 @@
 }
 
 /// Takes a single action whatever it costs.
-pub fn act(world: &mut World, action: Action) {
+pub(crate) fn act(world: &mut World, action: Action) {
     world.take(action, &usual());
 }
 
 /// Gives a new order to the primary, and waits until it is acknowledged.
-pub fn acknowledge_one(world: &mut World) {
+pub(crate) fn acknowledge_one(world: &mut World) {
     let before = world.history.acknowledged.len();
     let primary = world.primary().expect("there is a primary");
     act(world, Action::Propose(primary));
@@ -63,7 +63,7 @@
 }
 
 /// A primary with its lease and one order that was acknowledged; all is quiet.
-pub fn steady(setup: Setup) -> World {
+pub(crate) fn steady(setup: Setup) -> World {
     let mut world = World::new(setup);
     run_until(&mut world, |world| world.primary().is_some() && is_quiet(world));
     acknowledge_one(&mut world);
@@ -72,7 +72,7 @@
 }
 
 /// An order was just given to the primary: it is on no disk yet, and on its way to the backup.
-pub fn order_in_flight(setup: Setup) -> World {
+pub(crate) fn order_in_flight(setup: Setup) -> World {
     let mut world = steady(setup);
     let primary = world.primary().expect("there is a primary");
     act(&mut world, Action::Propose(primary));
@@ -80,7 +80,7 @@
 }
 
 /// The primary was told to end; its release is on its way.
-pub fn leaving(setup: Setup) -> World {
+pub(crate) fn leaving(setup: Setup) -> World {
     let mut world = steady(setup);
     let primary = world.primary().expect("there is a primary");
     world.input(primary, Input::Terminate);
@@ -89,7 +89,7 @@
 
 /// Members 0 and 1 want to be primary at the same time, at the first start, and don't hear each other: their
 /// first messages to 2 are held up.
-pub fn race(setup: Setup) -> World {
+pub(crate) fn race(setup: Setup) -> World {
     let mut world = World::new(setup);
     world.cut(&pairs(2)[0]);
     hold_prepares(&mut world, 2);
@@ -98,7 +98,7 @@
 
 /// The lease of 0 runs out while 1 wants to be primary: 1 has not heard 0 for longer than 2 has, and its message
 /// to 2 is held up.
-pub fn expiring_lease(setup: Setup) -> World {
+pub(crate) fn expiring_lease(setup: Setup) -> World {
     let mut world = pair_cut(setup);
     hold_prepares(&mut world, 1);
     let members = world.members.len();
@@ -125,14 +125,14 @@
 }
 
 /// The primary 0 and the backup 1 don't hear each other any more; 2 hears both, so the lease goes on.
-pub fn pair_cut(setup: Setup) -> World {
+pub(crate) fn pair_cut(setup: Setup) -> World {
     let mut world = steady(setup);
     world.cut(&pairs(2)[0]);
     world
 }
 
 /// The primary 0 hears nobody any more and isn't heard; its lease runs.
-pub fn cut_off(setup: Setup) -> World {
+pub(crate) fn cut_off(setup: Setup) -> World {
     let mut world = steady(setup);
     let members = world.members.len();
     world.cut(&split(members, &[0]));
@@ -141,7 +141,7 @@
 
 /// The primary 0 was cut off for so long that 1 begins to take over; its first messages are on their way, and
 /// the links are whole again.
-pub fn takeover(setup: Setup) -> World {
+pub(crate) fn takeover(setup: Setup) -> World {
     let mut world = cut_off(setup);
     run_until(&mut world, |world| sends(world, is_prepare));
     act(&mut world, Action::Heal);
@@ -150,7 +150,7 @@
 
 /// Backup 1 was cut off and exchanged for 2, which has acknowledged an order since; then 0 is cut off in its
 /// place, so that the old backup and the new one are among themselves.
-pub fn stale_backup(setup: Setup) -> World {
+pub(crate) fn stale_backup(setup: Setup) -> World {
     let mut world = steady(setup);
     let members = world.members.len();
     world.cut(&split(members, &[1]));
@@ -168,7 +168,7 @@
 }
 
 /// Backup 1 was cut off and is being exchanged for 2: the state is on its way to it. Then the links are whole.
-pub fn exchange(setup: Setup) -> World {
+pub(crate) fn exchange(setup: Setup) -> World {
     let mut world = steady(setup);
     let members = world.members.len();
     world.cut(&split(members, &[1]));
@@ -181,7 +181,7 @@
 
 /// Voter 2 was cut off and is being exchanged for 3: the new view is on its way to the backup. Then the links
 /// are whole.
-pub fn voter_exchange(setup: Setup) -> World {
+pub(crate) fn voter_exchange(setup: Setup) -> World {
     let mut world = steady(setup);
     let members = world.members.len();
     world.cut(&split(members, &[2]));
@@ -193,7 +193,7 @@
 }
 
 /// The backup's disk was lost; it has come back as a newcomer, and the primary is about to take it in.
-pub fn newcomer(setup: Setup) -> World {
+pub(crate) fn newcomer(setup: Setup) -> World {
     let mut world = steady(setup);
     world.take(Action::Wipe { member: 1, down_for: 300 * MS }, &usual());
     let node = world.members[1].node;
--- a/crates/control-plane/tests/support_model/setup.rs
+++ b/crates/control-plane/tests/support_model/setup.rs
@@ -3,21 +3,21 @@
 use super::faults::Fault;
 
 /// Microseconds in a millisecond.
-pub const MS: u64 = 1000;
+pub(crate) const MS: u64 = 1000;
 /// A clock's nominal speed, in millionths.
-pub const TRUE_RATE: u64 = 1_000_000;
+pub(crate) const TRUE_RATE: u64 = 1_000_000;
 /// How far clocks may be off true time, in parts of a hundred.
-pub const DRIFT_PERCENT: u64 = 2;
+pub(crate) const DRIFT_PERCENT: u64 = 2;
 
 /// The speeds of the slowest and the fastest clock.
-pub fn drifted(percent: u64) -> (u64, u64) {
+pub(crate) fn drifted(percent: u64) -> (u64, u64) {
     let difference = TRUE_RATE / 100 * percent;
     (TRUE_RATE - difference, TRUE_RATE + difference)
 }
 
 /// What stays the same in all histories of an exploration.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub(crate) struct Setup {
     /// f.
     pub losses: u32,
     /// Machines that are in the first view.
@@ -36,7 +36,7 @@
 
 impl Setup {
     /// Three seeds whose clocks run true; f = 1.
-    pub fn three() -> Setup {
+    pub(crate) fn three() -> Setup {
         Setup {
             losses: 1,
             seeds: 3,
@@ -50,18 +50,18 @@
 
     /// The same, with the slowest clock at the primary and the fastest ones at the others: so many parts of a
     /// hundred off true time.
-    pub fn three_with_drift(percent: u64) -> Setup {
+    pub(crate) fn three_with_drift(percent: u64) -> Setup {
         let (slow, fast) = drifted(percent);
         Setup { rates: vec![slow, fast, fast], ..Setup::three() }
     }
 
     /// Three seeds and a standby.
-    pub fn four() -> Setup {
+    pub(crate) fn four() -> Setup {
         Setup { rates: vec![TRUE_RATE; 4], ..Setup::three() }
     }
 
     /// Five seeds; f = 2.
-    pub fn five() -> Setup {
+    pub(crate) fn five() -> Setup {
         Setup { losses: 2, seeds: 5, rates: vec![TRUE_RATE; 5], ..Setup::three() }
     }
 }
--- a/crates/control-plane/tests/support_model/world.rs
+++ b/crates/control-plane/tests/support_model/world.rs
@@ -22,7 +22,7 @@
 
 /// A message on its way.
 #[derive(Clone, Debug)]
-pub struct Message {
+pub(crate) struct Message {
     /// Tells it from others.
     pub fingerprint: u64,
     /// The message.
@@ -31,7 +31,7 @@
 
 /// One state of the cluster.
 #[derive(Clone)]
-pub struct World {
+pub(crate) struct World {
     /// True time in microseconds.
     pub now: u64,
     /// All members.
@@ -58,7 +58,7 @@
 
 impl World {
     /// All machines with empty disks; their processes start at once.
-    pub fn new(mut setup: Setup) -> World {
+    pub(crate) fn new(mut setup: Setup) -> World {
         if setup.fault == Fault::Drift {
             setup.rates = Setup::three_with_drift(UNBEARABLE_DRIFT_PERCENT).rates;
         }
@@ -86,7 +86,7 @@
     }
 
     /// What an action would do here, in one line.
-    pub fn describe(&self, action: &Action) -> String {
+    pub(crate) fn describe(&self, action: &Action) -> String {
         let message = match action {
             Action::Deliver(index) | Action::Duplicate(index) => self.network.get(*index),
             Action::Delay => self.network.first(),
@@ -107,7 +107,7 @@
     }
 
     /// Takes this state as the beginning of an exploration.
-    pub fn begin(mut self, bounds: &Bounds) -> World {
+    pub(crate) fn begin(mut self, bounds: &Bounds) -> World {
         self.budget = bounds.budget;
         self.last_actor = None;
         self.sorts_network = bounds.ordering == Ordering::Any;
@@ -119,17 +119,17 @@
     ///
     /// A fault of one member and a step of another at the same true time may change places: neither sees the
     /// other. So faults of a member are tried right after its own steps, and whenever time has gone on.
-    pub fn is_fresh(&self, member: usize) -> bool {
+    pub(crate) fn is_fresh(&self, member: usize) -> bool {
         self.last_actor.is_none_or(|actor| actor == member)
     }
 
     /// Whether faults that concern several members are tried now: whenever time has gone on.
-    pub fn is_all_fresh(&self) -> bool {
+    pub(crate) fn is_all_fresh(&self) -> bool {
         self.last_actor.is_none()
     }
 
     /// Whether a member would act as primary now.
-    pub fn may_answer(&self, member: usize) -> bool {
+    pub(crate) fn may_answer(&self, member: usize) -> bool {
         let member = &self.members[member];
         let Some(process) = &member.process else { return false };
         match self.setup.fault {
@@ -142,17 +142,17 @@
     }
 
     /// The member that would act as primary.
-    pub fn primary(&self) -> Option<usize> {
+    pub(crate) fn primary(&self) -> Option<usize> {
         (0..self.members.len()).find(|member| self.may_answer(*member))
     }
 
     /// The state machine of a member that runs.
-    pub fn replication(&self, member: usize) -> &Replication {
+    pub(crate) fn replication(&self, member: usize) -> &Replication {
         &self.members[member].process.as_ref().expect("it runs").replication
     }
 
     /// A number that tells apart states that may go on differently.
-    pub fn key(&mut self) -> u64 {
+    pub(crate) fn key(&mut self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for slot in &mut self.members {
             slot.fingerprint().hash(&mut hasher);
@@ -171,7 +171,7 @@
     }
 
     /// Takes an action, and checks what must hold after it.
-    pub fn take(&mut self, action: Action, bounds: &Bounds) {
+    pub(crate) fn take(&mut self, action: Action, bounds: &Bounds) {
         self.budget.spend(&action);
         match action {
             Action::Deliver(index) => {
@@ -212,12 +212,12 @@
     }
 
     /// Cuts links.
-    pub fn cut(&mut self, links: &Links) {
+    pub(crate) fn cut(&mut self, links: &Links) {
         self.cut_links.extend(links);
     }
 
     /// When the next timer is due, and whose it is.
-    pub fn next_due(&self) -> Option<(u64, usize)> {
+    pub(crate) fn next_due(&self) -> Option<(u64, usize)> {
         let due = |(index, slot): (usize, &Slot)| Some((slot.due(self.now)?, index));
         self.members.iter().enumerate().filter_map(due).min()
     }
@@ -280,7 +280,7 @@
     }
 
     /// Hands an input to a process, now or when its pause ends.
-    pub fn input(&mut self, member: usize, input: Input) {
+    pub(crate) fn input(&mut self, member: usize, input: Input) {
         self.last_actor = Some(member);
         let now = self.now;
         let machine = self.members[member].change();
--- a/crates/fault-injection/src/address.rs
+++ b/crates/fault-injection/src/address.rs
@@ -37,6 +37,7 @@
     }
 
     /// An address of the block.
+    #[must_use]
     pub fn address(&self, host: u8) -> Ipv4Addr {
         let [first, second, third] = self.octets;
         Ipv4Addr::new(first, second, third, host)
--- a/crates/fault-injection/src/claims.rs
+++ b/crates/fault-injection/src/claims.rs
@@ -9,6 +9,7 @@
 
 /// Asks a member that may be out of date, and says what it claims wrongly, if anything: an old configuration, a change
 /// beside the one in force, or that the one in force is refused.
+#[must_use]
 pub fn false_claim(operator: &Operator, member: SocketAddr, in_force: &Change) -> Option<String> {
     let document = operator.configuration_from(member);
     if let Some(revision) = document.map(|document| revision_of(&document))
--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -54,6 +54,7 @@
 
 impl<'a> Request<'a> {
     /// A request without a body.
+    #[must_use]
     pub fn get(target: &'a str) -> Request<'a> {
         Request { method: "GET", target, headers: &[], body: &[] }
     }
@@ -84,11 +85,13 @@
 
 impl Message {
     /// The status of an answer.
+    #[must_use]
     pub fn status(&self) -> u16 {
         self.head.status()
     }
 
     /// The body as text.
+    #[must_use]
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
@@ -112,6 +115,7 @@
 
 impl Connection {
     /// A connection on which nothing was read yet.
+    #[must_use]
     pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true);
         let limits = Http1Limits { body_bytes: BODY_BYTES, ..Http1Limits::default() };
@@ -119,6 +123,7 @@
     }
 
     /// The socket.
+    #[must_use]
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
--- a/crates/fault-injection/src/deployment/faults.rs
+++ b/crates/fault-injection/src/deployment/faults.rs
@@ -24,6 +24,7 @@
     }
 
     /// All machines but one.
+    #[must_use]
     pub fn others(&self, machine: MachineId) -> Vec<MachineId> {
         let members = self.members.iter().map(|member| member.machine.id);
         let edges = self.edges.iter().map(|edge| edge.machine.id);
--- a/crates/fault-injection/src/deployment/observe.rs
+++ b/crates/fault-injection/src/deployment/observe.rs
@@ -13,6 +13,7 @@
 
 impl Deployment {
     /// The operator, who knows all members that run.
+    #[must_use]
     pub fn operator(&self) -> Operator {
         self.operator_knowing(|_| true)
     }
@@ -24,16 +25,19 @@
     }
 
     /// Where the operator reaches a member.
+    #[must_use]
     pub fn operator_socket(&self, index: usize) -> SocketAddr {
         self.operator_machine.socket_toward(&self.members[index].machine, Port::Api)
     }
 
     /// Whether a member runs.
+    #[must_use]
     pub fn is_running(&self, index: usize) -> bool {
         self.members[index].process.pid().is_some()
     }
 
     /// How a member sees the control plane, whatever the network does; none if it does not answer.
+    #[must_use]
     pub fn status(&self, index: usize) -> Option<Status> {
         if !self.is_running(index) {
             return None;
@@ -42,6 +46,7 @@
     }
 
     /// The member that has the lease.
+    #[must_use]
     pub fn primary(&self) -> Option<usize> {
         (0..self.members.len()).find(|index| self.status(*index).is_some_and(|status| status.lease))
     }
@@ -69,6 +74,7 @@
     }
 
     /// How all members see the control plane, and what all programs have logged, for a person.
+    #[must_use]
     pub fn describe(&self) -> String {
         let members = self.members.iter().enumerate().map(|(index, member)| {
             format!("{}: {:?}\n{}", member.machine.name, self.status(index), member.process.log_text())
@@ -81,6 +87,7 @@
 
     /// Whether one member has the lease, and all that run are fresh, agree on the view and on the configuration, with
     /// holders and voters that all run.
+    #[must_use]
     pub fn is_control_plane_whole(&self) -> bool {
         let running: Vec<usize> = (0..self.members.len()).filter(|index| self.is_running(*index)).collect();
         let statuses: Vec<Status> = running.iter().filter_map(|index| self.status(*index)).collect();
@@ -110,6 +117,7 @@
     }
 
     /// Whether a proxy says that it is ready.
+    #[must_use]
     pub fn is_ready(&self, edge: usize) -> bool {
         let ready = self.edges[edge].machine.socket(Port::Ready);
         call(ready, &Request::get("/ready"), Duration::from_millis(500))
--- a/crates/fault-injection/src/disk.rs
+++ b/crates/fault-injection/src/disk.rs
@@ -14,6 +14,7 @@
 
 impl Lengths {
     /// Reads a folder; one that is not there has no files.
+    #[must_use]
     pub fn of(folder: &Path) -> Lengths {
         let entries = fs::read_dir(folder).into_iter().flatten().flatten();
         let length = |entry: fs::DirEntry| {
@@ -24,6 +25,7 @@
     }
 
     /// Bytes in all files.
+    #[must_use]
     pub fn total(&self) -> u64 {
         self.0.values().sum()
     }
@@ -89,6 +91,7 @@
 const FRAME_LENGTH: std::ops::Range<usize> = 4..8;
 
 /// Bytes in all segments of a log, and the frames that they hold: one for each append.
+#[must_use]
 pub fn log_size(folder: &Path) -> (u64, u64) {
     let lengths = Lengths::of(folder);
     let segments = lengths.0.keys().filter(|name| name.starts_with("log-"));
--- a/crates/fault-injection/src/figures.rs
+++ b/crates/fault-injection/src/figures.rs
@@ -20,6 +20,7 @@
 
 impl Figures {
     /// The figures of some plays.
+    #[must_use]
     pub fn of(mut durations: Vec<Duration>) -> Figures {
         durations.sort_unstable();
         let percentile = |percent: usize| {
--- a/crates/fault-injection/src/kills/mod.rs
+++ b/crates/fault-injection/src/kills/mod.rs
@@ -41,6 +41,7 @@
 const MOST_DOWNTIME_MS: u64 = 1_000;
 
 /// Plays at least `count` kills, shared out among `deployments` that run beside each other.
+#[must_use]
 pub fn kills(count: u64, deployments: u64) -> KillReport {
     let share = count.div_ceil(deployments);
     thread::scope(|scope| {
--- a/crates/fault-injection/src/kills/report.rs
+++ b/crates/fault-injection/src/kills/report.rs
@@ -44,6 +44,7 @@
 
 impl KillReport {
     /// Whether nothing was found.
+    #[must_use]
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
--- a/crates/fault-injection/src/machine.rs
+++ b/crates/fault-injection/src/machine.rs
@@ -49,16 +49,19 @@
     }
 
     /// The number of a port in this machine's block.
+    #[must_use]
     pub fn port(&self, port: Port) -> u16 {
         self.ports.first + port as u16
     }
 
     /// Where this machine listens.
+    #[must_use]
     pub fn socket(&self, port: Port) -> SocketAddr {
         (self.address, self.port(port)).into()
     }
 
     /// Where this machine dials another one, and the relay between them listens.
+    #[must_use]
     pub fn socket_toward(&self, other: &Machine, port: Port) -> SocketAddr {
         (other.address, self.port(port)).into()
     }
--- a/crates/fault-injection/src/network.rs
+++ b/crates/fault-injection/src/network.rs
@@ -28,6 +28,7 @@
 
 impl Direction {
     /// The opposite direction.
+    #[must_use]
     pub fn reversed(self) -> Direction {
         Direction { from: self.to, to: self.from }
     }
@@ -115,11 +116,13 @@
     }
 
     /// How a direction is now.
+    #[must_use]
     pub fn condition(&self, direction: Direction) -> Condition {
         self.state().paths.get(&direction).map_or(Condition::Open, |path| path.condition)
     }
 
     /// Bytes that have passed in a direction.
+    #[must_use]
     pub fn passed(&self, direction: Direction) -> u64 {
         self.state().paths.get(&direction).map_or(0, |path| path.passed)
     }
--- a/crates/fault-injection/src/operator.rs
+++ b/crates/fault-injection/src/operator.rs
@@ -35,6 +35,7 @@
 
 impl Change {
     /// The first configuration: one route to one service, and a note that makes it so many bytes longer.
+    #[must_use]
     pub fn first(note_bytes: usize) -> Change {
         let document = json!({
             "revision": 1,
@@ -46,11 +47,13 @@
     }
 
     /// Adds a route or puts a marked one in its place.
+    #[must_use]
     pub fn upsert_route(if_match: u64, label: &str, mark: u64) -> Change {
         Change::upsert(if_match, route(label, mark))
     }
 
     /// Adds a route of a kind, such as `risky`.
+    #[must_use]
     pub fn upsert_route_of_kind(if_match: u64, label: &str, kind: &str) -> Change {
         let mut route = route(label, 0);
         route["sort"] = kind.into();
@@ -58,6 +61,7 @@
     }
 
     /// Removes a route.
+    #[must_use]
     pub fn remove_route(if_match: u64, label: &str) -> Change {
         let revision = if_match + 1;
         Change::patch(if_match, &json!({"revision": revision, "remove": {"routes": [label]}}))
@@ -82,6 +86,7 @@
 }
 
 /// The path prefix of a route.
+#[must_use]
 pub fn path(label: &str) -> String {
     format!("/{label}/")
 }
@@ -131,16 +136,19 @@
 
 impl Operator {
     /// An operator who calls members at these addresses.
+    #[must_use]
     pub fn new(members: Vec<SocketAddr>) -> Operator {
         Operator { members, try_timeout: TRY_TIMEOUT }
     }
 
     /// One who gives a try up after this time.
+    #[must_use]
     pub fn with_try_timeout(self, try_timeout: Duration) -> Operator {
         Operator { try_timeout, ..self }
     }
 
     /// Sends a change once, to one member and where that sends it.
+    #[must_use]
     pub fn send_once(&self, member: SocketAddr, change: &Change) -> Reply {
         let if_match = change.if_match.to_string();
         let headers = [("If-Match", if_match.as_str())];
@@ -191,6 +199,7 @@
 
     /// Names the newest weights of a model at one member and where that sends the call; the status of the answer, if there
     /// is one.
+    #[must_use]
     pub fn name_weights(&self, member: SocketAddr, model: &str, revision: u64) -> Option<u16> {
         let body = json!({"llm": model, "revision": revision}).to_string();
         let target = "/version-put";
@@ -213,6 +222,7 @@
     }
 
     /// The newest configuration, from one member or where that sends the call; none if there is no such answer.
+    #[must_use]
     pub fn configuration_from(&self, member: SocketAddr) -> Option<Value> {
         let answer = self.follow(member, &Request::get("/settings")).ok()?;
         (answer.status() == 200).then(|| serde_json::from_slice(&answer.body).ok()).flatten()
@@ -252,12 +262,14 @@
 }
 
 /// The mark of a route in a configuration; none if there is no such route.
+#[must_use]
 pub fn mark_of(configuration: &Value, label: &str) -> Option<u64> {
     let routes = configuration["routes"].as_array()?;
     routes.iter().find(|route| route["label"] == label)?["mark"].as_u64()
 }
 
 /// The revision of a configuration.
+#[must_use]
 pub fn revision_of(configuration: &Value) -> u64 {
     configuration["revision"].as_u64().unwrap_or(0)
 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -27,6 +27,7 @@
 
 impl Process {
     /// A program that does not run yet.
+    #[must_use]
     pub fn new(binary: PathBuf, settings: PathBuf, log: PathBuf) -> Process {
         Process { binary, settings, log, child: None }
     }
@@ -84,6 +85,7 @@
     }
 
     /// What it has logged, in all its runs.
+    #[must_use]
     pub fn log_text(&self) -> String {
         std::fs::read(&self.log)
             .map(|bytes| String::from_utf8_lossy(&bytes).into_owned())
--- a/crates/fault-injection/src/replica.rs
+++ b/crates/fault-injection/src/replica.rs
@@ -76,6 +76,7 @@
     }
 
     /// Clients' requests that came so far.
+    #[must_use]
     pub fn seen(&self) -> Vec<Seen> {
         self.state().seen.clone()
     }
--- a/crates/fault-injection/src/status.rs
+++ b/crates/fault-injection/src/status.rs
@@ -41,22 +41,26 @@
 
 impl Status {
     /// Asks a member; none if it does not answer.
+    #[must_use]
     pub fn of(member: SocketAddr) -> Option<Status> {
         let answer = call(member, &Request::get("/status"), TIMEOUT).ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
     /// Whether what it delivers is fresh.
+    #[must_use]
     pub fn is_fresh(&self) -> bool {
         self.age_ms.is_some_and(|age| age < 1_000)
     }
 
     /// Whether a machine votes.
+    #[must_use]
     pub fn has_voter(&self, address: Ipv4Addr) -> bool {
         self.voters.iter().any(|node| is_at(node, address))
     }
 
     /// Whether a machine holds the data.
+    #[must_use]
     pub fn has_holder(&self, address: Ipv4Addr) -> bool {
         self.holders.iter().any(|node| is_at(node, address))
     }
--- a/crates/fault-injection/tests/answers.rs
+++ b/crates/fault-injection/tests/answers.rs
@@ -34,7 +34,7 @@
 /// How often the replicas together saw each try.
 fn times_seen(deployment: &Deployment) -> BTreeMap<String, usize> {
     let mut times = BTreeMap::new();
-    for seen in deployment.replicas.iter().flat_map(|replica| replica.seen()) {
+    for seen in deployment.replicas.iter().flat_map(tulipridge_fault_injection::replica::Replica::seen) {
         *times.entry(seen.attempt_id).or_default() += 1;
     }
     times
--- a/crates/fault-injection/tests/replacement.rs
+++ b/crates/fault-injection/tests/replacement.rs
@@ -115,7 +115,8 @@
         apply(&deployment, old as u64 + 1);
         deployment.set_seeds((old + 1..=new).collect()).expect("new seeds");
         deployment.start_member(new).expect("it starts");
-        let is_known = || deployment.status(new).filter(|status| status.is_fresh());
+        let is_known =
+            || deployment.status(new).filter(tulipridge_fault_injection::status::Status::is_fresh);
         wait_for("the newcomer follows the primary", SETTLE_LIMIT, is_known).expect("it is taken in");
         lose(&mut deployment, old);
         wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
--- a/crates/fault-injection/tests/support/mod.rs
+++ b/crates/fault-injection/tests/support/mod.rs
@@ -8,12 +8,12 @@
 use tulipridge_fault_injection::wait::wait_until;
 
 /// Longest time for a change to be acknowledged, with a takeover on the way.
-pub const CHANGE_LIMIT: Duration = Duration::from_secs(15);
+pub(crate) const CHANGE_LIMIT: Duration = Duration::from_secs(15);
 /// Longest time for what was acknowledged to be in force at a proxy.
-pub const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
+pub(crate) const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
 
 /// A deployment with its first configuration, revision 1, which has a route `base`.
-pub fn start(plan: Plan) -> Deployment {
+pub(crate) fn start(plan: Plan) -> Deployment {
     let deployment = Deployment::start(plan).expect("the deployment comes up");
     deployment.operator().apply(&Change::first(0), CHANGE_LIMIT).expect("the first configuration is taken");
     deployment.wait_until_whole().expect("the first configuration is in force");
@@ -22,7 +22,7 @@
 
 /// The status of a proxy's answer to a request on a route.
 #[allow(dead_code, reason = "not all tests ask proxies")]
-pub fn ask_status(deployment: &Deployment, edge: usize, label: &str) -> Result<u16, CallError> {
+pub(crate) fn ask_status(deployment: &Deployment, edge: usize, label: &str) -> Result<u16, CallError> {
     let path = path(label);
     let timeout = Duration::from_secs(1);
     let request = ClientRequest { path: &path, attempt_id: "a-1", body: "", timeout };
@@ -31,7 +31,7 @@
 
 /// Waits until a proxy serves a route.
 #[allow(dead_code, reason = "not all tests ask proxies")]
-pub fn wait_for_route(deployment: &Deployment, edge: usize, label: &str) {
+pub(crate) fn wait_for_route(deployment: &Deployment, edge: usize, label: &str) {
     let is_served = || matches!(ask_status(deployment, edge, label), Ok(200));
     wait_until(&format!("the proxy serves {label}"), IN_FORCE_LIMIT, is_served).expect("a route in force");
 }
--- a/crates/http1/src/buffered_stream.rs
+++ b/crates/http1/src/buffered_stream.rs
@@ -73,6 +73,7 @@
 
 impl BufferedStream {
     /// Wraps an accepted connection.
+    #[must_use]
     pub fn new(stream: Async<TcpStream>) -> BufferedStream {
         let _ = stream.get_ref().set_nodelay(true);
         BufferedStream { stream, buf: Vec::new(), dry: false, full: false, cut: false, abort: false }
@@ -198,6 +199,7 @@
     }
 
     /// The connection itself, to be handed on.
+    #[must_use]
     pub fn fd(&self) -> BorrowedFd<'_> {
         self.stream.get_ref().as_fd()
     }
@@ -221,6 +223,7 @@
     }
 
     /// Nothing has come on a connection that should be silent: neither bytes nor its end.
+    #[must_use]
     pub fn is_quiet(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
         self.buf.is_empty() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
--- a/crates/http1/src/codec.rs
+++ b/crates/http1/src/codec.rs
@@ -42,22 +42,26 @@
 
 impl Head {
     /// The first header of that name.
+    #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
     /// A header of that name lists this word.
+    #[must_use]
     pub fn lists(&self, name: &str, word: &str) -> bool {
         let values = self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
         values.flat_map(|(_, v)| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 
     /// The status of a response.
+    #[must_use]
     pub fn status(&self) -> u16 {
         self.start[1].parse().unwrap_or(0)
     }
 
     /// Whether the connection may carry another message after this one.
+    #[must_use]
     pub fn keeps_alive(&self, version: &str) -> bool {
         !self.lists("connection", "close")
             && (version != "HTTP/1.0" || self.lists("connection", "keep-alive"))
@@ -197,6 +201,7 @@
 }
 
 /// Where `needle` begins in `hay`.
+#[must_use]
 pub fn find(hay: &[u8], needle: &[u8]) -> Option<usize> {
     memmem::find(hay, needle)
 }
@@ -337,6 +342,7 @@
     }
 
     /// What is there is a part of something: what is missing must follow soon.
+    #[must_use]
     pub fn is_amid(&self, buf: &[u8]) -> bool {
         !buf.is_empty()
             || matches!(self, Body::Chunked(Chunk::Data(_) | Chunk::Long(_) | Chunk::Trailer(_)))
@@ -356,6 +362,7 @@
 }
 
 /// A body's bytes as one chunk, ready to be written.
+#[must_use]
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     let mut out = format!("{:x}\r\n", bytes.len()).into_bytes();
     out.extend_from_slice(bytes);
@@ -367,6 +374,7 @@
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 /// The words of a status that this program sends.
+#[must_use]
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -409,11 +417,13 @@
     }
 
     /// The event's name, empty if it has none.
+    #[must_use]
     pub fn name(self) -> &'a str {
         self.field("event").last().unwrap_or_default()
     }
 
     /// The event's data, its lines joined.
+    #[must_use]
     pub fn data(self) -> String {
         self.field("data").collect::<Vec<_>>().join("\n")
     }
@@ -424,17 +434,20 @@
     }
 
     /// It holds nothing but comments.
+    #[must_use]
     pub fn is_comment(self) -> bool {
         self.lines().all(|l| l.starts_with(b":"))
     }
 
     /// It holds nothing but line ends.
+    #[must_use]
     pub fn is_blank(self) -> bool {
         self.0.iter().all(|b| matches!(b, b'\r' | b'\n'))
     }
 }
 
 /// Where blocks end in bytes that begin with one, from a place up to which none did.
+#[must_use]
 pub fn block_ends(bytes: &[u8], from: usize) -> impl DoubleEndedIterator<Item = usize> {
     memchr_iter(b'\n', &bytes[from..]).filter_map(move |at| match &bytes[from + at + 1..] {
         [b'\n', ..] => Some(from + at + 2),
--- a/crates/load-balancer/src/choice.rs
+++ b/crates/load-balancer/src/choice.rs
@@ -17,7 +17,9 @@
 use crate::load::{Estimate, Told};
 use crate::pace::Calls;
 use crate::record::Record;
-use crate::types::*;
+use crate::types::{
+    Action, Class, Event, Nanos, Phase, ReplicaId, Request, RequestId, Settings, SettingsError,
+};
 use health::Breaker;
 use ring::Point;
 use walk::{Target, key_of};
--- a/crates/load-balancer/src/choice/attempts.rs
+++ b/crates/load-balancer/src/choice/attempts.rs
@@ -170,7 +170,7 @@
             Verdict::Ok | Verdict::TimedOut if begun => {}
             Verdict::Ok => self.judged(now, r, 0.0),
             Verdict::Error | Verdict::TimedOut | Verdict::NoConnection | Verdict::Reset => {
-                self.judged(now, r, 1.0)
+                self.judged(now, r, 1.0);
             }
             // Full is no failure, and what was never sent or called off says nothing of the replica.
             Verdict::Full | Verdict::Cancelled | Verdict::Moot => self.replicas[r].health.trial = false,
--- a/crates/load-balancer/src/choice/ring.rs
+++ b/crates/load-balancer/src/choice/ring.rs
@@ -99,6 +99,7 @@
     }
 
     /// Places for replicas in its tables, those of gone ones that wait for new ones included.
+    #[must_use]
     pub fn places(&self) -> usize {
         self.replicas.len()
     }
--- a/crates/load-balancer/src/cold.rs
+++ b/crates/load-balancer/src/cold.rs
@@ -34,6 +34,7 @@
 
 impl Budget {
     /// Of a server that has just been learnt of.
+    #[must_use]
     pub fn new(now: Nanos) -> Budget {
         Budget { own: 0.0, at: now, next: i64::MIN, debt: 0.0 }
     }
@@ -68,6 +69,7 @@
 
 impl Cold {
     /// For a gateway with these settings.
+    #[must_use]
     pub fn new(settings: &Settings) -> Cold {
         let (safety, group) = (&settings.safety, settings.group_size.max(1));
         Cold {
@@ -114,6 +116,7 @@
     }
 
     /// The share of its capacity that a server surely has: the same figure at all gateways.
+    #[must_use]
     pub fn warmth(&self, now: Nanos, started: Option<Nanos>) -> f64 {
         match started {
             Some(started) if now < started.saturating_add(self.ramp) => {
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -122,6 +122,7 @@
 }
 
 /// What a request costs a replica that keeps nothing of it.
+#[must_use]
 pub fn full_cost(request: &Request) -> f64 {
     f64::from(request.prompt) + ANSWER_COST
 }
--- a/crates/load-balancer/src/load.rs
+++ b/crates/load-balancer/src/load.rs
@@ -33,6 +33,7 @@
     }
 
     /// Work that a further request would wait for.
+    #[must_use]
     pub fn waiting(&self) -> f64 {
         self.told + self.sent.iter().map(|(_, work)| work).sum::<f64>()
     }
@@ -49,6 +50,7 @@
     }
 
     /// Whether what was told still says something.
+    #[must_use]
     pub fn holds(&self, now: Nanos) -> bool {
         self.0.is_some_and(|at| now.saturating_sub(at) <= TOLD_HOLDS)
     }
--- a/crates/load-balancer/src/pace.rs
+++ b/crates/load-balancer/src/pace.rs
@@ -108,6 +108,7 @@
 
 impl Calls {
     /// For the gateway that has these settings.
+    #[must_use]
     pub fn of(settings: &Settings) -> Calls {
         let patience = settings.safety.ask_within.max(1000 * MILLI);
         Calls::new(settings.me, settings.group_size, patience, settings.list_calls_per_s)
@@ -120,12 +121,14 @@
     }
 
     /// For how long the gateway may go without the list: a call is made that long after one of which nothing was heard.
+    #[must_use]
     pub fn patience(&self) -> Nanos {
         self.patience
     }
 
     /// For gateway `me` of `group` that may go without the list for `patience`; `rate` is what the service can serve
     /// in a second, if somebody has said, and then the windows follow it however long they become.
+    #[must_use]
     pub fn new(me: u32, group: u32, patience: Nanos, rate: Option<f64>) -> Calls {
         let group = group.max(1);
         let usual = (patience as f64 * PART) as Nanos;
@@ -171,6 +174,7 @@
 
     /// What the chain takes at the most. Beyond [`TOLD`] it doesn't fit: the service can't answer a group of this
     /// size within the time, by the rate stated or else by what is assumed.
+    #[must_use]
     pub fn budget(&self) -> Budget {
         let slot = |window: Nanos| window + window / Nanos::from(self.slot.1.max(1));
         let again =
--- a/crates/load-balancer/src/types.rs
+++ b/crates/load-balancer/src/types.rs
@@ -182,6 +182,7 @@
 
 impl Settings {
     /// Requests a second that the tenants' quotas grant at all gateways together; none unless each tenant has one.
+    #[must_use]
     pub fn quota_per_s(&self) -> Option<f64> {
         let all: Option<f64> = self.tenants.iter().map(|t| t.quota_per_s).sum();
         all.filter(|sum| *sum > 0.0)
--- a/crates/peer-sampling/src/datagram.rs
+++ b/crates/peer-sampling/src/datagram.rs
@@ -7,12 +7,14 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// The bytes of a message; none if it is too long for a datagram.
+#[must_use]
 pub fn encode(message: &Shuffle) -> Option<Vec<u8>> {
     let bytes = frame::encode(message).ok()?;
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
 /// The message of a datagram; none if it is malformed.
+#[must_use]
 pub fn decode(bytes: &[u8]) -> Option<Shuffle> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return None;
--- a/crates/peer-sampling/src/view.rs
+++ b/crates/peer-sampling/src/view.rs
@@ -58,6 +58,7 @@
 
 impl View {
     /// The view of process `me`, empty but for the machines `seeds`, of which nothing is known yet.
+    #[must_use]
     pub fn new(me: Entry, seeds: Vec<Ipv4Addr>, seed: u64) -> Self {
         let mut view = View {
             me: Entry { age: 0, ..me },
@@ -78,16 +79,19 @@
     }
 
     /// This process.
+    #[must_use]
     pub fn me(&self) -> &Entry {
         &self.me
     }
 
     /// The processes that are known, at most one for each machine.
+    #[must_use]
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
     /// The members of the control plane that are known, without this process.
+    #[must_use]
     pub fn control_nodes(&self) -> Vec<ControlNode> {
         let control = self.entries.iter().filter(|entry| entry.role == Role::Control);
         control.map(|entry| ControlNode { id: entry.id, zone: entry.zone.clone() }).collect()
--- a/crates/peer-sampling/tests/simulation/mod.rs
+++ b/crates/peer-sampling/tests/simulation/mod.rs
@@ -10,20 +10,20 @@
 use tulipridge_protocol::peer_sampling::{Entry, Role, Shuffle};
 
 /// Virtual time between ticks.
-pub const TICK_MS: u64 = 1000;
+pub(crate) const TICK_MS: u64 = 1000;
 const MAX_DELAY_MS: u64 = 80;
 const SEEDS: usize = 3;
 const ZONES: usize = 4;
 
 /// How many processes there are.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub(crate) struct Size {
     pub control: usize,
     pub agents: usize,
 }
 
 impl Size {
-    pub fn total(&self) -> usize {
+    pub(crate) fn total(&self) -> usize {
         self.control + self.agents
     }
 }
@@ -33,7 +33,7 @@
     Datagram { from: usize, to: usize, message: Shuffle },
 }
 
-pub struct Network {
+pub(crate) struct Network {
     size: Size,
     loss: f64,
     now: u64,
@@ -50,7 +50,7 @@
 }
 
 impl Network {
-    pub fn new(size: Size, loss: f64, seed: u64) -> Self {
+    pub(crate) fn new(size: Size, loss: f64, seed: u64) -> Self {
         Network {
             size,
             loss,
@@ -67,16 +67,16 @@
         }
     }
 
-    pub fn now_ms(&self) -> u64 {
+    pub(crate) fn now_ms(&self) -> u64 {
         self.now
     }
 
-    pub fn start_all(&mut self) {
+    pub(crate) fn start_all(&mut self) {
         (0..self.size.total()).for_each(|index| self.start(index));
     }
 
     /// Starts a process anew, with an empty view.
-    pub fn start(&mut self, index: usize) {
+    pub(crate) fn start(&mut self, index: usize) {
         self.generations[index] = self.random.u64(1..);
         let generation = self.generations[index];
         let role = if index < self.size.control { Role::Control } else { Role::Agent };
@@ -88,12 +88,12 @@
         self.schedule(start, Event::Tick { index, generation });
     }
 
-    pub fn kill(&mut self, index: usize) {
+    pub(crate) fn kill(&mut self, index: usize) {
         self.views[index] = None;
     }
 
     /// Kills some processes that are no seeds.
-    pub fn kill_random(&mut self, count: usize) -> Vec<usize> {
+    pub(crate) fn kill_random(&mut self, count: usize) -> Vec<usize> {
         let mut live: Vec<usize> = self.live().into_iter().filter(|index| *index >= SEEDS).collect();
         self.random.shuffle(&mut live);
         live.truncate(count);
@@ -101,26 +101,26 @@
         live
     }
 
-    pub fn seeds_and_others(&self) -> (Vec<usize>, Vec<usize>) {
+    pub(crate) fn seeds_and_others(&self) -> (Vec<usize>, Vec<usize>) {
         (0..self.size.total()).partition(|index| *index < SEEDS)
     }
 
     /// Nothing passes between processes with an even number and those with an odd one.
-    pub fn cut_in_halves(&mut self) {
+    pub(crate) fn cut_in_halves(&mut self) {
         self.cut = true;
     }
 
-    pub fn mend(&mut self) {
+    pub(crate) fn mend(&mut self) {
         self.cut = false;
     }
 
     /// Counts and measures datagrams from now on.
-    pub fn measure_traffic(&mut self) {
+    pub(crate) fn measure_traffic(&mut self) {
         self.measures = true;
     }
 
     /// Runs for so many ticks.
-    pub fn run(&mut self, ticks: u64) {
+    pub(crate) fn run(&mut self, ticks: u64) {
         let end = self.now + ticks * TICK_MS;
         while let Some(next) = self.events.first_entry().filter(|next| next.key().0 <= end) {
             let ((at, _), event) = next.remove_entry();
@@ -134,7 +134,7 @@
     }
 
     /// Whether all live processes are reached from the first one, where an entry counts in both directions.
-    pub fn is_connected(&self) -> bool {
+    pub(crate) fn is_connected(&self) -> bool {
         let live = self.live();
         let mut neighbours = vec![Vec::new(); self.size.total()];
         for &index in &live {
@@ -152,16 +152,16 @@
         reached.len() == live.len()
     }
 
-    pub fn processes_without_control(&self) -> usize {
+    pub(crate) fn processes_without_control(&self) -> usize {
         self.views.iter().flatten().filter(|view| view.control_nodes().is_empty()).count()
     }
 
-    pub fn view_sizes(&self) -> impl Iterator<Item = usize> {
+    pub(crate) fn view_sizes(&self) -> impl Iterator<Item = usize> {
         self.views.iter().flatten().map(|view| view.entries().len())
     }
 
     /// In how many views each live process of a role is.
-    pub fn in_degrees(&self, role: Role) -> Vec<usize> {
+    pub(crate) fn in_degrees(&self, role: Role) -> Vec<usize> {
         let mut degrees = vec![0; self.size.total()];
         for index in self.live() {
             self.known_live(index).for_each(|known| degrees[known] += 1);
@@ -172,13 +172,13 @@
     }
 
     /// Entries of these processes in the views of live ones.
-    pub fn entries_of(&self, indices: &[usize]) -> usize {
+    pub(crate) fn entries_of(&self, indices: &[usize]) -> usize {
         let entries = self.views.iter().flatten().flat_map(View::entries);
         entries.filter(|entry| indices.contains(&index_of(entry))).count()
     }
 
     /// Entries in the views of live processes that tell of a process before its restart.
-    pub fn entries_of_earlier_generations(&self) -> usize {
+    pub(crate) fn entries_of_earlier_generations(&self) -> usize {
         let entries = self.views.iter().flatten().flat_map(View::entries);
         entries.filter(|entry| entry.id.generation != self.generations[index_of(entry)]).count()
     }
--- a/crates/prefix-cache-index/src/change_log.rs
+++ b/crates/prefix-cache-index/src/change_log.rs
@@ -36,6 +36,7 @@
     }
 
     /// Sources of which all is to be told.
+    #[must_use]
     pub fn whole(&self) -> &BTreeSet<SocketAddrV4> {
         &self.whole
     }
--- a/crates/prefix-cache-index/src/follow.rs
+++ b/crates/prefix-cache-index/src/follow.rs
@@ -54,6 +54,7 @@
 }
 
 /// Reads a page that was asked for with this cursor. The source answers, so it is alive.
+#[must_use]
 pub fn follow(source: SocketAddrV4, cursor: Option<Cursor>, page: &EventPage) -> PollOutcome {
     let restarted = cursor.is_some_and(|cursor| cursor.boot != page.boot);
     let mut update = CacheUpdate {
@@ -86,6 +87,7 @@
 }
 
 /// The update that puts a list in the place of all that was known of a source.
+#[must_use]
 pub fn listed(source: SocketAddrV4, listing: CacheListing) -> CacheUpdate {
     let CacheListing { boot, next_token, parts } = listing;
     CacheUpdate {
--- a/crates/prefix-cache-index/src/index.rs
+++ b/crates/prefix-cache-index/src/index.rs
@@ -41,11 +41,13 @@
 
 impl Index {
     /// What is known of a source.
+    #[must_use]
     pub fn status(&self, source: SocketAddrV4) -> Option<SourceStatus> {
         self.sources.get(&source).copied()
     }
 
     /// Whether a source may be fetched from.
+    #[must_use]
     pub fn is_alive(&self, source: SocketAddrV4) -> bool {
         self.sources.get(&source).is_some_and(|status| status.liveness == Liveness::Alive)
     }
@@ -56,11 +58,13 @@
     }
 
     /// Whether no source has ever been heard of.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sources.is_empty()
     }
 
     /// Pairs of a part and a source that keeps it.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.entries
     }
@@ -72,6 +76,7 @@
     }
 
     /// Tokens that a source keeps of a part, whether or not it is alive.
+    #[must_use]
     pub fn kept(&self, source: SocketAddrV4, key: PrefixKey) -> u32 {
         let holders = self.parts.get(&key).into_iter().flatten();
         holders.filter(|holder| holder.source == source).map(|holder| holder.tokens).next().unwrap_or(0)
@@ -107,12 +112,14 @@
     }
 
     /// All that is known, as updates for one who knows nothing.
+    #[must_use]
     pub fn snapshot(&self) -> Vec<CacheUpdate> {
         let all = self.sources.keys().copied().collect();
         self.whole(&all)
     }
 
     /// The updates that bring one who missed what is `touched` up to date.
+    #[must_use]
     pub fn updates(&self, touched: &ChangedKeys) -> Vec<CacheUpdate> {
         let mut updates = self.whole(touched.whole());
         let changed = touched.parts().filter(|(source, _)| !touched.whole().contains(source));
--- a/crates/prefix-cache-index/src/update.rs
+++ b/crates/prefix-cache-index/src/update.rs
@@ -38,6 +38,7 @@
 
 impl CacheUpdate {
     /// A source that is followed no more.
+    #[must_use]
     pub fn gone(source: SocketAddrV4) -> CacheUpdate {
         CacheUpdate {
             source,
--- a/crates/protocol/src/node.rs
+++ b/crates/protocol/src/node.rs
@@ -19,11 +19,13 @@
 
 impl NodeId {
     /// A member by its address and the generation of its disk.
+    #[must_use]
     pub fn new(ip: Ipv4Addr, generation: u64) -> Self {
         NodeId { ip: u32::from(ip), generation }
     }
 
     /// The machine's address.
+    #[must_use]
     pub fn address(&self) -> Ipv4Addr {
         Ipv4Addr::from(self.ip)
     }
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -26,6 +26,7 @@
 
 impl Denial {
     /// The status that says so.
+    #[must_use]
     pub fn status(self) -> u16 {
         match self {
             Denial::NoRoute => 404,
@@ -45,6 +46,7 @@
 
 impl Routing {
     /// Indexes a configuration.
+    #[must_use]
     pub fn new(configuration: Arc<Configuration>) -> Rc<Routing> {
         let table = RoutingTable::new(&configuration);
         Rc::new(Routing { configuration, table })
@@ -72,27 +74,32 @@
 
 impl Admitted {
     /// The route.
+    #[must_use]
     pub fn route(&self) -> &Route {
         &self.routing.configuration.routes[self.route]
     }
 
     /// The tenant that holds the client's key.
+    #[must_use]
     pub fn tenant(&self) -> Option<&Tenant> {
         self.tenant.map(|tenant| &self.routing.configuration.tenants[tenant])
     }
 
     /// The service that the request goes to.
+    #[must_use]
     pub fn service(&self) -> &str {
         &self.route().shares[self.share].service
     }
 
     /// The urgency that the operator has set, 0 first: the tenant's goes before the route's.
+    #[must_use]
     pub fn rank(&self) -> u8 {
         let tenants = self.tenant().and_then(|tenant| tenant.rank);
         tenants.unwrap_or(self.route().rank)
     }
 
     /// Under which text a replica keeps what it reads for this request, at this revision of its weights.
+    #[must_use]
     pub fn salt(&self, revision: u64) -> String {
         match self.tenant().filter(|tenant| tenant.isolated) {
             Some(tenant) => format!("m{revision}-t-{}", tenant.label),
@@ -102,6 +109,7 @@
 
     /// Whether a newer configuration still has the request handled alike: the same route and service for the same
     /// tenant.
+    #[must_use]
     pub fn holds_under(&self, newest: &Rc<Routing>, head: &Head) -> bool {
         if Rc::ptr_eq(&self.routing, newest) {
             return true;
--- a/crates/proxy/src/alarms.rs
+++ b/crates/proxy/src/alarms.rs
@@ -44,6 +44,7 @@
 
 impl Alarms {
     /// A future that is ready once this moment has come.
+    #[must_use]
     pub fn at(&self, due: Instant) -> Alarm {
         let since_start = due.saturating_duration_since(self.start);
         let tick = since_start.as_nanos().div_ceil(TICK.as_nanos()) as u64;
@@ -51,6 +52,7 @@
     }
 
     /// A future that is ready once this time has passed.
+    #[must_use]
     pub fn after(&self, time: Duration) -> Alarm {
         self.at(Instant::now() + time)
     }
--- a/crates/proxy/src/bounds.rs
+++ b/crates/proxy/src/bounds.rs
@@ -41,6 +41,7 @@
 
 impl Bounds {
     /// By the descriptors that the process may use.
+    #[must_use]
     pub fn of(file_handles: u64) -> Self {
         let free = file_handles.saturating_sub(RESERVED_DESCRIPTORS + OWN_DESCRIPTORS).max(3);
         let replicas = free / REPLICA_PART;
@@ -60,6 +61,7 @@
 
 impl Usage {
     /// Nothing is in use yet.
+    #[must_use]
     pub fn new(bounds: Bounds) -> Self {
         Usage {
             bounds,
@@ -135,6 +137,7 @@
 }
 
 /// The limits that connections of clients keep to.
+#[must_use]
 pub fn client_limits(caps: &Caps) -> Http1Limits {
     Http1Limits {
         head_bytes: caps.head_bytes as usize,
@@ -146,6 +149,7 @@
 }
 
 /// The limits that connections to replicas keep to.
+#[must_use]
 pub fn replica_limits() -> Http1Limits {
     Http1Limits {
         head_bytes: ANSWER_HEAD_BYTES,
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -31,17 +31,20 @@
 
 impl Incoming {
     /// The client's name for the try.
+    #[must_use]
     pub fn attempt_id(&self) -> Option<&str> {
         self.head.get("attempt-id")
     }
 
     /// How long the client waits, if it says so.
+    #[must_use]
     pub fn time_left(&self) -> Option<Duration> {
         time_left(&self.head)
     }
 }
 
 /// How long the client waits from a request's first byte, if its head says so.
+#[must_use]
 pub fn time_left(head: &Head) -> Option<Duration> {
     let millis: f64 = head.get("time-left-ms")?.parse().ok()?;
     Duration::try_from_secs_f64(millis / 1000.0).ok()
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -49,6 +49,7 @@
     }
 
     /// The id of the last whole event that had one.
+    #[must_use]
     pub fn last_id(&self) -> Option<&str> {
         Some(self.last_id.as_str()).filter(|id| !id.is_empty())
     }
--- a/crates/proxy/src/exchange/answers.rs
+++ b/crates/proxy/src/exchange/answers.rs
@@ -31,9 +31,9 @@
             (Final::Own(answer), None) => answer,
         };
         if answer.status == 503 {
-            counters.refused.add()
+            counters.refused.add();
         } else {
-            counters.failed.add()
+            counters.failed.add();
         }
         let (proxy, incoming) = (self.proxy, self.incoming);
         // What is still out is called off before the client is told.
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -156,11 +156,13 @@
 
 impl OwnAnswer {
     /// An answer that says no more than its status.
+    #[must_use]
     pub fn plain(status: u16) -> Self {
         OwnAnswer { status, retry_after: None }
     }
 
     /// The request has not run and will not; the client may come back after this time.
+    #[must_use]
     pub fn refusal(retry_after: Duration) -> Self {
         OwnAnswer { status: 503, retry_after: Some(retry_after) }
     }
@@ -198,6 +200,7 @@
 }
 
 /// Whether a header's value holds no control characters, which clients may take for the end of a line.
+#[must_use]
 pub fn is_plain(value: &str) -> bool {
     !value.chars().any(|character| character.is_control() && character != '\t')
 }
--- a/crates/proxy/src/kv_cache.rs
+++ b/crates/proxy/src/kv_cache.rs
@@ -46,6 +46,7 @@
 
 impl Chain {
     /// The chain of these parts.
+    #[must_use]
     pub fn new(parts: &[PromptPart], salt: &str) -> Chain {
         let long = parts.iter().filter(|part| part.tokens >= MIN_CACHED_TOKENS);
         let keyed =
@@ -54,11 +55,13 @@
     }
 
     /// Its parts.
+    #[must_use]
     pub fn parts(&self) -> &[ChainPart] {
         &self.0
     }
 
     /// Tokens of all its parts.
+    #[must_use]
     pub fn tokens(&self) -> u32 {
         self.0.iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
@@ -70,6 +73,7 @@
 }
 
 /// Tokens that a source keeps of a chain: a part counts only if all before it are kept.
+#[must_use]
 pub fn kept_tokens(index: &Index, source: SocketAddrV4, chain: &Chain) -> u32 {
     let mut sum: u32 = 0;
     for part in chain.parts() {
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -53,6 +53,7 @@
     }
 
     /// The stage at a moment.
+    #[must_use]
     pub fn stage(&self, now: Duration) -> Stage {
         let Some(stop) = self.stop else { return Stage::Serving };
         let mut passed = stop.stages().into_iter().filter(|(from, _)| now >= *from);
@@ -60,11 +61,13 @@
     }
 
     /// When the next stage begins; none while no stop was asked for, and after the last one.
+    #[must_use]
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
         self.stop?.stages().into_iter().map(|(from, _)| from).find(|from| *from > now)
     }
 
     /// Whether a request that comes now and is over by `deadline` is still taken.
+    #[must_use]
     pub fn takes_request(&self, now: Duration, deadline: Duration) -> bool {
         match self.stage(now) {
             Stage::Serving | Stage::Leaving => true,
@@ -73,6 +76,7 @@
     }
 
     /// Whether the process may end, with so many connections of clients open.
+    #[must_use]
     pub fn may_end(&self, now: Duration, open_connections: usize) -> bool {
         match self.stage(now) {
             Stage::Serving | Stage::Leaving => false,
--- a/crates/proxy/src/placement/budget.rs
+++ b/crates/proxy/src/placement/budget.rs
@@ -19,6 +19,7 @@
 
 impl RetryAllowance {
     /// What the settings say.
+    #[must_use]
     pub fn of(limits: &TimeLimits) -> RetryAllowance {
         RetryAllowance { ratio: limits.retry_ratio, spare: limits.spare_tries as f64 }
     }
@@ -37,6 +38,7 @@
 
 impl RetryBudget {
     /// An empty bucket, without room until the number of gateways is known.
+    #[must_use]
     pub fn new(allowance: RetryAllowance) -> Self {
         RetryBudget { allowance, capacity: 0.0, tokens: 0.0 }
     }
@@ -62,6 +64,7 @@
     }
 
     /// Whether a repeated send would find a token.
+    #[must_use]
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
--- a/crates/proxy/src/placement/held.rs
+++ b/crates/proxy/src/placement/held.rs
@@ -15,6 +15,7 @@
 const DEADLINE_SLACK: Duration = Duration::from_millis(50);
 
 /// The module's clock.
+#[must_use]
 pub fn now() -> Nanos {
     clock::now().as_nanos() as Nanos
 }
@@ -67,6 +68,7 @@
     }
 
     /// Whether the attempt that is out may have run.
+    #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.out.is_some_and(|out| out.written)
     }
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -100,6 +100,7 @@
 
 impl Placement {
     /// Without services yet; `seed` makes this gateway's chances its own.
+    #[must_use]
     pub fn new(zone: u16, seed: u64) -> Self {
         Placement {
             services: Vec::new(),
@@ -193,6 +194,7 @@
     }
 
     /// The class of a route.
+    #[must_use]
     pub fn class(&self, route: &str) -> Option<usize> {
         self.class_index.get(route).copied()
     }
@@ -274,6 +276,7 @@
     }
 
     /// When the next timer is due.
+    #[must_use]
     pub fn next_timer(&self) -> Option<Nanos> {
         self.timers.first_key_value().map(|((due, ..), _)| *due)
     }
@@ -302,6 +305,7 @@
     }
 
     /// Requests that are placed and have not ended.
+    #[must_use]
     pub fn live_count(&self) -> usize {
         self.live.len()
     }
@@ -326,7 +330,7 @@
             Action::Fail(id) => self.order(id, |_| Order::Fail),
             Action::Cancel { id, attempt } => self.order(id, |_| Order::Cancel(attempt)),
             Action::Timer { after, token } => {
-                self.set_timer((now.saturating_add(after), service, token), owner)
+                self.set_timer((now.saturating_add(after), service, token), owner);
             }
             // The list comes unasked, replicas are not probed, and gateways share nothing.
             Action::Watch | Action::Fetch | Action::Probe(_) | Action::Tell { .. } => {}
@@ -356,6 +360,7 @@
 }
 
 /// What may be repeated of a route's requests, as far as the module is concerned.
+#[must_use]
 pub fn effect_of(route: &Route) -> Effect {
     if RequestKind::of(route).is_repeatable() { Effect::Safe } else { Effect::Unsafe }
 }
@@ -374,6 +379,7 @@
 }
 
 /// The time within which an answer of a route earns its full worth.
+#[must_use]
 pub fn target(route: &Route) -> Duration {
     Duration::from_millis(target_ms(route))
 }
--- a/crates/proxy/src/placement/prompt.rs
+++ b/crates/proxy/src/placement/prompt.rs
@@ -14,6 +14,7 @@
 
 impl PromptPart {
     /// The part with this id.
+    #[must_use]
     pub fn new(id: &str, tokens: u32) -> PromptPart {
         PromptPart { hash: prefix_hash(id), tokens }
     }
@@ -36,6 +37,7 @@
 
 impl Prompt {
     /// Tokens that no other request shares.
+    #[must_use]
     pub fn own_tokens(&self) -> u32 {
         self.tokens.saturating_sub(self.shared_tokens)
     }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -71,6 +71,7 @@
 
 impl Proxy {
     /// A proxy that knows nothing yet. `seed` makes its chances its own.
+    #[must_use]
     pub fn new(settings: &Settings, seed: u64, age: Age) -> Rc<Proxy> {
         let limits = &settings.time_limits;
         let bounds = Bounds::of(settings.caps.file_handles);
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -68,16 +68,19 @@
     }
 
     /// What becomes of the client's connection after the answer.
+    #[must_use]
     pub fn after(&self) -> After {
         self.after
     }
 
     /// The client has been sent a part of the answer, or its head.
+    #[must_use]
     pub fn has_begun(&self) -> bool {
         self.head_written
     }
 
     /// The end of the connection is all that tells the client where the answer ends.
+    #[must_use]
     pub fn ends_with_connection(&self) -> bool {
         self.framing == Framing::UntilClose
     }
--- a/crates/proxy/src/replica/connection.rs
+++ b/crates/proxy/src/replica/connection.rs
@@ -57,6 +57,7 @@
 
 impl Connection {
     /// A connection that has just come up.
+    #[must_use]
     pub fn new(wire: BufferedStream, slot: Slot) -> Connection {
         Connection { wire, unsent: Unsent::default(), state: ConnectionState::Clean, _slot: slot }
     }
@@ -67,6 +68,7 @@
     }
 
     /// What a whole answer with this head leaves of the connection.
+    #[must_use]
     pub fn state_after(&self, head: &Head) -> ConnectionState {
         match self.state {
             ConnectionState::Clean if !self.unsent.rest().is_empty() => ConnectionState::RestDue,
--- a/crates/proxy/src/replica/expiry.rs
+++ b/crates/proxy/src/replica/expiry.rs
@@ -35,6 +35,7 @@
 
 impl Expiry {
     /// No limits yet, under the operator's term.
+    #[must_use]
     pub fn new(term: RevisionTerm) -> Expiry {
         Expiry { term, models: BTreeMap::new() }
     }
@@ -56,6 +57,7 @@
     }
 
     /// When requests that have not begun on these weights are called off; none while they may wait on.
+    #[must_use]
     pub fn call_off_at(&self, weights: &ModelRevision) -> Option<Duration> {
         let limits = &self.models.get(&weights.model)?.limits;
         limits.iter().find(|limit| limit.revision > weights.revision).map(|limit| limit.at)
--- a/crates/proxy/src/replica/outcome.rs
+++ b/crates/proxy/src/replica/outcome.rs
@@ -25,6 +25,7 @@
         [RequestKind::Safe, RequestKind::Unsafe, RequestKind::Stream, RequestKind::ResumableStream];
 
     /// The kind of a route's requests.
+    #[must_use]
     pub fn of(route: &Route) -> RequestKind {
         match route.kind {
             RouteKind::Harmless => RequestKind::Safe,
@@ -35,6 +36,7 @@
     }
 
     /// Whether it may run more than once.
+    #[must_use]
     pub fn is_repeatable(self) -> bool {
         matches!(self, RequestKind::Safe | RequestKind::ResumableStream)
     }
@@ -118,6 +120,7 @@
     ];
 
     /// What the event tells of the request.
+    #[must_use]
     pub fn known(self) -> Known {
         match self {
             SendEvent::ConnectRefused
@@ -146,6 +149,7 @@
     }
 
     /// What the decision module is told of the replica.
+    #[must_use]
     pub fn verdict(self) -> Verdict {
         match self {
             SendEvent::ConnectRefused | SendEvent::ConnectTimedOut | SendEvent::BrokenInHead => {
@@ -214,6 +218,7 @@
 }
 
 /// The table.
+#[must_use]
 pub fn decide(kind: RequestKind, event: SendEvent) -> Outcome {
     let known = event.known();
     let next = match event {
@@ -231,6 +236,7 @@
 }
 
 /// Whether a request of which so much is known may be sent to another replica.
+#[must_use]
 pub fn may_send_again(kind: RequestKind, known: Known) -> bool {
     known == Known::NotRun || kind.is_repeatable()
 }
@@ -248,6 +254,7 @@
 
 /// The answer to a request that no replica has answered. `has_given_up` says that nobody is to be asked any more,
 /// though there would be time.
+#[must_use]
 pub fn last_answer(kind: RequestKind, known: Known, is_late: bool, has_given_up: bool) -> LastAnswer {
     match known {
         Known::NotRun => LastAnswer::Refusal,
@@ -292,6 +299,7 @@
     ];
 
     /// Whether the connection may carry another request.
+    #[must_use]
     pub fn is_reusable(self) -> bool {
         self == ConnectionState::Clean
     }
--- a/crates/proxy/src/replica/pool.rs
+++ b/crates/proxy/src/replica/pool.rs
@@ -59,6 +59,7 @@
 
 impl Pool {
     /// Holds up to so many connections, each within the limits.
+    #[must_use]
     pub fn new(most_open: usize, limits: Http1Limits) -> Self {
         Pool { idle: RefCell::default(), open: Rc::default(), most_open, limits }
     }
--- a/crates/proxy/src/replica/replicas.rs
+++ b/crates/proxy/src/replica/replicas.rs
@@ -48,11 +48,13 @@
 
 impl ReplicaEntry {
     /// The revision of its weights of a model.
+    #[must_use]
     pub fn revision(&self, model: &str) -> Option<u64> {
         self.weights(model).map(|held| held.revision)
     }
 
     /// Its weights of a model.
+    #[must_use]
     pub fn weights(&self, model: &str) -> Option<&ModelRevision> {
         self.models.iter().find(|held| held.model == model)
     }
@@ -83,16 +85,19 @@
 
 impl Replicas {
     /// A replica that may be sent requests.
+    #[must_use]
     pub fn ready(&self, id: &ReplicaId) -> Option<&Rc<ReplicaEntry>> {
         self.entries.get(id).filter(|entry| entry.phase == Phase::Ready)
     }
 
     /// The replica that is listed at an address, whether or not it may be sent requests.
+    #[must_use]
     pub fn at(&self, address: SocketAddr) -> Option<&Rc<ReplicaEntry>> {
         self.entries.get(self.addresses.get(&address)?)
     }
 
     /// How many replicas may be sent requests.
+    #[must_use]
     pub fn ready_count(&self) -> usize {
         self.ready
     }
@@ -171,6 +176,7 @@
     }
 
     /// A service's replicas as the decision module takes them.
+    #[must_use]
     pub fn members(&self, service: &str) -> Arc<[Member]> {
         self.entries.values().filter(|entry| entry.service == service).map(|entry| entry.member()).collect()
     }
--- a/crates/proxy/src/replica/reply.rs
+++ b/crates/proxy/src/replica/reply.rs
@@ -20,6 +20,7 @@
 impl Reply {
     /// Reads the head of an answer to the try with this id, from the replica that was meant. A try without an
     /// id has an answer without one.
+    #[must_use]
     pub fn read(head: &Head, attempt_id: Option<&str>, replica: &str) -> Reply {
         if head.get("attempt-id").unwrap_or_default() != attempt_id.unwrap_or_default() {
             return Reply::Foreign;
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -55,6 +55,7 @@
 }
 
 /// Runs the proxy until the platform stops it.
+#[must_use]
 pub fn run(settings: Settings) -> ExitCode {
     let executor = Rc::new(LocalExecutor::new());
     let outcome = async_io::block_on(executor.run(serve(settings, executor.clone())));
--- a/crates/proxy/tests/calls_page.rs
+++ b/crates/proxy/tests/calls_page.rs
@@ -45,8 +45,10 @@
     let is_row = |line: &&str| line.starts_with("| `");
     let lines: Vec<&str> = page.lines().filter(is_row).collect();
     let missing = rows.iter().filter(|row| !lines.contains(&row.as_str())).cloned();
-    let surplus =
-        lines.iter().filter(|line| !rows.iter().any(|row| row == *line)).map(|line| line.to_string());
+    let surplus = lines
+        .iter()
+        .filter(|line| !rows.iter().any(|row| row == *line))
+        .map(std::string::ToString::to_string);
     missing.chain(surplus).collect()
 }
 
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -328,7 +328,7 @@
 #[test]
 fn a_request_that_nobody_can_take_is_refused_soon() {
     let bench = Bench::start(1);
-    bench.set_fleet(|lines| lines.clear());
+    bench.set_fleet(std::vec::Vec::clear);
     let answer = bench.run(bench.ask(&post("/risky/", "t1")));
     assert_eq!(status(&answer), "503");
     assert!(header(&answer, "Retry-After").is_some(), "{answer}");
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -21,15 +21,15 @@
 use tulipridge_proxy::{edge, ready};
 use tulipridge_runtime::settings::Settings;
 
-pub const HOST: &str = "shop.example";
-pub const KEY: &str = "k1";
-pub const SEAL: &str = "s.1";
+pub(crate) const HOST: &str = "shop.example";
+pub(crate) const KEY: &str = "k1";
+pub(crate) const SEAL: &str = "s.1";
 /// Bytes of a body that no connection takes at once.
-pub const LONG_BODY: usize = 3 << 20;
+pub(crate) const LONG_BODY: usize = 3 << 20;
 
 /// A part of what a replica does for one request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub(crate) enum Part {
     /// As the first part: what follows is done once a byte has come, and nothing is read.
     BeforeHead,
     /// As the first part: what follows is done once the head has come.
@@ -47,10 +47,10 @@
 }
 
 /// What replicas do for the next requests, whichever of them these reach.
-pub type Script = Rc<RefCell<VecDeque<Vec<Part>>>>;
+pub(crate) type Script = Rc<RefCell<VecDeque<Vec<Part>>>>;
 
 /// A replica that answers by script.
-pub struct StandIn {
+pub(crate) struct StandIn {
     pub id: String,
     pub address: SocketAddr,
     script: Script,
@@ -64,7 +64,7 @@
 }
 
 impl StandIn {
-    pub fn start(
+    pub(crate) fn start(
         executor: &Rc<LocalExecutor<'static>>,
         id: &str,
         script: &Script,
@@ -99,7 +99,7 @@
     }
 
     /// Requests that came so far.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.requests.borrow().len()
     }
 
@@ -184,12 +184,12 @@
 }
 
 /// An answer of 200 with this body.
-pub fn ok(body: &str) -> String {
+pub(crate) fn ok(body: &str) -> String {
     answer("200 OK", "", body)
 }
 
 /// A whole answer with a length.
-pub fn answer(status: &str, headers: &str, body: &str) -> String {
+pub(crate) fn answer(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nAttempt-Id: {{id}}\r\nServer-Seal: {SEAL}\r\n{headers}\
          Content-Length: {}\r\n\r\n{body}",
@@ -198,7 +198,7 @@
 }
 
 /// The head of a stream in chunks.
-pub fn stream_head() -> String {
+pub(crate) fn stream_head() -> String {
     format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: {{id}}\r\nServer-Seal: {SEAL}\r\n\
          Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -206,18 +206,18 @@
 }
 
 /// An event as a chunk.
-pub fn event(id: u32) -> String {
+pub(crate) fn event(id: u32) -> String {
     chunk(&format!("id: {id}\ndata: d{id}\n\n"))
 }
 
-pub fn chunk(text: &str) -> String {
+pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-pub const LAST: &str = "0\r\n\r\n";
+pub(crate) const LAST: &str = "0\r\n\r\n";
 
 /// What the tests may change of the proxy's surroundings.
-pub struct Bench {
+pub(crate) struct Bench {
     pub executor: Rc<LocalExecutor<'static>>,
     pub proxy: Rc<Proxy>,
     pub front: SocketAddr,
@@ -229,13 +229,13 @@
     gates: Rc<Cell<usize>>,
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let text = "nodeName: edge-1\nipAddress: 127.0.0.1\narea: zone-a\nzones: {zone-a: here, zone-b: here}\n\
                 sparePorts: [7360, 7375]\n";
     Settings::parse(text).expect("settings that can be used")
 }
 
-pub fn route(label: &str, path: &str, kind: RouteKind) -> Route {
+pub(crate) fn route(label: &str, path: &str, kind: RouteKind) -> Route {
     Route {
         label: label.to_owned(),
         host: HOST.to_owned(),
@@ -253,7 +253,7 @@
     }
 }
 
-pub fn configuration() -> Configuration {
+pub(crate) fn configuration() -> Configuration {
     let resumable = Route { resumable: true, ..route("resumable", "/resumable/", RouteKind::Stream) };
     let open = Route { public: true, ..route("open", "/open/", RouteKind::Harmless) };
     Configuration {
@@ -285,7 +285,7 @@
     }
 }
 
-pub fn replica_line(stand_in: &StandIn) -> Replica {
+pub(crate) fn replica_line(stand_in: &StandIn) -> Replica {
     Replica {
         id: stand_in.id.clone(),
         service: "service".to_owned(),
@@ -300,12 +300,12 @@
 
 impl Bench {
     /// A proxy with so many replicas, and a retry budget that lets each request be repeated.
-    pub fn start(replicas: usize) -> Bench {
+    pub(crate) fn start(replicas: usize) -> Bench {
         Bench::with_budget(replicas, 2.0, 100)
     }
 
     /// The same with this retry budget.
-    pub fn with_budget(replicas: usize, retry_ratio: f64, spare_tries: u64) -> Bench {
+    pub(crate) fn with_budget(replicas: usize, retry_ratio: f64, spare_tries: u64) -> Bench {
         let mut settings = settings();
         settings.time_limits.retry_ratio = retry_ratio;
         settings.time_limits.spare_tries = spare_tries;
@@ -313,7 +313,7 @@
     }
 
     /// A proxy whose process may use so many descriptors.
-    pub fn with_file_handles(replicas: usize, file_handles: u64) -> Bench {
+    pub(crate) fn with_file_handles(replicas: usize, file_handles: u64) -> Bench {
         let mut settings = settings();
         settings.time_limits.retry_ratio = 2.0;
         settings.time_limits.spare_tries = 100;
@@ -322,7 +322,7 @@
     }
 
     /// A proxy whose operator gives this time for the change to new weights.
-    pub fn with_revision_term(
+    pub(crate) fn with_revision_term(
         replicas: usize,
         revision_ms: u64,
         (retry_ratio, spare_tries): (f64, u64),
@@ -365,14 +365,14 @@
     }
 
     /// Tells the proxy of all replicas, with their lines changed.
-    pub fn set_fleet(&self, change: impl Fn(&mut Vec<Replica>)) {
+    pub(crate) fn set_fleet(&self, change: impl Fn(&mut Vec<Replica>)) {
         let mut lines: Vec<Replica> = self.replicas.iter().map(|replica| replica_line(replica)).collect();
         change(&mut lines);
         self.proxy.set_fleet(&lines, &WeightsTable::default());
     }
 
     /// Tells the proxy that weights below a revision are withdrawn, which replicas that were sent requests still have.
-    pub fn withdraw_at_busy(&self, least: u64) {
+    pub(crate) fn withdraw_at_busy(&self, least: u64) {
         let line = |stand_in: &Rc<StandIn>| {
             let mut line = replica_line(stand_in);
             if stand_in.count() == 0 {
@@ -387,30 +387,30 @@
     }
 
     /// Adds what a replica does for the next request that is not scripted yet.
-    pub fn next(&self, parts: &[Part]) {
+    pub(crate) fn next(&self, parts: &[Part]) {
         self.script.borrow_mut().push_back(parts.to_vec());
     }
 
     /// Runs a test.
-    pub fn run<T>(&self, test: impl Future<Output = T>) -> T {
+    pub(crate) fn run<T>(&self, test: impl Future<Output = T>) -> T {
         async_io::block_on(self.executor.run(test))
     }
 
     /// Opens a client's connection.
-    pub async fn connect(&self) -> TestClient {
+    pub(crate) async fn connect(&self) -> TestClient {
         let stream = Async::<TcpStream>::connect(self.front).await.expect("a connection");
         TestClient { stream, buffer: Vec::new() }
     }
 
     /// Sends one request on a connection of its own, and reads the answer.
-    pub async fn ask(&self, request: &str) -> String {
+    pub(crate) async fn ask(&self, request: &str) -> String {
         let mut client = self.connect().await;
         client.send(request).await;
         client.answer().await
     }
 
     /// The same of the check of readiness.
-    pub async fn check(&self, request: &str) -> String {
+    pub(crate) async fn check(&self, request: &str) -> String {
         let stream = Async::<TcpStream>::connect(self.ready).await.expect("a connection");
         let mut client = TestClient { stream, buffer: Vec::new() };
         client.send(request).await;
@@ -418,17 +418,17 @@
     }
 
     /// Lets one wait of a replica go on, whichever waits.
-    pub fn release(&self) {
+    pub(crate) fn release(&self) {
         self.gates.set(self.gates.get() + 1);
     }
 
     /// Requests that reached any replica.
-    pub fn arrivals(&self) -> usize {
+    pub(crate) fn arrivals(&self) -> usize {
         self.replicas.iter().map(|replica| replica.count()).sum()
     }
 
     /// Lets other tasks run until the condition holds.
-    pub async fn until(&self, condition: impl Fn() -> bool) {
+    pub(crate) async fn until(&self, condition: impl Fn() -> bool) {
         while !condition() {
             future::yield_now().await;
         }
@@ -436,7 +436,7 @@
 }
 
 /// Waits until the connection of an answer that has ended may be used again.
-pub async fn settle() {
+pub(crate) async fn settle() {
     async_io::Timer::after(Duration::from_millis(15)).await;
 }
 
@@ -445,18 +445,18 @@
 }
 
 /// A client's connection.
-pub struct TestClient {
+pub(crate) struct TestClient {
     pub stream: Async<TcpStream>,
     buffer: Vec<u8>,
 }
 
 impl TestClient {
-    pub async fn send(&mut self, request: &str) {
+    pub(crate) async fn send(&mut self, request: &str) {
         self.stream.write_all(request.as_bytes()).await.expect("a request is taken");
     }
 
     /// The next answer; `(cut)` behind it where it does not end whole, `(closed)` where there is none.
-    pub async fn answer(&mut self) -> String {
+    pub(crate) async fn answer(&mut self) -> String {
         match read_message(&mut self.stream, &mut self.buffer).await {
             Some(answer) => answer,
             None if self.buffer.is_empty() => "(closed)".to_owned(),
@@ -465,12 +465,12 @@
     }
 
     /// What has come and was not taken as an answer.
-    pub fn received(&self) -> String {
+    pub(crate) fn received(&self) -> String {
         String::from_utf8_lossy(&self.buffer).into_owned()
     }
 
     /// Reads until what has come of the answer holds this.
-    pub async fn wait_for(&mut self, text: &str) {
+    pub(crate) async fn wait_for(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.buffer).contains(text) {
             assert!(
                 read_some(&mut self.stream, &mut self.buffer).await > 0,
@@ -525,7 +525,7 @@
 }
 
 /// The value of a header in a message.
-pub fn header(message: &str, name: &str) -> Option<String> {
+pub(crate) fn header(message: &str, name: &str) -> Option<String> {
     let head = message.split("\r\n\r\n").next()?;
     head.lines().find_map(|line| {
         let (found, value) = line.split_once(": ")?;
@@ -534,17 +534,17 @@
 }
 
 /// The status of an answer.
-pub fn status(answer: &str) -> &str {
+pub(crate) fn status(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or(answer)
 }
 
 /// A request for a path, with a key and a body.
-pub fn post(path: &str, id: &str) -> String {
+pub(crate) fn post(path: &str, id: &str) -> String {
     post_with(path, id, "")
 }
 
 /// The same with further headers.
-pub fn post_with(path: &str, id: &str, headers: &str) -> String {
+pub(crate) fn post_with(path: &str, id: &str, headers: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: {id}\r\nTime-Left-Ms: 6000\r\n\
          Authorization: Token {KEY}\r\n{headers}Content-Length: 4\r\n\r\nbody"
@@ -552,14 +552,14 @@
 }
 
 /// The same with a body that is longer than what the system holds of a connection.
-pub fn post_long(path: &str, id: &str) -> String {
+pub(crate) fn post_long(path: &str, id: &str) -> String {
     let body = "x".repeat(LONG_BODY);
     post(path, id)
         .replace("Content-Length: 4\r\n\r\nbody", &format!("Content-Length: {LONG_BODY}\r\n\r\n{body}"))
 }
 
 /// A message with what differs from run to run replaced, and line ends as in a text file.
-pub fn transcript(message: &str) -> String {
+pub(crate) fn transcript(message: &str) -> String {
     let lines = message.lines().map(|line| match line.split_once(": ") {
         Some((name @ ("Time-Left-Ms" | "Retry-After"), _)) => format!("{name}: (time)"),
         _ => line.trim_end().to_owned(),
--- a/crates/runtime/src/command_line.rs
+++ b/crates/runtime/src/command_line.rs
@@ -26,6 +26,7 @@
 }
 
 /// The parser of the command line.
+#[must_use]
 pub fn parser(description: &'static str, version: &'static str) -> OptionParser<Command> {
     let run = pure(Command::Run).to_options().descr("Runs the program (the default)").command("run");
     let file = positional::<PathBuf>("FILE").help("A settings file (YAML)");
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -30,6 +30,7 @@
 }
 
 /// A record as one line of JSON, without its line break.
+#[must_use]
 pub fn line(program: &str, node: &str, at_ms: u64, record: &Record<'_>) -> String {
     let mut fields = Map::new();
     fields.insert("level".into(), record.level().as_str().into());
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -303,31 +303,37 @@
     }
 
     /// Whether a part of the rules is in force.
+    #[must_use]
     pub fn promised(&self, part: &str) -> bool {
         self.promises.iter().any(|promise| promise == part)
     }
 
     /// Where the control plane's member on machine `ip` takes messages of other members (TCP).
+    #[must_use]
     pub fn control_socket(&self, ip: Ipv4Addr) -> SocketAddr {
         self.spare_socket(ip, 0)
     }
 
     /// Where the control plane's member on machine `ip` serves the feed (TCP).
+    #[must_use]
     pub fn feed_socket(&self, ip: Ipv4Addr) -> SocketAddr {
         self.spare_socket(ip, 1)
     }
 
     /// Where the process on machine `ip` takes datagrams of the partial views (UDP).
+    #[must_use]
     pub fn peer_sampling_socket(&self, ip: Ipv4Addr) -> SocketAddr {
         self.spare_socket(ip, 2)
     }
 
     /// Where the agent serves the feed to the proxy beside it (TCP).
+    #[must_use]
     pub fn loopback_feed(&self) -> SocketAddr {
         self.spare_socket(Ipv4Addr::LOCALHOST, 3)
     }
 
     /// Addresses of the seeds' machines, in the order of the settings.
+    #[must_use]
     pub fn seed_ips(&self) -> Vec<Ipv4Addr> {
         let ipv4 = |seed: &SocketAddr| match seed.ip() {
             IpAddr::V4(ip) => Some(ip),
--- a/crates/runtime/src/settings/revision_term.rs
+++ b/crates/runtime/src/settings/revision_term.rs
@@ -26,17 +26,20 @@
 
 impl RevisionTerm {
     /// A term of this length.
+    #[must_use]
     pub const fn new(length: Duration) -> RevisionTerm {
         RevisionTerm(length)
     }
 
     /// When all replicas should have loaded.
+    #[must_use]
     pub fn load_by(self) -> Duration {
         self.withdrawal().mul_f64(LOAD_PART)
     }
 
     /// When older weights are withdrawn: nothing new is sent to replicas that still have them, and those are ordered
     /// to load at once.
+    #[must_use]
     pub fn withdrawal(self) -> Duration {
         self.0.saturating_sub(self.withdrawal_reserve())
     }
@@ -44,6 +47,7 @@
     /// When a gateway calls off requests that wait at such replicas and have not begun, given when it heard of the
     /// name, if it did, and when it heard that the term up to the withdrawal has passed. That may be late, as after
     /// an election, and then the gateway's own clock tells what is left of the term.
+    #[must_use]
     pub fn call_off_at(self, named: Option<Duration>, expired: Duration) -> Duration {
         let latest = expired + self.call_off_delay();
         let due = named.map_or(latest, |named| named + self.withdrawal() + self.call_off_delay());
--- a/crates/runtime/src/settings/time_limits.rs
+++ b/crates/runtime/src/settings/time_limits.rs
@@ -85,21 +85,25 @@
 
 impl TimeLimits {
     /// Time between SIGTERM and SIGKILL.
+    #[must_use]
     pub fn leeway(&self) -> Duration {
         Duration::try_from_secs_f64(self.leeway_s).unwrap_or(Duration::MAX)
     }
 
     /// Time within which the withdrawal of a key takes effect.
+    #[must_use]
     pub fn withdraw(&self) -> Duration {
         Duration::from_millis(self.withdraw_ms)
     }
 
     /// Time for which a lease on replicas runs.
+    #[must_use]
     pub fn lease_term(&self) -> Duration {
         Duration::from_millis(self.lease_term_ms)
     }
 
     /// Time within which replicas change to new weights.
+    #[must_use]
     pub fn revision_term(&self) -> RevisionTerm {
         RevisionTerm::new(Duration::from_millis(self.revision_ms))
     }
--- a/crates/simulator/src/experiment/faults.rs
+++ b/crates/simulator/src/experiment/faults.rs
@@ -55,6 +55,7 @@
 
 impl FaultKind {
     /// The words of the report.
+    #[must_use]
     pub fn words(self) -> &'static str {
         match self {
             FaultKind::RestartGateways => "gateways restart",
@@ -69,6 +70,7 @@
     }
 
     /// While it lasts is of interest, not only what comes after.
+    #[must_use]
     pub fn lasts(self) -> bool {
         !matches!(self, FaultKind::RestartGateways | FaultKind::ReplaceReplicas | FaultKind::SlowReplicas)
     }
--- a/crates/simulator/src/experiment/mod.rs
+++ b/crates/simulator/src/experiment/mod.rs
@@ -70,11 +70,13 @@
 
 impl Experiment {
     /// Time at which all ends.
+    #[must_use]
     pub fn end(&self) -> Nanos {
         nanos(self.warmup + self.length)
     }
 
     /// Faults in the order of their times, then names.
+    #[must_use]
     pub fn faults_in_order(&self) -> Vec<(&str, &Fault)> {
         let mut all: Vec<_> = self.faults.iter().map(|(name, fault)| (name.as_str(), fault)).collect();
         all.sort_by_key(|(name, fault)| (fault.at, *name));
@@ -82,11 +84,13 @@
     }
 
     /// The multiple of the rate at a time.
+    #[must_use]
     pub fn factor_at(&self, now: Nanos) -> f64 {
         self.load.factor_at(now as f64 - nanos(self.warmup) as f64)
     }
 
     /// The most that [`Experiment::factor_at`] may come to.
+    #[must_use]
     pub fn factor_most(&self) -> f64 {
         self.load.factor_most()
     }
--- a/crates/simulator/src/experiment/module_settings.rs
+++ b/crates/simulator/src/experiment/module_settings.rs
@@ -7,6 +7,7 @@
 
 impl Experiment {
     /// What the module of gateway `me` is told at its start.
+    #[must_use]
     pub fn settings(&self, me: u32) -> types::Settings {
         let classes = self.classes.values().map(|c| types::Class {
             aim: nanos(c.aim),
--- a/crates/simulator/src/fleet/clients.rs
+++ b/crates/simulator/src/fleet/clients.rs
@@ -1,6 +1,9 @@
 //! Sessions, clients and their tries, and the layer that spreads them over the gateways.
 
-use super::*;
+use super::{
+    Client, Distribution, End, Event, Exp, Fleet, Flight, GatewayAt, MILLI, Nanos, Pcg64Mcg, Request,
+    RequestId, RngExt, SECOND, SLACK, Session, What, Zipf, drawn, nanos, source,
+};
 
 impl Fleet<'_> {
     /// Sessions begin by chance (Poisson); a phase thins out what its most would bring.
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -1,6 +1,6 @@
 //! What breaks, and what comes back.
 
-use super::*;
+use super::{DRAIN, FaultKind, Fleet, Phase, RngExt, SECOND, What, nanos};
 
 impl Fleet<'_> {
     /// Draws whom a fault hits, and when within its time.
--- a/crates/simulator/src/fleet/gateways.rs
+++ b/crates/simulator/src/fleet/gateways.rs
@@ -1,6 +1,9 @@
 //! Gateways: what their policies are told, and what comes of what they order.
 
-use super::*;
+use super::{
+    ANSWER_COST, Action, Arc, Attempt, End, Event, Fleet, Job, ListKind, MILLI, Member, Nanos, Policy,
+    ReplicaId, RequestId, RngExt, SettingsError, Stage, Verdict, What, nanos,
+};
 
 impl Fleet<'_> {
     /// Hands an event to a gateway's policy and carries out what it orders.
--- a/crates/simulator/src/fleet/lists.rs
+++ b/crates/simulator/src/fleet/lists.rs
@@ -1,6 +1,6 @@
 //! The list service: calls one after another, and changes for those who watch.
 
-use super::*;
+use super::{Arc, BTreeMap, Event, Fleet, ListKind, Member, Nanos, Phase, SECOND, What, nanos};
 
 impl Fleet<'_> {
     pub(super) fn list_call(&mut self, gateway: usize) {
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -18,7 +18,9 @@
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, LogNormal, Normal, Zipf};
 use rand_pcg::Pcg64Mcg;
-use tulipridge::types::*;
+use tulipridge::types::{
+    Action, Event, ListKind, Member, Nanos, Phase, ReplicaId, Request, RequestId, SettingsError, Verdict,
+};
 
 use crate::chance::{drawn, source};
 use crate::experiment::{Experiment, Fault, FaultKind, Kind};
@@ -395,7 +397,7 @@
                 self.list_timed_out(gateway, epoch, call);
             }
             What::ListNews { gateway, epoch, kind, members } => {
-                self.list_news(gateway, epoch, kind, members)
+                self.list_news(gateway, epoch, kind, members);
             }
             What::ListTick => self.list_tick(),
             What::Reports => self.refresh_reports(),
--- a/crates/simulator/src/fleet/servers.rs
+++ b/crates/simulator/src/fleet/servers.rs
@@ -1,6 +1,6 @@
 //! Real servers: their steps, their reports, their deaths, and what cold ones are sent.
 
-use super::*;
+use super::{ANSWER_COST, Distribution, Fleet, Normal, SECOND, StepEvent, Verdict, What, nanos};
 
 impl Fleet<'_> {
     pub(super) fn refresh_reports(&mut self) {
--- a/crates/simulator/src/policy/mod.rs
+++ b/crates/simulator/src/policy/mod.rs
@@ -35,6 +35,7 @@
 
 impl PolicyKind {
     /// Its name in files and reports.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Module => "module",
--- a/crates/simulator/src/policy/plain.rs
+++ b/crates/simulator/src/policy/plain.rs
@@ -6,7 +6,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tulipridge::pace::Calls;
-use tulipridge::types::*;
+use tulipridge::types::{
+    Action, Event, ListKind, Member, Nanos, Phase, ReplicaId, Request, RequestId, Settings, Verdict,
+};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::{PolicyKind, Truth};
--- a/crates/simulator/src/record/mod.rs
+++ b/crates/simulator/src/record/mod.rs
@@ -65,6 +65,7 @@
 
 impl Record {
     /// One that has seen nothing.
+    #[must_use]
     pub fn new(x: &Experiment) -> Record {
         Record {
             warmup: nanos(x.warmup),
@@ -246,6 +247,7 @@
     }
 
     /// All figures.
+    #[must_use]
     pub fn figures(mut self, policy: &str) -> Figures {
         self.list_waits.sort_unstable();
         let waits = &self.list_waits;
--- a/crates/simulator/src/replica/mod.rs
+++ b/crates/simulator/src/replica/mod.rs
@@ -64,6 +64,7 @@
 
 impl Replica {
     /// One that has been warm for long; its speed is `skew` times its kind's.
+    #[must_use]
     pub fn new(name: String, zone: u16, kind: u16, of: &Kind, skew: f64) -> Replica {
         Replica {
             name,
@@ -94,21 +95,25 @@
     }
 
     /// Requests in hand.
+    #[must_use]
     pub fn in_hand(&self) -> usize {
         self.queue.len() + self.running.len()
     }
 
     /// Requests that wait for a place in the batch.
+    #[must_use]
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
     /// Places in its batch.
+    #[must_use]
     pub fn places(&self) -> usize {
         self.batch
     }
 
     /// Share of the batch that is taken.
+    #[must_use]
     pub fn filled(&self) -> f64 {
         self.running.len() as f64 / self.batch as f64
     }
@@ -136,6 +141,7 @@
     }
 
     /// Its share of its capacity.
+    #[must_use]
     pub fn warmth(&self, now: Nanos, all: &Replicas) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let part = now.saturating_sub(started) as f64 / nanos(all.ramp).max(1) as f64;
@@ -143,6 +149,7 @@
     }
 
     /// It is sound and warm, and nothing waits for a place in its batch.
+    #[must_use]
     pub fn has_room(&self, now: Nanos, all: &Replicas) -> bool {
         let sound = self.alive && !self.silent && !self.hangs && self.errors == 0.0;
         sound && self.queue.is_empty() && self.warmth(now, all) >= 1.0
--- a/crates/simulator/src/replica/prompt_cache.rs
+++ b/crates/simulator/src/replica/prompt_cache.rs
@@ -60,6 +60,7 @@
     }
 
     /// Tokens in all.
+    #[must_use]
     pub fn total_tokens(&self) -> u64 {
         self.total_tokens
     }
--- a/crates/simulator/src/time.rs
+++ b/crates/simulator/src/time.rs
@@ -10,6 +10,7 @@
 pub const SECOND: Nanos = 1_000 * MILLI;
 
 /// A span as the laboratory's clock counts it.
+#[must_use]
 pub fn nanos(span: Duration) -> Nanos {
     span.as_nanos() as Nanos
 }
