--- a/crates/subscription/src/freshness.rs
+++ b/crates/subscription/src/freshness.rs
@@ -29,6 +29,7 @@
 
 impl Freshness {
     /// Nothing is known yet.
+    #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
@@ -67,6 +68,7 @@
     }
 
     /// How long ago that was.
+    #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.as_of.map(|as_of| duration(moment(now) - as_of).unwrap_or_default())
     }
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -77,6 +77,7 @@
 
 impl Changed {
     /// Whether anything of the state is different from before.
+    #[must_use]
     pub fn any(&self) -> bool {
         self.configuration || self.fleet || self.weights || self.kept || self.group || self.loads
     }
@@ -121,6 +122,7 @@
 
 impl SentPositions {
     /// The later of both, in each part.
+    #[must_use]
     pub fn later(self, other: SentPositions) -> SentPositions {
         let holdings = KnownPositions {
             configuration: self.holdings.configuration.max(other.holdings.configuration),
@@ -151,11 +153,13 @@
 
 impl FeedStore {
     /// An empty store that remembers [`REMEMBERED_CONFIGURATIONS`].
+    #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
     /// An empty store that remembers `configurations` earlier ones; a store without subscribers needs none.
+    #[must_use]
     pub fn remembering(configurations: usize) -> Self {
         FeedStore { configurations: Configurations::remembering(configurations), ..Self::default() }
     }
@@ -218,7 +222,7 @@
         let mut changed = Changed::default();
         match message {
             ToSubscriber::Configuration(update) => {
-                changed.configuration = self.configurations.apply(update)?
+                changed.configuration = self.configurations.apply(update)?;
             }
             ToSubscriber::Fleet(update) => changed.fleet = self.fleet.apply(update)?,
             ToSubscriber::Weights(table) => changed.weights = self.take_weights(table),
--- a/crates/subscription/tests/common/mod.rs
+++ b/crates/subscription/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! State for the tests.
 #![allow(dead_code, reason = "each test file uses a part")]
 
-pub mod network;
+pub(crate) mod network;
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use tulipridge_protocol::node::NodeId;
 
 /// A configuration whose content follows from `content`.
-pub fn configuration(revision: u64, content: u64) -> Arc<Configuration> {
+pub(crate) fn configuration(revision: u64, content: u64) -> Arc<Configuration> {
     let tenants = (0..6).filter(|bit| content >> bit & 1 == 1).map(|bit| tenant(bit, content >> 8));
     let service =
         Service { label: "chat".to_owned(), connection_limit: content as u32 % 4, ..Service::default() };
@@ -34,7 +34,7 @@
 }
 
 /// A warm replica.
-pub fn replica(id: &str, capacity: u32) -> Replica {
+pub(crate) fn replica(id: &str, capacity: u32) -> Replica {
     Replica {
         id: id.to_owned(),
         service: "chat".to_owned(),
@@ -48,17 +48,17 @@
 }
 
 /// A replica that is still slow.
-pub fn replica_warming(id: &str, warm_left_ms: u32) -> Replica {
+pub(crate) fn replica_warming(id: &str, warm_left_ms: u32) -> Replica {
     Replica { warm_left_ms, ..replica(id, 1) }
 }
 
 /// A table of weights.
-pub fn weights(named: u64) -> Vec<ModelWeights> {
+pub(crate) fn weights(named: u64) -> Vec<ModelWeights> {
     vec![ModelWeights { model: "large".to_owned(), named, least: named / 2, expired: named / 2 }]
 }
 
 /// A group of so many gateways.
-pub fn group(gateways: u32) -> Group {
+pub(crate) fn group(gateways: u32) -> Group {
     let member = ControlNode { id: NodeId::new(Ipv4Addr::new(10, 0, 0, 9), 0), zone: "east".to_owned() };
     Group { gateways, control: vec![member] }
 }
--- a/crates/subscription/tests/common/network.rs
+++ b/crates/subscription/tests/common/network.rs
@@ -17,16 +17,16 @@
 const WITHIN: Duration = Duration::from_secs(20);
 
 /// A store that is shared by tasks.
-pub type SharedStore = Rc<RefCell<FeedStore>>;
+pub(crate) type SharedStore = Rc<RefCell<FeedStore>>;
 
 /// Runs a test with an executor for its tasks.
-pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<LocalExecutor<'static>>) -> F) {
+pub(crate) fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<LocalExecutor<'static>>) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(bounded(test(Rc::clone(&executor)))));
 }
 
 /// The output of a future that must be ready in time.
-pub async fn bounded<T>(future: impl Future<Output = T>) -> T {
+pub(crate) async fn bounded<T>(future: impl Future<Output = T>) -> T {
     let late = async {
         Timer::after(WITHIN).await;
         panic!("not ready within {WITHIN:?}")
@@ -35,31 +35,31 @@
 }
 
 /// Waits until a condition holds, letting other tasks run meanwhile.
-pub async fn until(condition: impl Fn() -> bool) {
+pub(crate) async fn until(condition: impl Fn() -> bool) {
     while !condition() {
         future::yield_now().await;
     }
 }
 
 /// A listener on a free port.
-pub fn listener() -> (Async<TcpListener>, SocketAddr) {
+pub(crate) fn listener() -> (Async<TcpListener>, SocketAddr) {
     let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).expect("binds");
     let address = listener.get_ref().local_addr().expect("has an address");
     (listener, address)
 }
 
 /// An empty store.
-pub fn store() -> SharedStore {
+pub(crate) fn store() -> SharedStore {
     Rc::default()
 }
 
 /// Age of a primary within its lease.
-pub fn fresh() -> Rc<dyn Fn() -> Option<Duration>> {
+pub(crate) fn fresh() -> Rc<dyn Fn() -> Option<Duration>> {
     Rc::new(|| Some(Duration::ZERO))
 }
 
 /// Starts a publisher.
-pub fn publish(
+pub(crate) fn publish(
     executor: &Rc<LocalExecutor<'static>>,
     store: &SharedStore,
     age: Rc<dyn Fn() -> Option<Duration>>,
@@ -73,35 +73,35 @@
 }
 
 /// A subscriber that does not run yet.
-pub fn subscriber(store: &SharedStore, role: SubscriberRole) -> Rc<Subscriber> {
+pub(crate) fn subscriber(store: &SharedStore, role: SubscriberRole) -> Rc<Subscriber> {
     Subscriber::new(identity(role), Rc::clone(store))
 }
 
 /// Who a test subscriber is.
-pub fn identity(role: SubscriberRole) -> Identity {
+pub(crate) fn identity(role: SubscriberRole) -> Identity {
     Identity { name: "edge-1".to_owned(), zone: "east".to_owned(), role }
 }
 
 /// A subscriber's first message.
-pub fn subscribe(holds: KnownPositions) -> ToPublisher {
+pub(crate) fn subscribe(holds: KnownPositions) -> ToPublisher {
     let Identity { name, zone, role } = identity(SubscriberRole::Agent);
     ToPublisher::Subscribe(Subscribe { name, zone, role, holds })
 }
 
 /// The bare end of a connection, which a test drives message by message.
-pub struct Peer {
+pub(crate) struct Peer {
     stream: Async<TcpStream>,
     buffer: Vec<u8>,
 }
 
 impl Peer {
     /// Connects to a publisher.
-    pub async fn connect(address: SocketAddr) -> Self {
+    pub(crate) async fn connect(address: SocketAddr) -> Self {
         Self::new(Async::<TcpStream>::connect(address).await.expect("connects"))
     }
 
     /// Takes a subscriber's connection.
-    pub async fn accept(listener: &Async<TcpListener>) -> Self {
+    pub(crate) async fn accept(listener: &Async<TcpListener>) -> Self {
         Self::new(listener.accept().await.expect("accepts").0)
     }
 
@@ -110,26 +110,26 @@
     }
 
     /// Sends a subscriber's message.
-    pub async fn say(&mut self, message: &ToPublisher) {
+    pub(crate) async fn say(&mut self, message: &ToPublisher) {
         let mut bytes = Vec::new();
         frame::append(message, &mut bytes).expect("encodes");
         self.write(&bytes).await;
     }
 
     /// Sends a publisher's message.
-    pub async fn answer(&mut self, message: &ToSubscriber) {
+    pub(crate) async fn answer(&mut self, message: &ToSubscriber) {
         let mut bytes = Vec::new();
         frame::append(message, &mut bytes).expect("encodes");
         self.write(&bytes).await;
     }
 
     /// Sends bytes.
-    pub async fn write(&mut self, bytes: &[u8]) {
+    pub(crate) async fn write(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).await.expect("writes");
     }
 
     /// The publisher's next message; none at the end of the connection.
-    pub async fn hear(&mut self) -> Option<ToSubscriber> {
+    pub(crate) async fn hear(&mut self) -> Option<ToSubscriber> {
         loop {
             if let Some(message) = frame::take(&mut self.buffer).expect("decodes") {
                 return Some(message);
@@ -139,7 +139,7 @@
     }
 
     /// The subscriber's next message; none at the end of the connection.
-    pub async fn asked(&mut self) -> Option<ToPublisher> {
+    pub(crate) async fn asked(&mut self) -> Option<ToPublisher> {
         loop {
             if let Some(message) = frame::take(&mut self.buffer).expect("decodes") {
                 return Some(message);
--- a/crates/write-ahead-log/tests/support/mod.rs
+++ b/crates/write-ahead-log/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use tulipridge_write_ahead_log::{Directory, DirectoryFile};
 
 /// What is on a disk.
-pub type Files = BTreeMap<String, Vec<u8>>;
+pub(crate) type Files = BTreeMap<String, Vec<u8>>;
 
 #[derive(Debug, Default)]
 struct Disk {
@@ -57,20 +57,20 @@
 
 /// The directory.
 #[derive(Clone, Debug, Default)]
-pub struct MemoryDirectory {
+pub(crate) struct MemoryDirectory {
     disk: Rc<RefCell<Disk>>,
 }
 
 /// An open file of it.
 #[derive(Debug)]
-pub struct MemoryFile {
+pub(crate) struct MemoryFile {
     disk: Rc<RefCell<Disk>>,
     name: String,
 }
 
 impl MemoryDirectory {
     /// A directory with files, all of them synced.
-    pub fn with(files: Files) -> Self {
+    pub(crate) fn with(files: Files) -> Self {
         let directory = MemoryDirectory::default();
         directory.disk.borrow_mut().synced = files.clone();
         directory.disk.borrow_mut().files = files;
@@ -78,47 +78,47 @@
     }
 
     /// After so many changes every operation fails.
-    pub fn crash_after(&self, operations: u64) {
+    pub(crate) fn crash_after(&self, operations: u64) {
         self.disk.borrow_mut().operations_left = Some(operations);
     }
 
     /// Whether fewer changes were made since than a crash was to come after.
-    pub fn has_operations_left(&self) -> bool {
+    pub(crate) fn has_operations_left(&self) -> bool {
         self.disk.borrow().operations_left.is_some_and(|left| left > 0)
     }
 
     /// After so many changes one operation fails.
-    pub fn refuse_after(&self, operations: u64) {
+    pub(crate) fn refuse_after(&self, operations: u64) {
         self.disk.borrow_mut().operations_to_refusal = Some(operations);
     }
 
     /// Writes fail when so many bytes more have been written.
-    pub fn limit_bytes(&self, bytes: Option<u64>) {
+    pub(crate) fn limit_bytes(&self, bytes: Option<u64>) {
         self.disk.borrow_mut().bytes_left = bytes;
     }
 
     /// Writes fail when all files together would take more than so many bytes. What is removed gives room.
-    pub fn set_capacity(&self, bytes: Option<u64>) {
+    pub(crate) fn set_capacity(&self, bytes: Option<u64>) {
         self.disk.borrow_mut().capacity = bytes;
     }
 
     /// Bytes in all files.
-    pub fn bytes(&self) -> u64 {
+    pub(crate) fn bytes(&self) -> u64 {
         self.disk.borrow().bytes()
     }
 
     /// The most that these ever were.
-    pub fn most_bytes(&self) -> u64 {
+    pub(crate) fn most_bytes(&self) -> u64 {
         self.disk.borrow().most_bytes
     }
 
     /// What a process finds that starts after a crash.
-    pub fn files(&self) -> Files {
+    pub(crate) fn files(&self) -> Files {
         self.disk.borrow().files.clone()
     }
 
     /// What is found after a loss of power that takes all that was not synced.
-    pub fn synced_files(&self) -> Files {
+    pub(crate) fn synced_files(&self) -> Files {
         let disk = self.disk.borrow();
         let mut files = disk.synced.clone();
         for (name, content) in &disk.removed {
@@ -128,7 +128,7 @@
     }
 
     /// The same where removals last though they were not synced.
-    pub fn synced_files_without_removed(&self) -> Files {
+    pub(crate) fn synced_files_without_removed(&self) -> Files {
         let disk = self.disk.borrow();
         let mut files = disk.synced.clone();
         for (name, _) in &disk.removed {
--- a/crates/write-ahead-log/tests/write_ahead_log.rs
+++ b/crates/write-ahead-log/tests/write_ahead_log.rs
@@ -191,7 +191,7 @@
         match appended {
             Ok(()) => records.push(b"a record of some length".to_vec()),
             Err(error) => {
-                assert!(matches!(error, WriteAheadLogError::Io { operation: "write", .. }), "{error}")
+                assert!(matches!(error, WriteAheadLogError::Io { operation: "write", .. }), "{error}");
             }
         }
         assert_eq!(reopen(&directory).records, records);
--- a/src/admission/connection_slots.rs
+++ b/src/admission/connection_slots.rs
@@ -46,11 +46,13 @@
 
 impl ConnectionSlots {
     /// None in use.
+    #[must_use]
     pub fn new(timeouts: SlotTimeouts) -> ConnectionSlots {
         ConnectionSlots { timeouts, slots: BTreeMap::new(), last: 0 }
     }
 
     /// Slots that are in use.
+    #[must_use]
     pub fn in_use(&self) -> usize {
         self.slots.len()
     }
@@ -79,6 +81,7 @@
     }
 
     /// What it is doing, and since when.
+    #[must_use]
     pub fn get(&self, number: u64) -> Option<(ConnectionState, Nanos)> {
         self.slots.get(&number).copied()
     }
@@ -92,6 +95,7 @@
 
     /// A quarter of the slots at most is left. A connection that is answered from then on is closed, so that newcomers
     /// need not wait until the timeouts of those that are idle are over.
+    #[must_use]
     pub fn is_crowded(&self, capacity: usize) -> bool {
         self.slots.len() * 4 >= capacity * 3
     }
--- a/src/admission/pipelined.rs
+++ b/src/admission/pipelined.rs
@@ -37,6 +37,7 @@
 
 impl PipelinedInput {
     /// Of a connection of which nothing, or something already, was dropped.
+    #[must_use]
     pub fn new(bounds: Bounds, cut: bool) -> PipelinedInput {
         PipelinedInput { bounds, dropped: cut.then_some(0) }
     }
@@ -53,11 +54,13 @@
     }
 
     /// It was a flood.
+    #[must_use]
     pub fn is_flood(&self) -> bool {
         self.dropped.is_some_and(|dropped| dropped > self.bounds.flood)
     }
 
     /// Something was dropped.
+    #[must_use]
     pub fn is_truncated(&self) -> bool {
         self.dropped.is_some()
     }
--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -100,6 +100,7 @@
 
 impl Quota {
     /// The tenants' rates, in the order of their numbers; tenants beyond have none.
+    #[must_use]
     pub fn new(rates: &[Rates]) -> Quota {
         let buckets = |r: &Rates| [r.requests, r.input, r.output].map(|limit| limit.map(Bucket::new));
         Quota { tenants: rates.iter().map(buckets).collect() }
--- a/src/api_keys.rs
+++ b/src/api_keys.rs
@@ -37,16 +37,19 @@
 
 impl Keys {
     /// These keys.
+    #[must_use]
     pub fn new(keys: Vec<Key>) -> Keys {
         Keys(keys)
     }
 
     /// No key is set.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
     /// Whose request it is, by its `x-api-key`, or else its `authorization: Bearer`.
+    #[must_use]
     pub fn holder(&self, head: &Head) -> Holder<'_> {
         if self.0.is_empty() {
             return Holder::Anybody;
@@ -71,6 +74,7 @@
 }
 
 /// The hash of a key, from its hex digits.
+#[must_use]
 pub fn hash_of(digits: &str) -> Option<[u8; 32]> {
     if digits.len() != 64 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
@@ -83,6 +87,7 @@
 }
 
 /// A key's hash as the settings have it.
+#[must_use]
 pub fn digits_of(key: &str) -> String {
     Sha256::digest(key.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
 }
--- a/src/bin/tulipridge-simhost/host.rs
+++ b/src/bin/tulipridge-simhost/host.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use tulipridge::Gateway;
-use tulipridge::types::*;
+use tulipridge::types::{Action, Event, ListKind, Member, Nanos, ReplicaId, Request};
 
 use crate::parse::{Fault, Names, Parts, fault, member, number_of, settings};
 
@@ -20,7 +20,7 @@
 }
 
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     gateways: HashMap<String, (Gateway, Names)>,
     lists: [Option<Arc<[Member]>>; LISTS],
     reading: Option<Reading>,
@@ -33,7 +33,7 @@
 
 impl Host {
     /// Takes a line and adds the actions that follow; true once the reply is complete.
-    pub fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, Fault> {
+    pub(crate) fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, Fault> {
         if self.reading.is_some() {
             self.entry(line)?;
             return Ok(false);
@@ -85,7 +85,7 @@
     }
 
     /// The input's end, which is in order only between batches.
-    pub fn end(&self) -> Result<(), Fault> {
+    pub(crate) fn end(&self) -> Result<(), Fault> {
         match self.batch {
             None => Ok(()),
             Some(_) => Err(fault("message", "the input ends within a batch")),
--- a/src/bin/tulipridge-simhost/parse.rs
+++ b/src/bin/tulipridge-simhost/parse.rs
@@ -5,11 +5,14 @@
 use std::str::{FromStr, Split};
 
 use tulipridge::names::gauge_named;
-use tulipridge::types::*;
+use tulipridge::types::{
+    Class, Effect, Limits, Member, Nanos, Phase, ReplicaId, RequestId, Safety, Scope, Settings, Tenant,
+    Units, Verdict,
+};
 
 /// What is wrong with a line: the field and the fault.
 #[derive(Debug)]
-pub struct Fault(String);
+pub(crate) struct Fault(String);
 
 impl Display for Fault {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -18,7 +21,7 @@
 }
 
 /// A fault of a field.
-pub fn fault(field: &str, what: impl Display) -> Fault {
+pub(crate) fn fault(field: &str, what: impl Display) -> Fault {
     Fault(format!("{field}: {what}"))
 }
 
@@ -26,15 +29,15 @@
 const KEY_END: u64 = 1 << 53;
 
 /// The parts of a line, taken one by one.
-pub struct Parts<'a>(Split<'a, char>);
+pub(crate) struct Parts<'a>(Split<'a, char>);
 
 impl<'a> Parts<'a> {
-    pub fn new(line: &'a str) -> Self {
+    pub(crate) fn new(line: &'a str) -> Self {
         Parts(line.split(' '))
     }
 
     /// The next part, absent or not.
-    pub fn part(&mut self, field: &str) -> Result<Option<&'a str>, Fault> {
+    pub(crate) fn part(&mut self, field: &str) -> Result<Option<&'a str>, Fault> {
         match self.0.next() {
             None | Some("") => Err(fault(field, "missing")),
             Some("-") => Ok(None),
@@ -43,25 +46,25 @@
     }
 
     /// The next part, which must be there.
-    pub fn text(&mut self, field: &str) -> Result<&'a str, Fault> {
+    pub(crate) fn text(&mut self, field: &str) -> Result<&'a str, Fault> {
         self.part(field)?.ok_or_else(|| fault(field, "absent"))
     }
 
-    pub fn whole<T: FromStr>(&mut self, field: &str) -> Result<T, Fault> {
+    pub(crate) fn whole<T: FromStr>(&mut self, field: &str) -> Result<T, Fault> {
         whole(field, self.text(field)?)
     }
 
-    pub fn whole_or<T: FromStr>(&mut self, field: &str, absent: T) -> Result<T, Fault> {
+    pub(crate) fn whole_or<T: FromStr>(&mut self, field: &str, absent: T) -> Result<T, Fault> {
         self.part(field)?.map_or(Ok(absent), |part| whole(field, part))
     }
 
     /// A time-like span that must not be negative.
-    pub fn span(&mut self, field: &str) -> Result<Nanos, Fault> {
+    pub(crate) fn span(&mut self, field: &str) -> Result<Nanos, Fault> {
         self.whole_or(field, 0)
     }
 
     /// A count of tokens, which may be written with decimals.
-    pub fn count(&mut self, field: &str) -> Result<u32, Fault> {
+    pub(crate) fn count(&mut self, field: &str) -> Result<u32, Fault> {
         let Some(part) = self.part(field)? else { return Ok(0) };
         let value = number(field, part)?;
         if !(0.0..=f64::from(u32::MAX)).contains(&value) {
@@ -70,7 +73,7 @@
         Ok(value as u32)
     }
 
-    pub fn key(&mut self, field: &str) -> Result<Option<u64>, Fault> {
+    pub(crate) fn key(&mut self, field: &str) -> Result<Option<u64>, Fault> {
         let Some(part) = self.part(field)? else { return Ok(None) };
         match whole::<u64>(field, part)? {
             key if key < KEY_END => Ok(Some(key)),
@@ -78,7 +81,7 @@
         }
     }
 
-    pub fn flag(&mut self, field: &str) -> Result<bool, Fault> {
+    pub(crate) fn flag(&mut self, field: &str) -> Result<bool, Fault> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
@@ -86,7 +89,7 @@
         }
     }
 
-    pub fn request(&mut self) -> Result<RequestId, Fault> {
+    pub(crate) fn request(&mut self) -> Result<RequestId, Fault> {
         let field = "msg-id";
         let part = self.text(field)?;
         let hex = part.len() == 16 && part.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
@@ -94,7 +97,7 @@
         id.map(RequestId).ok_or_else(|| fault(field, format_args!("'{part}' is not 16 hex digits")))
     }
 
-    pub fn verdict(&mut self) -> Result<Verdict, Fault> {
+    pub(crate) fn verdict(&mut self) -> Result<Verdict, Fault> {
         Ok(match self.text("outcome")? {
             "Ok" => Verdict::Ok,
             "Failed" => Verdict::Error,
@@ -109,13 +112,13 @@
     }
 
     /// A load report; a value that is not there is not a number.
-    pub fn report(&mut self) -> Result<Vec<f64>, Fault> {
+    pub(crate) fn report(&mut self) -> Result<Vec<f64>, Fault> {
         let Some(part) = self.part("gauge")? else { return Ok(Vec::new()) };
         let value = |v| if v == "-" { Ok(f64::NAN) } else { number("gauge", v) };
         part.split(',').map(value).collect()
     }
 
-    pub fn bytes(&mut self, field: &str) -> Result<Vec<u8>, Fault> {
+    pub(crate) fn bytes(&mut self, field: &str) -> Result<Vec<u8>, Fault> {
         let Some(part) = self.part(field)? else { return Ok(Vec::new()) };
         let byte = |pair: &[u8]| {
             let digit = |d: u8| char::from(d).to_digit(16);
@@ -126,7 +129,7 @@
     }
 
     /// Nothing may be left.
-    pub fn end(mut self) -> Result<(), Fault> {
+    pub(crate) fn end(mut self) -> Result<(), Fault> {
         match self.0.next() {
             None => Ok(()),
             Some(extra) => Err(fault("line", format_args!("'{extra}' is one part too many"))),
@@ -134,7 +137,7 @@
     }
 
     /// What is left, as path=value pairs.
-    pub fn pairs(self) -> Result<Pairs<'a>, Fault> {
+    pub(crate) fn pairs(self) -> Result<Pairs<'a>, Fault> {
         let pair = |part: &'a str| part.split_once('=').ok_or_else(|| fault("setup", "not path=value"));
         Ok(Pairs(self.0.filter(|p| !p.is_empty() && *p != "-").map(pair).collect::<Result<_, _>>()?))
     }
@@ -150,7 +153,7 @@
 }
 
 /// The start-up parameters; those of no use here are never asked for, and so skipped.
-pub struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
+pub(crate) struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
     fn get(&self, path: &str) -> Option<&'a str> {
@@ -191,7 +194,7 @@
 }
 
 /// The settings of a gateway, with the names that its events use.
-pub struct Names {
+pub(crate) struct Names {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
@@ -200,7 +203,7 @@
 /// Sizes of lists of objects beyond this are taken for a fault.
 const LIST_END: usize = 10_000;
 
-pub fn settings(pairs: &Pairs) -> Result<(Settings, Names), Fault> {
+pub(crate) fn settings(pairs: &Pairs) -> Result<(Settings, Names), Fault> {
     let count = |path: &str| -> Result<usize, Fault> {
         let count = pairs.get(path).map_or(Ok(0), |v| whole(path, v))?;
         if count > LIST_END { Err(fault(path, "too many")) } else { Ok(count) }
@@ -294,7 +297,7 @@
 }
 
 /// The number of a name; a new one gets the next.
-pub fn number_of(names: &mut Vec<String>, name: &str) -> u16 {
+pub(crate) fn number_of(names: &mut Vec<String>, name: &str) -> u16 {
     let known = names.iter().position(|n| n == name).unwrap_or_else(|| {
         names.push(name.to_owned());
         names.len() - 1
@@ -303,7 +306,11 @@
 }
 
 /// A line of a list. Zones and kinds are numbered by names that all gateways of the process share.
-pub fn member(line: &str, zones: &mut Vec<String>, kinds: &mut Vec<String>) -> Result<Member, Fault> {
+pub(crate) fn member(
+    line: &str,
+    zones: &mut Vec<String>,
+    kinds: &mut Vec<String>,
+) -> Result<Member, Fault> {
     let mut parts = Parts::new(line);
     match parts.text("entry")? {
         "ROW" => {}
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -109,7 +109,7 @@
 }
 
 /// Does what the command line says.
-pub fn run() -> ExitCode {
+pub(crate) fn run() -> ExitCode {
     let line = Line::parse();
     match line.command.unwrap_or(Command::Serve(line.files)) {
         Command::Serve(files) => {
--- a/src/config.rs
+++ b/src/config.rs
@@ -16,7 +16,7 @@
 use crate::names::{Listing, Names, gauge_named, number_of};
 use crate::settings;
 use crate::store::Store;
-use crate::types::*;
+use crate::types::{Class, Effect, Limits, Nanos, Safety, Scope, Settings, Tenant, Units};
 
 /// All that a gateway is told.
 #[derive(Clone, Debug)]
@@ -72,6 +72,7 @@
     }
 
     /// The platform's JSON, if anybody said where it is.
+    #[must_use]
     pub fn config(&self) -> Option<String> {
         self.config.clone().or_else(|| env::var("EDGE_CONFIG").ok())
     }
@@ -118,6 +119,7 @@
     }
 
     /// What this machine and these settings allow.
+    #[must_use]
     pub fn limits(&self) -> crate::limits::Limits {
         let span = std::time::Duration::from_nanos;
         let (connect, idle) = (span(self.connect), span(self.conn_idle));
--- a/src/conformance/case.rs
+++ b/src/conformance/case.rs
@@ -109,6 +109,7 @@
 
 impl Argument {
     /// Its characters, in whichever form it was written.
+    #[must_use]
     pub fn text(&self) -> String {
         match self {
             Argument::Text(json) => serde_json::from_str(json).unwrap_or_else(|_| json.clone()),
@@ -117,6 +118,7 @@
     }
 
     /// The JSON that stands for it.
+    #[must_use]
     pub fn json(&self) -> String {
         match self {
             Argument::Text(json) | Argument::Json(json) => json.clone(),
@@ -139,6 +141,7 @@
     }
 
     /// The number of its nth part; 0 if it is none.
+    #[must_use]
     pub fn number(&self, n: usize) -> u64 {
         self.at(n).parse().unwrap_or(0)
     }
--- a/src/conformance/client.rs
+++ b/src/conformance/client.rs
@@ -39,6 +39,7 @@
 }
 
 /// The request's bytes.
+#[must_use]
 pub fn request(case: &Case, front: Dialect, model: &str, id: u64) -> Vec<u8> {
     let messages = front == Dialect::Messages;
     let mut target =
@@ -218,6 +219,7 @@
 
 impl ObservedAnswer {
     /// What became of the request.
+    #[must_use]
     pub fn outcome(&self) -> Outcome {
         match self.status {
             200 | 204 if self.whole => Outcome::Served,
@@ -276,16 +278,16 @@
             match name {
                 "message_start" => self.messages_usage(&value["message"]["usage"]),
                 "content_block_start" => {
-                    blocks.push((index, value["content_block"].clone(), String::new()))
+                    blocks.push((index, value["content_block"].clone(), String::new()));
                 }
                 "content_block_delta" => {
                     let delta = &value["delta"];
                     match blocks.iter_mut().find(|(i, ..)| *i == index) {
                         Some((_, _, input)) => {
-                            input.push_str(delta["partial_json"].as_str().unwrap_or_default())
+                            input.push_str(delta["partial_json"].as_str().unwrap_or_default());
                         }
                         None => {
-                            self.malformed = Some(format!("a delta of block {index}, which has not begun"))
+                            self.malformed = Some(format!("a delta of block {index}, which has not begun"));
                         }
                     }
                     self.text += delta["text"].as_str().unwrap_or_default();
--- a/src/conformance/mod.rs
+++ b/src/conformance/mod.rs
@@ -63,6 +63,7 @@
 
 impl Case {
     /// It is for this pairing.
+    #[must_use]
     pub fn is_for(&self, (front, servers): Pairing) -> bool {
         let among = |list: &[Dialect], one| list.is_empty() || list.contains(&one);
         among(&self.fronts, front) && among(&self.servers, servers)
@@ -95,11 +96,13 @@
 
 impl Report {
     /// Whether all that was run holds.
+    #[must_use]
     pub fn holds(&self) -> bool {
         self.verdicts.iter().all(|v| v.faults.is_empty())
     }
 
     /// The report as lines for people.
+    #[must_use]
     pub fn text(&self) -> String {
         let mut out = String::new();
         for pairing in PAIRINGS {
@@ -134,6 +137,7 @@
     }
 
     /// The report as JSON.
+    #[must_use]
     pub fn json(&self) -> String {
         let verdict = |v: &Verdict| {
             json!({"case": v.case, "front": format!("{:?}", v.pairing.0), "servers": format!("{:?}", v.pairing.1),
@@ -206,6 +210,7 @@
 
 /// Runs the cases against a gateway that is up. Its real servers have to be this suite's stand-ins; those that need
 /// servers of their own are left out.
+#[must_use]
 pub fn against(cases: &[Case], pairing: Pairing, addr: SocketAddr) -> Report {
     let mut report = Report::default();
     for case in cases {
@@ -238,18 +243,24 @@
                 while let Some((pairing, fleet, cases)) = jobs.get(next.fetch_add(1, Ordering::SeqCst)) {
                     match job(*pairing, *fleet, cases, program, scratch) {
                         Ok(verdicts) => {
-                            report.lock().unwrap_or_else(|e| e.into_inner()).verdicts.extend(verdicts)
+                            report
+                                .lock()
+                                .unwrap_or_else(std::sync::PoisonError::into_inner)
+                                .verdicts
+                                .extend(verdicts);
+                        }
+                        Err(e) => {
+                            *trouble.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = Some(e);
                         }
-                        Err(e) => *trouble.lock().unwrap_or_else(|e| e.into_inner()) = Some(e),
                     }
                 }
             });
         }
     });
-    if let Some(e) = trouble.into_inner().unwrap_or_else(|e| e.into_inner()) {
+    if let Some(e) = trouble.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner) {
         return Err(e);
     }
-    let mut report = report.into_inner().unwrap_or_else(|e| e.into_inner());
+    let mut report = report.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     report.verdicts.sort_by(|a, b| a.case.cmp(&b.case));
     Ok(report)
 }
@@ -267,6 +278,7 @@
 }
 
 /// The platform's JSON for a gateway of the suite's own.
+#[must_use]
 pub fn config(stand_ins: &StandIns) -> serde_json::Value {
     let second = 1_000_000_000u64;
     let lane = |name: &str, effect: &str| {
@@ -286,6 +298,7 @@
 }
 
 /// The program's own settings for such a gateway.
+#[must_use]
 pub fn settings(servers: Dialect) -> String {
     let kind = if servers == Dialect::Messages { "messages" } else { "platform" };
     format!(
@@ -353,11 +366,13 @@
     }
 
     /// Where the front of that dialect listens.
+    #[must_use]
     pub fn front(&self, dialect: Dialect) -> SocketAddr {
         self.fronts[usize::from(dialect == Dialect::Messages)]
     }
 
     /// Its process's id.
+    #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
--- a/src/conformance/stand_in.rs
+++ b/src/conformance/stand_in.rs
@@ -97,19 +97,21 @@
     }
 
     /// The list as discovery tells it.
+    #[must_use]
     pub fn list(&self) -> Value {
         list(&self.shared, true)
     }
 
     /// The requests that came for a model.
+    #[must_use]
     pub fn came(&self, model: &str) -> Vec<ReceivedRequest> {
-        let came = self.shared.came.lock().unwrap_or_else(|e| e.into_inner());
+        let came = self.shared.came.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         came.get(model).cloned().unwrap_or_default()
     }
 }
 
 fn list(shared: &Shared, full: bool) -> Value {
-    let (version, servers) = &*shared.list.lock().unwrap_or_else(|e| e.into_inner());
+    let (version, servers) = &*shared.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     json!({"version": version, "full": full, "servers": servers})
 }
 
@@ -143,7 +145,7 @@
         let model = body["model"].as_str().unwrap_or_default().to_owned();
         let name = model.split('~').next().unwrap_or_default();
         let nth = {
-            let mut came = shared.came.lock().unwrap_or_else(|e| e.into_inner());
+            let mut came = shared.came.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
             let came = came.entry(model.clone()).or_default();
             came.push(ReceivedRequest { server, body, head });
             came.len() - 1
@@ -310,7 +312,7 @@
                 None
             }
             "drain" => {
-                let mut list = self.shared.list.lock().unwrap_or_else(|e| e.into_inner());
+                let mut list = self.shared.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                 list.0 += 1;
                 list.1[self.server]["state"] = "draining".into();
                 Some(())
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -19,7 +19,7 @@
 use crate::serve;
 
 /// Serves until Ctrl-C, having printed two calls that work.
-pub fn run(platform: SocketAddr, messages: SocketAddr) -> ExitCode {
+pub(crate) fn run(platform: SocketAddr, messages: SocketAddr) -> ExitCode {
     let config = match prepare(platform, messages) {
         Ok(config) => config,
         Err(what) => {
--- a/src/demo_replica.rs
+++ b/src/demo_replica.rs
@@ -34,6 +34,7 @@
 /// A demo replica's connection, in the dialect of each request's path: it says its name and the question's words,
 /// a word an event; where there are tools and no result yet, it uses the first one. Returns once the other side has
 /// closed it.
+#[must_use]
 pub fn serve_connection(id: &str, mut stream: TcpStream) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     while let Some((head, body)) = read_message(&mut reader) {
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -27,7 +27,9 @@
 use crate::limits::{Limits, StreamLimits};
 use crate::process::lag::{LagMonitor, LagSpell};
 use crate::stream::{Change, End};
-use crate::types::*;
+use crate::types::{
+    Action, Event, ListKind, Member, Nanos, ReplicaId, Request, RequestId, Settings, SettingsError, Verdict,
+};
 use streams::Streams;
 
 /// A request as the module wants it, but for its id, of which the engine makes sure.
@@ -176,11 +178,13 @@
     }
 
     /// The module's clock: Unix time in nanoseconds.
+    #[must_use]
     pub fn now(&self) -> Nanos {
         self.clock.now()
     }
 
     /// Requests that are held.
+    #[must_use]
     pub fn held(&self) -> usize {
         self.core.borrow().waiting.len()
     }
@@ -191,6 +195,7 @@
     }
 
     /// Places that the module holds for real servers, to be watched from outside.
+    #[must_use]
     pub fn places(&self) -> usize {
         self.core.borrow().gateway.places()
     }
@@ -266,6 +271,7 @@
     }
 
     /// An id for a request whose client gave it none.
+    #[must_use]
     pub fn fresh_id(&self) -> u64 {
         let core = &mut *self.core.borrow_mut();
         core.spare_id = core.spare_id.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
@@ -273,6 +279,7 @@
     }
 
     /// Takes a request in. What comes back owes its client one final answer. `None`: its id is held already.
+    #[must_use]
     pub fn admit(&self, ask: &Ask) -> Option<Held> {
         let (orders, mailbox) = async_channel::unbounded();
         let id = {
@@ -328,7 +335,7 @@
                     Order::Schedule { number, server: replica.clone(), timeout, write_within }
                 }),
                 Action::Refuse { id, wait } => {
-                    give(id, &mut |_| Order::TurnDown(Duration::from_nanos(wait)))
+                    give(id, &mut |_| Order::TurnDown(Duration::from_nanos(wait)));
                 }
                 Action::Fail(id) => give(id, &mut |_| Order::Fail),
                 Action::Cancel { id, attempt } => give(id, &mut |_| Order::Cancel(attempt)),
--- a/src/engine/streams.rs
+++ b/src/engine/streams.rs
@@ -100,6 +100,7 @@
     }
 
     /// Streams that are passed on, the bytes that they hold, and the most that they ever held.
+    #[must_use]
     pub fn streams_held(&self) -> (usize, usize, usize) {
         let streams = self.streams.borrow();
         (streams.budget.streams(), streams.budget.used(), streams.budget.most())
--- a/src/front/forwarded_request.rs
+++ b/src/front/forwarded_request.rs
@@ -54,6 +54,7 @@
     }
 
     /// Of a client's request as it is.
+    #[must_use]
     pub fn new(dialect: Dialect, head: Head, body: Vec<u8>, limits: Rc<Limits>) -> ForwardedRequest {
         let Head { start, mut headers } = head;
         let listed: Vec<String> = headers
--- a/src/front/messages/errors.rs
+++ b/src/front/messages/errors.rs
@@ -19,6 +19,7 @@
 }
 
 /// The error's type that goes with a status.
+#[must_use]
 pub fn kind(status: u16) -> &'static str {
     match status {
         401 => "authentication_error",
@@ -34,6 +35,7 @@
 }
 
 /// The status that goes with an error's type, where the answer has not begun.
+#[must_use]
 pub fn status(kind: &str) -> u16 {
     match kind {
         "timeout_error" => 504,
@@ -49,16 +51,19 @@
     }
 
     /// The client should stay away for so long.
+    #[must_use]
     pub fn wait(self, wait: Duration) -> ApiError {
         ApiError { wait: Some(wait), ..self }
     }
 
     /// Whether a new try does no harm.
+    #[must_use]
     pub fn again(self, again: bool) -> ApiError {
         ApiError { again: Some(again), ..self }
     }
 
     /// The answer to the request of this id.
+    #[must_use]
     pub fn reply(&self, id: &str) -> Reply {
         let mut body = Vec::new();
         let mut object = Object::new(&mut body);
--- a/src/front/messages/message_assembler.rs
+++ b/src/front/messages/message_assembler.rs
@@ -26,21 +26,25 @@
 
 impl MessageAssembler {
     /// Nothing yet; `most` bytes may be held.
+    #[must_use]
     pub fn new(most: usize) -> MessageAssembler {
         MessageAssembler { most, ..MessageAssembler::default() }
     }
 
     /// Bytes that are held.
+    #[must_use]
     pub fn held(&self) -> usize {
         self.held
     }
 
     /// More came than may be held.
+    #[must_use]
     pub fn is_full(&self) -> bool {
         self.held > self.most
     }
 
     /// The error that the stream told: its type and words.
+    #[must_use]
     pub fn error(&self) -> Option<(&str, &str)> {
         self.error.as_ref().map(|(kind, words)| (kind.as_str(), words.as_str()))
     }
--- a/src/front/messages/mod.rs
+++ b/src/front/messages/mod.rs
@@ -53,6 +53,7 @@
 
 impl Front {
     /// As the settings say.
+    #[must_use]
     pub fn new(setup: Setup) -> Front {
         let Setup { keys, models, only_listed, rates } = setup;
         Front { keys, models, only_listed, quota: RefCell::new(Quota::new(&rates)) }
--- a/src/front/messages/models.rs
+++ b/src/front/messages/models.rs
@@ -28,6 +28,7 @@
 }
 
 /// One model.
+#[must_use]
 pub fn one(models: &Models, id: &str) -> Option<Vec<u8>> {
     models.get(id).map(|model| shown(id, model).to_string().into_bytes())
 }
--- a/src/front/messages/request.rs
+++ b/src/front/messages/request.rs
@@ -178,6 +178,7 @@
 
 impl<'a> Content<'a> {
     /// Its blocks; none if it is a text.
+    #[must_use]
     pub fn blocks(&self) -> &[Block<'a>] {
         match &self.0 {
             TextOr::Text(_) => &[],
@@ -186,6 +187,7 @@
     }
 
     /// The text that it is, if it is one.
+    #[must_use]
     pub fn plain(&self) -> Option<&str> {
         match &self.0 {
             TextOr::Text(text) => Some(text),
@@ -196,11 +198,13 @@
 
 impl Block<'_> {
     /// Its type's name.
+    #[must_use]
     pub fn kind(&self) -> &str {
         self.kind.as_deref().unwrap_or_default()
     }
 
     /// The longer form of its source.
+    #[must_use]
     pub fn origin(&self) -> Option<&Source<'_>> {
         match &self.source {
             Some(TextOr::Other(source)) => Some(source),
@@ -234,16 +238,19 @@
     }
 
     /// Whether the answer is wanted as a stream.
+    #[must_use]
     pub fn streams(&self) -> bool {
         self.stream.is_some_and(|s| s.get() == "true")
     }
 
     /// The turns.
+    #[must_use]
     pub fn turns(&self) -> &[Turn<'a>] {
         self.messages.as_deref().unwrap_or_default()
     }
 
     /// The tools.
+    #[must_use]
     pub fn tools(&self) -> &[Tool<'a>] {
         self.tools.as_deref().unwrap_or_default()
     }
@@ -378,6 +385,7 @@
 
 impl Tool<'_> {
     /// It is defined here, by its schema; the others are the real servers' own.
+    #[must_use]
     pub fn is_custom(&self) -> bool {
         self.kind.as_deref().is_none_or(|k| k == "custom")
     }
@@ -385,6 +393,7 @@
 
 impl<'a> Turn<'a> {
     /// The client's turn, or else the model's.
+    #[must_use]
     pub fn is_user(&self) -> bool {
         self.role.as_deref() == Some("user")
     }
@@ -575,6 +584,7 @@
 }
 
 /// Whether a tool may be called so.
+#[must_use]
 pub fn is_tool_name(name: &str) -> bool {
     (1..=128).contains(&name.len())
         && name.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_'))
--- a/src/front/messages/route.rs
+++ b/src/front/messages/route.rs
@@ -132,6 +132,7 @@
 
 impl Route {
     /// Looks through a request.
+    #[must_use]
     pub fn of(request: &Request) -> Route {
         let mut prompt = Prompt::default();
         for tool in request.tools() {
@@ -188,6 +189,7 @@
 }
 
 /// How many characters a text has: its bytes without UTF-8 continuation bytes.
+#[must_use]
 pub fn characters(text: &str) -> u64 {
     text.bytes().filter(|b| (*b as i8) >= -0x40).count() as u64
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -128,6 +128,7 @@
 
 impl Dialect {
     /// The stream's event that says it failed; an outcome, not a part of an answer.
+    #[must_use]
     pub fn is_error(self, block: SseBlock) -> bool {
         match self {
             // The platform's events are many and long: only one that begins so is an error.
@@ -137,6 +138,7 @@
     }
 
     /// The stream's last event: what follows it belongs to the framing.
+    #[must_use]
     pub fn is_last(self, block: SseBlock) -> bool {
         match self {
             Dialect::Platform => block.0.starts_with(b"data: [DONE]"),
--- a/src/front/object.rs
+++ b/src/front/object.rs
@@ -165,7 +165,7 @@
         Err(fault) => fault,
     };
     let mut path = String::new();
-    for part in fault.path().iter() {
+    for part in fault.path() {
         let part = match part {
             Segment::Seq { index } => index.to_string(),
             Segment::Map { key } => key.clone(),
@@ -222,12 +222,14 @@
     }
 
     /// An object or a list has begun and ended: nothing but blanks can follow.
+    #[must_use]
     pub fn is_whole(&self) -> bool {
         self.deepest > 0 && self.depth == 0
     }
 }
 
 /// How deep a JSON text nests.
+#[must_use]
 pub fn depth(json: &str) -> usize {
     let mut nesting = Nesting::default();
     nesting.take(json);
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -92,6 +92,7 @@
 }
 
 /// A key's number: its hex digits, or for other words a hash that is the same everywhere.
+#[must_use]
 pub fn key(text: &str) -> u64 {
     let hash = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01B3);
     u64::from_str_radix(text, 16).unwrap_or_else(|_| text.bytes().fold(0xCBF2_9CE4_8422_2325, hash))
--- a/src/front/reply.rs
+++ b/src/front/reply.rs
@@ -19,12 +19,14 @@
 
 impl Reply {
     /// A line of text.
+    #[must_use]
     pub fn text(status: u16, body: &str) -> Reply {
         let body = format!("{body}\n").into_bytes();
         Reply { status, kind: "text/plain", headers: Vec::new(), body, bare: false }
     }
 
     /// A JSON value.
+    #[must_use]
     pub fn json(status: u16, body: Vec<u8>) -> Reply {
         Reply { status, kind: "application/json", headers: Vec::new(), body, bare: false }
     }
@@ -36,22 +38,26 @@
     }
 
     /// With headers more.
+    #[must_use]
     pub fn with_all(mut self, headers: &[(&'static str, String)]) -> Reply {
         self.headers.extend_from_slice(headers);
         self
     }
 
     /// With the time that the client should stay away.
+    #[must_use]
     pub fn retry_after(self, wait: Duration) -> Reply {
         self.with("Retry-After", format_args!("{:.3}", wait.as_secs_f64()))
     }
 
     /// Only its head, as a HEAD wants it.
+    #[must_use]
     pub fn bare(self) -> Reply {
         Reply { bare: true, ..self }
     }
 
     /// Its bytes, which say whether the connection stays.
+    #[must_use]
     pub fn bytes(&self, keep: bool) -> Vec<u8> {
         let (status, length) = (self.status, self.body.len());
         let reason = codec::reason(status);
--- a/src/front/responder.rs
+++ b/src/front/responder.rs
@@ -24,6 +24,7 @@
 
 impl Responder {
     /// For a request of which nothing more is known.
+    #[must_use]
     pub fn new(dialect: Dialect, id: &str) -> Responder {
         Responder { dialect, id: id.to_owned(), safe: false, headers: Vec::new() }
     }
@@ -33,12 +34,14 @@
     }
 
     /// A line that is no refusal.
+    #[must_use]
     pub fn note(&self, status: u16, words: &str) -> Reply {
         let reply = Reply::text(status, words);
         if self.dialect == Dialect::Messages { reply.with("request-id", &self.id) } else { reply }
     }
 
     /// What is wrong with the request.
+    #[must_use]
     pub fn bad(&self, status: u16, words: &str) -> Reply {
         match self.dialect {
             Dialect::Platform => Reply::text(status, words),
@@ -47,11 +50,13 @@
     }
 
     /// The same, of its form.
+    #[must_use]
     pub fn malformed(&self, bad: ParseError) -> Reply {
         self.bad(bad.status, bad.what)
     }
 
     /// The module turned it down.
+    #[must_use]
     pub fn turn_down(&self, wait: Duration) -> Reply {
         let words = "turned down; a new try does no harm";
         match self.dialect {
@@ -61,6 +66,7 @@
     }
 
     /// The module failed it.
+    #[must_use]
     pub fn failed(&self, reason: FailureReason) -> Reply {
         if self.dialect == Dialect::Platform {
             return Reply::text(504, "no answer in time").retry_after(Duration::ZERO);
@@ -82,6 +88,7 @@
     }
 
     /// The head of a stream, but for the line that ends it.
+    #[must_use]
     pub fn stream_head(&self) -> Vec<u8> {
         let mut head = String::from(
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
--- a/src/front/response_encoder.rs
+++ b/src/front/response_encoder.rs
@@ -55,6 +55,7 @@
     }
 
     /// Nothing is held of it but its bytes, so that another process may go on with it.
+    #[must_use]
     pub fn is_plain(&self) -> bool {
         self.responder.dialect == Dialect::Platform
             && matches!(self.form, Form::Stream { headed: true })
@@ -62,11 +63,13 @@
     }
 
     /// It is put together before anything is said.
+    #[must_use]
     pub fn is_whole(&self) -> bool {
         matches!(self.form, Form::Whole { .. })
     }
 
     /// Bytes that it holds and does not say yet.
+    #[must_use]
     pub fn holds(&self) -> usize {
         let gathered = match &self.form {
             Form::Stream { .. } => 0,
@@ -76,6 +79,7 @@
     }
 
     /// It would have to hold more than it may.
+    #[must_use]
     pub fn is_full(&self) -> bool {
         self.translator.is_full()
             || matches!(&self.form, Form::Whole { assembler, .. } if assembler.is_full())
--- a/src/front/translate/answer_part.rs
+++ b/src/front/translate/answer_part.rs
@@ -64,11 +64,13 @@
 
 impl Usage {
     /// Of the prompt, those that were read anew.
+    #[must_use]
     pub fn unkept(self) -> u64 {
         self.prompt.saturating_sub(self.kept.unwrap_or(0))
     }
 
     /// The greater of each: dialects tell them at different points, and some tell none at first.
+    #[must_use]
     pub fn most(self, other: Usage) -> Usage {
         Usage {
             prompt: self.prompt.max(other.prompt),
--- a/src/front/translate/blocks.rs
+++ b/src/front/translate/blocks.rs
@@ -14,7 +14,7 @@
 
 /// What a block is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lane {
+pub(super) enum Lane {
     /// Text.
     Text,
     /// A tool's use, by its number.
@@ -33,7 +33,7 @@
 }
 
 /// The blocks of one message.
-pub struct Blocks {
+pub(super) struct Blocks {
     live: Option<Block>,
     next: u64,
     waiting: VecDeque<Block>,
@@ -45,7 +45,7 @@
 
 impl Blocks {
     /// None yet; so many bytes may wait.
-    pub fn new(most_waiting: usize) -> Blocks {
+    pub(super) fn new(most_waiting: usize) -> Blocks {
         Blocks {
             live: None,
             next: 0,
@@ -58,17 +58,17 @@
     }
 
     /// Bytes that wait.
-    pub fn waiting(&self) -> usize {
+    pub(super) fn waiting(&self) -> usize {
         self.waiting_bytes
     }
 
     /// More had to wait than may: what follows is lost.
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.full
     }
 
     /// More text.
-    pub fn text(&mut self, words: TextFragment, out: &mut Vec<u8>) {
+    pub(super) fn text(&mut self, words: TextFragment, out: &mut Vec<u8>) {
         let last = self.waiting.back().map(|b| b.lane);
         let goes_on = match last {
             Some(lane) => lane == Lane::Text,
@@ -81,7 +81,7 @@
     }
 
     /// A tool's use begins.
-    pub fn call(&mut self, number: u32, id: String, name: String, out: &mut Vec<u8>) {
+    pub(super) fn call(&mut self, number: u32, id: String, name: String, out: &mut Vec<u8>) {
         self.begin(Lane::Call(number), id, name, out);
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// More of a block.
-    pub fn add(&mut self, lane: Lane, words: TextFragment, out: &mut Vec<u8>) {
+    pub(super) fn add(&mut self, lane: Lane, words: TextFragment, out: &mut Vec<u8>) {
         if let Some(live) = self.live.as_mut().filter(|b| b.lane == lane) {
             let text = live.joiner.join(words);
             live.nesting.take(&text);
@@ -176,7 +176,7 @@
     }
 
     /// All has come.
-    pub fn end(&mut self, out: &mut Vec<u8>) {
+    pub(super) fn end(&mut self, out: &mut Vec<u8>) {
         self.stop(out);
         while !self.waiting.is_empty() {
             self.open(out);
--- a/src/front/translate/messages.rs
+++ b/src/front/translate/messages.rs
@@ -224,6 +224,7 @@
 
 impl Writer {
     /// A writer of one message; so many bytes may wait for their block.
+    #[must_use]
     pub fn new(id: &str, model: &str, most_waiting: usize) -> Writer {
         Writer {
             id: format!("msg_{id}"),
@@ -236,11 +237,13 @@
     }
 
     /// Bytes that wait for their block.
+    #[must_use]
     pub fn waiting(&self) -> usize {
         self.blocks.waiting()
     }
 
     /// More had to wait than may.
+    #[must_use]
     pub fn is_full(&self) -> bool {
         self.blocks.is_full()
     }
--- a/src/front/translate/mod.rs
+++ b/src/front/translate/mod.rs
@@ -34,6 +34,7 @@
 
 impl Reader {
     /// For a stream of this dialect.
+    #[must_use]
     pub fn new(dialect: Dialect) -> Reader {
         match dialect {
             Dialect::Platform => Reader::Platform(platform::Reader::default()),
@@ -51,6 +52,7 @@
 }
 
 /// Tokens that an event of this dialect tells.
+#[must_use]
 pub fn usage(dialect: Dialect, block: SseBlock) -> Option<Usage> {
     match dialect {
         Dialect::Platform => platform::usage(block),
@@ -67,6 +69,7 @@
 
 impl OmissionLog {
     /// None so far.
+    #[must_use]
     pub fn new(limits: &Limits) -> OmissionLog {
         OmissionLog { names: RefCell::default(), others: RefCell::default(), most: limits.names_noted }
     }
@@ -194,11 +197,13 @@
     }
 
     /// What came so far was put into other words.
+    #[must_use]
     pub fn translates(&self) -> bool {
         self.reader.is_some()
     }
 
     /// Bytes that it holds back until what they belong to may begin.
+    #[must_use]
     pub fn holds(&self) -> usize {
         match &self.writer {
             Writer::Platform(_) => 0,
@@ -207,6 +212,7 @@
     }
 
     /// It had to hold back more than it may: the stream can't go on.
+    #[must_use]
     pub fn is_full(&self) -> bool {
         matches!(&self.writer, Writer::Messages(writer) if writer.is_full())
     }
@@ -225,6 +231,7 @@
 }
 
 /// A break's kind of error and words; none for what is whole.
+#[must_use]
 pub fn error_of(cause: Cause) -> Option<(&'static str, &'static str)> {
     Some(match cause {
         Cause::Whole => return None,
--- a/src/front/translate/refusal.rs
+++ b/src/front/translate/refusal.rs
@@ -5,16 +5,16 @@
 use crate::front::object::Text;
 
 /// A field of a request that the other dialect has no words for.
-pub fn none<T>(field: impl Display) -> Result<T, String> {
+pub(super) fn none<T>(field: impl Display) -> Result<T, String> {
     wrong(field, "has no counterpart in the real servers' dialect")
 }
 
 /// A field of a request that is wrong.
-pub fn wrong<T>(field: impl Display, what: &str) -> Result<T, String> {
+pub(super) fn wrong<T>(field: impl Display, what: &str) -> Result<T, String> {
     Err(format!("{field}: {what}"))
 }
 
 /// Refuses an object that has a field which this program does not know; `place` is where it stands.
-pub fn refuse_unknown(place: &str, unknown: &[Text]) -> Result<(), String> {
+pub(super) fn refuse_unknown(place: &str, unknown: &[Text]) -> Result<(), String> {
     unknown.first().map_or(Ok(()), |name| none(format_args!("{place}{}", &**name)))
 }
--- a/src/front/translate/to_platform.rs
+++ b/src/front/translate/to_platform.rs
@@ -307,11 +307,13 @@
 }
 
 /// The bytes of a data URL's media type and base64, if it is one.
+#[must_use]
 pub fn parts_of(url: &str) -> Option<(&str, &str)> {
     url.strip_prefix("data:")?.split_once(";base64,")
 }
 
 /// The plain text of base64, if it is one.
+#[must_use]
 pub fn plain_of(data: &str) -> Option<String> {
     String::from_utf8(STANDARD.decode(data).ok()?).ok()
 }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -132,6 +132,7 @@
 
 impl Limits {
     /// The limits of a machine: its descriptors, its memory in MB, and what the settings say of connections.
+    #[must_use]
     pub fn new(sockets: usize, memory_mb: usize, connect: Duration, idle: Duration) -> Limits {
         let own = (sockets / 16).max(24);
         let edge_connections = (sockets.saturating_sub(own) * 8 / 15).max(8);
@@ -212,6 +213,7 @@
     }
 
     /// The same where another process of this gateway may be up beside this one: its own descriptors are kept back too.
+    #[must_use]
     pub fn for_two(mut self) -> Limits {
         self.edge_connections = self.edge_connections.saturating_sub(self.own_descriptors * 8 / 15).max(8);
         self.server_connections =
--- a/src/names.rs
+++ b/src/names.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::types::*;
+use crate::types::{Gauge, Member, Nanos, Phase, ReplicaId};
 
 /// A way to speak of requests and streams.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
@@ -139,16 +139,19 @@
 
 impl Names {
     /// A class's index.
+    #[must_use]
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|n| n == name)
     }
 
     /// A tenant's index.
+    #[must_use]
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|n| n == name)
     }
 
     /// The dialect of a kind of real server.
+    #[must_use]
     pub fn dialect(&self, kind: &str) -> Dialect {
         self.dialects.get(kind).copied().unwrap_or_default()
     }
@@ -173,6 +176,7 @@
 
     /// A load report (`TEXT util=0.6, eps=0`) in the settings' order; a value not told,
     /// or out of all range, is not a number.
+    #[must_use]
     pub fn report(&self, text: &str) -> Vec<f64> {
         let pairs = text.split([',', ' ']).filter_map(|p| p.split_once('='));
         let told = pairs.filter_map(|(k, v)| Some((k, v.parse().ok()?)));
@@ -191,6 +195,7 @@
 }
 
 /// What load reports call a value.
+#[must_use]
 pub fn gauge_named(name: &str) -> Gauge {
     match name {
         "inflight" => Gauge::InFlight,
--- a/src/net/followers.rs
+++ b/src/net/followers.rs
@@ -23,6 +23,7 @@
 
 impl Followers {
     /// None so far; `streams` says whether streams may go to those that come.
+    #[must_use]
     pub fn new(streams: bool, limits: Rc<Limits>) -> Followers {
         Followers { streams, limits, newer: RefCell::default() }
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -39,6 +39,7 @@
 
 impl Handover {
     /// For the gateway of that name, in that folder.
+    #[must_use]
     pub fn new(folder: &Path, name: &str, streams: bool, limits: Rc<Limits>) -> Handover {
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
         let name: String = name.chars().map(plain).collect();
@@ -47,11 +48,13 @@
     }
 
     /// For a process beside which there is never another.
+    #[must_use]
     pub fn never(limits: Rc<Limits>) -> Handover {
         Handover { path: None, limits: limits.clone(), followers: Rc::new(Followers::new(false, limits)) }
     }
 
     /// The newer processes that streams may go to.
+    #[must_use]
     pub fn followers(&self) -> Rc<Followers> {
         self.followers.clone()
     }
--- a/src/net/lifecycle_monitor.rs
+++ b/src/net/lifecycle_monitor.rs
@@ -25,6 +25,7 @@
 
 impl LifecycleMonitor {
     /// A process that starts; `shared` says that its listener is another process's too.
+    #[must_use]
     pub fn new(
         engine: Engine,
         limits: Rc<Limits>,
--- a/src/net/objects.rs
+++ b/src/net/objects.rs
@@ -65,6 +65,7 @@
     }
 
     /// An object has begun and not ended.
+    #[must_use]
     pub fn is_amid(&self) -> bool {
         self.depth > 0
     }
--- a/src/net/servers/mod.rs
+++ b/src/net/servers/mod.rs
@@ -53,6 +53,7 @@
 
 impl Fleet {
     /// An empty fleet; `gauges` reads a load report.
+    #[must_use]
     pub fn new(limits: Rc<Limits>, gauges: Gauges) -> Fleet {
         let whole = Places { edge: limits.edge_connections, servers: limits.server_connections };
         Fleet {
--- a/src/net/slot_pool.rs
+++ b/src/net/slot_pool.rs
@@ -26,6 +26,7 @@
 
 impl SlotPool {
     /// With no slot in use.
+    #[must_use]
     pub fn new(engine: Engine, timeouts: SlotTimeouts) -> SlotPool {
         let (slots, freed) = (RefCell::new(ConnectionSlots::new(timeouts)), async_channel::bounded(1));
         SlotPool { engine, slots, eviction: RefCell::default(), freed }
@@ -82,6 +83,7 @@
 
 impl Slot {
     /// Since when nothing has come on it, if that is so.
+    #[must_use]
     pub fn silent_since(&self) -> Option<Nanos> {
         let slot = self.pool.slots.borrow().get(self.number);
         slot.filter(|(state, _)| *state == ConnectionState::Silent).map(|(_, since)| since)
--- a/src/process/lag.rs
+++ b/src/process/lag.rs
@@ -34,6 +34,7 @@
 
 impl LagMonitor {
     /// A watch that begins now.
+    #[must_use]
     pub fn new(now: Nanos, cpu: Nanos, limits: &Limits) -> LagMonitor {
         let nanos = |span: std::time::Duration| span.as_nanos() as Nanos;
         LagMonitor {
--- a/src/process/lifecycle.rs
+++ b/src/process/lifecycle.rs
@@ -36,11 +36,13 @@
 impl Lifecycle {
     /// A process that starts. `shared` says that its listener is another process's too; once it is drained or
     /// stops, requests are still taken on connections at rest for the `grace`.
+    #[must_use]
     pub fn new(now: Nanos, shared: bool, grace: Nanos) -> Lifecycle {
         Lifecycle { state: State::Starting, since: now, shared, drained: false, grace }
     }
 
     /// Where it is.
+    #[must_use]
     pub fn state(&self) -> State {
         self.state
     }
@@ -86,22 +88,26 @@
     }
 
     /// Whether clients should be sent here.
+    #[must_use]
     pub fn wants_clients(&self) -> bool {
         self.state == State::Serving
     }
 
     /// Whether the process can serve, drained or not.
+    #[must_use]
     pub fn can_serve(&self) -> bool {
         matches!(self.state, State::Serving | State::Drained)
     }
 
     /// Whether a connection may carry another request after the one that is being answered.
+    #[must_use]
     pub fn keeps_connections(&self) -> bool {
         matches!(self.state, State::Starting | State::Serving)
     }
 
     /// Whether connections are accepted. From a shared queue a process takes only what it can serve, and a
     /// stopping one nothing: what waits there is the other's.
+    #[must_use]
     pub fn accepts(&self, now: Nanos) -> bool {
         match self.state {
             State::Starting => !self.shared,
@@ -111,6 +117,7 @@
     }
 
     /// Whether what waits to be accepted is this process's alone.
+    #[must_use]
     pub fn empties_queue(&self) -> bool {
         !self.shared
     }
@@ -118,12 +125,14 @@
     /// Whether a request that has come whole is placed. Guards against a process that is killed over a request: it is
     /// given the longest deadline from the end of the grace on, and what came after that would outlast it. Where
     /// another process has its listener, nobody is in a hurry.
+    #[must_use]
     pub fn takes_requests(&self, now: Nanos) -> bool {
         self.state != State::Stopping || self.shared || now < self.graced()
     }
 
     /// When a connection at rest closes, if it has to: after the grace, which for one that opened later and has
     /// carried nothing yet counts from then.
+    #[must_use]
     pub fn idle_until(&self, silent_since: Option<Nanos>) -> Option<Nanos> {
         match self.state {
             State::Starting | State::Serving => None,
@@ -134,11 +143,13 @@
     }
 
     /// Whether all is done, with so many connections open.
+    #[must_use]
     pub fn over(&self, now: Nanos, open: usize) -> bool {
         self.state == State::Stopping && now >= self.graced() && open == 0
     }
 
     /// When an answer above changes with time alone.
+    #[must_use]
     pub fn due(&self, now: Nanos) -> Option<Nanos> {
         (self.state == State::Stopping && now < self.graced()).then(|| self.graced())
     }
--- a/src/process/overlap.rs
+++ b/src/process/overlap.rs
@@ -44,6 +44,7 @@
 
 impl Overlap {
     /// Alone, with all that the gateway may hold.
+    #[must_use]
     pub fn new(whole: Places) -> Overlap {
         Overlap { whole: Cell::new(whole), other: Cell::new(None) }
     }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -30,7 +30,7 @@
 use tulipridge::syslog;
 
 /// Serves until a signal ends it; `sources` is what SIGHUP reads again, `inherited` the platform's own listener.
-pub fn serve(config: Config, sources: Sources, inherited: Option<TcpListener>) -> ExitCode {
+pub(crate) fn serve(config: Config, sources: Sources, inherited: Option<TcpListener>) -> ExitCode {
     let limits = config.limits();
     let limits = Rc::new(if inherited.is_some() { limits.for_two() } else { limits });
     // One executor on one thread, which lives as long as the program.
--- a/src/store.rs
+++ b/src/store.rs
@@ -44,6 +44,7 @@
 
 impl Store {
     /// An empty copy, as after each start.
+    #[must_use]
     pub fn new(node: &str, limits: &Limits) -> Store {
         let (most_keys, most_bytes) = (limits.store_keys, limits.store_bytes);
         let ahead_ms = limits.store_ahead.as_millis() as u64;
--- a/src/stream/budget.rs
+++ b/src/stream/budget.rs
@@ -39,6 +39,7 @@
 
 impl Budget {
     /// A budget of `limit` bytes for streams with windows of `window`, each of which may hold `floor` always.
+    #[must_use]
     pub fn new(limit: usize, window: usize, floor: usize) -> Budget {
         Budget { limit, window, floor, used: 0, most: 0, next: 0, entries: BTreeMap::new() }
     }
@@ -76,16 +77,19 @@
     }
 
     /// Bytes that are held.
+    #[must_use]
     pub fn used(&self) -> usize {
         self.used
     }
 
     /// The most that was ever held.
+    #[must_use]
     pub fn most(&self) -> usize {
         self.most
     }
 
     /// Streams that are open.
+    #[must_use]
     pub fn streams(&self) -> usize {
         self.entries.len()
     }
--- a/src/stream/ledger.rs
+++ b/src/stream/ledger.rs
@@ -93,6 +93,7 @@
     }
 
     /// All figures, by class and cause.
+    #[must_use]
     pub fn figures(&self) -> Vec<Figures> {
         let of = |h: &Histogram<u32>| [h.value_at_quantile(0.5), h.value_at_quantile(0.99), h.max()];
         let sheet = |((class, cause), s): (&(usize, Cause), &Sheet)| Figures {
--- a/src/stream/outcome.rs
+++ b/src/stream/outcome.rs
@@ -62,6 +62,7 @@
     ];
 
     /// Its name in the log and the figures.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             Cause::Whole => "whole",
@@ -80,6 +81,7 @@
     }
 
     /// Whose doing it is.
+    #[must_use]
     pub fn side(self) -> Side {
         match self {
             Cause::Whole | Cause::HandedOver => Side::Nobody,
@@ -91,6 +93,7 @@
 
     /// What the decision module is told. Only the real server's own faults count against it: a leaver, a slow
     /// reader and a want of memory here say nothing of it.
+    #[must_use]
     pub fn verdict(self) -> Verdict {
         match self {
             Cause::Whole => Verdict::Ok,
--- a/src/stream/outlier_ejection.rs
+++ b/src/stream/outlier_ejection.rs
@@ -46,6 +46,7 @@
 
 impl OutlierEjection {
     /// Nothing known yet.
+    #[must_use]
     pub fn new(limits: &RestLimits) -> OutlierEjection {
         OutlierEjection { limits: limits.clone(), records: BTreeMap::new(), fleet: 0 }
     }
@@ -57,6 +58,7 @@
     }
 
     /// Whether it rests.
+    #[must_use]
     pub fn rests(&self, server: &ReplicaId) -> bool {
         self.records.get(server).is_some_and(|r| r.resting_until.is_some())
     }
@@ -107,6 +109,7 @@
     }
 
     /// When the next rest is over.
+    #[must_use]
     pub fn due(&self) -> Option<Nanos> {
         self.records.values().filter_map(|r| r.resting_until).min()
     }
--- a/src/stream/relay.rs
+++ b/src/stream/relay.rs
@@ -113,6 +113,7 @@
 
 impl Relay {
     /// A stream whose first event has come `first` after its scheduling began.
+    #[must_use]
     pub fn new(now: Nanos, first: Nanos, limits: &StreamLimits) -> Relay {
         Relay {
             limits: limits.clone(),
@@ -308,6 +309,7 @@
     }
 
     /// When [`Relay::poll`] is to be called at the latest.
+    #[must_use]
     pub fn due(&self) -> Option<Nanos> {
         if self.ended.is_some() {
             return None;
@@ -319,31 +321,37 @@
     }
 
     /// Whether more is to be read from the real server.
+    #[must_use]
     pub fn reads(&self) -> bool {
         self.reading && self.server_end.is_none() && self.ended.is_none()
     }
 
     /// Bytes that it holds.
+    #[must_use]
     pub fn held(&self) -> usize {
         self.inward + self.waiting
     }
 
     /// Bytes that wait for the client.
+    #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
     /// Whether the real server's side has come to its end, whole or not.
+    #[must_use]
     pub fn server_has_ended(&self) -> bool {
         self.server_end.is_some()
     }
 
     /// Since when its reader has taken nothing though bytes wait.
+    #[must_use]
     pub fn paused_since(&self) -> Option<Nanos> {
         self.paused_since
     }
 
     /// Where it stands.
+    #[must_use]
     pub fn phase(&self) -> Phase {
         match () {
             () if self.ended.is_some() => Phase::Ended,
@@ -364,6 +372,7 @@
     }
 
     /// The record, once it has ended.
+    #[must_use]
     pub fn outcome(&self) -> Option<Outcome> {
         let (cause, at) = self.ended?;
         Some(Outcome {
@@ -441,6 +450,7 @@
 
 impl End {
     /// The cause that it is for the stream.
+    #[must_use]
     pub fn cause(self) -> Cause {
         match self {
             End::Whole => Cause::Whole,
--- a/src/syslog/mod.rs
+++ b/src/syslog/mod.rs
@@ -93,6 +93,7 @@
 }
 
 /// A record as an RFC 5424 message.
+#[must_use]
 pub fn line(time: &str, host: &str, pid: u32, record: &Record) -> String {
     let severity = match record.level() {
         Level::Error => 3,
@@ -144,6 +145,7 @@
 }
 
 /// A message with its octet count before it.
+#[must_use]
 pub fn framed(line: &[u8]) -> Vec<u8> {
     let mut out = format!("{} ", line.len()).into_bytes();
     out.extend_from_slice(line);
--- a/src/syslog/panics.rs
+++ b/src/syslog/panics.rs
@@ -10,7 +10,7 @@
 /// Has panics told as a line of the log, behind those before it, with a moment in which to get out. The usual
 /// message goes straight to standard error: with a pipe there that is full, the thread that panics would wait for
 /// ever instead of ending the program.
-pub fn to_log(gauge: Gauge, moment: Duration) {
+pub(super) fn to_log(gauge: Gauge, moment: Duration) {
     let usual = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
         // A message that the log is told to leave out comes out as if there were no log.
--- a/src/syslog/queue.rs
+++ b/src/syslog/queue.rs
@@ -22,7 +22,7 @@
 }
 
 /// The end where lines are written. It is what env_logger writes to, which keeps its writers apart.
-pub struct Intake {
+pub(super) struct Intake {
     queue: Sender<Vec<u8>>,
     tally: Arc<Tally>,
     most_bytes: usize,
@@ -40,10 +40,10 @@
 
 /// Whether all is out.
 #[derive(Clone)]
-pub struct Gauge(Arc<Tally>);
+pub(super) struct Gauge(Arc<Tally>);
 
 /// A queue of at most so many lines and so many bytes.
-pub fn queue(
+pub(super) fn queue(
     lines: usize,
     bytes: usize,
     notice: impl Fn(u64) -> Vec<u8> + Send + Sync + 'static,
@@ -63,7 +63,7 @@
 
 impl Intake {
     /// Takes a line in, or drops it.
-    pub fn put(&self, line: Vec<u8>) {
+    pub(super) fn put(&self, line: Vec<u8>) {
         let lost = self.tally.lost.swap(0, SeqCst);
         // Guards against a queue that holds hardly more than counts: one that was full takes lines again once half
         // of it is free.
@@ -145,7 +145,7 @@
 
 impl Gauge {
     /// Whether no line waits, is being written or has to be told as lost.
-    pub fn is_out(&self) -> bool {
+    pub(super) fn is_out(&self) -> bool {
         self.0.unwritten.load(SeqCst) == 0 && self.0.lost.load(SeqCst) == 0
     }
 }
--- a/src/syslog/sinks.rs
+++ b/src/syslog/sinks.rs
@@ -18,7 +18,7 @@
 
 /// Starts the thread that writes to standard error. Nothing else waits for whoever reads there: a full pipe or a
 /// slow disk stops this thread alone. The descriptor is left as it was, since others may share it.
-pub fn to_stderr(mut lines: Lines, limits: &Limits) -> io::Result<()> {
+pub(super) fn to_stderr(mut lines: Lines, limits: &Limits) -> io::Result<()> {
     let (soon, later) = (limits.accept_pause, limits.peer_every);
     let write = move || {
         while let Some(mut line) = future::block_on(lines.next()) {
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -265,7 +265,7 @@
         begun.send(()).expect("open");
         // Each word comes cut amid its chunk.
         let mut rest = String::new();
-        for word in said.iter() {
+        for word in &said {
             let whole = chunk(&text("platform", word));
             let (now, later) = whole.split_at(whole.len() / 2);
             write!(stream, "{rest}{now}").expect("sent");
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -242,7 +242,7 @@
             let last = seen.out.borrow().last().cloned().expect("a first scheduling");
             match step {
                 Move::Event => {
-                    drop(last.try_send(Step::Events((), Arrival { events: 1, ..Arrival::default() })))
+                    drop(last.try_send(Step::Events((), Arrival { events: 1, ..Arrival::default() })));
                 }
                 Move::End(verdict) => drop(last.try_send(Step::Ended(Ending::from(verdict)))),
                 Move::Reject => drop(last.try_send(Step::Rejected(400, String::new()))),
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -16,7 +16,7 @@
 
 /// What is taken down at a real server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub(crate) enum Seen {
     /// A connection came.
     Connected,
     /// A request came.
@@ -30,10 +30,10 @@
 }
 
 /// What happened at the real servers: when, where, what.
-pub type Record = Arc<Mutex<Vec<(Instant, usize, Seen)>>>;
+pub(crate) type Record = Arc<Mutex<Vec<(Instant, usize, Seen)>>>;
 
 /// Stand-in real servers of some places each, on which a request stays for a while.
-pub struct Servers {
+pub(crate) struct Servers {
     pub addrs: Vec<SocketAddr>,
     pub record: Record,
     /// Those that answer with an error, by number.
@@ -41,23 +41,23 @@
 }
 
 impl Servers {
-    pub fn start(count: usize, places: usize, stay: Duration) -> Servers {
+    pub(crate) fn start(count: usize, places: usize, stay: Duration) -> Servers {
         let (record, failing) = (Record::default(), Arc::new(Mutex::new(Vec::new())));
         let addrs = (0..count).map(|n| real_server(n, places, stay, &record, &failing)).collect();
         Servers { addrs, record, failing }
     }
 
     /// Its line in the list.
-    pub fn entry(&self, n: usize, state: &str, started_ms: u64) -> Value {
+    pub(crate) fn entry(&self, n: usize, state: &str, started_ms: u64) -> Value {
         super::entry_at(n, self.addrs[n], state, started_ms)
     }
 
-    pub fn entries(&self, of: std::ops::Range<usize>) -> Vec<Value> {
+    pub(crate) fn entries(&self, of: std::ops::Range<usize>) -> Vec<Value> {
         of.map(|n| self.entry(n, "ready", 0)).collect()
     }
 
     /// All that was taken down so far, in the order of time.
-    pub fn taken(&self) -> Vec<(Instant, usize, Seen)> {
+    pub(crate) fn taken(&self) -> Vec<(Instant, usize, Seen)> {
         let mut taken = self.record.lock().expect("whole").clone();
         taken.sort_by_key(|(at, ..)| *at);
         taken
@@ -126,7 +126,7 @@
 
 /// How the list service behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub(crate) enum Mood {
     /// Answers calls at its pace, and sheds with 503 what would wait longer than it lets anybody wait.
     Serving,
     /// Refuses every call with 503 and `Retry-After`.
@@ -139,7 +139,7 @@
 
 /// A call at the list service.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
+pub(crate) struct Call {
     pub at: Instant,
     /// It was answered with the list.
     pub answered: bool,
@@ -156,7 +156,7 @@
 }
 
 /// A stand-in list service: one call at a time, each as long as its pace says.
-pub struct Lists {
+pub(crate) struct Lists {
     pub addr: SocketAddr,
     desk: Arc<Mutex<Desk>>,
     open: Arc<AtomicBool>,
@@ -166,7 +166,7 @@
 const SHED_AFTER: Duration = Duration::from_millis(500);
 
 impl Lists {
-    pub fn start(servers: Vec<Value>, calls_per_s: f64) -> Lists {
+    pub(crate) fn start(servers: Vec<Value>, calls_per_s: f64) -> Lists {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
         let now = Instant::now();
@@ -185,17 +185,17 @@
         Lists { addr, desk, open }
     }
 
-    pub fn mood(&self, mood: Mood) {
+    pub(crate) fn mood(&self, mood: Mood) {
         self.desk.lock().expect("whole").mood = mood;
     }
 
     /// All calls so far.
-    pub fn calls(&self) -> Vec<Call> {
+    pub(crate) fn calls(&self) -> Vec<Call> {
         self.desk.lock().expect("whole").calls.clone()
     }
 
     /// Publishes changes to all that watch.
-    pub fn publish(&self, changes: Vec<Value>) {
+    pub(crate) fn publish(&self, changes: Vec<Value>) {
         let mut desk = self.desk.lock().expect("whole");
         desk.version += 1;
         for change in &changes {
@@ -209,7 +209,7 @@
     }
 
     /// Watches that are open.
-    pub fn watchers(&self) -> usize {
+    pub(crate) fn watchers(&self) -> usize {
         self.desk.lock().expect("whole").watchers.len()
     }
 }
@@ -267,7 +267,7 @@
 }
 
 /// Gateways behind one list service.
-pub struct Fleet {
+pub(crate) struct Fleet {
     /// `None` while it is gone.
     pub gateways: Vec<Option<Gateway>>,
     known: Vec<Value>,
@@ -277,14 +277,14 @@
 
 impl Fleet {
     /// Starts all at once.
-    pub fn start(count: usize, known: Vec<Value>, lists: SocketAddr, more: Value) -> Fleet {
+    pub(crate) fn start(count: usize, known: Vec<Value>, lists: SocketAddr, more: Value) -> Fleet {
         let mut fleet = Fleet { gateways: (0..count).map(|_| None).collect(), known, lists, more };
         fleet.spawn(&(0..count).collect::<Vec<_>>());
         fleet
     }
 
     /// Starts these, all before the first is waited for.
-    pub fn spawn(&mut self, which: &[usize]) {
+    pub(crate) fn spawn(&mut self, which: &[usize]) {
         let children: Vec<_> = which.iter().map(|n| (*n, self.child(*n))).collect();
         for (n, child) in children {
             self.gateways[n] = Some(Gateway::watched(child));
@@ -300,19 +300,19 @@
     }
 
     /// Kills these outright.
-    pub fn kill(&mut self, which: &[usize]) {
+    pub(crate) fn kill(&mut self, which: &[usize]) {
         which.iter().for_each(|n| self.gateways[*n] = None);
     }
 
     /// Where clients connect; `None` for one that is gone.
-    pub fn fronts(&self) -> Vec<Option<SocketAddr>> {
+    pub(crate) fn fronts(&self) -> Vec<Option<SocketAddr>> {
         self.gateways.iter().map(|g| g.as_ref().map(|g| g.front("platform"))).collect()
     }
 }
 
 /// How clients' requests came out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub(crate) struct Ends {
     pub served: usize,
     pub turned_down: usize,
     /// Broken or without an answer because its gateway was killed.
@@ -322,7 +322,7 @@
 }
 
 /// Clients that send at even times, whatever becomes of what they sent before; each request to the next gateway.
-pub struct Clients {
+pub(crate) struct Clients {
     fronts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
     ends: Arc<Mutex<Ends>>,
     waits: Arc<Mutex<Vec<(Instant, Duration)>>>,
@@ -332,7 +332,7 @@
 }
 
 impl Clients {
-    pub fn start(fronts: Vec<Option<SocketAddr>>, rate: f64) -> Clients {
+    pub(crate) fn start(fronts: Vec<Option<SocketAddr>>, rate: f64) -> Clients {
         let fronts = Arc::new(Mutex::new(fronts));
         let ends = Arc::new(Mutex::new(Ends::default()));
         let waits = Arc::new(Mutex::new(Vec::new()));
@@ -359,12 +359,12 @@
     }
 
     /// Where they connect from now on.
-    pub fn fronts(&self, fronts: Vec<Option<SocketAddr>>) {
+    pub(crate) fn fronts(&self, fronts: Vec<Option<SocketAddr>>) {
         *self.fronts.lock().expect("whole") = fronts;
     }
 
     /// Stops them and waits for what is out; the ends, and the time to each answer's first byte.
-    pub fn stop(mut self) -> (Ends, Vec<(Instant, Duration)>) {
+    pub(crate) fn stop(mut self) -> (Ends, Vec<(Instant, Duration)>) {
         self.stop.store(true, Ordering::SeqCst);
         if let Some(sending) = self.sending.take() {
             sending.join().expect("they sent");
@@ -431,7 +431,7 @@
 
 /// In which window of `span` one server had the most arrivals beside the mean of all in that window; windows with
 /// fewer than `least` arrivals say nothing. The ratio, and when.
-pub fn worst_window(
+pub(crate) fn worst_window(
     taken: &[(Instant, usize, Seen)],
     servers: &dyn Fn(usize) -> bool,
     count: usize,
@@ -460,7 +460,10 @@
 }
 
 /// The longest time in which one server stood idle while another had a queue.
-pub fn idle_while_queued(taken: &[(Instant, usize, Seen)], servers: &dyn Fn(usize) -> bool) -> Duration {
+pub(crate) fn idle_while_queued(
+    taken: &[(Instant, usize, Seen)],
+    servers: &dyn Fn(usize) -> bool,
+) -> Duration {
     // Requests in hand and in the queue of each, from the start: one that nothing has reached yet is idle.
     let mut state: std::collections::BTreeMap<usize, (i64, i64)> =
         taken.iter().filter(|(_, n, _)| servers(*n)).map(|(_, n, _)| (*n, (0, 0))).collect();
--- a/tests/support/late.rs
+++ b/tests/support/late.rs
@@ -7,7 +7,7 @@
 use super::ms;
 
 /// A socket that has an address, where it does not listen: who connects there is refused for as long as it is kept.
-pub fn bound() -> (Socket, SocketAddr) {
+pub(crate) fn bound() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).expect("a port");
@@ -17,7 +17,7 @@
 
 /// Its queue of those that wait to be accepted is full, and the system drops what comes. A connection that is tried
 /// meanwhile comes up when the system tries again: 1 s after the first try, or 2 to 3 s.
-pub struct Late {
+pub(crate) struct Late {
     socket: Socket,
     pub addr: SocketAddr,
     /// What fills its queue.
@@ -25,7 +25,7 @@
 }
 
 impl Late {
-    pub fn new() -> Late {
+    pub(crate) fn new() -> Late {
         let (socket, addr) = bound();
         socket.listen(0).expect("it listens");
         let mut fill = Vec::new();
@@ -41,7 +41,7 @@
     }
 
     /// Connections come up from now on, also all that are tried again in one moment.
-    pub fn open(self) -> TcpListener {
+    pub(crate) fn open(self) -> TcpListener {
         self.socket.listen(1024).expect("it listens");
         self.socket.into()
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code, missing_docs)]
 
-pub mod fleet;
-pub mod late;
-pub mod told;
+pub(crate) mod fleet;
+pub(crate) mod late;
+pub(crate) mod told;
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,12 +18,12 @@
 use serde_json::{Value, json};
 
 /// Long enough never to be met, however slow the machine.
-pub const FOREVER: Duration = Duration::from_secs(30);
+pub(crate) const FOREVER: Duration = Duration::from_secs(30);
 /// The longest that a real server may go on working for a stream that nobody reads any more. The aim is 50 ms; a
 /// test that shares its machine with others is given room, yet far less than what an unread stream would take.
-pub const UNREAD: Duration = Duration::from_millis(500);
-pub const FRONTS: [&str; 2] = ["platform", "messages"];
-pub const PAIRINGS: [(&str, &str); 4] = [
+pub(crate) const UNREAD: Duration = Duration::from_millis(500);
+pub(crate) const FRONTS: [&str; 2] = ["platform", "messages"];
+pub(crate) const PAIRINGS: [(&str, &str); 4] = [
     ("platform", "platform"),
     ("platform", "messages"),
     ("messages", "platform"),
@@ -32,7 +32,7 @@
 
 /// What a client saw of its request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub(crate) enum Seen {
     Served(String),
     /// A stream that ended without its last chunk, after this text.
     Broken(String),
@@ -44,7 +44,7 @@
 
 /// What a real server does with every request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub(crate) enum Manner {
     Serve,
     Full,
     Error,
@@ -72,14 +72,14 @@
 }
 
 /// A stand-in real server, the requests that reached it, and what it noticed of clients that left.
-pub struct Server {
+pub(crate) struct Server {
     pub addr: SocketAddr,
     pub requests: Arc<AtomicUsize>,
     pub bodies: Arc<Mutex<Vec<Value>>>,
     pub left: Receiver<()>,
 }
 
-pub fn event(dialect: &str, name: &str, data: Value) -> String {
+pub(crate) fn event(dialect: &str, name: &str, data: Value) -> String {
     if dialect == "messages" {
         format!("event: {name}\ndata: {data}\n\n")
     } else {
@@ -87,7 +87,7 @@
     }
 }
 
-pub fn text(dialect: &str, text: &str) -> String {
+pub(crate) fn text(dialect: &str, text: &str) -> String {
     match dialect {
         "messages" => event(
             dialect,
@@ -102,7 +102,7 @@
     }
 }
 
-pub fn opening(dialect: &str) -> String {
+pub(crate) fn opening(dialect: &str) -> String {
     let usage = json!({"input_tokens": 7, "cache_read_input_tokens": 5, "output_tokens": 1});
     let start = json!({"type": "message_start", "message": {"id": "msg_1", "usage": usage}});
     let block =
@@ -117,7 +117,7 @@
     }
 }
 
-pub fn closing(dialect: &str) -> String {
+pub(crate) fn closing(dialect: &str) -> String {
     let stop = json!({"type": "message_delta", "delta": {"stop_reason": "end_turn"}, "usage": {"output_tokens": 2}});
     match dialect {
         "messages" => {
@@ -136,7 +136,7 @@
     }
 }
 
-pub fn error_event(dialect: &str) -> String {
+pub(crate) fn error_event(dialect: &str) -> String {
     event(
         dialect,
         "error",
@@ -145,12 +145,12 @@
 }
 
 /// An event that no specification knows.
-pub fn odd_event(dialect: &str) -> String {
+pub(crate) fn odd_event(dialect: &str) -> String {
     event(dialect, "glimmer", json!({"type": "glimmer", "shade": 3}))
 }
 
 /// Reads a message's head and its body of a stated length.
-pub fn message(reader: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
+pub(crate) fn message(reader: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -167,16 +167,16 @@
     Some((lines, body))
 }
 
-pub fn header(lines: &[String], name: &str) -> Option<String> {
+pub(crate) fn header(lines: &[String], name: &str) -> Option<String> {
     let mut pairs = lines.iter().filter_map(|l| l.split_once(':'));
     pairs.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim().to_owned())
 }
 
-pub fn chunk(text: &str) -> String {
+pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-pub fn server(dialect: &'static str, manner: Manner) -> Server {
+pub(crate) fn server(dialect: &'static str, manner: Manner) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     let (requests, bodies) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(Vec::new())));
@@ -192,7 +192,7 @@
 }
 
 /// One connection of a stand-in real server.
-pub fn converse(
+pub(crate) fn converse(
     mut stream: TcpStream,
     dialect: &str,
     manner: Manner,
@@ -267,11 +267,11 @@
 }
 
 /// The head of an answer that is a stream.
-pub const HEAD: &str =
+pub(crate) const HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// A real server that plays `script` for each request, and says when the gateway has closed that connection.
-pub fn scripted(
+pub(crate) fn scripted(
     script: impl Fn(&mut TcpStream, usize) -> bool + Send + Sync + 'static,
 ) -> (Server, Receiver<Instant>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -303,7 +303,7 @@
 }
 
 /// A real server that sends so many events of the dialect of its kind, and then falls silent.
-pub fn silent_after(dialect: &'static str, events: usize) -> (Server, Receiver<Instant>) {
+pub(crate) fn silent_after(dialect: &'static str, events: usize) -> (Server, Receiver<Instant>) {
     scripted(move |stream, _| {
         let answer = HEAD.to_owned() + &chunk(&text(dialect, "Hel")).repeat(events);
         stream.write_all(answer.as_bytes()).is_ok()
@@ -311,7 +311,7 @@
 }
 
 /// Reads until the answer's next event is there.
-pub fn begun(stream: &mut TcpStream) {
+pub(crate) fn begun(stream: &mut TcpStream) {
     let mut byte = [0];
     let mut had = Vec::new();
     while !had.ends_with(b"\n\n") {
@@ -321,7 +321,7 @@
 }
 
 /// A stand-in discovery: one watch, to which the first line and then whatever is sent is written.
-pub fn discovery(first: Value) -> (SocketAddr, Sender<Value>) {
+pub(crate) fn discovery(first: Value) -> (SocketAddr, Sender<Value>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     let (send, lines) = channel::<Value>();
@@ -350,21 +350,21 @@
     (addr, send)
 }
 
-pub fn entry(n: usize, server: &Server, state: &str, started_ms: u64) -> Value {
+pub(crate) fn entry(n: usize, server: &Server, state: &str, started_ms: u64) -> Value {
     entry_at(n, server.addr, state, started_ms)
 }
 
-pub fn entry_at(n: usize, addr: SocketAddr, state: &str, started_ms: u64) -> Value {
+pub(crate) fn entry_at(n: usize, addr: SocketAddr, state: &str, started_ms: u64) -> Value {
     json!({"id": format!("s-{n}"), "addr": addr.to_string(), "zone": "a", "kind": "k", "cell": 0,
         "state": state, "weight": 1.0, "started_ms": started_ms})
 }
 
-pub fn list(version: u64, full: bool, servers: Vec<Value>) -> Value {
+pub(crate) fn list(version: u64, full: bool, servers: Vec<Value>) -> Value {
     json!({"version": version, "full": full, "servers": servers})
 }
 
 /// What the platform has for the program.
-pub struct Platform<'a> {
+pub(crate) struct Platform<'a> {
     /// Where discovery is, and the way to its lists.
     pub discovery: (SocketAddr, Sender<Value>),
     /// What is said of an inherited descriptor, and the one that is inherited as the fourth.
@@ -372,13 +372,13 @@
 }
 
 impl Platform<'_> {
-    pub fn with(discovery: (SocketAddr, Sender<Value>)) -> Platform<'static> {
+    pub(crate) fn with(discovery: (SocketAddr, Sender<Value>)) -> Platform<'static> {
         Platform { discovery, inherited: None }
     }
 }
 
 /// The program itself, with both fronts.
-pub struct Gateway {
+pub(crate) struct Gateway {
     pub child: Child,
     pub fronts: [SocketAddr; 2],
     /// The second address, where it has one.
@@ -388,13 +388,13 @@
 }
 
 impl Gateway {
-    pub fn start(dialect: &str, servers: Vec<Value>, attempts: u32) -> Gateway {
+    pub(crate) fn start(dialect: &str, servers: Vec<Value>, attempts: u32) -> Gateway {
         Gateway::watched(Gateway::spawn("n0", dialect, servers, attempts, (1024, 1024), json!({})))
     }
 
     /// Starts the program with more in its own file than the fronts; of descriptors the first number is what it
     /// has, the second what it is told.
-    pub fn spawn(
+    pub(crate) fn spawn(
         name: &str,
         dialect: &str,
         servers: Vec<Value>,
@@ -407,7 +407,7 @@
     }
 
     /// Starts the program on a platform of the test's own.
-    pub fn spawn_by(
+    pub(crate) fn spawn_by(
         name: &str,
         dialect: &str,
         servers: Vec<Value>,
@@ -516,19 +516,19 @@
 
     /// The same with a log that is read here.
     /// One that has heard of its real servers.
-    pub fn listed(servers: Vec<Value>, attempts: u32, limits: (u32, u32), more: Value) -> Gateway {
+    pub(crate) fn listed(servers: Vec<Value>, attempts: u32, limits: (u32, u32), more: Value) -> Gateway {
         let gateway = Gateway::watched(Gateway::spawn("n0", "platform", servers, attempts, limits, more));
         eventually(|| gateway.logged("kind=\"Whole\"") > 0);
         gateway
     }
 
-    pub fn watched((mut child, discovery): (Child, Sender<Value>)) -> Gateway {
+    pub(crate) fn watched((mut child, discovery): (Child, Sender<Value>)) -> Gateway {
         let log = BufReader::new(child.stderr.take().expect("piped"));
         Gateway::with(child, discovery, log.lines().map_while(Result::ok))
     }
 
     /// Reads the log up to where it says where it listens.
-    pub fn with(
+    pub(crate) fn with(
         child: Child,
         discovery: Sender<Value>,
         lines: impl Iterator<Item = String> + Send + 'static,
@@ -554,34 +554,40 @@
         Gateway { child, fronts, mgmt, discovery, log }
     }
 
-    pub fn connect(&self, dialect: &str) -> TcpStream {
+    pub(crate) fn connect(&self, dialect: &str) -> TcpStream {
         connect(self.front(dialect))
     }
 
-    pub fn front(&self, dialect: &str) -> SocketAddr {
+    pub(crate) fn front(&self, dialect: &str) -> SocketAddr {
         self.fronts[usize::from(dialect == "messages")]
     }
 
     /// Sends a request and does not wait for its answer.
-    pub fn send(&self, dialect: &str, class: &str, deadline_ms: u32, session: usize) -> TcpStream {
+    pub(crate) fn send(&self, dialect: &str, class: &str, deadline_ms: u32, session: usize) -> TcpStream {
         send(self.front(dialect), dialect, class, deadline_ms, session)
     }
 
-    pub fn ask(&self, dialect: &str, class: &str, deadline_ms: u32, session: usize) -> (Seen, String) {
+    pub(crate) fn ask(
+        &self,
+        dialect: &str,
+        class: &str,
+        deadline_ms: u32,
+        session: usize,
+    ) -> (Seen, String) {
         seen(dialect, self.send(dialect, class, deadline_ms, session))
     }
 
-    pub fn logged(&self, word: &str) -> usize {
+    pub(crate) fn logged(&self, word: &str) -> usize {
         self.log.lock().expect("whole").iter().filter(|l| l.contains(word)).count()
     }
 
     /// Sends it a signal.
-    pub fn signal(&self, signal: &str) {
+    pub(crate) fn signal(&self, signal: &str) {
         send_signal(&self.child, signal);
     }
 
     /// Asks it to stop, and waits until it has.
-    pub fn stop(&mut self) -> Option<i32> {
+    pub(crate) fn stop(&mut self) -> Option<i32> {
         self.signal("-TERM");
         self.child.wait().expect("it ends").code()
     }
@@ -594,14 +600,20 @@
     }
 }
 
-pub fn connect(addr: SocketAddr) -> TcpStream {
+pub(crate) fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).expect("it accepts");
     stream.set_read_timeout(Some(FOREVER)).expect("a time-out");
     stream
 }
 
 /// Sends a request to a front and does not wait for its answer.
-pub fn send(front: SocketAddr, dialect: &str, class: &str, deadline_ms: u32, session: usize) -> TcpStream {
+pub(crate) fn send(
+    front: SocketAddr,
+    dialect: &str,
+    class: &str,
+    deadline_ms: u32,
+    session: usize,
+) -> TcpStream {
     let mut stream = connect(front);
     let (head, body) = request(dialect, class, deadline_ms, session, "");
     // In two pieces, as a network may deliver it.
@@ -611,7 +623,7 @@
 }
 
 /// A request's head, with `more` in it, and its body.
-pub fn request(
+pub(crate) fn request(
     dialect: &str,
     class: &str,
     deadline_ms: u32,
@@ -643,18 +655,18 @@
     (head, body)
 }
 
-pub fn send_signal(child: &Child, signal: &str) {
+pub(crate) fn send_signal(child: &Child, signal: &str) {
     let kill = Command::new("kill").args([signal, &child.id().to_string()]).status();
     assert!(kill.expect("kill runs").success());
 }
 
 /// Waits until it is so, far longer than it takes.
-pub fn ms(count: u64) -> Duration {
+pub(crate) fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
 /// The status that a call, its method and path, gets at this address; 0 is no answer.
-pub fn call(addr: SocketAddr, call: &str) -> u16 {
+pub(crate) fn call(addr: SocketAddr, call: &str) -> u16 {
     let answer = TcpStream::connect(addr).and_then(|mut stream| {
         stream.set_read_timeout(Some(FOREVER))?;
         let head = format!("{call} HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n");
@@ -666,7 +678,7 @@
     answer.unwrap_or_default().split(' ').nth(1).map_or(0, |s| s.parse().expect("a status"))
 }
 
-pub fn eventually(mut so: impl FnMut() -> bool) {
+pub(crate) fn eventually(mut so: impl FnMut() -> bool) {
     let from = Instant::now();
     while !so() {
         assert!(from.elapsed() < FOREVER, "it never came to be");
@@ -675,7 +687,7 @@
 }
 
 /// Reads an answer: what became of the request, and the stream's bytes.
-pub fn seen(dialect: &str, stream: TcpStream) -> (Seen, String) {
+pub(crate) fn seen(dialect: &str, stream: TcpStream) -> (Seen, String) {
     let mut reader = BufReader::new(stream);
     let mut head = Vec::new();
     loop {
--- a/tests/support/told.rs
+++ b/tests/support/told.rs
@@ -10,11 +10,14 @@
 
 use serde_json::{Value, json};
 
-use super::*;
+use super::{
+    Gateway, HEAD, Platform, Seen, Server, chunk, closing, entry, eventually, list, message, scripted,
+    seen, send, text,
+};
 
 /// What the list service does with calls that come, and with watches that are open.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Mood {
+pub(crate) enum Mood {
     /// It answers at once.
     Well,
     /// Calls are taken and never answered; open watches fall silent for good.
@@ -48,7 +51,7 @@
 
 /// The service.
 #[derive(Clone)]
-pub struct Lists {
+pub(crate) struct Lists {
     pub addr: SocketAddr,
     inside: Arc<Mutex<Inside>>,
     indented: bool,
@@ -56,7 +59,7 @@
 
 impl Lists {
     /// With these servers in version 2; `indented` says how its objects are written.
-    pub fn new(servers: Vec<Value>, indented: bool) -> Lists {
+    pub(crate) fn new(servers: Vec<Value>, indented: bool) -> Lists {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
         let (written, calls) = (Vec::new(), Vec::new());
@@ -100,14 +103,14 @@
     }
 
     /// Changes its mood, and says when.
-    pub fn become_(&self, mood: Mood) -> Instant {
+    pub(crate) fn become_(&self, mood: Mood) -> Instant {
         let mut inside = self.inside();
         (inside.mood, inside.moods) = (mood, inside.moods + 1);
         Instant::now()
     }
 
     /// Watches that are open fall silent, calls are answered as ever. Says since when.
-    pub fn silence_watches(&self) -> Instant {
+    pub(crate) fn silence_watches(&self) -> Instant {
         let from = self.become_(Mood::Mute);
         // Each has seen it by then.
         thread::sleep(Duration::from_millis(30));
@@ -116,13 +119,13 @@
     }
 
     /// Empty lines come so far apart from now on.
-    pub fn lines_every(&self, every: Duration) -> Instant {
+    pub(crate) fn lines_every(&self, every: Duration) -> Instant {
         self.inside().every = every;
         Instant::now()
     }
 
     /// One server drains from now on.
-    pub fn drain(&self, n: usize) -> Instant {
+    pub(crate) fn drain(&self, n: usize) -> Instant {
         let mut inside = self.inside();
         inside.version += 1;
         inside.servers[n]["state"] = "draining".into();
@@ -130,13 +133,13 @@
     }
 
     /// When its present version was first written to anybody.
-    pub fn written(&self) -> Option<Instant> {
+    pub(crate) fn written(&self) -> Option<Instant> {
         let inside = self.inside();
         inside.written.iter().find(|(version, _)| *version >= inside.version).map(|(_, at)| *at)
     }
 
     /// Calls that came since then.
-    pub fn calls_since(&self, from: Instant) -> usize {
+    pub(crate) fn calls_since(&self, from: Instant) -> usize {
         self.inside().calls.iter().filter(|at| **at >= from).count()
     }
 
@@ -218,7 +221,7 @@
 }
 
 /// A real server that serves at once and notes when each request was there.
-pub fn noting() -> (Server, Arc<Mutex<Vec<Instant>>>) {
+pub(crate) fn noting() -> (Server, Arc<Mutex<Vec<Instant>>>) {
     let came: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let noted = came.clone();
     let rest = text("platform", "Hello") + &closing("platform");
@@ -230,7 +233,7 @@
 }
 
 /// Two real servers, the first of which will drain, their list service, and a gateway whose clients keep asking.
-pub struct Scene {
+pub(crate) struct Scene {
     pub lists: Lists,
     pub gateway: Gateway,
     came: [Arc<Mutex<Vec<Instant>>>; 2],
@@ -241,12 +244,12 @@
 impl Scene {
     /// `way` is how the settings say that lists come, and `ask_within_s` for how long it may go without asking. The
     /// gateway knows both servers as ready, whatever the list says.
-    pub fn new(way: &str, ask_within_s: u64, indented: bool, drained: bool) -> Scene {
+    pub(crate) fn new(way: &str, ask_within_s: u64, indented: bool, drained: bool) -> Scene {
         Scene::of((0, 1), way, ask_within_s, indented, drained)
     }
 
     /// The same with a gateway of that number in a group of that size.
-    pub fn of(
+    pub(crate) fn of(
         (me, group): (u32, u32),
         way: &str,
         ask_within_s: u64,
@@ -291,7 +294,7 @@
     }
 
     /// Requests that reached a server, or did so after a moment.
-    pub fn since(&self, n: usize, from: Option<Instant>) -> usize {
+    pub(crate) fn since(&self, n: usize, from: Option<Instant>) -> usize {
         let came = self.came[n].lock().expect("whole");
         came.iter().filter(|at| from.is_none_or(|from| **at > from)).count()
     }
@@ -299,7 +302,7 @@
     /// Waits until the drain was written, and for some time after its grace and the moment at which it counts as
     /// told; then, nothing may have gone to the drained server after that moment and the grace, while the other one
     /// was asked. Says how long after `from` it was written.
-    pub fn holds(mut self, what: &str, from: Instant, counted: Duration) -> Duration {
+    pub(crate) fn holds(mut self, what: &str, from: Instant, counted: Duration) -> Duration {
         eventually(|| self.lists.written().is_some());
         let written = self.lists.written().expect("just seen");
         let due = from + counted + GRACE + SLACK;
@@ -322,6 +325,6 @@
 }
 
 /// The time that the settings give after a drain is told.
-pub const GRACE: Duration = Duration::from_millis(250);
+pub(crate) const GRACE: Duration = Duration::from_millis(250);
 /// For a machine that does other work beside.
-pub const SLACK: Duration = Duration::from_millis(100);
+pub(crate) const SLACK: Duration = Duration::from_millis(100);
--- a/tests/told.rs
+++ b/tests/told.rs
@@ -134,7 +134,7 @@
 
 /// Waits for all before it says that one didn't hold, so that none is left behind.
 fn all_hold(all: Vec<thread::JoinHandle<()>>) {
-    let ends: Vec<_> = all.into_iter().map(|one| one.join()).collect();
+    let ends: Vec<_> = all.into_iter().map(std::thread::JoinHandle::join).collect();
     let broken = ends.iter().filter(|end| end.is_err()).count();
     assert_eq!(broken, 0, "of {} plays", ends.len());
 }
