--- a/src/serve.rs
+++ b/src/serve.rs
@@ -2,13 +2,15 @@
 
 use std::cell::{Cell, RefCell};
 use std::env;
-use std::net::TcpListener;
+use std::fmt;
+use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Instant;
 
+use async_channel::Sender;
 use async_executor::LocalExecutor;
-use async_io::Timer;
+use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
 
@@ -16,6 +18,7 @@
 use tulipridge::engine::Engine;
 use tulipridge::front::{Dialect, FrontContext};
 use tulipridge::limits::Limits;
+use tulipridge::names::Names;
 use tulipridge::net::discovery::Discovery;
 use tulipridge::net::edge::Edge;
 use tulipridge::net::handover::Handover;
@@ -23,19 +26,47 @@
 use tulipridge::net::listen;
 use tulipridge::net::mgmt::Mgmt;
 use tulipridge::net::peers;
-use tulipridge::net::servers::Fleet;
+use tulipridge::net::servers::{Fleet, Gauges};
 use tulipridge::pace::{self, Calls};
 use tulipridge::process::background::run_in_background;
+use tulipridge::settings::Messages;
 use tulipridge::store::Store;
 use tulipridge::syslog;
+use tulipridge::types::{Settings, SettingsError};
+
+/// Nanoseconds in a millisecond, for log fields.
+const NANOS_PER_MILLI: u64 = 1_000_000;
+
+/// The executor of the one thread that serves; it lives as long as the program.
+type Executor = &'static LocalExecutor<'static>;
+
+/// Why a gateway can't start. Each variant is fatal, and its text says what to mend.
+#[derive(Debug)]
+enum StartError {
+    /// The signals can't be awaited.
+    Signals(std::io::Error),
+    /// The platform's settings can't be used.
+    Settings(SettingsError),
+    /// A port can't be listened at.
+    Listen(String),
+}
+
+impl fmt::Display for StartError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            StartError::Signals(source) => write!(f, "signals: {source}"),
+            StartError::Settings(source) => write!(f, "settings: {source}"),
+            StartError::Listen(reason) => f.write_str(reason),
+        }
+    }
+}
 
 /// Serves until a signal ends it; `sources` is what SIGHUP reads again, `inherited` the platform's own listener.
 pub(crate) fn serve(config: Config, sources: Sources, inherited: Option<TcpListener>) -> ExitCode {
     let limits = config.limits();
     let limits = Rc::new(if inherited.is_some() { limits.for_two() } else { limits });
-    // One executor on one thread, which lives as long as the program.
-    let ex: &'static LocalExecutor<'static> = Box::leak(Box::default());
-    async_io::block_on(ex.run(async {
+    let executor: Executor = Box::leak(Box::default());
+    async_io::block_on(executor.run(async {
         let collector = config.own.syslog.tcp;
         let (log, lines) = match syslog::start(&config.name, collector.is_some(), &limits) {
             Ok(started) => started,
@@ -46,48 +77,33 @@
         };
         if let (Some(collector), Some(lines)) = (collector, lines) {
             let limits = limits.clone();
-            ex.spawn(async move { syslog::to_collector(collector, lines, &limits).await }).detach();
+            executor.spawn(async move { syslog::to_collector(collector, lines, &limits).await }).detach();
         }
-        let outcome = run(ex, config, sources, inherited, limits.clone()).await;
-        if let Err(what) = &outcome {
-            log::error!("start-failed: {what}");
+        let outcome = run(executor, config, sources, inherited, limits.clone()).await;
+        if let Err(error) = &outcome {
+            log::error!("start-failed: {error}");
         }
         log.drain(&limits).await;
         if outcome.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
     }))
 }
 
+/// Builds the parts, starts their loops and returns once all requests are answered after a signal to stop.
 async fn run(
-    ex: &'static LocalExecutor<'static>,
+    executor: Executor,
     config: Config,
     sources: Sources,
-    mut inherited: Option<TcpListener>,
+    inherited: Option<TcpListener>,
     limits: Rc<Limits>,
-) -> Result<(), String> {
-    let mut signals =
-        Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|e| format!("signals: {e}"))?;
+) -> Result<(), StartError> {
+    let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)?;
+    warn_of_late_lists(&config.settings);
     let push = config.settings.push;
-    let told = Calls::of(&config.settings).budget();
-    if !push && told.silent.max(told.refused) > pace::TOLD {
-        let [silent, refused] = [told.silent, told.refused].map(|nanos| nanos / 1_000_000);
-        log::warn!(silent_ms = silent, refused_ms = refused; "list-late: a group of this size may have its list later than its news count as told; state what the list service can serve in list.calls_per_s, or make it faster");
-    }
     let (engine, orders) =
-        Engine::new(config.settings, config.seed, &limits).map_err(|e| format!("settings: {e}"))?;
+        Engine::new(config.settings, config.seed, &limits).map_err(StartError::Settings)?;
     engine.name_streams(config.names.classes.clone(), config.names.tenants.clone());
     let names = Rc::new(RefCell::new(config.names));
-    let gauges = {
-        let names = names.clone();
-        let noted = Cell::new(false);
-        Box::new(move |text: &str| {
-            let report = names.borrow().report(text);
-            if report.iter().any(|value| value.is_nan()) && !noted.replace(true) {
-                log::warn!(report = text; "bad-report: what can't be read of load reports is passed over");
-            }
-            report
-        })
-    };
-    let fleet = Rc::new(Fleet::new(limits.clone(), gauges));
+    let fleet = Rc::new(Fleet::new(limits.clone(), load_report_reader(names.clone())));
     let discovery = Rc::new(Discovery::new(
         config.discovery,
         engine.clone(),
@@ -97,16 +113,12 @@
         push,
     ));
     discovery.persisted(&config.known);
-    let able = {
-        let (fleet, discovery, limits, from) =
-            (fleet.clone(), discovery.clone(), limits.clone(), Instant::now());
-        Box::new(move || fleet.any_ready() && (discovery.answered() || from.elapsed() > limits.list_wait))
-    };
     let context = Rc::new(FrontContext::new(names.clone(), limits.clone(), config.messages));
-    let shared = inherited.is_some();
-    let lifecycle = Rc::new(LifecycleMonitor::new(engine.clone(), limits.clone(), shared, able));
+    let is_shared = inherited.is_some();
+    let readiness = readiness(&fleet, &discovery, &limits);
+    let lifecycle = Rc::new(LifecycleMonitor::new(engine.clone(), limits.clone(), is_shared, readiness));
     // Without a listener that the platform keeps, no process ever serves beside this one.
-    let handover = Rc::new(match shared {
+    let handover = Rc::new(match is_shared {
         true => Handover::new(&env::temp_dir(), &config.name, config.own.handover, limits.clone()),
         false => Handover::never(limits.clone()),
     });
@@ -118,99 +130,225 @@
         lifecycle.clone(),
         handover.followers(),
     ));
-    handover.join(ex, &edge);
-    ex.spawn(handover.listen(ex, edge.clone(), lifecycle.clone())).detach();
-
-    let bind = |addr, inherited, port: &str| listen::open(addr, inherited, port, &limits);
-    let mut fronts = vec![(config.listen, Dialect::Platform)];
-    fronts.extend(config.own.messages.listen.map(|addr| (addr, Dialect::Messages)));
-    let mgmt_told = config.mgmt;
-    if let Some(addr) = config.mgmt {
-        let mgmt = Rc::new(Mgmt::new(engine.clone(), lifecycle.clone(), limits.clone()));
-        ex.spawn(mgmt.listen(ex, bind(addr, None, "Mgmt")?)).detach();
+    handover.join(executor, &edge);
+    executor.spawn(handover.listen(executor, edge.clone(), lifecycle.clone())).detach();
+
+    let parts = Parts { executor, engine, edge, lifecycle, names, limits };
+    if let Some(address) = config.mgmt {
+        parts.listen_to_operators(address)?;
+    }
+    parts.listen_to_clients(config.listen, config.own.messages.listen, inherited)?;
+    if let Some(address) = config.own.store.listen {
+        parts.start_store(&config.name, address, config.own.store.peers, config.own.messages)?;
+    }
+    parts.spawn_loops();
+    executor.spawn(async move { fleet.sweep().await }).detach();
+    executor.spawn(discovery.clone().run(executor, orders)).detach();
+
+    let reload = spawn_reloads(executor, discovery, sources, config.mgmt);
+    wait_until_stopped(executor, signals, &reload, &parts.edge).await;
+    parts.engine.log_figures();
+    context.omissions.log();
+    log::info!("stopped: all is answered");
+    Ok(())
+}
+
+/// Warns where lists are polled and the group is so large that a list may be older than its notifications allow.
+fn warn_of_late_lists(settings: &Settings) {
+    let budget = Calls::of(settings).budget();
+    if settings.push || budget.silent.max(budget.refused) <= pace::TOLD {
+        return;
+    }
+    let [silent, refused] = [budget.silent, budget.refused].map(|nanos| nanos / NANOS_PER_MILLI);
+    log::warn!(silent_ms = silent, refused_ms = refused; "list-late: a group of this size may have its list later than its news count as told; state what the list service can serve in list.calls_per_s, or make it faster");
+}
+
+/// Reads load reports of replicas; the first one with values that can't be read is logged.
+fn load_report_reader(names: Rc<RefCell<Names>>) -> Gauges {
+    let is_logged = Cell::new(false);
+    Box::new(move |text: &str| {
+        let report = names.borrow().report(text);
+        if report.iter().any(|value| value.is_nan()) && !is_logged.replace(true) {
+            log::warn!(report = text; "bad-report: what can't be read of load reports is passed over");
+        }
+        report
+    })
+}
+
+/// Whether requests can be served: a replica is ready, and discovery has answered or had its time.
+fn readiness(fleet: &Rc<Fleet>, discovery: &Rc<Discovery>, limits: &Rc<Limits>) -> Box<dyn Fn() -> bool> {
+    let (fleet, discovery, limits) = (fleet.clone(), discovery.clone(), limits.clone());
+    let started = Instant::now();
+    Box::new(move || fleet.any_ready() && (discovery.answered() || started.elapsed() > limits.list_wait))
+}
+
+/// What the listeners and loops of a gateway work with.
+struct Parts {
+    executor: Executor,
+    engine: Engine,
+    edge: Rc<Edge>,
+    lifecycle: Rc<LifecycleMonitor>,
+    names: Rc<RefCell<Names>>,
+    limits: Rc<Limits>,
+}
+
+impl Parts {
+    fn bind(
+        &self,
+        address: SocketAddr,
+        inherited: Option<TcpListener>,
+        port: &str,
+    ) -> Result<Async<TcpListener>, StartError> {
+        listen::open(address, inherited, port, &self.limits).map_err(StartError::Listen)
+    }
+
+    /// Listens at the second address, for operators.
+    fn listen_to_operators(&self, address: SocketAddr) -> Result<(), StartError> {
+        let mgmt = Rc::new(Mgmt::new(self.engine.clone(), self.lifecycle.clone(), self.limits.clone()));
+        self.executor.spawn(mgmt.listen(self.executor, self.bind(address, None, "Mgmt")?)).detach();
+        Ok(())
     }
-    for (addr, dialect) in fronts {
-        // What the platform keeps is the socket of its own front, which comes first.
-        let listener = bind(addr, inherited.take(), &format!("{dialect:?}"))?;
-        ex.spawn(edge.clone().listen(ex, listener, dialect)).detach();
+
+    /// Listens for clients: on the platform's front, and on the messages front where it has an address.
+    fn listen_to_clients(
+        &self,
+        platform: SocketAddr,
+        messages: Option<SocketAddr>,
+        mut inherited: Option<TcpListener>,
+    ) -> Result<(), StartError> {
+        let mut fronts = vec![(platform, Dialect::Platform)];
+        fronts.extend(messages.map(|address| (address, Dialect::Messages)));
+        for (address, dialect) in fronts {
+            // What the platform keeps is the socket of its own front, which comes first.
+            let listener = self.bind(address, inherited.take(), &format!("{dialect:?}"))?;
+            self.executor.spawn(self.edge.clone().listen(self.executor, listener, dialect)).detach();
+        }
+        Ok(())
     }
-    if let Some(addr) = config.own.store.listen {
-        let store = Rc::new(Store::new(&config.name, &limits));
-        ex.spawn(peers::serve(ex, bind(addr, None, "Store")?, store.clone(), limits.clone())).detach();
-        for peer in config.own.store.peers {
-            ex.spawn(peers::exchange(peer, store.clone(), limits.clone())).detach();
+
+    /// Serves the replicated store, exchanges it with its peers and follows what it says.
+    fn start_store(
+        &self,
+        name: &str,
+        address: SocketAddr,
+        peers: Vec<SocketAddr>,
+        file: Messages,
+    ) -> Result<(), StartError> {
+        let store = Rc::new(Store::new(name, &self.limits));
+        let listener = self.bind(address, None, "Store")?;
+        self.executor
+            .spawn(peers::serve(self.executor, listener, store.clone(), self.limits.clone()))
+            .detach();
+        for peer in peers {
+            self.executor.spawn(peers::exchange(peer, store.clone(), self.limits.clone())).detach();
         }
-        let (engine, edge, names, limits) = (engine.clone(), edge.clone(), names.clone(), limits.clone());
-        let (level, file, state) =
-            (log::max_level(), config.own.messages, format!("state/{}", config.name));
-        let follow = async move {
+        self.executor.spawn(self.follow_store(store, format!("state/{name}"), file)).detach();
+        Ok(())
+    }
+
+    /// Takes over the store's settings and reports this gateway's state there, again and again.
+    fn follow_store(
+        &self,
+        store: Rc<Store>,
+        state_key: String,
+        file: Messages,
+    ) -> impl Future<Output = ()> + use<> {
+        let (engine, edge) = (self.engine.clone(), self.edge.clone());
+        let (names, limits) = (self.names.clone(), self.limits.clone());
+        let level = log::max_level();
+        async move {
             loop {
                 config::follow(&store, &mut names.borrow_mut(), &file, level);
-                store.set(&state, serde_json::json!({"held": engine.held(), "connections": edge.open(), "places": engine.places()}));
+                store.set(&state_key, serde_json::json!({"held": engine.held(), "connections": edge.open(), "places": engine.places()}));
                 Timer::after(limits.state_every).await;
             }
-        };
-        ex.spawn(follow).detach();
+        }
     }
-    let figures = engine.clone();
-    ex.spawn({
-        let engine = engine.clone();
-        async move { engine.run_streams().await }
-    })
-    .detach();
-    ex.spawn(async move { engine.run_timers().await }).detach();
-    ex.spawn(async move { lifecycle.run().await }).detach();
-    ex.spawn(async move { fleet.sweep().await }).detach();
-    ex.spawn(discovery.clone().run(ex, orders)).detach();
-
-    // One reading at a time, so that the last order is the one that counts; several that wait are one.
-    let (reload, asked) = async_channel::bounded(1);
-    ex.spawn(async move {
-        while asked.recv().await.is_ok() {
-            let sources = sources.clone();
-            // Guards against a disk that keeps all requests waiting for a file.
-            let read = run_in_background(move || Config::reload(&sources)).await;
-            match read.unwrap_or_else(|e| Err(format!("no thread to read the files: {e}"))) {
-                Ok(config) => {
-                    // What the environment says goes first, and can't have changed.
-                    if config.mgmt != mgmt_told && env::var_os("EDGE_MGMT").is_none() {
-                        log::warn!(told:? = config.mgmt, kept:? = mgmt_told; "mgmt-kept: a second address counts from the next start");
-                    }
-                    discovery.move_to(config.discovery);
+
+    /// Starts the loops of the engine and of the lifecycle.
+    fn spawn_loops(&self) {
+        let engine = self.engine.clone();
+        self.executor.spawn(async move { engine.run_streams().await }).detach();
+        let engine = self.engine.clone();
+        self.executor.spawn(async move { engine.run_timers().await }).detach();
+        let lifecycle = self.lifecycle.clone();
+        self.executor.spawn(async move { lifecycle.run().await }).detach();
+    }
+}
+
+/// Starts the loop that reads the files again at each order; several orders that wait are one.
+///
+/// `mgmt` is the second address in force, which a newer file does not change.
+fn spawn_reloads(
+    executor: Executor,
+    discovery: Rc<Discovery>,
+    sources: Sources,
+    mgmt: Option<SocketAddr>,
+) -> Sender<()> {
+    let (reload, orders) = async_channel::bounded(1);
+    executor
+        .spawn(async move {
+            // One reading at a time, so that the last order is the one that counts.
+            while orders.recv().await.is_ok() {
+                match read_again(sources.clone()).await {
+                    Ok(config) => apply_reload(&discovery, &config, mgmt),
+                    Err(what) => log::error!("reload-failed: all stays as it was: {what}"),
                 }
-                Err(what) => log::error!("reload-failed: all stays as it was: {what}"),
             }
-        }
-    })
-    .detach();
+        })
+        .detach();
+    reload
+}
 
+/// Reads the files on a thread of its own: a slow disk must not keep requests waiting.
+async fn read_again(sources: Sources) -> Result<Config, String> {
+    let read = run_in_background(move || Config::reload(&sources)).await;
+    read.unwrap_or_else(|e| Err(format!("no thread to read the files: {e}")))
+}
+
+fn apply_reload(discovery: &Discovery, config: &Config, mgmt: Option<SocketAddr>) {
+    // What the environment says goes first, and can't have changed.
+    if config.mgmt != mgmt && env::var_os("EDGE_MGMT").is_none() {
+        log::warn!(told:? = config.mgmt, kept:? = mgmt; "mgmt-kept: a second address counts from the next start");
+    }
+    discovery.move_to(config.discovery);
+}
+
+/// Obeys signals until the first that stops the gateway, and then until all requests are answered.
+async fn wait_until_stopped(
+    executor: Executor,
+    mut signals: Signals,
+    reload: &Sender<()>,
+    edge: &Rc<Edge>,
+) {
     // Guards against a SIGHUP that ends the program, also one that comes while it stops.
-    let mut stopping = false;
-    let stopped = async_channel::bounded::<()>(1);
+    let mut is_stopping = false;
+    let (done, stopped) = async_channel::bounded::<()>(1);
     loop {
         let signal = future::or(async { signals.next().await.and_then(Result::ok) }, async {
-            let _ = stopped.1.recv().await;
+            let _ = stopped.recv().await;
             None
         });
         match signal.await {
             // A full channel has an order that is not begun yet and will see what this one would.
             Some(Signal::Hup) => drop(reload.try_send(())),
-            Some(signal) if !stopping => {
-                stopping = true;
+            Some(signal) if !is_stopping => {
+                is_stopping = true;
                 log::info!(signal:? = signal, connections = edge.open(); "stopping: finishing what is held");
-                let (edge, done) = (edge.clone(), stopped.0.clone());
-                ex.spawn(async move {
-                    edge.stop().await;
-                    let _ = done.send(()).await;
-                })
-                .detach();
+                spawn_stop(executor, edge.clone(), done.clone());
             }
             Some(_) => {}
-            None => break,
+            None => return,
         }
     }
-    figures.log_figures();
-    context.omissions.log();
-    log::info!("stopped: all is answered");
-    Ok(())
+}
+
+/// Stops taking clients, and reports when the last one has its response.
+fn spawn_stop(executor: Executor, edge: Rc<Edge>, done: Sender<()>) {
+    executor
+        .spawn(async move {
+            edge.stop().await;
+            let _ = done.send(()).await;
+        })
+        .detach();
 }
