--- a/crates/control-plane/src/state_log.rs
+++ b/crates/control-plane/src/state_log.rs
@@ -13,7 +13,7 @@
 use snafu::{ResultExt, Snafu};
 use tulipridge_protocol::frame::{self, FrameError};
 use tulipridge_write_ahead_log::{
-    Directory, FileSystemDirectory, Recovered, WriteAheadLog, WriteAheadLogError,
+    Directory, FileSystemDirectory, OpenedLog, Recovered, WriteAheadLog, WriteAheadLogError,
 };
 
 use crate::replication::{DurableRecord, DurableState};
@@ -106,7 +106,8 @@
 impl<D: Directory> StateLog<D> {
     /// Reads what is in the directory.
     pub fn open_in(directory: D) -> Result<StateLog<D>, OpenError> {
-        let (write_ahead_log, recovered) = WriteAheadLog::open_in(directory).context(UnusableSnafu)?;
+        let OpenedLog { log: write_ahead_log, recovered } =
+            WriteAheadLog::open_in(directory).context(UnusableSnafu)?;
         let found = DiskImage::recover(&recovered).context(ForeignSnafu)?;
         Ok(StateLog {
             write_ahead_log,
--- a/crates/write-ahead-log/src/directory.rs
+++ b/crates/write-ahead-log/src/directory.rs
@@ -1,19 +1,31 @@
-//! The few operations on files that a log needs.
+//! The operations on files that a log needs, so that tests can stand in for the file system.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use super::error::{self, WriteAheadLogError};
+use super::error::{IoContext, Operation, WriteAheadLogError};
 
 /// An open file.
 pub trait DirectoryFile: fmt::Debug {
     /// Writes all bytes from an offset on.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Sets the length.
+    /// Sets the length in bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
     /// Returns when all that was written is durable.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -23,20 +35,52 @@
     type File: DirectoryFile;
 
     /// The names of all files.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// A file's length.
+    /// A file's length in bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn length(&self, name: &str) -> io::Result<u64>;
-    /// A file's bytes.
+    /// A file's content.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Makes an empty file; one of that name is emptied.
+    /// Creates an empty file; one of that name is emptied.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn create_file(&self, name: &str) -> io::Result<Self::File>;
     /// Opens a file for writing.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn open_file(&self, name: &str) -> io::Result<Self::File>;
-    /// Gives a file another name.
+    /// Renames a file, in the place of another one of the new name.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn remove(&self, name: &str) -> io::Result<()>;
     /// Returns when renames and removals are durable.
+    ///
+    /// # Errors
+    ///
+    /// If the file system refuses.
     fn sync(&self) -> io::Result<()>;
 }
 
@@ -47,10 +91,13 @@
 }
 
 impl FileSystemDirectory {
-    /// Makes the directory if it is not there.
+    /// Creates the directory if it is not there.
+    ///
+    /// # Errors
+    ///
+    /// If it is not there and can't be created.
     pub fn create(path: &Path) -> Result<Self, WriteAheadLogError> {
-        let made = fs::create_dir_all(path);
-        made.map_err(|source| error::io("create", &path.to_string_lossy(), source))?;
+        fs::create_dir_all(path).during(Operation::Create, &path.to_string_lossy())?;
         Ok(FileSystemDirectory { path: path.to_owned() })
     }
 }
--- a/crates/write-ahead-log/src/format.rs
+++ b/crates/write-ahead-log/src/format.rs
@@ -1,8 +1,9 @@
-//! The bytes of the files.
+//! The format of the files.
 //!
-//! Each file starts with a magic number and a version. A segment then holds frames, one for each append: a
-//! marker, the length of the payload, its checksum, and the payload: records with their lengths. A snapshot
-//! holds one frame whose payload is the snapshot itself. All numbers are little-endian.
+//! Each file starts with a header: a magic number and a version. A segment then holds frames, one for each append: a
+//! marker, the length of the payload, its checksum (CRC-32 of length and payload), and the payload, which is records
+//! with their lengths. A snapshot holds one frame whose payload is the snapshot itself. All numbers are
+//! little-endian.
 
 use super::error::WriteAheadLogError;
 
@@ -10,86 +11,129 @@
 const SEGMENT_MAGIC: [u8; 4] = *b"TLOG";
 const SNAPSHOT_MAGIC: [u8; 4] = *b"TSNP";
 const FRAME_MARKER: [u8; 4] = [0xf5, 0x4c, 0x42, 0xfa];
+/// Bytes of an encoded number.
+const NUMBER_BYTES: usize = 4;
+const FRAME_HEADER_BYTES: usize = FRAME_MARKER.len() + 2 * NUMBER_BYTES;
+/// The fewest digits of a number in a file's name.
+const MIN_NAME_DIGITS: usize = 6;
+const TEMPORARY_SUFFIX: &str = ".tmp";
+
 /// Bytes of a file's header.
-pub(crate) const HEADER_LENGTH: u64 = 8;
-const FRAME_HEADER_LENGTH: usize = 12;
+pub(crate) const HEADER_BYTES: usize = SEGMENT_MAGIC.len() + NUMBER_BYTES;
+/// The offset of the first frame of a file.
+pub(crate) const FIRST_FRAME_OFFSET: u64 = HEADER_BYTES as u64;
+
+/// The number of a segment. A snapshot has the number of the first segment that it does not stand for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct SegmentNumber(u64);
+
+impl SegmentNumber {
+    /// The first segment of a log without a snapshot.
+    pub(crate) const FIRST: SegmentNumber = SegmentNumber(1);
+
+    /// The segment after this one.
+    pub(crate) fn next(self) -> SegmentNumber {
+        SegmentNumber(self.0 + 1)
+    }
+}
 
 /// A kind of file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
+pub(crate) enum FileKind {
     /// Holds records.
     Segment,
     /// Holds a snapshot.
     Snapshot,
 }
 
-impl Kind {
-    fn prefix(self) -> &'static str {
+impl FileKind {
+    fn name_prefix(self) -> &'static str {
         match self {
-            Kind::Segment => "log-",
-            Kind::Snapshot => "snapshot-",
+            FileKind::Segment => "log-",
+            FileKind::Snapshot => "snapshot-",
         }
     }
 
     fn magic(self) -> [u8; 4] {
         match self {
-            Kind::Segment => SEGMENT_MAGIC,
-            Kind::Snapshot => SNAPSHOT_MAGIC,
+            FileKind::Segment => SEGMENT_MAGIC,
+            FileKind::Snapshot => SNAPSHOT_MAGIC,
         }
     }
-}
 
-/// A file's name.
-pub(crate) fn file_name(kind: Kind, number: u64) -> String {
-    format!("{}{number:06}", kind.prefix())
+    /// The name of the file of this kind with a number.
+    pub(crate) fn file_name(self, number: SegmentNumber) -> String {
+        format!("{}{:0MIN_NAME_DIGITS$}", self.name_prefix(), number.0)
+    }
+
+    /// The number in the name of a file of this kind; none if the name is not of this kind.
+    pub(crate) fn number_in(self, name: &str) -> Option<SegmentNumber> {
+        let digits = name.strip_prefix(self.name_prefix())?;
+        let is_number = digits.len() >= MIN_NAME_DIGITS && digits.bytes().all(|byte| byte.is_ascii_digit());
+        if is_number { digits.parse().ok().map(SegmentNumber) } else { None }
+    }
+
+    /// A file's header.
+    pub(crate) fn encode_header(self) -> Vec<u8> {
+        let mut header = self.magic().to_vec();
+        header.extend(VERSION.to_le_bytes());
+        header
+    }
+
+    /// Checks the header of the file `name`, as far as it is there.
+    ///
+    /// # Errors
+    ///
+    /// If the magic number is another one, or the version is unknown.
+    pub(crate) fn check_header(
+        self,
+        name: &str,
+        content: &[u8],
+    ) -> Result<HeaderExtent, WriteAheadLogError> {
+        let expected = self.magic();
+        let length = content.len().min(expected.len());
+        if content[..length] != expected[..length] {
+            return Err(WriteAheadLogError::Foreign { file: name.to_owned() });
+        }
+        match decode_number(content, expected.len()) {
+            Some(VERSION) => Ok(HeaderExtent::Complete),
+            Some(version) => Err(WriteAheadLogError::UnknownVersion { file: name.to_owned(), version }),
+            None => Ok(HeaderExtent::Truncated),
+        }
+    }
 }
 
-/// The name of a file until it is whole.
-pub(crate) fn unfinished_name(name: &str) -> String {
-    format!("{name}.tmp")
+/// How much of a file's header is there.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum HeaderExtent {
+    /// All of it.
+    Complete,
+    /// The file ends before its header does.
+    Truncated,
 }
 
-/// The number in the name of a file of this kind.
-pub(crate) fn number(kind: Kind, name: &str) -> Option<u64> {
-    let digits = name.strip_prefix(kind.prefix())?;
-    let is_number = digits.len() >= 6 && digits.bytes().all(|byte| byte.is_ascii_digit());
-    if is_number { digits.parse().ok() } else { None }
+/// The name of a file until it is complete.
+pub(crate) fn temporary_name(name: &str) -> String {
+    format!("{name}{TEMPORARY_SUFFIX}")
 }
 
-/// Whether a file belongs to the log by its name, whole or unfinished.
-pub(crate) fn is_own_name(name: &str) -> bool {
-    let whole = name.strip_suffix(".tmp").unwrap_or(name);
-    number(Kind::Segment, whole).is_some() || number(Kind::Snapshot, whole).is_some()
+/// The number in the name of a segment or a snapshot.
+pub(crate) fn number_in_name(name: &str) -> Option<SegmentNumber> {
+    FileKind::Segment.number_in(name).or_else(|| FileKind::Snapshot.number_in(name))
 }
 
-/// A file's first bytes.
-pub(crate) fn header(kind: Kind) -> Vec<u8> {
-    let mut header = kind.magic().to_vec();
-    header.extend(VERSION.to_le_bytes());
-    header
+/// Whether a file is one of the log's that was not complete when its process ended.
+pub(crate) fn is_temporary_name(name: &str) -> bool {
+    name.strip_suffix(TEMPORARY_SUFFIX).is_some_and(|name| number_in_name(name).is_some())
 }
 
-/// Checks a file's first bytes; `None` if they are not all there.
-pub(crate) fn check_header(
-    kind: Kind,
-    name: &str,
-    content: &[u8],
-) -> Result<Option<()>, WriteAheadLogError> {
-    let expected = kind.magic();
-    let length = content.len().min(expected.len());
-    if content[..length] != expected[..length] {
-        return Err(WriteAheadLogError::Foreign { file: name.to_owned() });
-    }
-    let Some(version) = number_at(content, expected.len()) else { return Ok(None) };
-    if version == VERSION {
-        Ok(Some(()))
-    } else {
-        Err(WriteAheadLogError::UnknownVersion { file: name.to_owned(), version })
-    }
+/// Whether a file belongs to the log by its name, complete or not.
+pub(crate) fn is_log_name(name: &str) -> bool {
+    number_in_name(name).is_some() || is_temporary_name(name)
 }
 
-fn number_at(content: &[u8], offset: usize) -> Option<u32> {
-    let bytes = content.get(offset..offset.checked_add(4)?)?;
+fn decode_number(content: &[u8], offset: usize) -> Option<u32> {
+    let bytes = content.get(offset..offset.checked_add(NUMBER_BYTES)?)?;
     Some(u32::from_le_bytes(bytes.try_into().ok()?))
 }
 
@@ -104,9 +148,9 @@
     hasher.finalize()
 }
 
-fn frame(payload: &[u8]) -> Result<Vec<u8>, WriteAheadLogError> {
+fn encode_frame(payload: &[u8]) -> Result<Vec<u8>, WriteAheadLogError> {
     let length = checked_length(payload.len())?;
-    let mut frame = Vec::with_capacity(FRAME_HEADER_LENGTH + payload.len());
+    let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len());
     frame.extend(FRAME_MARKER);
     frame.extend(length.to_le_bytes());
     frame.extend(checksum(length, payload).to_le_bytes());
@@ -115,50 +159,69 @@
 }
 
 /// The frame of an append.
-pub(crate) fn encode_frame(records: &[&[u8]]) -> Result<Vec<u8>, WriteAheadLogError> {
-    let mut payload = Vec::with_capacity(records.iter().map(|record| record.len() + 4).sum());
+///
+/// # Errors
+///
+/// If a record, or all of them together, are too long.
+pub(crate) fn encode_records(records: &[&[u8]]) -> Result<Vec<u8>, WriteAheadLogError> {
+    let capacity = records.iter().map(|record| NUMBER_BYTES + record.len()).sum();
+    let mut payload = Vec::with_capacity(capacity);
     for record in records {
         payload.extend(checked_length(record.len())?.to_le_bytes());
         payload.extend(*record);
     }
-    frame(&payload)
+    encode_frame(&payload)
 }
 
-/// A snapshot's file.
-pub(crate) fn encode_snapshot(bytes: &[u8]) -> Result<Vec<u8>, WriteAheadLogError> {
-    let mut content = header(Kind::Snapshot);
-    content.extend(frame(bytes)?);
+/// The content of a snapshot's file.
+///
+/// # Errors
+///
+/// If the snapshot is too long.
+pub(crate) fn encode_snapshot(snapshot: &[u8]) -> Result<Vec<u8>, WriteAheadLogError> {
+    let mut content = FileKind::Snapshot.encode_header();
+    content.extend(encode_frame(snapshot)?);
     Ok(content)
 }
 
-/// The payload of the whole frame at an offset, and the offset after it.
-pub(crate) fn frame_at(content: &[u8], offset: usize) -> Option<(&[u8], usize)> {
-    let marker = content.get(offset..offset.checked_add(FRAME_MARKER.len())?)?;
-    let length = number_at(content, offset + 4)?;
-    let expected = number_at(content, offset + 8)?;
-    let start = offset + FRAME_HEADER_LENGTH;
+/// A frame with a valid checksum.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Frame<'a> {
+    /// What was written.
+    pub(crate) payload: &'a [u8],
+    /// The offset after the frame in its file.
+    pub(crate) end: usize,
+}
+
+/// The frame at an offset; none if it is incomplete or its checksum is another one.
+pub(crate) fn decode_frame(content: &[u8], offset: usize) -> Option<Frame<'_>> {
+    let length_offset = offset.checked_add(FRAME_MARKER.len())?;
+    let marker = content.get(offset..length_offset)?;
+    let length = decode_number(content, length_offset)?;
+    let expected_checksum = decode_number(content, length_offset + NUMBER_BYTES)?;
+    let start = offset + FRAME_HEADER_BYTES;
     let end = start.checked_add(usize::try_from(length).ok()?)?;
     let payload = content.get(start..end)?;
-    let is_whole = marker == FRAME_MARKER && checksum(length, payload) == expected;
-    is_whole.then_some((payload, end))
+    let is_valid = marker == FRAME_MARKER && checksum(length, payload) == expected_checksum;
+    is_valid.then_some(Frame { payload, end })
 }
 
-/// Whether a whole frame starts anywhere after an offset.
+/// Whether a valid frame starts anywhere after an offset.
 pub(crate) fn has_frame_after(content: &[u8], offset: usize) -> bool {
     let starts = offset + 1..content.len();
     starts
         .into_iter()
         .filter(|start| content[*start..].starts_with(&FRAME_MARKER))
-        .any(|start| frame_at(content, start).is_some())
+        .any(|start| decode_frame(content, start).is_some())
 }
 
-/// The records of a frame; `None` if their lengths do not fit.
-pub(crate) fn records(payload: &[u8]) -> Option<Vec<Vec<u8>>> {
+/// The records in the payload of a frame; none if their lengths do not fit.
+pub(crate) fn decode_records(payload: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     let mut offset = 0;
     while offset < payload.len() {
-        let length = usize::try_from(number_at(payload, offset)?).ok()?;
-        let start = offset + 4;
+        let length = usize::try_from(decode_number(payload, offset)?).ok()?;
+        let start = offset + NUMBER_BYTES;
         offset = start.checked_add(length)?;
         records.push(payload.get(start..offset)?.to_vec());
     }
--- a/crates/write-ahead-log/src/recovery.rs
+++ b/crates/write-ahead-log/src/recovery.rs
@@ -1,188 +1,127 @@
-//! Reads what is in a directory when a log is opened.
+//! Recovery: what is read from a directory when a log is opened. It writes nothing.
 
-use super::Recovered;
-use super::directory::{Directory, DirectoryFile};
-use super::error::{self, WriteAheadLogError};
-use super::format::{self, HEADER_LENGTH, Kind};
+use super::directory::Directory;
+use super::error::{IoContext, Operation, WriteAheadLogError};
+use super::format::{FileKind, SegmentNumber};
+use super::segment::{self, SegmentStage};
+use super::snapshot::{self, SnapshotContent};
+
+/// What was read on open.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Recovered {
+    /// The newest snapshot.
+    pub snapshot: Option<Vec<u8>>,
+    /// The records after it, oldest first.
+    pub records: Vec<Vec<u8>>,
+}
 
 /// What a directory holds.
-pub(crate) struct Contents {
+#[derive(Debug)]
+pub(crate) struct DirectoryContent {
     /// Snapshot and records.
     pub(crate) recovered: Recovered,
-    /// The first segment after the snapshot, if there is one.
-    pub(crate) snapshot_number: Option<u64>,
+    /// The number of the snapshot, if there is one.
+    pub(crate) snapshot_number: Option<SegmentNumber>,
     /// The segment to append to.
-    pub(crate) segment: u64,
-    /// Up to where it is whole; `None` if it has to be made anew.
-    pub(crate) length: Option<u64>,
-}
-
-/// A segment's records and the length up to which it is whole.
-struct Segment {
-    records: Vec<Vec<u8>>,
-    length: u64,
+    pub(crate) active_segment: SegmentNumber,
+    /// The length in bytes up to which that segment is complete; none if it has to be created.
+    pub(crate) active_length: Option<u64>,
 }
 
 /// Reads the newest valid snapshot and the records after it.
-pub(crate) fn recover<D: Directory>(directory: &D) -> Result<Contents, WriteAheadLogError> {
-    let names = directory.list().map_err(|source| error::io("list", "the directory", source))?;
-    let segments = numbers(Kind::Segment, &names);
-    let snapshots = numbers(Kind::Snapshot, &names);
-    let mut refusal = None;
-    for number in snapshots.iter().rev() {
-        match read_snapshot(directory, *number) {
-            Ok(snapshot) => return read_segments(directory, &segments, Some((*number, snapshot))),
-            Err(error @ WriteAheadLogError::Damaged { .. }) if *number != snapshots[0] => {
-                log::warn!(error:% = error; "an older snapshot is tried");
-                refusal.get_or_insert(error);
-            }
-            Err(error) => return Err(refusal.unwrap_or(error)),
-        }
-    }
-    read_segments(directory, &segments, None)
-}
-
-/// Opens a segment for more records, without what was not whole at its end. What it holds is durable when this
-/// returns: the process that wrote it may have been killed before it had synced it.
-pub(crate) fn open_segment<D: Directory>(
-    directory: &D,
-    number: u64,
-    length: u64,
-) -> Result<D::File, WriteAheadLogError> {
-    let name = format::file_name(Kind::Segment, number);
-    let mut file = directory.open_file(&name).map_err(|source| error::io("open", &name, source))?;
-    let found = directory.length(&name).map_err(|source| error::io("measure", &name, source))?;
-    if found > length {
-        log::warn!(file = name.as_str(), length, found; "an interrupted write is cut off");
-        file.set_length(length).map_err(|source| error::io("cut", &name, source))?;
-    }
-    file.sync().map_err(|source| error::io("sync", &name, source))?;
-    Ok(file)
-}
-
-/// Makes the name of a snapshot durable: the process that wrote it may have been killed right after renaming it,
-/// and the segments before it must not be removed while that may still be lost.
-pub(crate) fn make_snapshot_durable<D: Directory>(
-    directory: &D,
-    number: u64,
-) -> Result<(), WriteAheadLogError> {
-    let name = format::file_name(Kind::Snapshot, number);
-    directory.sync().map_err(|source| error::io("sync the directory of", &name, source))
-}
-
-/// Removes segments and snapshots before a number, and unfinished files. What cannot be removed stays for
-/// the next time.
-pub(crate) fn remove_before<D: Directory>(directory: &D, first: u64) {
-    let names = directory.list().unwrap_or_default();
-    for name in names.iter().filter(|name| is_outdated(name, first)) {
-        if let Err(error) = directory.remove(name) {
-            log::warn!(file = name.as_str(), error:% = error; "an outdated file stays");
-        }
-    }
-    if let Err(error) = directory.sync() {
-        log::warn!(error:% = error; "removals may not last");
-    }
-}
-
-fn is_outdated(name: &str, first: u64) -> bool {
-    let is_unfinished = name.ends_with(".tmp") && format::is_own_name(name);
-    let number = format::number(Kind::Segment, name).or_else(|| format::number(Kind::Snapshot, name));
-    is_unfinished || number.is_some_and(|number| number < first)
+///
+/// A corrupt snapshot is passed over while an older one is there, and with it the segments that it needs.
+///
+/// # Errors
+///
+/// If a file can't be read, is not of this format, or is corrupt in a way that an interrupted write does not explain.
+pub(crate) fn recover<D: Directory>(directory: &D) -> Result<DirectoryContent, WriteAheadLogError> {
+    let names = directory.list().during(Operation::List, "the directory")?;
+    let segments = numbers_of(FileKind::Segment, &names);
+    let snapshot = read_newest_snapshot(directory, &numbers_of(FileKind::Snapshot, &names))?;
+    read_segments(directory, &segments, snapshot)
 }
 
-fn numbers(kind: Kind, names: &[String]) -> Vec<u64> {
-    let mut numbers: Vec<u64> = names.iter().filter_map(|name| format::number(kind, name)).collect();
+fn numbers_of(kind: FileKind, names: &[String]) -> Vec<SegmentNumber> {
+    let mut numbers: Vec<SegmentNumber> = names.iter().filter_map(|name| kind.number_in(name)).collect();
     numbers.sort_unstable();
     numbers
 }
 
-fn read<D: Directory>(directory: &D, name: &str) -> Result<Vec<u8>, WriteAheadLogError> {
-    directory.read(name).map_err(|source| error::io("read", name, source))
-}
-
-fn read_snapshot<D: Directory>(directory: &D, number: u64) -> Result<Vec<u8>, WriteAheadLogError> {
-    let name = format::file_name(Kind::Snapshot, number);
-    let content = read(directory, &name)?;
-    let has_header = format::check_header(Kind::Snapshot, &name, &content)?.is_some();
-    let whole = format::frame_at(&content, HEADER_LENGTH as usize);
-    match whole {
-        Some((payload, end)) if has_header && end == content.len() => Ok(payload.to_vec()),
-        _ => Err(WriteAheadLogError::Damaged { file: name, offset: HEADER_LENGTH }),
+/// Reads the newest valid snapshot; none if there is no snapshot. If none of several is valid, the error is that of
+/// the newest one.
+fn read_newest_snapshot<D: Directory>(
+    directory: &D,
+    numbers: &[SegmentNumber],
+) -> Result<Option<SnapshotContent>, WriteAheadLogError> {
+    let mut first_error = None;
+    for number in numbers.iter().rev() {
+        match snapshot::read_snapshot(directory, *number) {
+            Ok(snapshot) => return Ok(Some(snapshot)),
+            Err(error @ WriteAheadLogError::Corrupt { .. }) if *number != numbers[0] => {
+                log::warn!(error:% = error; "a corrupt snapshot is passed over for an older one");
+                first_error.get_or_insert(error);
+            }
+            Err(error) => return Err(first_error.unwrap_or(error)),
+        }
     }
+    Ok(None)
 }
 
 fn read_segments<D: Directory>(
     directory: &D,
-    segments: &[u64],
-    snapshot: Option<(u64, Vec<u8>)>,
-) -> Result<Contents, WriteAheadLogError> {
-    let snapshot_number = snapshot.as_ref().map(|(number, _)| *number);
-    let first = snapshot_number.unwrap_or(1);
-    let mut recovered = Recovered { snapshot: snapshot.map(|(_, bytes)| bytes), records: Vec::new() };
-    let numbers: Vec<u64> = segments.iter().copied().filter(|number| *number >= first).collect();
-    check_contiguous(&numbers, first, snapshot_number.is_some())?;
-    let used = count_used(directory, &numbers)?;
-    let mut segment = first;
-    let mut length = None;
-    for (index, number) in numbers[..used].iter().enumerate() {
-        let content = read_segment(directory, *number, index + 1 == used)?;
-        recovered.records.extend(content.records);
-        segment = *number;
-        length = Some(content.length);
+    segments: &[SegmentNumber],
+    snapshot: Option<SnapshotContent>,
+) -> Result<DirectoryContent, WriteAheadLogError> {
+    let snapshot_number = snapshot.as_ref().map(|snapshot| snapshot.number);
+    let first = snapshot_number.unwrap_or(SegmentNumber::FIRST);
+    let needed: Vec<SegmentNumber> = segments.iter().copied().filter(|number| *number >= first).collect();
+    check_contiguous(&needed, first)?;
+    if needed.is_empty() && snapshot.is_some() {
+        return Err(missing(first));
     }
-    Ok(Contents { recovered, snapshot_number, segment, length })
-}
-
-fn check_contiguous(numbers: &[u64], first: u64, must_exist: bool) -> Result<(), WriteAheadLogError> {
-    let is_missing = |(index, number): (usize, &u64)| *number != first + index as u64;
-    let gap = numbers.iter().enumerate().find(|(index, number)| is_missing((*index, number)));
-    let missing = match gap {
-        Some((index, _)) => Some(first + index as u64),
-        None => (numbers.is_empty() && must_exist).then_some(first),
+    let used = without_empty_tail(directory, &needed)?;
+    let mut content = DirectoryContent {
+        recovered: Recovered { snapshot: snapshot.map(|snapshot| snapshot.bytes), records: Vec::new() },
+        snapshot_number,
+        active_segment: first,
+        active_length: None,
     };
-    match missing {
-        Some(number) => Err(WriteAheadLogError::Missing { file: format::file_name(Kind::Segment, number) }),
-        None => Ok(()),
+    for number in used {
+        let is_last = Some(number) == used.last();
+        let stage = if is_last { SegmentStage::Active } else { SegmentStage::Closed };
+        let segment = segment::read_segment(directory, *number, stage)?;
+        content.recovered.records.extend(segment.records);
+        content.active_segment = *number;
+        content.active_length = Some(segment.length);
     }
+    Ok(content)
 }
 
-/// How many segments there are without those at the end that hold nothing yet.
-fn count_used<D: Directory>(directory: &D, numbers: &[u64]) -> Result<usize, WriteAheadLogError> {
-    let mut used = numbers.len();
-    while used > 0 {
-        let name = format::file_name(Kind::Segment, numbers[used - 1]);
-        let content_length =
-            directory.length(&name).map_err(|source| error::io("measure", &name, source))?;
-        if content_length > HEADER_LENGTH {
-            break;
+fn check_contiguous(numbers: &[SegmentNumber], first: SegmentNumber) -> Result<(), WriteAheadLogError> {
+    let mut expected = first;
+    for number in numbers {
+        if *number != expected {
+            return Err(missing(expected));
         }
-        format::check_header(Kind::Segment, &name, &read(directory, &name)?)?;
-        used -= 1;
+        expected = expected.next();
     }
-    Ok(used)
+    Ok(())
 }
 
-fn read_segment<D: Directory>(
+fn missing(segment: SegmentNumber) -> WriteAheadLogError {
+    WriteAheadLogError::Missing { file: FileKind::Segment.file_name(segment) }
+}
+
+/// The segments without those at the end that hold no record yet: a process may have ended while it created one.
+fn without_empty_tail<'a, D: Directory>(
     directory: &D,
-    number: u64,
-    is_last: bool,
-) -> Result<Segment, WriteAheadLogError> {
-    let name = format::file_name(Kind::Segment, number);
-    let content = read(directory, &name)?;
-    let damaged = |offset: usize| WriteAheadLogError::Damaged { file: name.clone(), offset: offset as u64 };
-    if format::check_header(Kind::Segment, &name, &content)?.is_none() {
-        return Err(damaged(content.len()));
-    }
-    let mut records = Vec::new();
-    let mut offset = HEADER_LENGTH as usize;
-    while offset < content.len() {
-        let Some((payload, end)) = format::frame_at(&content, offset) else { break };
-        records.extend(format::records(payload).ok_or_else(|| damaged(offset))?);
-        offset = end;
-    }
-    let is_interrupted = offset < content.len();
-    if is_interrupted && (!is_last || format::has_frame_after(&content, offset)) {
-        return Err(damaged(offset));
+    mut numbers: &'a [SegmentNumber],
+) -> Result<&'a [SegmentNumber], WriteAheadLogError> {
+    while let [before @ .., last] = numbers
+        && segment::is_segment_empty(directory, *last)?
+    {
+        numbers = before;
     }
-    Ok(Segment { records, length: offset as u64 })
+    Ok(numbers)
 }
