--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -167,7 +167,7 @@
                     self.check_disk();
                     self.input(Input::Persisted { ticket });
                 }
-                DiskEvent::Refused { .. } => {
+                DiskEvent::WriteFailed { .. } => {
                     self.disk_watch.borrow_mut().refused();
                     self.check_disk();
                 }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -24,7 +24,7 @@
 use crate::control_plane::OperatorView;
 use crate::delivery::Delivery;
 use crate::discovery::Discovery;
-use crate::disk::{Boot, DiskEvent, NoFolderSnafu, Opened};
+use crate::disk::{Boot, DiskEvent, NoFolderSnafu, OpenedDisk, StartedDisk};
 use crate::index::KeptIndex;
 use crate::links::Links;
 use crate::machine::{Machine, Progress};
@@ -126,9 +126,9 @@
             true => Boot::First { view: replication_settings(settings, first_node)?.first_view() },
             false => Boot::Later,
         };
-        let opened = Opened::open(folder, boot).context(DiskSnafu)?;
-        let fresh = opened.fresh;
-        let (disk, image) = opened.start(disk_sender).context(DiskSnafu)?;
+        let opened = OpenedDisk::open(folder, boot).context(DiskSnafu)?;
+        let fresh = opened.is_fresh;
+        let StartedDisk { disk, image } = opened.start(disk_sender).context(DiskSnafu)?;
         let node = NodeId::new(settings.ip_address, image.generation);
         log::info!(member:% = node, fresh = fresh; "the disk is open");
         let replication = replication_settings(settings, node)?;
--- a/crates/control-plane/src/state_log.rs
+++ b/crates/control-plane/src/state_log.rs
@@ -1,11 +1,11 @@
-//! The member's state as a log on disk: a record for each change, and the whole state in their place when they have
-//! become many.
+//! A member's durable state in a write-ahead log: a record for each change, compacted into a snapshot of the complete
+//! state when the records have become many.
 //!
-//! On disk are at most [`LOG_BYTES`] of records and what was appended at once after them, and two times the state with
-//! the entries that are not in its snapshot yet: the snapshot before and the one that is being written. While
-//! snapshots are refused by a full disk, records go on until they are refused too, which is less than one snapshot
-//! later; each append tries again, also one that is refused, since a snapshot may still find room where a long record
-//! does not.
+//! On disk are at most [`COMPACT_AFTER_RECORD_BYTES`] of records and what was appended at once after them, and two
+//! times the state with the entries that are not in its snapshot yet: the snapshot before and the one that is being
+//! written. While a full disk refuses snapshots, records are appended until they are refused too, which is less than
+//! one snapshot later. Each append is followed by another attempt at a snapshot, also one that was refused, since there
+//! may still be space for a snapshot where there is none for a long record.
 
 use std::mem;
 
@@ -18,8 +18,8 @@
 
 use crate::replication::{DurableRecord, DurableState};
 
-/// Bytes of records after which the whole state takes their place.
-pub const LOG_BYTES: usize = 4 << 20;
+/// Bytes of records after which they are compacted into a snapshot.
+pub const COMPACT_AFTER_RECORD_BYTES: usize = 4 << 20;
 
 /// Why a log can't be opened.
 #[derive(Debug, Snafu)]
@@ -27,38 +27,38 @@
     /// It can't be read or written.
     #[snafu(display("{source}"))]
     Unusable {
-        /// What is wrong.
+        /// The error of the write-ahead log.
         source: WriteAheadLogError,
     },
     /// It was not written by this program.
     #[snafu(display("{source}"))]
     Foreign {
-        /// What is wrong.
+        /// Why a record or the snapshot can't be decoded.
         source: FrameError,
     },
 }
 
-/// A line of the log.
+/// A record of the log. Stored: the order of variants is part of the format.
 #[derive(Debug, Encode, Decode)]
-enum DiskRecord {
-    /// The first line: which disk this is.
+enum LogRecord {
+    /// The first record: the generation of the disk.
     Generation(u64),
     /// A change of the member's state.
     Change(DurableRecord),
 }
 
-/// All that is on the disk.
+/// All that is on a member's disk. Stored as a snapshot: the order of fields is part of the format.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct DiskImage {
-    /// Which disk this is; 0 if it was formatted at the first start of the whole system.
+    /// Tells disks of one machine apart; 0 if it was formatted at the first start of the whole system.
     pub generation: u64,
     /// The member's state.
     pub state: DurableState,
 }
 
 impl DiskImage {
-    /// What was read back; none if nothing was.
-    fn recover(recovered: &Recovered) -> Result<Option<DiskImage>, FrameError> {
+    /// Replays the recovered records on the snapshot; none if there is neither.
+    fn replay(recovered: &Recovered) -> Result<Option<DiskImage>, FrameError> {
         if recovered.snapshot.is_none() && recovered.records.is_empty() {
             return Ok(None);
         }
@@ -68,62 +68,66 @@
         };
         for record in &recovered.records {
             match frame::decode(record)? {
-                DiskRecord::Generation(generation) => image.generation = generation,
-                DiskRecord::Change(change) => image.state.apply(&change),
+                LogRecord::Generation(generation) => image.generation = generation,
+                LogRecord::Change(change) => image.state.apply(&change),
             }
         }
         Ok(Some(image))
     }
 }
 
-/// What became of a snapshot.
+/// The outcome of a compaction.
 #[derive(Debug)]
 pub enum Compaction {
     /// None was due.
     NotDue,
-    /// It took the place of the records.
+    /// A snapshot has replaced the records.
     Done,
-    /// It was refused. The records stay, so nothing is lost; the next call tries again.
-    Refused {
+    /// The snapshot could not be written. The records stay, so nothing is lost; the next call retries.
+    Failed {
         /// Why.
         error: WriteAheadLogError,
-        /// The one before was refused too.
-        again: bool,
+        /// Whether the attempt before has failed too.
+        is_repeated: bool,
     },
 }
 
-/// The log and what is in it.
+/// The log and the state that its records give.
 #[derive(Debug)]
 pub struct StateLog<D: Directory = FileSystemDirectory> {
     write_ahead_log: WriteAheadLog<D>,
     image: DiskImage,
     is_fresh: bool,
-    /// Bytes of the records since the snapshot.
+    /// Bytes of the records after the snapshot.
     record_bytes: usize,
-    refuses_compaction: bool,
+    has_compaction_failed: bool,
 }
 
 impl<D: Directory> StateLog<D> {
-    /// Reads what is in the directory.
+    /// Opens the log in a directory and recovers the state.
+    ///
+    /// # Errors
+    ///
+    /// If the log can't be opened, or a record was not written by this program.
     pub fn open_in(directory: D) -> Result<StateLog<D>, OpenError> {
         let OpenedLog { log: write_ahead_log, recovered } =
             WriteAheadLog::open_in(directory).context(UnusableSnafu)?;
-        let found = DiskImage::recover(&recovered).context(ForeignSnafu)?;
+        let found = DiskImage::replay(&recovered).context(ForeignSnafu)?;
         Ok(StateLog {
             write_ahead_log,
             is_fresh: found.is_none(),
             image: found.unwrap_or_default(),
             record_bytes: recovered.records.iter().map(Vec::len).sum(),
-            refuses_compaction: false,
+            has_compaction_failed: false,
         })
     }
 
-    /// Whether there was nothing in it before, and it still has no generation.
+    /// Whether the log is empty and [`StateLog::format`] is yet to be called.
     pub fn is_fresh(&self) -> bool {
         self.is_fresh
     }
 
-    /// What is on the disk.
+    /// The state that is on the disk.
     pub fn image(&self) -> &DiskImage {
         &self.image
     }
@@ -133,18 +137,26 @@
         self.write_ahead_log.bytes_used()
     }
 
-    /// Makes the disk a member's, with its first changes, in one write.
+    /// Gives an empty disk its generation and its first changes, in one write that is durable on return.
+    ///
+    /// # Errors
+    ///
+    /// If the write fails; the disk is as empty as before then, or found formatted on the next open.
     pub fn format(&mut self, generation: u64, changes: &[DurableRecord]) -> Result<(), WriteAheadLogError> {
-        let mut encoded = vec![encode(&DiskRecord::Generation(generation))];
+        let mut encoded = vec![encode(&LogRecord::Generation(generation))];
         encoded.extend(changes.iter().map(encode_change));
         self.append_encoded(&encoded)?;
         self.image.generation = generation;
-        self.is_fresh = false;
         changes.iter().for_each(|change| self.image.state.apply(change));
+        self.is_fresh = false;
         Ok(())
     }
 
-    /// Writes changes under one sync. After an error none of them counts.
+    /// Appends changes under one sync; they are durable on return.
+    ///
+    /// # Errors
+    ///
+    /// If the write fails. None of the changes counts then, and the call may be repeated.
     pub fn append(&mut self, changes: &[&DurableRecord]) -> Result<(), WriteAheadLogError> {
         let encoded: Vec<Vec<u8>> = changes.iter().map(|change| encode_change(change)).collect();
         self.append_encoded(&encoded)?;
@@ -159,16 +171,16 @@
         Ok(())
     }
 
-    /// Puts the whole state in the place of the records if they are many.
+    /// Replaces the records by a snapshot if they are longer than [`COMPACT_AFTER_RECORD_BYTES`].
     pub fn compact_if_due(&mut self) -> Compaction {
-        if self.record_bytes <= LOG_BYTES {
+        if self.record_bytes <= COMPACT_AFTER_RECORD_BYTES {
             return Compaction::NotDue;
         }
         self.compact(&encode(&self.image))
     }
 
-    /// After a refused append: puts the whole state in the place of the records if that gives room.
-    pub fn compact_for_room(&mut self) -> Compaction {
+    /// After a failed append: replaces the records by a snapshot if that takes fewer bytes.
+    pub fn compact_to_free_space(&mut self) -> Compaction {
         let state = encode(&self.image);
         if self.record_bytes <= state.len() {
             return Compaction::NotDue;
@@ -178,19 +190,19 @@
 
     fn compact(&mut self, state: &[u8]) -> Compaction {
         let outcome = self.write_ahead_log.snapshot(state);
-        let again = mem::replace(&mut self.refuses_compaction, outcome.is_err());
+        let is_repeated = mem::replace(&mut self.has_compaction_failed, outcome.is_err());
         match outcome {
             Ok(()) => {
                 self.record_bytes = 0;
                 Compaction::Done
             }
-            Err(error) => Compaction::Refused { error, again },
+            Err(error) => Compaction::Failed { error, is_repeated },
         }
     }
 }
 
 fn encode_change(change: &DurableRecord) -> Vec<u8> {
-    encode(&DiskRecord::Change(change.clone()))
+    encode(&LogRecord::Change(change.clone()))
 }
 
 fn encode<T: Encode<musli::mode::Binary>>(value: &T) -> Vec<u8> {
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -1,11 +1,11 @@
-//! What a member finds on its disk after a restart.
+//! Recovery of a member's disk after a restart.
 
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use rstest::rstest;
-use tulipridge_control_plane::disk::{Boot, DiskError, DiskEvent, Opened};
+use tulipridge_control_plane::disk::{Boot, DiskError, DiskEvent, OpenedDisk};
 use tulipridge_control_plane::replication::DurableRecord;
 use tulipridge_control_plane::state_log::DiskImage;
 use tulipridge_protocol::node::NodeId;
@@ -21,21 +21,22 @@
         Folder(std::env::temp_dir().join(format!("member-disk-{}-{number}", std::process::id())))
     }
 
-    fn open(&self, boot: Boot) -> Opened {
-        Opened::open(&self.0, boot).expect("the folder can be used")
+    fn open(&self, boot: Boot) -> OpenedDisk {
+        OpenedDisk::open(&self.0, boot).expect("the folder can be used")
     }
 
     /// Writes batches of records as one process would.
     fn write(&self, batches: &[Vec<DurableRecord>]) {
         let (sender, events) = async_channel::unbounded();
-        let (disk, _) = self.open(Boot::First { view: None }).start(sender).expect("the thread starts");
+        let opened = self.open(Boot::First { view: None });
+        let disk = opened.start(sender).expect("the thread starts").disk;
         for (index, records) in batches.iter().enumerate() {
             disk.persist(index as u64 + 1, records.clone());
         }
         let last = batches.len() as u64;
         while !matches!(events.recv_blocking(), Ok(DiskEvent::Persisted { ticket }) if ticket == last) {}
         drop(disk);
-        // The thread has let go of the folder once its channel closes.
+        // The thread has closed its files once its channel closes.
         while events.recv_blocking().is_ok() {}
     }
 }
@@ -59,12 +60,12 @@
 fn a_disk_of_the_first_start_has_generation_0() {
     let folder = Folder::new();
     let opened = folder.open(Boot::First { view: None });
-    assert!(opened.fresh);
+    assert!(opened.is_fresh);
     assert_eq!(opened.image, DiskImage::default());
 }
 
 #[test]
-fn the_first_view_is_on_disk_with_the_generation() {
+fn the_first_view_is_durable_with_the_generation() {
     let folder = Folder::new();
     let opened = folder.open(Boot::First { view: Some(view(0)) });
     assert_eq!(opened.image.state.view, Some(view(0)));
@@ -80,14 +81,14 @@
     let generation = folder.open(Boot::Later).image.generation;
     assert_ne!(generation, 0);
     let again = folder.open(Boot::First { view: None });
-    assert!(!again.fresh);
+    assert!(!again.is_fresh);
     assert_eq!(again.image.generation, generation);
 }
 
 #[rstest]
 #[case::short(100)]
 #[case::longer_than_the_log(3 << 20)]
-fn what_was_persisted_is_found_again(#[case] bytes: usize) {
+fn what_was_persisted_is_recovered(#[case] bytes: usize) {
     let folder = Folder::new();
     let batches = vec![
         vec![DurableRecord::Promised(9), DurableRecord::View(view(9)), DurableRecord::DataEpoch(9)],
@@ -102,10 +103,10 @@
 }
 
 #[test]
-fn a_folder_that_can_not_be_used_is_named() {
+fn an_unusable_folder_is_named_in_the_error() {
     let folder = Folder::new();
     std::fs::write(&folder.0, "a file").expect("the folder's place is free");
-    let error = Opened::open(&folder.0, Boot::First { view: None }).err().expect("a file is no folder");
+    let error = OpenedDisk::open(&folder.0, Boot::First { view: None }).err().expect("a file is no folder");
     assert!(matches!(error, DiskError::WriteAheadLog { .. }));
     assert!(error.to_string().starts_with(&folder.0.display().to_string()), "{error}");
     std::fs::remove_file(&folder.0).expect("the file is there");
--- a/crates/control-plane/tests/disk_log.rs
+++ b/crates/control-plane/tests/disk_log.rs
@@ -1,4 +1,4 @@
-//! What the log is told of a disk that refuses writes. The log is one for the whole process, so this test has a
+//! Log messages about a disk that refuses writes. The logger is one for the whole process, so this test has a
 //! program of its own.
 
 use std::path::PathBuf;
@@ -6,21 +6,21 @@
 
 use async_channel::Receiver;
 use log::{LevelFilter, Log, Metadata, Record};
-use tulipridge_control_plane::disk::{Boot, Disk, DiskEvent, Opened};
+use tulipridge_control_plane::disk::{Boot, Disk, DiskEvent, OpenedDisk};
 use tulipridge_control_plane::replication::DurableRecord;
 use tulipridge_protocol::replication::Entry;
 
-/// More than the log holds before the whole state takes its place, and more than a file of it.
+/// Longer than the records after which the log is compacted, and than a segment of it.
 const LONG_ENTRY: usize = 5 << 20;
-/// Refused writes of which the log is to be told once.
+/// Refused writes that are to be logged once.
 const REFUSALS: usize = 3;
 
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-/// Keeps the messages of all lines.
-struct Keep;
+/// Collects the messages of all log lines.
+struct CollectingLogger;
 
-impl Log for Keep {
+impl Log for CollectingLogger {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -43,21 +43,21 @@
 }
 
 #[test]
-fn a_refusing_disk_is_told_of_once() {
-    log::set_logger(&Keep).expect("there is no other logger");
+fn a_refusing_disk_is_logged_once() {
+    log::set_logger(&CollectingLogger).expect("there is no other logger");
     log::set_max_level(LevelFilter::Info);
     let folder: PathBuf = std::env::temp_dir().join(format!("member-disk-log-{}", std::process::id()));
-    let opened = Opened::open(&folder, Boot::First { view: None }).expect("the folder can be used");
+    let opened = OpenedDisk::open(&folder, Boot::First { view: None }).expect("the folder can be used");
     let (sender, events) = async_channel::unbounded();
-    let (disk, _) = opened.start(sender).expect("the thread starts");
+    let disk = opened.start(sender).expect("the thread starts").disk;
 
-    // Without the folder no new file can be made, and the one that is open is full after the first entry.
+    // Without the folder no new file can be created, and the one that is open is full after the first entry.
     std::fs::remove_dir_all(&folder).expect("the folder is there");
     persist(&disk, 1, LONG_ENTRY);
     wait_for(&events, 1);
     persist(&disk, 2, 1);
     for _ in 0..REFUSALS {
-        assert!(matches!(events.recv_blocking(), Ok(DiskEvent::Refused { .. })));
+        assert!(matches!(events.recv_blocking(), Ok(DiskEvent::WriteFailed { .. })));
     }
     std::fs::create_dir(&folder).expect("the folder's place is free");
     wait_for(&events, 2);
--- a/crates/control-plane/tests/rated_cluster/mod.rs
+++ b/crates/control-plane/tests/rated_cluster/mod.rs
@@ -13,7 +13,7 @@
 use tulipridge_control_plane::replication::{
     DurableRecord, DurableState, FailureReason, Input, Output, Replication, ReplicationSettings, Role,
 };
-use tulipridge_control_plane::state_log::LOG_BYTES;
+use tulipridge_control_plane::state_log::COMPACT_AFTER_RECORD_BYTES;
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::replication::{Envelope, ReplicationMessage};
 
@@ -97,7 +97,7 @@
 impl Member {
     /// As the thread of the disk does: the whole state takes the place of the records.
     fn compact_log_if_due(&mut self, now: Duration) {
-        if self.log_bytes <= LOG_BYTES as u64 {
+        if self.log_bytes <= COMPACT_AFTER_RECORD_BYTES as u64 {
             return;
         }
         let entries = self.disk.entries.iter().map(|entry| entry.command.len() as u64);
--- a/crates/control-plane/tests/state_log.rs
+++ b/crates/control-plane/tests/state_log.rs
@@ -1,4 +1,4 @@
-//! The log of a member that gets hundreds of long changes stays short, also after its disk was full for a while.
+//! Compaction of a member's log: it stays short under hundreds of long changes, also after its disk was full for a while.
 
 #[path = "../../write-ahead-log/tests/support/mod.rs"]
 mod memory_directory;
@@ -8,7 +8,7 @@
 use memory_directory::MemoryDirectory;
 use rstest::rstest;
 use tulipridge_control_plane::replication::DurableRecord;
-use tulipridge_control_plane::state_log::{Compaction, LOG_BYTES, StateLog};
+use tulipridge_control_plane::state_log::{COMPACT_AFTER_RECORD_BYTES, Compaction, StateLog};
 use tulipridge_protocol::replication::Entry;
 use tulipridge_write_ahead_log::WriteAheadLogError;
 
@@ -16,7 +16,7 @@
 const CHANGE_BYTES: usize = 1_300_000;
 /// What a member's log may take on disk: 4 MiB of records, the last change with its snapshot, and two times the
 /// state, which is a snapshot and an entry.
-const LOG_BOUND: u64 = (LOG_BYTES + 6 * CHANGE_BYTES) as u64 + MARGIN;
+const LOG_BOUND: u64 = (COMPACT_AFTER_RECORD_BYTES + 6 * CHANGE_BYTES) as u64 + MARGIN;
 /// Bytes beside the changes and the state.
 const MARGIN: u64 = 10_000;
 
@@ -55,7 +55,7 @@
     }
 
     /// What is found after a restart.
-    fn assert_is_found_again(&self) {
+    fn assert_is_recovered(&self) {
         let found = StateLog::open_in(MemoryDirectory::with(self.directory.synced_files()));
         assert_eq!(found.expect("what was written").image(), self.log.image());
         assert_eq!(self.log.image().state.data.sequence, self.sequence);
@@ -67,18 +67,18 @@
     let mut member = Member::behind(lag);
     for _ in 0..300 {
         member.change().expect("there is room");
-        assert!(!matches!(member.log.compact_if_due(), Compaction::Refused { .. }));
+        assert!(!matches!(member.log.compact_if_due(), Compaction::Failed { .. }));
         assert_eq!(member.log.bytes_used(), member.directory.bytes());
     }
     println!("300 changes, {lag} behind: at most {} bytes", member.directory.most_bytes());
     assert!(member.directory.most_bytes() < LOG_BOUND + 2 * lag * CHANGE_BYTES as u64);
-    member.assert_is_found_again();
+    member.assert_is_recovered();
 }
 
 /// Something else fills the disk while there is no room for a snapshot, or none for a record either; changes go on
 /// until they are refused, and both go on once there is room again.
 #[rstest]
-fn a_full_disk_makes_the_log_no_longer_than_a_snapshot(
+fn a_full_disk_lets_the_log_grow_by_no_more_than_a_snapshot(
     #[values(0, 100, 1_000_000, 1_400_000, 2_700_000, 3_900_000)] room: u64,
 ) {
     let mut member = Member::new();
@@ -92,14 +92,14 @@
         for _ in 0..10 {
             let is_refused = member.change().is_err();
             refused_changes += u32::from(is_refused);
-            if !is_refused && matches!(member.log.compact_if_due(), Compaction::Refused { .. }) {
+            if !is_refused && matches!(member.log.compact_if_due(), Compaction::Failed { .. }) {
                 refused_snapshots += 1;
             }
-            member.assert_is_found_again();
+            member.assert_is_recovered();
         }
         member.directory.set_capacity(None);
         member.change().expect("there is room again");
-        assert!(!matches!(member.log.compact_if_due(), Compaction::Refused { .. }));
+        assert!(!matches!(member.log.compact_if_due(), Compaction::Failed { .. }));
     }
     println!(
         "room for {room}: {refused_changes} changes and {refused_snapshots} snapshots refused, at most {} bytes",
@@ -107,7 +107,7 @@
     );
     assert!(refused_changes > 0, "the disk was full");
     assert!(member.directory.most_bytes() < LOG_BOUND + room);
-    member.assert_is_found_again();
+    member.assert_is_recovered();
 }
 
 /// A disk of its own on which the log has all the room is never too small for it.
@@ -117,45 +117,45 @@
     member.directory.set_capacity(Some(LOG_BOUND));
     for _ in 0..100 {
         member.change().expect("there is room");
-        assert!(!matches!(member.log.compact_if_due(), Compaction::Refused { .. }));
+        assert!(!matches!(member.log.compact_if_due(), Compaction::Failed { .. }));
     }
 }
 
 /// A disk with room for a change beside the log or for a snapshot, but not for both.
 #[test]
-fn a_refused_change_finds_room_after_a_snapshot() {
+fn a_refused_change_succeeds_after_a_compaction() {
     let mut member = Member::new();
     member.change().expect("there is room");
-    member.log.compact_for_room();
+    member.log.compact_to_free_space();
     member.directory.set_capacity(Some(4 * CHANGE_BYTES as u64 + MARGIN));
     let mut refused = 0;
     for _ in 0..100 {
         if member.change().is_err() {
             refused += 1;
-            assert!(matches!(member.log.compact_for_room(), Compaction::Done));
-            member.assert_is_found_again();
+            assert!(matches!(member.log.compact_to_free_space(), Compaction::Done));
+            member.assert_is_recovered();
             member.change().expect("there is room now");
         }
         member.log.compact_if_due();
     }
     println!("{refused} of 100 changes were refused first");
     assert!(refused > 0);
-    member.assert_is_found_again();
+    member.assert_is_recovered();
 }
 
 /// A snapshot that takes as much as the records gives no room.
 #[test]
-fn no_snapshot_is_made_that_gives_no_room() {
+fn no_compaction_is_done_that_frees_no_space() {
     let mut member = Member::new();
-    assert!(matches!(member.log.compact_for_room(), Compaction::NotDue));
+    assert!(matches!(member.log.compact_to_free_space(), Compaction::NotDue));
     member.change().expect("there is room");
-    assert!(matches!(member.log.compact_for_room(), Compaction::Done));
-    assert!(matches!(member.log.compact_for_room(), Compaction::NotDue));
+    assert!(matches!(member.log.compact_to_free_space(), Compaction::Done));
+    assert!(matches!(member.log.compact_to_free_space(), Compaction::NotDue));
 }
 
 /// Snapshots can't be written for long: the log grows by each change, and is short again after.
 #[test]
-fn a_refused_snapshot_is_made_up_for() {
+fn an_overdue_compaction_shortens_the_log() {
     let mut member = Member::new();
     for _ in 0..100 {
         member.change().expect("there is room");
@@ -163,5 +163,5 @@
     assert!(member.directory.bytes() > 200 * CHANGE_BYTES as u64, "nothing was compacted");
     assert!(matches!(member.log.compact_if_due(), Compaction::Done));
     assert!(member.directory.bytes() < 2 * CHANGE_BYTES as u64);
-    member.assert_is_found_again();
+    member.assert_is_recovered();
 }
