--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -1,4 +1,4 @@
-//! Follows one source: a long call for its events at a time.
+//! Follows one source by long polling for its cache events.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -9,46 +9,46 @@
 use snafu::{ResultExt, Snafu};
 use tulipridge_http1::Http1Limits;
 use tulipridge_prefix_cache_index::{
-    CacheListing, CacheUpdate, Cursor, EventPage, Liveness, PollOutcome, SourceStatus, follow, listed,
+    CacheListing, CacheUpdate, Cursor, EventPage, Liveness, PollOutcome, SourceStatus,
 };
 use tulipridge_runtime::clock;
 
-use super::answer::{AnswerError, read_events, read_list};
-use super::outbox::Outbox;
+use super::outbox::{Outbox, Urgency};
+use super::response::{ResponseError, parse_event_page, parse_listing};
 use crate::http_client::{Answer, Call, CallError, HttpClient};
 
-/// Time for which a source holds a call while it has nothing to tell.
-const LONGEST_WAIT: &str = "1000";
-/// A source that is not known to be alive answers at once.
-const NO_WAIT: &str = "0";
-/// Time for an answer to come whole.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time for a connection to come up.
+/// Milliseconds for which a source may delay its response while it has no events.
+const LONG_POLL_WAIT_MS: &str = "1000";
+/// A source that is not known to be alive is to respond at once.
+const NO_WAIT_MS: &str = "0";
+/// Time for a complete response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time from the start of a call of a replica to the start of the next.
+/// Time from the start of one poll of a replica to the start of the next.
 const REPLICA_INTERVAL: Duration = Duration::from_millis(400);
-/// The same at a store, which all gateways look to.
+/// The same for a store, from which all gateways fetch.
 const STORE_INTERVAL: Duration = Duration::from_millis(300);
-/// Pause after a failure.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
-/// Pause after a refusal for too many calls.
-const REFUSAL_PAUSE: Duration = Duration::from_secs(1);
-/// Longest answer that is read.
-const ANSWER_BYTES: usize = 16 << 20;
-/// A source's status for more calls than it accepts.
-const TOO_MANY_CALLS: u16 = 429;
-
-/// What kind of source is followed.
+/// Delay after a failure.
+const FAILURE_DELAY: Duration = Duration::from_millis(500);
+/// Backoff after a response that the rate limit is exceeded.
+const RATE_LIMIT_BACKOFF: Duration = Duration::from_secs(1);
+/// Longest response that is read.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// HTTP status of a source whose rate limit is exceeded.
+const TOO_MANY_REQUESTS: u16 = 429;
+
+/// The kind of a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceKind {
-    /// A store, whose list is worth its price after a gap.
+    /// A store: after a gap it is resynced from a full listing.
     Store,
-    /// A replica, whose work a list would hold up.
+    /// A replica: a full listing would delay its requests, so after a gap it is not resynced.
     Replica,
 }
 
 impl SourceKind {
-    fn interval(self) -> Duration {
+    fn poll_interval(self) -> Duration {
         match self {
             SourceKind::Store => STORE_INTERVAL,
             SourceKind::Replica => REPLICA_INTERVAL,
@@ -56,17 +56,18 @@
     }
 }
 
+/// Why a poll of a source failed.
 #[derive(Debug, Snafu)]
-enum FollowError {
+enum PollError {
     #[snafu(display("{source}"))]
     Call { source: CallError },
     #[snafu(display("{source}"))]
-    Parse { source: AnswerError },
+    Parse { source: ResponseError },
     #[snafu(display("the source answers with status {status}"))]
     Status { status: u16 },
 }
 
-/// Follows one source.
+/// Follows one source and queues the changes of its cache for delivery.
 pub struct Follower {
     source: SocketAddrV4,
     kind: SourceKind,
@@ -77,7 +78,7 @@
 }
 
 impl Follower {
-    /// Follows a source on from what is known of it.
+    /// Follows a source from its last known status; without one it is listed first.
     pub fn new(
         source: SocketAddrV4,
         kind: SourceKind,
@@ -85,7 +86,7 @@
         outbox: Rc<Outbox>,
     ) -> Follower {
         let limits = Http1Limits {
-            body_bytes: ANSWER_BYTES,
+            body_bytes: MAX_RESPONSE_BYTES,
             connect_timeout: CONNECT_TIMEOUT,
             ..Http1Limits::default()
         };
@@ -99,119 +100,126 @@
         }
     }
 
-    /// Follows it for ever.
+    /// Polls the source; does not return.
     pub async fn run(mut self) {
         loop {
             let began = clock::now();
-            let next = match self.round().await {
-                Ok(()) => began + self.kind.interval(),
-                Err(FollowError::Status { status: TOO_MANY_CALLS }) => clock::now() + REFUSAL_PAUSE,
+            let next = match self.poll().await {
+                Ok(()) => began + self.kind.poll_interval(),
+                Err(PollError::Status { status: TOO_MANY_REQUESTS }) => clock::now() + RATE_LIMIT_BACKOFF,
                 Err(error) => {
-                    self.failed(&error);
-                    clock::now() + FAILURE_PAUSE
+                    self.record_failure(&error);
+                    clock::now() + FAILURE_DELAY
                 }
             };
             Timer::after(next.saturating_sub(clock::now())).await;
         }
     }
 
-    async fn round(&mut self) -> Result<(), FollowError> {
-        // Nothing is known of it, as after a loss of power everywhere: its list is worth the price, once.
+    async fn poll(&mut self) -> Result<(), PollError> {
+        // Without a cursor, as after a loss of power at all members, a full listing is worth its cost, once.
         if self.cursor.is_none() {
-            let listing = self.list().await?;
-            self.take(listed(self.source, listing));
-            return Ok(());
+            return self.resync().await;
         }
-        let page = self.events().await?;
-        match follow(self.source, self.cursor, &page) {
-            PollOutcome::Nothing => {}
-            PollOutcome::Update(update) => self.take(update),
-            PollOutcome::Restarted(update) => {
-                self.take(update);
-                let page = self.events().await?;
-                if let PollOutcome::Update(update) | PollOutcome::Gap(update) =
-                    follow(self.source, self.cursor, &page)
-                {
-                    self.take(update);
-                }
-            }
-            PollOutcome::Gap(update) => match self.kind {
-                SourceKind::Replica => self.take(update),
-                SourceKind::Store => {
-                    let listing = self.list().await?;
-                    self.take(listed(self.source, listing));
-                }
-            },
+        match self.poll_events().await? {
+            PollOutcome::Unchanged => {}
+            PollOutcome::Update(update) => self.deliver(update),
+            PollOutcome::Restarted(update) => self.restart(update).await?,
+            PollOutcome::Gap(update) => self.close_gap(update).await?,
         }
-        self.answered();
+        self.record_success();
+        Ok(())
+    }
+
+    /// Requests a page of events at the cursor.
+    async fn poll_events(&mut self) -> Result<PollOutcome, PollError> {
+        let page = self.request_events().await?;
+        Ok(PollOutcome::of_page(self.source, self.cursor, &page))
+    }
+
+    /// Replaces all entries of the source by a full listing.
+    async fn resync(&mut self) -> Result<(), PollError> {
+        let listing = self.request_listing().await?;
+        self.deliver(CacheUpdate::resync(self.source, listing));
         Ok(())
     }
 
-    /// Delivers an update and goes on from it.
-    fn take(&mut self, update: CacheUpdate) {
-        self.cursor = Some(Cursor { boot: update.boot, next_token: update.next_token });
+    /// Voids the entries of a source that has restarted, and reads its events from the first one.
+    async fn restart(&mut self, void: CacheUpdate) -> Result<(), PollError> {
+        self.deliver(void);
+        let outcome = self.poll_events().await?;
+        if let PollOutcome::Update(update) | PollOutcome::Gap(update) = outcome {
+            self.deliver(update);
+        }
+        Ok(())
+    }
+
+    /// Continues after lost events: a store from a full listing, a replica from the page alone.
+    async fn close_gap(&mut self, update: CacheUpdate) -> Result<(), PollError> {
+        match self.kind {
+            SourceKind::Store => self.resync().await,
+            SourceKind::Replica => {
+                self.deliver(update);
+                Ok(())
+            }
+        }
+    }
+
+    /// Queues an update of a source that is alive, and advances the cursor to it.
+    fn deliver(&mut self, update: CacheUpdate) {
+        self.cursor = Some(update.cursor());
         let comes_back = self.liveness.replace(Liveness::Alive) != Some(Liveness::Alive);
         if comes_back {
             log::info!(source:% = self.source; "a source of KV cache answers");
         }
-        self.outbox.push(update, comes_back);
+        let urgency = if comes_back { Urgency::Immediate } else { Urgency::Batched };
+        self.outbox.push(update, urgency);
     }
 
-    /// The source answers, even where it has nothing to tell.
-    fn answered(&mut self) {
+    /// Delivers that the source is alive, where a page without events has not.
+    fn record_success(&mut self) {
         if let Some(cursor) = self.cursor.filter(|_| self.liveness != Some(Liveness::Alive)) {
-            self.take(self.status_update(cursor, Liveness::Alive));
+            self.deliver(CacheUpdate::status(self.source, cursor, Liveness::Alive));
         }
     }
 
-    fn failed(&mut self, error: &FollowError) {
-        let is_news = self.liveness.replace(Liveness::Down) != Some(Liveness::Down);
-        if !is_news {
+    fn record_failure(&mut self, error: &PollError) {
+        let was_down = self.liveness.replace(Liveness::Down) == Some(Liveness::Down);
+        if was_down {
             return;
         }
         log::warn!(source:% = self.source, error:% = error; "a source of KV cache does not answer");
         if let Some(cursor) = self.cursor {
-            self.outbox.push(self.status_update(cursor, Liveness::Down), true);
-        }
-    }
-
-    fn status_update(&self, cursor: Cursor, liveness: Liveness) -> CacheUpdate {
-        CacheUpdate {
-            source: self.source,
-            boot: cursor.boot,
-            next_token: cursor.next_token,
-            liveness,
-            replace: false,
-            added: Vec::new(),
-            removed: Vec::new(),
+            self.outbox.push(CacheUpdate::status(self.source, cursor, Liveness::Down), Urgency::Immediate);
         }
     }
 
-    async fn events(&mut self) -> Result<EventPage, FollowError> {
+    async fn request_events(&mut self) -> Result<EventPage, PollError> {
         let token = self.cursor.map_or(0, |cursor| cursor.next_token);
         let target = format!("/kv-events?startedAt={token}");
-        let wait = if self.liveness == Some(Liveness::Alive) { LONGEST_WAIT } else { NO_WAIT };
+        let wait = if self.liveness == Some(Liveness::Alive) { LONG_POLL_WAIT_MS } else { NO_WAIT_MS };
         let headers = [("Wait-Ms", wait)];
-        let answer = self.call(Call { headers: &headers, ..Call::get(&target) }).await?;
-        read_events(&answer.body).context(ParseSnafu)
+        let response = self.call(Call { headers: &headers, ..Call::get(&target) }).await?;
+        parse_event_page(&response.body).context(ParseSnafu)
     }
 
-    async fn list(&mut self) -> Result<CacheListing, FollowError> {
-        let answer = self.call(Call::get("/kv-list")).await?;
-        read_list(&answer.body).context(ParseSnafu)
+    async fn request_listing(&mut self) -> Result<CacheListing, PollError> {
+        let response = self.call(Call::get("/kv-list")).await?;
+        parse_listing(&response.body).context(ParseSnafu)
     }
 
-    /// A connection that breaks may just have been too old, so the call is made once more on a new one.
-    async fn call(&mut self, call: Call<'_>) -> Result<Answer, FollowError> {
-        let answer = match self.client.call(call, ANSWER_TIMEOUT).await {
+    /// Calls the source. A pooled connection may have been closed meanwhile, so a call whose connection breaks is retried
+    /// once on a new one.
+    async fn call(&mut self, call: Call<'_>) -> Result<Answer, PollError> {
+        let outcome = match self.client.call(call, RESPONSE_TIMEOUT).await {
             Err(CallError::Broken { source, .. }) if source.kind() != io::ErrorKind::TimedOut => {
-                self.client.call(call, ANSWER_TIMEOUT).await
+                self.client.call(call, RESPONSE_TIMEOUT).await
             }
             outcome => outcome,
         };
-        let answer = answer.context(CallSnafu)?;
-        match answer.status {
-            200 => Ok(answer),
+        let response = outcome.context(CallSnafu)?;
+        match response.status {
+            200 => Ok(response),
             status => StatusSnafu { status }.fail(),
         }
     }
--- a/crates/control-plane/src/index/mod.rs
+++ b/crates/control-plane/src/index/mod.rs
@@ -1,8 +1,10 @@
-//! The duty of following what stores and replicas keep of prompts.
+//! Follows the cache events of stores and replicas while this member is primary, and delivers the prefix-cache index.
+//!
+//! Following is a singleton role: only the primary within its lease polls the sources.
 
-mod answer;
 mod follower;
 mod outbox;
+mod response;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -17,91 +19,100 @@
 use tulipridge_prefix_cache_index::{CacheUpdate, SourceStatus};
 use tulipridge_protocol::feed::Replica;
 
-pub use answer::{AnswerError, read_events, read_list};
 pub use follower::{Follower, SourceKind};
-pub use outbox::Outbox;
+pub use outbox::{Outbox, Urgency};
+pub use response::{ResponseError, parse_event_page, parse_listing};
 
 use crate::singleton::{SingletonContext, SingletonLease};
 
-/// Time for which changes are gathered before they are delivered.
+/// Time for which updates are collected before they are delivered.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Rounds from one look at which sources there are to the next.
-const ROUNDS_PER_LOOK: u32 = 5;
+/// Rounds from one refresh of the set of sources to the next.
+const ROUNDS_PER_REFRESH: u32 = 5;
 
 /// Sources to follow, by address.
 pub type Sources = BTreeMap<SocketAddrV4, SourceKind>;
 
-/// Where the changes go, and where the sources are learned from.
+/// Delivers the updates, and provides the configuration and the present index.
 pub trait IndexOutput {
     /// The operator's newest configuration.
     fn configuration(&self) -> Option<Arc<Configuration>>;
-    /// What is known of a source.
+    /// The status of a source, or `None` if it was not followed before.
     fn status(&self, source: SocketAddrV4) -> Option<SourceStatus>;
-    /// All sources of which something is known.
+    /// All sources that the index has.
     fn known_sources(&self) -> Vec<SocketAddrV4>;
-    /// Delivers changes, as primary of `epoch`.
+    /// Delivers updates, as primary of `epoch`.
     fn deliver(&self, epoch: u64, updates: &[CacheUpdate]);
 }
 
-/// Follows all sources while this member has the duty.
+/// Follows all sources while this member is primary.
 pub struct KeptIndex {
     context: SingletonContext,
     output: Rc<dyn IndexOutput>,
     outbox: Rc<Outbox>,
+    /// The tenure in which the followers were started; none while another member is primary.
     tenure: Option<u64>,
     followers: BTreeMap<SocketAddrV4, Task<()>>,
 }
 
 impl KeptIndex {
-    /// Follows stores of the configuration and replicas of the table.
+    /// Follows the stores of the configuration and the replicas of the table.
     pub fn new(context: SingletonContext, output: Rc<dyn IndexOutput>) -> KeptIndex {
         KeptIndex { context, output, outbox: Rc::default(), tenure: None, followers: BTreeMap::new() }
     }
 
-    /// Follows them for ever.
+    /// Follows the sources; does not return.
     pub async fn run(mut self) {
         let mut rounds = 0;
         loop {
-            self.heed_duty(rounds % ROUNDS_PER_LOOK == 0);
+            self.run_round(rounds % ROUNDS_PER_REFRESH == 0);
             rounds = rounds.wrapping_add(1);
             let batch = async {
                 Timer::after(BATCH_INTERVAL).await;
             };
-            future::or(self.outbox.urgent(), batch).await;
+            future::or(self.outbox.wait_urgent(), batch).await;
         }
     }
 
-    fn heed_duty(&mut self, looks_for_sources: bool) {
-        let duty = self.context.holder.duty();
-        let tenure = duty.map(|duty| duty.tenure);
+    fn run_round(&mut self, refresh_is_due: bool) {
+        let lease = self.context.holder.duty();
+        self.reset_on_new_tenure(lease);
+        let Some(lease) = lease else { return };
+        if refresh_is_due || self.followers.is_empty() {
+            self.refresh_sources(lease);
+        }
+        self.flush(lease);
+    }
+
+    /// Drops the followers and queued updates of another tenure: another primary may have delivered newer ones since.
+    fn reset_on_new_tenure(&mut self, lease: Option<SingletonLease>) {
+        let tenure = lease.map(|lease| lease.tenure);
         if tenure != self.tenure {
-            // Another member may have followed the sources since.
             self.followers.clear();
             self.outbox.take();
             self.tenure = tenure;
         }
-        let Some(duty) = duty else { return };
-        if looks_for_sources || self.followers.is_empty() {
-            self.look_for_sources(duty);
-        }
+    }
+
+    fn flush(&self, lease: SingletonLease) {
         let updates = self.outbox.take();
         if !updates.is_empty() {
-            self.output.deliver(duty.epoch, &updates);
+            self.output.deliver(lease.epoch, &updates);
         }
     }
 
-    /// Begins to follow sources that are new, and forgets those that are gone.
-    fn look_for_sources(&mut self, duty: SingletonLease) {
+    /// Begins to follow new sources, and drops those that are gone.
+    fn refresh_sources(&mut self, lease: SingletonLease) {
         let Some(configuration) = self.output.configuration() else { return };
-        let Some(replicas) = self.context.table.borrow().replicas(duty.tenure) else {
-            // Whether a replica is gone is not known before the first list.
+        let Some(replicas) = self.context.table.borrow().replicas(lease.tenure) else {
+            // Before the first complete list it is unknown whether a replica is gone.
             return self.follow(stores(&configuration));
         };
         let wanted = sources(&configuration, &replicas);
         self.followers.retain(|source, _| wanted.contains_key(source));
         for source in self.output.known_sources() {
             if !wanted.contains_key(&source) {
-                self.outbox.push(CacheUpdate::gone(source), false);
+                self.outbox.push(CacheUpdate::gone(source), Urgency::Batched);
             }
         }
         self.follow(wanted);
@@ -110,24 +121,24 @@
     fn follow(&mut self, wanted: Sources) {
         for (source, kind) in wanted {
             self.followers.entry(source).or_insert_with(|| {
-                let known = self.output.status(source);
-                let follower = Follower::new(source, kind, known, self.outbox.clone());
+                let status = self.output.status(source);
+                let follower = Follower::new(source, kind, status, self.outbox.clone());
                 self.context.executor.spawn(follower.run())
             });
         }
     }
 }
 
-/// The stores of a configuration, and the replicas that keep KV cache.
+/// The sources to follow: the stores of a configuration, and the replicas whose service has a KV cache.
 #[must_use]
 pub fn sources(configuration: &Configuration, replicas: &[Replica]) -> Sources {
     let mut sources = stores(configuration);
-    let keeps_cache = |service: &str| {
+    let has_cache = |service: &str| {
         let service = configuration.services.iter().find(|known| known.label == service);
         let runtime = service.and_then(|service| service.runtime.as_ref());
         runtime.is_some_and(|runtime| runtime.cache_tokens > 0)
     };
-    let replicas = replicas.iter().filter(|replica| keeps_cache(&replica.service));
+    let replicas = replicas.iter().filter(|replica| has_cache(&replica.service));
     let addresses = replicas.filter_map(|replica| replica.address.parse().ok());
     sources.extend(addresses.map(|address| (address, SourceKind::Replica)));
     sources
--- a/crates/control-plane/src/index/outbox.rs
+++ b/crates/control-plane/src/index/outbox.rs
@@ -1,4 +1,4 @@
-//! Changes that wait to be delivered together.
+//! The outbox: updates that are queued to be delivered in a batch.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -6,44 +6,54 @@
 
 use tulipridge_prefix_cache_index::CacheUpdate;
 
-/// Changes of all sources, in their order.
+/// Updates of all sources, in the order in which they were queued. One task at a time may wait in
+/// [`Outbox::wait_urgent`].
 #[derive(Debug, Default)]
 pub struct Outbox {
     state: RefCell<State>,
 }
 
+/// When a queued update is to be delivered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Urgency {
+    /// At the end of the batch interval.
+    Batched,
+    /// At once.
+    Immediate,
+}
+
 #[derive(Debug, Default)]
 struct State {
     updates: Vec<CacheUpdate>,
-    urgent: bool,
+    is_urgent: bool,
     waker: Option<Waker>,
 }
 
 impl Outbox {
-    /// Adds a change; an urgent one is delivered at once.
-    pub fn push(&self, update: CacheUpdate, urgent: bool) {
+    /// Queues an update; an immediate one wakes the task that waits.
+    pub fn push(&self, update: CacheUpdate, urgency: Urgency) {
         let mut state = self.state.borrow_mut();
         state.updates.push(update);
-        state.urgent |= urgent;
-        if state.urgent
+        state.is_urgent |= urgency == Urgency::Immediate;
+        if state.is_urgent
             && let Some(waker) = state.waker.take()
         {
             waker.wake();
         }
     }
 
-    /// Takes all changes.
+    /// Removes and returns all queued updates.
     pub fn take(&self) -> Vec<CacheUpdate> {
         let mut state = self.state.borrow_mut();
-        state.urgent = false;
+        state.is_urgent = false;
         std::mem::take(&mut state.updates)
     }
 
-    /// Ready once an urgent change waits.
-    pub async fn urgent(&self) {
+    /// Waits until an immediate update is queued.
+    pub async fn wait_urgent(&self) {
         poll_fn(|context| {
             let mut state = self.state.borrow_mut();
-            if state.urgent {
+            if state.is_urgent {
                 return Poll::Ready(());
             }
             state.waker = Some(context.waker().clone());
--- /dev/null
+++ b/crates/control-plane/src/index/response.rs
@@ -0,0 +1,95 @@
+//! Parsing of the cache-event responses of sources.
+
+use serde::Deserialize;
+use snafu::{ResultExt, Snafu};
+use tulipridge_prefix_cache_index::{CacheListing, CachedPrefix, Cursor, EventPage, PrefixKey};
+
+/// Why a source's response can't be used.
+#[derive(Debug, Snafu)]
+pub enum ResponseError {
+    /// It is not what the interface promises.
+    #[snafu(display("an answer can't be read: {source}"))]
+    Malformed {
+        /// The parser's error.
+        source: serde_json::Error,
+    },
+}
+
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+struct EventsBody {
+    boot_no: u64,
+    next_token: u64,
+    gone: bool,
+    happenings: Vec<EventRow>,
+}
+
+/// Number, sign, salt, segment id, tokens that are cached after the event, model.
+#[derive(Deserialize)]
+struct EventRow(
+    #[allow(dead_code)] u64,
+    #[allow(dead_code)] Sign,
+    String,
+    String,
+    u32,
+    #[allow(dead_code)] String,
+);
+
+/// Whether a segment grew or shrank. An event's tokens are those after it in both cases, so the sign is only checked.
+#[derive(Deserialize)]
+enum Sign {
+    #[serde(rename = "+")]
+    Added,
+    #[serde(rename = "-")]
+    Removed,
+}
+
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+struct ListingBody {
+    boot_no: u64,
+    next_token: u64,
+    holding: Vec<ListingRow>,
+}
+
+/// Salt, segment id, cached tokens, model.
+#[derive(Deserialize)]
+struct ListingRow(String, String, u32, #[allow(dead_code)] String);
+
+impl From<EventRow> for CachedPrefix {
+    fn from(row: EventRow) -> CachedPrefix {
+        let EventRow(_, _, salt, segment_id, tokens, _) = row;
+        CachedPrefix { key: PrefixKey::new(&salt, &segment_id), tokens }
+    }
+}
+
+impl From<ListingRow> for CachedPrefix {
+    fn from(row: ListingRow) -> CachedPrefix {
+        let ListingRow(salt, segment_id, tokens, _) = row;
+        CachedPrefix { key: PrefixKey::new(&salt, &segment_id), tokens }
+    }
+}
+
+/// Parses the response to a request for events.
+///
+/// # Errors
+///
+/// [`ResponseError::Malformed`] if the body is not an event page.
+pub fn parse_event_page(body: &[u8]) -> Result<EventPage, ResponseError> {
+    let body: EventsBody = serde_json::from_slice(body).context(MalformedSnafu)?;
+    let cursor = Cursor { boot: body.boot_no, next_token: body.next_token };
+    let events = body.happenings.into_iter().map(CachedPrefix::from).collect();
+    Ok(EventPage { cursor, gap: body.gone, events })
+}
+
+/// Parses the response to a request for a full listing.
+///
+/// # Errors
+///
+/// [`ResponseError::Malformed`] if the body is not a listing.
+pub fn parse_listing(body: &[u8]) -> Result<CacheListing, ResponseError> {
+    let body: ListingBody = serde_json::from_slice(body).context(MalformedSnafu)?;
+    let cursor = Cursor { boot: body.boot_no, next_token: body.next_token };
+    let prefixes = body.holding.into_iter().map(CachedPrefix::from).collect();
+    Ok(CacheListing { cursor, prefixes })
+}
--- a/crates/control-plane/tests/index.rs
+++ b/crates/control-plane/tests/index.rs
@@ -1,4 +1,5 @@
-//! Following what sources keep: reading their answers, whom to follow, and whole exchanges with a source.
+//! Following the cache events of sources: parsing their responses, the choice of sources, and complete exchanges with
+//! a source.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -9,30 +10,34 @@
 use insta::{assert_debug_snapshot, assert_snapshot};
 use rstest::rstest;
 use tulipridge_configuration::{Configuration, Service, ServiceRuntime};
-use tulipridge_control_plane::index::{Follower, Outbox, SourceKind, read_events, read_list, sources};
-use tulipridge_prefix_cache_index::{CacheUpdate, Liveness, PrefixKey};
+use tulipridge_control_plane::index::{
+    Follower, Outbox, SourceKind, parse_event_page, parse_listing, sources,
+};
+use tulipridge_prefix_cache_index::{CacheUpdate, CachedPrefix, Cursor, Liveness, PrefixKey};
 use tulipridge_protocol::feed::{Replica, ReplicaPhase};
 
-// ---- answers ----------------------------------------------------------------------------------------------
+// ---- responses --------------------------------------------------------------------------------------------
 
 const EVENTS: &str = r#"{"bootNo":77120,"nextToken":120,"gone":false,"happenings":[[119,"+","s1","5c1e07a2",800,"m"],[120,"-","s1","91bd3f06",128,"m"]]}"#;
 const LIST: &str = r#"{"bootNo":77120,"nextToken":120,"holding":[["s1","5c1e07a2",800,"m"]]}"#;
 
+fn cached(salt: &str, segment_id: &str, tokens: u32) -> CachedPrefix {
+    CachedPrefix { key: PrefixKey::new(salt, segment_id), tokens }
+}
+
 #[test]
-fn events_are_read() {
-    let page = read_events(EVENTS.as_bytes()).expect("a page of events");
-    assert_eq!((page.boot, page.next_token, page.gap), (77_120, 120, false));
-    assert_eq!(
-        page.events,
-        [(PrefixKey::new("s1", "5c1e07a2"), 800), (PrefixKey::new("s1", "91bd3f06"), 128)]
-    );
+fn an_event_page_is_parsed() {
+    let page = parse_event_page(EVENTS.as_bytes()).expect("a page of events");
+    assert_eq!(page.cursor, Cursor { boot: 77_120, next_token: 120 });
+    assert!(!page.gap);
+    assert_eq!(page.events, [cached("s1", "5c1e07a2", 800), cached("s1", "91bd3f06", 128)]);
 }
 
 #[test]
-fn a_list_is_read() {
-    let listing = read_list(LIST.as_bytes()).expect("a list");
-    assert_eq!((listing.boot, listing.next_token), (77_120, 120));
-    assert_eq!(listing.parts, [(PrefixKey::new("s1", "5c1e07a2"), 800)]);
+fn a_full_listing_is_parsed() {
+    let listing = parse_listing(LIST.as_bytes()).expect("a full listing");
+    assert_eq!(listing.cursor, Cursor { boot: 77_120, next_token: 120 });
+    assert_eq!(listing.prefixes, [cached("s1", "5c1e07a2", 800)]);
 }
 
 #[rstest]
@@ -43,11 +48,11 @@
 #[case::no_gap_field(&EVENTS.replace(r#""gone":false,"#, ""))]
 #[case::short_event(&EVENTS.replace(r#",800,"m""#, ""))]
 #[case::empty("")]
-fn malformed_events_are_refused(#[case] body: &str) {
-    assert!(read_events(body.as_bytes()).is_err());
+fn malformed_event_pages_are_rejected(#[case] body: &str) {
+    assert!(parse_event_page(body.as_bytes()).is_err());
 }
 
-// ---- whom to follow ---------------------------------------------------------------------------------------
+// ---- choice of sources------------------------------------------------------------------------------------
 
 fn replica(service: &str, address: &str) -> Replica {
     Replica {
@@ -95,7 +100,7 @@
 
 /// What a scripted source does with a call.
 enum Reaction {
-    Answer(u16, String),
+    Respond(u16, String),
     Close,
 }
 
@@ -108,14 +113,14 @@
         while let Some(call) = read_call(&mut stream).await {
             let Some(reaction) = script.next() else { return calls };
             calls.push(call);
-            let Reaction::Answer(status, body) = reaction else { break };
+            let Reaction::Respond(status, body) = reaction else { break };
             let head = format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all((head + &body).as_bytes()).await.expect("the follower reads");
         }
     }
 }
 
-/// The request line and the wait that was asked for.
+/// The request line and the requested wait.
 async fn read_call(stream: &mut Async<TcpStream>) -> Option<String> {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -134,11 +139,11 @@
 
 fn page(boot: u64, next: u64, gone: bool, events: &str) -> Reaction {
     let body = format!(r#"{{"bootNo":{boot},"nextToken":{next},"gone":{gone},"happenings":[{events}]}}"#);
-    Reaction::Answer(200, body)
+    Reaction::Respond(200, body)
 }
 
-fn list(boot: u64, next: u64, held: &str) -> Reaction {
-    Reaction::Answer(200, format!(r#"{{"bootNo":{boot},"nextToken":{next},"holding":[{held}]}}"#))
+fn list(boot: u64, next: u64, listed: &str) -> Reaction {
+    Reaction::Respond(200, format!(r#"{{"bootNo":{boot},"nextToken":{next},"holding":[{listed}]}}"#))
 }
 
 /// Follows a scripted source to the end of its script.
@@ -154,7 +159,7 @@
     (calls, outbox.take())
 }
 
-fn told(updates: &[CacheUpdate]) -> String {
+fn summary(updates: &[CacheUpdate]) -> String {
     let line = |update: &CacheUpdate| {
         let liveness = match update.liveness {
             Liveness::Alive => "alive",
@@ -171,12 +176,12 @@
 const ADDED: &str = r#"[1,"+","m1","a",800,"m"]"#;
 const REMOVED: &str = r#"[2,"-","m1","a",0,"m"]"#;
 
-const HELD: &str = r#"["m1","b",900,"m"]"#;
+const LISTED: &str = r#"["m1","b",900,"m"]"#;
 
 #[test]
-fn a_source_is_listed_once_and_then_followed() {
+fn a_source_is_listed_once_and_then_polled_for_events() {
     let script = vec![
-        list(7, 5, HELD),
+        list(7, 5, LISTED),
         page(7, 6, false, ADDED),
         page(7, 7, false, REMOVED),
         Reaction::Close,
@@ -190,7 +195,7 @@
     GET /kv-events?startedAt=7 HTTP/1.1 (Wait-Ms: 1000)
     GET /kv-events?startedAt=7 HTTP/1.1 (Wait-Ms: 1000)
     ");
-    assert_snapshot!(told(&updates), @r"
+    assert_snapshot!(summary(&updates), @r"
     alive boot 7 next 5 replace true +1 -0
     alive boot 7 next 6 replace false +1 -0
     alive boot 7 next 7 replace false +0 -1
@@ -199,15 +204,15 @@
 }
 
 #[test]
-fn a_restarted_source_is_read_anew() {
-    let script = vec![list(7, 5, HELD), page(8, 1, false, ADDED), page(8, 1, false, ADDED)];
+fn a_restarted_source_is_read_from_its_first_event() {
+    let script = vec![list(7, 5, LISTED), page(8, 1, false, ADDED), page(8, 1, false, ADDED)];
     let (calls, updates) = exchange(SourceKind::Replica, script);
     assert_snapshot!(calls.join("\n"), @r"
     GET /kv-list HTTP/1.1 (no wait)
     GET /kv-events?startedAt=5 HTTP/1.1 (Wait-Ms: 1000)
     GET /kv-events?startedAt=0 HTTP/1.1 (Wait-Ms: 1000)
     ");
-    assert_snapshot!(told(&updates), @r"
+    assert_snapshot!(summary(&updates), @r"
     alive boot 7 next 5 replace true +1 -0
     alive boot 8 next 0 replace true +0 -0
     alive boot 8 next 1 replace false +1 -0
@@ -215,39 +220,39 @@
 }
 
 #[test]
-fn a_store_is_listed_after_a_gap() {
-    let script = vec![list(7, 5, ""), page(7, 90, true, ADDED), list(7, 91, HELD)];
+fn a_store_is_resynced_after_a_gap() {
+    let script = vec![list(7, 5, ""), page(7, 90, true, ADDED), list(7, 91, LISTED)];
     let (calls, updates) = exchange(SourceKind::Store, script);
     assert_snapshot!(calls.join("\n"), @r"
     GET /kv-list HTTP/1.1 (no wait)
     GET /kv-events?startedAt=5 HTTP/1.1 (Wait-Ms: 1000)
     GET /kv-list HTTP/1.1 (no wait)
     ");
-    assert_snapshot!(told(&updates), @r"
+    assert_snapshot!(summary(&updates), @r"
     alive boot 7 next 5 replace true +0 -0
     alive boot 7 next 91 replace true +1 -0
     ");
 }
 
 #[test]
-fn a_replica_goes_on_after_a_gap() {
-    let script = vec![list(7, 5, HELD), page(7, 90, true, ADDED)];
+fn a_replica_is_not_resynced_after_a_gap() {
+    let script = vec![list(7, 5, LISTED), page(7, 90, true, ADDED)];
     let (calls, updates) = exchange(SourceKind::Replica, script);
     assert_snapshot!(calls.join("\n"), @r"
     GET /kv-list HTTP/1.1 (no wait)
     GET /kv-events?startedAt=5 HTTP/1.1 (Wait-Ms: 1000)
     ");
-    assert_snapshot!(told(&updates), @r"
+    assert_snapshot!(summary(&updates), @r"
     alive boot 7 next 5 replace true +1 -0
     alive boot 7 next 90 replace true +1 -0
     ");
 }
 
 #[test]
-fn a_source_that_comes_back_is_asked_without_a_wait() {
+fn a_source_that_is_down_is_polled_without_a_wait() {
     let script = vec![
-        list(7, 5, HELD),
-        Reaction::Answer(500, String::new()),
+        list(7, 5, LISTED),
+        Reaction::Respond(500, String::new()),
         page(7, 5, false, ""),
         page(7, 5, false, ""),
     ];
@@ -258,7 +263,7 @@
     GET /kv-events?startedAt=5 HTTP/1.1 (Wait-Ms: 0)
     GET /kv-events?startedAt=5 HTTP/1.1 (Wait-Ms: 1000)
     ");
-    assert_snapshot!(told(&updates), @r"
+    assert_snapshot!(summary(&updates), @r"
     alive boot 7 next 5 replace true +1 -0
     down boot 7 next 5 replace false +0 -0
     alive boot 7 next 5 replace false +0 -0
@@ -266,11 +271,11 @@
 }
 
 #[rstest]
-#[case::malformed(Reaction::Answer(200, "{}".to_owned()))]
-#[case::unknown_status(Reaction::Answer(500, String::new()))]
-fn a_source_that_answers_wrongly_is_down(#[case] wrong: Reaction) {
-    let (_, updates) = exchange(SourceKind::Store, vec![list(7, 5, HELD), wrong]);
+#[case::malformed(Reaction::Respond(200, "{}".to_owned()))]
+#[case::unknown_status(Reaction::Respond(500, String::new()))]
+fn a_source_with_an_invalid_response_is_down(#[case] wrong: Reaction) {
+    let (_, updates) = exchange(SourceKind::Store, vec![list(7, 5, LISTED), wrong]);
     let liveness: Vec<Liveness> = updates.iter().map(|update| update.liveness).collect();
     assert_eq!(liveness, [Liveness::Alive, Liveness::Down]);
-    assert!(!updates[1].replace, "what it kept is still known");
+    assert!(!updates[1].replace, "its entries are retained");
 }
--- a/crates/prefix-cache-index/src/change_log.rs
+++ b/crates/prefix-cache-index/src/change_log.rs
@@ -1,103 +1,105 @@
-//! What has changed lately.
+//! A bounded log of the latest changes of an index.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 
-use crate::key::PrefixKey;
-use crate::update::CacheUpdate;
+use crate::cache_update::CacheUpdate;
+use crate::index::CacheEntry;
+use crate::prefix::PrefixKey;
 
 /// Steps that are remembered.
 const MAX_STEPS: usize = 128;
-/// Parts in all remembered steps together.
-const MAX_STEP_PARTS: usize = 32_768;
+/// Changed sources and segments in all remembered steps together.
+const MAX_LOGGED_CHANGES: usize = 32_768;
 
-/// Which sources, and which of their parts, may differ from an earlier state.
+/// The sources, and their segments, that may differ from an earlier state of an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangedKeys {
-    whole: BTreeSet<SocketAddrV4>,
-    parts: BTreeMap<SocketAddrV4, BTreeSet<PrefixKey>>,
+    replaced: BTreeSet<SocketAddrV4>,
+    segments: BTreeMap<SocketAddrV4, BTreeSet<PrefixKey>>,
 }
 
 impl ChangedKeys {
-    /// Adds what an update touches.
+    /// Adds what an update changes.
     pub fn add(&mut self, update: &CacheUpdate) {
         if update.replace {
-            self.whole.insert(update.source);
+            self.replaced.insert(update.source);
             return;
         }
-        let parts = self.parts.entry(update.source).or_default();
-        parts.extend(update.added.iter().map(|(key, _)| *key));
-        parts.extend(update.removed.iter().copied());
+        let segments = self.segments.entry(update.source).or_default();
+        segments.extend(update.added.iter().map(|prefix| prefix.key));
+        segments.extend(update.removed.iter().copied());
     }
 
-    /// Adds a part of a source.
-    pub fn add_part(&mut self, source: SocketAddrV4, key: PrefixKey) {
-        self.parts.entry(source).or_default().insert(key);
+    /// Adds one entry, as one that was evicted.
+    pub fn add_entry(&mut self, entry: CacheEntry) {
+        self.segments.entry(entry.source).or_default().insert(entry.key);
     }
 
-    /// Sources of which all is to be told.
+    /// Sources whose entries were replaced altogether.
     #[must_use]
-    pub fn whole(&self) -> &BTreeSet<SocketAddrV4> {
-        &self.whole
+    pub fn replaced_sources(&self) -> &BTreeSet<SocketAddrV4> {
+        &self.replaced
     }
 
-    /// Sources of which some parts are to be told, or their status alone.
-    pub fn parts(&self) -> impl Iterator<Item = (SocketAddrV4, &BTreeSet<PrefixKey>)> {
-        self.parts.iter().map(|(source, parts)| (*source, parts))
+    /// Sources of which some segments have changed, or their status alone.
+    pub fn changed_segments(&self) -> impl Iterator<Item = (SocketAddrV4, &BTreeSet<PrefixKey>)> {
+        self.segments.iter().map(|(source, segments)| (*source, segments))
     }
 
     fn merge(&mut self, other: &ChangedKeys) {
-        self.whole.extend(&other.whole);
-        for (source, parts) in &other.parts {
-            self.parts.entry(*source).or_default().extend(parts);
+        self.replaced.extend(&other.replaced);
+        for (source, segments) in &other.segments {
+            self.segments.entry(*source).or_default().extend(segments);
         }
     }
 
     fn count(&self) -> usize {
-        self.whole.len() + self.parts.values().map(BTreeSet::len).sum::<usize>()
+        self.replaced.len() + self.segments.values().map(BTreeSet::len).sum::<usize>()
     }
 }
 
-/// The latest steps of an index, each from one position to the next.
+/// The latest steps of an index, each from one position of type `P` to the next.
 #[derive(Clone, Debug)]
 pub struct ChangeLog<P> {
     steps: VecDeque<Step<P>>,
-    parts: usize,
+    /// Sum of the steps' counts.
+    change_count: usize,
 }
 
 #[derive(Clone, Debug)]
 struct Step<P> {
     base: P,
-    touched: ChangedKeys,
+    changed: ChangedKeys,
 }
 
 impl<P> Default for ChangeLog<P> {
     fn default() -> Self {
-        ChangeLog { steps: VecDeque::new(), parts: 0 }
+        ChangeLog { steps: VecDeque::new(), change_count: 0 }
     }
 }
 
 impl<P: PartialEq> ChangeLog<P> {
-    /// Remembers a step that led on from `base`.
-    pub fn record(&mut self, base: P, touched: ChangedKeys) {
-        self.parts += touched.count();
-        self.steps.push_back(Step { base, touched });
-        while self.steps.len() > MAX_STEPS || self.parts > MAX_STEP_PARTS {
-            let forgotten = self.steps.pop_front().map_or(0, |step| step.touched.count());
-            self.parts -= forgotten;
+    /// Appends the step that led on from `base`; the oldest steps beyond the log's capacity are dropped.
+    pub fn record(&mut self, base: P, changed: ChangedKeys) {
+        self.change_count += changed.count();
+        self.steps.push_back(Step { base, changed });
+        while self.steps.len() > MAX_STEPS || self.change_count > MAX_LOGGED_CHANGES {
+            let dropped = self.steps.pop_front().map_or(0, |step| step.changed.count());
+            self.change_count -= dropped;
         }
     }
 
-    /// Forgets all, as where the steps to the newest state are not known.
+    /// Drops all steps, as where those up to the newest state are not known.
     pub fn clear(&mut self) {
         *self = ChangeLog::default();
     }
 
-    /// What may differ since `base`; none where that is not known.
+    /// What may have changed since `base`, or `None` if the log does not reach back to it.
     pub fn since(&self, base: &P) -> Option<ChangedKeys> {
         let first = self.steps.iter().rposition(|step| step.base == *base)?;
-        let mut touched = ChangedKeys::default();
-        self.steps.range(first..).for_each(|step| touched.merge(&step.touched));
-        Some(touched)
+        let mut changed = ChangedKeys::default();
+        self.steps.range(first..).for_each(|step| changed.merge(&step.changed));
+        Some(changed)
     }
 }
--- a/crates/prefix-cache-index/src/lib.rs
+++ b/crates/prefix-cache-index/src/lib.rs
@@ -1,24 +1,24 @@
-//! The index of kept prompts: which replica or store keeps the KV cache of which part of a prompt. No I/O and no
-//! clock.
+//! An index of cached prompt prefixes: which replica or store has the KV cache of which prefix segment. The package does
+//! no I/O and reads no clock.
 //!
-//! Sources tell of what they keep by events. [`follow()`] turns an answer of theirs into a [`CacheUpdate`], an
-//! [`Index`] takes updates and is asked for holders, and a [`ChangeLog`] remembers what changed lately, so that
-//! whoever holds an earlier state is sent the difference alone.
+//! A *source* is a replica or a store that publishes cache events. [`PollOutcome::of_page`] turns one page of events
+//! into a [`CacheUpdate`], an [`Index`] applies updates and is queried for locations, and a [`ChangeLog`] remembers the
+//! latest changes, so that a subscriber at an earlier position is sent only the difference.
 //!
-//! Events come late and some never come, so the index is a hint: a wrong entry costs a fetch that finds nothing, or
-//! a part that is read again.
+//! Events arrive late and some are lost, so the index is a hint: a wrong entry costs a fetch that finds nothing, or a
+//! segment that is computed again.
 
+mod cache_update;
 mod change_log;
-mod follow;
+mod event_page;
 mod index;
-mod key;
-mod update;
+mod prefix;
 
+pub use cache_update::{CacheUpdate, Liveness};
 pub use change_log::{ChangeLog, ChangedKeys};
-pub use follow::{CacheListing, Cursor, EventPage, PollOutcome, follow, listed};
-pub use index::{Holder, Index, SourceStatus};
-pub use key::{PrefixKey, prefix_hash};
-pub use update::{CacheUpdate, Liveness};
+pub use event_page::{CacheListing, Cursor, EventPage, PollOutcome};
+pub use index::{CacheEntry, CacheLocation, Index, SourceStatus};
+pub use prefix::{CachedPrefix, PrefixKey, prefix_hash};
 
-/// Parts of which fewer tokens are kept are not indexed: they are read as fast as they are fetched.
+/// Segments with fewer cached tokens are not indexed: computing them is as fast as fetching them.
 pub const MIN_CACHED_TOKENS: u32 = 256;
--- a/crates/prefix-cache-index/tests/index.rs
+++ b/crates/prefix-cache-index/tests/index.rs
@@ -1,5 +1,5 @@
-//! The index against a model: whatever sources do and whatever of it comes late, twice or never, the index knows what
-//! it was told, a subscriber knows what its publisher knows, and salts stay apart.
+//! The index against a model: whatever sources do, and whether their events arrive late, twice or never, the index has
+//! what was applied to it, a subscriber has what its publisher has, and salts are kept apart.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -7,32 +7,42 @@
 use fastrand::Rng;
 use rstest::rstest;
 use tulipridge_prefix_cache_index::{
-    CacheListing, CacheUpdate, ChangeLog, ChangedKeys, Cursor, EventPage, Index, Liveness,
-    MIN_CACHED_TOKENS, PollOutcome, PrefixKey, follow, listed, prefix_hash,
+    CacheEntry, CacheListing, CacheUpdate, CachedPrefix, ChangeLog, ChangedKeys, Cursor, EventPage, Index,
+    Liveness, MIN_CACHED_TOKENS, PollOutcome, PrefixKey, prefix_hash,
 };
 
 fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080)
 }
 
-fn key(part: u64) -> PrefixKey {
-    PrefixKey::new("m1", &format!("{part:x}"))
+fn key(segment: u64) -> PrefixKey {
+    PrefixKey::new("m1", &format!("{segment:x}"))
 }
 
-fn holders(index: &Index, key: PrefixKey) -> Vec<(SocketAddrV4, u32)> {
-    let mut holders: Vec<_> = index.holders(key).map(|holder| (holder.source, holder.tokens)).collect();
-    holders.sort_unstable();
-    holders
+fn cached(segment: u64, tokens: u32) -> CachedPrefix {
+    CachedPrefix { key: key(segment), tokens }
 }
 
-fn added(source: SocketAddrV4, parts: &[(PrefixKey, u32)]) -> CacheUpdate {
+fn entry(source: u8, segment: u64) -> CacheEntry {
+    CacheEntry { source: address(source), key: key(segment) }
+}
+
+/// Address and cached tokens of each location of a segment, in order.
+fn locations(index: &Index, key: PrefixKey) -> Vec<(SocketAddrV4, u32)> {
+    let mut locations: Vec<_> =
+        index.locations(key).map(|location| (location.source, location.tokens)).collect();
+    locations.sort_unstable();
+    locations
+}
+
+fn added(source: SocketAddrV4, prefixes: &[CachedPrefix]) -> CacheUpdate {
     CacheUpdate {
         source,
         boot: 1,
         next_token: 1,
         liveness: Liveness::Alive,
         replace: false,
-        added: parts.to_vec(),
+        added: prefixes.to_vec(),
         removed: Vec::new(),
     }
 }
@@ -48,148 +58,173 @@
 }
 
 #[test]
-fn salts_and_parts_do_not_run_together() {
+fn salts_and_segment_ids_are_separated_in_keys() {
     let salts = ["", "m1", "m2", "m11", "m1-t-a", "m1-t-b"];
-    let parts = ["", "1", "11", "-t-a", "5c1e07a2"];
-    let pairs = salts.iter().flat_map(|salt| parts.iter().map(move |part| PrefixKey::new(salt, part)));
+    let segments = ["", "1", "11", "-t-a", "5c1e07a2"];
+    let pairs = salts.iter().flat_map(|salt| segments.iter().map(move |id| PrefixKey::new(salt, id)));
     let keys: std::collections::BTreeSet<PrefixKey> = pairs.collect();
-    assert_eq!(keys.len(), salts.len() * parts.len());
+    assert_eq!(keys.len(), salts.len() * segments.len());
+}
+
+// ---- wire form --------------------------------------------------------------------------------------------
+
+#[test]
+fn a_cached_prefix_has_the_bytes_of_a_pair() {
+    let prefix = CachedPrefix { key: PrefixKey(0xD25F_B8CA_0C46_FF19), tokens: 800 };
+    let bytes = musli::wire::to_vec(&vec![prefix]).expect("it can be encoded");
+    let pair = musli::wire::to_vec(&vec![(prefix.key.0, prefix.tokens)]).expect("it can be encoded");
+    assert_eq!(bytes, pair);
+    let decoded: Vec<CachedPrefix> = musli::wire::from_slice(&pair).expect("a pair can be decoded");
+    assert_eq!(decoded, [prefix]);
 }
 
-// ---- pages of events --------------------------------------------------------------------------------------
+// ---- event pages ------------------------------------------------------------------------------------------
 
 #[test]
-fn the_newest_event_of_a_part_counts() {
+fn the_newest_event_of_a_segment_counts() {
     let page = EventPage {
-        boot: 7,
-        next_token: 4,
+        cursor: Cursor { boot: 7, next_token: 4 },
         gap: false,
-        events: vec![(key(1), 800), (key(2), 800), (key(1), 512), (key(2), 0)],
+        events: vec![cached(1, 800), cached(2, 800), cached(1, 512), cached(2, 0)],
     };
     let cursor = Some(Cursor { boot: 7, next_token: 0 });
-    let PollOutcome::Update(update) = follow(address(1), cursor, &page) else { panic!("an update") };
+    let PollOutcome::Update(update) = PollOutcome::of_page(address(1), cursor, &page) else {
+        panic!("an update")
+    };
     assert!(!update.replace);
-    assert_eq!(update.added, [(key(1), 512)]);
+    assert_eq!(update.added, [cached(1, 512)]);
     assert_eq!(update.removed, [key(2)]);
 }
 
 #[rstest]
 #[case::short(MIN_CACHED_TOKENS - 1, false)]
 #[case::long_enough(MIN_CACHED_TOKENS, true)]
-fn a_short_part_is_not_indexed(#[case] tokens: u32, #[case] indexed: bool) {
-    let page = EventPage { boot: 1, next_token: 1, gap: false, events: vec![(key(1), tokens)] };
-    let PollOutcome::Update(update) = follow(address(1), None, &page) else { panic!("an update") };
+fn a_short_segment_is_not_indexed(#[case] tokens: u32, #[case] indexed: bool) {
+    let cursor = Cursor { boot: 1, next_token: 1 };
+    let page = EventPage { cursor, gap: false, events: vec![cached(1, tokens)] };
+    let PollOutcome::Update(update) = PollOutcome::of_page(address(1), None, &page) else {
+        panic!("an update")
+    };
     assert_eq!(!update.added.is_empty(), indexed);
-    let listing = CacheListing { boot: 1, next_token: 1, parts: vec![(key(1), tokens)] };
-    assert_eq!(!listed(address(1), listing).added.is_empty(), indexed);
+    let listing = CacheListing { cursor, prefixes: vec![cached(1, tokens)] };
+    assert_eq!(!CacheUpdate::resync(address(1), listing).added.is_empty(), indexed);
 }
 
 #[test]
-fn a_page_without_news_changes_nothing() {
-    let cursor = Some(Cursor { boot: 7, next_token: 4 });
-    let page = EventPage { boot: 7, next_token: 4, gap: false, events: vec![] };
-    assert_eq!(follow(address(1), cursor, &page), PollOutcome::Nothing);
+fn a_page_without_events_changes_nothing() {
+    let cursor = Cursor { boot: 7, next_token: 4 };
+    let page = EventPage { cursor, gap: false, events: vec![] };
+    assert_eq!(PollOutcome::of_page(address(1), Some(cursor), &page), PollOutcome::Unchanged);
 }
 
 #[test]
-fn a_restart_voids_all_and_begins_at_the_first_event() {
+fn a_restart_voids_all_entries_and_begins_at_the_first_event() {
     let cursor = Some(Cursor { boot: 7, next_token: 4 });
-    let page = EventPage { boot: 8, next_token: 2, gap: false, events: vec![(key(1), 800)] };
-    let PollOutcome::Restarted(update) = follow(address(1), cursor, &page) else { panic!("a restart") };
+    let page =
+        EventPage { cursor: Cursor { boot: 8, next_token: 2 }, gap: false, events: vec![cached(1, 800)] };
+    let PollOutcome::Restarted(update) = PollOutcome::of_page(address(1), cursor, &page) else {
+        panic!("a restart")
+    };
     assert!(update.replace && update.added.is_empty());
     assert_eq!((update.boot, update.next_token), (8, 0));
 }
 
 #[test]
-fn a_gap_voids_what_was_known_before_it() {
+fn a_gap_voids_the_entries_before_it() {
     let cursor = Some(Cursor { boot: 7, next_token: 4 });
-    let page = EventPage { boot: 7, next_token: 90, gap: true, events: vec![(key(1), 800)] };
-    let PollOutcome::Gap(update) = follow(address(1), cursor, &page) else { panic!("a gap") };
+    let page =
+        EventPage { cursor: Cursor { boot: 7, next_token: 90 }, gap: true, events: vec![cached(1, 800)] };
+    let PollOutcome::Gap(update) = PollOutcome::of_page(address(1), cursor, &page) else { panic!("a gap") };
     assert!(update.replace);
-    assert_eq!((update.added, update.next_token), (vec![(key(1), 800)], 90));
+    assert_eq!((update.added, update.next_token), (vec![cached(1, 800)], 90));
 }
 
 // ---- the index --------------------------------------------------------------------------------------------
 
 #[test]
-fn a_source_that_is_down_holds_nothing_until_it_is_back() {
+fn a_source_that_is_down_is_no_location_until_it_is_back() {
     let mut index = Index::default();
-    index.apply(&added(address(1), &[(key(1), 800)]));
+    index.apply(&added(address(1), &[cached(1, 800)]));
     index.apply(&CacheUpdate { liveness: Liveness::Down, ..added(address(1), &[]) });
-    assert_eq!(holders(&index, key(1)), []);
-    assert_eq!(index.kept(address(1), key(1)), 800);
+    assert_eq!(locations(&index, key(1)), []);
+    assert_eq!(index.cached_tokens(address(1), key(1)), 800);
     index.apply(&added(address(1), &[]));
-    assert_eq!(holders(&index, key(1)), [(address(1), 800)]);
+    assert_eq!(locations(&index, key(1)), [(address(1), 800)]);
 }
 
 #[test]
-fn a_source_that_is_gone_is_forgotten() {
+fn a_source_that_is_gone_is_dropped() {
     let mut index = Index::default();
-    index.apply(&added(address(1), &[(key(1), 800)]));
+    index.apply(&added(address(1), &[cached(1, 800)]));
     index.apply(&CacheUpdate::gone(address(1)));
     assert!(index.is_empty());
     assert_eq!((index.len(), index.status(address(1))), (0, None));
 }
 
 #[test]
-fn the_oldest_entries_give_way_over_the_bound() {
+fn the_oldest_entries_are_evicted_over_the_limit() {
     let mut index = Index::default();
-    for part in 0..10 {
-        index.apply(&added(address(1), &[(key(part), 800)]));
+    for segment in 0..10 {
+        index.apply(&added(address(1), &[cached(segment, 800)]));
     }
-    index.apply(&added(address(1), &[(key(0), 900)]));
-    let dropped = index.drop_oldest(7);
-    assert_eq!(dropped, [(address(1), key(0)), (address(1), key(1)), (address(1), key(2))]);
+    index.apply(&added(address(1), &[cached(0, 900)]));
+    let evicted = index.evict_oldest(7);
+    assert_eq!(evicted, [entry(1, 0), entry(1, 1), entry(1, 2)]);
     assert_eq!(index.len(), 7);
-    assert_eq!(index.drop_oldest(7), []);
+    assert_eq!(index.evict_oldest(7), []);
 }
 
 // ---- random histories -------------------------------------------------------------------------------------
 
 const SOURCES: u8 = 4;
-const PARTS: u64 = 40;
+const SEGMENTS: u64 = 40;
 
-/// A source as it is in truth: what it keeps, and the events that tell of it.
+/// The true state of a source: what it has cached, and the events that it has published.
 #[derive(Clone, Default)]
 struct TrueSource {
     boot: u64,
-    kept: BTreeMap<PrefixKey, u32>,
-    events: Vec<(PrefixKey, u32)>,
-    first: usize,
+    cached: BTreeMap<PrefixKey, u32>,
+    events: Vec<CachedPrefix>,
+    /// Events before this one are lost.
+    first_retained: usize,
 }
 
 impl TrueSource {
     fn change(&mut self, random: &mut Rng) {
-        let key = key(random.u64(..PARTS));
+        let key = key(random.u64(..SEGMENTS));
         let tokens = if random.u8(..3) == 0 { 0 } else { MIN_CACHED_TOKENS + random.u32(..4_000) };
         match tokens {
-            0 => drop(self.kept.remove(&key)),
-            _ => drop(self.kept.insert(key, tokens)),
+            0 => drop(self.cached.remove(&key)),
+            _ => drop(self.cached.insert(key, tokens)),
         }
-        self.events.push((key, tokens));
+        self.events.push(CachedPrefix { key, tokens });
     }
 
     fn restart(&mut self) {
         *self = TrueSource { boot: self.boot + 1, ..TrueSource::default() };
     }
 
+    fn end(&self) -> Cursor {
+        Cursor { boot: self.boot, next_token: self.events.len() as u64 }
+    }
+
     fn page(&self, from: u64) -> EventPage {
         let start = (from as usize).min(self.events.len());
         EventPage {
-            boot: self.boot,
-            next_token: self.events.len() as u64,
-            gap: start < self.first,
-            events: self.events[start.max(self.first)..].to_vec(),
+            cursor: self.end(),
+            gap: start < self.first_retained,
+            events: self.events[start.max(self.first_retained)..].to_vec(),
         }
     }
 
     fn listing(&self) -> CacheListing {
-        let parts = self.kept.iter().map(|(key, tokens)| (*key, *tokens)).collect();
-        CacheListing { boot: self.boot, next_token: self.events.len() as u64, parts }
+        let prefixes =
+            self.cached.iter().map(|(key, tokens)| CachedPrefix { key: *key, tokens: *tokens }).collect();
+        CacheListing { cursor: self.end(), prefixes }
     }
 }
 
-/// One who follows the sources, with the steps that lead others to the same state.
+/// Follows the sources, and logs the steps that lead subscribers to the same state.
 #[derive(Clone, Default)]
 struct Publisher {
     index: Index,
@@ -198,23 +233,23 @@
 }
 
 impl Publisher {
-    fn take(&mut self, update: &CacheUpdate) {
+    fn apply(&mut self, update: &CacheUpdate) {
         self.index.apply(update);
-        let mut touched = ChangedKeys::default();
-        touched.add(update);
-        self.log.record(self.position, touched);
+        let mut changed = ChangedKeys::default();
+        changed.add(update);
+        self.log.record(self.position, changed);
         self.position += 1;
     }
 
     fn poll(&mut self, source: SocketAddrV4, truth: &TrueSource) {
         let cursor = self.index.status(source).map(|status| status.cursor);
         let page = truth.page(cursor.map_or(0, |cursor| cursor.next_token));
-        match follow(source, cursor, &page) {
-            PollOutcome::Nothing => {}
-            PollOutcome::Update(update) => self.take(&update),
-            PollOutcome::Gap(_) => self.take(&listed(source, truth.listing())),
+        match PollOutcome::of_page(source, cursor, &page) {
+            PollOutcome::Unchanged => {}
+            PollOutcome::Update(update) => self.apply(&update),
+            PollOutcome::Gap(_) => self.apply(&CacheUpdate::resync(source, truth.listing())),
             PollOutcome::Restarted(update) => {
-                self.take(&update);
+                self.apply(&update);
                 self.poll(source, truth);
             }
         }
@@ -222,15 +257,15 @@
 }
 
 #[derive(Default)]
-struct Reader {
+struct Subscriber {
     index: Index,
     position: u64,
 }
 
-impl Reader {
+impl Subscriber {
     fn catch_up(&mut self, publisher: &Publisher) {
         let updates = match publisher.log.since(&self.position) {
-            Some(touched) => publisher.index.updates(&touched),
+            Some(changed) => publisher.index.updates(&changed),
             None if self.position == publisher.position => Vec::new(),
             None => {
                 self.index = Index::default();
@@ -243,52 +278,52 @@
 }
 
 #[rstest]
-fn a_reader_comes_to_know_what_the_sources_keep(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn a_subscriber_converges_to_what_the_sources_have_cached(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut random = Rng::with_seed(seed);
     let mut truths = vec![TrueSource::default(); usize::from(SOURCES)];
-    let (mut publisher, mut reader) = (Publisher::default(), Reader::default());
+    let (mut publisher, mut subscriber) = (Publisher::default(), Subscriber::default());
     for _ in 0..4_000 {
         let number = random.u8(..SOURCES);
         let truth = &mut truths[usize::from(number)];
         match random.u8(..100) {
             0 => truth.restart(),
-            1 => truth.first = truth.events.len(),
-            2 => publisher.take(&CacheUpdate::gone(address(number))),
+            1 => truth.first_retained = truth.events.len(),
+            2 => publisher.apply(&CacheUpdate::gone(address(number))),
             3..20 => publisher.poll(address(number), truth),
-            20..30 => reader.catch_up(&publisher),
+            20..30 => subscriber.catch_up(&publisher),
             _ => truth.change(&mut random),
         }
-        assert!(publisher.index.len() <= usize::from(SOURCES) * PARTS as usize);
+        assert!(publisher.index.len() <= usize::from(SOURCES) * SEGMENTS as usize);
     }
     for (number, truth) in truths.iter().enumerate() {
         publisher.poll(address(number as u8), truth);
     }
-    reader.catch_up(&publisher);
-    assert_eq!(reader.index.snapshot(), publisher.index.snapshot());
-    assert_eq!(reader.index.len(), publisher.index.len());
+    subscriber.catch_up(&publisher);
+    assert_eq!(subscriber.index.snapshot(), publisher.index.snapshot());
+    assert_eq!(subscriber.index.len(), publisher.index.len());
     for (number, truth) in truths.iter().enumerate() {
-        for part in 0..PARTS {
-            let kept = truth.kept.get(&key(part)).copied().unwrap_or(0);
-            assert_eq!(reader.index.kept(address(number as u8), key(part)), kept);
-            let other = PrefixKey::new("m2", &format!("{part:x}"));
-            assert_eq!(reader.index.kept(address(number as u8), other), 0, "another salt");
+        for segment in 0..SEGMENTS {
+            let cached = truth.cached.get(&key(segment)).copied().unwrap_or(0);
+            assert_eq!(subscriber.index.cached_tokens(address(number as u8), key(segment)), cached);
+            let other = PrefixKey::new("m2", &format!("{segment:x}"));
+            assert_eq!(subscriber.index.cached_tokens(address(number as u8), other), 0, "another salt");
         }
     }
 }
 
 #[rstest]
-fn a_successor_goes_on_where_its_copy_ends(#[values(1, 2, 3, 4)] seed: u64) {
+fn a_successor_continues_from_its_replica_of_the_index(#[values(1, 2, 3, 4)] seed: u64) {
     let mut random = Rng::with_seed(seed);
     let mut truth = TrueSource::default();
-    let (mut publisher, mut copy) = (Publisher::default(), Reader::default());
+    let (mut publisher, mut replica) = (Publisher::default(), Subscriber::default());
     for _ in 0..200 {
         truth.change(&mut random);
         publisher.poll(address(1), &truth);
         if random.u8(..4) == 0 {
-            copy.catch_up(&publisher);
+            replica.catch_up(&publisher);
         }
     }
-    let mut successor = Publisher { index: copy.index, ..Publisher::default() };
+    let mut successor = Publisher { index: replica.index, ..Publisher::default() };
     successor.poll(address(1), &truth);
     assert_eq!(successor.index.snapshot(), publisher.index.snapshot());
 }
--- a/crates/proxy/src/kv_cache.rs
+++ b/crates/proxy/src/kv_cache.rs
@@ -77,7 +77,7 @@
 pub fn kept_tokens(index: &Index, source: SocketAddrV4, chain: &Chain) -> u32 {
     let mut sum: u32 = 0;
     for part in chain.parts() {
-        let kept = index.kept(source, part.key).min(part.tokens);
+        let kept = index.cached_tokens(source, part.key).min(part.tokens);
         sum = sum.saturating_add(kept);
         if kept + BLOCK_SLACK < part.tokens {
             break;
@@ -243,7 +243,7 @@
     ) -> Option<Candidate> {
         chain.parts().iter().rev().find_map(|part| {
             let holders =
-                index.holders(part.key).filter(|holder| SocketAddr::V4(holder.source) != target.address);
+                index.locations(part.key).filter(|holder| SocketAddr::V4(holder.source) != target.address);
             let candidates = holders.take(MOST_CANDIDATES).filter_map(|holder| {
                 let rank = self.rank(holder.source, target, zone_of)?;
                 let tokens = kept_tokens(index, holder.source, chain);
--- a/crates/proxy/tests/kv_cache.rs
+++ b/crates/proxy/tests/kv_cache.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use rstest::rstest;
-use tulipridge_prefix_cache_index::{CacheUpdate, Index, Liveness, PrefixKey};
+use tulipridge_prefix_cache_index::{CacheUpdate, CachedPrefix, Index, Liveness, PrefixKey};
 use tulipridge_proxy::kv_cache::{Chain, KvDirectory, KvTransfer, Target, kept_tokens};
 use tulipridge_proxy::placement::prompt::PromptPart;
 
@@ -45,7 +45,10 @@
         next_token: 1,
         liveness,
         replace: true,
-        added: parts.iter().map(|(salt, part, tokens)| (PrefixKey::new(salt, part), *tokens)).collect(),
+        added: parts
+            .iter()
+            .map(|(salt, part, tokens)| CachedPrefix { key: PrefixKey::new(salt, part), tokens: *tokens })
+            .collect(),
         removed: Vec::new(),
     }
 }
--- a/crates/subscription/src/store/kept.rs
+++ b/crates/subscription/src/store/kept.rs
@@ -35,8 +35,8 @@
         }
         let Some(next) = next_position(self.position, epoch, !updates.is_empty()) else { return false };
         let mut touched = self.take(updates);
-        for (source, key) in self.index.borrow_mut().drop_oldest(MAX_ENTRIES) {
-            touched.add_part(source, key);
+        for entry in self.index.borrow_mut().evict_oldest(MAX_ENTRIES) {
+            touched.add_entry(entry);
         }
         self.advance(next, touched);
         true
--- a/crates/subscription/tests/kept.rs
+++ b/crates/subscription/tests/kept.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use rstest::rstest;
-use tulipridge_prefix_cache_index::{CacheUpdate, Liveness, PrefixKey};
+use tulipridge_prefix_cache_index::{CacheUpdate, CachedPrefix, Liveness, PrefixKey};
 use tulipridge_protocol::feed::{CacheTableUpdate, KnownPositions, Position, ToSubscriber};
 use tulipridge_protocol::frame;
 use tulipridge_subscription::store::Table;
@@ -24,7 +24,10 @@
         next_token,
         liveness: Liveness::Alive,
         replace: false,
-        added: parts.iter().map(|(part, tokens)| (key(*part), *tokens)).collect(),
+        added: parts
+            .iter()
+            .map(|(part, tokens)| CachedPrefix { key: key(*part), tokens: *tokens })
+            .collect(),
         removed: Vec::new(),
     }
 }
@@ -81,7 +84,7 @@
     publisher.set_kept(1, &[removal]);
     let update = news(&publisher, &subscriber).expect("news");
     assert_eq!((update.base, update.position), (Some(position(1, 1)), position(1, 2)));
-    assert_eq!(update.updates[0].added, [(key(3), 900)]);
+    assert_eq!(update.updates[0].added, [CachedPrefix { key: key(3), tokens: 900 }]);
     assert_eq!(update.updates[0].removed, [key(1)]);
     deliver(&publisher, &mut subscriber).expect("changes");
     assert_same(&subscriber, &publisher);
