--- /dev/null
+++ b/crates/control-plane/src/rollout/controller.rs
@@ -0,0 +1,214 @@
+//! Carries out the plan while this member is primary.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_channel::{Receiver, Sender};
+use async_io::Timer;
+use futures_lite::future;
+use tulipridge_protocol::feed::{ModelRevision, ModelWeights};
+use tulipridge_runtime::clock;
+
+use super::announcements::AnnouncementTimes;
+use super::messages::FencingToken;
+use super::planner::{Action, Planner, PlannerSettings};
+use super::replica_client::{self, ReplicaEndpoint};
+use super::{Event, RolloutOutput};
+use crate::singleton::{SingletonContext, SingletonLease};
+
+/// Time from one look at the lease to the next, while nothing else happens.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Shortest wait for something that is due, so that a deadline in the past does not spin.
+const MIN_WAIT: Duration = Duration::from_millis(10);
+
+/// The roll-out of one member, which acts while the member is primary.
+pub struct Rollout {
+    /// The member's name, which replicas see as the owner of a command.
+    name: String,
+    settings: PlannerSettings,
+    context: SingletonContext,
+    output: Rc<dyn RolloutOutput>,
+    events: Receiver<Event>,
+    sender: Sender<Event>,
+    announcements: AnnouncementTimes,
+    /// None before the member first became primary; stale while another one is.
+    tenure: Option<Tenure>,
+}
+
+/// The plan of one tenure of this member as primary.
+struct Tenure {
+    lease: SingletonLease,
+    planner: Planner,
+}
+
+impl Rollout {
+    /// The roll-out of the member `name`, and the sender of its events.
+    pub fn new(
+        name: String,
+        settings: PlannerSettings,
+        context: SingletonContext,
+        output: Rc<dyn RolloutOutput>,
+    ) -> (Rollout, Sender<Event>) {
+        let (sender, events) = async_channel::unbounded();
+        let event_sender = sender.clone();
+        let announcements = AnnouncementTimes::new(clock::now());
+        let rollout =
+            Rollout { name, settings, context, output, events, sender, announcements, tenure: None };
+        (rollout, event_sender)
+    }
+
+    /// Carries out the roll-out; does not return.
+    pub async fn run(mut self) {
+        loop {
+            let event = self.next_event().await;
+            self.record_announcements();
+            self.refresh_tenure();
+            if let Some(event) = event {
+                self.handle(event);
+            }
+            self.step();
+        }
+    }
+
+    /// The next event, or `None` when something else may be due.
+    async fn next_event(&self) -> Option<Event> {
+        let wait = self.time_to_next_deadline(clock::now());
+        let timer = async {
+            Timer::after(wait).await;
+            None
+        };
+        let event = async { self.events.recv().await.ok() };
+        future::or(event, timer).await
+    }
+
+    fn time_to_next_deadline(&self, now: Duration) -> Duration {
+        let deadline = self.tenure.as_ref().and_then(|tenure| tenure.planner.next_deadline());
+        deadline.map_or(LEASE_CHECK_INTERVAL, |deadline| {
+            deadline.saturating_sub(now).clamp(MIN_WAIT, LEASE_CHECK_INTERVAL)
+        })
+    }
+
+    /// Records the announced targets, also while another member is primary: this one may be the next.
+    fn record_announcements(&mut self) {
+        self.announcements.advance(clock::now(), self.context.holder.knows_primary());
+        for (model, revision) in self.output.named() {
+            self.announcements.record(&model, revision);
+        }
+        for weights in self.output.delivered() {
+            self.announcements.record(&weights.model, weights.named);
+        }
+    }
+
+    /// Begins a new plan when this member becomes primary.
+    fn refresh_tenure(&mut self) {
+        let Some(lease) = self.context.holder.duty() else { return };
+        if let Some(tenure) = self.tenure.as_mut().filter(|tenure| tenure.lease.tenure == lease.tenure) {
+            tenure.lease = lease;
+            return;
+        }
+        let planner = self.new_planner(lease, clock::now());
+        self.tenure = Some(Tenure { lease, planner });
+    }
+
+    fn new_planner(&self, lease: SingletonLease, now: Duration) -> Planner {
+        let mut planner = Planner::new(self.settings, now);
+        planner.inherit(&self.output.delivered());
+        for announcement in self.announcements.announcements() {
+            planner.announce(announcement, now);
+        }
+        if let Some(replicas) = self.context.table.borrow().listed(lease.tenure) {
+            planner.set_replicas(replicas, now);
+        }
+        planner
+    }
+
+    fn handle(&mut self, event: Event) {
+        let now = clock::now();
+        let Some(Tenure { lease, planner }) = &mut self.tenure else { return };
+        match event {
+            Event::Named => announce_all(planner, &self.announcements, now),
+            Event::Listed => {
+                if let Some(replicas) = self.context.table.borrow().listed(lease.tenure) {
+                    planner.set_replicas(replicas, now);
+                }
+            }
+            Event::CommandFinished { replica, outcome } => planner.record_outcome(&replica, outcome, now),
+            Event::ReportFinished { replica, report } => {
+                planner.record_report(&replica, report.as_ref(), now);
+            }
+        }
+    }
+
+    /// Does what is due, if this member is primary within its lease.
+    fn step(&mut self) {
+        let Some(lease) = self.context.holder.duty() else { return };
+        let Some(tenure) = self.tenure.as_mut().filter(|tenure| tenure.lease == lease) else { return };
+        let before = tenure.planner.weights();
+        tenure.planner.set_queued_requests(self.output.waiting());
+        let actions = tenure.planner.step(clock::now());
+        log_withdrawals(&tenure.planner, &before);
+        self.output.weights(lease.epoch, tenure.planner.weights());
+        if self.context.table.borrow_mut().correct(tenure.planner.corrections()) {
+            self.output.fleet_corrected();
+        }
+        for action in actions {
+            self.spawn(action, FencingToken(lease.epoch));
+        }
+    }
+
+    /// Starts an action, whose result comes as an event.
+    fn spawn(&self, action: Action, fencing_token: FencingToken) {
+        match action {
+            Action::SendCommand { replica, weights } => self.spawn_command(replica, weights, fencing_token),
+            Action::FetchReport { replica } => self.spawn_report(replica),
+        }
+    }
+
+    fn spawn_command(&self, replica: ReplicaEndpoint, weights: ModelRevision, fencing_token: FencingToken) {
+        log::info!(replica:% = replica.id, model:% = weights.model, revision = weights.revision; "load command is sent");
+        let events = self.sender.clone();
+        let owner = self.name.clone();
+        let command = async move {
+            let outcome =
+                replica_client::send_load_command(&replica, &weights, &owner, fencing_token).await;
+            log::info!(replica:% = replica.id, outcome:? = outcome; "load command has ended");
+            let _ = events.send(Event::CommandFinished { replica: replica.id, outcome }).await;
+        };
+        self.context.executor.spawn(command).detach();
+    }
+
+    fn spawn_report(&self, replica: ReplicaEndpoint) {
+        let events = self.sender.clone();
+        let request = async move {
+            let report = replica_client::fetch_report(replica.address).await;
+            let _ = events.send(Event::ReportFinished { replica: replica.id, report }).await;
+        };
+        self.context.executor.spawn(request).detach();
+    }
+}
+
+fn announce_all(planner: &mut Planner, announcements: &AnnouncementTimes, now: Duration) {
+    for announcement in announcements.announcements() {
+        if planner.announce(announcement, now) {
+            log::info!(model:% = announcement.model, revision = announcement.revision; "target revision is announced");
+        }
+    }
+}
+
+/// Logs each model whose older weights were withdrawn since `before`, and the replicas that still have them.
+fn log_withdrawals(planner: &Planner, before: &[ModelWeights]) {
+    let least_before: BTreeMap<&str, u64> =
+        before.iter().map(|weights| (weights.model.as_str(), weights.least)).collect();
+    for weights in planner.weights() {
+        let known = least_before.get(weights.model.as_str()).copied().unwrap_or(0);
+        if weights.least > known {
+            let outdated = planner.outdated_replicas(&weights.model, weights.least);
+            log::info!(
+                model:% = weights.model, least = weights.least, named = weights.named,
+                outdated = outdated.len(), replicas:% = outdated.join(" ");
+                "older weights are withdrawn"
+            );
+        }
+    }
+}
--- a/crates/control-plane/src/rollout/messages.rs
+++ b/crates/control-plane/src/rollout/messages.rs
@@ -1,74 +1,80 @@
-//! What is said to replicas about their weights.
+//! The messages that are exchanged with replicas about the weights that they serve.
 
 use serde::{Deserialize, Serialize};
 use tulipridge_protocol::feed::ModelRevision;
 
-/// An order to load weights, as a replica reads it.
+/// Fencing token of a primary: a replica refuses commands with a lower one than it has seen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+#[serde(transparent)]
+pub struct FencingToken(pub u64);
+
+/// A command to load weights. The field names are those of the replicas' interface.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
-pub struct RevisionOrder<'a> {
+pub struct LoadCommand<'a> {
     order_kind: &'static str,
     #[serde(rename = "llm")]
     model: &'a str,
     revision: u64,
     method: LoadMethod,
     owner: &'a str,
-    fence_no: u64,
+    #[serde(rename = "fenceNo")]
+    fencing_token: FencingToken,
 }
 
-/// What becomes of requests that run when a replica is to load weights.
+/// What becomes of running requests when a replica is to load weights.
 #[derive(Clone, Copy, Debug, Serialize)]
-#[serde(rename_all = "lowercase")]
-pub(super) enum LoadMethod {
-    /// They end first.
-    Hold,
+enum LoadMethod {
+    /// They run to their end before the load begins.
+    #[serde(rename = "hold")]
+    Drain,
 }
 
-impl<'a> RevisionOrder<'a> {
-    /// An order by a holder of the duty and its fence number.
+impl<'a> LoadCommand<'a> {
+    /// A command to load `weights`, by the primary named `owner`.
     #[must_use]
-    pub fn new(weights: &'a ModelRevision, owner: &'a str, fence: u64) -> RevisionOrder<'a> {
-        RevisionOrder {
+    pub fn new(weights: &'a ModelRevision, owner: &'a str, fencing_token: FencingToken) -> LoadCommand<'a> {
+        LoadCommand {
             order_kind: "revision",
             model: &weights.model,
             revision: weights.revision,
-            method: LoadMethod::Hold,
+            method: LoadMethod::Drain,
             owner,
-            fence_no: fence,
+            fencing_token,
         }
     }
 }
 
-/// How a replica answers an order.
+/// How a load command to a replica ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
-    /// It is under way.
+pub enum CommandOutcome {
+    /// The load is in progress.
     Accepted,
     /// The replica has these weights.
-    AlreadyHolds,
-    /// Another order is under way.
+    AlreadyLoaded,
+    /// Another load is in progress.
     Busy,
-    /// The replica has seen a higher fence number.
+    /// The replica has seen a higher fencing token.
     Fenced,
     /// Another replica has the address now.
     WrongReplica,
-    /// The replica does not take the order, as while it is full.
+    /// The replica did not accept the command, as while it is full.
     Refused,
-    /// No answer came: the order may have been taken.
+    /// No response came: the command may have been accepted.
     Unanswered,
 }
 
-impl OrderAnswer {
-    /// The meaning of an answer's status.
+impl CommandOutcome {
+    /// The meaning of a response's HTTP status.
     #[must_use]
-    pub fn from_status(status: u16) -> OrderAnswer {
+    pub fn from_status(status: u16) -> CommandOutcome {
         match status {
-            202 => OrderAnswer::Accepted,
-            200 => OrderAnswer::AlreadyHolds,
-            409 => OrderAnswer::Busy,
-            412 => OrderAnswer::Fenced,
-            421 => OrderAnswer::WrongReplica,
-            _ => OrderAnswer::Refused,
+            202 => CommandOutcome::Accepted,
+            200 => CommandOutcome::AlreadyLoaded,
+            409 => CommandOutcome::Busy,
+            412 => CommandOutcome::Fenced,
+            421 => CommandOutcome::WrongReplica,
+            _ => CommandOutcome::Refused,
         }
     }
 }
@@ -76,17 +82,27 @@
 /// A replica's report, as far as the roll-out uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "ReportBody")]
-pub struct Report {
+pub struct ReplicaReport {
     /// Its models and the revision of their weights.
     pub models: Vec<ModelRevision>,
-    /// An order is under way.
-    pub loading: bool,
+    /// Whether a load is in progress.
+    pub is_loading: bool,
+}
+
+impl ReplicaReport {
+    /// Whether the replica has these weights or newer ones.
+    pub(super) fn has(&self, weights: &ModelRevision) -> bool {
+        self.models
+            .iter()
+            .any(|present| present.model == weights.model && present.revision >= weights.revision)
+    }
 }
 
 #[derive(Deserialize)]
 struct ReportBody {
     #[serde(default)]
     llms: Vec<ReportedModel>,
+    /// Despite its name, true while a load is in progress.
     #[serde(default)]
     loaded: bool,
 }
@@ -97,9 +113,15 @@
     revision: u64,
 }
 
-impl From<ReportBody> for Report {
-    fn from(body: ReportBody) -> Report {
-        let model = |line: ReportedModel| ModelRevision { model: line.label, revision: line.revision };
-        Report { models: body.llms.into_iter().map(model).collect(), loading: body.loaded }
+impl From<ReportBody> for ReplicaReport {
+    fn from(body: ReportBody) -> ReplicaReport {
+        let models = body.llms.into_iter().map(ModelRevision::from).collect();
+        ReplicaReport { models, is_loading: body.loaded }
+    }
+}
+
+impl From<ReportedModel> for ModelRevision {
+    fn from(reported: ReportedModel) -> ModelRevision {
+        ModelRevision { model: reported.label, revision: reported.revision }
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/rollout/planner/mod.rs
@@ -0,0 +1,354 @@
+//! Plans the roll-out of weights: which replica loads when, and from when on older weights must not be used.
+//!
+//! No I/O and no clock: events and the present time are handed in, actions are returned.
+
+mod fleet_view;
+mod load;
+mod load_order;
+mod load_time;
+mod target;
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
+use tulipridge_runtime::settings::RevisionTerm;
+
+use self::fleet_view::FleetView;
+use self::load::{Load, NextStep};
+use self::load_time::LoadTimeEstimate;
+use self::target::{Deadline, Target};
+use super::announcements::Announcement;
+use super::messages::{CommandOutcome, ReplicaReport};
+use super::replica_client::ReplicaEndpoint;
+use crate::fleet::Corrections;
+
+/// Time for the proxies to learn that a replica receives no more requests, before it is commanded to load.
+const DRAIN_NOTICE: Duration = Duration::from_millis(200);
+/// Longest time from the start of a load to its command while requests are queued at the replica: the command rejects
+/// them.
+const MAX_DRAIN_NOTICE: Duration = Duration::from_secs(1);
+/// Time from one look at the queue of a draining replica to the next.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time from one request for a loading replica's report to the next.
+const REPORT_INTERVAL: Duration = Duration::from_millis(150);
+/// A report may show a state that is this old.
+const REPORT_LAG: Duration = Duration::from_millis(600);
+/// Backoff after a replica has refused a command.
+const COMMAND_BACKOFF: Duration = Duration::from_secs(1);
+/// The same for one whose weights are withdrawn: it serves no requests meanwhile.
+const URGENT_COMMAND_BACKOFF: Duration = Duration::from_millis(200);
+/// Replicas of a model that load concurrently, if there are enough.
+const MIN_CONCURRENT_LOADS: usize = 3;
+
+/// Times that the deployment sets.
+#[derive(Clone, Copy, Debug)]
+pub struct PlannerSettings {
+    /// The operator's term: after it no request may begin on older weights.
+    pub revision_term: RevisionTerm,
+    /// The time for which a new primary sends no commands: an earlier one's lease may run so long.
+    pub lease_term: Duration,
+}
+
+/// A call that the planner's caller is to make.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Action {
+    /// Send a load command, and hand its outcome to [`Planner::record_outcome`].
+    SendCommand {
+        /// The replica.
+        replica: ReplicaEndpoint,
+        /// The model and its new revision.
+        weights: ModelRevision,
+    },
+    /// Fetch a replica's report, and hand it to [`Planner::record_report`].
+    FetchReport {
+        /// The replica.
+        replica: ReplicaEndpoint,
+    },
+}
+
+/// The plan of one tenure as primary.
+#[derive(Debug)]
+pub struct Planner {
+    settings: PlannerSettings,
+    /// No command is sent before this time.
+    commands_from: Duration,
+    is_fenced: bool,
+    /// The target of each model; every load is of a model with a target.
+    targets: BTreeMap<String, Target>,
+    fleet: FleetView,
+    /// Loads in progress, by the replicas' ids.
+    loads: BTreeMap<String, Load>,
+    /// Replicas that have refused a command, and until when they get no other one.
+    backoffs: BTreeMap<String, Duration>,
+    load_time: LoadTimeEstimate,
+}
+
+impl Planner {
+    /// A plan for a member that becomes primary now.
+    #[must_use]
+    pub fn new(settings: PlannerSettings, now: Duration) -> Planner {
+        Planner {
+            settings,
+            commands_from: now + settings.lease_term,
+            is_fenced: false,
+            targets: BTreeMap::new(),
+            fleet: FleetView::default(),
+            loads: BTreeMap::new(),
+            backoffs: BTreeMap::new(),
+            load_time: LoadTimeEstimate::default(),
+        }
+    }
+
+    /// Adopts the table of weights that an earlier primary delivered: what was withdrawn remains so.
+    pub fn inherit(&mut self, delivered: &[ModelWeights]) {
+        for weights in delivered {
+            self.targets.entry(weights.model.clone()).or_default().inherit(weights);
+        }
+    }
+
+    /// Adds a target that the operator announced. Returns whether it is new.
+    pub fn announce(&mut self, announcement: Announcement<'_>, now: Duration) -> bool {
+        let deadline = Deadline::of(announcement, self.settings.revision_term, now);
+        self.targets.entry(announcement.model.to_owned()).or_default().announce(deadline)
+    }
+
+    /// Replaces the list of replicas. Loads of replicas that it lacks are dropped, and those whose weights it shows have
+    /// ended.
+    pub fn set_replicas<'a>(&mut self, replicas: impl Iterator<Item = &'a Replica>, now: Duration) {
+        self.fleet.set_replicas(replicas);
+        self.loads.retain(|id, _| self.fleet.contains(id));
+        let is_loaded = |(id, load): &(&String, &Load)| self.fleet.has(id, &load.weights);
+        let loaded: Vec<String> = self.loads.iter().filter(is_loaded).map(|(id, _)| id.clone()).collect();
+        for id in loaded {
+            self.finish_load(&id, now);
+        }
+    }
+
+    /// Replaces the counts of requests that are queued at replicas, by their ids.
+    pub fn set_queued_requests(&mut self, queued_requests: BTreeMap<String, u32>) {
+        self.fleet.set_queued_requests(queued_requests);
+    }
+
+    /// Records how a load command ended.
+    pub fn record_outcome(&mut self, replica: &str, outcome: CommandOutcome, now: Duration) {
+        let Some(load) = self.loads.get_mut(replica) else { return };
+        match outcome {
+            CommandOutcome::Accepted => {
+                load.accepted_at = Some(now);
+                load.next_step = NextStep::ReportAt(now + REPORT_INTERVAL);
+            }
+            CommandOutcome::AlreadyLoaded => {
+                let weights = load.weights.clone();
+                self.fleet.observe(replica, weights);
+                self.finish_load(replica, now);
+            }
+            // Whether the replica loads these weights is seen in its report.
+            CommandOutcome::Busy | CommandOutcome::Unanswered => {
+                load.next_step = NextStep::ReportAt(now + REPORT_LAG);
+            }
+            CommandOutcome::Refused => self.back_off(replica, now),
+            CommandOutcome::WrongReplica => {
+                self.loads.remove(replica);
+                // Until the list shows which replica has the address, none is called there.
+                self.fleet.remove(replica);
+            }
+            CommandOutcome::Fenced => self.is_fenced = true,
+        }
+    }
+
+    /// Ends a load whose command was refused; the replica serves requests meanwhile.
+    fn back_off(&mut self, replica: &str, now: Duration) {
+        let Some(load) = self.loads.remove(replica) else { return };
+        let model = load.weights.model;
+        let is_withdrawn = self.fleet.has_older(replica, &model, self.targets[&model].minimum);
+        let backoff = if is_withdrawn { URGENT_COMMAND_BACKOFF } else { COMMAND_BACKOFF };
+        self.backoffs.insert(replica.to_owned(), now + backoff);
+    }
+
+    /// Records a replica's report; `None` if it did not come.
+    pub fn record_report(&mut self, replica: &str, report: Option<&ReplicaReport>, now: Duration) {
+        let Some(load) = self.loads.get_mut(replica) else { return };
+        let Some(report) = report else {
+            load.next_step = NextStep::ReportAt(now + REPORT_LAG);
+            return;
+        };
+        if !report.is_loading && report.has(&load.weights) {
+            for weights in &report.models {
+                self.fleet.observe(replica, weights.clone());
+            }
+            self.finish_load(replica, now);
+            return;
+        }
+        let accepted_lately = load.accepted_at.is_some_and(|at| now < at + REPORT_LAG);
+        load.next_step = if report.is_loading || accepted_lately {
+            NextStep::ReportAt(now + REPORT_INTERVAL)
+        } else {
+            NextStep::CommandAt(now)
+        };
+    }
+
+    fn finish_load(&mut self, replica: &str, now: Duration) {
+        let Some(load) = self.loads.remove(replica) else { return };
+        if load.accepted_at.is_some() {
+            self.load_time.record(now.saturating_sub(load.started_at));
+        }
+    }
+
+    /// Withdraws and starts what is due now, and returns the calls to make.
+    pub fn step(&mut self, now: Duration) -> Vec<Action> {
+        self.withdraw(now);
+        if self.is_fenced || now < self.commands_from {
+            return Vec::new();
+        }
+        self.backoffs.retain(|_, until| *until > now);
+        self.start_loads(now);
+        let is_due = |(_, load): &(&String, &Load)| load.is_due(now);
+        let due: Vec<String> = self.loads.iter().filter(is_due).map(|(id, _)| id.clone()).collect();
+        due.iter().filter_map(|id| self.advance_load(id, now)).collect()
+    }
+
+    /// Withdraws older weights of models whose deadline has passed, or whose replicas have all loaded.
+    fn withdraw(&mut self, now: Duration) {
+        for (model, target) in &mut self.targets {
+            let is_complete = self.fleet.all_have(model, target.desired);
+            target.expire_due(now);
+            if is_complete {
+                target.withdraw_below(target.desired);
+            }
+        }
+    }
+
+    fn start_loads(&mut self, now: Duration) {
+        let models: Vec<String> = self.targets.keys().cloned().collect();
+        for model in models {
+            let revision = self.targets[&model].desired;
+            for replica in self.next_to_load(&model, now) {
+                let weights = ModelRevision { model: model.clone(), revision };
+                self.loads.insert(replica, Load::start(weights, now, now + DRAIN_NOTICE));
+            }
+        }
+    }
+
+    /// Ids of the replicas that are to load next: those whose weights are withdrawn at once, the others as many at a time
+    /// as the deadlines need.
+    fn next_to_load(&self, model: &str, now: Duration) -> Vec<String> {
+        let target = &self.targets[model];
+        let mut next: Vec<String> = self.urgent(model).map(|replica| replica.id.clone()).collect();
+        let loading = self.loads.values().filter(|load| load.weights.model == model).count();
+        let capacity = self.max_concurrent_loads(model, now).saturating_sub(loading + next.len());
+        let idle = self.fleet.lacking(model, target.desired).filter(|replica| self.is_idle(&replica.id));
+        let usable = idle.filter(|replica| !self.fleet.has_older(&replica.id, model, target.minimum));
+        let ordered = load_order::sort(&self.fleet, model, usable.collect());
+        next.extend(ordered.into_iter().take(capacity).map(|replica| replica.id.clone()));
+        next
+    }
+
+    fn is_idle(&self, replica: &str) -> bool {
+        !self.loads.contains_key(replica) && !self.backoffs.contains_key(replica)
+    }
+
+    /// Idle replicas whose weights must not be used any more. A load command empties a replica's queue, so a draining one
+    /// is included too, once its queued requests must not begin.
+    fn urgent<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Replica> {
+        let target = &self.targets[model];
+        self.fleet.serving(model).filter(|replica| self.is_idle(&replica.id)).filter(move |replica| {
+            let is_draining = replica.phase == ReplicaPhase::Draining;
+            let minimum = if is_draining { target.expired } else { target.minimum };
+            self.fleet.has_older(&replica.id, model, minimum)
+        })
+    }
+
+    /// How many replicas load concurrently, so that all have loaded by each deadline. Half of them continue to serve.
+    fn max_concurrent_loads(&self, model: &str, now: Duration) -> usize {
+        let deadlines = self.targets[model].deadlines().iter();
+        let needed = deadlines.map(|deadline| self.needed_loads(model, deadline, now)).max().unwrap_or(0);
+        let half = self.fleet.serving(model).count().div_ceil(2);
+        needed.max(MIN_CONCURRENT_LOADS).min(half)
+    }
+
+    /// How many replicas have to load concurrently for all to have loaded by a deadline.
+    fn needed_loads(&self, model: &str, deadline: &Deadline, now: Duration) -> usize {
+        let in_progress = self.loads.values().map(|load| now.saturating_sub(load.started_at));
+        let load_time = self.load_time.get(in_progress);
+        let time_left = deadline.load_by.saturating_sub(now).max(load_time);
+        let lacking = self.fleet.lacking(model, deadline.revision).count();
+        (lacking as f64 * load_time.as_secs_f64() / time_left.as_secs_f64()).ceil() as usize
+    }
+
+    /// Does the next step of a load that is due.
+    fn advance_load(&mut self, id: &str, now: Duration) -> Option<Action> {
+        let replica = self.fleet.endpoint(id)?;
+        let has_queue = self.fleet.queued_requests(id) > 0;
+        let load = self.loads.get_mut(id)?;
+        let target = &self.targets[&load.weights.model];
+        match load.next_step {
+            NextStep::CommandAt(_) if has_queue && may_drain(load, target, now) => {
+                load.next_step = NextStep::CommandAt(now + QUEUE_CHECK_INTERVAL);
+                None
+            }
+            NextStep::CommandAt(_) => {
+                load.next_step = NextStep::AwaitOutcome;
+                // A newer revision may have been announced since the load started.
+                load.weights.revision = load.weights.revision.max(target.desired);
+                Some(Action::SendCommand { replica, weights: load.weights.clone() })
+            }
+            NextStep::ReportAt(_) => {
+                load.next_step = NextStep::AwaitReport;
+                Some(Action::FetchReport { replica })
+            }
+            NextStep::AwaitOutcome | NextStep::AwaitReport => None,
+        }
+    }
+
+    /// When something is due next; none while only events can change that.
+    #[must_use]
+    pub fn next_deadline(&self) -> Option<Duration> {
+        let deadlines = self.targets.values().flat_map(Target::deadlines);
+        let withdrawals = deadlines.map(|deadline| deadline.withdraw_at);
+        let loads = self.loads.values().filter_map(Load::due_at);
+        let commands = loads.chain(self.next_start()).map(|at| at.max(self.commands_from));
+        withdrawals.chain(commands.filter(|_| !self.is_fenced)).min()
+    }
+
+    /// When the next load may start, while none is in progress but some replicas lack their target.
+    fn next_start(&self) -> Option<Duration> {
+        let lacks = |(model, target): (&String, &Target)| {
+            self.fleet.lacking(model, target.desired).next().is_some()
+        };
+        if !self.loads.is_empty() || !self.targets.iter().any(lacks) {
+            return None;
+        }
+        Some(self.backoffs.values().copied().min().unwrap_or(self.commands_from))
+    }
+
+    /// Whether a replica has refused this primary's fencing token: another member is primary.
+    #[must_use]
+    pub fn is_fenced(&self) -> bool {
+        self.is_fenced
+    }
+
+    /// Ids of replicas that have weights of a model older than `revision`, draining ones included.
+    #[must_use]
+    pub fn outdated_replicas(&self, model: &str, revision: u64) -> Vec<String> {
+        self.fleet.older(model, revision).map(|replica| replica.id.clone()).collect()
+    }
+
+    /// What the table of replicas is to show beyond the discovered list.
+    #[must_use]
+    pub fn corrections(&self) -> Corrections {
+        let loading = self.loads.keys().cloned().collect();
+        Corrections { loading, revisions: self.fleet.observed().clone() }
+    }
+
+    /// The table of weights to be delivered, in the order of models.
+    #[must_use]
+    pub fn weights(&self) -> Vec<ModelWeights> {
+        self.targets.iter().map(|(model, target)| target.delivered(model)).collect()
+    }
+}
+
+/// Whether the command of a load may wait for the replica's queue to empty. Weights that are withdrawn do not wait.
+fn may_drain(load: &Load, target: &Target, now: Duration) -> bool {
+    now < load.started_at + MAX_DRAIN_NOTICE && load.weights.revision > target.minimum
+}
--- a/crates/control-plane/tests/rollout_exchange.rs
+++ b/crates/control-plane/tests/rollout_exchange.rs
@@ -1,4 +1,4 @@
-//! The roll-out of weights over loopback: what a replica is asked, and what is delivered of it.
+//! The roll-out of weights over loopback: the calls that a replica receives, and what is delivered.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: 7 };
 const LIMIT: Duration = Duration::from_secs(8);
 
-/// A member that has the duty.
+/// A member that is primary.
 struct Holder;
 
 impl LeaseStatus for Holder {
@@ -77,12 +77,12 @@
     }
 }
 
-/// Reads a call, which comes on a connection of its own, and answers it.
-async fn answer_call(listener: &Async<TcpListener>, status: &str, body: &str) -> String {
+/// Accepts a connection with one call, and responds to it.
+async fn respond(listener: &Async<TcpListener>, status: &str, body: &str) -> String {
     let (mut stream, _) = listener.accept().await.expect("a call comes");
     let call = read_call(&mut stream).await;
-    let answer = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    stream.write_all(answer.as_bytes()).await.expect("the answer is taken");
+    let response = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    stream.write_all(response.as_bytes()).await.expect("the response is read");
     call
 }
 
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_replica_is_ordered_to_load_and_asked_until_it_has() {
+fn a_replica_is_commanded_to_load_and_polled_until_it_has() {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
     let address = listener.get_ref().local_addr().expect("it is bound");
@@ -108,17 +108,17 @@
     };
     let (rollout, _events) = Rollout::new("middle-1".to_owned(), settings, context, output.clone());
     let loaded = async {
-        let order = answer_call(&listener, "202 Accepted", "").await;
+        let command = respond(&listener, "202 Accepted", "").await;
         let phase = table.borrow().replicas(DUTY.tenure).expect("a list has come")[0].phase;
-        assert_eq!(phase, ReplicaPhase::Loading, "it takes no requests while it loads");
+        assert_eq!(phase, ReplicaPhase::Loading, "it receives no requests while it loads");
         let loads = r#"{"llms":[{"label":"m","revision":1}],"loaded":true}"#;
-        let report = answer_call(&listener, "200 OK", loads).await;
+        let report = respond(&listener, "200 OK", loads).await;
         let has_loaded = r#"{"llms":[{"label":"m","revision":2}],"loaded":false}"#;
-        answer_call(&listener, "200 OK", has_loaded).await;
+        respond(&listener, "200 OK", has_loaded).await;
         while output.lines.borrow().iter().all(|line| line.least < 2) {
             future::yield_now().await;
         }
-        format!("{order}\n\n{report}")
+        format!("{command}\n\n{report}")
     };
     let working = async {
         rollout.run().await;
@@ -146,12 +146,12 @@
 }
 
 #[test]
-fn a_member_that_finds_weights_named_at_its_start_takes_them_to_be_old() {
+fn a_target_that_is_announced_before_the_start_is_assumed_to_be_older() {
     let executor = Rc::new(LocalExecutor::new());
     let table = Rc::new(RefCell::new(FleetTable::default()));
     let context = SingletonContext { executor: executor.clone(), holder: Rc::new(Holder), table };
     let output = Rc::new(Output::default());
-    // By its age the term is almost over; counted from now, the withdrawal would come after four seconds.
+    // By its assumed age the deadline is near; counted from now, the withdrawal would come after four seconds.
     let term = RevisionTerm::new(Duration::from_secs(6));
     let settings = PlannerSettings { revision_term: term, lease_term: Duration::ZERO };
     let (rollout, _events) = Rollout::new("middle-1".to_owned(), settings, context, output.clone());
--- a/crates/control-plane/tests/rollout_random.rs
+++ b/crates/control-plane/tests/rollout_random.rs
@@ -1,5 +1,5 @@
-//! Random histories of a roll-out, in virtual time: names in quick succession, long queues, replicas that refuse, are
-//! out of reach, crash, return and leave, and primaries that follow one another. No request begins on weights whose
+//! Random histories of a roll-out, in virtual time: announcements in quick succession, long queues, replicas that refuse,
+//! are unreachable, crash, return and leave, and primaries that succeed one another. No request begins on weights whose
 //! term has passed.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use rstest::rstest;
 use tulipridge_control_plane::rollout::{
-    Action, NamingTimes, OrderAnswer, Planner, PlannerSettings, Report,
+    Action, Announcement, AnnouncementTimes, CommandOutcome, Planner, PlannerSettings, ReplicaReport,
 };
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 use tulipridge_runtime::settings::RevisionTerm;
@@ -16,38 +16,45 @@
 const TERM: Duration = Duration::from_secs(12);
 const LEASE: Duration = Duration::from_secs(3);
 const STEP: Duration = Duration::from_millis(25);
-/// Time until gateways know what the primary delivers.
+/// Time until proxies have what the primary delivers.
 const DELIVERY: Duration = Duration::from_millis(75);
-/// The same where links are crowded.
+/// The same where links are congested.
 const LATE_DELIVERY: Duration = Duration::from_millis(500);
 const LENGTH: Duration = Duration::from_secs(45);
 const REPLICAS: usize = 12;
-const LONGEST_WAIT_MS: u64 = 9_000;
+const MAX_QUEUE_TIME_MS: u64 = 9_000;
 const MODEL: &str = "m";
 
-/// What a history leaves out of the design.
+/// A mechanism that a history leaves out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Without {
-    /// Gateways leave waiting requests where they are.
-    calling_off: bool,
-    /// A successor knows of names, but not since when they are named.
+    /// Proxies do not cancel queued requests.
+    cancellation: bool,
+    /// A successor takes all announcements to be new.
     ages: bool,
 }
 
-/// A replica and the requests that wait in its queue.
-struct Engine {
-    line: Replica,
-    /// When each request that waits begins, if nothing comes between.
+/// A load that ends at a time.
+#[derive(Clone, Copy)]
+struct RunningLoad {
+    revision: u64,
+    until: Duration,
+}
+
+/// A replica and the requests that are queued there.
+struct SimulatedReplica {
+    listed: Replica,
+    /// When each queued request begins, unless it is cancelled or rejected first.
     queue: Vec<Duration>,
-    loads: Option<(u64, Duration)>,
-    /// Orders do not get through until then.
-    out_of_reach_until: Duration,
+    load: Option<RunningLoad>,
+    /// Commands are lost until then.
+    unreachable_until: Duration,
     leaves_at: Option<Duration>,
 }
 
-impl Engine {
-    fn new(number: usize, revision: u64) -> Engine {
-        let line = Replica {
+impl SimulatedReplica {
+    fn new(number: usize, revision: u64) -> SimulatedReplica {
+        let listed = Replica {
             id: format!("i-{number:03}"),
             service: "chat".to_owned(),
             address: format!("10.0.{}.{}:8080", number / 250, number % 250 + 1),
@@ -57,16 +64,21 @@
             warm_left_ms: 0,
             models: vec![ModelRevision { model: MODEL.to_owned(), revision }],
         };
-        let out_of_reach_until = Duration::ZERO;
-        Engine { line, queue: Vec::new(), loads: None, out_of_reach_until, leaves_at: None }
+        SimulatedReplica {
+            listed,
+            queue: Vec::new(),
+            load: None,
+            unreachable_until: Duration::ZERO,
+            leaves_at: None,
+        }
     }
 
     fn revision(&self) -> u64 {
-        self.line.models[0].revision
+        self.listed.models[0].revision
     }
 }
 
-/// What gateways are told.
+/// What is delivered to proxies.
 #[derive(Clone, Debug, Default)]
 struct Table {
     least: u64,
@@ -74,23 +86,34 @@
     loading: Vec<String>,
 }
 
+/// A table on its way to the proxies.
+struct Delivery {
+    due_at: Duration,
+    table: Table,
+}
+
+/// When proxies learned that weights below a revision have expired.
+struct Expiry {
+    revision: u64,
+    known_since: Duration,
+}
+
 struct History {
     random: Rng,
     without: Without,
     delivery: Duration,
     now: Duration,
-    engines: Vec<Engine>,
+    replicas: Vec<SimulatedReplica>,
     created: usize,
     planner: Planner,
-    times: NamingTimes,
+    times: AnnouncementTimes,
     /// No primary acts before this.
     vacant_until: Duration,
-    named: BTreeMap<u64, Duration>,
-    on_the_way: VecDeque<(Duration, Table)>,
+    announced: BTreeMap<u64, Duration>,
+    in_flight: VecDeque<Delivery>,
     table: Table,
-    /// Since when gateways know that weights below a revision have expired.
-    expired_since: Vec<(u64, Duration)>,
-    broken: Vec<String>,
+    expiries: Vec<Expiry>,
+    violations: Vec<String>,
 }
 
 fn planner(now: Duration, lease_term: Duration) -> Planner {
@@ -100,42 +123,42 @@
 impl History {
     fn new(seed: u64, without: Without, delivery: Duration) -> History {
         let now = Duration::from_secs(10);
-        let mut times = NamingTimes::new(Duration::ZERO);
+        let mut times = AnnouncementTimes::new(Duration::ZERO);
         times.advance(now, true);
         History {
             random: Rng::with_seed(seed),
             without,
             delivery,
             now,
-            engines: (0..REPLICAS).map(|number| Engine::new(number, 1)).collect(),
+            replicas: (0..REPLICAS).map(|number| SimulatedReplica::new(number, 1)).collect(),
             created: REPLICAS,
             planner: planner(now, Duration::ZERO),
             times,
             vacant_until: Duration::ZERO,
-            named: BTreeMap::new(),
-            on_the_way: VecDeque::new(),
+            announced: BTreeMap::new(),
+            in_flight: VecDeque::new(),
             table: Table::default(),
-            expired_since: Vec::new(),
-            broken: Vec::new(),
+            expiries: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    fn play(mut self) -> Vec<String> {
+    fn run(mut self) -> Vec<String> {
         let end = self.now + LENGTH;
         while self.now < end {
-            self.name();
-            self.trouble();
-            self.control();
+            self.announce();
+            self.inject_faults();
+            self.step_primary();
             self.deliver();
-            self.gateways();
-            self.replicas();
+            self.step_proxies();
+            self.step_replicas();
             self.now += STEP;
         }
-        self.broken
+        self.violations
     }
 
-    /// Once in so many seconds, on average.
-    fn every(&mut self, seconds: f64) -> bool {
+    /// Draws whether an event happens in this step that happens once in so many seconds on average.
+    fn happens_every(&mut self, seconds: f64) -> bool {
         self.random.f64() < STEP.as_secs_f64() / seconds
     }
 
@@ -143,38 +166,38 @@
         Duration::from_millis(self.random.u64(range))
     }
 
-    fn name(&mut self) {
-        if self.every(4.0) && self.named.len() < 6 {
-            let revision = 2 + self.named.len() as u64;
-            self.named.insert(revision, self.now);
-            self.times.hear(MODEL, revision);
+    fn announce(&mut self) {
+        if self.happens_every(4.0) && self.announced.len() < 6 {
+            let revision = 2 + self.announced.len() as u64;
+            self.announced.insert(revision, self.now);
+            self.times.record(MODEL, revision);
         }
     }
 
-    fn trouble(&mut self) {
-        let chosen = self.random.usize(0..self.engines.len());
-        if self.every(5.0) {
-            self.engines[chosen].out_of_reach_until = self.now + self.millis(500..9_000);
+    fn inject_faults(&mut self) {
+        let chosen = self.random.usize(0..self.replicas.len());
+        if self.happens_every(5.0) {
+            self.replicas[chosen].unreachable_until = self.now + self.millis(500..9_000);
         }
-        if self.every(6.0) {
-            self.replace(chosen, self.engines[chosen].revision());
+        if self.happens_every(6.0) {
+            self.replace(chosen, self.replicas[chosen].revision());
         }
-        if self.every(6.0) && self.engines[chosen].leaves_at.is_none() {
-            self.engines[chosen].line.phase = ReplicaPhase::Draining;
-            self.engines[chosen].leaves_at = Some(self.now + self.millis(3_000..9_000));
+        if self.happens_every(6.0) && self.replicas[chosen].leaves_at.is_none() {
+            self.replicas[chosen].listed.phase = ReplicaPhase::Draining;
+            self.replicas[chosen].leaves_at = Some(self.now + self.millis(3_000..9_000));
         }
-        if self.every(15.0) {
-            self.succeed();
+        if self.happens_every(15.0) {
+            self.change_primary();
         }
     }
 
-    /// A new incarnation comes in the place of a replica.
+    /// A new incarnation replaces a replica.
     fn replace(&mut self, index: usize, revision: u64) {
-        self.engines[index] = Engine::new(self.created, revision);
+        self.replicas[index] = SimulatedReplica::new(self.created, revision);
         self.created += 1;
     }
 
-    fn succeed(&mut self) {
+    fn change_primary(&mut self) {
         self.vacant_until = self.now + self.millis(0..700);
         let delivered = ModelWeights {
             model: MODEL.to_owned(),
@@ -184,136 +207,155 @@
         };
         self.planner = planner(self.vacant_until, LEASE);
         self.planner.inherit(&[delivered]);
-        for named in self.times.ages() {
-            let age = if self.without.ages { Duration::ZERO } else { named.age };
-            self.planner.named(named.model, named.revision, age, self.vacant_until);
+        for announced in self.times.announcements() {
+            let age = if self.without.ages { Duration::ZERO } else { announced.age };
+            self.planner.announce(Announcement { age, ..announced }, self.vacant_until);
         }
     }
 
     fn newest(&self) -> u64 {
-        self.named.last_key_value().map_or(1, |(revision, _)| *revision)
+        self.announced.last_key_value().map_or(1, |(revision, _)| *revision)
     }
 
-    fn control(&mut self) {
+    fn step_primary(&mut self) {
         let has_primary = self.now >= self.vacant_until;
         self.times.advance(self.now, has_primary);
         if !has_primary {
             return;
         }
-        for named in self.times.ages() {
-            self.planner.named(named.model, named.revision, named.age, self.now);
+        for announced in self.times.announcements() {
+            self.planner.announce(announced, self.now);
         }
-        self.planner.listed(self.engines.iter().map(|engine| &engine.line), self.now);
+        self.planner.set_replicas(self.replicas.iter().map(|replica| &replica.listed), self.now);
         for action in self.planner.step(self.now) {
             self.act(action);
         }
-        let line = self.planner.weights().pop();
-        let (least, expired) = line.map_or((0, 0), |line| (line.least, line.expired));
+        let weights = self.planner.weights().pop();
+        let (least, expired) = weights.map_or((0, 0), |weights| (weights.least, weights.expired));
         let loading = self.planner.corrections().loading.into_iter().collect();
-        self.on_the_way.push_back((self.now + self.delivery, Table { least, expired, loading }));
+        let table = Table { least, expired, loading };
+        self.in_flight.push_back(Delivery { due_at: self.now + self.delivery, table });
     }
 
     fn act(&mut self, action: Action) {
         let load_time = self.millis(400..2_500);
-        let now = self.now;
-        let engine = |engines: &mut Vec<Engine>, id: &str| {
-            engines.iter().position(|engine| engine.line.id == id && engine.out_of_reach_until <= now)
-        };
         match action {
-            Action::Order { replica, weights, .. } => {
-                let answer = match engine(&mut self.engines, &replica) {
-                    None => OrderAnswer::Unanswered,
-                    Some(_) if self.random.u8(0..8) == 0 => OrderAnswer::Refused,
-                    Some(index) => {
-                        self.engines[index].queue.clear();
-                        self.engines[index].loads = Some((weights.revision, now + load_time));
-                        OrderAnswer::Accepted
-                    }
-                };
-                self.planner.order_answered(&replica, answer, now);
+            Action::SendCommand { replica, weights } => {
+                let load = RunningLoad { revision: weights.revision, until: self.now + load_time };
+                let outcome = self.command(&replica.id, load);
+                self.planner.record_outcome(&replica.id, outcome, self.now);
             }
-            Action::Report { replica, .. } => {
-                let report = engine(&mut self.engines, &replica).map(|index| Report {
-                    models: self.engines[index].line.models.clone(),
-                    loading: self.engines[index].loads.is_some(),
-                });
-                self.planner.reported(&replica, report.as_ref(), now);
+            Action::FetchReport { replica } => {
+                let report = self.report(&replica.id);
+                self.planner.record_report(&replica.id, report.as_ref(), self.now);
             }
         }
     }
 
+    fn reachable(&self, id: &str) -> Option<usize> {
+        let is_reachable =
+            |replica: &SimulatedReplica| replica.listed.id == id && replica.unreachable_until <= self.now;
+        self.replicas.iter().position(is_reachable)
+    }
+
+    fn command(&mut self, id: &str, load: RunningLoad) -> CommandOutcome {
+        let Some(index) = self.reachable(id) else { return CommandOutcome::Unanswered };
+        if self.random.u8(0..8) == 0 {
+            return CommandOutcome::Refused;
+        }
+        self.replicas[index].queue.clear();
+        self.replicas[index].load = Some(load);
+        CommandOutcome::Accepted
+    }
+
+    fn report(&self, id: &str) -> Option<ReplicaReport> {
+        let replica = &self.replicas[self.reachable(id)?];
+        let models = replica.listed.models.clone();
+        Some(ReplicaReport { models, is_loading: replica.load.is_some() })
+    }
+
     fn deliver(&mut self) {
-        while self.on_the_way.front().is_some_and(|(due, _)| *due <= self.now) {
-            let Some((_, table)) = self.on_the_way.pop_front() else { return };
+        while self.in_flight.front().is_some_and(|delivery| delivery.due_at <= self.now) {
+            let Some(Delivery { table, .. }) = self.in_flight.pop_front() else { return };
             if table.expired > self.table.expired {
-                self.expired_since.push((table.expired, self.now));
+                self.expiries.push(Expiry { revision: table.expired, known_since: self.now });
             }
             self.table = table;
         }
     }
 
-    /// Sends requests to replicas that may have them, and calls off those that must not begin.
-    fn gateways(&mut self) {
+    /// Sends requests to replicas that may receive them, and cancels those that must not begin.
+    fn step_proxies(&mut self) {
         let term = RevisionTerm::new(TERM);
-        for index in 0..self.engines.len() {
-            let engine = &self.engines[index];
-            let revision = engine.revision();
-            let may_have = engine.line.phase == ReplicaPhase::Ready
-                && engine.loads.is_none()
+        for index in 0..self.replicas.len() {
+            let replica = &self.replicas[index];
+            let revision = replica.revision();
+            let may_receive = replica.listed.phase == ReplicaPhase::Ready
+                && replica.load.is_none()
                 && revision >= self.table.least
-                && !self.table.loading.contains(&engine.line.id);
-            if may_have && self.every(0.4) {
-                let begins = self.now + self.millis(0..LONGEST_WAIT_MS);
-                self.engines[index].queue.push(begins);
+                && !self.table.loading.contains(&replica.listed.id);
+            if may_receive && self.happens_every(0.4) {
+                let begins = self.now + self.millis(0..MAX_QUEUE_TIME_MS);
+                self.replicas[index].queue.push(begins);
             }
-            let limit = self.expired_since.iter().find(|(expired, _)| *expired > revision);
-            let heard = |revision| self.named.get(revision).map(|at| *at + self.delivery);
-            let is_over =
-                limit.is_some_and(|(expired, since)| self.now >= term.call_off_at(heard(expired), *since));
-            if is_over && !self.without.calling_off {
-                self.engines[index].queue.clear();
+            let expiry = self.expiries.iter().find(|expiry| expiry.revision > revision);
+            let seen_at = |revision| self.announced.get(revision).map(|at| *at + self.delivery);
+            let is_over = expiry.is_some_and(|expiry| {
+                self.now >= term.call_off_at(seen_at(&expiry.revision), expiry.known_since)
+            });
+            if is_over && !self.without.cancellation {
+                self.replicas[index].queue.clear();
             }
         }
     }
 
-    fn replicas(&mut self) {
-        for index in 0..self.engines.len() {
-            let engine = &mut self.engines[index];
-            if let Some((revision, _)) = engine.loads.take_if(|(_, until)| *until <= self.now) {
-                engine.line.models[0].revision = revision;
-            }
+    fn step_replicas(&mut self) {
+        for index in 0..self.replicas.len() {
             let now = self.now;
-            let begun = engine.queue.extract_if(.., |begins| *begins <= now).count();
-            let revision = engine.revision();
-            let limit = self.named.range(revision + 1..).map(|(_, at)| *at + TERM).min();
+            let replica = &mut self.replicas[index];
+            if let Some(load) = replica.load.take_if(|load| load.until <= now) {
+                replica.listed.models[0].revision = load.revision;
+            }
+            let begun = replica.queue.extract_if(.., |begins| *begins <= now).count();
+            let revision = replica.revision();
+            let limit = self.announced.range(revision + 1..).map(|(_, at)| *at + TERM).min();
             if begun > 0 && limit.is_some_and(|limit| now > limit) {
-                self.broken.push(format!("{} began on {revision} at {now:?}", engine.line.id));
+                self.violations.push(format!("{} began on {revision} at {now:?}", replica.listed.id));
             }
-            if engine.leaves_at.is_some_and(|at| at <= now) {
+            if replica.leaves_at.is_some_and(|at| at <= now) {
                 self.replace(index, self.newest());
             }
         }
     }
 }
 
-/// Histories of these seeds in which a request began too late.
-fn broken(seeds: std::ops::Range<u64>, without: Without, delivery: Duration) -> Vec<(u64, String)> {
-    let first =
-        |seed| History::new(seed, without, delivery).play().into_iter().next().map(|what| (seed, what));
-    seeds.filter_map(first).collect()
+/// A history in which a request began too late.
+#[derive(Debug, PartialEq, Eq)]
+struct Violation {
+    seed: u64,
+    first: String,
+}
+
+/// The histories of these seeds in which a request began too late.
+fn violations(seeds: std::ops::Range<u64>, without: Without, delivery: Duration) -> Vec<Violation> {
+    let violation = |seed| {
+        let first = History::new(seed, without, delivery).run().into_iter().next()?;
+        Some(Violation { seed, first })
+    };
+    seeds.filter_map(violation).collect()
 }
 
 #[rstest]
 fn no_request_begins_on_weights_whose_term_has_passed(
-    #[values(0, 1, 2, 3)] part: u64,
+    #[values(0, 1, 2, 3)] batch: u64,
     #[values(DELIVERY, LATE_DELIVERY)] delivery: Duration,
 ) {
-    assert_eq!(broken(part * 100..part * 100 + 100, Without::default(), delivery), []);
+    assert_eq!(violations(batch * 100..batch * 100 + 100, Without::default(), delivery), []);
 }
 
 #[rstest]
-#[case::queues_are_left_alone(Without { calling_off: true, ..Without::default() })]
-#[case::successors_do_not_know_the_ages(Without { ages: true, ..Without::default() })]
-fn what_is_left_out_is_seen(#[case] without: Without) {
-    assert!(!broken(0..100, without, DELIVERY).is_empty());
+#[case::without_cancellation(Without { cancellation: true, ..Without::default() })]
+#[case::without_ages(Without { ages: true, ..Without::default() })]
+fn a_left_out_mechanism_is_detected(#[case] without: Without) {
+    assert!(!violations(0..100, without, DELIVERY).is_empty());
 }
