--- a/crates/agent/tests/exchange.rs
+++ b/crates/agent/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! An agent between a home and a proxy, on the loopback interface.
+//! An agent between a relay and a proxy, on the loopback interface.
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -20,7 +20,7 @@
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 1);
 const SEED: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 2);
-const HOME: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 3);
+const RELAY: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 3);
 const GUARD: Duration = Duration::from_secs(20);
 const FRESH: Duration = Duration::from_secs(1);
 
@@ -37,7 +37,7 @@
 
 fn are_free(first: u16) -> bool {
     let free = |ip: Ipv4Addr, port: u16| TcpListener::bind((ip, port)).is_ok();
-    free(SEED, first + 1) && free(HOME, first + 1) && free(Ipv4Addr::LOCALHOST, first + 3)
+    free(SEED, first + 1) && free(RELAY, first + 1) && free(Ipv4Addr::LOCALHOST, first + 3)
 }
 
 /// A control member that is always fresh.
@@ -46,7 +46,7 @@
     store.set_configuration(revision(configuration));
     store.set_group(Group {
         gateways: 3,
-        control: vec![ControlNode { id: NodeId::new(HOME, 0), zone: "a".into() }],
+        control: vec![ControlNode { id: NodeId::new(RELAY, 0), zone: "a".into() }],
     });
     let store = Rc::new(RefCell::new(store));
     (Rc::clone(&store), Publisher::new(store, Rc::new(|| Some(Duration::ZERO))))
@@ -89,17 +89,17 @@
         let (_, seed) = member(4);
         serve(&seed, settings.feed_socket(SEED), executor);
         let is_fresh = |age: Option<Duration>| age.is_some_and(|age| age < FRESH);
-        let has = |revision| received.borrow().holdings().configuration == revision;
+        let has = |revision| received.borrow().known_positions().configuration == revision;
         until("the seed's state", || has(4) && is_fresh(proxy.age(clock::now()))).await;
         assert_eq!(seed.gateways(), 1);
 
         // The feed names a member in the agent's zone.
-        let (store, home) = member(4);
-        serve(&home, settings.feed_socket(HOME), executor);
-        until("the home", || agent.home() == Some(settings.feed_socket(HOME))).await;
+        let (store, relay) = member(4);
+        serve(&relay, settings.feed_socket(RELAY), executor);
+        until("the relay", || agent.relay() == Some(settings.feed_socket(RELAY))).await;
         store.borrow_mut().set_configuration(revision(9));
-        home.notify();
-        until("the home's state", || has(9) && is_fresh(proxy.age(clock::now()))).await;
+        relay.notify();
+        until("the relay's state", || has(9) && is_fresh(proxy.age(clock::now()))).await;
         assert_eq!(received.borrow().group().gateways, 3);
     }));
 }
--- a/crates/control-plane/src/delivery.rs
+++ b/crates/control-plane/src/delivery.rs
@@ -48,9 +48,9 @@
         let notified = publisher.clone();
         subscriber.on_change(Box::new(move |_| notified.notify()));
         let (told, passed_on) = (Rc::downgrade(&publisher), subscriber.clone());
-        publisher.on_waiting(move || {
+        publisher.on_queued_work(move || {
             if let Some(publisher) = told.upgrade() {
-                passed_on.set_waiting(publisher.waiting());
+                passed_on.set_queued_work(publisher.queued_work());
             }
         });
         let publisher_wanted = Cell::new(None);
@@ -109,13 +109,13 @@
 
     /// Delivers changes of what sources keep of prompts, as primary of `epoch`.
     pub fn set_kept(&self, epoch: u64, updates: &[CacheUpdate]) {
-        let news = self.store.borrow_mut().set_kept(epoch, updates);
+        let news = self.store.borrow_mut().update_cache_index(epoch, updates);
         self.notify_if(news);
     }
 
     /// Delivers how much work waits at replicas, as the gateways have told it, as primary of `epoch`.
     pub fn deliver_loads(&self, epoch: u64) {
-        let news = self.store.borrow_mut().set_loads(epoch, &self.publisher.waiting());
+        let news = self.store.borrow_mut().set_loads(epoch, &self.publisher.queued_work());
         self.notify_if(news);
     }
 
@@ -128,12 +128,12 @@
 
     /// What is known of a source of KV cache.
     pub fn source_status(&self, source: SocketAddrV4) -> Option<SourceStatus> {
-        self.store.borrow().kept().borrow().status(source)
+        self.store.borrow().cache_index().borrow().status(source)
     }
 
     /// The sources of KV cache of which something is known.
     pub fn known_sources(&self) -> Vec<SocketAddrV4> {
-        self.store.borrow().kept().borrow().sources().collect()
+        self.store.borrow().cache_index().borrow().sources().collect()
     }
 
     /// Delivers who takes part, as primary.
@@ -156,7 +156,7 @@
 
     /// Revision of the newest configuration that is delivered.
     pub fn revision(&self) -> u64 {
-        self.store.borrow().holdings().configuration
+        self.store.borrow().known_positions().configuration
     }
 
     /// How many replicas are delivered.
@@ -179,7 +179,7 @@
     /// The size of the index of kept prompts.
     pub fn index_size(&self) -> IndexSize {
         let store = self.store.borrow();
-        let index = store.kept().borrow();
+        let index = store.cache_index().borrow();
         IndexSize { sources: index.sources().count(), entries: index.len() }
     }
 
--- a/crates/control-plane/tests/whole_member.rs
+++ b/crates/control-plane/tests/whole_member.rs
@@ -112,7 +112,7 @@
         let subscriber = Subscriber::new(identity, store.clone());
         let is_served = || {
             let is_fresh = subscriber.age(clock::now()).is_some();
-            is_fresh && store.borrow().holdings().configuration == revision
+            is_fresh && store.borrow().known_positions().configuration == revision
         };
         let served = async {
             while !is_served() {
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -1,10 +1,13 @@
-//! The feed: state from the control plane's primary to the homes of each zone, from a home to the agents of its
-//! zone, and from an agent to the proxy beside it. Each hop speaks the same protocol.
+//! The feed: state from the control plane's primary to the relays of each zone, from a relay to the agents of its
+//! zone, and from an agent to the proxy beside it. A relay is a member of the control plane that serves agents. Each
+//! hop speaks the same protocol, which resembles the incremental (delta) variant of xDS.
 //!
-//! A subscriber connects and says what it holds. The publisher answers with what is missing (a snapshot, or the
-//! changes since) and from then on with each change, in order, on the same connection. A subscriber pings; the
-//! answer says how long ago the publisher's state was known to be the newest, so that each hop can reckon its
-//! own freshness from the moment it sent the ping, by its own steady clock alone.
+//! A subscriber connects and states the positions that it knows. The publisher sends what is missing (snapshots, or
+//! deltas from these positions) and from then on each change, in order, on the same connection. A subscriber pings;
+//! the pong says how long ago the publisher's state was known to be the newest, so that each hop can compute its own
+//! freshness from the moment it sent the ping, by its own monotonic clock alone.
+//!
+//! The encoding numbers fields and variants by their order: names may change, order and types may not.
 
 use std::sync::Arc;
 
@@ -14,34 +17,45 @@
 pub use tulipridge_prefix_cache_index::CacheUpdate;
 
 use crate::node::NodeId;
+use crate::queued_work_entries;
 
 /// From a subscriber to its publisher.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ToPublisher {
     /// The first message of a connection.
     Subscribe(Subscribe),
-    /// Asks how fresh the publisher's state is.
+    /// Requests a [`ToSubscriber::Pong`] with the freshness of the publisher's state.
     Ping {
-        /// Returned in the answer.
+        /// Returned in the pong.
         id: u64,
         /// Gateways (agents) that this subscriber serves, itself included if it is one.
         gateways: u32,
     },
-    /// What waits at replicas of the gateways that this subscriber serves. Only publishers that have sent a table of
-    /// loads are told.
-    Waiting(QueuedWork),
+    /// The work queued at replicas by the gateways that this subscriber serves. It is sent only to publishers that
+    /// have sent a table of loads, since earlier versions don't know this message.
+    QueuedWork(QueuedWork),
 }
 
-/// Work that gateways have sent to replicas and that these have not begun.
+/// Work that gateways have sent to replicas and that these have not started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct QueuedWork {
-    /// The table of replicas that the places refer to, in the order of ids.
+    /// The position of the table of replicas that the entries refer to.
     pub fleet: Position,
-    /// Replicas with work that waits, by their places, and how much it is.
-    pub lines: Vec<(u32, u32)>,
+    /// The replicas with queued work.
+    #[musli(with = queued_work_entries)]
+    pub entries: Vec<QueuedWorkEntry>,
+}
+
+/// The work queued at one replica.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct QueuedWorkEntry {
+    /// The replica's index in the table of replicas in the order of ids.
+    pub replica_index: u32,
+    /// How much is queued, in units of [`WORK_UNIT_TOKENS`].
+    pub units: u32,
 }
 
-/// Who subscribes, and what it holds.
+/// Who subscribes, and from which positions it resumes.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Subscribe {
     /// The subscriber's machine name.
@@ -50,8 +64,8 @@
     pub zone: String,
     /// What it is.
     pub role: SubscriberRole,
-    /// What it holds.
-    pub holds: KnownPositions,
+    /// The positions that it knows already.
+    pub known: KnownPositions,
 }
 
 /// What a subscriber is.
@@ -65,7 +79,7 @@
     Proxy,
 }
 
-/// How far a subscriber's state goes; zeros where it holds nothing.
+/// The positions up to which a subscriber has the state; zeros where it has nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct KnownPositions {
     /// Revision of the configuration.
@@ -74,15 +88,15 @@
     pub fleet: Position,
     /// Position of the table of weights.
     pub weights: Position,
-    /// Position of the index of kept prompts.
-    pub kept: Position,
+    /// Position of the prefix-cache index.
+    pub cache_index: Position,
     /// Position of the table of loads; none from programs that do not know of it, which are not sent it.
     #[musli(default)]
     pub loads: Option<Position>,
 }
 
-/// Where a table stands: the epoch of the primary that wrote it, and the number of its change in that epoch.
-/// Positions only rise; a subscriber ignores what is not above the one that it holds.
+/// The version of a table: the epoch of the primary that wrote it, and the number of its change in that epoch.
+/// Positions only rise; a subscriber ignores an update whose position is not above the one that it knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Position {
     /// The primary's epoch.
@@ -94,54 +108,54 @@
 /// From a publisher to its subscriber.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ToSubscriber {
-    /// The configuration, whole or changed.
+    /// The configuration, as a snapshot or a delta.
     Configuration(ConfigurationUpdate),
-    /// The table of replicas, whole or changed.
+    /// The table of replicas, as a snapshot or a delta.
     Fleet(FleetUpdate),
-    /// The table of weights, always whole: it has a line for each model.
+    /// The table of weights, always as a snapshot: it has only one entry a model.
     Weights(WeightsTable),
-    /// The index of kept prompts, whole or changed.
-    Kept(CacheTableUpdate),
-    /// How many gateways there are, and who serves control.
+    /// The prefix-cache index, as a snapshot or a delta.
+    CacheIndex(CacheIndexUpdate),
+    /// How many gateways there are, and the members of the control plane.
     Group(Group),
-    /// Answers a ping.
+    /// The reply to a ping.
     Pong {
-        /// The ping's number.
+        /// The ping's id.
         id: u64,
-        /// How long before this answer, in milliseconds, the publisher's state was known to be the newest;
+        /// How long before this reply, in milliseconds, the publisher's state was known to be the newest;
         /// none while that is not known.
         age_ms: Option<u32>,
-        /// Revision of the configuration that the publisher holds.
+        /// Revision of the configuration that the publisher has.
         revision: u64,
     },
-    /// The table of loads, always whole: most of its lines change from one to the next.
+    /// The table of loads, always as a snapshot: most of its entries change from one to the next.
     Loads(LoadTable),
 }
 
-/// News of the configuration.
+/// An update of the configuration.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ConfigurationUpdate {
-    /// The whole configuration.
+    /// The complete configuration.
     Snapshot(Arc<Configuration>),
-    /// What differs from the one that the subscriber holds.
+    /// The difference from the one that the subscriber has.
     Changes(ConfigurationChanges),
 }
 
-/// News of the table of replicas.
+/// An update of the table of replicas.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum FleetUpdate {
-    /// The whole table.
+    /// The complete table.
     Snapshot {
-        /// Where it stands.
+        /// Its position.
         position: Position,
-        /// Its lines.
+        /// Its entries.
         replicas: Vec<Replica>,
     },
-    /// What differs from the table at `base`.
+    /// The difference from the table at `base`.
     Changes {
-        /// Where the table must stand for the changes to apply.
+        /// The position from which the changes apply.
         base: Position,
-        /// Where it stands after them.
+        /// The position after them.
         position: Position,
         /// Replicas that are new or changed.
         changed: Vec<Replica>,
@@ -150,14 +164,14 @@
     },
 }
 
-/// News of the index of kept prompts.
+/// An update of the prefix-cache index.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct CacheTableUpdate {
-    /// Where the index must stand for the changes to apply; none where they are the whole index.
+pub struct CacheIndexUpdate {
+    /// The position from which the changes apply; none in a snapshot.
     pub base: Option<Position>,
-    /// Where it stands after them.
+    /// The position after them.
     pub position: Position,
-    /// What has changed, at most once for a source.
+    /// The changes, at most one a source.
     pub updates: Vec<CacheUpdate>,
 }
 
@@ -176,7 +190,7 @@
     pub capacity: u32,
     /// Whether it may be sent requests.
     pub phase: ReplicaPhase,
-    /// Time for which it is still slow after its start, in milliseconds, when the line was written.
+    /// Time for which it is still slow after its start, in milliseconds, when the entry was written.
     pub warm_left_ms: u32,
     /// The models that it serves and the revision of their weights.
     pub models: Vec<ModelRevision>,
@@ -189,7 +203,7 @@
     Ready,
     /// It is about to load weights or loads them; nothing new is sent.
     Loading,
-    /// It is leaving; nothing new is sent.
+    /// It is draining before it goes; nothing new is sent.
     Draining,
 }
 
@@ -202,12 +216,12 @@
     pub revision: u64,
 }
 
-/// Which weights are named, and from when on older ones must not be used.
+/// The weights that the operator named, and which revisions must not be used any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WeightsTable {
-    /// Where it stands.
+    /// Its position.
     pub position: Position,
-    /// A line for each model.
+    /// An entry for each model.
     pub models: Vec<ModelWeights>,
 }
 
@@ -220,29 +234,29 @@
     pub named: u64,
     /// Requests may be sent to replicas of this revision or newer, and to no others.
     pub least: u64,
-    /// The operator's term for older revisions than this one is about to end: requests that wait on them are not to
-    /// begin any more. 0 in messages of programs that do not know of it.
+    /// The operator's deadline for older revisions than this one is about to end: requests queued on them must not
+    /// start any more. 0 in messages of programs that do not know of it.
     #[musli(default)]
     pub expired: u64,
 }
 
-/// How much work waits at each replica, of all gateways together, in units of [`WORK_UNIT_TOKENS`] that have to be read;
-/// at least one for each request.
+/// How much work is queued at each replica by all gateways together, in units of [`WORK_UNIT_TOKENS`] of prompt; at
+/// least one unit a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LoadTable {
-    /// Where it stands.
+    /// Its position.
     pub position: Position,
-    /// The table of replicas that its lines follow, in the order of ids.
+    /// The position of the table of replicas that its entries refer to.
     pub fleet: Position,
-    /// A byte for each replica; the highest one stands for as much or more.
+    /// The units queued at each replica, in the order of their ids; 255 stands for that or more.
     #[musli(bytes)]
-    pub waiting: Vec<u8>,
+    pub queued_units: Vec<u8>,
 }
 
-/// Tokens of a prompt in a unit of work that waits.
+/// Tokens of a prompt in a unit of queued work.
 pub const WORK_UNIT_TOKENS: u32 = 1024;
 
-/// Who takes part.
+/// The gateways and the members of the control plane.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Group {
     /// Gateways that the control plane has heard of lately.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -8,5 +8,6 @@
 pub mod frame;
 pub mod node;
 pub mod peer_sampling;
+mod queued_work_entries;
 pub mod replication;
 pub mod shared_bytes;
--- /dev/null
+++ b/crates/protocol/src/queued_work_entries.rs
@@ -0,0 +1,30 @@
+//! Entries of queued work, encoded as pairs as earlier versions wrote them: `#[musli(with = ...)]`.
+
+use musli::{Decoder, Encoder};
+
+use crate::feed::QueuedWorkEntry;
+
+/// Writes each entry as a pair of index and units.
+///
+/// # Errors
+/// Those of the encoder.
+pub(crate) fn encode<E: Encoder>(entries: &[QueuedWorkEntry], encoder: E) -> Result<(), E::Error>
+where
+    Vec<(u32, u32)>: musli::Encode<E::Mode>,
+{
+    let pairs: Vec<(u32, u32)> = entries.iter().map(|entry| (entry.replica_index, entry.units)).collect();
+    encoder.encode(pairs)
+}
+
+/// Reads what [`encode`] wrote.
+///
+/// # Errors
+/// Those of the decoder.
+pub(crate) fn decode<'de, D: Decoder<'de>>(decoder: D) -> Result<Vec<QueuedWorkEntry>, D::Error>
+where
+    Vec<(u32, u32)>: musli::Decode<'de, D::Mode, D::Allocator>,
+{
+    let pairs: Vec<(u32, u32)> = decoder.decode()?;
+    let entry = |(replica_index, units)| QueuedWorkEntry { replica_index, units };
+    Ok(pairs.into_iter().map(entry).collect())
+}
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -15,7 +15,7 @@
 use tulipridge_protocol::feed::SubscriberRole;
 use tulipridge_runtime::settings::Settings;
 use tulipridge_runtime::signals::{ProcessSignal, SignalStream};
-use tulipridge_subscription::{Changed, FeedStore, Identity, Subscriber, clock};
+use tulipridge_subscription::{FeedStore, Identity, StateChanges, Subscriber, clock};
 
 use crate::placement::held;
 use crate::proxy::Proxy;
@@ -75,7 +75,7 @@
     let store = Rc::new(RefCell::new(FeedStore::remembering(0)));
     let subscriber = Subscriber::new(identity(&settings), store.clone());
     let proxy = proxy(&settings, &subscriber);
-    proxy.set_index(store.borrow().kept().clone());
+    proxy.set_index(store.borrow().cache_index().clone());
     follow(&proxy, &subscriber, store);
     log::info!(seeds = settings.seed_nodes.len(); "the proxy starts");
 
@@ -129,11 +129,11 @@
     let (store, subscriber) = (store.clone(), subscriber.clone());
     proxy.work.on_change(move |waiting| {
         let units = |id: &str| waiting.get(&ReplicaId::from(id)).copied();
-        subscriber.set_waiting(store.borrow().waiting_work(units));
+        subscriber.set_queued_work(store.borrow().queued_work(units));
     });
 }
 
-fn take_over(proxy: &Proxy, store: &FeedStore, changed: &Changed) {
+fn take_over(proxy: &Proxy, store: &FeedStore, changed: &StateChanges) {
     if changed.group {
         proxy.set_gateways(store.group().gateways);
     }
--- a/crates/subscription/src/freshness.rs
+++ b/crates/subscription/src/freshness.rs
@@ -1,25 +1,25 @@
-//! Since when a subscriber's state is known to be the newest.
+//! How fresh a subscriber's state is. No I/O and no clock.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Pings that may wait for their answers; older ones are forgotten.
+/// Most pings without a pong; older ones are dropped.
 const MAX_PENDING: usize = 64;
-/// A ping that has no answer after this long is forgotten.
-const PING_EXPIRES: Duration = Duration::from_secs(30);
+/// A ping without a pong for longer than this is dropped.
+const PING_EXPIRY: Duration = Duration::from_secs(30);
 
-/// Reckons freshness from pings and their answers.
+/// Computes freshness from pings and pongs.
 ///
-/// A publisher answers a ping with the age of its own freshness. The state that precedes the answer was therefore
-/// the newest at the moment of the ping less that age, by the subscriber's own clock, however long the answer took.
+/// A pong carries the age of the publisher's own freshness. The state that precedes the pong was therefore the newest
+/// at the time of the ping less that age, by the subscriber's own clock, however long the pong took.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
     pending: VecDeque<PendingPing>,
-    as_of: Option<Moment>,
+    fresh_as_of: Option<SignedNanos>,
 }
 
-/// Nanoseconds by the steady clock, below 0 before the clock's first reading.
-type Moment = i128;
+/// Nanoseconds of the monotonic clock; negative before its origin.
+type SignedNanos = i128;
 
 #[derive(Clone, Copy, Debug)]
 struct PendingPing {
@@ -34,8 +34,8 @@
         Self::default()
     }
 
-    /// A ping is sent at `now`. Ids rise.
-    pub fn sent(&mut self, id: u64, now: Duration) {
+    /// Records that a ping is sent at `now`. Ids have to rise.
+    pub fn record_ping(&mut self, id: u64, now: Duration) {
         self.expire(now);
         if self.pending.len() == MAX_PENDING {
             self.pending.pop_front();
@@ -43,47 +43,47 @@
         self.pending.push_back(PendingPing { id, sent: now });
     }
 
-    /// A ping is answered; `age` is none where the publisher does not know how fresh it is. Answers of unknown
-    /// pings tell nothing. A publisher may leave out pings, so an answer ends the wait for all earlier ones.
-    pub fn answered(&mut self, id: u64, age: Option<Duration>, now: Duration) {
+    /// Records a pong; `age` is none where the publisher does not know how fresh it is. Pongs of unknown pings are
+    /// ignored. A publisher may skip pings, so a pong drops all earlier ones.
+    pub fn record_pong(&mut self, id: u64, age: Option<Duration>, now: Duration) {
         self.expire(now);
         while self.pending.front().is_some_and(|ping| ping.id < id) {
             self.pending.pop_front();
         }
         let Some(ping) = self.pending.pop_front_if(|ping| ping.id == id) else { return };
         let Some(age) = age else { return };
-        let as_of = moment(ping.sent) - moment(age);
-        self.as_of = self.as_of.max(Some(as_of));
+        let fresh_as_of = signed_nanos(ping.sent) - signed_nanos(age);
+        self.fresh_as_of = self.fresh_as_of.max(Some(fresh_as_of));
     }
 
-    /// Forgets all unanswered pings, as when their connection ends.
+    /// Drops all pings without a pong. To be called when their connection ends.
     pub fn forget_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// The latest moment at which the state was certainly the newest; none also while that moment lies before the
-    /// clock's first reading, where only [`Freshness::age`] can tell it.
+    /// The latest time at which the state was certainly the newest; none also while that time lies before the clock's
+    /// origin, where only [`Freshness::age`] can express it.
     pub fn fresh_as_of(&self) -> Option<Duration> {
-        self.as_of.and_then(duration)
+        self.fresh_as_of.and_then(duration)
     }
 
-    /// How long ago that was.
+    /// How long before `now` that was; none while nothing is known.
     #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.as_of.map(|as_of| duration(moment(now) - as_of).unwrap_or_default())
+        self.fresh_as_of.map(|as_of| duration(signed_nanos(now) - as_of).unwrap_or_default())
     }
 
     fn expire(&mut self, now: Duration) {
-        while self.pending.front().is_some_and(|ping| now.saturating_sub(ping.sent) > PING_EXPIRES) {
+        while self.pending.front().is_some_and(|ping| now.saturating_sub(ping.sent) > PING_EXPIRY) {
             self.pending.pop_front();
         }
     }
 }
 
-fn moment(time: Duration) -> Moment {
-    time.as_nanos() as Moment
+fn signed_nanos(time: Duration) -> SignedNanos {
+    time.as_nanos() as SignedNanos
 }
 
-fn duration(moment: Moment) -> Option<Duration> {
-    u64::try_from(moment).ok().map(Duration::from_nanos)
+fn duration(nanos: SignedNanos) -> Option<Duration> {
+    u64::try_from(nanos).ok().map(Duration::from_nanos)
 }
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -1,22 +1,29 @@
-//! Delivery of state along the feed: from the control plane's primary to the homes of each zone, from a home to
-//! its agents, and from an agent to the proxy beside it.
+//! Delivery of state along the feed: from the control plane's primary to the relays of each zone (members that serve
+//! agents), from a relay to its agents, and from an agent to the proxy beside it.
 //!
-//! [`store::FeedStore`] holds the newest state and tells what a subscriber lacks; [`freshness::Freshness`] reckons
-//! since when that state is known to be the newest. Neither does I/O. [`publisher::Publisher`] and
+//! The path of a change, at each hop: a message arrives at the [`subscriber::Subscriber`], which applies it to the
+//! process's [`store::FeedStore`] and calls its listeners; one of these notifies the [`publisher::Publisher`] of the
+//! same store, which sends each of its subscribers a delta from the position that this one has reached, or a snapshot.
+//! Pings go the other way, and [`freshness::Freshness`] computes from their pongs how stale the state may be. Reports
+//! of [`queued_work`] go towards the primary on the same connections.
+//!
+//! [`store`], [`freshness`] and [`queued_work`] do no I/O. [`publisher::Publisher`] and
 //! [`subscriber::Subscriber`] are the two ends of a connection. They are futures for one thread.
 
 pub mod freshness;
 mod link;
 pub mod publisher;
+pub mod queued_work;
 mod signal;
 pub mod store;
 pub mod subscriber;
-pub mod waiting;
 mod wire;
 
 pub use tulipridge_runtime::clock;
 
 pub use freshness::Freshness;
 pub use publisher::{Publisher, PublisherSettings};
-pub use store::{Changed, FeedError, FeedStore, Pong};
-pub use subscriber::{Attempt, EndReason, Ended, Identity, Subscriber, Tolerance};
+pub use store::{FeedError, FeedStore, Pong, StateChanges};
+pub use subscriber::{
+    EndReason, Identity, PreviousConnection, SelectionContext, StalenessTolerance, Subscriber,
+};
--- a/crates/subscription/src/link.rs
+++ b/crates/subscription/src/link.rs
@@ -1,4 +1,4 @@
-//! A connection of the feed, as the task at either end waits for it.
+//! A connection of the feed, as the task at either end polls it.
 
 use std::future::poll_fn;
 use std::io;
@@ -16,17 +16,17 @@
 
 /// What a connection's task was woken for.
 pub(crate) enum Event {
-    /// The peer has said something, or has closed its side.
+    /// The peer has sent bytes, or has closed its side.
     Received(Received),
-    /// The connection took bytes.
+    /// The connection has accepted bytes.
     Written,
-    /// The signal at this place was raised.
+    /// The signal at this index was raised.
     Signalled(usize),
-    /// The deadline may have come; one that has moved away meanwhile has not.
+    /// The timer has fired. The deadline may have been put off meanwhile, so the caller checks it again.
     Timer,
 }
 
-/// A connection with what has come in and what waits to be written, and one timer.
+/// A connection with its buffers and one timer.
 pub(crate) struct Link<'a> {
     stream: &'a Async<TcpStream>,
     pub(crate) incoming: Incoming,
@@ -47,6 +47,9 @@
     }
 
     /// Waits for the next event, and writes meanwhile.
+    ///
+    /// # Errors
+    /// The error of a read or a write that has failed.
     pub(crate) async fn next_event(
         &mut self,
         signals: &[&Signal],
@@ -56,7 +59,7 @@
         poll_fn(|context| self.poll_event(signals, context)).await
     }
 
-    /// A deadline that has moved away leaves the timer, since its owner looks again when it is due.
+    /// A deadline that is put off leaves the timer as it is, since the owner checks its deadline when the timer fires.
     fn arm_timer(&mut self, deadline: Duration) {
         if deadline < self.timer_at {
             self.timer.set_after(deadline.saturating_sub(clock::now()));
@@ -64,7 +67,7 @@
         }
     }
 
-    /// What the peer says goes before the timer, so that bytes which have waited count as said in time.
+    /// Reads go before the timer, so that bytes which have already arrived count as received in time.
     fn poll_event(&mut self, signals: &[&Signal], context: &mut Context<'_>) -> Poll<io::Result<Event>> {
         if let Poll::Ready(received) = self.incoming.poll_fill(self.stream, context) {
             return Poll::Ready(received.map(Event::Received));
@@ -72,9 +75,9 @@
         if let Poll::Ready(written) = self.outgoing.poll_write(self.stream, context) {
             return Poll::Ready(written.map(|()| Event::Written));
         }
-        for (place, signal) in signals.iter().enumerate() {
+        for (index, signal) in signals.iter().enumerate() {
             if signal.poll_raised(context).is_ready() {
-                return Poll::Ready(Ok(Event::Signalled(place)));
+                return Poll::Ready(Ok(Event::Signalled(index)));
             }
         }
         Pin::new(&mut self.timer).poll_next(context).map(|_| {
--- a/crates/subscription/src/publisher/batches.rs
+++ b/crates/subscription/src/publisher/batches.rs
@@ -1,4 +1,4 @@
-//! Encoded updates, kept for the next subscriber that needs the same.
+//! A cache of encoded updates, since many subscribers need the same ones.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -7,13 +7,13 @@
 
 use crate::store::{FeedStore, SentPositions};
 
-/// Batches that are kept.
-const MAX_KEPT: usize = 4;
+/// Most batches in the cache.
+const MAX_BATCHES: usize = 4;
 
 /// The latest batches of updates.
 #[derive(Debug, Default)]
 pub(super) struct Batches {
-    kept: VecDeque<Batch>,
+    cached: VecDeque<Batch>,
 }
 
 #[derive(Debug)]
@@ -24,33 +24,36 @@
 }
 
 impl Batches {
-    /// The frames that lead a subscriber from `from` to the newest state; empty where it has that.
+    /// The frames that bring a subscriber from `from` to the newest state; empty where it has that already.
+    ///
+    /// # Errors
+    /// [`FrameError`] if a message can't be encoded or is too long.
     pub(super) fn frames(
         &mut self,
         store: &FeedStore,
         from: SentPositions,
     ) -> Result<Rc<Vec<u8>>, FrameError> {
-        let to = store.newest();
-        if let Some(known) = self.kept.iter().find(|batch| (batch.from, batch.to) == (from, to)) {
+        let to = store.newest_positions();
+        if let Some(known) = self.cached.iter().find(|batch| (batch.from, batch.to) == (from, to)) {
             return Ok(Rc::clone(&known.frames));
         }
         let frames = Rc::new(encode(store, &from)?);
-        if self.kept.len() == MAX_KEPT {
-            self.kept.pop_front();
+        if self.cached.len() == MAX_BATCHES {
+            self.cached.pop_front();
         }
-        self.kept.push_back(Batch { from, to, frames: Rc::clone(&frames) });
+        self.cached.push_back(Batch { from, to, frames: Rc::clone(&frames) });
         Ok(frames)
     }
 
-    /// Forgets all, as when the store has changed.
+    /// Drops all batches. To be called when the store has changed.
     pub(super) fn clear(&mut self) {
-        self.kept.clear();
+        self.cached.clear();
     }
 }
 
 fn encode(store: &FeedStore, from: &SentPositions) -> Result<Vec<u8>, FrameError> {
     let mut frames = Vec::new();
-    for message in store.missing_since(from) {
+    for message in store.updates_since(from) {
         frame::append(&message, &mut frames)?;
     }
     Ok(frames)
--- a/crates/subscription/src/publisher/connection.rs
+++ b/crates/subscription/src/publisher/connection.rs
@@ -1,4 +1,4 @@
-//! One subscriber's connection.
+//! The task that serves one subscriber's connection.
 
 use std::convert::Infallible;
 use std::io;
@@ -11,12 +11,13 @@
 use tulipridge_protocol::frame::FrameError;
 use tulipridge_runtime::clock;
 
-use super::{Peer, Publisher};
+use super::Publisher;
+use super::subscription::Subscription;
 use crate::link::{Event, Link};
 use crate::store::SentPositions;
 use crate::wire::Received;
 
-/// Longest message of a subscriber.
+/// Longest message accepted from a subscriber.
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
 /// Why a connection ends.
@@ -31,19 +32,23 @@
     #[snafu(display("a message of the subscriber is too long"))]
     TooLong,
     #[snafu(display("a message of the subscriber is out of place"))]
-    OutOfPlace,
+    UnexpectedMessage,
     #[snafu(display("the subscriber says nothing"))]
-    Silent,
+    Idle,
     #[snafu(display("the subscriber takes no bytes"))]
     Stalled,
 }
 
 /// Serves a connection to its end.
-pub(super) async fn serve(publisher: &Publisher, peer: &Peer, stream: &Async<TcpStream>) -> ConnectionEnd {
+pub(super) async fn serve(
+    publisher: &Publisher,
+    subscription: &Subscription,
+    stream: &Async<TcpStream>,
+) -> ConnectionEnd {
     if let Err(source) = stream.get_ref().set_nodelay(true) {
         return ConnectionEnd::Failed { source };
     }
-    let mut connection = Connection::new(publisher, peer, stream);
+    let mut connection = Connection::new(publisher, subscription, stream);
     match connection.run().await {
         Ok(never) => match never {},
         Err(end) => end,
@@ -52,35 +57,40 @@
 
 struct Connection<'a> {
     publisher: &'a Publisher,
-    peer: &'a Peer,
+    subscription: &'a Subscription,
     link: Link<'a>,
-    /// How far the subscriber was sent the state; none before it has subscribed.
+    /// The position up to which the subscriber was sent the state; none before it has subscribed.
     sent: Option<SentPositions>,
-    /// The newest ping that is not answered yet. Answering it answers all before it.
-    unanswered: Option<u64>,
-    /// When the connection took bytes last, or had none to take.
-    taken: Duration,
+    /// The newest ping without a pong. Its pong covers all earlier pings.
+    pending_ping: Option<u64>,
+    /// When the connection last accepted bytes, or had none to send.
+    write_progress: Duration,
 }
 
 impl<'a> Connection<'a> {
-    fn new(publisher: &'a Publisher, peer: &'a Peer, stream: &'a Async<TcpStream>) -> Self {
+    fn new(publisher: &'a Publisher, subscription: &'a Subscription, stream: &'a Async<TcpStream>) -> Self {
         Connection {
             publisher,
-            peer,
+            subscription,
             link: Link::new(stream),
             sent: None,
-            unanswered: None,
-            taken: clock::now(),
+            pending_ping: None,
+            write_progress: clock::now(),
         }
     }
 
     async fn run(&mut self) -> Result<Infallible, ConnectionEnd> {
         loop {
             let deadline = self.deadline();
-            match self.link.next_event(&[&self.peer.store_changed], deadline).await.context(FailedSnafu)? {
+            match self
+                .link
+                .next_event(&[&self.subscription.store_changed], deadline)
+                .await
+                .context(FailedSnafu)?
+            {
                 Event::Received(Received::End) => return ClosedSnafu.fail(),
                 Event::Received(Received::Bytes) => self.read_messages()?,
-                Event::Written => self.taken = clock::now(),
+                Event::Written => self.write_progress = clock::now(),
                 Event::Signalled(_) => {}
                 Event::Timer => self.check_deadlines()?,
             }
@@ -89,84 +99,86 @@
     }
 
     fn read_messages(&mut self) -> Result<(), ConnectionEnd> {
-        let mut has_waiting = false;
-        while let Some(message) = self.link.incoming.take().context(FrameSnafu)? {
-            has_waiting |= matches!(message, ToPublisher::Waiting(_));
-            self.take_message(message)?;
+        let mut has_queued_work = false;
+        while let Some(message) = self.link.incoming.next_message().context(FrameSnafu)? {
+            has_queued_work |= matches!(message, ToPublisher::QueuedWork(_));
+            self.handle_message(message)?;
         }
-        if has_waiting {
-            self.publisher.announce_waiting();
+        if has_queued_work {
+            self.publisher.notify_queued_work();
         }
         ensure!(self.link.incoming.len() <= MAX_REQUEST_BYTES, TooLongSnafu);
-        self.peer.status.borrow_mut().heard = clock::now();
+        self.subscription.status.borrow_mut().last_message = clock::now();
         Ok(())
     }
 
-    fn take_message(&mut self, message: ToPublisher) -> Result<(), ConnectionEnd> {
-        let mut status = self.peer.status.borrow_mut();
+    fn handle_message(&mut self, message: ToPublisher) -> Result<(), ConnectionEnd> {
+        let mut status = self.subscription.status.borrow_mut();
         match message {
             ToPublisher::Subscribe(subscribe) => {
-                ensure!(self.sent.is_none(), OutOfPlaceSnafu);
-                status.revision = subscribe.holds.configuration;
-                self.sent = Some(SentPositions::from(subscribe.holds));
+                ensure!(self.sent.is_none(), UnexpectedMessageSnafu);
+                status.revision = subscribe.known.configuration;
+                self.sent = Some(SentPositions::from(subscribe.known));
                 status.subscriber = Some(subscribe);
             }
             ToPublisher::Ping { id, gateways } => {
-                ensure!(self.sent.is_some(), OutOfPlaceSnafu);
+                ensure!(self.sent.is_some(), UnexpectedMessageSnafu);
                 status.gateways = gateways;
-                self.unanswered = Some(id);
+                self.pending_ping = Some(id);
             }
-            ToPublisher::Waiting(waiting) => {
-                ensure!(self.sent.is_some(), OutOfPlaceSnafu);
-                status.waiting = waiting;
+            ToPublisher::QueuedWork(queued_work) => {
+                ensure!(self.sent.is_some(), UnexpectedMessageSnafu);
+                status.queued_work = queued_work;
             }
         }
         Ok(())
     }
 
-    /// Once all is written, goes on with the newest state, and after it the answer to the newest ping.
+    /// Once all is written, continues with the newest state, and after it the pong for the newest ping.
+    ///
+    /// The order matters: a pong vouches for the state that precedes it on the connection.
     fn write_newest(&mut self) -> Result<(), ConnectionEnd> {
         let Some(sent) = self.sent.filter(|_| self.link.outgoing.is_empty()) else { return Ok(()) };
         let store = self.publisher.store.borrow();
         let frames = self.publisher.batches.borrow_mut().frames(&store, sent).context(FrameSnafu)?;
         self.link.outgoing.push(frames);
-        let sent = sent.later(store.newest());
+        let sent = sent.later(store.newest_positions());
         self.sent = Some(sent);
-        self.peer.status.borrow_mut().revision = sent.holdings.configuration;
-        if let Some(id) = self.unanswered.take() {
-            let revision = store.holdings().configuration;
+        self.subscription.status.borrow_mut().revision = sent.known.configuration;
+        if let Some(id) = self.pending_ping.take() {
+            let revision = store.known_positions().configuration;
             let pong =
                 ToSubscriber::Pong { id, age_ms: (self.publisher.age)().map(milliseconds_up), revision };
             self.link.outgoing.push_message(&pong).context(FrameSnafu)?;
         }
-        self.taken = clock::now();
+        self.write_progress = clock::now();
         Ok(())
     }
 
     fn check_deadlines(&self) -> Result<(), ConnectionEnd> {
         let now = clock::now();
-        ensure!(now < self.silent_at(), SilentSnafu);
+        ensure!(now < self.idle_at(), IdleSnafu);
         ensure!(self.link.outgoing.is_empty() || now < self.stalled_at(), StalledSnafu);
         Ok(())
     }
 
     fn deadline(&self) -> Duration {
         match self.link.outgoing.is_empty() {
-            true => self.silent_at(),
-            false => self.silent_at().min(self.stalled_at()),
+            true => self.idle_at(),
+            false => self.idle_at().min(self.stalled_at()),
         }
     }
 
-    fn silent_at(&self) -> Duration {
-        self.peer.status.borrow().heard + self.publisher.settings.silence
+    fn idle_at(&self) -> Duration {
+        self.subscription.status.borrow().last_message + self.publisher.settings.idle_timeout
     }
 
     fn stalled_at(&self) -> Duration {
-        self.taken + self.publisher.settings.write_stall
+        self.write_progress + self.publisher.settings.write_stall
     }
 }
 
-/// Rounded up, since an age must never be told too low.
+/// Rounded up, since an age must never be understated.
 fn milliseconds_up(age: Duration) -> u32 {
     u32::try_from(age.as_nanos().div_ceil(1_000_000)).unwrap_or(u32::MAX)
 }
--- a/crates/subscription/src/signal.rs
+++ b/crates/subscription/src/signal.rs
@@ -1,4 +1,4 @@
-//! Wakes a task of the same thread.
+//! A flag that wakes a task of the same thread.
 
 use std::cell::{Cell, RefCell};
 use std::task::{Context, Poll, Waker};
@@ -7,31 +7,31 @@
 #[derive(Debug, Default)]
 pub(crate) struct Signal {
     raised: Cell<bool>,
-    waiting: RefCell<Option<Waker>>,
+    waker: RefCell<Option<Waker>>,
 }
 
 impl Signal {
     /// Raises the flag and wakes the task that waits for it.
     pub(crate) fn raise(&self) {
         self.raised.set(true);
-        if let Some(waker) = self.waiting.take() {
+        if let Some(waker) = self.waker.take() {
             waker.wake();
         }
     }
 
-    /// Lowers the flag; whether it was raised.
-    pub(crate) fn lower(&self) -> bool {
+    /// Clears the flag; whether it was raised.
+    pub(crate) fn clear(&self) -> bool {
         self.raised.replace(false)
     }
 
-    /// Ready, with the flag lowered, once it has been raised.
+    /// Ready once the flag has been raised, which is cleared then.
     pub(crate) fn poll_raised(&self, context: &mut Context<'_>) -> Poll<()> {
-        if self.lower() {
+        if self.clear() {
             return Poll::Ready(());
         }
-        let mut waiting = self.waiting.borrow_mut();
-        if !waiting.as_ref().is_some_and(|waker| waker.will_wake(context.waker())) {
-            *waiting = Some(context.waker().clone());
+        let mut stored = self.waker.borrow_mut();
+        if !stored.as_ref().is_some_and(|waker| waker.will_wake(context.waker())) {
+            *stored = Some(context.waker().clone());
         }
         Poll::Pending
     }
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -1,151 +1,49 @@
-//! The state that travels along the feed. No I/O and no clock.
+//! The versioned state that travels along the feed. No I/O and no clock.
+//!
+//! [`FeedStore`] is the state of one process. A publisher reads from it which snapshots and deltas a subscriber
+//! needs, a subscriber applies them to its own. Each table has a position that only rises.
 
+mod cache_index;
+mod changes;
 mod configurations;
+mod error;
 mod fleet;
-mod kept;
+mod positions;
+mod snapshot_tables;
 
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use snafu::Snafu;
 use tulipridge_configuration::Configuration;
 use tulipridge_prefix_cache_index::Index;
 use tulipridge_protocol::feed::{
-    CacheUpdate, Group, KnownPositions, LoadTable, ModelWeights, Position, QueuedWork, Replica,
-    ToSubscriber, WeightsTable,
+    CacheUpdate, Group, KnownPositions, LoadTable, ModelWeights, Position, QueuedWork, QueuedWorkEntry,
+    Replica, ToSubscriber, WeightsTable,
 };
 
+use cache_index::CacheIndexTable;
 use configurations::Configurations;
 use fleet::FleetTable;
-use kept::KeptTable;
 
-/// Earlier configurations that a store remembers, to tell what has changed since.
-pub const REMEMBERED_CONFIGURATIONS: usize = 8;
-
-/// Why an update can't be applied. The subscriber asks again with what it holds.
-#[derive(Debug, PartialEq, Eq, Snafu)]
-pub enum FeedError {
-    /// A change applies to another state than the one held.
-    #[snafu(display("a change of the {table} does not apply to what is held"))]
-    Gap {
-        /// What was to be changed.
-        table: Table,
-    },
-}
-
-/// A part of the state that is delivered in changes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Table {
-    /// The operator's configuration.
-    Configuration,
-    /// The table of replicas.
-    Fleet,
-    /// The index of kept prompts.
-    Kept,
-}
-
-impl std::fmt::Display for Table {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            Table::Configuration => "configuration",
-            Table::Fleet => "fleet",
-            Table::Kept => "index of kept prompts",
-        })
-    }
-}
-
-/// What a message has changed.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Changed {
-    /// The configuration.
-    pub configuration: bool,
-    /// The table of replicas.
-    pub fleet: bool,
-    /// The table of weights.
-    pub weights: bool,
-    /// The index of kept prompts.
-    pub kept: bool,
-    /// Who takes part.
-    pub group: bool,
-    /// The table of loads.
-    pub loads: bool,
-    /// The answer to a ping, which changes nothing here.
-    pub pong: Option<Pong>,
-}
-
-impl Changed {
-    /// Whether anything of the state is different from before.
-    #[must_use]
-    pub fn any(&self) -> bool {
-        self.configuration || self.fleet || self.weights || self.kept || self.group || self.loads
-    }
-
-    /// Adds what a later message has changed.
-    pub fn merge(&mut self, later: Changed) {
-        self.configuration |= later.configuration;
-        self.fleet |= later.fleet;
-        self.weights |= later.weights;
-        self.kept |= later.kept;
-        self.group |= later.group;
-        self.loads |= later.loads;
-        self.pong = later.pong.or(self.pong);
-    }
-}
-
-/// The answer to a ping.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pong {
-    /// The ping's number.
-    pub id: u64,
-    /// How long ago the publisher's state was known to be the newest.
-    pub age: Option<Duration>,
-    /// Revision of the configuration that the publisher holds.
-    pub revision: u64,
-}
-
-/// What a subscriber has been sent, or holds already.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SentPositions {
-    /// How far its state goes.
-    pub holdings: KnownPositions,
-    /// The group's version; 0 is none.
-    pub group: u64,
-}
+pub use changes::{Pong, StateChanges};
+pub use error::{FeedError, Table};
+pub use positions::SentPositions;
 
-impl From<KnownPositions> for SentPositions {
-    fn from(holdings: KnownPositions) -> Self {
-        SentPositions { holdings, group: 0 }
-    }
-}
-
-impl SentPositions {
-    /// The later of both, in each part.
-    #[must_use]
-    pub fn later(self, other: SentPositions) -> SentPositions {
-        let holdings = KnownPositions {
-            configuration: self.holdings.configuration.max(other.holdings.configuration),
-            fleet: self.holdings.fleet.max(other.holdings.fleet),
-            weights: self.holdings.weights.max(other.holdings.weights),
-            kept: self.holdings.kept.max(other.holdings.kept),
-            // A subscriber that does not take the table stays one.
-            loads: self.holdings.loads.map(|own| own.max(other.holdings.loads.unwrap_or_default())),
-        };
-        SentPositions { holdings, group: self.group.max(other.group) }
-    }
-}
+/// Earlier configurations that a store keeps by default, as bases of deltas.
+pub const REMEMBERED_CONFIGURATIONS: usize = 8;
 
-/// The newest state that a process knows, and enough of its past to tell subscribers what has changed.
+/// The newest state that a process knows, and enough of its history to send deltas.
 ///
-/// The source of the state uses the `set_` functions, everyone else [`FeedStore::apply`]. Revisions and positions
-/// never go back.
+/// The primary writes with the `set_` functions and [`FeedStore::update_cache_index`], every other process with
+/// [`FeedStore::apply`]. Revisions and positions never go back.
 #[derive(Debug, Default)]
 pub struct FeedStore {
     configurations: Configurations,
     fleet: FleetTable,
     weights: WeightsTable,
-    kept: KeptTable,
+    cache_index: CacheIndexTable,
     loads: LoadTable,
     group: Group,
     group_version: u64,
@@ -158,56 +56,49 @@
         Self::default()
     }
 
-    /// An empty store that remembers `configurations` earlier ones; a store without subscribers needs none.
+    /// An empty store that keeps `configurations` earlier ones; a store without subscribers needs none.
     #[must_use]
     pub fn remembering(configurations: usize) -> Self {
         FeedStore { configurations: Configurations::remembering(configurations), ..Self::default() }
     }
 
-    /// Takes a configuration if its revision is higher than the one held; whether it was taken.
+    /// Replaces the configuration if the revision is higher than the present one; whether it did.
     pub fn set_configuration(&mut self, configuration: Arc<Configuration>) -> bool {
-        self.configurations.take(configuration)
+        self.configurations.replace_if_newer(configuration)
     }
 
-    /// Sets the table of replicas, as the primary of `epoch`; whether its position moves. It moves when a line
-    /// differs or the epoch is new. Time that has passed on `warm_left_ms` is no difference until none is left;
-    /// such lines are taken as they are, so that newcomers get the present figure. No other store may set tables in
-    /// the same epoch.
+    /// Sets the table of replicas, as the primary of `epoch`; whether its position advances. It advances when a
+    /// replica differs or the epoch is new. Time that has passed on `warm_left_ms` is no difference until none is
+    /// left; such replicas are stored as they are, so that new subscribers get the present figure. No other store
+    /// may set tables in the same epoch.
     pub fn set_fleet(&mut self, epoch: u64, replicas: Vec<Replica>) -> bool {
         self.fleet.set(epoch, replicas)
     }
 
-    /// Sets the table of weights, as the primary of `epoch`; whether its position moves.
+    /// Sets the table of weights, as the primary of `epoch`; whether its position advances.
     pub fn set_weights(&mut self, epoch: u64, models: Vec<ModelWeights>) -> bool {
-        let Some(next) = next_position(self.weights.position, epoch, self.weights.models != models) else {
-            return false;
-        };
-        self.weights = WeightsTable { position: next, models };
+        let Some(next) = snapshot_tables::next_weights(&self.weights, epoch, models) else { return false };
+        self.weights = next;
         true
     }
 
-    /// Takes changes of what sources keep, as the primary of `epoch`; whether the position moves.
-    pub fn set_kept(&mut self, epoch: u64, updates: &[CacheUpdate]) -> bool {
-        self.kept.set(epoch, updates)
+    /// Applies changes of the prefix-cache index, as the primary of `epoch`; whether its position advances.
+    pub fn update_cache_index(&mut self, epoch: u64, updates: &[CacheUpdate]) -> bool {
+        self.cache_index.set(epoch, updates)
     }
 
-    /// Sets the work that waits at replicas, as the primary of `epoch`; whether the position moves. Work that refers to
-    /// another table of replicas than the one held is left out.
+    /// Sets the table of loads from the work queued at replicas, as the primary of `epoch`; whether its position
+    /// advances. Work that refers to another table of replicas than the present one is left out.
     pub fn set_loads(&mut self, epoch: u64, work: &QueuedWork) -> bool {
         let fleet = self.fleet.position();
-        let mut waiting = vec![0; self.fleet.replicas().count()];
-        for (place, amount) in work.lines.iter().filter(|_| work.fleet == fleet) {
-            if let Some(line) = waiting.get_mut(*place as usize) {
-                *line = u8::try_from(*amount).unwrap_or(u8::MAX);
-            }
-        }
-        let differs = (self.loads.fleet, &self.loads.waiting) != (fleet, &waiting);
-        let Some(position) = next_position(self.loads.position, epoch, differs) else { return false };
-        self.loads = LoadTable { position, fleet, waiting };
+        let replica_count = self.fleet.replicas().count();
+        let next = snapshot_tables::next_loads(&self.loads, epoch, work, fleet, replica_count);
+        let Some(next) = next else { return false };
+        self.loads = next;
         true
     }
 
-    /// Sets who takes part; whether that is news.
+    /// Sets the gateways and members of the control plane; whether they differ from before.
     pub fn set_group(&mut self, group: Group) -> bool {
         if self.group_version > 0 && self.group == group {
             return false;
@@ -217,24 +108,31 @@
         true
     }
 
-    /// Takes a publisher's message. What is not newer than the state held changes nothing.
-    pub fn apply(&mut self, message: ToSubscriber) -> Result<Changed, FeedError> {
-        let mut changed = Changed::default();
+    /// Applies a publisher's message. What is not newer than the present state changes nothing.
+    ///
+    /// # Errors
+    /// [`FeedError::Gap`] if a delta does not start from the present position. The store is unchanged then.
+    pub fn apply(&mut self, message: ToSubscriber) -> Result<StateChanges, FeedError> {
+        let mut changes = StateChanges::default();
         match message {
             ToSubscriber::Configuration(update) => {
-                changed.configuration = self.configurations.apply(update)?;
+                changes.configuration = self.configurations.apply(update)?;
+            }
+            ToSubscriber::Fleet(update) => changes.fleet = self.fleet.apply(update)?,
+            ToSubscriber::Weights(table) => {
+                changes.weights = snapshot_tables::replace_if_newer(&mut self.weights, table);
+            }
+            ToSubscriber::CacheIndex(update) => changes.cache_index = self.cache_index.apply(update)?,
+            ToSubscriber::Group(group) => changes.group = self.set_group(group),
+            ToSubscriber::Loads(table) => {
+                changes.loads = snapshot_tables::replace_if_newer(&mut self.loads, table);
             }
-            ToSubscriber::Fleet(update) => changed.fleet = self.fleet.apply(update)?,
-            ToSubscriber::Weights(table) => changed.weights = self.take_weights(table),
-            ToSubscriber::Kept(update) => changed.kept = self.kept.apply(update)?,
-            ToSubscriber::Group(group) => changed.group = self.set_group(group),
-            ToSubscriber::Loads(table) => changed.loads = self.take_loads(table),
             ToSubscriber::Pong { id, age_ms, revision } => {
                 let age = age_ms.map(|age| Duration::from_millis(age.into()));
-                changed.pong = Some(Pong { id, age, revision });
+                changes.pong = Some(Pong { id, age, revision });
             }
         }
-        Ok(changed)
+        Ok(changes)
     }
 
     /// The newest configuration.
@@ -252,7 +150,7 @@
         self.fleet.replica(id)
     }
 
-    /// Where the table of replicas stands.
+    /// The position of the table of replicas.
     pub fn fleet_position(&self) -> Position {
         self.fleet.position()
     }
@@ -262,68 +160,71 @@
         &self.weights
     }
 
-    /// The index of kept prompts, which goes on changing with this store.
-    pub fn kept(&self) -> &Rc<RefCell<Index>> {
-        self.kept.index()
+    /// The prefix-cache index, shared with this store: it follows later updates.
+    pub fn cache_index(&self) -> &Rc<RefCell<Index>> {
+        self.cache_index.index()
     }
 
-    /// The replicas with the work that waits at each; none where the table of loads follows another table of replicas
-    /// than the one held.
+    /// The replicas with the units of work queued at each; none while the table of loads refers to another table of
+    /// replicas than the present one.
     pub fn loads(&self) -> Option<impl Iterator<Item = (&Replica, u8)>> {
         let is_of_fleet = self.loads.fleet == self.fleet.position();
-        is_of_fleet.then(|| self.fleet.replicas().zip(self.loads.waiting.iter().copied()))
+        is_of_fleet.then(|| self.fleet.replicas().zip(self.loads.queued_units.iter().copied()))
     }
 
-    /// Work that waits at replicas, as it is told along the feed.
-    pub fn waiting_work(&self, units_of: impl Fn(&str) -> Option<u32>) -> QueuedWork {
-        let places = self.fleet.replicas().zip(0..);
-        let lines = places.filter_map(|(replica, place)| Some((place, units_of(&replica.id)?)));
-        QueuedWork { fleet: self.fleet.position(), lines: lines.collect() }
+    /// A report of the work queued at replicas, for the publisher of this state. `units_of` returns the units by the
+    /// id of the replica; none where nothing is queued.
+    pub fn queued_work(&self, units_of: impl Fn(&str) -> Option<u32>) -> QueuedWork {
+        let entries = self.fleet.replicas().zip(0..).filter_map(|(replica, replica_index)| {
+            let units = units_of(&replica.id)?;
+            Some(QueuedWorkEntry { replica_index, units })
+        });
+        QueuedWork { fleet: self.fleet.position(), entries: entries.collect() }
     }
 
-    /// Who takes part; empty while that is not known.
+    /// The gateways and members of the control plane; empty while they are not known.
     pub fn group(&self) -> &Group {
         &self.group
     }
 
-    /// How far the state goes.
-    pub fn holdings(&self) -> KnownPositions {
+    /// The position of each table.
+    pub fn known_positions(&self) -> KnownPositions {
         KnownPositions {
             configuration: self.configurations.revision(),
             fleet: self.fleet.position(),
             weights: self.weights.position,
-            kept: self.kept.position(),
+            cache_index: self.cache_index.position(),
             loads: Some(self.loads.position),
         }
     }
 
-    /// How far a subscriber is that has been sent everything.
-    pub fn newest(&self) -> SentPositions {
-        SentPositions { holdings: self.holdings(), group: self.group_version }
+    /// The positions of a subscriber that has been sent everything.
+    pub fn newest_positions(&self) -> SentPositions {
+        SentPositions { known: self.known_positions(), group: self.group_version }
     }
 
-    /// What a subscriber lacks that has just said what it holds: changes where they are known, else the whole
-    /// table. The group is always among it once it is known.
-    pub fn missing(&self, holds: &KnownPositions) -> Vec<ToSubscriber> {
-        self.missing_since(&SentPositions::from(*holds))
+    /// The updates for a subscriber that has just stated its `known` positions: deltas where these are possible, else
+    /// snapshots. The group is always among them once it is known.
+    pub fn updates_for(&self, known: &KnownPositions) -> Vec<ToSubscriber> {
+        self.updates_since(&SentPositions::from(*known))
     }
 
-    /// What a subscriber lacks that has been sent `sent`.
-    pub fn missing_since(&self, sent: &SentPositions) -> Vec<ToSubscriber> {
+    /// The updates for a subscriber that has been sent the state up to `sent`.
+    pub fn updates_since(&self, sent: &SentPositions) -> Vec<ToSubscriber> {
         let mut messages = Vec::new();
-        if let Some(update) = self.configurations.since(sent.holdings.configuration) {
+        if let Some(update) = self.configurations.since(sent.known.configuration) {
             messages.push(ToSubscriber::Configuration(update));
         }
-        if let Some(update) = self.fleet.since(sent.holdings.fleet) {
+        if let Some(update) = self.fleet.since(sent.known.fleet) {
             messages.push(ToSubscriber::Fleet(update));
         }
-        if self.weights.position > sent.holdings.weights {
+        if self.weights.position > sent.known.weights {
             messages.push(ToSubscriber::Weights(self.weights.clone()));
         }
-        if let Some(update) = self.kept.since(sent.holdings.kept) {
-            messages.push(ToSubscriber::Kept(update));
+        if let Some(update) = self.cache_index.since(sent.known.cache_index) {
+            messages.push(ToSubscriber::CacheIndex(update));
         }
-        if sent.holdings.loads.is_some_and(|sent| self.loads.position > sent) {
+        if sent.known.loads.is_some_and(|sent| self.loads.position > sent) {
             messages.push(ToSubscriber::Loads(self.loads.clone()));
         }
         if self.group_version > sent.group {
@@ -331,30 +232,4 @@
         }
         messages
     }
-
-    fn take_loads(&mut self, table: LoadTable) -> bool {
-        let newer = table.position > self.loads.position;
-        if newer {
-            self.loads = table;
-        }
-        newer
-    }
-
-    fn take_weights(&mut self, table: WeightsTable) -> bool {
-        let newer = table.position > self.weights.position;
-        if newer {
-            self.weights = table;
-        }
-        newer
-    }
-}
-
-/// Where a table at `position` stands after the primary of `epoch` has written it; none if it does not move.
-fn next_position(position: Position, epoch: u64, differs: bool) -> Option<Position> {
-    let first = Position { epoch, sequence: 1 };
-    if first > position && (epoch > position.epoch || position.sequence == 0) {
-        return Some(first);
-    }
-    let moves = epoch == position.epoch && differs;
-    moves.then(|| Position { epoch, sequence: position.sequence + 1 })
 }
--- a/crates/subscription/src/store/kept.rs
+++ b/crates/subscription/src/store/cache_index.rs
@@ -1,25 +1,26 @@
-//! The index of kept prompts and its latest changes.
+//! The prefix-cache index with its position and a log of changes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use tulipridge_prefix_cache_index::{CacheUpdate, ChangeLog, ChangedKeys, Index};
-use tulipridge_protocol::feed::{CacheTableUpdate, Position};
+use tulipridge_protocol::feed::{CacheIndexUpdate, Position};
 
-use super::{FeedError, Table, next_position};
+use super::error::{FeedError, Table};
+use super::positions::next_position;
 
-/// Pairs of a part and a source that are indexed at the most; the oldest give way.
+/// Most pairs of a prefix and a source in the index; the oldest are evicted beyond it.
 const MAX_ENTRIES: usize = 200_000;
 
-/// Which source keeps which part, where that stands, and what changed lately.
+/// Which source has which prefix cached, the position of that table, and its latest changes.
 #[derive(Debug, Default)]
-pub(super) struct KeptTable {
+pub(super) struct CacheIndexTable {
     position: Position,
     index: Rc<RefCell<Index>>,
     log: ChangeLog<Position>,
 }
 
-impl KeptTable {
+impl CacheIndexTable {
     pub(super) fn position(&self) -> Position {
         self.position
     }
@@ -28,68 +29,68 @@
         &self.index
     }
 
-    /// Takes changes, as the primary of `epoch`; whether the position moves.
+    /// Applies changes, as the primary of `epoch`; whether the position advances.
     pub(super) fn set(&mut self, epoch: u64, updates: &[CacheUpdate]) -> bool {
         if epoch < self.position.epoch {
             return false;
         }
         let Some(next) = next_position(self.position, epoch, !updates.is_empty()) else { return false };
-        let mut touched = self.take(updates);
+        let mut changed_keys = self.apply_updates(updates);
         for (source, key) in self.index.borrow_mut().drop_oldest(MAX_ENTRIES) {
-            touched.add_part(source, key);
+            changed_keys.add_part(source, key);
         }
-        self.advance(next, touched);
+        self.advance(next, changed_keys);
         true
     }
 
-    pub(super) fn apply(&mut self, update: CacheTableUpdate) -> Result<bool, FeedError> {
-        let CacheTableUpdate { base, position, updates } = update;
+    pub(super) fn apply(&mut self, update: CacheIndexUpdate) -> Result<bool, FeedError> {
+        let CacheIndexUpdate { base, position, updates } = update;
         if position <= self.position {
             return Ok(false);
         }
         match base {
-            Some(base) if base != self.position => return Err(FeedError::Gap { table: Table::Kept }),
+            Some(base) if base != self.position => return Err(FeedError::Gap { table: Table::CacheIndex }),
             Some(_) => {
-                let touched = self.take(&updates);
-                self.advance(position, touched);
+                let changed_keys = self.apply_updates(&updates);
+                self.advance(position, changed_keys);
             }
             None => {
                 *self.index.borrow_mut() = Index::default();
                 self.log.clear();
-                self.take(&updates);
+                self.apply_updates(&updates);
                 self.position = position;
             }
         }
         Ok(true)
     }
 
-    /// What leads from `base` to the present index; none where the base is as new.
-    pub(super) fn since(&self, base: Position) -> Option<CacheTableUpdate> {
+    /// The update from `base` to the present index; none where the base is as new.
+    pub(super) fn since(&self, base: Position) -> Option<CacheIndexUpdate> {
         if base >= self.position {
             return None;
         }
         let index = self.index.borrow();
         let (base, updates) = match self.log.since(&base) {
-            Some(touched) => (Some(base), index.updates(&touched)),
+            Some(changed_keys) => (Some(base), index.updates(&changed_keys)),
             None => (None, index.snapshot()),
         };
-        Some(CacheTableUpdate { base, position: self.position, updates })
+        Some(CacheIndexUpdate { base, position: self.position, updates })
     }
 
-    fn take(&mut self, updates: &[CacheUpdate]) -> ChangedKeys {
+    fn apply_updates(&mut self, updates: &[CacheUpdate]) -> ChangedKeys {
         let mut index = self.index.borrow_mut();
-        let mut touched = ChangedKeys::default();
+        let mut changed_keys = ChangedKeys::default();
         for update in updates {
             index.apply(update);
-            touched.add(update);
+            changed_keys.add(update);
         }
-        touched
+        changed_keys
     }
 
-    fn advance(&mut self, position: Position, touched: ChangedKeys) {
+    fn advance(&mut self, position: Position, changed_keys: ChangedKeys) {
         let base = std::mem::replace(&mut self.position, position);
         if base != Position::default() {
-            self.log.record(base, touched);
+            self.log.record(base, changed_keys);
         }
     }
 }
--- a/crates/subscription/src/store/configurations.rs
+++ b/crates/subscription/src/store/configurations.rs
@@ -1,4 +1,4 @@
-//! The newest configuration and those before it.
+//! The newest configuration, and earlier ones as bases of deltas.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -7,23 +7,25 @@
 use tulipridge_configuration::{Configuration, ConfigurationChanges, difference};
 use tulipridge_protocol::feed::ConfigurationUpdate;
 
-use super::{FeedError, REMEMBERED_CONFIGURATIONS, Table};
+use super::REMEMBERED_CONFIGURATIONS;
+use super::error::{FeedError, Table};
 
-/// Routes, services and tenants of all remembered configurations together, beyond which the oldest are forgotten.
-const MAX_REMEMBERED_ITEMS: usize = 100_000;
+/// Most routes, services and tenants in all earlier configurations together; the oldest configurations are dropped
+/// beyond it.
+const MAX_EARLIER_ITEMS: usize = 100_000;
 
-/// The newest configuration, and earlier ones to tell what has changed since.
+/// The newest configuration, and earlier ones as bases of deltas.
 #[derive(Debug)]
 pub(super) struct Configurations {
     newest: Option<Arc<Configuration>>,
     earlier: VecDeque<Arc<Configuration>>,
     max_earlier: usize,
-    latest_update: RefCell<Option<KnownUpdate>>,
+    latest_update: RefCell<Option<CachedUpdate>>,
 }
 
-/// An update that was computed last, since many subscribers need the same.
+/// The update that was computed or received last. It is cached since many subscribers need the same.
 #[derive(Debug)]
-struct KnownUpdate {
+struct CachedUpdate {
     base: u64,
     revision: u64,
     update: ConfigurationUpdate,
@@ -54,8 +56,8 @@
         self.newest.as_ref().map_or(0, |newest| newest.revision)
     }
 
-    /// Takes a configuration that is newer than the one held.
-    pub(super) fn take(&mut self, configuration: Arc<Configuration>) -> bool {
+    /// Replaces the newest configuration if the revision is higher; whether it did.
+    pub(super) fn replace_if_newer(&mut self, configuration: Arc<Configuration>) -> bool {
         let newer = self.newest.as_ref().is_none_or(|newest| configuration.revision > newest.revision);
         if !newer {
             return false;
@@ -64,13 +66,13 @@
             self.earlier.push_back(before);
         }
         self.latest_update.replace(None);
-        self.forget_oldest();
+        self.drop_oldest();
         true
     }
 
     pub(super) fn apply(&mut self, update: ConfigurationUpdate) -> Result<bool, FeedError> {
         match update {
-            ConfigurationUpdate::Snapshot(configuration) => Ok(self.take(configuration)),
+            ConfigurationUpdate::Snapshot(configuration) => Ok(self.replace_if_newer(configuration)),
             ConfigurationUpdate::Changes(changes) => {
                 if changes.revision <= self.revision() {
                     return Ok(false);
@@ -80,16 +82,16 @@
                     return Err(FeedError::Gap { table: Table::Configuration });
                 };
                 let configuration = Arc::new(difference::apply(base, &changes));
-                self.take(configuration);
-                self.remember_update(changes);
+                self.replace_if_newer(configuration);
+                self.cache_update(changes);
                 Ok(true)
             }
         }
     }
 
-    /// Keeps changes that were applied here for the subscribers that hold the same base.
-    fn remember_update(&self, changes: ConfigurationChanges) {
-        let known = KnownUpdate {
+    /// Caches a delta that was applied here for the subscribers with the same base.
+    fn cache_update(&self, changes: ConfigurationChanges) {
+        let known = CachedUpdate {
             base: changes.base,
             revision: changes.revision,
             update: ConfigurationUpdate::Changes(changes),
@@ -97,7 +99,7 @@
         self.latest_update.replace(Some(known));
     }
 
-    /// What leads from revision `base` to the newest; none where the base is as new.
+    /// The update from revision `base` to the newest; none where the base is as new.
     pub(super) fn since(&self, base: u64) -> Option<ConfigurationUpdate> {
         let newest = self.newest.as_ref().filter(|newest| newest.revision > base)?;
         let mut latest = self.latest_update.borrow_mut();
@@ -107,11 +109,11 @@
             return Some(known.update.clone());
         }
         let update = self.update_from(base, newest);
-        *latest = Some(KnownUpdate { base, revision: newest.revision, update: update.clone() });
+        *latest = Some(CachedUpdate { base, revision: newest.revision, update: update.clone() });
         Some(update)
     }
 
-    /// Changes do not tell the order of items, so they are used only where they lead exactly to the newest.
+    /// Deltas carry no order of items, so one is used only where it leads exactly to the newest configuration.
     fn update_from(&self, base: u64, newest: &Arc<Configuration>) -> ConfigurationUpdate {
         let snapshot = || ConfigurationUpdate::Snapshot(Arc::clone(newest));
         let Some(base) = self.earlier.iter().find(|earlier| earlier.revision == base) else {
@@ -124,13 +126,13 @@
         ConfigurationUpdate::Changes(changes)
     }
 
-    fn forget_oldest(&mut self) {
-        while self.earlier.len() > self.max_earlier || self.remembered_items() > MAX_REMEMBERED_ITEMS {
+    fn drop_oldest(&mut self) {
+        while self.earlier.len() > self.max_earlier || self.earlier_items() > MAX_EARLIER_ITEMS {
             self.earlier.pop_front();
         }
     }
 
-    fn remembered_items(&self) -> usize {
+    fn earlier_items(&self) -> usize {
         self.earlier.iter().map(|earlier| items(earlier)).sum()
     }
 }
--- a/crates/subscription/src/store/fleet.rs
+++ b/crates/subscription/src/store/fleet.rs
@@ -1,31 +1,33 @@
-//! The table of replicas and its latest changes.
+//! The table of replicas with its position and a log of changes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use tulipridge_protocol::feed::{FleetUpdate, Position, Replica};
 
-use super::{FeedError, Table, next_position};
+use super::error::{FeedError, Table};
+use super::positions::next_position;
 
-/// Changes that are remembered.
-const MAX_STEPS: usize = 1024;
-/// Ids in all remembered changes together.
-const MAX_STEP_IDS: usize = 16_384;
+/// Most changes in the log.
+const MAX_LOGGED_CHANGES: usize = 1024;
+/// Most ids in all logged changes together.
+const MAX_LOGGED_IDS: usize = 16_384;
 
-/// The replicas by their ids, where the table stands, and which lines each of the latest changes touched.
+/// The replicas by their ids, the position of the table, and the ids that each of the latest changes touched.
 #[derive(Debug, Default)]
 pub(super) struct FleetTable {
     position: Position,
     replicas: BTreeMap<String, Replica>,
-    steps: VecDeque<Step>,
-    step_ids: usize,
+    log: VecDeque<LoggedChange>,
+    /// Ids in all entries of `log`.
+    logged_ids: usize,
 }
 
-/// A change of the table from the position `base` to the next step's base, or to the table's position.
+/// A change of the table from the position `base` to the base of the next logged change, or to the table's position.
 ///
-/// Changes are told only from positions that this table has held itself: what lies between two of them, or in an
-/// epoch that it has not followed to its end, may have touched lines that look untouched here.
+/// Deltas start only from positions that this table had itself: a change between two of them, or in an epoch that
+/// this process has not followed to its end, may have touched replicas that look untouched here.
 #[derive(Debug)]
-struct Step {
+struct LoggedChange {
     base: Position,
     ids: Vec<String>,
 }
@@ -43,7 +45,7 @@
         self.replicas.get(id)
     }
 
-    /// Sets the whole table, as the primary of `epoch`; whether its position moves.
+    /// Replaces the table, as the primary of `epoch`; whether its position advances.
     pub(super) fn set(&mut self, epoch: u64, replicas: Vec<Replica>) -> bool {
         if epoch < self.position.epoch {
             return false;
@@ -76,18 +78,18 @@
                 if base != self.position {
                     return Err(FeedError::Gap { table: Table::Fleet });
                 }
-                self.change(position, changed, removed);
+                self.apply_delta(position, changed, removed);
             }
         }
         Ok(true)
     }
 
-    /// What leads from `base` to the present table; none where the base is as new.
+    /// The update from `base` to the present table; none where the base is as new.
     pub(super) fn since(&self, base: Position) -> Option<FleetUpdate> {
         if base >= self.position {
             return None;
         }
-        Some(self.changes_since(base).unwrap_or_else(|| self.snapshot()))
+        Some(self.delta_since(base).unwrap_or_else(|| self.snapshot()))
     }
 
     fn snapshot(&self) -> FleetUpdate {
@@ -97,9 +99,9 @@
         }
     }
 
-    fn changes_since(&self, base: Position) -> Option<FleetUpdate> {
-        let first = self.steps.iter().rposition(|step| step.base == base)?;
-        let ids: BTreeSet<&String> = self.steps.range(first..).flat_map(|step| &step.ids).collect();
+    fn delta_since(&self, base: Position) -> Option<FleetUpdate> {
+        let first = self.log.iter().rposition(|change| change.base == base)?;
+        let ids: BTreeSet<&String> = self.log.range(first..).flat_map(|change| &change.ids).collect();
         if ids.len() > self.replicas.len() {
             return None;
         }
@@ -113,7 +115,7 @@
         Some(FleetUpdate::Changes { base, position: self.position, changed, removed })
     }
 
-    fn change(&mut self, position: Position, changed: Vec<Replica>, removed: Vec<String>) {
+    fn apply_delta(&mut self, position: Position, changed: Vec<Replica>, removed: Vec<String>) {
         let mut ids = Vec::with_capacity(changed.len() + removed.len());
         for id in removed {
             self.replicas.remove(&id);
@@ -131,21 +133,21 @@
         if base == Position::default() {
             return;
         }
-        self.step_ids += ids.len();
-        self.steps.push_back(Step { base, ids });
-        while self.steps.len() > MAX_STEPS || self.step_ids > MAX_STEP_IDS {
-            let forgotten = self.steps.pop_front().map_or(0, |step| step.ids.len());
-            self.step_ids -= forgotten;
+        self.logged_ids += ids.len();
+        self.log.push_back(LoggedChange { base, ids });
+        while self.log.len() > MAX_LOGGED_CHANGES || self.logged_ids > MAX_LOGGED_IDS {
+            let dropped = self.log.pop_front().map_or(0, |change| change.ids.len());
+            self.logged_ids -= dropped;
         }
     }
 
     fn differing_ids(&self, replicas: &BTreeMap<String, Replica>) -> Vec<String> {
         let gone = self.replicas.keys().filter(|id| !replicas.contains_key(*id)).cloned();
-        let differing = replicas.values().filter(|new| self.is_news(new)).map(|new| new.id.clone());
+        let differing = replicas.values().filter(|new| self.is_changed(new)).map(|new| new.id.clone());
         gone.chain(differing).collect()
     }
 
-    fn is_news(&self, new: &Replica) -> bool {
+    fn is_changed(&self, new: &Replica) -> bool {
         self.replicas.get(&new.id).is_none_or(|old| differs(old, new))
     }
 }
@@ -154,12 +156,12 @@
     replicas.into_iter().map(|replica| (replica.id.clone(), replica)).collect()
 }
 
-/// Whether a line says something new; time that has passed on `warm_left_ms` is not, until none is left.
+/// Whether subscribers need the new entry; time that has passed on `warm_left_ms` is no change until none is left.
 fn differs(old: &Replica, new: &Replica) -> bool {
     let Replica { id, service, address, zone, capacity, phase, warm_left_ms, models } = new;
     let became_warm = *warm_left_ms == 0 && old.warm_left_ms > 0;
-    let warm_news = became_warm || *warm_left_ms > old.warm_left_ms;
+    let warm_up_changed = became_warm || *warm_left_ms > old.warm_left_ms;
     let same = (id, service, address, zone) == (&old.id, &old.service, &old.address, &old.zone)
         && (capacity, phase, models) == (&old.capacity, &old.phase, &old.models);
-    warm_news || !same
+    warm_up_changed || !same
 }
--- /dev/null
+++ b/crates/subscription/src/store/snapshot_tables.rs
@@ -0,0 +1,63 @@
+//! Tables that are always sent as snapshots: weights and loads.
+
+use tulipridge_protocol::feed::{LoadTable, ModelWeights, Position, QueuedWork, WeightsTable};
+
+use super::positions::next_position;
+
+/// A table with a position that is replaced as a unit.
+pub(super) trait SnapshotTable {
+    /// The position of the table.
+    fn position(&self) -> Position;
+}
+
+impl SnapshotTable for WeightsTable {
+    fn position(&self) -> Position {
+        self.position
+    }
+}
+
+impl SnapshotTable for LoadTable {
+    fn position(&self) -> Position {
+        self.position
+    }
+}
+
+/// Replaces `table` if `received` has a later position; whether it did.
+pub(super) fn replace_if_newer<T: SnapshotTable>(table: &mut T, received: T) -> bool {
+    let is_newer = received.position() > table.position();
+    if is_newer {
+        *table = received;
+    }
+    is_newer
+}
+
+/// The table of weights after the primary of `epoch` has written `models`; none if its position stays.
+pub(super) fn next_weights(
+    table: &WeightsTable,
+    epoch: u64,
+    models: Vec<ModelWeights>,
+) -> Option<WeightsTable> {
+    let position = next_position(table.position, epoch, table.models != models)?;
+    Some(WeightsTable { position, models })
+}
+
+/// The table of loads after the primary of `epoch` has written `work`; none if its position stays.
+///
+/// `fleet` and `replica_count` describe the present table of replicas. Work by another one is left out.
+pub(super) fn next_loads(
+    table: &LoadTable,
+    epoch: u64,
+    work: &QueuedWork,
+    fleet: Position,
+    replica_count: usize,
+) -> Option<LoadTable> {
+    let mut queued_units = vec![0; replica_count];
+    for entry in work.entries.iter().filter(|_| work.fleet == fleet) {
+        if let Some(units) = queued_units.get_mut(entry.replica_index as usize) {
+            *units = u8::try_from(entry.units).unwrap_or(u8::MAX);
+        }
+    }
+    let differs = (table.fleet, &table.queued_units) != (fleet, &queued_units);
+    let position = next_position(table.position, epoch, differs)?;
+    Some(LoadTable { position, fleet, queued_units })
+}
--- a/crates/subscription/src/wire.rs
+++ b/crates/subscription/src/wire.rs
@@ -1,4 +1,4 @@
-//! The two directions of a connection: bytes to messages, messages to bytes.
+//! The buffers of a connection's two directions: bytes to messages, messages to bytes.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -12,14 +12,14 @@
 use musli::{Decode, Encode};
 use tulipridge_protocol::frame::{self, FrameError};
 
-/// Bytes that one call reads at most.
+/// Most bytes that one system call reads.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Calls that one poll makes at most, so that other tasks get their turn.
+/// Most system calls in one poll, so that other tasks of the thread get their turn.
 const MAX_READS: usize = 16;
-/// An empty buffer over this size is given back.
-const KEPT_BYTES: usize = 256 * 1024;
+/// An empty buffer with more capacity than this is freed.
+const MAX_IDLE_CAPACITY_BYTES: usize = 256 * 1024;
 
-/// What one poll has read.
+/// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Received {
     /// Bytes were added to the buffer.
@@ -28,14 +28,14 @@
     End,
 }
 
-/// Bytes that came in and are not yet taken as messages.
+/// Bytes that were received and not yet decoded.
 #[derive(Debug, Default)]
 pub(crate) struct Incoming {
     buffer: Vec<u8>,
 }
 
 impl Incoming {
-    /// Reads what is there.
+    /// Reads what has arrived; pending while there is nothing.
     pub(crate) fn poll_fill(
         &mut self,
         stream: &Async<TcpStream>,
@@ -50,18 +50,18 @@
         }
     }
 
-    /// The next whole message.
-    pub(crate) fn take<T: for<'de> Decode<'de, Binary, Global>>(
+    /// The next complete message; none while more bytes are needed.
+    pub(crate) fn next_message<T: for<'de> Decode<'de, Binary, Global>>(
         &mut self,
     ) -> Result<Option<T>, FrameError> {
         let message = frame::take(&mut self.buffer)?;
-        if self.buffer.is_empty() && self.buffer.capacity() > KEPT_BYTES {
+        if self.buffer.is_empty() && self.buffer.capacity() > MAX_IDLE_CAPACITY_BYTES {
             self.buffer = Vec::new();
         }
         Ok(message)
     }
 
-    /// Bytes of a message that is not yet whole.
+    /// Bytes of the message that is not complete yet.
     pub(crate) fn len(&self) -> usize {
         self.buffer.len()
     }
@@ -84,38 +84,39 @@
     }
 }
 
-/// Bytes that wait to be written.
+/// Bytes to be written.
 #[derive(Debug, Default)]
 pub(crate) struct Outgoing {
-    parts: VecDeque<Rc<Vec<u8>>>,
+    chunks: VecDeque<Rc<Vec<u8>>>,
+    /// Bytes of the first chunk that are written already.
     written: usize,
 }
 
 impl Outgoing {
     /// Whether all is written.
     pub(crate) fn is_empty(&self) -> bool {
-        self.parts.is_empty()
+        self.chunks.is_empty()
     }
 
-    /// Adds bytes that hold whole frames.
-    pub(crate) fn push(&mut self, part: Rc<Vec<u8>>) {
-        if !part.is_empty() {
-            self.parts.push_back(part);
+    /// Adds a chunk of complete frames.
+    pub(crate) fn push(&mut self, chunk: Rc<Vec<u8>>) {
+        if !chunk.is_empty() {
+            self.chunks.push_back(chunk);
         }
     }
 
-    /// Adds a message, to the last part where that is not shared.
+    /// Adds a message, to the last chunk where that is not shared with other connections.
     pub(crate) fn push_message<T: Encode<Binary>>(&mut self, message: &T) -> Result<(), FrameError> {
-        if let Some(last) = self.parts.back_mut().and_then(Rc::get_mut) {
+        if let Some(last) = self.chunks.back_mut().and_then(Rc::get_mut) {
             return frame::append(message, last);
         }
-        let mut part = Vec::new();
-        frame::append(message, &mut part)?;
-        self.push(Rc::new(part));
+        let mut chunk = Vec::new();
+        frame::append(message, &mut chunk)?;
+        self.push(Rc::new(chunk));
         Ok(())
     }
 
-    /// Writes what the connection takes; ready once it took some. Pending also while there is nothing to write.
+    /// Writes what the connection accepts; ready once it accepted some. Pending also while there is nothing to write.
     pub(crate) fn poll_write(
         &mut self,
         stream: &Async<TcpStream>,
@@ -131,15 +132,15 @@
     }
 
     fn write(&mut self, mut stream: &TcpStream) -> io::Result<()> {
-        let Some(part) = self.parts.front() else { return Ok(()) };
-        let count = stream.write(&part[self.written..])?;
+        let Some(chunk) = self.chunks.front() else { return Ok(()) };
+        let count = stream.write(&chunk[self.written..])?;
         if count == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
         self.written += count;
-        if self.written == part.len() {
+        if self.written == chunk.len() {
             self.written = 0;
-            self.parts.pop_front();
+            self.chunks.pop_front();
         }
         Ok(())
     }
--- a/crates/subscription/tests/kept.rs
+++ b/crates/subscription/tests/cache_index.rs
@@ -1,10 +1,10 @@
-//! The index of kept prompts on its way along the feed.
+//! The prefix-cache index on its way along the feed.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use rstest::rstest;
 use tulipridge_prefix_cache_index::{CacheUpdate, Liveness, PrefixKey};
-use tulipridge_protocol::feed::{CacheTableUpdate, KnownPositions, Position, ToSubscriber};
+use tulipridge_protocol::feed::{CacheIndexUpdate, KnownPositions, Position, ToSubscriber};
 use tulipridge_protocol::frame;
 use tulipridge_subscription::store::Table;
 use tulipridge_subscription::{FeedError, FeedStore};
@@ -17,7 +17,7 @@
     PrefixKey::new("m1", &part.to_string())
 }
 
-fn kept(number: u8, next_token: u64, parts: &[(u64, u32)]) -> CacheUpdate {
+fn cached(number: u8, next_token: u64, parts: &[(u64, u32)]) -> CacheUpdate {
     CacheUpdate {
         source: address(number),
         boot: 1,
@@ -33,9 +33,9 @@
     Position { epoch, sequence }
 }
 
-fn news(publisher: &FeedStore, subscriber: &FeedStore) -> Option<CacheTableUpdate> {
-    publisher.missing(&subscriber.holdings()).into_iter().find_map(|message| match message {
-        ToSubscriber::Kept(update) => Some(update),
+fn pending_update(publisher: &FeedStore, subscriber: &FeedStore) -> Option<CacheIndexUpdate> {
+    publisher.updates_for(&subscriber.known_positions()).into_iter().find_map(|message| match message {
+        ToSubscriber::CacheIndex(update) => Some(update),
         _ => None,
     })
 }
@@ -43,7 +43,7 @@
 /// Brings a subscriber up to date, by way of the bytes of the wire.
 fn deliver(publisher: &FeedStore, subscriber: &mut FeedStore) -> Result<(), FeedError> {
     let mut bytes = Vec::new();
-    for message in publisher.missing(&subscriber.holdings()) {
+    for message in publisher.updates_for(&subscriber.known_positions()) {
         frame::append(&message, &mut bytes).expect("a short message");
     }
     while let Some(message) = frame::take::<ToSubscriber>(&mut bytes).expect("a whole message") {
@@ -53,65 +53,65 @@
 }
 
 fn assert_same(subscriber: &FeedStore, publisher: &FeedStore) {
-    assert_eq!(subscriber.holdings(), publisher.holdings());
-    assert_eq!(subscriber.kept().borrow().snapshot(), publisher.kept().borrow().snapshot());
+    assert_eq!(subscriber.known_positions(), publisher.known_positions());
+    assert_eq!(subscriber.cache_index().borrow().snapshot(), publisher.cache_index().borrow().snapshot());
 }
 
 #[test]
-fn the_position_moves_with_changes_and_epochs() {
+fn the_position_advances_with_changes_and_epochs() {
     let mut store = FeedStore::new();
-    assert!(store.set_kept(4, &[kept(1, 1, &[(1, 800)])]));
-    assert_eq!(store.holdings().kept, position(4, 1));
-    assert!(!store.set_kept(4, &[]));
-    assert!(store.set_kept(4, &[kept(1, 2, &[(2, 800)])]));
-    assert!(!store.set_kept(3, &[kept(1, 3, &[(3, 800)])]), "an old epoch");
-    assert!(store.set_kept(5, &[kept(1, 3, &[(3, 800)])]));
-    assert_eq!(store.holdings().kept, position(5, 1));
-    assert_eq!(store.kept().borrow().len(), 3);
+    assert!(store.update_cache_index(4, &[cached(1, 1, &[(1, 800)])]));
+    assert_eq!(store.known_positions().cache_index, position(4, 1));
+    assert!(!store.update_cache_index(4, &[]));
+    assert!(store.update_cache_index(4, &[cached(1, 2, &[(2, 800)])]));
+    assert!(!store.update_cache_index(3, &[cached(1, 3, &[(3, 800)])]), "an old epoch");
+    assert!(store.update_cache_index(5, &[cached(1, 3, &[(3, 800)])]));
+    assert_eq!(store.known_positions().cache_index, position(5, 1));
+    assert_eq!(store.cache_index().borrow().len(), 3);
 }
 
 #[test]
-fn a_newcomer_gets_the_whole_index_and_then_changes() {
+fn a_new_subscriber_gets_a_snapshot_and_then_deltas() {
     let (mut publisher, mut subscriber) = (FeedStore::new(), FeedStore::new());
-    publisher.set_kept(1, &[kept(1, 1, &[(1, 800), (2, 800)])]);
-    assert_eq!(news(&publisher, &subscriber).map(|update| update.base), Some(None));
+    publisher.update_cache_index(1, &[cached(1, 1, &[(1, 800), (2, 800)])]);
+    assert_eq!(pending_update(&publisher, &subscriber).map(|update| update.base), Some(None));
     deliver(&publisher, &mut subscriber).expect("a snapshot");
-    let mut removal = kept(1, 3, &[(3, 900)]);
+    let mut removal = cached(1, 3, &[(3, 900)]);
     removal.removed.push(key(1));
-    publisher.set_kept(1, &[removal]);
-    let update = news(&publisher, &subscriber).expect("news");
+    publisher.update_cache_index(1, &[removal]);
+    let update = pending_update(&publisher, &subscriber).expect("news");
     assert_eq!((update.base, update.position), (Some(position(1, 1)), position(1, 2)));
     assert_eq!(update.updates[0].added, [(key(3), 900)]);
     assert_eq!(update.updates[0].removed, [key(1)]);
     deliver(&publisher, &mut subscriber).expect("changes");
     assert_same(&subscriber, &publisher);
-    assert_eq!(news(&publisher, &subscriber), None);
+    assert_eq!(pending_update(&publisher, &subscriber), None);
 }
 
 #[test]
-fn changes_of_another_state_are_refused() {
+fn a_delta_from_another_position_is_a_gap() {
     let mut store = FeedStore::new();
-    store.set_kept(1, &[kept(1, 1, &[])]);
+    store.update_cache_index(1, &[cached(1, 1, &[])]);
     let update =
-        CacheTableUpdate { base: Some(position(1, 7)), position: position(1, 8), updates: Vec::new() };
+        CacheIndexUpdate { base: Some(position(1, 7)), position: position(1, 8), updates: Vec::new() };
     assert_eq!(
-        store.apply(ToSubscriber::Kept(update)),
-        Err(FeedError::Gap { table: Table::Kept }),
+        store.apply(ToSubscriber::CacheIndex(update)),
+        Err(FeedError::Gap { table: Table::CacheIndex }),
         "the subscriber asks again with what it holds"
     );
 }
 
 #[test]
-fn a_subscriber_ahead_in_an_old_epoch_gets_the_whole_index() {
+fn a_subscriber_ahead_in_an_old_epoch_gets_a_snapshot() {
     let (mut old, mut new) = (FeedStore::new(), FeedStore::new());
-    old.set_kept(1, &[kept(1, 1, &[(1, 800)])]);
+    old.update_cache_index(1, &[cached(1, 1, &[(1, 800)])]);
     deliver(&old, &mut new).expect("a snapshot");
-    old.set_kept(1, &[kept(1, 2, &[(2, 800)])]);
-    new.set_kept(2, &[kept(1, 3, &[(3, 800)])]);
-    assert_eq!(news(&new, &old).map(|update| update.base), Some(None));
+    old.update_cache_index(1, &[cached(1, 2, &[(2, 800)])]);
+    new.update_cache_index(2, &[cached(1, 3, &[(3, 800)])]);
+    assert_eq!(pending_update(&new, &old).map(|update| update.base), Some(None));
     deliver(&new, &mut old).expect("a snapshot");
     assert_same(&old, &new);
-    assert!(!old.set_kept(1, &[kept(1, 9, &[(9, 800)])]), "the old primary is deposed");
+    assert!(!old.update_cache_index(1, &[cached(1, 9, &[(9, 800)])]), "the old primary is deposed");
 }
 
 #[rstest]
@@ -128,11 +128,11 @@
                     stores.get_disjoint_mut([primary, other]).expect("two of three stores");
                 deliver(publisher, subscriber).expect("what is missing applies");
             }
-            _ => drop(stores[primary].set_kept(epoch, &[random_update(&mut random, step)])),
+            _ => drop(stores[primary].update_cache_index(epoch, &[random_update(&mut random, step)])),
         }
     }
     epoch += 1;
-    stores[primary].set_kept(epoch, &[kept(1, 0, &[])]);
+    stores[primary].update_cache_index(epoch, &[cached(1, 0, &[])]);
     for other in [(primary + 1) % 3, (primary + 2) % 3] {
         let [publisher, subscriber] =
             stores.get_disjoint_mut([primary, other]).expect("two of three stores");
@@ -145,14 +145,14 @@
     let number = random.u8(1..5);
     match random.u32(0..20) {
         0 => CacheUpdate::gone(address(number)),
-        1 => CacheUpdate { liveness: Liveness::Down, ..kept(number, step, &[]) },
-        2 => CacheUpdate { replace: true, ..kept(number, step, &[(random.u64(0..30), 700)]) },
-        3..7 => CacheUpdate { removed: vec![key(random.u64(0..30))], ..kept(number, step, &[]) },
-        _ => kept(number, step, &[(random.u64(0..30), random.u32(256..5_000))]),
+        1 => CacheUpdate { liveness: Liveness::Down, ..cached(number, step, &[]) },
+        2 => CacheUpdate { replace: true, ..cached(number, step, &[(random.u64(0..30), 700)]) },
+        3..7 => CacheUpdate { removed: vec![key(random.u64(0..30))], ..cached(number, step, &[]) },
+        _ => cached(number, step, &[(random.u64(0..30), random.u32(256..5_000))]),
     }
 }
 
 #[test]
-fn holdings_without_an_index_are_zero() {
-    assert_eq!(FeedStore::new().holdings().kept, KnownPositions::default().kept);
+fn the_position_of_an_empty_index_is_zero() {
+    assert_eq!(FeedStore::new().known_positions().cache_index, KnownPositions::default().cache_index);
 }
--- a/crates/subscription/tests/common/network.rs
+++ b/crates/subscription/tests/common/network.rs
@@ -83,9 +83,9 @@
 }
 
 /// A subscriber's first message.
-pub(crate) fn subscribe(holds: KnownPositions) -> ToPublisher {
+pub(crate) fn subscribe(known: KnownPositions) -> ToPublisher {
     let Identity { name, zone, role } = identity(SubscriberRole::Agent);
-    ToPublisher::Subscribe(Subscribe { name, zone, role, holds })
+    ToPublisher::Subscribe(Subscribe { name, zone, role, known })
 }
 
 /// The bare end of a connection, which a test drives message by message.
@@ -110,14 +110,14 @@
     }
 
     /// Sends a subscriber's message.
-    pub(crate) async fn say(&mut self, message: &ToPublisher) {
+    pub(crate) async fn send(&mut self, message: &ToPublisher) {
         let mut bytes = Vec::new();
         frame::append(message, &mut bytes).expect("encodes");
         self.write(&bytes).await;
     }
 
     /// Sends a publisher's message.
-    pub(crate) async fn answer(&mut self, message: &ToSubscriber) {
+    pub(crate) async fn reply(&mut self, message: &ToSubscriber) {
         let mut bytes = Vec::new();
         frame::append(message, &mut bytes).expect("encodes");
         self.write(&bytes).await;
@@ -129,7 +129,7 @@
     }
 
     /// The publisher's next message; none at the end of the connection.
-    pub(crate) async fn hear(&mut self) -> Option<ToSubscriber> {
+    pub(crate) async fn receive(&mut self) -> Option<ToSubscriber> {
         loop {
             if let Some(message) = frame::take(&mut self.buffer).expect("decodes") {
                 return Some(message);
@@ -139,7 +139,7 @@
     }
 
     /// The subscriber's next message; none at the end of the connection.
-    pub(crate) async fn asked(&mut self) -> Option<ToPublisher> {
+    pub(crate) async fn receive_request(&mut self) -> Option<ToPublisher> {
         loop {
             if let Some(message) = frame::take(&mut self.buffer).expect("decodes") {
                 return Some(message);
--- a/crates/subscription/tests/freshness.rs
+++ b/crates/subscription/tests/freshness.rs
@@ -13,8 +13,8 @@
 fn is_the_time_of_the_ping_less_the_age() {
     let mut freshness = Freshness::new();
     assert_eq!(freshness.age(ms(1)), None);
-    freshness.sent(1, ms(5_000));
-    freshness.answered(1, Some(ms(120)), ms(5_900));
+    freshness.record_ping(1, ms(5_000));
+    freshness.record_pong(1, Some(ms(120)), ms(5_900));
     assert_eq!(freshness.fresh_as_of(), Some(ms(4_880)));
     assert_eq!(freshness.age(ms(6_000)), Some(ms(1_120)));
 }
@@ -22,18 +22,18 @@
 #[test]
 fn moves_only_forward() {
     let mut freshness = Freshness::new();
-    freshness.sent(1, ms(5_000));
-    freshness.answered(1, Some(ms(0)), ms(5_001));
-    freshness.sent(2, ms(5_300));
-    freshness.answered(2, Some(ms(4_000)), ms(5_301));
+    freshness.record_ping(1, ms(5_000));
+    freshness.record_pong(1, Some(ms(0)), ms(5_001));
+    freshness.record_ping(2, ms(5_300));
+    freshness.record_pong(2, Some(ms(4_000)), ms(5_301));
     assert_eq!(freshness.fresh_as_of(), Some(ms(5_000)));
 }
 
 #[test]
 fn a_moment_before_the_clock_began_has_an_age_but_no_reading() {
     let mut freshness = Freshness::new();
-    freshness.sent(1, ms(10));
-    freshness.answered(1, Some(ms(400)), ms(20));
+    freshness.record_ping(1, ms(10));
+    freshness.record_pong(1, Some(ms(400)), ms(20));
     assert_eq!(freshness.fresh_as_of(), None);
     assert_eq!(freshness.age(ms(20)), Some(ms(410)));
 }
@@ -42,42 +42,42 @@
 #[case::without_freshness(1, None, ms(100))]
 #[case::unknown(7, Some(ms(0)), ms(100))]
 #[case::expired(1, Some(ms(0)), ms(60_000))]
-fn an_answer_tells_nothing(#[case] id: u64, #[case] age: Option<Duration>, #[case] now: Duration) {
+fn a_pong_is_ignored(#[case] id: u64, #[case] age: Option<Duration>, #[case] now: Duration) {
     let mut freshness = Freshness::new();
-    freshness.sent(1, ms(50));
-    freshness.answered(id, age, now);
+    freshness.record_ping(1, ms(50));
+    freshness.record_pong(id, age, now);
     assert_eq!(freshness.age(now), None);
 }
 
 #[test]
-fn an_answer_is_taken_once_and_ends_the_wait_for_earlier_ones() {
+fn a_pong_counts_once_and_drops_earlier_pings() {
     let mut freshness = Freshness::new();
-    freshness.sent(1, ms(1_000));
-    freshness.sent(2, ms(1_300));
-    freshness.answered(2, None, ms(1_400));
-    freshness.answered(2, Some(ms(0)), ms(1_500));
-    freshness.answered(1, Some(ms(0)), ms(1_600));
+    freshness.record_ping(1, ms(1_000));
+    freshness.record_ping(2, ms(1_300));
+    freshness.record_pong(2, None, ms(1_400));
+    freshness.record_pong(2, Some(ms(0)), ms(1_500));
+    freshness.record_pong(1, Some(ms(0)), ms(1_600));
     assert_eq!(freshness.fresh_as_of(), None);
 }
 
 #[test]
-fn the_end_of_a_connection_ends_the_wait_for_its_answers() {
+fn the_end_of_a_connection_drops_its_pings() {
     let mut freshness = Freshness::new();
-    freshness.sent(1, ms(1_000));
+    freshness.record_ping(1, ms(1_000));
     freshness.forget_pending();
-    freshness.answered(1, Some(ms(0)), ms(1_100));
+    freshness.record_pong(1, Some(ms(0)), ms(1_100));
     assert_eq!(freshness.fresh_as_of(), None);
 }
 
 #[test]
-fn many_unanswered_pings_are_bounded() {
+fn pending_pings_are_bounded() {
     let mut freshness = Freshness::new();
     for id in 1..=1_000 {
-        freshness.sent(id, ms(id));
+        freshness.record_ping(id, ms(id));
     }
-    freshness.answered(1, Some(ms(0)), ms(1_001));
+    freshness.record_pong(1, Some(ms(0)), ms(1_001));
     assert_eq!(freshness.fresh_as_of(), None);
-    freshness.answered(1_000, Some(ms(0)), ms(1_002));
+    freshness.record_pong(1_000, Some(ms(0)), ms(1_002));
     assert_eq!(freshness.fresh_as_of(), Some(ms(1_000)));
 }
 
@@ -117,7 +117,7 @@
     fn ping(&mut self, time: Duration, delay: Duration) {
         let id = self.next_ping;
         self.next_ping += 1;
-        self.freshness.sent(id, self.clock(time));
+        self.freshness.record_ping(id, self.clock(time));
         self.waiting.push(Exchange { id, due: time + delay, answer: None });
     }
 
@@ -126,7 +126,7 @@
     }
 
     fn take(&mut self, id: u64, answer: Answer, time: Duration) {
-        self.freshness.answered(id, answer.age, self.clock(time));
+        self.freshness.record_pong(id, answer.age, self.clock(time));
         self.truth = self.truth.max(answer.truth);
     }
 }
--- a/crates/subscription/tests/publisher.rs
+++ b/crates/subscription/tests/publisher.rs
@@ -33,11 +33,11 @@
 
     async fn say(&self, peer: &mut Peer, message: ToPublisher) {
         self.0.borrow_mut().push_str(&format!("> {message:?}\n"));
-        peer.say(&message).await;
+        peer.send(&message).await;
     }
 
     async fn hear(&self, peer: &mut Peer) {
-        let message = peer.hear().await;
+        let message = peer.receive().await;
         self.0.borrow_mut().push_str(&format!("< {message:?}\n"));
     }
 }
@@ -49,8 +49,8 @@
     network::run(|executor| async move {
         let store = store();
         let age = Rc::new(Cell::new(None));
-        let told = Rc::clone(&age);
-        let (publisher, address) = publish(&executor, &store, Rc::new(move || told.get()), settings());
+        let shared = Rc::clone(&age);
+        let (publisher, address) = publish(&executor, &store, Rc::new(move || shared.get()), settings());
         store.borrow_mut().set_configuration(configuration(3, 1));
         store.borrow_mut().set_fleet(7, vec![replica("a", 1), replica("b", 1), replica("c", 1)]);
         store.borrow_mut().set_weights(7, weights(2));
@@ -79,26 +79,26 @@
         }
         transcript.note("one who holds the rest gets the group alone");
         let mut peer = Peer::connect(address).await;
-        let holds = store.borrow().holdings();
-        transcript.say(&mut peer, subscribe(holds)).await;
+        let known = store.borrow().known_positions();
+        transcript.say(&mut peer, subscribe(known)).await;
         transcript.hear(&mut peer).await;
         transcript.note("a second subscription is out of place");
-        transcript.say(&mut peer, subscribe(holds)).await;
+        transcript.say(&mut peer, subscribe(known)).await;
         transcript.hear(&mut peer).await;
     });
     insta::assert_snapshot!(written.0.borrow());
 }
 
 #[test]
-fn a_slow_subscriber_gets_the_newest_and_no_queue_of_old_states() {
+fn a_slow_subscriber_skips_intermediate_states() {
     const LAST: u32 = 400;
     network::run(|executor| async move {
         let store = store();
         let patient = Duration::from_secs(60);
-        let settings = PublisherSettings { write_stall: patient, silence: patient, ..settings() };
+        let settings = PublisherSettings { write_stall: patient, idle_timeout: patient, ..settings() };
         let (publisher, address) = publish(&executor, &store, fresh(), settings);
         let mut peer = Peer::connect(address).await;
-        peer.say(&subscribe(KnownPositions::default())).await;
+        peer.send(&subscribe(KnownPositions::default())).await;
         until(|| !publisher.subscribers().is_empty()).await;
         // All states together are far more than the buffers of the connection hold.
         for capacity in 1..=LAST {
@@ -111,7 +111,7 @@
         let mut updates = 0;
         let mut position = Position::default();
         while position < newest {
-            let Some(ToSubscriber::Fleet(update)) = peer.hear().await else { panic!("not an update") };
+            let Some(ToSubscriber::Fleet(update)) = peer.receive().await else { panic!("not an update") };
             position = match update {
                 FleetUpdate::Snapshot { position, .. } => position,
                 FleetUpdate::Changes { base, position: next, .. } => {
@@ -129,22 +129,22 @@
 fn gateways_are_counted_over_live_connections() {
     network::run(|executor| async move {
         let (publisher, address) = publish(&executor, &store(), fresh(), settings());
-        let mut home = Peer::connect(address).await;
-        home.say(&subscribe(KnownPositions::default())).await;
-        home.say(&ToPublisher::Ping { id: 1, gateways: 20 }).await;
+        let mut relay = Peer::connect(address).await;
+        relay.send(&subscribe(KnownPositions::default())).await;
+        relay.send(&ToPublisher::Ping { id: 1, gateways: 20 }).await;
         let mut agent = Peer::connect(address).await;
-        agent.say(&subscribe(KnownPositions::default())).await;
-        agent.say(&ping(1)).await;
+        agent.send(&subscribe(KnownPositions::default())).await;
+        agent.send(&ping(1)).await;
         until(|| publisher.gateways() == 21).await;
         assert_eq!(publisher.subscribers().len(), 2);
-        drop(home);
+        drop(relay);
         until(|| publisher.gateways() == 1).await;
         // Silent, but still connected for a while.
         until(|| publisher.gateways() == 0).await;
         assert_eq!(publisher.subscribers().len(), 1);
         until(|| publisher.subscribers().is_empty()).await;
-        assert_eq!(agent.hear().await, Some(ToSubscriber::Pong { id: 1, age_ms: Some(0), revision: 0 }));
-        assert_eq!(agent.hear().await, None);
+        assert_eq!(agent.receive().await, Some(ToSubscriber::Pong { id: 1, age_ms: Some(0), revision: 0 }));
+        assert_eq!(agent.receive().await, None);
     });
 }
 
@@ -166,12 +166,12 @@
         let (_publisher, address) = publish(&executor, &store(), fresh(), settings());
         let mut peer = Peer::connect(address).await;
         peer.write(&bytes).await;
-        assert_eq!(peer.hear().await, None);
+        assert_eq!(peer.receive().await, None);
     });
 }
 
 #[test]
-fn a_connection_that_takes_no_bytes_ends() {
+fn a_connection_that_accepts_no_bytes_ends() {
     network::run(|executor| async move {
         let settings = PublisherSettings { write_stall: Duration::from_millis(50), ..settings() };
         let store = store();
@@ -179,43 +179,43 @@
         store.borrow_mut().set_fleet(1, replicas.collect());
         let (publisher, address) = publish(&executor, &store, fresh(), settings);
         let mut peer = Peer::connect(address).await;
-        peer.say(&subscribe(KnownPositions::default())).await;
+        peer.send(&subscribe(KnownPositions::default())).await;
         until(|| !publisher.subscribers().is_empty()).await;
         until(|| publisher.subscribers().is_empty()).await;
     });
 }
 
 #[test]
-fn connections_over_the_bound_are_closed() {
+fn connections_over_the_limit_are_closed() {
     network::run(|executor| async move {
         let settings = PublisherSettings { max_connections: 1, ..settings() };
         let (publisher, address) = publish(&executor, &store(), fresh(), settings);
         let mut first = Peer::connect(address).await;
-        first.say(&subscribe(KnownPositions::default())).await;
+        first.send(&subscribe(KnownPositions::default())).await;
         until(|| !publisher.subscribers().is_empty()).await;
         let mut second = Peer::connect(address).await;
-        assert_eq!(second.hear().await, None);
-        first.say(&ping(1)).await;
-        assert!(first.hear().await.is_some());
+        assert_eq!(second.receive().await, None);
+        first.send(&ping(1)).await;
+        assert!(first.receive().await.is_some());
         drop(first);
         until(|| publisher.subscribers().is_empty()).await;
         let mut third = Peer::connect(address).await;
-        third.say(&subscribe(KnownPositions::default())).await;
-        third.say(&ping(2)).await;
-        assert!(third.hear().await.is_some());
+        third.send(&subscribe(KnownPositions::default())).await;
+        third.send(&ping(2)).await;
+        assert!(third.receive().await.is_some());
     });
 }
 
 #[test]
-fn an_earlier_configuration_is_answered_with_changes() {
+fn a_subscriber_with_an_earlier_configuration_gets_a_delta() {
     network::run(|executor| async move {
         let store = store();
         store.borrow_mut().set_configuration(configuration(1, 1));
         store.borrow_mut().set_configuration(configuration(2, 3));
         let (_publisher, address) = publish(&executor, &store, fresh(), settings());
         let mut peer = Peer::connect(address).await;
-        peer.say(&subscribe(KnownPositions { configuration: 1, ..KnownPositions::default() })).await;
-        let update = peer.hear().await;
+        peer.send(&subscribe(KnownPositions { configuration: 1, ..KnownPositions::default() })).await;
+        let update = peer.receive().await;
         let is_changes = matches!(
             &update,
             Some(ToSubscriber::Configuration(ConfigurationUpdate::Changes(changes))) if changes.base == 1
--- a/crates/subscription/tests/waiting.rs
+++ b/crates/subscription/tests/queued_work.rs
@@ -1,4 +1,4 @@
-//! Work that waits at replicas, on its way up to the primary and down to all gateways.
+//! Work queued at replicas, on its way up to the primary and down to all gateways.
 
 mod common;
 
@@ -8,16 +8,18 @@
 use common::replica;
 use rstest::rstest;
 use tulipridge_protocol::feed::{
-    KnownPositions, LoadTable, Position, QueuedWork, SubscriberRole, ToPublisher, ToSubscriber,
+    KnownPositions, LoadTable, Position, QueuedWork, QueuedWorkEntry, SubscriberRole, ToPublisher,
+    ToSubscriber,
 };
-use tulipridge_subscription::{FeedStore, PublisherSettings, waiting};
+use tulipridge_subscription::{FeedStore, PublisherSettings, queued_work};
 
 fn position(epoch: u64, sequence: u64) -> Position {
     Position { epoch, sequence }
 }
 
-fn work(fleet: Position, lines: &[(u32, u32)]) -> QueuedWork {
-    QueuedWork { fleet, lines: lines.to_vec() }
+fn work(fleet: Position, entries: &[(u32, u32)]) -> QueuedWork {
+    let entry = |&(replica_index, units)| QueuedWorkEntry { replica_index, units };
+    QueuedWork { fleet, entries: entries.iter().map(entry).collect() }
 }
 
 /// A primary's store with three replicas.
@@ -27,8 +29,8 @@
     store
 }
 
-fn table_for(store: &FeedStore, holds: &KnownPositions) -> Option<LoadTable> {
-    store.missing(holds).into_iter().find_map(|message| match message {
+fn table_for(store: &FeedStore, known: &KnownPositions) -> Option<LoadTable> {
+    store.updates_for(known).into_iter().find_map(|message| match message {
         ToSubscriber::Loads(table) => Some(table),
         _ => None,
     })
@@ -48,29 +50,30 @@
     &[work(position(7, 1), &[(0, u32::MAX)]), work(position(7, 1), &[(0, 9)])],
     work(position(7, 1), &[(0, u32::MAX)])
 )]
-fn work_is_summed(#[case] parts: &[QueuedWork], #[case] sum: QueuedWork) {
-    assert_eq!(waiting::sum(parts), sum);
+fn reports_are_summed(#[case] reports: &[QueuedWork], #[case] sum: QueuedWork) {
+    assert_eq!(queued_work::sum(reports), sum);
 }
 
 #[test]
-fn the_table_has_a_line_for_each_replica_and_moves_when_one_differs() {
+fn the_table_has_an_entry_for_each_replica_and_advances_when_one_differs() {
     let mut store = primary();
     let fleet = store.fleet_position();
     assert!(store.set_loads(7, &work(fleet, &[(1, 4), (2, 900), (9, 1)])));
-    let table = table_for(&store, &KnownPositions { loads: Some(Position::default()), ..store.holdings() });
-    assert_eq!(table, Some(LoadTable { position: position(7, 1), fleet, waiting: vec![0, 4, 255] }));
+    let table =
+        table_for(&store, &KnownPositions { loads: Some(Position::default()), ..store.known_positions() });
+    assert_eq!(table, Some(LoadTable { position: position(7, 1), fleet, queued_units: vec![0, 4, 255] }));
     assert!(!store.set_loads(7, &work(fleet, &[(1, 4), (2, 900)])), "nothing differs");
     assert!(!store.set_loads(6, &work(fleet, &[(1, 5)])), "an old epoch");
     assert!(store.set_loads(7, &work(fleet, &[])));
-    assert_eq!(store.holdings().loads, Some(position(7, 2)));
+    assert_eq!(store.known_positions().loads, Some(position(7, 2)));
 }
 
 #[test]
 fn work_by_another_table_of_replicas_is_left_out() {
     let mut store = primary();
     store.set_loads(7, &work(position(7, 9), &[(1, 4)]));
-    let lines: Vec<u8> = store.loads().expect("a table").map(|(_, waiting)| waiting).collect();
-    assert_eq!(lines, [0, 0, 0]);
+    let units: Vec<u8> = store.loads().expect("a table").map(|(_, units)| units).collect();
+    assert_eq!(units, [0, 0, 0]);
 }
 
 #[test]
@@ -88,63 +91,63 @@
     store.set_loads(7, &work(store.fleet_position(), &[(1, 4)]));
     let earlier = KnownPositions::default();
     assert_eq!(table_for(&store, &earlier), None);
-    let sent = tulipridge_subscription::store::SentPositions::from(earlier).later(store.newest());
+    let sent = tulipridge_subscription::store::SentPositions::from(earlier).later(store.newest_positions());
     store.set_loads(7, &work(store.fleet_position(), &[(1, 5)]));
-    assert_eq!(table_for(&store, &sent.holdings), None);
+    assert_eq!(table_for(&store, &sent.known), None);
 }
 
 #[test]
-fn a_publisher_sums_what_its_subscribers_tell_and_forgets_those_that_leave() {
+fn a_publisher_sums_the_reports_of_its_connected_subscribers() {
     network::run(|executor| async move {
         let store = store();
         let (publisher, address) = publish(&executor, &store, fresh(), PublisherSettings::default());
         let fleet = position(7, 1);
         let mut first = Peer::connect(address).await;
-        first.say(&subscribe(KnownPositions::default())).await;
-        first.say(&ToPublisher::Waiting(work(fleet, &[(0, 2), (1, 1)]))).await;
+        first.send(&subscribe(KnownPositions::default())).await;
+        first.send(&ToPublisher::QueuedWork(work(fleet, &[(0, 2), (1, 1)]))).await;
         let mut second = Peer::connect(address).await;
-        second.say(&subscribe(KnownPositions::default())).await;
-        second.say(&ToPublisher::Waiting(work(fleet, &[(1, 3)]))).await;
-        until(|| publisher.waiting() == work(fleet, &[(0, 2), (1, 4)])).await;
-        first.say(&ToPublisher::Waiting(work(fleet, &[]))).await;
-        until(|| publisher.waiting() == work(fleet, &[(1, 3)])).await;
+        second.send(&subscribe(KnownPositions::default())).await;
+        second.send(&ToPublisher::QueuedWork(work(fleet, &[(1, 3)]))).await;
+        until(|| publisher.queued_work() == work(fleet, &[(0, 2), (1, 4)])).await;
+        first.send(&ToPublisher::QueuedWork(work(fleet, &[]))).await;
+        until(|| publisher.queued_work() == work(fleet, &[(1, 3)])).await;
         drop(second);
-        until(|| publisher.waiting() == work(fleet, &[])).await;
+        until(|| publisher.queued_work() == work(fleet, &[])).await;
     });
 }
 
 #[test]
-fn work_before_a_subscription_is_out_of_place() {
+fn work_before_a_subscription_ends_the_connection() {
     network::run(|executor| async move {
         let (_publisher, address) = publish(&executor, &store(), fresh(), PublisherSettings::default());
         let mut peer = Peer::connect(address).await;
-        peer.say(&ToPublisher::Waiting(QueuedWork::default())).await;
-        assert_eq!(peer.hear().await, None);
+        peer.send(&ToPublisher::QueuedWork(QueuedWork::default())).await;
+        assert_eq!(peer.receive().await, None);
     });
 }
 
 #[test]
-fn only_a_publisher_that_sends_a_table_of_loads_is_told_of_work() {
+fn work_is_reported_only_to_a_publisher_that_sends_a_table_of_loads() {
     network::run(|executor| async move {
         let (listener, address) = listener();
         let subscriber = subscriber(&store(), SubscriberRole::Agent);
-        let told = work(position(7, 1), &[(1, 3)]);
-        subscriber.set_waiting(told.clone());
+        let reported = work(position(7, 1), &[(1, 3)]);
+        subscriber.set_queued_work(reported.clone());
         executor.spawn(Rc::clone(&subscriber).run(move |_| Some(address))).detach();
         let mut peer = Peer::accept(&listener).await;
-        // The subscription, and two pings without a word on work.
-        assert!(matches!(peer.asked().await, Some(ToPublisher::Subscribe(_))));
-        assert!(matches!(peer.asked().await, Some(ToPublisher::Ping { .. })));
-        assert!(matches!(peer.asked().await, Some(ToPublisher::Ping { .. })));
+        // The subscription, and two pings without a report of work.
+        assert!(matches!(peer.receive_request().await, Some(ToPublisher::Subscribe(_))));
+        assert!(matches!(peer.receive_request().await, Some(ToPublisher::Ping { .. })));
+        assert!(matches!(peer.receive_request().await, Some(ToPublisher::Ping { .. })));
         let table = LoadTable { position: position(7, 1), ..LoadTable::default() };
-        peer.answer(&ToSubscriber::Loads(table)).await;
+        peer.reply(&ToSubscriber::Loads(table)).await;
         let work = loop {
-            match peer.asked().await {
-                Some(ToPublisher::Waiting(work)) => break work,
+            match peer.receive_request().await {
+                Some(ToPublisher::QueuedWork(work)) => break work,
                 Some(ToPublisher::Ping { .. }) => {}
                 other => panic!("not expected: {other:?}"),
             }
         };
-        assert_eq!(work, told);
+        assert_eq!(work, reported);
     });
 }
--- a/crates/subscription/tests/store.rs
+++ b/crates/subscription/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store: whatever is lost or late, a subscriber comes to hold the publisher's newest and never goes back.
+//! The store: whatever is lost or late, a subscriber reaches the publisher's newest state and never goes back.
 
 mod common;
 
@@ -13,7 +13,7 @@
     ToSubscriber, WeightsTable,
 };
 use tulipridge_subscription::store::{SentPositions, Table};
-use tulipridge_subscription::{Changed, FeedError, FeedStore};
+use tulipridge_subscription::{FeedError, FeedStore, StateChanges};
 
 fn position(epoch: u64, sequence: u64) -> Position {
     Position { epoch, sequence }
@@ -23,14 +23,14 @@
     messages.into_iter().try_for_each(|message| subscriber.apply(message).map(|_| ()))
 }
 
-fn lines(store: &FeedStore) -> Vec<Replica> {
+fn replicas(store: &FeedStore) -> Vec<Replica> {
     store.fleet().cloned().collect()
 }
 
 fn assert_same(subscriber: &FeedStore, publisher: &FeedStore) {
-    assert_eq!(subscriber.holdings(), publisher.holdings());
+    assert_eq!(subscriber.known_positions(), publisher.known_positions());
     assert_eq!(subscriber.configuration(), publisher.configuration());
-    assert_eq!(lines(subscriber), lines(publisher));
+    assert_eq!(replicas(subscriber), replicas(publisher));
     assert_eq!(subscriber.weights(), publisher.weights());
     assert_eq!(subscriber.group(), publisher.group());
 }
@@ -42,11 +42,11 @@
     assert!(!store.set_configuration(configuration(7, 2)));
     assert!(!store.set_configuration(configuration(3, 2)));
     assert!(store.set_configuration(configuration(12, 2)));
-    assert_eq!(store.holdings().configuration, 12);
+    assert_eq!(store.known_positions().configuration, 12);
 }
 
 #[test]
-fn the_fleet_moves_with_differences_and_epochs() {
+fn the_fleet_position_advances_with_differences_and_epochs() {
     let mut store = FeedStore::new();
     assert!(store.set_fleet(4, vec![]));
     assert_eq!(store.fleet_position(), position(4, 1));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_weights_move_with_differences_and_epochs() {
+fn the_weights_position_advances_with_differences_and_epochs() {
     let mut store = FeedStore::new();
     assert!(store.set_weights(0, vec![]));
     assert!(!store.set_weights(0, vec![]));
@@ -74,11 +74,11 @@
 }
 
 #[test]
-fn warming_up_is_news_only_at_its_start_and_end() {
+fn warming_up_is_a_change_only_at_its_start_and_end() {
     let mut store = FeedStore::new();
     assert!(store.set_fleet(1, vec![replica_warming("a", 900)]));
     assert!(!store.set_fleet(1, vec![replica_warming("a", 600)]));
-    assert_eq!(lines(&store)[0].warm_left_ms, 600, "newcomers get the present figure");
+    assert_eq!(replicas(&store)[0].warm_left_ms, 600, "newcomers get the present figure");
     assert!(store.set_fleet(1, vec![replica_warming("a", 0)]));
     assert!(!store.set_fleet(1, vec![replica_warming("a", 0)]));
     assert!(store.set_fleet(1, vec![replica_warming("a", 900)]));
@@ -92,7 +92,7 @@
 #[case::capacity(|line: &mut Replica| line.capacity += 1)]
 #[case::phase(|line: &mut Replica| line.phase = ReplicaPhase::Draining)]
 #[case::models(|line: &mut Replica| line.models.clear())]
-fn a_line_that_differs_moves_the_fleet(#[case] change: fn(&mut Replica)) {
+fn a_replica_that_differs_advances_the_fleet_position(#[case] change: fn(&mut Replica)) {
     let mut store = FeedStore::new();
     let mut line = replica("a", 1);
     store.set_fleet(1, vec![line.clone()]);
@@ -101,10 +101,10 @@
 }
 
 #[test]
-fn the_fleet_is_told_in_changes_to_those_who_hold_an_earlier_position() {
+fn a_subscriber_with_an_earlier_fleet_position_gets_a_delta() {
     let mut publisher = FeedStore::new();
     publisher.set_fleet(1, vec![replica("a", 1), replica("b", 1), replica("c", 1)]);
-    let held = publisher.holdings();
+    let known = publisher.known_positions();
     publisher.set_fleet(1, vec![replica("a", 1), replica("c", 2)]);
     publisher.set_fleet(1, vec![replica("a", 1), replica("c", 3)]);
     let expected = FleetUpdate::Changes {
@@ -113,52 +113,52 @@
         changed: vec![replica("c", 3)],
         removed: vec!["b".to_owned()],
     };
-    assert_eq!(publisher.missing(&held), vec![ToSubscriber::Fleet(expected)]);
+    assert_eq!(publisher.updates_for(&known), vec![ToSubscriber::Fleet(expected)]);
 }
 
 #[rstest]
 #[case::never_held(position(1, 7))]
 #[case::other_epoch(position(0, 2))]
-fn the_fleet_is_told_whole_to_those_who_hold_a_position_unknown_here(#[case] held: Position) {
+fn a_subscriber_with_an_unknown_fleet_position_gets_a_snapshot(#[case] known: Position) {
     let mut publisher = FeedStore::new();
     publisher.set_fleet(1, vec![replica("a", 1)]);
     publisher.set_fleet(2, vec![replica("a", 2)]);
     let expected = FleetUpdate::Snapshot { position: position(2, 1), replicas: vec![replica("a", 2)] };
-    let holds = KnownPositions { fleet: held, ..KnownPositions::default() };
-    assert_eq!(publisher.missing(&holds), vec![ToSubscriber::Fleet(expected)]);
+    let known = KnownPositions { fleet: known, ..KnownPositions::default() };
+    assert_eq!(publisher.updates_for(&known), vec![ToSubscriber::Fleet(expected)]);
 }
 
 #[test]
-fn the_record_of_changes_is_bounded() {
+fn the_log_of_fleet_changes_is_bounded() {
     let mut publisher = FeedStore::new();
-    let mut held = Vec::new();
+    let mut known = Vec::new();
     for capacity in 1..3_000 {
         publisher.set_fleet(1, vec![replica("a", capacity), replica("b", 1)]);
-        held.push(publisher.holdings());
+        known.push(publisher.known_positions());
     }
-    let is_snapshot = |holds: &KnownPositions| {
-        matches!(publisher.missing(holds)[..], [ToSubscriber::Fleet(FleetUpdate::Snapshot { .. })])
+    let is_snapshot = |known: &KnownPositions| {
+        matches!(publisher.updates_for(known)[..], [ToSubscriber::Fleet(FleetUpdate::Snapshot { .. })])
     };
-    assert!(is_snapshot(&held[0]));
-    assert!(!is_snapshot(&held[2_500]));
+    assert!(is_snapshot(&known[0]));
+    assert!(!is_snapshot(&known[2_500]));
 }
 
 #[test]
-fn a_change_with_another_base_is_a_gap() {
+fn a_fleet_delta_with_another_base_is_a_gap() {
     let mut publisher = FeedStore::new();
     publisher.set_fleet(1, vec![replica("a", 1), replica("b", 1)]);
-    let held = publisher.holdings();
+    let known = publisher.known_positions();
     publisher.set_fleet(1, vec![replica("a", 2), replica("b", 1)]);
     let mut subscriber = FeedStore::new();
-    let outcome = apply_all(&mut subscriber, publisher.missing(&held));
+    let outcome = apply_all(&mut subscriber, publisher.updates_for(&known));
     assert_eq!(outcome, Err(FeedError::Gap { table: Table::Fleet }));
-    let holdings = subscriber.holdings();
-    apply_all(&mut subscriber, publisher.missing(&holdings)).expect("it asks with what it holds");
+    let known = subscriber.known_positions();
+    apply_all(&mut subscriber, publisher.updates_for(&known)).expect("it asks with what it holds");
     assert_same(&subscriber, &publisher);
 }
 
 #[test]
-fn a_new_epoch_goes_over_an_old_one() {
+fn a_new_epoch_replaces_an_old_one() {
     let mut old = FeedStore::new();
     old.set_fleet(1, vec![replica("a", 1)]);
     for capacity in 2..9 {
@@ -166,15 +166,15 @@
         old.set_weights(1, weights(capacity.into()));
     }
     let mut subscriber = FeedStore::new();
-    apply_all(&mut subscriber, old.missing(&KnownPositions::default())).expect("applies");
+    apply_all(&mut subscriber, old.updates_for(&KnownPositions::default())).expect("applies");
     let mut new = FeedStore::new();
     new.set_fleet(2, vec![replica("z", 1)]);
     new.set_weights(2, weights(1));
-    let holdings = subscriber.holdings();
-    apply_all(&mut subscriber, new.missing(&holdings)).expect("applies");
+    let known = subscriber.known_positions();
+    apply_all(&mut subscriber, new.updates_for(&known)).expect("applies");
     assert_same(&subscriber, &new);
     assert_eq!(subscriber.fleet_position(), position(2, 1));
-    apply_all(&mut subscriber, old.missing(&KnownPositions::default())).expect("is not news");
+    apply_all(&mut subscriber, old.updates_for(&KnownPositions::default())).expect("is not news");
     assert_same(&subscriber, &new);
 }
 
@@ -188,70 +188,70 @@
         configuration: 6,
         fleet: position(1, 2),
         weights: position(2, 1),
-        kept: Position::default(),
+        cache_index: Position::default(),
         loads: Some(Position::default()),
     };
-    assert_eq!(publisher.missing(&ahead), vec![]);
+    assert_eq!(publisher.updates_for(&ahead), vec![]);
 }
 
 #[test]
-fn the_group_is_sent_to_newcomers_and_on_change() {
+fn the_group_is_sent_to_new_subscribers_and_on_change() {
     let mut publisher = FeedStore::new();
-    assert_eq!(publisher.missing(&KnownPositions::default()), vec![]);
+    assert_eq!(publisher.updates_for(&KnownPositions::default()), vec![]);
     assert!(publisher.set_group(group(3)));
     assert!(!publisher.set_group(group(3)));
-    assert_eq!(publisher.missing(&KnownPositions::default()), vec![ToSubscriber::Group(group(3))]);
-    let sent = publisher.newest();
-    assert_eq!(publisher.missing_since(&sent), vec![]);
+    assert_eq!(publisher.updates_for(&KnownPositions::default()), vec![ToSubscriber::Group(group(3))]);
+    let sent = publisher.newest_positions();
+    assert_eq!(publisher.updates_since(&sent), vec![]);
     assert!(publisher.set_group(group(4)));
-    assert_eq!(publisher.missing_since(&sent), vec![ToSubscriber::Group(group(4))]);
+    assert_eq!(publisher.updates_since(&sent), vec![ToSubscriber::Group(group(4))]);
 }
 
 /// Updates of the configuration that a subscriber gets which holds revision `base`.
 fn configuration_update(publisher: &FeedStore, base: u64) -> ConfigurationUpdate {
-    let holds = KnownPositions { configuration: base, ..KnownPositions::default() };
-    match publisher.missing(&holds).as_slice() {
+    let known = KnownPositions { configuration: base, ..KnownPositions::default() };
+    match publisher.updates_for(&known).as_slice() {
         [ToSubscriber::Configuration(update)] => update.clone(),
         other => panic!("not an update of the configuration: {other:?}"),
     }
 }
 
 #[test]
-fn the_configuration_is_told_in_changes_to_those_who_hold_one_of_the_last_eight() {
+fn a_subscriber_with_one_of_the_last_eight_configurations_gets_a_delta() {
     let mut publisher = FeedStore::new();
     for revision in 1..=10 {
         publisher.set_configuration(configuration(revision, 0b11 | revision << 8));
     }
     let is_changes =
         |base| matches!(configuration_update(&publisher, base), ConfigurationUpdate::Changes(_));
-    let told_changes: Vec<u64> = (0..10).filter(|base| is_changes(*base)).collect();
-    assert_eq!(told_changes, vec![2, 3, 4, 5, 6, 7, 8, 9]);
+    let delta_bases: Vec<u64> = (0..10).filter(|base| is_changes(*base)).collect();
+    assert_eq!(delta_bases, vec![2, 3, 4, 5, 6, 7, 8, 9]);
 }
 
 #[test]
-fn the_configuration_is_told_whole_where_changes_would_lose_the_order() {
+fn a_snapshot_is_sent_where_a_delta_would_lose_the_order() {
     let mut publisher = FeedStore::new();
     publisher.set_configuration(configuration(1, 0b10));
     publisher.set_configuration(configuration(2, 0b11));
-    let newest = publisher.configuration().expect("is held");
+    let newest = publisher.configuration().expect("is known");
     assert_eq!(configuration_update(&publisher, 1), ConfigurationUpdate::Snapshot(newest));
 }
 
 #[test]
-fn changes_of_the_configuration_are_passed_on_as_they_came() {
+fn a_configuration_delta_is_forwarded_unchanged() {
     let mut publisher = FeedStore::new();
     publisher.set_configuration(configuration(1, 0b01));
-    let mut home = FeedStore::new();
-    apply_all(&mut home, publisher.missing(&KnownPositions::default())).expect("applies");
+    let mut relay = FeedStore::new();
+    apply_all(&mut relay, publisher.updates_for(&KnownPositions::default())).expect("applies");
     publisher.set_configuration(configuration(2, 0b11));
-    let home_holds = home.holdings();
-    apply_all(&mut home, publisher.missing(&home_holds)).expect("applies");
-    assert_same(&home, &publisher);
-    assert_eq!(configuration_update(&home, 1), configuration_update(&publisher, 1));
+    let relay_positions = relay.known_positions();
+    apply_all(&mut relay, publisher.updates_for(&relay_positions)).expect("applies");
+    assert_same(&relay, &publisher);
+    assert_eq!(configuration_update(&relay, 1), configuration_update(&publisher, 1));
 }
 
 #[test]
-fn changes_of_another_configuration_are_a_gap() {
+fn a_configuration_delta_with_another_base_is_a_gap() {
     let mut publisher = FeedStore::new();
     publisher.set_configuration(configuration(3, 0b01));
     publisher.set_configuration(configuration(5, 0b11));
@@ -262,23 +262,23 @@
     assert_eq!(outcome, Err(FeedError::Gap { table: Table::Configuration }));
     subscriber.set_configuration(configuration(6, 0b01));
     let outcome = subscriber.apply(ToSubscriber::Configuration(changes));
-    assert_eq!(outcome, Ok(Changed::default()), "what is old is no gap");
+    assert_eq!(outcome, Ok(StateChanges::default()), "what is old is no gap");
 }
 
 /// What the primaries have written under each revision and position.
 #[derive(Default)]
-struct Ledger {
+struct Reference {
     configurations: BTreeMap<u64, Arc<Configuration>>,
     fleets: BTreeMap<Position, Vec<Replica>>,
     weights: BTreeMap<Position, Vec<ModelWeights>>,
 }
 
-impl Ledger {
+impl Reference {
     fn record(&mut self, primary: &FeedStore) {
         if let Some(configuration) = primary.configuration() {
             self.configurations.insert(configuration.revision, configuration);
         }
-        self.fleets.insert(primary.fleet_position(), lines(primary));
+        self.fleets.insert(primary.fleet_position(), replicas(primary));
         self.weights.insert(primary.weights().position, primary.weights().models.clone());
     }
 
@@ -288,7 +288,7 @@
             assert_eq!(self.configurations.get(&configuration.revision), Some(&configuration));
         }
         if store.fleet_position() != Position::default() {
-            assert_eq!(self.fleets.get(&store.fleet_position()), Some(&lines(store)));
+            assert_eq!(self.fleets.get(&store.fleet_position()), Some(&replicas(store)));
         }
         if store.weights().position != Position::default() {
             assert_eq!(self.weights.get(&store.weights().position), Some(&store.weights().models));
@@ -300,13 +300,13 @@
 struct Link {
     publisher: usize,
     sent: SentPositions,
-    under_way: VecDeque<ToSubscriber>,
+    in_flight: VecDeque<ToSubscriber>,
 }
 
 /// Stores that subscribe to each other; one at a time is the primary.
 struct Fleet {
     random: fastrand::Rng,
-    ledger: Ledger,
+    reference: Reference,
     stores: Vec<FeedStore>,
     links: Vec<Option<Link>>,
     epoch: u64,
@@ -320,7 +320,7 @@
     fn new(seed: u64) -> Self {
         let mut fleet = Fleet {
             random: fastrand::Rng::with_seed(seed),
-            ledger: Ledger::default(),
+            reference: Reference::default(),
             stores: (0..STORES).map(|_| FeedStore::new()).collect(),
             links: (0..STORES).map(|_| None).collect(),
             epoch: 0,
@@ -360,7 +360,7 @@
             primary.set_configuration(configuration(self.revision, self.random.u64(..)));
         }
         primary.set_group(group(self.random.u32(..5)));
-        self.ledger.record(primary);
+        self.reference.record(primary);
     }
 
     /// Any store becomes primary, also one that is behind. As a primary must, it writes each table in its epoch; a
@@ -369,7 +369,7 @@
         self.primary = self.random.usize(..STORES);
         self.links[self.primary] = None;
         self.epoch += 1;
-        if let Some(newest) = self.ledger.configurations.values().next_back() {
+        if let Some(newest) = self.reference.configurations.values().next_back() {
             self.stores[self.primary].set_configuration(Arc::clone(newest));
         }
         let epoch = self.epoch;
@@ -394,25 +394,25 @@
     fn connect(&mut self, store: usize) {
         let publisher = self.random.usize(..STORES);
         if store != self.primary && publisher != store {
-            let sent = SentPositions::from(self.stores[store].holdings());
-            self.links[store] = Some(Link { publisher, sent, under_way: VecDeque::new() });
+            let sent = SentPositions::from(self.stores[store].known_positions());
+            self.links[store] = Some(Link { publisher, sent, in_flight: VecDeque::new() });
         }
     }
 
     fn send(&mut self, store: usize) {
         let Some(link) = &mut self.links[store] else { return };
         let publisher = &self.stores[link.publisher];
-        link.under_way.extend(publisher.missing_since(&link.sent));
-        link.sent = link.sent.later(publisher.newest());
+        link.in_flight.extend(publisher.updates_since(&link.sent));
+        link.sent = link.sent.later(publisher.newest_positions());
     }
 
     fn deliver(&mut self, store: usize) {
-        let Some(message) = self.links[store].as_mut().and_then(|link| link.under_way.pop_front()) else {
+        let Some(message) = self.links[store].as_mut().and_then(|link| link.in_flight.pop_front()) else {
             return;
         };
-        let before = self.stores[store].holdings();
+        let before = self.stores[store].known_positions();
         self.stores[store].apply(message).expect("a connection in order has no gaps");
-        let after = self.stores[store].holdings();
+        let after = self.stores[store].known_positions();
         assert!(after.configuration >= before.configuration);
         assert!(after.fleet >= before.fleet);
         assert!(after.weights >= before.weights);
@@ -425,15 +425,15 @@
     for _ in 0..6_000 {
         fleet.step();
         for store in &fleet.stores {
-            fleet.ledger.check(store);
+            fleet.reference.check(store);
         }
     }
     let primary = fleet.primary;
     for store in (0..STORES).filter(|store| *store != primary) {
-        let sent = SentPositions::from(fleet.stores[store].holdings());
-        fleet.links[store] = Some(Link { publisher: primary, sent, under_way: VecDeque::new() });
+        let sent = SentPositions::from(fleet.stores[store].known_positions());
+        fleet.links[store] = Some(Link { publisher: primary, sent, in_flight: VecDeque::new() });
         fleet.send(store);
-        while fleet.links[store].as_ref().is_some_and(|link| !link.under_way.is_empty()) {
+        while fleet.links[store].as_ref().is_some_and(|link| !link.in_flight.is_empty()) {
             fleet.deliver(store);
         }
         assert_same(&fleet.stores[store], &fleet.stores[primary]);
--- a/crates/subscription/tests/subscriber.rs
+++ b/crates/subscription/tests/subscriber.rs
@@ -12,7 +12,7 @@
 use common::{configuration, group, replica, weights};
 use rstest::rstest;
 use tulipridge_protocol::feed::{FleetUpdate, Position, SubscriberRole, ToPublisher, ToSubscriber};
-use tulipridge_subscription::{EndReason, PublisherSettings, Subscriber, Tolerance, clock};
+use tulipridge_subscription::{EndReason, PublisherSettings, StalenessTolerance, Subscriber, clock};
 
 /// Runs a subscriber that knows one publisher.
 fn follow(executor: &LocalExecutor<'static>, subscriber: &Rc<Subscriber>, address: SocketAddr) {
@@ -26,11 +26,11 @@
     address: SocketAddr,
 ) -> Rc<RefCell<Option<EndReason>>> {
     let reason = Rc::new(RefCell::new(None));
-    let told = Rc::clone(&reason);
+    let reported = Rc::clone(&reason);
     let mut tried = false;
-    let choose = move |attempt: tulipridge_subscription::Attempt| {
+    let choose = move |attempt: tulipridge_subscription::SelectionContext| {
         if let Some(last) = attempt.last {
-            told.replace(Some(last.reason));
+            reported.replace(Some(last.reason));
         }
         (!std::mem::replace(&mut tried, true)).then_some(address)
     };
@@ -49,11 +49,11 @@
 #[test]
 fn three_hops_carry_state_freshness_and_the_number_of_gateways() {
     network::run(|executor| async move {
-        let (primary_store, home_store, agent_store, proxy_store) = (store(), store(), store(), store());
+        let (primary_store, relay_store, agent_store, proxy_store) = (store(), store(), store(), store());
         fill(&primary_store);
         let (primary, primary_address) =
             publish(&executor, &primary_store, fresh(), PublisherSettings::default());
-        let relay = |store: &SharedStore, role, publisher_address| {
+        let hop = |store: &SharedStore, role, publisher_address| {
             let subscriber = subscriber(store, role);
             let aged = Rc::clone(&subscriber);
             let age = Rc::new(move || aged.age(clock::now()));
@@ -63,18 +63,18 @@
             follow(&executor, &subscriber, publisher_address);
             (subscriber, publisher, address)
         };
-        let (home, home_publisher, home_address) =
-            relay(&home_store, SubscriberRole::Relay, primary_address);
-        let (agent, _, agent_address) = relay(&agent_store, SubscriberRole::Agent, home_address);
+        let (relay, relay_publisher, relay_address) =
+            hop(&relay_store, SubscriberRole::Relay, primary_address);
+        let (agent, _, agent_address) = hop(&agent_store, SubscriberRole::Agent, relay_address);
         agent.set_gateways(1);
         let proxy = subscriber(&proxy_store, SubscriberRole::Proxy);
         let seen = Rc::new(Cell::new(0));
-        let (told, read) = (Rc::clone(&seen), Rc::clone(&proxy_store));
-        proxy.on_change(Box::new(move |_| told.set(read.borrow().holdings().configuration)));
+        let (observed, read) = (Rc::clone(&seen), Rc::clone(&proxy_store));
+        proxy.on_change(Box::new(move |_| observed.set(read.borrow().known_positions().configuration)));
         follow(&executor, &proxy, agent_address);
 
         until(|| proxy.fresh_as_of().is_some() || proxy.age(clock::now()).is_some()).await;
-        assert_eq!(proxy_store.borrow().holdings(), primary_store.borrow().holdings());
+        assert_eq!(proxy_store.borrow().known_positions(), primary_store.borrow().known_positions());
         assert_eq!(seen.get(), 3);
         primary_store.borrow_mut().set_configuration(configuration(8, 3));
         primary_store.borrow_mut().set_fleet(7, vec![replica("b", 2)]);
@@ -85,15 +85,15 @@
         assert_eq!(proxy_store.borrow().fleet().collect::<Vec<_>>(), vec![&replica("b", 2)]);
         assert_eq!(seen.get(), 8);
 
-        until(|| home_publisher.gateways() == 1).await;
-        home.set_gateways(home_publisher.gateways());
+        until(|| relay_publisher.gateways() == 1).await;
+        relay.set_gateways(relay_publisher.gateways());
         until(|| primary.gateways() == 1).await;
-        assert_eq!(home.connected_to(), Some(primary_address));
+        assert_eq!(relay.connected_to(), Some(primary_address));
     });
 }
 
 #[test]
-fn a_subscriber_says_what_it_holds() {
+fn a_subscriber_states_its_known_positions() {
     network::run(|executor| async move {
         let store = store();
         fill(&store);
@@ -102,16 +102,18 @@
         subscriber.set_gateways(4);
         follow(&executor, &subscriber, address);
         let mut peer = Peer::accept(&listener).await;
-        let Some(ToPublisher::Subscribe(subscribe)) = peer.asked().await else { panic!("no subscription") };
-        assert_eq!(subscribe.holds, store.borrow().holdings());
-        assert!(matches!(peer.asked().await, Some(ToPublisher::Ping { gateways: 4, .. })));
+        let Some(ToPublisher::Subscribe(subscribe)) = peer.receive_request().await else {
+            panic!("no subscription")
+        };
+        assert_eq!(subscribe.known, store.borrow().known_positions());
+        assert!(matches!(peer.receive_request().await, Some(ToPublisher::Ping { gateways: 4, .. })));
     });
 }
 
 /// What a publisher does to its subscriber.
 #[derive(Clone, Copy)]
 enum Behaviour {
-    SaysNothing,
+    SendsNothing,
     IsNotFresh,
     SendsAGap,
     SendsNoMessage,
@@ -119,7 +121,7 @@
 }
 
 #[rstest]
-#[case::silent(Behaviour::SaysNothing, "Silent")]
+#[case::unresponsive(Behaviour::SendsNothing, "Unresponsive")]
 #[case::not_fresh(Behaviour::IsNotFresh, "NotFresh")]
 #[case::gap(Behaviour::SendsAGap, "Update")]
 #[case::malformed(Behaviour::SendsNoMessage, "Malformed")]
@@ -130,17 +132,17 @@
         let subscriber = subscriber(&store(), SubscriberRole::Agent);
         let reason = follow_once(&executor, &subscriber, address);
         let mut peer = Peer::accept(&listener).await;
-        while let Some(message) = peer.asked().await {
+        while let Some(message) = peer.receive_request().await {
             match (behaviour, message) {
                 (Behaviour::IsNotFresh, ToPublisher::Ping { id, .. }) => {
-                    peer.answer(&ToSubscriber::Pong { id, age_ms: None, revision: 0 }).await;
+                    peer.reply(&ToSubscriber::Pong { id, age_ms: None, revision: 0 }).await;
                 }
                 (Behaviour::SendsAGap, ToPublisher::Subscribe(_)) => {
                     let base = Position { epoch: 1, sequence: 4 };
                     let position = Position { epoch: 1, sequence: 5 };
                     let (changed, removed) = (vec![], vec![]);
                     let update = FleetUpdate::Changes { base, position, changed, removed };
-                    peer.answer(&ToSubscriber::Fleet(update)).await;
+                    peer.reply(&ToSubscriber::Fleet(update)).await;
                 }
                 (Behaviour::SendsNoMessage, ToPublisher::Subscribe(_)) => peer.write(&[0xff; 8]).await,
                 (Behaviour::Closes, ToPublisher::Ping { .. }) => break,
@@ -149,19 +151,19 @@
         }
         drop(peer);
         until(|| reason.borrow().is_some()).await;
-        let reason = format!("{:?}", reason.borrow().as_ref().expect("is told"));
+        let reason = format!("{:?}", reason.borrow().as_ref().expect("is reported"));
         assert!(reason.starts_with(expected), "{reason}");
         assert_eq!(subscriber.connected_to(), None);
         assert_eq!(subscriber.age(clock::now()), None);
     });
 }
 
-/// A home that is cut off from the primary goes on answering, with an age that grows.
+/// A relay that is partitioned from the primary keeps replying, with an age that grows.
 #[rstest]
-#[case::one_publisher(Tolerance::ONE_PUBLISHER, true)]
-#[case::several_publishers(Tolerance::SEVERAL_PUBLISHERS, false)]
-fn a_publisher_whose_state_grows_old_is_left_where_there_are_others(
-    #[case] tolerance: Tolerance,
+#[case::one_publisher(StalenessTolerance::ONE_PUBLISHER, true)]
+#[case::several_publishers(StalenessTolerance::SEVERAL_PUBLISHERS, false)]
+fn a_stale_publisher_is_left_where_there_are_others(
+    #[case] tolerance: StalenessTolerance,
     #[case] stays: bool,
 ) {
     const ANSWERS: u32 = 8;
@@ -173,12 +175,12 @@
         let mut peer = Peer::accept(&listener).await;
         let mut answers = 0;
         while answers < ANSWERS
-            && let Some(message) = peer.asked().await
+            && let Some(message) = peer.receive_request().await
         {
             if let ToPublisher::Ping { id, .. } = message {
                 answers += 1;
                 let age_ms = Some(800 + 300 * answers);
-                peer.answer(&ToSubscriber::Pong { id, age_ms, revision: 0 }).await;
+                peer.reply(&ToSubscriber::Pong { id, age_ms, revision: 0 }).await;
             }
         }
         assert_eq!(answers == ANSWERS, stays);
@@ -187,13 +189,13 @@
             return;
         }
         until(|| reason.borrow().is_some()).await;
-        let reason = format!("{:?}", reason.borrow().as_ref().expect("is told"));
+        let reason = format!("{:?}", reason.borrow().as_ref().expect("is reported"));
         assert!(reason.starts_with("NotFresh"), "{reason}");
     });
 }
 
 #[test]
-fn a_long_update_is_not_silence() {
+fn a_long_update_counts_as_responsive() {
     network::run(|executor| async move {
         let source = store();
         fill(&source);
@@ -203,23 +205,26 @@
         follow(&executor, &subscriber, address);
         let mut peer = Peer::accept(&listener).await;
         let mut frames = Vec::new();
-        for message in source.borrow().missing(&Default::default()) {
+        for message in source.borrow().updates_for(&Default::default()) {
             tulipridge_protocol::frame::append(&message, &mut frames).expect("encodes");
         }
         // A byte for each of the subscriber's pings, so that the update takes far longer than the bound of silence.
         let (slow, rest) = frames.split_at(8);
         for byte in slow {
-            while !matches!(peer.asked().await.expect("stays connected"), ToPublisher::Ping { .. }) {}
+            while !matches!(
+                peer.receive_request().await.expect("stays connected"),
+                ToPublisher::Ping { .. }
+            ) {}
             peer.write(std::slice::from_ref(byte)).await;
         }
         peer.write(rest).await;
-        until(|| target.borrow().holdings() == source.borrow().holdings()).await;
+        until(|| target.borrow().known_positions() == source.borrow().known_positions()).await;
         assert_eq!(subscriber.connected_to(), Some(address));
     });
 }
 
 #[test]
-fn another_publisher_is_chosen_after_a_failure_and_on_demand() {
+fn another_publisher_is_selected_after_a_failure_and_on_demand() {
     network::run(|executor| async move {
         let shared = store();
         fill(&shared);
@@ -229,12 +234,12 @@
         let (_two, two_address) = publish(&executor, &shared, fresh(), PublisherSettings::default());
         let subscriber = subscriber(&store(), SubscriberRole::Agent);
         let reasons = Rc::new(RefCell::new(Vec::new()));
-        let told = Rc::clone(&reasons);
+        let reported = Rc::clone(&reasons);
         let mut addresses = vec![Some(two_address), None, Some(one_address), Some(closed_address)];
-        let choose = move |attempt: tulipridge_subscription::Attempt| {
+        let choose = move |attempt: tulipridge_subscription::SelectionContext| {
             let last = attempt.last.map(|last| format!("{:?}", last.reason));
             let reason = last.map(|reason| reason.split([' ', '{']).next().unwrap_or_default().to_owned());
-            told.borrow_mut().push((attempt.failures, reason));
+            reported.borrow_mut().push((attempt.failures, reason));
             addresses.pop().unwrap_or(Some(two_address))
         };
         executor.spawn(Rc::clone(&subscriber).run(choose)).detach();
