--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,16 +1,16 @@
-//! Framing: a length of four bytes, little-endian, then one encoded message.
+//! Framing of messages on a connection: a length of four bytes, little-endian, then one message in musli's wire format.
 
 use musli::alloc::Global;
 use musli::mode::Binary;
 use musli::{Decode, Encode};
-use snafu::Snafu;
+use snafu::{ResultExt, Snafu, ensure};
 
 /// Bytes of the length before each message.
 const LENGTH_BYTES: usize = 4;
-/// Longest message that is taken: a whole configuration of the largest size that an operator may send.
+/// Longest message that is accepted: a complete configuration of the largest size that an operator may send.
 pub const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
-/// What is wrong with a message.
+/// Why a message can't be sent or received.
 #[derive(Debug, Snafu)]
 pub enum FrameError {
     /// A message is longer than any that this system sends.
@@ -20,50 +20,58 @@
         length: usize,
     },
     /// A message can't be decoded.
-    #[snafu(display("a message can't be decoded: {reason}"))]
+    #[snafu(display("a message can't be decoded: {source}"))]
     Malformed {
-        /// What the decoder says.
-        reason: String,
+        /// The decoder's error.
+        source: musli::wire::Error,
     },
     /// A message can't be encoded.
-    #[snafu(display("a message can't be encoded: {reason}"))]
+    #[snafu(display("a message can't be encoded: {source}"))]
     Unencodable {
-        /// What the encoder says.
-        reason: String,
+        /// The encoder's error.
+        source: musli::wire::Error,
     },
 }
 
 /// Appends a message in its frame.
+///
+/// # Errors
+/// [`FrameError::Unencodable`], or [`FrameError::TooLong`] for a message over [`MAX_MESSAGE_BYTES`]; `out` is unchanged then.
 pub fn append<T: Encode<Binary>>(message: &T, out: &mut Vec<u8>) -> Result<(), FrameError> {
     let encoded = encode(message)?;
     let length = encoded.len();
-    if length > MAX_MESSAGE_BYTES {
-        return Err(FrameError::TooLong { length });
-    }
+    ensure!(length <= MAX_MESSAGE_BYTES, TooLongSnafu { length });
     out.extend_from_slice(&(length as u32).to_le_bytes());
     out.extend_from_slice(&encoded);
     Ok(())
 }
 
 /// Encodes a message without a frame, as for a datagram.
+///
+/// # Errors
+/// [`FrameError::Unencodable`].
 pub fn encode<T: Encode<Binary>>(message: &T) -> Result<Vec<u8>, FrameError> {
-    musli::wire::to_vec(message).map_err(|e| FrameError::Unencodable { reason: e.to_string() })
+    musli::wire::to_vec(message).context(UnencodableSnafu)
 }
 
-/// Decodes a message that came without a frame.
+/// Decodes a message that was received without a frame.
+///
+/// # Errors
+/// [`FrameError::Malformed`].
 pub fn decode<T: for<'de> Decode<'de, Binary, Global>>(bytes: &[u8]) -> Result<T, FrameError> {
-    musli::wire::from_slice(bytes).map_err(|e| FrameError::Malformed { reason: e.to_string() })
+    musli::wire::from_slice(bytes).context(MalformedSnafu)
 }
 
-/// Takes the next whole message from the front of `buffer`; none while more bytes are needed.
+/// Removes the next complete message from the front of `buffer`; none while more bytes are needed.
+///
+/// # Errors
+/// [`FrameError::TooLong`] as soon as the stated length is over [`MAX_MESSAGE_BYTES`], and [`FrameError::Malformed`].
 pub fn take<T: for<'de> Decode<'de, Binary, Global>>(
     buffer: &mut Vec<u8>,
 ) -> Result<Option<T>, FrameError> {
     let Some(prefix) = buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*prefix) as usize;
-    if length > MAX_MESSAGE_BYTES {
-        return Err(FrameError::TooLong { length });
-    }
+    ensure!(length <= MAX_MESSAGE_BYTES, TooLongSnafu { length });
     let end = LENGTH_BYTES + length;
     if buffer.len() < end {
         return Ok(None);
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
 //! Typed messages between the processes of the system, encoded with musli and framed by their length.
 //!
 //! Three protocols share the framing: [`feed`] carries state from the control plane towards the data plane,
-//! [`replication`] keeps the control plane's members in agreement, and [`peer_sampling`] exchanges partial views of which
-//! processes exist.
+//! [`replication`] replicates the state among the control plane's members, and [`peer_sampling`] exchanges partial views of
+//! which processes exist.
 
 pub mod feed;
 pub mod frame;
--- a/crates/protocol/src/node.rs
+++ b/crates/protocol/src/node.rs
@@ -1,24 +1,25 @@
-//! Names of processes.
+//! Identifiers of processes.
 
 use std::fmt;
 use std::net::Ipv4Addr;
 
 use musli::{Decode, Encode};
 
-/// A member of the control plane: a machine's address and the generation of its disk.
+/// The id of a process: its machine's address and a generation.
 ///
-/// A disk that was formatted at the first start of the whole system has generation 0. One that was formatted
-/// later has a random generation, so a machine whose disk was lost is a different member from the one before.
+/// The generation of a member of the control plane is that of its disk. A disk that was formatted at the first start of the whole system has generation 0. One that was formatted
+/// later has a random generation, so a machine whose disk was lost is a different member
+/// from the one before. The generation of an agent is drawn at random at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct NodeId {
     /// The machine's IPv4 address as a number.
     pub ip: u32,
-    /// The generation of its disk.
+    /// Tells incarnations of the process on one machine apart.
     pub generation: u64,
 }
 
 impl NodeId {
-    /// A member by its address and the generation of its disk.
+    /// The id of the process on the machine with this address.
     #[must_use]
     pub fn new(ip: Ipv4Addr, generation: u64) -> Self {
         NodeId { ip: u32::from(ip), generation }
--- a/crates/protocol/src/peer_sampling.rs
+++ b/crates/protocol/src/peer_sampling.rs
@@ -1,5 +1,5 @@
-//! Partial views: each process knows some others and shuffles what it knows with one of them at a time, by
-//! datagram.
+//! Datagrams of peer sampling: each process has a partial view of the others, and shuffles entries with one of them at
+//! a time. The protocol is a variant of Cyclon (Voulgaris, Gavidia and van Steen 2005).
 
 use musli::{Decode, Encode};
 
@@ -8,23 +8,23 @@
 /// A datagram of the shuffle.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Shuffle {
-    /// Offers entries and asks for as many.
+    /// The request of a shuffle: offers entries in exchange for as many.
     Offer {
-        /// Who offers.
+        /// The sender's own entry.
         from: Entry,
         /// Some entries of its view.
         entries: Vec<Entry>,
     },
-    /// Answers an offer.
+    /// The reply to an offer.
     Reply {
-        /// Who answers.
+        /// The sender's own entry.
         from: Entry,
         /// Some entries of its view.
         entries: Vec<Entry>,
     },
 }
 
-/// A process as others know it.
+/// A process as it stands in the views of others.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Entry {
     /// The machine, and the incarnation of the process (a control member: the generation of its disk).
@@ -33,7 +33,7 @@
     pub role: Role,
     /// Its zone.
     pub zone: String,
-    /// Shuffles since the process itself told of this entry; the lowest is the freshest.
+    /// Ticks since the process itself sent this entry; the lowest age is the freshest.
     pub age: u32,
 }
 
--- a/crates/protocol/src/shared_bytes.rs
+++ b/crates/protocol/src/shared_bytes.rs
@@ -5,12 +5,18 @@
 use musli::de::DecodeBytes;
 use musli::{Decoder, Encoder};
 
-/// Writes the bytes with their length.
+/// Encodes the bytes with their length.
+///
+/// # Errors
+/// Those of the encoder.
 pub fn encode<E: Encoder>(bytes: &Arc<[u8]>, encoder: E) -> Result<(), E::Error> {
     encoder.encode_bytes(bytes)
 }
 
-/// Reads what [`encode`] wrote.
+/// Decodes what [`encode`] wrote.
+///
+/// # Errors
+/// Those of the decoder.
 pub fn decode<'de, D: Decoder<'de>>(decoder: D) -> Result<Arc<[u8]>, D::Error> {
     DecodeBytes::<'de, D::Mode, D::Allocator>::decode_bytes(decoder)
 }
