--- a/crates/fault-injection/src/address.rs
+++ b/crates/fault-injection/src/address.rs
@@ -1,22 +1,26 @@
-//! Addresses and ports of the loopback network that no other deployment uses.
+//! Exclusive blocks of loopback addresses and ports.
+//!
+//! A block is reserved by a listener at a fixed offset in it, so that reservations hold between processes and end with
+//! the process that made them.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 
 use crate::error::{Result, TimedOutSnafu};
 
-/// Ports that one machine takes, its reservation included.
+/// Ports of one machine, that of the reservation included.
 pub const PORTS_PER_MACHINE: u16 = 8;
-/// Where the reservation of a block of ports is held, from its first one.
+/// The offset of the reservation's port in a block of ports.
 const RESERVATION_OFFSET: u16 = PORTS_PER_MACHINE - 1;
-/// The port at which the reservation of a network of addresses is held.
+/// The port of the reservation of a block of addresses.
 const NETWORK_RESERVATION_PORT: u16 = 19_999;
-/// Blocks of ports lie between these, below those that the system gives to outgoing connections.
+/// The first port of all blocks, which lie below the ephemeral ports.
 const FIRST_PORT: u16 = 20_000;
+/// The end of all blocks.
 const LAST_PORT: u16 = 32_000;
-/// Tries to find something free.
-const TRIES: usize = 2_000;
+/// Attempts to find a free block.
+const RESERVATION_ATTEMPTS: usize = 2_000;
 
-/// 250 addresses that belong to one deployment for as long as this lives.
+/// A block 127.a.b.0/24 that is reserved while this value lives.
 #[derive(Debug)]
 pub struct AddressBlock {
     octets: [u8; 3],
@@ -24,19 +28,23 @@
 }
 
 impl AddressBlock {
-    /// Takes a block that nobody has.
+    /// Reserves a free block.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if none is found.
     pub fn reserve() -> Result<AddressBlock> {
-        for _ in 0..TRIES {
+        for _ in 0..RESERVATION_ATTEMPTS {
             let octets = [127, fastrand::u8(1..=254), fastrand::u8(1..=254)];
             let address = Ipv4Addr::new(octets[0], octets[1], octets[2], 1);
             if let Ok(reservation) = TcpListener::bind((address, NETWORK_RESERVATION_PORT)) {
                 return Ok(AddressBlock { octets, _reservation: reservation });
             }
         }
-        no_free("addresses")
+        none_free("addresses")
     }
 
-    /// An address of the block.
+    /// The address of the block with this last octet.
     #[must_use]
     pub fn address(&self, host: u8) -> Ipv4Addr {
         let [first, second, third] = self.octets;
@@ -44,19 +52,23 @@
     }
 }
 
-/// Ports in a row that are free on 127.0.0.1 and belong to one machine for as long as this lives.
+/// Consecutive ports, free on 127.0.0.1, that are reserved while this value lives.
 #[derive(Debug)]
 pub struct PortBlock {
-    /// The first of them.
+    /// The first port.
     pub first: u16,
     _reservation: TcpListener,
 }
 
 impl PortBlock {
-    /// Takes a block that nobody has.
+    /// Reserves a free block.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if none is found.
     pub fn reserve() -> Result<PortBlock> {
         let blocks = (LAST_PORT - FIRST_PORT) / PORTS_PER_MACHINE;
-        for _ in 0..TRIES {
+        for _ in 0..RESERVATION_ATTEMPTS {
             let first = FIRST_PORT + PORTS_PER_MACHINE * fastrand::u16(..blocks);
             let reserved = TcpListener::bind((Ipv4Addr::LOCALHOST, first + RESERVATION_OFFSET));
             if let Ok(reservation) = reserved
@@ -65,7 +77,7 @@
                 return Ok(PortBlock { first, _reservation: reservation });
             }
         }
-        no_free("ports")
+        none_free("ports")
     }
 }
 
@@ -74,6 +86,6 @@
     TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok()
 }
 
-fn no_free<T>(what: &str) -> Result<T> {
+fn none_free<T>(what: &str) -> Result<T> {
     TimedOutSnafu { what: format!("free {what} on loopback"), limit: std::time::Duration::ZERO }.fail()
 }
--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -1,4 +1,6 @@
 //! HTTP/1.1 over blocking sockets, for both sides of a connection.
+//!
+//! Clients and stand-ins use it in place of an HTTP library, so that they see each byte and each reset as it comes.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,35 +10,38 @@
 use tulipridge_http1::Http1Limits;
 use tulipridge_http1::codec::{self, Body, Head, ParseError};
 
-/// Bytes read from a socket at once.
+/// The size of a read in bytes.
 const READ_BYTES: usize = 64 * 1024;
-/// The longest body that is read.
-const BODY_BYTES: usize = 16 << 20;
+/// The maximum size of a body in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Why a message could not be read or a call has no answer.
+/// Statuses below this one are interim.
+const FIRST_FINAL_STATUS: u16 = 200;
+
+/// Why a message could not be read, or a request has no response.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection came up.
+    /// The connection was not established.
     #[snafu(display("no connection: {source}"))]
     Connect {
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The connection failed, or the time ran out.
+    /// The connection failed, or the timeout has passed.
     #[snafu(display("the connection failed: {source}"))]
     Broken {
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// What came is not HTTP.
+    /// The received bytes are not HTTP.
     #[snafu(display("not HTTP: {reason}"))]
     Malformed {
-        /// What is wrong with it.
+        /// The parser's error.
         reason: &'static str,
     },
-    /// The connection ended before the message was whole.
-    #[snafu(display("the connection has ended"))]
-    Ended,
+    /// The peer closed the connection before the message was complete.
+    #[snafu(display("the connection was closed"))]
+    Closed,
 }
 
 /// A request.
@@ -44,16 +49,16 @@
 pub struct Request<'a> {
     /// The method.
     pub method: &'a str,
-    /// The path, with its query.
+    /// The path and query.
     pub target: &'a str,
-    /// Headers beyond those of the framing; a host is added where none is named.
+    /// Headers; `Content-Length` and a missing `Host` are added.
     pub headers: &'a [(&'a str, &'a str)],
     /// The body.
     pub body: &'a [u8],
 }
 
 impl<'a> Request<'a> {
-    /// A request without a body.
+    /// A GET request.
     #[must_use]
     pub fn get(target: &'a str) -> Request<'a> {
         Request { method: "GET", target, headers: &[], body: &[] }
@@ -62,7 +67,7 @@
     fn encode(&self) -> Vec<u8> {
         let mut text = format!("{} {} HTTP/1.1\r\n", self.method, self.target);
         if !self.headers.iter().any(|(name, _)| *name == "Host") {
-            text.push_str("Host: drill\r\n");
+            text.push_str("Host: fault\r\n");
         }
         for (name, value) in self.headers {
             text.push_str(&format!("{name}: {value}\r\n"));
@@ -74,7 +79,7 @@
     }
 }
 
-/// A message that has come whole.
+/// A complete message.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// Its head.
@@ -84,7 +89,7 @@
 }
 
 impl Message {
-    /// The status of an answer.
+    /// The status of a response.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.head.status()
@@ -97,16 +102,20 @@
     }
 }
 
-/// Makes one call on a connection of its own.
+/// Sends one request on a connection of its own and reads the response, both within `timeout`.
+///
+/// # Errors
+///
+/// See [`CallError`]; the request may have been received.
 pub fn call(address: SocketAddr, request: &Request<'_>, timeout: Duration) -> Result<Message, CallError> {
-    let until = Instant::now() + timeout;
+    let deadline = Instant::now() + timeout;
     let stream = TcpStream::connect_timeout(&address, timeout).context(ConnectSnafu)?;
     let mut connection = Connection::new(stream);
     connection.write(&request.encode())?;
-    connection.read_response(until)
+    connection.read_response(deadline)
 }
 
-/// A connection that carries messages.
+/// A connection on which messages are read and written.
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -114,11 +123,11 @@
 }
 
 impl Connection {
-    /// A connection on which nothing was read yet.
+    /// A connection on which nothing was read yet; disables Nagle's algorithm.
     #[must_use]
     pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true);
-        let limits = Http1Limits { body_bytes: BODY_BYTES, ..Http1Limits::default() };
+        let limits = Http1Limits { body_bytes: MAX_BODY_BYTES, ..Http1Limits::default() };
         Connection { stream, buffer: Vec::new(), limits }
     }
 
@@ -129,39 +138,51 @@
     }
 
     /// Writes bytes.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError::Broken`] if the connection failed.
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), CallError> {
         self.stream.write_all(bytes).context(BrokenSnafu)
     }
 
-    /// Reads a request, however long that takes.
+    /// Reads a request, without a timeout.
+    ///
+    /// # Errors
+    ///
+    /// See [`CallError`].
     pub fn read_request(&mut self) -> Result<Message, CallError> {
         let head = self.read_head(None, codec::request_head)?;
         let framing = head.request_body(&self.limits).map_err(malformed)?;
         self.read_body(head, framing, None)
     }
 
-    /// Reads an answer until a time; interim ones are passed over.
-    pub fn read_response(&mut self, until: Instant) -> Result<Message, CallError> {
+    /// Reads a response until `deadline`; interim ones (1xx) are skipped.
+    ///
+    /// # Errors
+    ///
+    /// See [`CallError`].
+    pub fn read_response(&mut self, deadline: Instant) -> Result<Message, CallError> {
         loop {
-            let head = self.read_head(Some(until), codec::response_head)?;
-            if head.status() >= 200 {
+            let head = self.read_head(Some(deadline), codec::response_head)?;
+            if head.status() >= FIRST_FINAL_STATUS {
                 let framing = head.response_body().map_err(malformed)?;
-                return self.read_body(head, framing, Some(until));
+                return self.read_body(head, framing, Some(deadline));
             }
         }
     }
 
     fn read_head(
         &mut self,
-        until: Option<Instant>,
+        deadline: Option<Instant>,
         parse: fn(&mut Vec<u8>, &Http1Limits) -> Result<Option<Head>, ParseError>,
     ) -> Result<Head, CallError> {
         loop {
             if let Some(head) = parse(&mut self.buffer, &self.limits).map_err(malformed)? {
                 return Ok(head);
             }
-            if self.read_more(until)? == 0 {
-                return EndedSnafu.fail();
+            if self.read_more(deadline)? == 0 {
+                return ClosedSnafu.fail();
             }
         }
     }
@@ -170,20 +191,20 @@
         &mut self,
         head: Head,
         mut framing: Body,
-        until: Option<Instant>,
+        deadline: Option<Instant>,
     ) -> Result<Message, CallError> {
         let mut body = Vec::new();
         while !framing.take(&mut self.buffer, &mut body, &self.limits).map_err(malformed)? {
-            if self.read_more(until)? == 0 {
-                let is_whole = framing == Body::UntilClose;
-                return is_whole.then_some(Message { head, body }).context(EndedSnafu);
+            if self.read_more(deadline)? == 0 {
+                let is_complete = framing == Body::UntilClose;
+                return is_complete.then_some(Message { head, body }).context(ClosedSnafu);
             }
         }
         Ok(Message { head, body })
     }
 
-    fn read_more(&mut self, until: Option<Instant>) -> Result<usize, CallError> {
-        let left = until.map(|until| until.saturating_duration_since(Instant::now()));
+    fn read_more(&mut self, deadline: Option<Instant>) -> Result<usize, CallError> {
+        let left = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
         if left.is_some_and(|left| left.is_zero()) {
             return Err(io::Error::from(io::ErrorKind::TimedOut)).context(BrokenSnafu);
         }
@@ -195,6 +216,6 @@
     }
 }
 
-fn malformed(bad: ParseError) -> CallError {
-    CallError::Malformed { reason: bad.what }
+fn malformed(error: ParseError) -> CallError {
+    CallError::Malformed { reason: error.what }
 }
--- a/crates/fault-injection/src/deployment/faults.rs
+++ b/crates/fault-injection/src/deployment/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of machines and of the paths between them.
+//! Faults of machines and of the links between them.
 
 use std::process::ExitStatus;
 use std::time::Duration;
@@ -7,53 +7,65 @@
 use crate::disk;
 use crate::error::Result;
 use crate::machine::MachineId;
-use crate::network::Condition;
+use crate::network::LinkState;
 use crate::wait::wait_until;
 
 impl Deployment {
-    /// Kills a member, empties its disk and starts it as a newcomer.
+    /// Kills a member, wipes its disk and starts it as a new member.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the disk can't be wiped or the program can't be started.
     pub fn replace_disk(&mut self, index: usize) -> Result<()> {
         self.members[index].process.kill();
         disk::wipe(&self.members[index].folder)?;
         self.start_member(index)
     }
 
-    /// Ends a member by SIGTERM.
+    /// Stops a member by SIGTERM.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it does not exit in time.
     pub fn terminate_member(&mut self, index: usize) -> Result<ExitStatus> {
         self.members[index].process.terminate(TERMINATION_LIMIT)
     }
 
-    /// All machines but one.
+    /// All machines but `machine`.
     #[must_use]
     pub fn others(&self, machine: MachineId) -> Vec<MachineId> {
         let members = self.members.iter().map(|member| member.machine.id);
         let edges = self.edges.iter().map(|edge| edge.machine.id);
-        let around = [self.operator_machine.id, self.platform_machine.id];
-        members.chain(edges).chain(around).filter(|id| *id != machine).collect()
+        let stand_ins = [self.operator_machine.id, self.platform_machine.id];
+        members.chain(edges).chain(stand_ins).filter(|id| *id != machine).collect()
     }
 
-    /// Changes all paths from and to a member, but for those of the operator.
-    pub fn cut_member(&self, index: usize, condition: Condition) {
+    /// Sets all links from and to a member, except those of the operator.
+    pub fn partition_member(&self, index: usize, state: LinkState) {
         let id = self.members[index].machine.id;
         let others: Vec<MachineId> =
             self.others(id).into_iter().filter(|other| *other != self.operator_machine.id).collect();
-        self.network.set_between(id, &others, condition);
+        self.network.set_between(id, &others, state);
     }
 
-    /// Plays the loss of a member's power: its machine says nothing any more while it goes on writing for up to
-    /// `grace`, then it is killed and loses a random part of what it has written since.
-    pub fn lose_power(&mut self, index: usize, grace: Duration) -> Result<Option<disk::Dropped>> {
+    /// Simulates a loss of power: isolates a member's outgoing links while it goes on writing for up to `grace`, then
+    /// kills it and drops a random part of what it has written since.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the log can't be truncated.
+    pub fn lose_power(&mut self, index: usize, grace: Duration) -> Result<Option<disk::DroppedTail>> {
         let id = self.members[index].machine.id;
         let others = self.others(id);
-        self.network.set_outgoing(id, &others, Condition::Held);
+        self.network.set_outgoing(id, &others, LinkState::Stalled);
         let folder = self.members[index].folder.clone();
-        let confirmed = disk::Lengths::of(&folder);
-        // Whether it writes at all depends on what others send it meanwhile.
-        let _ = wait_until("a write", grace, || disk::Lengths::of(&folder) != confirmed);
+        let acknowledged = disk::FileLengths::of(&folder);
+        // Whether it writes at all depends on what it receives meanwhile.
+        let _ = wait_until("a write", grace, || disk::FileLengths::of(&folder) != acknowledged);
         self.members[index].process.kill();
-        // What waits at the relays never left the machine.
-        self.network.set_outgoing(id, &others, Condition::Reset);
-        self.network.set_outgoing(id, &others, Condition::Open);
-        disk::drop_unconfirmed(&folder, &confirmed)
+        // Bytes that wait at the relays count as never sent.
+        self.network.set_outgoing(id, &others, LinkState::Reset);
+        self.network.set_outgoing(id, &others, LinkState::Open);
+        disk::drop_unacknowledged_tail(&folder, &acknowledged)
     }
 }
--- a/crates/fault-injection/src/deployment/mod.rs
+++ b/crates/fault-injection/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! Members and edge machines with real programs, and what surrounds them.
+//! Deployments: control-plane members and edge machines with the real programs, and stand-ins around them.
 
 mod faults;
 mod observe;
@@ -12,7 +12,7 @@
 use tempfile::TempDir;
 
 use crate::address::AddressBlock;
-use crate::error::{Result, SystemSnafu};
+use crate::error::{IoSnafu, Result};
 use crate::machine::{Machine, MachineId, Port};
 use crate::network::Network;
 use crate::platform::Platform;
@@ -23,39 +23,39 @@
 
 /// The zone of all machines.
 const ZONE: &str = "a";
-/// The last byte of the address of machine 0.
+/// The last octet of the address of machine 0.
 const FIRST_HOST: u8 = 10;
-/// The last byte of the address of the first replica.
+/// The last octet of the address of the first replica.
 const FIRST_REPLICA_HOST: u8 = 200;
-/// Calls a second that the platform's list takes.
+/// Requests per second that members may send to the platform's list.
 const LIST_RATE: u32 = 20;
-/// Longest time for a deployment to come up, and to be whole again.
-pub const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-/// Time for a program to end after SIGTERM.
+/// Timeout for a deployment to converge, after its start or a fault.
+pub const CONVERGENCE_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout for a program to exit after SIGTERM.
 const TERMINATION_LIMIT: Duration = Duration::from_secs(9);
 
-/// What a deployment has.
+/// The size of a deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
-    /// Machines for members.
+pub struct Topology {
+    /// Machines for control-plane members.
     pub members: usize,
-    /// How many of them, from the first on, are seeds and run from the beginning.
+    /// How many of them, from the first on, are seeds and started at once.
     pub seeds: usize,
     /// Edge machines.
     pub edges: usize,
     /// Replicas.
     pub replicas: usize,
-    /// Machines that may be lost at the same time.
-    pub losses: u32,
+    /// Machine losses that the control plane has to tolerate at the same time.
+    pub tolerated_losses: u32,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan { members: 3, seeds: 3, edges: 1, replicas: 1, losses: 1 }
+impl Default for Topology {
+    fn default() -> Topology {
+        Topology { members: 3, seeds: 3, edges: 1, replicas: 1, tolerated_losses: 1 }
     }
 }
 
-/// A member and its disk.
+/// A control-plane member and its disk.
 #[derive(Debug)]
 pub struct Member {
     /// Its machine.
@@ -70,7 +70,7 @@
 /// An edge machine.
 #[derive(Debug)]
 pub struct Edge {
-    /// The machine.
+    /// Its machine.
     pub machine: Machine,
     /// The agent.
     pub agent: Process,
@@ -78,16 +78,16 @@
     pub proxy: Process,
 }
 
-/// A whole system. All its programs are killed when it is dropped.
+/// A running system. All its programs are killed when it is dropped.
 #[derive(Debug)]
 pub struct Deployment {
-    /// The paths between all machines.
+    /// The links between all machines.
     pub network: Network,
-    /// The control plane, with machines that do not run yet.
+    /// The control-plane members, those that were not started included.
     pub members: Vec<Member>,
     /// The edge machines.
     pub edges: Vec<Edge>,
-    /// The list of replicas.
+    /// The platform's list of replicas.
     pub platform: Platform,
     /// The replicas.
     pub replicas: Vec<Replica>,
@@ -95,7 +95,7 @@
     pub operator_machine: Machine,
     /// The machine of the platform's list.
     pub platform_machine: Machine,
-    plan: Plan,
+    topology: Topology,
     seeds: Vec<usize>,
     relays: Vec<TcpRelay>,
     folder: TempDir,
@@ -103,39 +103,47 @@
 }
 
 impl Deployment {
-    /// Starts everything and waits until it works.
-    pub fn start(plan: Plan) -> Result<Deployment> {
-        let mut deployment = Deployment::build(plan)?;
-        for index in 0..plan.seeds {
+    /// Starts all programs and waits until the deployment has converged.
+    ///
+    /// # Errors
+    ///
+    /// Any [`HarnessError`](crate::error::HarnessError) of the build, the start or the wait.
+    pub fn start(topology: Topology) -> Result<Deployment> {
+        let mut deployment = Deployment::build(topology)?;
+        for index in 0..topology.seeds {
             deployment.start_member(index)?;
         }
-        for index in 0..plan.edges {
+        for index in 0..topology.edges {
             deployment.start_edge(index)?;
         }
-        deployment.wait_until_whole()?;
+        deployment.wait_until_converged()?;
         Ok(deployment)
     }
 
-    fn build(plan: Plan) -> Result<Deployment> {
+    fn build(topology: Topology) -> Result<Deployment> {
         let programs = Programs::build()?;
         let addresses = AddressBlock::reserve()?;
         let folder = tempfile::Builder::new()
-            .prefix("tulipridge-drill-")
+            .prefix("tulipridge-fault-injection-")
             .tempdir()
-            .context(SystemSnafu { action: "make a folder" })?;
-        let mut machines = MachineFactory { addresses: &addresses, next: 0 };
-        let operator_machine = machines.make("operator".to_owned())?;
-        let platform_machine = machines.make("platform".to_owned())?;
+            .context(IoSnafu { action: "make a folder" })?;
+        let mut machines = MachineFactory { addresses: &addresses, next_id: 0 };
+        let operator_machine = machines.create("operator".to_owned())?;
+        let platform_machine = machines.create("platform".to_owned())?;
         let mut members = Vec::new();
-        for number in 1..=plan.members {
-            members.push(Member::new(machines.make(format!("middle-{number}"))?, &programs, folder.path()));
+        for number in 1..=topology.members {
+            members.push(Member::new(
+                machines.create(format!("middle-{number}"))?,
+                &programs,
+                folder.path(),
+            ));
         }
         let mut edges = Vec::new();
-        for number in 1..=plan.edges {
-            edges.push(Edge::new(machines.make(format!("edge-{number}"))?, &programs, folder.path()));
+        for number in 1..=topology.edges {
+            edges.push(Edge::new(machines.create(format!("edge-{number}"))?, &programs, folder.path()));
         }
         let platform = Platform::start(platform_machine.socket(Port::Api))?;
-        let replicas = start_replicas(plan.replicas, &addresses, &platform)?;
+        let replicas = start_replicas(topology.replicas, &addresses, &platform)?;
         let mut deployment = Deployment {
             network: Network::default(),
             members,
@@ -144,8 +152,8 @@
             replicas,
             operator_machine,
             platform_machine,
-            plan,
-            seeds: (0..plan.seeds).collect(),
+            topology,
+            seeds: (0..topology.seeds).collect(),
             relays: Vec::new(),
             folder,
             _addresses: addresses,
@@ -154,10 +162,14 @@
         Ok(deployment)
     }
 
-    /// Starts a member. Only the very first start of a seed is a first boot.
+    /// Starts a member. Only the first start of a seed is a first boot.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the settings can't be written or the program can't be started.
     pub fn start_member(&mut self, index: usize) -> Result<()> {
-        let first_boot = index < self.plan.seeds && !self.members[index].has_booted;
-        let text = self.member_settings(index, first_boot);
+        let is_first_boot = index < self.topology.seeds && !self.members[index].has_booted;
+        let text = self.member_settings(index, is_first_boot);
         let member = &mut self.members[index];
         settings::write(self.folder.path(), &member.machine, &text)?;
         member.has_booted = true;
@@ -165,13 +177,21 @@
     }
 
     /// Starts agent and proxy of an edge machine.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the settings can't be written or a program can't be started.
     pub fn start_edge(&mut self, index: usize) -> Result<()> {
         self.write_edge_settings(index)?;
         self.edges[index].agent.start()?;
         self.edges[index].proxy.start()
     }
 
-    /// Names other members as seeds: agents read them at once, members at their next start.
+    /// Replaces the seeds in the settings: agents reload them at once, members at their next start.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the settings can't be written or an agent can't be signalled.
     pub fn set_seeds(&mut self, seeds: Vec<usize>) -> Result<()> {
         self.seeds = seeds;
         for index in 0..self.edges.len() {
@@ -182,21 +202,21 @@
     }
 }
 
-/// Makes the machines of a deployment, each with an address of its own.
+/// Creates the machines of a deployment, each with an address of its own.
 struct MachineFactory<'a> {
     addresses: &'a AddressBlock,
-    next: u8,
+    next_id: u8,
 }
 
 impl MachineFactory<'_> {
-    fn make(&mut self, name: String) -> Result<Machine> {
-        let id = MachineId(self.next);
-        self.next += 1;
+    fn create(&mut self, name: String) -> Result<Machine> {
+        let id = MachineId(self.next_id);
+        self.next_id += 1;
         Machine::new(id, name, self.addresses.address(FIRST_HOST + id.0))
     }
 }
 
-/// Starts replicas and lists them.
+/// Starts replicas and adds them to the platform's list.
 fn start_replicas(count: usize, addresses: &AddressBlock, platform: &Platform) -> Result<Vec<Replica>> {
     let mut replicas = Vec::new();
     for number in 0..count {
@@ -227,11 +247,11 @@
 pub struct ClientRequest<'a> {
     /// The path.
     pub path: &'a str,
-    /// The client's name for the try.
+    /// The value of `Attempt-Id`.
     pub attempt_id: &'a str,
     /// The body.
     pub body: &'a str,
-    /// How long the client waits.
+    /// The client's timeout, which is also sent as the time left.
     pub timeout: Duration,
 }
 
--- a/crates/fault-injection/src/deployment/observe.rs
+++ b/crates/fault-injection/src/deployment/observe.rs
@@ -1,9 +1,9 @@
-//! What operators and clients see of a deployment.
+//! Requests of operators and clients to a deployment, and its observable state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{ClientRequest, Deployment, SETTLE_LIMIT};
+use super::{CONVERGENCE_LIMIT, ClientRequest, Deployment};
 use crate::client::{CallError, Message, Request, call};
 use crate::error::Result;
 use crate::machine::Port;
@@ -11,32 +11,37 @@
 use crate::status::Status;
 use crate::wait::{wait_for, wait_until};
 
+/// The timeout of a proxy's readiness check.
+const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
+
 impl Deployment {
-    /// The operator, who knows all members that run.
+    /// An operator that sends requests to all running members.
     #[must_use]
     pub fn operator(&self) -> Operator {
-        self.operator_knowing(|_| true)
+        self.operator_for(|_| true)
     }
 
-    /// An operator who knows some of the members that run.
-    pub fn operator_knowing(&self, knows: impl Fn(usize) -> bool) -> Operator {
-        let running = (0..self.members.len()).filter(|index| self.is_running(*index) && knows(*index));
+    /// An operator that sends requests to the running members that `is_included` selects.
+    #[must_use]
+    pub fn operator_for(&self, is_included: impl Fn(usize) -> bool) -> Operator {
+        let running =
+            (0..self.members.len()).filter(|index| self.is_running(*index) && is_included(*index));
         Operator::new(running.map(|index| self.operator_socket(index)).collect())
     }
 
-    /// Where the operator reaches a member.
+    /// The address at which the operator connects to a member.
     #[must_use]
     pub fn operator_socket(&self, index: usize) -> SocketAddr {
         self.operator_machine.socket_toward(&self.members[index].machine, Port::Api)
     }
 
-    /// Whether a member runs.
+    /// Whether a member is running.
     #[must_use]
     pub fn is_running(&self, index: usize) -> bool {
         self.members[index].process.pid().is_some()
     }
 
-    /// How a member sees the control plane, whatever the network does; none if it does not answer.
+    /// The status of a member, requested past the network's faults; `None` if it does not respond.
     #[must_use]
     pub fn status(&self, index: usize) -> Option<Status> {
         if !self.is_running(index) {
@@ -45,35 +50,47 @@
         Status::of(self.members[index].machine.socket(Port::Api))
     }
 
-    /// The member that has the lease.
+    /// The member that holds the lease.
     #[must_use]
     pub fn primary(&self) -> Option<usize> {
         (0..self.members.len()).find(|index| self.status(*index).is_some_and(|status| status.lease))
     }
 
-    /// Waits for a member with the lease.
+    /// Waits for a member that holds the lease.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if there is none in time.
     pub fn wait_for_primary(&self) -> Result<usize> {
-        wait_for("a member with the lease", SETTLE_LIMIT, || self.primary())
+        wait_for("a member with the lease", CONVERGENCE_LIMIT, || self.primary())
     }
 
-    /// A backup: a member that holds the data and is not the primary.
-    pub fn backup(&self) -> Result<usize> {
-        wait_for("a backup", SETTLE_LIMIT, || {
+    /// Waits for a backup: a member of the replication group that is not the primary.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if there is none in time.
+    pub fn wait_for_backup(&self) -> Result<usize> {
+        wait_for("a backup", CONVERGENCE_LIMIT, || {
             let is_backup =
                 |index: &usize| self.status(*index).is_some_and(|status| status.role == "backup");
             (0..self.members.len()).find(is_backup)
         })
     }
 
-    /// Waits until one member has the lease, all that run are fresh and agree, and all proxies are ready.
-    pub fn wait_until_whole(&self) -> Result<()> {
-        wait_until("the deployment is whole", SETTLE_LIMIT, || {
-            self.is_control_plane_whole() && self.are_proxies_ready()
+    /// Waits until the control plane has converged and all proxies are ready; prints the state if it fails.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if that is not so in time.
+    pub fn wait_until_converged(&self) -> Result<()> {
+        wait_until("the deployment has converged", CONVERGENCE_LIMIT, || {
+            self.is_control_plane_converged() && self.are_proxies_ready()
         })
         .inspect_err(|_| eprintln!("{}", self.describe()))
     }
 
-    /// How all members see the control plane, and what all programs have logged, for a person.
+    /// The status of all members and the logs of all programs, for a failure message.
     #[must_use]
     pub fn describe(&self) -> String {
         let members = self.members.iter().enumerate().map(|(index, member)| {
@@ -85,29 +102,29 @@
         members.chain(edges).collect()
     }
 
-    /// Whether one member has the lease, and all that run are fresh, agree on the view and on the configuration, with
-    /// holders and voters that all run.
+    /// Whether one member holds the lease, all running members are fresh and agree on the view and the configuration,
+    /// and the replication group and the voters are complete and running.
     #[must_use]
-    pub fn is_control_plane_whole(&self) -> bool {
+    pub fn is_control_plane_converged(&self) -> bool {
         let running: Vec<usize> = (0..self.members.len()).filter(|index| self.is_running(*index)).collect();
         let statuses: Vec<Status> = running.iter().filter_map(|index| self.status(*index)).collect();
         let Some(primary) = statuses.iter().find(|status| status.lease) else { return false };
         let nodes: Vec<&String> = statuses.iter().map(|status| &status.node).collect();
-        let losses = self.plan.losses as usize;
+        let losses = self.topology.tolerated_losses as usize;
         statuses.len() == running.len()
-            && primary.holders.len() == (losses + 1).min(running.len())
+            && primary.replication_group.len() == (losses + 1).min(running.len())
             && primary.voters.len() >= (2 * losses + 1).min(running.len())
-            && primary.holders.iter().all(|node| nodes.contains(&node))
+            && primary.replication_group.iter().all(|node| nodes.contains(&node))
             && statuses.iter().all(|status| {
                 status.is_fresh()
                     && status.voters.iter().all(|node| nodes.contains(&node))
-                    && status.holders == primary.holders
+                    && status.replication_group == primary.replication_group
                     && status.configuration == primary.configuration
-                    && status.replicas == self.plan.replicas
+                    && status.replicas == self.topology.replicas
             })
     }
 
-    pub(super) fn are_proxies_ready(&self) -> bool {
+    fn are_proxies_ready(&self) -> bool {
         // Before the first configuration no proxy can be ready.
         let has_configuration = self
             .primary()
@@ -116,21 +133,25 @@
         !has_configuration || (0..self.edges.len()).all(|index| self.is_ready(index))
     }
 
-    /// Whether a proxy says that it is ready.
+    /// Whether a proxy's readiness check succeeds.
     #[must_use]
     pub fn is_ready(&self, edge: usize) -> bool {
-        let ready = self.edges[edge].machine.socket(Port::Ready);
-        call(ready, &Request::get("/ready"), Duration::from_millis(500))
-            .is_ok_and(|answer| answer.status() == 200)
+        let ready = self.edges[edge].machine.socket(Port::Readiness);
+        call(ready, &Request::get("/ready"), READINESS_TIMEOUT)
+            .is_ok_and(|response| response.status() == 200)
     }
 
     /// Sends a client's request to a proxy.
-    pub fn ask(&self, edge: usize, ask: &ClientRequest<'_>) -> Result<Message, CallError> {
-        let time_left = ask.timeout.as_millis().to_string();
+    ///
+    /// # Errors
+    ///
+    /// See [`CallError`].
+    pub fn send_request(&self, edge: usize, request: &ClientRequest<'_>) -> Result<Message, CallError> {
+        let time_left_ms = request.timeout.as_millis().to_string();
         let headers =
-            [("Host", HOST), ("Attempt-Id", ask.attempt_id), ("Time-Left-Ms", time_left.as_str())];
-        let request =
-            Request { method: "POST", target: ask.path, headers: &headers, body: ask.body.as_bytes() };
-        call(self.edges[edge].machine.socket(Port::Front), &request, ask.timeout)
+            [("Host", HOST), ("Attempt-Id", request.attempt_id), ("Time-Left-Ms", time_left_ms.as_str())];
+        let (target, body) = (request.path, request.body.as_bytes());
+        let message = Request { method: "POST", target, headers: &headers, body };
+        call(self.edges[edge].machine.socket(Port::Clients), &message, request.timeout)
     }
 }
--- a/crates/fault-injection/src/deployment/settings.rs
+++ b/crates/fault-injection/src/deployment/settings.rs
@@ -5,7 +5,7 @@
 use snafu::ResultExt;
 
 use super::{Deployment, LIST_RATE, ZONE};
-use crate::error::{Result, SystemSnafu};
+use crate::error::{IoSnafu, Result};
 use crate::machine::{Machine, Port};
 
 impl Deployment {
@@ -15,11 +15,11 @@
         format!("[{}]", seeds.join(", "))
     }
 
-    pub(super) fn member_settings(&self, index: usize, first_boot: bool) -> String {
+    pub(super) fn member_settings(&self, index: usize, is_first_boot: bool) -> String {
         let member = &self.members[index];
         let platform = member.machine.socket_toward(&self.platform_machine, Port::Api);
         format!(
-            "{}listenOn: {{controlPort: '{}'}}\nfirstBoot: {first_boot}\ndataFolder: '{}'\n\
+            "{}listenOn: {{controlPort: '{}'}}\nfirstBoot: {is_first_boot}\ndataFolder: '{}'\n\
              cloudApi: {{address: '{platform}', ratePerS: {LIST_RATE}}}\n",
             self.common_settings(&member.machine),
             member.machine.socket(Port::Api),
@@ -32,8 +32,8 @@
         let text = format!(
             "{}listenOn: {{frontDoor: '{}', readyCheck: '{}'}}\n",
             self.common_settings(machine),
-            machine.socket(Port::Front),
-            machine.socket(Port::Ready),
+            machine.socket(Port::Clients),
+            machine.socket(Port::Readiness),
         );
         write(self.folder.path(), machine, &text)
     }
@@ -45,9 +45,9 @@
             machine.name,
             machine.address,
             machine.port(Port::Control),
-            machine.port(Port::LocalFeed),
+            machine.port(Port::LocalSubscription),
             self.seed_list(),
-            self.plan.losses,
+            self.topology.tolerated_losses,
         )
     }
 }
@@ -58,6 +58,5 @@
 
 pub(super) fn write(folder: &Path, machine: &Machine, text: &str) -> Result<()> {
     let path = path(folder, machine);
-    std::fs::write(&path, text)
-        .with_context(|_| SystemSnafu { action: format!("write {}", path.display()) })
+    std::fs::write(&path, text).with_context(|_| IoSnafu { action: format!("write {}", path.display()) })
 }
--- a/crates/fault-injection/src/disk.rs
+++ b/crates/fault-injection/src/disk.rs
@@ -1,4 +1,4 @@
-//! The folder of a member's log, seen from outside.
+//! The folder of a member's write-ahead log, inspected from outside of the program.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -6,22 +6,22 @@
 
 use snafu::ResultExt;
 
-use crate::error::{Result, SystemSnafu};
+use crate::error::{IoSnafu, Result};
 
-/// Lengths of the files in a folder, by name.
+/// Lengths in bytes of the files in a folder, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lengths(BTreeMap<String, u64>);
+pub struct FileLengths(BTreeMap<String, u64>);
 
-impl Lengths {
-    /// Reads a folder; one that is not there has no files.
+impl FileLengths {
+    /// Reads a folder; a missing one has no files.
     #[must_use]
-    pub fn of(folder: &Path) -> Lengths {
+    pub fn of(folder: &Path) -> FileLengths {
         let entries = fs::read_dir(folder).into_iter().flatten().flatten();
         let length = |entry: fs::DirEntry| {
             let length = entry.metadata().ok()?.len();
             Some((entry.file_name().into_string().ok()?, length))
         };
-        Lengths(entries.filter_map(length).collect())
+        FileLengths(entries.filter_map(length).collect())
     }
 
     /// Bytes in all files.
@@ -31,53 +31,66 @@
     }
 }
 
-/// Bytes that were dropped from the end of a file.
+/// The tail of a file that was dropped.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DroppedTail {
     /// The file.
     pub file: String,
-    /// Bytes that had come since the folder was measured.
-    pub unconfirmed: u64,
-    /// How many of them were dropped.
+    /// Bytes that were appended since the folder was measured.
+    pub unacknowledged: u64,
+    /// How many of them were dropped, from the end.
     pub bytes: u64,
 }
 
-/// Plays the loss of power at a stopped member, as it leaves a disk that keeps what was synced: drops a random number
-/// of bytes from the end of the log, but none that was there when the folder was measured.
+/// Simulates what a loss of power leaves of a stopped member's log on a disk that keeps synced data: drops a random
+/// number of bytes from the end of the log, but none that was there when the folder was measured.
 ///
-/// The caller has measured the folder while nothing of what the member says got out, and kept it so until its end.
-/// Nobody was told of anything that was written later, so a disk that lost it before its sync looks the same. Where
-/// files have come or gone since, nothing is dropped: their names were synced one by one.
-pub fn drop_unconfirmed(folder: &Path, confirmed: &Lengths) -> Result<Option<Dropped>> {
-    let found = Lengths::of(folder);
-    if !found.0.keys().eq(confirmed.0.keys()) {
+/// The caller has isolated the member before it measured the folder, and kept it isolated until its end. Nothing that
+/// was written later can have been acknowledged, so a disk that lost it before its sync looks the same. If files were
+/// created or removed since, nothing is dropped: each of these operations was synced.
+///
+/// # Errors
+///
+/// [`HarnessError::Io`](crate::error::HarnessError::Io) if the file can't be truncated.
+pub fn drop_unacknowledged_tail(folder: &Path, acknowledged: &FileLengths) -> Result<Option<DroppedTail>> {
+    let found = FileLengths::of(folder);
+    if !found.0.keys().eq(acknowledged.0.keys()) {
         return Ok(None);
     }
-    let grown = found.0.iter().find(|(name, length)| **length > confirmed.0[*name]);
+    let grown = found.0.iter().find(|(name, length)| **length > acknowledged.0[*name]);
     let Some((name, length)) = grown else { return Ok(None) };
-    let confirmed = confirmed.0[name];
-    let kept = fastrand::u64(confirmed..*length);
-    truncate(&folder.join(name), kept)?;
-    Ok(Some(Dropped { file: name.clone(), unconfirmed: length - confirmed, bytes: length - kept }))
+    let acknowledged = acknowledged.0[name];
+    let remaining = fastrand::u64(acknowledged..*length);
+    truncate(&folder.join(name), remaining)?;
+    let unacknowledged = length - acknowledged;
+    Ok(Some(DroppedTail { file: name.clone(), unacknowledged, bytes: length - remaining }))
 }
 
-/// Cuts all files down to the lengths that they had, whatever was confirmed since: no sound disk does that.
-pub fn truncate_to(folder: &Path, lengths: &Lengths) -> Result<()> {
+/// Truncates all files to earlier lengths, acknowledged data included, as no sound disk does.
+///
+/// # Errors
+///
+/// [`HarnessError::Io`](crate::error::HarnessError::Io) if a file can't be truncated.
+pub fn truncate_files(folder: &Path, lengths: &FileLengths) -> Result<()> {
     lengths.0.iter().try_for_each(|(name, length)| truncate(&folder.join(name), *length))
 }
 
 fn truncate(path: &Path, length: u64) -> Result<()> {
     let action = || format!("truncate {}", path.display());
     let file = File::options().write(true).open(path);
-    let file = file.with_context(|_| SystemSnafu { action: action() })?;
-    file.set_len(length).with_context(|_| SystemSnafu { action: action() })
+    let file = file.with_context(|_| IoSnafu { action: action() })?;
+    file.set_len(length).with_context(|_| IoSnafu { action: action() })
 }
 
-/// Removes a folder and all that is in it.
+/// Removes a folder with its contents; a missing one is no error.
+///
+/// # Errors
+///
+/// [`HarnessError::Io`](crate::error::HarnessError::Io) if it can't be removed.
 pub fn wipe(folder: &Path) -> Result<()> {
     match fs::remove_dir_all(folder) {
         Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
-            Err(error).with_context(|_| SystemSnafu { action: format!("remove {}", folder.display()) })
+            Err(error).with_context(|_| IoSnafu { action: format!("remove {}", folder.display()) })
         }
         _ => Ok(()),
     }
@@ -87,17 +100,27 @@
 const SEGMENT_HEADER_BYTES: usize = 8;
 /// Bytes in front of a frame's payload: a marker, the payload's length and its checksum.
 const FRAME_HEADER_BYTES: usize = 12;
-/// Where the length stands in them.
-const FRAME_LENGTH: std::ops::Range<usize> = 4..8;
+/// Offsets of the length, little-endian, in a frame header.
+const FRAME_LENGTH_RANGE: std::ops::Range<usize> = 4..8;
+
+/// The size of a log.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LogSize {
+    /// Bytes in all segments, headers included.
+    pub bytes: u64,
+    /// Frames in all segments: one for each append.
+    pub frames: u64,
+}
 
-/// Bytes in all segments of a log, and the frames that they hold: one for each append.
+/// Measures all segments of a log; unreadable ones count as empty.
 #[must_use]
-pub fn log_size(folder: &Path) -> (u64, u64) {
-    let lengths = Lengths::of(folder);
+pub fn log_size(folder: &Path) -> LogSize {
+    let lengths = FileLengths::of(folder);
     let segments = lengths.0.keys().filter(|name| name.starts_with("log-"));
     let contents = segments.filter_map(|name| fs::read(folder.join(name)).ok());
-    contents.fold((0, 0), |(bytes, frames), content| {
-        (bytes + content.len() as u64, frames + count_frames(&content))
+    contents.fold(LogSize::default(), |size, content| LogSize {
+        bytes: size.bytes + content.len() as u64,
+        frames: size.frames + count_frames(&content),
     })
 }
 
@@ -105,7 +128,7 @@
     let mut frames = 0;
     let mut offset = SEGMENT_HEADER_BYTES;
     while let Some(header) = segment.get(offset..offset + FRAME_HEADER_BYTES) {
-        let length: [u8; 4] = header[FRAME_LENGTH].try_into().unwrap_or_default();
+        let length: [u8; 4] = header[FRAME_LENGTH_RANGE].try_into().unwrap_or_default();
         offset += FRAME_HEADER_BYTES + u32::from_le_bytes(length) as usize;
         frames += 1;
     }
--- a/crates/fault-injection/src/error.rs
+++ b/crates/fault-injection/src/error.rs
@@ -1,47 +1,47 @@
-//! What can go wrong in the harness itself.
+//! Errors of the harness itself.
 
 use std::io;
 use std::time::Duration;
 
 use snafu::Snafu;
 
-/// Why a step could not be played.
+/// Why a step of a scenario could not be carried out.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum DrillError {
-    /// The system refused something.
+pub enum HarnessError {
+    /// The operating system refused an operation.
     #[snafu(display("cannot {action}: {source}"))]
-    System {
-        /// What was tried.
+    Io {
+        /// The operation, as an infinitive.
         action: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The programs could not be built.
+    /// The programs under test could not be built.
     #[snafu(display("the programs can't be built: {reason}"))]
     Build {
-        /// What cargo says.
+        /// What cargo printed.
         reason: String,
     },
-    /// Something did not come about in time.
-    #[snafu(display("after {limit:?} still not so: {what}"))]
+    /// A condition was not met in time.
+    #[snafu(display("timed out after {limit:?} waiting for: {what}"))]
     TimedOut {
-        /// What was awaited.
+        /// The condition.
         what: String,
-        /// How long.
+        /// The timeout.
         limit: Duration,
     },
-    /// The control plane answers in a way that the interface does not promise.
-    #[snafu(display("an unexpected answer to {call}: {status} {body}"))]
-    UnexpectedAnswer {
-        /// What was called.
+    /// The control plane sent a response that the interface does not allow here.
+    #[snafu(display("unexpected response to {call}: {status} {body}"))]
+    UnexpectedResponse {
+        /// The request.
         call: String,
-        /// The answer's status.
+        /// The status of the response; 0 if `body` describes a decoded one.
         status: u16,
-        /// The answer's body.
+        /// The body of the response.
         body: String,
     },
 }
 
-/// The outcome of a step.
-pub type Result<T, E = DrillError> = std::result::Result<T, E>;
+/// The result of a step.
+pub type Result<T, E = HarnessError> = std::result::Result<T, E>;
--- /dev/null
+++ b/crates/fault-injection/src/kill_test/mod.rs
@@ -0,0 +1,223 @@
+//! Kills members while operators send changes: no acknowledged change may be lost, and no rejected one may be in force.
+
+mod change_outcomes;
+mod report;
+
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+pub use report::KillReport;
+
+use change_outcomes::{ChangeOutcomes, ChangeOutcomesState};
+
+use crate::deployment::{Deployment, Topology};
+use crate::disk::FileLengths;
+use crate::error::Result;
+use crate::operator::{Change, Operator, Reply, marker_of};
+
+/// Operators that send at the same time.
+const OPERATORS: usize = 2;
+/// Routes of each operator, whose markers it sets in turn.
+const ROUTES: u64 = 4;
+/// Bytes of a note that makes the document long enough for the log to be compacted now and then.
+const NOTE_BYTES: usize = 20_000;
+/// Time between two changes of an operator.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(10);
+/// Timeout of an attempt; short, so that an operator does not wait for a dead member.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for the decision on a change. Kills may follow closely on each other.
+const DECISION_LIMIT: Duration = Duration::from_secs(60);
+/// A member is killed once its log has grown by a random number of bytes up to this.
+const MAX_LOG_GROWTH_BYTES: u64 = 100_000;
+/// A member is killed after this time even if its log has not grown so far.
+const WATCH_LIMIT: Duration = Duration::from_millis(300);
+/// Interval at which the length of the log is polled.
+const WATCH_INTERVAL: Duration = Duration::from_micros(200);
+/// How long a member whose power is lost may go on writing while isolated.
+const POWER_GRACE: Duration = Duration::from_millis(100);
+/// Maximum downtime of a killed member.
+const MAX_DOWNTIME_MS: u64 = 1_000;
+/// One round in so many begins before the control plane has converged again.
+const ROUNDS_PER_EARLY_ROUND: u8 = 4;
+/// One round in so many kills all members.
+const ROUNDS_PER_TOTAL_OUTAGE: u8 = 10;
+/// Members of the control plane.
+const MEMBERS: usize = 3;
+
+/// Kills members at least `count` times, divided among `deployments` that run concurrently.
+#[must_use]
+pub fn run_kill_test(count: u64, deployments: u64) -> KillReport {
+    let kills_per_deployment = count.div_ceil(deployments);
+    thread::scope(|scope| {
+        let runs: Vec<_> =
+            (0..deployments).map(|_| scope.spawn(move || test_deployment(kills_per_deployment))).collect();
+        let mut total = KillReport::default();
+        for run in runs {
+            match run.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic)) {
+                Ok(report) => total += report,
+                Err(error) => {
+                    total.other_violations += 1;
+                    total.add_violation(error.to_string());
+                }
+            }
+        }
+        total
+    })
+}
+
+fn test_deployment(count: u64) -> Result<KillReport> {
+    let began = Instant::now();
+    let mut deployment = Deployment::start(Topology { edges: 0, ..Topology::default() })?;
+    deployment.operator().apply(&Change::first(NOTE_BYTES), DECISION_LIMIT)?;
+    let outcomes = ChangeOutcomes::default();
+    let stop = AtomicBool::new(false);
+    let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
+    let mut report = KillReport::default();
+    let result = thread::scope(|scope| {
+        for number in 0..OPERATORS {
+            let (operator, outcomes, stop) = (operator.clone(), &outcomes, &stop);
+            scope.spawn(move || send_changes(number, &operator, outcomes, stop));
+        }
+        let result = run_rounds(&mut deployment, &operator, &outcomes, count, &mut report);
+        stop.store(true, Ordering::Relaxed);
+        result
+    });
+    if let Err(error) = result {
+        report.other_violations += 1;
+        report.add_violation(format!("{error}\n{}", deployment.describe()));
+    } else {
+        check_configuration(&operator, &outcomes, &mut report)?;
+    }
+    outcomes.add_to(&mut report);
+    report.seconds = began.elapsed().as_secs_f64();
+    Ok(report)
+}
+
+fn run_rounds(
+    deployment: &mut Deployment,
+    operator: &Operator,
+    outcomes: &ChangeOutcomes,
+    count: u64,
+    report: &mut KillReport,
+) -> Result<()> {
+    while report.kills < count && report.is_clean() {
+        let is_amid_recovery = fastrand::u8(..ROUNDS_PER_EARLY_ROUND) == 0;
+        if is_amid_recovery {
+            report.kills_amid_recovery += 1;
+        } else {
+            deployment.wait_until_converged()?;
+            check_configuration(operator, outcomes, report)?;
+        }
+        kill_and_restart(deployment, &choose_victims(), report)?;
+    }
+    deployment.wait_until_converged()
+}
+
+fn choose_victims() -> Vec<usize> {
+    match fastrand::u8(..ROUNDS_PER_TOTAL_OUTAGE) {
+        0 => (0..MEMBERS).collect(),
+        _ => vec![fastrand::usize(..MEMBERS)],
+    }
+}
+
+fn kill_and_restart(deployment: &mut Deployment, victims: &[usize], report: &mut KillReport) -> Result<()> {
+    report.all_killed += u64::from(victims.len() > 1);
+    if let Some(first) = victims.first() {
+        wait_for_log_growth(&deployment.members[*first].folder);
+    }
+    for victim in victims {
+        kill(deployment, *victim, report)?;
+    }
+    thread::sleep(Duration::from_millis(fastrand::u64(..MAX_DOWNTIME_MS)));
+    victims.iter().try_for_each(|victim| deployment.start_member(*victim))
+}
+
+/// Waits until a log has grown by a random number of bytes, so that the kill comes at any point of a write.
+fn wait_for_log_growth(folder: &Path) {
+    let began = Instant::now();
+    let goal = FileLengths::of(folder).total() + fastrand::u64(1..MAX_LOG_GROWTH_BYTES);
+    while began.elapsed() < WATCH_LIMIT && FileLengths::of(folder).total() < goal {
+        thread::sleep(WATCH_INTERVAL);
+    }
+}
+
+fn kill(deployment: &mut Deployment, victim: usize, report: &mut KillReport) -> Result<()> {
+    report.kills += 1;
+    report.primaries_killed += u64::from(deployment.status(victim).is_some_and(|status| status.lease));
+    if fastrand::bool() {
+        deployment.members[victim].process.kill();
+        return Ok(());
+    }
+    report.power_losses += 1;
+    if let Some(tail) = deployment.lose_power(victim, POWER_GRACE)? {
+        report.tails_dropped += 1;
+        report.bytes_dropped += tail.bytes;
+    }
+    Ok(())
+}
+
+/// Sends changes, each based on the newest revision that this operator knows, until `stop` is set.
+fn send_changes(number: usize, operator: &Operator, outcomes: &ChangeOutcomes, stop: &AtomicBool) {
+    let mut base = 1;
+    for counter in 1.. {
+        if stop.load(Ordering::Relaxed) {
+            return;
+        }
+        let marker = counter * OPERATORS as u64 + number as u64;
+        let label = format!("operator-{number}-{}", counter % ROUTES);
+        outcomes.state().sent.insert(label.clone(), marker);
+        let change = Change::upsert_route(base, &label, marker);
+        match operator.decide(&change, DECISION_LIMIT) {
+            Ok(decision) => {
+                outcomes.record(&label, marker, &change, &decision);
+                base = match decision.reply {
+                    Reply::Stale { current } => current,
+                    _ => change.revision,
+                };
+            }
+            Err(error) => return outcomes.state().failures.push(error.to_string()),
+        }
+        thread::sleep(CHANGE_INTERVAL);
+    }
+}
+
+/// Compares the configuration with the outcomes that were recorded before it was requested.
+fn check_configuration(
+    operator: &Operator,
+    outcomes: &ChangeOutcomes,
+    report: &mut KillReport,
+) -> Result<()> {
+    let acknowledged = outcomes.state().acknowledged.clone();
+    let configuration = operator.configuration(DECISION_LIMIT)?;
+    report.checks += 1;
+    let state = outcomes.state();
+    for (label, marker) in &acknowledged {
+        let found = marker_of(&configuration, label);
+        if found.is_none_or(|found| found < *marker) {
+            report.acknowledged_lost += 1;
+            report
+                .add_violation(format!("{label}: marker {marker} was acknowledged, {found:?} is in force"));
+        }
+    }
+    check_sent(&configuration, &state, report);
+    Ok(())
+}
+
+/// Checks that each marker in force was sent and not rejected.
+fn check_sent(configuration: &Value, state: &ChangeOutcomesState, report: &mut KillReport) {
+    for (label, newest) in &state.sent {
+        let Some(found) = marker_of(configuration, label) else { continue };
+        if state.rejected.contains(&found) {
+            report.rejected_in_force += 1;
+            report.add_violation(format!("{label}: marker {found} was rejected and is in force"));
+        }
+        if found > *newest {
+            report.other_violations += 1;
+            report.add_violation(format!("{label}: marker {found} was never sent"));
+        }
+    }
+}
--- a/crates/fault-injection/src/kills/report.rs
+++ b/crates/fault-injection/src/kill_test/report.rs
@@ -1,55 +1,59 @@
-//! The report of a play.
+//! The report of a kill test.
 
 use std::ops::AddAssign;
 
 use serde::Serialize;
 
-/// What was played and found.
+/// Faults that were injected, and violations that were found.
 #[derive(Clone, Debug, Default, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct KillReport {
     /// Members that were killed.
     pub kills: u64,
-    /// Of them, those whose power was lost.
+    /// Kills with a simulated loss of power.
     pub power_losses: u64,
     /// Rounds in which all members were killed.
     pub all_killed: u64,
     /// Kills of the primary.
     pub primaries_killed: u64,
-    /// Rounds that began before the control plane was whole again.
+    /// Rounds that began before the control plane had converged again.
     pub kills_amid_recovery: u64,
-    /// Disks that lost the end of the log.
+    /// Disks that lost the tail of the log.
     pub tails_dropped: u64,
-    /// Bytes that they lost.
+    /// Bytes that were lost with these tails.
     pub bytes_dropped: u64,
     /// Changes that were acknowledged.
     pub changes_acknowledged: u64,
-    /// Changes that were refused since another one was faster.
-    pub changes_refused: u64,
-    /// Tries without a decision, each of which was followed by another one.
-    pub tries_undecided: u64,
-    /// How often the configuration was compared with what operators were told.
+    /// Changes that were rejected because another one with the same base revision came first.
+    #[serde(rename = "changesRefused")]
+    pub changes_rejected: u64,
+    /// Attempts without a decision, each of which was followed by a retry.
+    #[serde(rename = "triesUndecided")]
+    pub attempts_undecided: u64,
+    /// Comparisons of the configuration with the recorded outcomes.
     pub checks: u64,
     /// Acknowledged changes that were lost.
     pub acknowledged_lost: u64,
-    /// Refused changes that were in force.
-    pub refused_in_force: u64,
+    /// Rejected changes that were in force.
+    #[serde(rename = "refusedInForce")]
+    pub rejected_in_force: u64,
     /// Other violations, such as a member that did not come back.
     pub other_violations: u64,
-    /// What was found, for a person.
+    /// Descriptions of all violations.
     pub violations: Vec<String>,
-    /// Time for all, in seconds.
+    /// Duration of the longest deployment's test, in seconds.
     pub seconds: f64,
 }
 
 impl KillReport {
-    /// Whether nothing was found.
+    /// Whether there was no violation.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 
-    pub(super) fn violation(&mut self, text: String) {
+    /// Records a violation.
+    pub(super) fn add_violation(&mut self, text: String) {
         self.violations.push(text);
     }
 }
@@ -64,11 +68,11 @@
         self.tails_dropped += other.tails_dropped;
         self.bytes_dropped += other.bytes_dropped;
         self.changes_acknowledged += other.changes_acknowledged;
-        self.changes_refused += other.changes_refused;
-        self.tries_undecided += other.tries_undecided;
+        self.changes_rejected += other.changes_rejected;
+        self.attempts_undecided += other.attempts_undecided;
         self.checks += other.checks;
         self.acknowledged_lost += other.acknowledged_lost;
-        self.refused_in_force += other.refused_in_force;
+        self.rejected_in_force += other.rejected_in_force;
         self.other_violations += other.other_violations;
         self.violations.extend(other.violations);
         self.seconds = self.seconds.max(other.seconds);
--- /dev/null
+++ b/crates/fault-injection/src/measurement/catch_up.rs
@@ -0,0 +1,80 @@
+//! Time from the restart of a member that missed changes until it is current and the control plane has converged.
+
+use std::time::{Duration, Instant};
+
+use serde::Serialize;
+
+use super::{CHANGE_LIMIT, start};
+use crate::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
+use crate::duration_summary::DurationSummary;
+use crate::error::Result;
+use crate::operator::Change;
+use crate::wait::wait_until;
+
+/// Labels that the changes use in turn.
+const LABELS: u64 = 50;
+
+/// The measurement for one number of missed changes.
+#[derive(Clone, Debug, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub struct CatchUpReport {
+    /// The number of changes that the member has missed.
+    pub missed_changes: u64,
+    /// From the member's start until it publishes the newest configuration as fresh.
+    pub current: DurationSummary,
+    /// From the member's start until the control plane has converged.
+    #[serde(rename = "whole")]
+    pub converged: DurationSummary,
+}
+
+/// Stops a backup, applies `missed_changes` and restarts it, `count` times.
+///
+/// # Errors
+///
+/// Any [`HarnessError`](crate::error::HarnessError) of the deployment or of a change.
+pub fn measure_catch_up(missed_changes: u64, count: usize) -> Result<CatchUpReport> {
+    let mut deployment = start(Topology { edges: 0, ..Topology::default() })?;
+    let mut current = Vec::new();
+    let mut converged = Vec::new();
+    let mut revision = 1;
+    for _ in 0..count {
+        let away = deployment.wait_for_backup()?;
+        deployment.members[away].process.kill();
+        revision = apply_changes(&deployment, revision, missed_changes)?;
+        let began = Instant::now();
+        deployment.start_member(away)?;
+        current.push(wait_until_current(&deployment, away, revision, began)?);
+        deployment.wait_until_converged()?;
+        converged.push(began.elapsed());
+    }
+    Ok(CatchUpReport {
+        missed_changes,
+        current: DurationSummary::of(current),
+        converged: DurationSummary::of(converged),
+    })
+}
+
+/// Applies changes on top of a revision and returns the newest one.
+fn apply_changes(deployment: &Deployment, mut revision: u64, count: u64) -> Result<u64> {
+    let operator = deployment.operator();
+    for _ in 0..count {
+        let label = format!("r-{}", revision % LABELS);
+        revision = operator.apply(&Change::upsert_route(revision, &label, revision), CHANGE_LIMIT)?;
+    }
+    Ok(revision)
+}
+
+/// Waits until a member publishes `revision` as fresh, and returns the time since `began`.
+fn wait_until_current(
+    deployment: &Deployment,
+    member: usize,
+    revision: u64,
+    began: Instant,
+) -> Result<Duration> {
+    let is_current = || {
+        let status = deployment.status(member);
+        status.is_some_and(|status| status.is_fresh() && status.configuration == revision)
+    };
+    wait_until("the member is current", CONVERGENCE_LIMIT, is_current)?;
+    Ok(began.elapsed())
+}
--- /dev/null
+++ b/crates/fault-injection/src/measurement/partition_recovery.rs
@@ -0,0 +1,155 @@
+//! Recovery from a long partition of the primary and an edge machine from all others, and violations during it.
+
+use std::time::{Duration, Instant};
+
+use serde::Serialize;
+
+use super::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
+use crate::consistency::consistency_violation;
+use crate::deployment::{CONVERGENCE_LIMIT, ClientRequest, Deployment, Topology};
+use crate::duration_summary::DurationSummary;
+use crate::error::Result;
+use crate::machine::MachineId;
+use crate::network::LinkState;
+use crate::operator::{Change, path};
+use crate::wait::wait_until;
+
+/// The measurement of partitions.
+#[derive(Clone, Debug, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub struct PartitionRecoveryReport {
+    /// The duration of each partition in seconds.
+    #[serde(rename = "cutS")]
+    pub partition_s: u64,
+    /// What the partitioned member served or acknowledged wrongly.
+    #[serde(rename = "falseClaims")]
+    pub consistency_violations: Vec<String>,
+    /// Responses of the partitioned proxy on a route that was removed for longer than the withdrawal term.
+    #[serde(rename = "lateAnswers")]
+    pub late_responses: usize,
+    /// From the heal until the member publishes the newest configuration as fresh.
+    pub member_current: DurationSummary,
+    /// From the heal until the proxy, which is updated by its agent, serves a route that was added meanwhile.
+    pub proxy_current: DurationSummary,
+}
+
+/// `withdrawMs` of the settings.
+const WITHDRAWAL_TERM: Duration = Duration::from_secs(5);
+/// The timeout of a client's request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Partitions the primary and the edge machine, together, from all others, `count` times for `partition`.
+///
+/// # Errors
+///
+/// Any [`HarnessError`](crate::error::HarnessError) of the deployment or of a change.
+pub fn measure_partition_recovery(partition: Duration, count: usize) -> Result<PartitionRecoveryReport> {
+    let deployment = start(Topology::default())?;
+    let mut results = Results::default();
+    let mut revision = 1;
+    for run in 0..count {
+        revision = run_partition(&deployment, partition, run, revision, &mut results)?;
+        deployment.wait_until_converged()?;
+    }
+    Ok(PartitionRecoveryReport {
+        partition_s: partition.as_secs(),
+        consistency_violations: results.consistency_violations,
+        late_responses: results.late_responses,
+        member_current: DurationSummary::of(results.member_current),
+        proxy_current: DurationSummary::of(results.proxy_current),
+    })
+}
+
+/// The results of all runs.
+#[derive(Default)]
+struct Results {
+    consistency_violations: Vec<String>,
+    late_responses: usize,
+    member_current: Vec<Duration>,
+    proxy_current: Vec<Duration>,
+}
+
+/// The routes of one run: one is removed during the partition, the other one added.
+struct Routes {
+    removed: String,
+    added: String,
+}
+
+/// Runs one partition, based on `revision`, and returns the revision after it.
+fn run_partition(
+    deployment: &Deployment,
+    partition: Duration,
+    run: usize,
+    revision: u64,
+    results: &mut Results,
+) -> Result<u64> {
+    let routes = Routes { removed: format!("withdrawn-{run}"), added: format!("added-{run}") };
+    let operator = deployment.operator();
+    operator.apply(&Change::upsert_route(revision, &routes.removed, 1), CHANGE_LIMIT)?;
+    wait_until("the route is served", CONVERGENCE_LIMIT, || serves(deployment, &routes.removed))?;
+    let primary = deployment.wait_for_primary()?;
+    set_partition_state(deployment, primary, LinkState::Stalled);
+    let began = Instant::now();
+    let others = deployment.operator_for(|index| index != primary).with_attempt_timeout(ATTEMPT_TIMEOUT);
+    others.apply(&Change::remove_route(revision + 1, &routes.removed), CHANGE_LIMIT)?;
+    let removed_at = Instant::now();
+    let in_force = Change::upsert_route(revision + 2, &routes.added, 1);
+    others.apply(&in_force, CHANGE_LIMIT)?;
+    let operator = operator.with_attempt_timeout(ATTEMPT_TIMEOUT);
+    while began.elapsed() < partition {
+        let member = deployment.operator_socket(primary);
+        results.consistency_violations.extend(consistency_violation(&operator, member, &in_force));
+        // The time of the request counts, not that of the response.
+        let is_late = removed_at.elapsed() > WITHDRAWAL_TERM;
+        if serves(deployment, &routes.removed) && is_late {
+            results.late_responses += 1;
+        }
+    }
+    set_partition_state(deployment, primary, LinkState::Open);
+    measure_recovery(deployment, primary, &in_force, &routes.added, results)?;
+    Ok(in_force.revision)
+}
+
+/// Waits until member and proxy are current after the heal, and records how long each took.
+fn measure_recovery(
+    deployment: &Deployment,
+    member: usize,
+    in_force: &Change,
+    added_route: &str,
+    results: &mut Results,
+) -> Result<()> {
+    let healed = Instant::now();
+    let is_member_current = || {
+        let status = deployment.status(member);
+        status.is_some_and(|status| status.is_fresh() && status.configuration >= in_force.revision)
+    };
+    let (mut member_current, mut proxy_current) = (None, None);
+    wait_until("member and proxy are current", CONVERGENCE_LIMIT, || {
+        if member_current.is_none() && is_member_current() {
+            member_current = Some(healed.elapsed());
+        }
+        if proxy_current.is_none() && serves(deployment, added_route) {
+            proxy_current = Some(healed.elapsed());
+        }
+        member_current.is_some() && proxy_current.is_some()
+    })?;
+    results.member_current.extend(member_current);
+    results.proxy_current.extend(proxy_current);
+    Ok(())
+}
+
+/// Sets all links between the member and the edge machine on one side and the others; the operator reaches all.
+fn set_partition_state(deployment: &Deployment, member: usize, state: LinkState) {
+    let side = [deployment.members[member].machine.id, deployment.edges[0].machine.id];
+    let is_outside = |id: &MachineId| !side.contains(id) && *id != deployment.operator_machine.id;
+    for machine in side {
+        let outside: Vec<MachineId> = deployment.others(machine).into_iter().filter(is_outside).collect();
+        deployment.network.set_between(machine, &outside, state);
+    }
+}
+
+fn serves(deployment: &Deployment, label: &str) -> bool {
+    let path = path(label);
+    let request = ClientRequest { path: &path, attempt_id: "h", body: "", timeout: REQUEST_TIMEOUT };
+    deployment.send_request(0, &request).is_ok_and(|response| response.status() == 200)
+}
--- /dev/null
+++ b/crates/fault-injection/src/measurement/takeover.rs
@@ -0,0 +1,131 @@
+//! Time from a fault of the primary until another member holds the lease and acknowledges a change.
+
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde::Serialize;
+
+use super::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
+use crate::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
+use crate::duration_summary::DurationSummary;
+use crate::error::Result;
+use crate::network::LinkState;
+use crate::operator::Change;
+use crate::process::Signal;
+use crate::wait::wait_until;
+
+/// How long a member whose power is lost may go on writing while isolated.
+const POWER_GRACE: Duration = Duration::from_millis(50);
+
+/// A fault of the primary.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum FaultKind {
+    /// SIGKILL.
+    Kill,
+    /// Its machine is isolated, loses power and data that nobody has acknowledged.
+    Power,
+    /// All its links are stalled, except those of the operator.
+    #[serde(rename = "cut")]
+    Partition,
+    /// SIGSTOP.
+    Freeze,
+    /// SIGTERM.
+    #[serde(rename = "term")]
+    Terminate,
+}
+
+/// The measurement of takeovers.
+#[derive(Clone, Debug, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub struct TakeoverReport {
+    /// The fault of the primary.
+    #[serde(rename = "cause")]
+    pub fault: FaultKind,
+    /// From the fault until the next change was acknowledged.
+    pub change_acknowledged: DurationSummary,
+    /// From the fault until the status of another member showed the lease.
+    pub lease_seen: DurationSummary,
+}
+
+/// Injects `count` faults, one after the other, each into the primary at that time.
+///
+/// # Errors
+///
+/// Any [`HarnessError`](crate::error::HarnessError) of the deployment, of a fault or of a change.
+pub fn measure_takeover(fault: FaultKind, count: usize) -> Result<TakeoverReport> {
+    let mut deployment = start(Topology { edges: 0, ..Topology::default() })?;
+    let mut acknowledged = Vec::new();
+    let mut leased = Vec::new();
+    for base in 1..=count as u64 {
+        let run = run_takeover(&mut deployment, fault, base)?;
+        acknowledged.push(run.change_acknowledged);
+        leased.push(run.lease_seen);
+    }
+    Ok(TakeoverReport {
+        fault,
+        change_acknowledged: DurationSummary::of(acknowledged),
+        lease_seen: DurationSummary::of(leased),
+    })
+}
+
+/// The times of one takeover since the fault.
+struct TakeoverTimes {
+    change_acknowledged: Duration,
+    lease_seen: Duration,
+}
+
+fn run_takeover(deployment: &mut Deployment, fault: FaultKind, base: u64) -> Result<TakeoverTimes> {
+    let primary = deployment.wait_for_primary()?;
+    // The operator sends to the other members, so that no attempt is lost on the faulty one.
+    let operator = deployment.operator_for(|index| index != primary).with_attempt_timeout(ATTEMPT_TIMEOUT);
+    // The fault comes at a random phase of the heartbeats.
+    thread::sleep(Duration::from_millis(fastrand::u64(..200)));
+    let began = Instant::now();
+    inject_fault(deployment, fault, primary)?;
+    let times = thread::scope(|scope| {
+        let change = scope.spawn(|| {
+            let change = Change::upsert_route(base, "marked", base);
+            operator.apply(&change, CHANGE_LIMIT).map(|_| began.elapsed())
+        });
+        let is_leased = || {
+            let others = (0..deployment.members.len()).filter(|index| *index != primary);
+            others.into_iter().any(|index| deployment.status(index).is_some_and(|status| status.lease))
+        };
+        wait_until("another member holds the lease", CONVERGENCE_LIMIT, is_leased)?;
+        let lease_seen = began.elapsed();
+        let change_acknowledged = change.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))?;
+        Ok(TakeoverTimes { change_acknowledged, lease_seen })
+    })?;
+    clear_fault(deployment, fault, primary)?;
+    deployment.wait_until_converged()?;
+    Ok(times)
+}
+
+fn inject_fault(deployment: &mut Deployment, fault: FaultKind, primary: usize) -> Result<()> {
+    match fault {
+        FaultKind::Kill => deployment.members[primary].process.kill(),
+        FaultKind::Power => {
+            deployment.lose_power(primary, POWER_GRACE)?;
+        }
+        FaultKind::Partition => deployment.partition_member(primary, LinkState::Stalled),
+        FaultKind::Freeze => deployment.members[primary].process.signal(Signal::STOP)?,
+        FaultKind::Terminate => deployment.members[primary].process.signal(Signal::TERM)?,
+    }
+    Ok(())
+}
+
+fn clear_fault(deployment: &mut Deployment, fault: FaultKind, index: usize) -> Result<()> {
+    match fault {
+        FaultKind::Kill | FaultKind::Power => deployment.start_member(index),
+        FaultKind::Partition => {
+            deployment.partition_member(index, LinkState::Open);
+            Ok(())
+        }
+        FaultKind::Freeze => deployment.members[index].process.signal(Signal::CONT),
+        FaultKind::Terminate => {
+            deployment.members[index].process.wait_for_exit(CONVERGENCE_LIMIT)?;
+            deployment.start_member(index)
+        }
+    }
+}
--- a/crates/fault-injection/src/network.rs
+++ b/crates/fault-injection/src/network.rs
@@ -1,28 +1,28 @@
-//! What passes between machines, and what does not.
+//! The links between machines, and the faults that are injected into them.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
 use crate::machine::MachineId;
 
-/// What becomes of bytes on their way from one machine to another.
+/// What happens to data on its way from one machine to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Condition {
-    /// They pass.
+pub enum LinkState {
+    /// It passes.
     #[default]
     Open,
-    /// They wait, and pass once the path is open again. Datagrams are lost.
-    Held,
-    /// The connection is reset and what was on its way is lost; so are new connections.
+    /// Bytes of connections wait until the link is open again; datagrams are dropped.
+    Stalled,
+    /// Connections are reset and bytes in flight are lost; new connections are reset too.
     Reset,
 }
 
-/// A direction between two machines.
+/// One direction of the link between two machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Direction {
-    /// Who sends.
+    /// The sender.
     pub from: MachineId,
-    /// Who receives.
+    /// The receiver.
     pub to: MachineId,
 }
 
@@ -34,44 +34,67 @@
     }
 }
 
-/// What a relay may do next with bytes that it holds.
+/// What a relay may do next with bytes that it has read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// Pass so many of them.
-    Pass(usize),
+    /// Forward so many of them.
+    Forward(usize),
     /// Reset the connection.
     Reset,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Path {
-    condition: Condition,
-    /// After so many bytes more, the path changes into the condition.
-    pending: Option<(u64, Condition)>,
-    /// Resets so far: a connection that is older than the last one is reset.
+struct Link {
+    state: LinkState,
+    scheduled: Option<ScheduledChange>,
+    /// The number of resets: a connection that was established before the last one is reset.
     resets: u64,
-    /// Bytes that have passed.
-    passed: u64,
+    /// Bytes that were forwarded.
+    forwarded_bytes: u64,
+}
+
+/// A change of a link's state after a number of bytes.
+#[derive(Clone, Copy, Debug)]
+struct ScheduledChange {
+    /// Bytes that are forwarded before the change.
+    bytes_left: u64,
+    state: LinkState,
 }
 
 #[derive(Debug, Default)]
-struct State {
-    paths: HashMap<Direction, Path>,
+struct NetworkState {
+    links: HashMap<Direction, Link>,
     is_closed: bool,
 }
 
-impl State {
-    fn set(&mut self, direction: Direction, condition: Condition) {
-        let path = self.paths.entry(direction).or_default();
-        path.condition = condition;
-        path.pending = None;
-        if condition == Condition::Reset {
-            path.resets += 1;
+impl Link {
+    /// Counts as many of `bytes` as may be forwarded before the scheduled change, and returns their number.
+    fn forward(&mut self, bytes: usize) -> usize {
+        let count = match &mut self.scheduled {
+            Some(scheduled) => {
+                let count = scheduled.bytes_left.min(bytes as u64);
+                scheduled.bytes_left -= count;
+                count
+            }
+            None => bytes as u64,
+        };
+        self.forwarded_bytes += count;
+        count as usize
+    }
+}
+
+impl NetworkState {
+    fn set(&mut self, direction: Direction, state: LinkState) {
+        let link = self.links.entry(direction).or_default();
+        link.state = state;
+        link.scheduled = None;
+        if state == LinkState::Reset {
+            link.resets += 1;
         }
     }
 }
 
-/// The paths between all machines of a deployment. Clones share them.
+/// The links between all machines of a deployment, all open at first. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     shared: Arc<Shared>,
@@ -79,55 +102,56 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    state: Mutex<State>,
+    state: Mutex<NetworkState>,
     changed: Condvar,
 }
 
 impl Network {
-    /// Changes one direction.
-    pub fn set(&self, direction: Direction, condition: Condition) {
-        self.state().set(direction, condition);
+    /// Sets the state of one direction and cancels its scheduled change.
+    pub fn set(&self, direction: Direction, state: LinkState) {
+        self.state().set(direction, state);
         self.shared.changed.notify_all();
     }
 
-    /// Changes both directions between a machine and each of some others.
-    pub fn set_between(&self, machine: MachineId, others: &[MachineId], condition: Condition) {
-        self.set_outgoing(machine, others, condition);
-        self.set_incoming(machine, others, condition);
+    /// Sets both directions between a machine and each of `others`.
+    pub fn set_between(&self, machine: MachineId, others: &[MachineId], state: LinkState) {
+        self.set_outgoing(machine, others, state);
+        self.set_incoming(machine, others, state);
     }
 
-    /// Changes what a machine sends to each of some others.
-    pub fn set_outgoing(&self, machine: MachineId, others: &[MachineId], condition: Condition) {
+    /// Sets the directions from a machine to each of `others`.
+    pub fn set_outgoing(&self, machine: MachineId, others: &[MachineId], state: LinkState) {
         for other in others.iter().filter(|other| **other != machine) {
-            self.set(Direction { from: machine, to: *other }, condition);
+            self.set(Direction { from: machine, to: *other }, state);
         }
     }
 
-    /// Changes what a machine is sent by each of some others.
-    pub fn set_incoming(&self, machine: MachineId, others: &[MachineId], condition: Condition) {
+    /// Sets the directions from each of `others` to a machine.
+    pub fn set_incoming(&self, machine: MachineId, others: &[MachineId], state: LinkState) {
         for other in others.iter().filter(|other| **other != machine) {
-            self.set(Direction { from: *other, to: machine }, condition);
+            self.set(Direction { from: *other, to: machine }, state);
         }
     }
 
-    /// Lets so many bytes more pass in one direction and changes it then.
-    pub fn set_after(&self, direction: Direction, bytes: u64, condition: Condition) {
-        self.state().paths.entry(direction).or_default().pending = Some((bytes, condition));
+    /// Sets the state of one direction once `bytes` more were forwarded.
+    pub fn set_after(&self, direction: Direction, bytes: u64, state: LinkState) {
+        let scheduled = ScheduledChange { bytes_left: bytes, state };
+        self.state().links.entry(direction).or_default().scheduled = Some(scheduled);
     }
 
-    /// How a direction is now.
+    /// The current state of a direction.
     #[must_use]
-    pub fn condition(&self, direction: Direction) -> Condition {
-        self.state().paths.get(&direction).map_or(Condition::Open, |path| path.condition)
+    pub fn link_state(&self, direction: Direction) -> LinkState {
+        self.state().links.get(&direction).map_or(LinkState::Open, |link| link.state)
     }
 
-    /// Bytes that have passed in a direction.
+    /// Bytes of connections that were forwarded in a direction.
     #[must_use]
-    pub fn passed(&self, direction: Direction) -> u64 {
-        self.state().paths.get(&direction).map_or(0, |path| path.passed)
+    pub fn forwarded_bytes(&self, direction: Direction) -> u64 {
+        self.state().links.get(&direction).map_or(0, |link| link.forwarded_bytes)
     }
 
-    /// Ends all relays.
+    /// Ends all relays and resets their connections.
     pub fn close(&self) {
         self.state().is_closed = true;
         self.shared.changed.notify_all();
@@ -137,44 +161,33 @@
         self.state().is_closed
     }
 
-    /// How often a direction was reset.
+    /// The number of resets of a direction.
     pub(crate) fn resets(&self, direction: Direction) -> u64 {
-        self.state().paths.get(&direction).map_or(0, |path| path.resets)
+        self.state().links.get(&direction).map_or(0, |link| link.resets)
     }
 
-    /// Waits until some of `bytes` may pass, on a connection that was made after so many resets.
+    /// Blocks until some of `bytes` may be forwarded on a connection that was established after `resets` resets.
     pub(crate) fn permit(&self, direction: Direction, resets: u64, bytes: usize) -> Permission {
         let mut state = self.state();
         loop {
             let is_closed = state.is_closed;
-            let path = state.paths.entry(direction).or_default();
-            if is_closed || path.resets != resets || path.condition == Condition::Reset {
+            let link = state.links.entry(direction).or_default();
+            if is_closed || link.resets != resets || link.state == LinkState::Reset {
                 return Permission::Reset;
             }
-            if path.condition == Condition::Open {
-                match path.pending {
-                    Some((0, condition)) => {
-                        state.set(direction, condition);
-                        self.shared.changed.notify_all();
-                        continue;
-                    }
-                    Some((left, condition)) => {
-                        let count = left.min(bytes as u64);
-                        path.pending = Some((left - count, condition));
-                        path.passed += count;
-                        return Permission::Pass(count as usize);
-                    }
-                    None => {
-                        path.passed += bytes as u64;
-                        return Permission::Pass(bytes);
-                    }
-                }
+            if link.state == LinkState::Open {
+                let Some(scheduled) = link.scheduled.filter(|scheduled| scheduled.bytes_left == 0) else {
+                    return Permission::Forward(link.forward(bytes));
+                };
+                state.set(direction, scheduled.state);
+                self.shared.changed.notify_all();
+                continue;
             }
             state = self.shared.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
     }
 
-    /// Waits until a direction has been reset more often than so, or all ends.
+    /// Blocks until one of the directions has been reset since `resets` was read, `done` holds, or the network is closed.
     pub(crate) fn wait_for_reset(
         &self,
         directions: [Direction; 2],
@@ -182,22 +195,22 @@
         done: impl Fn() -> bool,
     ) {
         let mut state = self.state();
-        let is_unchanged = |state: &State, index: usize| {
-            let path = state.paths.get(&directions[index]).copied().unwrap_or_default();
-            path.resets == resets[index]
+        let is_unchanged = |state: &NetworkState, index: usize| {
+            let link = state.links.get(&directions[index]).copied().unwrap_or_default();
+            link.resets == resets[index]
         };
         while !state.is_closed && !done() && is_unchanged(&state, 0) && is_unchanged(&state, 1) {
             state = self.shared.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
     }
 
-    /// Wakes all that wait, so that they look again.
+    /// Wakes all blocked relays, so that they check their condition again.
     pub(crate) fn wake(&self) {
         let _state = self.state();
         self.shared.changed.notify_all();
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, NetworkState> {
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/fault-injection/src/operator.rs
+++ b/crates/fault-injection/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends changes to any member, follows redirects, and repeats what had no answer.
+//! A client of the operator's API: sends changes to any member, follows redirects, and retries undecided attempts.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,34 +7,36 @@
 use serde_json::{Value, json};
 
 use crate::client::{CallError, Message, Request, call};
-use crate::error::{Result, TimedOutSnafu, UnexpectedAnswerSnafu};
+use crate::error::{Result, TimedOutSnafu, UnexpectedResponseSnafu};
 
-/// Time for one try, beyond that in which a member says that a change is undecided.
-const TRY_TIMEOUT: Duration = Duration::from_secs(6);
-/// Redirects that one try follows.
-const MOST_REDIRECTS: usize = 3;
-/// The pause after all members were tried.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Timeout of an attempt, longer than that after which a member replies that a change is undecided.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Redirects that one attempt follows.
+const MAX_REDIRECTS: usize = 3;
+/// Backoff after an attempt at each member.
+const RETRY_BACKOFF: Duration = Duration::from_millis(20);
+/// The status of a redirect that keeps method and body.
+const TEMPORARY_REDIRECT: u16 = 307;
 /// The host of all routes.
-pub const HOST: &str = "drill.example";
+pub const HOST: &str = "fault.example";
 /// The only service.
 pub const SERVICE: &str = "chat";
 
-/// A call that changes the configuration. Sent again unchanged it is the same call.
+/// A request that changes the configuration. It is idempotent: a retry has the same revision and body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// `PUT` or `PATCH`.
     pub method: &'static str,
-    /// The revision on which it builds.
+    /// The base revision.
     pub if_match: u64,
-    /// The revision to which it leads.
+    /// The new revision.
     pub revision: u64,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Change {
-    /// The first configuration: one route to one service, and a note that makes it so many bytes longer.
+    /// The first configuration: one route to one service, and a note of so many bytes.
     #[must_use]
     pub fn first(note_bytes: usize) -> Change {
         let document = json!({
@@ -46,17 +48,17 @@
         Change { method: "PUT", if_match: 0, revision: 1, body: document.to_string().into_bytes() }
     }
 
-    /// Adds a route or puts a marked one in its place.
+    /// Adds or replaces a route; `marker` identifies the change.
     #[must_use]
-    pub fn upsert_route(if_match: u64, label: &str, mark: u64) -> Change {
-        Change::upsert(if_match, route(label, mark))
+    pub fn upsert_route(if_match: u64, label: &str, marker: u64) -> Change {
+        Change::upsert(if_match, route(label, marker))
     }
 
-    /// Adds a route of a kind, such as `risky`.
+    /// Adds or replaces a route of a `sort` of the settings, such as `risky`.
     #[must_use]
-    pub fn upsert_route_of_kind(if_match: u64, label: &str, kind: &str) -> Change {
+    pub fn upsert_route_with_sort(if_match: u64, label: &str, sort: &str) -> Change {
         let mut route = route(label, 0);
-        route["sort"] = kind.into();
+        route["sort"] = sort.into();
         Change::upsert(if_match, route)
     }
 
@@ -78,10 +80,10 @@
     }
 }
 
-fn route(label: &str, mark: u64) -> Value {
+fn route(label: &str, marker: u64) -> Value {
     json!({
         "label": label, "hostname": HOST, "pathStart": path(label), "sort": "harmless",
-        "timeLimitMs": 4_000, "tries": 2, "public": true, "backend": SERVICE, "mark": mark,
+        "timeLimitMs": 4_000, "tries": 2, "public": true, "backend": SERVICE, "mark": marker,
     })
 }
 
@@ -91,35 +93,35 @@
     format!("/{label}/")
 }
 
-/// How a change was answered.
+/// The reply to a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It is in force, now or since before (200).
-    Taken,
-    /// It builds on another revision (412).
+    /// The change is in force, since now or since an earlier attempt (200).
+    Applied,
+    /// Its base revision is not the current one (412).
     Stale {
-        /// The one in place.
+        /// The current revision.
         current: u64,
     },
-    /// It is refused for another reason (400).
-    Refused {
-        /// Why.
+    /// The change is rejected for another reason (400).
+    Rejected {
+        /// The body of the response.
         reason: String,
     },
-    /// It may be in force or not: no answer, 503 or 504.
+    /// The change may be in force or not: no response, 503 or 504.
     Undecided {
-        /// What is known.
+        /// The error, or the response.
         reason: String,
     },
 }
 
-/// A reply that is final, and what went before it.
+/// A final reply, and the attempts before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// The reply; it decides.
+    /// The reply, which is not [`Reply::Undecided`].
     pub reply: Reply,
-    /// Tries that decided nothing.
-    pub undecided_tries: u64,
+    /// Attempts before it that were undecided.
+    pub undecided_attempts: u64,
 }
 
 #[derive(Deserialize)]
@@ -127,27 +129,27 @@
     current: u64,
 }
 
-/// An operator who knows some members.
+/// An operator that sends requests to some members.
 #[derive(Clone, Debug)]
 pub struct Operator {
     members: Vec<SocketAddr>,
-    try_timeout: Duration,
+    attempt_timeout: Duration,
 }
 
 impl Operator {
-    /// An operator who calls members at these addresses.
+    /// An operator of the members at these addresses.
     #[must_use]
     pub fn new(members: Vec<SocketAddr>) -> Operator {
-        Operator { members, try_timeout: TRY_TIMEOUT }
+        Operator { members, attempt_timeout: ATTEMPT_TIMEOUT }
     }
 
-    /// One who gives a try up after this time.
+    /// Sets the timeout of an attempt.
     #[must_use]
-    pub fn with_try_timeout(self, try_timeout: Duration) -> Operator {
-        Operator { try_timeout, ..self }
+    pub fn with_attempt_timeout(self, attempt_timeout: Duration) -> Operator {
+        Operator { attempt_timeout, ..self }
     }
 
-    /// Sends a change once, to one member and where that sends it.
+    /// Sends a change once, to one member and wherever that redirects it.
     #[must_use]
     pub fn send_once(&self, member: SocketAddr, change: &Change) -> Reply {
         let if_match = change.if_match.to_string();
@@ -155,40 +157,53 @@
         let request =
             Request { method: change.method, target: "/settings", headers: &headers, body: &change.body };
         match self.follow(member, &request) {
-            Ok(answer) => read_reply(&answer),
+            Ok(response) => read_reply(&response),
             Err(error) => Reply::Undecided { reason: error.to_string() },
         }
     }
 
     /// Sends a change, to one member after the other, until it is decided.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it is undecided after `limit`.
     pub fn send(&self, change: &Change, limit: Duration) -> Result<Reply> {
         Ok(self.decide(change, limit)?.reply)
     }
 
-    /// The same, and says how many tries it took.
+    /// Like [`Operator::send`], with the number of undecided attempts.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it is undecided after `limit`.
     pub fn decide(&self, change: &Change, limit: Duration) -> Result<Decision> {
         let began = Instant::now();
-        let mut undecided_tries = 0;
+        let mut undecided_attempts = 0;
         let mut reason = String::new();
         while began.elapsed() < limit {
             for member in &self.members {
                 match self.send_once(*member, change) {
                     Reply::Undecided { reason: newest } => reason = newest,
-                    reply => return Ok(Decision { reply, undecided_tries }),
+                    reply => return Ok(Decision { reply, undecided_attempts }),
                 }
-                undecided_tries += 1;
+                undecided_attempts += 1;
             }
-            std::thread::sleep(RETRY_PAUSE);
+            std::thread::sleep(RETRY_BACKOFF);
         }
         TimedOutSnafu { what: format!("a decision on revision {}: {reason}", change.revision), limit }
             .fail()
     }
 
-    /// Sends a change that nothing speaks against.
+    /// Sends a change that must be applied, and returns its revision.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it is undecided after `limit`;
+    /// [`HarnessError::UnexpectedResponse`](crate::error::HarnessError::UnexpectedResponse) if it is rejected.
     pub fn apply(&self, change: &Change, limit: Duration) -> Result<u64> {
         match self.send(change, limit)? {
-            Reply::Taken => Ok(change.revision),
-            other => UnexpectedAnswerSnafu {
+            Reply::Applied => Ok(change.revision),
+            other => UnexpectedResponseSnafu {
                 call: format!("a change to revision {}", change.revision),
                 status: 0u16,
                 body: format!("{other:?}"),
@@ -197,17 +212,21 @@
         }
     }
 
-    /// Names the newest weights of a model at one member and where that sends the call; the status of the answer, if there
-    /// is one.
+    /// Sets the newest revision of a model's weights, at one member and wherever that redirects the request; returns the
+    /// status of the response, if there is one.
     #[must_use]
-    pub fn name_weights(&self, member: SocketAddr, model: &str, revision: u64) -> Option<u16> {
+    pub fn set_weights_revision(&self, member: SocketAddr, model: &str, revision: u64) -> Option<u16> {
         let body = json!({"llm": model, "revision": revision}).to_string();
         let target = "/version-put";
         let request = Request { method: "POST", target, headers: &[], body: body.as_bytes() };
-        self.follow(member, &request).ok().map(|answer| answer.status())
+        self.follow(member, &request).ok().map(|response| response.status())
     }
 
-    /// The newest configuration.
+    /// The newest configuration, from the first member that responds.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if no member has responded after `limit`.
     pub fn configuration(&self, limit: Duration) -> Result<Value> {
         let began = Instant::now();
         while began.elapsed() < limit {
@@ -216,59 +235,59 @@
                     return Ok(document);
                 }
             }
-            std::thread::sleep(RETRY_PAUSE);
+            std::thread::sleep(RETRY_BACKOFF);
         }
-        TimedOutSnafu { what: "an answer to GET /settings", limit }.fail()
+        TimedOutSnafu { what: "a response to GET /settings", limit }.fail()
     }
 
-    /// The newest configuration, from one member or where that sends the call; none if there is no such answer.
+    /// The newest configuration, from one member or wherever that redirects the request; `None` without such a response.
     #[must_use]
     pub fn configuration_from(&self, member: SocketAddr) -> Option<Value> {
-        let answer = self.follow(member, &Request::get("/settings")).ok()?;
-        (answer.status() == 200).then(|| serde_json::from_slice(&answer.body).ok()).flatten()
+        let response = self.follow(member, &Request::get("/settings")).ok()?;
+        (response.status() == 200).then(|| serde_json::from_slice(&response.body).ok()).flatten()
     }
 
     fn follow(&self, member: SocketAddr, request: &Request<'_>) -> Result<Message, CallError> {
         let mut address = member;
-        let mut answer = call(address, request, self.try_timeout)?;
-        for _ in 0..MOST_REDIRECTS {
-            let location = answer.head.get("location").and_then(location_address);
+        let mut response = call(address, request, self.attempt_timeout)?;
+        for _ in 0..MAX_REDIRECTS {
+            let location = response.head.get("location").and_then(location_address);
             match location {
-                Some(next) if answer.status() == 307 => address = next,
+                Some(next) if response.status() == TEMPORARY_REDIRECT => address = next,
                 _ => break,
             }
-            answer = call(address, request, self.try_timeout)?;
+            response = call(address, request, self.attempt_timeout)?;
         }
-        Ok(answer)
+        Ok(response)
     }
 }
 
-/// The address in a `Location`.
+/// The address in a `Location` header.
 fn location_address(location: &str) -> Option<SocketAddr> {
     let rest = location.strip_prefix("http://")?;
     rest.split('/').next()?.parse().ok()
 }
 
-fn read_reply(answer: &Message) -> Reply {
-    match answer.status() {
-        200 => Reply::Taken,
-        412 => match serde_json::from_slice::<StaleBody>(&answer.body) {
+fn read_reply(response: &Message) -> Reply {
+    match response.status() {
+        200 => Reply::Applied,
+        412 => match serde_json::from_slice::<StaleBody>(&response.body) {
             Ok(body) => Reply::Stale { current: body.current },
-            Err(error) => Reply::Refused { reason: error.to_string() },
+            Err(error) => Reply::Rejected { reason: error.to_string() },
         },
-        400 => Reply::Refused { reason: answer.text() },
-        status => Reply::Undecided { reason: format!("{status} {}", answer.text()) },
+        400 => Reply::Rejected { reason: response.text() },
+        status => Reply::Undecided { reason: format!("{status} {}", response.text()) },
     }
 }
 
-/// The mark of a route in a configuration; none if there is no such route.
+/// The marker of a route in a configuration; `None` if there is no such route.
 #[must_use]
-pub fn mark_of(configuration: &Value, label: &str) -> Option<u64> {
+pub fn marker_of(configuration: &Value, label: &str) -> Option<u64> {
     let routes = configuration["routes"].as_array()?;
     routes.iter().find(|route| route["label"] == label)?["mark"].as_u64()
 }
 
-/// The revision of a configuration.
+/// The revision of a configuration; 0 if it has none.
 #[must_use]
 pub fn revision_of(configuration: &Value) -> u64 {
     configuration["revision"].as_u64().unwrap_or(0)
--- a/crates/fault-injection/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of replicas.
+//! A stand-in for the platform's list of replicas.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,21 +8,25 @@
 use snafu::ResultExt;
 
 use crate::client::Connection;
-use crate::error::{Result, SystemSnafu};
+use crate::error::{IoSnafu, Result};
 use crate::operator::SERVICE;
 
-/// A list service. It runs as long as the process.
+/// A list service. Its threads run until the process ends.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
     servers: Arc<Mutex<Vec<Value>>>,
 }
 
 impl Platform {
-    /// Starts to serve.
+    /// Starts to serve an empty list.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the address can't be bound.
     pub fn start(address: SocketAddr) -> Result<Platform> {
         let platform = Platform::default();
         let listener = TcpListener::bind(address)
-            .with_context(|_| SystemSnafu { action: format!("listen at {address}") })?;
+            .with_context(|_| IoSnafu { action: format!("listen at {address}") })?;
         let served = platform.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -33,7 +37,7 @@
         Ok(platform)
     }
 
-    /// Lists a replica.
+    /// Adds a replica to the list.
     pub fn add(&self, id: &str, address: SocketAddr, zone: &str) {
         let server = json!({
             "ident": id, "backend": SERVICE, "address": address.to_string(), "area": zone,
@@ -42,6 +46,7 @@
         self.servers.lock().unwrap_or_else(PoisonError::into_inner).push(server);
     }
 
+    /// Sends the list in response to each request.
     fn serve(&self, mut connection: Connection) {
         while connection.read_request().is_ok() {
             let servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner).clone();
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,4 +1,4 @@
-//! One of the programs, running or not.
+//! A program under test as a child process.
 
 use std::fs::File;
 use std::path::PathBuf;
@@ -10,13 +10,13 @@
 
 pub use rustix::process::Signal;
 
-use crate::error::{Result, SystemSnafu, TimedOutSnafu};
+use crate::error::{IoSnafu, Result, TimedOutSnafu};
 use crate::wait::wait_for;
 
-/// The variable that names the settings file.
+/// The environment variable with the path of the settings file.
 const SETTINGS_VARIABLE: &str = "TULIPRIDGE_SETTINGS";
 
-/// A program with its settings; it is killed when this is dropped.
+/// A program with its settings, running or not. It is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Process {
     binary: PathBuf,
@@ -26,42 +26,51 @@
 }
 
 impl Process {
-    /// A program that does not run yet.
+    /// A program that does not run yet; its log is appended to the file `log`.
     #[must_use]
     pub fn new(binary: PathBuf, settings: PathBuf, log: PathBuf) -> Process {
         Process { binary, settings, log, child: None }
     }
 
-    /// Starts it; its log goes behind what earlier runs have left.
+    /// Starts it.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the log can't be opened or the program can't be started.
     pub fn start(&mut self) -> Result<()> {
         let action = || format!("start {}", self.binary.display());
         let log = File::options().create(true).append(true).open(&self.log);
-        let log = log.with_context(|_| SystemSnafu { action: format!("open {}", self.log.display()) })?;
+        let log = log.with_context(|_| IoSnafu { action: format!("open {}", self.log.display()) })?;
         let child = Command::new(&self.binary)
             .env(SETTINGS_VARIABLE, &self.settings)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .with_context(|_| SystemSnafu { action: action() })?;
+            .with_context(|_| IoSnafu { action: action() })?;
         self.child = Some(child);
         Ok(())
     }
 
-    /// Its number; none if it does not run.
+    /// Its process id; `None` if it does not run.
+    #[must_use]
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
     /// Sends a signal, if it runs.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the signal can't be sent.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         let Some(child) = &self.child else { return Ok(()) };
         kill_process(Pid::from_child(child), signal)
             .map_err(std::io::Error::from)
-            .with_context(|_| SystemSnafu { action: format!("send a signal to {}", self.binary.display()) })
+            .with_context(|_| IoSnafu { action: format!("send a signal to {}", self.binary.display()) })
     }
 
-    /// Kills it and waits for its end.
+    /// Kills it and waits for its exit; does nothing if it does not run.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -69,22 +78,31 @@
         }
     }
 
-    /// Asks it to end with SIGTERM, and waits for that.
+    /// Sends SIGTERM and waits for its exit.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the signal can't be sent;
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it runs after `limit`.
     pub fn terminate(&mut self, limit: Duration) -> Result<ExitStatus> {
         self.signal(Signal::TERM)?;
-        self.wait_for_end(limit)
+        self.wait_for_exit(limit)
     }
 
-    /// Waits until it ends by itself.
-    pub fn wait_for_end(&mut self, limit: Duration) -> Result<ExitStatus> {
-        let what = format!("the end of {}", self.binary.display());
+    /// Waits for its exit.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it runs after `limit`, or was not running.
+    pub fn wait_for_exit(&mut self, limit: Duration) -> Result<ExitStatus> {
+        let what = format!("the exit of {}", self.binary.display());
         let child = self.child.as_mut().with_context(|| TimedOutSnafu { what: what.clone(), limit })?;
         let status = wait_for(&what, limit, || child.try_wait().ok().flatten())?;
         self.child = None;
         Ok(status)
     }
 
-    /// What it has logged, in all its runs.
+    /// The log of all its runs.
     #[must_use]
     pub fn log_text(&self) -> String {
         std::fs::read(&self.log)
--- a/crates/fault-injection/src/programs.rs
+++ b/crates/fault-injection/src/programs.rs
@@ -1,4 +1,4 @@
-//! The programs under test, built by cargo beside this one.
+//! Builds the programs under test with cargo, in the profile of the running program.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -6,19 +6,19 @@
 
 use snafu::{OptionExt, ResultExt};
 
-use crate::error::{BuildSnafu, Result, SystemSnafu};
+use crate::error::{BuildSnafu, IoSnafu, Result};
 
-/// The packages that have the programs.
+/// The packages of the programs.
 const PACKAGES: [&str; 3] = ["tulipridge-proxy", "tulipridge-agent", "tulipridge-control-plane"];
-/// The folder of a profile in which test programs lie.
+/// The subfolder of a profile with test executables.
 const TEST_FOLDER: &str = "deps";
-/// Where programs of the release profile lie.
+/// The folder of the release profile.
 const RELEASE_FOLDER: &str = "release";
 
-/// Where the programs are.
+/// The executables of the programs.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The control plane.
+    /// A member of the control plane.
     pub member: PathBuf,
     /// The agent.
     pub agent: PathBuf,
@@ -27,7 +27,12 @@
 }
 
 impl Programs {
-    /// Builds the programs, in the profile of the running program and beside it.
+    /// Builds the programs, once in each process.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if cargo can't be run;
+    /// [`HarnessError::Build`](crate::error::HarnessError::Build) if it fails.
     pub fn build() -> Result<Programs> {
         static FOLDER: Mutex<Option<PathBuf>> = Mutex::new(None);
         let mut built = FOLDER.lock().unwrap_or_else(PoisonError::into_inner);
@@ -45,7 +50,7 @@
 }
 
 fn build() -> Result<PathBuf> {
-    let executable = std::env::current_exe().context(SystemSnafu { action: "find this program" })?;
+    let executable = std::env::current_exe().context(IoSnafu { action: "find this program" })?;
     let folder = profile_folder(&executable).context(BuildSnafu { reason: "no target folder" })?;
     let target = folder.parent().context(BuildSnafu { reason: "no target folder" })?;
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
@@ -56,14 +61,14 @@
     if folder.ends_with(RELEASE_FOLDER) {
         command.arg("--release");
     }
-    let output = command.output().context(SystemSnafu { action: "run cargo" })?;
+    let output = command.output().context(IoSnafu { action: "run cargo" })?;
     if !output.status.success() {
         return BuildSnafu { reason: String::from_utf8_lossy(&output.stderr) }.fail();
     }
     Ok(folder)
 }
 
-/// The folder of the profile with which this program was built.
+/// The folder of the profile of the running program.
 fn profile_folder(executable: &Path) -> Option<PathBuf> {
     let folder = executable.parent()?;
     let folder = if folder.ends_with(TEST_FOLDER) { folder.parent()? } else { folder };
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relays of TCP connections and UDP datagrams on the path from one machine to another.
+//! Relays of TCP connections and UDP datagrams on the link from one machine to another.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -10,30 +10,30 @@
 use snafu::ResultExt;
 use socket2::SockRef;
 
-use crate::error::{Result, SystemSnafu};
-use crate::network::{Condition, Direction, Network, Permission};
+use crate::error::{IoSnafu, Result};
+use crate::network::{Direction, LinkState, Network, Permission};
 
-/// Bytes that a relay reads at once.
+/// The size of a relay's read buffer in bytes.
 const READ_BYTES: usize = 16 * 1024;
-/// The longest datagram.
-const DATAGRAM_BYTES: usize = 2_048;
-/// Stack of a relay's thread.
+/// The maximum size of a datagram in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// The stack size of a relay's thread in bytes.
 const STACK_BYTES: usize = 128 * 1024;
-/// How often the relay of datagrams looks whether it is to end.
+/// Interval at which the relay of datagrams checks whether the network is closed.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where a relay listens and whom it stands for.
+/// Where a relay listens and where it forwards to.
 #[derive(Clone, Copy, Debug)]
 pub struct Route {
-    /// From the machine that dials to the one that is dialled.
+    /// From the machine that connects to the one that accepts.
     pub direction: Direction,
-    /// Where the relay listens.
+    /// The address at which the relay listens.
     pub listen: SocketAddr,
-    /// Where it passes to.
+    /// The address to which it forwards.
     pub target: SocketAddr,
 }
 
-/// A relay of connections; it ends with the network.
+/// A relay of connections; it ends when the network is closed.
 #[derive(Debug)]
 pub struct TcpRelay {
     listen: SocketAddr,
@@ -41,16 +41,19 @@
 
 impl TcpRelay {
     /// Starts to relay.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the address can't be bound.
     pub fn start(network: &Network, route: Route) -> Result<TcpRelay> {
         let action = || format!("relay at {}", route.listen);
-        let listener =
-            TcpListener::bind(route.listen).with_context(|_| SystemSnafu { action: action() })?;
+        let listener = TcpListener::bind(route.listen).with_context(|_| IoSnafu { action: action() })?;
         let network = network.clone();
         spawn(move || accept_all(&network, &listener, route));
         Ok(TcpRelay { listen: route.listen })
     }
 
-    /// Wakes the relay, so that it sees that the network is closed.
+    /// Wakes the relay, so that it notices that the network is closed.
     pub fn wake(&self) {
         let _ = TcpStream::connect(self.listen);
     }
@@ -66,65 +69,75 @@
     }
 }
 
-fn relay_connection(network: &Network, near: TcpStream, route: Route) {
+fn relay_connection(network: &Network, downstream: TcpStream, route: Route) {
     let directions = [route.direction, route.direction.reversed()];
     let resets = directions.map(|direction| network.resets(direction));
-    // A connection comes up once both directions pass.
+    // A connection is established once both directions are open.
     let is_open = |index: usize| network.permit(directions[index], resets[index], 0) != Permission::Reset;
     if !(is_open(0) && is_open(1)) {
-        return reset(&near);
+        return reset(&downstream);
     }
-    let Ok(far) = TcpStream::connect(route.target) else { return reset(&near) };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let pair = Arc::new(Pair { near, far, is_over: AtomicBool::new(false) });
-    let guard = (network.clone(), pair.clone());
-    spawn(move || {
-        let (network, pair) = guard;
-        network.wait_for_reset(directions, resets, || pair.is_over.load(Ordering::Relaxed));
-        if !pair.is_over.load(Ordering::Relaxed) {
-            pair.abort();
-        }
-    });
-    let forward = (network.clone(), pair.clone());
-    let forward = spawn(move || {
-        let (network, pair) = forward;
-        pump(&network, directions[0], resets[0], &pair, &pair.near, &pair.far);
-    });
-    pump(network, directions[1], resets[1], &pair, &pair.far, &pair.near);
+    let Ok(upstream) = TcpStream::connect(route.target) else { return reset(&downstream) };
+    let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
+    let pair = Arc::new(ConnectionPair { downstream, upstream, is_finished: AtomicBool::new(false) });
+    abort_on_reset(network.clone(), Arc::clone(&pair), directions, resets);
+    let forward = {
+        let (network, pair) = (network.clone(), Arc::clone(&pair));
+        spawn(move || pump(&network, directions[0], resets[0], &pair, &pair.downstream, &pair.upstream))
+    };
+    pump(network, directions[1], resets[1], &pair, &pair.upstream, &pair.downstream);
     if let Some(forward) = forward {
         let _ = forward.join();
     }
-    pair.is_over.store(true, Ordering::Relaxed);
+    pair.is_finished.store(true, Ordering::Relaxed);
     network.wake();
 }
 
+/// Starts a thread that aborts a connection when one of its directions is reset, also while no bytes arrive.
+fn abort_on_reset(
+    network: Network,
+    pair: Arc<ConnectionPair>,
+    directions: [Direction; 2],
+    resets: [u64; 2],
+) {
+    spawn(move || {
+        network.wait_for_reset(directions, resets, || pair.is_finished.load(Ordering::Relaxed));
+        if !pair.is_finished.load(Ordering::Relaxed) {
+            pair.abort();
+        }
+    });
+}
+
 /// Both sides of a relayed connection.
-struct Pair {
-    near: TcpStream,
-    far: TcpStream,
-    is_over: AtomicBool,
+struct ConnectionPair {
+    /// To the machine that has connected.
+    downstream: TcpStream,
+    /// To the machine that has accepted.
+    upstream: TcpStream,
+    is_finished: AtomicBool,
 }
 
-impl Pair {
-    /// Has both sides reset once nobody uses them any more, and wakes those who read.
+impl ConnectionPair {
+    /// Marks both sockets to be reset when they are closed, and wakes blocked reads.
     fn abort(&self) {
-        for side in [&self.near, &self.far] {
+        for side in [&self.downstream, &self.upstream] {
             reset(side);
             let _ = side.shutdown(Shutdown::Read);
         }
     }
 }
 
-/// Closing the socket resets the connection.
+/// Makes closing the socket reset the connection.
 fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
+/// Forwards one direction of a connection until its end, or aborts the connection.
 fn pump(
     network: &Network,
     direction: Direction,
     resets: u64,
-    pair: &Pair,
+    pair: &ConnectionPair,
     mut source: &TcpStream,
     sink: &TcpStream,
 ) {
@@ -135,8 +148,8 @@
             Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
             Err(_) => return pair.abort(),
         };
-        // The end of what is sent is held back like a byte.
-        if pass(network, direction, resets, sink, &buffer[..count]).is_none() {
+        // The end of the stream is stalled like a byte.
+        if forward_bytes(network, direction, resets, sink, &buffer[..count]).is_none() {
             return pair.abort();
         }
         if count == 0 {
@@ -146,8 +159,8 @@
     }
 }
 
-/// Passes bytes on as far as they may; none if the connection is to be reset.
-fn pass(
+/// Forwards bytes as the state of the link permits; `None` if the connection is to be reset.
+fn forward_bytes(
     network: &Network,
     direction: Direction,
     resets: u64,
@@ -157,7 +170,7 @@
     loop {
         match network.permit(direction, resets, bytes.len()) {
             Permission::Reset => return None,
-            Permission::Pass(count) => {
+            Permission::Forward(count) => {
                 sink.write_all(&bytes[..count]).ok()?;
                 bytes = &bytes[count..];
             }
@@ -168,21 +181,23 @@
     }
 }
 
-/// Relays datagrams from one machine to another until the network ends. They arrive with the address of the machine
-/// that sent them.
+/// Relays datagrams from one machine to another until the network is closed. They arrive with the address of the
+/// machine that sent them.
+///
+/// # Errors
+///
+/// [`HarnessError::Io`](crate::error::HarnessError::Io) if a socket can't be bound or configured.
 pub fn relay_datagrams(network: &Network, route: Route, sender: Ipv4Addr) -> Result<()> {
     let action = || format!("relay datagrams at {}", route.listen);
-    let socket = UdpSocket::bind(route.listen).with_context(|_| SystemSnafu { action: action() })?;
-    let onward = UdpSocket::bind((sender, 0)).with_context(|_| SystemSnafu { action: action() })?;
-    socket
-        .set_read_timeout(Some(CLOSE_CHECK_INTERVAL))
-        .with_context(|_| SystemSnafu { action: action() })?;
+    let socket = UdpSocket::bind(route.listen).with_context(|_| IoSnafu { action: action() })?;
+    let onward = UdpSocket::bind((sender, 0)).with_context(|_| IoSnafu { action: action() })?;
+    socket.set_read_timeout(Some(CLOSE_CHECK_INTERVAL)).with_context(|_| IoSnafu { action: action() })?;
     let network = network.clone();
     spawn(move || {
-        let mut buffer = [0; DATAGRAM_BYTES];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         while !network.is_closed() {
             if let Ok((count, _)) = socket.recv_from(&mut buffer)
-                && network.condition(route.direction) == Condition::Open
+                && network.link_state(route.direction) == LinkState::Open
             {
                 let _ = onward.send_to(&buffer[..count], route.target);
             }
--- a/crates/fault-injection/src/replica.rs
+++ b/crates/fault-injection/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica that answers with what it was asked, or fails as it is told.
+//! A stand-in for a replica: echoes requests, or fails as configured.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,56 +9,60 @@
 use socket2::SockRef;
 
 use crate::client::{Connection, Message};
-use crate::error::{Result, SystemSnafu};
+use crate::error::{IoSnafu, Result};
 
-/// Paths of the control plane's calls.
+/// Paths of the control plane's requests.
 const CONTROL_PATHS: [&str; 4] = ["/report", "/order", "/kv-events", "/kv-list"];
 
-/// What becomes of clients' requests.
+/// How a replica handles clients' requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Behaviour {
-    /// They are answered at once.
+pub enum ReplicaBehaviour {
+    /// It responds at once.
     #[default]
-    Answer,
-    /// They are taken and never answered.
-    Silence,
-    /// The connection is reset once the request has come whole.
+    Respond,
+    /// It reads them and never responds.
+    NoResponse,
+    /// It resets the connection after the complete request.
     Reset,
-    /// The connection is reset amid the answer's head.
-    ResetAmidHead,
+    /// It resets the connection after half of the response's head.
+    ResetDuringHead,
 }
 
-/// A client's request as the replica saw it.
+/// A client's request that a replica has received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
-    /// The client's name for the try.
+pub struct ReceivedRequest {
+    /// The value of `Attempt-Id`.
     pub attempt_id: String,
     /// The path.
     pub path: String,
 }
 
 #[derive(Debug, Default)]
-struct State {
-    behaviour: Behaviour,
-    seen: Vec<Seen>,
+struct ReplicaState {
+    behaviour: ReplicaBehaviour,
+    received: Vec<ReceivedRequest>,
 }
 
-/// A replica. It runs as long as the process.
+/// A replica. Its threads run until the process ends.
 #[derive(Clone, Debug)]
 pub struct Replica {
     /// Its id in the platform's list.
     pub id: String,
     /// Its address.
     pub address: SocketAddr,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<ReplicaState>>,
 }
 
 impl Replica {
-    /// Starts to serve.
+    /// Starts to serve at any port of `ip`.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if no port can be bound.
     pub fn start(id: String, ip: Ipv4Addr) -> Result<Replica> {
-        let listener = TcpListener::bind((ip, 0))
-            .with_context(|_| SystemSnafu { action: format!("listen at {ip}") })?;
-        let address = listener.local_addr().context(SystemSnafu { action: "read an address" })?;
+        let listener =
+            TcpListener::bind((ip, 0)).with_context(|_| IoSnafu { action: format!("listen at {ip}") })?;
+        let address = listener.local_addr().context(IoSnafu { action: "read an address" })?;
         let replica = Replica { id, address, state: Arc::default() };
         let served = replica.clone();
         thread::spawn(move || {
@@ -70,15 +74,15 @@
         Ok(replica)
     }
 
-    /// Has requests met like this from now on.
-    pub fn behave(&self, behaviour: Behaviour) {
+    /// Sets how requests are handled from now on.
+    pub fn set_behaviour(&self, behaviour: ReplicaBehaviour) {
         self.state().behaviour = behaviour;
     }
 
-    /// Clients' requests that came so far.
+    /// The clients' requests that were received so far.
     #[must_use]
-    pub fn seen(&self) -> Vec<Seen> {
-        self.state().seen.clone()
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
+        self.state().received.clone()
     }
 
     fn serve(&self, mut connection: Connection) {
@@ -91,48 +95,55 @@
                 continue;
             }
             let attempt_id = request.head.get("attempt-id").unwrap_or_default().to_owned();
-            let behaviour = self.note(Seen { attempt_id: attempt_id.clone(), path });
+            let behaviour = self.record(ReceivedRequest { attempt_id: attempt_id.clone(), path });
             if !respond(&mut connection, &request, &attempt_id, behaviour) {
                 return;
             }
         }
     }
 
-    fn note(&self, seen: Seen) -> Behaviour {
+    /// Records a request and returns how to handle it.
+    fn record(&self, request: ReceivedRequest) -> ReplicaBehaviour {
         let mut state = self.state();
-        state.seen.push(seen);
+        state.received.push(request);
         state.behaviour
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, ReplicaState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Meets a request; whether the connection goes on.
-fn respond(connection: &mut Connection, request: &Message, attempt_id: &str, behaviour: Behaviour) -> bool {
+/// Handles a request; false if the connection has to be closed.
+fn respond(
+    connection: &mut Connection,
+    request: &Message,
+    attempt_id: &str,
+    behaviour: ReplicaBehaviour,
+) -> bool {
     let body = echo(request, attempt_id);
     let head = format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: {attempt_id}\r\nServer-Seal: s.1\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
     match behaviour {
-        Behaviour::Answer => connection.write((head + &body).as_bytes()).is_ok(),
-        Behaviour::Silence => true,
-        Behaviour::Reset => reset(connection),
-        Behaviour::ResetAmidHead => {
+        ReplicaBehaviour::Respond => connection.write((head + &body).as_bytes()).is_ok(),
+        ReplicaBehaviour::NoResponse => true,
+        ReplicaBehaviour::Reset => reset(connection),
+        ReplicaBehaviour::ResetDuringHead => {
             let _ = connection.write(&head.as_bytes()[..head.len() / 2]);
             reset(connection)
         }
     }
 }
 
+/// Makes closing the socket reset the connection; returns that it has to be closed.
 fn reset(connection: &Connection) -> bool {
     let _ = SockRef::from(connection.stream()).set_linger(Some(Duration::ZERO));
     false
 }
 
-/// What identifies a request, so that the caller can tell its answer from those of others.
+/// A body that identifies the request, so that a client can tell its response from those to others.
 fn echo(request: &Message, attempt_id: &str) -> String {
     format!("{} {attempt_id} {}", request.head.start[1], request.text())
 }
--- a/crates/fault-injection/src/status.rs
+++ b/crates/fault-injection/src/status.rs
@@ -1,71 +1,59 @@
-//! How a member sees the control plane.
+//! The status of a control-plane member.
 
 use std::collections::BTreeMap;
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde::Deserialize;
 
 use crate::client::{Request, call};
 
-/// Time for a member to answer.
+/// The timeout of a request.
 const TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What a member answers to `GET /status`, as far as it is used here.
+/// The age from which on data counts as stale.
+const FRESHNESS_LIMIT_MS: u64 = 1_000;
+
+/// The response to `GET /status`, as far as it is used here.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Status {
-    /// The member: address and generation of its disk.
+    /// The member's id: its address and the generation of its disk.
     pub node: String,
-    /// What it is.
+    /// Its role, such as `backup`.
     pub role: String,
-    /// It is the primary, and a majority confirms it.
+    /// Whether it is the primary and holds the lease.
     pub lease: bool,
-    /// The epoch of the newest view that it knows.
+    /// The epoch of the newest view known to it.
     pub epoch: u64,
-    /// Who votes.
+    /// The members that vote.
     pub voters: Vec<String>,
-    /// Who holds the data; the first is the primary.
-    pub holders: Vec<String>,
-    /// The primary, if it was heard lately.
+    /// The members that store the replicated data; the first one is the primary.
+    #[serde(rename = "holders")]
+    pub replication_group: Vec<String>,
+    /// The primary, if a heartbeat was received lately.
     pub primary: Option<String>,
-    /// The newest configuration that it delivers.
+    /// The revision of the newest configuration that it publishes.
     pub configuration: u64,
-    /// The newest weights that were named, by model.
+    /// The newest revision of the weights, by model.
     pub weights: BTreeMap<String, u64>,
-    /// How many replicas it delivers.
+    /// The number of replicas that it publishes.
     pub replicas: usize,
-    /// How long ago what it delivers was known to be the newest, in milliseconds.
+    /// Time since what it publishes was known to be the newest, in milliseconds.
     pub age_ms: Option<u64>,
 }
 
 impl Status {
-    /// Asks a member; none if it does not answer.
+    /// Requests the status of a member; `None` without a valid response.
     #[must_use]
     pub fn of(member: SocketAddr) -> Option<Status> {
-        let answer = call(member, &Request::get("/status"), TIMEOUT).ok()?;
-        serde_json::from_slice(&answer.body).ok()
+        let response = call(member, &Request::get("/status"), TIMEOUT).ok()?;
+        serde_json::from_slice(&response.body).ok()
     }
 
-    /// Whether what it delivers is fresh.
+    /// Whether what it publishes was the newest less than `FRESHNESS_LIMIT_MS` ago.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
-        self.age_ms.is_some_and(|age| age < 1_000)
+        self.age_ms.is_some_and(|age| age < FRESHNESS_LIMIT_MS)
     }
-
-    /// Whether a machine votes.
-    #[must_use]
-    pub fn has_voter(&self, address: Ipv4Addr) -> bool {
-        self.voters.iter().any(|node| is_at(node, address))
-    }
-
-    /// Whether a machine holds the data.
-    #[must_use]
-    pub fn has_holder(&self, address: Ipv4Addr) -> bool {
-        self.holders.iter().any(|node| is_at(node, address))
-    }
-}
-
-fn is_at(node: &str, address: Ipv4Addr) -> bool {
-    node.split_once('/').is_some_and(|(ip, _)| ip == address.to_string())
 }
--- /dev/null
+++ b/crates/fault-injection/tests/configuration_changes.rs
@@ -0,0 +1,165 @@
+//! Concurrent changes with one base revision, and retries of changes whose response was lost.
+
+mod support;
+
+use std::thread;
+use std::time::Duration;
+
+use support::{CHANGE_LIMIT, start};
+use tulipridge_fault_injection::deployment::{Deployment, Topology};
+use tulipridge_fault_injection::network::{Direction, LinkState};
+use tulipridge_fault_injection::operator::{Change, Operator, Reply, marker_of, revision_of};
+use tulipridge_fault_injection::wait::{wait_for, wait_until};
+
+/// Rounds in which two operators send changes with one base revision.
+const ROUNDS: u64 = 12;
+/// The round in which the primary is killed meanwhile.
+const ROUND_WITH_KILL: u64 = 8;
+/// The timeout of an attempt whose response is lost.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Bytes of a response after which the connection is reset.
+const RESPONSE_RESET_OFFSETS: [u64; 6] = [0, 1, 12, 60, 110, 200];
+
+/// Bytes of a request after which the connection is reset.
+const REQUEST_RESET_OFFSETS: [u64; 6] = [0, 1, 40, 150, 400, 4_000];
+
+/// The model whose weights are changed.
+const MODEL: &str = "m";
+/// The status of accepted weights.
+const OK: u16 = 200;
+/// The status of rejected weights.
+const BAD_REQUEST: u16 = 400;
+
+fn send(operator: &Operator, change: &Change) -> Reply {
+    operator.send(change, CHANGE_LIMIT).expect("it is decided")
+}
+
+/// Sends two changes concurrently and returns the replies.
+fn send_both(operators: &[Operator; 2], changes: &[Change; 2]) -> [Reply; 2] {
+    thread::scope(|scope| {
+        let first = scope.spawn(|| send(&operators[0], &changes[0]));
+        let second = scope.spawn(|| send(&operators[1], &changes[1]));
+        [first.join().expect("a reply"), second.join().expect("a reply")]
+    })
+}
+
+fn assert_one_wins(
+    deployment: &Deployment,
+    replies: &[Reply; 2],
+    changes: &[Change; 2],
+    markers: [u64; 2],
+) {
+    let winners: Vec<usize> = (0..2).filter(|index| replies[*index] == Reply::Applied).collect();
+    let [winner] = winners[..] else { panic!("{replies:?}") };
+    assert_eq!(replies[1 - winner], Reply::Stale { current: changes[0].revision });
+    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("a response");
+    assert_eq!(marker_of(&configuration, "contested"), Some(markers[winner]));
+    assert_eq!(revision_of(&configuration), changes[0].revision);
+}
+
+#[test]
+fn one_of_two_concurrent_changes_with_one_base_revision_is_applied() {
+    let mut deployment = start(Topology { edges: 0, ..Topology::default() });
+    for round in 1..=ROUNDS {
+        let markers = [2 * round, 2 * round + 1];
+        let changes = markers.map(|marker| Change::upsert_route(round, "contested", marker));
+        let first = deployment.operator_for(|index| index == 0 || index == 2);
+        let second = deployment.operator_for(|index| index == 1 || index == 2);
+        let replies = thread::scope(|scope| {
+            let replies = scope.spawn(|| send_both(&[first, second], &changes));
+            if round == ROUND_WITH_KILL {
+                let primary = deployment.wait_for_primary().expect("a primary");
+                deployment.members[primary].process.kill();
+            }
+            replies.join().expect("replies")
+        });
+        assert_one_wins(&deployment, &replies, &changes, markers);
+    }
+}
+
+/// Resets the connection during the response to a change, and retries it.
+#[test]
+fn a_retry_after_a_lost_response_is_acknowledged_by_any_member_and_after_a_takeover() {
+    let mut deployment = start(Topology { edges: 0, ..Topology::default() });
+    let mut changes = Vec::new();
+    for (bytes, base) in RESPONSE_RESET_OFFSETS.into_iter().zip(1..) {
+        let primary = deployment.wait_for_primary().expect("a primary");
+        let member = deployment.members[primary].machine.id;
+        let responses = Direction { from: member, to: deployment.operator_machine.id };
+        deployment.network.set_after(responses, bytes, LinkState::Reset);
+        let change = Change::upsert_route(base, &format!("r-{base}"), base);
+        let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
+        let lost = operator.send_once(deployment.operator_socket(primary), &change);
+        deployment.network.set(responses, LinkState::Open);
+        assert!(matches!(lost, Reply::Undecided { .. } | Reply::Applied), "{lost:?}");
+        for member in 0..deployment.members.len() {
+            let only = deployment.operator_for(|index| index == member);
+            assert_eq!(send(&only, &change), Reply::Applied, "a retry at member {member}");
+        }
+        changes.push(change);
+    }
+    let primary = deployment.wait_for_primary().expect("a primary");
+    deployment.members[primary].process.kill();
+    for change in &changes {
+        assert_eq!(send(&deployment.operator(), change), Reply::Applied, "after a takeover");
+    }
+    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("a response");
+    assert_eq!(revision_of(&configuration), changes.last().expect("a change").revision);
+}
+
+/// Resets the connection during the request, which may have been received completely or not, and retries it.
+#[test]
+fn a_change_whose_request_was_interrupted_is_applied_once() {
+    let deployment = start(Topology { edges: 0, ..Topology::default() });
+    let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
+    for (bytes, base) in REQUEST_RESET_OFFSETS.into_iter().zip(1..) {
+        let primary = deployment.wait_for_primary().expect("a primary");
+        let member = deployment.members[primary].machine.id;
+        let requests = Direction { from: deployment.operator_machine.id, to: member };
+        deployment.network.set_after(requests, bytes, LinkState::Reset);
+        let change = Change::upsert_route(base, "interrupted", base);
+        let first = operator.send_once(deployment.operator_socket(primary), &change);
+        deployment.network.set(requests, LinkState::Open);
+        assert!(matches!(first, Reply::Undecided { .. } | Reply::Applied), "{first:?}");
+        assert_eq!(send(&deployment.operator(), &change), Reply::Applied);
+        let conflicting = Change::upsert_route(base, "interrupted", base + 1_000);
+        assert_eq!(send(&deployment.operator(), &conflicting), Reply::Stale { current: change.revision });
+    }
+}
+
+/// Weights are set again after the response was lost, at any member and after a takeover; older ones are rejected.
+#[test]
+fn a_retried_change_of_weights_is_acknowledged_again() {
+    let mut deployment = start(Topology { edges: 0, ..Topology::default() });
+    let primary = deployment.wait_for_primary().expect("a primary");
+    let responses =
+        Direction { from: deployment.members[primary].machine.id, to: deployment.operator_machine.id };
+    let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
+    deployment.network.set_after(responses, 0, LinkState::Reset);
+    let lost = operator.set_weights_revision(deployment.operator_socket(primary), MODEL, 2);
+    assert_eq!(lost, None, "the response is lost");
+    deployment.network.set(responses, LinkState::Open);
+    for member in 0..deployment.members.len() {
+        assert_eq!(set_weights_until_decided(&deployment, member, 2), OK);
+    }
+    deployment.members[primary].process.kill();
+    let successor = (0..3).find(|member| *member != primary).expect("another member");
+    assert_eq!(set_weights_until_decided(&deployment, successor, 2), OK);
+    assert_eq!(set_weights_until_decided(&deployment, successor, 1), BAD_REQUEST);
+    let is_set = || {
+        let status = deployment.status(successor);
+        status.is_some_and(|status| status.weights.get(MODEL) == Some(&2))
+    };
+    wait_until("the weights are set", CHANGE_LIMIT, is_set).expect("they are");
+}
+
+/// The first status that decides; a member that knows no primary gets the request again.
+fn set_weights_until_decided(deployment: &Deployment, member: usize, revision: u64) -> u16 {
+    let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
+    let address = deployment.operator_socket(member);
+    wait_for("weights are decided on", CHANGE_LIMIT, || {
+        let status = operator.set_weights_revision(address, MODEL, revision);
+        status.filter(|status| [OK, BAD_REQUEST].contains(status))
+    })
+    .expect("a response")
+}
--- a/crates/fault-injection/tests/harness.rs
+++ b/crates/fault-injection/tests/harness.rs
@@ -1,4 +1,4 @@
-//! The harness itself: relays that cut where they are told, and a loss of power that takes only what it may.
+//! The harness itself: relays reset at the configured byte, and a loss of power drops only unacknowledged data.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,21 +6,22 @@
 
 use rstest::rstest;
 use tulipridge_fault_injection::address::AddressBlock;
-use tulipridge_fault_injection::disk::{Lengths, drop_unconfirmed};
+use tulipridge_fault_injection::disk::{FileLengths, drop_unacknowledged_tail};
 use tulipridge_fault_injection::machine::MachineId;
-use tulipridge_fault_injection::network::{Condition, Direction, Network};
+use tulipridge_fault_injection::network::{Direction, LinkState, Network};
 use tulipridge_fault_injection::relay::{Route, TcpRelay};
 
 const SENDER: MachineId = MachineId(0);
 const RECEIVER: MachineId = MachineId(1);
 const DIRECTION: Direction = Direction { from: SENDER, to: RECEIVER };
-/// Where the relay listens, at addresses that nobody else has.
+/// The last octet of the relay's address, in a block reserved for the test.
 const RELAY_HOST: u8 = 2;
+/// The relay's port.
 const RELAY_PORT: u16 = 20_000;
-/// Longer than what is awaited takes.
+/// Timeout of a read.
 const LIMIT: Duration = Duration::from_secs(5);
-/// Plays of the loss of power.
-const PLAYS: usize = 200;
+/// Simulated losses of power.
+const POWER_LOSSES: usize = 200;
 
 /// A relayed connection: the sender's side and the receiver's.
 fn connect(network: &Network) -> (TcpStream, TcpStream) {
@@ -35,7 +36,7 @@
     (sender, receiver)
 }
 
-/// What comes until the connection ends, and how it ends.
+/// The bytes until the connection ends, and the error with which it ends.
 fn read_to_end(mut receiver: TcpStream) -> (Vec<u8>, Option<ErrorKind>) {
     let mut bytes = Vec::new();
     let end = receiver.read_to_end(&mut bytes);
@@ -44,69 +45,70 @@
 
 #[rstest]
 #[case::before_the_first_byte(0)]
-#[case::amid(5)]
+#[case::in_the_middle(5)]
 #[case::before_the_last_byte(9)]
-fn a_relay_resets_at_a_byte(#[case] passed: u64) {
+fn a_relay_resets_the_connection_after_the_given_byte(#[case] passed: u64) {
     let network = Network::default();
     let (mut sender, mut receiver) = connect(&network);
-    network.set_after(DIRECTION, passed, Condition::Reset);
-    sender.write_all(b"0123456789").expect("it is taken");
+    network.set_after(DIRECTION, passed, LinkState::Reset);
+    sender.write_all(b"0123456789").expect("it is written");
     let mut bytes = vec![0; passed as usize];
     receiver.read_exact(&mut bytes).expect("what may pass comes");
     assert_eq!(bytes, b"0123456789"[..passed as usize]);
     let (rest, end) = read_to_end(receiver);
     assert_eq!((rest, end), (Vec::new(), Some(ErrorKind::ConnectionReset)));
-    assert_eq!(network.passed(DIRECTION), passed);
+    assert_eq!(network.forwarded_bytes(DIRECTION), passed);
 }
 
 #[test]
-fn what_is_held_comes_later_and_the_other_direction_passes() {
+fn stalled_bytes_arrive_later_and_the_other_direction_stays_open() {
     let network = Network::default();
     let (mut sender, mut receiver) = connect(&network);
-    network.set(DIRECTION, Condition::Held);
-    sender.write_all(b"held").expect("it is taken");
-    receiver.write_all(b"back").expect("it is taken");
+    network.set(DIRECTION, LinkState::Stalled);
+    sender.write_all(b"held").expect("it is written");
+    receiver.write_all(b"back").expect("it is written");
     let mut back = [0; 4];
     sender.read_exact(&mut back).expect("the other direction passes");
-    assert_eq!(network.passed(DIRECTION), 0);
-    network.set(DIRECTION, Condition::Open);
+    assert_eq!(network.forwarded_bytes(DIRECTION), 0);
+    network.set(DIRECTION, LinkState::Open);
     drop(sender);
     assert_eq!(read_to_end(receiver), (b"held".to_vec(), None));
 }
 
 #[test]
-fn what_is_held_is_lost_by_a_reset() {
+fn stalled_bytes_are_lost_by_a_reset() {
     let network = Network::default();
     let (mut sender, receiver) = connect(&network);
-    network.set(DIRECTION, Condition::Held);
-    sender.write_all(b"held").expect("it is taken");
-    network.set(DIRECTION, Condition::Reset);
-    network.set(DIRECTION, Condition::Open);
+    network.set(DIRECTION, LinkState::Stalled);
+    sender.write_all(b"held").expect("it is written");
+    network.set(DIRECTION, LinkState::Reset);
+    network.set(DIRECTION, LinkState::Open);
     assert_eq!(read_to_end(receiver), (Vec::new(), Some(ErrorKind::ConnectionReset)));
 }
 
 #[test]
-fn a_loss_of_power_takes_only_what_was_written_unheard() {
+fn a_loss_of_power_drops_only_unacknowledged_data() {
     let folder = tempfile::tempdir().expect("a folder");
     let log = folder.path().join("log-000001");
-    for _ in 0..PLAYS {
-        std::fs::write(&log, b"confirmed").expect("it is written");
-        let confirmed = Lengths::of(folder.path());
-        std::fs::write(&log, b"confirmed, unheard").expect("it is written");
-        let dropped =
-            drop_unconfirmed(folder.path(), &confirmed).expect("it is cut").expect("some is dropped");
+    for _ in 0..POWER_LOSSES {
+        std::fs::write(&log, b"acknowledged").expect("it is written");
+        let acknowledged = FileLengths::of(folder.path());
+        std::fs::write(&log, b"acknowledged, not acknowledged").expect("it is written");
+        let dropped = drop_unacknowledged_tail(folder.path(), &acknowledged)
+            .expect("it is truncated")
+            .expect("some is dropped");
         let left = std::fs::read(&log).expect("it is read");
-        assert!(left.starts_with(b"confirmed") && dropped.bytes > 0, "{dropped:?}");
-        assert_eq!(left.len() as u64 + dropped.bytes, b"confirmed, unheard".len() as u64);
+        assert!(left.starts_with(b"acknowledged") && dropped.bytes > 0, "{dropped:?}");
+        assert_eq!(left.len() as u64 + dropped.bytes, b"acknowledged, not acknowledged".len() as u64);
     }
 }
 
 #[test]
-fn a_loss_of_power_takes_nothing_where_files_have_come_or_nothing_was_written() {
+fn a_loss_of_power_drops_nothing_if_files_were_created_or_nothing_was_written() {
     let folder = tempfile::tempdir().expect("a folder");
-    std::fs::write(folder.path().join("log-000001"), b"confirmed").expect("it is written");
-    let confirmed = Lengths::of(folder.path());
-    assert_eq!(drop_unconfirmed(folder.path(), &confirmed).expect("it is looked at"), None);
+    std::fs::write(folder.path().join("log-000001"), b"acknowledged").expect("it is written");
+    let acknowledged = FileLengths::of(folder.path());
+    assert_eq!(drop_unacknowledged_tail(folder.path(), &acknowledged).expect("it is looked at"), None);
     std::fs::write(folder.path().join("log-000002"), b"more").expect("it is written");
-    assert_eq!(drop_unconfirmed(folder.path(), &confirmed).expect("it is looked at"), None);
+    assert_eq!(drop_unacknowledged_tail(folder.path(), &acknowledged).expect("it is looked at"), None);
 }
--- a/crates/fault-injection/tests/kills.rs
+++ b/crates/fault-injection/tests/kills.rs
@@ -1,39 +1,39 @@
-//! Kills while operators send changes, and that a disk which breaks its promise would be seen.
+//! Kills while operators send changes; a disk that loses synced data would be noticed.
 
 mod support;
 
 use support::{CHANGE_LIMIT, start};
-use tulipridge_fault_injection::deployment::Plan;
-use tulipridge_fault_injection::disk::{Lengths, truncate_to};
-use tulipridge_fault_injection::kills::kills;
-use tulipridge_fault_injection::operator::{Change, mark_of};
+use tulipridge_fault_injection::deployment::Topology;
+use tulipridge_fault_injection::disk::{FileLengths, truncate_files};
+use tulipridge_fault_injection::kill_test::run_kill_test;
+use tulipridge_fault_injection::operator::{Change, marker_of};
 
-/// Kills that are played here; the program plays more.
+/// Kills in this test; the program runs more.
 const KILLS: u64 = 6;
 
 #[test]
 fn kills_lose_no_acknowledged_change() {
-    let report = kills(KILLS, 1);
+    let report = run_kill_test(KILLS, 1);
     assert!(report.is_clean(), "{report:#?}");
     assert!(report.kills >= KILLS && report.checks > 0 && report.changes_acknowledged > 0, "{report:?}");
 }
 
-/// All disks lose what they had confirmed, which no disk may: the loss shows in the configuration.
+/// All disks lose synced data, which no disk may: the loss shows in the configuration.
 #[test]
-fn a_change_that_all_disks_have_lost_is_missed() {
-    let mut deployment = start(Plan { edges: 0, ..Plan::default() });
+fn a_change_that_all_disks_have_lost_is_missing() {
+    let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     deployment.operator().apply(&Change::upsert_route(1, "marked", 1), CHANGE_LIMIT).expect("a change");
-    deployment.wait_until_whole().expect("the change is in force");
-    let before: Vec<Lengths> =
-        deployment.members.iter().map(|member| Lengths::of(&member.folder)).collect();
+    deployment.wait_until_converged().expect("the change is in force");
+    let before: Vec<FileLengths> =
+        deployment.members.iter().map(|member| FileLengths::of(&member.folder)).collect();
     deployment.operator().apply(&Change::upsert_route(2, "marked", 2), CHANGE_LIMIT).expect("a change");
     for (member, before) in deployment.members.iter_mut().zip(&before) {
         member.process.kill();
-        truncate_to(&member.folder, before).expect("the log is cut");
+        truncate_files(&member.folder, before).expect("the log is truncated");
     }
     for index in 0..3 {
-        deployment.start_member(index).expect("it returns");
+        deployment.start_member(index).expect("it restarts");
     }
-    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("an answer");
-    assert_eq!(mark_of(&configuration, "marked"), Some(1));
+    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("a response");
+    assert_eq!(marker_of(&configuration, "marked"), Some(1));
 }
--- a/crates/fault-injection/tests/replacement.rs
+++ b/crates/fault-injection/tests/replacement.rs
@@ -1,4 +1,4 @@
-//! Losses that follow on a repair, on a planned replacement or on an orderly stop.
+//! Losses right after a repair, a planned replacement or a graceful shutdown.
 
 mod support;
 
@@ -6,16 +6,16 @@
 use std::time::Duration;
 
 use support::{CHANGE_LIMIT, start, wait_for_route};
-use tulipridge_fault_injection::deployment::{Deployment, Plan, SETTLE_LIMIT};
+use tulipridge_fault_injection::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
 use tulipridge_fault_injection::disk;
-use tulipridge_fault_injection::operator::{Change, Reply, mark_of, revision_of};
+use tulipridge_fault_injection::operator::{Change, Reply, marker_of, revision_of};
 use tulipridge_fault_injection::wait::{wait_for, wait_until};
 
-/// Changes that are sent one after the other while a member goes.
+/// Changes that are sent one after the other while members are terminated.
 const CHANGES_WHILE_STOPPING: u64 = 25;
 
-/// Loses a member with its disk for good.
-fn lose(deployment: &mut Deployment, index: usize) {
+/// Kills a member and wipes its disk.
+fn lose_with_disk(deployment: &mut Deployment, index: usize) {
     deployment.members[index].process.kill();
     disk::wipe(&deployment.members[index].folder).expect("the disk is emptied");
 }
@@ -25,23 +25,25 @@
     deployment.operator().apply(&change, CHANGE_LIMIT).expect("a change is acknowledged");
 }
 
-fn assert_mark(deployment: &Deployment, mark: u64) {
-    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("an answer");
-    assert_eq!(mark_of(&configuration, "marked"), Some(mark));
+fn assert_mark(deployment: &Deployment, marker: u64) {
+    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("a response");
+    assert_eq!(marker_of(&configuration, "marked"), Some(marker));
 }
 
 #[test]
 fn a_second_loss_right_after_a_planned_replacement_loses_nothing() {
-    let mut deployment = start(Plan { members: 4, edges: 0, ..Plan::default() });
+    let mut deployment = start(Topology { members: 4, edges: 0, ..Topology::default() });
     apply(&deployment, 1);
-    let backup = deployment.backup().expect("a backup");
+    let backup = deployment.wait_for_backup().expect("a backup");
     deployment.start_member(3).expect("it starts");
-    lose(&mut deployment, backup);
+    lose_with_disk(&mut deployment, backup);
     apply(&deployment, 2);
-    wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
-        .expect("the backup is replaced");
+    wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+        deployment.is_control_plane_converged()
+    })
+    .expect("the backup is replaced");
     let primary = deployment.wait_for_primary().expect("a primary");
-    lose(&mut deployment, primary);
+    lose_with_disk(&mut deployment, primary);
     assert_mark(&deployment, 2);
     apply(&deployment, 3);
     assert_mark(&deployment, 3);
@@ -49,67 +51,75 @@
 
 #[test]
 fn a_second_loss_right_after_a_repair_loses_nothing() {
-    let mut deployment = start(Plan { edges: 0, ..Plan::default() });
+    let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     for base in 1..=3 {
         apply(&deployment, base);
-        let backup = deployment.backup().expect("a backup");
-        deployment.replace_disk(backup).expect("it returns empty");
-        wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
-            .expect("the member is taken in again");
+        let backup = deployment.wait_for_backup().expect("a backup");
+        deployment.replace_disk(backup).expect("it restarts empty");
+        wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+            deployment.is_control_plane_converged()
+        })
+        .expect("the member is a member again");
         let primary = deployment.wait_for_primary().expect("a primary");
-        deployment.replace_disk(primary).expect("it returns empty");
+        deployment.replace_disk(primary).expect("it restarts empty");
         assert_mark(&deployment, base);
-        wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
-            .expect("the member is taken in again");
+        wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+            deployment.is_control_plane_converged()
+        })
+        .expect("the member is a member again");
     }
 }
 
-/// The backup is lost for a while, and at once the primary, which has the only other copy, is told to stop.
+/// The backup fails, and at once the primary, which has the only other replica of the data, is terminated.
 #[test]
-fn a_primary_that_is_stopped_with_the_only_other_copy_loses_nothing() {
-    let mut deployment = start(Plan { edges: 0, ..Plan::default() });
+fn a_primary_that_is_terminated_with_the_only_other_replica_loses_nothing() {
+    let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     apply(&deployment, 1);
-    let backup = deployment.backup().expect("a backup");
+    let backup = deployment.wait_for_backup().expect("a backup");
     let primary = deployment.wait_for_primary().expect("a primary");
     deployment.members[backup].process.kill();
-    let status = deployment.terminate_member(primary).expect("it ends");
+    let status = deployment.terminate_member(primary).expect("it exits");
     assert!(status.success(), "{status}");
-    deployment.start_member(backup).expect("it returns with its disk");
+    deployment.start_member(backup).expect("it restarts with its disk");
     assert_mark(&deployment, 1);
     apply(&deployment, 2);
-    deployment.start_member(primary).expect("it returns with its disk");
-    wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
-        .expect("all are back");
+    deployment.start_member(primary).expect("it restarts with its disk");
+    wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+        deployment.is_control_plane_converged()
+    })
+    .expect("all are back");
     assert_mark(&deployment, 2);
 }
 
-/// Stops one member after the other by SIGTERM while an operator sends changes; each returns with its disk.
+/// Terminates one member after the other while an operator sends changes; each is restarted with its disk.
 #[test]
-fn members_that_are_stopped_one_after_the_other_lose_no_change() {
-    let mut deployment = start(Plan { edges: 0, ..Plan::default() });
+fn a_rolling_restart_loses_no_change() {
+    let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     let operator = deployment.operator();
     let changes = thread::spawn(move || {
         for base in 1..=CHANGES_WHILE_STOPPING {
             let change = Change::upsert_route(base, "marked", base);
             let reply = operator.send(&change, CHANGE_LIMIT).expect("it is decided");
-            assert_eq!(reply, Reply::Taken);
+            assert_eq!(reply, Reply::Applied);
             thread::sleep(Duration::from_millis(50));
         }
     });
     for index in 0..3 {
-        let status = deployment.terminate_member(index).expect("it ends");
+        let status = deployment.terminate_member(index).expect("it exits");
         assert!(status.success(), "{status}");
-        deployment.start_member(index).expect("it returns");
-        wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
-            .expect("it is taken in again");
+        deployment.start_member(index).expect("it restarts");
+        wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+            deployment.is_control_plane_converged()
+        })
+        .expect("it is a member again");
     }
     changes.join().expect("all changes are acknowledged");
     assert_mark(&deployment, CHANGES_WHILE_STOPPING);
 }
 
 #[test]
-fn machines_are_replaced_until_all_seeds_are_gone() {
-    let mut deployment = start(Plan { members: 6, ..Plan::default() });
+fn machines_are_replaced_until_no_original_seed_is_left() {
+    let mut deployment = start(Topology { members: 6, ..Topology::default() });
     for old in 0..3 {
         let new = old + 3;
         apply(&deployment, old as u64 + 1);
@@ -117,16 +127,19 @@
         deployment.start_member(new).expect("it starts");
         let is_known =
             || deployment.status(new).filter(tulipridge_fault_injection::status::Status::is_fresh);
-        wait_for("the newcomer follows the primary", SETTLE_LIMIT, is_known).expect("it is taken in");
-        lose(&mut deployment, old);
-        wait_until("the control plane is whole", SETTLE_LIMIT, || deployment.is_control_plane_whole())
-            .expect("the machine is replaced");
+        wait_for("the new member follows the primary", CONVERGENCE_LIMIT, is_known)
+            .expect("it becomes a member");
+        lose_with_disk(&mut deployment, old);
+        wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+            deployment.is_control_plane_converged()
+        })
+        .expect("the machine is replaced");
         assert_mark(&deployment, old as u64 + 1);
     }
-    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("an answer");
+    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("a response");
     assert_eq!(revision_of(&configuration), 4);
     let primary = deployment.wait_for_primary().expect("a primary");
-    lose(&mut deployment, primary);
+    lose_with_disk(&mut deployment, primary);
     apply(&deployment, 4);
     assert_mark(&deployment, 4);
     wait_for_route(&deployment, 0, "marked");
--- /dev/null
+++ b/crates/fault-injection/tests/responses.rs
@@ -0,0 +1,114 @@
+//! Each client gets the response to its own request, and requests that must not run twice are not retried.
+
+mod support;
+
+use std::collections::BTreeMap;
+use std::thread;
+use std::time::Duration;
+
+use rstest::rstest;
+use support::{CHANGE_LIMIT, start, wait_for_route};
+use tulipridge_fault_injection::deployment::{ClientRequest, Deployment, Topology};
+use tulipridge_fault_injection::operator::{Change, path};
+use tulipridge_fault_injection::replica::ReplicaBehaviour;
+
+/// Concurrent clients.
+const CLIENTS: usize = 16;
+/// Requests of each client.
+const REQUESTS: usize = 60;
+/// Requests that are sent while replicas are faulty.
+const FAULTY_REQUESTS: usize = 12;
+/// The timeout of a client.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeout of a client for a replica that does not respond.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(400);
+
+fn start_with_two_replicas(sort: &str) -> Deployment {
+    let deployment = start(Topology { members: 1, seeds: 1, replicas: 2, tolerated_losses: 0, edges: 1 });
+    let change = Change::upsert_route_with_sort(1, "echo", sort);
+    deployment.operator().apply(&change, CHANGE_LIMIT).expect("a route");
+    wait_for_route(&deployment, 0, "echo");
+    deployment
+}
+
+/// How often the replicas received each attempt, in total.
+fn deliveries_by_attempt(deployment: &Deployment) -> BTreeMap<String, usize> {
+    let mut deliveries = BTreeMap::new();
+    for request in
+        deployment.replicas.iter().flat_map(tulipridge_fault_injection::replica::Replica::received_requests)
+    {
+        *deliveries.entry(request.attempt_id).or_default() += 1;
+    }
+    deliveries
+}
+
+#[test]
+fn each_client_gets_the_response_to_its_own_request() {
+    let deployment = start_with_two_replicas("harmless");
+    let send_requests = |client: usize| {
+        for number in 0..REQUESTS {
+            let id = format!("c{client}-{number}");
+            let path = format!("{}{id}", path("echo"));
+            let body = format!("body of {id}");
+            let request = ClientRequest { path: &path, attempt_id: &id, body: &body, timeout: TIMEOUT };
+            let response = deployment.send_request(0, &request).expect("a response");
+            assert_eq!(response.status(), 200, "{}", response.text());
+            assert_eq!(response.text(), format!("{path} {id} {body}"));
+            assert_eq!(response.head.get("attempt-id"), Some(id.as_str()));
+        }
+    };
+    thread::scope(|scope| {
+        (0..CLIENTS).for_each(|client| {
+            scope.spawn(move || send_requests(client));
+        });
+    });
+}
+
+#[rstest]
+#[case::no_response(ReplicaBehaviour::NoResponse, SHORT_TIMEOUT)]
+#[case::reset(ReplicaBehaviour::Reset, TIMEOUT)]
+#[case::reset_during_the_head(ReplicaBehaviour::ResetDuringHead, TIMEOUT)]
+fn a_risky_request_is_not_retried(#[case] behaviour: ReplicaBehaviour, #[case] timeout: Duration) {
+    let deployment = start_with_two_replicas("risky");
+    // Fills the retry budget, so that it is not an empty budget that prevents a retry.
+    for number in 0..CLIENTS {
+        let id = format!("calm-{number}");
+        let request = ClientRequest { path: &path("echo"), attempt_id: &id, body: "", timeout: TIMEOUT };
+        assert_eq!(deployment.send_request(0, &request).expect("a response").status(), 200);
+    }
+    deployment.replicas.iter().for_each(|replica| replica.set_behaviour(behaviour));
+    thread::scope(|scope| {
+        for number in 0..FAULTY_REQUESTS {
+            let deployment = &deployment;
+            scope.spawn(move || {
+                let id = format!("faulty-{number}");
+                let request = ClientRequest { path: &path("echo"), attempt_id: &id, body: "", timeout };
+                if let Ok(response) = deployment.send_request(0, &request) {
+                    assert!(response.status() >= 500, "{}", response.status());
+                }
+            });
+        }
+    });
+    deployment.replicas.iter().for_each(|replica| replica.set_behaviour(ReplicaBehaviour::Respond));
+    let deliveries = deliveries_by_attempt(&deployment);
+    let reached = deliveries.keys().filter(|id| id.starts_with("faulty-")).count();
+    assert!(reached > 0, "no request reached a replica");
+    let twice: Vec<_> =
+        deliveries.iter().filter(|(id, count)| !id.starts_with("a-") && **count > 1).collect();
+    assert!(twice.is_empty(), "sent more than once: {twice:?}");
+}
+
+/// The counterpart: a request that may run twice is retried, so the test above can fail.
+#[test]
+fn a_harmless_request_is_retried_after_a_reset() {
+    let deployment = start_with_two_replicas("harmless");
+    for number in 0..CLIENTS {
+        let id = format!("calm-{number}");
+        let request = ClientRequest { path: &path("echo"), attempt_id: &id, body: "", timeout: TIMEOUT };
+        assert_eq!(deployment.send_request(0, &request).expect("a response").status(), 200);
+    }
+    deployment.replicas.iter().for_each(|replica| replica.set_behaviour(ReplicaBehaviour::Reset));
+    let request = ClientRequest { path: &path("echo"), attempt_id: "faulty", body: "", timeout: TIMEOUT };
+    let _ = deployment.send_request(0, &request);
+    assert_eq!(deliveries_by_attempt(&deployment).get("faulty"), Some(&2));
+}
