--- a/crates/simulator/src/experiment/faults.rs
+++ b/crates/simulator/src/experiment/faults.rs
@@ -1,62 +1,68 @@
-//! What breaks in an experiment, and when.
+//! The faults of an experiment.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// Something that breaks.
+/// A fault.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, after the warm-up.
+    /// Its start, after the warm-up.
     #[serde(with = "humantime_serde")]
-    pub at: Duration,
-    /// What breaks.
+    #[serde(rename = "at")]
+    pub start: Duration,
+    /// Its kind.
     pub kind: FaultKind,
-    /// Which part of the gateways or real servers; `list_outage` has none.
+    /// The fraction of gateways or replicas that is affected; none for `list_outage`.
     #[serde(default)]
-    pub share: Option<f64>,
-    /// They break one after the other within this time.
+    #[serde(rename = "share")]
+    pub fraction: Option<f64>,
+    /// They fail at random times within this duration.
     #[serde(with = "humantime_serde", default)]
-    pub within: Duration,
-    /// Each is back after this time.
+    #[serde(rename = "within")]
+    pub spread: Duration,
+    /// Time until each recovers.
     #[serde(with = "humantime_serde")]
-    pub back: Duration,
-    /// `slow`: how many times as long everything takes.
+    #[serde(rename = "back")]
+    pub duration: Duration,
+    /// `slow_replicas`: the factor of all durations.
     #[serde(default)]
-    pub factor: Option<f64>,
-    /// `error`: which part of the requests fails.
+    #[serde(rename = "factor")]
+    pub slowdown: Option<f64>,
+    /// `error_replicas`: the fraction of requests that fail.
     #[serde(default)]
-    pub part: Option<f64>,
+    #[serde(rename = "part")]
+    pub error_fraction: Option<f64>,
 }
 
-/// What breaks.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Gateways are killed and started anew with the list that they last had.
+    /// Gateways are killed and restarted with the persisted list.
     RestartGateways,
-    /// Real servers die and come back cold under their own names.
+    /// Replicas crash and restart under their own names, in slow start.
     KillReplicas,
-    /// Machines vanish without a word: streams stay open and silent, new connections never come up; then they are back,
-    /// cold.
+    /// Machines lose their network: streams stay open without data and new connections time out; then they restart, in
+    /// slow start.
     SilenceReplicas,
-    /// Real servers drain; new ones with other names come in their place.
+    /// Replicas drain and are replaced by new ones with other names.
     ReplaceReplicas,
-    /// Real servers do everything more slowly.
+    /// Replicas slow down.
     SlowReplicas,
-    /// Real servers answer a part of their requests at once, with an error.
+    /// Replicas respond to a fraction of requests with an error, at once.
     ErrorReplicas,
-    /// Real servers take connections and requests and answer nothing, then go on where they stood.
+    /// Replicas accept connections and requests without processing, then resume.
     HangReplicas,
-    /// The list service is out of reach; what it has to say comes after its return.
+    /// The list service is unreachable; changes are published after its return.
     ListOutage,
 }
 
 impl FaultKind {
-    /// The words of the report.
+    /// The description in the report.
     #[must_use]
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             FaultKind::RestartGateways => "gateways restart",
             FaultKind::KillReplicas => "real servers die",
@@ -69,9 +75,9 @@
         }
     }
 
-    /// While it lasts is of interest, not only what comes after.
+    /// Whether statistics are reported for the time of the fault, not only for the time after it.
     #[must_use]
-    pub fn lasts(self) -> bool {
+    pub fn has_interval(self) -> bool {
         !matches!(self, FaultKind::RestartGateways | FaultKind::ReplaceReplicas | FaultKind::SlowReplicas)
     }
 }
--- a/crates/simulator/src/experiment/gateways.rs
+++ b/crates/simulator/src/experiment/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways of an experiment, and what they may do.
+//! The gateways of an experiment, and the limits of their attempts.
 
 use std::time::Duration;
 
@@ -8,33 +8,38 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateways {
-    /// How many.
+    /// The number of gateways.
     pub count: u32,
-    /// Zones that they and the real servers are spread over.
+    /// The number of zones over which gateways and replicas are distributed.
     pub zones: u16,
-    /// Spread of the traffic among them: 0 is even, 1 gives a few several times the mean.
+    /// The standard deviation of the logarithm of their traffic weights (log-normal): 0 is even.
     #[serde(default)]
-    pub skew: f64,
-    /// They start one after the other within this time.
+    #[serde(rename = "skew")]
+    pub weight_sigma: f64,
+    /// They start at random times within this duration.
     #[serde(with = "humantime_serde")]
-    pub start_within: Duration,
-    /// Time until the layer before them notices that one is gone, or back.
+    #[serde(rename = "start_within")]
+    pub start_spread: Duration,
+    /// Time until the front layer detects that one has stopped or started.
     #[serde(with = "humantime_serde")]
-    pub notice: Duration,
+    #[serde(rename = "notice")]
+    pub detection_delay: Duration,
 }
 
-/// What the gateways may do.
+/// The limits of the gateways' attempts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Allow {
-    /// Attempts for one try of a client.
-    pub attempts: u32,
-    /// Two of them may be out at once.
-    pub second_copies: bool,
+pub struct AttemptPolicy {
+    /// Attempts at replicas for one attempt of a client.
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
+    /// Whether two of them may be in flight at once.
+    #[serde(rename = "second_copies")]
+    pub hedging: bool,
 }
 
-impl Default for Allow {
-    fn default() -> Allow {
-        Allow { attempts: 5, second_copies: true }
+impl Default for AttemptPolicy {
+    fn default() -> AttemptPolicy {
+        AttemptPolicy { max_attempts: 5, hedging: true }
     }
 }
--- a/crates/simulator/src/experiment/load.rs
+++ b/crates/simulator/src/experiment/load.rs
@@ -1,4 +1,4 @@
-//! What arrives in an experiment: the rate, its phases, and whose requests of which class they are.
+//! The load of an experiment: the arrival rate, its phases, the classes of requests and the clients.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,56 +9,61 @@
 
 use crate::time::nanos;
 
-/// What arrives, in open loop: nobody waits for an answer before the next one comes.
+/// The arriving requests, in an open loop: arrivals don't wait for responses.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First tries a second, over the whole fleet.
-    pub rate: f64,
+    /// Requests per second over the fleet, retries not counted.
+    #[serde(rename = "rate")]
+    pub requests_per_s: f64,
     /// Mean time between two turns of a session.
     #[serde(with = "humantime_serde")]
-    pub think: Duration,
-    /// Times at which more or less comes.
+    #[serde(rename = "think")]
+    pub think_time: Duration,
+    /// Phases with another rate, by name.
     #[serde(default)]
     pub phases: BTreeMap<String, LoadPhase>,
 }
 
 impl Load {
-    /// The multiple of the rate at a time since the warm-up's end, negative before it.
+    /// The factor of the rate at a time in nanoseconds since the end of the warm-up, negative before it.
     pub(super) fn factor_at(&self, since: f64) -> f64 {
         self.phases.values().fold(1.0, |factor, phase| factor * phase.factor_at(since))
     }
 
-    /// The most that the multiple may come to.
-    pub(super) fn factor_most(&self) -> f64 {
+    /// An upper bound of the factor.
+    pub(super) fn max_factor(&self) -> f64 {
         self.phases.values().map(|phase| phase.factor.max(1.0)).product()
     }
 }
 
-/// A burst, or a ramp where `ramp` is set.
+/// A burst, or a ramp.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadPhase {
     /// Its start, after the warm-up.
     #[serde(with = "humantime_serde")]
-    pub at: Duration,
+    #[serde(rename = "at")]
+    pub start: Duration,
     /// Its length.
     #[serde(with = "humantime_serde")]
-    pub lasts: Duration,
+    #[serde(rename = "lasts")]
+    pub duration: Duration,
     /// The rate is multiplied by this.
     pub factor: f64,
-    /// The factor is reached evenly by the end instead of at once.
+    /// Whether the factor is reached linearly by the end instead of at once.
     #[serde(default)]
-    pub ramp: bool,
+    #[serde(rename = "ramp")]
+    pub is_ramp: bool,
 }
 
 impl LoadPhase {
-    /// The multiple that this phase alone brings; 1 outside it.
+    /// The factor of this phase; 1 outside of it.
     fn factor_at(&self, since: f64) -> f64 {
-        let length: Nanos = nanos(self.lasts).max(1);
-        let part = (since - nanos(self.at) as f64) / length as f64;
-        match (0.0..1.0).contains(&part) {
-            true if self.ramp => 1.0 + (self.factor - 1.0) * part,
+        let length: Nanos = nanos(self.duration).max(1);
+        let progress = (since - nanos(self.start) as f64) / length as f64;
+        match (0.0..1.0).contains(&progress) {
+            true if self.is_ramp => 1.0 + (self.factor - 1.0) * progress,
             true => self.factor,
             false => 1.0,
         }
@@ -69,56 +74,72 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its part of the sessions.
-    pub share: f64,
-    /// Mean turns of a session.
-    pub turns: f64,
-    /// Shared beginnings that there are.
-    pub beginnings: u32,
-    /// Their popularity falls with the rank to this power (Zipf).
-    pub zipf: f64,
-    /// Tokens of a shared beginning, least and most.
-    pub beginning: [u32; 2],
-    /// Tokens that each turn adds.
-    pub adds: [u32; 2],
-    /// Tokens of an answer.
-    pub answer: [u32; 2],
-    /// The time to the first token that is wanted ...
+    /// Its fraction of the sessions.
+    #[serde(rename = "share")]
+    pub session_fraction: f64,
+    /// Mean number of turns of a session.
+    #[serde(rename = "turns")]
+    pub mean_turns: f64,
+    /// The number of shared prefixes.
+    #[serde(rename = "beginnings")]
+    pub prefixes: u32,
+    /// The exponent of the prefixes' popularity by rank (Zipf).
+    #[serde(rename = "zipf")]
+    pub zipf_exponent: f64,
+    /// Tokens of a shared prefix, minimum and maximum.
+    #[serde(rename = "beginning")]
+    pub prefix_tokens: [u32; 2],
+    /// Tokens that each turn adds to the prompt, minimum and maximum.
+    #[serde(rename = "adds")]
+    pub turn_tokens: [u32; 2],
+    /// Tokens of a response, minimum and maximum.
+    #[serde(rename = "answer")]
+    pub response_tokens: [u32; 2],
+    /// The target for the time to the first token ...
     #[serde(with = "humantime_serde")]
-    pub aim: Duration,
-    /// ... plus so much for each 1,000 tokens of the prompt.
+    #[serde(rename = "aim")]
+    pub latency_target: Duration,
+    /// ... plus this for each 1,000 tokens of the prompt.
     #[serde(with = "humantime_serde")]
-    pub aim_per_1000: Duration,
-    /// The client's whole patience.
+    #[serde(rename = "aim_per_1000")]
+    pub latency_target_per_1000_tokens: Duration,
+    /// The client's deadline over all attempts.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
-    /// Worth of an answer in time.
-    pub worth: f64,
-    /// Share of it that a late answer earns.
-    pub late_worth: f64,
+    /// The value of a response in time.
+    #[serde(rename = "worth")]
+    pub value: f64,
+    /// The factor of the value of a late response.
+    #[serde(rename = "late_worth")]
+    pub late_value_factor: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its part of the traffic, and of the service that is its own.
-    pub share: f64,
-    /// Requests a second within its share.
-    pub quota: f64,
+    /// Its fraction of the traffic, and its guaranteed fraction of the service.
+    #[serde(rename = "share")]
+    pub traffic_fraction: f64,
+    /// Requests per second within its guaranteed fraction.
+    #[serde(rename = "quota")]
+    pub quota_per_s: f64,
 }
 
 /// The clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Tries after the first.
-    pub retries: u32,
-    /// A try is given up after this part of the class's deadline.
-    pub try_share: f64,
-    /// Pause before a retry.
+    /// Attempts after the first.
+    #[serde(rename = "retries")]
+    pub max_retries: u32,
+    /// The timeout of an attempt as a fraction of the class's deadline.
+    #[serde(rename = "try_share")]
+    pub attempt_deadline_fraction: f64,
+    /// Time before a retry.
     #[serde(with = "humantime_serde")]
     pub backoff: Duration,
-    /// Part of the clients that stay away as long as they are told.
-    pub honour: f64,
+    /// The fraction of clients that honour `Retry-After`.
+    #[serde(rename = "honour")]
+    pub retry_after_compliance: f64,
 }
--- a/crates/simulator/src/experiment/mod.rs
+++ b/crates/simulator/src/experiment/mod.rs
@@ -1,4 +1,6 @@
-//! What an experiment is: the fleet, its load, its list service and its faults, from one HCL file.
+//! The definition of an experiment: the fleet, its load, its list service and its faults, from one HCL file.
+//!
+//! The names of HCL keys are fixed by existing files; `serde(rename)` maps them to the fields.
 
 mod check;
 mod faults;
@@ -7,6 +9,7 @@
 mod module_settings;
 mod network;
 mod parse;
+mod policy_kind;
 mod replicas;
 
 use std::collections::BTreeMap;
@@ -16,38 +19,41 @@
 use tulipridge::types::Nanos;
 
 pub use self::faults::{Fault, FaultKind};
-pub use self::gateways::{Allow, Gateways};
+pub use self::gateways::{AttemptPolicy, Gateways};
 pub use self::load::{Class, Clients, Load, LoadPhase, Tenant};
-pub use self::network::{Late, ListService, Network};
-pub use self::replicas::{Kind, Replicas, Reports};
-use crate::policy::PolicyKind;
+pub use self::network::{DelayRange, ListService, Network};
+pub use self::policy_kind::PolicyKind;
+pub use self::replicas::{LoadReports, MachineKind, Replicas};
 use crate::time::nanos;
 
 /// One experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// The file that this one differs from, beside it. What it has in blocks goes into that file's blocks, anything else
-    /// takes the place of what is there, and `null` takes it away.
+    /// The file, in the same folder, that this one overrides. Blocks are merged, other values replaced, and `null` removes
+    /// a value.
     #[serde(default)]
-    pub from: Option<String>,
-    /// One sentence that stands over the report.
-    pub about: String,
-    /// All randomness comes from this number.
+    #[serde(rename = "from")]
+    pub base_file: Option<String>,
+    /// The title of the report.
+    #[serde(rename = "about")]
+    pub description: String,
+    /// The seed of all random streams.
     pub seed: u64,
-    /// Time before figures are taken: caches fill, averages settle.
+    /// Time before statistics are recorded, in which caches fill and averages converge.
     #[serde(with = "humantime_serde")]
     pub warmup: Duration,
-    /// Time over which figures are taken, after the warm-up.
+    /// Time in which statistics are recorded, after the warm-up.
     #[serde(with = "humantime_serde")]
-    pub length: Duration,
-    /// The policies that are played, side by side on the same seed.
+    #[serde(rename = "length")]
+    pub duration: Duration,
+    /// The policies to simulate, with the same seed.
     pub policies: Vec<PolicyKind>,
     /// The gateways.
     pub gateways: Gateways,
-    /// The real servers.
+    /// The replicas.
     pub replicas: Replicas,
-    /// What arrives.
+    /// The arriving requests.
     pub load: Load,
     /// Classes of requests.
     pub classes: BTreeMap<String, Class>,
@@ -55,43 +61,45 @@
     #[serde(default)]
     pub tenants: BTreeMap<String, Tenant>,
     /// The list service.
-    pub list: ListService,
+    #[serde(rename = "list")]
+    pub list_service: ListService,
     /// The clients.
     pub clients: Clients,
-    /// The network between all.
+    /// The network between gateways and replicas.
     pub network: Network,
-    /// What the gateways may do.
+    /// The limits of the gateways' attempts.
     #[serde(default)]
-    pub allow: Allow,
-    /// What breaks, and when.
+    #[serde(rename = "allow")]
+    pub attempt_policy: AttemptPolicy,
+    /// Faults by name.
     #[serde(default)]
     pub faults: BTreeMap<String, Fault>,
 }
 
 impl Experiment {
-    /// Time at which all ends.
+    /// The time at which the simulation ends.
     #[must_use]
     pub fn end(&self) -> Nanos {
-        nanos(self.warmup + self.length)
+        nanos(self.warmup + self.duration)
     }
 
-    /// Faults in the order of their times, then names.
+    /// Faults ordered by start, then by name.
     #[must_use]
     pub fn faults_in_order(&self) -> Vec<(&str, &Fault)> {
         let mut all: Vec<_> = self.faults.iter().map(|(name, fault)| (name.as_str(), fault)).collect();
-        all.sort_by_key(|(name, fault)| (fault.at, *name));
+        all.sort_by_key(|(name, fault)| (fault.start, *name));
         all
     }
 
-    /// The multiple of the rate at a time.
+    /// The factor by which the arrival rate is multiplied at a time.
     #[must_use]
-    pub fn factor_at(&self, now: Nanos) -> f64 {
+    pub fn load_factor_at(&self, now: Nanos) -> f64 {
         self.load.factor_at(now as f64 - nanos(self.warmup) as f64)
     }
 
-    /// The most that [`Experiment::factor_at`] may come to.
+    /// An upper bound of [`Experiment::load_factor_at`].
     #[must_use]
-    pub fn factor_most(&self) -> f64 {
-        self.load.factor_most()
+    pub fn max_load_factor(&self) -> f64 {
+        self.load.max_factor()
     }
 }
--- a/crates/simulator/src/experiment/network.rs
+++ b/crates/simulator/src/experiment/network.rs
@@ -1,4 +1,4 @@
-//! The network of an experiment, and the list service in it.
+//! The network and the list service of an experiment.
 
 use std::time::Duration;
 
@@ -8,66 +8,79 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Network {
-    /// One way within a zone.
+    /// One-way latency within a zone.
     #[serde(with = "humantime_serde")]
-    pub same: Duration,
-    /// One way between zones.
+    #[serde(rename = "same")]
+    pub same_zone_latency: Duration,
+    /// One-way latency between zones.
     #[serde(with = "humantime_serde")]
-    pub cross: Duration,
-    /// Work of a new connection.
+    #[serde(rename = "cross")]
+    pub cross_zone_latency: Duration,
+    /// Time to set up a connection, beyond one round trip.
     #[serde(with = "humantime_serde")]
-    pub handshake: Duration,
-    /// A connection at rest stays open for this time.
+    #[serde(rename = "handshake")]
+    pub handshake_duration: Duration,
+    /// An idle connection is closed after this time.
     #[serde(with = "humantime_serde")]
-    pub idle: Duration,
-    /// A connection not made after this time has failed.
+    #[serde(rename = "idle")]
+    pub idle_timeout: Duration,
+    /// Timeout of a connection attempt.
     #[serde(with = "humantime_serde")]
     pub connect_timeout: Duration,
 }
 
-/// The list service: one call at a time.
+/// The list service, which serves one call at a time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListService {
-    /// It sends the whole list and its changes unasked.
+    /// Whether it pushes the list and its changes without a call.
     #[serde(default)]
     pub push: bool,
-    /// Each change is known after a time between these two, in place of `notice` and `add`.
+    /// The delay of each change, in place of `notice` and `add`.
     #[serde(default)]
-    pub late: Option<Late>,
-    /// Calls that it serves in a second.
+    #[serde(rename = "late")]
+    pub change_delay: Option<DelayRange>,
+    /// Calls that it serves per second.
     pub calls_per_s: f64,
-    /// The gateways are told what it can serve.
+    /// Whether the gateways' settings contain `calls_per_s`.
     #[serde(default)]
-    pub told: bool,
-    /// It refuses at once, at no cost, a call that would wait longer, and asks to be left alone for so long.
+    #[serde(rename = "told")]
+    pub advertises_rate: bool,
+    /// It rejects a call that would wait longer, at once and at no cost, and requests no call for that time.
     #[serde(with = "humantime_serde", default)]
-    pub sheds_after: Option<Duration>,
-    /// A caller that waited longer has failed; the service does the work all the same.
+    #[serde(rename = "sheds_after")]
+    pub max_queue_wait: Option<Duration>,
+    /// The timeout of a call; the service does the work nevertheless.
     #[serde(with = "humantime_serde")]
     pub timeout: Duration,
-    /// Time until it knows that a real server has gone.
+    /// Time until it detects that a replica has stopped.
     #[serde(with = "humantime_serde")]
-    pub notice: Duration,
-    /// Time until it knows of a new one.
+    #[serde(rename = "notice")]
+    pub removal_delay: Duration,
+    /// Time until it detects a new replica.
     #[serde(with = "humantime_serde")]
-    pub add: Duration,
-    /// Changes are sent together, once in this time.
+    #[serde(rename = "add")]
+    pub addition_delay: Duration,
+    /// Interval at which changes are published.
     #[serde(with = "humantime_serde")]
-    pub period: Duration,
-    /// Watchers hear of a change within this time of one another.
+    #[serde(rename = "period")]
+    pub publish_interval: Duration,
+    /// Watchers receive a change at random times within this duration.
     #[serde(with = "humantime_serde")]
-    pub spread: Duration,
+    #[serde(rename = "spread")]
+    pub delivery_spread: Duration,
 }
 
-/// How late the list is.
+/// A range of delays, drawn uniformly.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Late {
-    /// At the least.
+pub struct DelayRange {
+    /// The minimum.
     #[serde(with = "humantime_serde")]
-    pub least: Duration,
-    /// At the most.
+    #[serde(rename = "least")]
+    pub min: Duration,
+    /// The maximum.
     #[serde(with = "humantime_serde")]
-    pub most: Duration,
+    #[serde(rename = "most")]
+    pub max: Duration,
 }
--- a/crates/simulator/src/experiment/parse.rs
+++ b/crates/simulator/src/experiment/parse.rs
@@ -1,19 +1,24 @@
-//! Reading an experiment, and the files that it differs from.
+//! Parsing an experiment, and the files that it overrides.
 
 use std::fs;
 use std::path::Path;
 
-use tulipridge::settings::{Fault, parse_hcl_over};
+use tulipridge::settings::{Fault as SettingsFault, parse_hcl_over};
 
 use super::Experiment;
 
 impl Experiment {
-    /// Reads an experiment; `path` is for the faults, and says where a file lies that it differs from.
-    pub fn parse(path: &str, text: &str) -> Result<Experiment, Fault> {
+    /// Parses an experiment. `path` appears in errors, and base files are read relative to it.
+    ///
+    /// # Errors
+    ///
+    /// A syntax error, an unknown key or an invalid value, with file, position and key; a base file that can't be read
+    /// or that overrides itself.
+    pub fn parse(path: &str, text: &str) -> Result<Experiment, SettingsFault> {
         let mut files = vec![(path.to_owned(), text.to_owned())];
-        while let Some(from) = files.last().and_then(|(_, text)| from_of(text)) {
+        while let Some(from) = files.last().and_then(|(_, text)| base_file_of(text)) {
             let (path, _) = &files[files.len() - 1];
-            let fault = |what| Fault { file: path.clone(), place: None, key: "from".into(), what };
+            let fault = |what| SettingsFault { file: path.clone(), place: None, key: "from".into(), what };
             let base = Path::new(path).with_file_name(&from).display().to_string();
             if files.iter().any(|(known, _)| *known == base) {
                 return Err(fault(format!("{from} comes back to this file")));
@@ -26,8 +31,8 @@
     }
 }
 
-/// The file that a text says it differs from; a text that can't be read says so later.
-fn from_of(text: &str) -> Option<String> {
+/// The base file that a text names. A syntax error is reported when all files are parsed.
+fn base_file_of(text: &str) -> Option<String> {
     let value: serde_json::Value = hcl::from_str(text).ok()?;
     value.get("from")?.as_str().map(str::to_owned)
 }
--- a/crates/simulator/src/experiment/replicas.rs
+++ b/crates/simulator/src/experiment/replicas.rs
@@ -1,75 +1,86 @@
-//! The real servers of an experiment.
+//! The replicas of an experiment.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// The real servers.
+/// The replicas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replicas {
-    /// How many.
+    /// The number of replicas.
     pub count: u32,
-    /// Kinds of machines.
-    pub kinds: BTreeMap<String, Kind>,
-    /// Share of its capacity that a cold one has at first.
-    pub cold_from: f64,
-    /// Time until it has all of it.
+    /// Kinds of machines, by name.
+    pub kinds: BTreeMap<String, MachineKind>,
+    /// The fraction of its capacity that a replica has right after its start.
+    #[serde(rename = "cold_from")]
+    pub slow_start_capacity: f64,
+    /// Time until it has its full capacity.
     #[serde(with = "humantime_serde")]
-    pub ramp: Duration,
-    /// Prompt tokens that are read in one step at the most.
-    pub chunk: u32,
-    /// Load reports; `null` where there are none.
+    #[serde(rename = "ramp")]
+    pub slow_start_duration: Duration,
+    /// Maximum number of prompt tokens that are processed in one step.
+    #[serde(rename = "chunk")]
+    pub prefill_chunk_tokens: u32,
+    /// Load reports; `null` without them.
     #[serde(default)]
-    pub reports: Option<Reports>,
-    /// A cold one falls that is sent more than this multiple of what it can do ...
-    #[serde(default = "fall_multiple")]
-    pub fall_multiple: f64,
-    /// ... over this time.
-    #[serde(with = "humantime_serde", default = "fall")]
-    pub fall: Duration,
+    #[serde(rename = "reports")]
+    pub load_reports: Option<LoadReports>,
+    /// A replica in slow start fails if it is sent more than this multiple of its capacity ...
+    #[serde(default = "default_overload_factor")]
+    #[serde(rename = "fall_multiple")]
+    pub overload_factor: f64,
+    /// ... within this time.
+    #[serde(with = "humantime_serde", default = "default_overload_window")]
+    #[serde(rename = "fall")]
+    pub overload_window: Duration,
 }
 
-fn fall_multiple() -> f64 {
+fn default_overload_factor() -> f64 {
     2.5
 }
 
-fn fall() -> Duration {
+fn default_overload_window() -> Duration {
     Duration::from_secs(3)
 }
 
 /// A kind of machine.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
-    /// Its part of the fleet.
-    pub share: f64,
-    /// What the list says of its size.
+pub struct MachineKind {
+    /// Its fraction of the fleet.
+    #[serde(rename = "share")]
+    pub fraction: f64,
+    /// Its size in the list.
     pub units: f64,
-    /// Its speed beside the yardstick's.
+    /// Its speed relative to the reference machine.
     pub speed: f64,
-    /// Requests in a batch.
-    pub batch: usize,
-    /// Prompt tokens that it keeps.
-    pub memory: u64,
-    /// The least time of a step, at speed 1.
+    /// Maximum number of requests in a batch.
+    #[serde(rename = "batch")]
+    pub batch_size: usize,
+    /// Capacity of its prompt cache, and of the batch, in tokens.
+    #[serde(rename = "memory")]
+    pub cache_tokens: u64,
+    /// The duration of a decoding step at speed 1.
     #[serde(with = "humantime_serde")]
-    pub step: Duration,
-    /// Prompt tokens read in a second, at speed 1.
-    pub read: f64,
+    #[serde(rename = "step")]
+    pub step_duration: Duration,
+    /// Prompt tokens processed per second at speed 1.
+    #[serde(rename = "read")]
+    pub prefill_tokens_per_s: f64,
 }
 
-/// Load reports, which come with answers.
+/// Load reports, which are sent with responses.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Reports {
-    /// Time between two refreshes of what is reported.
+pub struct LoadReports {
+    /// Time between two measurements.
     #[serde(with = "humantime_serde")]
     pub period: Duration,
-    /// Age of what is reported at the refresh.
+    /// Time after which a measurement is reported.
     #[serde(with = "humantime_serde")]
     pub delay: Duration,
-    /// Relative error, one standard deviation.
+    /// Standard deviation of the relative error.
     pub noise: f64,
 }
--- a/crates/simulator/src/fleet/clients.rs
+++ b/crates/simulator/src/fleet/clients.rs
@@ -1,176 +1,239 @@
-//! Sessions, clients and their tries, and the layer that spreads them over the gateways.
+//! Sessions, clients and their attempts, and the front layer that distributes them over the gateways.
 
-use super::{
-    Client, Distribution, End, Event, Exp, Fleet, Flight, GatewayAt, MILLI, Nanos, Pcg64Mcg, Request,
-    RequestId, RngExt, SECOND, SLACK, Session, What, Zipf, drawn, nanos, source,
-};
+use rand::RngExt;
+use rand_distr::{Distribution, Exp, Zipf};
+use rand_pcg::Pcg64Mcg;
+use tulipridge::types::{Event, Nanos, Request, RequestId};
+
+use super::events::FleetEvent;
+use super::requests::{ClientRequest, GatewayRequest, Session};
+use super::state::{Fleet, GatewayState};
+use crate::experiment::{Class, Experiment};
+use crate::random::{random_stream, weighted_index};
+use crate::record::RequestOutcome;
+use crate::replica::PrefixId;
+use crate::time::{MILLISECOND, SECOND, nanos};
+
+/// How long after its timeout a client gives an attempt up, so that a response in time is not missed.
+const TIMEOUT_SLACK: Nanos = 8 * MILLISECOND;
+/// The minimum time before a client's retry.
+const MIN_BACKOFF: Nanos = MILLISECOND;
+/// The random stream of prefix lengths of the first class.
+const PREFIX_LENGTH_STREAM: u64 = 100;
+
+/// A class of an experiment by its index.
+fn class(experiment: &Experiment, index: usize) -> Option<&Class> {
+    experiment.classes.values().nth(index)
+}
+
+fn random_tokens(random: &mut Pcg64Mcg, [min, max]: [u32; 2]) -> u32 {
+    random.random_range(min..=max)
+}
 
 impl Fleet<'_> {
-    /// Sessions begin by chance (Poisson); a phase thins out what its most would bring.
-    pub(super) fn session(&mut self) {
-        let x = self.x;
-        let turns: f64 = x.classes.values().map(|c| c.share * c.turns).sum();
-        let most = x.factor_most();
-        let rate = x.load.rate / turns * most;
-        let wait = Exp::new(rate).map_or(1.0, |d| d.sample(&mut self.arrivals));
-        self.after((wait * SECOND as f64) as Nanos, What::Session);
-        if self.arrivals.random::<f64>() * most > x.factor_at(self.now) {
+    /// Begins a session and schedules the next arrival. Arrivals are a Poisson process at the maximum rate, which is
+    /// thinned to the current rate.
+    pub(super) fn begin_session(&mut self) {
+        let experiment = self.experiment;
+        let turns: f64 =
+            experiment.classes.values().map(|class| class.session_fraction * class.mean_turns).sum();
+        let max_factor = experiment.max_load_factor();
+        let rate = experiment.load.requests_per_s / turns * max_factor;
+        let arrivals = &mut self.random.arrivals;
+        let delay = Exp::new(rate).map_or(1.0, |distribution| distribution.sample(arrivals));
+        self.schedule((delay * SECOND as f64) as Nanos, FleetEvent::SessionArrival);
+        let factor = experiment.load_factor_at(self.now());
+        if self.random.arrivals.random::<f64>() * max_factor > factor {
             return;
         }
-        let class = drawn(&mut self.arrivals, x.classes.values().map(|c| c.share));
-        let Some(of) = x.classes.values().nth(class) else { return };
-        let tenant =
-            (!x.tenants.is_empty()).then(|| drawn(&mut self.arrivals, x.tenants.values().map(|t| t.share)));
-        let rank =
-            Zipf::new(f64::from(of.beginnings), of.zipf).map_or(1.0, |d| d.sample(&mut self.arrivals));
+        if let Some(session) = self.draw_session() {
+            self.begin_turn(session);
+        }
+    }
+
+    fn draw_session(&mut self) -> Option<Session> {
+        let experiment = self.experiment;
+        let arrivals = &mut self.random.arrivals;
+        let index =
+            weighted_index(arrivals, experiment.classes.values().map(|class| class.session_fraction));
+        let class = class(experiment, index)?;
+        let tenants = experiment.tenants.values().map(|tenant| tenant.traffic_fraction);
+        let tenant = (!experiment.tenants.is_empty()).then(|| weighted_index(arrivals, tenants));
+        let rank = Zipf::new(f64::from(class.prefixes), class.zipf_exponent)
+            .map_or(1.0, |distribution| distribution.sample(arrivals)) as u32;
         self.sessions += 1;
-        // A beginning is as long whoever asks for it.
-        let beginning = rank as u32;
-        let mut length = source(x.seed ^ u64::from(beginning) << 8, 100 + class as u64);
-        let [least, most] = of.beginning;
-        let zone = self.arrivals.random_range(0..x.gateways.zones);
-        let beginning_tokens = length.random_range(least..=most);
-        self.turn(Session {
-            class,
+        let zone = arrivals.random_range(0..experiment.gateways.zones);
+        // The length of a prefix is the same for all sessions.
+        let mut lengths =
+            random_stream(experiment.seed ^ u64::from(rank) << 8, PREFIX_LENGTH_STREAM + index as u64);
+        let prefix_tokens = random_tokens(&mut lengths, class.prefix_tokens);
+        Some(Session {
             tenant,
             zone,
             number: self.sessions,
-            beginning,
-            beginning_tokens,
-            context: beginning_tokens,
-        });
+            prefix: PrefixId { class: index, rank },
+            prefix_tokens,
+            context_tokens: prefix_tokens,
+        })
     }
 
-    pub(super) fn turn(&mut self, mut session: Session) {
-        let Some(of) = self.x.classes.values().nth(session.class) else { return };
-        let span = |rng: &mut Pcg64Mcg, [least, most]: [u32; 2]| rng.random_range(least..=most);
-        let prompt = session.context + span(&mut self.arrivals, of.adds);
-        let answer = span(&mut self.arrivals, of.answer);
+    /// Sends a session's next request, and schedules the turn after it or ends the session.
+    pub(super) fn begin_turn(&mut self, mut session: Session) {
+        let Some(class) = class(self.experiment, session.prefix.class) else { return };
+        let arrivals = &mut self.random.arrivals;
+        let prompt_tokens = session.context_tokens + random_tokens(arrivals, class.turn_tokens);
+        let response_tokens = random_tokens(arrivals, class.response_tokens);
+        let now = self.queue.now();
         let client = self.clients.len();
-        self.clients.push(Client {
-            class: session.class,
+        self.clients.push(ClientRequest {
             tenant: session.tenant,
             zone: session.zone,
             session: session.number,
-            beginning: session.beginning,
-            beginning_tokens: session.beginning_tokens,
-            prompt,
-            answer,
-            arrived: self.now,
-            deadline: self.now + nanos(of.deadline),
-            tries: 0,
+            prefix: session.prefix,
+            prefix_tokens: session.prefix_tokens,
+            prompt_tokens,
+            response_tokens,
+            arrived: now,
+            deadline: now + nanos(class.deadline),
+            attempts: 0,
             first_token: None,
-            done: false,
+            is_finished: false,
         });
-        session.context = prompt + answer;
-        let (stop, think) = (1.0 / of.turns, self.x.load.think);
-        if self.arrivals.random::<f64>() >= stop {
-            let wait = Exp::new(1.0).map_or(1.0, |d| d.sample(&mut self.arrivals));
-            self.after((wait * nanos(think) as f64) as Nanos, What::Turn(Box::new(session)));
+        session.context_tokens = prompt_tokens + response_tokens;
+        let end_probability = 1.0 / class.mean_turns;
+        if arrivals.random::<f64>() >= end_probability {
+            let think_times = Exp::new(1.0).map_or(1.0, |distribution| distribution.sample(arrivals));
+            let delay = (think_times * nanos(self.experiment.load.think_time) as f64) as Nanos;
+            self.schedule(delay, FleetEvent::SessionTurn(Box::new(session)));
         }
-        self.record.first_try(self.now);
-        self.client_try(client);
+        self.recorder.add_request(now);
+        self.send_client_attempt(client);
     }
 
-    pub(super) fn client_try(&mut self, n: usize) {
-        let client = &mut self.clients[n];
-        if client.done {
+    /// Sends a client's request to a gateway, for the first time or as a retry.
+    pub(super) fn send_client_attempt(&mut self, index: usize) {
+        let now = self.now();
+        let client = &mut self.clients[index];
+        if client.is_finished {
             return;
         }
-        client.tries += 1;
-        let (zone, arrived, class, repeat) = (client.zone, client.arrived, client.class, client.tries > 1);
-        let left = client.deadline.saturating_sub(self.now);
-        self.record.client_try(arrived);
-        let Some(of) = self.x.classes.values().nth(class) else { return };
-        let own = (nanos(of.deadline) as f64 * self.x.clients.try_share) as Nanos;
-        let expires_in = own.min(left);
-        let Some(gateway) = self.front_picks(zone) else { return self.try_again(n, End::Failed, 0) };
-        if self.gateways[gateway].policy.is_none() {
-            // The layer before the gateways does not know yet.
-            return self.try_again(n, End::Failed, 0);
-        }
-        let request = self.flights.len() as u64;
-        let epoch = self.gateways[gateway].epoch;
-        self.flights.push(Some(Flight {
-            client: n,
-            gateway,
-            epoch,
+        client.attempts += 1;
+        let (zone, time_left) = (client.zone, client.deadline.saturating_sub(now));
+        self.recorder.add_client_attempt(client.arrived);
+        let Some(class) = class(self.experiment, client.prefix.class) else { return };
+        let fraction = self.experiment.clients.attempt_deadline_fraction;
+        let timeout = (nanos(class.deadline) as f64 * fraction) as Nanos;
+        let expires_in = timeout.min(time_left);
+        let gateway = self.select_gateway(zone);
+        // The front layer may not have detected yet that the gateway has stopped.
+        let Some(gateway) = gateway.filter(|gateway| self.gateways[*gateway].policy.is_some()) else {
+            return self.retry_client(index, RequestOutcome::Failed, 0);
+        };
+        let request = self.open_request(index, gateway);
+        self.schedule(expires_in + TIMEOUT_SLACK, FleetEvent::ClientTimeout(request));
+        let event = Event::Request(self.policy_request(index, request, expires_in));
+        self.notify_policy(gateway, event);
+    }
+
+    /// Registers a client's attempt at a gateway and returns its number.
+    fn open_request(&mut self, client: usize, gateway: usize) -> u64 {
+        let number = self.requests.len() as u64;
+        let process = self.gateway_process(gateway);
+        self.requests.push(Some(GatewayRequest {
+            client,
+            process,
             attempts: Vec::new(),
-            begun: None,
-            answered: false,
-            due: 0,
+            streaming: None,
+            is_answered: false,
+            pending_cancellations: 0,
         }));
-        self.gateways[gateway].open.push(request);
-        self.after(expires_in + SLACK, What::GiveUp(request));
-        let client = &self.clients[n];
-        let asked = Request {
-            id: RequestId(request),
+        self.gateways[gateway].open_requests.push(number);
+        number
+    }
+
+    /// A client's request as its gateway's policy sees it.
+    fn policy_request(&self, client: usize, number: u64, expires_in: Nanos) -> Request {
+        let client = &self.clients[client];
+        let prefix = client.prefix;
+        Request {
+            id: RequestId(number),
             expires_in,
-            class,
+            class: prefix.class,
             tenant: client.tenant,
-            prefix: Some((class as u64 + 1) << 32 | u64::from(client.beginning)),
+            prefix: Some((prefix.class as u64 + 1) << 32 | u64::from(prefix.rank)),
             session: Some(client.session),
-            prompt: client.prompt,
-            prefix_len: client.beginning_tokens,
-            max_answer: client.answer,
-            repeat,
-        };
-        self.tell(gateway, Event::Request(asked));
+            prompt: client.prompt_tokens,
+            prefix_len: client.prefix_tokens,
+            max_answer: client.response_tokens,
+            repeat: client.attempts > 1,
+        }
     }
 
-    /// A gateway of the client's zone that the layer before them holds for alive, by their parts of the traffic.
-    pub(super) fn front_picks(&mut self, zone: u16) -> Option<usize> {
-        let there = |g: &GatewayAt| g.believed && g.zone == zone;
-        let any = self.gateways.iter().any(there);
-        let fits = |g: &GatewayAt| g.believed && (!any || g.zone == zone);
-        let able: Vec<usize> = (0..self.gateways.len()).filter(|n| fits(&self.gateways[*n])).collect();
-        let at = drawn(&mut self.front, able.iter().map(|n| self.gateways[*n].weight));
-        able.get(at).copied()
+    /// Draws a gateway that the front layer believes to be up, by weight; in the client's zone if there is one.
+    fn select_gateway(&mut self, zone: u16) -> Option<usize> {
+        let is_local = |gateway: &GatewayState| gateway.is_believed_up && gateway.zone == zone;
+        let has_local = self.gateways.iter().any(is_local);
+        let is_candidate =
+            |gateway: &GatewayState| gateway.is_believed_up && (!has_local || gateway.zone == zone);
+        let candidates: Vec<usize> =
+            (0..self.gateways.len()).filter(|index| is_candidate(&self.gateways[*index])).collect();
+        let weights = candidates.iter().map(|index| self.gateways[*index].weight);
+        let selected = weighted_index(&mut self.random.front, weights);
+        candidates.get(selected).copied()
     }
 
-    /// A try has come to nothing: the client comes again, or has had enough.
-    pub(super) fn try_again(&mut self, n: usize, end: End, told: Nanos) {
-        let honours = self.front.random::<f64>() < self.x.clients.honour;
-        let client = &mut self.clients[n];
-        if client.done {
+    /// Schedules a client's retry after a failed attempt, or finishes its request with `outcome`. `retry_after` is the
+    /// wait that the gateway has asked for, 0 if none.
+    pub(super) fn retry_client(&mut self, index: usize, outcome: RequestOutcome, retry_after: Nanos) {
+        let settings = &self.experiment.clients;
+        let is_compliant = self.random.front.random::<f64>() < settings.retry_after_compliance;
+        let now = self.now();
+        let client = &self.clients[index];
+        if client.is_finished {
             return;
         }
-        let wait = if honours && told > 0 { told } else { nanos(self.x.clients.backoff) };
-        if client.tries > self.x.clients.retries || self.now + wait >= client.deadline {
-            return self.close(n, end, None);
+        let delay = if is_compliant && retry_after > 0 { retry_after } else { nanos(settings.backoff) };
+        if client.attempts > settings.max_retries || now + delay >= client.deadline {
+            return self.finish_client(index, outcome, None);
         }
-        // Even "at once" takes a client a moment.
-        self.after(wait.max(MILLI), What::Try(n));
+        self.schedule(delay.max(MIN_BACKOFF), FleetEvent::ClientAttempt(index));
     }
 
-    pub(super) fn give_up(&mut self, request: u64) {
-        let Some(flight) = self.flights[request as usize].as_mut() else { return };
-        if flight.answered || flight.begun.is_some() {
+    /// Ends a client's attempt that has no first token at its timeout.
+    pub(super) fn time_out_client_attempt(&mut self, number: u64) {
+        let Some(request) = self.requests[number as usize].as_mut() else { return };
+        if request.is_answered || request.streaming.is_some() {
             return;
         }
-        flight.answered = true;
-        let (client, gateway, epoch) = (flight.client, flight.gateway, flight.epoch);
-        if self.gateways[gateway].epoch == epoch {
-            self.tell(gateway, Event::Expired(RequestId(request)));
-        }
-        self.try_again(client, End::Failed, 0);
-        self.tidy(request);
+        request.is_answered = true;
+        let (client, process) = (request.client, request.process);
+        self.notify_process(process, Event::Expired(RequestId(number)));
+        self.retry_client(client, RequestOutcome::Failed, 0);
+        self.clean_up_request(number);
     }
 
-    pub(super) fn served(&mut self, n: usize) {
-        let client = &self.clients[n];
-        let Some(of) = self.x.classes.values().nth(client.class) else { return };
-        let aim = nanos(of.aim) + nanos(of.aim_per_1000) / 1000 * Nanos::from(client.prompt);
-        let wait = client.first_token.map(|at| at - client.arrived);
-        let end = if wait.is_some_and(|w| w <= aim) { End::InTime } else { End::Late };
-        self.close(n, end, wait);
+    /// Finishes a client's request that was served, in time or late.
+    pub(super) fn finish_served(&mut self, index: usize) {
+        let client = &self.clients[index];
+        let Some(class) = class(self.experiment, client.prefix.class) else { return };
+        let per_token = nanos(class.latency_target_per_1000_tokens) / 1000;
+        let target = nanos(class.latency_target) + per_token * Nanos::from(client.prompt_tokens);
+        let latency = client.first_token.map(|at| at - client.arrived);
+        let is_in_time = latency.is_some_and(|latency| latency <= target);
+        let outcome = if is_in_time { RequestOutcome::InTime } else { RequestOutcome::Late };
+        self.finish_client(index, outcome, latency);
     }
 
-    /// A client's request has come to its end, the first time that this is said.
-    pub(super) fn close(&mut self, n: usize, end: End, wait: Option<Nanos>) {
-        let client = &mut self.clients[n];
-        if !std::mem::replace(&mut client.done, true) {
-            self.record.end(client.arrived, client.class, end, wait);
+    /// Finishes a client's request, unless it is finished already.
+    pub(super) fn finish_client(
+        &mut self,
+        index: usize,
+        outcome: RequestOutcome,
+        first_token: Option<Nanos>,
+    ) {
+        let client = &mut self.clients[index];
+        if !std::mem::replace(&mut client.is_finished, true) {
+            self.recorder.add_outcome(client.arrived, client.prefix.class, outcome, first_token);
         }
     }
 }
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -1,97 +1,136 @@
-//! What breaks, and what comes back.
+//! Faults and recoveries.
 
-use super::{DRAIN, FaultKind, Fleet, Phase, RngExt, SECOND, What, nanos};
+use rand::RngExt;
+use tulipridge::types::{Nanos, Phase};
+
+use super::build::ReplicaSpec;
+use super::events::FleetEvent;
+use super::state::Fleet;
+use crate::experiment::FaultKind;
+use crate::time::{SECOND, nanos};
+
+/// How long a draining replica stays at least.
+const MIN_DRAIN_TIME: Nanos = SECOND;
+/// Interval at which a draining replica is checked for remaining requests.
+const DRAIN_CHECK_INTERVAL: Nanos = SECOND / 10;
 
 impl Fleet<'_> {
-    /// Draws whom a fault hits, and when within its time.
-    pub(super) fn fault(&mut self, n: usize) {
-        let (_, fault) = self.faults[n];
-        let (within, back) = (nanos(fault.within), nanos(fault.back));
+    /// Begins a fault: draws the gateways or replicas that are affected, and when.
+    pub(super) fn begin_fault(&mut self, index: usize) {
+        let (_, fault) = self.fault(index);
+        let (spread, duration) = (nanos(fault.spread), nanos(fault.duration));
         if fault.kind == FaultKind::ListOutage {
-            self.list_away_until = self.list_away_until.max(self.now + back);
+            let until = self.now() + duration;
+            self.list_service.unavailable_until = self.list_service.unavailable_until.max(until);
             return;
         }
-        let gateways = fault.kind == FaultKind::RestartGateways;
-        let mut hit: Vec<usize> = match gateways {
-            true => (0..self.gateways.len()).filter(|g| self.gateways[*g].policy.is_some()).collect(),
-            false => (0..self.replicas.len()).filter(|r| self.replicas[*r].alive).collect(),
-        };
-        let count = (hit.len() as f64 * fault.share.unwrap_or(0.0)).round() as usize;
-        for at in 0..count {
-            let other = self.chances.random_range(at..hit.len());
-            hit.swap(at, other);
-        }
-        for one in hit.into_iter().take(count) {
-            let wait = self.up_to(within);
-            if gateways {
-                self.after(wait, What::Kill(one));
-                self.after(wait + back, What::Start(one));
+        let hits_gateways = fault.kind == FaultKind::RestartGateways;
+        for target in self.draw_targets(hits_gateways, fault.fraction.unwrap_or(0.0)) {
+            let delay = self.random_delay(spread);
+            let (failure, recovery) = if hits_gateways {
+                (FleetEvent::GatewayStop(target), FleetEvent::GatewayStart(target))
             } else {
-                self.after(wait, What::Change { replica: one, fault: n });
-                self.after(wait + back, What::Restore { replica: one, fault: n });
-            }
+                let (replica, fault) = (target, index);
+                (
+                    FleetEvent::ReplicaFault { replica, fault },
+                    FleetEvent::ReplicaRecovery { replica, fault },
+                )
+            };
+            self.schedule(delay, failure);
+            self.schedule(delay + duration, recovery);
+        }
+    }
+
+    /// Draws a fraction of the running gateways or replicas.
+    fn draw_targets(&mut self, from_gateways: bool, fraction: f64) -> Vec<usize> {
+        let mut running: Vec<usize> = if from_gateways {
+            (0..self.gateways.len()).filter(|index| self.gateways[*index].policy.is_some()).collect()
+        } else {
+            (0..self.replicas.len()).filter(|index| self.replicas[*index].replica.is_alive).collect()
+        };
+        let count = (running.len() as f64 * fraction).round() as usize;
+        for index in 0..count {
+            let other = self.random.chances.random_range(index..running.len());
+            running.swap(index, other);
         }
+        running.truncate(count);
+        running
     }
 
-    pub(super) fn change(&mut self, r: usize, n: usize) {
-        let (_, fault) = self.faults[n];
-        let notice = nanos(self.x.list.notice);
+    /// Applies a fault to a replica.
+    pub(super) fn apply_fault(&mut self, index: usize, fault: usize) {
+        let (_, fault) = self.fault(fault);
+        let removal_delay = nanos(self.experiment.list_service.removal_delay);
+        let faults = &mut self.replicas[index].replica.faults;
         match fault.kind {
             FaultKind::KillReplicas => {
-                self.die(r);
-                self.publish(notice, r, Phase::Gone, None);
+                self.crash_replica(index);
+                self.publish_later(removal_delay, index, Phase::Gone, None);
             }
             FaultKind::SilenceReplicas => {
-                self.replicas[r].silent = true;
-                self.publish(notice, r, Phase::Gone, None);
+                faults.is_unreachable = true;
+                self.publish_later(removal_delay, index, Phase::Gone, None);
             }
-            FaultKind::SlowReplicas => self.replicas[r].slowness = fault.factor.unwrap_or(1.0),
-            FaultKind::ErrorReplicas => self.replicas[r].errors = fault.part.unwrap_or(0.0),
-            // Nothing to publish: the process runs.
-            FaultKind::HangReplicas => self.replicas[r].hangs = true,
+            FaultKind::SlowReplicas => faults.slowdown = fault.slowdown.unwrap_or(1.0),
+            FaultKind::ErrorReplicas => faults.error_fraction = fault.error_fraction.unwrap_or(0.0),
+            // Its process runs, so the list does not change.
+            FaultKind::HangReplicas => faults.is_hanging = true,
             FaultKind::ReplaceReplicas => {
-                self.publish(0, r, Phase::Draining, self.members[r].started);
-                self.after(DRAIN, What::Leave(r));
+                self.publish_later(0, index, Phase::Draining, self.replicas[index].member.started);
+                self.schedule(MIN_DRAIN_TIME, FleetEvent::ReplicaStop(index));
             }
             FaultKind::RestartGateways | FaultKind::ListOutage => {}
         }
     }
 
-    pub(super) fn restore(&mut self, r: usize, n: usize) {
-        let (name, fault) = self.faults[n];
-        let (now, add) = (self.now, nanos(self.x.list.add));
+    /// Ends a fault of a replica.
+    pub(super) fn recover(&mut self, index: usize, fault: usize) {
+        let (name, fault) = self.fault(fault);
+        let faults = &mut self.replicas[index].replica.faults;
         match fault.kind {
-            FaultKind::KillReplicas | FaultKind::SilenceReplicas => {
-                if fault.kind == FaultKind::SilenceReplicas {
-                    self.die(r);
-                }
-                self.replicas[r].start(now);
-                self.note(r);
-                self.publish(add, r, Phase::Ready, Some(now));
+            FaultKind::KillReplicas => self.restart_replica(index),
+            FaultKind::SilenceReplicas => {
+                self.crash_replica(index);
+                self.restart_replica(index);
             }
-            FaultKind::SlowReplicas => self.replicas[r].slowness = 1.0,
-            FaultKind::ErrorReplicas => self.replicas[r].errors = 0.0,
+            FaultKind::SlowReplicas => faults.slowdown = 1.0,
+            FaultKind::ErrorReplicas => faults.error_fraction = 0.0,
             FaultKind::HangReplicas => {
-                self.replicas[r].hangs = false;
-                self.wake(r);
-            }
-            FaultKind::ReplaceReplicas => {
-                let (zone, kind) = (self.replicas[r].zone, self.replicas[r].kind);
-                let fresh = self.add_replica(format!("{name}-{r}"), zone, kind, 1.0, Some(now));
-                // Not listed until the service has heard of it.
-                self.members[fresh].phase = Phase::Gone;
-                self.publish(add, fresh, Phase::Ready, Some(now));
+                faults.is_hanging = false;
+                self.begin_step(index);
             }
+            FaultKind::ReplaceReplicas => self.start_replacement(index, format!("{name}-{index}")),
             FaultKind::RestartGateways | FaultKind::ListOutage => {}
         }
     }
 
-    /// A drained real server goes, once it has nothing left to do.
-    pub(super) fn leave(&mut self, r: usize) {
-        if self.replicas[r].in_hand() > 0 {
-            return self.after(SECOND / 10, What::Leave(r));
+    fn restart_replica(&mut self, index: usize) {
+        let now = self.now();
+        self.replicas[index].replica.start(now);
+        self.record_replica(index);
+        let delay = nanos(self.experiment.list_service.addition_delay);
+        self.publish_later(delay, index, Phase::Ready, Some(now));
+    }
+
+    fn start_replacement(&mut self, replaced: usize, name: String) {
+        let now = self.now();
+        let replica = &self.replicas[replaced].replica;
+        let (zone, kind) = (replica.zone, replica.kind);
+        let spec = ReplicaSpec { name, zone, kind, speed_factor: 1.0, started: Some(now) };
+        let replacement = self.add_replica(spec);
+        // It is not listed until the service has detected it.
+        self.replicas[replacement].member.phase = Phase::Gone;
+        let delay = nanos(self.experiment.list_service.addition_delay);
+        self.publish_later(delay, replacement, Phase::Ready, Some(now));
+    }
+
+    /// Stops a draining replica once it has no requests left.
+    pub(super) fn stop_drained(&mut self, index: usize) {
+        if self.replicas[index].replica.in_flight() > 0 {
+            return self.schedule(DRAIN_CHECK_INTERVAL, FleetEvent::ReplicaStop(index));
         }
-        self.die(r);
-        self.publish(nanos(self.x.list.notice), r, Phase::Gone, None);
+        self.crash_replica(index);
+        let delay = nanos(self.experiment.list_service.removal_delay);
+        self.publish_later(delay, index, Phase::Gone, None);
     }
 }
--- a/crates/simulator/src/fleet/list_service.rs
+++ b/crates/simulator/src/fleet/list_service.rs
@@ -1,133 +1,167 @@
-//! The list service: calls one after another, and changes for those who watch.
+//! The list service: it serves calls one after another, and publishes changes to watchers.
 
-use super::{Arc, BTreeMap, Event, Fleet, ListKind, Member, Nanos, Phase, SECOND, What, nanos};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use tulipridge::types::{Event, ListKind, Member, Nanos, Phase};
+
+use super::events::{FleetEvent, GatewayProcess, ListCall};
+use super::state::{Fleet, PendingChange};
+use crate::time::{SECOND, nanos};
 
 impl Fleet<'_> {
-    pub(super) fn list_call(&mut self, gateway: usize) {
-        self.last_call += 1;
-        self.record.list_call();
-        let call = self.last_call;
-        let at = &mut self.gateways[gateway];
-        at.call = Some(call);
-        let epoch = at.epoch;
-        // Each call before it takes its time.
-        let wait = self.list_work().saturating_mul(self.calls.len() as u64 + 1);
-        if let Some(most) = self.x.list.sheds_after.map(nanos).filter(|most| wait > *most) {
-            return self.after(0, What::ListRefused { gateway, epoch, call, wait: most });
+    /// Sends a gateway's call to the list service.
+    pub(super) fn call_list_service(&mut self, gateway: usize) {
+        self.list_service.last_call += 1;
+        self.recorder.add_list_call();
+        let call = ListCall { caller: self.gateway_process(gateway), number: self.list_service.last_call };
+        self.gateways[gateway].list_call = Some(call.number);
+        // Calls are served one after the other.
+        let wait = self.list_call_duration().saturating_mul(self.list_service.queue.len() as u64 + 1);
+        let max_wait = self.experiment.list_service.max_queue_wait.map(nanos);
+        if let Some(max_wait) = max_wait.filter(|max_wait| wait > *max_wait) {
+            return self.schedule(0, FleetEvent::ListCallRejected { call, wait: max_wait });
         }
-        if self.now >= self.list_away_until {
-            self.calls.push_back((gateway, epoch, call));
-            if self.calls.len() == 1 {
-                self.after(self.list_work(), What::ListServed);
+        if self.now() >= self.list_service.unavailable_until {
+            self.list_service.queue.push_back(call);
+            if self.list_service.queue.len() == 1 {
+                self.schedule(self.list_call_duration(), FleetEvent::ListCallServed);
             }
         }
-        self.after(nanos(self.x.list.timeout), What::ListTimeOut { gateway, epoch, call });
+        let timeout = nanos(self.experiment.list_service.timeout);
+        self.schedule(timeout, FleetEvent::ListCallTimeout(call));
     }
 
-    pub(super) fn list_work(&self) -> Nanos {
-        (SECOND as f64 / self.x.list.calls_per_s) as Nanos
+    fn list_call_duration(&self) -> Nanos {
+        (SECOND as f64 / self.experiment.list_service.calls_per_s) as Nanos
     }
 
-    pub(super) fn list_served(&mut self) {
-        let Some((g, epoch, call)) = self.calls.pop_front() else { return };
-        if !self.calls.is_empty() {
-            self.after(self.list_work(), What::ListServed);
+    /// Completes the call at the head of the queue.
+    pub(super) fn serve_list_call(&mut self) {
+        let Some(call) = self.list_service.queue.pop_front() else { return };
+        if !self.list_service.queue.is_empty() {
+            self.schedule(self.list_call_duration(), FleetEvent::ListCallServed);
         }
-        let gateway = &mut self.gateways[g];
-        let away = self.now < self.list_away_until;
-        if away || gateway.epoch != epoch || gateway.call != Some(call) {
-            // It has given up, or is not there any more; the work was done all the same. Or the answer is lost.
+        // The response is lost in an outage, or if the caller has timed out or stopped.
+        if self.now() < self.list_service.unavailable_until || !self.is_pending(call) {
             return;
         }
-        (gateway.call, gateway.watches) = (None, true);
-        let members: Arc<[Member]> =
-            self.members.iter().filter(|m| m.phase != Phase::Gone).cloned().collect();
-        self.after(0, What::ListNews { gateway: g, epoch, kind: ListKind::Whole, members });
+        let gateway = &mut self.gateways[call.caller.gateway];
+        gateway.list_call = None;
+        gateway.is_watching = true;
+        let (process, kind, members) = (call.caller, ListKind::Whole, self.complete_list());
+        self.schedule(0, FleetEvent::ListUpdate { process, kind, members });
+    }
+
+    fn is_pending(&self, call: ListCall) -> bool {
+        self.is_current(call.caller) && self.gateways[call.caller.gateway].list_call == Some(call.number)
+    }
+
+    fn complete_list(&self) -> Arc<[Member]> {
+        let members = self.replicas.iter().map(|entry| &entry.member);
+        members.filter(|member| member.phase != Phase::Gone).cloned().collect()
     }
 
-    pub(super) fn list_timed_out(&mut self, g: usize, epoch: u32, call: u64) {
-        let gateway = &mut self.gateways[g];
-        if gateway.epoch == epoch && gateway.call == Some(call) {
-            gateway.call = None;
-            self.record.list_failed += 1;
-            self.tell(g, Event::List { kind: ListKind::Failed, members: Arc::from([]) });
+    /// Fails a call that is still pending.
+    pub(super) fn fail_list_call(&mut self, call: ListCall) {
+        if self.is_pending(call) {
+            self.gateways[call.caller.gateway].list_call = None;
+            self.recorder.counters.list_calls_failed += 1;
+            let event = Event::List { kind: ListKind::Failed, members: Arc::from([]) };
+            self.notify_policy(call.caller.gateway, event);
         }
     }
 
-    pub(super) fn list_news(&mut self, g: usize, epoch: u32, kind: ListKind, members: Arc<[Member]>) {
-        let gateway = &mut self.gateways[g];
-        if gateway.epoch != epoch {
+    /// Delivers a list or its changes to a gateway.
+    pub(super) fn receive_list(&mut self, process: GatewayProcess, kind: ListKind, members: Arc<[Member]>) {
+        if !self.is_current(process) {
             return;
         }
+        let now = self.queue.now();
+        let gateway = &mut self.gateways[process.gateway];
         if kind == ListKind::Whole {
-            gateway.known.clear();
+            gateway.known_members.clear();
             if !std::mem::replace(&mut gateway.has_list, true) {
-                self.record.list_waits.push(self.now - gateway.started);
+                self.recorder.counters.list_waits.push(now - gateway.started);
             }
         }
         for member in members.iter() {
-            if let Some(&r) = self.index.get(&member.id) {
-                gateway.known.insert(r, member.clone());
+            if let Some(&replica) = self.replica_index.get(&member.id) {
+                gateway.known_members.insert(replica, member.clone());
             }
         }
-        self.tell(g, Event::List { kind, members });
+        self.notify_policy(process.gateway, Event::List { kind, members });
     }
 
-    /// What has become known since the last tick goes to all that watch.
-    pub(super) fn list_tick(&mut self) {
-        self.after(nanos(self.x.list.period), What::ListTick);
-        let now = self.now;
-        if now < self.list_away_until {
-            // What is due waits for its return.
+    /// Publishes the changes that are known by now to all watchers.
+    pub(super) fn publish_changes(&mut self) {
+        let settings = &self.experiment.list_service;
+        self.schedule(nanos(settings.publish_interval), FleetEvent::ListPublication);
+        if self.now() < self.list_service.unavailable_until {
+            // Changes are published after the outage.
             return;
         }
-        if self.x.list.push {
-            self.push_whole();
+        if settings.push {
+            self.push_complete_list();
         }
-        let mut due: Vec<_> = self.pending.extract_if(.., |(at, ..)| *at <= now).collect();
-        due.sort_by_key(|(at, r, ..)| (*at, *r));
-        let mut changed = BTreeMap::new();
-        for (_, r, phase, started) in due {
-            let member = &mut self.members[r];
-            (member.phase, member.started) = (phase, started);
-            changed.insert(r, member.clone());
-        }
-        if changed.is_empty() {
+        let members = self.apply_due_changes();
+        if members.is_empty() {
             return;
         }
-        let members: Arc<[Member]> = changed.into_values().collect();
-        let spread = nanos(self.x.list.spread);
-        for g in 0..self.gateways.len() {
-            if self.gateways[g].watches {
-                let (wait, epoch) = (self.up_to(spread), self.gateways[g].epoch);
-                let (kind, members) = (ListKind::Changes, Arc::clone(&members));
-                self.after(wait, What::ListNews { gateway: g, epoch, kind, members });
+        for gateway in 0..self.gateways.len() {
+            if self.gateways[gateway].is_watching {
+                let delay = self.random_delay(nanos(settings.delivery_spread));
+                let (process, members) = (self.gateway_process(gateway), Arc::clone(&members));
+                self.schedule(delay, FleetEvent::ListUpdate { process, kind: ListKind::Changes, members });
             }
         }
     }
 
-    /// The whole list to each gateway that has started since the last tick, unasked.
-    fn push_whole(&mut self) {
-        let there = self.members.iter().filter(|m| m.phase != Phase::Gone);
-        let members: Arc<[Member]> = there.cloned().collect();
-        for g in 0..self.gateways.len() {
-            let gateway = &mut self.gateways[g];
-            if gateway.policy.is_some() && !std::mem::replace(&mut gateway.watches, true) {
-                let (epoch, members) = (gateway.epoch, Arc::clone(&members));
-                self.after(0, What::ListNews { gateway: g, epoch, kind: ListKind::Whole, members });
+    /// Applies the changes that are known by now to the list, and returns the changed members.
+    fn apply_due_changes(&mut self) -> Arc<[Member]> {
+        let now = self.now();
+        let pending = &mut self.list_service.pending_changes;
+        let mut due: Vec<PendingChange> =
+            pending.extract_if(.., |change| change.known_from <= now).collect();
+        due.sort_by_key(|change| (change.known_from, change.replica));
+        let mut changed = BTreeMap::new();
+        for change in due {
+            let member = &mut self.replicas[change.replica].member;
+            member.phase = change.phase;
+            member.started = change.started;
+            changed.insert(change.replica, member.clone());
+        }
+        changed.into_values().collect()
+    }
+
+    /// Pushes the complete list to each gateway that has started since the last publication.
+    fn push_complete_list(&mut self) {
+        let list = self.complete_list();
+        for index in 0..self.gateways.len() {
+            let gateway = &mut self.gateways[index];
+            if gateway.policy.is_some() && !std::mem::replace(&mut gateway.is_watching, true) {
+                let (process, members) = (self.gateway_process(index), Arc::clone(&list));
+                self.schedule(0, FleetEvent::ListUpdate { process, kind: ListKind::Whole, members });
             }
         }
     }
 
-    /// A change is known after `wait`, or as late as the experiment says. What was not yet known by then of the same
-    /// real server is out of date and never will be.
-    pub(super) fn publish(&mut self, wait: Nanos, r: usize, phase: Phase, started: Option<Nanos>) {
-        let wait = match &self.x.list.late {
-            Some(late) => nanos(late.least) + self.up_to(nanos(late.most) - nanos(late.least)),
-            None => wait,
+    /// Makes a change known to the list service after `delay`, or after the experiment's delay if it has one. Earlier
+    /// changes of the same replica that would become known later are outdated and dropped.
+    pub(super) fn publish_later(
+        &mut self,
+        delay: Nanos,
+        replica: usize,
+        phase: Phase,
+        started: Option<Nanos>,
+    ) {
+        let delay = match &self.experiment.list_service.change_delay {
+            Some(range) => nanos(range.min) + self.random_delay(nanos(range.max) - nanos(range.min)),
+            None => delay,
         };
-        let at = self.now + wait;
-        self.pending.retain(|(due, of, ..)| *of != r || *due < at);
-        self.pending.push((at, r, phase, started));
+        let known_from = self.now() + delay;
+        let pending = &mut self.list_service.pending_changes;
+        pending.retain(|change| change.replica != replica || change.known_from < known_from);
+        pending.push(PendingChange { known_from, replica, phase, started });
     }
 }
--- a/crates/simulator/src/fleet/replicas.rs
+++ b/crates/simulator/src/fleet/replicas.rs
@@ -1,104 +1,142 @@
-//! Real servers: their steps, their reports, their deaths, and what cold ones are sent.
+//! Replicas: their steps, load reports and crashes, and the work that they are sent in slow start.
 
-use super::{ANSWER_COST, Distribution, Fleet, Normal, SECOND, StepEvent, Verdict, What, nanos};
+use rand_distr::{Distribution, Normal};
+use tulipridge::types::Verdict;
+
+use super::events::{AttemptEnd, FleetEvent, ReplicaProcess};
+use super::state::{Fleet, LoadReport, RESPONSE_COST_TOKENS, WorkSample};
+use crate::experiment::Class;
+use crate::replica::{AttemptId, StepEvent};
+use crate::time::{SECOND, nanos};
+
+/// The mean cost of a request of a class, in prompt tokens.
+fn mean_cost_tokens(class: &Class) -> f64 {
+    let [min_prefix, max_prefix] = class.prefix_tokens;
+    let [min_turn, max_turn] = class.turn_tokens;
+    f64::from(min_prefix + max_prefix + min_turn + max_turn) / 2.0 + RESPONSE_COST_TOKENS
+}
 
 impl Fleet<'_> {
-    pub(super) fn refresh_reports(&mut self) {
-        let Some(reports) = &self.x.replicas.reports else { return };
-        let period = nanos(reports.period);
-        self.after(period, What::Reports);
+    /// Measures the load of all replicas, and schedules the next measurement.
+    pub(super) fn measure_load_reports(&mut self) {
+        let Some(reports) = &self.experiment.replicas.load_reports else { return };
+        let (period, now) = (nanos(reports.period), self.now());
+        self.schedule(period, FleetEvent::LoadReports);
         let noise = Normal::new(1.0, reports.noise).ok();
-        for r in 0..self.replicas.len() {
-            let busy = self.replicas[r].busy_time(self.now) as f64 / period as f64;
-            // Busy steps that are half empty are half the use.
-            let util = busy * self.replicas[r].filled();
-            let noisy = util * noise.map_or(1.0, |d| d.sample(&mut self.chances));
-            let shown = &mut self.reports[r];
-            shown.push_back((self.now + nanos(reports.delay), noisy.clamp(0.0, 1.0)));
-            while shown.get(1).is_some_and(|(at, _)| *at <= self.now) {
-                shown.pop_front();
+        for entry in &mut self.replicas {
+            let busy = entry.replica.take_busy_time(now) as f64 / period as f64;
+            // Steps with a half empty batch count half.
+            let utilization = busy * entry.replica.batch_utilization();
+            let factor = noise.map_or(1.0, |noise| noise.sample(&mut self.random.chances));
+            entry.reports.push_back(LoadReport {
+                visible_from: now + nanos(reports.delay),
+                utilization: (utilization * factor).clamp(0.0, 1.0),
+            });
+            while entry.reports.get(1).is_some_and(|report| report.visible_from <= now) {
+                entry.reports.pop_front();
             }
         }
     }
 
-    pub(super) fn report(&self, r: usize) -> Vec<f64> {
-        let shown = self.reports[r].iter().rev().find(|(at, _)| *at <= self.now);
-        shown.map_or(Vec::new(), |(_, util)| vec![*util, 0.0])
+    /// The newest visible load report of a replica: utilization and errors; empty if there is none.
+    pub(super) fn load_report(&self, index: usize) -> Vec<f64> {
+        let now = self.now();
+        let visible = self.replicas[index].reports.iter().rev().find(|report| report.visible_from <= now);
+        visible.map_or(Vec::new(), |report| vec![report.utilization, 0.0])
     }
 
-    /// Breaks off what a real server had in hand.
-    pub(super) fn die(&mut self, r: usize) {
-        for (request, attempt) in self.replicas[r].die() {
-            let Some(flight) = &self.flights[request as usize] else { continue };
-            let way = self.way(flight.gateway, r);
-            self.after(way, What::Over { request, attempt, verdict: Verdict::Reset, kept: None });
+    /// Crashes a replica: its requests are reset and its connections closed.
+    pub(super) fn crash_replica(&mut self, index: usize) {
+        for id in self.replicas[index].replica.crash() {
+            let Some(request) = &self.requests[id.request as usize] else { continue };
+            let latency = self.latency(request.process.gateway, index);
+            self.schedule_end(latency, id, Verdict::Reset);
         }
-        self.idle.retain(|(_, replica), _| *replica != r);
-        self.note(r);
+        self.idle_connections.retain(|link, _| link.replica != index);
+        self.record_replica(index);
     }
 
-    /// How much a cold real server is sent in the site's span, beside what makes it fall.
-    pub(super) fn cold_send(&mut self, r: usize, cost: f64) {
-        let replica = &self.replicas[r];
-        let warmth = replica.warmth(self.now, &self.x.replicas);
-        if warmth >= 1.0 || !replica.alive {
+    /// Records work that is sent to a replica, and how near to overload it is in slow start.
+    pub(super) fn record_slow_start_work(&mut self, index: usize, cost_tokens: f64) {
+        let now = self.now();
+        let settings = &self.experiment.replicas;
+        let entry = &mut self.replicas[index];
+        let capacity = entry.replica.available_capacity(now, settings);
+        if capacity >= 1.0 || !entry.replica.is_alive {
             return;
         }
-        let span = nanos(self.x.replicas.fall);
-        let sent = &mut self.sent_to_cold[r];
-        sent.push_back((self.now, cost));
-        while sent.front().is_some_and(|(at, _)| at + span <= self.now) {
-            sent.pop_front();
+        let window = nanos(settings.overload_window);
+        let work = &mut entry.slow_start_work;
+        work.push_back(WorkSample { sent: now, cost_tokens });
+        while work.front().is_some_and(|sample| sample.sent + window <= now) {
+            work.pop_front();
         }
-        // Its part of what the tenants' quotas ask of the fleet counts as what it can do, by its size.
-        let quota: f64 = self.x.tenants.values().map(|t| t.quota).sum();
-        let size: f64 = self.replicas.iter().filter(|r| r.alive).map(|r| r.size).sum();
-        let mean = |c: &crate::experiment::Class| {
-            f64::from(c.beginning[0] + c.beginning[1] + c.adds[0] + c.adds[1]) / 2.0 + ANSWER_COST
-        };
-        let each: f64 = self.x.classes.values().map(|c| c.share * mean(c)).sum();
-        let able = quota * each * replica.size / size.max(f64::MIN_POSITIVE) * warmth;
-        if able > 0.0 && self.now >= nanos(self.x.warmup) {
-            let most = self.x.replicas.fall_multiple * able * (span as f64 / SECOND as f64);
-            let sum: f64 = sent.iter().map(|(_, cost)| cost).sum();
-            self.record.cold_worst = self.record.cold_worst.max(sum / most);
+        let sum: f64 = work.iter().map(|sample| sample.cost_tokens).sum();
+        let sustainable = self.sustainable_tokens_per_s(index, capacity);
+        if sustainable > 0.0 && now >= nanos(self.experiment.warmup) {
+            let max = settings.overload_factor * sustainable * (window as f64 / SECOND as f64);
+            let counters = &mut self.recorder.counters;
+            counters.max_slow_start_overload = counters.max_slow_start_overload.max(sum / max);
         }
     }
 
-    pub(super) fn note(&mut self, r: usize) {
-        let replica = &self.replicas[r];
-        self.record.state(self.now, r, replica.alive, replica.in_hand(), replica.queued());
+    /// The work that a replica can sustain: its part, by size, of the work that the tenants' quotas demand of the fleet,
+    /// at its available capacity.
+    fn sustainable_tokens_per_s(&self, index: usize, capacity: f64) -> f64 {
+        let quota: f64 = self.experiment.tenants.values().map(|tenant| tenant.quota_per_s).sum();
+        let alive = self.replicas.iter().filter(|entry| entry.replica.is_alive);
+        let fleet_size: f64 = alive.map(|entry| entry.replica.size).sum();
+        let classes = self.experiment.classes.values();
+        let mean_cost: f64 = classes.map(|class| class.session_fraction * mean_cost_tokens(class)).sum();
+        let size = self.replicas[index].replica.size;
+        quota * mean_cost * size / fleet_size.max(f64::MIN_POSITIVE) * capacity
     }
 
-    pub(super) fn wake(&mut self, r: usize) {
-        let all = &self.x.replicas;
-        if let Some(took) = self.replicas[r].begin(self.now, all) {
-            let life = self.replicas[r].life;
-            self.after(took, What::Step { replica: r, life });
-            self.note(r);
+    /// Begins a step of a replica if it has work and none is in progress.
+    pub(super) fn begin_step(&mut self, index: usize) {
+        let now = self.now();
+        let replica = &mut self.replicas[index].replica;
+        if let Some(duration) = replica.begin_step(now, &self.experiment.replicas) {
+            let process = ReplicaProcess { replica: index, incarnation: replica.incarnation };
+            self.schedule(duration, FleetEvent::StepEnded(process));
+            self.record_replica(index);
         }
     }
 
-    pub(super) fn step(&mut self, r: usize, life: u32) {
-        if self.replicas[r].life != life {
+    /// Whether a process of a replica is its current one.
+    fn is_current_replica(&self, process: ReplicaProcess) -> bool {
+        self.replicas[process.replica].replica.incarnation == process.incarnation
+    }
+
+    /// Ends a step of a replica: sends its events to the gateways, and begins the next step.
+    pub(super) fn end_step(&mut self, process: ReplicaProcess) {
+        if !self.is_current_replica(process) {
             return;
         }
-        let mut events = std::mem::take(&mut self.step_events);
-        self.replicas[r].end(self.now, &mut events);
+        let now = self.now();
+        let mut events = std::mem::take(&mut self.buffers.step_events);
+        self.replicas[process.replica].replica.end_step(now, &mut events);
         for event in events.drain(..) {
-            let (StepEvent::First(id) | StepEvent::Done(id, _)) = event;
-            let Some(flight) = &self.flights[id.0 as usize] else { continue };
-            let way = self.way(flight.gateway, r);
-            match event {
-                StepEvent::First((request, attempt)) => self.after(way, What::Begin { request, attempt }),
-                StepEvent::Done((request, attempt), kept) => {
-                    let (verdict, kept) = (Verdict::Ok, Some(kept));
-                    self.after(way, What::Over { request, attempt, verdict, kept });
+            let Some(request) = &self.requests[event.id().request as usize] else { continue };
+            let latency = self.latency(request.process.gateway, process.replica);
+            let event = match event {
+                StepEvent::FirstToken(id) => FleetEvent::FirstToken(id),
+                StepEvent::Completed { id, cached_tokens } => {
+                    let cached_tokens = Some(cached_tokens);
+                    FleetEvent::AttemptEnded(AttemptEnd { id, verdict: Verdict::Ok, cached_tokens })
                 }
-            }
+            };
+            self.schedule(latency, event);
+        }
+        self.buffers.step_events = events;
+        self.record_replica(process.replica);
+        self.begin_step(process.replica);
+    }
+
+    /// Cancels an attempt at a replica.
+    pub(super) fn cancel_at_replica(&mut self, process: ReplicaProcess, id: AttemptId) {
+        if self.is_current_replica(process) && self.replicas[process.replica].replica.cancel(id) {
+            self.record_replica(process.replica);
         }
-        self.step_events = events;
-        self.note(r);
-        self.wake(r);
     }
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,12 +1,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-//! The fleet laboratory: many gateways with the real decision module, in virtual time, against emulated real
-//! servers. `docs/lab.md` says how to use it, `docs/design/lab.md` why it is so.
+//! Simulates a fleet in virtual time: many gateways with the real decision module, against emulated replicas.
+//!
+//! `docs/simulator.md` says how to use it, `docs/design/simulator.md` why it is so. Modules import one way: `time` and
+//! `random`; `experiment`; `replica`, `policy` and `record`; `fleet`; `report`.
 
-pub mod chance;
 pub mod experiment;
 pub mod fleet;
 pub mod policy;
+pub mod random;
 pub mod record;
 pub mod replica;
 pub mod report;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,6 @@
-//! `tulipridge-simulator`: plays an experiment, checks one, sets two reports side by side.
+//! `tulipridge-simulator`: simulates an experiment, checks one, or compares two reports.
+
+mod error;
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,33 +11,35 @@
 use tulipridge_simulator::experiment::Experiment;
 use tulipridge_simulator::report::Report;
 
+use crate::error::CommandError;
+
 /// Fleets of gateways in virtual time.
 #[derive(Parser)]
 #[command(version)]
-struct Args {
+struct Arguments {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Plays an experiment and writes report.json, report.html and its plots as SVG
+enum Command {
+    /// Simulates an experiment and writes report.json, report.html and its plots as SVG
     Run {
         /// The experiment, in HCL
         file: PathBuf,
-        /// Where the report goes
+        /// The folder of the report
         #[arg(long, default_value = "target/lab")]
         out: PathBuf,
-        /// Another seed than the file's
+        /// A seed in place of the file's
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Says what is wrong with an experiment, and plays nothing
+    /// Checks an experiment without simulating it
     Check {
         /// The experiment, in HCL
         file: PathBuf,
     },
-    /// Sets a report beside an earlier one of the same experiment and seed
+    /// Compares a report with an earlier one of the same experiment and seed
     Compare {
         /// The report.json of before
         before: PathBuf,
@@ -45,53 +49,69 @@
 }
 
 fn main() -> ExitCode {
-    match work(Args::parse().what) {
+    match run(Arguments::parse().command) {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(fault) => {
-            eprintln!("tulipridge-simulator: {fault}");
+        Err(error) => {
+            eprintln!("tulipridge-simulator: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn work(what: What) -> Result<String, String> {
-    match what {
-        What::Check { file } => {
-            let x = load(&file)?;
-            Ok(format!("{}: {} policies, {} faults\n", file.display(), x.policies.len(), x.faults.len()))
-        }
-        What::Compare { before, now } => report(&now)?.beside(&report(&before)?),
-        What::Run { file, out, seed } => {
-            let mut x = load(&file)?;
-            x.seed = seed.unwrap_or(x.seed);
-            let began = Instant::now();
-            let report = Report::play(&x)?;
-            let (took, played) = (began.elapsed().as_secs_f64(), (x.warmup + x.length).as_secs_f64());
-            eprintln!("{played:.0} s played in {took:.1} s, {} policies side by side", x.policies.len());
-            fs::create_dir_all(&out).map_err(|e| format!("{}: {e}", out.display()))?;
-            let mut files = vec![("report.json".to_owned(), report.json()?)];
-            files.push(("report.html".to_owned(), report.html()?));
-            files.extend(report.plots()?.into_iter().map(|(name, _, svg)| (format!("{name}.svg"), svg)));
-            for (name, text) in files {
-                let path = out.join(name);
-                fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
-            }
-            Ok(report.text())
-        }
+/// Runs a command and returns what it prints.
+fn run(command: Command) -> Result<String, CommandError> {
+    match command {
+        Command::Check { file } => check(&file),
+        Command::Compare { before, now } => Ok(read_report(&now)?.compare(&read_report(&before)?)?),
+        Command::Run { file, out, seed } => simulate(&file, &out, seed),
     }
 }
 
-fn read(path: &Path) -> Result<String, String> {
-    fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
+fn check(file: &Path) -> Result<String, CommandError> {
+    let experiment = read_experiment(file)?;
+    let (policies, faults) = (experiment.policies.len(), experiment.faults.len());
+    Ok(format!("{}: {policies} policies, {faults} faults\n", file.display()))
+}
+
+fn simulate(file: &Path, folder: &Path, seed: Option<u64>) -> Result<String, CommandError> {
+    let mut experiment = read_experiment(file)?;
+    experiment.seed = seed.unwrap_or(experiment.seed);
+    let began = Instant::now();
+    let report = Report::simulate(&experiment)?;
+    let elapsed_s = began.elapsed().as_secs_f64();
+    let simulated_s = (experiment.warmup + experiment.duration).as_secs_f64();
+    let policies = experiment.policies.len();
+    eprintln!("{simulated_s:.0} s simulated in {elapsed_s:.1} s, {policies} policies side by side");
+    write_report(folder, &report)?;
+    Ok(report.text())
+}
+
+fn write_report(folder: &Path, report: &Report) -> Result<(), CommandError> {
+    fs::create_dir_all(folder).map_err(|source| CommandError::file(folder, source))?;
+    write_file(&folder.join("report.json"), &report.json()?)?;
+    write_file(&folder.join("report.html"), &report.html()?)?;
+    for plot in report.plots()? {
+        write_file(&folder.join(format!("{}.svg", plot.name)), &plot.svg)?;
+    }
+    Ok(())
+}
+
+fn write_file(path: &Path, text: &str) -> Result<(), CommandError> {
+    fs::write(path, text).map_err(|source| CommandError::file(path, source))
+}
+
+fn read_file(path: &Path) -> Result<String, CommandError> {
+    fs::read_to_string(path).map_err(|source| CommandError::file(path, source))
 }
 
-fn load(path: &Path) -> Result<Experiment, String> {
-    Experiment::parse(&path.display().to_string(), &read(path)?).map_err(|e| e.to_string())
+fn read_experiment(path: &Path) -> Result<Experiment, CommandError> {
+    Ok(Experiment::parse(&path.display().to_string(), &read_file(path)?)?)
 }
 
-fn report(path: &Path) -> Result<Report, String> {
-    serde_json::from_str(&read(path)?).map_err(|e| format!("{}: no report: {e}", path.display()))
+fn read_report(path: &Path) -> Result<Report, CommandError> {
+    let text = read_file(path)?;
+    serde_json::from_str(&text).map_err(|source| CommandError::NoReport { path: path.to_owned(), source })
 }
--- a/crates/simulator/src/policy/baseline.rs
+++ b/crates/simulator/src/policy/baseline.rs
@@ -1,5 +1,7 @@
-//! Plain policies: one way to choose each, and the same simple rest for all: a server that failed is passed over
-//! for two seconds, a failed attempt is made again elsewhere, and what nobody can take is refused.
+//! Baseline policies: one way of selection each, and the same simple rest for all.
+//!
+//! A replica that failed is ejected for two seconds, a failed attempt is retried at another replica, and a request for
+//! which there is none is rejected.
 
 use std::collections::BTreeMap;
 
@@ -9,263 +11,258 @@
 use tulipridge::types::{
     Action, Event, ListKind, Member, Nanos, Phase, ReplicaId, Request, RequestId, Settings, Verdict,
 };
-use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
+use xxhash_rust::xxh3::xxh3_64;
 
-use super::{PolicyKind, Truth};
-use crate::chance::drawn;
+use super::fleet_load::SharedFleetLoad;
+use super::selection::{self, Candidate, HashRing, KnownReplica};
+use crate::experiment::PolicyKind;
 use crate::time::SECOND;
 
-/// How long a server that failed is passed over.
-const PASSED_OVER: Nanos = 2 * SECOND;
-/// Virtual nodes of the largest server on the bounded ring.
-const NODES: f64 = 100.0;
-/// What a server on the bounded ring may hold, beside the mean.
-const BOUND: f64 = 1.25;
+/// How long a replica that failed is ejected.
+const EJECTION_DURATION: Nanos = 2 * SECOND;
+/// The random initial offset of round robin is below this.
+const MAX_ROUND_ROBIN_OFFSET: usize = 1 << 20;
 
-struct Server {
-    size: f64,
-    ready: bool,
-    held: u32,
-    out_until: Nanos,
-}
-
-struct Live {
+/// A request that has no response yet, or whose stream has not ended.
+struct PendingRequest {
     request: Request,
     deadline: Nanos,
-    /// Servers of its attempts; `true` while one is out.
-    attempts: Vec<(ReplicaId, bool)>,
+    attempts: Vec<PendingAttempt>,
+}
+
+struct PendingAttempt {
+    replica: ReplicaId,
+    is_in_flight: bool,
 }
 
-enum Purpose {
-    Call,
+/// What a timer is for.
+enum Timer {
+    /// Call the list service.
+    ListCall,
+    /// Fail a request.
     Deadline(RequestId),
 }
 
-/// A plain policy.
-pub struct Plain {
+/// A baseline policy.
+pub struct BaselinePolicy {
     kind: PolicyKind,
     settings: Settings,
     random: Pcg64Mcg,
-    truth: Truth,
-    servers: BTreeMap<ReplicaId, Server>,
-    ring: Vec<(u64, ReplicaId)>,
-    live: BTreeMap<RequestId, Live>,
-    timers: BTreeMap<u64, Purpose>,
+    fleet_load: SharedFleetLoad,
+    replicas: BTreeMap<ReplicaId, KnownReplica>,
+    ring: HashRing,
+    requests: BTreeMap<RequestId, PendingRequest>,
+    timers: BTreeMap<u64, Timer>,
     last_token: u64,
-    turn: usize,
-    calls: Calls,
+    round_robin: usize,
+    list_calls: Calls,
 }
 
-impl Plain {
-    /// One that knows no server yet.
-    pub fn new(kind: PolicyKind, settings: Settings, seed: u64, truth: Truth) -> Plain {
+impl BaselinePolicy {
+    /// A policy that knows no replica yet.
+    pub(super) fn new(
+        kind: PolicyKind,
+        settings: Settings,
+        seed: u64,
+        fleet_load: SharedFleetLoad,
+    ) -> BaselinePolicy {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let turn = random.random_range(0..1 << 20);
-        let calls = Calls::of(&settings);
-        Plain {
+        let round_robin = random.random_range(0..MAX_ROUND_ROBIN_OFFSET);
+        let list_calls = Calls::of(&settings);
+        BaselinePolicy {
             kind,
             settings,
             random,
-            truth,
-            servers: BTreeMap::new(),
-            ring: Vec::new(),
-            live: BTreeMap::new(),
+            fleet_load,
+            replicas: BTreeMap::new(),
+            ring: HashRing::default(),
+            requests: BTreeMap::new(),
             timers: BTreeMap::new(),
             last_token: 0,
-            turn,
-            calls,
+            round_robin,
+            list_calls,
         }
     }
 
-    /// Takes an event.
-    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+    /// Handles an event and adds the resulting actions.
+    pub(super) fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List { kind, members } => self.list(now, kind, &members, actions),
-            Event::Request(request) => {
-                let (id, deadline) = (request.id, now + request.expires_in);
-                self.timer(request.expires_in, Purpose::Deadline(id), actions);
-                self.live.insert(id, Live { request, deadline, attempts: Vec::new() });
-                self.place(now, id, actions);
-            }
-            Event::Expired(id) => self.finish(id, actions),
+            Event::List { kind, members } => self.update_list(now, kind, &members, actions),
+            Event::Request(request) => self.accept_request(now, request, actions),
+            Event::Expired(id) => self.remove_request(id, actions),
             Event::Outcome { id, attempt, verdict, ended, .. } => {
-                let Some(live) = self.live.get_mut(&id) else { return };
-                let Some((replica, out)) = live.attempts.get_mut(attempt as usize) else { return };
-                if !std::mem::replace(out, false) {
-                    return;
-                }
-                if let Some(server) = self.servers.get_mut(replica) {
-                    server.held = server.held.saturating_sub(1);
-                    let bad = [Verdict::Error, Verdict::TimedOut, Verdict::NoConnection, Verdict::Reset];
-                    if bad.contains(&verdict) {
-                        server.out_until = now + PASSED_OVER;
-                    }
-                }
-                if ended {
-                    self.live.remove(&id);
-                } else {
-                    self.place(now, id, actions);
+                let is_failure = matches!(
+                    verdict,
+                    Verdict::Error | Verdict::TimedOut | Verdict::NoConnection | Verdict::Reset
+                );
+                if self.end_attempt(now, id, attempt as usize, is_failure) {
+                    self.continue_request(now, id, ended, actions);
                 }
             }
-            Event::Timer(token) => match self.timers.remove(&token) {
-                Some(Purpose::Call) => actions.push(Action::Watch),
-                Some(Purpose::Deadline(id)) if self.live.contains_key(&id) => self.overdue(id, actions),
-                _ => {}
-            },
+            Event::Timer(token) => self.fire_timer(token, actions),
             Event::FirstToken { id, .. } => {
-                // From here on the stream has no deadline.
-                if let Some(live) = self.live.get_mut(&id) {
-                    live.deadline = Nanos::MAX;
+                // A stream has no deadline after its first token.
+                if let Some(pending) = self.requests.get_mut(&id) {
+                    pending.deadline = Nanos::MAX;
                 }
             }
-            Event::Busy(wait) => self.calls.busy(now, wait),
+            Event::Busy(wait) => self.list_calls.busy(now, wait),
             Event::Probed { .. } | Event::Peer { .. } | Event::Loads(_) | Event::Work(..) => {}
         }
     }
 
-    fn timer(&mut self, after: Nanos, purpose: Purpose, actions: &mut Vec<Action>) {
+    fn accept_request(&mut self, now: Nanos, request: Request, actions: &mut Vec<Action>) {
+        let (id, deadline) = (request.id, now + request.expires_in);
+        self.set_timer(request.expires_in, Timer::Deadline(id), actions);
+        self.requests.insert(id, PendingRequest { request, deadline, attempts: Vec::new() });
+        self.place(now, id, actions);
+    }
+
+    /// Records the end of an attempt; false if it had ended before.
+    fn end_attempt(&mut self, now: Nanos, id: RequestId, attempt: usize, is_failure: bool) -> bool {
+        let Some(pending) = self.requests.get_mut(&id) else { return false };
+        let Some(attempt) = pending.attempts.get_mut(attempt) else { return false };
+        if !std::mem::replace(&mut attempt.is_in_flight, false) {
+            return false;
+        }
+        if let Some(replica) = self.replicas.get_mut(&attempt.replica) {
+            replica.in_flight = replica.in_flight.saturating_sub(1);
+            if is_failure {
+                replica.ejected_until = now + EJECTION_DURATION;
+            }
+        }
+        true
+    }
+
+    /// Removes a request whose stream has ended, or retries it.
+    fn continue_request(&mut self, now: Nanos, id: RequestId, has_ended: bool, actions: &mut Vec<Action>) {
+        if has_ended {
+            self.requests.remove(&id);
+        } else {
+            self.place(now, id, actions);
+        }
+    }
+
+    fn set_timer(&mut self, after: Nanos, timer: Timer, actions: &mut Vec<Action>) {
         self.last_token += 1;
-        self.timers.insert(self.last_token, purpose);
+        self.timers.insert(self.last_token, timer);
         actions.push(Action::Timer { after, token: self.last_token });
     }
 
-    fn list(&mut self, now: Nanos, kind: ListKind, members: &[Member], actions: &mut Vec<Action>) {
+    fn fire_timer(&mut self, token: u64, actions: &mut Vec<Action>) {
+        match self.timers.remove(&token) {
+            Some(Timer::ListCall) => actions.push(Action::Watch),
+            Some(Timer::Deadline(id)) => self.fail_overdue(id, actions),
+            None => {}
+        }
+    }
+
+    fn update_list(&mut self, now: Nanos, kind: ListKind, members: &[Member], actions: &mut Vec<Action>) {
         let chance = self.random.random();
         let wait = match kind {
-            ListKind::Persisted => Some(self.calls.start(now, chance)),
-            ListKind::Failed => Some(self.calls.failed(now, chance)),
+            ListKind::Persisted => Some(self.list_calls.start(now, chance)),
+            ListKind::Failed => Some(self.list_calls.failed(now, chance)),
             ListKind::Whole | ListKind::Changes | ListKind::Own => None,
         };
         match wait {
-            Some(wait) => self.timer(wait, Purpose::Call, actions),
-            None => self.calls.answered(now),
+            Some(wait) => self.set_timer(wait, Timer::ListCall, actions),
+            None => self.list_calls.answered(now),
         }
         if matches!(kind, ListKind::Whole | ListKind::Persisted) {
-            self.servers.values_mut().for_each(|s| s.ready = false);
+            self.replicas.values_mut().for_each(|replica| replica.is_ready = false);
         }
-        let mut changed = false;
+        let mut has_changed = false;
         for member in members {
-            let speed = self.settings.speeds.get(usize::from(member.kind)).copied().unwrap_or(1.0);
-            let ready = member.phase == Phase::Ready;
-            let fresh = || Server { size: 0.0, ready: false, held: 0, out_until: 0 };
-            let server = self.servers.entry(member.id.clone()).or_insert_with(fresh);
-            changed |= server.ready != ready;
-            (server.size, server.ready) = (member.units * speed, ready);
+            has_changed |= self.update_member(member);
         }
-        if changed && self.kind == PolicyKind::BoundedRing {
-            self.rebuild();
+        if has_changed && self.kind == PolicyKind::BoundedRing {
+            let ready = self.replicas.iter().filter(|(_, replica)| replica.is_ready);
+            self.ring = HashRing::build(ready);
         }
     }
 
-    fn rebuild(&mut self) {
-        let ready = || self.servers.iter().filter(|(_, s)| s.ready);
-        let largest = ready().map(|(_, s)| s.size).fold(f64::MIN_POSITIVE, f64::max);
-        self.ring.clear();
-        for (id, server) in ready() {
-            let nodes = (NODES * server.size / largest).ceil() as u64;
-            self.ring.extend((0..nodes).map(|n| (xxh3_64_with_seed(id.0.as_bytes(), n), id.clone())));
-        }
-        self.ring.sort();
+    /// Updates one replica; returns whether its readiness has changed.
+    fn update_member(&mut self, member: &Member) -> bool {
+        let speed = self.settings.speeds.get(usize::from(member.kind)).copied().unwrap_or(1.0);
+        let is_ready = member.phase == Phase::Ready;
+        let replica = self.replicas.entry(member.id.clone()).or_insert_with(KnownReplica::new);
+        replica.size = member.units * speed;
+        std::mem::replace(&mut replica.is_ready, is_ready) != is_ready
     }
 
+    /// Sends a request to a replica that it has not been sent to, or rejects it.
     fn place(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(live) = self.live.get(&id) else { return };
-        let tried: Vec<ReplicaId> = live.attempts.iter().map(|(r, _)| r.clone()).collect();
-        let spent = tried.len() >= self.settings.limits.attempts as usize || live.deadline <= now;
-        let (key, timeout) = (key_of(&live.request), live.deadline.saturating_sub(now));
-        match if spent { None } else { self.pick(now, key, &tried) } {
+        let Some(pending) = self.requests.get(&id) else { return };
+        let attempts = pending.attempts.len();
+        let is_exhausted = attempts >= self.settings.limits.attempts as usize || pending.deadline <= now;
+        let timeout = pending.deadline.saturating_sub(now);
+        match if is_exhausted { None } else { self.select(now, id) } {
             Some(replica) => {
-                if let Some(server) = self.servers.get_mut(&replica) {
-                    server.held += 1;
+                if let Some(known) = self.replicas.get_mut(&replica) {
+                    known.in_flight += 1;
                 }
-                if let Some(live) = self.live.get_mut(&id) {
-                    live.attempts.push((replica.clone(), true));
+                if let Some(pending) = self.requests.get_mut(&id) {
+                    pending.attempts.push(PendingAttempt { replica: replica.clone(), is_in_flight: true });
                 }
                 actions.push(Action::Send { id, replica, timeout, write_within: Nanos::MAX });
             }
             None => {
                 actions.push(Action::Refuse { id, wait: 0 });
-                self.finish(id, actions);
+                self.remove_request(id, actions);
             }
         }
     }
 
-    fn overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if self.live.get(&id).is_some_and(|l| l.deadline != Nanos::MAX) {
+    fn fail_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if self.requests.get(&id).is_some_and(|pending| pending.deadline != Nanos::MAX) {
             actions.push(Action::Fail(id));
-            self.finish(id, actions);
+            self.remove_request(id, actions);
         }
     }
 
-    /// Forgets a request and calls off what is still out.
-    fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(live) = self.live.remove(&id) else { return };
-        for (n, (replica, _)) in live.attempts.iter().enumerate().filter(|(_, (_, out))| *out) {
-            if let Some(server) = self.servers.get_mut(replica) {
-                server.held = server.held.saturating_sub(1);
+    /// Removes a request and cancels its attempts in flight.
+    fn remove_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.requests.remove(&id) else { return };
+        let attempts = pending.attempts.iter().enumerate();
+        for (number, attempt) in attempts.filter(|(_, attempt)| attempt.is_in_flight) {
+            if let Some(replica) = self.replicas.get_mut(&attempt.replica) {
+                replica.in_flight = replica.in_flight.saturating_sub(1);
             }
-            actions.push(Action::Cancel { id, attempt: n as u32 });
+            actions.push(Action::Cancel { id, attempt: number as u32 });
         }
     }
 
-    fn pick(&mut self, now: Nanos, key: u64, tried: &[ReplicaId]) -> Option<ReplicaId> {
-        let usable = |id: &ReplicaId, s: &Server| s.ready && s.out_until <= now && !tried.contains(id);
-        let usable: Vec<(&ReplicaId, &Server)> =
-            self.servers.iter().filter(|(id, s)| usable(id, s)).collect();
-        if usable.is_empty() {
+    fn select(&mut self, now: Nanos, id: RequestId) -> Option<ReplicaId> {
+        let pending = self.requests.get(&id)?;
+        let key = hash_key(&pending.request);
+        let was_attempted = |id: &ReplicaId| pending.attempts.iter().any(|attempt| attempt.replica == *id);
+        let candidates: Vec<Candidate<'_>> = self
+            .replicas
+            .iter()
+            .filter(|(id, replica)| replica.is_available(now) && !was_attempted(id))
+            .collect();
+        if candidates.is_empty() {
             return None;
         }
-        let mut draw = || usable[drawn(&mut self.random, usable.iter().map(|(_, s)| s.size))];
-        let load = |s: &Server| f64::from(s.held) / s.size;
-        let chosen = match self.kind {
-            PolicyKind::Module | PolicyKind::Random => draw().0,
+        let selected = match self.kind {
+            PolicyKind::Module | PolicyKind::Random => selection::random(&candidates, &mut self.random),
             PolicyKind::RoundRobin => {
-                self.turn += 1;
-                usable[self.turn % usable.len()].0
-            }
-            PolicyKind::TwoChoices => {
-                let (one, two) = (draw(), draw());
-                if load(two.1) < load(one.1) { two.0 } else { one.0 }
-            }
-            PolicyKind::LeastInFlight => {
-                let least = usable.iter().map(|(_, s)| load(s)).fold(f64::INFINITY, f64::min);
-                let equal: Vec<_> = usable.iter().filter(|(_, s)| load(s) <= least).collect();
-                // Most hold nothing: among equals the larger are drawn more often.
-                equal[drawn(&mut self.random, equal.iter().map(|(_, s)| s.size))].0
-            }
-            PolicyKind::Oracle => {
-                let truth = self.truth.borrow();
-                let load =
-                    |id: &ReplicaId| truth.get(&*id.0).map_or(0.0, |(held, places)| (held + 1.0) / places);
-                usable.iter().min_by(|a, b| load(a.0).total_cmp(&load(b.0)))?.0
+                self.round_robin += 1;
+                candidates[self.round_robin % candidates.len()].0
             }
+            PolicyKind::TwoChoices => selection::two_choices(&candidates, &mut self.random),
+            PolicyKind::LeastInFlight => selection::least_in_flight(&candidates, &mut self.random),
+            PolicyKind::Oracle => selection::oracle(&candidates, &self.fleet_load)?,
             PolicyKind::BoundedRing => {
-                let held: u32 = self.servers.values().map(|s| s.held).sum();
-                let sum: f64 = usable.iter().map(|(_, s)| s.size).sum();
-                let bound = BOUND * f64::from(held + 1) / sum;
-                let start = self.ring.partition_point(|(at, _)| *at < key);
-                let walk = (0..self.ring.len()).map(|i| &self.ring[(start + i) % self.ring.len()].1);
-                let mut over = None;
-                let mut found = None;
-                for id in walk {
-                    let Some(server) = self.servers.get(id) else { continue };
-                    if !server.ready || server.out_until > now || tried.contains(id) {
-                        continue;
-                    }
-                    over = over.or(Some(id));
-                    // At least one request fits everywhere: a bound below one would let nobody in.
-                    if f64::from(server.held + 1) <= (bound * server.size).max(1.0) {
-                        found = Some(id);
-                        break;
-                    }
-                }
-                found.or(over)?
+                let total_in_flight = self.replicas.values().map(|replica| replica.in_flight).sum();
+                self.ring.select(key, &candidates, total_in_flight)?
             }
         };
-        Some(chosen.clone())
+        Some(selected.clone())
     }
 }
 
-fn key_of(request: &Request) -> u64 {
+/// The key of a request on the hash ring: its prefix, else its session, else itself.
+fn hash_key(request: &Request) -> u64 {
     xxh3_64(&request.prefix.or(request.session).unwrap_or(request.id.0).to_le_bytes())
 }
--- a/crates/simulator/src/record/interval.rs
+++ b/crates/simulator/src/record/interval.rs
@@ -1,152 +1,197 @@
-//! The counts of one stretch of a run.
+//! Counts of the requests that arrive in an interval of a run.
 
 use hdrhistogram::Histogram;
 use tulipridge::types::Nanos;
 
-use super::server_history::ServerHistory;
+use super::outcome::RequestOutcome;
+use super::replica_history::ReplicaHistory;
 use super::statistics::{average, quantile, round, variation};
-use super::{End, Stretch, WINDOW, Window};
+use super::summary::{IntervalSummary, Window};
+use super::window::WINDOWS_PER_SECOND;
 use crate::experiment::Experiment;
 use crate::time::{SECOND, nanos};
 
-/// What follows a fault is looked at for this long.
-const AFTER: Nanos = 10 * SECOND;
-/// Up to an hour, in microseconds.
-const WAIT_MOST_MICROS: u64 = 3_600_000_000;
-/// Significant figures of a wait.
-const WAIT_FIGURES: u8 = 3;
-/// The load of a second is that of so many windows.
-pub(super) const WINDOWS_PER_SECOND: usize = (SECOND / WINDOW) as usize;
-/// Windows are matched to a stretch's bounds, in seconds, up to this error of rounding.
-const SECONDS_TOLERANCE: f64 = 1e-9;
-
-/// Counts of the requests that arrived in a stretch.
-pub(super) struct Tally {
+/// The length of the interval after a fault.
+const AFTER_FAULT: Nanos = 10 * SECOND;
+/// The maximum of a recorded latency in microseconds, an hour.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
+/// Significant digits of a recorded latency.
+const LATENCY_DIGITS: u8 = 3;
+/// Tolerance, in seconds, for rounding errors when windows are matched to an interval.
+const TOLERANCE_S: f64 = 1e-9;
+
+/// Counts of the requests that arrived in an interval.
+pub(super) struct Interval {
     name: String,
     from: Nanos,
     to: Nanos,
-    pub(super) first_tries: u64,
-    pub(super) ends: [u64; 5],
-    pub(super) worth_earned: f64,
-    pub(super) worth_asked: f64,
-    pub(super) tries: u64,
+    pub(super) counts: RequestCounts,
+}
+
+/// Counts of requests and of their attempts.
+pub(super) struct RequestCounts {
+    pub(super) requests: u64,
+    pub(super) outcomes: [u64; RequestOutcome::COUNT],
+    pub(super) value_earned: f64,
+    pub(super) value_requested: f64,
+    pub(super) client_attempts: u64,
     pub(super) attempts: u64,
     pub(super) errors: u64,
-    pub(super) spent: u64,
-    pub(super) refused_with_room: u64,
-    pub(super) kept_tokens: u64,
+    pub(super) exhausted: u64,
+    pub(super) rejected_with_free_capacity: u64,
+    pub(super) cached_tokens: u64,
     pub(super) prompt_tokens: u64,
-    pub(super) waits: Histogram<u64>,
+    /// Times to the first token in microseconds.
+    pub(super) latencies_us: Histogram<u64>,
 }
 
-impl Tally {
-    /// Of the arrivals from one time to another.
-    fn new(name: String, from: Nanos, to: Nanos) -> Tally {
-        Tally {
-            name,
-            from,
-            to,
-            first_tries: 0,
-            ends: [0; 5],
-            worth_earned: 0.0,
-            worth_asked: 0.0,
-            tries: 0,
+impl RequestCounts {
+    fn new() -> RequestCounts {
+        RequestCounts {
+            requests: 0,
+            outcomes: [0; RequestOutcome::COUNT],
+            value_earned: 0.0,
+            value_requested: 0.0,
+            client_attempts: 0,
             attempts: 0,
             errors: 0,
-            spent: 0,
-            refused_with_room: 0,
-            kept_tokens: 0,
+            exhausted: 0,
+            rejected_with_free_capacity: 0,
+            cached_tokens: 0,
             prompt_tokens: 0,
-            waits: Histogram::new_with_max(WAIT_MOST_MICROS, WAIT_FIGURES)
-                .expect("bounds that the library takes"),
+            latencies_us: Histogram::new_with_max(MAX_LATENCY_US, LATENCY_DIGITS)
+                .expect("constants within the bounds of the histogram"),
         }
     }
 
-    /// One for each stretch: before the faults, in those that last, after each, and all.
-    pub(super) fn for_stretches(x: &Experiment) -> Vec<Tally> {
-        let (warmup, end) = (nanos(x.warmup), x.end());
-        let faults = x.faults_in_order();
-        let mut tallies = Vec::new();
+    fn outcome_fraction(&self, outcome: RequestOutcome) -> f64 {
+        let finished = self.outcomes.iter().sum::<u64>().max(1) as f64;
+        round(self.outcomes[outcome as usize] as f64 / finished)
+    }
+
+    fn per_request(&self, count: u64) -> f64 {
+        round(count as f64 / self.requests.max(1) as f64)
+    }
+}
+
+/// Load statistics over the windows in an interval.
+struct WindowStatistics<'a> {
+    windows: Vec<&'a Window>,
+    max_over_mean: Vec<f64>,
+    /// The load of each replica, on average over the windows.
+    average_loads: Vec<f64>,
+}
+
+impl<'a> WindowStatistics<'a> {
+    fn new(
+        windows: &'a [Window],
+        replicas: &[ReplicaHistory],
+        is_inside: impl Fn(&Window) -> bool,
+    ) -> WindowStatistics<'a> {
+        let first = windows.iter().take_while(|window| !is_inside(window)).count();
+        let windows: Vec<&Window> = windows.iter().filter(|window| is_inside(window)).collect();
+        let average_loads = replicas
+            .iter()
+            .filter_map(|replica| average(replica.loads.iter().skip(first).take(windows.len()).flatten()))
+            .collect();
+        let mut max_over_mean: Vec<f64> = windows.iter().map(|window| window.max_over_mean).collect();
+        max_over_mean.sort_by(f64::total_cmp);
+        WindowStatistics { windows, max_over_mean, average_loads }
+    }
+
+    fn mean(&self, value: fn(&Window) -> f64) -> f64 {
+        let sum = self.windows.iter().map(|window| value(window)).sum::<f64>();
+        round(sum / self.windows.len().max(1) as f64)
+    }
+
+    fn max(&self, value: fn(&Window) -> usize) -> usize {
+        self.windows.iter().map(|window| value(window)).max().unwrap_or(0)
+    }
+
+    fn list_calls_peak(&self) -> usize {
+        let seconds = self.windows.windows(WINDOWS_PER_SECOND.min(self.windows.len()).max(1));
+        let calls = |second: &[&Window]| second.iter().map(|window| window.list_calls).sum::<usize>();
+        seconds.map(calls).max().unwrap_or(0)
+    }
+}
+
+impl Interval {
+    fn new(name: String, from: Nanos, to: Nanos) -> Interval {
+        Interval { name, from, to, counts: RequestCounts::new() }
+    }
+
+    /// The intervals of an experiment: before the faults, during and after each, and all.
+    pub(super) fn of_experiment(experiment: &Experiment) -> Vec<Interval> {
+        let (warmup, end) = (nanos(experiment.warmup), experiment.end());
+        let faults = experiment.faults_in_order();
+        let mut intervals = Vec::new();
         if let Some((_, first)) = faults.first() {
-            tallies.push(Tally::new("before".to_owned(), warmup, warmup + nanos(first.at)));
+            intervals.push(Interval::new("before".to_owned(), warmup, warmup + nanos(first.start)));
         }
         for (name, fault) in faults {
-            let start = warmup + nanos(fault.at);
-            // What restarts is looked at from where it is back, not while it is gone.
-            let back = start + nanos(fault.back);
-            if fault.kind.lasts() {
-                tallies.push(Tally::new(format!("in {name}"), start, back.min(end)));
+            let start = warmup + nanos(fault.start);
+            // After a restart the interval begins with the recovery.
+            let recovery = start + nanos(fault.duration);
+            if fault.kind.has_interval() {
+                intervals.push(Interval::new(format!("in {name}"), start, recovery.min(end)));
             }
-            tallies.push(Tally::new(format!("after {name}"), back, (back + AFTER).min(end)));
+            let after = (recovery + AFTER_FAULT).min(end);
+            intervals.push(Interval::new(format!("after {name}"), recovery, after));
         }
-        tallies.push(Tally::new("all".to_owned(), warmup, end));
-        tallies.retain(|tally| tally.from < tally.to);
-        tallies
+        intervals.push(Interval::new("all".to_owned(), warmup, end));
+        intervals.retain(|interval| interval.from < interval.to);
+        intervals
     }
 
-    /// A request that arrived then belongs to it.
-    pub(super) fn covers(&self, arrived: Nanos) -> bool {
+    /// Whether a request that arrived at a time belongs to the interval.
+    pub(super) fn contains(&self, arrived: Nanos) -> bool {
         (self.from..self.to).contains(&arrived)
     }
 
-    /// The figures that it comes to, with those of the windows in it.
-    pub(super) fn stretch(&self, warmup: Nanos, windows: &[Window], servers: &[ServerHistory]) -> Stretch {
-        let second = |at: Nanos| (at as f64 - warmup as f64) / SECOND as f64;
-        let (from_s, to_s) = (second(self.from), second(self.to));
-        let inside = |w: &Window| w.at_s >= from_s - SECONDS_TOLERANCE && w.at_s < to_s - SECONDS_TOLERANCE;
-        let first = windows.iter().take_while(|w| !inside(w)).count();
-        let windows: Vec<&Window> = windows.iter().filter(|w| inside(w)).collect();
-        let lasting: Vec<f64> = servers
-            .iter()
-            .filter_map(|s| average(s.loads.iter().skip(first).take(windows.len()).flatten()))
-            .collect();
-        let mean = |of: fn(&Window) -> f64| {
-            windows.iter().map(|w| of(w)).sum::<f64>() / windows.len().max(1) as f64
-        };
-        let mut max_over_mean: Vec<f64> = windows.iter().map(|w| w.max_over_mean).collect();
-        max_over_mean.sort_by(f64::total_cmp);
-        let seconds = windows.windows(WINDOWS_PER_SECOND.min(windows.len()).max(1));
-        let calls = |second: &[&Window]| second.iter().map(|w| w.list_calls).sum::<usize>();
-        Stretch {
+    /// The summary, with the statistics of the windows in the interval.
+    pub(super) fn summary(
+        &self,
+        warmup: Nanos,
+        windows: &[Window],
+        replicas: &[ReplicaHistory],
+    ) -> IntervalSummary {
+        let seconds = |at: Nanos| (at as f64 - warmup as f64) / SECOND as f64;
+        let (from_s, to_s) = (seconds(self.from), seconds(self.to));
+        let is_inside =
+            |window: &Window| window.at_s >= from_s - TOLERANCE_S && window.at_s < to_s - TOLERANCE_S;
+        let load = WindowStatistics::new(windows, replicas, is_inside);
+        let counts = &self.counts;
+        IntervalSummary {
             name: self.name.clone(),
             from_s,
             to_s,
-            first_tries: self.first_tries,
-            in_time: self.share_of_ends(End::InTime),
-            late: self.share_of_ends(End::Late),
-            refused: self.share_of_ends(End::Refused),
-            failed: self.share_of_ends(End::Failed),
-            broken: self.share_of_ends(End::Broken),
-            worth: round(self.worth_earned / self.worth_asked.max(f64::MIN_POSITIVE)),
-            tries: self.per_first_try(self.tries),
-            attempts: self.per_first_try(self.attempts),
-            errors: round(self.errors as f64 / self.attempts.max(1) as f64),
-            spent: self.per_first_try(self.spent),
-            refused_with_room: self.per_first_try(self.refused_with_room),
-            kept: round(self.kept_tokens as f64 / self.prompt_tokens.max(1) as f64),
-            wait_p50_ms: self.waits.value_at_quantile(0.5) as f64 / 1000.0,
-            wait_p99_ms: self.waits.value_at_quantile(0.99) as f64 / 1000.0,
-            in_hand: round(mean(|w| w.in_hand)),
-            max_over_mean_p50: round(quantile(&max_over_mean, 0.5)),
-            max_over_mean_p95: round(quantile(&max_over_mean, 0.95)),
-            max_over_mean_most: round(quantile(&max_over_mean, 1.0)),
-            cv: round(mean(|w| w.cv)),
-            cv_lasting: round(variation(&lasting)),
-            idle_while_queued: round(mean(|w| w.idle_while_queued)),
-            fresh_over_mean: round(mean(|w| w.fresh_over_mean)),
-            herd: windows.iter().map(|w| w.herd).max().unwrap_or(0),
-            connections_most: windows.iter().map(|w| w.connections_most).max().unwrap_or(0),
-            list_calls_peak: seconds.map(calls).max().unwrap_or(0),
-            list_calls: windows.iter().map(|w| w.list_calls).sum(),
+            requests: counts.requests,
+            in_time: counts.outcome_fraction(RequestOutcome::InTime),
+            late: counts.outcome_fraction(RequestOutcome::Late),
+            rejected: counts.outcome_fraction(RequestOutcome::Rejected),
+            failed: counts.outcome_fraction(RequestOutcome::Failed),
+            broken: counts.outcome_fraction(RequestOutcome::Broken),
+            value: round(counts.value_earned / counts.value_requested.max(f64::MIN_POSITIVE)),
+            client_attempts: counts.per_request(counts.client_attempts),
+            attempts: counts.per_request(counts.attempts),
+            errors: round(counts.errors as f64 / counts.attempts.max(1) as f64),
+            exhausted: counts.per_request(counts.exhausted),
+            rejected_with_free_capacity: counts.per_request(counts.rejected_with_free_capacity),
+            cached: round(counts.cached_tokens as f64 / counts.prompt_tokens.max(1) as f64),
+            first_token_p50_ms: counts.latencies_us.value_at_quantile(0.5) as f64 / 1000.0,
+            first_token_p99_ms: counts.latencies_us.value_at_quantile(0.99) as f64 / 1000.0,
+            in_flight: load.mean(|window| window.in_flight),
+            max_over_mean_p50: round(quantile(&load.max_over_mean, 0.5)),
+            max_over_mean_p95: round(quantile(&load.max_over_mean, 0.95)),
+            max_over_mean_max: round(quantile(&load.max_over_mean, 1.0)),
+            cv: load.mean(|window| window.cv),
+            cv_of_averages: round(variation(&load.average_loads)),
+            idle_while_queued: load.mean(|window| window.idle_while_queued),
+            replacements_over_mean: load.mean(|window| window.replacements_over_mean),
+            herd: load.max(|window| window.herd),
+            max_connections: load.max(|window| window.max_connections),
+            list_calls_peak: load.list_calls_peak(),
+            list_calls: load.windows.iter().map(|window| window.list_calls).sum(),
         }
     }
-
-    fn share_of_ends(&self, end: End) -> f64 {
-        let ended = self.ends.iter().sum::<u64>().max(1) as f64;
-        round(self.ends[end as usize] as f64 / ended)
-    }
-
-    fn per_first_try(&self, count: u64) -> f64 {
-        round(count as f64 / self.first_tries.max(1) as f64)
-    }
 }
--- a/crates/simulator/src/record/replica_history.rs
+++ b/crates/simulator/src/record/replica_history.rs
@@ -1,46 +1,122 @@
-//! What was seen of one real server.
+//! The recorded history of one replica.
 
 use std::collections::VecDeque;
 
 use tulipridge::types::Nanos;
 
-use super::Server;
 use super::statistics::{average, round};
-use super::tally::WINDOWS_PER_SECOND;
+use super::summary::ReplicaSummary;
+use super::window::{HERD, WINDOWS_PER_SECOND};
 
-/// One real server up to now.
+/// The state of a replica that is recorded.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReplicaState {
+    /// Whether its process runs.
+    pub is_alive: bool,
+    /// Requests in its queue and its batch.
+    pub in_flight: usize,
+    /// Requests in its queue.
+    pub queued: usize,
+}
+
+impl ReplicaState {
+    pub(super) fn is_idle(self) -> bool {
+        self.is_alive && self.in_flight == 0
+    }
+
+    pub(super) fn has_queue(self) -> bool {
+        self.is_alive && self.queued > 0
+    }
+}
+
+/// Totals of a replica after the warm-up.
 #[derive(Default)]
-pub(super) struct ServerHistory {
-    pub(super) name: String,
-    pub(super) kind: String,
+pub(super) struct ReplicaTotals {
     pub(super) arrivals: u64,
     pub(super) attempts: u64,
     pub(super) errors: u64,
-    pub(super) had_room: u64,
-    /// Its load in each window after the warm-up; none while it is not there.
+    /// Rejected attempts of clients at whose time it had free capacity.
+    pub(super) had_free_capacity: u64,
+}
+
+/// The history of one replica up to now.
+#[derive(Default)]
+pub(super) struct ReplicaHistory {
+    name: String,
+    kind: String,
+    pub(super) batch_size: f64,
+    pub(super) is_replacement: bool,
+    pub(super) totals: ReplicaTotals,
+    /// Its load in each window after the warm-up; `None` while it was down.
     pub(super) loads: Vec<Option<f64>>,
-    pub(super) places: f64,
-    pub(super) fresh: bool,
-    pub(super) alive: bool,
-    pub(super) in_hand: usize,
-    pub(super) queued: usize,
-    pub(super) since: Nanos,
-    pub(super) load: f64,
-    pub(super) recent: VecDeque<Nanos>,
+    pub(super) state: ReplicaState,
+    state_since: Nanos,
+    /// The integral of the requests in flight over the time in the current window.
+    pub(super) in_flight_time: f64,
+    recent_arrivals: VecDeque<Nanos>,
+    /// Connections that were opened in the current window.
     pub(super) connections: usize,
 }
 
-impl ServerHistory {
-    /// The figures that it comes to; `turned_down` is how many clients' tries were, wherever they were tried.
-    pub(super) fn server(&self, turned_down: u64) -> Server {
-        Server {
+impl ReplicaHistory {
+    /// A replica that appears after `windows` windows.
+    pub(super) fn new(
+        name: &str,
+        kind: &str,
+        batch_size: f64,
+        is_replacement: bool,
+        windows: usize,
+    ) -> ReplicaHistory {
+        ReplicaHistory {
+            name: name.to_owned(),
+            kind: kind.to_owned(),
+            batch_size,
+            is_replacement,
+            loads: vec![None; windows],
+            ..ReplicaHistory::default()
+        }
+    }
+
+    /// Accounts for the time in the current state and changes it.
+    pub(super) fn set_state(&mut self, now: Nanos, state: ReplicaState) {
+        self.in_flight_time += self.state.in_flight as f64 * now.saturating_sub(self.state_since) as f64;
+        self.state_since = now;
+        self.state = state;
+    }
+
+    /// Records an arrival; returns the number of arrivals within [`HERD`].
+    pub(super) fn add_arrival(&mut self, now: Nanos) -> usize {
+        self.recent_arrivals.push_back(now);
+        while self.recent_arrivals.front().is_some_and(|at| at + HERD <= now) {
+            self.recent_arrivals.pop_front();
+        }
+        self.recent_arrivals.len()
+    }
+
+    /// Requests in flight over batch size, on average over a window of `length` nanoseconds.
+    pub(super) fn load(&self, length: f64) -> f64 {
+        self.in_flight_time / length / self.batch_size
+    }
+
+    /// Ends a window of `length` nanoseconds.
+    pub(super) fn end_window(&mut self, length: f64, is_recorded: bool) {
+        if is_recorded {
+            self.loads.push(self.state.is_alive.then_some(self.load(length)));
+        }
+        self.in_flight_time = 0.0;
+        self.connections = 0;
+    }
+
+    /// The summary; `rejected` is the number of rejected attempts of clients in the fleet.
+    pub(super) fn summary(&self, rejected: u64) -> ReplicaSummary {
+        ReplicaSummary {
             name: self.name.clone(),
             kind: self.kind.clone(),
             load: round(average(self.loads.iter().flatten()).unwrap_or(0.0)),
-            arrivals: self.arrivals,
-            attempts: self.attempts,
-            errors: self.errors,
-            had_room: round(self.had_room as f64 / turned_down.max(1) as f64),
+            arrivals: self.totals.arrivals,
+            attempts: self.totals.attempts,
+            errors: self.totals.errors,
+            had_free_capacity: round(self.totals.had_free_capacity as f64 / rejected.max(1) as f64),
             loads: self
                 .loads
                 .chunks(WINDOWS_PER_SECOND)
--- a/crates/simulator/src/record/statistics.rs
+++ b/crates/simulator/src/record/statistics.rs
@@ -1,26 +1,26 @@
-//! Averages, spreads and quantiles.
+//! Averages, variation and quantiles.
 
-/// The mean; none of nothing.
-pub(super) fn average<'a>(all: impl Iterator<Item = &'a f64>) -> Option<f64> {
-    let (sum, count) = all.fold((0.0, 0), |(sum, count), one| (sum + one, count + 1));
+/// The mean; `None` without values.
+pub(super) fn average<'a>(values: impl Iterator<Item = &'a f64>) -> Option<f64> {
+    let (sum, count) = values.fold((0.0, 0), |(sum, count), value| (sum + value, count + 1));
     (count > 0).then(|| sum / f64::from(count))
 }
 
-/// Coefficient of variation; 0 where there is nothing.
-pub(super) fn variation(all: &[f64]) -> f64 {
-    let Some(mean) = average(all.iter()).filter(|m| *m > 0.0) else { return 0.0 };
-    let variance = all.iter().map(|one| (one - mean).powi(2)).sum::<f64>() / all.len() as f64;
+/// The coefficient of variation; 0 without values.
+pub(super) fn variation(values: &[f64]) -> f64 {
+    let Some(mean) = average(values.iter()).filter(|mean| *mean > 0.0) else { return 0.0 };
+    let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / values.len() as f64;
     variance.sqrt() / mean
 }
 
-/// What a share `q` of sorted figures doesn't exceed; 0 where there are none.
+/// The quantile `q` of sorted values by nearest rank; 0 without values.
 pub(super) fn quantile(sorted: &[f64], q: f64) -> f64 {
     let rank = (sorted.len() as f64 * q).ceil() as usize;
-    let at = rank.clamp(1, sorted.len().max(1)) - 1;
-    sorted.get(at).copied().unwrap_or(0.0)
+    let index = rank.clamp(1, sorted.len().max(1)) - 1;
+    sorted.get(index).copied().unwrap_or(0.0)
 }
 
-/// Four places are more than the figures bear.
-pub(super) fn round(figure: f64) -> f64 {
-    (figure * 10_000.0).round() / 10_000.0
+/// Rounds to four decimal places.
+pub(super) fn round(value: f64) -> f64 {
+    (value * 10_000.0).round() / 10_000.0
 }
--- a/crates/simulator/src/record/summary.rs
+++ b/crates/simulator/src/record/summary.rs
@@ -1,148 +1,173 @@
-//! The figures of a run, as they are written down.
+//! The statistics of a run, as the report stores them.
+//!
+//! The names of JSON keys are fixed by existing reports; `serde(rename)` maps them to the fields. The structs are rows of
+//! tables, so they have a field for each column.
 
 use serde::{Deserialize, Serialize};
 
-/// One window of [`WINDOW`](super::WINDOW).
+/// The load in one window of [`WINDOW`](super::WINDOW).
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Window {
-    /// Its start in seconds, the warm-up's end being 0.
+    /// Its start, in seconds after the warm-up.
     pub at_s: f64,
-    /// Requests in hand over all real servers, on average.
-    pub in_hand: f64,
-    /// Requests in hand over places in the batch: that of the most loaded real server, beside the fleet's.
+    /// Requests in flight at all replicas, on average.
+    #[serde(rename = "in_hand")]
+    pub in_flight: f64,
+    /// Requests in flight over batch size: that of the most loaded replica, relative to the fleet's.
     pub max_over_mean: f64,
-    /// Standard deviation of these loads over the fleet's.
+    /// Coefficient of variation of these loads.
     pub cv: f64,
-    /// Share of the time in which one real server is idle while another has a queue.
+    /// Fraction of the time in which one replica is idle while another one has a queue.
     pub idle_while_queued: f64,
-    /// Most requests that reached one real server within [`HERD`](super::HERD), ending in this window.
+    /// Maximum number of requests that reached one replica within [`HERD`](super::HERD), ending in this window.
     pub herd: usize,
-    /// Load of the real servers that came in place of others, beside the fleet's; 0 while there are none.
-    pub fresh_over_mean: f64,
-    /// Most connections that one real server was asked for in this window.
-    pub connections_most: usize,
-    /// Calls that reached the list service.
+    /// Load of replicas that replaced others, relative to the fleet's; 0 while there are none.
+    #[serde(rename = "fresh_over_mean")]
+    pub replacements_over_mean: f64,
+    /// Maximum number of connections to one replica that were opened in this window.
+    #[serde(rename = "connections_most")]
+    pub max_connections: usize,
+    /// Calls to the list service.
     pub list_calls: usize,
 }
 
-/// Figures of a stretch of the run.
+/// Statistics of the requests that arrived in an interval of the run, and of the windows in it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Stretch {
-    /// What it is.
+pub struct IntervalSummary {
+    /// Its name.
     pub name: String,
-    /// From, in seconds after the warm-up.
+    /// Its start, in seconds after the warm-up.
     pub from_s: f64,
-    /// To.
+    /// Its end, in seconds after the warm-up.
     pub to_s: f64,
-    /// Requests that clients began in it.
-    pub first_tries: u64,
-    /// Shares of those that came to an end.
+    /// Clients' requests.
+    #[serde(rename = "first_tries")]
+    pub requests: u64,
+    /// Fraction of the finished requests that were served in time.
     pub in_time: f64,
-    /// Served, late.
+    /// Fraction that were served late.
     pub late: f64,
-    /// Refused at the last try.
-    pub refused: f64,
-    /// Failed or given up.
+    /// Fraction that were rejected at the last attempt.
+    #[serde(rename = "refused")]
+    pub rejected: f64,
+    /// Fraction that failed or timed out.
     pub failed: f64,
-    /// Lost after the first token.
+    /// Fraction whose stream broke after the first token.
     pub broken: f64,
-    /// Worth earned over the worth asked for.
-    pub worth: f64,
-    /// Clients' tries for each first try.
-    pub tries: f64,
-    /// Gateways' attempts for each first try.
+    /// Value of the responses over the value of the requests.
+    #[serde(rename = "worth")]
+    pub value: f64,
+    /// Clients' attempts per request.
+    #[serde(rename = "tries")]
+    pub client_attempts: f64,
+    /// Gateways' attempts per request.
     pub attempts: f64,
-    /// Share of the attempts that a real server answered with an error.
+    /// Fraction of the gateways' attempts with an error response.
     #[serde(default)]
     pub errors: f64,
-    /// Clients' tries that ran out of attempts, for each first try.
+    /// Clients' attempts that exhausted the gateway's attempts, per request.
     #[serde(default)]
-    pub spent: f64,
-    /// Clients' tries that were turned down while some sound, warm real server had no queue, for each first try.
+    #[serde(rename = "spent")]
+    pub exhausted: f64,
+    /// Clients' attempts that were rejected while a healthy replica had free capacity, per request.
     #[serde(default)]
-    pub refused_with_room: f64,
-    /// Prompt tokens found kept, over all prompt tokens of answers that were served.
-    pub kept: f64,
-    /// From the client's first try to its first token, median, in ms.
-    pub wait_p50_ms: f64,
+    #[serde(rename = "refused_with_room")]
+    pub rejected_with_free_capacity: f64,
+    /// Fraction of the served requests' prompt tokens that were found in the cache.
+    #[serde(rename = "kept")]
+    pub cached: f64,
+    /// Time from the client's first attempt to the first token, median, in ms.
+    #[serde(rename = "wait_p50_ms")]
+    pub first_token_p50_ms: f64,
     /// The same, 99th percentile.
-    pub wait_p99_ms: f64,
-    /// Requests in hand on average.
-    pub in_hand: f64,
-    /// Most over mean of the loads, median over the windows.
+    #[serde(rename = "wait_p99_ms")]
+    pub first_token_p99_ms: f64,
+    /// Requests in flight on average.
+    #[serde(rename = "in_hand")]
+    pub in_flight: f64,
+    /// Maximum over mean of the loads, median over the windows.
     pub max_over_mean_p50: f64,
     /// The same, 95th percentile.
     pub max_over_mean_p95: f64,
-    /// The worst window.
-    pub max_over_mean_most: f64,
+    /// The same, maximum.
+    #[serde(rename = "max_over_mean_most")]
+    pub max_over_mean_max: f64,
     /// Coefficient of variation, mean over the windows.
     pub cv: f64,
-    /// The same of each real server's average over the stretch: what lasts, without what chance brings and takes.
-    pub cv_lasting: f64,
-    /// Share of the time in which one real server is idle while another has a queue.
+    /// The same of each replica's average over the interval: the persistent part, without random variation.
+    #[serde(rename = "cv_lasting")]
+    pub cv_of_averages: f64,
+    /// Fraction of the time in which one replica is idle while another one has a queue.
     pub idle_while_queued: f64,
-    /// Load of the real servers that came in place of others, beside the fleet's; mean over the windows.
-    pub fresh_over_mean: f64,
-    /// Most requests that reached one real server within 50 ms.
+    /// Load of replicas that replaced others, relative to the fleet's; mean over the windows.
+    #[serde(rename = "fresh_over_mean")]
+    pub replacements_over_mean: f64,
+    /// Maximum number of requests that reached one replica within [`HERD`](super::HERD).
     pub herd: usize,
-    /// Most connections that one real server was asked for in 100 ms.
-    pub connections_most: usize,
-    /// Most calls that reached the list service within any second.
+    /// Maximum number of connections to one replica that were opened in a window.
+    #[serde(rename = "connections_most")]
+    pub max_connections: usize,
+    /// Maximum number of calls to the list service in any second.
     pub list_calls_peak: usize,
-    /// Calls that reached the list service.
+    /// Calls to the list service.
     pub list_calls: usize,
 }
 
-/// One real server over the whole run.
+/// Statistics of one replica over the run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Server {
+pub struct ReplicaSummary {
     /// Its name.
     pub name: String,
-    /// Its kind.
+    /// Its kind of machine.
     pub kind: String,
-    /// Requests in hand over places in the batch, on average after the warm-up.
+    /// Requests in flight over batch size, on average after the warm-up.
     pub load: f64,
     /// Requests that reached it.
     pub arrivals: u64,
-    /// Gateways' attempts at it, those that did not reach it too.
+    /// Gateways' attempts, those that did not reach it included.
     #[serde(default)]
     pub attempts: u64,
-    /// Those of them that it answered with an error.
+    /// Attempts with an error response.
     #[serde(default)]
     pub errors: u64,
-    /// Share of the clients' tries turned down, wherever they were tried, at whose moment it was sound and warm and
-    /// had no queue.
+    /// Fraction of all rejected attempts of clients at whose time it was healthy and had free capacity.
     #[serde(default)]
-    pub had_room: f64,
-    /// The load in each second after the warm-up; none while it was not there. Earlier reports don't have it.
+    #[serde(rename = "had_room")]
+    pub had_free_capacity: f64,
+    /// The load in each second after the warm-up; `None` while it was down.
     #[serde(default)]
     pub loads: Vec<Option<f64>>,
 }
 
-/// The figures of a run of one policy.
+/// The statistics of a run of one policy.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Figures {
+pub struct RunSummary {
     /// The policy.
     pub policy: String,
     /// Events that the gateways handled.
     pub events: u64,
-    /// Calls for the list that failed.
+    /// Calls to the list service that failed.
     pub list_calls_failed: u64,
-    /// From a gateway's start to the list, median in ms, over the starts that came to it.
+    /// Time from a gateway's start to the first list, median in ms.
     pub list_wait_p50_ms: f64,
-    /// The same, the longest.
+    /// The same, maximum.
     pub list_wait_longest_ms: f64,
-    /// Gateways that are there at the end and never had an answer of the list service.
-    pub without_list: usize,
-    /// Most work sent to a cold real server within the site's span, over what makes it fall.
-    pub cold_worst: f64,
-    /// Clients' tries that were turned down, after the warm-up.
+    /// Gateways that run at the end and have not received the list.
+    #[serde(rename = "without_list")]
+    pub gateways_without_list: usize,
+    /// Maximum work sent to a replica in slow start within the overload window, over what makes it fail.
+    #[serde(rename = "cold_worst")]
+    pub max_slow_start_overload: f64,
+    /// Clients' attempts that were rejected after the warm-up.
     #[serde(default)]
-    pub turned_down: u64,
-    /// Stretches: before the faults, in those that last, after each, and all.
-    pub stretches: Vec<Stretch>,
-    /// The real servers.
-    pub servers: Vec<Server>,
+    #[serde(rename = "turned_down")]
+    pub rejected: u64,
+    /// Intervals: before the faults, during and after each, and all.
+    #[serde(rename = "stretches")]
+    pub intervals: Vec<IntervalSummary>,
+    /// The replicas.
+    #[serde(rename = "servers")]
+    pub replicas: Vec<ReplicaSummary>,
     /// All windows.
     pub windows: Vec<Window>,
 }
--- a/crates/simulator/src/replica/job.rs
+++ b/crates/simulator/src/replica/job.rs
@@ -1,49 +1,70 @@
-//! Requests as a real server sees them, and what comes of them.
+//! Attempts as a replica sees them, and the events that their processing yields.
 
-use super::prompt_cache::PromptKey;
+use super::prompt_cache::{PrefixId, PromptKey};
 
-/// Names an attempt: the request's number and the attempt's.
-pub type JobId = (u64, u32);
+/// Identifies an attempt of a gateway at a replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptId {
+    /// The number of the request at its gateway.
+    pub request: u64,
+    /// The number of the attempt among those for the request.
+    pub attempt: u32,
+}
 
-/// A request as a real server sees it.
+/// An attempt as a replica sees it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Whose it is.
-    pub id: JobId,
-    /// Class and number of its shared beginning.
-    pub beginning: (usize, u32),
-    /// Its session.
+    /// Its id.
+    pub id: AttemptId,
+    /// The shared prefix of the prompt.
+    pub prefix: PrefixId,
+    /// The session.
     pub session: u64,
-    /// Tokens of the prompt, and of the shared beginning among them.
-    pub prompt: u32,
-    /// Tokens of the shared beginning.
-    pub beginning_tokens: u32,
-    /// Tokens of the answer.
-    pub answer: u32,
+    /// Tokens of the prompt, those of the prefix included.
+    pub prompt_tokens: u32,
+    /// Tokens of the prefix.
+    pub prefix_tokens: u32,
+    /// Tokens of the response.
+    pub response_tokens: u32,
 }
 
 impl Job {
-    /// What its shared beginning is kept under.
-    pub(super) fn beginning_key(&self) -> PromptKey {
-        PromptKey::Beginning(self.beginning.0, self.beginning.1)
+    /// The cache key of its prefix.
+    pub(super) fn prefix_key(&self) -> PromptKey {
+        PromptKey::Prefix(self.prefix)
     }
 
-    /// What its whole prompt is kept under.
+    /// The cache key of its complete prompt.
     pub(super) fn session_key(&self) -> PromptKey {
         PromptKey::Session(self.session)
     }
 
-    /// Tokens that it may come to hold.
-    pub(super) fn most_tokens(&self) -> u64 {
-        u64::from(self.prompt) + u64::from(self.answer)
+    /// Tokens that it reserves in the batch's memory.
+    pub(super) fn max_tokens(&self) -> u64 {
+        u64::from(self.prompt_tokens) + u64::from(self.response_tokens)
     }
 }
 
-/// What a step has brought.
+/// An event at the end of a step.
 #[derive(Debug, PartialEq)]
 pub enum StepEvent {
-    /// The first token of an answer.
-    First(JobId),
-    /// The last one; so many prompt tokens were found kept.
-    Done(JobId, u32),
+    /// The first token of a response.
+    FirstToken(AttemptId),
+    /// The last token of a response.
+    Completed {
+        /// The attempt.
+        id: AttemptId,
+        /// Prompt tokens that were found in the cache.
+        cached_tokens: u32,
+    },
+}
+
+impl StepEvent {
+    /// The attempt.
+    #[must_use]
+    pub fn id(&self) -> AttemptId {
+        match self {
+            StepEvent::FirstToken(id) | StepEvent::Completed { id, .. } => *id,
+        }
+    }
 }
--- a/crates/simulator/src/replica/mod.rs
+++ b/crates/simulator/src/replica/mod.rs
@@ -1,269 +1,183 @@
-//! An emulated real server: batched steps, a queue, kept prompts, a cold start that warms.
+//! An emulated replica: batched steps, a queue, a prompt cache, slow start and faults.
 //!
-//! It has no clock: its fleet says what time it is, and wakes it when a step has come to its end.
+//! It has no clock: the fleet passes the time in, and ends each step when it is due.
 
+mod batch;
 mod job;
 mod prompt_cache;
 
-use std::collections::VecDeque;
-
 use tulipridge::types::Nanos;
 
-pub use self::job::{Job, JobId, StepEvent};
-pub use self::prompt_cache::{PromptCache, PromptKey};
-use crate::experiment::{Kind, Replicas};
-use crate::time::{SECOND, nanos};
+use self::batch::Batch;
+pub use self::job::{AttemptId, Job, StepEvent};
+pub use self::prompt_cache::{PrefixId, PromptCache, PromptKey};
+use crate::experiment::{MachineKind, Replicas};
+use crate::time::nanos;
+
+/// The faults of a replica.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ReplicaFaults {
+    /// Its machine has lost its network.
+    pub is_unreachable: bool,
+    /// It accepts requests without processing them.
+    pub is_hanging: bool,
+    /// The fraction of requests to which it responds with an error, at once.
+    pub error_fraction: f64,
+    /// The factor of all durations.
+    pub slowdown: f64,
+}
 
-struct Running {
-    job: Job,
-    kept: u32,
-    unread: u32,
-    left: u32,
+impl Default for ReplicaFaults {
+    fn default() -> ReplicaFaults {
+        ReplicaFaults { is_unreachable: false, is_hanging: false, error_fraction: 0.0, slowdown: 1.0 }
+    }
 }
 
-/// An emulated real server.
+/// An emulated replica.
 pub struct Replica {
     /// Its name in the list.
     pub name: String,
     /// Its zone.
     pub zone: u16,
-    /// Its kind, by number.
+    /// The index of its kind of machine.
     pub kind: u16,
     /// Units times speed.
     pub size: f64,
-    /// It is there.
-    pub alive: bool,
-    /// Its machine has vanished without a word.
-    pub silent: bool,
-    /// It takes requests and does nothing with them.
-    pub hangs: bool,
-    /// The part of its requests that it answers with an error, at once.
-    pub errors: f64,
-    /// How many times as long everything takes.
-    pub slowness: f64,
-    /// Its last start; `None` is long ago.
+    /// Whether its process runs.
+    pub is_alive: bool,
+    /// Its faults.
+    pub faults: ReplicaFaults,
+    /// Its last start; `None` if that was long ago.
     pub started: Option<Nanos>,
-    /// Counts its starts, so that a step of an earlier life is known for what it is.
-    pub life: u32,
-    /// A step is under way.
-    pub stepping: bool,
+    /// The number of its crashes, by which steps of an earlier incarnation are recognized.
+    pub incarnation: u32,
+    is_stepping: bool,
     speed: f64,
-    batch: usize,
-    memory: u64,
-    step: Nanos,
-    read: f64,
-    queue: VecDeque<Job>,
-    running: Vec<Running>,
-    held: u64,
-    cache: PromptCache,
-    reading: Option<(usize, u32)>,
-    /// Time with something in the batch since the last refresh of the reports, for `util`.
-    busy: Nanos,
-    busy_since: Nanos,
+    batch: Batch,
+    usage: BusyTime,
+}
+
+/// The time in steps since the last load report.
+#[derive(Default)]
+struct BusyTime {
+    total: Nanos,
+    step_began: Nanos,
 }
 
 impl Replica {
-    /// One that has been warm for long; its speed is `skew` times its kind's.
+    /// A replica with its full capacity; its speed is `speed_factor` times that of its kind.
     #[must_use]
-    pub fn new(name: String, zone: u16, kind: u16, of: &Kind, skew: f64) -> Replica {
+    pub fn new(name: String, zone: u16, kind: u16, machine: &MachineKind, speed_factor: f64) -> Replica {
         Replica {
             name,
             zone,
             kind,
-            size: of.units * of.speed,
-            alive: true,
-            silent: false,
-            hangs: false,
-            errors: 0.0,
-            slowness: 1.0,
+            size: machine.units * machine.speed,
+            is_alive: true,
+            faults: ReplicaFaults::default(),
             started: None,
-            life: 0,
-            stepping: false,
-            speed: of.speed * skew,
-            batch: of.batch,
-            memory: of.memory,
-            step: nanos(of.step),
-            read: of.read,
-            queue: VecDeque::new(),
-            running: Vec::new(),
-            held: 0,
-            cache: PromptCache::default(),
-            reading: None,
-            busy: 0,
-            busy_since: 0,
+            incarnation: 0,
+            is_stepping: false,
+            speed: machine.speed * speed_factor,
+            batch: Batch::new(machine),
+            usage: BusyTime::default(),
         }
     }
 
-    /// Requests in hand.
+    /// The number of requests in the queue and the batch.
     #[must_use]
-    pub fn in_hand(&self) -> usize {
-        self.queue.len() + self.running.len()
+    pub fn in_flight(&self) -> usize {
+        self.batch.in_flight()
     }
 
-    /// Requests that wait for a place in the batch.
+    /// The number of requests in the queue.
     #[must_use]
     pub fn queued(&self) -> usize {
-        self.queue.len()
+        self.batch.queued()
     }
 
-    /// Places in its batch.
+    /// The maximum number of requests in the batch.
     #[must_use]
-    pub fn places(&self) -> usize {
-        self.batch
+    pub fn batch_size(&self) -> usize {
+        self.batch.size()
     }
 
-    /// Share of the batch that is taken.
+    /// The fraction of the batch that is in use.
     #[must_use]
-    pub fn filled(&self) -> f64 {
-        self.running.len() as f64 / self.batch as f64
+    pub fn batch_utilization(&self) -> f64 {
+        self.batch.utilization()
     }
 
-    /// Dies: everything that it held is gone.
-    pub fn die(&mut self) -> Vec<JobId> {
-        self.alive = false;
-        self.silent = false;
-        self.hangs = false;
-        self.errors = 0.0;
-        self.stepping = false;
-        self.life += 1;
-        self.reading = None;
-        self.held = 0;
-        self.cache = PromptCache::default();
-        let waiting = self.queue.drain(..).map(|j| j.id);
-        waiting.chain(self.running.drain(..).map(|r| r.job.id)).collect()
+    /// Crashes, and returns the requests that are lost. Faults end, except for the slowdown.
+    pub fn crash(&mut self) -> Vec<AttemptId> {
+        self.is_alive = false;
+        self.faults = ReplicaFaults { slowdown: self.faults.slowdown, ..ReplicaFaults::default() };
+        self.is_stepping = false;
+        self.incarnation += 1;
+        self.batch.clear()
     }
 
-    /// Comes up cold.
+    /// Starts, in slow start.
     pub fn start(&mut self, now: Nanos) {
-        self.alive = true;
-        self.silent = false;
+        self.is_alive = true;
+        self.faults.is_unreachable = false;
         self.started = Some(now);
     }
 
-    /// Its share of its capacity.
+    /// The available fraction of the capacity, below 1 in slow start.
     #[must_use]
-    pub fn warmth(&self, now: Nanos, all: &Replicas) -> f64 {
+    pub fn available_capacity(&self, now: Nanos, settings: &Replicas) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let part = now.saturating_sub(started) as f64 / nanos(all.ramp).max(1) as f64;
-        (all.cold_from + (1.0 - all.cold_from) * part).min(1.0)
+        let duration = nanos(settings.slow_start_duration).max(1);
+        let progress = now.saturating_sub(started) as f64 / duration as f64;
+        (settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * progress).min(1.0)
     }
 
-    /// It is sound and warm, and nothing waits for a place in its batch.
+    /// Whether it is healthy, has its full capacity and an empty queue.
     #[must_use]
-    pub fn has_room(&self, now: Nanos, all: &Replicas) -> bool {
-        let sound = self.alive && !self.silent && !self.hangs && self.errors == 0.0;
-        sound && self.queue.is_empty() && self.warmth(now, all) >= 1.0
+    pub fn has_free_capacity(&self, now: Nanos, settings: &Replicas) -> bool {
+        let has_fault =
+            self.faults.is_unreachable || self.faults.is_hanging || self.faults.error_fraction != 0.0;
+        let is_healthy = self.is_alive && !has_fault;
+        is_healthy && self.batch.queued() == 0 && self.available_capacity(now, settings) >= 1.0
     }
 
-    /// Takes a request; it is looked at when the next step begins.
-    pub fn take(&mut self, job: Job) {
-        self.queue.push_back(job);
+    /// Adds a request to the queue; it is considered when the next step begins.
+    pub fn enqueue(&mut self, job: Job) {
+        self.batch.enqueue(job);
     }
 
-    /// Stops the work of an attempt; false where it is not here any more.
-    pub fn drop_job(&mut self, id: JobId) -> bool {
-        if let Some(at) = self.queue.iter().position(|j| j.id == id) {
-            self.queue.remove(at);
-            return true;
-        }
-        let Some(at) = self.running.iter().position(|r| r.job.id == id) else { return false };
-        let running = self.running.remove(at);
-        self.held -= running.job.most_tokens();
-        // What the step under way was reading may be this very request, or one that has moved down a place.
-        self.reading = self.reading.and_then(|(reading, chunk)| match reading.cmp(&at) {
-            std::cmp::Ordering::Less => Some((reading, chunk)),
-            std::cmp::Ordering::Equal => None,
-            std::cmp::Ordering::Greater => Some((reading - 1, chunk)),
-        });
-        true
+    /// Cancels an attempt; false if it is not here any more.
+    pub fn cancel(&mut self, id: AttemptId) -> bool {
+        self.batch.cancel(id)
     }
 
-    /// Begins a step if there is anything to do; its length.
-    pub fn begin(&mut self, now: Nanos, all: &Replicas) -> Option<Nanos> {
-        if self.stepping || self.silent || self.hangs || !self.alive {
-            return None;
-        }
-        self.fill_batch();
-        if self.running.is_empty() {
+    /// Begins a step if there is work, and returns its duration.
+    pub fn begin_step(&mut self, now: Nanos, settings: &Replicas) -> Option<Nanos> {
+        let is_blocked = self.is_stepping || self.faults.is_unreachable || self.faults.is_hanging;
+        if is_blocked || !self.is_alive {
             return None;
         }
-        let reading = self.running.iter().position(|r| r.unread > 0);
-        self.reading = reading.map(|at| (at, self.running[at].unread.min(all.chunk)));
-        let chunk = self.reading.map_or(0, |(_, chunk)| chunk);
-        let pace = self.speed * self.warmth(now, all) / self.slowness;
-        let work = self.step as f64 + f64::from(chunk) / self.read * SECOND as f64;
-        self.stepping = true;
-        self.busy_since = now;
-        Some((work / pace) as Nanos)
-    }
-
-    /// Moves what waits into the batch, as far as places and memory go.
-    fn fill_batch(&mut self) {
-        while self.running.len() < self.batch
-            && let Some(job) = self.queue.front()
-            && (self.running.is_empty() || self.held + job.most_tokens() <= self.memory)
-        {
-            let Some(job) = self.queue.pop_front() else { break };
-            let session = self.cache.look_up(job.session_key());
-            let beginning = self.cache.look_up(job.beginning_key()).min(job.beginning_tokens);
-            // A prompt's last token is always read.
-            let kept = session.max(beginning).min(job.prompt.saturating_sub(1));
-            self.held += job.most_tokens();
-            let (unread, left) = (job.prompt - kept, job.answer.max(1));
-            self.running.push(Running { job, kept, unread, left });
-        }
-    }
-
-    /// The step has come to its end.
-    pub fn end(&mut self, now: Nanos, events: &mut Vec<StepEvent>) {
-        self.stepping = false;
-        self.busy += now.saturating_sub(self.busy_since);
-        let read = self.reading.take();
-        for at in 0..self.running.len() {
-            let chunk = read.filter(|(reading, _)| *reading == at).map(|(_, chunk)| chunk);
-            self.advance(at, chunk, events);
-        }
-        self.remove_done(events);
-    }
-
-    /// What the step did for one request of the batch; `chunk` is what was read of its prompt.
-    fn advance(&mut self, at: usize, chunk: Option<u32>, events: &mut Vec<StepEvent>) {
-        let running = &mut self.running[at];
-        match chunk {
-            Some(chunk) if chunk < running.unread => running.unread -= chunk,
-            Some(_) => {
-                // The last token of a prompt brings the first one of the answer.
-                running.unread = 0;
-                running.left -= 1;
-                events.push(StepEvent::First(running.job.id));
-                let job = &running.job;
-                self.cache.insert(job.beginning_key(), job.beginning_tokens, self.memory);
-                self.cache.insert(job.session_key(), job.prompt, self.memory);
-            }
-            None if running.unread == 0 => running.left = running.left.saturating_sub(1),
-            None => {}
-        }
+        let work = self.batch.begin_step(settings.prefill_chunk_tokens)?;
+        let speed = self.speed * self.available_capacity(now, settings) / self.faults.slowdown;
+        self.is_stepping = true;
+        self.usage.step_began = now;
+        Some((work / speed) as Nanos)
     }
 
-    /// Takes the requests out of the batch that have their whole answer.
-    fn remove_done(&mut self, events: &mut Vec<StepEvent>) {
-        let held = &mut self.held;
-        self.running.retain(|r| {
-            let done = r.unread == 0 && r.left == 0;
-            if done {
-                *held -= r.job.most_tokens();
-                events.push(StepEvent::Done(r.job.id, r.kept));
-            }
-            !done
-        });
+    /// Ends the current step and adds its events.
+    pub fn end_step(&mut self, now: Nanos, events: &mut Vec<StepEvent>) {
+        self.is_stepping = false;
+        self.usage.total += now.saturating_sub(self.usage.step_began);
+        self.batch.end_step(events);
     }
 
-    /// The time that it was busy since the last call of this.
-    pub fn busy_time(&mut self, now: Nanos) -> Nanos {
-        if self.stepping {
-            self.busy += now.saturating_sub(self.busy_since);
-            self.busy_since = now;
+    /// The time in steps since the last call.
+    pub fn take_busy_time(&mut self, now: Nanos) -> Nanos {
+        if self.is_stepping {
+            self.usage.total += now.saturating_sub(self.usage.step_began);
+            self.usage.step_began = now;
         }
-        std::mem::take(&mut self.busy)
+        std::mem::take(&mut self.usage.total)
     }
 }
--- a/crates/simulator/src/replica/prompt_cache.rs
+++ b/crates/simulator/src/replica/prompt_cache.rs
@@ -1,12 +1,21 @@
-//! The prompts that a real server keeps.
+//! The prompt cache of a replica.
 
 use std::collections::BTreeMap;
 
-/// What a kept prompt is looked up by.
+/// Identifies a shared prefix.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PrefixId {
+    /// The index of the class of requests.
+    pub class: usize,
+    /// The rank of the prefix in the class, from 1.
+    pub rank: u32,
+}
+
+/// The key of a cached prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PromptKey {
-    /// A shared beginning: its class, and its number there.
-    Beginning(usize, u32),
+    /// A shared prefix.
+    Prefix(PrefixId),
     /// A session.
     Session(u64),
 }
@@ -16,18 +25,19 @@
     used_at: u64,
 }
 
-/// Prompts that are kept, the least recently used forgotten first.
+/// A cache of prompts with a capacity in tokens, which evicts the least recently used.
 #[derive(Default)]
 pub struct PromptCache {
     entries: BTreeMap<PromptKey, Entry>,
+    /// Keys by the time of their last use.
     by_use: BTreeMap<u64, PromptKey>,
-    /// Counts the uses.
+    /// The number of uses, which serves as a logical clock.
     uses: u64,
     total_tokens: u64,
 }
 
 impl PromptCache {
-    /// Tokens kept under a key, which counts as a use.
+    /// The number of tokens cached under a key, which counts as a use.
     pub fn look_up(&mut self, key: PromptKey) -> u32 {
         let Some(entry) = self.entries.get_mut(&key) else { return 0 };
         self.by_use.remove(&entry.used_at);
@@ -37,7 +47,7 @@
         entry.tokens
     }
 
-    /// Keeps tokens under a key, within `capacity` in all.
+    /// Caches tokens under a key and evicts others until the sum is within `capacity`.
     pub fn insert(&mut self, key: PromptKey, tokens: u32, capacity: u64) {
         self.uses += 1;
         let entry = Entry { tokens, used_at: self.uses };
@@ -59,7 +69,7 @@
         }
     }
 
-    /// Tokens in all.
+    /// The sum of all cached tokens.
     #[must_use]
     pub fn total_tokens(&self) -> u64 {
         self.total_tokens
--- a/crates/simulator/src/time.rs
+++ b/crates/simulator/src/time.rs
@@ -1,16 +1,16 @@
-//! Time as the laboratory's clock counts it.
+//! Virtual time, in nanoseconds since the start of the simulation.
 
 use std::time::Duration;
 
 use tulipridge::types::Nanos;
 
-/// A thousandth of a second.
-pub const MILLI: Nanos = 1_000_000;
-/// A second.
-pub const SECOND: Nanos = 1_000 * MILLI;
+/// Nanoseconds of a millisecond.
+pub const MILLISECOND: Nanos = 1_000_000;
+/// Nanoseconds of a second.
+pub const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// A span as the laboratory's clock counts it.
+/// A duration in nanoseconds.
 #[must_use]
-pub fn nanos(span: Duration) -> Nanos {
-    span.as_nanos() as Nanos
+pub fn nanos(duration: Duration) -> Nanos {
+    duration.as_nanos() as Nanos
 }
--- a/crates/simulator/tests/prompt_cache.rs
+++ b/crates/simulator/tests/prompt_cache.rs
@@ -1,9 +1,9 @@
-//! What an emulated real server keeps of prompts.
+//! The prompt cache of an emulated replica.
 
 use tulipridge_simulator::replica::{PromptCache, PromptKey};
 
 #[test]
-fn the_least_recently_used_is_forgotten_first_and_the_sum_stays_within_the_memory() {
+fn the_least_recently_used_prompt_is_evicted_first_and_the_sum_stays_within_the_capacity() {
     let mut cache = PromptCache::default();
     for n in 0..4 {
         cache.insert(PromptKey::Session(n), 100, 400);
@@ -15,5 +15,5 @@
         (0, 100, 400)
     );
     cache.insert(PromptKey::Session(0), 50, 400);
-    assert_eq!(cache.total_tokens(), 350, "what is kept anew counts once");
+    assert_eq!(cache.total_tokens(), 350, "a replaced prompt counts once");
 }
--- a/crates/simulator/tests/replica.rs
+++ b/crates/simulator/tests/replica.rs
@@ -1,95 +1,120 @@
-//! An emulated real server, step by step.
+//! An emulated replica, step by step.
 
 use std::time::Duration;
 
 use tulipridge::types::Nanos;
-use tulipridge_simulator::experiment::{Kind, Replicas};
-use tulipridge_simulator::replica::{Job, Replica, StepEvent};
-use tulipridge_simulator::time::{MILLI, SECOND};
+use tulipridge_simulator::experiment::{MachineKind, Replicas};
+use tulipridge_simulator::replica::{AttemptId, Job, PrefixId, Replica, StepEvent};
+use tulipridge_simulator::time::{MILLISECOND, SECOND};
 
-fn all() -> Replicas {
-    let kind = Kind {
-        share: 1.0,
+/// Replicas of one kind, with a batch of two requests.
+fn settings() -> Replicas {
+    let kind = MachineKind {
+        fraction: 1.0,
         units: 1.0,
         speed: 1.0,
-        batch: 2,
-        memory: 10_000,
-        step: Duration::from_millis(10),
-        read: 10_000.0,
+        batch_size: 2,
+        cache_tokens: 10_000,
+        step_duration: Duration::from_millis(10),
+        prefill_tokens_per_s: 10_000.0,
     };
     let kinds = [("one".to_owned(), kind)].into();
-    let (ramp, fall) = (Duration::from_secs(8), Duration::from_secs(3));
-    let (reports, fall_multiple) = (None, 2.5);
-    Replicas { count: 1, kinds, cold_from: 0.25, ramp, chunk: 1000, reports, fall_multiple, fall }
+    Replicas {
+        count: 1,
+        kinds,
+        slow_start_capacity: 0.25,
+        slow_start_duration: Duration::from_secs(8),
+        prefill_chunk_tokens: 1000,
+        load_reports: None,
+        overload_factor: 2.5,
+        overload_window: Duration::from_secs(3),
+    }
+}
+
+fn attempt(request: u64) -> AttemptId {
+    AttemptId { request, attempt: 0 }
+}
+
+fn first_token(request: u64) -> StepEvent {
+    StepEvent::FirstToken(attempt(request))
+}
+
+fn completed(request: u64, cached_tokens: u32) -> StepEvent {
+    StepEvent::Completed { id: attempt(request), cached_tokens }
 }
 
-fn job(n: u64, session: u64) -> Job {
-    Job { id: (n, 0), beginning: (0, 1), session, prompt: 1500, beginning_tokens: 1000, answer: 2 }
+/// A request with a prompt of 1,500 tokens, the first 1,000 of them shared, and a response of two tokens.
+fn job(request: u64, session: u64) -> Job {
+    Job {
+        id: attempt(request),
+        prefix: PrefixId { class: 0, rank: 1 },
+        session,
+        prompt_tokens: 1500,
+        prefix_tokens: 1000,
+        response_tokens: 2,
+    }
 }
 
-fn replica(all: &Replicas) -> Replica {
-    Replica::new("r".into(), 0, 0, &all.kinds["one"], 1.0)
+fn replica(settings: &Replicas) -> Replica {
+    Replica::new("r".into(), 0, 0, &settings.kinds["one"], 1.0)
 }
 
-/// Steps until nothing is left; the news with its times.
-fn play(replica: &mut Replica, all: &Replicas, mut now: Nanos) -> Vec<(Nanos, StepEvent)> {
-    let mut told = Vec::new();
-    while let Some(took) = replica.begin(now, all) {
-        now += took;
-        let mut news = Vec::new();
-        replica.end(now, &mut news);
-        told.extend(news.into_iter().map(|n| (now, n)));
+/// Runs steps until there is no work, and returns the events with their times.
+fn run_steps(replica: &mut Replica, settings: &Replicas, mut now: Nanos) -> Vec<(Nanos, StepEvent)> {
+    let mut timed_events = Vec::new();
+    while let Some(duration) = replica.begin_step(now, settings) {
+        now += duration;
+        let mut events = Vec::new();
+        replica.end_step(now, &mut events);
+        timed_events.extend(events.into_iter().map(|event| (now, event)));
     }
-    told
+    timed_events
 }
 
 #[test]
-fn a_prompt_is_read_in_chunks_and_a_kept_beginning_is_not_read_again() {
-    let all = all();
-    let mut replica = replica(&all);
-    replica.take(job(1, 1));
+fn a_prompt_is_prefilled_in_chunks_and_a_cached_prefix_is_not_prefilled_again() {
+    let settings = settings();
+    let mut replica = replica(&settings);
+    replica.enqueue(job(1, 1));
     // 1,000 and 500 tokens at 10,000 a second and two steps of 10 ms, then a step for the second token.
-    let first = play(&mut replica, &all, 0);
-    assert_eq!(first, [(170 * MILLI, StepEvent::First((1, 0))), (180 * MILLI, StepEvent::Done((1, 0), 0))]);
-    replica.take(job(2, 2));
-    let second = play(&mut replica, &all, 0);
-    assert_eq!(
-        second,
-        [(60 * MILLI, StepEvent::First((2, 0))), (70 * MILLI, StepEvent::Done((2, 0), 1000))]
-    );
-    replica.take(job(3, 2));
-    let same_session = play(&mut replica, &all, 0);
-    assert_eq!(same_session[1].1, StepEvent::Done((3, 0), 1499), "all but the last token is kept");
+    let first = run_steps(&mut replica, &settings, 0);
+    assert_eq!(first, [(170 * MILLISECOND, first_token(1)), (180 * MILLISECOND, completed(1, 0))]);
+    replica.enqueue(job(2, 2));
+    let second = run_steps(&mut replica, &settings, 0);
+    assert_eq!(second, [(60 * MILLISECOND, first_token(2)), (70 * MILLISECOND, completed(2, 1000))]);
+    replica.enqueue(job(3, 2));
+    let same_session = run_steps(&mut replica, &settings, 0);
+    assert_eq!(same_session[1].1, completed(3, 1499), "all but the last token is cached");
 }
 
 #[test]
-fn what_does_not_fit_the_batch_waits_and_a_dropped_request_makes_room() {
-    let all = all();
-    let mut replica = replica(&all);
-    for n in 1..=3 {
-        replica.take(job(n, n));
+fn a_request_beyond_the_batch_is_queued_until_another_one_is_cancelled() {
+    let settings = settings();
+    let mut replica = replica(&settings);
+    for request in 1..=3 {
+        replica.enqueue(job(request, request));
     }
-    assert!(replica.begin(0, &all).is_some());
-    assert_eq!((replica.in_hand(), replica.queued()), (3, 1));
-    assert!(replica.drop_job((1, 0)) && !replica.drop_job((1, 0)));
-    replica.end(0, &mut Vec::new());
-    replica.begin(0, &all);
-    assert_eq!((replica.in_hand(), replica.queued()), (2, 0));
+    assert!(replica.begin_step(0, &settings).is_some());
+    assert_eq!((replica.in_flight(), replica.queued()), (3, 1));
+    assert!(replica.cancel(attempt(1)) && !replica.cancel(attempt(1)));
+    replica.end_step(0, &mut Vec::new());
+    replica.begin_step(0, &settings);
+    assert_eq!((replica.in_flight(), replica.queued()), (2, 0));
 }
 
 #[test]
-fn a_cold_one_is_slower_until_it_has_warmed() {
-    let all = all();
-    let mut replica = replica(&all);
-    assert_eq!(replica.die().len(), 0);
+fn a_replica_is_slower_in_slow_start() {
+    let settings = settings();
+    let mut replica = replica(&settings);
+    assert_eq!(replica.crash().len(), 0);
     replica.start(SECOND);
-    let took = |replica: &mut Replica, at: Nanos| {
-        replica.take(job(at, at));
-        let took = replica.begin(at, &all);
-        replica.die();
-        replica.alive = true;
-        took.unwrap_or(0)
+    let step_duration = |replica: &mut Replica, at: Nanos| {
+        replica.enqueue(job(at, at));
+        let duration = replica.begin_step(at, &settings);
+        replica.crash();
+        replica.is_alive = true;
+        duration.unwrap_or(0)
     };
-    assert_eq!(took(&mut replica, SECOND), 4 * 110 * MILLI);
-    assert_eq!(took(&mut replica, 9 * SECOND), 110 * MILLI);
+    assert_eq!(step_duration(&mut replica, SECOND), 4 * 110 * MILLISECOND);
+    assert_eq!(step_duration(&mut replica, 9 * SECOND), 110 * MILLISECOND);
 }
