--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -85,7 +85,7 @@
             lease: self.member.is_primary(),
             epoch,
             voters: names(&needed_voters(&view)),
-            holders: names(&view.holders),
+            holders: names(&view.data_replicas),
             primary: self.member.known_primary().map(|node| node.to_string()),
             configuration: self.delivery.revision(),
             weights: self.delivery.weights().into_iter().map(|line| (line.model, line.named)).collect(),
--- a/crates/control-plane/src/member/disk_watch.rs
+++ b/crates/control-plane/src/member/disk_watch.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::replication::longest_write;
+use crate::replication::max_write_duration;
 
 /// A write that takes longer, beside the time that its bytes and those before it take, shows that the disk is in
 /// trouble.
@@ -35,7 +35,7 @@
     /// A write of so many bytes was handed to the disk.
     pub fn handed_over(&mut self, ticket: u64, bytes: u64, now: Duration) {
         let waiting: u64 = self.pending.iter().map(|write| write.bytes).sum();
-        let due = now + WRITE_BOUND + longest_write(waiting + bytes);
+        let due = now + WRITE_BOUND + max_write_duration(waiting + bytes);
         self.pending.push_back(PendingWrite { ticket, bytes, due });
     }
 
--- a/crates/control-plane/src/member/proposals.rs
+++ b/crates/control-plane/src/member/proposals.rs
@@ -53,7 +53,7 @@
     /// A proposal has failed.
     pub fn failed(&mut self, ticket: u64, reason: FailureReason) {
         let end = match reason {
-            FailureReason::NotTaken => ProposalEnd::NotTaken,
+            FailureReason::NotReplicated => ProposalEnd::NotTaken,
             FailureReason::OutcomeUnknown => ProposalEnd::Unknown,
         };
         if let Some(sender) = self.waiting.remove(&ticket) {
--- /dev/null
+++ b/crates/control-plane/src/replication/append.rs
@@ -0,0 +1,131 @@
+//! Log replication: proposals become entries, which commit once all data replicas have them on disk.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Entry, ReplicationMessage};
+
+use super::durable::DurableRecord;
+use super::interface::{FailureReason, Output};
+use super::machine::Replication;
+use super::proposals::QueuedProposal;
+
+/// Entries sent again at once to a backup that lags.
+const MAX_RESENT_ENTRIES: usize = 256;
+/// Bytes of them, if they are more than one.
+const MAX_RESENT_BYTES: usize = 256 * 1024;
+
+impl Replication {
+    /// The owner proposes a command. During a view change it is queued.
+    pub(super) fn propose(&mut self, now: Duration, ticket: u64, command: Arc<[u8]>) {
+        let is_changing = self.is_view_changing();
+        match &mut self.leadership {
+            Some(leadership) if is_changing => {
+                leadership.proposals.enqueue(QueuedProposal { ticket, command, since: now });
+            }
+            Some(_) => self.append(now, ticket, command),
+            None => {
+                let reason = FailureReason::NotReplicated;
+                self.outbox.push(Output::ProposalFailed { proposal: ticket, reason });
+            }
+        }
+    }
+
+    /// Fails queued proposals when a view change takes too long. Their commands were never replicated, so the
+    /// owner gets a certain outcome before it would give up by itself without one.
+    pub(super) fn expire_queued_proposals(&mut self, now: Duration) {
+        let Some(leadership) = &mut self.leadership else { return };
+        while let Some(failure) = leadership.proposals.expire_next(now) {
+            self.outbox.push(failure);
+        }
+    }
+
+    /// Whether nothing is stored until a view change has ended: one is running, or this member's promise is above
+    /// the view that it leads.
+    fn is_view_changing(&self) -> bool {
+        self.view_change.is_some() || self.is_view_change_pending()
+    }
+
+    /// Whether this member's promise is above the view that it leads.
+    pub(super) fn is_view_change_pending(&self) -> bool {
+        let promised = self.storage.promised();
+        self.leadership.as_ref().is_some_and(|own| own.view.epoch < promised)
+    }
+
+    /// As primary, adds an entry to the log and sends it to the backups.
+    pub(super) fn append(&mut self, now: Duration, ticket: u64, command: Arc<[u8]>) {
+        let node = self.settings.node;
+        let sequence = self.storage.last_sequence() + 1;
+        let Some(leadership) = &mut self.leadership else { return };
+        leadership.proposals.replicate(sequence, ticket);
+        leadership.progress.appended(now, command.len());
+        let epoch = leadership.view.epoch;
+        let entry = Entry { sequence, command };
+        for backup in leadership.backups(node) {
+            self.outbox.send(backup, ReplicationMessage::Append { epoch, entry: entry.clone() });
+        }
+        self.on_append(node, epoch, entry);
+    }
+
+    /// The primary replicates an entry.
+    pub(super) fn on_append(&mut self, from: NodeId, epoch: u64, entry: Entry) {
+        if epoch < self.storage.promised() {
+            self.refuse(from, epoch);
+            return;
+        }
+        let next = self.storage.last_sequence() + 1;
+        let is_replica = self.storage.is_replica_under(self.settings.node, from, epoch);
+        if !is_replica || entry.sequence > next {
+            return;
+        }
+        if entry.sequence == next {
+            self.record(DurableRecord::Entry(entry));
+        }
+        let sequence = self.storage.last_sequence();
+        self.outbox.send_when_durable(from, ReplicationMessage::Appended { epoch, sequence });
+    }
+
+    /// A data replica has stored an entry and all before it.
+    pub(super) fn on_appended(&mut self, now: Duration, from: NodeId, epoch: u64, sequence: u64) {
+        let Some(leadership) = &mut self.leadership else { return };
+        if leadership.view.epoch != epoch {
+            return;
+        }
+        leadership.progress.stored(now, from, sequence);
+        let committed = leadership.progress.committed();
+        self.apply_up_to(committed);
+    }
+
+    /// As primary, sends entries again that were not acknowledged in time.
+    pub(super) fn resend_entries_if_due(&mut self, now: Duration) {
+        let is_changing = self.is_view_changing();
+        let node = self.settings.node;
+        let Some(leadership) = &mut self.leadership else { return };
+        let epoch = leadership.view.epoch;
+        let lagging = leadership.progress.take_due(now);
+        if is_changing {
+            return;
+        }
+        for replica in lagging.iter().filter(|replica| replica.node != node) {
+            for entry in self.entries_to_resend(replica.stored) {
+                self.outbox.send(replica.node, ReplicationMessage::Append { epoch, entry });
+            }
+        }
+    }
+
+    /// The entries after `stored`, as many as are sent again at once.
+    fn entries_to_resend(&self, stored: u64) -> Vec<Entry> {
+        let mut entries = Vec::new();
+        let mut bytes = 0;
+        let missing = (stored + 1..=self.storage.last_sequence()).take(MAX_RESENT_ENTRIES);
+        for entry in missing.filter_map(|sequence| self.storage.entry(sequence)) {
+            bytes += entry.command.len();
+            if bytes > MAX_RESENT_BYTES && !entries.is_empty() {
+                break;
+            }
+            entries.push(entry.clone());
+        }
+        entries
+    }
+}
--- a/crates/control-plane/src/replication/durable.rs
+++ b/crates/control-plane/src/replication/durable.rs
@@ -13,7 +13,7 @@
     /// The newest recorded view.
     pub view: Option<View>,
     /// How far the data goes.
-    pub data: DataMark,
+    pub data: LogPosition,
     /// The newest entry in the snapshot.
     pub snapshot_sequence: u64,
     /// The encoded state at that entry.
@@ -23,10 +23,10 @@
     pub entries: Vec<Entry>,
 }
 
-/// How far a member's data goes.
+/// A position in the log: two members at the same one have the same data.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct DataMark {
-    /// The epoch in which the member was last brought up to date as a holder.
+pub struct LogPosition {
+    /// The epoch in which the member was last brought up to date as a data replica.
     pub epoch: u64,
     /// Its newest entry.
     pub sequence: u64,
@@ -43,7 +43,7 @@
     DataEpoch(u64),
     /// One more entry.
     Entry(Entry),
-    /// Entries up to a number are replaced by the state after them.
+    /// Entries up to a sequence number are replaced by the state after them.
     Snapshot {
         /// The newest entry in the snapshot.
         sequence: u64,
@@ -99,7 +99,7 @@
             }
             DurableRecord::Reset { epoch, snapshot_sequence, snapshot, entries } => {
                 let sequence = entries.last().map_or(*snapshot_sequence, |entry| entry.sequence);
-                self.data = DataMark { epoch: *epoch, sequence };
+                self.data = LogPosition { epoch: *epoch, sequence };
                 self.snapshot_sequence = *snapshot_sequence;
                 self.snapshot = snapshot.clone();
                 self.entries = entries.clone();
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The entry with a number, if it is not in the snapshot.
+    /// The entry `sequence`, unless the snapshot covers it or it is not stored yet.
     pub(super) fn entry(&self, sequence: u64) -> Option<&Entry> {
         let offset = sequence.checked_sub(self.snapshot_sequence + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
--- a/crates/control-plane/src/replication/interface.rs
+++ b/crates/control-plane/src/replication/interface.rs
@@ -7,7 +7,7 @@
 
 use super::durable::DurableRecord;
 
-/// What the owner tells the state machine.
+/// What the owner hands to the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A deadline has come.
@@ -46,7 +46,7 @@
 pub enum Output {
     /// Send a message. It may be lost.
     Send(Envelope),
-    /// Write and sync the records in order, then answer with [`Input::Persisted`].
+    /// Write and sync the records in order, then report with [`Input::Persisted`].
     Persist {
         /// Rises by one with each batch.
         ticket: u64,
@@ -69,14 +69,14 @@
         /// The encoded state; empty stands for the state before the first entry.
         snapshot: Arc<[u8]>,
     },
-    /// A proposal will not be answered by an [`Output::Apply`] that names it.
+    /// No [`Output::Apply`] will name this proposal.
     ProposalFailed {
         /// Its ticket.
         proposal: u64,
         /// Whether it may still take effect.
         reason: FailureReason,
     },
-    /// This member's part has changed.
+    /// This member's role has changed.
     RoleChanged(Role),
 }
 
@@ -84,19 +84,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
     /// It was never replicated and will not take effect.
-    NotTaken,
+    NotReplicated,
     /// The member ceased to be primary while it waited: it may or may not take effect.
     OutcomeUnknown,
 }
 
-/// A member's part in the newest view that it knows.
+/// A member's role in the newest view that it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Neither votes nor holds data.
+    /// Neither votes nor stores data.
     Standby,
     /// Votes.
     Voter,
-    /// Votes and holds data.
+    /// Votes and stores data.
     Backup,
     /// Orders the entries of this epoch. Acts only while [`super::Replication::is_primary`].
     Primary {
--- /dev/null
+++ b/crates/control-plane/src/replication/lease.rs
@@ -0,0 +1,117 @@
+//! The primary's lease: a majority of voters has acknowledged a heartbeat that was sent lately.
+//!
+//! The lease is counted from the sending of the heartbeat, each voter's grant from its arrival, so the lease ends
+//! first as long as the clocks' speeds differ by no more than [`super::timing`] allows.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::View;
+
+use super::quorum::has_quorum;
+use super::timing::{HEARTBEAT_INTERVAL, LEASE_DURATION, STEP_DOWN_AFTER};
+
+/// Heartbeats whose acknowledgements still count.
+const REMEMBERED_HEARTBEATS: usize = 16;
+const _: () = assert!(
+    REMEMBERED_HEARTBEATS as u128 * HEARTBEAT_INTERVAL.as_micros() > STEP_DOWN_AFTER.as_micros(),
+    "acknowledgements count for as long as a primary waits for them"
+);
+
+#[derive(Clone, Debug)]
+struct SentHeartbeat {
+    token: u64,
+    at: Duration,
+}
+
+/// The lease of the member that leads a view.
+#[derive(Clone, Debug)]
+pub(super) struct Lease {
+    valid_until: Duration,
+    /// Sending time of the newest heartbeat that a majority acknowledged.
+    confirmed_at: Duration,
+    sent: VecDeque<SentHeartbeat>,
+    /// Sending time of the newest heartbeat that each voter acknowledged.
+    acknowledged: BTreeMap<NodeId, Duration>,
+    last_token: u64,
+}
+
+impl Lease {
+    /// A lease that no voter has confirmed. Tokens are counted from `first_token`.
+    pub(super) fn new(first_token: u64, now: Duration) -> Lease {
+        Lease {
+            valid_until: Duration::ZERO,
+            confirmed_at: now,
+            sent: VecDeque::new(),
+            acknowledged: BTreeMap::new(),
+            last_token: first_token,
+        }
+    }
+
+    /// Goes on with the lease of the previous view, which the same member led.
+    pub(super) fn continue_from(&mut self, previous: &Lease) {
+        self.valid_until = previous.valid_until;
+    }
+
+    /// Whether no other member can be primary.
+    pub(super) fn is_valid(&self, now: Duration) -> bool {
+        now < self.valid_until
+    }
+
+    /// Whether it has ended, and no majority has answered for too long.
+    pub(super) fn is_lost(&self, now: Duration) -> bool {
+        now.saturating_sub(self.confirmed_at) >= STEP_DOWN_AFTER && !self.is_valid(now)
+    }
+
+    /// When the primary gives up unless a majority answers.
+    pub(super) fn step_down_at(&self) -> Duration {
+        self.confirmed_at + STEP_DOWN_AFTER
+    }
+
+    /// Whether a member has acknowledged a heartbeat of this view.
+    pub(super) fn is_acknowledged_by(&self, member: NodeId) -> bool {
+        self.acknowledged.contains_key(&member)
+    }
+
+    /// Remembers that a heartbeat is sent; returns its token.
+    pub(super) fn next_heartbeat(&mut self, now: Duration) -> u64 {
+        self.last_token += 1;
+        self.sent.push_back(SentHeartbeat { token: self.last_token, at: now });
+        if self.sent.len() > REMEMBERED_HEARTBEATS {
+            self.sent.pop_front();
+        }
+        self.last_token
+    }
+
+    /// Records an acknowledgement from `peer`; returns whether the heartbeat is remembered.
+    pub(super) fn acknowledge(&mut self, peer: NodeId, token: u64) -> bool {
+        let sent = self.sent.iter().find(|heartbeat| heartbeat.token == token);
+        let Some(sent_at) = sent.map(|heartbeat| heartbeat.at) else { return false };
+        let newest = self.acknowledged.entry(peer).or_insert(sent_at);
+        *newest = sent_at.max(*newest);
+        true
+    }
+
+    /// Extends the lease from the newest moment since which a quorum has acknowledged; returns whether there is
+    /// one.
+    pub(super) fn renew(&mut self, view: &View) -> bool {
+        let mut moments: Vec<Duration> = self.acknowledged.values().copied().collect();
+        moments.sort_unstable();
+        let confirmed = moments.into_iter().rev().find(|moment| self.is_confirmed_since(*moment, view));
+        let Some(confirmed) = confirmed else { return false };
+        self.confirmed_at = self.confirmed_at.max(confirmed);
+        self.valid_until = self.valid_until.max(confirmed + LEASE_DURATION);
+        true
+    }
+
+    fn is_confirmed_since(&self, moment: Duration, view: &View) -> bool {
+        let voters: BTreeSet<NodeId> = self
+            .acknowledged
+            .iter()
+            .filter(|(_, acknowledged)| **acknowledged >= moment)
+            .map(|(node, _)| *node)
+            .collect();
+        has_quorum(view, &voters)
+    }
+}
--- a/crates/control-plane/src/replication/machine.rs
+++ b/crates/control-plane/src/replication/machine.rs
@@ -1,170 +1,100 @@
-//! The state machine's state, its inputs, and the steps that all parts share.
+//! The state machine's state, what its owner can read of it, and the steps that all handlers share.
+//!
+//! The handlers of messages and timers are `impl Replication` blocks in modules of their own. They import this
+//! module and the state types; nothing imports them.
 
-use std::collections::VecDeque;
-use std::ops::Range;
 use std::time::Duration;
 
 use fastrand::Rng;
 use tulipridge_protocol::node::NodeId;
-use tulipridge_protocol::replication::{Envelope, ReplicationMessage, View};
+use tulipridge_protocol::replication::{ReplicationMessage, View};
 
-use super::campaign::Attempt;
+use super::discovery::Discovery;
 use super::durable::{DurableRecord, DurableState};
-use super::interface::{Input, Output, Role};
-use super::journal::{Held, Journal};
-use super::leader::{Leadership, PeerReport};
+use super::election::{ElectionTimer, jitter};
+use super::interface::{Output, Role};
+use super::leadership::Leadership;
+use super::lifecycle::Lifecycle;
+use super::outbox::Outbox;
 use super::peers::{Peers, is_recent};
 use super::quorum::electorate;
-use super::settings::{
-    ELECTION_STAGGER, ELECTION_TIMEOUT, GRANT_TERM, JOIN_INTERVAL, LEAVING_CAMPAIGN_DELAY,
-    PRIMARY_KNOWN_FOR, REDIRECT_FOR, ReplicationSettings, VOTER_DEAD_AFTER,
+use super::settings::ReplicationSettings;
+use super::storage::Storage;
+use super::timing::{
+    ELECTION_STAGGER, ELECTION_TIMEOUT, LEAVING_CAMPAIGN_DELAY, PRIMARY_KNOWN_FOR, REDIRECT_FOR,
+    VOTER_TIMEOUT,
 };
-use super::transfer::{IncomingTransfer, Part};
+use super::transfer::IncomingTransfer;
+use super::view_change::ViewChange;
+use super::vote::VoteState;
 
-/// A primary for which this member votes as long as the grant runs.
-#[derive(Clone, Debug)]
-pub(super) struct Grant {
-    pub(super) primary: NodeId,
-    pub(super) epoch: u64,
-    pub(super) until: Duration,
-}
-
-/// The primary whose heartbeat came last.
-#[derive(Clone, Debug)]
-pub(super) struct HeardPrimary {
-    pub(super) node: NodeId,
-    pub(super) at: Duration,
-}
-
-/// One member's part in the agreement.
+/// One member of the replication group.
 #[derive(Clone, Debug)]
 pub struct Replication {
     pub(super) settings: ReplicationSettings,
+    /// Source of the jitter and of the first heartbeat token.
     pub(super) random: Rng,
-    /// What is on disk or on its way there.
-    pub(super) state: DurableState,
-    pub(super) journal: Journal,
-    loopback: VecDeque<Envelope>,
-    pub(super) out: Vec<Output>,
-    starting: bool,
-    /// The proposer that has this process's newest promise.
-    pub(super) promised_to: Option<NodeId>,
-    pub(super) grant: Option<Grant>,
-    /// Heartbeats up to this epoch are from primaries that have given up.
-    pub(super) released_epoch: u64,
-    /// No promise before: grants from before the start may run.
-    pub(super) quiet_until: Duration,
-    /// The newest view that is on disk or on its way there, by its epoch. A standby knows newer ones from
-    /// heartbeats only.
-    pub(super) view_recorded: Option<u64>,
-    /// The newest view that is surely on disk, by its epoch.
-    pub(super) view_on_disk: Option<u64>,
-    pub(super) heard: Option<HeardPrimary>,
+    pub(super) lifecycle: Lifecycle,
+    pub(super) storage: Storage,
+    pub(super) outbox: Outbox,
+    pub(super) votes: VoteState,
     pub(super) peers: Peers,
+    pub(super) discovery: Discovery,
+    pub(super) election: ElectionTimer,
+    /// The view change that this member proposes.
+    pub(super) view_change: Option<ViewChange>,
+    /// What this member knows as primary.
     pub(super) leadership: Option<Leadership>,
-    pub(super) attempt: Option<Attempt>,
     /// What a proposer has sent so far to bring this member up to date.
     pub(super) incoming: IncomingTransfer,
-    pub(super) campaign_at: Duration,
-    pub(super) failed_attempts: u32,
-    /// A primary that gave up and should not be chosen again at once.
-    pub(super) avoided: Option<NodeId>,
-    pub(super) highest_seen: u64,
-    pub(super) applied: u64,
-    pub(super) disk_healthy: bool,
-    pub(super) leaving: bool,
-    known: Vec<NodeId>,
-    join_at: Duration,
-    role: Role,
 }
 
 impl Replication {
     /// A member that starts from what is on its disk.
     #[must_use]
     pub fn new(settings: ReplicationSettings, durable: DurableState, now: Duration) -> Self {
-        let may_have_granted = durable.promised > 0;
+        let votes = VoteState::new(durable.promised, now);
         let mut replication = Replication {
             random: Rng::with_seed(settings.seed),
-            highest_seen: durable.promised,
-            view_recorded: durable.view.as_ref().map(|view| view.epoch),
-            view_on_disk: durable.view.as_ref().map(|view| view.epoch),
-            applied: durable.snapshot_sequence,
-            state: durable,
-            journal: Journal::default(),
-            loopback: VecDeque::new(),
-            out: Vec::new(),
-            starting: true,
-            promised_to: None,
-            grant: None,
-            released_epoch: 0,
-            quiet_until: if may_have_granted { now + GRANT_TERM } else { now },
-            heard: None,
+            lifecycle: Lifecycle::new(),
+            storage: Storage::new(durable),
+            outbox: Outbox::new(settings.node),
+            votes,
             peers: Peers::default(),
+            discovery: Discovery::new(now),
+            election: ElectionTimer::new(now),
+            view_change: None,
             leadership: None,
-            attempt: None,
             incoming: IncomingTransfer::default(),
-            campaign_at: now,
-            failed_attempts: 0,
-            avoided: None,
-            disk_healthy: true,
-            leaving: false,
-            known: Vec::new(),
-            join_at: now,
-            role: Role::Standby,
             settings,
         };
-        replication.campaign_at = replication.quiet_until + replication.election_offset();
+        let campaign_at = replication.votes.no_promise_before() + replication.election_offset();
+        replication.election.schedule(campaign_at);
         replication
     }
 
-    /// Takes one input; what is to be done is added to `out`.
-    pub fn handle(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
-        if std::mem::take(&mut self.starting) && !self.state.snapshot.is_empty() {
-            self.restore();
-        }
-        self.check_lease(now);
-        match input {
-            Input::Tick => {}
-            Input::Message(envelope) => self.receive(now, envelope),
-            Input::Persisted { ticket } => self.journal.persisted(ticket),
-            Input::Propose { ticket, command } => self.propose(now, ticket, command),
-            Input::Compact { sequence, snapshot } => self.compact(sequence, snapshot),
-            Input::DiskHealthy(healthy) => self.disk_healthy = healthy,
-            Input::Known(nodes) => self.known = nodes,
-            Input::Terminate => self.start_leaving(now),
-        }
-        self.settle(now);
-        self.run_timers(now);
-        self.settle(now);
-        self.tell_role();
-        if let Some((ticket, records)) = self.journal.take_batch() {
-            self.out.push(Output::Persist { ticket, records });
-        }
-        out.append(&mut self.out);
-    }
-
-    /// When [`Input::Tick`] is due at the latest.
+    /// When [`super::Input::Tick`] is due at the latest.
     #[must_use]
     pub fn next_deadline(&self) -> Duration {
-        if self.starting {
+        if !self.lifecycle.is_started() {
             return Duration::ZERO;
         }
-        let mut deadline = self.join_at;
+        let mut deadline = self.discovery.join_at();
         if let Some(leadership) = &self.leadership {
             deadline = leadership.next_deadline();
         }
-        if let Some(attempt) = &self.attempt {
-            deadline = deadline.min(attempt.next_deadline());
+        if let Some(view_change) = &self.view_change {
+            deadline = deadline.min(view_change.next_deadline());
         } else if self.may_campaign() && self.leadership.is_none() {
-            deadline = deadline.min(self.campaign_at);
+            deadline = deadline.min(self.election.campaign_at());
         }
         deadline
     }
 
-    /// Whether this member is primary and holds a running lease: no other member is primary then.
+    /// Whether this member is primary and has a valid lease: no other member is primary then.
     #[must_use]
     pub fn is_primary(&self, now: Duration) -> bool {
-        self.leadership.as_ref().is_some_and(|leadership| leadership.lease_valid(now))
+        self.leadership.as_ref().is_some_and(|leadership| leadership.lease.is_valid(now))
     }
 
     /// The epoch of the view that this member leads, or else of the newest one that it knows.
@@ -178,28 +108,23 @@
     pub fn view(&self) -> Option<&View> {
         match &self.leadership {
             Some(leadership) => Some(&leadership.view),
-            None => self.state.view.as_ref(),
+            None => self.storage.view(),
         }
     }
 
-    /// The primary, if it was heard of lately.
+    /// The primary, if a heartbeat of it has come lately.
     #[must_use]
     pub fn known_primary(&self, now: Duration) -> Option<NodeId> {
         if self.is_primary(now) {
             return Some(self.settings.node);
         }
-        self.primary_heard_within(now, PRIMARY_KNOWN_FOR)
+        self.peers.primary_heard_within(now, PRIMARY_KNOWN_FOR)
     }
 
     /// Another member that callers may be sent to, since it certainly was the primary a moment ago.
     #[must_use]
     pub fn redirect_target(&self, now: Duration) -> Option<NodeId> {
-        self.primary_heard_within(now, REDIRECT_FOR)
-    }
-
-    fn primary_heard_within(&self, now: Duration, span: Duration) -> Option<NodeId> {
-        let heard = self.heard.as_ref()?;
-        is_recent(Some(heard.at), now, span).then_some(heard.node)
+        self.peers.primary_heard_within(now, REDIRECT_FOR)
     }
 
     /// Members that answer this primary, with their zones, itself included; empty at others.
@@ -209,169 +134,90 @@
             return Vec::new();
         }
         let mut members = vec![(self.settings.node, self.settings.zone.clone())];
-        let alive = self.peers.iter().filter(|(_, peer)| {
-            !peer.zone.is_empty() && is_recent(peer.acknowledged, now, VOTER_DEAD_AFTER)
-        });
+        let alive = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| !peer.zone.is_empty() && is_recent(peer.acknowledged, now, VOTER_TIMEOUT));
         members.extend(alive.map(|(node, peer)| (node, peer.zone.clone())));
         members.sort();
         members
     }
 
-    /// This member's part as last told by [`Output::RoleChanged`].
+    /// This member's role as last reported by [`Output::RoleChanged`].
     #[must_use]
     pub fn role(&self) -> Role {
-        self.role
+        self.lifecycle.reported_role()
     }
 
     /// The newest entry that was applied here.
     #[must_use]
     pub fn applied(&self) -> u64 {
-        self.applied
-    }
-
-    fn run_timers(&mut self, now: Duration) {
-        self.lead(now);
-        self.run_attempt(now);
-        self.settle(now);
-        self.campaign_if_due(now);
-        if self.leadership.is_none() && now >= self.join_at {
-            self.join_at = now + JOIN_INTERVAL;
-            self.ask_to_join(now);
-        }
-    }
-
-    fn ask_to_join(&mut self, now: Duration) {
-        let heard = self.heard.as_ref().map(|heard| heard.at);
-        if self.leaving || is_recent(heard, now, JOIN_INTERVAL) {
-            return;
-        }
-        let mut targets: Vec<NodeId> = self.known.clone();
-        targets.extend(&self.settings.seeds);
-        if let Some(view) = &self.state.view {
-            targets.extend(&view.voters);
-        }
-        targets.sort_unstable();
-        targets.dedup_by_key(|node| node.ip);
-        for target in targets {
-            if target.ip != self.settings.node.ip {
-                self.send(target, ReplicationMessage::Join { zone: self.settings.zone.clone() });
-            }
-        }
+        self.storage.applied()
     }
 
-    /// Handles what was sent to itself and releases what waited for the disk, until nothing is left.
-    fn settle(&mut self, now: Duration) {
-        loop {
-            if let Some(held) = self.journal.release() {
-                match held {
-                    Held::Send(envelope) => self.deliver(envelope),
-                    Held::ViewRecorded(epoch) => self.view_on_disk = self.view_on_disk.max(Some(epoch)),
-                }
-            } else if let Some(envelope) = self.loopback.pop_front() {
-                self.dispatch(now, envelope.from, envelope.message);
-            } else {
-                return;
-            }
-        }
-    }
-
-    fn receive(&mut self, now: Duration, envelope: Envelope) {
+    /// Whether this member stores all data of its newest view, and can write.
+    pub(super) fn may_campaign(&self) -> bool {
         let node = self.settings.node;
-        let is_join = matches!(envelope.message, ReplicationMessage::Join { .. });
-        let is_meant = envelope.to == node || (is_join && envelope.to.ip == node.ip);
-        if is_meant && envelope.from != node {
-            self.dispatch(now, envelope.from, envelope.message);
-        }
-    }
-
-    fn dispatch(&mut self, now: Duration, from: NodeId, message: ReplicationMessage) {
-        match message {
-            ReplicationMessage::Prepare { epoch } => self.on_prepare(now, from, epoch),
-            ReplicationMessage::Promise { epoch, view } => self.on_promise(now, from, epoch, view),
-            ReplicationMessage::Refuse { epoch, promised } => self.on_refuse(now, from, epoch, promised),
-            ReplicationMessage::Sync { epoch, data_epoch, transfer, offset, bytes } => {
-                let part = Part { transfer, offset, bytes };
-                self.on_sync(now, from, epoch, data_epoch, part);
-            }
-            ReplicationMessage::SyncProgress { epoch, transfer, received } => {
-                self.on_sync_progress(now, from, epoch, transfer, received);
-            }
-            ReplicationMessage::Synced { epoch, sequence } => self.on_synced(now, from, epoch, sequence),
-            ReplicationMessage::Install { view } => self.on_install(now, from, view),
-            ReplicationMessage::Installed { epoch } => self.on_installed(now, from, epoch),
-            ReplicationMessage::Append { epoch, entry } => self.on_append(from, epoch, entry),
-            ReplicationMessage::Appended { epoch, sequence } => {
-                self.on_appended(now, from, epoch, sequence);
-            }
-            ReplicationMessage::Heartbeat { view, token, committed } => {
-                self.on_heartbeat(now, from, view, token, committed);
-            }
-            ReplicationMessage::HeartbeatAck { epoch, token, zone, disk_healthy, leaving } => {
-                let peer = PeerReport { zone, disk_healthy, leaving };
-                self.on_heartbeat_ack(now, from, (epoch, token), peer);
-            }
-            ReplicationMessage::Release { epoch, successor } => {
-                self.on_release(now, from, epoch, successor);
-            }
-            ReplicationMessage::Join { zone } => self.on_join(now, from, zone),
-        }
-    }
-
-    /// Sends now.
-    pub(super) fn send(&mut self, to: NodeId, message: ReplicationMessage) {
-        self.deliver(Envelope { from: self.settings.node, to, message });
-    }
-
-    /// Sends when all records so far are on disk.
-    pub(super) fn send_when_durable(&mut self, to: NodeId, message: ReplicationMessage) {
-        self.journal.hold(Held::Send(Envelope { from: self.settings.node, to, message }));
-    }
-
-    /// Sends in the name of any member.
-    pub(super) fn deliver(&mut self, envelope: Envelope) {
-        if envelope.to == self.settings.node {
-            self.loopback.push_back(envelope);
-        } else {
-            self.out.push(Output::Send(envelope));
-        }
+        let data_epoch = self.storage.position().epoch;
+        let is_up_to_date = |view: &View| view.data_replicas.contains(&node) && data_epoch >= view.epoch;
+        self.storage.has_durable_view()
+            && self.storage.is_healthy()
+            && self.storage.view().is_some_and(is_up_to_date)
     }
 
     /// Changes what is kept on disk.
     pub(super) fn record(&mut self, record: DurableRecord) {
-        self.state.apply(&record);
-        self.journal.push(record);
+        self.storage.apply_record(&record);
+        self.outbox.write(record);
     }
 
     /// Raises the promised epoch.
     pub(super) fn promise(&mut self, epoch: u64) {
-        self.highest_seen = self.highest_seen.max(epoch);
-        if epoch > self.state.promised {
-            self.promised_to = None;
+        self.votes.observe_epoch(epoch);
+        if epoch > self.storage.promised() {
+            self.votes.clear_promised_to();
             self.record(DurableRecord::Promised(epoch));
         }
     }
 
-    /// Takes a view as known if it is newer than, or says more than the recorded one.
+    /// Raises the promised epoch at the request of its proposer.
+    pub(super) fn promise_to(&mut self, proposer: NodeId, epoch: u64) {
+        self.promise(epoch);
+        self.votes.set_promised_to(proposer);
+    }
+
+    /// Reports to the sender of a request that this member has promised a higher epoch.
+    pub(super) fn refuse(&mut self, to: NodeId, epoch: u64) {
+        let promised = self.storage.promised();
+        self.outbox.send(to, ReplicationMessage::Refuse { epoch, promised });
+    }
+
+    /// Takes over a view that is newer than the known one, or known to be in force. A member that the view
+    /// doesn't concern keeps it in memory only.
     pub(super) fn learn(&mut self, now: Duration, view: &View) {
-        if !self.is_news(view) {
+        if !self.storage.is_outdated_by(view) {
             return;
         }
         let node = self.settings.node;
-        let is_concerned = self.view_recorded.is_some() || electorate(view).contains(&node);
+        let is_concerned = self.storage.has_recorded_view() || electorate(view).contains(&node);
         if is_concerned {
             self.promise(view.epoch);
             self.record_view(view);
         } else {
-            self.highest_seen = self.highest_seen.max(view.epoch);
-            self.state.view = Some(view.clone());
+            self.votes.observe_epoch(view.epoch);
+            self.storage.set_unrecorded_view(view.clone());
         }
-        let is_outdated = |attempt: &Attempt| attempt.is_outdated_by(view);
-        if self.attempt.as_ref().is_some_and(is_outdated) {
-            self.attempt = None;
-            self.campaign_at = now + jitter(&mut self.random, 20..100);
+        self.give_way_to_view(now, view);
+    }
+
+    /// Ends a view change or leadership that a newer view has overtaken.
+    fn give_way_to_view(&mut self, now: Duration, view: &View) {
+        if self.view_change.take_if(|view_change| view_change.is_outdated_by(view)).is_some() {
+            let campaign_at = now + jitter(&mut self.random, 20..100);
+            self.election.schedule(campaign_at);
         }
         let leads_older = self.leadership.as_ref().is_some_and(|own| own.view.epoch < view.epoch);
-        if leads_older && view.holders.first() != Some(&node) {
+        if leads_older && view.data_replicas.first() != Some(&self.settings.node) {
             self.step_down(now);
         }
     }
@@ -379,80 +225,40 @@
     /// Writes a view to the disk.
     pub(super) fn record_view(&mut self, view: &View) {
         self.record(DurableRecord::View(view.clone()));
-        self.view_recorded = Some(view.epoch);
-        self.journal.hold(Held::ViewRecorded(view.epoch));
-    }
-
-    fn is_news(&self, view: &View) -> bool {
-        if view.voters.is_empty() {
-            return false;
-        }
-        let Some(recorded) = &self.state.view else { return true };
-        let settles = recorded.previous_voters != view.previous_voters && view.previous_voters.is_empty();
-        view.epoch > recorded.epoch || (view.epoch == recorded.epoch && settles)
+        self.outbox.defer_view_durable(view.epoch);
     }
 
-    /// How long after the election timeout this member campaigns, by its place among the holders.
-    pub(super) fn election_offset(&mut self) -> Duration {
+    /// How long after the election timeout this member campaigns, by its rank among the data replicas.
+    fn election_offset(&mut self) -> Duration {
         let node = self.settings.node;
-        let holders = self.state.view.as_ref().map_or(&[][..], |view| &view.holders);
-        let place = holders.iter().position(|holder| *holder == node).unwrap_or(0);
-        let patience = if self.leaving { LEAVING_CAMPAIGN_DELAY } else { Duration::ZERO };
-        patience + ELECTION_STAGGER * place as u32 + jitter(&mut self.random, 0..100)
+        let replicas = self.storage.view().map_or(&[][..], |view| &view.data_replicas);
+        let rank = replicas.iter().position(|replica| *replica == node).unwrap_or(0);
+        let delay = if self.lifecycle.is_leaving() { LEAVING_CAMPAIGN_DELAY } else { Duration::ZERO };
+        delay + ELECTION_STAGGER * rank as u32 + jitter(&mut self.random, 0..100)
     }
 
-    /// Leaves others the time for a view change before it tries one itself.
+    /// Leaves others the time for a view change before this member proposes one.
     pub(super) fn postpone_campaign(&mut self, now: Duration) {
-        let at = now + ELECTION_TIMEOUT + self.election_offset();
-        self.campaign_at = self.campaign_at.max(at);
+        let earliest = now + ELECTION_TIMEOUT + self.election_offset();
+        self.election.postpone_until(earliest);
     }
 
-    /// The state starts anew from the snapshot.
+    /// The owner's state starts anew from the snapshot.
     pub(super) fn restore(&mut self) {
-        self.applied = self.state.snapshot_sequence;
-        self.out.push(Output::Restore { sequence: self.applied, snapshot: self.state.snapshot.clone() });
+        self.storage.restart_from_snapshot();
+        let sequence = self.storage.applied();
+        let snapshot = self.storage.snapshot().clone();
+        self.outbox.push(Output::Restore { sequence, snapshot });
     }
 
-    /// Applies entries up to a number.
-    pub(super) fn apply_up_to(&mut self, sequence: u64) {
-        while self.applied < sequence {
-            let Some(entry) = self.state.entry(self.applied + 1) else { return };
-            let command = entry.command.clone();
-            self.applied += 1;
+    /// Applies entries up to `committed`, or to the end of the log.
+    pub(super) fn apply_up_to(&mut self, committed: u64) {
+        while self.storage.applied() < committed {
+            let Some(entry) = self.storage.apply_next() else { return };
+            let sequence = entry.sequence;
             let proposal =
-                self.leadership.as_mut().and_then(|leadership| leadership.take_proposal(self.applied));
-            self.out.push(Output::Apply { sequence: self.applied, command, proposal });
-        }
-    }
-
-    fn compact(&mut self, sequence: u64, snapshot: std::sync::Arc<[u8]>) {
-        if sequence <= self.applied && sequence > self.state.snapshot_sequence {
-            self.record(DurableRecord::Snapshot { sequence, snapshot });
+                self.leadership.as_mut().and_then(|leadership| leadership.proposals.take(sequence));
+            self.outbox.push(Output::Apply { sequence, command: entry.command, proposal });
         }
     }
-
-    fn tell_role(&mut self) {
-        let role = self.current_role();
-        if role != self.role {
-            self.role = role;
-            self.out.push(Output::RoleChanged(role));
-        }
-    }
-
-    fn current_role(&self) -> Role {
-        let node = self.settings.node;
-        if let Some(leadership) = &self.leadership {
-            return Role::Primary { epoch: leadership.view.epoch };
-        }
-        match &self.state.view {
-            Some(view) if view.holders.contains(&node) => Role::Backup,
-            Some(view) if view.voters.contains(&node) => Role::Voter,
-            _ => Role::Standby,
-        }
-    }
-}
-
-/// A random time from a range of milliseconds.
-pub(super) fn jitter(random: &mut Rng, milliseconds: Range<u64>) -> Duration {
-    Duration::from_micros(random.u64(milliseconds.start * 1000..milliseconds.end * 1000))
 }
--- /dev/null
+++ b/crates/control-plane/src/replication/outbox.rs
@@ -0,0 +1,87 @@
+//! Outputs that were not handed to the owner yet, and messages of a member to itself.
+
+use std::collections::VecDeque;
+
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Envelope, ReplicationMessage};
+
+use super::durable::DurableRecord;
+use super::interface::Output;
+use super::pending_writes::{DeferredEffect, PendingWrites, RecordBatch};
+
+/// Collects what one input leads to.
+///
+/// A message to the member itself takes the same way as one to another member, so that proposer and voter, or
+/// primary and data replica, need no special case for being the same process.
+#[derive(Clone, Debug)]
+pub(super) struct Outbox {
+    node: NodeId,
+    outputs: Vec<Output>,
+    loopback: VecDeque<Envelope>,
+    writes: PendingWrites,
+}
+
+impl Outbox {
+    /// The empty outbox of a member.
+    pub(super) fn new(node: NodeId) -> Outbox {
+        Outbox { node, outputs: Vec::new(), loopback: VecDeque::new(), writes: PendingWrites::default() }
+    }
+
+    /// Adds an output.
+    pub(super) fn push(&mut self, output: Output) {
+        self.outputs.push(output);
+    }
+
+    /// Sends a message now.
+    pub(super) fn send(&mut self, to: NodeId, message: ReplicationMessage) {
+        self.deliver(Envelope { from: self.node, to, message });
+    }
+
+    /// Sends a message once all records so far are durable.
+    pub(super) fn send_when_durable(&mut self, to: NodeId, message: ReplicationMessage) {
+        let envelope = Envelope { from: self.node, to, message };
+        self.writes.defer(DeferredEffect::Send(envelope));
+    }
+
+    /// Sends an envelope now, whoever is named as its sender.
+    pub(super) fn deliver(&mut self, envelope: Envelope) {
+        if envelope.to == self.node {
+            self.loopback.push_back(envelope);
+        } else {
+            self.outputs.push(Output::Send(envelope));
+        }
+    }
+
+    /// Adds a record to those that are written next.
+    pub(super) fn write(&mut self, record: DurableRecord) {
+        self.writes.push(record);
+    }
+
+    /// Reports the view of this epoch as durable once all records so far are.
+    pub(super) fn defer_view_durable(&mut self, epoch: u64) {
+        self.writes.defer(DeferredEffect::ViewDurable { epoch });
+    }
+
+    /// Records that all batches up to `ticket` are durable.
+    pub(super) fn persisted(&mut self, ticket: u64) {
+        self.writes.persisted(ticket);
+    }
+
+    /// The next deferred effect that has to wait no longer.
+    pub(super) fn pop_durable(&mut self) -> Option<DeferredEffect> {
+        self.writes.pop_durable()
+    }
+
+    /// The next message of this member to itself.
+    pub(super) fn pop_loopback(&mut self) -> Option<Envelope> {
+        self.loopback.pop_front()
+    }
+
+    /// Moves all outputs to `outputs`, the write of the collected records last.
+    pub(super) fn drain_into(&mut self, outputs: &mut Vec<Output>) {
+        if let Some(RecordBatch { ticket, records }) = self.writes.take_batch() {
+            self.outputs.push(Output::Persist { ticket, records });
+        }
+        outputs.append(&mut self.outputs);
+    }
+}
--- a/crates/control-plane/src/replication/peers.rs
+++ b/crates/control-plane/src/replication/peers.rs
@@ -1,27 +1,27 @@
-//! What a member knows of the others.
+//! What a member knows of the others: who is alive, who leaves, who is primary.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tulipridge_protocol::node::NodeId;
 
-use super::settings::STANDBY_FORGOTTEN_AFTER;
+use super::timing::STANDBY_TIMEOUT;
 
 /// One other member, as seen from here.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
-    /// Its zone; empty until it has told.
+    /// Its zone; empty until it has reported it.
     pub(super) zone: String,
     /// When it last acknowledged a heartbeat.
     pub(super) acknowledged: Option<Duration>,
     /// When it last did so with a healthy disk.
     pub(super) healthy: Option<Duration>,
-    /// It has said that its process ends soon.
-    pub(super) leaving: bool,
-    /// When it last asked to be taken in.
+    /// It has reported that its process ends soon.
+    pub(super) is_leaving: bool,
+    /// When it last requested to join.
     pub(super) joined: Option<Duration>,
-    /// When such a request was last passed on to the primary.
-    pub(super) forwarded: Option<Duration>,
+    /// When such a request was last forwarded to the primary.
+    forwarded: Option<Duration>,
 }
 
 impl Peer {
@@ -30,6 +30,24 @@
     }
 }
 
+/// What a member reports of itself when it acknowledges a heartbeat.
+#[derive(Debug)]
+pub(super) struct PeerReport {
+    /// Its zone.
+    pub(super) zone: String,
+    /// Its disk answers within its bound.
+    pub(super) is_disk_healthy: bool,
+    /// Its process ends soon.
+    pub(super) is_leaving: bool,
+}
+
+/// The primary whose heartbeat came last.
+#[derive(Clone, Debug)]
+struct HeardPrimary {
+    node: NodeId,
+    at: Duration,
+}
+
 /// Whether a moment is there and not older than a span.
 pub(super) fn is_recent(moment: Option<Duration>, now: Duration, span: Duration) -> bool {
     moment.is_some_and(|moment| now.saturating_sub(moment) <= span)
@@ -39,15 +57,11 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peers {
     peers: BTreeMap<NodeId, Peer>,
+    primary: Option<HeardPrimary>,
 }
 
 impl Peers {
-    /// The member's entry, made if there is none.
-    pub(super) fn entry(&mut self, node: NodeId) -> &mut Peer {
-        self.peers.entry(node).or_default()
-    }
-
-    /// The member's entry.
+    /// What is known of a member.
     pub(super) fn get(&self, node: NodeId) -> Option<&Peer> {
         self.peers.get(&node)
     }
@@ -57,6 +71,42 @@
         self.peers.iter().map(|(node, peer)| (*node, peer))
     }
 
+    /// Records an acknowledgement from `node`.
+    pub(super) fn record_acknowledgement(&mut self, node: NodeId, now: Duration, report: PeerReport) {
+        let peer = self.peers.entry(node).or_default();
+        peer.zone = report.zone;
+        peer.is_leaving = report.is_leaving;
+        peer.acknowledged = Some(now);
+        if report.is_disk_healthy {
+            peer.healthy = Some(now);
+        }
+    }
+
+    /// Counts a member as alive and healthy at `moment` though it has acknowledged nothing.
+    pub(super) fn presume_alive(&mut self, node: NodeId, moment: Duration) {
+        let peer = self.peers.entry(node).or_default();
+        peer.acknowledged = Some(moment);
+        peer.healthy = Some(moment);
+    }
+
+    /// Records a request to join.
+    pub(super) fn record_join(&mut self, node: NodeId, now: Duration, zone: &str) {
+        let peer = self.peers.entry(node).or_default();
+        zone.clone_into(&mut peer.zone);
+        peer.joined = Some(now);
+    }
+
+    /// Whether a member's request to join is to be forwarded now, since the last time is longer ago than
+    /// `interval`; if so, records that it is.
+    pub(super) fn take_forward(&mut self, node: NodeId, now: Duration, interval: Duration) -> bool {
+        let peer = self.peers.entry(node).or_default();
+        let is_due = !is_recent(peer.forwarded, now, interval);
+        if is_due {
+            peer.forwarded = Some(now);
+        }
+        is_due
+    }
+
     /// Another member at the same address that acknowledged within the span.
     pub(super) fn successor(&self, node: NodeId, now: Duration, span: Duration) -> Option<NodeId> {
         self.iter()
@@ -68,7 +118,27 @@
 
     /// Forgets standbys that are silent.
     pub(super) fn prune(&mut self, now: Duration, keep: impl Fn(NodeId) -> bool) {
-        self.peers
-            .retain(|node, peer| keep(*node) || is_recent(peer.heard(), now, STANDBY_FORGOTTEN_AFTER));
+        self.peers.retain(|node, peer| keep(*node) || is_recent(peer.heard(), now, STANDBY_TIMEOUT));
+    }
+
+    /// Records a heartbeat from the primary.
+    pub(super) fn record_primary(&mut self, node: NodeId, now: Duration) {
+        self.primary = Some(HeardPrimary { node, at: now });
+    }
+
+    /// There is no other primary.
+    pub(super) fn forget_primary(&mut self) {
+        self.primary = None;
+    }
+
+    /// `node` is primary no longer.
+    pub(super) fn forget_primary_if(&mut self, node: NodeId) {
+        self.primary.take_if(|primary| primary.node == node);
+    }
+
+    /// The primary whose heartbeat came last, if that is not longer ago than the span.
+    pub(super) fn primary_heard_within(&self, now: Duration, span: Duration) -> Option<NodeId> {
+        let primary = self.primary.as_ref()?;
+        is_recent(Some(primary.at), now, span).then_some(primary.node)
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/replication/pending_writes.rs
@@ -0,0 +1,78 @@
+//! Records on their way to the disk, and the effects that must not happen before they are durable.
+
+use std::collections::VecDeque;
+use std::mem;
+
+use tulipridge_protocol::replication::Envelope;
+
+use super::durable::DurableRecord;
+
+/// Records that are written and synced together.
+#[derive(Debug)]
+pub(super) struct RecordBatch {
+    /// Rises by one with each batch.
+    pub(super) ticket: u64,
+    /// In the order in which they are written.
+    pub(super) records: Vec<DurableRecord>,
+}
+
+/// What happens once the records before it are durable.
+#[derive(Clone, Debug)]
+pub(super) enum DeferredEffect {
+    /// A message is sent.
+    Send(Envelope),
+    /// The view of this epoch is known to be on disk.
+    ViewDurable {
+        /// The view's epoch.
+        epoch: u64,
+    },
+}
+
+/// An effect and the batch that it waits for.
+#[derive(Clone, Debug)]
+struct PendingEffect {
+    ticket: u64,
+    effect: DeferredEffect,
+}
+
+/// The batch that is being filled, and the effects that wait for it or for earlier ones.
+#[derive(Clone, Debug, Default)]
+pub(super) struct PendingWrites {
+    issued: u64,
+    persisted: u64,
+    batch: Vec<DurableRecord>,
+    pending: VecDeque<PendingEffect>,
+}
+
+impl PendingWrites {
+    /// Adds a record to the batch.
+    pub(super) fn push(&mut self, record: DurableRecord) {
+        self.batch.push(record);
+    }
+
+    /// Defers an effect until all records so far are durable.
+    pub(super) fn defer(&mut self, effect: DeferredEffect) {
+        let ticket = if self.batch.is_empty() { self.issued } else { self.issued + 1 };
+        self.pending.push_back(PendingEffect { ticket, effect });
+    }
+
+    /// Ends the batch; `None` if it is empty.
+    pub(super) fn take_batch(&mut self) -> Option<RecordBatch> {
+        if self.batch.is_empty() {
+            return None;
+        }
+        self.issued += 1;
+        Some(RecordBatch { ticket: self.issued, records: mem::take(&mut self.batch) })
+    }
+
+    /// Records that all batches up to `ticket` are durable.
+    pub(super) fn persisted(&mut self, ticket: u64) {
+        self.persisted = self.persisted.max(ticket.min(self.issued));
+    }
+
+    /// The next effect whose records are durable, in the order in which they were deferred.
+    pub(super) fn pop_durable(&mut self) -> Option<DeferredEffect> {
+        let persisted = self.persisted;
+        self.pending.pop_front_if(|pending| pending.ticket <= persisted).map(|pending| pending.effect)
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/replication/primary.rs
@@ -0,0 +1,124 @@
+//! How a member becomes primary, acts as one, and ceases to be one.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{ReplicationMessage, View};
+
+use super::election::jitter;
+use super::leadership::Leadership;
+use super::machine::Replication;
+use super::peers::{Peer, is_recent};
+use super::timing::{
+    BACKUP_TIMEOUT, ELECTION_TIMEOUT, LEAVING_CAMPAIGN_DELAY, NEW_PRIMARY_GRACE, VOTER_TIMEOUT,
+};
+
+impl Replication {
+    /// The view is in force: everything that this member stores is committed.
+    pub(super) fn become_primary(&mut self, now: Duration, view: View) {
+        let first_token = self.random.u64(..) >> 1;
+        let sequence = self.storage.last_sequence();
+        let mut leadership = Leadership::new(view, sequence, first_token, now);
+        if let Some(previous) = self.leadership.take() {
+            leadership.continue_from(previous, now);
+        } else {
+            self.presume_members_alive(now, &leadership.view);
+        }
+        self.peers.forget_primary();
+        let queued = leadership.proposals.take_queued();
+        self.leadership = Some(leadership);
+        self.apply_up_to(sequence);
+        for proposal in queued {
+            self.append(now, proposal.ticket, proposal.command);
+        }
+    }
+
+    /// A new primary gives data replicas, which have just answered, the full time before it takes them for dead,
+    /// and others a shorter one.
+    fn presume_members_alive(&mut self, now: Duration, view: &View) {
+        let others = view.voters.iter().filter(|member| **member != self.settings.node);
+        for member in others {
+            let is_replica = view.data_replicas.contains(member);
+            let earlier = (now + NEW_PRIMARY_GRACE).saturating_sub(VOTER_TIMEOUT);
+            self.peers.presume_alive(*member, if is_replica { now } else { earlier });
+        }
+    }
+
+    /// Ceases to be primary; proposals fail.
+    pub(super) fn step_down(&mut self, now: Duration) {
+        let Some(leadership) = self.leadership.take() else { return };
+        self.view_change = None;
+        for failure in leadership.proposals.into_failures() {
+            self.outbox.push(failure);
+        }
+        self.votes.withdraw_grant_to(self.settings.node);
+        let delay = if self.lifecycle.is_leaving() { LEAVING_CAMPAIGN_DELAY } else { ELECTION_TIMEOUT / 2 };
+        let campaign_at = now + delay + jitter(&mut self.random, 0..500);
+        self.election.schedule(campaign_at);
+    }
+
+    /// Steps down if no majority has answered for too long.
+    pub(super) fn step_down_if_lease_lost(&mut self, now: Duration) {
+        if self.leadership.as_ref().is_some_and(|leadership| leadership.lease.is_lost(now)) {
+            self.step_down(now);
+        }
+    }
+
+    /// Does what is due at a primary.
+    pub(super) fn run_primary_timers(&mut self, now: Duration) {
+        if self.leadership.is_none() {
+            return;
+        }
+        let should_release = self.lifecycle.is_leaving() || !self.storage.is_healthy();
+        if should_release && self.release_lease(now) {
+            return;
+        }
+        self.send_heartbeats_if_due(now);
+        self.expire_queued_proposals(now);
+        self.resend_entries_if_due(now);
+        self.reconfigure_if_needed(now);
+    }
+
+    /// Gives up the lease in favour of a backup that answers and stays; returns whether there is one. A primary that
+    /// leaves goes on without one until it has brought another member up to date.
+    fn release_lease(&mut self, now: Duration) -> bool {
+        let Some(leadership) = &self.leadership else { return false };
+        if self.lifecycle.is_leaving() && self.view_change.is_some() {
+            return false;
+        }
+        let Some(successor) = self.choose_successor(now, leadership) else { return false };
+        let epoch = leadership.view.epoch;
+        let mut voters: BTreeSet<NodeId> = leadership.view.voters.iter().copied().collect();
+        voters.remove(&self.settings.node);
+        self.step_down(now);
+        for voter in voters {
+            self.outbox.send(voter, ReplicationMessage::Release { epoch, successor });
+        }
+        true
+    }
+
+    /// Whether a backup stays is known from its answer to a heartbeat of this view: two that leave would hand the
+    /// lease to each other for ever.
+    fn choose_successor(&self, now: Duration, leadership: &Leadership) -> Option<NodeId> {
+        let stays = |peer: &Peer| is_recent(peer.healthy, now, BACKUP_TIMEOUT) && !peer.is_leaving;
+        let is_eligible = |backup: &&NodeId| {
+            let has_answered = leadership.lease.is_acknowledged_by(**backup);
+            has_answered && self.peers.get(**backup).is_some_and(stays)
+        };
+        leadership.view.data_replicas.iter().skip(1).find(is_eligible).copied()
+    }
+
+    /// A primary has given up its lease.
+    pub(super) fn on_release(&mut self, now: Duration, from: NodeId, epoch: u64, successor: NodeId) {
+        self.votes.lease_released(from, epoch);
+        self.peers.forget_primary_if(from);
+        let is_newest = self.storage.view().is_some_and(|view| view.epoch == epoch);
+        if successor == self.settings.node && is_newest {
+            self.election.avoid(from);
+            self.election.schedule(now);
+        } else {
+            self.election.postpone_until(now + ELECTION_TIMEOUT / 2);
+        }
+    }
+}
--- a/crates/control-plane/src/replication/progress.rs
+++ b/crates/control-plane/src/replication/progress.rs
@@ -1,110 +1,122 @@
-//! How far the holders have stored the primary's entries.
+//! How far each data replica has stored the primary's entries (raft's progress tracker).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tulipridge_protocol::node::NodeId;
 
-use super::settings::{APPEND_STALL, RESEND_INTERVAL, longest_transmission, longest_write};
+use super::timing::{APPEND_STALL, RESEND_INTERVAL, max_transmission_duration, max_write_duration};
 
-/// How far one holder has stored the entries.
+/// How far one data replica has stored the entries.
 #[derive(Clone, Copy, Debug)]
-struct HolderProgress {
-    sequence: u64,
+struct ReplicaProgress {
+    /// The newest entry that it has on disk, with all before it.
+    stored: u64,
     /// When it last stored something, or since when it has had something to store.
-    moved_at: Duration,
+    advanced_at: Duration,
     /// When the entries that it lacks are sent again.
     resend_at: Duration,
 }
 
-/// How far all holders have.
+/// A data replica to which entries have to be sent again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct LaggingReplica {
+    /// The replica.
+    pub(super) node: NodeId,
+    /// The newest entry that it has stored.
+    pub(super) stored: u64,
+}
+
+/// How far all data replicas have.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// The newest entry that was sent to the holders.
+    /// The newest entry that was sent to the replicas.
     newest: u64,
-    holders: BTreeMap<NodeId, HolderProgress>,
-    /// Bytes of the entries that some holder has not stored.
-    lengths: BTreeMap<u64, u64>,
+    replicas: BTreeMap<NodeId, ReplicaProgress>,
+    /// Bytes of the entries that some replica has not stored, by sequence number.
+    entry_bytes: BTreeMap<u64, u64>,
 }
 
 impl Progress {
-    /// All holders have stored all entries up to a number.
-    pub(super) fn new(holders: &[NodeId], sequence: u64, now: Duration) -> Progress {
-        let stored = HolderProgress { sequence, moved_at: now, resend_at: now };
-        let holders = holders.iter().map(|holder| (*holder, stored)).collect();
-        Progress { newest: sequence, holders, lengths: BTreeMap::new() }
+    /// All replicas have stored all entries up to `sequence`.
+    pub(super) fn new(replicas: &[NodeId], sequence: u64, now: Duration) -> Progress {
+        let progress = ReplicaProgress { stored: sequence, advanced_at: now, resend_at: now };
+        let replicas = replicas.iter().map(|replica| (*replica, progress)).collect();
+        Progress { newest: sequence, replicas, entry_bytes: BTreeMap::new() }
     }
 
-    /// The next entry is sent to all holders.
+    /// The next entry is sent to all replicas.
     pub(super) fn appended(&mut self, now: Duration, bytes: usize) {
-        let idle = self.newest;
+        let previous = self.newest;
         self.newest += 1;
-        self.lengths.insert(self.newest, bytes as u64);
-        let resend_at = now + resend_after(bytes as u64);
-        for holder in self.holders.values_mut().filter(|holder| holder.sequence == idle) {
-            holder.moved_at = now;
-            holder.resend_at = resend_at;
+        self.entry_bytes.insert(self.newest, bytes as u64);
+        let resend_at = now + resend_timeout(bytes as u64);
+        for replica in self.replicas.values_mut().filter(|replica| replica.stored == previous) {
+            replica.advanced_at = now;
+            replica.resend_at = resend_at;
         }
     }
 
-    /// A holder has stored an entry and all before it.
+    /// A replica has stored an entry and all before it.
     pub(super) fn stored(&mut self, now: Duration, from: NodeId, sequence: u64) {
-        let next = self.lengths.get(&(sequence + 1)).copied().unwrap_or(0);
-        let Some(holder) = self.holders.get_mut(&from) else { return };
-        if sequence > holder.sequence {
-            *holder = HolderProgress { sequence, moved_at: now, resend_at: now + resend_after(next) };
+        let resend_at = now + resend_timeout(self.bytes_after(sequence));
+        let Some(replica) = self.replicas.get_mut(&from) else { return };
+        if sequence > replica.stored {
+            *replica = ReplicaProgress { stored: sequence, advanced_at: now, resend_at };
         }
         let committed = self.committed();
-        self.lengths = self.lengths.split_off(&(committed + 1));
+        self.entry_bytes = self.entry_bytes.split_off(&(committed + 1));
     }
 
-    /// The newest entry that all holders have on disk.
+    /// The newest entry that all replicas have on disk.
     pub(super) fn committed(&self) -> u64 {
-        self.holders.values().map(|holder| holder.sequence).min().unwrap_or(0)
+        self.replicas.values().map(|replica| replica.stored).min().unwrap_or(0)
     }
 
-    /// Whether a holder has stored nothing for long though there is something to store.
-    pub(super) fn is_stalled(&self, holder: NodeId, now: Duration) -> bool {
-        self.holders.get(&holder).is_some_and(|holder| {
-            let next = self.next_length(holder);
-            let term = APPEND_STALL + longest_transmission(next) + longest_write(next);
-            holder.sequence < self.newest && now.saturating_sub(holder.moved_at) > term
+    /// Whether a replica has stored nothing for long though there is something to store.
+    pub(super) fn is_stalled(&self, replica: NodeId, now: Duration) -> bool {
+        self.replicas.get(&replica).is_some_and(|replica| {
+            let bytes = self.bytes_after(replica.stored);
+            let timeout = APPEND_STALL + max_transmission_duration(bytes) + max_write_duration(bytes);
+            self.is_lagging(replica) && now.saturating_sub(replica.advanced_at) > timeout
         })
     }
 
     /// When entries have to be sent again at the earliest.
     pub(super) fn next_resend(&self) -> Option<Duration> {
-        self.holders
-            .values()
-            .filter(|holder| holder.sequence < self.newest)
-            .map(|holder| holder.resend_at)
-            .min()
+        let lagging = self.replicas.values().filter(|replica| self.is_lagging(replica));
+        lagging.map(|replica| replica.resend_at).min()
     }
 
-    /// The holders to which entries have to be sent again now, and the newest entry that each has stored.
-    pub(super) fn take_due(&mut self, now: Duration) -> Vec<(NodeId, u64)> {
-        let is_due = |holder: &HolderProgress| holder.sequence < self.newest && now >= holder.resend_at;
-        let due: Vec<(NodeId, u64)> = self
-            .holders
+    /// The replicas to which entries have to be sent again now; schedules the next time for them.
+    pub(super) fn take_due(&mut self, now: Duration) -> Vec<LaggingReplica> {
+        let due: Vec<LaggingReplica> = self
+            .replicas
             .iter()
-            .filter(|(_, holder)| is_due(holder))
-            .map(|(node, holder)| (*node, holder.sequence))
+            .filter(|(_, replica)| self.is_lagging(replica) && now >= replica.resend_at)
+            .map(|(node, replica)| LaggingReplica { node: *node, stored: replica.stored })
             .collect();
-        for (node, sequence) in &due {
-            let next = self.lengths.get(&(sequence + 1)).copied().unwrap_or(0);
-            if let Some(holder) = self.holders.get_mut(node) {
-                holder.resend_at = now + resend_after(next);
+        for LaggingReplica { node, stored } in &due {
+            let resend_at = now + resend_timeout(self.bytes_after(*stored));
+            if let Some(replica) = self.replicas.get_mut(node) {
+                replica.resend_at = resend_at;
             }
         }
         due
     }
 
-    fn next_length(&self, holder: &HolderProgress) -> u64 {
-        self.lengths.get(&(holder.sequence + 1)).copied().unwrap_or(0)
+    fn is_lagging(&self, replica: &ReplicaProgress) -> bool {
+        replica.stored < self.newest
+    }
+
+    /// Bytes of the entry after `sequence`; 0 if there is none that some replica lacks.
+    fn bytes_after(&self, sequence: u64) -> u64 {
+        self.entry_bytes.get(&(sequence + 1)).copied().unwrap_or(0)
     }
 }
 
-/// An entry is sent again only when it can't be on its way any more, so that a slow link is not filled with copies.
-fn resend_after(bytes: u64) -> Duration {
-    RESEND_INTERVAL + longest_transmission(bytes) + longest_write(bytes)
+/// An entry is sent again only when it can't be on its way any more, so that a slow link is not filled with
+/// duplicates.
+fn resend_timeout(bytes: u64) -> Duration {
+    RESEND_INTERVAL + max_transmission_duration(bytes) + max_write_duration(bytes)
 }
--- /dev/null
+++ b/crates/control-plane/src/replication/proposals.rs
@@ -0,0 +1,68 @@
+//! Proposals that the primary has accepted from its owner and not answered yet.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+use std::time::Duration;
+
+use super::interface::{FailureReason, Output};
+use super::timing::MAX_PROPOSAL_WAIT;
+
+/// A proposal that waits for the end of a view change. Its command was never replicated.
+#[derive(Clone, Debug)]
+pub(super) struct QueuedProposal {
+    /// The owner's name for it.
+    pub(super) ticket: u64,
+    /// The encoded command.
+    pub(super) command: Arc<[u8]>,
+    /// When the owner proposed it.
+    pub(super) since: Duration,
+}
+
+/// All proposals without an outcome.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Proposals {
+    /// Tickets by the sequence number of their entry.
+    replicating: BTreeMap<u64, u64>,
+    queued: VecDeque<QueuedProposal>,
+}
+
+impl Proposals {
+    /// The entry `sequence` carries the command of a proposal.
+    pub(super) fn replicate(&mut self, sequence: u64, ticket: u64) {
+        self.replicating.insert(sequence, ticket);
+    }
+
+    /// Keeps a proposal until the view change has ended.
+    pub(super) fn enqueue(&mut self, proposal: QueuedProposal) {
+        self.queued.push_back(proposal);
+    }
+
+    /// Removes the proposal behind an entry; returns its ticket.
+    pub(super) fn take(&mut self, sequence: u64) -> Option<u64> {
+        self.replicating.remove(&sequence)
+    }
+
+    /// Removes the proposals that wait for the end of a view change.
+    pub(super) fn take_queued(&mut self) -> VecDeque<QueuedProposal> {
+        std::mem::take(&mut self.queued)
+    }
+
+    /// Removes the next queued proposal that has waited too long; returns its failure.
+    pub(super) fn expire_next(&mut self, now: Duration) -> Option<Output> {
+        let is_late = |queued: &mut QueuedProposal| now.saturating_sub(queued.since) >= MAX_PROPOSAL_WAIT;
+        self.queued.pop_front_if(is_late).map(|queued| failed(queued.ticket, FailureReason::NotReplicated))
+    }
+
+    /// The failures of all proposals of a member that is primary no longer.
+    pub(super) fn into_failures(self) -> impl Iterator<Item = Output> {
+        let replicating = self.replicating.into_values();
+        let queued = self.queued.into_iter();
+        replicating
+            .map(|ticket| failed(ticket, FailureReason::OutcomeUnknown))
+            .chain(queued.map(|proposal| failed(proposal.ticket, FailureReason::NotReplicated)))
+    }
+}
+
+fn failed(proposal: u64, reason: FailureReason) -> Output {
+    Output::ProposalFailed { proposal, reason }
+}
--- /dev/null
+++ b/crates/control-plane/src/replication/storage.rs
@@ -0,0 +1,167 @@
+//! A member's log, view and promise, as they are on disk or on their way there.
+
+use std::sync::Arc;
+
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{Entry, View};
+
+use super::durable::{DurableRecord, DurableState, LogPosition};
+
+/// The state that survives a restart, and how much of it is durable and applied.
+#[derive(Clone, Debug)]
+pub(super) struct Storage {
+    state: DurableState,
+    /// Epoch of the newest view that is on disk or on its way there. A standby knows newer ones from heartbeats
+    /// only.
+    recorded_view_epoch: Option<u64>,
+    /// Epoch of the newest view that is surely on disk.
+    durable_view_epoch: Option<u64>,
+    /// The newest entry that was handed to the owner.
+    applied: u64,
+    is_healthy: bool,
+}
+
+impl Storage {
+    /// The storage of a member that starts with `state`.
+    pub(super) fn new(state: DurableState) -> Storage {
+        let view_epoch = state.view.as_ref().map(|view| view.epoch);
+        Storage {
+            recorded_view_epoch: view_epoch,
+            durable_view_epoch: view_epoch,
+            applied: state.snapshot_sequence,
+            is_healthy: true,
+            state,
+        }
+    }
+
+    /// All that is kept on disk.
+    pub(super) fn state(&self) -> &DurableState {
+        &self.state
+    }
+
+    /// The highest epoch that this member has promised.
+    pub(super) fn promised(&self) -> u64 {
+        self.state.promised
+    }
+
+    /// How far the data goes.
+    pub(super) fn position(&self) -> LogPosition {
+        self.state.data
+    }
+
+    /// The newest entry of the log.
+    pub(super) fn last_sequence(&self) -> u64 {
+        self.state.data.sequence
+    }
+
+    /// The newest view that this member knows, recorded or not.
+    pub(super) fn view(&self) -> Option<&View> {
+        self.state.view.as_ref()
+    }
+
+    /// The epoch of the newest known view; 0 without one.
+    pub(super) fn view_epoch(&self) -> u64 {
+        self.view().map_or(0, |view| view.epoch)
+    }
+
+    /// Whether any view was recorded here.
+    pub(super) fn has_recorded_view(&self) -> bool {
+        self.recorded_view_epoch.is_some()
+    }
+
+    /// Whether a view of this epoch or a later one was recorded here.
+    pub(super) fn has_recorded_view_of(&self, epoch: u64) -> bool {
+        self.recorded_view_epoch >= Some(epoch)
+    }
+
+    /// Whether any view is surely on disk.
+    pub(super) fn has_durable_view(&self) -> bool {
+        self.durable_view_epoch.is_some()
+    }
+
+    /// Whether a view of this epoch or a later one is surely on disk.
+    pub(super) fn has_durable_view_of(&self, epoch: u64) -> bool {
+        self.durable_view_epoch >= Some(epoch)
+    }
+
+    /// Records that the view of this epoch is on disk.
+    pub(super) fn view_is_durable(&mut self, epoch: u64) {
+        self.durable_view_epoch = self.durable_view_epoch.max(Some(epoch));
+    }
+
+    /// Takes over a view without recording it.
+    pub(super) fn set_unrecorded_view(&mut self, view: View) {
+        self.state.view = Some(view);
+    }
+
+    /// Carries out a change that is written to the disk.
+    pub(super) fn apply_record(&mut self, record: &DurableRecord) {
+        self.state.apply(record);
+        if let DurableRecord::View(view) = record {
+            self.recorded_view_epoch = Some(view.epoch);
+        }
+    }
+
+    /// Whether a view is newer than the known one, or the same but now known to be in force.
+    pub(super) fn is_outdated_by(&self, view: &View) -> bool {
+        if view.voters.is_empty() {
+            return false;
+        }
+        let Some(known) = self.view() else { return true };
+        let is_completed = known.previous_voters != view.previous_voters && view.previous_voters.is_empty();
+        view.epoch > known.epoch || (view.epoch == known.epoch && is_completed)
+    }
+
+    /// Whether the newest promise, view and data are all of this epoch, and `node` stores data under `primary`.
+    pub(super) fn is_replica_under(&self, node: NodeId, primary: NodeId, epoch: u64) -> bool {
+        self.state.promised == epoch
+            && self.state.data.epoch == epoch
+            && self.view().is_some_and(|view| {
+                view.epoch == epoch
+                    && view.data_replicas.first() == Some(&primary)
+                    && view.data_replicas.contains(&node)
+            })
+    }
+
+    /// The entry `sequence`, unless the snapshot covers it or it is not stored yet.
+    pub(super) fn entry(&self, sequence: u64) -> Option<&Entry> {
+        self.state.entry(sequence)
+    }
+
+    /// The newest entry in the snapshot.
+    pub(super) fn snapshot_sequence(&self) -> u64 {
+        self.state.snapshot_sequence
+    }
+
+    /// The encoded state at that entry.
+    pub(super) fn snapshot(&self) -> &Arc<[u8]> {
+        &self.state.snapshot
+    }
+
+    /// The newest entry that was applied.
+    pub(super) fn applied(&self) -> u64 {
+        self.applied
+    }
+
+    /// Goes back, or forward, to the snapshot.
+    pub(super) fn restart_from_snapshot(&mut self) {
+        self.applied = self.state.snapshot_sequence;
+    }
+
+    /// The entry after the newest applied one, which then counts as applied.
+    pub(super) fn apply_next(&mut self) -> Option<Entry> {
+        let entry = self.entry(self.applied + 1)?.clone();
+        self.applied += 1;
+        Some(entry)
+    }
+
+    /// Whether the disk answers within its bound.
+    pub(super) fn is_healthy(&self) -> bool {
+        self.is_healthy
+    }
+
+    /// Records whether the disk answers within its bound.
+    pub(super) fn set_healthy(&mut self, is_healthy: bool) {
+        self.is_healthy = is_healthy;
+    }
+}
--- a/crates/control-plane/src/replication/transfer.rs
+++ b/crates/control-plane/src/replication/transfer.rs
@@ -1,10 +1,10 @@
-//! Transfer of a member's whole data to another one, in parts that may be lost, late or doubled.
+//! Transfer of a member's complete data to another one, in chunks that may be lost, late or duplicated.
 //!
 //! The sender keeps the encoded data once ([`EncodedData`]) and for each receiver how far it has come
 //! ([`OutgoingTransfer`]): at most [`WINDOW_BYTES`] are on the way, so that heartbeats on the same link are not
-//! held up for long. The receiver ([`IncomingTransfer`]) keeps what it has without gaps, says how much that is,
-//! and hands the data out only when all of it is there and its checksum is right. It names the data, not the
-//! attempt to send it, so a later attempt with the same data goes on where the last one stopped.
+//! held up for long. The receiver ([`IncomingTransfer`]) keeps what it has without gaps, reports how much that is,
+//! and hands the data out only when all of it is there and its checksum is right. Its name identifies the data, not the
+//! view change, so a later view change with the same data goes on where the last one stopped.
 
 use std::mem;
 use std::sync::Arc;
@@ -16,14 +16,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::durable::DurableState;
-use super::settings::{LONGEST_SYNC_RESEND, SYNC_RESEND_INTERVAL};
+use super::timing::{MAX_SYNC_RESEND_INTERVAL, SYNC_RESEND_INTERVAL};
 
-/// Bytes of a part: 52 ms on a link of 10 Mbit/s.
-pub const PART_BYTES: u64 = 64 * 1024;
+/// Bytes of a chunk: 52 ms on a link of 10 Mbit/s.
+pub const CHUNK_BYTES: u64 = 64 * 1024;
 /// Bytes that may be on the way to a receiver.
-pub const WINDOW_BYTES: u64 = 2 * PART_BYTES;
-/// The longest data that a receiver takes.
-pub const LONGEST_TRANSFER: u64 = 256 << 20;
+pub const WINDOW_BYTES: u64 = 2 * CHUNK_BYTES;
+/// The longest data that a receiver accepts, in bytes.
+pub const MAX_TRANSFER_BYTES: u64 = 256 << 20;
 
 /// What is transferred.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -37,12 +37,12 @@
     pub entries: Vec<Entry>,
 }
 
-/// A part of the encoded data.
+/// A chunk of the encoded data.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct Chunk {
     /// The data.
     pub transfer: TransferId,
-    /// Where the part begins.
+    /// Where the chunk begins, in bytes.
     pub offset: u64,
     /// Its bytes.
     pub bytes: Arc<[u8]>,
@@ -57,6 +57,10 @@
 
 impl EncodedData {
     /// The data of a member.
+    ///
+    /// # Panics
+    ///
+    /// If the data can't be encoded, which a value of plain fields always can.
     #[must_use]
     pub fn of(state: &DurableState) -> EncodedData {
         let data = TransferData {
@@ -74,19 +78,19 @@
         EncodedData { id, bytes }
     }
 
-    /// Its name.
+    /// Identifies the data.
     #[must_use]
     pub fn id(&self) -> TransferId {
         self.id
     }
 
-    /// The part that begins at an offset; empty at the end.
+    /// The chunk that begins at an offset; empty at the end.
     #[must_use]
-    pub fn part(&self, offset: u64) -> Part {
+    pub fn chunk(&self, offset: u64) -> Chunk {
         let start = offset.min(self.id.length);
-        let end = (start + PART_BYTES).min(self.id.length);
+        let end = (start + CHUNK_BYTES).min(self.id.length);
         let bytes = self.bytes[start as usize..end as usize].into();
-        Part { transfer: self.id, offset: start, bytes }
+        Chunk { transfer: self.id, offset: start, bytes }
     }
 }
 
@@ -94,11 +98,11 @@
 #[derive(Clone, Debug)]
 pub struct OutgoingTransfer {
     length: u64,
-    /// The receiver has still to be asked what it has.
-    is_asked_first: bool,
+    /// The receiver has still to be queried what it has.
+    is_queried_first: bool,
     /// Bytes that the receiver has.
     received: u64,
-    /// What it has said last.
+    /// What it has reported last.
     reported: u64,
     /// The most that it ever had.
     most_received: u64,
@@ -109,12 +113,12 @@
 }
 
 impl OutgoingTransfer {
-    /// Nothing is sent yet. A receiver that may have all is asked first what it has, by an empty part.
+    /// Nothing is sent yet. A receiver that may have all is queried first, by an empty chunk.
     #[must_use]
-    pub fn new(length: u64, is_asked_first: bool, now: Duration) -> OutgoingTransfer {
+    pub fn new(length: u64, is_queried_first: bool, now: Duration) -> OutgoingTransfer {
         OutgoingTransfer {
             length,
-            is_asked_first,
+            is_queried_first,
             received: 0,
             reported: 0,
             most_received: 0,
@@ -136,10 +140,10 @@
         self.received == self.length
     }
 
-    /// The receiver says how much it has. Whether the transfer has come further than ever.
+    /// The receiver reports how much it has. Returns whether the transfer has come further than ever.
     ///
     /// Less than before means that the receiver has started anew, or that the message is late: it counts when
-    /// parts have to be sent again.
+    /// chunks have to be sent again.
     pub fn on_received(&mut self, now: Duration, received: u64) -> bool {
         self.reported = received.min(self.length);
         if self.reported > self.received {
@@ -153,26 +157,27 @@
         is_further
     }
 
-    /// The offsets of parts that may be sent now.
+    /// The offsets of chunks that may be sent now.
     pub fn next_offsets(&mut self) -> Vec<u64> {
-        if mem::take(&mut self.is_asked_first) {
+        if mem::take(&mut self.is_queried_first) {
             return vec![self.length];
         }
         let end = (self.received + WINDOW_BYTES).min(self.length);
         let mut offsets = Vec::new();
         while self.sent < end {
             offsets.push(self.sent);
-            self.sent = (self.sent + PART_BYTES).min(self.length);
+            self.sent = (self.sent + CHUNK_BYTES).min(self.length);
         }
         offsets
     }
 
-    /// The offsets of parts that have to be sent again. One that has all is asked again whether it is on disk.
+    /// The offsets of chunks that have to be sent again. A receiver that has all is queried again whether it is on
+    /// disk.
     pub fn resend_if_due(&mut self, now: Duration) -> Vec<u64> {
         if now < self.resend_at {
             return Vec::new();
         }
-        self.resend_after = (self.resend_after * 2).min(LONGEST_SYNC_RESEND);
+        self.resend_after = (self.resend_after * 2).min(MAX_SYNC_RESEND_INTERVAL);
         self.resend_at = now + self.resend_after;
         self.received = self.reported;
         self.sent = self.received;
@@ -183,13 +188,13 @@
     }
 }
 
-/// What a receiver has after a part.
+/// What a receiver has after a chunk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Received {
     /// So many bytes without gaps.
     Partial(u64),
     /// All, and it is what the sender has.
-    Whole(TransferData),
+    Complete(TransferData),
 }
 
 /// What a member has received of the data that is sent to it. Nothing of it is on disk.
@@ -200,14 +205,14 @@
 }
 
 impl IncomingTransfer {
-    /// Takes a part. One of other data starts anew; one that leaves a gap, or that is here already, adds nothing.
-    pub fn accept(&mut self, part: &Part) -> Received {
-        if self.id != part.transfer {
+    /// Accepts a chunk. One of other data starts anew; one that leaves a gap, or that is here already, adds nothing.
+    pub fn accept(&mut self, chunk: &Chunk) -> Received {
+        if self.id != chunk.transfer {
             self.clear();
-            self.id = part.transfer;
+            self.id = chunk.transfer;
         }
-        if self.id.length <= LONGEST_TRANSFER {
-            self.append(part);
+        if self.id.length <= MAX_TRANSFER_BYTES {
+            self.append(chunk);
         }
         let received = self.bytes.len() as u64;
         if received < self.id.length || self.id.length == 0 {
@@ -215,7 +220,7 @@
         }
         let data = self.decode();
         self.clear();
-        data.map_or(Received::Partial(0), Received::Whole)
+        data.map_or(Received::Partial(0), Received::Complete)
     }
 
     /// Forgets what was received.
@@ -223,12 +228,12 @@
         *self = IncomingTransfer::default();
     }
 
-    fn append(&mut self, part: &Part) {
+    fn append(&mut self, chunk: &Chunk) {
         let received = self.bytes.len() as u64;
-        let Some(known) = received.checked_sub(part.offset) else { return };
-        let Some(news) = part.bytes.get(known as usize..) else { return };
+        let Some(known) = received.checked_sub(chunk.offset) else { return };
+        let Some(added) = chunk.bytes.get(known as usize..) else { return };
         let missing = (self.id.length - received) as usize;
-        self.bytes.extend_from_slice(&news[..news.len().min(missing)]);
+        self.bytes.extend_from_slice(&added[..added.len().min(missing)]);
     }
 
     /// The data, if it is what its name says.
--- /dev/null
+++ b/crates/control-plane/src/replication/view_change.rs
@@ -0,0 +1,210 @@
+//! A running view change, as its proposer sees it.
+//!
+//! The protocol is Paxos over views, with the state transfer of Viewstamped Replication: a majority promises to
+//! take part in no lower epoch (prepare), the data replicas of the new view are brought up to date (sync), and the
+//! view is recorded, first by them and then by the other voters (install).
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::View;
+
+use super::quorum::{electorate, has_quorum, is_view_complete};
+use super::sync_phase::SyncPhase;
+use super::timing::RESEND_INTERVAL;
+use super::view_selection::ViewMembers;
+
+/// How far a view change has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Phase {
+    /// Promises are collected.
+    Preparing,
+    /// The data replicas of the new view are brought up to date.
+    Syncing,
+    /// The data replicas record the view, so that each of them can carry on from it.
+    InstallingAtReplicas,
+    /// The other voters record it.
+    InstallingAtVoters,
+}
+
+/// A running change of the view.
+#[derive(Clone, Debug)]
+pub(super) struct ViewChange {
+    /// The epoch of the new view.
+    pub(super) epoch: u64,
+    /// The view that the new one follows.
+    pub(super) base: View,
+    /// How far it has come.
+    pub(super) phase: Phase,
+    /// The new view, once enough members have promised.
+    pub(super) view: View,
+    /// Brings the data replicas up to date, once they are chosen.
+    pub(super) sync: Option<SyncPhase>,
+    /// When messages that were not answered are sent again.
+    pub(super) resend_at: Duration,
+    promises: BTreeSet<NodeId>,
+    /// Those of them that have recorded the base.
+    base_recorded: BTreeSet<NodeId>,
+    installed: BTreeSet<NodeId>,
+    stalled_at: Duration,
+}
+
+impl ViewChange {
+    /// Starts from `base`; it is given up at `stalled_at` unless there is progress.
+    pub(super) fn new(epoch: u64, base: View, now: Duration, stalled_at: Duration) -> ViewChange {
+        ViewChange {
+            epoch,
+            base,
+            phase: Phase::Preparing,
+            view: View::default(),
+            sync: None,
+            resend_at: now + RESEND_INTERVAL,
+            promises: BTreeSet::new(),
+            base_recorded: BTreeSet::new(),
+            installed: BTreeSet::new(),
+            stalled_at,
+        }
+    }
+
+    /// When something has to be done at the latest.
+    pub(super) fn next_deadline(&self) -> Duration {
+        self.resend_at.min(self.stalled_at)
+    }
+
+    /// Whether it has gone without progress for too long.
+    pub(super) fn is_stalled(&self, now: Duration) -> bool {
+        now >= self.stalled_at
+    }
+
+    /// There was progress: it stalls at `stalled_at`.
+    pub(super) fn restart_stall_timeout(&mut self, stalled_at: Duration) {
+        self.stalled_at = stalled_at;
+    }
+
+    /// There was progress: it stalls no sooner than `stalled_at`.
+    pub(super) fn extend_stall_timeout(&mut self, stalled_at: Duration) {
+        self.stalled_at = self.stalled_at.max(stalled_at);
+    }
+
+    /// It has no chance any more: gives it up no later than `stalled_at`.
+    pub(super) fn shorten_stall_timeout(&mut self, stalled_at: Duration) {
+        self.stalled_at = self.stalled_at.min(stalled_at);
+    }
+
+    /// Whether promises for this epoch are awaited.
+    pub(super) fn awaits_promise(&self, epoch: u64) -> bool {
+        self.epoch == epoch && self.phase == Phase::Preparing
+    }
+
+    /// Whether the data replicas report their progress to this epoch.
+    pub(super) fn is_syncing(&self, epoch: u64) -> bool {
+        self.epoch == epoch && self.phase == Phase::Syncing
+    }
+
+    /// Whether members record the view of this epoch.
+    pub(super) fn is_installing(&self, epoch: u64) -> bool {
+        let is_installing = matches!(self.phase, Phase::InstallingAtReplicas | Phase::InstallingAtVoters);
+        self.epoch == epoch && is_installing
+    }
+
+    /// Whether the data replicas that were chosen still have something to do.
+    pub(super) fn needs_data_replicas(&self) -> bool {
+        matches!(self.phase, Phase::Syncing | Phase::InstallingAtReplicas)
+    }
+
+    /// Whether a view makes this change pointless.
+    pub(super) fn is_outdated_by(&self, view: &View) -> bool {
+        view.epoch > self.base.epoch && view.epoch != self.epoch
+    }
+
+    /// Records a promise from `voter`, whose newest view is `recorded`; returns whether it is the first one.
+    pub(super) fn record_promise(&mut self, voter: NodeId, recorded: &View) -> bool {
+        if recorded.epoch == self.base.epoch && !recorded.voters.is_empty() {
+            self.record_base_recorded(voter, recorded);
+        }
+        self.promises.insert(voter)
+    }
+
+    /// A member that has promised has recorded the base.
+    ///
+    /// Once a majority of the base's voters and of its previous voters have, no other view made from the
+    /// previous voters can come into force: they refuse lower epochs, and show the base to proposers of
+    /// higher ones. So the previous voters are not needed any more.
+    fn record_base_recorded(&mut self, member: NodeId, recorded: &View) {
+        self.base_recorded.insert(member);
+        if is_view_complete(recorded) || has_quorum(&self.base, &self.base_recorded) {
+            self.base.previous_voters.clear();
+        }
+    }
+
+    /// Whether `voter` has promised.
+    pub(super) fn has_promise_of(&self, voter: NodeId) -> bool {
+        self.promises.contains(&voter)
+    }
+
+    /// Whether the proposer itself and a quorum of the base have promised.
+    pub(super) fn has_enough_promises(&self, proposer: NodeId) -> bool {
+        self.has_promise_of(proposer) && has_quorum(&self.base, &self.promises)
+    }
+
+    /// Whether nobody but the proposer has promised.
+    pub(super) fn is_unanswered(&self) -> bool {
+        self.promises.len() <= 1
+    }
+
+    /// The voters that have not promised.
+    pub(super) fn missing_promises(&self) -> Vec<NodeId> {
+        electorate(&self.base).difference(&self.promises).copied().collect()
+    }
+
+    /// The members of the new view are chosen: their data replicas are brought up to date next.
+    pub(super) fn start_syncing(&mut self, members: ViewMembers) {
+        self.view = next_view(&self.base, self.epoch, members);
+        self.phase = Phase::Syncing;
+    }
+
+    /// All data replicas are up to date: they record the view next.
+    pub(super) fn start_installing(&mut self, now: Duration) {
+        self.sync = None;
+        self.phase = Phase::InstallingAtReplicas;
+        self.resend_at = now + RESEND_INTERVAL;
+    }
+
+    /// All data replicas have recorded the view: the other voters record it next.
+    pub(super) fn start_installing_at_voters(&mut self, now: Duration) {
+        self.phase = Phase::InstallingAtVoters;
+        self.resend_at = now + RESEND_INTERVAL;
+    }
+
+    /// Records that `member` has recorded the view; returns whether this was not known.
+    pub(super) fn record_installed(&mut self, member: NodeId) -> bool {
+        self.installed.insert(member)
+    }
+
+    /// Whether all data replicas have recorded the view.
+    pub(super) fn is_installed_at_replicas(&self) -> bool {
+        self.view.data_replicas.iter().all(|replica| self.installed.contains(replica))
+    }
+
+    /// Whether a quorum of the new view has recorded it.
+    pub(super) fn is_in_force(&self) -> bool {
+        has_quorum(&self.view, &self.installed)
+    }
+
+    /// The members of this phase that have not recorded the view.
+    pub(super) fn missing_installs(&self) -> Vec<NodeId> {
+        let targets: BTreeSet<NodeId> = match self.phase {
+            Phase::InstallingAtVoters => electorate(&self.view),
+            _ => self.view.data_replicas.iter().copied().collect(),
+        };
+        targets.difference(&self.installed).copied().collect()
+    }
+}
+
+/// The view that the chosen members form after the base.
+fn next_view(base: &View, epoch: u64, members: ViewMembers) -> View {
+    let has_same_voters = members.voters == base.voters;
+    let previous_voters = if has_same_voters { base.previous_voters.clone() } else { base.voters.clone() };
+    View { epoch, voters: members.voters, previous_voters, data_replicas: members.data_replicas }
+}
--- a/crates/control-plane/src/replication/membership.rs
+++ b/crates/control-plane/src/replication/view_selection.rs
@@ -1,9 +1,9 @@
-//! Chooses the voters and holders of the next view.
+//! Chooses the voters and data replicas of the next view.
 
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::replication::View;
 
-use super::quorum::is_settled;
+use super::quorum::is_view_complete;
 
 /// What the proposer knows of a member.
 #[derive(Clone, Debug)]
@@ -12,47 +12,54 @@
     pub(super) node: NodeId,
     /// Its zone.
     pub(super) zone: String,
-    /// It need not be exchanged as a voter.
-    pub(super) alive: bool,
-    /// It may be made a holder, or a voter if it is none.
-    pub(super) ready: bool,
+    /// It need not be replaced as a voter.
+    pub(super) is_alive: bool,
+    /// It may be made a data replica, or a voter if it is none.
+    pub(super) is_ready: bool,
 }
 
-/// Members of the next view.
+/// ViewMembers of the next view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Members {
+pub(super) struct ViewMembers {
     /// Who votes.
     pub(super) voters: Vec<NodeId>,
-    /// Who holds the data, the proposer first.
-    pub(super) holders: Vec<NodeId>,
+    /// Who stores the data, the proposer first.
+    pub(super) data_replicas: Vec<NodeId>,
+}
+
+impl ViewMembers {
+    /// Whether a view has other members, or the same ones in another order.
+    pub(super) fn differ_from(&self, view: &View) -> bool {
+        self.voters != view.voters || self.data_replicas != view.data_replicas
+    }
 }
 
 /// What a choice is made from.
-pub(super) struct Selection<'a> {
+pub(super) struct ViewSelection<'a> {
     /// The view to follow.
     pub(super) base: &'a View,
     /// The proposer.
     pub(super) proposer: NodeId,
     /// Wanted number of voters.
-    pub(super) wanted_voters: usize,
-    /// Wanted number of holders.
-    pub(super) wanted_holders: usize,
+    pub(super) target_voters: usize,
+    /// Wanted number of data replicas.
+    pub(super) target_data_replicas: usize,
     /// All members known, the proposer included.
     pub(super) candidates: &'a [Candidate],
 }
 
-impl Selection<'_> {
-    /// The next view's members; none if there are too few holders.
+impl ViewSelection<'_> {
+    /// The next view's members; `None` if there are too few data replicas.
     ///
     /// Voters change only if the base is known to be in force: its quorum must cover all who voted on it.
-    pub(super) fn choose(&self, exchange_voters: bool) -> Option<Members> {
+    pub(super) fn choose(&self, replace_voters: bool) -> Option<ViewMembers> {
         let mut voters = self.base.voters.clone();
-        if exchange_voters && is_settled(self.base) {
-            self.exchange_dead(&mut voters);
+        if replace_voters && is_view_complete(self.base) {
+            self.replace_dead(&mut voters);
             self.fill_up(&mut voters);
         }
-        let holders = self.holders(&voters)?;
-        Some(Members { voters, holders })
+        let data_replicas = self.data_replicas(&voters)?;
+        Some(ViewMembers { voters, data_replicas })
     }
 
     fn candidate(&self, node: NodeId) -> Option<&Candidate> {
@@ -60,35 +67,35 @@
     }
 
     fn is_alive(&self, node: NodeId) -> bool {
-        node == self.proposer || self.candidate(node).is_some_and(|candidate| candidate.alive)
+        node == self.proposer || self.candidate(node).is_some_and(|candidate| candidate.is_alive)
     }
 
     fn is_ready(&self, node: NodeId) -> bool {
-        self.candidate(node).is_some_and(|candidate| candidate.ready)
+        self.candidate(node).is_some_and(|candidate| candidate.is_ready)
     }
 
     fn zone(&self, node: NodeId) -> &str {
         self.candidate(node).map_or("", |candidate| candidate.zone.as_str())
     }
 
-    fn exchange_dead(&self, voters: &mut Vec<NodeId>) {
+    fn replace_dead(&self, voters: &mut Vec<NodeId>) {
         let dead: Vec<NodeId> = voters.iter().copied().filter(|voter| !self.is_alive(*voter)).collect();
         for voter in dead {
             let position = voters.iter().position(|other| *other == voter);
             let Some(position) = position else { continue };
             if let Some(standby) = self.replacement(voters, voter) {
                 voters[position] = standby;
-            } else if voters.len() > self.wanted_voters {
+            } else if voters.len() > self.target_voters {
                 voters.remove(position);
             }
         }
     }
 
     fn replacement(&self, voters: &[NodeId], dead: NodeId) -> Option<NodeId> {
-        let reborn = self.candidates.iter().find(|candidate| {
-            candidate.ready && candidate.node.ip == dead.ip && !voters.contains(&candidate.node)
+        let restarted = self.candidates.iter().find(|candidate| {
+            candidate.is_ready && candidate.node.ip == dead.ip && !voters.contains(&candidate.node)
         });
-        if let Some(candidate) = reborn {
+        if let Some(candidate) = restarted {
             return Some(candidate.node);
         }
         let others: Vec<NodeId> = voters.iter().copied().filter(|voter| *voter != dead).collect();
@@ -96,7 +103,7 @@
     }
 
     fn fill_up(&self, voters: &mut Vec<NodeId>) {
-        while voters.len() < self.wanted_voters {
+        while voters.len() < self.target_voters {
             let Some(standby) = self.spread(voters, self.standbys(voters)) else { return };
             voters.push(standby);
         }
@@ -105,7 +112,7 @@
     fn standbys(&self, voters: &[NodeId]) -> Vec<NodeId> {
         self.candidates
             .iter()
-            .filter(|candidate| candidate.ready)
+            .filter(|candidate| candidate.is_ready)
             .map(|candidate| candidate.node)
             .filter(|node| !voters.iter().any(|voter| voter.ip == node.ip))
             .collect()
@@ -117,19 +124,23 @@
             .min_by_key(|node| chosen.iter().filter(|other| self.zone(**other) == self.zone(*node)).count())
     }
 
-    fn holders(&self, voters: &[NodeId]) -> Option<Vec<NodeId>> {
+    fn data_replicas(&self, voters: &[NodeId]) -> Option<Vec<NodeId>> {
         let usable =
             |node: &NodeId| *node != self.proposer && voters.contains(node) && self.is_ready(*node);
-        let mut holders = vec![self.proposer];
-        holders.extend(self.base.holders.iter().copied().filter(usable));
-        holders.truncate(self.wanted_holders);
-        while holders.len() < self.wanted_holders {
-            let others =
-                voters.iter().copied().filter(usable).filter(|node| !holders.contains(node)).collect();
-            let Some(backup) = self.spread(&holders, others) else { break };
-            holders.push(backup);
+        let mut data_replicas = vec![self.proposer];
+        data_replicas.extend(self.base.data_replicas.iter().copied().filter(usable));
+        data_replicas.truncate(self.target_data_replicas);
+        while data_replicas.len() < self.target_data_replicas {
+            let others = voters
+                .iter()
+                .copied()
+                .filter(usable)
+                .filter(|node| !data_replicas.contains(node))
+                .collect();
+            let Some(backup) = self.spread(&data_replicas, others) else { break };
+            data_replicas.push(backup);
         }
-        let required = self.wanted_holders.min(self.base.holders.len());
-        (holders.len() >= required).then_some(holders)
+        let required = self.target_data_replicas.min(self.base.data_replicas.len());
+        (data_replicas.len() >= required).then_some(data_replicas)
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/replication/voter.rs
@@ -0,0 +1,57 @@
+//! What a voter does for the proposer of a view change: it promises and records the view.
+
+use std::time::Duration;
+
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::replication::{ReplicationMessage, View};
+
+use super::machine::Replication;
+
+impl Replication {
+    /// A proposer requests that this member take part in no lower epoch.
+    pub(super) fn on_prepare(&mut self, now: Duration, from: NodeId, epoch: u64) {
+        self.votes.observe_epoch(epoch);
+        let is_repeated = epoch == self.storage.promised() && self.votes.has_promised_to(from);
+        if !is_repeated {
+            if epoch <= self.storage.promised() || !self.votes.may_promise_to(now, from) {
+                self.refuse(from, epoch);
+                return;
+            }
+            self.promise_to(from, epoch);
+            self.yield_to(now, from, epoch);
+        }
+        let view = self.storage.view().cloned().unwrap_or_default();
+        self.outbox.send_when_durable(from, ReplicationMessage::Promise { epoch, view });
+    }
+
+    /// Ends this member's own view change and leadership in favour of another proposer that has its promise.
+    pub(super) fn yield_to(&mut self, now: Duration, proposer: NodeId, epoch: u64) {
+        if proposer == self.settings.node {
+            return;
+        }
+        self.view_change.take_if(|view_change| view_change.epoch < epoch);
+        if self.leadership.is_some() {
+            self.step_down(now);
+        }
+        self.postpone_campaign(now);
+    }
+
+    /// A proposer has this member record its view.
+    pub(super) fn on_install(&mut self, now: Duration, from: NodeId, view: &View) {
+        let epoch = view.epoch;
+        if epoch < self.storage.promised() || epoch < self.storage.view_epoch() {
+            self.refuse(from, epoch);
+            return;
+        }
+        if epoch > self.storage.promised() {
+            self.promise_to(from, epoch);
+        }
+        self.incoming.clear();
+        self.learn(now, view);
+        if !self.storage.has_recorded_view_of(epoch) {
+            self.record_view(view);
+        }
+        self.yield_to(now, from, epoch);
+        self.outbox.send_when_durable(from, ReplicationMessage::Installed { epoch });
+    }
+}
--- a/crates/control-plane/src/server/departure.rs
+++ b/crates/control-plane/src/server/departure.rs
@@ -20,6 +20,6 @@
     match departure {
         Departure::Free => waited >= STOP_GRACE,
         Departure::Votes => waited >= VOTE_GRACE,
-        Departure::Holds | Departure::Settles => false,
+        Departure::StoresData | Departure::CompletesView => false,
     }
 }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -257,7 +257,7 @@
         node,
         zone: settings.area.clone(),
         seeds: settings.seed_ips().into_iter().map(|ip| NodeId::new(ip, 0)).collect(),
-        losses: settings.withstand.machine_losses,
+        tolerated_failures: settings.withstand.machine_losses,
         first_boot: settings.first_boot,
         seed: getrandom::u64().context(NoRandomSnafu)?,
     })
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -48,7 +48,7 @@
 
 fn view(epoch: u64) -> View {
     let node = NodeId { ip: 1, generation: 0 };
-    View { epoch, voters: vec![node], previous_voters: Vec::new(), holders: vec![node] }
+    View { epoch, voters: vec![node], previous_voters: Vec::new(), data_replicas: vec![node] }
 }
 
 fn entry(sequence: u64, bytes: usize) -> DurableRecord {
--- a/crates/control-plane/tests/rated_cluster/mod.rs
+++ b/crates/control-plane/tests/rated_cluster/mod.rs
@@ -283,7 +283,7 @@
             node: member.node,
             zone: format!("zone-{}", index % 3),
             seeds,
-            losses: self.losses,
+            tolerated_failures: self.losses,
             first_boot: self.first_boot,
             seed: index as u64 * 1000 + member.lives,
         };
@@ -499,7 +499,7 @@
         let index_of = |holder: &NodeId| {
             self.members.iter().position(|member| member.node == *holder).expect("a member")
         };
-        view.holders.iter().map(index_of).collect()
+        view.data_replicas.iter().map(index_of).collect()
     }
 
     /// The power of a member is cut; it stays away.
--- a/crates/control-plane/tests/replication_leaving.rs
+++ b/crates/control-plane/tests/replication_leaving.rs
@@ -39,7 +39,7 @@
 fn holder(simulation: &Simulation, place: usize) -> usize {
     let primary = simulation.primary().expect("there is a primary");
     let process = simulation.machines[primary].process.as_ref().expect("it runs");
-    let node = process.replication.view().expect("it has a view").holders[place];
+    let node = process.replication.view().expect("it has a view").data_replicas[place];
     simulation.machines.iter().position(|machine| machine.node == node).expect("it exists")
 }
 
@@ -48,8 +48,8 @@
 #[case::free_after_its_callers(1_200, Departure::Free, true)]
 #[case::voter(2_499, Departure::Votes, false)]
 #[case::voter_that_nobody_follows(2_500, Departure::Votes, true)]
-#[case::holder(7_499, Departure::Holds, false)]
-#[case::holder_before_it_is_killed(7_500, Departure::Holds, true)]
+#[case::holder(7_499, Departure::StoresData, false)]
+#[case::holder_before_it_is_killed(7_500, Departure::StoresData, true)]
 fn a_process_ends_once_it_is_not_needed(
     #[case] waited_ms: u64,
     #[case] left: Departure,
@@ -72,7 +72,7 @@
     simulation.run_for(after_ms * MS);
     let leaving = simulation.primary().unwrap_or(primary);
     let (_, left) = leave(&mut simulation, leaving);
-    assert_ne!(left, Departure::Holds);
+    assert_ne!(left, Departure::StoresData);
     simulation.replace(leaving, 500 * MS);
     assert_goes_on(&mut simulation);
 }
@@ -90,7 +90,7 @@
     simulation.run_for(after_ms * MS);
     simulation.wipe(backup, 400 * MS);
     let (waited, left) = leave(&mut simulation, primary);
-    assert_ne!(left, Departure::Holds, "after {waited:?}");
+    assert_ne!(left, Departure::StoresData, "after {waited:?}");
     simulation.replace(primary, 500 * MS);
     assert_goes_on(&mut simulation);
 }
@@ -171,7 +171,7 @@
         simulation.add_machine(generation, simulation.now);
         simulation.run_for(2 * SECOND);
         let (_, left) = leave(&mut simulation, oldest);
-        assert_ne!(left, Departure::Holds, "machine {oldest}");
+        assert_ne!(left, Departure::StoresData, "machine {oldest}");
         simulation.machines[oldest].process = None;
         simulation.machines[oldest].removed = true;
         assert_goes_on(&mut simulation);
@@ -182,7 +182,7 @@
 /// not be withstood and nobody else is there.
 #[rstest]
 #[case::no_loss_withstood(0, 1, 1, Departure::Free)]
-#[case::others_are_down(1, 3, 3, Departure::Holds)]
+#[case::others_are_down(1, 3, 3, Departure::StoresData)]
 fn a_member_that_is_left_alone(
     #[case] losses: u32,
     #[case] seeds: usize,
@@ -221,7 +221,7 @@
     simulation.wipe(backup, 400 * MS);
     simulation.input(primary, Input::Terminate);
     simulation.run_for(30 * MS);
-    assert_eq!(departure(&simulation, primary), Departure::Holds);
+    assert_eq!(departure(&simulation, primary), Departure::StoresData);
     simulation.replace(primary, 500 * MS);
     assert!(!simulation.make_progress(PROGRESS_WITHIN) || simulation.checker.violation.is_some());
 }
--- a/crates/control-plane/tests/replication_member.rs
+++ b/crates/control-plane/tests/replication_member.rs
@@ -12,7 +12,14 @@
 
 fn settings(node: NodeId) -> ReplicationSettings {
     let seeds = vec![NodeId { ip: 1, generation: 0 }];
-    ReplicationSettings { node, zone: "a".to_owned(), seeds, losses: 0, first_boot: true, seed: 1 }
+    ReplicationSettings {
+        node,
+        zone: "a".to_owned(),
+        seeds,
+        tolerated_failures: 0,
+        first_boot: true,
+        seed: 1,
+    }
 }
 
 /// A message to the member that had the disk before is not for the newcomer.
@@ -60,7 +67,7 @@
         Replication::new(settings(NodeId { ip: 2, generation: 3 }), Default::default(), START);
     let mut out = Vec::new();
     replication.handle(START, Input::Propose { ticket: 5, command: vec![1].into() }, &mut out);
-    assert!(out.contains(&Output::ProposalFailed { proposal: 5, reason: FailureReason::NotTaken }));
+    assert!(out.contains(&Output::ProposalFailed { proposal: 5, reason: FailureReason::NotReplicated }));
     assert_eq!(replication.role(), Role::Standby);
     assert_eq!(replication.view(), None::<&View>);
 }
@@ -70,8 +77,12 @@
 fn install_of_a_view_that_is_known_from_heartbeats_waits_for_the_disk() {
     let standby = NodeId { ip: 2, generation: 5 };
     let primary = NodeId { ip: 1, generation: 0 };
-    let settled =
-        View { epoch: 1 << 40, voters: vec![primary], previous_voters: vec![], holders: vec![primary] };
+    let settled = View {
+        epoch: 1 << 40,
+        voters: vec![primary],
+        previous_voters: vec![],
+        data_replicas: vec![primary],
+    };
     let installed = View { previous_voters: vec![standby], ..settled.clone() };
     let mut replication = Replication::new(settings(standby), Default::default(), START);
     let mut receive = |message| {
--- a/crates/control-plane/tests/replication_settling.rs
+++ b/crates/control-plane/tests/replication_settling.rs
@@ -22,13 +22,13 @@
         epoch: 1 << 32,
         voters: nodes(voters),
         previous_voters: nodes(previous_voters),
-        holders: nodes(&[2, 3]),
+        data_replicas: nodes(&[2, 3]),
     };
     let settings = ReplicationSettings {
         node: node(1),
         zone: String::new(),
         seeds: vec![node(1), node(2), node(3)],
-        losses: 1,
+        tolerated_failures: 1,
         first_boot: false,
         seed: 0,
     };
@@ -39,8 +39,8 @@
 #[rstest]
 #[case::voter(&[1, 2, 3], &[], Departure::Votes)]
 #[case::place_is_taken(&[2, 3, 4], &[], Departure::Free)]
-#[case::place_is_taken_in_an_unsettled_view(&[2, 3, 4], &[1, 2, 3], Departure::Settles)]
-#[case::voter_of_an_unsettled_view(&[1, 3, 4], &[1, 2, 3], Departure::Settles)]
+#[case::place_is_taken_in_an_unsettled_view(&[2, 3, 4], &[1, 2, 3], Departure::CompletesView)]
+#[case::voter_of_an_unsettled_view(&[1, 3, 4], &[1, 2, 3], Departure::CompletesView)]
 fn a_vote_that_may_settle_the_view_is_needed(
     #[case] voters: &[u8],
     #[case] previous_voters: &[u8],
@@ -54,5 +54,5 @@
 #[case::just_before_it_is_killed(7_499, false)]
 #[case::when_it_would_be_killed(7_500, true)]
 fn a_process_stays_until_the_view_is_settled(#[case] waited_ms: u64, #[case] expected: bool) {
-    assert_eq!(may_end(Duration::from_millis(waited_ms), LEEWAY, Departure::Settles), expected);
+    assert_eq!(may_end(Duration::from_millis(waited_ms), LEEWAY, Departure::CompletesView), expected);
 }
--- a/crates/control-plane/tests/replication_sync.rs
+++ b/crates/control-plane/tests/replication_sync.rs
@@ -8,8 +8,8 @@
 use rated_cluster::{CONFIGURATION_BYTES, Cluster, DiskSpeed, End, FAST_LINK, Interceptor, SLOW_LINK};
 use rstest::rstest;
 use support::checker::Violation;
-use tulipridge_control_plane::replication::transfer::{EncodedData, Part};
-use tulipridge_control_plane::replication::{DataMark, DurableState, FailureReason};
+use tulipridge_control_plane::replication::transfer::{Chunk, EncodedData};
+use tulipridge_control_plane::replication::{DurableState, FailureReason, LogPosition};
 use tulipridge_protocol::frame::MAX_MESSAGE_BYTES;
 use tulipridge_protocol::replication::{Entry, Envelope, ReplicationMessage};
 
@@ -336,7 +336,7 @@
     let ticket = cluster.propose(primary, SHORT);
     assert!(cluster.run_while_not(seconds(5), |cluster| cluster.ends.contains_key(&ticket)));
     println!("given up after {:?}", cluster.now - begin);
-    assert_eq!(cluster.ends[&ticket], End::Failed(FailureReason::NotTaken));
+    assert_eq!(cluster.ends[&ticket], End::Failed(FailureReason::NotReplicated));
     cluster.link_speed = FAST_LINK;
     cluster.reconnect();
     let waited = cluster.acknowledge(SHORT, seconds(20)).expect("it goes on");
@@ -359,7 +359,7 @@
     assert_backup_follows(&mut cluster);
 }
 
-/// A receiver that says it has all on disk when it has the first part.
+/// A receiver that says it has all on disk when it has the first chunk.
 fn synced_too_early(envelope: &Envelope) -> Vec<Envelope> {
     let ReplicationMessage::SyncProgress { epoch, transfer, .. } = envelope.message else {
         return vec![envelope.clone()];
@@ -375,11 +375,11 @@
     };
     let entry = |sequence| Entry { sequence, command: vec![0xee; 8].into() };
     let state = DurableState {
-        data: DataMark { epoch: data_epoch, sequence: transfer.sequence },
+        data: LogPosition { epoch: data_epoch, sequence: transfer.sequence },
         entries: (1..=transfer.sequence).map(entry).collect(),
         ..DurableState::default()
     };
-    let Part { transfer, offset, bytes } = EncodedData::of(&state).part(0);
+    let Chunk { transfer, offset, bytes } = EncodedData::of(&state).chunk(0);
     let message = ReplicationMessage::Sync { epoch, data_epoch, transfer, offset, bytes };
     vec![Envelope { message, ..envelope.clone() }]
 }
--- a/crates/control-plane/tests/replication_sync_member.rs
+++ b/crates/control-plane/tests/replication_sync_member.rs
@@ -1,10 +1,10 @@
-//! What one member does with the parts of the data that a proposer sends.
+//! What one member does with the chunks of the data that a proposer sends.
 
 use std::time::Duration;
 
-use tulipridge_control_plane::replication::transfer::{EncodedData, PART_BYTES, Part};
+use tulipridge_control_plane::replication::transfer::{CHUNK_BYTES, Chunk, EncodedData};
 use tulipridge_control_plane::replication::{
-    DataMark, DurableRecord, DurableState, Input, Output, Replication, ReplicationSettings,
+    DurableRecord, DurableState, Input, LogPosition, Output, Replication, ReplicationSettings,
 };
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::replication::{Entry, Envelope, ReplicationMessage, TransferId};
@@ -17,13 +17,13 @@
 const FIRST_EPOCH: u64 = 2 << 40;
 const SECOND_EPOCH: u64 = 3 << 40;
 
-/// Five entries of two thirds of a part each.
+/// Five entries of two thirds of a chunk each.
 fn data(epoch: u64, filler: u8) -> DurableState {
-    let command: Vec<u8> = vec![filler; PART_BYTES as usize * 2 / 3];
+    let command: Vec<u8> = vec![filler; CHUNK_BYTES as usize * 2 / 3];
     let entry = |sequence| Entry { sequence, command: command.clone().into() };
     DurableState {
         promised: epoch,
-        data: DataMark { epoch, sequence: 5 },
+        data: LogPosition { epoch, sequence: 5 },
         entries: (1..=5).map(entry).collect(),
         ..DurableState::default()
     }
@@ -38,7 +38,7 @@
             node: MEMBER,
             zone: "a".to_owned(),
             seeds: vec![PROPOSER, MEMBER],
-            losses: 1,
+            tolerated_failures: 1,
             first_boot: false,
             seed: 1,
         };
@@ -53,8 +53,8 @@
         out
     }
 
-    fn sync(&mut self, epoch: u64, part: Part) -> Vec<Output> {
-        let Part { transfer, offset, bytes } = part;
+    fn sync(&mut self, epoch: u64, chunk: Chunk) -> Vec<Output> {
+        let Chunk { transfer, offset, bytes } = chunk;
         let message = ReplicationMessage::Sync { epoch, data_epoch: DATA_EPOCH, transfer, offset, bytes };
         self.input(Input::Message(Envelope { from: PROPOSER, to: MEMBER, message }))
     }
@@ -88,9 +88,9 @@
     ReplicationMessage::SyncProgress { epoch, transfer, received }
 }
 
-/// The parts of the data in their order.
-fn parts(data: &EncodedData) -> Vec<Part> {
-    (0..data.id().length).step_by(PART_BYTES as usize).map(|offset| data.part(offset)).collect()
+/// The chunks of the data in their order.
+fn chunks(data: &EncodedData) -> Vec<Chunk> {
+    (0..data.id().length).step_by(CHUNK_BYTES as usize).map(|offset| data.chunk(offset)).collect()
 }
 
 #[test]
@@ -98,12 +98,12 @@
     let old = data(1 << 39, 1);
     let mut member = Member::with(old);
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
-    let parts = parts(&encoded);
-    let out = member.sync(FIRST_EPOCH, parts[0].clone());
+    let chunks = chunks(&encoded);
+    let out = member.sync(FIRST_EPOCH, chunks[0].clone());
     assert_eq!(records(&out), [DurableRecord::Promised(FIRST_EPOCH)]);
-    assert_eq!(answers(&out), [progress(FIRST_EPOCH, encoded.id(), PART_BYTES)]);
-    for part in &parts[1..parts.len() - 1] {
-        assert_eq!(records(&member.sync(FIRST_EPOCH, part.clone())), []);
+    assert_eq!(answers(&out), [progress(FIRST_EPOCH, encoded.id(), CHUNK_BYTES)]);
+    for chunk in &chunks[1..chunks.len() - 1] {
+        assert_eq!(records(&member.sync(FIRST_EPOCH, chunk.clone())), []);
     }
 }
 
@@ -113,8 +113,8 @@
     let proposer = data(DATA_EPOCH, 2);
     let encoded = EncodedData::of(&proposer);
     let mut out = Vec::new();
-    for part in parts(&encoded) {
-        out = member.sync(FIRST_EPOCH, part);
+    for chunk in chunks(&encoded) {
+        out = member.sync(FIRST_EPOCH, chunk);
     }
     let reset = DurableRecord::Reset {
         epoch: FIRST_EPOCH,
@@ -126,11 +126,11 @@
     assert_eq!(answers(&out), [progress(FIRST_EPOCH, encoded.id(), encoded.id().length)]);
     let ticket = last_ticket(&out);
     // Asked again meanwhile, it says nothing before.
-    assert_eq!(answers(&member.sync(FIRST_EPOCH, encoded.part(encoded.id().length))), []);
+    assert_eq!(answers(&member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length))), []);
     let out = member.input(Input::Persisted { ticket });
     let synced = ReplicationMessage::Synced { epoch: FIRST_EPOCH, sequence: 5 };
     assert_eq!(answers(&out), [synced.clone(), synced.clone()]);
-    let again = member.sync(FIRST_EPOCH, encoded.part(0));
+    let again = member.sync(FIRST_EPOCH, encoded.chunk(0));
     assert_eq!((answers(&again), records(&again)), (vec![synced], vec![]));
 }
 
@@ -138,7 +138,7 @@
 fn a_holder_with_the_same_mark_takes_only_the_epoch() {
     let mut member = Member::with(data(DATA_EPOCH, 2));
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
-    let out = member.sync(FIRST_EPOCH, encoded.part(encoded.id().length));
+    let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
     assert_eq!(
         records(&out),
         [DurableRecord::Promised(FIRST_EPOCH), DurableRecord::DataEpoch(FIRST_EPOCH)]
@@ -153,7 +153,7 @@
 fn a_holder_with_as_many_entries_of_another_epoch_needs_the_data() {
     let mut member = Member::with(data(DATA_EPOCH - 1, 1));
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
-    let out = member.sync(FIRST_EPOCH, encoded.part(encoded.id().length));
+    let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
     assert_eq!(records(&out), [DurableRecord::Promised(FIRST_EPOCH)]);
     assert_eq!(answers(&out), [progress(FIRST_EPOCH, encoded.id(), 0)]);
 }
@@ -166,7 +166,7 @@
     behind.data.sequence = 4;
     let mut member = Member::with(behind);
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
-    let out = member.sync(FIRST_EPOCH, encoded.part(encoded.id().length));
+    let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
     assert_eq!(answers(&out), [progress(FIRST_EPOCH, encoded.id(), 0)]);
 }
 
@@ -174,15 +174,15 @@
 fn a_higher_epoch_with_the_same_data_goes_on() {
     let mut member = Member::with(DurableState::default());
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
-    let parts = parts(&encoded);
-    member.sync(FIRST_EPOCH, parts[0].clone());
-    member.sync(FIRST_EPOCH, parts[1].clone());
-    let out = member.sync(SECOND_EPOCH, parts[0].clone());
-    assert_eq!(answers(&out), [progress(SECOND_EPOCH, encoded.id(), 2 * PART_BYTES)]);
-    let late = answers(&member.sync(FIRST_EPOCH, parts[2].clone()));
+    let chunks = chunks(&encoded);
+    member.sync(FIRST_EPOCH, chunks[0].clone());
+    member.sync(FIRST_EPOCH, chunks[1].clone());
+    let out = member.sync(SECOND_EPOCH, chunks[0].clone());
+    assert_eq!(answers(&out), [progress(SECOND_EPOCH, encoded.id(), 2 * CHUNK_BYTES)]);
+    let late = answers(&member.sync(FIRST_EPOCH, chunks[2].clone()));
     assert_eq!(late, [ReplicationMessage::Refuse { epoch: FIRST_EPOCH, promised: SECOND_EPOCH }]);
-    let out = member.sync(SECOND_EPOCH, parts[2].clone());
-    assert_eq!(answers(&out), [progress(SECOND_EPOCH, encoded.id(), 3 * PART_BYTES)]);
+    let out = member.sync(SECOND_EPOCH, chunks[2].clone());
+    assert_eq!(answers(&out), [progress(SECOND_EPOCH, encoded.id(), 3 * CHUNK_BYTES)]);
 }
 
 #[test]
@@ -190,8 +190,8 @@
     let mut member = Member::with(DurableState::default());
     let first = EncodedData::of(&data(DATA_EPOCH, 2));
     let second = EncodedData::of(&data(DATA_EPOCH, 3));
-    member.sync(FIRST_EPOCH, first.part(0));
-    let out = member.sync(SECOND_EPOCH, second.part(PART_BYTES));
+    member.sync(FIRST_EPOCH, first.chunk(0));
+    let out = member.sync(SECOND_EPOCH, second.chunk(CHUNK_BYTES));
     assert_eq!(answers(&out), [progress(SECOND_EPOCH, second.id(), 0)]);
     assert_eq!(records(&out), [DurableRecord::Promised(SECOND_EPOCH)]);
 }
--- a/crates/control-plane/tests/replication_transfer.rs
+++ b/crates/control-plane/tests/replication_transfer.rs
@@ -1,4 +1,4 @@
-//! The transfer of a member's data in parts, between one sender and one receiver.
+//! The transfer of a member's data in chunks, between one sender and one receiver.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use fastrand::Rng;
 use rstest::rstest;
 use tulipridge_control_plane::replication::transfer::{
-    EncodedData, IncomingTransfer, LONGEST_TRANSFER, OutgoingTransfer, PART_BYTES, Part, Received,
+    CHUNK_BYTES, Chunk, EncodedData, IncomingTransfer, MAX_TRANSFER_BYTES, OutgoingTransfer, Received,
     TransferData, WINDOW_BYTES,
 };
-use tulipridge_control_plane::replication::{DataMark, DurableState};
+use tulipridge_control_plane::replication::{DurableState, LogPosition};
 use tulipridge_protocol::replication::{Entry, TransferId};
 
 /// More time than any transfer of these tests takes.
@@ -22,7 +22,7 @@
     let mut random = Rng::with_seed(seed);
     let command: Arc<[u8]> = (0..bytes).map(|_| random.u8(..)).collect();
     DurableState {
-        data: DataMark { epoch: 1, sequence: 8 },
+        data: LogPosition { epoch: 1, sequence: 8 },
         snapshot_sequence: 7,
         snapshot: vec![3; 20].into(),
         entries: vec![Entry { sequence: 8, command }],
@@ -31,22 +31,22 @@
 }
 
 fn expected(state: &DurableState) -> Received {
-    Received::Whole(TransferData {
+    Received::Complete(TransferData {
         snapshot_sequence: state.snapshot_sequence,
         snapshot: state.snapshot.clone(),
         entries: state.entries.clone(),
     })
 }
 
-/// The whole data in a single part, however long it is.
-fn whole_part(data: &EncodedData) -> Part {
-    let offsets = (0..data.id().length).step_by(PART_BYTES as usize);
-    let bytes: Vec<u8> = offsets.flat_map(|offset| data.part(offset).bytes.to_vec()).collect();
-    Part { transfer: data.id(), offset: 0, bytes: bytes.into() }
+/// The whole data in a single chunk, however long it is.
+fn complete_chunk(data: &EncodedData) -> Chunk {
+    let offsets = (0..data.id().length).step_by(CHUNK_BYTES as usize);
+    let bytes: Vec<u8> = offsets.flat_map(|offset| data.chunk(offset).bytes.to_vec()).collect();
+    Chunk { transfer: data.id(), offset: 0, bytes: bytes.into() }
 }
 
-fn slice(whole: &Part, start: usize, end: usize) -> Part {
-    Part { transfer: whole.transfer, offset: start as u64, bytes: whole.bytes[start..end].into() }
+fn slice(whole: &Chunk, start: usize, end: usize) -> Chunk {
+    Chunk { transfer: whole.transfer, offset: start as u64, bytes: whole.bytes[start..end].into() }
 }
 
 /// What may happen to a message.
@@ -62,7 +62,7 @@
 
 /// A message on its way.
 enum Message {
-    Part(Part),
+    Chunk(Chunk),
     Progress(u64),
 }
 
@@ -102,11 +102,11 @@
     }
 
     fn send(&mut self, now: Duration, offsets: Vec<u64>) {
-        assert!(offsets.len() as u64 * PART_BYTES <= WINDOW_BYTES, "no more than the window at once");
+        assert!(offsets.len() as u64 * CHUNK_BYTES <= WINDOW_BYTES, "no more than the window at once");
         self.parts_sent += offsets.len() as u64;
         for offset in offsets {
-            let part = self.data.part(offset);
-            self.transmit(now, || Message::Part(part.clone()));
+            let chunk = self.data.chunk(offset);
+            self.transmit(now, || Message::Chunk(chunk.clone()));
         }
     }
 
@@ -122,7 +122,7 @@
             let arrived: Vec<(Duration, Message)> = arrived;
             for (_, message) in arrived {
                 match message {
-                    Message::Part(part) => match self.incoming.accept(&part) {
+                    Message::Chunk(chunk) => match self.incoming.accept(&chunk) {
                         Received::Partial(received) => self.transmit(now, || Message::Progress(received)),
                         whole => return (whole, now),
                     },
@@ -147,13 +147,13 @@
     let data = EncodedData::of(&state);
     let mut outgoing = OutgoingTransfer::new(data.id().length, false, Duration::ZERO);
     assert_eq!(outgoing.next_offsets(), [0]);
-    assert_eq!(IncomingTransfer::default().accept(&data.part(0)), expected(&state));
+    assert_eq!(IncomingTransfer::default().accept(&data.chunk(0)), expected(&state));
 }
 
 #[test]
 fn a_transfer_cut_at_any_byte_goes_on_there() {
     let state = state(1000, 1);
-    let whole = whole_part(&EncodedData::of(&state));
+    let whole = complete_chunk(&EncodedData::of(&state));
     let length = whole.bytes.len();
     for cut in 1..length {
         let mut incoming = IncomingTransfer::default();
@@ -165,7 +165,7 @@
 #[test]
 fn parts_that_overlap_leave_a_gap_or_come_again_add_what_is_new() {
     let state = state(1000, 1);
-    let whole = whole_part(&EncodedData::of(&state));
+    let whole = complete_chunk(&EncodedData::of(&state));
     let mut incoming = IncomingTransfer::default();
     for (start, end, received) in
         [(0, 300, 300), (400, 900, 300), (0, 300, 300), (200, 500, 500), (100, 450, 500)]
@@ -183,7 +183,7 @@
 #[case::doubling(Link { loss: 0, duplication: 50, delay: 20 })]
 #[case::bad(Link { loss: 30, duplication: 30, delay: 60 })]
 fn a_transfer_over_any_link_ends_with_the_data(#[case] link: Link) {
-    let state = state(20 * PART_BYTES as usize + 17, 2);
+    let state = state(20 * CHUNK_BYTES as usize + 17, 2);
     let (mut longest, mut most_parts) = (Duration::ZERO, 0);
     for seed in 0..40 {
         let mut transfer = Transfer::new(seed, &state, link);
@@ -192,40 +192,41 @@
         longest = longest.max(at);
         most_parts = most_parts.max(transfer.parts_sent);
     }
-    println!("21 parts: longest {longest:?}, most parts sent {most_parts}");
+    println!("21 chunks: longest {longest:?}, most chunks sent {most_parts}");
 }
 
 /// A receiver that starts again has nothing; the sender hears it and starts again too.
 #[test]
 fn a_receiver_that_starts_again_gets_all_anew() {
-    let state = state(5 * PART_BYTES as usize, 3);
+    let state = state(5 * CHUNK_BYTES as usize, 3);
     let link = Link { loss: 0, duplication: 0, delay: 1 };
     let mut transfer = Transfer::new(1, &state, link);
-    transfer.outgoing.on_received(Duration::ZERO, 3 * PART_BYTES);
+    transfer.outgoing.on_received(Duration::ZERO, 3 * CHUNK_BYTES);
     assert_eq!(transfer.run().0, expected(&state));
 }
 
 /// A sender that starts again with the same data, as under a higher epoch, sends only what is missing.
 #[test]
 fn a_later_attempt_with_the_same_data_goes_on() {
-    let state = state(5 * PART_BYTES as usize, 3);
+    let state = state(5 * CHUNK_BYTES as usize, 3);
     let data = EncodedData::of(&state);
     let mut incoming = IncomingTransfer::default();
     for number in 0..4 {
-        incoming.accept(&data.part(number * PART_BYTES));
+        incoming.accept(&data.chunk(number * CHUNK_BYTES));
     }
     let again = EncodedData::of(&state);
     let mut outgoing = OutgoingTransfer::new(again.id().length, false, Duration::ZERO);
     let first = outgoing.next_offsets();
-    assert_eq!(incoming.accept(&again.part(first[0])), Received::Partial(4 * PART_BYTES));
-    assert!(outgoing.on_received(Duration::ZERO, 4 * PART_BYTES));
-    assert_eq!(outgoing.next_offsets(), [4 * PART_BYTES, 5 * PART_BYTES]);
+    assert_eq!(incoming.accept(&again.chunk(first[0])), Received::Partial(4 * CHUNK_BYTES));
+    assert!(outgoing.on_received(Duration::ZERO, 4 * CHUNK_BYTES));
+    assert_eq!(outgoing.next_offsets(), [4 * CHUNK_BYTES, 5 * CHUNK_BYTES]);
 }
 
 #[test]
 fn other_data_starts_anew() {
     let (first, second) = (state(1000, 1), state(1000, 2));
-    let (whole, other) = (whole_part(&EncodedData::of(&first)), whole_part(&EncodedData::of(&second)));
+    let (whole, other) =
+        (complete_chunk(&EncodedData::of(&first)), complete_chunk(&EncodedData::of(&second)));
     let mut incoming = IncomingTransfer::default();
     incoming.accept(&slice(&whole, 0, 600));
     assert_eq!(incoming.accept(&slice(&other, 600, 700)), Received::Partial(0));
@@ -236,8 +237,9 @@
 #[test]
 fn bytes_of_other_data_under_the_same_name_are_seen() {
     let (first, second) = (state(1000, 1), state(1000, 2));
-    let (whole, other) = (whole_part(&EncodedData::of(&first)), whole_part(&EncodedData::of(&second)));
-    let mixed = Part { transfer: whole.transfer, ..slice(&other, 500, 600) };
+    let (whole, other) =
+        (complete_chunk(&EncodedData::of(&first)), complete_chunk(&EncodedData::of(&second)));
+    let mixed = Chunk { transfer: whole.transfer, ..slice(&other, 500, 600) };
     let mut incoming = IncomingTransfer::default();
     incoming.accept(&slice(&whole, 0, 500));
     incoming.accept(&mixed);
@@ -249,36 +251,36 @@
 /// The checksum is right, but the data is not what its name says.
 #[test]
 fn data_with_another_newest_entry_than_it_says_is_refused() {
-    let whole = whole_part(&EncodedData::of(&state(1000, 1)));
+    let whole = complete_chunk(&EncodedData::of(&state(1000, 1)));
     let transfer = TransferId { sequence: 9, ..whole.transfer };
-    let renamed = Part { transfer, ..whole };
+    let renamed = Chunk { transfer, ..whole };
     assert_eq!(IncomingTransfer::default().accept(&renamed), Received::Partial(0));
 }
 
 /// Memory is taken for bytes that have come, not for those that are announced, and never beyond a bound.
 #[test]
 fn data_over_the_bound_is_not_taken() {
-    let whole = whole_part(&EncodedData::of(&state(1000, 1)));
-    let announce = |length| Part { transfer: TransferId { length, ..whole.transfer }, ..whole.clone() };
+    let whole = complete_chunk(&EncodedData::of(&state(1000, 1)));
+    let announce = |length| Chunk { transfer: TransferId { length, ..whole.transfer }, ..whole.clone() };
     let mut incoming = IncomingTransfer::default();
-    assert_eq!(incoming.accept(&announce(LONGEST_TRANSFER + 1)), Received::Partial(0));
-    assert_eq!(incoming.accept(&announce(LONGEST_TRANSFER)), Received::Partial(whole.transfer.length));
+    assert_eq!(incoming.accept(&announce(MAX_TRANSFER_BYTES + 1)), Received::Partial(0));
+    assert_eq!(incoming.accept(&announce(MAX_TRANSFER_BYTES)), Received::Partial(whole.transfer.length));
     assert_eq!(incoming.accept(&announce(0)), Received::Partial(0));
 }
 
-/// It answers an empty part with how much it has, and gets the rest.
+/// It answers an empty chunk with how much it has, and gets the rest.
 #[test]
 fn a_receiver_that_may_have_all_is_asked_first() {
-    let mut outgoing = OutgoingTransfer::new(10 * PART_BYTES, true, Duration::ZERO);
-    assert_eq!(outgoing.next_offsets(), [10 * PART_BYTES]);
+    let mut outgoing = OutgoingTransfer::new(10 * CHUNK_BYTES, true, Duration::ZERO);
+    assert_eq!(outgoing.next_offsets(), [10 * CHUNK_BYTES]);
     assert!(!outgoing.on_received(STEP, 0));
-    assert_eq!(outgoing.next_offsets(), [0, PART_BYTES]);
+    assert_eq!(outgoing.next_offsets(), [0, CHUNK_BYTES]);
 }
 
-/// After a cut, parts are sent again at growing intervals until the receiver answers.
+/// After a cut, chunks are sent again at growing intervals until the receiver answers.
 #[test]
 fn a_silent_receiver_is_asked_less_and_less() {
-    let mut outgoing = OutgoingTransfer::new(10 * PART_BYTES, false, Duration::ZERO);
+    let mut outgoing = OutgoingTransfer::new(10 * CHUNK_BYTES, false, Duration::ZERO);
     outgoing.next_offsets();
     let mut sendings = Vec::new();
     for step in 0..1200 {
@@ -293,24 +295,24 @@
 /// A late answer is no step, neither forward nor back.
 #[test]
 fn a_late_answer_changes_nothing() {
-    let mut outgoing = OutgoingTransfer::new(10 * PART_BYTES, false, Duration::ZERO);
-    assert!(outgoing.on_received(STEP, 5 * PART_BYTES));
-    assert_eq!(outgoing.next_offsets(), [5 * PART_BYTES, 6 * PART_BYTES]);
-    assert!(!outgoing.on_received(STEP, PART_BYTES));
-    assert!(!outgoing.on_received(STEP, 5 * PART_BYTES));
+    let mut outgoing = OutgoingTransfer::new(10 * CHUNK_BYTES, false, Duration::ZERO);
+    assert!(outgoing.on_received(STEP, 5 * CHUNK_BYTES));
+    assert_eq!(outgoing.next_offsets(), [5 * CHUNK_BYTES, 6 * CHUNK_BYTES]);
+    assert!(!outgoing.on_received(STEP, CHUNK_BYTES));
+    assert!(!outgoing.on_received(STEP, 5 * CHUNK_BYTES));
     assert!(outgoing.next_offsets().is_empty());
-    assert!(outgoing.on_received(STEP, 6 * PART_BYTES));
-    assert_eq!(outgoing.next_offsets(), [7 * PART_BYTES]);
+    assert!(outgoing.on_received(STEP, 6 * CHUNK_BYTES));
+    assert_eq!(outgoing.next_offsets(), [7 * CHUNK_BYTES]);
 }
 
 /// What a receiver has anew after a restart is no step forward until it has more than before.
 #[test]
 fn a_receiver_that_starts_again_is_no_step_forward() {
-    let mut outgoing = OutgoingTransfer::new(10 * PART_BYTES, false, Duration::ZERO);
-    assert!(outgoing.on_received(STEP, 2 * PART_BYTES));
+    let mut outgoing = OutgoingTransfer::new(10 * CHUNK_BYTES, false, Duration::ZERO);
+    assert!(outgoing.on_received(STEP, 2 * CHUNK_BYTES));
     assert!(!outgoing.on_received(STEP, 0));
-    assert_eq!(outgoing.resend_if_due(STEP * 100), [0, PART_BYTES]);
-    assert!(!outgoing.on_received(STEP, PART_BYTES));
-    assert!(!outgoing.on_received(STEP, 2 * PART_BYTES));
-    assert!(outgoing.on_received(STEP, 3 * PART_BYTES));
+    assert_eq!(outgoing.resend_if_due(STEP * 100), [0, CHUNK_BYTES]);
+    assert!(!outgoing.on_received(STEP, CHUNK_BYTES));
+    assert!(!outgoing.on_received(STEP, 2 * CHUNK_BYTES));
+    assert!(outgoing.on_received(STEP, 3 * CHUNK_BYTES));
 }
--- a/crates/control-plane/tests/support/simulation/departure.rs
+++ b/crates/control-plane/tests/support/simulation/departure.rs
@@ -31,7 +31,7 @@
                 let life = process.life;
                 self.schedule(self.now + LOOK_EVERY, Event::DepartureCheck { machine: index, life });
             }
-            None => self.end_departure(index, Departure::Holds),
+            None => self.end_departure(index, Departure::StoresData),
         }
     }
 
--- a/crates/control-plane/tests/support/simulation/lifecycle.rs
+++ b/crates/control-plane/tests/support/simulation/lifecycle.rs
@@ -59,7 +59,7 @@
             node: machine.node,
             zone: machine.zone.clone(),
             seeds,
-            losses: self.shape.losses,
+            tolerated_failures: self.shape.losses,
             first_boot: self.first_boot,
             seed,
         };
--- a/crates/control-plane/tests/support/simulation/outputs.rs
+++ b/crates/control-plane/tests/support/simulation/outputs.rs
@@ -147,7 +147,7 @@
 
 fn failed_end(reason: FailureReason) -> ProposalEnd {
     match reason {
-        FailureReason::NotTaken => ProposalEnd::NotTaken,
+        FailureReason::NotReplicated => ProposalEnd::NotTaken,
         FailureReason::OutcomeUnknown => ProposalEnd::Unknown,
     }
 }
--- a/crates/control-plane/tests/support/simulation/views.rs
+++ b/crates/control-plane/tests/support/simulation/views.rs
@@ -29,7 +29,7 @@
     /// The machines that hold the data in the primary's view, the primary first.
     pub(crate) fn holders(&self) -> Vec<usize> {
         let view = self.primary().and_then(|primary| self.view_at(primary));
-        let holders = &view.expect("a primary has a view").holders;
+        let holders = &view.expect("a primary has a view").data_replicas;
         holders.iter().map(|holder| self.machine_of(*holder).expect("it is a machine")).collect()
     }
 
--- a/crates/control-plane/tests/support_model/lives.rs
+++ b/crates/control-plane/tests/support_model/lives.rs
@@ -59,7 +59,7 @@
             node: machine.node,
             zone: format!("zone-{member}"),
             seeds: seeds.map(|seed| NodeId { ip: seed.node.ip, generation: 0 }).collect(),
-            losses: if self.setup.fault == Fault::OneHolder { 0 } else { self.setup.losses },
+            tolerated_failures: if self.setup.fault == Fault::OneHolder { 0 } else { self.setup.losses },
             first_boot,
             seed: self.setup.jitter * 1000 + machine.lives * 10 + member as u64,
         }
--- a/crates/control-plane/tests/support_model/outputs.rs
+++ b/crates/control-plane/tests/support_model/outputs.rs
@@ -84,7 +84,7 @@
         let machine = &self.members[member];
         let Some(process) = &machine.process else { return };
         self.history.became_primary(machine.node, epoch, &process.state);
-        let holders = process.replication.view().map_or(Vec::new(), |view| view.holders.clone());
+        let holders = process.replication.view().map_or(Vec::new(), |view| view.data_replicas.clone());
         for acknowledgement in self.history.acknowledged.clone().into_values() {
             if let Some(command) = self.history.committed.get(&acknowledgement.sequence).cloned() {
                 self.check_copies(&holders, acknowledgement.sequence, &command);
--- a/crates/control-plane/tests/support_model/prefixes.rs
+++ b/crates/control-plane/tests/support_model/prefixes.rs
@@ -164,7 +164,7 @@
 fn has_backup(world: &World, member: usize) -> bool {
     let node = world.members[member].node;
     let Some(primary) = world.primary() else { return false };
-    world.replication(primary).view().is_some_and(|view| view.holders.get(1) == Some(&node))
+    world.replication(primary).view().is_some_and(|view| view.data_replicas.get(1) == Some(&node))
 }
 
 /// Backup 1 was cut off and is being exchanged for 2: the state is on its way to it. Then the links are whole.
--- a/crates/protocol/src/replication.rs
+++ b/crates/protocol/src/replication.rs
@@ -1,6 +1,6 @@
-//! Agreement among the members of the control plane: who is primary, who holds the data, and its replication.
+//! Agreement among the members of the control plane: who is primary, who stores the data, and its replication.
 //!
-//! `docs/design/system.md` ("Control state") says what each message promises.
+//! `docs/design/system.md` ("Control state") says what each message guarantees.
 
 use std::sync::Arc;
 
@@ -13,36 +13,36 @@
 pub struct Envelope {
     /// The sender.
     pub from: NodeId,
-    /// The member meant; another generation on the same machine ignores the message.
+    /// The receiver; another generation on the same machine ignores the message.
     pub to: NodeId,
-    /// What it says.
+    /// The message.
     pub message: ReplicationMessage,
 }
 
-/// Who votes and who holds the data, under an epoch that no two proposers share.
+/// Who votes and who stores the data, under an epoch that no two proposers share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct View {
-    /// The epoch: a round in the upper 32 bits, the proposer's address in the lower.
+    /// The epoch: a counter in the upper 32 bits, the proposer's address in the lower.
     pub epoch: u64,
     /// Members that vote.
     pub voters: Vec<NodeId>,
     /// Voters of the view that this one was made from: a majority of them is needed beside one of `voters`.
     pub previous_voters: Vec<NodeId>,
-    /// Members that hold the data; the first is the primary, the others are its backups.
-    pub holders: Vec<NodeId>,
+    /// Members that store the data; the first is the primary, the others are its backups.
+    pub data_replicas: Vec<NodeId>,
 }
 
 /// One change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Entry {
-    /// Its number, from 1, without gaps.
+    /// Its sequence number, from 1, without gaps.
     pub sequence: u64,
     /// The encoded command.
     #[musli(with = crate::shared_bytes)]
     pub command: Arc<[u8]>,
 }
 
-/// Names the data that a proposer sends in parts. The same data has the same name under each epoch.
+/// Identifies the data that a proposer sends in chunks. The same data has the same id under each epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct TransferId {
     /// The entry up to which its snapshot goes.
@@ -55,10 +55,10 @@
     pub checksum: u64,
 }
 
-/// What members say to each other.
+/// What members send to each other.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ReplicationMessage {
-    /// A holder wants to make a new view under this epoch.
+    /// Paxos phase 1: a data replica proposes a new view under this epoch.
     Prepare {
         /// The proposed epoch.
         epoch: u64,
@@ -70,25 +70,25 @@
         /// The newest view that the sender has recorded.
         view: View,
     },
-    /// The sender can't do what was asked.
+    /// The sender rejects a request.
     Refuse {
         /// The epoch of the request.
         epoch: u64,
         /// The highest epoch that the sender has promised.
         promised: u64,
     },
-    /// A part of the data that brings a future holder up to date before its view is installed.
+    /// A chunk of the data that brings a future data replica up to date before its view is installed.
     Sync {
         /// The proposed epoch.
         epoch: u64,
         /// The epoch of the proposer's data before this view change: a member whose data has the same epoch and
         /// the same newest entry has all of it.
         data_epoch: u64,
-        /// The data that the part belongs to.
+        /// The data that the chunk belongs to.
         transfer: TransferId,
-        /// Where the part begins.
+        /// Where the chunk begins, in bytes.
         offset: u64,
-        /// The part.
+        /// The chunk.
         #[musli(with = crate::shared_bytes)]
         bytes: Arc<[u8]>,
     },
@@ -98,7 +98,7 @@
         epoch: u64,
         /// The data.
         transfer: TransferId,
-        /// Bytes from the beginning.
+        /// Bytes from the start.
         received: u64,
     },
     /// The sync is on the sender's disk.
@@ -108,7 +108,7 @@
         /// The newest entry that it brought.
         sequence: u64,
     },
-    /// Records a view.
+    /// Paxos phase 2: has the receiver record a view.
     Install {
         /// The view.
         view: View,
@@ -129,19 +129,19 @@
     Appended {
         /// The epoch.
         epoch: u64,
-        /// The entry's number.
+        /// The entry's sequence number.
         sequence: u64,
     },
-    /// The primary is there. Grants nothing by itself; the answer renews its lease.
+    /// The primary is alive. Grants nothing by itself; the acknowledgement renews its lease.
     Heartbeat {
         /// The primary's view, so that standbys learn it.
         view: View,
-        /// Returned in the answer; the primary reckons its lease from the moment it sent this.
+        /// Returned in the acknowledgement; the primary counts its lease from the moment it sent this.
         token: u64,
-        /// The newest entry that all holders have.
+        /// The newest entry that all data replicas have.
         committed: u64,
     },
-    /// The sender votes for nobody else for the term of a lease.
+    /// The sender votes for nobody else while a lease grant runs.
     HeartbeatAck {
         /// The view's epoch.
         epoch: u64,
@@ -151,14 +151,14 @@
         zone: String,
         /// The sender's disk answers within its bound.
         disk_healthy: bool,
-        /// The sender's process ends soon: its places in the view are to be taken by others.
+        /// The sender's process ends soon: its seats in the view are to be given to others.
         leaving: bool,
     },
-    /// The primary gives up its lease; the named holder may campaign at once.
+    /// The primary gives up its lease; the named backup may campaign at once.
     Release {
         /// The primary's epoch.
         epoch: u64,
-        /// The holder that should follow.
+        /// The data replica that should follow.
         successor: NodeId,
     },
     /// The sender runs and is in no view that it knows to be in force.
--- a/crates/protocol/tests/frame.rs
+++ b/crates/protocol/tests/frame.rs
@@ -24,7 +24,7 @@
         epoch: u64::MAX,
         voters: vec![member(1), member(2)],
         previous_voters: vec![member(3)],
-        holders: vec![member(1)],
+        data_replicas: vec![member(1)],
     };
     ReplicationMessage::Install { view }
 }
