--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -25,6 +25,7 @@
 
 use crate::accept::accept_all;
 use crate::state::Change;
+use crate::tenure::Tenure;
 
 /// How often it is looked whether there is a primary, while none is known.
 const STANDING_INTERVAL: Duration = Duration::from_millis(20);
@@ -48,8 +49,8 @@
 pub enum Standing {
     /// It is the primary, within its lease.
     Primary {
-        /// The epoch in which it became primary. While it stays the same, no other member was primary.
-        tenure: u64,
+        /// Since when it is primary.
+        tenure: Tenure,
     },
     /// Another member, heard lately, is the primary.
     Follower {
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -1,4 +1,4 @@
-//! What becomes of an operator's change: the decision on it, the agreement, and the answer.
+//! An operator's change from its request to its response: decided on by the replicated state, proposed, committed.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -7,48 +7,58 @@
 use tulipridge_http1::within;
 
 use crate::api::ChangeOutcome;
-use crate::member::ProposalEnd;
 use crate::state::{Accepted, Applied, Change, Decision};
+use crate::tenure::Tenure;
 
-/// A change that is not agreed on in this time is left to the caller, who sends it again.
-pub const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(5);
-/// A change is decided on so often at most, each time on a newer state.
-const DECISION_ATTEMPTS: u32 = 3;
+/// A change that is not committed in this time is left to the caller, who retries it.
+pub const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// A change is decided on so often at most, each time by a newer state.
+const MAX_DECISIONS: u32 = 3;
+
+/// How a proposal ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProposalOutcome {
+    /// It was committed and applied.
+    Applied(Applied),
+    /// It was never replicated and will not take effect.
+    NotTaken,
+    /// It may take effect or not.
+    Unknown,
+}
 
 /// The member that decides on changes.
 pub trait ChangeAuthority {
-    /// The epoch in which this member became primary, while it is within its lease: the same answer twice means that
-    /// no other member was primary between.
-    fn tenure(&self) -> Option<u64>;
-    /// Decides on a change by the agreed state; none if there is no state any more.
+    /// The tenure of this member as primary, while it is within its lease. The same result twice means that no other
+    /// member was primary between.
+    fn tenure(&self) -> Option<Tenure>;
+    /// Decides on a change by the replicated state; none if the state machine has stopped.
     fn decide(&self, change: Arc<Change>) -> impl Future<Output = Option<Decision>>;
-    /// Has the members agree on a command; returns once it is applied, or failed.
-    fn agree(&self, command: Arc<[u8]>) -> impl Future<Output = ProposalEnd>;
+    /// Proposes a command; returns once it is applied or has failed.
+    fn propose(&self, command: Arc<[u8]>) -> impl Future<Output = ProposalOutcome>;
 }
 
 /// What comes next for a change.
 #[derive(Debug)]
 pub enum ChangeStep {
-    /// It is decided on by the state as it is then.
+    /// The state machine decides on it.
     Decide,
-    /// The members have to agree on it.
+    /// The members have to commit it.
     Propose(Box<Accepted>),
-    /// The operator is answered.
-    Answer(ChangeOutcome),
+    /// The operator gets a response.
+    Respond(ChangeOutcome),
 }
 
 impl ChangeStep {
-    /// What follows from a decision; none if the agreed state has ended.
+    /// What follows from a decision; none if the state machine has stopped.
     ///
-    /// Every decision is made on a state that holds all that was acknowledged, and counts only if this member has
-    /// been primary from before the state was read until after it: a refusal by a deposed primary could be of a
-    /// change that is in force.
+    /// A decision counts only if this member has been primary from before the state was read until after it: a deposed
+    /// primary could refuse a change that is in force.
     #[must_use]
     pub fn after_decision(decision: Option<Decision>, was_primary_throughout: bool) -> ChangeStep {
         if !was_primary_throughout {
-            return ChangeStep::Answer(ChangeOutcome::NotPrimary);
+            return ChangeStep::Respond(ChangeOutcome::NotPrimary);
         }
-        ChangeStep::Answer(match decision {
+        ChangeStep::Respond(match decision {
             Some(Decision::Accept(accepted)) => return ChangeStep::Propose(accepted),
             Some(Decision::AlreadyTaken) => ChangeOutcome::Taken,
             Some(Decision::Stale { current }) => ChangeOutcome::Stale { current },
@@ -60,49 +70,50 @@
         })
     }
 
-    /// What follows from the end of the proposal.
+    /// What follows from the outcome of the proposal.
     ///
-    /// A command that changed nothing came behind another one, so it is decided on again, by the newer state.
+    /// A command that changed nothing was committed after another one, so its change is decided on again, by the newer
+    /// state.
     #[must_use]
-    pub fn after_proposal(end: ProposalEnd) -> ChangeStep {
-        match end {
-            ProposalEnd::Applied(Applied::Configuration | Applied::Weights) => {
-                ChangeStep::Answer(ChangeOutcome::Taken)
+    pub fn after_proposal(outcome: ProposalOutcome) -> ChangeStep {
+        match outcome {
+            ProposalOutcome::Applied(Applied::Configuration | Applied::Weights) => {
+                ChangeStep::Respond(ChangeOutcome::Taken)
             }
-            ProposalEnd::Applied(Applied::Superseded) => ChangeStep::Decide,
-            ProposalEnd::NotTaken => ChangeStep::Answer(ChangeOutcome::NotPrimary),
-            ProposalEnd::Unknown => ChangeStep::Answer(ChangeOutcome::Unknown),
+            ProposalOutcome::Applied(Applied::Superseded) => ChangeStep::Decide,
+            ProposalOutcome::NotTaken => ChangeStep::Respond(ChangeOutcome::NotPrimary),
+            ProposalOutcome::Unknown => ChangeStep::Respond(ChangeOutcome::Unknown),
         }
     }
 }
 
-/// Decides on a change, and has it agreed on if it is accepted.
+/// Decides on a change, and has it committed if it is accepted.
 ///
-/// A process that stands still after the last look at who is primary answers late, but with what was true while the
-/// call waited.
+/// A process that is suspended after its last check of the tenure responds late, but with what was true while the call
+/// waited.
 pub async fn carry_out<A: ChangeAuthority>(authority: &A, change: Change) -> ChangeOutcome {
     let change = Arc::new(change);
     let mut decisions = 0;
     let mut step = ChangeStep::Decide;
     loop {
         step = match step {
-            ChangeStep::Decide if decisions == DECISION_ATTEMPTS => return ChangeOutcome::Unknown,
+            ChangeStep::Decide if decisions == MAX_DECISIONS => return ChangeOutcome::Unknown,
             ChangeStep::Decide => {
                 decisions += 1;
                 decide(authority, &change).await
             }
             ChangeStep::Propose(accepted) => {
-                let end = within(AGREEMENT_TIMEOUT, authority.agree(accepted.command)).await;
-                ChangeStep::after_proposal(end.unwrap_or(ProposalEnd::Unknown))
+                let outcome = within(COMMIT_TIMEOUT, authority.propose(accepted.command)).await;
+                ChangeStep::after_proposal(outcome.unwrap_or(ProposalOutcome::Unknown))
             }
-            ChangeStep::Answer(outcome) => return outcome,
+            ChangeStep::Respond(outcome) => return outcome,
         };
     }
 }
 
 async fn decide<A: ChangeAuthority>(authority: &A, change: &Arc<Change>) -> ChangeStep {
     let Some(tenure) = authority.tenure() else {
-        return ChangeStep::Answer(ChangeOutcome::NotPrimary);
+        return ChangeStep::Respond(ChangeOutcome::NotPrimary);
     };
     let decision = authority.decide(change.clone()).await;
     let was_primary_throughout = authority.tenure() == Some(tenure);
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -70,7 +70,7 @@
     }
 
     async fn document(&self) -> Option<Arc<[u8]>> {
-        self.member.machine().document().await
+        self.member.state_machine().document().await
     }
 
     fn status(&self) -> Status {
@@ -103,7 +103,7 @@
 impl OperatorView {
     fn duties(&self) -> BTreeMap<&'static str, String> {
         let primary = self.member.known_primary().filter(|primary| *primary != self.node);
-        let holder = self.member.duty().map(|_| self.node).or(primary);
+        let holder = self.member.singleton_lease().map(|_| self.node).or(primary);
         holder.map(|holder| DUTIES.map(|duty| (duty, holder.to_string())).into()).unwrap_or_default()
     }
 }
--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -85,7 +85,7 @@
     /// Follows the list for ever.
     pub async fn run(mut self) {
         loop {
-            let Some(duty) = self.context.holder.duty() else {
+            let Some(duty) = self.context.lease_status.singleton_lease() else {
                 Timer::after(DUTY_INTERVAL).await;
                 continue;
             };
@@ -143,7 +143,7 @@
     }
 
     fn still_has(&self, duty: SingletonLease) -> bool {
-        self.context.holder.duty().is_some_and(|now| now.tenure == duty.tenure)
+        self.context.lease_status.singleton_lease().is_some_and(|now| now.tenure == duty.tenure)
     }
 
     fn log_unreadable(&mut self, entries: Vec<String>) {
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -1,14 +1,17 @@
-//! The table of replicas: what the platform lists, corrected by what the roll-out of weights knows better.
+//! The table of replicas: what the platform lists, corrected by what the roll-out of weights knows before the list
+//! shows it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase};
 
+use crate::tenure::Tenure;
+
 /// Replicas by id, as the last complete list had them.
 #[derive(Debug, Default)]
 pub struct FleetTable {
-    /// The holder's tenure in which the list came; none before the first one.
-    tenure: Option<u64>,
+    /// The tenure of the primary in which the list came; none before the first one.
+    tenure: Option<Tenure>,
     listed: BTreeMap<String, Replica>,
     corrections: Corrections,
 }
@@ -16,39 +19,39 @@
 /// What the roll-out of weights knows of replicas before the list shows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Corrections {
-    /// Replicas that are about to load weights or load them.
+    /// Replicas that are about to load weights, or load them now.
     pub loading: BTreeSet<String>,
-    /// Revisions that replicas were seen to have, by replica.
+    /// Revisions that replicas have reported, by replica.
     pub revisions: BTreeMap<String, Vec<ModelRevision>>,
 }
 
 impl FleetTable {
-    /// Puts a complete list in the place of the last one: replicas that it lacks are gone at once. Says whether it
-    /// differs from the last one in more than time that has passed.
-    pub fn replace(&mut self, tenure: u64, list: Vec<Replica>) -> bool {
+    /// Replaces the list by a complete newer one: replicas that it lacks are gone at once. Returns whether the two differ
+    /// in more than time that has passed, or are of different tenures.
+    pub fn replace(&mut self, tenure: Tenure, list: Vec<Replica>) -> bool {
         let list = list.into_iter().map(|replica| (replica.id.clone(), replica)).collect();
         let previous = std::mem::replace(&mut self.listed, list);
         self.tenure.replace(tenure) != Some(tenure)
             || previous.len() != self.listed.len()
-            || previous.values().zip(self.listed.values()).any(differ)
+            || previous.values().zip(self.listed.values()).any(|(before, after)| differ(before, after))
     }
 
-    /// Takes what the roll-out knows now; whether that is news.
+    /// Replaces the corrections by those of the roll-out now; returns whether they differ.
     pub fn correct(&mut self, corrections: Corrections) -> bool {
-        let news = self.corrections != corrections;
+        let has_changed = self.corrections != corrections;
         self.corrections = corrections;
-        news
+        has_changed
     }
 
     /// Replicas as the list has them; none before a complete one came in this tenure.
     #[must_use]
-    pub fn listed(&self, tenure: u64) -> Option<impl Iterator<Item = &Replica>> {
+    pub fn listed(&self, tenure: Tenure) -> Option<impl Iterator<Item = &Replica>> {
         (self.tenure == Some(tenure)).then(|| self.listed.values())
     }
 
     /// The table that is delivered, in the order of ids; none before a complete list came in this tenure.
     #[must_use]
-    pub fn replicas(&self, tenure: u64) -> Option<Vec<Replica>> {
+    pub fn replicas(&self, tenure: Tenure) -> Option<Vec<Replica>> {
         Some(self.listed(tenure)?.map(|replica| self.corrected(replica)).collect())
     }
 
@@ -57,20 +60,21 @@
         if replica.phase == ReplicaPhase::Ready && self.corrections.loading.contains(&replica.id) {
             replica.phase = ReplicaPhase::Loading;
         }
-        for seen in self.corrections.revisions.get(&replica.id).into_iter().flatten() {
-            raise_revision(&mut replica.models, seen);
+        for reported in self.corrections.revisions.get(&replica.id).into_iter().flatten() {
+            raise_revision(&mut replica.models, reported);
         }
         replica
     }
 }
 
-fn raise_revision(models: &mut [ModelRevision], seen: &ModelRevision) {
-    for model in models.iter_mut().filter(|model| model.model == seen.model) {
-        model.revision = model.revision.max(seen.revision);
+fn raise_revision(models: &mut [ModelRevision], reported: &ModelRevision) {
+    for model in models.iter_mut().filter(|model| model.model == reported.model) {
+        model.revision = model.revision.max(reported.revision);
     }
 }
 
-fn differ((before, after): (&Replica, &Replica)) -> bool {
+/// Whether a replica has changed in more than the time that is left of its warm-up.
+fn differ(before: &Replica, after: &Replica) -> bool {
     let warm_left_ms = after.warm_left_ms;
     Replica { warm_left_ms, ..before.clone() } != *after
 }
--- a/crates/control-plane/src/index/mod.rs
+++ b/crates/control-plane/src/index/mod.rs
@@ -22,6 +22,7 @@
 pub use outbox::Outbox;
 
 use crate::singleton::{SingletonContext, SingletonLease};
+use crate::tenure::Tenure;
 
 /// Time for which changes are gathered before they are delivered.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
@@ -48,7 +49,7 @@
     context: SingletonContext,
     output: Rc<dyn IndexOutput>,
     outbox: Rc<Outbox>,
-    tenure: Option<u64>,
+    tenure: Option<Tenure>,
     followers: BTreeMap<SocketAddrV4, Task<()>>,
 }
 
@@ -72,7 +73,7 @@
     }
 
     fn heed_duty(&mut self, looks_for_sources: bool) {
-        let duty = self.context.holder.duty();
+        let duty = self.context.lease_status.singleton_lease();
         let tenure = duty.map(|duty| duty.tenure);
         if tenure != self.tenure {
             // Another member may have followed the sources since.
--- a/crates/control-plane/src/member/compaction.rs
+++ b/crates/control-plane/src/member/compaction.rs
@@ -1,4 +1,4 @@
-//! When the entries of the log give way to a snapshot of the state.
+//! When the entries of the replicated log are compacted into a snapshot of the state.
 
 /// Bytes of applied commands after which a snapshot is due.
 pub const COMPACT_AFTER_BYTES: usize = 1 << 20;
@@ -15,9 +15,9 @@
 }
 
 impl AppliedSinceSnapshot {
-    /// A command of this length is applied.
-    pub fn record(&mut self, command_length: usize) {
-        self.bytes += command_length;
+    /// Records that a command of `command_bytes` was applied.
+    pub fn record(&mut self, command_bytes: usize) {
+        self.bytes += command_bytes;
         self.commands += 1;
     }
 
--- a/crates/control-plane/src/member/proposals.rs
+++ b/crates/control-plane/src/member/proposals.rs
@@ -1,63 +1,64 @@
-//! Proposals that wait for their end.
+//! Proposals of this member that await their commit, or the state machine.
 
 use std::collections::BTreeMap;
 
 use async_channel::{Receiver, Sender};
 
+use crate::change::ProposalOutcome;
 use crate::replication::FailureReason;
 use crate::state::Applied;
 
-/// How a proposal ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProposalEnd {
-    /// It was agreed on and applied.
-    Applied(Applied),
-    /// It will never take effect.
-    NotTaken,
-    /// It may take effect or not.
-    Unknown,
-}
-
-/// Proposals by ticket, and by the entry that they became.
+/// Pending proposals: by ticket until their entry is committed, then by the entry's sequence number until it is
+/// applied.
 #[derive(Debug, Default)]
 pub struct Proposals {
     last_ticket: u64,
-    waiting: BTreeMap<u64, Sender<ProposalEnd>>,
-    committed: BTreeMap<u64, Sender<ProposalEnd>>,
+    uncommitted: BTreeMap<u64, Sender<ProposalOutcome>>,
+    committed: BTreeMap<u64, Sender<ProposalOutcome>>,
+}
+
+/// A proposal that was opened.
+#[derive(Debug)]
+pub struct OpenedProposal {
+    /// Its ticket, which no other proposal of this process has.
+    pub ticket: u64,
+    /// Receives its outcome once.
+    pub outcome: Receiver<ProposalOutcome>,
 }
 
 impl Proposals {
-    /// A new proposal: its ticket, and where its end is told.
-    pub fn open(&mut self) -> (u64, Receiver<ProposalEnd>) {
-        let (sender, receiver) = async_channel::bounded(1);
+    /// Opens a proposal.
+    pub fn open(&mut self) -> OpenedProposal {
+        let (sender, outcome) = async_channel::bounded(1);
         self.last_ticket += 1;
-        self.waiting.insert(self.last_ticket, sender);
-        (self.last_ticket, receiver)
+        self.uncommitted.insert(self.last_ticket, sender);
+        OpenedProposal { ticket: self.last_ticket, outcome }
     }
 
-    /// An entry is agreed on, which was a proposal of this member or not.
+    /// Records that an entry is committed; `proposal` is the ticket if this member has proposed it.
     pub fn committed(&mut self, sequence: u64, proposal: Option<u64>) {
-        if let Some(sender) = proposal.and_then(|ticket| self.waiting.remove(&ticket)) {
+        if let Some(sender) = proposal.and_then(|ticket| self.uncommitted.remove(&ticket)) {
             self.committed.insert(sequence, sender);
         }
     }
 
-    /// The state has taken an entry; without `applied` it was restored.
+    /// Records that the state machine has applied an entry; without `applied` the state was restored from a snapshot
+    /// at it.
     pub fn applied(&mut self, sequence: u64, applied: Option<Applied>) {
-        let end = applied.map_or(ProposalEnd::Unknown, ProposalEnd::Applied);
+        let outcome = applied.map_or(ProposalOutcome::Unknown, ProposalOutcome::Applied);
         if let Some(sender) = self.committed.remove(&sequence) {
-            let _ = sender.try_send(end);
+            let _ = sender.try_send(outcome);
         }
     }
 
-    /// A proposal has failed.
+    /// Records that a proposal has failed before its entry was committed.
     pub fn failed(&mut self, ticket: u64, reason: FailureReason) {
-        let end = match reason {
-            FailureReason::NotTaken => ProposalEnd::NotTaken,
-            FailureReason::OutcomeUnknown => ProposalEnd::Unknown,
+        let outcome = match reason {
+            FailureReason::NotTaken => ProposalOutcome::NotTaken,
+            FailureReason::OutcomeUnknown => ProposalOutcome::Unknown,
         };
-        if let Some(sender) = self.waiting.remove(&ticket) {
-            let _ = sender.try_send(end);
+        if let Some(sender) = self.uncommitted.remove(&ticket) {
+            let _ = sender.try_send(outcome);
         }
     }
 }
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -121,7 +121,7 @@
 
     /// Notes what is named, whether or not this member has the duty: it may be the next to have it.
     fn hear_names(&mut self) {
-        self.naming.advance(clock::now(), self.context.holder.knows_primary());
+        self.naming.advance(clock::now(), self.context.lease_status.knows_primary());
         for (model, revision) in self.output.named() {
             self.naming.hear(&model, revision);
         }
@@ -132,7 +132,7 @@
 
     /// Begins a term when the duty comes to this member.
     fn keep_term(&mut self) {
-        let Some(duty) = self.context.holder.duty() else { return };
+        let Some(duty) = self.context.lease_status.singleton_lease() else { return };
         if let Some(term) = self.term.as_mut().filter(|term| term.duty.tenure == duty.tenure) {
             term.duty = duty;
             return;
@@ -171,7 +171,7 @@
     }
 
     fn step(&mut self) {
-        let Some(duty) = self.context.holder.duty() else { return };
+        let Some(duty) = self.context.lease_status.singleton_lease() else { return };
         let Some(term) = self.term.as_mut().filter(|term| term.duty == duty) else { return };
         let before = term.planner.weights();
         term.planner.work_waits(self.output.waiting());
--- /dev/null
+++ b/crates/control-plane/src/server/build.rs
@@ -0,0 +1,133 @@
+//! Puts the parts of a member together.
+
+use std::rc::Rc;
+
+use async_channel::Sender;
+use async_executor::LocalExecutor;
+use snafu::ResultExt;
+use tulipridge_peer_sampling::{Exchange, View};
+use tulipridge_protocol::node::NodeId;
+use tulipridge_protocol::peer_sampling::{Entry, Role};
+use tulipridge_runtime::settings::Settings;
+
+use super::error::{NoRandomSnafu, ServerError, ViewsSnafu};
+use super::listeners::Listeners;
+use super::singleton_outputs::SingletonOutputs;
+use super::start::StartedMember;
+use super::{Server, SingletonRoles};
+use crate::api::{Api, ApiLimits};
+use crate::control_plane::OperatorView;
+use crate::delivery::Delivery;
+use crate::discovery::Discovery;
+use crate::index::KeptIndex;
+use crate::rollout::{Event, PlannerSettings, Rollout};
+use crate::singleton::SingletonContext;
+
+impl Server {
+    /// Binds the listeners, starts the member and puts together what serves around it.
+    ///
+    /// # Errors
+    ///
+    /// If an address, the disk, a thread or a random number is not to be had.
+    pub(super) fn build(
+        settings: &Settings,
+        executor: Rc<LocalExecutor<'static>>,
+    ) -> Result<Server, ServerError> {
+        let listeners = Listeners::bind(settings)?;
+        let started = StartedMember::start(settings, &executor)?;
+        let delivery = delivery(settings, &started);
+        let operator = operator_view(settings, &started, &delivery);
+        let api = api(settings, &operator);
+        let singleton_roles = SingletonRoles::build(settings, &executor, &started, &delivery);
+        let peer_sampling = Rc::new(peer_sampling(settings, started.node)?);
+        Ok(Server {
+            executor,
+            started,
+            delivery,
+            operator,
+            api,
+            singleton_roles,
+            peer_sampling,
+            listeners,
+            leeway: settings.time_limits.leeway(),
+        })
+    }
+}
+
+fn delivery(settings: &Settings, started: &StartedMember) -> Rc<Delivery> {
+    let feed_port = settings.spare_ports.0 + 1;
+    Delivery::new(settings.node_name.clone(), settings.area.clone(), feed_port, started.member.clone())
+}
+
+fn operator_view(
+    settings: &Settings,
+    started: &StartedMember,
+    delivery: &Rc<Delivery>,
+) -> Rc<OperatorView> {
+    OperatorView::new(settings.node_name.clone(), started.node, started.member.clone(), delivery.clone())
+}
+
+fn api(settings: &Settings, operator: &Rc<OperatorView>) -> Rc<Api<OperatorView>> {
+    let port = settings.listen_on.control_port.map_or(0, |address| address.port());
+    Rc::new(Api::new(operator.clone(), port, ApiLimits::default()))
+}
+
+impl SingletonRoles {
+    fn build(
+        settings: &Settings,
+        executor: &Rc<LocalExecutor<'static>>,
+        started: &StartedMember,
+        delivery: &Rc<Delivery>,
+    ) -> SingletonRoles {
+        let context = SingletonContext {
+            executor: executor.clone(),
+            lease_status: started.member.clone(),
+            table: Rc::default(),
+        };
+        let outputs = Rc::new(SingletonOutputs {
+            member: started.member.clone(),
+            delivery: delivery.clone(),
+            table: context.table.clone(),
+        });
+        let (rollout, rollout_events) = Rollout::new(
+            settings.node_name.clone(),
+            planner_settings(settings),
+            context.clone(),
+            outputs.clone(),
+        );
+        let kept_index = KeptIndex::new(context.clone(), outputs.clone());
+        let discovery = discovery(settings, context, outputs, &rollout_events);
+        SingletonRoles { discovery, kept_index, rollout, rollout_events }
+    }
+}
+
+fn planner_settings(settings: &Settings) -> PlannerSettings {
+    PlannerSettings {
+        revision_term: settings.time_limits.revision_term(),
+        lease_term: settings.time_limits.lease_term(),
+    }
+}
+
+/// The discovery of replicas; none where the platform has no list of them.
+fn discovery(
+    settings: &Settings,
+    context: SingletonContext,
+    outputs: Rc<SingletonOutputs>,
+    rollout_events: &Sender<Event>,
+) -> Option<Discovery> {
+    let cloud = settings.cloud_api.as_ref()?;
+    let events = rollout_events.clone();
+    let on_list = move || {
+        outputs.deliver_fleet();
+        let _ = events.try_send(Event::Listed);
+    };
+    Some(Discovery::new(cloud.address, cloud.rate_per_s, context, Box::new(on_list)))
+}
+
+fn peer_sampling(settings: &Settings, node: NodeId) -> Result<Exchange, ServerError> {
+    let seed = getrandom::u64().context(NoRandomSnafu)?;
+    let own_entry = Entry { id: node, role: Role::Control, zone: settings.area.clone(), age: 0 };
+    let address = settings.peer_sampling_socket(settings.ip_address);
+    let view = View::new(own_entry, settings.seed_ips(), seed);
+    Exchange::bind(address, view, seed).context(ViewsSnafu { address })
+}
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -7,7 +7,8 @@
 use tulipridge_runtime::signals::SignalError;
 
 use crate::disk::DiskError;
-use crate::machine::StartError;
+use crate::member::StateMachineStopped;
+use crate::state_machine::StartError;
 
 /// Why the control plane does not run.
 #[derive(Debug, Snafu)]
@@ -62,10 +63,10 @@
         /// What the system says.
         source: getrandom::Error,
     },
-    /// The agreed state can't be kept up.
-    #[snafu(display("the agreed state can't be kept up: {reason}"))]
+    /// The replicated state can't be kept up.
+    #[snafu(display("the agreed state can't be kept up: {source}"))]
     State {
-        /// Why.
-        reason: String,
+        /// Why the state machine has stopped.
+        source: StateMachineStopped,
     },
 }
--- /dev/null
+++ b/crates/control-plane/src/server/periodic.rs
@@ -0,0 +1,55 @@
+//! What a member looks at again and again, for as long as it runs.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_io::Timer;
+use tulipridge_peer_sampling::Exchange;
+use tulipridge_protocol::node::NodeId;
+
+use crate::delivery::Delivery;
+use crate::member::Member;
+use crate::singleton::LeaseStatus;
+
+/// How often the delivery is adapted to who is primary and who takes part.
+const DELIVERY_REVIEW_INTERVAL: Duration = Duration::from_millis(250);
+/// How often the work that waits at replicas is delivered, if it has changed.
+const LOADS_INTERVAL: Duration = Duration::from_millis(50);
+/// How often members that were discovered are made known to the replication.
+const DISCOVERED_MEMBERS_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Makes members that the peer sampling has discovered known to the replication.
+pub(super) async fn update_discovered_members(peer_sampling: Rc<Exchange>, member: Rc<Member>) {
+    let mut known = Vec::new();
+    loop {
+        let mut discovered: Vec<NodeId> =
+            peer_sampling.control_nodes().into_iter().map(|node| node.id).collect();
+        discovered.sort_unstable();
+        if discovered != known {
+            member.on_discovered(discovered.clone());
+            known = discovered;
+        }
+        Timer::after(DISCOVERED_MEMBERS_INTERVAL).await;
+    }
+}
+
+/// Adapts the delivery to who is primary and who takes part.
+pub(super) async fn review_delivery(member: Rc<Member>, delivery: Rc<Delivery>) {
+    loop {
+        delivery.review();
+        if member.singleton_lease().is_some() {
+            delivery.set_group(member.live_members());
+        }
+        Timer::after(DELIVERY_REVIEW_INTERVAL).await;
+    }
+}
+
+/// Delivers how much work waits at replicas, while this member has the singleton lease.
+pub(super) async fn deliver_loads(member: Rc<Member>, delivery: Rc<Delivery>) {
+    loop {
+        if let Some(lease) = member.singleton_lease() {
+            delivery.deliver_loads(lease.epoch);
+        }
+        Timer::after(LOADS_INTERVAL).await;
+    }
+}
--- a/crates/control-plane/src/server/duties.rs
+++ b/crates/control-plane/src/server/singleton_outputs.rs
@@ -1,4 +1,4 @@
-//! Where the results of the duties go.
+//! Where the results of the singleton roles go.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,24 +17,24 @@
 use crate::rollout::RolloutOutput;
 use crate::singleton::LeaseStatus;
 
-/// What the duties deliver.
-pub(super) struct Duties {
+/// Delivers the results of the singleton roles.
+pub(super) struct SingletonOutputs {
     pub(super) member: Rc<Member>,
     pub(super) delivery: Rc<Delivery>,
     pub(super) table: Rc<RefCell<FleetTable>>,
 }
 
-impl Duties {
+impl SingletonOutputs {
     /// Delivers the table of replicas as it is now.
     pub(super) fn deliver_fleet(&self) {
-        let Some(duty) = self.member.duty() else { return };
-        if let Some(replicas) = self.table.borrow().replicas(duty.tenure) {
-            self.delivery.set_fleet(duty.epoch, replicas);
+        let Some(lease) = self.member.singleton_lease() else { return };
+        if let Some(replicas) = self.table.borrow().replicas(lease.tenure) {
+            self.delivery.set_fleet(lease.epoch, replicas);
         }
     }
 }
 
-impl RolloutOutput for Duties {
+impl RolloutOutput for SingletonOutputs {
     fn weights(&self, epoch: u64, lines: Vec<ModelWeights>) {
         self.delivery.set_weights(epoch, lines);
     }
@@ -56,7 +56,7 @@
     }
 }
 
-impl IndexOutput for Duties {
+impl IndexOutput for SingletonOutputs {
     fn configuration(&self) -> Option<Arc<Configuration>> {
         self.member.published().configuration
     }
--- /dev/null
+++ b/crates/control-plane/src/state_machine/worker.rs
@@ -0,0 +1,103 @@
+//! The thread that owns the replicated state.
+
+use std::sync::Arc;
+use std::sync::mpsc;
+
+use async_channel::Sender;
+use tulipridge_configuration::Document;
+
+use super::{Published, StateMachineEvent, StateSnapshot};
+use crate::state::{Accepted, Applied, Change, Decision, State, StateError};
+
+/// Something to be done with the state.
+pub(super) enum Job {
+    Decide { change: Arc<Change>, reply: Sender<Decision> },
+    Apply { sequence: u64, command: Arc<[u8]> },
+    Restore { sequence: u64, snapshot: Arc<[u8]> },
+    Snapshot { reply: Sender<StateSnapshot> },
+    Document { reply: Sender<Option<Arc<[u8]>>> },
+    CatchUp { epoch: u64 },
+}
+
+/// Works through jobs in their order.
+pub(super) struct Worker {
+    state: State,
+    /// The newest entry that the state contains.
+    sequence: u64,
+    /// The change that was decided on last: it need not be decoded and checked again when it is committed.
+    accepted: Option<Accepted>,
+    events: Sender<StateMachineEvent>,
+}
+
+impl Worker {
+    /// A worker with the empty state.
+    pub(super) fn new(events: Sender<StateMachineEvent>) -> Worker {
+        Worker { state: State::default(), sequence: 0, accepted: None, events }
+    }
+
+    /// Works until the queue is closed, or the state can't be kept up.
+    pub(super) fn run(mut self, queue: &mpsc::Receiver<Job>) {
+        while let Ok(job) = queue.recv() {
+            if let Err(error) = self.work(job) {
+                self.report(StateMachineEvent::Failed(error));
+                return;
+            }
+        }
+    }
+
+    // Whoever awaits a reply may have given up: then it is dropped.
+    fn work(&mut self, job: Job) -> Result<(), StateError> {
+        match job {
+            Job::Decide { change, reply } => {
+                let _ = reply.try_send(self.decide(&change));
+            }
+            Job::Apply { sequence, command } => {
+                let applied = self.apply(&command)?;
+                self.report_applied(sequence, Some(applied));
+            }
+            Job::Restore { sequence, snapshot } => {
+                self.state = State::restore(&snapshot)?;
+                self.report_applied(sequence, None);
+            }
+            Job::Snapshot { reply } => {
+                let _ = reply.try_send(self.snapshot());
+            }
+            Job::Document { reply } => {
+                let _ = reply.try_send(self.state.document().map(Document::to_bytes));
+            }
+            Job::CatchUp { epoch } => self.report(StateMachineEvent::CaughtUp { epoch }),
+        }
+        Ok(())
+    }
+
+    fn decide(&mut self, change: &Change) -> Decision {
+        let decision = self.state.decide(change);
+        if let Decision::Accept(accepted) = &decision {
+            self.accepted = Some(Accepted::clone(accepted));
+        }
+        decision
+    }
+
+    fn apply(&mut self, command: &[u8]) -> Result<Applied, StateError> {
+        match self.accepted.take_if(|accepted| *accepted.command == *command) {
+            Some(accepted) => self.state.apply_accepted(accepted),
+            None => self.state.apply(command),
+        }
+    }
+
+    fn snapshot(&self) -> StateSnapshot {
+        StateSnapshot { sequence: self.sequence, state: self.state.snapshot() }
+    }
+
+    fn report_applied(&mut self, sequence: u64, applied: Option<Applied>) {
+        self.sequence = sequence;
+        let configuration = self.state.document().map(|document| document.configuration().clone());
+        let published = Published { configuration, weights: self.state.weights().newest() };
+        self.report(StateMachineEvent::Applied { sequence, applied, published });
+    }
+
+    fn report(&self, event: StateMachineEvent) {
+        // The channel is unbounded, and closed only when the process ends.
+        let _ = self.events.try_send(event);
+    }
+}
--- a/crates/control-plane/tests/api.rs
+++ b/crates/control-plane/tests/api.rs
@@ -16,8 +16,9 @@
     Api, ApiLimits, ChangeOutcome, ControlPlane, IndexSize, ReplicaWeights, Standing, Status,
 };
 use tulipridge_control_plane::state::Change;
+use tulipridge_control_plane::tenure::Tenure;
 
-const PRIMARY: Standing = Standing::Primary { tenure: 5 };
+const PRIMARY: Standing = Standing::Primary { tenure: Tenure(5) };
 const OTHER: Standing = Standing::Follower { primary: Ipv4Addr::new(10, 0, 0, 7) };
 const OPERATOR_PORT: u16 = 8683;
 
@@ -251,7 +252,7 @@
 #[rstest]
 #[case::another_primary(OTHER)]
 #[case::no_lease(Standing::Unknown)]
-#[case::another_primary_between(Standing::Primary { tenure: 9 })]
+#[case::another_primary_between(Standing::Primary { tenure: Tenure(9) })]
 fn a_document_that_may_be_old_is_not_returned(#[case] standing: Standing) {
     let document = Some(br#"{"revision":7}"#.as_slice().into());
     let standing_after_reading = Some(standing);
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -18,6 +18,7 @@
 use tulipridge_control_plane::index::{Follower, Outbox, SourceKind};
 use tulipridge_control_plane::rollout::{PlannerSettings, Rollout, RolloutOutput};
 use tulipridge_control_plane::singleton::{LeaseStatus, SingletonContext, SingletonLease};
+use tulipridge_control_plane::tenure::Tenure;
 use tulipridge_http1::{Http1Limits, within};
 use tulipridge_prefix_cache_index::Liveness;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
@@ -299,12 +300,12 @@
 
 // ---- orders -----------------------------------------------------------------------------------------------
 
-const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: 7 };
+const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: Tenure(7) };
 
 struct Holder;
 
 impl LeaseStatus for Holder {
-    fn duty(&self) -> Option<SingletonLease> {
+    fn singleton_lease(&self) -> Option<SingletonLease> {
         Some(DUTY)
     }
 
@@ -376,8 +377,11 @@
     };
     let table = Rc::new(RefCell::new(FleetTable::default()));
     table.borrow_mut().replace(DUTY.tenure, vec![replica(first_address)]);
-    let context =
-        SingletonContext { executor: executor.clone(), holder: Rc::new(Holder), table: table.clone() };
+    let context = SingletonContext {
+        executor: executor.clone(),
+        lease_status: Rc::new(Holder),
+        table: table.clone(),
+    };
     let settings = PlannerSettings {
         revision_term: RevisionTerm::new(Duration::from_secs(12)),
         lease_term: Duration::ZERO,
@@ -448,7 +452,7 @@
 fn calls_of_walk(ending: Ending) -> Vec<String> {
     let executor = Rc::new(LocalExecutor::new());
     let (listener, address) = listen();
-    let context = SingletonContext { executor, holder: Rc::new(Holder), table: Rc::default() };
+    let context = SingletonContext { executor, lease_status: Rc::new(Holder), table: Rc::default() };
     let (sender, listed) = async_channel::unbounded();
     let on_list = move || {
         let _ = sender.try_send(());
--- a/crates/control-plane/tests/change.rs
+++ b/crates/control-plane/tests/change.rs
@@ -6,27 +6,28 @@
 
 use rstest::rstest;
 use tulipridge_control_plane::api::ChangeOutcome;
-use tulipridge_control_plane::change::{ChangeAuthority, carry_out};
-use tulipridge_control_plane::member::ProposalEnd;
+use tulipridge_control_plane::change::{ChangeAuthority, ProposalOutcome, carry_out};
 use tulipridge_control_plane::state::{Applied, Change, Decision, State};
+use tulipridge_control_plane::tenure::Tenure;
 
-const TENURE: u64 = 7;
+const TENURE: Tenure = Tenure(7);
+const NEXT_TENURE: Tenure = Tenure(8);
 
 /// A member with a state of its own.
 #[derive(Default)]
 struct Authority {
     state: RefCell<State>,
     /// Who it takes itself for, question by question; the last one stays.
-    tenures: RefCell<VecDeque<Option<u64>>>,
+    tenures: RefCell<VecDeque<Option<Tenure>>>,
     /// Ends of proposals, which are applied where they say so.
-    ends: RefCell<VecDeque<ProposalEnd>>,
+    ends: RefCell<VecDeque<ProposalOutcome>>,
     /// A command of another member that is agreed on before the first proposal.
     earlier: RefCell<Option<Arc<[u8]>>>,
     decisions: Cell<u32>,
 }
 
 impl Authority {
-    fn with_tenures(tenures: &[Option<u64>]) -> Authority {
+    fn with_tenures(tenures: &[Option<Tenure>]) -> Authority {
         let authority = Authority::default();
         authority.tenures.borrow_mut().extend(tenures);
         authority
@@ -50,7 +51,7 @@
 }
 
 impl ChangeAuthority for Authority {
-    fn tenure(&self) -> Option<u64> {
+    fn tenure(&self) -> Option<Tenure> {
         let mut tenures = self.tenures.borrow_mut();
         if tenures.len() > 1 { tenures.pop_front().flatten() } else { tenures.front().copied().flatten() }
     }
@@ -60,13 +61,13 @@
         Some(self.state.borrow().decide(&change))
     }
 
-    async fn agree(&self, command: Arc<[u8]>) -> ProposalEnd {
+    async fn propose(&self, command: Arc<[u8]>) -> ProposalOutcome {
         let mut state = self.state.borrow_mut();
         if let Some(earlier) = self.earlier.take() {
             state.apply(&earlier).expect("an agreed command");
         }
         let scripted = self.ends.borrow_mut().pop_front();
-        scripted.unwrap_or_else(|| ProposalEnd::Applied(state.apply(&command).expect("a command")))
+        scripted.unwrap_or_else(|| ProposalOutcome::Applied(state.apply(&command).expect("a command")))
     }
 }
 
@@ -95,9 +96,9 @@
         &[Some(TENURE)],
         &[None],
         &[Some(TENURE), None],
-        &[Some(TENURE), Some(TENURE + 1)],
+        &[Some(TENURE), Some(NEXT_TENURE)],
     )]
-    tenures: &[Option<u64>],
+    tenures: &[Option<Tenure>],
 ) {
     let authority = Authority::with_tenures(tenures);
     authority.take(&put(0, 3));
@@ -133,10 +134,10 @@
 }
 
 #[rstest]
-#[case::never_begun(ProposalEnd::NotTaken, ChangeOutcome::NotPrimary)]
-#[case::no_answer(ProposalEnd::Unknown, ChangeOutcome::Unknown)]
-#[case::superseded_again_and_again(ProposalEnd::Applied(Applied::Superseded), ChangeOutcome::Unknown)]
-fn what_was_not_agreed_on_is_not_refused(#[case] end: ProposalEnd, #[case] expected: ChangeOutcome) {
+#[case::never_begun(ProposalOutcome::NotTaken, ChangeOutcome::NotPrimary)]
+#[case::no_answer(ProposalOutcome::Unknown, ChangeOutcome::Unknown)]
+#[case::superseded_again_and_again(ProposalOutcome::Applied(Applied::Superseded), ChangeOutcome::Unknown)]
+fn what_was_not_agreed_on_is_not_refused(#[case] end: ProposalOutcome, #[case] expected: ChangeOutcome) {
     let authority = Authority::with_tenures(&[Some(TENURE)]);
     authority.ends.borrow_mut().extend([end; 3]);
     assert_eq!(authority.answer(put(0, 3)), expected);
--- a/crates/control-plane/tests/discovery.rs
+++ b/crates/control-plane/tests/discovery.rs
@@ -11,6 +11,7 @@
 use rstest::rstest;
 use tulipridge_control_plane::discovery::{Discovery, Pace, Page, WalkEnd};
 use tulipridge_control_plane::singleton::{LeaseStatus, SingletonContext, SingletonLease};
+use tulipridge_control_plane::tenure::Tenure;
 use tulipridge_http1::within;
 
 const ENTRY: &str = r#"{"backend":"chat","address":"10.128.0.9:8080","area":"a","revision":"v1","capacity":128,"phase":"ready","warmLeftMs":12.5,"half":"either","llms":[{"label":"m","revision":1,"addons":[]}],"ident":"i-1"}"#;
@@ -103,13 +104,13 @@
 
 // ---- walks ------------------------------------------------------------------------------------------------
 
-const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: 7 };
+const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: Tenure(7) };
 
 /// A member that has the duty.
 struct Holder;
 
 impl LeaseStatus for Holder {
-    fn duty(&self) -> Option<SingletonLease> {
+    fn singleton_lease(&self) -> Option<SingletonLease> {
         Some(DUTY)
     }
 
@@ -123,7 +124,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
     let address = listener.get_ref().local_addr().expect("it is bound");
-    let context = SingletonContext { executor, holder: Rc::new(Holder), table: Rc::default() };
+    let context = SingletonContext { executor, lease_status: Rc::new(Holder), table: Rc::default() };
     let table = context.table.clone();
     let (sender, listed) = async_channel::unbounded();
     let on_list = move || {
--- a/crates/control-plane/tests/fleet.rs
+++ b/crates/control-plane/tests/fleet.rs
@@ -3,9 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use tulipridge_control_plane::fleet::{Corrections, FleetTable};
+use tulipridge_control_plane::tenure::Tenure;
 use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase};
 
-const TENURE: u64 = 7;
+const TENURE: Tenure = Tenure(7);
+const NEXT_TENURE: Tenure = Tenure(8);
 
 fn replica(id: &str, phase: ReplicaPhase) -> Replica {
     Replica {
@@ -56,12 +58,15 @@
     let mut table = FleetTable::default();
     assert!(table.replicas(TENURE).is_none());
     table.replace(TENURE, vec![ready("i-1")]);
-    assert!(table.replicas(TENURE + 1).is_none());
-    assert!(table.replace(TENURE + 1, vec![ready("i-1")]), "the first list of a tenure is always news");
+    assert!(table.replicas(NEXT_TENURE).is_none());
+    assert!(
+        table.replace(NEXT_TENURE, vec![ready("i-1")]),
+        "the first list of a tenure always counts as a change"
+    );
 }
 
 #[test]
-fn a_loading_mark_hides_readiness_but_not_draining() {
+fn a_loading_correction_hides_readiness_but_not_draining() {
     let mut table = FleetTable::default();
     table.replace(TENURE, vec![ready("i-1"), replica("i-2", ReplicaPhase::Draining)]);
     let loading = BTreeSet::from(["i-1".to_owned(), "i-2".to_owned()]);
@@ -73,16 +78,16 @@
 }
 
 #[test]
-fn a_seen_revision_only_raises_the_listed_one() {
+fn a_reported_revision_only_raises_the_listed_one() {
     let mut table = FleetTable::default();
     table.replace(TENURE, vec![ready("i-1")]);
-    let seen = |revision| {
+    let reported = |revision| {
         let models = vec![ModelRevision { model: "m".to_owned(), revision }];
         Corrections { revisions: BTreeMap::from([("i-1".to_owned(), models)]), ..Corrections::default() }
     };
     let revision = |table: &FleetTable| table.replicas(TENURE).unwrap_or_default()[0].models[0].revision;
-    table.correct(seen(3));
+    table.correct(reported(3));
     assert_eq!(revision(&table), 3);
-    table.correct(seen(0));
+    table.correct(reported(0));
     assert_eq!(revision(&table), 1);
 }
--- a/crates/control-plane/tests/member.rs
+++ b/crates/control-plane/tests/member.rs
@@ -1,14 +1,14 @@
-//! What a member keeps an eye on beside the agreement: its disk and its proposals.
+//! What a member tracks beside the replication: the health of its disk, its proposals, and when to compact.
 
 use std::time::Duration;
 
 use rstest::rstest;
-use tulipridge_control_plane::member::ProposalEnd;
+use tulipridge_control_plane::change::ProposalOutcome;
 use tulipridge_control_plane::member::compaction::{
     AppliedSinceSnapshot, COMPACT_AFTER_BYTES, COMPACT_AFTER_COMMANDS,
 };
-use tulipridge_control_plane::member::disk_watch::DiskWatch;
-use tulipridge_control_plane::member::proposals::Proposals;
+use tulipridge_control_plane::member::disk_health::DiskHealthMonitor;
+use tulipridge_control_plane::member::proposals::{OpenedProposal, Proposals};
 use tulipridge_control_plane::replication::FailureReason;
 use tulipridge_control_plane::state::Applied;
 
@@ -18,68 +18,68 @@
 
 #[test]
 fn a_write_that_hangs_shows_an_unhealthy_disk() {
-    let mut watch = DiskWatch::default();
-    watch.handed_over(1, 0, ms(0));
-    watch.handed_over(2, 0, ms(900));
-    assert_eq!(watch.news(ms(999)), None);
-    assert_eq!(watch.news(ms(1_000)), Some(false));
-    assert_eq!(watch.news(ms(1_500)), None, "it is told once");
-    watch.persisted(1);
-    assert_eq!(watch.news(ms(1_600)), Some(true));
-    assert_eq!(watch.news(ms(1_900)), Some(false), "the second write hangs too");
-    watch.persisted(2);
-    assert_eq!(watch.news(ms(5_000)), Some(true));
+    let mut monitor = DiskHealthMonitor::default();
+    monitor.write_started(1, 0, ms(0));
+    monitor.write_started(2, 0, ms(900));
+    assert_eq!(monitor.health_change(ms(999)), None);
+    assert_eq!(monitor.health_change(ms(1_000)), Some(false));
+    assert_eq!(monitor.health_change(ms(1_500)), None, "it is reported once");
+    monitor.write_finished(1);
+    assert_eq!(monitor.health_change(ms(1_600)), Some(true));
+    assert_eq!(monitor.health_change(ms(1_900)), Some(false), "the second write hangs too");
+    monitor.write_finished(2);
+    assert_eq!(monitor.health_change(ms(5_000)), Some(true));
 }
 
 /// A long write, and a short one behind it, have the time that their bytes take at 4 MiB/s beside.
 #[test]
 fn a_long_write_has_more_time() {
-    let mut watch = DiskWatch::default();
-    watch.handed_over(1, 2 << 20, ms(0));
-    watch.handed_over(2, 0, ms(100));
-    assert_eq!(watch.news(ms(1_499)), None);
-    assert_eq!(watch.news(ms(1_500)), Some(false));
-    watch.persisted(1);
-    assert_eq!(watch.news(ms(1_599)), Some(true));
-    assert_eq!(watch.news(ms(1_600)), Some(false));
-    watch.persisted(2);
-    assert_eq!(watch.news(ms(1_700)), Some(true));
+    let mut monitor = DiskHealthMonitor::default();
+    monitor.write_started(1, 2 << 20, ms(0));
+    monitor.write_started(2, 0, ms(100));
+    assert_eq!(monitor.health_change(ms(1_499)), None);
+    assert_eq!(monitor.health_change(ms(1_500)), Some(false));
+    monitor.write_finished(1);
+    assert_eq!(monitor.health_change(ms(1_599)), Some(true));
+    assert_eq!(monitor.health_change(ms(1_600)), Some(false));
+    monitor.write_finished(2);
+    assert_eq!(monitor.health_change(ms(1_700)), Some(true));
 }
 
 #[test]
 fn a_refused_write_shows_an_unhealthy_disk_until_it_succeeds() {
-    let mut watch = DiskWatch::default();
-    watch.handed_over(1, 0, ms(0));
-    watch.refused();
-    assert_eq!(watch.news(ms(10)), Some(false));
-    watch.persisted(1);
-    assert_eq!(watch.news(ms(20)), Some(true));
+    let mut monitor = DiskHealthMonitor::default();
+    monitor.write_started(1, 0, ms(0));
+    monitor.write_failed();
+    assert_eq!(monitor.health_change(ms(10)), Some(false));
+    monitor.write_finished(1);
+    assert_eq!(monitor.health_change(ms(20)), Some(true));
 }
 
 #[test]
 fn a_proposal_ends_when_its_entry_is_applied() {
     let mut proposals = Proposals::default();
-    let (ticket, end) = proposals.open();
+    let OpenedProposal { ticket, outcome } = proposals.open();
     proposals.committed(4, None);
     proposals.committed(5, Some(ticket));
     proposals.applied(4, Some(Applied::Weights));
-    assert!(end.try_recv().is_err());
+    assert!(outcome.try_recv().is_err());
     proposals.applied(5, Some(Applied::Configuration));
-    assert_eq!(end.try_recv(), Ok(ProposalEnd::Applied(Applied::Configuration)));
+    assert_eq!(outcome.try_recv(), Ok(ProposalOutcome::Applied(Applied::Configuration)));
 }
 
 #[rstest]
-#[case(FailureReason::NotTaken, ProposalEnd::NotTaken)]
-#[case(FailureReason::OutcomeUnknown, ProposalEnd::Unknown)]
+#[case(FailureReason::NotTaken, ProposalOutcome::NotTaken)]
+#[case(FailureReason::OutcomeUnknown, ProposalOutcome::Unknown)]
 fn a_proposal_that_fails_says_whether_it_may_take_effect(
     #[case] reason: FailureReason,
-    #[case] expected: ProposalEnd,
+    #[case] expected: ProposalOutcome,
 ) {
     let mut proposals = Proposals::default();
-    let (ticket, end) = proposals.open();
-    let (_, other) = proposals.open();
+    let OpenedProposal { ticket, outcome } = proposals.open();
+    let other = proposals.open().outcome;
     proposals.failed(ticket, reason);
-    assert_eq!(end.try_recv(), Ok(expected));
+    assert_eq!(outcome.try_recv(), Ok(expected));
     assert!(other.try_recv().is_err());
 }
 
--- a/crates/control-plane/tests/rated_cluster/mod.rs
+++ b/crates/control-plane/tests/rated_cluster/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tulipridge_control_plane::member::disk_watch::DiskWatch;
+use tulipridge_control_plane::member::disk_health::DiskHealthMonitor;
 use tulipridge_control_plane::replication::{
     DurableRecord, DurableState, FailureReason, Input, Output, Replication, ReplicationSettings, Role,
 };
@@ -82,7 +82,7 @@
     /// How fast that is.
     pub speed: DiskSpeed,
     pending: VecDeque<PendingWrite>,
-    watch: DiskWatch,
+    disk_health: DiskHealthMonitor,
     /// How many of the pending writes are being written under one sync.
     writing: usize,
     /// Bytes written since the log was last compacted.
@@ -201,7 +201,7 @@
                 disk,
                 speed,
                 pending: VecDeque::new(),
-                watch: DiskWatch::default(),
+                disk_health: DiskHealthMonitor::default(),
                 writing: 0,
                 log_bytes: 0,
                 compacts_until: Duration::ZERO,
@@ -307,7 +307,7 @@
         let member = &mut self.members[index];
         let Some(process) = &mut member.process else { return };
         let mut out = Vec::new();
-        if let Some(healthy) = member.watch.news(now) {
+        if let Some(healthy) = member.disk_health.health_change(now) {
             process.replication.handle(now, Input::DiskHealthy(healthy), &mut out);
         }
         process.replication.handle(now, input, &mut out);
@@ -378,7 +378,7 @@
     fn write(&mut self, index: usize, ticket: u64, records: Vec<DurableRecord>) {
         let bytes = records.iter().map(DurableRecord::payload_bytes).sum();
         let member = &mut self.members[index];
-        member.watch.handed_over(ticket, bytes, self.now);
+        member.disk_health.write_started(ticket, bytes, self.now);
         member.pending.push_back(PendingWrite { ticket, records });
         self.write_what_waits(index);
     }
@@ -410,7 +410,7 @@
         member.compact_log_if_due(self.now);
         self.write_what_waits(index);
         if let Some(ticket) = newest {
-            self.members[index].watch.persisted(ticket);
+            self.members[index].disk_health.write_finished(ticket);
             self.input(index, Input::Persisted { ticket });
         }
     }
@@ -507,7 +507,7 @@
         let member = &mut self.members[index];
         member.process = None;
         member.pending.clear();
-        member.watch = DiskWatch::default();
+        member.disk_health = DiskHealthMonitor::default();
         member.writing = 0;
     }
 
--- a/crates/control-plane/tests/rollout_exchange.rs
+++ b/crates/control-plane/tests/rollout_exchange.rs
@@ -13,19 +13,20 @@
 use tulipridge_control_plane::fleet::FleetTable;
 use tulipridge_control_plane::rollout::{PlannerSettings, Rollout, RolloutOutput};
 use tulipridge_control_plane::singleton::{LeaseStatus, SingletonContext, SingletonLease};
+use tulipridge_control_plane::tenure::Tenure;
 use tulipridge_http1::within;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 use tulipridge_runtime::settings::RevisionTerm;
 
 /// The epoch has risen since the member became primary.
-const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: 7 };
+const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: Tenure(7) };
 const LIMIT: Duration = Duration::from_secs(8);
 
 /// A member that has the duty.
 struct Holder;
 
 impl LeaseStatus for Holder {
-    fn duty(&self) -> Option<SingletonLease> {
+    fn singleton_lease(&self) -> Option<SingletonLease> {
         Some(DUTY)
     }
 
@@ -99,8 +100,11 @@
     let address = listener.get_ref().local_addr().expect("it is bound");
     let table = Rc::new(RefCell::new(FleetTable::default()));
     table.borrow_mut().replace(DUTY.tenure, vec![replica(address)]);
-    let context =
-        SingletonContext { executor: executor.clone(), holder: Rc::new(Holder), table: table.clone() };
+    let context = SingletonContext {
+        executor: executor.clone(),
+        lease_status: Rc::new(Holder),
+        table: table.clone(),
+    };
     let output = Rc::new(Output::default());
     let settings = PlannerSettings {
         revision_term: RevisionTerm::new(Duration::from_secs(12)),
@@ -149,7 +153,7 @@
 fn a_member_that_finds_weights_named_at_its_start_takes_them_to_be_old() {
     let executor = Rc::new(LocalExecutor::new());
     let table = Rc::new(RefCell::new(FleetTable::default()));
-    let context = SingletonContext { executor: executor.clone(), holder: Rc::new(Holder), table };
+    let context = SingletonContext { executor: executor.clone(), lease_status: Rc::new(Holder), table };
     let output = Rc::new(Output::default());
     // By its age the term is almost over; counted from now, the withdrawal would come after four seconds.
     let term = RevisionTerm::new(Duration::from_secs(6));
--- a/crates/control-plane/tests/machine.rs
+++ b/crates/control-plane/tests/state_machine.rs
@@ -1,10 +1,10 @@
-//! The thread of the agreed state.
+//! The state machine's thread.
 
 use std::sync::Arc;
 
 use async_channel::Receiver;
-use tulipridge_control_plane::machine::{Machine, Progress, Published};
 use tulipridge_control_plane::state::{Applied, Change, Decision, State, StateError};
+use tulipridge_control_plane::state_machine::{Published, StateMachine, StateMachineEvent};
 
 fn name(revision: u64) -> Change {
     Change::NameWeights { model: "m".to_owned(), revision }
@@ -17,56 +17,56 @@
     }
 }
 
-fn machine() -> (Machine, Receiver<Progress>) {
-    let (sender, progress) = async_channel::unbounded();
-    (Machine::start(sender).expect("the thread starts"), progress)
+fn machine() -> (StateMachine, Receiver<StateMachineEvent>) {
+    let (sender, events) = async_channel::unbounded();
+    (StateMachine::start(sender).expect("the thread starts"), events)
 }
 
-fn applied(progress: &Receiver<Progress>) -> (u64, Option<Applied>, Published) {
-    match progress.recv_blocking() {
-        Ok(Progress::Applied { sequence, applied, published }) => (sequence, applied, published),
+fn applied(events: &Receiver<StateMachineEvent>) -> (u64, Option<Applied>, Published) {
+    match events.recv_blocking() {
+        Ok(StateMachineEvent::Applied { sequence, applied, published }) => (sequence, applied, published),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_decision_sees_what_was_handed_over_before() {
-    let (machine, progress) = machine();
+fn a_decision_sees_commands_that_were_handed_over_before() {
+    let (machine, events) = machine();
     machine.apply(1, command(&State::default(), &name(2)));
     let decision = async_io::block_on(machine.decide(name(2).into()));
     assert_eq!(decision, Some(Decision::AlreadyTaken));
-    let (sequence, change, published) = applied(&progress);
+    let (sequence, change, published) = applied(&events);
     assert_eq!((sequence, change), (1, Some(Applied::Weights)));
     assert_eq!(published.weights.into_iter().collect::<Vec<_>>(), [("m".to_owned(), 2)]);
 }
 
 #[test]
 fn a_snapshot_holds_what_was_applied() {
-    let (first, _progress) = machine();
+    let (first, _events) = machine();
     first.apply(1, command(&State::default(), &name(2)));
     let snapshot = async_io::block_on(first.snapshot()).expect("the thread runs");
     assert_eq!(snapshot.sequence, 1);
-    let (second, progress) = machine();
+    let (second, events) = machine();
     second.restore(snapshot.sequence, snapshot.state.into());
-    let (sequence, change, published) = applied(&progress);
+    let (sequence, change, published) = applied(&events);
     assert_eq!((sequence, change, published.weights["m"]), (1, None, 2));
 }
 
 #[test]
-fn catching_up_is_told_after_all_that_was_handed_over() {
-    let (machine, progress) = machine();
+fn catching_up_is_reported_after_all_that_was_handed_over() {
+    let (machine, events) = machine();
     machine.apply(1, command(&State::default(), &name(2)));
     machine.catch_up(9);
-    applied(&progress);
-    assert!(matches!(progress.recv_blocking(), Ok(Progress::CaughtUp { epoch: 9 })));
+    applied(&events);
+    assert!(matches!(events.recv_blocking(), Ok(StateMachineEvent::CaughtUp { epoch: 9 })));
 }
 
 #[test]
 fn a_command_of_another_form_ends_the_thread() {
-    let (machine, progress) = machine();
+    let (machine, events) = machine();
     machine.apply(1, Arc::from(&[9, 9][..]));
-    assert!(matches!(progress.recv_blocking(), Ok(Progress::Failed(_))));
-    assert!(progress.recv_blocking().is_err());
+    assert!(matches!(events.recv_blocking(), Ok(StateMachineEvent::Failed(_))));
+    assert!(events.recv_blocking().is_err());
 }
 
 fn put(revision: u64, host: &str) -> Change {
@@ -87,11 +87,11 @@
 /// A command that was decided on in another state than this member's is not applied: the thread ends.
 #[test]
 fn a_state_that_has_diverged_ends_the_thread() {
-    let (machine, progress) = machine();
+    let (machine, events) = machine();
     machine.restore(1, state_with(&put(1, "b.example")).snapshot().into());
-    applied(&progress);
+    applied(&events);
     machine.apply(2, command(&state_with(&put(1, "a.example")), &put(2, "a.example")));
-    let failed = progress.recv_blocking();
-    assert!(matches!(failed, Ok(Progress::Failed(StateError::Diverged { .. }))), "{failed:?}");
-    assert!(progress.recv_blocking().is_err());
+    let failed = events.recv_blocking();
+    assert!(matches!(failed, Ok(StateMachineEvent::Failed(StateError::Diverged { .. }))), "{failed:?}");
+    assert!(events.recv_blocking().is_err());
 }
--- a/crates/control-plane/tests/support/operator/desk.rs
+++ b/crates/control-plane/tests/support/operator/desk.rs
@@ -3,9 +3,9 @@
 use std::collections::VecDeque;
 
 use tulipridge_control_plane::api::ChangeOutcome;
-use tulipridge_control_plane::change::AGREEMENT_TIMEOUT;
+use tulipridge_control_plane::change::COMMIT_TIMEOUT;
 use tulipridge_control_plane::change::ChangeStep;
-use tulipridge_control_plane::member::ProposalEnd;
+use tulipridge_control_plane::change::ProposalOutcome;
 use tulipridge_control_plane::state::{Applied, Change, Decision};
 
 use super::call::{Answer, Call, Content};
@@ -70,7 +70,7 @@
         }
         let Some(request) = process.desk.queue.pop_front() else { return };
         process.desk.current = Some(CurrentChange { request, ticket: None });
-        let not_primary = ChangeStep::Answer(ChangeOutcome::NotPrimary);
+        let not_primary = ChangeStep::Respond(ChangeOutcome::NotPrimary);
         self.carry_on(index, if is_primary { ChangeStep::Decide } else { not_primary });
     }
 
@@ -83,10 +83,10 @@
                 let ticket = self.next_command;
                 current.ticket = Some(ticket);
                 let timeout = DeskStep::AgreementTimeout { ticket };
-                self.schedule_step_after(index, AGREEMENT_TIMEOUT.as_micros() as u64, timeout);
+                self.schedule_step_after(index, COMMIT_TIMEOUT.as_micros() as u64, timeout);
                 self.propose_command(index, accepted.command);
             }
-            ChangeStep::Answer(outcome) => self.end_change(index, outcome),
+            ChangeStep::Respond(outcome) => self.end_change(index, outcome),
         }
     }
 
@@ -98,14 +98,14 @@
     }
 
     /// A proposal has ended.
-    pub(crate) fn end_proposal(&mut self, index: usize, ticket: u64, end: ProposalEnd) {
+    pub(crate) fn end_proposal(&mut self, index: usize, ticket: u64, end: ProposalOutcome) {
         let Some(process) = &self.machines[index].process else { return };
         let is_awaited = process.desk.current.as_ref().is_some_and(|change| change.ticket == Some(ticket));
         if !is_awaited {
             return;
         }
         let refuses = self.shape.fault == Fault::SupersededRefused;
-        if refuses && end == ProposalEnd::Applied(Applied::Superseded) {
+        if refuses && end == ProposalOutcome::Applied(Applied::Superseded) {
             let current = state_calls::revision(&process.applied.state);
             return self.end_change(index, ChangeOutcome::Stale { current });
         }
@@ -120,7 +120,9 @@
                 let is_primary = self.answers_operators(index);
                 self.carry_on(index, ChangeStep::after_decision(Some(*decision), is_primary));
             }
-            DeskStep::AgreementTimeout { ticket } => self.end_proposal(index, ticket, ProposalEnd::Unknown),
+            DeskStep::AgreementTimeout { ticket } => {
+                self.end_proposal(index, ticket, ProposalOutcome::Unknown)
+            }
             DeskStep::Read { call } => self.read(index, call),
             DeskStep::ReadDone { call, content } => {
                 let is_primary = self.answers_operators(index);
--- a/crates/control-plane/tests/support/simulation/outputs.rs
+++ b/crates/control-plane/tests/support/simulation/outputs.rs
@@ -1,6 +1,6 @@
 //! Inputs of a process, and what it asks for in return.
 
-use tulipridge_control_plane::member::ProposalEnd;
+use tulipridge_control_plane::change::ProposalOutcome;
 use tulipridge_control_plane::replication::{FailureReason, Input, Output, Role};
 use tulipridge_control_plane::state::Applied;
 
@@ -102,7 +102,7 @@
         self.done.insert(ticket);
         self.checker.acknowledge(sequence, command.number, epoch);
         if let Some(applied) = applied {
-            self.end_proposal(index, ticket, ProposalEnd::Applied(applied));
+            self.end_proposal(index, ticket, ProposalOutcome::Applied(applied));
         }
     }
 
@@ -145,9 +145,9 @@
     }
 }
 
-fn failed_end(reason: FailureReason) -> ProposalEnd {
+fn failed_end(reason: FailureReason) -> ProposalOutcome {
     match reason {
-        FailureReason::NotTaken => ProposalEnd::NotTaken,
-        FailureReason::OutcomeUnknown => ProposalEnd::Unknown,
+        FailureReason::NotTaken => ProposalOutcome::NotTaken,
+        FailureReason::OutcomeUnknown => ProposalOutcome::Unknown,
     }
 }
