--- a/crates/control-plane/src/index/mod.rs
+++ b/crates/control-plane/src/index/mod.rs
@@ -24,6 +24,7 @@
 pub use response::{ResponseError, parse_event_page, parse_listing};
 
 use crate::singleton::{SingletonContext, SingletonLease};
+use crate::tenure::Tenure;
 
 /// Time for which updates are collected before they are delivered.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
@@ -51,7 +52,7 @@
     output: Rc<dyn IndexOutput>,
     outbox: Rc<Outbox>,
     /// The tenure in which the followers were started; none while another member is primary.
-    tenure: Option<u64>,
+    tenure: Option<Tenure>,
     followers: BTreeMap<SocketAddrV4, Task<()>>,
 }
 
@@ -75,7 +76,7 @@
     }
 
     fn run_round(&mut self, refresh_is_due: bool) {
-        let lease = self.context.holder.duty();
+        let lease = self.context.lease_status.singleton_lease();
         self.reset_on_new_tenure(lease);
         let Some(lease) = lease else { return };
         if refresh_is_due || self.followers.is_empty() {
--- a/crates/control-plane/src/rollout/controller.rs
+++ b/crates/control-plane/src/rollout/controller.rs
@@ -91,7 +91,7 @@
 
     /// Records the announced targets, also while another member is primary: this one may be the next.
     fn record_announcements(&mut self) {
-        self.announcements.advance(clock::now(), self.context.holder.knows_primary());
+        self.announcements.advance(clock::now(), self.context.lease_status.knows_primary());
         for (model, revision) in self.output.named() {
             self.announcements.record(&model, revision);
         }
@@ -102,7 +102,7 @@
 
     /// Begins a new plan when this member becomes primary.
     fn refresh_tenure(&mut self) {
-        let Some(lease) = self.context.holder.duty() else { return };
+        let Some(lease) = self.context.lease_status.singleton_lease() else { return };
         if let Some(tenure) = self.tenure.as_mut().filter(|tenure| tenure.lease.tenure == lease.tenure) {
             tenure.lease = lease;
             return;
@@ -142,7 +142,7 @@
 
     /// Does what is due, if this member is primary within its lease.
     fn step(&mut self) {
-        let Some(lease) = self.context.holder.duty() else { return };
+        let Some(lease) = self.context.lease_status.singleton_lease() else { return };
         let Some(tenure) = self.tenure.as_mut().filter(|tenure| tenure.lease == lease) else { return };
         let before = tenure.planner.weights();
         tenure.planner.set_queued_requests(self.output.waiting());
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -15,9 +15,9 @@
 use musli::mode::Binary;
 use musli::{Decode, Encode};
 use stored_data::{Case, check_stored, check_stored_directory, copy_stored_directory, scratch_directory};
-use tulipridge_control_plane::disk::{Boot, Opened};
+use tulipridge_control_plane::disk::{Boot, OpenedDisk};
 use tulipridge_control_plane::replication::transfer::{EncodedData, TransferData};
-use tulipridge_control_plane::replication::{DataMark, DurableRecord, DurableState};
+use tulipridge_control_plane::replication::{DurableRecord, DurableState, LogPosition};
 use tulipridge_control_plane::state::{Change, Command, Decision, State};
 use tulipridge_control_plane::state_log::{Compaction, DiskImage, StateLog};
 use tulipridge_protocol::frame;
@@ -169,7 +169,7 @@
     let expected = DurableState {
         promised: 4_294_967_301,
         view: Some(view()),
-        data: DataMark { epoch: 4_294_967_302, sequence: 4 },
+        data: LogPosition { epoch: 4_294_967_302, sequence: 4 },
         snapshot_sequence: 2,
         snapshot: history.snapshot(2),
         entries: vec![history.entry(3), history.entry(4)],
@@ -185,7 +185,7 @@
     let expected = DurableState {
         promised: 4_294_967_303,
         view: Some(view()),
-        data: DataMark { epoch: 4_294_967_304, sequence: 4 },
+        data: LogPosition { epoch: 4_294_967_304, sequence: 4 },
         snapshot_sequence: 3,
         snapshot: history.snapshot(3),
         entries: vec![history.entry(4)],
@@ -212,8 +212,8 @@
 fn a_member_starts_on_the_directory_of_an_earlier_version() {
     let directory = scratch_directory("stored-state-start");
     copy_stored_directory(PRIMARY, &directory);
-    let opened = Opened::open(&directory, Boot::Later).expect("a stored directory");
-    assert!(!opened.fresh, "a directory with data was taken for an empty one");
+    let opened = OpenedDisk::open(&directory, Boot::Later).expect("a stored directory");
+    assert!(!opened.is_fresh, "a directory with data was taken for an empty one");
     assert_eq!(opened.image.generation, 0);
     assert_eq!(opened.image.state.data.sequence, 4);
 }
@@ -243,7 +243,7 @@
     append(&mut log, &[DurableRecord::Promised(4_294_967_303)]);
     append(&mut log, &[reset(4_294_967_300, 1)]);
     append(&mut log, &[reset(4_294_967_304, 2)]);
-    assert!(matches!(log.compact_for_room(), Compaction::Done), "the records were not compacted");
+    assert!(matches!(log.compact_to_free_space(), Compaction::Done), "the records were not compacted");
     append(&mut log, &[DurableRecord::View(view())]);
     append(&mut log, &[DurableRecord::Entry(history.entry(4))]);
     append(&mut log, &[DurableRecord::Snapshot { sequence: 3, snapshot: history.snapshot(3) }]);
@@ -287,7 +287,7 @@
     DurableState {
         promised: 4_294_967_299,
         view: Some(view()),
-        data: DataMark { epoch: 82, sequence: 83 },
+        data: LogPosition { epoch: 82, sequence: 83 },
         snapshot_sequence: 81,
         snapshot: bytes(b"the state"),
         entries: vec![entry(82), entry(83)],
@@ -299,7 +299,7 @@
         epoch: 1,
         voters: vec![node(1), node(2), node(3)],
         previous_voters: Vec::new(),
-        holders: vec![node(1), node(2)],
+        data_replicas: vec![node(1), node(2)],
     }
 }
 
@@ -308,7 +308,7 @@
         epoch: 8_589_934_593,
         voters: vec![node(11), node(12), node(13)],
         previous_voters: vec![node(14), node(15)],
-        holders: vec![node(13), node(11)],
+        data_replicas: vec![node(13), node(11)],
     }
 }
 
