--- a/crates/control-plane/src/delivery.rs
+++ b/crates/control-plane/src/delivery.rs
@@ -1,7 +1,7 @@
-//! Delivery of the state to agents and to the other members.
+//! Delivers the state to agents and to the other members.
 //!
-//! The primary writes the state; every other member is a home that follows the primary. All publish what they
-//! hold, with the age at which it was known to be the newest.
+//! The primary writes the state; every other member is a relay that subscribes to the primary's feed. All members publish
+//! their state, with the age at which it was known to be the newest.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,26 +20,27 @@
 
 use crate::api::{IndexSize, ReplicaWeights};
 
-/// What the delivery asks of the control plane.
+/// What the delivery needs to know of the control plane.
 pub trait Authority {
-    /// This member is the primary within its lease, and has applied all that was agreed before.
+    /// Whether this member is the primary within its lease, and has applied everything that was committed before.
     fn confirms_freshness(&self) -> bool;
-    /// The machine of the primary, if another member is and was heard lately.
+    /// The address of the primary, if it is another member that was heard from lately.
     fn primary(&self) -> Option<Ipv4Addr>;
 }
 
-/// The feed of one member.
+/// The feed of one member: its state, the publisher that serves it, and the subscription to the primary's feed.
 pub struct Delivery {
     authority: Rc<dyn Authority>,
     feed_port: u16,
     store: Rc<RefCell<FeedStore>>,
     publisher: Rc<Publisher>,
     subscriber: Rc<Subscriber>,
-    publisher_wanted: Cell<Option<SocketAddr>>,
+    /// The feed that was chosen last: that of the primary, or none.
+    chosen_feed: Cell<Option<SocketAddr>>,
 }
 
 impl Delivery {
-    /// The feed of a member of this name and zone. All members serve theirs at the same port.
+    /// The feed of the member `name` in `zone`. All members serve theirs at the same port, `feed_port`.
     pub fn new(name: String, zone: String, feed_port: u16, authority: Rc<dyn Authority>) -> Rc<Delivery> {
         let store = Rc::new(RefCell::new(FeedStore::new()));
         let identity = Identity { name, zone, role: SubscriberRole::Relay };
@@ -47,104 +48,106 @@
         let publisher = Publisher::new(store.clone(), age(authority.clone(), subscriber.clone()));
         let notified = publisher.clone();
         subscriber.on_change(Box::new(move |_| notified.notify()));
-        let (told, passed_on) = (Rc::downgrade(&publisher), subscriber.clone());
+        // The publisher owns the callback, so a strong reference would keep it alive for ever.
+        let reporting = Rc::downgrade(&publisher);
+        let upstream = subscriber.clone();
         publisher.on_waiting(move || {
-            if let Some(publisher) = told.upgrade() {
-                passed_on.set_waiting(publisher.waiting());
+            if let Some(publisher) = reporting.upgrade() {
+                upstream.set_waiting(publisher.waiting());
             }
         });
-        let publisher_wanted = Cell::new(None);
-        Rc::new(Delivery { authority, feed_port, store, publisher, subscriber, publisher_wanted })
+        let chosen_feed = Cell::new(None);
+        Rc::new(Delivery { authority, feed_port, store, publisher, subscriber, chosen_feed })
     }
 
-    /// Serves subscribers for ever.
+    /// Serves subscribers on `listener`; does not return.
     pub async fn serve(&self, listener: Async<TcpListener>, executor: &LocalExecutor<'_>) {
         self.publisher.clone().serve(listener, executor).await;
     }
 
-    /// Follows the primary for ever, while that is another member.
+    /// Subscribes to the primary's feed while the primary is another member; does not return.
     pub async fn follow(self: Rc<Self>) {
         let this = self.clone();
-        self.subscriber.clone().run(move |_| this.choose()).await;
+        self.subscriber.clone().run(move |_| this.choose_feed()).await;
     }
 
-    fn choose(&self) -> Option<SocketAddr> {
-        let wanted = self.primary_feed();
-        self.publisher_wanted.set(wanted);
-        wanted
+    fn choose_feed(&self) -> Option<SocketAddr> {
+        let feed = self.primary_feed();
+        self.chosen_feed.set(feed);
+        feed
     }
 
     fn primary_feed(&self) -> Option<SocketAddr> {
         self.authority.primary().map(|ip| SocketAddr::from((ip, self.feed_port)))
     }
 
-    /// Looks whether another member is the primary now, and tells the primary how many gateways are served here.
+    /// Reports to the primary how many proxies are served here, and selects another feed if the primary has changed.
     pub fn review(&self) {
         self.subscriber.set_gateways(self.publisher.gateways());
-        let wanted = self.primary_feed();
-        // While no primary is known the last one is followed on: its answers tell how old they are.
-        let left = wanted.is_some() || self.authority.confirms_freshness();
-        if left && wanted != self.publisher_wanted.get() {
+        let feed = self.primary_feed();
+        // While no primary is known, the subscription to the last one is kept: its messages say how old the state is.
+        let knows_primary = feed.is_some() || self.authority.confirms_freshness();
+        if knows_primary && feed != self.chosen_feed.get() {
             self.subscriber.reselect();
         }
     }
 
     /// Delivers a configuration.
     pub fn set_configuration(&self, configuration: Arc<Configuration>) {
-        let news = self.store.borrow_mut().set_configuration(configuration);
-        self.notify_if(news);
+        let has_changed = self.store.borrow_mut().set_configuration(configuration);
+        self.notify_if(has_changed);
     }
 
     /// Delivers the table of replicas, as primary of `epoch`.
     pub fn set_fleet(&self, epoch: u64, replicas: Vec<Replica>) {
-        let news = self.store.borrow_mut().set_fleet(epoch, replicas);
-        self.notify_if(news);
+        let has_changed = self.store.borrow_mut().set_fleet(epoch, replicas);
+        self.notify_if(has_changed);
     }
 
     /// Delivers the table of weights, as primary of `epoch`.
-    pub fn set_weights(&self, epoch: u64, lines: Vec<ModelWeights>) {
-        let news = self.store.borrow_mut().set_weights(epoch, lines);
-        self.notify_if(news);
+    pub fn set_weights(&self, epoch: u64, weights: Vec<ModelWeights>) {
+        let has_changed = self.store.borrow_mut().set_weights(epoch, weights);
+        self.notify_if(has_changed);
     }
 
-    /// Delivers changes of what sources keep of prompts, as primary of `epoch`.
+    /// Delivers updates of the prefix-cache index, as primary of `epoch`.
     pub fn set_kept(&self, epoch: u64, updates: &[CacheUpdate]) {
-        let news = self.store.borrow_mut().set_kept(epoch, updates);
-        self.notify_if(news);
+        let has_changed = self.store.borrow_mut().set_kept(epoch, updates);
+        self.notify_if(has_changed);
     }
 
-    /// Delivers how much work waits at replicas, as the gateways have told it, as primary of `epoch`.
+    /// Delivers the counts of requests queued at replicas that the proxies have reported, as primary of `epoch`.
     pub fn deliver_loads(&self, epoch: u64) {
-        let news = self.store.borrow_mut().set_loads(epoch, &self.publisher.waiting());
-        self.notify_if(news);
+        let has_changed = self.store.borrow_mut().set_loads(epoch, &self.publisher.waiting());
+        self.notify_if(has_changed);
     }
 
-    /// Work that waits at each replica, by id, as it was delivered last.
+    /// Requests that are queued at each replica, by its id, as they were delivered last.
     pub fn waiting(&self) -> BTreeMap<String, u32> {
         let store = self.store.borrow();
         let loads = store.loads().into_iter().flatten();
         loads.map(|(replica, waiting)| (replica.id.clone(), waiting.into())).collect()
     }
 
-    /// What is known of a source of KV cache.
+    /// The status of a source of KV cache, or `None` if it is not followed.
     pub fn source_status(&self, source: SocketAddrV4) -> Option<SourceStatus> {
         self.store.borrow().kept().borrow().status(source)
     }
 
-    /// The sources of KV cache of which something is known.
+    /// The sources of KV cache that are followed.
     pub fn known_sources(&self) -> Vec<SocketAddrV4> {
         self.store.borrow().kept().borrow().sources().collect()
     }
 
-    /// Delivers who takes part, as primary.
+    /// Delivers the group: the members of the control plane, and how many proxies there are. Called by the primary.
     pub fn set_group(&self, control: Vec<ControlNode>) {
         let group = Group { gateways: self.publisher.gateways(), control };
-        let news = self.store.borrow_mut().set_group(group);
-        self.notify_if(news);
+        let has_changed = self.store.borrow_mut().set_group(group);
+        self.notify_if(has_changed);
     }
 
-    fn notify_if(&self, news: bool) {
-        if news {
+    fn notify_if(&self, has_changed: bool) {
+        if has_changed {
             self.publisher.notify();
         }
     }
@@ -164,36 +167,36 @@
         self.store.borrow().fleet().count()
     }
 
-    /// Which of these replicas have which weights.
+    /// The replicas that have each revision, by model.
     pub fn replica_weights(&self) -> ReplicaWeights {
         let mut weights = ReplicaWeights::new();
         for replica in self.store.borrow().fleet() {
-            for line in &replica.models {
-                let revisions = weights.entry(line.model.clone()).or_default();
-                revisions.entry(line.revision).or_default().push(replica.id.clone());
+            for served in &replica.models {
+                let revisions = weights.entry(served.model.clone()).or_default();
+                revisions.entry(served.revision).or_default().push(replica.id.clone());
             }
         }
         weights
     }
 
-    /// The size of the index of kept prompts.
+    /// The size of the prefix-cache index.
     pub fn index_size(&self) -> IndexSize {
         let store = self.store.borrow();
         let index = store.kept().borrow();
         IndexSize { sources: index.sources().count(), entries: index.len() }
     }
 
-    /// How many processes follow this feed.
+    /// How many processes subscribe to this feed.
     pub fn subscribers(&self) -> usize {
         self.publisher.subscribers().len()
     }
 
-    /// Gateways that the control plane knows of.
+    /// How many proxies the control plane knows of.
     pub fn gateways(&self) -> u32 {
         self.store.borrow().group().gateways
     }
 
-    /// How long ago what is delivered was known to be the newest.
+    /// How long ago the delivered state was known to be the newest; none if it never was.
     pub fn age(&self) -> Option<Duration> {
         age(self.authority.clone(), self.subscriber.clone())()
     }
--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -1,7 +1,10 @@
-//! The duty of following the platform's list of replicas.
+//! Service discovery: polls the platform's paged list of replicas while this member is primary.
+//!
+//! Discovery is a singleton role: the platform's rate limit holds for all members together, so only the primary within
+//! its lease polls. A list counts only if all of its pages came within one poll.
 
-mod list;
-mod pace;
+mod page;
+mod schedule;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,51 +16,56 @@
 use tulipridge_protocol::feed::Replica;
 use tulipridge_runtime::clock;
 
-pub use list::{Page, PageError};
-pub use pace::{Pace, WalkEnd};
+pub use page::{Page, PageError};
+pub use schedule::{PollOutcome, PollSchedule};
 
 use crate::http_client::{Call, CallError, HttpClient};
 use crate::singleton::{SingletonContext, SingletonLease};
 
-/// Time for a page to come whole.
+/// Time for a complete page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time from one look at who has the duty to the next, while another member has it.
-const DUTY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time from one look at the lease to the next, while another member is primary.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest page that is read.
-const PAGE_BYTES: usize = 8 << 20;
-/// Entries that can't be read and of which the log was told; more are told again.
-const KNOWN_UNREADABLE: usize = 256;
+const MAX_PAGE_BYTES: usize = 8 << 20;
+/// Malformed entries that are remembered as logged; beyond these, entries are logged again.
+const MAX_LOGGED_ENTRIES: usize = 256;
 
-/// Why the list could not be walked to its end.
+/// Why a poll of the list failed.
 #[derive(Debug, Snafu)]
-enum WalkError {
+enum PollError {
     #[snafu(display("{source}"))]
     Call { source: CallError },
     #[snafu(display("{source}"))]
     Parse { source: PageError },
     #[snafu(display("the platform answers with status {status}"))]
     Status { status: u16 },
-    #[snafu(display("the duty of following the list was lost"))]
+    #[snafu(display("the lease was lost while the list was read"))]
     LeaseLost,
 }
 
-/// The platform's status for more calls than it accepts.
-const TOO_MANY_CALLS: u16 = 429;
+/// HTTP status of the platform when its rate limit is exceeded.
+const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Follows the list while this member has the duty.
+/// Polls the list while this member is primary.
 pub struct Discovery {
     context: SingletonContext,
     on_list: Box<dyn Fn()>,
     client: HttpClient,
-    pace: Pace,
+    schedule: PollSchedule,
+    /// No call is made before this time.
     next_call: Duration,
-    unreadable: BTreeSet<String>,
-    failing: bool,
+    /// Malformed entries that were logged.
+    logged_entries: BTreeSet<String>,
+    /// Whether the last poll failed.
+    is_failing: bool,
 }
 
 impl Discovery {
-    /// Calls the platform at `address`, at most `rate_per_second` times. Each complete list goes into the table,
-    /// and `on_list` is called.
+    /// Polls the platform at `address`, which accepts `rate_per_second` calls from all its clients together. Each complete
+    /// list replaces the one in the table, and `on_list` is called.
     #[must_use]
     pub fn new(
         address: SocketAddr,
@@ -66,8 +74,8 @@
         on_list: Box<dyn Fn()>,
     ) -> Discovery {
         let limits = Http1Limits {
-            body_bytes: PAGE_BYTES,
-            connect_timeout: Duration::from_millis(400),
+            body_bytes: MAX_PAGE_BYTES,
+            connect_timeout: CONNECT_TIMEOUT,
             ..Http1Limits::default()
         };
         let now = clock::now();
@@ -75,96 +83,101 @@
             context,
             on_list,
             client: HttpClient::new(address, limits),
-            pace: Pace::new(rate_per_second, now),
+            schedule: PollSchedule::new(rate_per_second, now),
             next_call: now,
-            unreadable: BTreeSet::new(),
-            failing: false,
+            logged_entries: BTreeSet::new(),
+            is_failing: false,
         }
     }
 
-    /// Follows the list for ever.
+    /// Polls the list; does not return.
     pub async fn run(mut self) {
         loop {
-            let Some(duty) = self.context.holder.duty() else {
-                Timer::after(DUTY_INTERVAL).await;
+            let Some(lease) = self.context.holder.duty() else {
+                Timer::after(LEASE_CHECK_INTERVAL).await;
                 continue;
             };
-            let began = clock::now();
-            let end = self.round(duty).await;
+            let started = clock::now();
+            let outcome = self.poll(lease).await;
             let now = clock::now();
-            let next = self.pace.next_walk(began, now, end);
+            let next = self.schedule.next_poll(started, now, outcome);
             Timer::after(next.saturating_sub(now)).await;
         }
     }
 
-    async fn round(&mut self, duty: SingletonLease) -> WalkEnd {
-        let outcome = self.walk(duty).await;
-        self.log_change_of_health(outcome.as_ref().err());
-        match outcome {
-            Ok(list) => self.take(duty, list),
-            Err(WalkError::Status { status: TOO_MANY_CALLS }) => WalkEnd::Refused,
-            Err(_) => WalkEnd::Failed,
+    async fn poll(&mut self, lease: SingletonLease) -> PollOutcome {
+        let result = self.read_list(lease).await;
+        self.log_health_change(result.as_ref().err());
+        match result {
+            Ok(replicas) => self.publish(lease, replicas),
+            Err(PollError::Status { status: TOO_MANY_REQUESTS }) => PollOutcome::RateLimited,
+            Err(_) => PollOutcome::Failed,
         }
     }
 
-    fn take(&mut self, duty: SingletonLease, list: Vec<Replica>) -> WalkEnd {
-        let changed = self.context.table.borrow_mut().replace(duty.tenure, list);
+    fn publish(&mut self, lease: SingletonLease, replicas: Vec<Replica>) -> PollOutcome {
+        let has_changed = self.context.table.borrow_mut().replace(lease.tenure, replicas);
         (self.on_list)();
-        if changed { WalkEnd::Changed } else { WalkEnd::Unchanged }
+        if has_changed { PollOutcome::Changed } else { PollOutcome::Unchanged }
     }
 
-    /// Reads all pages; the list counts only whole.
-    async fn walk(&mut self, duty: SingletonLease) -> Result<Vec<Replica>, WalkError> {
+    /// Reads all pages of the list.
+    async fn read_list(&mut self, lease: SingletonLease) -> Result<Vec<Replica>, PollError> {
         let mut replicas = Vec::new();
         let mut token = None;
         loop {
-            let page = self.page(duty, token.as_deref()).await?;
+            let page = self.request_page(lease, token.as_deref()).await?;
             replicas.extend(page.replicas);
-            self.log_unreadable(page.unreadable);
+            self.log_malformed(page.malformed);
             token = page.next_token;
             if token.is_none() {
-                return if self.still_has(duty) { Ok(replicas) } else { LeaseLostSnafu.fail() };
+                return if self.has_lease(lease) { Ok(replicas) } else { LeaseLostSnafu.fail() };
             }
         }
     }
 
-    async fn page(&mut self, duty: SingletonLease, token: Option<&str>) -> Result<Page, WalkError> {
+    async fn request_page(
+        &mut self,
+        lease: SingletonLease,
+        token: Option<&str>,
+    ) -> Result<Page, PollError> {
         Timer::after(self.next_call.saturating_sub(clock::now())).await;
-        if !self.still_has(duty) {
+        if !self.has_lease(lease) {
             return LeaseLostSnafu.fail();
         }
-        self.next_call = clock::now() + self.pace.page_gap();
-        let target = list::page_target(token);
-        let answer = self.client.call(Call::get(&target), PAGE_TIMEOUT).await.context(CallSnafu)?;
-        match answer.status {
-            200 => Page::parse(&answer.body).context(ParseSnafu),
+        self.next_call = clock::now() + self.schedule.call_interval();
+        let target = page::page_target(token);
+        let response = self.client.call(Call::get(&target), PAGE_TIMEOUT).await.context(CallSnafu)?;
+        match response.status {
+            200 => Page::parse(&response.body).context(ParseSnafu),
             status => StatusSnafu { status }.fail(),
         }
     }
 
-    fn still_has(&self, duty: SingletonLease) -> bool {
-        self.context.holder.duty().is_some_and(|now| now.tenure == duty.tenure)
+    /// Whether this member has been primary without interruption since it had `lease`.
+    fn has_lease(&self, lease: SingletonLease) -> bool {
+        self.context.holder.duty().is_some_and(|present| present.tenure == lease.tenure)
     }
 
-    fn log_unreadable(&mut self, entries: Vec<String>) {
+    fn log_malformed(&mut self, entries: Vec<String>) {
         for entry in entries {
-            if self.unreadable.len() >= KNOWN_UNREADABLE {
-                self.unreadable.clear();
+            if self.logged_entries.len() >= MAX_LOGGED_ENTRIES {
+                self.logged_entries.clear();
             }
-            if self.unreadable.insert(entry.clone()) {
+            if self.logged_entries.insert(entry.clone()) {
                 log::warn!(entry:% = entry; "an entry of the list of replicas can't be read and is left out");
             }
         }
     }
 
-    fn log_change_of_health(&mut self, error: Option<&WalkError>) {
+    fn log_health_change(&mut self, error: Option<&PollError>) {
         match error {
-            Some(error) if !self.failing => {
+            Some(error) if !self.is_failing => {
                 log::warn!(error:% = error; "the list of replicas can't be read");
             }
-            None if self.failing => log::info!("the list of replicas can be read again"),
+            None if self.is_failing => log::info!("the list of replicas can be read again"),
             _ => {}
         }
-        self.failing = error.is_some();
+        self.is_failing = error.is_some();
     }
 }
--- a/crates/control-plane/src/discovery/list.rs
+++ b/crates/control-plane/src/discovery/page.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's list of replicas.
+//! Pages of the platform's list of replicas: their request targets and their parsing.
 
 use std::net::SocketAddrV4;
 
@@ -10,24 +10,24 @@
 /// Why a page of the list can't be used.
 #[derive(Debug, Snafu)]
 pub enum PageError {
-    /// The page is not what the platform's interface promises.
+    /// The page is truncated, or not what the platform's interface promises.
     #[snafu(display("a page of the list of replicas can't be read: {source}"))]
-    Unreadable {
-        /// What the parser says.
+    Malformed {
+        /// The parser's error.
         source: serde_json::Error,
     },
 }
 
-/// What is called for a page; none names the first one.
+/// The request target of the page that `token` names; none names the first one.
 pub(super) fn page_target(token: Option<&str>) -> String {
     match token {
         None => "/servers".to_owned(),
-        Some(token) => format!("/servers?pageToken={}", query_value(token)),
+        Some(token) => format!("/servers?pageToken={}", percent_encode(token)),
     }
 }
 
-/// A text as a value of a query: the platform alone knows what its tokens are made of.
-fn query_value(text: &str) -> String {
+/// Percent-encodes a query value: page tokens are opaque, so any byte may occur in them.
+fn percent_encode(text: &str) -> String {
     let escaped = |byte: u8| match byte {
         b'A'..=b'Z' | b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => char::from(byte).to_string(),
         other => format!("%{other:02X}"),
@@ -38,11 +38,11 @@
 /// A page of the list.
 #[derive(Debug, Default, PartialEq)]
 pub struct Page {
-    /// Entries that could be read.
+    /// Entries that could be parsed.
     pub replicas: Vec<Replica>,
-    /// Entries that could not, as they came.
-    pub unreadable: Vec<String>,
-    /// Names the next page; none on the last.
+    /// Entries that could not be parsed, as they came.
+    pub malformed: Vec<String>,
+    /// Page token of the next page; none on the last one.
     pub next_token: Option<String>,
 }
 
@@ -50,15 +50,16 @@
 struct PageBody<'a> {
     #[serde(borrow)]
     servers: Vec<&'a RawValue>,
-    /// A page without the field is cut off, which is not the same as the last one.
-    #[serde(rename = "nextToken", deserialize_with = "present")]
+    /// A page without the field is truncated, which is not the same as being the last one.
+    #[serde(rename = "nextToken", deserialize_with = "required")]
     next_token: Option<String>,
 }
 
-fn present<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
+fn required<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
     Option::deserialize(deserializer)
 }
 
+/// An entry of the list. The field names are those of the platform's interface.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Entry {
@@ -88,14 +89,18 @@
 }
 
 impl Page {
-    /// Reads a page. An entry that can't be read is set aside and spoils nothing else.
+    /// Parses a page. An entry that can't be parsed is set aside, and the others are used.
+    ///
+    /// # Errors
+    ///
+    /// [`PageError::Malformed`] if the page as a whole can't be parsed, or is truncated.
     pub fn parse(body: &[u8]) -> Result<Page, PageError> {
-        let body: PageBody = serde_json::from_slice(body).context(UnreadableSnafu)?;
+        let body: PageBody = serde_json::from_slice(body).context(MalformedSnafu)?;
         let mut page = Page { next_token: body.next_token, ..Page::default() };
         for raw in body.servers {
             match serde_json::from_str::<Entry>(raw.get()) {
                 Ok(entry) => page.replicas.push(entry.into()),
-                Err(_) => page.unreadable.push(raw.get().to_owned()),
+                Err(_) => page.malformed.push(raw.get().to_owned()),
             }
         }
         Ok(page)
@@ -114,7 +119,7 @@
                 Phase::Ready => ReplicaPhase::Ready,
                 Phase::Emptying => ReplicaPhase::Draining,
             },
-            // A float-to-integer cast keeps to the target's range.
+            // A float-to-integer cast saturates at the bounds of the integer type.
             warm_left_ms: entry.warm_left_ms.ceil() as u32,
             models: entry.llms.into_iter().map(ModelRevision::from).collect(),
         }
--- a/crates/control-plane/src/rollout/planner/mod.rs
+++ b/crates/control-plane/src/rollout/planner/mod.rs
@@ -4,19 +4,20 @@
 
 mod fleet_view;
 mod load;
-mod load_order;
 mod load_time;
+mod selection;
 mod target;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
+use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica};
 use tulipridge_runtime::settings::RevisionTerm;
 
 use self::fleet_view::FleetView;
 use self::load::{Load, NextStep};
 use self::load_time::LoadTimeEstimate;
+use self::selection::Selection;
 use self::target::{Deadline, Target};
 use super::announcements::Announcement;
 use super::messages::{CommandOutcome, ReplicaReport};
@@ -38,8 +39,6 @@
 const COMMAND_BACKOFF: Duration = Duration::from_secs(1);
 /// The same for one whose weights are withdrawn: it serves no requests meanwhile.
 const URGENT_COMMAND_BACKOFF: Duration = Duration::from_millis(200);
-/// Replicas of a model that load concurrently, if there are enough.
-const MIN_CONCURRENT_LOADS: usize = 3;
 
 /// Times that the deployment sets.
 #[derive(Clone, Copy, Debug)]
@@ -222,58 +221,20 @@
     fn start_loads(&mut self, now: Duration) {
         let models: Vec<String> = self.targets.keys().cloned().collect();
         for model in models {
-            let revision = self.targets[&model].desired;
-            for replica in self.next_to_load(&model, now) {
-                let weights = ModelRevision { model: model.clone(), revision };
-                self.loads.insert(replica, Load::start(weights, now, now + DRAIN_NOTICE));
+            let target = &self.targets[&model];
+            let weights = ModelRevision { model: model.clone(), revision: target.desired };
+            for replica in self.select_next(&model, target, now) {
+                let load = Load::start(weights.clone(), now, now + DRAIN_NOTICE);
+                self.loads.insert(replica, load);
             }
         }
     }
 
-    /// Ids of the replicas that are to load next: those whose weights are withdrawn at once, the others as many at a time
-    /// as the deadlines need.
-    fn next_to_load(&self, model: &str, now: Duration) -> Vec<String> {
-        let target = &self.targets[model];
-        let mut next: Vec<String> = self.urgent(model).map(|replica| replica.id.clone()).collect();
-        let loading = self.loads.values().filter(|load| load.weights.model == model).count();
-        let capacity = self.max_concurrent_loads(model, now).saturating_sub(loading + next.len());
-        let idle = self.fleet.lacking(model, target.desired).filter(|replica| self.is_idle(&replica.id));
-        let usable = idle.filter(|replica| !self.fleet.has_older(&replica.id, model, target.minimum));
-        let ordered = load_order::sort(&self.fleet, model, usable.collect());
-        next.extend(ordered.into_iter().take(capacity).map(|replica| replica.id.clone()));
-        next
-    }
-
-    fn is_idle(&self, replica: &str) -> bool {
-        !self.loads.contains_key(replica) && !self.backoffs.contains_key(replica)
-    }
-
-    /// Idle replicas whose weights must not be used any more. A load command empties a replica's queue, so a draining one
-    /// is included too, once its queued requests must not begin.
-    fn urgent<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Replica> {
-        let target = &self.targets[model];
-        self.fleet.serving(model).filter(|replica| self.is_idle(&replica.id)).filter(move |replica| {
-            let is_draining = replica.phase == ReplicaPhase::Draining;
-            let minimum = if is_draining { target.expired } else { target.minimum };
-            self.fleet.has_older(&replica.id, model, minimum)
-        })
-    }
-
-    /// How many replicas load concurrently, so that all have loaded by each deadline. Half of them continue to serve.
-    fn max_concurrent_loads(&self, model: &str, now: Duration) -> usize {
-        let deadlines = self.targets[model].deadlines().iter();
-        let needed = deadlines.map(|deadline| self.needed_loads(model, deadline, now)).max().unwrap_or(0);
-        let half = self.fleet.serving(model).count().div_ceil(2);
-        needed.max(MIN_CONCURRENT_LOADS).min(half)
-    }
-
-    /// How many replicas have to load concurrently for all to have loaded by a deadline.
-    fn needed_loads(&self, model: &str, deadline: &Deadline, now: Duration) -> usize {
+    fn select_next(&self, model: &str, target: &Target, now: Duration) -> Vec<String> {
         let in_progress = self.loads.values().map(|load| now.saturating_sub(load.started_at));
         let load_time = self.load_time.get(in_progress);
-        let time_left = deadline.load_by.saturating_sub(now).max(load_time);
-        let lacking = self.fleet.lacking(model, deadline.revision).count();
-        (lacking as f64 * load_time.as_secs_f64() / time_left.as_secs_f64()).ceil() as usize
+        let (fleet, loads, backoffs) = (&self.fleet, &self.loads, &self.backoffs);
+        Selection { model, target, fleet, loads, backoffs, load_time, now }.next()
     }
 
     /// Does the next step of a load that is due.
--- a/crates/control-plane/tests/discovery.rs
+++ b/crates/control-plane/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Reading the list of replicas, the pace of its calls, and whole walks through its pages.
+//! Service discovery: parsing the pages of the list of replicas, the schedule of polls, and complete polls.
 
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use insta::{assert_debug_snapshot, assert_snapshot};
 use rstest::rstest;
-use tulipridge_control_plane::discovery::{Discovery, Pace, Page, WalkEnd};
+use tulipridge_control_plane::discovery::{Discovery, Page, PollOutcome, PollSchedule};
 use tulipridge_control_plane::singleton::{LeaseStatus, SingletonContext, SingletonLease};
 use tulipridge_http1::within;
 
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_page_is_read() {
-    let page = Page::parse(page(ENTRY, r#""p-50""#).as_bytes()).expect("the page is whole");
+fn a_page_is_parsed() {
+    let page = Page::parse(page(ENTRY, r#""p-50""#).as_bytes()).expect("the page is complete");
     assert_debug_snapshot!(page, @r#"
     Page {
         replicas: [
@@ -41,7 +41,7 @@
                 ],
             },
         ],
-        unreadable: [],
+        malformed: [],
         next_token: Some(
             "p-50",
         ),
@@ -54,20 +54,20 @@
 #[case::no_id(ENTRY.replace("ident", "name"))]
 #[case::name_for_address(ENTRY.replace("10.128.0.9:8080", "host:8080"))]
 #[case::no_object("17".to_owned())]
-fn an_unreadable_entry_spoils_nothing_else(#[case] entry: String) {
+fn a_malformed_entry_is_set_aside(#[case] entry: String) {
     let page =
-        Page::parse(page(&format!("{entry},{ENTRY}"), "null").as_bytes()).expect("the page is whole");
+        Page::parse(page(&format!("{entry},{ENTRY}"), "null").as_bytes()).expect("the page is complete");
     assert_eq!(page.replicas.len(), 1);
-    assert_eq!(page.unreadable, [entry]);
+    assert_eq!(page.malformed, [entry]);
     assert_eq!(page.next_token, None);
 }
 
 #[rstest]
-#[case::cut_off(r#"{"servers":["#)]
+#[case::truncated(r#"{"servers":["#)]
 #[case::without_token(r#"{"servers":[]}"#)]
 #[case::without_servers(r#"{"nextToken":null}"#)]
 #[case::empty("")]
-fn a_page_that_is_not_whole_is_refused(#[case] body: &str) {
+fn a_truncated_or_empty_page_is_rejected(#[case] body: &str) {
     assert!(Page::parse(body.as_bytes()).is_err());
 }
 
@@ -76,36 +76,36 @@
 }
 
 #[test]
-fn a_changing_list_is_asked_for_more_often_than_a_quiet_one() {
-    let mut pace = Pace::new(47.0, ms(0));
-    assert_eq!(pace.next_walk(ms(0), ms(20), WalkEnd::Changed), ms(700));
-    assert_eq!(pace.next_walk(ms(700), ms(720), WalkEnd::Unchanged), ms(1_400));
-    assert_eq!(pace.next_walk(ms(6_000), ms(6_020), WalkEnd::Unchanged), ms(7_000));
-    assert_eq!(pace.next_walk(ms(7_000), ms(7_020), WalkEnd::Changed), ms(7_700));
+fn a_changing_list_is_polled_more_often_than_a_stable_one() {
+    let mut schedule = PollSchedule::new(47.0, ms(0));
+    assert_eq!(schedule.next_poll(ms(0), ms(20), PollOutcome::Changed), ms(700));
+    assert_eq!(schedule.next_poll(ms(700), ms(720), PollOutcome::Unchanged), ms(1_400));
+    assert_eq!(schedule.next_poll(ms(6_000), ms(6_020), PollOutcome::Unchanged), ms(7_000));
+    assert_eq!(schedule.next_poll(ms(7_000), ms(7_020), PollOutcome::Changed), ms(7_700));
 }
 
 #[test]
-fn refusals_double_the_pause_until_a_walk_succeeds() {
-    let mut pace = Pace::new(47.0, ms(0));
-    assert_eq!(pace.next_walk(ms(0), ms(10), WalkEnd::Refused), ms(510));
-    assert_eq!(pace.next_walk(ms(510), ms(520), WalkEnd::Refused), ms(1_520));
-    assert_eq!(pace.next_walk(ms(1_520), ms(1_530), WalkEnd::Unchanged), ms(2_220));
-    assert_eq!(pace.next_walk(ms(2_220), ms(2_230), WalkEnd::Refused), ms(2_730));
+fn rate_limited_polls_double_the_backoff_until_one_succeeds() {
+    let mut schedule = PollSchedule::new(47.0, ms(0));
+    assert_eq!(schedule.next_poll(ms(0), ms(10), PollOutcome::RateLimited), ms(510));
+    assert_eq!(schedule.next_poll(ms(510), ms(520), PollOutcome::RateLimited), ms(1_520));
+    assert_eq!(schedule.next_poll(ms(1_520), ms(1_530), PollOutcome::Unchanged), ms(2_220));
+    assert_eq!(schedule.next_poll(ms(2_220), ms(2_230), PollOutcome::RateLimited), ms(2_730));
 }
 
 #[test]
-fn a_long_walk_is_followed_at_the_pace_of_its_pages() {
-    let mut pace = Pace::new(10.0, ms(0));
-    let gap = pace.page_gap();
-    assert!(gap > ms(100), "calls stay below the platform's rate");
-    assert_eq!(pace.next_walk(ms(0), ms(12_000), WalkEnd::Changed), ms(12_000) + gap);
+fn a_long_poll_is_followed_after_the_call_interval() {
+    let mut schedule = PollSchedule::new(10.0, ms(0));
+    let interval = schedule.call_interval();
+    assert!(interval > ms(100), "calls stay below the platform's rate limit");
+    assert_eq!(schedule.next_poll(ms(0), ms(12_000), PollOutcome::Changed), ms(12_000) + interval);
 }
 
-// ---- walks ------------------------------------------------------------------------------------------------
+// ---- complete polls------------------------------------------------------------------------------------------
 
 const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: 7 };
 
-/// A member that has the duty.
+/// A member that is primary.
 struct Holder;
 
 impl LeaseStatus for Holder {
@@ -118,8 +118,16 @@
     }
 }
 
-/// Follows a platform with these pages up to the first whole list: the calls, and the ids that are listed.
-fn walk(pages: &[String]) -> (Vec<String>, Vec<String>) {
+/// What a poll has shown.
+struct Polled {
+    /// The calls that the platform received.
+    calls: Vec<String>,
+    /// The ids in the table.
+    ids: Vec<String>,
+}
+
+/// Polls a platform with these pages up to the first complete list.
+fn poll(pages: &[String]) -> Polled {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
     let address = listener.get_ref().local_addr().expect("it is bound");
@@ -130,23 +138,27 @@
         let _ = sender.try_send(());
     };
     let discovery = Discovery::new(address, 1_000.0, context, Box::new(on_list));
-    let walked = async {
-        let calls = answer_calls(&listener, address, pages).await;
+    let polled = async {
+        let calls = respond_to_calls(&listener, address, pages).await;
         listed.recv().await.expect("the list comes");
         calls
     };
-    let following = async {
+    let polling = async {
         discovery.run().await;
         Vec::new()
     };
-    let calls = async_io::block_on(within(Duration::from_secs(5), future::or(walked, following)));
+    let calls = async_io::block_on(within(Duration::from_secs(5), future::or(polled, polling)));
     let table = table.borrow();
     let ids = table.listed(DUTY.tenure).into_iter().flatten().map(|replica| replica.id.clone());
-    (calls.expect("the walk ends in time"), ids.collect())
+    Polled { calls: calls.expect("the poll ends in time"), ids: ids.collect() }
 }
 
-/// Answers one call with each page; what was called.
-async fn answer_calls(listener: &Async<TcpListener>, address: SocketAddr, pages: &[String]) -> Vec<String> {
+/// Responds to one call with each page, and returns the calls.
+async fn respond_to_calls(
+    listener: &Async<TcpListener>,
+    address: SocketAddr,
+    pages: &[String],
+) -> Vec<String> {
     let (mut stream, _) = listener.accept().await.expect("a call comes");
     let mut calls = Vec::new();
     for page in pages {
@@ -155,20 +167,20 @@
         let request = String::from_utf8_lossy(&request[..count]).replace(&address.to_string(), "ADDRESS");
         calls.push(request.trim_end().replace("\r\n", " | "));
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", page.len());
-        stream.write_all((head + page).as_bytes()).await.expect("the answer is taken");
+        stream.write_all((head + page).as_bytes()).await.expect("the response is read");
     }
     calls
 }
 
 #[test]
-fn pages_are_walked_to_the_last_whatever_their_tokens_are_made_of() {
+fn all_pages_are_read_whatever_characters_their_tokens_have() {
     let entry = |id: &str| ENTRY.replace("i-1", id);
     let pages = [
         page(&entry("i-1"), r#""p-50""#),
         page(&entry("i-2"), r#""a+b/c=&d #\u00e9""#),
         page(&entry("i-3"), "null"),
     ];
-    let (calls, ids) = walk(&pages);
+    let Polled { calls, ids } = poll(&pages);
     assert_snapshot!(calls.join("\n"), @"
     GET /servers HTTP/1.1 | Host: ADDRESS
     GET /servers?pageToken=p-50 HTTP/1.1 | Host: ADDRESS
