--- a/crates/control-plane/src/discovery/page.rs
+++ b/crates/control-plane/src/discovery/page.rs
@@ -95,7 +95,7 @@
     ///
     /// [`PageError::Malformed`] if the page as a whole can't be parsed, or is truncated.
     pub fn parse(body: &[u8]) -> Result<Page, PageError> {
-        let body: PageBody = serde_json::from_slice(body).context(MalformedSnafu)?;
+        let body: PageBody<'_> = serde_json::from_slice(body).context(MalformedSnafu)?;
         let mut page = Page { next_token: body.next_token, ..Page::default() };
         for raw in body.servers {
             match serde_json::from_str::<Entry>(raw.get()) {
--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -27,7 +27,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time from the start of one poll of a replica to the start of the next.
 const REPLICA_INTERVAL: Duration = Duration::from_millis(400);
-/// The same for a store, from which all gateways fetch.
+/// The same for a store, from which all proxies fetch.
 const STORE_INTERVAL: Duration = Duration::from_millis(300);
 /// Delay after a failure.
 const FAILURE_DELAY: Duration = Duration::from_millis(500);
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -46,7 +46,7 @@
 /// What the roll-out reads of the replicated state, and where its results are delivered.
 pub trait RolloutOutput {
     /// Delivers the table of weights, as primary of `epoch`.
-    fn weights(&self, epoch: u64, lines: Vec<ModelWeights>);
+    fn weights(&self, epoch: u64, weights: Vec<ModelWeights>);
     /// Delivers the table of replicas, whose corrections have changed.
     fn fleet_corrected(&self);
     /// The operator's newest target revision of each model.
--- a/crates/control-plane/tests/discovery.rs
+++ b/crates/control-plane/tests/discovery.rs
@@ -103,14 +103,14 @@
 
 // ---- complete polls------------------------------------------------------------------------------------------
 
-const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: 7 };
+const LEASE: SingletonLease = SingletonLease { epoch: 9, tenure: 7 };
 
 /// A member that is primary.
-struct Holder;
+struct PrimaryStatus;
 
-impl LeaseStatus for Holder {
+impl LeaseStatus for PrimaryStatus {
     fn duty(&self) -> Option<SingletonLease> {
-        Some(DUTY)
+        Some(LEASE)
     }
 
     fn knows_primary(&self) -> bool {
@@ -131,7 +131,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
     let address = listener.get_ref().local_addr().expect("it is bound");
-    let context = SingletonContext { executor, holder: Rc::new(Holder), table: Rc::default() };
+    let context = SingletonContext { executor, holder: Rc::new(PrimaryStatus), table: Rc::default() };
     let table = context.table.clone();
     let (sender, listed) = async_channel::unbounded();
     let on_list = move || {
@@ -149,7 +149,7 @@
     };
     let calls = async_io::block_on(within(Duration::from_secs(5), future::or(polled, polling)));
     let table = table.borrow();
-    let ids = table.listed(DUTY.tenure).into_iter().flatten().map(|replica| replica.id.clone());
+    let ids = table.listed(LEASE.tenure).into_iter().flatten().map(|replica| replica.id.clone());
     Polled { calls: calls.expect("the poll ends in time"), ids: ids.collect() }
 }
 
--- a/crates/control-plane/tests/index.rs
+++ b/crates/control-plane/tests/index.rs
@@ -160,7 +160,7 @@
 }
 
 fn summary(updates: &[CacheUpdate]) -> String {
-    let line = |update: &CacheUpdate| {
+    let summarize = |update: &CacheUpdate| {
         let liveness = match update.liveness {
             Liveness::Alive => "alive",
             Liveness::Down => "down",
@@ -170,7 +170,7 @@
         let (added, removed) = (update.added.len(), update.removed.len());
         format!("{liveness} boot {boot} next {next} replace {} +{added} -{removed}\n", update.replace)
     };
-    updates.iter().map(line).collect()
+    updates.iter().map(summarize).collect()
 }
 
 const ADDED: &str = r#"[1,"+","m1","a",800,"m"]"#;
--- a/crates/control-plane/tests/rollout.rs
+++ b/crates/control-plane/tests/rollout.rs
@@ -91,7 +91,7 @@
             for action in self.planner.step(self.now) {
                 self.act(action);
             }
-            self.most_concurrent = self.most_concurrent.max(self.marked().len());
+            self.most_concurrent = self.most_concurrent.max(self.loading_replicas().len());
             self.now += STEP;
         }
     }
@@ -104,7 +104,10 @@
     }
 
     fn accept(&mut self, replica: String, revision: u64) {
-        assert!(self.marked().contains(&replica), "commands go to replicas that receive no requests");
+        assert!(
+            self.loading_replicas().contains(&replica),
+            "commands go to replicas that receive no requests"
+        );
         self.planner.record_outcome(&replica, CommandOutcome::Accepted, self.now);
         self.loading.push(RunningLoad { replica: replica.clone(), until: self.now + self.load_time });
         self.commands.push(ReceivedCommand { at: self.now - START, replica, revision });
@@ -119,7 +122,7 @@
         self.planner.record_report(replica, Some(&report), self.now);
     }
 
-    fn marked(&self) -> BTreeSet<String> {
+    fn loading_replicas(&self) -> BTreeSet<String> {
         self.planner.corrections().loading
     }
 
@@ -141,7 +144,7 @@
     assert_eq!(scene.commands.len(), 18);
     assert!(scene.most_concurrent >= 3 && scene.most_concurrent <= 5, "{} at once", scene.most_concurrent);
     assert_eq!(scene.weights(), ModelWeights { model: "m".to_owned(), named: 2, least: 2, expired: 0 });
-    assert!(scene.marked().is_empty());
+    assert!(scene.loading_replicas().is_empty());
     assert_eq!(scene.planner.corrections().revisions.len(), 18);
 }
 
@@ -150,7 +153,7 @@
     let mut scene = Scene::new(NO_LEASE, &fleet(6, 1));
     scene.planner.announce(announced(2, Duration::ZERO), START);
     scene.run_until(START + ms(200));
-    assert_eq!(scene.marked().len(), 3);
+    assert_eq!(scene.loading_replicas().len(), 3);
     assert!(scene.commands.is_empty());
     scene.run_until(START + ms(400));
     assert_eq!(scene.commands.len(), 3);
@@ -163,7 +166,7 @@
     scene.planner.set_queued_requests(busy.into());
     scene.planner.announce(announced(2, Duration::ZERO), START);
     scene.run_until(START + ms(50));
-    assert_eq!(scene.marked(), ["i-07", "i-08", "i-09"].map(str::to_owned).into());
+    assert_eq!(scene.loading_replicas(), ["i-07", "i-08", "i-09"].map(str::to_owned).into());
 }
 
 #[test]
@@ -212,9 +215,13 @@
     scene.load_time = TERM;
     scene.planner.announce(announced(2, Duration::ZERO), START);
     scene.run_until(START + ms(1_700));
-    let before = scene.marked().len();
+    let before = scene.loading_replicas().len();
     scene.run_until(START + ms(4_000));
-    assert!(scene.marked().len() > before, "{before} and then {}", scene.marked().len());
+    assert!(
+        scene.loading_replicas().len() > before,
+        "{before} and then {}",
+        scene.loading_replicas().len()
+    );
 }
 
 #[test]
@@ -222,8 +229,11 @@
     let mut scene = Scene::new(NO_LEASE, &fleet(9, 1));
     scene.planner.announce(announced(2, Duration::ZERO), START);
     scene.run_until(START + ms(50));
-    let zones: BTreeSet<String> =
-        fleet(9, 1).into_iter().filter(|r| scene.marked().contains(&r.id)).map(|r| r.zone).collect();
+    let zones: BTreeSet<String> = fleet(9, 1)
+        .into_iter()
+        .filter(|r| scene.loading_replicas().contains(&r.id))
+        .map(|r| r.zone)
+        .collect();
     assert_eq!(zones.len(), 3);
 }
 
@@ -232,7 +242,7 @@
     let mut scene = Scene::new(NO_LEASE, &fleet(2, 1));
     scene.planner.announce(announced(2, Duration::ZERO), START);
     scene.run_until(START + ms(1_000));
-    assert_eq!(scene.marked().len(), 1);
+    assert_eq!(scene.loading_replicas().len(), 1);
 }
 
 #[test]
@@ -240,7 +250,7 @@
     let mut scene = Scene::new(LEASE, &fleet(6, 1));
     scene.planner.announce(announced(2, ms(5_000)), START);
     scene.run_until(START + LEASE - STEP);
-    assert!(scene.marked().is_empty());
+    assert!(scene.loading_replicas().is_empty());
     scene.run_until(START + LEASE + ms(400));
     assert_eq!(scene.commands.len(), 3);
     assert!(scene.commands.iter().all(|command| command.at >= LEASE));
--- a/crates/control-plane/tests/rollout_exchange.rs
+++ b/crates/control-plane/tests/rollout_exchange.rs
@@ -18,15 +18,15 @@
 use tulipridge_runtime::settings::RevisionTerm;
 
 /// The epoch has risen since the member became primary.
-const DUTY: SingletonLease = SingletonLease { epoch: 9, tenure: 7 };
+const LEASE: SingletonLease = SingletonLease { epoch: 9, tenure: 7 };
 const LIMIT: Duration = Duration::from_secs(8);
 
 /// A member that is primary.
-struct Holder;
+struct PrimaryStatus;
 
-impl LeaseStatus for Holder {
+impl LeaseStatus for PrimaryStatus {
     fn duty(&self) -> Option<SingletonLease> {
-        Some(DUTY)
+        Some(LEASE)
     }
 
     fn knows_primary(&self) -> bool {
@@ -37,14 +37,14 @@
 /// What the roll-out has delivered.
 #[derive(Default)]
 struct Output {
-    lines: RefCell<Vec<ModelWeights>>,
+    weights: RefCell<Vec<ModelWeights>>,
     corrections: Cell<usize>,
 }
 
 impl RolloutOutput for Output {
-    fn weights(&self, epoch: u64, lines: Vec<ModelWeights>) {
-        assert_eq!(epoch, DUTY.epoch);
-        *self.lines.borrow_mut() = lines;
+    fn weights(&self, epoch: u64, weights: Vec<ModelWeights>) {
+        assert_eq!(epoch, LEASE.epoch);
+        *self.weights.borrow_mut() = weights;
     }
 
     fn fleet_corrected(&self) {
@@ -98,9 +98,12 @@
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
     let address = listener.get_ref().local_addr().expect("it is bound");
     let table = Rc::new(RefCell::new(FleetTable::default()));
-    table.borrow_mut().replace(DUTY.tenure, vec![replica(address)]);
-    let context =
-        SingletonContext { executor: executor.clone(), holder: Rc::new(Holder), table: table.clone() };
+    table.borrow_mut().replace(LEASE.tenure, vec![replica(address)]);
+    let context = SingletonContext {
+        executor: executor.clone(),
+        holder: Rc::new(PrimaryStatus),
+        table: table.clone(),
+    };
     let output = Rc::new(Output::default());
     let settings = PlannerSettings {
         revision_term: RevisionTerm::new(Duration::from_secs(12)),
@@ -109,13 +112,13 @@
     let (rollout, _events) = Rollout::new("middle-1".to_owned(), settings, context, output.clone());
     let loaded = async {
         let command = respond(&listener, "202 Accepted", "").await;
-        let phase = table.borrow().replicas(DUTY.tenure).expect("a list has come")[0].phase;
+        let phase = table.borrow().replicas(LEASE.tenure).expect("a list has come")[0].phase;
         assert_eq!(phase, ReplicaPhase::Loading, "it receives no requests while it loads");
         let loads = r#"{"llms":[{"label":"m","revision":1}],"loaded":true}"#;
         let report = respond(&listener, "200 OK", loads).await;
         let has_loaded = r#"{"llms":[{"label":"m","revision":2}],"loaded":false}"#;
         respond(&listener, "200 OK", has_loaded).await;
-        while output.lines.borrow().iter().all(|line| line.least < 2) {
+        while output.weights.borrow().iter().all(|weights| weights.least < 2) {
             future::yield_now().await;
         }
         format!("{command}\n\n{report}")
@@ -139,7 +142,7 @@
     GET /report HTTP/1.1
     Host: ADDRESS
     "#);
-    let delivered = table.borrow().replicas(DUTY.tenure).expect("a list has come");
+    let delivered = table.borrow().replicas(LEASE.tenure).expect("a list has come");
     assert_eq!(delivered[0].phase, ReplicaPhase::Ready);
     assert_eq!(delivered[0].models[0].revision, 2, "before the list shows it");
     assert_eq!(output.corrections.get(), 2, "one as it begins to load, one as it has");
@@ -149,14 +152,14 @@
 fn a_target_that_is_announced_before_the_start_is_assumed_to_be_older() {
     let executor = Rc::new(LocalExecutor::new());
     let table = Rc::new(RefCell::new(FleetTable::default()));
-    let context = SingletonContext { executor: executor.clone(), holder: Rc::new(Holder), table };
+    let context = SingletonContext { executor: executor.clone(), holder: Rc::new(PrimaryStatus), table };
     let output = Rc::new(Output::default());
     // By its assumed age the deadline is near; counted from now, the withdrawal would come after four seconds.
     let term = RevisionTerm::new(Duration::from_secs(6));
     let settings = PlannerSettings { revision_term: term, lease_term: Duration::ZERO };
     let (rollout, _events) = Rollout::new("middle-1".to_owned(), settings, context, output.clone());
     let withdrawn = async {
-        while output.lines.borrow().iter().all(|line| line.expired < 2) {
+        while output.weights.borrow().iter().all(|weights| weights.expired < 2) {
             future::yield_now().await;
         }
     };
