--- a/crates/peer-sampling/src/datagram.rs
+++ b/crates/peer-sampling/src/datagram.rs
@@ -1,19 +1,19 @@
-//! The bytes of a datagram.
+//! Encoding of datagrams.
 
 use tulipridge_protocol::frame;
 use tulipridge_protocol::peer_sampling::Shuffle;
 
-/// Longest datagram that is sent or taken, so that none is split on its way.
+/// Longest datagram that is sent or accepted, so that none is fragmented on its way.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// The bytes of a message; none if it is too long for a datagram.
+/// Encodes a message; none if it is too long for a datagram.
 #[must_use]
 pub fn encode(message: &Shuffle) -> Option<Vec<u8>> {
     let bytes = frame::encode(message).ok()?;
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// The message of a datagram; none if it is malformed.
+/// Decodes a datagram; none if it is too long or malformed.
 #[must_use]
 pub fn decode(bytes: &[u8]) -> Option<Shuffle> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
--- a/crates/peer-sampling/src/socket.rs
+++ b/crates/peer-sampling/src/socket.rs
@@ -1,4 +1,4 @@
-//! The view's exchange with other processes over UDP.
+//! The exchange of a view with other processes over UDP.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -15,20 +15,20 @@
 use crate::view::View;
 
 /// Mean time between ticks.
-pub const TICK: Duration = Duration::from_secs(1);
+pub const TICK_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between ticks while nobody is known.
-const BOOTSTRAP_TICK: Duration = Duration::from_millis(200);
-/// A tick comes earlier or later by up to this part of it.
+const BOOTSTRAP_TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// A tick comes earlier or later by up to this fraction of its interval.
 const JITTER: f64 = 0.1;
-/// Pause after the socket has failed.
-const ERROR_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after the socket has failed.
+const ERROR_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What became of datagrams.
+/// Counters of datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Datagrams that were taken.
-    pub taken: u64,
-    /// Datagrams that were malformed or too long, and dropped.
+pub struct DatagramCounts {
+    /// Datagrams that were received and well-formed.
+    pub received: u64,
+    /// Datagrams that were malformed or too long, and were dropped.
     pub malformed: u64,
     /// Datagrams that could not be sent.
     pub unsent: u64,
@@ -40,12 +40,15 @@
     socket: Async<UdpSocket>,
     port: u16,
     view: RefCell<View>,
-    counts: Cell<Counts>,
+    counts: Cell<DatagramCounts>,
     random: RefCell<Rng>,
 }
 
 impl Exchange {
-    /// Binds the socket; `seed` decides the jitter of the ticks.
+    /// Binds the socket; `seed` is that of the ticks' jitter.
+    ///
+    /// # Errors
+    /// The error of the operating system if the address can't be bound.
     pub fn bind(address: SocketAddr, view: View, seed: u64) -> io::Result<Self> {
         let socket = Async::<UdpSocket>::bind(address)?;
         let port = socket.get_ref().local_addr()?.port();
@@ -58,7 +61,7 @@
         })
     }
 
-    /// Takes and sends datagrams for ever.
+    /// Receives and sends datagrams for ever.
     pub async fn run(&self) {
         future::or(self.receive(), self.tick()).await;
     }
@@ -78,8 +81,8 @@
         self.view.borrow_mut().set_seeds(seeds);
     }
 
-    /// What became of datagrams.
-    pub fn counts(&self) -> Counts {
+    /// Counters of datagrams since the start.
+    pub fn counts(&self) -> DatagramCounts {
         self.counts.get()
     }
 
@@ -94,31 +97,32 @@
     }
 
     fn until_next_tick(&self) -> Duration {
-        let mean = if self.view.borrow().entries().is_empty() { BOOTSTRAP_TICK } else { TICK };
+        let mean =
+            if self.view.borrow().entries().is_empty() { BOOTSTRAP_TICK_INTERVAL } else { TICK_INTERVAL };
         let offset = 2.0 * self.random.borrow_mut().f64() - 1.0;
         mean.mul_f64(1.0 + JITTER * offset)
     }
 
     async fn receive(&self) {
-        // One byte more than is allowed shows that a datagram is too long.
+        // One byte more than is allowed makes a datagram that is too long visible.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
-                Ok((length, from)) => self.take(&buffer[..length], from).await,
+                Ok((length, from)) => self.handle(&buffer[..length], from).await,
                 Err(error) => {
                     log::debug!(error:% = error; "the socket of the views has failed");
-                    Timer::after(ERROR_PAUSE).await;
+                    Timer::after(ERROR_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn take(&self, bytes: &[u8], from: SocketAddr) {
+    async fn handle(&self, bytes: &[u8], from: SocketAddr) {
         let (IpAddr::V4(ip), Some(message)) = (from.ip(), datagram::decode(bytes)) else {
             self.count(|counts| counts.malformed += 1);
             return;
         };
-        self.count(|counts| counts.taken += 1);
+        self.count(|counts| counts.received += 1);
         let reply = self.view.borrow_mut().handle(ip, message);
         if let Some(reply) = reply {
             self.send(ip, &reply).await;
@@ -135,7 +139,7 @@
         }
     }
 
-    fn count(&self, change: impl FnOnce(&mut Counts)) {
+    fn count(&self, change: impl FnOnce(&mut DatagramCounts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
--- a/crates/peer-sampling/tests/simulation/mod.rs
+++ b/crates/peer-sampling/tests/simulation/mod.rs
@@ -114,7 +114,7 @@
         self.cut = false;
     }
 
-    /// Counts and measures datagrams from now on.
+    /// DatagramCounts and measures datagrams from now on.
     pub(crate) fn measure_traffic(&mut self) {
         self.measures = true;
     }
@@ -167,7 +167,7 @@
             self.known_live(index).for_each(|known| degrees[known] += 1);
         }
         let of_role =
-            |index: &usize| self.views[*index].as_ref().is_some_and(|view| view.me().role == role);
+            |index: &usize| self.views[*index].as_ref().is_some_and(|view| view.own_entry().role == role);
         self.live().into_iter().filter(of_role).map(|index| degrees[index]).collect()
     }
 
--- a/crates/peer-sampling/tests/view.rs
+++ b/crates/peer-sampling/tests/view.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use tulipridge_peer_sampling::View;
-use tulipridge_peer_sampling::view::{CAPACITY, CONTROL_PLACES, MAX_AGE};
+use tulipridge_peer_sampling::view::{CAPACITY, MAX_AGE, RESERVED_CONTROL_SLOTS};
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::peer_sampling::{Entry, Role, Shuffle};
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_empty_view_asks_a_seed_again_and_again() {
+fn an_empty_view_contacts_a_seed_at_each_tick() {
     let mut view = view(&[2, 1]);
     for _ in 0..5 {
         assert_eq!(view.tick().expect("a request").to, address(2));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn nobody_is_asked_where_nobody_is_known() {
+fn no_request_is_sent_where_nobody_is_known() {
     assert_eq!(view(&[1]).tick(), None);
 }
 
@@ -42,14 +42,14 @@
     let mut view = view(&[2]);
     offer(&mut view, entry(3, Role::Agent));
     offer(&mut view, entry(4, Role::Agent));
-    let asked: Vec<_> = (0..4).map(|_| view.tick().expect("a request").to).collect();
-    assert_eq!(asked[0], address(2));
-    assert_ne!(asked[1], address(2));
-    assert_eq!(asked[2], address(2));
+    let contacted: Vec<_> = (0..4).map(|_| view.tick().expect("a request").to).collect();
+    assert_eq!(contacted[0], address(2));
+    assert_ne!(contacted[1], address(2));
+    assert_eq!(contacted[2], address(2));
 }
 
 #[test]
-fn one_that_does_not_answer_is_removed() {
+fn an_entry_without_a_reply_is_removed() {
     let mut view = view(&[]);
     offer(&mut view, entry(3, Role::Agent));
     assert_eq!(view.tick().expect("a request").to, address(3));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn one_that_answers_stays_while_there_is_room() {
+fn an_entry_that_replies_stays_while_there_is_a_free_slot() {
     let mut view = view(&[]);
     offer(&mut view, entry(3, Role::Control));
     view.tick();
@@ -73,20 +73,20 @@
 #[case::older(5, 9, 1)]
 #[case::newer_process(4, 9, 9)]
 #[case::earlier_process(4, 0, 1)]
-fn the_process_that_told_last_is_kept(#[case] age: u32, #[case] generation: u64, #[case] kept: u64) {
+fn the_freshest_entry_of_a_machine_is_kept(#[case] age: u32, #[case] generation: u64, #[case] kept: u64) {
     let mut view = view(&[]);
-    let told =
+    let received =
         |age, generation| Entry { id: NodeId::new(address(3), generation), age, ..entry(3, Role::Agent) };
-    for (sender, told) in [(4, told(4, 1)), (5, told(age, generation))] {
+    for (sender, received) in [(4, received(4, 1)), (5, received(age, generation))] {
         let from = entry(sender, Role::Agent);
-        view.handle(address(sender), Shuffle::Offer { from, entries: vec![told] });
+        view.handle(address(sender), Shuffle::Offer { from, entries: vec![received] });
     }
     let known = view.entries().iter().find(|known| known.id.address() == address(3)).expect("the entry");
     assert_eq!(known.id.generation, kept);
 }
 
 #[test]
-fn what_is_told_of_oneself_or_is_too_old_is_ignored() {
+fn entries_of_the_own_machine_and_old_ones_are_ignored() {
     let mut view = view(&[]);
     let entries = vec![entry(1, Role::Control), Entry { age: MAX_AGE + 1, ..entry(5, Role::Agent) }];
     view.handle(address(3), Shuffle::Offer { from: entry(3, Role::Agent), entries });
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn control_members_keep_their_places_among_many_agents() {
+fn control_members_keep_their_slots_among_many_agents() {
     let mut view = view(&[]);
-    for last in 10..10 + CONTROL_PLACES as u8 {
+    for last in 10..10 + RESERVED_CONTROL_SLOTS as u8 {
         offer(&mut view, entry(last, Role::Control));
     }
     for last in 100..200 {
         offer(&mut view, entry(last, Role::Agent));
     }
-    assert_eq!(view.control_nodes().len(), CONTROL_PLACES);
+    assert_eq!(view.control_nodes().len(), RESERVED_CONTROL_SLOTS);
     assert_eq!(view.entries().len(), CAPACITY);
 }
