--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -132,7 +132,7 @@
         let node = NodeId::new(settings.ip_address, image.generation);
         log::info!(member:% = node, fresh = fresh; "the disk is open");
         let replication = replication_settings(settings, node)?;
-        let links = Rc::new(Links::new(executor.clone(), settings.spare_ports.0));
+        let links = Rc::new(Links::new(executor.clone(), settings.spare_ports.first));
         let member = Member::new(Parts {
             replication: Replication::new(replication, image.state, clock::now()),
             links: links.clone(),
@@ -148,7 +148,7 @@
         let listeners = Listeners::bind(settings)?;
         let OpenedMember { node, member, links, disk_events, progress } =
             OpenedMember::open(settings, &executor)?;
-        let feed_port = settings.spare_ports.0 + 1;
+        let feed_port = settings.spare_ports.first + 1;
         let (name, zone) = (settings.node_name.clone(), settings.area.clone());
         let delivery = Delivery::new(name.clone(), zone, feed_port, member.clone());
         let operator = OperatorView::new(name.clone(), node, member.clone(), delivery.clone());
--- a/crates/runtime/src/command_line.rs
+++ b/crates/runtime/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line that all programs of the system share: `run` (also where nothing is said), `check FILE`
+//! The command line that all programs of the system share: `run` (the default), `check FILE`
 //! and `--version`.
 
 use std::path::PathBuf;
@@ -13,12 +13,12 @@
 /// Columns of help texts.
 const HELP_COLUMNS: usize = 100;
 
-/// What the command line asks for.
+/// A command of the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Runs the program with the settings that the environment names.
     Run,
-    /// Checks a settings file and says what is wrong with it.
+    /// Validates a settings file and prints its faults.
     Check {
         /// The file.
         file: PathBuf,
@@ -36,8 +36,8 @@
     construct!([run, check, default]).to_options().descr(description).version(version)
 }
 
-/// The whole `main` of a program: reads the command line, and for `run` the settings, starts the logs and
-/// hands over to `run`.
+/// The `main` function of a program: parses the command line, and for `run` loads the settings, starts logging and
+/// calls `run`.
 pub fn start(
     program: &'static str,
     description: &'static str,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Prints what a check of settings found; the exit code says whether they can be used.
+/// Prints the faults of settings; the exit code is a failure if there are any.
 fn check(outcome: &Result<Settings, SettingsError>) -> ExitCode {
     match outcome {
         Ok(settings) => {
--- a/crates/runtime/src/settings/revision_term.rs
+++ b/crates/runtime/src/settings/revision_term.rs
@@ -1,4 +1,4 @@
-//! How the operator's term for the change to new weights is divided.
+//! How the time that the operator gives for the change to new weights is divided.
 
 use std::time::Duration;
 
@@ -10,17 +10,18 @@
 const LARGEST_WITHDRAWAL_RESERVE_PART: f64 = 1.0 / 3.0;
 /// Part of the time up to the withdrawal in which all replicas should have loaded.
 const LOAD_PART: f64 = 0.92;
-/// Part of the term that is left when requests that have not begun on withdrawn weights are called off, ...
-const CALL_OFF_RESERVE_PART: f64 = 0.06;
+/// Part of the term that is left when requests that have not started on withdrawn weights are cancelled, ...
+const CANCELLATION_RESERVE_PART: f64 = 0.06;
 /// ... but no less than this, which a busy gateway may need, ...
-const LEAST_CALL_OFF_RESERVE: Duration = Duration::from_millis(700);
+const LEAST_CANCELLATION_RESERVE: Duration = Duration::from_millis(700);
 /// ... and no more than this part of what is left at the withdrawal.
-const LARGEST_CALL_OFF_RESERVE_PART: f64 = 0.5;
-/// Time that orders to outdated replicas have in any case before requests that wait there are called off: after an
-/// order such a request is known not to have run.
-const LEAST_CALL_OFF_DELAY: Duration = Duration::from_millis(400);
+const LARGEST_CANCELLATION_RESERVE_PART: f64 = 0.5;
+/// Time that orders to outdated replicas have in any case before requests that are queued there are cancelled: after
+/// an order such a request is known not to have run.
+const LEAST_CANCELLATION_DELAY: Duration = Duration::from_millis(400);
 
-/// The operator's term: after it no request may begin on older weights. All times count from the naming.
+/// The time that the operator gives for a change: after it no request may start on older weights. All durations count
+/// from the moment at which the operator named the new weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RevisionTerm(Duration);
 
@@ -44,21 +45,21 @@
         self.0.saturating_sub(self.withdrawal_reserve())
     }
 
-    /// When a gateway calls off requests that wait at such replicas and have not begun, given when it heard of the
-    /// name, if it did, and when it heard that the term up to the withdrawal has passed. That may be late, as after
-    /// an election, and then the gateway's own clock tells what is left of the term.
+    /// When a gateway cancels requests that are queued at such replicas and have not started. `named` is when the
+    /// gateway learned of the new weights, if it did, and `expired` when it learned that the withdrawal is due. The
+    /// latter may be late, as after an election; the gateway's own clock then decides how much time is left.
     #[must_use]
     pub fn call_off_at(self, named: Option<Duration>, expired: Duration) -> Duration {
-        let latest = expired + self.call_off_delay();
-        let due = named.map_or(latest, |named| named + self.withdrawal() + self.call_off_delay());
-        due.max(expired + LEAST_CALL_OFF_DELAY).min(latest)
+        let latest = expired + self.cancellation_delay();
+        let due = named.map_or(latest, |named| named + self.withdrawal() + self.cancellation_delay());
+        due.max(expired + LEAST_CANCELLATION_DELAY).min(latest)
     }
 
-    /// Time from the withdrawal until requests that have not begun are called off.
-    fn call_off_delay(self) -> Duration {
+    /// Time from the withdrawal until requests that have not started are cancelled.
+    fn cancellation_delay(self) -> Duration {
         let reserve = self.withdrawal_reserve();
-        let largest = reserve.mul_f64(LARGEST_CALL_OFF_RESERVE_PART);
-        reserve - self.0.mul_f64(CALL_OFF_RESERVE_PART).max(LEAST_CALL_OFF_RESERVE).min(largest)
+        let largest = reserve.mul_f64(LARGEST_CANCELLATION_RESERVE_PART);
+        reserve - self.0.mul_f64(CANCELLATION_RESERVE_PART).max(LEAST_CANCELLATION_RESERVE).min(largest)
     }
 
     fn withdrawal_reserve(self) -> Duration {
--- a/crates/runtime/src/settings/time_limits.rs
+++ b/crates/runtime/src/settings/time_limits.rs
@@ -1,54 +1,58 @@
-//! The figures of the rules.
+//! The durations and ratios of the rules.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-use super::{RevisionTerm, whole};
+use super::RevisionTerm;
+use super::deserialize::rounded_integer;
 
-/// Figures of the rules: `_s` in seconds, `_ms` in milliseconds.
+/// Durations and ratios of the rules: `_s` in seconds, `_ms` in milliseconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-#[expect(missing_docs, reason = "the fields carry the names of the rules that define them")]
+#[expect(
+    missing_docs,
+    reason = "the fields have the names of the rules that define them, hence also their number"
+)]
 pub struct TimeLimits {
     pub seed_delay_s: f64,
     pub recycle_after_s: f64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub contact_ms: u64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub confirm_ms: u64,
     pub sync_s: f64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub empty_ms: u64,
     pub leeway_s: f64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub loss_slack_ms: u64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub apply_ms: u64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub revert_slack_ms: u64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub stretch_ms: u64,
     pub shut_tight: bool,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub withdraw_ms: u64,
     pub retry_ratio: f64,
     pub retry_window_s: f64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub spare_tries: u64,
     pub heal_s: f64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub transit_ms: u64,
     #[serde(rename = "again_s")]
     pub again_s: f64,
     pub checks_fence: bool,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub lease_term_ms: u64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub unfreeze_ms: u64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub revision_ms: u64,
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "rounded_integer")]
     pub revision_everywhere_ms: u64,
 }
 
@@ -90,13 +94,13 @@
         Duration::try_from_secs_f64(self.leeway_s).unwrap_or(Duration::MAX)
     }
 
-    /// Time within which the withdrawal of a key takes effect.
+    /// Time within which the revocation of an API key takes effect.
     #[must_use]
     pub fn withdraw(&self) -> Duration {
         Duration::from_millis(self.withdraw_ms)
     }
 
-    /// Time for which a lease on replicas runs.
+    /// Duration of a lease on replicas.
     #[must_use]
     pub fn lease_term(&self) -> Duration {
         Duration::from_millis(self.lease_term_ms)
--- a/crates/runtime/src/findings.rs
+++ b/crates/runtime/src/settings/validation.rs
@@ -1,39 +1,39 @@
-//! What is wrong with a settings file, found field by field.
+//! Validation of a settings file, field by field.
 
 use std::collections::HashSet;
 use std::net::Ipv4Addr;
 
 use serde_norway::{Mapping, Value};
 
-use crate::settings::{Finding, Settings};
+use super::{Finding, LOOPBACK_FEED_PORT_OFFSET, PortRange, Settings};
 
-/// Fields without which no process can work.
-const NEEDED: [&str; 4] = ["nodeName", "ipAddress", "area", "sparePorts"];
-/// Ports that the system takes from the first of `sparePorts` on.
-pub(crate) const PORTS_USED: u16 = 4;
+/// Fields without which no process can run.
+const REQUIRED_FIELDS: [&str; 4] = ["nodeName", "ipAddress", "area", "sparePorts"];
+/// Ports that the system uses, from the first of `sparePorts` on.
+const PORTS_USED: u16 = LOOPBACK_FEED_PORT_OFFSET + 1;
 
-/// Needed fields that are absent.
-pub(crate) fn missing(document: &Mapping) -> Vec<Finding> {
-    NEEDED
+/// Required fields that are absent.
+pub(super) fn missing(document: &Mapping) -> Vec<Finding> {
+    REQUIRED_FIELDS
         .iter()
         .filter(|name| !document.contains_key(**name))
         .map(|name| Finding::new(*name, "is needed and missing"))
         .collect()
 }
 
-/// Takes out fields that are null, at every depth, so that null means the same as absent.
-pub(crate) fn without_nulls(value: Value) -> Value {
+/// Removes fields that are null, at every depth, so that null means the same as absent.
+pub(super) fn without_nulls(value: Value) -> Value {
     match value {
         Value::Mapping(fields) => {
-            let kept = fields.into_iter().filter(|(_, field)| !field.is_null());
-            Value::Mapping(kept.map(|(name, field)| (name, without_nulls(field))).collect())
+            let present = fields.into_iter().filter(|(_, field)| !field.is_null());
+            Value::Mapping(present.map(|(name, field)| (name, without_nulls(field))).collect())
         }
         other => other,
     }
 }
 
-/// Values that can be read but not used.
-pub(crate) fn out_of_range(settings: &Settings) -> Vec<Finding> {
+/// Values that have the right type but can't be used.
+pub(super) fn out_of_range(settings: &Settings) -> Vec<Finding> {
     let mut findings = Vec::new();
     names(settings, &mut findings);
     ports(settings, &mut findings);
@@ -55,10 +55,10 @@
 }
 
 fn ports(settings: &Settings, findings: &mut Vec<Finding>) {
-    let (first, last) = settings.spare_ports;
+    let PortRange { first, last } = settings.spare_ports;
     if first == 0 || last < first || last - first < PORTS_USED - 1 {
-        let what = format!("{first} to {last} must give {PORTS_USED} ports above 0");
-        findings.push(Finding::new("sparePorts", what));
+        let problem = format!("{first} to {last} must give {PORTS_USED} ports above 0");
+        findings.push(Finding::new("sparePorts", problem));
     }
     let listen_on = &settings.listen_on;
     let listeners = [
@@ -66,20 +66,20 @@
         ("listenOn.readyCheck", listen_on.ready_check),
         ("listenOn.controlPort", listen_on.control_port),
     ];
-    let mut taken = HashSet::new();
-    for (place, address) in listeners {
+    let mut addresses = HashSet::new();
+    for (field, address) in listeners {
         let Some(address) = address else { continue };
         if address.port() == 0 {
-            findings.push(Finding::new(place, "must have a port above 0"));
+            findings.push(Finding::new(field, "must have a port above 0"));
         }
-        if !taken.insert(address) {
-            findings.push(Finding::new(place, format!("{address} is used twice")));
+        if !addresses.insert(address) {
+            findings.push(Finding::new(field, format!("{address} is used twice")));
         }
     }
     for (index, seed) in settings.seed_nodes.iter().enumerate() {
         if !seed.is_ipv4() || seed.port() == 0 {
-            let what = format!("{seed} is not an IPv4 address with a port");
-            findings.push(Finding::new(format!("seedNodes[{index}]"), what));
+            let problem = format!("{seed} is not an IPv4 address with a port");
+            findings.push(Finding::new(format!("seedNodes[{index}]"), problem));
         }
     }
 }
@@ -109,15 +109,15 @@
         ("timeLimits.again_s", limits.again_s),
         ("timeLimits.retryRatio", limits.retry_ratio),
     ];
-    for (place, value) in not_negative {
+    for (field, value) in not_negative {
         if !value.is_finite() || value < 0.0 {
-            findings.push(Finding::new(place, format!("{value} must not be below 0")));
+            findings.push(Finding::new(field, format!("{value} must not be below 0")));
         }
     }
 }
 
-fn positive(place: &str, value: f64, findings: &mut Vec<Finding>) {
+fn positive(field: &str, value: f64, findings: &mut Vec<Finding>) {
     if !value.is_finite() || value <= 0.0 {
-        findings.push(Finding::new(place, format!("{value} must be above 0")));
+        findings.push(Finding::new(field, format!("{value} must be above 0")));
     }
 }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,39 +1,42 @@
-//! The signals by which the platform talks to a process.
+//! The signals that the platform sends to a process.
 
 use async_signal::Signals;
 use futures_lite::StreamExt;
 use snafu::{ResultExt, Snafu};
 
-/// Why signals can't be awaited.
+/// The signals can't be received.
 #[derive(Debug, Snafu)]
 #[snafu(display("signals can't be awaited: {source}"))]
 pub struct SignalError {
     source: std::io::Error,
 }
 
-/// What the platform asks for.
+/// A signal by its meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// SIGTERM or SIGINT: finish what is held and end.
+    /// SIGTERM or SIGINT: drain and end.
     Stop,
     /// SIGHUP: the settings file has changed.
     Reload,
 }
 
-/// The requests of the platform, in their order.
+/// The signals of the platform, in their order.
 #[derive(Debug)]
 pub struct SignalStream {
     signals: Signals,
 }
 
 impl SignalStream {
-    /// Takes over the signals, which end the process no longer by themselves.
+    /// Registers handlers, so that the signals no longer end the process by themselves.
+    ///
+    /// # Errors
+    /// [`SignalError`] if the handlers can't be registered.
     pub fn new() -> Result<Self, SignalError> {
         use async_signal::Signal::{Hup, Int, Term};
         Ok(SignalStream { signals: Signals::new([Term, Int, Hup]).context(SignalSnafu)? })
     }
 
-    /// Waits for the next request.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> ProcessSignal {
         loop {
             match self.signals.next().await {
