--- a/crates/control-plane/src/http_client.rs
+++ b/crates/control-plane/src/http_client.rs
@@ -104,12 +104,12 @@
             }
         };
         // A call that is given up is withdrawn as far as that goes: the system must not deliver it later.
-        wire.abort = true;
+        wire.reset_on_drop = true;
         let request = call.encode(address);
         let exchange = exchange(&mut wire, &request, &self.limits);
         let done =
             within(timeout, exchange).await.and_then(|done| done).context(BrokenSnafu { address })?;
-        wire.abort = false;
+        wire.reset_on_drop = false;
         if done.keep {
             self.kept = Some(wire);
         }
--- a/crates/http1/src/buffered_stream.rs
+++ b/crates/http1/src/buffered_stream.rs
@@ -1,4 +1,4 @@
-//! A connection that does not block, with what was read from it and not yet taken.
+//! A non-blocking connection with a read buffer.
 
 use std::cell::RefCell;
 use std::io::{self, IoSlice, Read, Write};
@@ -13,52 +13,54 @@
 
 use crate::Http1Limits;
 
-/// A connection is on its way, says Linux.
-const IN_PROGRESS: i32 = 115;
+/// `EINPROGRESS` of Linux: a non-blocking connect has started.
+const CONNECT_IN_PROGRESS: i32 = 115;
 
 thread_local! {
-    /// Where reads go first: no connection keeps room for bytes that have not come.
+    /// Where reads go first, so that no connection reserves memory for bytes that have not arrived.
     static SCRATCH: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
 }
 
-/// A connection with what was read from it and not yet taken.
+/// A connection with a read buffer.
 pub struct BufferedStream {
     stream: Async<TcpStream>,
-    /// Bytes read and not yet taken.
+    /// Bytes that were read and not yet consumed.
     pub buf: Vec<u8>,
-    /// There was nothing more to read; the system says when there is.
-    dry: bool,
-    /// No more could be written; the system says when it can.
-    full: bool,
-    /// Something that came was dropped: what is in `buf` is all that may still be taken.
-    pub cut: bool,
-    /// It is reset when it is dropped. Guards against a peer that only writes: where the system has dropped what
-    /// came last, a plain close tells such a peer nothing before it sends that again, 200 ms later.
-    pub abort: bool,
+    /// The last read found no more bytes: the next one waits for readiness first.
+    awaits_readable: bool,
+    /// The last write could not write more: the next one waits for readiness first.
+    awaits_writable: bool,
+    /// Bytes that arrived were dropped: what is in `buf` is all that may still be consumed.
+    pub is_truncated: bool,
+    /// Whether dropping the stream resets the connection (RST). Guards against a peer that only writes: where the kernel
+    /// has dropped the last bytes, such a peer learns of a plain close only when it retransmits them, 200 ms later.
+    pub reset_on_drop: bool,
 }
 
 impl Drop for BufferedStream {
     fn drop(&mut self) {
-        if self.abort {
+        if self.reset_on_drop {
             let _ = SockRef::from(self.stream.get_ref()).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-/// Bounds what the system keeps for a connection. Guards against a peer for whom that is megabytes, which are in
-/// no budget of ours. It must be told before the connection comes up: a window that was offered is not taken back.
-/// A system that does not heed it is no reason to do without the connection.
-pub fn bound_buffers(socket: &SockRef, limits: &Http1Limits) {
+/// Limits the socket buffers of a connection. Guards against a peer for whose connection the kernel would allocate
+/// megabytes, which no budget of this process counts. It must be called before the connection is established, since a
+/// window that was advertised is not withdrawn. Failures are ignored: the connection works without the limit.
+pub fn bound_buffers(socket: &SockRef<'_>, limits: &Http1Limits) {
     let _ = socket.set_recv_buffer_size(limits.socket_buffer);
     let _ = socket.set_send_buffer_size(limits.socket_buffer);
 }
 
-async fn connected(addr: SocketAddr, limits: &Http1Limits) -> io::Result<Async<TcpStream>> {
+async fn establish(addr: SocketAddr, limits: &Http1Limits) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     bound_buffers(&SockRef::from(&socket), limits);
     socket.set_nonblocking(true)?;
     match socket.connect(&addr.into()) {
-        Err(e) if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != io::ErrorKind::WouldBlock => {
+        Err(e)
+            if e.raw_os_error() != Some(CONNECT_IN_PROGRESS) && e.kind() != io::ErrorKind::WouldBlock =>
+        {
             return Err(e);
         }
         _ => {}
@@ -76,32 +78,49 @@
     #[must_use]
     pub fn new(stream: Async<TcpStream>) -> BufferedStream {
         let _ = stream.get_ref().set_nodelay(true);
-        BufferedStream { stream, buf: Vec::new(), dry: false, full: false, cut: false, abort: false }
+        BufferedStream {
+            stream,
+            buf: Vec::new(),
+            awaits_readable: false,
+            awaits_writable: false,
+            is_truncated: false,
+            reset_on_drop: false,
+        }
     }
 
-    /// A connection that another process of this gateway had, with what was read from it and not yet taken.
-    pub fn handed(side: OwnedFd, buf: Vec<u8>) -> io::Result<BufferedStream> {
-        let mut wire = BufferedStream::new(Async::new(TcpStream::from(side))?);
-        wire.buf = buf;
-        Ok(wire)
+    /// A connection that another process of this gateway has handed over, with its read buffer.
+    ///
+    /// # Errors
+    /// The error of the operating system if the descriptor can't be registered.
+    pub fn handed(descriptor: OwnedFd, buf: Vec<u8>) -> io::Result<BufferedStream> {
+        let mut stream = BufferedStream::new(Async::new(TcpStream::from(descriptor))?);
+        stream.buf = buf;
+        Ok(stream)
     }
 
-    /// Connects within a time.
+    /// Connects within [`Http1Limits::connect_timeout`].
+    ///
+    /// # Errors
+    /// The error of the operating system, or one of the kind `TimedOut`.
     pub async fn connect(addr: SocketAddr, limits: &Http1Limits) -> io::Result<BufferedStream> {
-        Ok(BufferedStream::new(within(limits.connect_timeout, connected(addr, limits)).await??))
+        Ok(BufferedStream::new(within(limits.connect_timeout, establish(addr, limits)).await??))
     }
 
-    /// Reads what is there, or waits for some; 0 is the peer's end. Nothing is lost if it is dropped.
+    /// Reads into `buf` once there is something to read; 0 means that the peer has closed its side. Dropping the future
+    /// loses no bytes.
+    ///
+    /// # Errors
+    /// The error of the operating system.
     pub async fn fill(&mut self, limits: &Http1Limits) -> io::Result<usize> {
         future::poll_fn(|cx| self.poll_fill(cx, limits)).await
     }
 
-    /// The same as a poll.
+    /// The poll function of [`BufferedStream::fill`].
     pub fn poll_fill(&mut self, cx: &mut Context<'_>, limits: &Http1Limits) -> Poll<io::Result<usize>> {
         loop {
-            if self.dry {
+            if self.awaits_readable {
                 ready!(self.stream.poll_readable(cx))?;
-                self.dry = false;
+                self.awaits_readable = false;
             }
             let read = SCRATCH.with_borrow_mut(|scratch| {
                 scratch.resize(limits.read_bytes, 0);
@@ -111,29 +130,31 @@
             });
             match read {
                 Ok(count) => {
-                    // What was less than there was room for is all that there was: a further read would only
-                    // say so.
-                    self.dry = count > 0 && count < limits.read_bytes;
+                    // A short read means that there was no more: a further read would only return WouldBlock.
+                    self.awaits_readable = count > 0 && count < limits.read_bytes;
                     return Poll::Ready(Ok(count));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.dry = true,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.awaits_readable = true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
     }
 
-    /// Reads more of what may still be taken; whether there was any.
+    /// Reads more bytes that may be consumed; whether there were any.
     pub async fn more(&mut self, limits: &Http1Limits) -> bool {
-        !self.cut && self.fill(limits).await.is_ok_and(|n| n > 0)
+        !self.is_truncated && self.fill(limits).await.is_ok_and(|n| n > 0)
     }
 
-    /// Has the next read ask the system, whatever that has told of so far.
+    /// Makes the next read call the kernel without waiting for readiness.
     pub fn recheck_readiness(&mut self) {
-        self.dry = false;
+        self.awaits_readable = false;
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
+    ///
+    /// # Errors
+    /// The error of the operating system.
     pub async fn write(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             let count = future::poll_fn(|cx| self.poll_write(cx, bytes)).await?;
@@ -142,7 +163,10 @@
         Ok(())
     }
 
-    /// The same of two parts, one after the other and without putting them together first.
+    /// Writes all bytes of two slices, one after the other and without concatenating them first.
+    ///
+    /// # Errors
+    /// The error of the operating system.
     pub async fn write_both(&mut self, mut first: &[u8], mut second: &[u8]) -> io::Result<()> {
         while !first.is_empty() {
             let count = future::poll_fn(|cx| self.poll_write_both(cx, first, second)).await?;
@@ -153,20 +177,20 @@
         self.write(second).await
     }
 
-    /// Writes some of it once the connection takes some.
+    /// Writes some of the bytes once the connection accepts some.
     pub fn poll_write(&mut self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_by(cx, bytes.len(), |mut stream| stream.write(bytes))
     }
 
-    /// Writes some of two parts, one after the other, once the connection takes some.
+    /// Writes some bytes of two slices, one after the other, once the connection accepts some.
     pub fn poll_write_both(
         &mut self,
         cx: &mut Context<'_>,
         first: &[u8],
         second: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let parts = [IoSlice::new(first), IoSlice::new(second)];
-        self.poll_write_by(cx, first.len() + second.len(), |mut stream| stream.write_vectored(&parts))
+        let slices = [IoSlice::new(first), IoSlice::new(second)];
+        self.poll_write_by(cx, first.len() + second.len(), |mut stream| stream.write_vectored(&slices))
     }
 
     fn poll_write_by(
@@ -176,40 +200,47 @@
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
-            if self.full {
+            if self.awaits_writable {
                 ready!(self.stream.poll_writable(cx))?;
-                self.full = false;
+                self.awaits_writable = false;
             }
             match write(self.stream.get_ref()) {
                 Ok(0) => return Poll::Ready(Err(io::ErrorKind::WriteZero.into())),
                 Ok(count) => {
-                    self.full = count < length;
+                    self.awaits_writable = count < length;
                     return Poll::Ready(Ok(count));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.full = true,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.awaits_writable = true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
     }
 
-    /// Who is at its other end.
+    /// The remote address.
+    ///
+    /// # Errors
+    /// The error of the operating system, as when the connection is reset.
     pub fn peer(&self) -> io::Result<SocketAddr> {
         self.stream.get_ref().peer_addr()
     }
 
-    /// The connection itself, to be handed on.
+    /// The descriptor of the connection, to be handed over.
     #[must_use]
     pub fn fd(&self) -> BorrowedFd<'_> {
         self.stream.get_ref().as_fd()
     }
 
-    /// Writes what the connection takes at once, on its way to being closed.
+    /// Writes what the connection accepts without waiting, before it is closed. Errors are ignored.
     pub fn write_now(&self, bytes: &[u8]) {
         let _ = self.stream.get_ref().write(bytes);
     }
 
-    /// Ends the sending side and drops what still comes, up to the peer's end, its silence or the longest time.
+    /// Closes the sending side and discards what is still received, until the peer closes its side, nothing has been
+    /// received for [`Http1Limits::linger_quiet`], or the `longest` time is over.
+    ///
+    /// # Errors
+    /// The error of the operating system, or one of the kind `TimedOut`.
     pub async fn linger(&mut self, longest: Duration, limits: &Http1Limits) -> io::Result<()> {
         self.stream.get_ref().shutdown(Shutdown::Write)?;
         self.buf = Vec::new();
@@ -222,7 +253,7 @@
         within(longest, drain).await?
     }
 
-    /// Nothing has come on a connection that should be silent: neither bytes nor its end.
+    /// Whether nothing has been received on an idle connection: neither bytes nor its end.
     #[must_use]
     pub fn is_quiet(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
@@ -230,7 +261,10 @@
     }
 }
 
-/// What a future gives within a time; else an error of the kind `TimedOut`.
+/// The output of a future within a time.
+///
+/// # Errors
+/// One of the kind `TimedOut` after it.
 pub async fn within<T>(time: Duration, future: impl Future<Output = T>) -> io::Result<T> {
     let late = async {
         Timer::after(time).await;
--- /dev/null
+++ b/crates/http1/src/codec/head.rs
@@ -0,0 +1,231 @@
+//! Heads of requests and responses (RFC 9112, sections 2 to 5).
+
+use std::borrow::Cow;
+
+use memchr::memmem;
+
+use super::body::{Body, Chunk};
+use super::error::{ParseError, refuse};
+use crate::Http1Limits;
+
+/// The end of a head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// A message's start line and headers.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Head {
+    /// The three parts of the start line.
+    pub start: [String; 3],
+    /// The headers in their order: names and values.
+    pub headers: Vec<(String, String)>,
+}
+
+impl Head {
+    /// The value of the first header of that name.
+    #[must_use]
+    pub fn get(&self, name: &str) -> Option<&str> {
+        self.values(name).next()
+    }
+
+    /// Whether a header of that name lists this token.
+    #[must_use]
+    pub fn lists(&self, name: &str, token: &str) -> bool {
+        let mut listed = self.values(name).flat_map(|value| value.split(','));
+        listed.any(|listed| listed.trim().eq_ignore_ascii_case(token))
+    }
+
+    /// The status of a response; 0 if it is no number.
+    #[must_use]
+    pub fn status(&self) -> u16 {
+        self.start[1].parse().unwrap_or(0)
+    }
+
+    /// Whether the connection may carry another message after this one.
+    #[must_use]
+    pub fn keeps_alive(&self, version: &str) -> bool {
+        !self.lists("connection", "close")
+            && (version != "HTTP/1.0" || self.lists("connection", "keep-alive"))
+    }
+
+    /// How the body of a request is framed. Guards against request smuggling: whatever two readers could take for
+    /// different lengths is refused.
+    ///
+    /// # Errors
+    /// Status 400, 413 or 501 if the framing is ambiguous, too long or unknown.
+    pub fn request_body(&self, limits: &Http1Limits) -> Result<Body, ParseError> {
+        Ok(self.body(limits.body_bytes)?.unwrap_or(Body::Length(0)))
+    }
+
+    /// How the body of a response is framed.
+    ///
+    /// # Errors
+    /// Status 400, 413 or 501 if the framing is ambiguous, too long or unknown.
+    pub fn response_body(&self) -> Result<Body, ParseError> {
+        if matches!(self.status(), 100..=199 | 204 | 304) {
+            return Ok(Body::Length(0));
+        }
+        // A response may be longer than a request: it is forwarded as it comes.
+        Ok(self.body(usize::MAX)?.unwrap_or(Body::UntilClose))
+    }
+
+    fn body(&self, max_bytes: usize) -> Result<Option<Body>, ParseError> {
+        let mut lengths = self.values("content-length");
+        let mut codings = self.values("transfer-encoding");
+        match (lengths.next(), codings.next()) {
+            (Some(_), Some(_)) => refuse(400, "both a length and a transfer coding"),
+            (None, None) => Ok(None),
+            (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") && codings.next().is_none() => {
+                Ok(Some(Body::Chunked(Chunk::Size)))
+            }
+            (None, Some(_)) => refuse(501, "an unknown transfer coding"),
+            (Some(_), None) if lengths.next().is_some() => refuse(400, "no single whole content length"),
+            (Some(length), None) => Ok(Some(Body::Length(content_length(length, max_bytes)?))),
+        }
+    }
+
+    /// The values of all headers of that name.
+    fn values(&self, name: &str) -> impl Iterator<Item = &str> {
+        let headers = self.headers.iter().filter(move |(own, _)| own.eq_ignore_ascii_case(name));
+        headers.map(|(_, value)| value.as_str())
+    }
+}
+
+fn content_length(value: &str, max_bytes: usize) -> Result<usize, ParseError> {
+    if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
+        return refuse(400, "no single whole content length");
+    }
+    match value.parse::<usize>() {
+        Ok(length) if length <= max_bytes => Ok(length),
+        _ => refuse(413, "the body is too large"),
+    }
+}
+
+/// Removes a request's head from the front of `buf`; none while it is not complete.
+///
+/// # Errors
+/// Status 400, 431 or 505 if it is malformed, over a limit or of another version.
+pub fn request_head(buf: &mut Vec<u8>, limits: &Http1Limits) -> Result<Option<Head>, ParseError> {
+    let Some(head) = head(buf, Strictness::PlainText, limits)? else { return Ok(None) };
+    let [method, target, version] = &head.start;
+    if !method.bytes().all(is_token) || !(target.starts_with('/') || target == "*") || target.contains(' ')
+    {
+        return refuse(400, "a bad request line");
+    }
+    match version.as_str() {
+        "HTTP/1.1" => {}
+        // Guards against a chunked stream to a client that can't read one; health checks may be old.
+        "HTTP/1.0" if method == "GET" => {}
+        other if other.starts_with("HTTP/") => return refuse(505, "not HTTP/1.1"),
+        _ => return refuse(400, "a bad request line"),
+    }
+    if version == "HTTP/1.1" && head.values("host").count() != 1 {
+        return refuse(400, "no single host");
+    }
+    Ok(Some(head))
+}
+
+/// Removes a response's head from the front of `buf`; none while it is not complete. A header's value may be garbage,
+/// which alone does not invalidate a response.
+///
+/// # Errors
+/// Status 400, 431 or 502 if it is malformed or over a limit.
+pub fn response_head(buf: &mut Vec<u8>, limits: &Http1Limits) -> Result<Option<Head>, ParseError> {
+    // Guards against waiting for the end of what can't become a head: noise need not have one.
+    if buf.iter().zip(b"HTTP/1.").any(|(received, expected)| received != expected) {
+        return refuse(502, "no status line");
+    }
+    let Some(head) = head(buf, Strictness::AnyBytes, limits)? else { return Ok(None) };
+    let [version, status, _] = &head.start;
+    if !version.starts_with("HTTP/1.") || status.len() != 3 || head.status() < 100 {
+        return refuse(502, "a bad status line");
+    }
+    Ok(Some(head))
+}
+
+/// Which characters a head may contain.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Strictness {
+    /// UTF-8 without control characters.
+    PlainText,
+    /// Any bytes; what is not UTF-8 is replaced.
+    AnyBytes,
+}
+
+fn head(
+    buf: &mut Vec<u8>,
+    strictness: Strictness,
+    limits: &Http1Limits,
+) -> Result<Option<Head>, ParseError> {
+    drop_blank_lines(buf);
+    let Some(end) = memmem::find(buf, HEAD_END) else {
+        check_incomplete(buf, limits)?;
+        return Ok(None);
+    };
+    if end > limits.head_bytes {
+        return refuse(431, "the head is too large");
+    }
+    let bytes: Vec<u8> = buf.drain(..end + HEAD_END.len()).take(end).collect();
+    let text = String::from_utf8_lossy(&bytes);
+    if strictness == Strictness::PlainText {
+        if matches!(text, Cow::Owned(_)) {
+            return refuse(400, "the head is not UTF-8");
+        }
+        check_control_characters(&text)?;
+    }
+    parse(&text, limits).map(Some)
+}
+
+/// Empty lines before a message are allowed.
+fn drop_blank_lines(buf: &mut Vec<u8>) {
+    let blank_bytes = buf.chunks(2).take_while(|pair| *pair == b"\r\n").count() * 2;
+    buf.drain(..blank_bytes);
+}
+
+/// Guards against a peer that never ends its head, and against line ends of another kind.
+fn check_incomplete(buf: &[u8], limits: &Http1Limits) -> Result<(), ParseError> {
+    if buf.len() > limits.head_bytes {
+        return refuse(431, "the head is too large");
+    }
+    let is_bare_line_feed =
+        |(index, byte): (usize, &u8)| *byte == b'\n' && (index == 0 || buf[index - 1] != b'\r');
+    if buf.iter().enumerate().any(is_bare_line_feed) {
+        return refuse(400, "a line ends without a carriage return");
+    }
+    Ok(())
+}
+
+fn check_control_characters(text: &str) -> Result<(), ParseError> {
+    let is_forbidden = |character: char| character.is_control() && character != '\t';
+    if text.replace("\r\n", "").chars().any(is_forbidden) {
+        return refuse(400, "a control character in the head");
+    }
+    Ok(())
+}
+
+fn parse(text: &str, limits: &Http1Limits) -> Result<Head, ParseError> {
+    let mut lines = text.split("\r\n");
+    let mut parts = lines.next().unwrap_or_default().splitn(3, ' ');
+    let mut part = || parts.next().unwrap_or_default().to_owned();
+    let start = [part(), part(), part()];
+    if start[0].is_empty() || start[1].is_empty() {
+        return refuse(400, "no start line");
+    }
+    let mut headers = Vec::new();
+    for line in lines {
+        let Some((name, value)) = line.split_once(':') else {
+            return refuse(400, "a header without a colon");
+        };
+        if name.is_empty() || !name.bytes().all(is_token) {
+            return refuse(400, "a header with a bad name");
+        }
+        if headers.len() == limits.headers {
+            return refuse(431, "too many headers");
+        }
+        headers.push((name.to_owned(), value.trim_matches([' ', '\t']).to_owned()));
+    }
+    Ok(Head { start, headers })
+}
+
+fn is_token(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
+}
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,10 +1,7 @@
 //! HTTP/1.1 and server-sent events over connections that don't block, each within its limits.
 //!
-//! [`BufferedStream`] is a connection with what was read from it, [`codec`] has the parsers, and [`Http1Limits`] the bounds
-//! that both keep to.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! [`BufferedStream`] is a connection with a read buffer, [`codec`] has the parsers, and [`Http1Limits`] the limits that
+//! both observe.
 
 mod buffered_stream;
 pub mod codec;
--- a/crates/http1/src/limits.rs
+++ b/crates/http1/src/limits.rs
@@ -1,8 +1,8 @@
-//! The sizes, counts and times that a connection and the parsers keep to.
+//! The limits of connections and parsers.
 
 use std::time::Duration;
 
-/// What a connection may use and how long it waits. Nothing else in this package states a bound.
+/// The resources that a connection may use, and its timeouts. Nothing else in this package states a limit.
 #[derive(Clone, Debug)]
 pub struct Http1Limits {
     /// Bytes of a message's head.
@@ -15,16 +15,15 @@
     pub event_bytes: usize,
     /// Bytes of a line that frames a chunk.
     pub line_bytes: usize,
-    /// Bytes of a chunk that are held back until the chunk is whole; of a longer one whole events pass on as
-    /// they come.
+    /// Longest chunk that is buffered until it is complete; the data of a longer one are forwarded as they come.
     pub chunk_hold: usize,
     /// Bytes read from a socket at once.
     pub read_bytes: usize,
-    /// The size asked for of each buffer that the system has for a connection; it may take twice as much.
+    /// The size requested for each socket buffer in the kernel, which may use twice as much.
     pub socket_buffer: usize,
-    /// Time for a connection to come up.
+    /// Longest time for a connection to be established.
     pub connect_timeout: Duration,
-    /// A connection that has had its last answer is closed for good once nothing more has come for this time.
+    /// A connection that has sent its last response is closed once nothing has been received for this time.
     pub linger_quiet: Duration,
 }
 
@@ -41,7 +40,7 @@
             read_bytes: 16 << 10,
             socket_buffer: 64 << 10,
             connect_timeout: Duration::from_millis(150),
-            // A stream that the stop cuts still ends before the process is killed.
+            // A stream that is ended by a shutdown still closes before the process is killed.
             linger_quiet: Duration::from_millis(100),
         }
     }
--- a/crates/proxy/src/exchange/answers.rs
+++ b/crates/proxy/src/exchange/answers.rs
@@ -97,7 +97,7 @@
         self.held.outcome(outcome.verdict, !is_sent_again);
         if !is_sent_again {
             self.proxy.counters.broken.add();
-            client.wire.abort = relay.ends_with_connection();
+            client.wire.reset_on_drop = relay.ends_with_connection();
             return Some(Done::Abandon);
         }
         if is_resumed {
--- a/crates/proxy/src/replica/pool.rs
+++ b/crates/proxy/src/replica/pool.rs
@@ -77,7 +77,7 @@
         while let Some(settled) = connections.iter().rposition(|idle| now >= idle.since + SETTLE) {
             let Idle { mut connection, until, .. } = connections.remove(settled);
             if now < until && connection.wire.is_quiet() {
-                connection.wire.abort = true;
+                connection.wire.reset_on_drop = true;
                 return Some(connection);
             }
         }
@@ -94,13 +94,13 @@
         let slot = Slot::new(&self.open);
         let mut wire = BufferedStream::connect(address, &self.limits).await?;
         watch_peer(&wire);
-        wire.abort = true;
+        wire.reset_on_drop = true;
         Ok(Connection::new(wire, slot))
     }
 
     /// Takes back a connection after an answer with this head that has come whole.
     pub fn give_back(&self, replica: &ReplicaId, mut connection: Connection, head: &Head) {
-        connection.wire.abort = false;
+        connection.wire.reset_on_drop = false;
         let idle_time = idle_time(head);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(replica.clone()).or_default();
--- a/src/net/edge/answering.rs
+++ b/src/net/edge/answering.rs
@@ -40,7 +40,7 @@
         // Guards against a snapshot that grows with what came behind the request. Its connection ends with the
         // stream: that crosses requests which nobody has looked at.
         let Exchange { wire, edge, keep, .. } = &self.exchange;
-        let slight = !wire.cut && wire.buf.len() <= edge.limits.wire.head_bytes;
+        let slight = !wire.is_truncated && wire.buf.len() <= edge.limits.wire.head_bytes;
         snapshot.keep_client = *keep && slight;
         if slight {
             snapshot.waiting[1].clone_from(&wire.buf);
--- a/src/net/edge/exchange.rs
+++ b/src/net/edge/exchange.rs
@@ -73,7 +73,7 @@
                 Disposition::Drop => wire.buf.truncate(had),
                 Disposition::Flood => return Poll::Ready(Leaving::Reset),
             }
-            wire.cut = pipelined.is_truncated();
+            wire.is_truncated = pipelined.is_truncated();
             // Its end may have come with these bytes.
             wire.recheck_readiness();
         }
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -42,7 +42,7 @@
         let wire_limits = self.wire_limits(dialect);
         let whole = wire_limits.head_bytes + wire_limits.body_bytes;
         let bounds = Bounds { least: wire_limits.head_bytes, most: whole, flood: self.limits.flood_bytes };
-        (PipelinedInput::new(bounds, wire.cut), HeldBytes::none(self.clone()))
+        (PipelinedInput::new(bounds, wire.is_truncated), HeldBytes::none(self.clone()))
     }
 
     /// A connection's limits, with the bounds of that front's bodies.
@@ -63,7 +63,7 @@
         let (limits, wire_limits) = (&self.limits, self.wire_limits(dialect));
         let silent_since = slot.silent_since();
         if wire.buf.is_empty() {
-            if wire.cut {
+            if wire.is_truncated {
                 return Ok(None);
             }
             let closing = async {
--- a/src/net/servers/attempt.rs
+++ b/src/net/servers/attempt.rs
@@ -66,7 +66,7 @@
         }
         // Guards against a request that goes on arriving when it was given up: what the system still holds of it is
         // dropped with the connection.
-        connection.wire.abort = true;
+        connection.wire.reset_on_drop = true;
         // Until its last byte is written the request can't have run.
         connection.wire.write_both(&request, content).await.map_err(|_| Verdict::NoConnection)?;
         drop(request);
@@ -138,7 +138,7 @@
             false
         };
         let whole = within(self.limits.rest_read, rest).await.unwrap_or(false);
-        connection.wire.abort = !whole;
+        connection.wire.reset_on_drop = !whole;
         if whole && head.keeps_alive(&head.start[0]) {
             self.give_back(server, addr, connection);
         }
--- a/src/net/servers/open_answer.rs
+++ b/src/net/servers/open_answer.rs
@@ -153,7 +153,7 @@
     pub(super) fn end(&self, open: OpenAnswer, verdict: Verdict) -> Ending {
         let OpenAnswer { server, addr, mut connection, keep, usage, report, spoilt, .. } = open;
         let kept = usage.and_then(|u| u.kept).map(|kept| kept.min(u64::from(u32::MAX)) as u32);
-        connection.wire.abort = verdict != Verdict::Ok;
+        connection.wire.reset_on_drop = verdict != Verdict::Ok;
         if verdict == Verdict::Ok && keep {
             self.give_back(&server, addr, connection);
         }
--- a/src/net/servers/running.rs
+++ b/src/net/servers/running.rs
@@ -61,7 +61,7 @@
     /// Another process has its connection now, so it must not be reset from here.
     pub fn given_away(&mut self) {
         if let Stage::Open(open) = &mut self.stage {
-            open.connection.wire.abort = false;
+            open.connection.wire.reset_on_drop = false;
         }
     }
 
@@ -70,7 +70,7 @@
         let missing = || io::Error::other("no real server in it");
         let [_, _, buf, text] = &mut snapshot.waiting;
         let mut wire = BufferedStream::handed(side, std::mem::take(buf))?;
-        wire.abort = true;
+        wire.reset_on_drop = true;
         let open = OpenAnswer {
             server: ReplicaId::from(snapshot.server.as_str()),
             addr: snapshot.addr.ok_or_else(missing)?,
