--- a/crates/control-plane/src/server/build.rs
+++ b/crates/control-plane/src/server/build.rs
@@ -55,7 +55,7 @@
 }
 
 fn delivery(settings: &Settings, started: &StartedMember) -> Rc<Delivery> {
-    let feed_port = settings.spare_ports.0 + 1;
+    let feed_port = settings.spare_ports.first + 1;
     Delivery::new(settings.node_name.clone(), settings.area.clone(), feed_port, started.member.clone())
 }
 
--- a/crates/control-plane/src/server/start.rs
+++ b/crates/control-plane/src/server/start.rs
@@ -46,7 +46,7 @@
         let node = NodeId::new(settings.ip_address, image.generation);
         log::info!(member:% = node, fresh = is_fresh; "the disk is open");
         let replication = replication_settings(settings, node)?;
-        let links = Rc::new(Links::new(executor.clone(), settings.spare_ports.0));
+        let links = Rc::new(Links::new(executor.clone(), settings.spare_ports.first));
         let member = Member::new(MemberParts {
             replication: Replication::new(replication, image.state, clock::now()),
             links: links.clone(),
