--- /dev/null
+++ b/crates/load-balancer/tests/decisions.rs
@@ -0,0 +1,320 @@
+//! Pins every decision over random histories: a change of names or shape must not move a digest.
+//!
+//! A digest that moves on purpose is replaced in the commit that changes the decision, which says why. The values
+//! hold for the C library's `exp` and `ln` on the platforms that CI builds for.
+
+use rstest::rstest;
+use tulipridge_load_balancer::Gateway;
+use tulipridge_load_balancer::types::*;
+
+const SECOND: Nanos = 1_000_000_000;
+const MILLI: Nanos = 1_000_000;
+const START: Nanos = 100 * SECOND;
+const STEPS: u64 = 1_500;
+const REPLICAS: u64 = 24;
+
+/// A linear congruential generator, so that histories depend on their seed alone.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, end: u64) -> u64 {
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 33) % end
+    }
+
+    fn one_in(&mut self, count: u64) -> bool {
+        self.below(count) == 0
+    }
+}
+
+/// FNV-1a over the fields of actions.
+struct Digest(u64);
+
+impl Digest {
+    fn add(&mut self, value: u64) {
+        for byte in value.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01B3);
+        }
+    }
+
+    fn add_action(&mut self, action: &Action) {
+        match action {
+            Action::Send { id, replica, timeout, write_within } => {
+                self.add(1);
+                self.add(id.0);
+                replica.0.bytes().for_each(|byte| self.add(byte.into()));
+                self.add(*timeout);
+                self.add(*write_within);
+            }
+            Action::Refuse { id, wait } => [2, id.0, *wait].into_iter().for_each(|value| self.add(value)),
+            Action::Fail(id) => [3, id.0].into_iter().for_each(|value| self.add(value)),
+            Action::Cancel { id, attempt } => {
+                [4, id.0, u64::from(*attempt)].into_iter().for_each(|value| self.add(value));
+            }
+            Action::Timer { after, token } => {
+                [5, *after, *token].into_iter().for_each(|value| self.add(value));
+            }
+            Action::Watch => self.add(6),
+            Action::Fetch => self.add(7),
+            Action::Probe(_) => self.add(8),
+            Action::Tell { .. } => self.add(9),
+        }
+    }
+}
+
+fn class(aim: Nanos, effect: Effect) -> Class {
+    Class {
+        aim,
+        aim_per_token: 40_000,
+        token_aim: 0,
+        deadline: 6 * SECOND,
+        effect,
+        worth: 1.0,
+        late_worth: 0.3,
+        stream: true,
+    }
+}
+
+fn settings(group_size: u32) -> Settings {
+    let keyed = |scope| Effect::Keyed { scope, window: 3 * SECOND };
+    Settings {
+        group_size,
+        me: group_size / 2,
+        tick: MILLI,
+        classes: vec![
+            class(SECOND, Effect::Safe),
+            class(2 * SECOND, Effect::Unsafe),
+            class(SECOND, keyed(Scope::Zone)),
+            class(SECOND, keyed(Scope::Cell)),
+            class(SECOND, keyed(Scope::All)),
+        ],
+        tenants: vec![
+            Tenant { share: 0.5, quota_per_s: Some(40.0) },
+            Tenant { share: 0.5, quota_per_s: Some(15.0) },
+        ],
+        over_share_worth: 0.1,
+        limits: Limits { attempts: 3, cancel: true, retry_after: 2 * SECOND, ..Limits::default() },
+        safety: Safety {
+            cold_from: 0.2,
+            ramp: 20 * SECOND,
+            overload_factor: 2.5,
+            fall: 2 * SECOND,
+            ask_within: 10 * SECOND,
+        },
+        units: Units::Size,
+        speeds: vec![1.0, 1.7],
+        ..Settings::default()
+    }
+}
+
+/// An attempt that has not ended.
+struct Open {
+    id: RequestId,
+    attempt: u32,
+    ends_at: Nanos,
+    first_token_at: Nanos,
+    verdict: Verdict,
+}
+
+/// A timer that was asked for.
+struct Alarm {
+    due: Nanos,
+    token: u64,
+}
+
+struct History {
+    gateway: Gateway,
+    random: Random,
+    digest: Digest,
+    now: Nanos,
+    open: Vec<Open>,
+    attempts: Vec<u32>,
+    alarms: Vec<Alarm>,
+}
+
+impl History {
+    fn new(settings: Settings, seed: u64) -> History {
+        History {
+            gateway: Gateway::new(settings, seed).expect("sound settings"),
+            random: Random(seed),
+            digest: Digest(0xCBF2_9CE4_8422_2325),
+            now: START,
+            open: Vec::new(),
+            attempts: vec![0; STEPS as usize + 1],
+            alarms: Vec::new(),
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.gateway.handle(self.now, event, &mut actions);
+        for action in actions {
+            self.digest.add_action(&action);
+            match action {
+                Action::Send { id, .. } => self.open_attempt(id),
+                Action::Timer { after, token } => {
+                    self.alarms.push(Alarm { due: self.now.saturating_add(after), token });
+                }
+                Action::Watch => self.answer_watch(),
+                _ => {}
+            }
+        }
+    }
+
+    fn open_attempt(&mut self, id: RequestId) {
+        let attempt = self.attempts[id.0 as usize];
+        self.attempts[id.0 as usize] += 1;
+        let verdict = match self.random.below(20) {
+            0 => Verdict::Error,
+            1 => Verdict::Full,
+            2 => Verdict::NoConnection,
+            3 => Verdict::Reset,
+            4 => Verdict::TimedOut,
+            5 => Verdict::Moot,
+            _ => Verdict::Ok,
+        };
+        let first_token_at = self.now + self.random.below(1_500) * MILLI;
+        let ends_at = first_token_at + self.random.below(3_000) * MILLI;
+        self.open.push(Open { id, attempt, ends_at, first_token_at, verdict });
+    }
+
+    fn answer_watch(&mut self) {
+        if self.random.one_in(2) {
+            self.handle(Event::List { kind: ListKind::Failed, members: [].into() });
+        } else {
+            self.list(ListKind::Whole);
+        }
+    }
+
+    fn member(&mut self, number: u64) -> Member {
+        let phase = match self.random.below(12) {
+            0 => Phase::Draining,
+            1 => Phase::Gone,
+            _ => Phase::Ready,
+        };
+        let started =
+            self.random.one_in(6).then(|| self.now.saturating_sub(self.random.below(30) * SECOND));
+        Member {
+            id: ReplicaId::from(format!("replica-{number}").as_str()),
+            units: 1.0 + (number % 3) as f64,
+            zone: (number % 3) as u16,
+            kind: (number % 2) as u16,
+            cell: number % 5,
+            phase,
+            started,
+        }
+    }
+
+    fn list(&mut self, kind: ListKind) {
+        let numbers: Vec<u64> = match kind {
+            ListKind::Changes | ListKind::Own => vec![self.random.below(REPLICAS)],
+            _ => (0..REPLICAS).collect(),
+        };
+        let members: Vec<Member> = numbers.into_iter().map(|number| self.member(number)).collect();
+        self.handle(Event::List { kind, members: members.into() });
+    }
+
+    fn report_loads(&mut self) {
+        let id = |number: u64| ReplicaId::from(format!("replica-{number}").as_str());
+        let loads = (0..REPLICAS).map(|number| (id(number), self.random.below(9) as f64)).collect();
+        self.handle(Event::Loads(loads));
+        let replica = id(self.random.below(REPLICAS));
+        self.handle(Event::Work(replica, 3.0));
+    }
+
+    fn request(&mut self, number: u64) {
+        let prompt = 200 + self.random.below(8_000) as u32;
+        let request = Request {
+            id: RequestId(number),
+            expires_in: (2 + self.random.below(6)) * SECOND,
+            class: self.random.below(5) as usize,
+            tenant: (!self.random.one_in(4)).then_some(self.random.below(2) as usize),
+            prefix: (!self.random.one_in(5)).then_some(self.random.below(9)),
+            session: (!self.random.one_in(5)).then_some(self.random.below(60)),
+            prompt,
+            prefix_len: prompt / 2,
+            max_answer: 100,
+            repeat: self.random.one_in(6),
+        };
+        self.handle(Event::Request(request));
+    }
+
+    /// Passes on what has come of open attempts.
+    fn finish_attempts(&mut self) {
+        while let Some(at) = self.open.iter().position(|open| open.first_token_at <= self.now) {
+            let open = &mut self.open[at];
+            let (id, attempt) = (open.id, open.attempt);
+            if open.ends_at > self.now && open.verdict == Verdict::Ok {
+                open.first_token_at = Nanos::MAX;
+                self.handle(Event::FirstToken { id, attempt, elapsed: MILLI });
+                continue;
+            }
+            self.end_attempt(at);
+        }
+        while let Some(at) = self.open.iter().position(|open| open.ends_at <= self.now) {
+            self.end_attempt(at);
+        }
+    }
+
+    fn end_attempt(&mut self, at: usize) {
+        let Open { id, attempt, verdict, .. } = self.open.swap_remove(at);
+        let kept = (!self.random.one_in(4)).then_some(self.random.below(4_000) as u32);
+        let (ended, elapsed, report) = (verdict == Verdict::Ok, MILLI, Vec::new());
+        self.handle(Event::Outcome { id, attempt, verdict, ended, elapsed, kept, report });
+    }
+
+    fn run_alarms(&mut self) {
+        while let Some(at) = self.alarms.iter().position(|alarm| alarm.due <= self.now) {
+            let token = self.alarms.remove(at).token;
+            self.handle(Event::Timer(token));
+        }
+    }
+
+    fn step(&mut self, number: u64) {
+        self.now += self.random.below(40) * MILLI;
+        self.run_alarms();
+        self.finish_attempts();
+        match self.random.below(60) {
+            0 => self.list(ListKind::Whole),
+            1..6 => self.list(ListKind::Changes),
+            6 => self.list(ListKind::Own),
+            7 => self.handle(Event::Busy(SECOND)),
+            8..12 => self.report_loads(),
+            12 => {
+                let id = RequestId(self.random.below(number));
+                self.handle(Event::Expired(id));
+            }
+            _ => {}
+        }
+        self.request(number);
+    }
+}
+
+fn digest_of(settings: Settings, seed: u64) -> u64 {
+    let mut history = History::new(settings, seed);
+    history.list(ListKind::Persisted);
+    for number in 1..=STEPS {
+        history.step(number);
+        if number == STEPS / 2 {
+            let group_size = 2 + history.random.below(20) as u32;
+            history.gateway.set_group_size(group_size);
+        }
+    }
+    history.digest.0
+}
+
+#[rstest]
+#[case::alone(settings(1), 1, 0x65E7_0811_6A6A_06DE)]
+#[case::small_group(settings(4), 2, 0x8C66_F36B_D343_1D3D)]
+#[case::large_group(settings(120), 3, 0xCC23_D895_2D14_2156)]
+#[case::movable_prefixes(Settings { movable: true, push: true, ..settings(12) }, 4, 0x6C8D_FE74_574C_5085)]
+#[case::live_units(Settings { units: Units::Live, ..settings(6) }, 5, 0xFDD0_F978_59BF_B38A)]
+#[case::no_quotas(Settings { tenants: Vec::new(), units: Units::None, ..settings(3) }, 6, 0x23CB_9336_3438_4D21)]
+#[case::hedging(Settings { limits: Limits { second_copies: true, ..settings(4).limits }, ..settings(4) }, 7, 0xD7AB_4268_BC5F_0838)]
+fn a_history_leads_to_the_same_decisions(
+    #[case] settings: Settings,
+    #[case] seed: u64,
+    #[case] expected: u64,
+) {
+    assert_eq!(digest_of(settings, seed), expected);
+}
