--- /dev/null
+++ b/crates/load-balancer/src/balancer.rs
@@ -0,0 +1,243 @@
+//! Every decision of a gateway. The types it speaks are in `crates/load-balancer/src/types.rs`.
+//!
+//! All gateways hash replica ids into one ring of virtual nodes. A request goes to the first replica
+//! clockwise from its key (its shared prefix, else its session), past those that have too much of this
+//! gateway's work: consistent hashing with bounded loads. The modules say who may be chosen on that walk,
+//! when to walk again, when to refuse.
+
+mod admission;
+mod attempts;
+mod discovery;
+mod outlier_ejection;
+mod selection;
+
+use std::collections::BTreeMap;
+
+use crate::active_request::ActiveRequest;
+use crate::admission_rate::AdmissionRate;
+use crate::demand::{Demand, TIME_CONSTANT_S};
+use crate::hash_ring::HashRing;
+use crate::list_schedule::ListSchedule;
+use crate::queued_work::ReportFreshness;
+use crate::random::{SplitMix64, mix};
+use crate::replica_table::{ReplicaTable, Zone};
+use crate::ring_walk::Target;
+use crate::slow_start::SlowStart;
+use crate::tenant_demand::TenantDemands;
+use crate::types::{
+    Action, Class, Event, Limits, Nanos, ReplicaWork, RequestId, Safety, Settings, SettingsError,
+};
+use selection::key_of;
+
+/// Prompts of a class that find less than this part cached by earlier turns gain nothing from staying put.
+const LOW_SESSION_REUSE: f64 = 0.1;
+/// Requests within [`TIME_CONSTANT_S`] from which on a gateway can tell a prefix's own part of the work: of
+/// one that has a twentieth of it, the gateway has met five then.
+const ENOUGH_REQUESTS: f64 = 100.0;
+/// A request is refused if the replica that it would go to lags by this part of its latency target.
+const REFUSAL_LAG_PART: f64 = 0.6;
+/// How long a request that finds no replica waits before it looks again.
+const PARKING_INTERVAL: Nanos = 50 * MILLI;
+const SECOND: Nanos = 1_000_000_000;
+const MILLI: Nanos = 1_000_000;
+
+/// What a timer is for.
+#[derive(Clone, Copy)]
+enum TimerPurpose {
+    /// The client gives up.
+    Deadline(RequestId),
+    /// An attempt has had no first token for a while.
+    SlowAttempt(RequestId),
+    /// The latency target has passed.
+    LatencyTarget(RequestId),
+    /// Parked requests look for a replica again.
+    Parked,
+    /// The list is to be called for, unless there was another call since.
+    ListCall(u64),
+}
+
+/// Timers that are not due yet, by their tokens.
+#[derive(Default)]
+struct Timers {
+    pending: BTreeMap<u64, TimerPurpose>,
+    last_token: u64,
+}
+
+impl Timers {
+    fn set(&mut self, after: Nanos, purpose: TimerPurpose, actions: &mut Vec<Action>) {
+        self.last_token += 1;
+        self.pending.insert(self.last_token, purpose);
+        actions.push(Action::Timer { after, token: self.last_token });
+    }
+}
+
+/// The calls for the list: when they are made, and which one is the latest.
+struct ListCalls {
+    schedule: ListSchedule,
+    generation: u64,
+}
+
+/// The decisions of one gateway for one service: a state machine without clock or I/O.
+pub struct LoadBalancer {
+    settings: Settings,
+    random: SplitMix64,
+    replicas: ReplicaTable,
+    ring: HashRing,
+    zones: BTreeMap<u16, Zone>,
+    slow_start: SlowStart,
+    requests: BTreeMap<RequestId, ActiveRequest>,
+    /// Requests that found no replica.
+    parked: Vec<RequestId>,
+    timers: Timers,
+    demand: Demand,
+    admission: AdmissionRate,
+    tenants: TenantDemands,
+    /// By the quotas this gateway meets too few requests to know prefixes apart; so at all gateways alike.
+    has_few_requests: bool,
+    list_calls: ListCalls,
+    load_reports: ReportFreshness,
+}
+
+impl LoadBalancer {
+    /// A load balancer that knows no replica yet; `seed` makes its random draws its own.
+    ///
+    /// # Errors
+    /// Settings that it can't work with.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        check(&settings)?;
+        let mut balancer = LoadBalancer {
+            random: SplitMix64::new(seed),
+            replicas: ReplicaTable::default(),
+            ring: HashRing::default(),
+            zones: BTreeMap::new(),
+            slow_start: SlowStart::new(&settings),
+            requests: BTreeMap::new(),
+            parked: Vec::new(),
+            timers: Timers::default(),
+            demand: Demand::default(),
+            admission: AdmissionRate::default(),
+            tenants: TenantDemands::default(),
+            has_few_requests: false,
+            list_calls: ListCalls { schedule: ListSchedule::from_settings(&settings), generation: 0 },
+            load_reports: ReportFreshness::default(),
+            settings,
+        };
+        balancer.set_classes(balancer.settings.classes.clone());
+        balancer.set_group_size(balancer.settings.group_size);
+        Ok(balancer)
+    }
+
+    /// Replaces the table of classes: entries may be changed or appended. Those beyond the end of a shorter
+    /// table stay as they were, since requests may name them; what was learnt of a class is kept.
+    pub fn set_classes(&mut self, mut classes: Vec<Class>) {
+        classes.extend_from_slice(self.settings.classes.get(classes.len()..).unwrap_or_default());
+        self.demand.set_classes(classes.len());
+        self.settings.classes = classes;
+    }
+
+    /// Changes how many gateways share the fleet; 0 counts as this one alone.
+    pub fn set_group_size(&mut self, gateways: u32) {
+        self.settings.group_size = gateways.max(1);
+        let quota = self.settings.quota_per_s();
+        let seen = quota.map(|quota| quota / f64::from(gateways.max(1)) * TIME_CONSTANT_S);
+        self.has_few_requests = seen.is_some_and(|requests| requests < ENOUGH_REQUESTS);
+        let budgets = self.replicas.iter_mut().map(|replica| (replica.hash, &mut replica.slow_start));
+        self.slow_start.set_group_size(&self.settings, budgets);
+        self.list_calls.schedule.set_group_size(&self.settings);
+    }
+
+    /// Takes one event and adds what is to be done to `actions`. What the event names but this gateway does
+    /// not know (a request answered long ago, a timer of no use) is ignored.
+    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::List { kind, members } => self.apply_list(now, kind, &members, actions),
+            Event::Request(request) => self.admit(now, request, actions),
+            Event::Expired(id) => self.expire(id, actions),
+            Event::FirstToken { id, attempt, .. } => self.record_first_token(now, id, attempt, actions),
+            Event::Outcome { .. } => self.record_outcome(now, event, actions),
+            Event::Timer(token) => self.run_timer(now, token, actions),
+            Event::ListServiceBusy(wait) => self.list_calls.schedule.defer(now, wait),
+            Event::Loads(loads) => self.record_loads(now, &loads),
+            Event::WorkSent(ReplicaWork { replica, work }) => {
+                if let Some(slot) = self.replicas.slot_of(&replica) {
+                    self.replicas[slot].queued_work.record_sent(now, work);
+                }
+            }
+            Event::Probed { .. } | Event::PeerMessage { .. } => {}
+        }
+    }
+
+    fn run_timer(&mut self, now: Nanos, token: u64, actions: &mut Vec<Action>) {
+        match self.timers.pending.remove(&token) {
+            Some(TimerPurpose::Deadline(id)) => self.end_at_deadline(id, actions),
+            Some(TimerPurpose::LatencyTarget(id)) => self.miss_latency_target(now, id),
+            Some(TimerPurpose::SlowAttempt(id)) => self.check_slow_attempt(now, id, actions),
+            Some(TimerPurpose::Parked) => self.place_parked(now, actions),
+            Some(TimerPurpose::ListCall(generation)) => self.call_list(generation, actions),
+            None => {}
+        }
+    }
+
+    // ---- placing requests -----------------------------------------------------------------------------
+
+    /// Sends the request, parks it, or answers it.
+    fn place(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(active) = self.requests.get(&id).filter(|active| !active.is_answered) else { return };
+        if active.deadline <= now {
+            return self.give_up(id, actions);
+        }
+        let is_hedge = active.has_attempt_in_flight();
+        let Some(permit) = self.attempt_permit(now, active) else {
+            if !is_hedge {
+                self.give_up(id, actions);
+            }
+            return;
+        };
+        let attempted: Vec<_> = active.attempts.iter().map(|attempt| attempt.replica).collect();
+        let target = Target {
+            key: key_of(&active.request, active.owners),
+            session_hash: mix(active.request.session.unwrap_or(id.0)),
+            owners: if active.owners < 1.0 { active.owners } else { 0.0 },
+            has_low_reuse: self.demand.cached_by_session(active.request.class) < LOW_SESSION_REUSE,
+            group: permit.group,
+            latency_target: active.latency_target,
+            slow_start_only: active.slow_start_only,
+        };
+        match self.select(now, &target, &attempted) {
+            // Guards against a jam that keeps itself alive: what would be late anyway is refused at once.
+            Some(slot) if !is_hedge && self.is_lagging(slot, REFUSAL_LAG_PART, target.latency_target) => {
+                self.give_up(id, actions);
+            }
+            Some(slot) => self.send(now, id, slot, permit.write_until, actions),
+            None if is_hedge => {}
+            None if target.slow_start_only => self.give_up(id, actions),
+            None => self.park(id, actions),
+        }
+    }
+
+    /// Keeps a request that nobody can take until the list or a replica's health changes.
+    fn park(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if self.parked.is_empty() {
+            self.timers.set(PARKING_INTERVAL, TimerPurpose::Parked, actions);
+        }
+        self.parked.push(id);
+    }
+
+    fn place_parked(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        for id in std::mem::take(&mut self.parked) {
+            self.place(now, id, actions);
+        }
+    }
+}
+
+fn check(settings: &Settings) -> Result<(), SettingsError> {
+    let Safety { initial_capacity, overload_factor, .. } = settings.safety;
+    let is_valid_capacity = initial_capacity > 0.0 && initial_capacity <= 1.0 && !overload_factor.is_nan();
+    match settings {
+        Settings { classes, .. } if classes.is_empty() => Err(SettingsError::NoClasses),
+        Settings { group_size: 0, .. } => Err(SettingsError::EmptyGroup),
+        Settings { limits: Limits { max_attempts: 0, .. }, .. } => Err(SettingsError::NoAttempts),
+        _ if !is_valid_capacity => Err(SettingsError::InvalidInitialCapacity),
+        _ => Ok(()),
+    }
+}
--- /dev/null
+++ b/crates/load-balancer/src/balancer/attempts.rs
@@ -0,0 +1,231 @@
+//! The attempts of a request: where and when a further one may go, and what follows from its outcomes.
+
+use super::{LoadBalancer, SECOND, TimerPurpose};
+use crate::active_request::{ActiveRequest, Attempt, AttemptState};
+use crate::decaying_average::TIME_CONSTANT_S;
+use crate::demand::full_cost;
+use crate::replica_table::ReplicaSlot;
+use crate::ring_walk::ReplicaGroup;
+use crate::types::{Action, Effect, Event, Nanos, RequestId, Scope, Verdict};
+
+/// The part of the latency target after which an attempt without a first token is looked at again.
+const SLOW_ATTEMPT_PART: f64 = 0.65;
+
+/// Where a further attempt may go, and when it must be written.
+pub(super) struct AttemptPermit {
+    pub(super) group: ReplicaGroup,
+    pub(super) write_until: Nanos,
+}
+
+impl AttemptPermit {
+    const ANYWHERE: AttemptPermit = AttemptPermit { group: ReplicaGroup::Any, write_until: Nanos::MAX };
+}
+
+impl LoadBalancer {
+    /// Whether a further attempt is allowed, and within which bounds.
+    pub(super) fn attempt_permit(&self, now: Nanos, active: &ActiveRequest) -> Option<AttemptPermit> {
+        let limits = &self.settings.limits;
+        let is_last = active.attempts.len() >= limits.max_attempts as usize;
+        if is_last || active.has_attempt_in_flight() && !limits.hedging {
+            return None;
+        }
+        match (self.effect_of(active), active.first_possible_run()) {
+            (Effect::Safe, _) | (_, None) => Some(AttemptPermit::ANYWHERE),
+            (Effect::Unsafe, Some(_)) => None,
+            (Effect::Keyed { scope, window }, Some(first)) => {
+                let write_until = first.sent_at.saturating_add(window);
+                let group = self.group_of(scope, first.replica);
+                (now < write_until).then_some(AttemptPermit { group, write_until })
+            }
+        }
+    }
+
+    fn effect_of(&self, active: &ActiveRequest) -> Effect {
+        self.settings.classes[active.request.class.0].effect
+    }
+
+    /// The replicas that discard repeats of what ran at `slot`.
+    fn group_of(&self, scope: Scope, slot: ReplicaSlot) -> ReplicaGroup {
+        match scope {
+            Scope::All => ReplicaGroup::Any,
+            Scope::Zone => ReplicaGroup::Zone(self.replicas[slot].zone),
+            Scope::Cell => ReplicaGroup::Cell(self.replicas[slot].cell),
+        }
+    }
+
+    pub(super) fn send(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        slot: ReplicaSlot,
+        write_until: Nanos,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_warming = self.slow_start.capacity_fraction(now, self.replicas[slot].started) < 1.0;
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        active.attempts.push(Attempt::new(slot, now));
+        let replica = &mut self.replicas[slot];
+        replica.in_flight += 1;
+        if is_warming {
+            let cost = full_cost(&active.request) / self.demand.mean_cost();
+            self.slow_start.take_turn(&mut replica.slow_start, cost);
+        }
+        replica.breaker.begin_request();
+        let zone = self.zones.entry(replica.zone).or_default();
+        zone.link.begin_request();
+        zone.in_flight += 1;
+        let timeout = active.deadline - now;
+        let write_within = write_until - now;
+        actions.push(Action::Send { id, replica: replica.id.clone(), timeout, write_within });
+        let slow_after = (active.target_at.saturating_sub(now) as f64 * SLOW_ATTEMPT_PART) as Nanos;
+        if slow_after > 0 && active.attempts.len() == 1 {
+            self.timers.set(slow_after, TimerPurpose::SlowAttempt(id), actions);
+        }
+    }
+
+    /// Guards against waiting for a replica that hangs or can't be reached over a connection made before.
+    pub(super) fn check_slow_attempt(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(active) = self.requests.get(&id).filter(|active| active.is_waiting()) else { return };
+        let is_safe = self.effect_of(active) == Effect::Safe;
+        let time_left = active.target_at.saturating_sub(now);
+        // The time was the first attempt's: it says nothing of one that began later.
+        let first =
+            active.attempts.first().filter(|attempt| attempt.state == AttemptState::InFlight).cloned();
+        self.timers.set(time_left, TimerPurpose::LatencyTarget(id), actions);
+        let Some(Attempt { replica: slot, sent_at, .. }) = first else { return };
+        self.judge_slow_attempt(now, slot, sent_at);
+        // Guards against waiting for what won't respond; a replica that is only slow responds soonest
+        // itself.
+        let replica = &self.replicas[slot];
+        let is_ejected = !replica.breaker.allows(now) && !self.has_too_many_ejections();
+        let is_cut_off = self.zones.get(&replica.zone).is_some_and(|zone| self.is_unreachable(zone));
+        let limits = &self.settings.limits;
+        if (is_ejected || is_cut_off) && limits.hedging {
+            self.place(now, id, actions);
+        } else if (is_ejected || is_cut_off) && limits.cancellation && is_safe {
+            actions.push(Action::Cancel { id, attempt: 0 });
+        }
+    }
+
+    /// Guards against taking a queue for a failure: its sessions would be read anew elsewhere, and jam it.
+    /// A replica that has responded since is slow. Else, while others respond, what it would have answered
+    /// counts.
+    fn judge_slow_attempt(&mut self, now: Nanos, slot: ReplicaSlot, sent_at: Nanos) {
+        let average = self.replicas[slot].average;
+        if average.last_response_at >= sent_at {
+            return;
+        }
+        self.record_unreachable(now, slot);
+        if self.admission.is_healthy() {
+            let idle_s = now.saturating_sub(average.last_response_at) as f64 / SECOND as f64;
+            let failures = 1.0 + average.successes * idle_s / TIME_CONSTANT_S;
+            self.record_result(now, slot, failures);
+        }
+    }
+
+    /// Whether it is true that the request had no effect that a retry would repeat.
+    fn may_refuse(&self, active: &ActiveRequest) -> bool {
+        match self.effect_of(active) {
+            Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
+            _ => active.first_possible_run().is_none(),
+        }
+    }
+
+    /// Ends a request that can't be served: with a refusal where that is true, else with a failure.
+    pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(active) = self.requests.get(&id).filter(|active| !active.is_answered) else { return };
+        let response = if self.may_refuse(active) { self.refusal(id) } else { Action::Fail(id) };
+        self.finish(id, Some(response), actions);
+    }
+
+    /// Guards against a request without a response: parked ones and lost outcomes end here.
+    pub(super) fn end_at_deadline(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let waiting = self.requests.get(&id).filter(|active| active.is_waiting());
+        match waiting.map(|active| active.first_possible_run().is_none()) {
+            // Nobody has run it, or is about to: that is a refusal, however late it comes.
+            Some(true) => self.give_up(id, actions),
+            Some(false) => self.finish(id, Some(Action::Fail(id)), actions),
+            None => {}
+        }
+    }
+
+    /// The client has left.
+    pub(super) fn expire(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if self.requests.get(&id).is_some_and(|active| !active.is_answered) {
+            self.finish(id, None, actions);
+        }
+    }
+
+    /// Marks a request as answered, cancels what is still waiting and forgets it once nothing is in flight.
+    fn finish(&mut self, id: RequestId, response: Option<Action>, actions: &mut Vec<Action>) {
+        actions.extend(response);
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        active.is_answered = true;
+        if self.settings.limits.cancellation {
+            actions.extend(active.waiting_attempts().map(|attempt| Action::Cancel { id, attempt }));
+        }
+        if !active.has_attempt_in_flight() {
+            self.requests.remove(&id);
+        }
+    }
+
+    /// The response to an attempt has begun: it is this attempt's, and what a hedge still did would be
+    /// wasted.
+    pub(super) fn record_first_token(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        attempt: u32,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = active.attempts.get_mut(attempt as usize) else { return };
+        attempt.has_begun = true;
+        let slot = attempt.replica;
+        let is_in_time = now <= active.target_at;
+        if self.settings.limits.cancellation {
+            actions.extend(active.waiting_attempts().map(|attempt| Action::Cancel { id, attempt }));
+        }
+        if is_in_time {
+            self.admission.record(now, true);
+        }
+        self.record_reachable(now, slot);
+        self.record_result(now, slot, 0.0);
+    }
+
+    pub(super) fn record_outcome(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+        let Event::Outcome { id, attempt, verdict, ended, cached_tokens, .. } = event else { return };
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = active.attempts.get_mut(attempt as usize) else { return };
+        if attempt.state != AttemptState::InFlight {
+            return;
+        }
+        let never_ran = matches!(verdict, Verdict::Full | Verdict::NoConnection | Verdict::NotSent);
+        attempt.state = if never_ran { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        let (slot, has_begun) = (attempt.replica, attempt.has_begun);
+        active.is_answered |= ended;
+        let (is_answered, is_in_flight) = (active.is_answered, active.has_attempt_in_flight());
+        let served = match (verdict, cached_tokens) {
+            (Verdict::Ok, Some(cached)) => self.demand.record_cached(&active.request, cached),
+            _ => 0.0,
+        };
+        self.demand.record_served(now, served);
+        self.release(slot);
+        self.record_link_outcome(now, slot, verdict);
+        self.record_replica_outcome(now, slot, verdict, has_begun);
+        if !is_answered && !is_in_flight {
+            self.place(now, id, actions);
+        } else if !is_in_flight {
+            self.requests.remove(&id);
+        } else if ended {
+            self.finish(id, None, actions);
+        }
+    }
+
+    fn release(&mut self, slot: ReplicaSlot) {
+        let replica = &mut self.replicas[slot];
+        replica.in_flight -= 1;
+        let zone = self.zones.entry(replica.zone).or_default();
+        zone.in_flight = zone.in_flight.saturating_sub(1);
+    }
+}
--- /dev/null
+++ b/crates/load-balancer/src/balancer/discovery.rs
@@ -0,0 +1,135 @@
+//! The list of replicas: when it is called for, and how the ring follows it.
+
+use std::collections::BTreeSet;
+
+use super::{LoadBalancer, TimerPurpose};
+use crate::circuit_breaker::CircuitBreaker;
+use crate::decaying_average::OutcomeAverage;
+use crate::hash_ring::VirtualNode;
+use crate::replica_table::ReplicaSlot;
+use crate::slow_start::SlowStartBudget;
+use crate::types::{Action, ListKind, Member, Nanos, Phase, UnitsMeaning};
+
+/// Virtual nodes of the largest replica: more than the 100 of the literature, so that one of a quarter of
+/// its size still has some fifty; each gets a part of the ring by its size, even to about a tenth.
+const MAX_VIRTUAL_NODES: f64 = 256.0;
+
+impl LoadBalancer {
+    pub(super) fn apply_list(
+        &mut self,
+        now: Nanos,
+        kind: ListKind,
+        members: &[Member],
+        actions: &mut Vec<Action>,
+    ) {
+        self.schedule_call(now, kind, actions);
+        if kind == ListKind::Failed {
+            return;
+        }
+        self.slow_start.observe_list(now);
+        self.replicas.begin_pass();
+        let mut has_changed = false;
+        for member in members {
+            has_changed |= self.apply_member(now, member);
+        }
+        if matches!(kind, ListKind::Complete | ListKind::Persisted) {
+            has_changed |= self.replicas.retire_unvisited();
+        }
+        if has_changed {
+            self.rebuild_ring();
+        }
+        let attempts = self.requests.values().flat_map(|active| &active.attempts);
+        let named: BTreeSet<ReplicaSlot> = attempts.map(|attempt| attempt.replica).collect();
+        self.replicas.free_unused(&named);
+        let slow_start = &self.slow_start;
+        let is_warm = |started| slow_start.capacity_fraction(now, started) >= 1.0;
+        self.replicas.update_totals(|replica| is_warm(replica.started));
+        self.place_parked(now, actions);
+    }
+
+    /// Sets the timer of the next call for the list where one is due. Always draws a random number.
+    fn schedule_call(&mut self, now: Nanos, kind: ListKind, actions: &mut Vec<Action>) {
+        self.list_calls.generation += u64::from(!matches!(kind, ListKind::Persisted | ListKind::Local));
+        let chance = self.random.next_unit();
+        let schedule = &mut self.list_calls.schedule;
+        let wait = match kind {
+            ListKind::Failed => schedule.record_failure(now, chance),
+            ListKind::Persisted if !self.settings.has_pushed_list => schedule.first_wait(now, chance),
+            ListKind::Persisted | ListKind::Local => return,
+            ListKind::Complete | ListKind::Changes => return schedule.record_success(now),
+        };
+        self.timers.set(wait, TimerPurpose::ListCall(self.list_calls.generation), actions);
+    }
+
+    /// Calls for the list unless something was heard of it since the timer was set.
+    pub(super) fn call_list(&mut self, generation: u64, actions: &mut Vec<Action>) {
+        if generation != self.list_calls.generation {
+            return;
+        }
+        self.list_calls.generation += 1;
+        actions.push(Action::Watch);
+        let next = TimerPurpose::ListCall(self.list_calls.generation);
+        self.timers.set(self.list_calls.schedule.max_age(), next, actions);
+    }
+
+    /// Takes over an entry of the list; true if the ring has to follow.
+    fn apply_member(&mut self, now: Nanos, member: &Member) -> bool {
+        let units = self.speed_weighted_units(member);
+        let slot = self.replicas.slot_or_insert(&member.id);
+        self.replicas.mark_visited(slot);
+        let has_grown = self.replicas.learn_kind_size(member, units);
+        let replica = &mut self.replicas[slot];
+        if member.started.is_some() && replica.started != member.started {
+            // A new process: what the old one did says nothing of it.
+            replica.started = member.started;
+            (replica.breaker, replica.average) = (CircuitBreaker::default(), OutcomeAverage::default());
+            replica.slow_start = SlowStartBudget::new(now);
+        }
+        let has_changed = (replica.phase == Phase::Ready) != (member.phase == Phase::Ready);
+        if member.phase != Phase::Gone {
+            (replica.zone, replica.kind, replica.cell) = (member.zone, member.kind, member.cell);
+        }
+        // Size over units is one plus the load for its size.
+        let is_live = self.settings.units == UnitsMeaning::Live;
+        replica.listed_load = if is_live { replica.size / units } else { 0.0 };
+        replica.phase = member.phase;
+        has_grown || has_changed
+    }
+
+    /// A list says how many cores a replica has, and nothing of how fast they are.
+    fn speed_weighted_units(&self, member: &Member) -> f64 {
+        let speed = self.settings.speeds.get(usize::from(member.kind)).copied().unwrap_or(1.0);
+        let has_units = self.settings.units != UnitsMeaning::None;
+        speed * if has_units { member.units.max(f64::MIN_POSITIVE) } else { 1.0 }
+    }
+
+    /// Slots for replicas in its tables, those of gone ones that wait for new ones included.
+    #[must_use]
+    pub fn replica_slots(&self) -> usize {
+        self.replicas.slot_count()
+    }
+
+    /// Brings the ring in step with the list: nodes of replicas that left go, those of new ones come, and
+    /// all others stay where they are.
+    fn rebuild_ring(&mut self) {
+        let largest = self.replicas.largest_size();
+        let mut added = Vec::new();
+        for slot in self.replicas.slots() {
+            let size = self.replicas.kind_size(self.replicas[slot].kind);
+            let replica = &mut self.replicas[slot];
+            replica.size = size;
+            let nodes = (MAX_VIRTUAL_NODES * size / largest).ceil() as u32;
+            let nodes = if replica.phase == Phase::Ready { nodes } else { 0 };
+            let new_nodes = replica.virtual_nodes..nodes;
+            added.extend(new_nodes.map(|number| VirtualNode::new(&replica.id, slot, number)));
+            replica.virtual_nodes = nodes;
+        }
+        self.zones.values_mut().for_each(|zone| zone.size = 0.0);
+        for replica in self.replicas.ready_replicas() {
+            self.zones.entry(replica.zone).or_default().size += replica.size;
+        }
+        let replicas = &self.replicas;
+        self.ring.retain(|node| node.number < replicas[node.replica].virtual_nodes);
+        self.ring.insert(added, |a, b| replicas[a].id.cmp(&replicas[b].id));
+    }
+}
--- /dev/null
+++ b/crates/load-balancer/src/balancer/selection.rs
@@ -0,0 +1,185 @@
+//! The walk along the ring: the first replica from a request's key on that may take it, past those over the
+//! bound (consistent hashing with bounded loads).
+
+use super::LoadBalancer;
+use crate::random::{md5_prefix, mix, unit_interval};
+use crate::replica_table::ReplicaSlot;
+use crate::ring_walk::{Candidate, ReplicaGroup, Target, Walk, WalkBounds};
+use crate::slow_start::WarmingReplica;
+use crate::types::{Nanos, Phase, ReplicaWork, Request};
+
+/// A replica is passed over beyond this multiple of the mean in flight, plus one; what goes beyond the mean
+/// grows with the root of the group's size, since each of many gateways sees mostly chance.
+const BOUND_FACTOR: f64 = 1.25;
+/// A replica whose oldest waiting request has waited for this part of a request's latency target is passed
+/// over.
+const LAG_PART: f64 = 0.5;
+
+impl LoadBalancer {
+    /// Among the first `owners` distinct replicas clockwise from the key, the one that the session's hash
+    /// prefers and that may take the request; then the first beyond them, past all over the bound.
+    pub(super) fn select(
+        &mut self,
+        now: Nanos,
+        target: &Target,
+        attempted: &[ReplicaSlot],
+    ) -> Option<ReplicaSlot> {
+        self.update_oldest_waits(now);
+        let mut walk = Walk::new(target, attempted, self.walk_bounds(now));
+        let start = self.ring.start(target.key);
+        self.replicas.begin_pass();
+        for steps in 0..self.ring.len() {
+            let node = self.ring.clockwise(start, steps);
+            let is_stale = node.number >= self.replicas[node.replica].virtual_nodes;
+            if is_stale || self.replicas.is_visited(node.replica) {
+                continue;
+            }
+            self.visit(now, node.replica, &mut walk);
+            if self.is_complete(&walk) {
+                break;
+            }
+        }
+        // A request that leaves nothing behind goes to the emptier of the two that its session prefers.
+        if let (true, Some(one), Some(two)) = (target.has_low_reuse, walk.best, walk.second) {
+            let is_emptier = self.relative_load(two.slot) < self.relative_load(one.slot);
+            return Some(if is_emptier { two.slot } else { one.slot });
+        }
+        walk.best.map(|best| best.slot).or(walk.over_bound.map(|over| over.slot))
+    }
+
+    fn walk_bounds(&self, now: Nanos) -> WalkBounds {
+        let total_size = self.zones.values().fold(0.0, |size, zone| size + zone.size);
+        let in_flight: u32 = self.zones.values().map(|zone| zone.in_flight).sum();
+        let factor = 1.0 + (BOUND_FACTOR - 1.0) * f64::from(self.settings.group_size).sqrt();
+        let in_flight = factor * f64::from(in_flight) / f64::max(total_size, f64::MIN_POSITIVE);
+        WalkBounds { total_size, in_flight, queued_work: self.queued_work_bound(now) }
+    }
+
+    fn visit(&mut self, now: Nanos, slot: ReplicaSlot, walk: &mut Walk<'_>) {
+        let target = walk.target;
+        let replica = &self.replicas[slot];
+        let (size, hash) = (replica.size, replica.hash);
+        let is_warming = self.slow_start.capacity_fraction(now, replica.started) < 1.0;
+        self.replicas.mark_visited(slot);
+        let is_owner = walk.count_visit(size);
+        let has_turn = self.has_turn(now, slot);
+        walk.is_without_owner &= !is_owner || !has_turn;
+        let is_excluded = target.slow_start_only && !is_warming;
+        if is_excluded || !has_turn || !self.is_usable(now, slot, walk) {
+            return;
+        }
+        // Sessions prefer owners in proportion to their size, whoever else is there (rendezvous hashing);
+        // those in slow start first of all, since a turn not taken is lost, and anywhere if no owner may
+        // take it.
+        let preference = if is_warming && (is_owner || walk.is_without_owner) {
+            f64::MAX
+        } else if is_owner || walk.best.is_none() {
+            size / -unit_interval(mix(target.session_hash ^ hash)).ln()
+        } else {
+            0.0
+        };
+        let replica = &self.replicas[slot];
+        let is_slow = self.admission.is_healthy() && self.is_lagging(slot, LAG_PART, target.latency_target);
+        let has_bound = walk.bounds.queued_work.is_finite();
+        let queued_work = if has_bound { replica.queued_work.queued() } else { 0.0 };
+        let is_over_bound = f64::from(replica.in_flight) > walk.bounds.in_flight * size + 1.0;
+        if is_slow || queued_work > walk.bounds.queued_work || is_over_bound {
+            walk.add_over_bound(slot, queued_work);
+        } else {
+            walk.add(Candidate { slot, preference });
+        }
+    }
+
+    /// Whether no further replica can change the choice.
+    fn is_complete(&self, walk: &Walk<'_>) -> bool {
+        let seeks_turn = walk.is_without_owner && self.replicas.warm < self.replicas.ready;
+        let is_found = walk.best.is_some_and(|best| !seeks_turn || best.preference == f64::MAX);
+        let has_choice = walk.second.is_some() || !walk.target.has_low_reuse;
+        is_found && walk.has_all_owners() && has_choice || walk.visited == self.replicas.ready
+    }
+
+    fn relative_load(&self, slot: ReplicaSlot) -> f64 {
+        let replica = &self.replicas[slot];
+        replica.listed_load + f64::from(replica.in_flight) / replica.size
+    }
+
+    /// Whether the oldest request that waits at a replica has waited for more than this part of a latency
+    /// target.
+    pub(super) fn is_lagging(&self, slot: ReplicaSlot, part: f64, latency_target: Nanos) -> bool {
+        self.replicas[slot].oldest_wait as f64 > part * latency_target as f64
+    }
+
+    /// Takes over how much work is queued at each replica.
+    pub(super) fn record_loads(&mut self, now: Nanos, loads: &[ReplicaWork]) {
+        self.load_reports.record_report(now);
+        for load in loads {
+            if let Some(slot) = self.replicas.slot_of(&load.replica) {
+                self.replicas[slot].queued_work.record_report(now, load.work);
+            }
+        }
+    }
+
+    /// How much work may be queued at a replica that is to get more: a multiple of the mean and one, as for
+    /// what is in flight. No bound without a fresh report.
+    fn queued_work_bound(&self, now: Nanos) -> f64 {
+        if !self.load_reports.is_fresh(now) {
+            return f64::INFINITY;
+        }
+        let queued: f64 = self.replicas.ready_replicas().map(|replica| replica.queued_work.queued()).sum();
+        BOUND_FACTOR * queued / self.replicas.ready.max(1) as f64 + 1.0
+    }
+
+    /// How long the oldest request that waits at each replica has waited: what a new one would, at the
+    /// least.
+    fn update_oldest_waits(&mut self, now: Nanos) {
+        self.replicas.iter_mut().for_each(|replica| replica.oldest_wait = 0);
+        let attempts = self.requests.values().flat_map(|active| &active.attempts);
+        for attempt in attempts.filter(|attempt| attempt.is_waiting()) {
+            let oldest_wait = &mut self.replicas[attempt.replica].oldest_wait;
+            *oldest_wait = (*oldest_wait).max(now.saturating_sub(attempt.sent_at));
+        }
+    }
+
+    fn is_usable(&self, now: Nanos, slot: ReplicaSlot, walk: &Walk<'_>) -> bool {
+        let replica = &self.replicas[slot];
+        let is_healthy = replica.breaker.allows(now) || self.has_too_many_ejections();
+        let is_in_group = match walk.target.group {
+            ReplicaGroup::Any => true,
+            ReplicaGroup::Zone(zone) => replica.zone == zone,
+            ReplicaGroup::Cell(cell) => replica.cell == cell,
+        };
+        let zone = self.zones.get(&replica.zone);
+        let is_reachable = zone.is_none_or(|zone| zone.link.allows(now) || !self.is_unreachable(zone));
+        let is_new = !walk.attempted.contains(&slot);
+        replica.phase == Phase::Ready && is_healthy && is_reachable && is_in_group && is_new
+    }
+
+    /// Whether a replica may be sent a request: one in slow start only on this gateway's turn.
+    fn has_turn(&mut self, now: Nanos, slot: ReplicaSlot) -> bool {
+        let started = self.replicas[slot].started;
+        let Some(started) = started.filter(|at| self.slow_start.capacity_fraction(now, Some(*at)) < 1.0)
+        else {
+            return true;
+        };
+        // Guards against two flattering measures: demand, which in an overload is beyond what any replica
+        // can do, and units that are lowered by load, of which an empty replica has the most.
+        let work = self.demand.work_per_s(now, self.replicas.warm > 0) / self.demand.mean_cost();
+        let peak_size = self.replicas.peak_size;
+        let replica = &mut self.replicas[slot];
+        let size_fraction = replica.size / peak_size.max(f64::MIN_POSITIVE);
+        let warming = WarmingReplica { hash: replica.hash, started, size_fraction };
+        self.slow_start.has_turn(now, &mut replica.slow_start, warming, work)
+    }
+}
+
+/// The position of a request on the ring: its shared prefix, else its session, else itself. A prefix that
+/// all replicas share says no more than none would, and would cost a walk past all of them.
+pub(super) fn key_of(request: &Request, owners: f64) -> u64 {
+    let prefix = request.prefix.filter(|prefix| *prefix != 0 && owners < 1.0);
+    let (kind, key) = match (prefix, request.session) {
+        (Some(prefix), _) => (b'p', prefix),
+        (None, Some(session)) => (b's', session),
+        (None, None) => (b'r', request.id.0),
+    };
+    md5_prefix(&[&[kind], &key.to_le_bytes()])
+}
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -1,50 +1,84 @@
-//! What is asked for, as far as a gateway sees it: how much work comes and is done, and which part of it each beginning
-//! has. No I/O and no clock.
+//! Demand as far as one gateway sees it: how much work comes and is done, which part of it each prefix has, and how much
+//! of a class's prompts is found cached. No I/O and no clock.
 
 use std::collections::BTreeMap;
 
-use crate::types::{Nanos, Request};
+use crate::decaying_average::decay_factor;
+use crate::types::{ClassIndex, Nanos, Request};
 
-/// What an answer costs, as prompt tokens read: a slot is kept about as long as this takes to read.
-pub const ANSWER_COST: f64 = 1000.0;
+/// What a response costs, as prompt tokens read: a slot is in use about as long as this takes to read.
+pub const RESPONSE_COST_TOKENS: f64 = 1000.0;
 /// Time constant of the averages, in seconds: some think times of a session, so that all classes are seen.
-pub const MEMORY: f64 = 10.0;
-/// A beginning's owners are this multiple of what its share of the demand would fill: one more copy of it costs one
-/// reading, while owners' sets that overlap are evened out by being wide.
-const WIDEN: f64 = 3.0;
-/// The mean share that a request's own beginning has of the work, before anything is known: the sum of the shares'
-/// squares, some hundredths with Zipf-like demand for some tens to hundreds of beginnings.
-const COMMON: f64 = 1.0 / 16.0;
+pub const TIME_CONSTANT_S: f64 = 10.0;
+/// A prefix's owners are this multiple of what its part of the demand would fill: one more replica of it costs one
+/// reading, while sets of owners that overlap are evened out by being wide.
+const OWNER_FACTOR: f64 = 3.0;
+/// The mean part that a request's own prefix has of the work, before anything is known: the sum of the parts' squares,
+/// some hundredths with Zipf-like demand for some tens to hundreds of prefixes.
+const INITIAL_PREFIX_PART: f64 = 1.0 / 16.0;
 /// Weight of the newest request in that mean; about a minute's where one comes each second.
-const COMMON_STEP: f64 = 0.02;
+const PREFIX_PART_GAIN: f64 = 0.02;
 /// A class's owners are counted anew only when wrong by more than this factor.
-const COMMON_OFF: f64 = 3.0;
-/// Beginnings that are remembered before the least asked for are forgotten.
-const BEGINNINGS: usize = 256;
-const NANOS_PER_SECOND: f64 = 1e9;
-
-/// Work in prompt tokens, all of it fading by [`MEMORY`].
-#[derive(Clone, Debug, Default)]
+const OWNER_TOLERANCE: f64 = 3.0;
+/// Prefixes that are remembered before the least used are forgotten.
+const MAX_PREFIXES: usize = 256;
+/// Weight of the newest response in the means of cached tokens.
+const CACHE_GAIN: f64 = 0.05;
+/// Weight of the newest request in the mean cost.
+const COST_GAIN: f64 = 0.05;
+
+/// Work in prompt tokens, all of it decaying with [`TIME_CONSTANT_S`].
+#[derive(Clone, Debug)]
 pub struct Demand {
     offered: f64,
     served: f64,
-    faded_at: Nanos,
-    beginnings: BTreeMap<u64, (f64, Nanos)>,
+    decayed_at: Nanos,
+    prefixes: BTreeMap<u64, PrefixDemand>,
     classes: Vec<ClassDemand>,
+    mean_cost: f64,
+}
+
+/// The work of one prefix.
+#[derive(Clone, Copy, Debug)]
+struct PrefixDemand {
+    work: f64,
+    updated_at: Nanos,
 }
 
 /// What is known of a class.
 #[derive(Clone, Copy, Debug)]
 struct ClassDemand {
-    /// The mean share of the work that a request's own beginning has had.
-    mean_share: f64,
+    /// The mean part of the work that a request's own prefix has had.
+    mean_prefix_part: f64,
     /// The owners by it.
     owners: f64,
+    /// The mean fraction of a prompt that is found cached.
+    cached: f64,
+    /// The mean fraction of a prompt that is found cached beyond its shared prefix, from earlier turns of its session.
+    cached_by_session: f64,
 }
 
 impl Default for ClassDemand {
     fn default() -> Self {
-        ClassDemand { mean_share: COMMON, owners: COMMON.sqrt() }
+        ClassDemand {
+            mean_prefix_part: INITIAL_PREFIX_PART,
+            owners: INITIAL_PREFIX_PART.sqrt(),
+            cached: 0.0,
+            cached_by_session: 1.0,
+        }
+    }
+}
+
+impl Default for Demand {
+    fn default() -> Self {
+        Demand {
+            offered: 0.0,
+            served: 0.0,
+            decayed_at: 0,
+            prefixes: BTreeMap::new(),
+            classes: Vec::new(),
+            mean_cost: RESPONSE_COST_TOKENS,
+        }
     }
 }
 
@@ -54,80 +88,112 @@
         self.classes.resize(count, ClassDemand::default());
     }
 
-    /// A request comes that costs so much.
-    pub fn offer(&mut self, now: Nanos, cost: f64) {
-        self.fade(now);
+    /// Records a request that is expected to cost so much.
+    pub fn record_offered(&mut self, now: Nanos, cost: f64) {
+        self.decay(now);
         self.offered += cost;
     }
 
-    /// So much has been done.
-    pub fn serve(&mut self, now: Nanos, cost: f64) {
-        self.fade(now);
+    /// Records work that was done.
+    pub fn record_served(&mut self, now: Nanos, cost: f64) {
+        self.decay(now);
         self.served += cost;
     }
 
-    /// Work a second: what was done, or what was asked for.
-    pub fn work(&mut self, now: Nanos, done: bool) -> f64 {
-        self.fade(now);
-        if done { self.served / MEMORY } else { self.offered / MEMORY }
+    /// Work a second: what was done, or what was offered.
+    pub fn work_per_s(&mut self, now: Nanos, is_done: bool) -> f64 {
+        self.decay(now);
+        if is_done { self.served / TIME_CONSTANT_S } else { self.offered / TIME_CONSTANT_S }
+    }
+
+    /// What the request will probably cost, by what its class finds cached.
+    #[must_use]
+    pub fn expected_cost(&self, request: &Request) -> f64 {
+        f64::from(request.prompt_tokens) * (1.0 - self.classes[request.class.0].cached)
+            + RESPONSE_COST_TOKENS
+    }
+
+    /// The fraction of a prompt of this class that earlier turns of its session left in a cache.
+    #[must_use]
+    pub fn cached_by_session(&self, class: ClassIndex) -> f64 {
+        self.classes[class.0].cached_by_session
     }
 
-    /// The part of the fleet's size that shares a request's beginning; 0 where it has none. Guards against the pile-up
-    /// that no gateway sees: many of them each carrying a few requests of it. All see like samples of the demand, so
-    /// all come to like figures. With `alike`, all beginnings of a class have as many.
-    pub fn owners(&mut self, now: Nanos, request: &Request, cost: f64, alike: bool) -> f64 {
+    /// Records how much of a prompt was found cached. Returns the work that was done for the request.
+    pub fn record_cached(&mut self, request: &Request, cached_tokens: u32) -> f64 {
+        let class = &mut self.classes[request.class.0];
+        let prompt = f64::from(request.prompt_tokens.max(1));
+        let cached = f64::from(cached_tokens) / prompt;
+        class.cached += CACHE_GAIN * (cached.clamp(0.0, 1.0) - class.cached);
+        let by_session = f64::from(cached_tokens.saturating_sub(request.prefix_tokens));
+        class.cached_by_session += CACHE_GAIN * (by_session / prompt - class.cached_by_session);
+        f64::from(request.prompt_tokens.saturating_sub(cached_tokens)) + RESPONSE_COST_TOKENS
+    }
+
+    /// Takes a request into the mean of full costs.
+    pub fn record_cost(&mut self, request: &Request) {
+        self.mean_cost += COST_GAIN * (full_cost(request) - self.mean_cost);
+    }
+
+    /// The mean of [`full_cost`] over the latest requests.
+    #[must_use]
+    pub fn mean_cost(&self) -> f64 {
+        self.mean_cost
+    }
+
+    /// The part of the fleet's size that shares a request's prefix; 0 where it has none. Guards against the pile-up that
+    /// no gateway sees: many of them each carrying a few requests of it. All see like samples of the demand, so all come
+    /// to like figures. With `is_per_class`, all prefixes of a class have as many.
+    pub fn owners(&mut self, now: Nanos, request: &Request, cost: f64, is_per_class: bool) -> f64 {
         let Some(prefix) = request.prefix.filter(|prefix| *prefix != 0) else { return 0.0 };
-        self.forget(now);
+        self.forget_idle_prefixes(now);
         let offered = self.offered.max(cost);
-        let (mass, at) = self.beginnings.entry(prefix).or_insert((0.0, now));
-        *mass *= fading(now, *at);
-        let class = &mut self.classes[request.class];
-        class.mean_share += COMMON_STEP * (*mass / offered - class.mean_share);
-        // With this request, so that a gateway that has seen little takes each beginning for popular: a copy too many
-        // costs one reading, an owner too few a jam.
-        (*mass, *at) = (*mass + cost, now);
-        if alike {
-            return class.common_owners();
+        let demand = self.prefixes.entry(prefix).or_insert(PrefixDemand { work: 0.0, updated_at: now });
+        demand.work *= decay_factor(now, demand.updated_at, TIME_CONSTANT_S);
+        let class = &mut self.classes[request.class.0];
+        class.mean_prefix_part += PREFIX_PART_GAIN * (demand.work / offered - class.mean_prefix_part);
+        // With this request, so that a gateway that has seen little takes each prefix for popular: an owner too many
+        // costs one reading, one too few a jam.
+        *demand = PrefixDemand { work: demand.work + cost, updated_at: now };
+        if is_per_class {
+            return class.owners_of_class();
         }
-        // A beginning that is short beside the rest of the work is cheap to keep in many places.
-        let cheap = (cost / f64::from(request.prefix_len.max(1))).max(1.0);
-        WIDEN * cheap * *mass / offered
+        // A prefix that is short beside the rest of the work is cheap to have cached in many places.
+        let cheapness = (cost / f64::from(request.prefix_tokens.max(1))).max(1.0);
+        OWNER_FACTOR * cheapness * demand.work / offered
     }
 
-    fn forget(&mut self, now: Nanos) {
-        if self.beginnings.len() >= BEGINNINGS {
-            self.beginnings.retain(|_, (mass, at)| *mass * fading(now, *at) > ANSWER_COST);
+    fn forget_idle_prefixes(&mut self, now: Nanos) {
+        if self.prefixes.len() >= MAX_PREFIXES {
+            self.prefixes.retain(|_, demand| {
+                demand.work * decay_factor(now, demand.updated_at, TIME_CONSTANT_S) > RESPONSE_COST_TOKENS
+            });
         }
     }
 
-    fn fade(&mut self, now: Nanos) {
-        self.offered *= fading(now, self.faded_at);
-        self.served *= fading(now, self.faded_at);
-        self.faded_at = now;
+    fn decay(&mut self, now: Nanos) {
+        self.offered *= decay_factor(now, self.decayed_at, TIME_CONSTANT_S);
+        self.served *= decay_factor(now, self.decayed_at, TIME_CONSTANT_S);
+        self.decayed_at = now;
     }
 }
 
 impl ClassDemand {
-    /// Guards against sessions that move with each turn, as each of many gateways sees little and guesses one
-    /// beginning's share by itself: what turns leave behind is read anew each time. So all of a class have as many as
-    /// its most asked-for could need (no share is above the root of the sum of their squares), a power of four that is
-    /// kept until it is clearly wrong, and so alike nearly everywhere.
-    fn common_owners(&mut self) -> f64 {
-        let due = self.mean_share.max(f64::MIN_POSITIVE).sqrt();
-        if (due / self.owners).max(self.owners / due) > COMMON_OFF {
-            self.owners = 4f64.powf(due.log(4.0).round());
+    /// Guards against sessions that move with each turn, as each of many gateways sees little and guesses one prefix's
+    /// part by itself: what turns leave in a cache is read anew each time. So all prefixes of a class have as many owners
+    /// as its most popular could need (no part is above the root of the sum of their squares), a power of four that stays
+    /// until it is clearly wrong, and so the same nearly everywhere.
+    fn owners_of_class(&mut self) -> f64 {
+        let needed = self.mean_prefix_part.max(f64::MIN_POSITIVE).sqrt();
+        if (needed / self.owners).max(self.owners / needed) > OWNER_TOLERANCE {
+            self.owners = 4f64.powf(needed.log(4.0).round());
         }
         self.owners
     }
 }
 
-/// What a request costs a replica that keeps nothing of it.
+/// What a request costs a replica that has nothing of it cached.
 #[must_use]
 pub fn full_cost(request: &Request) -> f64 {
-    f64::from(request.prompt) + ANSWER_COST
-}
-
-/// What is left of a figure of an earlier time.
-fn fading(now: Nanos, at: Nanos) -> f64 {
-    (-(now.saturating_sub(at) as f64) / NANOS_PER_SECOND / MEMORY).exp()
+    f64::from(request.prompt_tokens) + RESPONSE_COST_TOKENS
 }
--- a/crates/load-balancer/tests/decisions.rs
+++ b/crates/load-balancer/tests/decisions.rs
@@ -4,7 +4,7 @@
 //! hold for the C library's `exp` and `ln` on the platforms that CI builds for.
 
 use rstest::rstest;
-use tulipridge_load_balancer::Gateway;
+use tulipridge_load_balancer::LoadBalancer;
 use tulipridge_load_balancer::types::*;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -46,7 +46,9 @@
                 self.add(*timeout);
                 self.add(*write_within);
             }
-            Action::Refuse { id, wait } => [2, id.0, *wait].into_iter().for_each(|value| self.add(value)),
+            Action::Refuse { id, retry_after } => {
+                [2, id.0, *retry_after].into_iter().for_each(|value| self.add(value))
+            }
             Action::Fail(id) => [3, id.0].into_iter().for_each(|value| self.add(value)),
             Action::Cancel { id, attempt } => {
                 [4, id.0, u64::from(*attempt)].into_iter().for_each(|value| self.add(value));
@@ -57,20 +59,20 @@
             Action::Watch => self.add(6),
             Action::Fetch => self.add(7),
             Action::Probe(_) => self.add(8),
-            Action::Tell { .. } => self.add(9),
+            Action::SendToPeer { .. } => self.add(9),
         }
     }
 }
 
-fn class(aim: Nanos, effect: Effect) -> Class {
+fn class(latency_target: Nanos, effect: Effect) -> Class {
     Class {
-        aim,
-        aim_per_token: 40_000,
-        token_aim: 0,
+        latency_target,
+        latency_target_per_token: 40_000,
+        inter_token_target: 0,
         deadline: 6 * SECOND,
         effect,
-        worth: 1.0,
-        late_worth: 0.3,
+        value: 1.0,
+        late_value: 0.3,
         stream: true,
     }
 }
@@ -79,7 +81,7 @@
     let keyed = |scope| Effect::Keyed { scope, window: 3 * SECOND };
     Settings {
         group_size,
-        me: group_size / 2,
+        gateway_index: group_size / 2,
         tick: MILLI,
         classes: vec![
             class(SECOND, Effect::Safe),
@@ -92,16 +94,21 @@
             Tenant { share: 0.5, quota_per_s: Some(40.0) },
             Tenant { share: 0.5, quota_per_s: Some(15.0) },
         ],
-        over_share_worth: 0.1,
-        limits: Limits { attempts: 3, cancel: true, retry_after: 2 * SECOND, ..Limits::default() },
+        over_share_value: 0.1,
+        limits: Limits {
+            max_attempts: 3,
+            cancellation: true,
+            max_retry_after: 2 * SECOND,
+            ..Limits::default()
+        },
         safety: Safety {
-            cold_from: 0.2,
-            ramp: 20 * SECOND,
+            initial_capacity: 0.2,
+            slow_start_window: 20 * SECOND,
             overload_factor: 2.5,
-            fall: 2 * SECOND,
-            ask_within: 10 * SECOND,
+            overload_window: 2 * SECOND,
+            max_list_age: 10 * SECOND,
         },
-        units: Units::Size,
+        units: UnitsMeaning::Size,
         speeds: vec![1.0, 1.7],
         ..Settings::default()
     }
@@ -123,7 +130,7 @@
 }
 
 struct History {
-    gateway: Gateway,
+    balancer: LoadBalancer,
     random: Random,
     digest: Digest,
     now: Nanos,
@@ -135,7 +142,7 @@
 impl History {
     fn new(settings: Settings, seed: u64) -> History {
         History {
-            gateway: Gateway::new(settings, seed).expect("sound settings"),
+            balancer: LoadBalancer::new(settings, seed).expect("sound settings"),
             random: Random(seed),
             digest: Digest(0xCBF2_9CE4_8422_2325),
             now: START,
@@ -147,7 +154,7 @@
 
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             self.digest.add_action(&action);
             match action {
@@ -170,7 +177,7 @@
             2 => Verdict::NoConnection,
             3 => Verdict::Reset,
             4 => Verdict::TimedOut,
-            5 => Verdict::Moot,
+            5 => Verdict::NotSent,
             _ => Verdict::Ok,
         };
         let first_token_at = self.now + self.random.below(1_500) * MILLI;
@@ -182,7 +189,7 @@
         if self.random.one_in(2) {
             self.handle(Event::List { kind: ListKind::Failed, members: [].into() });
         } else {
-            self.list(ListKind::Whole);
+            self.list(ListKind::Complete);
         }
     }
 
@@ -207,7 +214,7 @@
 
     fn list(&mut self, kind: ListKind) {
         let numbers: Vec<u64> = match kind {
-            ListKind::Changes | ListKind::Own => vec![self.random.below(REPLICAS)],
+            ListKind::Changes | ListKind::Local => vec![self.random.below(REPLICAS)],
             _ => (0..REPLICAS).collect(),
         };
         let members: Vec<Member> = numbers.into_iter().map(|number| self.member(number)).collect();
@@ -216,10 +223,12 @@
 
     fn report_loads(&mut self) {
         let id = |number: u64| ReplicaId::from(format!("replica-{number}").as_str());
-        let loads = (0..REPLICAS).map(|number| (id(number), self.random.below(9) as f64)).collect();
+        let loads = (0..REPLICAS)
+            .map(|number| ReplicaWork { replica: id(number), work: self.random.below(9) as f64 })
+            .collect();
         self.handle(Event::Loads(loads));
         let replica = id(self.random.below(REPLICAS));
-        self.handle(Event::Work(replica, 3.0));
+        self.handle(Event::WorkSent(ReplicaWork { replica, work: 3.0 }));
     }
 
     fn request(&mut self, number: u64) {
@@ -227,14 +236,14 @@
         let request = Request {
             id: RequestId(number),
             expires_in: (2 + self.random.below(6)) * SECOND,
-            class: self.random.below(5) as usize,
-            tenant: (!self.random.one_in(4)).then_some(self.random.below(2) as usize),
+            class: ClassIndex(self.random.below(5) as usize),
+            tenant: (!self.random.one_in(4)).then_some(TenantIndex(self.random.below(2) as usize)),
             prefix: (!self.random.one_in(5)).then_some(self.random.below(9)),
             session: (!self.random.one_in(5)).then_some(self.random.below(60)),
-            prompt,
-            prefix_len: prompt / 2,
-            max_answer: 100,
-            repeat: self.random.one_in(6),
+            prompt_tokens: prompt,
+            prefix_tokens: prompt / 2,
+            max_output_tokens: 100,
+            is_retry: self.random.one_in(6),
         };
         self.handle(Event::Request(request));
     }
@@ -258,9 +267,9 @@
 
     fn end_attempt(&mut self, at: usize) {
         let Open { id, attempt, verdict, .. } = self.open.swap_remove(at);
-        let kept = (!self.random.one_in(4)).then_some(self.random.below(4_000) as u32);
+        let cached_tokens = (!self.random.one_in(4)).then_some(self.random.below(4_000) as u32);
         let (ended, elapsed, report) = (verdict == Verdict::Ok, MILLI, Vec::new());
-        self.handle(Event::Outcome { id, attempt, verdict, ended, elapsed, kept, report });
+        self.handle(Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens, report });
     }
 
     fn run_alarms(&mut self) {
@@ -275,10 +284,10 @@
         self.run_alarms();
         self.finish_attempts();
         match self.random.below(60) {
-            0 => self.list(ListKind::Whole),
+            0 => self.list(ListKind::Complete),
             1..6 => self.list(ListKind::Changes),
-            6 => self.list(ListKind::Own),
-            7 => self.handle(Event::Busy(SECOND)),
+            6 => self.list(ListKind::Local),
+            7 => self.handle(Event::ListServiceBusy(SECOND)),
             8..12 => self.report_loads(),
             12 => {
                 let id = RequestId(self.random.below(number));
@@ -297,7 +306,7 @@
         history.step(number);
         if number == STEPS / 2 {
             let group_size = 2 + history.random.below(20) as u32;
-            history.gateway.set_group_size(group_size);
+            history.balancer.set_group_size(group_size);
         }
     }
     history.digest.0
@@ -307,10 +316,10 @@
 #[case::alone(settings(1), 1, 0x65E7_0811_6A6A_06DE)]
 #[case::small_group(settings(4), 2, 0x8C66_F36B_D343_1D3D)]
 #[case::large_group(settings(120), 3, 0xCC23_D895_2D14_2156)]
-#[case::movable_prefixes(Settings { movable: true, push: true, ..settings(12) }, 4, 0x6C8D_FE74_574C_5085)]
-#[case::live_units(Settings { units: Units::Live, ..settings(6) }, 5, 0xFDD0_F978_59BF_B38A)]
-#[case::no_quotas(Settings { tenants: Vec::new(), units: Units::None, ..settings(3) }, 6, 0x23CB_9336_3438_4D21)]
-#[case::hedging(Settings { limits: Limits { second_copies: true, ..settings(4).limits }, ..settings(4) }, 7, 0xD7AB_4268_BC5F_0838)]
+#[case::prefix_transfer(Settings { has_prefix_transfer: true, has_pushed_list: true, ..settings(12) }, 4, 0x6C8D_FE74_574C_5085)]
+#[case::live_units(Settings { units: UnitsMeaning::Live, ..settings(6) }, 5, 0xFDD0_F978_59BF_B38A)]
+#[case::no_quotas(Settings { tenants: Vec::new(), units: UnitsMeaning::None, ..settings(3) }, 6, 0x23CB_9336_3438_4D21)]
+#[case::hedging(Settings { limits: Limits { hedging: true, ..settings(4).limits }, ..settings(4) }, 7, 0xD7AB_4268_BC5F_0838)]
 fn a_history_leads_to_the_same_decisions(
     #[case] settings: Settings,
     #[case] seed: u64,
--- a/crates/load-balancer/tests/reconfigure.rs
+++ b/crates/load-balancer/tests/reconfigure.rs
@@ -1,8 +1,8 @@
-//! A gateway that is told another table of classes or another size of its group while it runs.
+//! A load balancer whose table of classes or group size changes while it runs.
 
 use rstest::rstest;
-use tulipridge_load_balancer::Gateway;
-use tulipridge_load_balancer::cold::{Budget, Cold, Server};
+use tulipridge_load_balancer::LoadBalancer;
+use tulipridge_load_balancer::slow_start::{SlowStart, SlowStartBudget, WarmingReplica};
 use tulipridge_load_balancer::types::*;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -12,15 +12,15 @@
 const STEP: Nanos = 50 * MILLI;
 const STEPS: u64 = 200;
 
-fn class(aim: Nanos, effect: Effect) -> Class {
+fn class(latency_target: Nanos, effect: Effect) -> Class {
     Class {
-        aim,
-        aim_per_token: 0,
-        token_aim: 0,
+        latency_target,
+        latency_target_per_token: 0,
+        inter_token_target: 0,
         deadline: 5 * SECOND,
         effect,
-        worth: 1.0,
-        late_worth: 0.0,
+        value: 1.0,
+        late_value: 0.0,
         stream: true,
     }
 }
@@ -28,18 +28,23 @@
 fn settings(group_size: u32) -> Settings {
     Settings {
         group_size,
-        me: 3,
+        gateway_index: 3,
         tick: MILLI,
         classes: vec![class(SECOND, Effect::Safe)],
         tenants: vec![Tenant { share: 1.0, quota_per_s: Some(200.0) }],
-        over_share_worth: 0.1,
-        limits: Limits { attempts: 2, cancel: true, retry_after: SECOND, ..Limits::default() },
+        over_share_value: 0.1,
+        limits: Limits {
+            max_attempts: 2,
+            cancellation: true,
+            max_retry_after: SECOND,
+            ..Limits::default()
+        },
         safety: Safety {
-            cold_from: 0.2,
-            ramp: 20 * SECOND,
+            initial_capacity: 0.2,
+            slow_start_window: 20 * SECOND,
             overload_factor: 2.5,
-            fall: 2 * SECOND,
-            ask_within: 10 * SECOND,
+            overload_window: 2 * SECOND,
+            max_list_age: 10 * SECOND,
         },
         ..Settings::default()
     }
@@ -61,20 +66,20 @@
     Request {
         id: RequestId(id),
         expires_in: 5 * SECOND,
-        class,
-        tenant: Some(0),
+        class: ClassIndex(class),
+        tenant: Some(TenantIndex(0)),
         prefix: Some(id % 5),
         session: Some(id % 40),
-        prompt: 1000,
-        prefix_len: 500,
-        max_answer: 100,
-        repeat: false,
+        prompt_tokens: 1000,
+        prefix_tokens: 500,
+        max_output_tokens: 100,
+        is_retry: false,
     }
 }
 
 /// A gateway with its clock and its timers.
 struct Driver {
-    gateway: Gateway,
+    balancer: LoadBalancer,
     now: Nanos,
     timers: Vec<(Nanos, u64)>,
 }
@@ -82,13 +87,13 @@
 impl Driver {
     /// Knows eight warm replicas and two that have just started.
     fn new(settings: Settings) -> Driver {
-        let gateway = Gateway::new(settings, 7).expect("good settings");
-        Driver { gateway, now: START, timers: Vec::new() }
+        let balancer = LoadBalancer::new(settings, 7).expect("good settings");
+        Driver { balancer, now: START, timers: Vec::new() }
     }
 
     fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::Timer { after, token } = action {
                 self.timers.push((self.now + after, *token));
@@ -104,8 +109,8 @@
 
     fn outcome(&mut self, id: RequestId, attempt: u32, verdict: Verdict) -> Vec<Action> {
         let ended = verdict == Verdict::Ok;
-        let (elapsed, kept, report) = (MILLI, Some(700), Vec::new());
-        self.handle(Event::Outcome { id, attempt, verdict, ended, elapsed, kept, report })
+        let (elapsed, cached_tokens, report) = (MILLI, Some(700), Vec::new());
+        self.handle(Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens, report })
     }
 
     /// Lets a step's time pass with its timers.
@@ -142,15 +147,15 @@
 }
 
 /// Plays a run from the first list on, with a change before the given step.
-fn run(settings: Settings, change_at: u64, change: impl Fn(&mut Gateway)) -> Vec<Action> {
+fn run(settings: Settings, change_at: u64, change: impl Fn(&mut LoadBalancer)) -> Vec<Action> {
     let mut driver = Driver::new(settings);
     if change_at == 0 {
-        change(&mut driver.gateway);
+        change(&mut driver.balancer);
     }
     let mut all = driver.list();
     for step in 1..STEPS {
         if step == change_at {
-            change(&mut driver.gateway);
+            change(&mut driver.balancer);
         }
         all.extend(driver.step(step));
     }
@@ -164,7 +169,7 @@
     let mut driver = Driver::new(settings(4));
     driver.list();
     assert!(driver.handle(Event::Request(request(1, 1))).is_empty(), "there is no such class yet");
-    driver.gateway.set_classes(vec![class(SECOND, Effect::Safe), class(2 * SECOND, Effect::Safe)]);
+    driver.balancer.set_classes(vec![class(SECOND, Effect::Safe), class(2 * SECOND, Effect::Safe)]);
     assert!(is_sent(&driver.handle(Event::Request(request(2, 1)))));
     assert!(driver.outcome(RequestId(2), 0, Verdict::Ok).is_empty());
     assert!(is_sent(&driver.handle(Event::Request(request(3, 0)))));
@@ -178,7 +183,7 @@
     let mut driver = Driver::new(Settings { classes: vec![class(SECOND, other)], ..settings(4) });
     driver.list();
     assert!(is_sent(&driver.handle(Event::Request(request(1, 0)))));
-    driver.gateway.set_classes(vec![class(SECOND, effect)]);
+    driver.balancer.set_classes(vec![class(SECOND, effect)]);
     let actions = driver.outcome(RequestId(1), 0, Verdict::Error);
     assert_eq!((is_sent(&actions), is_failed(&actions)), (again, !again), "{actions:?}");
 }
@@ -187,7 +192,7 @@
 fn a_changed_aim_counts_for_the_requests_that_follow() {
     let mut driver = Driver::new(settings(4));
     driver.list();
-    driver.gateway.set_classes(vec![class(4 * SECOND, Effect::Safe)]);
+    driver.balancer.set_classes(vec![class(4 * SECOND, Effect::Safe)]);
     let actions = driver.handle(Event::Request(request(1, 0)));
     // The client's own limit is one timer; the second look at a slow attempt comes at 0.65 of the aim.
     let timers = actions.iter().filter_map(|action| match action {
@@ -203,23 +208,23 @@
     let mut driver = Driver::new(Settings { classes, ..settings(4) });
     driver.list();
     assert!(is_sent(&driver.handle(Event::Request(request(1, 1)))));
-    driver.gateway.set_classes(vec![class(2 * SECOND, Effect::Safe)]);
+    driver.balancer.set_classes(vec![class(2 * SECOND, Effect::Safe)]);
     assert!(is_failed(&driver.outcome(RequestId(1), 0, Verdict::Error)), "it must not run twice");
     assert!(is_sent(&driver.handle(Event::Request(request(2, 1)))));
 }
 
 #[test]
 fn the_same_classes_again_change_nothing() {
-    let set = |gateway: &mut Gateway| gateway.set_classes(settings(4).classes);
+    let set = |balancer: &mut LoadBalancer| balancer.set_classes(settings(4).classes);
     assert_eq!(run(settings(4), STEPS / 2, set), run(settings(4), STEPS / 2, |_| {}));
 }
 
 #[test]
 fn what_was_learnt_of_a_class_is_kept_when_another_is_appended() {
-    let append = |gateway: &mut Gateway| {
+    let append = |balancer: &mut LoadBalancer| {
         let mut classes = settings(4).classes;
         classes.push(class(3 * SECOND, Effect::Unsafe));
-        gateway.set_classes(classes);
+        balancer.set_classes(classes);
     };
     assert_eq!(run(settings(4), STEPS / 2, append), run(settings(4), STEPS / 2, |_| {}));
 }
@@ -232,31 +237,31 @@
 #[case::more(12)]
 #[case::many(300)]
 fn a_gateway_told_a_size_at_its_start_acts_like_one_made_with_it(#[case] size: u32) {
-    let told = run(settings(4), 0, |gateway| gateway.set_group_size(size));
+    let told = run(settings(4), 0, |balancer| balancer.set_group_size(size));
     assert_eq!(told, run(settings(size), 0, |_| {}));
     assert_ne!(told, run(settings(4), 0, |_| {}), "the size makes no difference to this run");
 }
 
 #[test]
 fn a_group_of_none_counts_as_this_gateway_alone() {
-    let told = run(settings(4), 0, |gateway| gateway.set_group_size(0));
+    let told = run(settings(4), 0, |balancer| balancer.set_group_size(0));
     assert_eq!(told, run(settings(1), 0, |_| {}));
 }
 
 #[test]
 fn the_same_size_again_changes_nothing() {
-    let set = |gateway: &mut Gateway| gateway.set_group_size(4);
+    let set = |balancer: &mut LoadBalancer| balancer.set_group_size(4);
     assert_eq!(run(settings(4), STEPS / 2, set), run(settings(4), STEPS / 2, |_| {}));
 }
 
-const SERVER: Server = Server { hash: 5, started: START, part: 0.1 };
+const REPLICA: WarmingReplica = WarmingReplica { hash: 5, started: START, size_fraction: 0.1 };
 
 /// The requests that one gateway may send a cold replica in some seconds, if it always has one to send.
-fn turns(cold: &Cold, budget: &mut Budget, from: Nanos, seconds: Nanos) -> u32 {
+fn turns(slow_start: &SlowStart, budget: &mut SlowStartBudget, from: Nanos, seconds: Nanos) -> u32 {
     let mut taken = 0;
     for now in (from..from + seconds * SECOND).step_by((10 * MILLI) as usize) {
-        if cold.affords(now, budget, SERVER, 0.0) {
-            cold.spend(budget, 1.0);
+        if slow_start.has_turn(now, budget, REPLICA, 0.0) {
+            slow_start.take_turn(budget, 1.0);
             taken += 1;
         }
     }
@@ -269,12 +274,12 @@
 #[case::shrinks(8, 4)]
 #[case::shrinks_to_one(6, 1)]
 fn turns_at_a_cold_replica_follow_the_size_from_the_change_on(#[case] former: u32, #[case] size: u32) {
-    let mut cold = Cold::new(&settings(former));
-    cold.heard(START - 10 * SECOND);
-    let mut budget = Budget::new(START);
-    let before = turns(&cold, &mut budget, START, 6);
-    cold.set_group(&settings(size), std::iter::once((SERVER.hash, &mut budget)));
-    let after = turns(&cold, &mut budget, START + 6 * SECOND, 6);
+    let mut slow_start = SlowStart::new(&settings(former));
+    slow_start.observe_list(START - 10 * SECOND);
+    let mut budget = SlowStartBudget::new(START);
+    let before = turns(&slow_start, &mut budget, START, 6);
+    slow_start.set_group_size(&settings(size), std::iter::once((REPLICA.hash, &mut budget)));
+    let after = turns(&slow_start, &mut budget, START + 6 * SECOND, 6);
     // 200 requests a second by the quotas, a tenth of the fleet, 0.8 of the factor 2.5: 40 turns a second of a warm one
     // for all gateways, and its warmth is 0.2 at first and rises by 0.04 a second.
     let warmth = |from: f64, to: f64| 0.2 * (to - from) + 0.02 * (to * to - from * from);
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -13,9 +13,9 @@
 use crate::admission::Admitted;
 use crate::client::{Client, Done, Incoming, write_own};
 use crate::headers::OwnAnswer;
-use crate::placement::held::Held;
+use crate::placement::placed_request::PlacedRequest;
 use crate::placement::prompt::PromptHeaders;
-use crate::placement::{self, Ask, Order};
+use crate::placement::{self, Order, PlacementRequest};
 use crate::proxy::Proxy;
 use crate::relay::Relay;
 use crate::replica::attempt::{Answer, Failure};
@@ -98,7 +98,7 @@
     incoming: &'a Incoming,
     admitted: Admitted,
     prompt: PromptHeaders,
-    held: Held,
+    held: PlacedRequest,
     deadline: Instant,
     /// Replicas that the request was written to.
     sends: u32,
@@ -118,12 +118,12 @@
         deadline: Instant,
     ) -> Option<Exchange<'a>> {
         let prompt = PromptHeaders::read(&incoming.head);
-        let ask = Ask {
+        let request = PlacementRequest {
             class: proxy.placement.borrow().class(&admitted.route().label)?,
             expires_in: deadline.saturating_duration_since(Instant::now()),
             prompt: prompt.prompt,
         };
-        let held = Held::place(&proxy.placement, admitted.service(), deadline, ask)?;
+        let held = PlacedRequest::place(&proxy.placement, admitted.service(), deadline, request)?;
         Some(Exchange {
             proxy,
             incoming,
--- a/crates/proxy/src/exchange/attempts.rs
+++ b/crates/proxy/src/exchange/attempts.rs
@@ -46,7 +46,7 @@
         }
         let replica = self.proxy.replicas.borrow().ready(replica).cloned();
         let Some(replica) = replica.filter(|_| self.may_send()) else {
-            self.held.outcome(Verdict::Moot, false);
+            self.held.outcome(Verdict::NotSent, false);
             return Step::Continue;
         };
         let connection = match self.connection(client, &replica).await {
@@ -61,7 +61,7 @@
         }
         let is_ready = self.proxy.replicas.borrow().ready(&replica.id).is_some();
         if !is_ready || !self.take_send() {
-            self.held.outcome(Verdict::Moot, false);
+            self.held.outcome(Verdict::NotSent, false);
             return Step::Continue;
         }
         self.send(client, replica, connection).await
--- a/crates/proxy/src/placement/held.rs
+++ b/crates/proxy/src/placement/placed_request.rs
@@ -1,4 +1,4 @@
-//! A request that the decision module holds: orders come out of it, events go into it.
+//! A request that a load balancer places: orders come out of it, events go into it. Also the task that runs timers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,103 +9,103 @@
 use tulipridge_load_balancer::types::{Nanos, ReplicaId, RequestId, Verdict};
 use tulipridge_runtime::clock;
 
-use crate::placement::{Ask, Order, Placement};
+use crate::placement::{AttemptOutcome, Order, Placement, PlacementRequest};
 
 /// A client that leaves so shortly before its deadline has waited for all of its time.
 const DEADLINE_SLACK: Duration = Duration::from_millis(50);
 
-/// The module's clock.
+/// The load balancers' clock.
 #[must_use]
 pub fn now() -> Nanos {
     clock::now().as_nanos() as Nanos
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
-struct Out {
+struct InFlight {
     attempt: u32,
-    since: Instant,
-    written: bool,
+    began_at: Instant,
+    is_written: bool,
 }
 
-/// A request that is held. When it is dropped, the module learns that the request is over and that what was still
-/// out was called off.
-pub struct Held {
+/// A request that is placed. When it is dropped, the load balancer learns that the request is over and that an attempt
+/// in flight was cancelled.
+pub struct PlacedRequest {
     placement: Rc<RefCell<Placement>>,
     id: RequestId,
     deadline: Instant,
-    out: Option<Out>,
+    in_flight: Option<InFlight>,
 }
 
-impl Held {
+impl PlacedRequest {
     /// Places a request that expires at `deadline`; none if its service is not known.
     pub fn place(
         placement: &Rc<RefCell<Placement>>,
         service: &str,
         deadline: Instant,
-        ask: Ask,
-    ) -> Option<Held> {
-        let id = placement.borrow_mut().request(now(), service, ask)?;
-        Some(Held { placement: placement.clone(), id, deadline, out: None })
+        request: PlacementRequest,
+    ) -> Option<PlacedRequest> {
+        let id = placement.borrow_mut().request(now(), service, request)?;
+        Some(PlacedRequest { placement: placement.clone(), id, deadline, in_flight: None })
     }
 
-    /// The module's next order.
+    /// The load balancer's next order.
     pub fn poll_order(&self, context: &mut Context<'_>) -> Poll<Order> {
         self.placement.borrow_mut().poll_order(self.id, context)
     }
 
     /// An attempt was ordered and begins.
     pub fn begin(&mut self, attempt: u32) {
-        self.out = Some(Out { attempt, since: Instant::now(), written: false });
+        self.in_flight = Some(InFlight { attempt, began_at: Instant::now(), is_written: false });
     }
 
-    /// The attempt's bytes go out: from now on it may run, and the replica has so much to do for it.
+    /// The attempt's bytes go out: from now on it may run, and the replica has so much work to do for it.
     pub fn written(&mut self, replica: &ReplicaId, work: u32) {
         self.placement.borrow_mut().sent(now(), self.id, replica, work);
-        if let Some(out) = &mut self.out {
-            out.written = true;
+        if let Some(attempt) = &mut self.in_flight {
+            attempt.is_written = true;
         }
     }
 
-    /// Whether the attempt that is out may have run.
+    /// Whether the attempt in flight may have run.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
-        self.out.is_some_and(|out| out.written)
+        self.in_flight.is_some_and(|attempt| attempt.is_written)
     }
 
-    /// The attempt's answer has begun.
+    /// The response to the attempt has begun.
     pub fn first_token(&mut self) {
-        let Some(Out { attempt, since, .. }) = self.out else { return };
-        self.placement.borrow_mut().first_token(now(), self.id, attempt, since.elapsed());
+        let Some(InFlight { attempt, began_at, .. }) = self.in_flight else { return };
+        self.placement.borrow_mut().first_token(now(), self.id, attempt, began_at.elapsed());
     }
 
-    /// The attempt has ended, and with it the request if `ended`.
-    pub fn outcome(&mut self, verdict: Verdict, ended: bool) {
-        let Some(Out { attempt, since, .. }) = self.out.take() else { return };
-        let end = (attempt, verdict, since.elapsed());
-        self.placement.borrow_mut().outcome(now(), self.id, end, ended);
+    /// The attempt has ended, and with it the request if `ends_request`.
+    pub fn outcome(&mut self, verdict: Verdict, ends_request: bool) {
+        let Some(InFlight { attempt, began_at, .. }) = self.in_flight.take() else { return };
+        let outcome = AttemptOutcome { attempt, verdict, elapsed: began_at.elapsed(), ends_request };
+        self.placement.borrow_mut().outcome(now(), self.id, outcome);
     }
 
-    /// The attempt was called off here.
-    pub fn call_off(&mut self, ended: bool) {
+    /// The attempt was cancelled here.
+    pub fn call_off(&mut self, ends_request: bool) {
         let waited = Instant::now() + DEADLINE_SLACK >= self.deadline;
         let verdict = match self.may_have_run() {
-            false => Verdict::Moot,
+            false => Verdict::NotSent,
             true if waited => Verdict::TimedOut,
             true => Verdict::Cancelled,
         };
-        self.outcome(verdict, ended);
+        self.outcome(verdict, ends_request);
     }
 }
 
-impl Drop for Held {
+impl Drop for PlacedRequest {
     fn drop(&mut self) {
         self.call_off(true);
         self.placement.borrow_mut().end(now(), self.id);
     }
 }
 
-/// Hands timers to the modules as they come due, for ever.
+/// Runs the load balancers' timers as they come due; never returns.
 pub async fn run_timers(placement: Rc<RefCell<Placement>>, alarms: crate::alarms::Alarms) {
     loop {
         placement.borrow_mut().run_timers(now());
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -8,7 +8,7 @@
 
 use tulipridge_configuration::{Caps, Configuration};
 use tulipridge_http1::Http1Limits;
-use tulipridge_load_balancer::types::ReplicaId;
+use tulipridge_load_balancer::types::{ReplicaId, ReplicaWork};
 use tulipridge_protocol::feed::{ModelRevision, Replica, WeightsTable};
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::{Settings, TimeLimits};
@@ -23,7 +23,7 @@
 use crate::notice::Notice;
 use crate::placement::Placement;
 use crate::placement::budget::{RetryAllowance, RetryBudget};
-use crate::placement::held;
+use crate::placement::placed_request;
 use crate::placement::urgency::Urgency;
 use crate::placement::work::WorkLedger;
 use crate::replica::expiry::Expiry;
@@ -150,15 +150,15 @@
 
     /// Takes over how much work of all gateways waits at replicas.
     pub fn set_loads<'a>(&self, loads: impl IntoIterator<Item = (&'a Replica, u8)>) {
-        let mut by_service: BTreeMap<&str, Vec<(ReplicaId, f64)>> = BTreeMap::new();
+        let mut by_service: BTreeMap<&str, Vec<ReplicaWork>> = BTreeMap::new();
         for (replica, work) in loads {
-            let line = (ReplicaId::from(replica.id.as_str()), work.into());
-            by_service.entry(&replica.service).or_default().push(line);
+            let load = ReplicaWork { replica: ReplicaId::from(replica.id.as_str()), work: work.into() };
+            by_service.entry(&replica.service).or_default().push(load);
         }
         let mut placement = self.placement.borrow_mut();
         by_service
             .into_iter()
-            .for_each(|(service, loads)| placement.set_loads(held::now(), service, loads));
+            .for_each(|(service, loads)| placement.set_loads(placed_request::now(), service, loads));
     }
 
     /// Ready once requests that have not begun on these weights are to be called off.
@@ -192,7 +192,7 @@
 
     fn set_members(&self, service: &str) {
         let members = self.replicas.borrow().members(service);
-        self.placement.borrow_mut().set_members(held::now(), service, members);
+        self.placement.borrow_mut().set_members(placed_request::now(), service, members);
     }
 
     /// Looks into this index of kept prompts from now on.
--- a/crates/proxy/src/replica/outcome.rs
+++ b/crates/proxy/src/replica/outcome.rs
@@ -155,7 +155,7 @@
             SendEvent::ConnectRefused | SendEvent::ConnectTimedOut | SendEvent::BrokenInHead => {
                 Verdict::NoConnection
             }
-            SendEvent::NoDescriptor => Verdict::Moot,
+            SendEvent::NoDescriptor => Verdict::NotSent,
             SendEvent::BrokenInBody
             | SendEvent::BrokenBeforeAnswer
             | SendEvent::BrokenInAnswer
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -17,7 +17,7 @@
 use tulipridge_runtime::signals::{ProcessSignal, SignalStream};
 use tulipridge_subscription::{Changed, FeedStore, Identity, Subscriber, clock};
 
-use crate::placement::held;
+use crate::placement::placed_request;
 use crate::proxy::Proxy;
 use crate::{edge, ready};
 
@@ -83,7 +83,7 @@
     executor.spawn(async move { subscriber.run(|_| Some(publisher)).await }).detach();
     let alarms = proxy.alarms.clone();
     executor.spawn(async move { alarms.drive().await }).detach();
-    executor.spawn(held::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
+    executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
     executor.spawn(housekeeping(proxy.clone())).detach();
     executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_check)).detach();
     executor.spawn(edge::listen(proxy.clone(), executor.clone(), front_door)).detach();
--- a/crates/proxy/tests/calls.rs
+++ b/crates/proxy/tests/calls.rs
@@ -337,7 +337,7 @@
     let may_have_run = outcome.known != Known::NotRun;
     let is_sent_again = matches!(outcome.next, Next::SendAgain | Next::SendAgainOrPassOn | Next::Resume);
     let says_so = event.verdict();
-    let module_thinks_not_run = matches!(says_so, Verdict::Full | Verdict::NoConnection | Verdict::Moot);
+    let module_thinks_not_run = matches!(says_so, Verdict::Full | Verdict::NoConnection | Verdict::NotSent);
     if is_sent_again && may_have_run && !kind.is_repeatable() {
         return Some("what may have run and must not be repeated is sent again");
     }
--- a/crates/proxy/tests/placement.rs
+++ b/crates/proxy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The decision modules as the proxy drives them, with the time handed in.
+//! The load balancers as the proxy drives them, with the time handed in.
 
 mod support;
 
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use tulipridge_load_balancer::types::{Member, Nanos, Phase, ReplicaId, RequestId, Verdict};
+use tulipridge_load_balancer::types::{ClassIndex, Member, Nanos, Phase, ReplicaId, RequestId, Verdict};
 use tulipridge_proxy::placement::prompt::Prompt;
-use tulipridge_proxy::placement::{self, Ask, Order, Placement};
+use tulipridge_proxy::placement::{self, AttemptOutcome, Order, Placement, PlacementRequest};
 
 const SECOND: Nanos = 1_000_000_000;
 const START: Nanos = 5 * SECOND;
@@ -29,14 +29,19 @@
     (0..count).map(|n| member(&format!("i-{n}"), Phase::Ready)).collect()
 }
 
-fn ask(placement: &Placement, route: &str, prompt: Prompt) -> Ask {
+fn placement_request(placement: &Placement, route: &str, prompt: Prompt) -> PlacementRequest {
     let class = placement.class(route).expect("a class");
-    Ask { class, expires_in: Duration::from_secs(6), prompt }
+    PlacementRequest { class, expires_in: Duration::from_secs(6), prompt }
 }
 
 fn place(placement: &mut Placement, route: &str, prompt: Prompt) -> RequestId {
-    let ask = ask(placement, route, prompt);
-    placement.request(START, "service", ask).expect("a known service")
+    let request = placement_request(placement, route, prompt);
+    placement.request(START, "service", request).expect("a known service")
+}
+
+/// How the first attempt ended, at once.
+fn outcome(verdict: Verdict, ends_request: bool) -> AttemptOutcome {
+    AttemptOutcome { attempt: 0, verdict, elapsed: Duration::ZERO, ends_request }
 }
 
 fn next(placement: &mut Placement, id: RequestId) -> Option<Order> {
@@ -56,7 +61,7 @@
 #[rstest]
 #[case::not_run("risky", Verdict::Full, true)]
 #[case::unreachable("risky", Verdict::NoConnection, true)]
-#[case::not_sent("risky", Verdict::Moot, true)]
+#[case::not_sent("risky", Verdict::NotSent, true)]
 #[case::reset("risky", Verdict::Reset, false)]
 #[case::failed("stream", Verdict::Error, false)]
 #[case::cancelled("stream", Verdict::Cancelled, false)]
@@ -71,7 +76,7 @@
     let id = place(&mut placement, route, Prompt::default());
     let (attempt, first) = sent_to(next(&mut placement, id));
     assert_eq!(attempt, 0);
-    placement.outcome(START, id, (0, verdict, Duration::ZERO), false);
+    placement.outcome(START, id, outcome(verdict, false));
     let order = next(&mut placement, id);
     if is_repeated {
         let (attempt, second) = sent_to(order);
@@ -90,7 +95,7 @@
     let id = place(&mut placement, "risky", Prompt::default());
     sent_to(next(&mut placement, id));
     if let Some(verdict) = first {
-        placement.outcome(START, id, (0, verdict, Duration::ZERO), false);
+        placement.outcome(START, id, outcome(verdict, false));
         sent_to(next(&mut placement, id));
     }
     placement.run_timers(START + 6 * SECOND - 1);
@@ -123,7 +128,7 @@
     let mut placement = placement(&ready(2));
     let id = place(&mut placement, "risky", Prompt::default());
     assert!(placement.next_timer().is_some());
-    placement.outcome(START, id, (0, Verdict::Ok, Duration::ZERO), true);
+    placement.outcome(START, id, outcome(Verdict::Ok, true));
     placement.end(START, id);
     assert_eq!((placement.next_timer(), placement.live_count()), (None, 0));
 }
@@ -144,7 +149,7 @@
         let subject = n % 40;
         let id = place(&mut placement, "stream", prompt(subject, 1000 + n));
         let (_, replica) = sent_to(next(&mut placement, id));
-        placement.outcome(START, id, (0, Verdict::Ok, Duration::ZERO), true);
+        placement.outcome(START, id, outcome(Verdict::Ok, true));
         placement.end(START, id);
         if subject == 3 && n > 200 {
             replicas.insert(replica);
@@ -165,11 +170,11 @@
     configuration.routes.push(support::route("new", "/new/", tulipridge_configuration::RouteKind::Risky));
     placement.configure(&configuration);
     assert_eq!(placement.class("risky"), Some(before));
-    assert_eq!(placement.class("harmless"), Some(0));
-    assert_eq!(placement.class("new"), Some(5));
+    assert_eq!(placement.class("harmless"), Some(ClassIndex(0)));
+    assert_eq!(placement.class("new"), Some(ClassIndex(5)));
     let id = place(&mut placement, "risky", Prompt::default());
     sent_to(next(&mut placement, id));
-    placement.outcome(START, id, (0, Verdict::Reset, Duration::ZERO), false);
+    placement.outcome(START, id, outcome(Verdict::Reset, false));
     sent_to(next(&mut placement, id));
 }
 
@@ -185,6 +190,6 @@
 #[test]
 fn a_request_for_an_unknown_service_is_not_placed() {
     let mut placement = placement(&ready(2));
-    let ask = ask(&placement, "risky", Prompt::default());
-    assert_eq!(placement.request(START, "nowhere", ask), None);
+    let request = placement_request(&placement, "risky", Prompt::default());
+    assert_eq!(placement.request(START, "nowhere", request), None);
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -16,7 +16,7 @@
 use tulipridge_protocol::feed::{
     ModelRevision, ModelWeights, Position, Replica, ReplicaPhase, WeightsTable,
 };
-use tulipridge_proxy::placement::held;
+use tulipridge_proxy::placement::placed_request;
 use tulipridge_proxy::proxy::Proxy;
 use tulipridge_proxy::{edge, ready};
 use tulipridge_runtime::settings::Settings;
@@ -355,7 +355,7 @@
         };
         let alarms = proxy.alarms.clone();
         executor.spawn(async move { alarms.drive().await }).detach();
-        executor.spawn(held::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
+        executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
         executor.spawn(edge::listen(proxy.clone(), executor.clone(), front)).detach();
         executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_check)).detach();
         proxy.set_gateways(1);
--- a/crates/simulator/src/fleet/clients.rs
+++ b/crates/simulator/src/fleet/clients.rs
@@ -1,8 +1,8 @@
 //! Sessions, clients and their tries, and the layer that spreads them over the gateways.
 
 use super::{
-    Client, Distribution, End, Event, Exp, Fleet, Flight, GatewayAt, MILLI, Nanos, Pcg64Mcg, Request,
-    RequestId, RngExt, SECOND, SLACK, Session, What, Zipf, drawn, nanos, source,
+    ClassIndex, Client, Distribution, End, Event, Exp, Fleet, Flight, GatewayAt, MILLI, Nanos, Pcg64Mcg,
+    Request, RequestId, RngExt, SECOND, SLACK, Session, TenantIndex, What, Zipf, drawn, nanos, source,
 };
 
 impl Fleet<'_> {
@@ -106,14 +106,14 @@
         let asked = Request {
             id: RequestId(request),
             expires_in,
-            class,
-            tenant: client.tenant,
+            class: ClassIndex(class),
+            tenant: client.tenant.map(TenantIndex),
             prefix: Some((class as u64 + 1) << 32 | u64::from(client.beginning)),
             session: Some(client.session),
-            prompt: client.prompt,
-            prefix_len: client.beginning_tokens,
-            max_answer: client.answer,
-            repeat,
+            prompt_tokens: client.prompt,
+            prefix_tokens: client.beginning_tokens,
+            max_output_tokens: client.answer,
+            is_retry: repeat,
         };
         self.tell(gateway, Event::Request(asked));
     }
--- a/crates/simulator/src/fleet/gateways.rs
+++ b/crates/simulator/src/fleet/gateways.rs
@@ -22,7 +22,7 @@
         let epoch = self.gateways[gateway].epoch;
         match action {
             Action::Send { id, replica, timeout, .. } => self.send(gateway, id.0, &replica, timeout),
-            Action::Refuse { id, wait } => self.answer(id.0, End::Refused, wait),
+            Action::Refuse { id, retry_after } => self.answer(id.0, End::Refused, retry_after),
             Action::Fail(id) => self.answer(id.0, End::Failed, 0),
             Action::Cancel { id, attempt } => {
                 if self.stage(id.0, attempt) == Some(Stage::Out) {
@@ -31,7 +31,7 @@
             }
             Action::Timer { after, token } => self.after(after, What::Timer { gateway, epoch, token }),
             Action::Watch | Action::Fetch => self.list_call(gateway),
-            Action::Probe(_) | Action::Tell { .. } => {}
+            Action::Probe(_) | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -226,7 +226,10 @@
             _ => Vec::new(),
         };
         let id = RequestId(request);
-        self.tell(gateway, Event::Outcome { id, attempt, verdict, ended, elapsed, kept, report });
+        self.tell(
+            gateway,
+            Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens: kept, report },
+        );
         self.tidy(request);
     }
 
--- a/crates/simulator/src/fleet/lists.rs
+++ b/crates/simulator/src/fleet/lists.rs
@@ -42,7 +42,7 @@
         (gateway.call, gateway.watches) = (None, true);
         let members: Arc<[Member]> =
             self.members.iter().filter(|m| m.phase != Phase::Gone).cloned().collect();
-        self.after(0, What::ListNews { gateway: g, epoch, kind: ListKind::Whole, members });
+        self.after(0, What::ListNews { gateway: g, epoch, kind: ListKind::Complete, members });
     }
 
     pub(super) fn list_timed_out(&mut self, g: usize, epoch: u32, call: u64) {
@@ -59,7 +59,7 @@
         if gateway.epoch != epoch {
             return;
         }
-        if kind == ListKind::Whole {
+        if kind == ListKind::Complete {
             gateway.known.clear();
             if !std::mem::replace(&mut gateway.has_list, true) {
                 self.record.list_waits.push(self.now - gateway.started);
@@ -114,7 +114,7 @@
             let gateway = &mut self.gateways[g];
             if gateway.policy.is_some() && !std::mem::replace(&mut gateway.watches, true) {
                 let (epoch, members) = (gateway.epoch, Arc::clone(&members));
-                self.after(0, What::ListNews { gateway: g, epoch, kind: ListKind::Whole, members });
+                self.after(0, What::ListNews { gateway: g, epoch, kind: ListKind::Complete, members });
             }
         }
     }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -19,7 +19,8 @@
 use rand_distr::{Distribution, Exp, LogNormal, Normal, Zipf};
 use rand_pcg::Pcg64Mcg;
 use tulipridge::types::{
-    Action, Event, ListKind, Member, Nanos, Phase, ReplicaId, Request, RequestId, SettingsError, Verdict,
+    Action, ClassIndex, Event, ListKind, Member, Nanos, Phase, ReplicaId, Request, RequestId,
+    SettingsError, TenantIndex, Verdict,
 };
 
 use crate::chance::{drawn, source};
@@ -392,7 +393,7 @@
             What::ListTimeOut { gateway, epoch, call } => self.list_timed_out(gateway, epoch, call),
             What::ListRefused { gateway, epoch, call, wait } => {
                 if self.gateways[gateway].epoch == epoch {
-                    self.tell(gateway, Event::Busy(wait));
+                    self.tell(gateway, Event::ListServiceBusy(wait));
                 }
                 self.list_timed_out(gateway, epoch, call);
             }
--- a/crates/simulator/src/policy/mod.rs
+++ b/crates/simulator/src/policy/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use serde::Deserialize;
-use tulipridge::Gateway;
+use tulipridge::LoadBalancer;
 use tulipridge::types::{Action, Event, Nanos, Settings, SettingsError};
 
 use plain::Plain;
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// The gateway's decision module, `crates/load-balancer/src/choice/`.
+    /// The gateway's decision module, `crates/load-balancer/src/balancer/`.
     Module,
     /// Any server, with chances by size: what no knowledge at all gives.
     Random,
@@ -56,7 +56,7 @@
 /// One gateway's policy.
 pub enum Policy {
     /// The real one.
-    Module(Box<Gateway>),
+    Module(Box<LoadBalancer>),
     /// A plain one.
     Plain(Box<Plain>),
 }
@@ -70,7 +70,7 @@
         truth: &Truth,
     ) -> Result<Policy, SettingsError> {
         Ok(match kind {
-            PolicyKind::Module => Policy::Module(Box::new(Gateway::new(settings, seed)?)),
+            PolicyKind::Module => Policy::Module(Box::new(LoadBalancer::new(settings, seed)?)),
             other => Policy::Plain(Box::new(Plain::new(other, settings, seed, Rc::clone(truth)))),
         })
     }
@@ -78,7 +78,7 @@
     /// Takes an event; what is to be done is added to `actions`.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match self {
-            Policy::Module(gateway) => gateway.handle(now, event, actions),
+            Policy::Module(balancer) => balancer.handle(now, event, actions),
             Policy::Plain(plain) => plain.handle(now, event, actions),
         }
     }
--- a/crates/simulator/src/policy/plain.rs
+++ b/crates/simulator/src/policy/plain.rs
@@ -5,7 +5,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use tulipridge::pace::Calls;
+use tulipridge::list_schedule::ListSchedule;
 use tulipridge::types::{
     Action, Event, ListKind, Member, Nanos, Phase, ReplicaId, Request, RequestId, Settings, Verdict,
 };
@@ -53,7 +53,7 @@
     timers: BTreeMap<u64, Purpose>,
     last_token: u64,
     turn: usize,
-    calls: Calls,
+    list_schedule: ListSchedule,
 }
 
 impl Plain {
@@ -61,7 +61,7 @@
     pub fn new(kind: PolicyKind, settings: Settings, seed: u64, truth: Truth) -> Plain {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let turn = random.random_range(0..1 << 20);
-        let calls = Calls::of(&settings);
+        let list_schedule = ListSchedule::from_settings(&settings);
         Plain {
             kind,
             settings,
@@ -73,7 +73,7 @@
             timers: BTreeMap::new(),
             last_token: 0,
             turn,
-            calls,
+            list_schedule,
         }
     }
 
@@ -118,8 +118,8 @@
                     live.deadline = Nanos::MAX;
                 }
             }
-            Event::Busy(wait) => self.calls.busy(now, wait),
-            Event::Probed { .. } | Event::Peer { .. } | Event::Loads(_) | Event::Work(..) => {}
+            Event::ListServiceBusy(wait) => self.list_schedule.defer(now, wait),
+            Event::Probed { .. } | Event::PeerMessage { .. } | Event::Loads(_) | Event::WorkSent(..) => {}
         }
     }
 
@@ -132,15 +132,15 @@
     fn list(&mut self, now: Nanos, kind: ListKind, members: &[Member], actions: &mut Vec<Action>) {
         let chance = self.random.random();
         let wait = match kind {
-            ListKind::Persisted => Some(self.calls.start(now, chance)),
-            ListKind::Failed => Some(self.calls.failed(now, chance)),
-            ListKind::Whole | ListKind::Changes | ListKind::Own => None,
+            ListKind::Persisted => Some(self.list_schedule.first_wait(now, chance)),
+            ListKind::Failed => Some(self.list_schedule.record_failure(now, chance)),
+            ListKind::Complete | ListKind::Changes | ListKind::Local => None,
         };
         match wait {
             Some(wait) => self.timer(wait, Purpose::Call, actions),
-            None => self.calls.answered(now),
+            None => self.list_schedule.record_success(now),
         }
-        if matches!(kind, ListKind::Whole | ListKind::Persisted) {
+        if matches!(kind, ListKind::Complete | ListKind::Persisted) {
             self.servers.values_mut().for_each(|s| s.ready = false);
         }
         let mut changed = false;
@@ -171,7 +171,7 @@
     fn place(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(live) = self.live.get(&id) else { return };
         let tried: Vec<ReplicaId> = live.attempts.iter().map(|(r, _)| r.clone()).collect();
-        let spent = tried.len() >= self.settings.limits.attempts as usize || live.deadline <= now;
+        let spent = tried.len() >= self.settings.limits.max_attempts as usize || live.deadline <= now;
         let (key, timeout) = (key_of(&live.request), live.deadline.saturating_sub(now));
         match if spent { None } else { self.pick(now, key, &tried) } {
             Some(replica) => {
@@ -184,7 +184,7 @@
                 actions.push(Action::Send { id, replica, timeout, write_within: Nanos::MAX });
             }
             None => {
-                actions.push(Action::Refuse { id, wait: 0 });
+                actions.push(Action::Refuse { id, retry_after: 0 });
                 self.finish(id, actions);
             }
         }
--- a/src/bin/tulipridge-simhost/host.rs
+++ b/src/bin/tulipridge-simhost/host.rs
@@ -4,13 +4,32 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use tulipridge::Gateway;
-use tulipridge::types::{Action, Event, ListKind, Member, Nanos, ReplicaId, Request};
+use tulipridge::LoadBalancer;
+use tulipridge::types::{
+    Action, ClassIndex, Event, ListKind, Member, Nanos, ReplicaId, Request, TenantIndex,
+};
 
 use crate::parse::{Fault, Names, Parts, fault, member, number_of, settings};
 
 /// Lists are numbered below this.
 const LISTS: usize = 16;
+/// The bit of a request's marks that says that the client tries it again.
+const RETRY_MARK: u64 = 2;
+
+/// A gateway that was started.
+struct Gateway {
+    balancer: LoadBalancer,
+    /// The names that its events use.
+    names: Names,
+}
+
+/// A batch of events that is being read.
+#[derive(Clone, Copy)]
+struct Batch {
+    /// The clock of all its events.
+    now: Nanos,
+    number: u64,
+}
 
 /// A list that is being read: its number, its lines so far, and how many are due.
 struct Reading {
@@ -21,18 +40,18 @@
 
 #[derive(Default)]
 pub(crate) struct Host {
-    gateways: HashMap<String, (Gateway, Names)>,
+    gateways: HashMap<String, Gateway>,
     lists: [Option<Arc<[Member]>>; LISTS],
     reading: Option<Reading>,
     /// Zones and kinds by number, the same for lists and gateways.
     zones: Vec<String>,
     kinds: Vec<String>,
-    batch: Option<(Nanos, u64)>,
+    batch: Option<Batch>,
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Takes a line and adds the actions that follow; true once the reply is complete.
+    /// Reads a line and adds the actions that follow; true once the reply is complete.
     pub(crate) fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, Fault> {
         if self.reading.is_some() {
             self.entry(line)?;
@@ -40,11 +59,11 @@
         }
         let mut parts = Parts::new(line);
         let message = parts.text("message")?;
-        let Some((now, number)) = self.batch else {
+        let Some(Batch { now, number }) = self.batch else {
             if message != "CLOCK" {
                 return Err(fault("message", format_args!("'{message}' where CLOCK was due")));
             }
-            self.batch = Some((parts.whole("wall-ns")?, parts.whole("n")?));
+            self.batch = Some(Batch { now: parts.whole("wall-ns")?, number: parts.whole("n")? });
             return parts.end().map(|()| false);
         };
         match message {
@@ -70,8 +89,8 @@
                 let (mut settings, names) = settings(&parts.pairs()?)?;
                 settings.zone =
                     settings.zone.map(|z| number_of(&mut self.zones, &names.zones[usize::from(z)]));
-                let gateway = Gateway::new(settings, salt).map_err(|e| fault("setup", e))?;
-                self.gateways.insert(name.to_owned(), (gateway, names));
+                let balancer = LoadBalancer::new(settings, salt).map_err(|e| fault("setup", e))?;
+                self.gateways.insert(name.to_owned(), Gateway { balancer, names });
             }
             "CRASH_NOW" => {
                 let name = router(&mut parts)?;
@@ -116,101 +135,124 @@
         reply: &mut String,
     ) -> Result<(), Fault> {
         let name = router(&mut parts)?;
-        let mut gateway = self.gateways.get_mut(name);
         let event = match message {
-            "UPDATE" => {
-                let kind = match parts.text("kind")? {
-                    "Partial" => ListKind::Changes,
-                    "Complete" => ListKind::Whole,
-                    "Persisted" => ListKind::Persisted,
-                    "Error" => ListKind::Failed,
-                    other => return Err(fault("kind", format_args!("'{other}' is no known kind"))),
-                };
-                parts.whole_or::<u64>("gen", 0)?;
-                let list = parts.part("set-id")?;
-                let members = match (kind, list.map(str::parse::<usize>)) {
-                    (ListKind::Failed, _) => Arc::from([]),
-                    (_, Some(Ok(list))) => match self.lists.get(list) {
-                        Some(Some(members)) => Arc::clone(members),
-                        _ => return Err(fault("set-id", format_args!("no list {list} was given"))),
-                    },
-                    (_, Some(Err(_))) => return Err(fault("set-id", "no whole number in range")),
-                    (_, None) => return Err(fault("set-id", "absent")),
-                };
-                Event::List { kind, members }
-            }
+            "UPDATE" => self.list_event(&mut parts)?,
             "ASK" => {
-                let id = parts.request()?;
-                let expires_in = parts.whole::<i64>("expires-in-ns")?.max(0) as Nanos;
-                let prefix = parts.key("shared-prefix")?;
-                let session = parts.key("object")?;
-                parts.span("expected-ns")?;
-                let prefix_len = parts.count("prefix-len")?;
-                let max_answer = parts.count("n-max")?;
-                let (class, tenant) = (parts.text("priority")?, parts.part("project")?);
-                let prompt = parts.count("prompt-len")?;
-                let marks: u64 = parts.whole_or("marks", 0)?;
-                let Some((_, names)) = &gateway else { return Ok(()) };
-                let class = names.classes.iter().position(|c| c == class).ok_or_else(|| {
-                    fault("priority", format_args!("'{class}' is no class of this gateway's"))
-                })?;
-                let tenant = tenant.filter(|t| *t != "0" && !names.tenants.is_empty());
-                let tenant = match tenant.map(|t| names.tenants.iter().position(|n| n == t)) {
-                    Some(None) => return Err(fault("project", "no tenant of this gateway's")),
-                    found => found.flatten(),
-                };
-                let repeat = marks & 2 != 0;
-                Event::Request(Request {
-                    id,
-                    expires_in,
-                    class,
-                    tenant,
-                    prefix,
-                    session,
-                    prompt,
-                    prefix_len,
-                    max_answer,
-                    repeat,
-                })
+                let names = self.gateways.get(name).map(|gateway| &gateway.names);
+                match request_event(&mut parts, names)? {
+                    Some(event) => event,
+                    None => return Ok(()),
+                }
             }
             "EXPIRED" => Event::Expired(parts.request()?),
-            "RETURNED" => {
-                let id = parts.request()?;
-                let kept = parts.part("info")?;
-                let kept = kept.map(|v| v.parse().map_err(|_| fault("info", "no whole number in range")));
-                let elapsed = parts.span("rtt-ns")?;
-                parts.part("worker")?;
-                let attempt = parts.whole("hop")?;
-                let ended = parts.flag("ended")?;
-                let verdict = parts.verdict()?;
-                let report = parts.report()?;
-                Event::Outcome { id, attempt, verdict, ended, elapsed, kept: kept.transpose()?, report }
-            }
-            "HEAD_RECEIVED" => {
-                let id = parts.request()?;
-                let elapsed = parts.span("rtt-ns")?;
-                parts.part("worker")?;
-                Event::FirstToken { id, attempt: parts.whole("hop")?, elapsed }
-            }
-            "HEALTH_RESULT" => {
-                let replica = ReplicaId::from(parts.text("worker")?);
-                let verdict = parts.verdict()?;
-                let elapsed = parts.span("rtt-ns")?;
-                Event::Probed { replica, verdict, elapsed, report: parts.report()? }
-            }
+            "RETURNED" => outcome_event(&mut parts)?,
+            "HEAD_RECEIVED" => first_token_event(&mut parts)?,
+            "HEALTH_RESULT" => probe_event(&mut parts)?,
             "WAKE" => Event::Timer(parts.whole("token")?),
-            "MESSAGE" => Event::Peer { from: parts.whole("who")?, bytes: parts.bytes("raw")? },
+            "MESSAGE" => Event::PeerMessage { from: parts.whole("who")?, bytes: parts.bytes("raw")? },
             other => return Err(fault("message", format_args!("'{other}' is not known"))),
         };
         parts.end()?;
-        if let Some((gateway, _)) = &mut gateway {
-            gateway.handle(now, event, &mut self.actions);
+        if let Some(gateway) = self.gateways.get_mut(name) {
+            gateway.balancer.handle(now, event, &mut self.actions);
         }
         for action in self.actions.drain(..) {
             print(name, &action, reply);
         }
         Ok(())
     }
+
+    fn list_event(&self, parts: &mut Parts) -> Result<Event, Fault> {
+        let kind = match parts.text("kind")? {
+            "Partial" => ListKind::Changes,
+            "Complete" => ListKind::Complete,
+            "Persisted" => ListKind::Persisted,
+            "Error" => ListKind::Failed,
+            other => return Err(fault("kind", format_args!("'{other}' is no known kind"))),
+        };
+        parts.whole_or::<u64>("gen", 0)?;
+        let list = parts.part("set-id")?;
+        let members = match (kind, list.map(str::parse::<usize>)) {
+            (ListKind::Failed, _) => Arc::from([]),
+            (_, Some(Ok(list))) => match self.lists.get(list) {
+                Some(Some(members)) => Arc::clone(members),
+                _ => return Err(fault("set-id", format_args!("no list {list} was given"))),
+            },
+            (_, Some(Err(_))) => return Err(fault("set-id", "no whole number in range")),
+            (_, None) => return Err(fault("set-id", "absent")),
+        };
+        Ok(Event::List { kind, members })
+    }
+}
+
+/// Reads a request; none if its gateway, whose `names` it uses, is not there.
+fn request_event(parts: &mut Parts, names: Option<&Names>) -> Result<Option<Event>, Fault> {
+    let id = parts.request()?;
+    let expires_in = parts.whole::<i64>("expires-in-ns")?.max(0) as Nanos;
+    let prefix = parts.key("shared-prefix")?;
+    let session = parts.key("object")?;
+    parts.span("expected-ns")?;
+    let prefix_tokens = parts.count("prefix-len")?;
+    let max_output_tokens = parts.count("n-max")?;
+    let class = parts.text("priority")?;
+    let tenant = parts.part("project")?;
+    let prompt_tokens = parts.count("prompt-len")?;
+    let marks: u64 = parts.whole_or("marks", 0)?;
+    let Some(names) = names else { return Ok(None) };
+    Ok(Some(Event::Request(Request {
+        id,
+        expires_in,
+        class: class_index(names, class)?,
+        tenant: tenant_index(names, tenant)?,
+        prefix,
+        session,
+        prompt_tokens,
+        prefix_tokens,
+        max_output_tokens,
+        is_retry: marks & RETRY_MARK != 0,
+    })))
+}
+
+fn class_index(names: &Names, class: &str) -> Result<ClassIndex, Fault> {
+    let index = names.classes.iter().position(|name| name == class);
+    let unknown = || fault("priority", format_args!("'{class}' is no class of this gateway's"));
+    index.map(ClassIndex).ok_or_else(unknown)
+}
+
+fn tenant_index(names: &Names, tenant: Option<&str>) -> Result<Option<TenantIndex>, Fault> {
+    let tenant = tenant.filter(|tenant| *tenant != "0" && !names.tenants.is_empty());
+    match tenant.map(|tenant| names.tenants.iter().position(|name| name == tenant)) {
+        Some(None) => Err(fault("project", "no tenant of this gateway's")),
+        found => Ok(found.flatten().map(TenantIndex)),
+    }
+}
+
+fn outcome_event(parts: &mut Parts) -> Result<Event, Fault> {
+    let id = parts.request()?;
+    let cached = parts.part("info")?;
+    let cached = cached.map(|text| text.parse().map_err(|_| fault("info", "no whole number in range")));
+    let elapsed = parts.span("rtt-ns")?;
+    parts.part("worker")?;
+    let attempt = parts.whole("hop")?;
+    let ended = parts.flag("ended")?;
+    let verdict = parts.verdict()?;
+    let report = parts.report()?;
+    let cached_tokens = cached.transpose()?;
+    Ok(Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens, report })
+}
+
+fn first_token_event(parts: &mut Parts) -> Result<Event, Fault> {
+    let id = parts.request()?;
+    let elapsed = parts.span("rtt-ns")?;
+    parts.part("worker")?;
+    Ok(Event::FirstToken { id, attempt: parts.whole("hop")?, elapsed })
+}
+
+fn probe_event(parts: &mut Parts) -> Result<Event, Fault> {
+    let replica = ReplicaId::from(parts.text("worker")?);
+    let verdict = parts.verdict()?;
+    let elapsed = parts.span("rtt-ns")?;
+    Ok(Event::Probed { replica, verdict, elapsed, report: parts.report()? })
 }
 
 fn router<'a>(parts: &mut Parts<'a>) -> Result<&'a str, Fault> {
@@ -226,14 +268,16 @@
         Action::Send { id, replica, timeout, .. } => {
             writeln!(reply, "RELAY {router} {:016x} {} {timeout}", id.0, replica.0)
         }
-        Action::Refuse { id, wait } => writeln!(reply, "SAY_NO {router} {:016x} {wait}", id.0),
+        Action::Refuse { id, retry_after } => {
+            writeln!(reply, "SAY_NO {router} {:016x} {retry_after}", id.0)
+        }
         Action::Fail(id) => writeln!(reply, "LOSE {router} {:016x}", id.0),
         Action::Cancel { id, attempt } => writeln!(reply, "REVOKE {router} {:016x} {attempt}", id.0),
         Action::Timer { after, token } => writeln!(reply, "REMIND {router} {after} {token}"),
         Action::Watch => writeln!(reply, "WATCH {router} 1"),
         Action::Fetch => writeln!(reply, "READ_LIST {router}"),
         Action::Probe(replica) => writeln!(reply, "SOUND_OUT {router} {}", replica.0),
-        Action::Tell { to, bytes } => {
+        Action::SendToPeer { to, bytes } => {
             let _ = match to {
                 Some(to) => write!(reply, "TELL {router} {to} "),
                 None => write!(reply, "TELL {router} * "),
--- a/src/bin/tulipridge-simhost/parse.rs
+++ b/src/bin/tulipridge-simhost/parse.rs
@@ -4,10 +4,10 @@
 use std::fmt::Display;
 use std::str::{FromStr, Split};
 
-use tulipridge::names::gauge_named;
+use tulipridge::names::load_metric_named;
 use tulipridge::types::{
     Class, Effect, Limits, Member, Nanos, Phase, ReplicaId, RequestId, Safety, Scope, Settings, Tenant,
-    Units, Verdict,
+    UnitsMeaning, Verdict,
 };
 
 /// What is wrong with a line: the field and the fault.
@@ -106,7 +106,7 @@
             "ConnectError" => Verdict::NoConnection,
             "ResetByPeer" => Verdict::Reset,
             "Canceled" => Verdict::Cancelled,
-            "Ignored" => Verdict::Moot,
+            "Ignored" => Verdict::NotSent,
             other => return Err(fault("outcome", format_args!("'{other}' is no known outcome"))),
         })
     }
@@ -230,13 +230,13 @@
         };
         let slope = pairs.of_class("family-info.aim-us-per-1000-prompt-tokens", n)?;
         classes.push(Class {
-            aim: whole(&path("promise-ns"), pairs.must(&path("promise-ns"))?)?,
-            aim_per_token: slope.max(0.0) as Nanos,
-            token_aim: pairs.of_class("family-info.token-aim-ns", n)?.max(0.0) as Nanos,
+            latency_target: whole(&path("promise-ns"), pairs.must(&path("promise-ns"))?)?,
+            latency_target_per_token: slope.max(0.0) as Nanos,
+            inter_token_target: pairs.of_class("family-info.token-aim-ns", n)?.max(0.0) as Nanos,
             deadline: whole(&path("deadline-ns"), pairs.must(&path("deadline-ns"))?)?,
             effect,
-            worth: pairs.number(&path("points"), 1.0)?,
-            late_worth: pairs.number(&path("late-worth"), 0.0)?,
+            value: pairs.number(&path("points"), 1.0)?,
+            late_value: pairs.number(&path("late-worth"), 0.0)?,
             stream: pairs.flag(&path("stream"), false)?,
         });
     }
@@ -253,28 +253,28 @@
     };
     let retry_after = pairs.flag("policy-limits.retry-after", false)?;
     let limits = Limits {
-        attempts: pairs.nanos("policy-limits.send-cap", 1)? as u32,
-        second_copies: pairs.flag("policy-limits.second-copies", false)?,
-        cancel: pairs.flag("policy-limits.cancel", false)?,
+        max_attempts: pairs.nanos("policy-limits.send-cap", 1)? as u32,
+        hedging: pairs.flag("policy-limits.second-copies", false)?,
+        cancellation: pairs.flag("policy-limits.cancel", false)?,
         probes: pairs.flag("policy-limits.probes", false)?,
-        peers: pairs.flag("policy-limits.may-tell", false)?,
-        retry_after: pairs.nanos("policy-limits.max-retry-after-ns", 0)? * Nanos::from(retry_after),
+        peer_messages: pairs.flag("policy-limits.may-tell", false)?,
+        max_retry_after: pairs.nanos("policy-limits.max-retry-after-ns", 0)? * Nanos::from(retry_after),
     };
     let safety = Safety {
-        cold_from: pairs.number("safety.cold-from", 1.0)?,
-        ramp: pairs.nanos("safety.ramp-time-ns", 0)?,
+        initial_capacity: pairs.number("safety.cold-from", 1.0)?,
+        slow_start_window: pairs.nanos("safety.ramp-time-ns", 0)?,
         overload_factor: pairs.number("safety.overload-factor", 1.0)?,
-        fall: pairs.nanos("safety.fall-ns", 0)?,
-        ask_within: pairs.nanos("safety.ask-within-ns", 10_000_000_000)?,
+        overload_window: pairs.nanos("safety.fall-ns", 0)?,
+        max_list_age: pairs.nanos("safety.ask-within-ns", 10_000_000_000)?,
     };
     let settings = Settings {
-        movable: false,
+        has_prefix_transfer: false,
         speeds: Vec::new(),
         list_calls_per_s: None,
         group_size: whole("group-size", pairs.must("group-size")?)?,
-        me: pairs.nanos("me", 0)? as u32,
+        gateway_index: pairs.nanos("me", 0)? as u32,
         zone,
-        push: match pairs.get("discovery") {
+        has_pushed_list: match pairs.get("discovery") {
             Some("push") | None => true,
             Some("ask") => false,
             Some(other) => return Err(fault("discovery", format_args!("'{other}' is no known way"))),
@@ -282,16 +282,16 @@
         tick: pairs.nanos("granularity-ns", 0)?,
         classes,
         tenants,
-        over_share_worth: pairs.number("over-share-worth", 1.0)?,
+        over_share_value: pairs.number("over-share-worth", 1.0)?,
         limits,
         safety,
         units: match pairs.get("weight-source") {
-            Some("nominal" | "rough") => Units::Size,
-            Some("live") => Units::Live,
-            Some("silent") | None => Units::None,
+            Some("nominal" | "rough") => UnitsMeaning::Size,
+            Some("live") => UnitsMeaning::Live,
+            Some("silent") | None => UnitsMeaning::None,
             Some(other) => return Err(fault("weight-source", format_args!("'{other}' is not known"))),
         },
-        gauges: pairs.list("report.fields").iter().map(|name| gauge_named(name)).collect(),
+        load_metrics: pairs.list("report.fields").iter().map(|name| load_metric_named(name)).collect(),
     };
     Ok((settings, names))
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -13,10 +13,10 @@
 use crate::api_keys::{self, Keys};
 use crate::front::messages::Setup;
 use crate::front::messages::models::Model;
-use crate::names::{Listing, Names, gauge_named, number_of};
+use crate::names::{Listing, Names, load_metric_named, number_of};
 use crate::settings;
 use crate::store::Store;
-use crate::types::{Class, Effect, Limits, Nanos, Safety, Scope, Settings, Tenant, Units};
+use crate::types::{Class, Effect, Limits, Nanos, Safety, Scope, Settings, Tenant, UnitsMeaning};
 
 /// All that a gateway is told.
 #[derive(Clone, Debug)]
@@ -298,7 +298,7 @@
     let mut names = Names {
         zones: tree.at("localities").texts()?,
         kinds: tree.at("shapes").texts()?,
-        gauges: tree.at("report").at("fields").texts()?,
+        load_metrics: tree.at("report").at("fields").texts()?,
         ..Names::default()
     };
     let family = tree.at("family-info");
@@ -324,14 +324,14 @@
         let deadline = lane.at("deadline-ns").nanos(0)?;
         names.deadlines.push(deadline);
         classes.push(Class {
-            aim: lane.at("promise-ns").nanos(0)?,
+            latency_target: lane.at("promise-ns").nanos(0)?,
             // Microseconds for a thousand tokens are nanoseconds for one.
-            aim_per_token: of_class(&slopes)?,
-            token_aim: of_class(&paces)?,
+            latency_target_per_token: of_class(&slopes)?,
+            inter_token_target: of_class(&paces)?,
             deadline,
             effect,
-            worth: lane.at("points").number(1.0)?,
-            late_worth: lane.at("late-worth").number(0.0)?,
+            value: lane.at("points").number(1.0)?,
+            late_value: lane.at("late-worth").number(0.0)?,
             stream: lane.at("stream").flag()?,
         });
     }
@@ -345,14 +345,14 @@
     let zone = tree.at("zone").text_or("")?;
     let policy = tree.at("policy-limits");
     let safety = tree.at("safety");
-    let retry_after =
+    let max_retry_after =
         if policy.at("retry-after").flag()? { policy.at("max-retry-after-ns").nanos(0)? } else { 0 };
     let settings = Settings {
-        movable: false,
+        has_prefix_transfer: false,
         group_size: tree.at("group-size").number(1.0)? as u32,
-        me: tree.at("me").number(0.0)? as u32,
+        gateway_index: tree.at("me").number(0.0)? as u32,
         zone: (!zone.is_empty()).then(|| number_of(&mut names.zones, &zone)),
-        push: match tree.at("discovery").text_or("push")?.as_str() {
+        has_pushed_list: match tree.at("discovery").text_or("push")?.as_str() {
             "push" => true,
             "ask" => false,
             _ => return tree.at("discovery").fault("no known way"),
@@ -360,29 +360,29 @@
         tick: tree.at("granularity-ns").nanos(0)?,
         classes,
         tenants,
-        over_share_worth: tree.at("over-share-worth").number(1.0)?,
+        over_share_value: tree.at("over-share-worth").number(1.0)?,
         limits: Limits {
-            attempts: policy.at("send-cap").number(1.0)? as u32,
-            second_copies: policy.at("second-copies").flag()?,
-            cancel: policy.at("cancel").flag()?,
+            max_attempts: policy.at("send-cap").number(1.0)? as u32,
+            hedging: policy.at("second-copies").flag()?,
+            cancellation: policy.at("cancel").flag()?,
             probes: policy.at("probes").flag()?,
-            peers: policy.at("may-tell").flag()?,
-            retry_after,
+            peer_messages: policy.at("may-tell").flag()?,
+            max_retry_after,
         },
         safety: Safety {
-            cold_from: safety.at("cold-from").number(1.0)?,
-            ramp: safety.at("ramp-time-ns").nanos(0)?,
+            initial_capacity: safety.at("cold-from").number(1.0)?,
+            slow_start_window: safety.at("ramp-time-ns").nanos(0)?,
             overload_factor: safety.at("overload-factor").number(1.0)?,
-            fall: safety.at("fall-ns").nanos(0)?,
-            ask_within: safety.at("ask-within-ns").nanos(10_000_000_000)?,
+            overload_window: safety.at("fall-ns").nanos(0)?,
+            max_list_age: safety.at("ask-within-ns").nanos(10_000_000_000)?,
         },
         units: match tree.at("weight-source").text_or("silent")?.as_str() {
-            "nominal" | "rough" => Units::Size,
-            "live" => Units::Live,
-            "silent" => Units::None,
+            "nominal" | "rough" => UnitsMeaning::Size,
+            "live" => UnitsMeaning::Live,
+            "silent" => UnitsMeaning::None,
             _ => return tree.at("weight-source").fault("not known"),
         },
-        gauges: names.gauges.iter().map(|name| gauge_named(name)).collect(),
+        load_metrics: names.load_metrics.iter().map(|name| load_metric_named(name)).collect(),
         speeds: Vec::new(),
         list_calls_per_s: None,
     };
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -23,12 +23,13 @@
     Answer, Arrival, BegunStream, Client, FailureReason, Servers, Step, StreamSuccessor, carry_on, serve,
 };
 
-use crate::Gateway;
+use crate::LoadBalancer;
 use crate::limits::{Limits, StreamLimits};
 use crate::process::lag::{LagMonitor, LagSpell};
 use crate::stream::{Change, End};
 use crate::types::{
-    Action, Event, ListKind, Member, Nanos, ReplicaId, Request, RequestId, Settings, SettingsError, Verdict,
+    Action, ClassIndex, Event, ListKind, Member, Nanos, ReplicaId, Request, RequestId, Settings,
+    SettingsError, TenantIndex, Verdict,
 };
 use streams::Streams;
 
@@ -123,7 +124,7 @@
 }
 
 struct Core {
-    gateway: Gateway,
+    balancer: LoadBalancer,
     timers: BinaryHeap<Reverse<(Nanos, u64)>>,
     waiting: BTreeMap<RequestId, Waiting>,
     actions: Vec<Action>,
@@ -162,7 +163,7 @@
         let (fleet, orders) = async_channel::unbounded();
         let (nudge, nudged) = async_channel::bounded(1);
         let core = Core {
-            gateway: Gateway::new(settings, seed)?,
+            balancer: LoadBalancer::new(settings, seed)?,
             timers: BinaryHeap::new(),
             waiting: BTreeMap::new(),
             actions: Vec::new(),
@@ -197,7 +198,7 @@
     /// Places that the module holds for real servers, to be watched from outside.
     #[must_use]
     pub fn places(&self) -> usize {
-        self.core.borrow().gateway.places()
+        self.core.borrow().balancer.replica_slots()
     }
 
     /// News of the list. A real server that rests stays as one that drains until its rest is over.
@@ -208,13 +209,13 @@
 
     /// The list service asks to be left alone for so long.
     pub fn busy(&self, wait: Duration) {
-        self.feed(Event::Busy(Nanos::try_from(wait.as_nanos()).unwrap_or(Nanos::MAX)));
+        self.feed(Event::ListServiceBusy(Nanos::try_from(wait.as_nanos()).unwrap_or(Nanos::MAX)));
     }
 
     /// Carries out what the standing of real servers calls for.
     fn change(&self, change: &Change) {
         if let Some(member) = self.streams.borrow_mut().changed(change) {
-            self.feed(Event::List { kind: ListKind::Own, members: [member].into() });
+            self.feed(Event::List { kind: ListKind::Local, members: [member].into() });
         }
     }
 
@@ -297,18 +298,18 @@
             id
         };
         let held = Held { engine: self.clone(), id, mailbox: Box::pin(mailbox), out: BTreeMap::new() };
-        let (prompt, prefix_len, max_answer) = ask.tokens;
+        let (prompt_tokens, prefix_tokens, max_output_tokens) = ask.tokens;
         self.feed(Event::Request(Request {
             id,
             expires_in: ask.expires_in.min(self.longest),
-            class: ask.class,
-            tenant: ask.tenant,
+            class: ClassIndex(ask.class),
+            tenant: ask.tenant.map(TenantIndex),
             prefix: ask.prefix,
             session: ask.session,
-            prompt,
-            prefix_len,
-            max_answer,
-            repeat: ask.repeat,
+            prompt_tokens,
+            prefix_tokens,
+            max_output_tokens,
+            is_retry: ask.repeat,
         }));
         Some(held)
     }
@@ -317,7 +318,7 @@
     fn feed(&self, event: Event) {
         let core = &mut *self.core.borrow_mut();
         let now = self.now();
-        core.gateway.handle(now, event, &mut core.actions);
+        core.balancer.handle(now, event, &mut core.actions);
         let mut sooner = false;
         for action in core.actions.drain(..) {
             let mut give = |id: RequestId, order: &mut dyn FnMut(&mut Waiting) -> Order| {
@@ -334,8 +335,8 @@
                     let [timeout, write_within] = [timeout, write_within].map(Duration::from_nanos);
                     Order::Schedule { number, server: replica.clone(), timeout, write_within }
                 }),
-                Action::Refuse { id, wait } => {
-                    give(id, &mut |_| Order::TurnDown(Duration::from_nanos(wait)));
+                Action::Refuse { id, retry_after } => {
+                    give(id, &mut |_| Order::TurnDown(Duration::from_nanos(retry_after)));
                 }
                 Action::Fail(id) => give(id, &mut |_| Order::Fail),
                 Action::Cancel { id, attempt } => give(id, &mut |_| Order::Cancel(attempt)),
@@ -348,7 +349,7 @@
                 Action::Fetch => drop(self.fleet.try_send(FleetOrder::Fetch)),
                 Action::Probe(replica) => drop(self.fleet.try_send(FleetOrder::Probe(replica))),
                 // Gateways share nothing that feeds a decision.
-                Action::Tell { .. } => {}
+                Action::SendToPeer { .. } => {}
             }
         }
         if sooner {
@@ -413,9 +414,17 @@
     pub fn outcome(&mut self, number: u32, ending: Ending, ended: bool) {
         let Some((sent, _)) = self.out.remove(&number) else { return };
         let elapsed = self.engine.now().saturating_sub(sent);
-        let Ending { verdict, kept, report, .. } = ending;
+        let Ending { verdict, kept: cached_tokens, report, .. } = ending;
         let id = self.id;
-        self.engine.feed(Event::Outcome { id, attempt: number, verdict, ended, elapsed, kept, report });
+        self.engine.feed(Event::Outcome {
+            id,
+            attempt: number,
+            verdict,
+            ended,
+            elapsed,
+            cached_tokens,
+            report,
+        });
     }
 }
 
@@ -430,8 +439,15 @@
             let waited = elapsed.saturating_add(slack) >= timeout;
             let verdict = if waited { Verdict::TimedOut } else { Verdict::Cancelled };
             let (id, report) = (self.id, Vec::new());
-            let outcome =
-                Event::Outcome { id, attempt: number, verdict, ended: true, elapsed, kept: None, report };
+            let outcome = Event::Outcome {
+                id,
+                attempt: number,
+                verdict,
+                ended: true,
+                elapsed,
+                cached_tokens: None,
+                report,
+            };
             self.engine.feed(outcome);
         }
         self.engine.core.borrow_mut().waiting.remove(&self.id);
--- a/src/engine/request_lifecycle.rs
+++ b/src/engine/request_lifecycle.rs
@@ -136,7 +136,7 @@
     fn note(&mut self, verdict: Verdict) {
         self.ended = true;
         match verdict {
-            Verdict::Full | Verdict::NoConnection | Verdict::Moot => {}
+            Verdict::Full | Verdict::NoConnection | Verdict::NotSent => {}
             Verdict::TimedOut | Verdict::Cancelled => self.silent = true,
             _ => self.errors = true,
         }
@@ -393,7 +393,7 @@
                     Step::Ended(ending) => ending,
                     // What has begun can't be rejected any more; of another copy it says nothing.
                     _ if n == number => Verdict::Error.into(),
-                    _ => Verdict::Moot.into(),
+                    _ => Verdict::NotSent.into(),
                 };
                 let end = ending.end;
                 server_side.outcome(n, ending);
--- a/src/engine/streams.rs
+++ b/src/engine/streams.rs
@@ -47,7 +47,7 @@
     /// Notes the list, and covers those that rest.
     pub(super) fn listed(&mut self, kind: ListKind, members: &mut [Member]) {
         let Some(outliers) = &mut self.outliers else { return };
-        if matches!(kind, ListKind::Whole | ListKind::Persisted) {
+        if matches!(kind, ListKind::Complete | ListKind::Persisted) {
             self.members.clear();
         }
         for member in members.iter() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,4 +18,4 @@
 pub mod stream;
 pub mod syslog;
 
-pub use tulipridge_load_balancer::{Gateway, cold, pace, types};
+pub use tulipridge_load_balancer::{LoadBalancer, list_schedule, types};
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -180,7 +180,7 @@
             rest_read: Duration::from_millis(50),
             stream_opening: Duration::from_secs(4),
             head_stall: Duration::from_millis(1500),
-            watch_silence: Duration::from_nanos(crate::pace::SILENCE),
+            watch_silence: Duration::from_nanos(crate::list_schedule::WATCH_IDLE_TIMEOUT),
             // An empty line is due after 2 s.
             agent_silence: Duration::from_millis(2300),
             // Together well below the time for which a drained server may still be sent to.
--- a/src/names.rs
+++ b/src/names.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::types::{Gauge, Member, Nanos, Phase, ReplicaId};
+use crate::types::{LoadMetric, Member, Nanos, Phase, ReplicaId};
 
 /// A way to speak of requests and streams.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
@@ -122,7 +122,7 @@
     /// The kinds' names.
     pub kinds: Vec<String>,
     /// The names of a load report's values, in the settings' order.
-    pub gauges: Vec<String>,
+    pub load_metrics: Vec<String>,
     /// The classes' deadlines.
     pub deadlines: Vec<Nanos>,
     /// The classes of which a second run does no harm.
@@ -181,7 +181,7 @@
         let pairs = text.split([',', ' ']).filter_map(|p| p.split_once('='));
         let told = pairs.filter_map(|(k, v)| Some((k, v.parse().ok()?)));
         let told: BTreeMap<&str, f64> = told.filter(|(_, value)| (0.0..=1e6).contains(value)).collect();
-        self.gauges.iter().map(|name| told.get(name.as_str()).copied().unwrap_or(f64::NAN)).collect()
+        self.load_metrics.iter().map(|name| told.get(name.as_str()).copied().unwrap_or(f64::NAN)).collect()
     }
 }
 
@@ -196,16 +196,16 @@
 
 /// What load reports call a value.
 #[must_use]
-pub fn gauge_named(name: &str) -> Gauge {
+pub fn load_metric_named(name: &str) -> LoadMetric {
     match name {
-        "inflight" => Gauge::InFlight,
-        "queue" => Gauge::Queue,
-        "util" => Gauge::Utilisation,
-        "latency_ms" => Gauge::Latency,
-        "qps" => Gauge::Rate,
-        "eps" => Gauge::Errors,
-        "x0" => Gauge::Memory,
-        "x1" => Gauge::Unread,
-        _ => Gauge::Other,
+        "inflight" => LoadMetric::InFlight,
+        "queue" => LoadMetric::Queue,
+        "util" => LoadMetric::Utilisation,
+        "latency_ms" => LoadMetric::Latency,
+        "qps" => LoadMetric::Rate,
+        "eps" => LoadMetric::Errors,
+        "x0" => LoadMetric::Memory,
+        "x1" => LoadMetric::Unread,
+        _ => LoadMetric::Other,
     }
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -304,7 +304,7 @@
             return Ok(());
         }
         *first = false;
-        let kind = if listing.full { ListKind::Whole } else { ListKind::Changes };
+        let kind = if listing.full { ListKind::Complete } else { ListKind::Changes };
         self.take(listing, kind);
         Ok(())
     }
--- a/src/net/servers/attempt.rs
+++ b/src/net/servers/attempt.rs
@@ -40,7 +40,7 @@
         write_within: Duration,
     ) -> Result<OpenAnswer, Refusal> {
         let from = Instant::now();
-        let Some((addr, dialect)) = self.place(server) else { return Err(Verdict::Moot.into()) };
+        let Some((addr, dialect)) = self.place(server) else { return Err(Verdict::NotSent.into()) };
         // No real server had this dialect when the request came, or it would have been refused then.
         let (request, content) =
             forwarded.bytes(dialect, timeout).map_err(|what| Refusal::Request(400, what))?;
@@ -48,21 +48,21 @@
             log::debug!(server = &*server.0, after:? = from.elapsed(); "no-connection: {e}");
             // Guards against blaming a real server, and its zone, for a want of descriptors here.
             match Errno::from_io_error(&e) {
-                _ if e.kind() == io::ErrorKind::QuotaExceeded => Verdict::Moot,
+                _ if e.kind() == io::ErrorKind::QuotaExceeded => Verdict::NotSent,
                 // No descriptor is free in the system or in this process.
-                Some(Errno::NFILE | Errno::MFILE) => Verdict::Moot,
+                Some(Errno::NFILE | Errno::MFILE) => Verdict::NotSent,
                 _ => Verdict::NoConnection,
             }
         })?;
         // Guards against sending to a real server that began to drain while the connection came up.
         if self.place(server).is_none_or(|(now, _)| now != addr) {
             log::info!(server = &*server.0; "drained-while-connecting: nothing was sent");
-            return Err(Verdict::Moot.into());
+            return Err(Verdict::NotSent.into());
         }
         // Guards against a second run: what discards a repeat does so within a window only.
         if from.elapsed() >= write_within {
             log::info!(server = &*server.0; "window-over: a repeat whose connection came up too late was not sent");
-            return Err(Verdict::Moot.into());
+            return Err(Verdict::NotSent.into());
         }
         // Guards against a request that goes on arriving when it was given up: what the system still holds of it is
         // dropped with the connection.
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -16,6 +16,7 @@
 use tulipridge::engine::Engine;
 use tulipridge::front::{Dialect, FrontContext};
 use tulipridge::limits::Limits;
+use tulipridge::list_schedule::{ListSchedule, PROPAGATION_DEADLINE};
 use tulipridge::net::discovery::Discovery;
 use tulipridge::net::edge::Edge;
 use tulipridge::net::handover::Handover;
@@ -24,7 +25,6 @@
 use tulipridge::net::mgmt::Mgmt;
 use tulipridge::net::peers;
 use tulipridge::net::servers::Fleet;
-use tulipridge::pace::{self, Calls};
 use tulipridge::process::background::run_in_background;
 use tulipridge::store::Store;
 use tulipridge::syslog;
@@ -66,10 +66,10 @@
 ) -> Result<(), String> {
     let mut signals =
         Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|e| format!("signals: {e}"))?;
-    let push = config.settings.push;
-    let told = Calls::of(&config.settings).budget();
-    if !push && told.silent.max(told.refused) > pace::TOLD {
-        let [silent, refused] = [told.silent, told.refused].map(|nanos| nanos / 1_000_000);
+    let push = config.settings.has_pushed_list;
+    let bounds = ListSchedule::from_settings(&config.settings).propagation_bounds();
+    if !push && bounds.after_idle.max(bounds.after_refusal) > PROPAGATION_DEADLINE {
+        let [silent, refused] = [bounds.after_idle, bounds.after_refusal].map(|nanos| nanos / 1_000_000);
         log::warn!(silent_ms = silent, refused_ms = refused; "list-late: a group of this size may have its list later than its news count as told; state what the list service can serve in list.calls_per_s, or make it faster");
     }
     let (engine, orders) =
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -6,7 +6,7 @@
 
 use quickcheck::{Arbitrary, Gen};
 
-use tulipridge::Gateway;
+use tulipridge::LoadBalancer;
 use tulipridge::types::*;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -125,7 +125,7 @@
     count: u64,
     drawn: u64,
     /// All processes there ever were; `current` says which one of each gateway takes what comes.
-    processes: Vec<Gateway>,
+    processes: Vec<LoadBalancer>,
     current: Vec<usize>,
     /// The process before that, and until when some still come to it.
     before: Vec<(usize, Nanos)>,
@@ -169,41 +169,41 @@
         unit(self.case.seed, self.drawn)
     }
 
-    fn settings(&self, me: u32) -> Settings {
+    fn settings(&self, gateway_index: u32) -> Settings {
         let case = &self.case;
         let class = Class {
-            aim: SECOND,
-            aim_per_token: 0,
-            token_aim: 50 * MILLI,
+            latency_target: SECOND,
+            latency_target_per_token: 0,
+            inter_token_target: 50 * MILLI,
             deadline: 5 * SECOND,
             effect: Effect::Safe,
-            worth: 1.0,
-            late_worth: 0.0,
+            value: 1.0,
+            late_value: 0.0,
             stream: true,
         };
         Settings {
             group_size: case.group,
-            me,
-            push: true,
+            gateway_index,
+            has_pushed_list: true,
             tick: MILLI,
             classes: vec![class],
             // Nobody is beyond its share: the door says nothing of that here.
             tenants: vec![Tenant { share: 1.0, quota_per_s: Some(case.quota) }],
-            over_share_worth: 1.0,
+            over_share_value: 1.0,
             limits: Limits {
-                attempts: 4,
-                second_copies: case.copies,
-                cancel: true,
+                max_attempts: 4,
+                hedging: case.copies,
+                cancellation: true,
                 probes: false,
-                peers: false,
-                retry_after: SECOND,
+                peer_messages: false,
+                max_retry_after: SECOND,
             },
             safety: Safety {
-                cold_from: case.from,
-                ramp: case.ramp,
+                initial_capacity: case.from,
+                slow_start_window: case.ramp,
                 overload_factor: case.factor,
-                fall: case.fall,
-                ask_within: 10 * SECOND,
+                overload_window: case.fall,
+                max_list_age: 10 * SECOND,
             },
             ..Settings::default()
         }
@@ -227,9 +227,10 @@
         .collect()
     }
 
-    fn process(&mut self, me: usize, cold: bool) -> usize {
+    fn process(&mut self, gateway_index: usize, cold: bool) -> usize {
         let seed = self.case.seed ^ (self.processes.len() as u64).wrapping_mul(0xD129_0F6D);
-        self.processes.push(Gateway::new(self.settings(me as u32), seed).expect("good settings"));
+        self.processes
+            .push(LoadBalancer::new(self.settings(gateway_index as u32), seed).expect("good settings"));
         let process = self.processes.len() - 1;
         let members = self.list(cold).into();
         self.tell(process, Event::List { kind: ListKind::Persisted, members });
@@ -354,7 +355,7 @@
             match self.whats.remove(&n).expect("it was put in") {
                 What::List { process, cold } => {
                     let members = self.list(cold).into();
-                    self.tell(process, Event::List { kind: ListKind::Whole, members });
+                    self.tell(process, Event::List { kind: ListKind::Complete, members });
                 }
                 What::Restart(me) => {
                     let told = self.now - BEGIN >= case.late || self.chance() < 0.5;
@@ -380,14 +381,14 @@
                     let request = Request {
                         id,
                         expires_in: 5 * SECOND,
-                        class: 0,
-                        tenant: Some(0),
+                        class: ClassIndex(0),
+                        tenant: Some(TenantIndex(0)),
                         prefix: Some(prefix),
                         session,
-                        prompt,
-                        prefix_len: prompt / 2,
-                        max_answer: 100,
-                        repeat: false,
+                        prompt_tokens: prompt,
+                        prefix_tokens: prompt / 2,
+                        max_output_tokens: 100,
+                        is_retry: false,
                     };
                     self.tell(process, Event::Request(request));
                 }
@@ -401,7 +402,15 @@
                     let (elapsed, report) = (10 * MILLI, vec![]);
                     self.tell(
                         process,
-                        Event::Outcome { id, attempt, verdict, ended, elapsed, kept, report },
+                        Event::Outcome {
+                            id,
+                            attempt,
+                            verdict,
+                            ended,
+                            elapsed,
+                            cached_tokens: kept,
+                            report,
+                        },
                     );
                 }
             }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn load_reports_out_of_range_say_nothing() {
-    let names = Names { gauges: vec!["util".into(), "eps".into()], ..Names::default() };
+    let names = Names { load_metrics: vec!["util".into(), "eps".into()], ..Names::default() };
     assert_eq!(names.report("TEXT util=0.61, eps=0"), [0.61, 0.0]);
     for lie in ["util=1e300, eps=-1", "util=inf, eps=NaN", "util=, eps=x", "", "noise"] {
         assert!(names.report(lie).iter().all(|value| value.is_nan()), "{lie}");
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use tulipridge::Gateway;
+use tulipridge::LoadBalancer;
 use tulipridge::types::*;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -10,13 +10,13 @@
 
 fn class(effect: Effect) -> Class {
     Class {
-        aim: SECOND,
-        aim_per_token: 0,
-        token_aim: 50 * MILLI,
+        latency_target: SECOND,
+        latency_target_per_token: 0,
+        inter_token_target: 50 * MILLI,
         deadline: 5 * SECOND,
         effect,
-        worth: 1.0,
-        late_worth: 0.0,
+        value: 1.0,
+        late_value: 0.0,
         stream: true,
     }
 }
@@ -24,24 +24,24 @@
 fn settings(effect: Effect) -> Settings {
     Settings {
         group_size: 4,
-        push: true,
+        has_pushed_list: true,
         tick: MILLI,
         classes: vec![class(effect)],
-        over_share_worth: 1.0,
+        over_share_value: 1.0,
         limits: Limits {
-            attempts: 4,
-            second_copies: false,
-            cancel: true,
+            max_attempts: 4,
+            hedging: false,
+            cancellation: true,
             probes: false,
-            peers: false,
-            retry_after: SECOND,
+            peer_messages: false,
+            max_retry_after: SECOND,
         },
         safety: Safety {
-            cold_from: 0.2,
-            ramp: 20 * SECOND,
+            initial_capacity: 0.2,
+            slow_start_window: 20 * SECOND,
             overload_factor: 2.5,
-            fall: 2 * SECOND,
-            ask_within: 10 * SECOND,
+            overload_window: 2 * SECOND,
+            max_list_age: 10 * SECOND,
         },
         ..Settings::default()
     }
@@ -65,14 +65,14 @@
 
 /// A gateway with its clock, and the rules that hold whatever happens.
 struct Bench {
-    gateway: Gateway,
+    balancer: LoadBalancer,
     now: Nanos,
     next: u64,
     attempts: BTreeMap<u64, u32>,
     answered: BTreeSet<u64>,
     timers: Vec<(Nanos, u64)>,
     /// The next requests are clients' repeats.
-    repeat: bool,
+    is_retry: bool,
     /// The tenant of the next requests.
     tenant: Option<usize>,
     /// Prompt tokens found kept; with more than the shared beginning's, sessions have a reason to stay.
@@ -81,15 +81,15 @@
 
 impl Bench {
     fn new(settings: Settings, list: &[Member]) -> Self {
-        let gateway = Gateway::new(settings, 7).expect("good settings");
+        let balancer = LoadBalancer::new(settings, 7).expect("good settings");
         let mut bench = Bench {
-            gateway,
+            balancer,
             now: 100 * SECOND,
             next: 0,
             attempts: BTreeMap::new(),
             answered: BTreeSet::new(),
             timers: vec![],
-            repeat: false,
+            is_retry: false,
             tenant: None,
             kept: 900,
         };
@@ -99,7 +99,7 @@
 
     fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             match action {
                 Action::Refuse { id, .. } | Action::Fail(id) => {
@@ -126,14 +126,14 @@
         let request = Request {
             id,
             expires_in: 5 * SECOND,
-            class: 0,
-            tenant: self.tenant,
+            class: ClassIndex(0),
+            tenant: self.tenant.map(TenantIndex),
             prefix,
             session: Some(session),
-            prompt: 1000,
-            prefix_len: 500,
-            max_answer: 100,
-            repeat: self.repeat,
+            prompt_tokens: 1000,
+            prefix_tokens: 500,
+            max_output_tokens: 100,
+            is_retry: self.is_retry,
         };
         let actions = self.handle(Event::Request(request));
         (id, actions)
@@ -150,7 +150,15 @@
             self.answered.insert(id.0);
         }
         let (elapsed, report) = (10 * MILLI, vec![]);
-        self.handle(Event::Outcome { id, attempt, verdict, ended, elapsed, kept: Some(self.kept), report })
+        self.handle(Event::Outcome {
+            id,
+            attempt,
+            verdict,
+            ended,
+            elapsed,
+            cached_tokens: Some(self.kept),
+            report,
+        })
     }
 
     /// One request, served at once; where it went.
@@ -200,13 +208,13 @@
 #[test]
 fn settings_that_cannot_work_are_an_error() {
     let good = settings(Effect::Safe);
-    assert!(Gateway::new(Settings { classes: vec![], ..good.clone() }, 1).is_err());
-    assert!(Gateway::new(Settings { group_size: 0, ..good.clone() }, 1).is_err());
-    let limits = Limits { attempts: 0, ..good.limits.clone() };
-    assert!(Gateway::new(Settings { limits, ..good.clone() }, 1).is_err());
-    let safety = Safety { cold_from: 0.0, ..good.safety.clone() };
-    assert!(Gateway::new(Settings { safety, ..good.clone() }, 1).is_err());
-    assert!(Gateway::new(good, 1).is_ok());
+    assert!(LoadBalancer::new(Settings { classes: vec![], ..good.clone() }, 1).is_err());
+    assert!(LoadBalancer::new(Settings { group_size: 0, ..good.clone() }, 1).is_err());
+    let limits = Limits { max_attempts: 0, ..good.limits.clone() };
+    assert!(LoadBalancer::new(Settings { limits, ..good.clone() }, 1).is_err());
+    let safety = Safety { initial_capacity: 0.0, ..good.safety.clone() };
+    assert!(LoadBalancer::new(Settings { safety, ..good.clone() }, 1).is_err());
+    assert!(LoadBalancer::new(good, 1).is_ok());
 }
 
 // ---- the ring ---------------------------------------------------------------------------------------------
@@ -230,9 +238,9 @@
     let list = members(20);
     let mut bench = Bench::new(settings(Effect::Safe), &list);
     let before: Vec<_> = (0..1000).map(|s| bench.served(s, None)).collect();
-    bench.list(ListKind::Whole, &list[1..]);
+    bench.list(ListKind::Complete, &list[1..]);
     let without: Vec<_> = (0..1000).map(|s| bench.served(s, None)).collect();
-    bench.list(ListKind::Whole, &list);
+    bench.list(ListKind::Complete, &list);
     let after: Vec<_> = (0..1000).map(|s| bench.served(s, None)).collect();
     for (was, is) in before.iter().zip(&without) {
         assert!(was == is || was.as_deref() == Some("replica-0"));
@@ -257,7 +265,7 @@
     for large in &mut list[..5] {
         (large.kind, large.units) = (1, units);
     }
-    let settings = Settings { units: Units::Size, speeds, ..settings(Effect::Safe) };
+    let settings = Settings { units: UnitsMeaning::Size, speeds, ..settings(Effect::Safe) };
     let mut bench = Bench::new(settings, &list);
     let mut counts = BTreeMap::new();
     for session in 0..20_000 {
@@ -285,14 +293,14 @@
     let request = Request {
         id: RequestId(9),
         expires_in: SECOND,
-        class: 0,
+        class: ClassIndex(0),
         tenant: None,
         prefix: None,
         session: None,
-        prompt: 0,
-        prefix_len: 0,
-        max_answer: 0,
-        repeat: false,
+        prompt_tokens: 0,
+        prefix_tokens: 0,
+        max_output_tokens: 0,
+        is_retry: false,
     };
     assert!(sent(&bench.handle(Event::Request(request))).is_some());
 }
@@ -383,13 +391,13 @@
     for session in 0..200 {
         assert_eq!(bench.served(session, None).as_deref(), Some("replica-2"));
     }
-    bench.list(ListKind::Whole, &[]);
+    bench.list(ListKind::Complete, &[]);
     assert_eq!(sent(&bench.request(1, None).1), None);
 }
 
 #[test]
 fn a_list_that_must_be_asked_for_is_watched_and_asked_again_after_failures() {
-    let settings = Settings { push: false, ..settings(Effect::Safe) };
+    let settings = Settings { has_pushed_list: false, ..settings(Effect::Safe) };
     let mut bench = Bench::new(settings, &members(3));
     let watches = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Watch).count();
     assert_eq!(watches(&bench.pass(SECOND)), 1);
@@ -403,7 +411,7 @@
         waits.push(bench.now - start);
     }
     assert!(waits.iter().max() > Some(&SECOND), "no backoff: {waits:?}");
-    bench.list(ListKind::Whole, &members(3));
+    bench.list(ListKind::Complete, &members(3));
     assert_eq!(watches(&bench.pass(5 * SECOND)), 0);
     assert!(bench.served(1, None).is_some(), "the list survived the failures");
 }
@@ -411,14 +419,14 @@
 #[test]
 fn a_rest_of_a_real_server_does_not_call_off_the_next_call_for_the_list() {
     // Found by reading: a rest came as news of the list, as if the service had answered, and no call was ever made.
-    let settings = Settings { push: false, ..settings(Effect::Safe) };
+    let settings = Settings { has_pushed_list: false, ..settings(Effect::Safe) };
     for kind in [ListKind::Persisted, ListKind::Failed] {
         let mut bench = Bench::new(settings.clone(), &members(3));
         if kind == ListKind::Failed {
             bench.list(ListKind::Failed, &[]);
         }
         let resting = Member { phase: Phase::Draining, ..member(0) };
-        bench.list(ListKind::Own, &[resting]);
+        bench.list(ListKind::Local, &[resting]);
         let to: BTreeSet<_> = (0..60).filter_map(|s| bench.served(s, None)).collect();
         assert_eq!(to.len(), 2, "the one that rests gets nothing, the others stay: {to:?}");
         assert!(bench.pass(20 * SECOND).contains(&Action::Watch), "{kind:?}: never asked again");
@@ -428,9 +436,9 @@
 /// A hundred gateways of a group, from their start with `list`.
 fn fleet(settings: &Settings, list: &[Member]) -> Vec<Bench> {
     let start = |me| {
-        let settings = Settings { group_size: 100, me, ..settings.clone() };
-        let gateway = Gateway::new(settings.clone(), u64::from(me) * 977).expect("good settings");
-        let mut bench = Bench { gateway, ..Bench::new(settings, &[]) };
+        let settings = Settings { group_size: 100, gateway_index: me, ..settings.clone() };
+        let balancer = LoadBalancer::new(settings.clone(), u64::from(me) * 977).expect("good settings");
+        let mut bench = Bench { balancer, ..Bench::new(settings, &[]) };
         bench.timers.clear();
         bench.list(ListKind::Persisted, list);
         bench
@@ -441,7 +449,7 @@
 #[test]
 fn a_large_group_spreads_its_calls_for_the_list() {
     // Found on a herd+vast day: all called at once, none was served in its time, and all called again.
-    let settings = Settings { push: false, ..settings(Effect::Safe) };
+    let settings = Settings { has_pushed_list: false, ..settings(Effect::Safe) };
     let mut fleet = fleet(&settings, &members(3));
     let mut calls = Vec::new();
     for _ in 0..40 {
@@ -496,7 +504,15 @@
     assert!(bench.handle(Event::Expired(id)).is_empty());
     assert!(bench.handle(Event::FirstToken { id, attempt: 3, elapsed }).is_empty());
     let verdict = Verdict::Ok;
-    let outcome = Event::Outcome { id, attempt: 0, verdict, ended: true, elapsed, kept, report: vec![] };
+    let outcome = Event::Outcome {
+        id,
+        attempt: 0,
+        verdict,
+        ended: true,
+        elapsed,
+        cached_tokens: kept,
+        report: vec![],
+    };
     assert!(bench.handle(outcome).is_empty());
     assert!(bench.handle(Event::Timer(12345)).is_empty());
     let replica = ReplicaId::from("nobody");
@@ -574,7 +590,7 @@
 
 #[test]
 fn an_attempt_is_not_called_off_for_the_time_that_those_before_it_took() {
-    // Found with a request that was turned away and sent on at two thirds of its aim: 10 ms later that was called off.
+    // Found with a request that was turned away and sent on at two thirds of its latency_target: 10 ms later that was called off.
     let mut bench = Bench::new(settings(Effect::Safe), &members(10));
     let (id, _) = bench.request(1, None);
     bench.pass(640 * MILLI);
@@ -588,7 +604,7 @@
 /// silence ejects the replica, and what followed.
 fn silence(copies: bool, effect: Effect) -> (Bench, RequestId, Vec<Action>) {
     let mut settings = settings(effect);
-    settings.limits.second_copies = copies;
+    settings.limits.hedging = copies;
     let mut bench = Bench::new(settings, &members(10));
     for session in 0..300 {
         bench.served(session, None);
@@ -631,7 +647,7 @@
 /// A gateway that may send second copies and has had some sessions served.
 fn with_copies(replicas: usize, sessions: u64) -> Bench {
     let mut settings = settings(Effect::Safe);
-    settings.limits.second_copies = true;
+    settings.limits.hedging = true;
     let mut bench = Bench::new(settings, &members(replicas));
     for session in 0..sessions {
         bench.served(session, None);
@@ -812,7 +828,7 @@
 #[test]
 fn a_trial_that_tells_nothing_does_not_shut_a_cut_zone_for_good() {
     // Found on reading: a client that left during a zone's trial left it marked as under way, and no other came.
-    for verdict in [Verdict::Cancelled, Verdict::Moot, Verdict::TimedOut, Verdict::Reset] {
+    for verdict in [Verdict::Cancelled, Verdict::NotSent, Verdict::TimedOut, Verdict::Reset] {
         let mut list = members(40);
         list[20..].iter_mut().for_each(|member| member.zone = 1);
         let far = |name: &str| list[20..].iter().any(|m| &*m.id.0 == name);
@@ -890,13 +906,13 @@
 
 /// Requests sent to a replica that starts cold in its first seconds, by gateways of a group together, and
 /// to the mean warm one.
-fn cold_and_warm(units: Units, cold_units: f64, group: u32) -> (f64, f64) {
+fn cold_and_warm(units: UnitsMeaning, cold_units: f64, group: u32) -> (f64, f64) {
     let (mut cold, mut warm) = (0.0, 0.0);
     for me in 0..group {
-        let settings = Settings { group_size: group, me, units, ..settings(Effect::Safe) };
-        let gateway = Gateway::new(settings, u64::from(me)).expect("good settings");
+        let settings = Settings { group_size: group, gateway_index: me, units, ..settings(Effect::Safe) };
+        let balancer = LoadBalancer::new(settings, u64::from(me)).expect("good settings");
         let mut list = members(10);
-        let mut bench = Bench { gateway, ..Bench::new(self::settings(Effect::Safe), &[]) };
+        let mut bench = Bench { balancer, ..Bench::new(self::settings(Effect::Safe), &[]) };
         bench.list(ListKind::Persisted, &list);
         for session in 0..200 {
             bench.served(session, Some(session % 3));
@@ -920,7 +936,7 @@
 #[test]
 fn a_cold_replica_gets_no_more_than_its_warmth_for_any_group_size() {
     for group in [1, 4, 40] {
-        let (cold, warm) = cold_and_warm(Units::None, 1.0, group);
+        let (cold, warm) = cold_and_warm(UnitsMeaning::None, 1.0, group);
         assert!(cold < 0.6 * warm, "{group} gateways sent it {cold}, others {warm} each");
     }
 }
@@ -957,7 +973,7 @@
 #[test]
 fn an_empty_replica_does_not_look_large() {
     // Found on an overloaded day: units that load lowers made an idle cold replica's share a multiple.
-    let (cold, warm) = cold_and_warm(Units::Live, 1.0, 10);
+    let (cold, warm) = cold_and_warm(UnitsMeaning::Live, 1.0, 10);
     assert!(cold < 0.6 * warm, "sent it {cold}, others {warm} each");
 }
 
@@ -1037,7 +1053,7 @@
     }
     let mut counts = [0, 0];
     for (count, repeat) in counts.iter_mut().zip([false, true]) {
-        bench.repeat = repeat;
+        bench.is_retry = repeat;
         *count = (0..300).filter(|s| refused(&bench.request(1000 + s, None).1)).count();
     }
     assert!(counts[0] > 0 && counts[1] > counts[0] + 20 && counts[1] < 300, "{counts:?}");
@@ -1109,7 +1125,7 @@
                 bench.outcome(id, verdicts[(state >> 40) as usize % 4]);
             }
             if session % 50 == 0 {
-                bench.list(ListKind::Whole, &members(6)[(state >> 33) as usize % 5..]);
+                bench.list(ListKind::Complete, &members(6)[(state >> 33) as usize % 5..]);
             }
             bench.pass(30 * MILLI);
         }
@@ -1129,7 +1145,7 @@
         let sent = bench.served(n as u64, None).expect("served");
         assert!((n - 3..=n).any(|ready| member(ready).id.0.to_string() == sent));
     }
-    assert!(bench.gateway.places() <= 6, "{} places", bench.gateway.places());
+    assert!(bench.balancer.replica_slots() <= 6, "{} places", bench.balancer.replica_slots());
     // The one that a request still names is held for its late outcome, which concerns no other.
     assert!(!(196..200).any(|ready| member(ready).id.0.to_string() == first));
     assert!(sent(&bench.outcome(waiting, Verdict::Reset)).is_some(), "tried elsewhere");
@@ -1139,20 +1155,26 @@
 
 /// The parts of the module, in the order in which `deploy/balancer.toml` names them.
 const MODULE: [(&str, &str); 6] = [
-    ("crates/load-balancer/src/choice.rs", include_str!("../crates/load-balancer/src/choice.rs")),
-    ("crates/load-balancer/src/choice/ring.rs", include_str!("../crates/load-balancer/src/choice/ring.rs")),
-    ("crates/load-balancer/src/choice/walk.rs", include_str!("../crates/load-balancer/src/choice/walk.rs")),
+    ("crates/load-balancer/src/balancer.rs", include_str!("../crates/load-balancer/src/balancer.rs")),
+    (
+        "crates/load-balancer/src/balancer/admission.rs",
+        include_str!("../crates/load-balancer/src/balancer/admission.rs"),
+    ),
+    (
+        "crates/load-balancer/src/balancer/attempts.rs",
+        include_str!("../crates/load-balancer/src/balancer/attempts.rs"),
+    ),
     (
-        "crates/load-balancer/src/choice/admission.rs",
-        include_str!("../crates/load-balancer/src/choice/admission.rs"),
+        "crates/load-balancer/src/balancer/discovery.rs",
+        include_str!("../crates/load-balancer/src/balancer/discovery.rs"),
     ),
     (
-        "crates/load-balancer/src/choice/attempts.rs",
-        include_str!("../crates/load-balancer/src/choice/attempts.rs"),
+        "crates/load-balancer/src/balancer/outlier_ejection.rs",
+        include_str!("../crates/load-balancer/src/balancer/outlier_ejection.rs"),
     ),
     (
-        "crates/load-balancer/src/choice/health.rs",
-        include_str!("../crates/load-balancer/src/choice/health.rs"),
+        "crates/load-balancer/src/balancer/selection.rs",
+        include_str!("../crates/load-balancer/src/balancer/selection.rs"),
     ),
 ];
 
@@ -1170,7 +1192,7 @@
     let policy = deploy.lines().find(|line| line.starts_with("policy = ")).expect("a policy");
     let named: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
     assert_eq!(named, MODULE.map(|(path, _)| path));
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/crates/load-balancer/src/choice");
+    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/crates/load-balancer/src/balancer");
     let files = std::fs::read_dir(folder).expect("the module's folder").count();
     assert_eq!(files + 1, MODULE.len());
 }
--- a/tests/pace.rs
+++ b/tests/pace.rs
@@ -1,7 +1,10 @@
 //! When the list service is called, for any group, slot and instant.
 
 use quickcheck::{Gen, QuickCheck};
-use tulipridge::pace::{ANSWER, Calls, OUTAGE_FAILURES, SILENCE, TOLD, UNKNOWN_FAILURES};
+use tulipridge::list_schedule::{
+    FETCH_ALLOWANCE, ListSchedule, OUTAGE_FAILURES, PROPAGATION_DEADLINE, UNKNOWN_FAILURES,
+    WATCH_IDLE_TIMEOUT,
+};
 use tulipridge::types::Nanos;
 
 const MILLI: Nanos = 1_000_000;
@@ -22,7 +25,8 @@
         let calls: Vec<Nanos> = (0..group)
             .map(|me| {
                 let start = 77 * SECOND + Nanos::from(me) * 7919 % 1000 * MILLI;
-                let wait = Calls::new(me, group, 10 * SECOND, rate).start(start, f64::from(me % 10) / 10.0);
+                let wait = ListSchedule::new(me, group, 10 * SECOND, rate)
+                    .first_wait(start, f64::from(me % 10) / 10.0);
                 assert!(wait <= window * MILLI, "{group} {rate:?}: {wait}");
                 start + wait
             })
@@ -35,106 +39,112 @@
 }
 
 /// The service has answered the first call of this gateway, but late.
-fn slow(mut calls: Calls) -> Calls {
-    let due = calls.start(0, 0.0);
-    calls.answered(due + SECOND);
+fn slow(mut calls: ListSchedule) -> ListSchedule {
+    let due = calls.first_wait(0, 0.0);
+    calls.record_success(due + SECOND);
     calls
 }
 
 /// The service has answered the first call of this gateway at once.
-fn quick(mut calls: Calls) -> Calls {
-    let due = calls.start(0, 0.0);
-    calls.answered(due + SECOND / 10);
+fn quick(mut calls: ListSchedule) -> ListSchedule {
+    let due = calls.first_wait(0, 0.0);
+    calls.record_success(due + SECOND / 10);
     calls
 }
 
 /// The longest waits after the watch has ended and calls have failed in a row, each 2 s after it was due.
-fn waits_in_an_outage(mut calls: Calls, failures: usize) -> Vec<Nanos> {
+fn waits_in_an_outage(mut calls: ListSchedule, failures: usize) -> Vec<Nanos> {
     let mut now = 77 * SECOND;
     let mut waits = Vec::new();
     for _ in 0..failures {
-        let drawn = |n: u32| calls.clone().failed(now, f64::from(n) / 1000.0);
+        let drawn = |n: u32| calls.clone().record_failure(now, f64::from(n) / 1000.0);
         waits.push((0..1000).map(drawn).max().unwrap_or(0));
-        now += calls.failed(now, 0.5) + 2 * SECOND;
+        now += calls.record_failure(now, 0.5) + 2 * SECOND;
     }
     waits
 }
 
 #[test]
 fn a_service_that_kept_up_is_called_on_in_an_outage_so_that_its_return_is_noticed_in_time() {
-    let waits = waits_in_an_outage(quick(Calls::new(7, 300, 10 * SECOND, None)), 12);
+    let waits = waits_in_an_outage(quick(ListSchedule::new(7, 300, 10 * SECOND, None)), 12);
     // The first one follows the end of the watch.
     let outage = OUTAGE_FAILURES as usize;
-    assert!(waits[..outage].iter().all(|wait| 2 * SECOND + wait + ANSWER <= TOLD), "{waits:?}");
+    assert!(
+        waits[..outage].iter().all(|wait| 2 * SECOND + wait + FETCH_ALLOWANCE <= PROPAGATION_DEADLINE),
+        "{waits:?}"
+    );
     assert!(waits[outage..].iter().all(|wait| *wait > 10 * SECOND), "it may be overloaded: {waits:?}");
 }
 
 #[test]
 fn a_service_that_was_never_heard_of_is_called_on_for_a_shorter_time() {
-    let waits = waits_in_an_outage(Calls::new(7, 300, 10 * SECOND, None), 8);
+    let waits = waits_in_an_outage(ListSchedule::new(7, 300, 10 * SECOND, None), 8);
     let unknown = UNKNOWN_FAILURES as usize;
-    assert!(waits[..unknown].iter().all(|wait| wait + ANSWER <= TOLD), "{waits:?}");
+    assert!(
+        waits[..unknown].iter().all(|wait| wait + FETCH_ALLOWANCE <= PROPAGATION_DEADLINE),
+        "{waits:?}"
+    );
     assert!(waits[unknown..].iter().all(|wait| *wait > 10 * SECOND), "{waits:?}");
 }
 
 #[test]
 fn quick_failures_keep_to_the_time_that_the_settings_give_after_a_failed_call() {
     // Found by a test of the program that failed now and then: 1 s for asking gives 4 s after a failure.
-    let mut calls = Calls::new(0, 1, SECOND, None);
+    let mut calls = ListSchedule::new(0, 1, SECOND, None);
     let mut now = 77 * SECOND;
     for _ in 0..12 {
-        let drawn = |n: u32| calls.clone().failed(now, f64::from(n) / 1000.0);
+        let drawn = |n: u32| calls.clone().record_failure(now, f64::from(n) / 1000.0);
         let longest = (0..1000).map(drawn).max().unwrap_or(0);
-        assert!(longest + ANSWER <= 4 * SECOND, "{longest}");
-        now += calls.failed(now, 0.1);
+        assert!(longest + FETCH_ALLOWANCE <= 4 * SECOND, "{longest}");
+        now += calls.record_failure(now, 0.1);
     }
 }
 
 #[test]
 fn a_service_that_answered_late_is_spared_from_its_first_failure_on() {
-    let waits = waits_in_an_outage(slow(Calls::new(7, 300, 10 * SECOND, None)), 6);
+    let waits = waits_in_an_outage(slow(ListSchedule::new(7, 300, 10 * SECOND, None)), 6);
     assert!(waits[1..].iter().all(|wait| *wait > 10 * SECOND), "{waits:?}");
 }
 
 #[test]
 fn failures_widen_the_window_up_to_its_longest_and_an_answer_resets_it() {
     // The longest of many draws, in whole seconds: the last slot of the last window.
-    let longest = |calls: &Calls| {
-        let waits = (0..1000).map(|n| calls.clone().failed(77 * SECOND, f64::from(n) / 1000.0));
+    let longest = |calls: &ListSchedule| {
+        let waits = (0..1000).map(|n| calls.clone().record_failure(77 * SECOND, f64::from(n) / 1000.0));
         waits.max().unwrap_or(0) / SECOND
     };
-    let mut calls = slow(Calls::new(0, 100, 10 * SECOND, None));
-    calls.failed(0, 0.5);
+    let mut calls = slow(ListSchedule::new(0, 100, 10 * SECOND, None));
+    calls.record_failure(0, 0.5);
     let mut waits = Vec::new();
     for _ in 0..4 {
         waits.push(longest(&calls));
-        calls.failed(0, 0.5);
+        calls.record_failure(0, 0.5);
     }
     assert_eq!(waits, [7, 7, 7, 7], "windows of 6 s: two fit into 16 s");
-    calls.answered(0);
+    calls.record_success(0);
     assert_eq!(longest(&calls), 2, "a watch that ends is no sign of a slow service");
-    let large = Calls::new(0, 1000, 10 * SECOND, None);
+    let large = ListSchedule::new(0, 1000, 10 * SECOND, None);
     // Windows of 60 s would be beyond the 40 s that the settings give after a failed call.
     assert_eq!(longest(&large), 30, "two windows of 18 s");
-    let mut told = Calls::new(999, 1000, 10 * SECOND, Some(100.0));
-    assert_eq!((told.start(0, 0.5), longest(&told)), (9995 * MILLI, 12));
+    let mut told = ListSchedule::new(999, 1000, 10 * SECOND, Some(100.0));
+    assert_eq!((told.first_wait(0, 0.5), longest(&told)), (9995 * MILLI, 12));
 }
 
 #[test]
 fn the_service_never_sees_more_than_its_rate_whatever_fails() {
     // It fails every call for a while, of gateways that start within a second.
-    let mut next: Vec<(Nanos, Calls)> = (0..300)
+    let mut next: Vec<(Nanos, ListSchedule)> = (0..300)
         .map(|me| {
             let start = 77 * SECOND + Nanos::from(me) * 7919 % 1000 * MILLI;
-            let mut calls = Calls::new(me, 300, 10 * SECOND, Some(50.0));
-            (start + calls.start(start, 0.5), calls)
+            let mut calls = ListSchedule::new(me, 300, 10 * SECOND, Some(50.0));
+            (start + calls.first_wait(start, 0.5), calls)
         })
         .collect();
     let mut called = Vec::new();
     for n in 0..3000 {
         let Some((at, calls)) = next.iter_mut().min_by_key(|(at, _)| *at) else { return };
         called.push(*at);
-        *at += 1 + calls.failed(*at + 1, f64::from(n * 37 % 100) / 100.0);
+        *at += 1 + calls.record_failure(*at + 1, f64::from(n * 37 % 100) / 100.0);
     }
     let within = |from: &Nanos| called.iter().filter(|c| (*from..*from + SECOND).contains(*c)).count();
     let most = called.iter().map(within).max().unwrap_or(0);
@@ -144,20 +154,20 @@
 
 #[test]
 fn a_service_that_asks_to_be_left_alone_is_and_not_for_ever() {
-    let mut calls = Calls::new(0, 10, 10 * SECOND, None);
-    calls.busy(SECOND, 3 * SECOND);
-    assert!((2 * SECOND..4 * SECOND).contains(&calls.failed(2 * SECOND, 0.0)));
-    calls.busy(2 * SECOND, 1_000_000 * SECOND);
-    assert!((16 * SECOND..17 * SECOND).contains(&calls.failed(2 * SECOND, 0.0)));
-    calls.answered(2 * SECOND);
-    assert!(calls.failed(2 * SECOND, 0.0) < SECOND);
+    let mut calls = ListSchedule::new(0, 10, 10 * SECOND, None);
+    calls.defer(SECOND, 3 * SECOND);
+    assert!((2 * SECOND..4 * SECOND).contains(&calls.record_failure(2 * SECOND, 0.0)));
+    calls.defer(2 * SECOND, 1_000_000 * SECOND);
+    assert!((16 * SECOND..17 * SECOND).contains(&calls.record_failure(2 * SECOND, 0.0)));
+    calls.record_success(2 * SECOND);
+    assert!(calls.record_failure(2 * SECOND, 0.0) < SECOND);
 }
 
 /// Whatever happens: no wait beyond the longest window and what the service asked for, none before its time.
 #[test]
 fn waits_stay_within_their_bounds_whatever_happens() {
     fn holds((me, group, steps): (u32, u16, Vec<(u8, u16, u8)>)) -> bool {
-        let mut calls = Calls::new(me, group.into(), 10 * SECOND, None);
+        let mut calls = ListSchedule::new(me, group.into(), 10 * SECOND, None);
         // The settings give 40 s after a failed call, of which the next one takes its part.
         let first = (16 * SECOND).max(2 * EACH * Nanos::from(group));
         let longest = first.min(36 * SECOND);
@@ -166,19 +176,19 @@
             now += Nanos::from(span) * MILLI;
             let chance = f64::from(chance) / 256.0;
             match what % 4 {
-                0 => calls.start(now, chance) <= first,
+                0 => calls.first_wait(now, chance) <= first,
                 1 => {
-                    calls.busy(now, Nanos::from(span) * MILLI);
+                    calls.defer(now, Nanos::from(span) * MILLI);
                     asked = asked.max(now + (Nanos::from(span) * MILLI).min(longest));
                     true
                 }
                 2 => {
-                    calls.answered(now);
+                    calls.record_success(now);
                     asked = 0;
                     true
                 }
                 _ => {
-                    let wait = calls.failed(now, chance);
+                    let wait = calls.record_failure(now, chance);
                     // A watch that ended is no failure: a seventh of what a slow service needs.
                     let longest = longest.max(first / 14);
                     now + wait >= asked && wait <= 2 * longest + asked.saturating_sub(now)
@@ -199,49 +209,52 @@
         let group = u32::from(group) % 1000 + 1;
         let rate = (stated % 3 == 0).then(|| f64::from(stated) + 10.0);
         let patience = 10 * SECOND;
-        let calls = Calls::new(me.into(), group, patience, rate);
-        let budget = calls.budget();
+        let calls = ListSchedule::new(me.into(), group, patience, rate);
+        let budget = calls.propagation_bounds();
         let now = 1000 * SECOND + Nanos::from(at) * 7919;
         let mut draws = (0..).map(|n| (f64::from(chance) / 65536.0 + f64::from(n) * 0.37).fract());
         let mut chance = move || draws.next().unwrap_or(0.5);
 
         let mut one = calls.clone();
-        one.answered(now);
-        let silent = SILENCE + one.failed(now, chance()) + ANSWER;
+        one.record_success(now);
+        let silent = WATCH_IDLE_TIMEOUT + one.record_failure(now, chance()) + FETCH_ALLOWANCE;
 
         let (mut one, mut at, mut refused) = (calls.clone(), now, 0);
-        one.answered(now);
-        at += one.failed(at, chance());
+        one.record_success(now);
+        at += one.record_failure(at, chance());
         for _ in 0..=failures % 8 {
-            let wait = one.failed(at + 1, chance());
-            (at, refused) = (at + 1 + wait, refused.max(wait + ANSWER));
+            let wait = one.record_failure(at + 1, chance());
+            (at, refused) = (at + 1 + wait, refused.max(wait + FETCH_ALLOWANCE));
         }
 
         let (mut one, mut at, mut hung) = (calls, now, 0);
-        one.answered(now);
-        at += one.failed(at, chance());
+        one.record_success(now);
+        at += one.record_failure(at, chance());
         for _ in 0..=failures % 8 {
-            let wait = one.failed(at + 3 * SECOND, chance());
-            (at, hung) = (at + 3 * SECOND + wait, hung.max(3 * SECOND + wait + ANSWER));
+            let wait = one.record_failure(at + 3 * SECOND, chance());
+            (at, hung) = (at + 3 * SECOND + wait, hung.max(3 * SECOND + wait + FETCH_ALLOWANCE));
         }
 
         // The exception: what the service needs for all is longer than what is left.
         let need = rate.map_or(u64::from(group) * EACH / 7, |r| (f64::from(group) / r * 1e9) as Nanos);
         let room = |left: Nanos| need + need / Nanos::from(group) < left - MILLI;
-        let fits = |room: bool, budget: Nanos| !room || budget <= TOLD;
-        silent <= budget.silent
-            && refused <= budget.refused
-            && hung <= budget.hung
-            && fits(room(TOLD - SILENCE - ANSWER), budget.silent)
-            && fits(room(TOLD - ANSWER), budget.refused)
-            && (rate.is_some() || budget.hung <= 4 * patience)
+        let fits = |room: bool, budget: Nanos| !room || budget <= PROPAGATION_DEADLINE;
+        silent <= budget.after_idle
+            && refused <= budget.after_refusal
+            && hung <= budget.after_timeout
+            && fits(room(PROPAGATION_DEADLINE - WATCH_IDLE_TIMEOUT - FETCH_ALLOWANCE), budget.after_idle)
+            && fits(room(PROPAGATION_DEADLINE - FETCH_ALLOWANCE), budget.after_refusal)
+            && (rate.is_some() || budget.after_timeout <= 4 * patience)
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(60, 17)).tests(20_000);
     check.quickcheck(holds as fn((u16, u16, u32, u16), (u8, u8)) -> bool);
     // The fleets that are known are no exception.
     for group in [1, 92, 300, 309, 350] {
-        let budget = Calls::new(0, group, 10 * SECOND, None).budget();
-        assert!(budget.silent <= TOLD && budget.refused <= TOLD, "{group}: {budget:?}");
+        let budget = ListSchedule::new(0, group, 10 * SECOND, None).propagation_bounds();
+        assert!(
+            budget.after_idle <= PROPAGATION_DEADLINE && budget.after_refusal <= PROPAGATION_DEADLINE,
+            "{group}: {budget:?}"
+        );
     }
 }
 
@@ -252,9 +265,9 @@
         let calls: Vec<Nanos> = (0..group)
             .map(|me| {
                 let noticed = 77 * SECOND + Nanos::from(me) * 7919 % 100 * MILLI;
-                let mut calls = Calls::new(me, group, 10 * SECOND, rate);
-                calls.answered(noticed);
-                noticed + calls.failed(noticed, f64::from(me % 10) / 10.0)
+                let mut calls = ListSchedule::new(me, group, 10 * SECOND, rate);
+                calls.record_success(noticed);
+                noticed + calls.record_failure(noticed, f64::from(me % 10) / 10.0)
             })
             .collect();
         let within = |from: &Nanos| calls.iter().filter(|c| (*from..*from + SECOND).contains(*c)).count();
@@ -267,12 +280,12 @@
 /// after another and fails what has waited for a second: how many have the list later than 6 s after, and the grace.
 fn late_after_a_silence(group: u32, serves: f64, rate: Option<f64>) -> (usize, Nanos) {
     let silence = 77 * SECOND;
-    let mut next: Vec<(Nanos, Calls)> = (0..group)
+    let mut next: Vec<(Nanos, ListSchedule)> = (0..group)
         .map(|me| {
-            let noticed = silence + SILENCE - Nanos::from(me) * 7919 % 2000 * MILLI;
-            let mut calls = Calls::new(me, group, 10 * SECOND, rate);
-            calls.answered(noticed);
-            (noticed + calls.failed(noticed, f64::from(me % 10) / 10.0), calls)
+            let noticed = silence + WATCH_IDLE_TIMEOUT - Nanos::from(me) * 7919 % 2000 * MILLI;
+            let mut calls = ListSchedule::new(me, group, 10 * SECOND, rate);
+            calls.record_success(noticed);
+            (noticed + calls.record_failure(noticed, f64::from(me % 10) / 10.0), calls)
         })
         .collect();
     let work = (1e9 / serves) as Nanos;
@@ -282,7 +295,7 @@
         let at = next[first].0;
         if free.max(at) - at > SECOND {
             let (due, calls) = &mut next[first];
-            *due = at + SECOND + calls.failed(at + SECOND, f64::from(n * 37 % 100) / 100.0);
+            *due = at + SECOND + calls.record_failure(at + SECOND, f64::from(n * 37 % 100) / 100.0);
         } else {
             free = free.max(at) + work;
             had.push(free - silence);
@@ -290,7 +303,7 @@
         }
     }
     assert_eq!(had.len(), group as usize, "all have it in the end");
-    let late = had.iter().filter(|at| **at > TOLD + 250 * MILLI).count();
+    let late = had.iter().filter(|at| **at > PROPAGATION_DEADLINE + 250 * MILLI).count();
     (late, had.into_iter().max().unwrap_or(0) / MILLI)
 }
 
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -47,7 +47,7 @@
 impl Arbitrary for Move {
     fn arbitrary(g: &mut Gen) -> Move {
         use Verdict::*;
-        let ends = [Ok, Error, Full, NoConnection, Reset, TimedOut, Moot].map(Move::End);
+        let ends = [Ok, Error, Full, NoConnection, Reset, TimedOut, NotSent].map(Move::End);
         let both = Move::EndAndLeave(*g.choose(&[Ok, Error, Full, NoConnection, Reset]).expect("some"));
         let others = [Move::Event, Move::Event, Move::Event, Move::Event, Move::Reject, Move::Leave, both];
         let from = if bool::arbitrary(g) { &ends[..] } else { &others[..] };
@@ -154,19 +154,24 @@
     let second = 1_000_000_000;
     Settings {
         group_size: 1,
-        push: true,
+        has_pushed_list: true,
         classes: vec![types::Class {
-            aim: 9 * second,
-            aim_per_token: 0,
-            token_aim: 0,
+            latency_target: 9 * second,
+            latency_target_per_token: 0,
+            inter_token_target: 0,
             deadline: 90 * second,
             effect,
-            worth: 1.0,
-            late_worth: 0.0,
+            value: 1.0,
+            late_value: 0.0,
             stream: true,
         }],
-        limits: types::Limits { attempts: 3, cancel: true, retry_after: 2 * second, ..Default::default() },
-        safety: Safety { cold_from: 1.0, overload_factor: 2.5, ..Default::default() },
+        limits: types::Limits {
+            max_attempts: 3,
+            cancellation: true,
+            max_retry_after: 2 * second,
+            ..Default::default()
+        },
+        safety: Safety { initial_capacity: 1.0, overload_factor: 2.5, ..Default::default() },
         ..Settings::default()
     }
 }
@@ -183,7 +188,7 @@
 impl Model {
     fn take(&mut self, step: Move, safe: bool) {
         let begun = self.events > 0;
-        let never_ran = matches!(step, Move::End(Verdict::Full | Verdict::NoConnection | Verdict::Moot));
+        let never_ran = matches!(step, Move::End(Verdict::Full | Verdict::NoConnection | Verdict::NotSent));
         match step {
             _ if self.over => return,
             Move::Event => self.events += 1,
@@ -296,7 +301,7 @@
     let mut steps =
         dispatch(&fleet).schedule(ReplicaId::from("s-1"), Duration::from_secs(20), Duration::MAX);
     match async_io::block_on(steps.next()) {
-        Some(Step::Ended(ending)) => assert_eq!(ending.verdict, Verdict::Moot),
+        Some(Step::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
         other => panic!("{other:?}"),
     }
 }
@@ -331,7 +336,7 @@
         assert!(future::poll_once(steps.next()).await.is_none(), "the connection is under way");
         learn(State::Draining);
         match steps.next().await {
-            Some(Step::Ended(ending)) => assert_eq!(ending.verdict, Verdict::Moot),
+            Some(Step::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
             other => panic!("{other:?}"),
         }
     });
