--- a/crates/load-balancer/tests/decisions.rs
+++ b/crates/load-balancer/tests/decisions.rs
@@ -47,7 +47,7 @@
                 self.add(*write_within);
             }
             Action::Refuse { id, retry_after } => {
-                [2, id.0, *retry_after].into_iter().for_each(|value| self.add(value))
+                [2, id.0, *retry_after].into_iter().for_each(|value| self.add(value));
             }
             Action::Fail(id) => [3, id.0].into_iter().for_each(|value| self.add(value)),
             Action::Cancel { id, attempt } => {
--- a/src/bin/tulipridge-simhost/parse.rs
+++ b/src/bin/tulipridge-simhost/parse.rs
@@ -203,31 +203,45 @@
 /// Sizes of lists of objects beyond this are taken for a fault.
 const LIST_END: usize = 10_000;
 
+/// Reads the settings of a gateway.
 pub(crate) fn settings(pairs: &Pairs) -> Result<(Settings, Names), Fault> {
-    let count = |path: &str| -> Result<usize, Fault> {
-        let count = pairs.get(path).map_or(Ok(0), |v| whole(path, v))?;
-        if count > LIST_END { Err(fault(path, "too many")) } else { Ok(count) }
-    };
     let mut names = Names { classes: vec![], tenants: vec![], zones: pairs.list("localities") };
+    let classes = classes(pairs, &mut names)?;
+    let tenants = tenants(pairs, &mut names)?;
+    let zone = pairs.get("zone").filter(|zone| !zone.is_empty());
+    let zone = zone.map(|zone| number_of(&mut names.zones, zone));
+    let settings = Settings {
+        has_prefix_transfer: false,
+        speeds: Vec::new(),
+        list_calls_per_s: None,
+        limits: limits(pairs)?,
+        safety: safety(pairs)?,
+        group_size: whole("group-size", pairs.must("group-size")?)?,
+        gateway_index: pairs.nanos("me", 0)? as u32,
+        zone,
+        has_pushed_list: has_pushed_list(pairs)?,
+        tick: pairs.nanos("granularity-ns", 0)?,
+        classes,
+        tenants,
+        over_share_value: pairs.number("over-share-worth", 1.0)?,
+        units: units_meaning(pairs)?,
+        load_metrics: pairs.list("report.fields").iter().map(|name| load_metric_named(name)).collect(),
+    };
+    Ok((settings, names))
+}
+
+/// The length of a list of objects.
+fn count(pairs: &Pairs, path: &str) -> Result<usize, Fault> {
+    let count = pairs.get(path).map_or(Ok(0), |text| whole(path, text))?;
+    if count > LIST_END { Err(fault(path, "too many")) } else { Ok(count) }
+}
+
+fn classes(pairs: &Pairs, names: &mut Names) -> Result<Vec<Class>, Fault> {
     let mut classes = Vec::new();
-    for n in 0..count("lanes.count")? {
+    for n in 0..count(pairs, "lanes.count")? {
         let path = |name: &str| format!("lanes.{n}.{name}");
         names.classes.push(pairs.must(&path("name"))?.to_owned());
-        let scope = match pairs.get(&path("key-scope")) {
-            None | Some("all") => Scope::All,
-            Some("zone") => Scope::Zone,
-            Some("cell") => Scope::Cell,
-            Some(other) => {
-                return Err(fault(&path("key-scope"), format_args!("'{other}' is no known group")));
-            }
-        };
-        let window = pairs.nanos(&path("key-ttl-ns"), 0)?;
-        let effect = match pairs.must(&path("effect"))? {
-            "retryable" => Effect::Safe,
-            "dedup" => Effect::Keyed { scope, window },
-            "fragile" => Effect::Unsafe,
-            other => return Err(fault(&path("effect"), format_args!("'{other}' is no known effect"))),
-        };
+        let effect = effect(pairs, path)?;
         let slope = pairs.of_class("family-info.aim-us-per-1000-prompt-tokens", n)?;
         classes.push(Class {
             latency_target: whole(&path("promise-ns"), pairs.must(&path("promise-ns"))?)?,
@@ -240,60 +254,73 @@
             stream: pairs.flag(&path("stream"), false)?,
         });
     }
+    Ok(classes)
+}
+
+fn effect(pairs: &Pairs, path: impl Fn(&str) -> String) -> Result<Effect, Fault> {
+    let scope = match pairs.get(&path("key-scope")) {
+        None | Some("all") => Scope::All,
+        Some("zone") => Scope::Zone,
+        Some("cell") => Scope::Cell,
+        Some(other) => return Err(fault(&path("key-scope"), format_args!("'{other}' is no known group"))),
+    };
+    let window = pairs.nanos(&path("key-ttl-ns"), 0)?;
+    match pairs.must(&path("effect"))? {
+        "retryable" => Ok(Effect::Safe),
+        "dedup" => Ok(Effect::Keyed { scope, window }),
+        "fragile" => Ok(Effect::Unsafe),
+        other => Err(fault(&path("effect"), format_args!("'{other}' is no known effect"))),
+    }
+}
+
+fn tenants(pairs: &Pairs, names: &mut Names) -> Result<Vec<Tenant>, Fault> {
     let mut tenants = Vec::new();
-    for n in 0..count("accounts.count")? {
+    for n in 0..count(pairs, "accounts.count")? {
         let path = |name: &str| format!("accounts.{n}.{name}");
         names.tenants.push(pairs.must(&path("name"))?.to_owned());
         let quota = pairs.get(&path("quota-per-s")).map(|v| number(&path("quota-per-s"), v));
         tenants.push(Tenant { share: pairs.number(&path("share"), 0.0)?, quota_per_s: quota.transpose()? });
     }
-    let zone = match pairs.get("zone").filter(|z| !z.is_empty()) {
-        None => None,
-        Some(zone) => Some(number_of(&mut names.zones, zone)),
-    };
-    let retry_after = pairs.flag("policy-limits.retry-after", false)?;
-    let limits = Limits {
+    Ok(tenants)
+}
+
+fn limits(pairs: &Pairs) -> Result<Limits, Fault> {
+    let has_retry_after = pairs.flag("policy-limits.retry-after", false)?;
+    Ok(Limits {
         max_attempts: pairs.nanos("policy-limits.send-cap", 1)? as u32,
         hedging: pairs.flag("policy-limits.second-copies", false)?,
         cancellation: pairs.flag("policy-limits.cancel", false)?,
         probes: pairs.flag("policy-limits.probes", false)?,
         peer_messages: pairs.flag("policy-limits.may-tell", false)?,
-        max_retry_after: pairs.nanos("policy-limits.max-retry-after-ns", 0)? * Nanos::from(retry_after),
-    };
-    let safety = Safety {
+        max_retry_after: pairs.nanos("policy-limits.max-retry-after-ns", 0)? * Nanos::from(has_retry_after),
+    })
+}
+
+fn safety(pairs: &Pairs) -> Result<Safety, Fault> {
+    Ok(Safety {
         initial_capacity: pairs.number("safety.cold-from", 1.0)?,
         slow_start_window: pairs.nanos("safety.ramp-time-ns", 0)?,
         overload_factor: pairs.number("safety.overload-factor", 1.0)?,
         overload_window: pairs.nanos("safety.fall-ns", 0)?,
         max_list_age: pairs.nanos("safety.ask-within-ns", 10_000_000_000)?,
-    };
-    let settings = Settings {
-        has_prefix_transfer: false,
-        speeds: Vec::new(),
-        list_calls_per_s: None,
-        group_size: whole("group-size", pairs.must("group-size")?)?,
-        gateway_index: pairs.nanos("me", 0)? as u32,
-        zone,
-        has_pushed_list: match pairs.get("discovery") {
-            Some("push") | None => true,
-            Some("ask") => false,
-            Some(other) => return Err(fault("discovery", format_args!("'{other}' is no known way"))),
-        },
-        tick: pairs.nanos("granularity-ns", 0)?,
-        classes,
-        tenants,
-        over_share_value: pairs.number("over-share-worth", 1.0)?,
-        limits,
-        safety,
-        units: match pairs.get("weight-source") {
-            Some("nominal" | "rough") => UnitsMeaning::Size,
-            Some("live") => UnitsMeaning::Live,
-            Some("silent") | None => UnitsMeaning::None,
-            Some(other) => return Err(fault("weight-source", format_args!("'{other}' is not known"))),
-        },
-        load_metrics: pairs.list("report.fields").iter().map(|name| load_metric_named(name)).collect(),
-    };
-    Ok((settings, names))
+    })
+}
+
+fn has_pushed_list(pairs: &Pairs) -> Result<bool, Fault> {
+    match pairs.get("discovery") {
+        Some("push") | None => Ok(true),
+        Some("ask") => Ok(false),
+        Some(other) => Err(fault("discovery", format_args!("'{other}' is no known way"))),
+    }
+}
+
+fn units_meaning(pairs: &Pairs) -> Result<UnitsMeaning, Fault> {
+    match pairs.get("weight-source") {
+        Some("nominal" | "rough") => Ok(UnitsMeaning::Size),
+        Some("live") => Ok(UnitsMeaning::Live),
+        Some("silent") | None => Ok(UnitsMeaning::None),
+        Some(other) => Err(fault("weight-source", format_args!("'{other}' is not known"))),
+    }
 }
 
 /// The number of a name; a new one gets the next.
--- a/src/config.rs
+++ b/src/config.rs
@@ -293,7 +293,7 @@
     }
 }
 
-/// The module's settings, as the adapter reads them from the simulator's wire.
+/// The load balancer's settings, and the names that the platform's JSON uses in them.
 fn module_settings(tree: &Tree) -> Result<(Settings, Names), String> {
     let mut names = Names {
         zones: tree.at("localities").texts()?,
@@ -301,33 +301,49 @@
         load_metrics: tree.at("report").at("fields").texts()?,
         ..Names::default()
     };
+    let classes = classes(tree, &mut names)?;
+    let tenants = tenants(tree, &mut names)?;
+    let zone = tree.at("zone").text_or("")?;
+    let policy = tree.at("policy-limits");
+    let max_retry_after =
+        if policy.at("retry-after").flag()? { policy.at("max-retry-after-ns").nanos(0)? } else { 0 };
+    let settings = Settings {
+        has_prefix_transfer: false,
+        group_size: tree.at("group-size").number(1.0)? as u32,
+        gateway_index: tree.at("me").number(0.0)? as u32,
+        zone: (!zone.is_empty()).then(|| number_of(&mut names.zones, &zone)),
+        has_pushed_list: has_pushed_list(tree)?,
+        tick: tree.at("granularity-ns").nanos(0)?,
+        classes,
+        tenants,
+        over_share_value: tree.at("over-share-worth").number(1.0)?,
+        limits: limits(&policy, max_retry_after)?,
+        safety: safety(&tree.at("safety"))?,
+        units: units_meaning(tree)?,
+        load_metrics: names.load_metrics.iter().map(|name| load_metric_named(name)).collect(),
+        speeds: Vec::new(),
+        list_calls_per_s: None,
+    };
+    Ok((settings, names))
+}
+
+fn classes(tree: &Tree, names: &mut Names) -> Result<Vec<Class>, String> {
     let family = tree.at("family-info");
-    let (slopes, paces) =
-        (family.at("aim-us-per-1000-prompt-tokens").each(), family.at("token-aim-ns").each());
+    let per_token = family.at("aim-us-per-1000-prompt-tokens").each();
+    let inter_token = family.at("token-aim-ns").each();
     let mut classes = Vec::new();
-    for (n, lane) in tree.at("lanes").each().iter().enumerate() {
+    for (index, lane) in tree.at("lanes").each().iter().enumerate() {
         names.classes.push(lane.at("name").text()?);
-        let scope = match lane.at("key-scope").text_or("all")?.as_str() {
-            "all" => Scope::All,
-            "zone" => Scope::Zone,
-            "cell" => Scope::Cell,
-            _ => return lane.at("key-scope").fault("no known group"),
-        };
-        let effect = match lane.at("effect").text()?.as_str() {
-            "retryable" => Effect::Safe,
-            "dedup" => Effect::Keyed { scope, window: lane.at("key-ttl-ns").nanos(0)? },
-            "fragile" => Effect::Unsafe,
-            _ => return lane.at("effect").fault("no known effect"),
-        };
+        let effect = effect(lane)?;
         names.safe.push(effect == Effect::Safe);
-        let of_class = |list: &[Tree]| list.get(n).map_or(Ok(0), |t| t.nanos(0));
+        let of_class = |list: &[Tree]| list.get(index).map_or(Ok(0), |target| target.nanos(0));
         let deadline = lane.at("deadline-ns").nanos(0)?;
         names.deadlines.push(deadline);
         classes.push(Class {
             latency_target: lane.at("promise-ns").nanos(0)?,
             // Microseconds for a thousand tokens are nanoseconds for one.
-            latency_target_per_token: of_class(&slopes)?,
-            inter_token_target: of_class(&paces)?,
+            latency_target_per_token: of_class(&per_token)?,
+            inter_token_target: of_class(&inter_token)?,
             deadline,
             effect,
             value: lane.at("points").number(1.0)?,
@@ -335,6 +351,25 @@
             stream: lane.at("stream").flag()?,
         });
     }
+    Ok(classes)
+}
+
+fn effect(lane: &Tree) -> Result<Effect, String> {
+    let scope = match lane.at("key-scope").text_or("all")?.as_str() {
+        "all" => Scope::All,
+        "zone" => Scope::Zone,
+        "cell" => Scope::Cell,
+        _ => return lane.at("key-scope").fault("no known group"),
+    };
+    match lane.at("effect").text()?.as_str() {
+        "retryable" => Ok(Effect::Safe),
+        "dedup" => Ok(Effect::Keyed { scope, window: lane.at("key-ttl-ns").nanos(0)? }),
+        "fragile" => Ok(Effect::Unsafe),
+        _ => lane.at("effect").fault("no known effect"),
+    }
+}
+
+fn tenants(tree: &Tree, names: &mut Names) -> Result<Vec<Tenant>, String> {
     let mut tenants = Vec::new();
     for account in tree.at("accounts").each() {
         names.tenants.push(account.at("name").text()?);
@@ -342,49 +377,43 @@
         let quota_per_s = if quota.value.is_null() { None } else { Some(quota.number(0.0)?) };
         tenants.push(Tenant { share: account.at("share").number(0.0)?, quota_per_s });
     }
-    let zone = tree.at("zone").text_or("")?;
-    let policy = tree.at("policy-limits");
-    let safety = tree.at("safety");
-    let max_retry_after =
-        if policy.at("retry-after").flag()? { policy.at("max-retry-after-ns").nanos(0)? } else { 0 };
-    let settings = Settings {
-        has_prefix_transfer: false,
-        group_size: tree.at("group-size").number(1.0)? as u32,
-        gateway_index: tree.at("me").number(0.0)? as u32,
-        zone: (!zone.is_empty()).then(|| number_of(&mut names.zones, &zone)),
-        has_pushed_list: match tree.at("discovery").text_or("push")?.as_str() {
-            "push" => true,
-            "ask" => false,
-            _ => return tree.at("discovery").fault("no known way"),
-        },
-        tick: tree.at("granularity-ns").nanos(0)?,
-        classes,
-        tenants,
-        over_share_value: tree.at("over-share-worth").number(1.0)?,
-        limits: Limits {
-            max_attempts: policy.at("send-cap").number(1.0)? as u32,
-            hedging: policy.at("second-copies").flag()?,
-            cancellation: policy.at("cancel").flag()?,
-            probes: policy.at("probes").flag()?,
-            peer_messages: policy.at("may-tell").flag()?,
-            max_retry_after,
-        },
-        safety: Safety {
-            initial_capacity: safety.at("cold-from").number(1.0)?,
-            slow_start_window: safety.at("ramp-time-ns").nanos(0)?,
-            overload_factor: safety.at("overload-factor").number(1.0)?,
-            overload_window: safety.at("fall-ns").nanos(0)?,
-            max_list_age: safety.at("ask-within-ns").nanos(10_000_000_000)?,
-        },
-        units: match tree.at("weight-source").text_or("silent")?.as_str() {
-            "nominal" | "rough" => UnitsMeaning::Size,
-            "live" => UnitsMeaning::Live,
-            "silent" => UnitsMeaning::None,
-            _ => return tree.at("weight-source").fault("not known"),
-        },
-        load_metrics: names.load_metrics.iter().map(|name| load_metric_named(name)).collect(),
-        speeds: Vec::new(),
-        list_calls_per_s: None,
-    };
-    Ok((settings, names))
+    Ok(tenants)
+}
+
+fn has_pushed_list(tree: &Tree) -> Result<bool, String> {
+    match tree.at("discovery").text_or("push")?.as_str() {
+        "push" => Ok(true),
+        "ask" => Ok(false),
+        _ => tree.at("discovery").fault("no known way"),
+    }
+}
+
+fn limits(policy: &Tree, max_retry_after: Nanos) -> Result<Limits, String> {
+    Ok(Limits {
+        max_attempts: policy.at("send-cap").number(1.0)? as u32,
+        hedging: policy.at("second-copies").flag()?,
+        cancellation: policy.at("cancel").flag()?,
+        probes: policy.at("probes").flag()?,
+        peer_messages: policy.at("may-tell").flag()?,
+        max_retry_after,
+    })
+}
+
+fn safety(tree: &Tree) -> Result<Safety, String> {
+    Ok(Safety {
+        initial_capacity: tree.at("cold-from").number(1.0)?,
+        slow_start_window: tree.at("ramp-time-ns").nanos(0)?,
+        overload_factor: tree.at("overload-factor").number(1.0)?,
+        overload_window: tree.at("fall-ns").nanos(0)?,
+        max_list_age: tree.at("ask-within-ns").nanos(10_000_000_000)?,
+    })
+}
+
+fn units_meaning(tree: &Tree) -> Result<UnitsMeaning, String> {
+    match tree.at("weight-source").text_or("silent")?.as_str() {
+        "nominal" | "rough" => Ok(UnitsMeaning::Size),
+        "live" => Ok(UnitsMeaning::Live),
+        "silent" => Ok(UnitsMeaning::None),
+        _ => tree.at("weight-source").fault("not known"),
+    }
 }
