--- a/crates/simulator/src/experiment/policy_kind.rs
+++ b/crates/simulator/src/experiment/policy_kind.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// The gateway's decision module, `crates/load-balancer/src/choice/`.
+    /// The gateway's decision module, `crates/load-balancer/src/balancer/`.
     Module,
     /// A random replica, weighted by size.
     Random,
--- a/crates/simulator/src/fleet/attempts.rs
+++ b/crates/simulator/src/fleet/attempts.rs
@@ -225,9 +225,12 @@
             Verdict::Ok | Verdict::Error => self.load_report(replica),
             _ => Vec::new(),
         };
-        let (ended, kept, attempt) = (has_ended, cached_tokens, id.attempt);
+        let (ended, cached_tokens, attempt) = (has_ended, cached_tokens, id.attempt);
         let id = RequestId(id.request);
-        self.notify_policy(gateway, Event::Outcome { id, attempt, verdict, ended, elapsed, kept, report });
+        self.notify_policy(
+            gateway,
+            Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens, report },
+        );
         self.clean_up_request(id.0);
     }
 
--- a/crates/simulator/src/fleet/clients.rs
+++ b/crates/simulator/src/fleet/clients.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Zipf};
 use rand_pcg::Pcg64Mcg;
-use tulipridge::types::{Event, Nanos, Request, RequestId};
+use tulipridge::types::{ClassIndex, Event, Nanos, Request, RequestId, TenantIndex};
 
 use super::events::FleetEvent;
 use super::requests::{ClientRequest, GatewayRequest, Session};
@@ -158,14 +158,14 @@
         Request {
             id: RequestId(number),
             expires_in,
-            class: prefix.class,
-            tenant: client.tenant,
+            class: ClassIndex(prefix.class),
+            tenant: client.tenant.map(TenantIndex),
             prefix: Some((prefix.class as u64 + 1) << 32 | u64::from(prefix.rank)),
             session: Some(client.session),
-            prompt: client.prompt_tokens,
-            prefix_len: client.prefix_tokens,
-            max_answer: client.response_tokens,
-            repeat: client.attempts > 1,
+            prompt_tokens: client.prompt_tokens,
+            prefix_tokens: client.prefix_tokens,
+            max_output_tokens: client.response_tokens,
+            is_retry: client.attempts > 1,
         }
     }
 
--- a/crates/simulator/src/fleet/gateways.rs
+++ b/crates/simulator/src/fleet/gateways.rs
@@ -39,7 +39,9 @@
             Action::Send { id, replica, timeout, .. } => {
                 self.send_attempt(gateway, id.0, &replica, timeout);
             }
-            Action::Refuse { id, wait } => self.answer_client(id.0, RequestOutcome::Rejected, wait),
+            Action::Refuse { id, retry_after } => {
+                self.answer_client(id.0, RequestOutcome::Rejected, retry_after)
+            }
             Action::Fail(id) => self.answer_client(id.0, RequestOutcome::Failed, 0),
             Action::Cancel { id, attempt } => {
                 let id = AttemptId { request: id.0, attempt };
@@ -52,7 +54,7 @@
                 self.schedule(after, FleetEvent::PolicyTimer { process, token });
             }
             Action::Watch | Action::Fetch => self.call_list_service(gateway),
-            Action::Probe(_) | Action::Tell { .. } => {}
+            Action::Probe(_) | Action::SendToPeer { .. } => {}
         }
     }
 
--- a/crates/simulator/src/fleet/list_service.rs
+++ b/crates/simulator/src/fleet/list_service.rs
@@ -49,7 +49,7 @@
         let gateway = &mut self.gateways[call.caller.gateway];
         gateway.list_call = None;
         gateway.is_watching = true;
-        let (process, kind, members) = (call.caller, ListKind::Whole, self.complete_list());
+        let (process, kind, members) = (call.caller, ListKind::Complete, self.complete_list());
         self.schedule(0, FleetEvent::ListUpdate { process, kind, members });
     }
 
@@ -79,7 +79,7 @@
         }
         let now = self.queue.now();
         let gateway = &mut self.gateways[process.gateway];
-        if kind == ListKind::Whole {
+        if kind == ListKind::Complete {
             gateway.known_members.clear();
             if !std::mem::replace(&mut gateway.has_list, true) {
                 self.recorder.counters.list_waits.push(now - gateway.started);
@@ -141,7 +141,7 @@
             let gateway = &mut self.gateways[index];
             if gateway.policy.is_some() && !std::mem::replace(&mut gateway.is_watching, true) {
                 let (process, members) = (self.gateway_process(index), Arc::clone(&list));
-                self.schedule(0, FleetEvent::ListUpdate { process, kind: ListKind::Whole, members });
+                self.schedule(0, FleetEvent::ListUpdate { process, kind: ListKind::Complete, members });
             }
         }
     }
--- a/crates/simulator/src/fleet/run.rs
+++ b/crates/simulator/src/fleet/run.rs
@@ -68,7 +68,7 @@
             FleetEvent::ListCallServed => self.serve_list_call(),
             FleetEvent::ListCallTimeout(call) => self.fail_list_call(call),
             FleetEvent::ListCallRejected { call, wait } => {
-                self.notify_process(call.caller, Event::Busy(wait));
+                self.notify_process(call.caller, Event::ListServiceBusy(wait));
                 self.fail_list_call(call);
             }
             FleetEvent::ListUpdate { process, kind, members } => {
--- a/crates/simulator/src/policy/baseline.rs
+++ b/crates/simulator/src/policy/baseline.rs
@@ -7,7 +7,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use tulipridge::pace::Calls;
+use tulipridge::list_schedule::ListSchedule;
 use tulipridge::types::{
     Action, Event, ListKind, Member, Nanos, Phase, ReplicaId, Request, RequestId, Settings, Verdict,
 };
@@ -55,7 +55,7 @@
     timers: BTreeMap<u64, Timer>,
     last_token: u64,
     round_robin: usize,
-    list_calls: Calls,
+    list_calls: ListSchedule,
 }
 
 impl BaselinePolicy {
@@ -68,7 +68,7 @@
     ) -> BaselinePolicy {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let round_robin = random.random_range(0..MAX_ROUND_ROBIN_OFFSET);
-        let list_calls = Calls::of(&settings);
+        let list_calls = ListSchedule::from_settings(&settings);
         BaselinePolicy {
             kind,
             settings,
@@ -106,8 +106,8 @@
                     pending.deadline = Nanos::MAX;
                 }
             }
-            Event::Busy(wait) => self.list_calls.busy(now, wait),
-            Event::Probed { .. } | Event::Peer { .. } | Event::Loads(_) | Event::Work(..) => {}
+            Event::ListServiceBusy(wait) => self.list_calls.defer(now, wait),
+            Event::Probed { .. } | Event::PeerMessage { .. } | Event::Loads(_) | Event::WorkSent(..) => {}
         }
     }
 
@@ -160,15 +160,15 @@
     fn update_list(&mut self, now: Nanos, kind: ListKind, members: &[Member], actions: &mut Vec<Action>) {
         let chance = self.random.random();
         let wait = match kind {
-            ListKind::Persisted => Some(self.list_calls.start(now, chance)),
-            ListKind::Failed => Some(self.list_calls.failed(now, chance)),
-            ListKind::Whole | ListKind::Changes | ListKind::Own => None,
+            ListKind::Persisted => Some(self.list_calls.first_wait(now, chance)),
+            ListKind::Failed => Some(self.list_calls.record_failure(now, chance)),
+            ListKind::Complete | ListKind::Changes | ListKind::Local => None,
         };
         match wait {
             Some(wait) => self.set_timer(wait, Timer::ListCall, actions),
-            None => self.list_calls.answered(now),
+            None => self.list_calls.record_success(now),
         }
-        if matches!(kind, ListKind::Whole | ListKind::Persisted) {
+        if matches!(kind, ListKind::Complete | ListKind::Persisted) {
             self.replicas.values_mut().for_each(|replica| replica.is_ready = false);
         }
         let mut has_changed = false;
@@ -194,7 +194,8 @@
     fn place(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let attempts = pending.attempts.len();
-        let is_exhausted = attempts >= self.settings.limits.attempts as usize || pending.deadline <= now;
+        let is_exhausted =
+            attempts >= self.settings.limits.max_attempts as usize || pending.deadline <= now;
         let timeout = pending.deadline.saturating_sub(now);
         match if is_exhausted { None } else { self.select(now, id) } {
             Some(replica) => {
@@ -207,7 +208,7 @@
                 actions.push(Action::Send { id, replica, timeout, write_within: Nanos::MAX });
             }
             None => {
-                actions.push(Action::Refuse { id, wait: 0 });
+                actions.push(Action::Refuse { id, retry_after: 0 });
                 self.remove_request(id, actions);
             }
         }
--- a/crates/simulator/src/policy/mod.rs
+++ b/crates/simulator/src/policy/mod.rs
@@ -6,7 +6,7 @@
 
 use std::rc::Rc;
 
-use tulipridge::Gateway;
+use tulipridge::LoadBalancer;
 use tulipridge::types::{Action, Event, Nanos, Settings, SettingsError};
 
 use self::baseline::BaselinePolicy;
@@ -16,7 +16,7 @@
 /// The policy of one gateway.
 pub enum Policy {
     /// The real decision module.
-    Module(Box<Gateway>),
+    Module(Box<LoadBalancer>),
     /// A baseline.
     Baseline(Box<BaselinePolicy>),
 }
@@ -34,7 +34,7 @@
         fleet_load: &SharedFleetLoad,
     ) -> Result<Policy, SettingsError> {
         Ok(match kind {
-            PolicyKind::Module => Policy::Module(Box::new(Gateway::new(settings, seed)?)),
+            PolicyKind::Module => Policy::Module(Box::new(LoadBalancer::new(settings, seed)?)),
             baseline => Policy::Baseline(Box::new(BaselinePolicy::new(
                 baseline,
                 settings,
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -18,6 +18,7 @@
 use tulipridge::engine::Engine;
 use tulipridge::front::{Dialect, FrontContext};
 use tulipridge::limits::Limits;
+use tulipridge::list_schedule::{ListSchedule, PROPAGATION_DEADLINE};
 use tulipridge::names::Names;
 use tulipridge::net::discovery::Discovery;
 use tulipridge::net::edge::Edge;
@@ -27,7 +28,6 @@
 use tulipridge::net::mgmt::Mgmt;
 use tulipridge::net::peers;
 use tulipridge::net::servers::{Fleet, Gauges};
-use tulipridge::pace::{self, Calls};
 use tulipridge::process::background::run_in_background;
 use tulipridge::settings::Messages;
 use tulipridge::store::Store;
@@ -98,7 +98,7 @@
 ) -> Result<(), StartError> {
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)?;
     warn_of_late_lists(&config.settings);
-    let push = config.settings.push;
+    let push = config.settings.has_pushed_list;
     let (engine, orders) =
         Engine::new(config.settings, config.seed, &limits).map_err(StartError::Settings)?;
     engine.name_streams(config.names.classes.clone(), config.names.tenants.clone());
@@ -155,11 +155,11 @@
 
 /// Warns where lists are polled and the group is so large that a list may be older than its notifications allow.
 fn warn_of_late_lists(settings: &Settings) {
-    let budget = Calls::of(settings).budget();
-    if settings.push || budget.silent.max(budget.refused) <= pace::TOLD {
+    let bounds = ListSchedule::from_settings(settings).propagation_bounds();
+    if settings.has_pushed_list || bounds.after_idle.max(bounds.after_refusal) <= PROPAGATION_DEADLINE {
         return;
     }
-    let [silent, refused] = [budget.silent, budget.refused].map(|nanos| nanos / NANOS_PER_MILLI);
+    let [silent, refused] = [bounds.after_idle, bounds.after_refusal].map(|nanos| nanos / NANOS_PER_MILLI);
     log::warn!(silent_ms = silent, refused_ms = refused; "list-late: a group of this size may have its list later than its news count as told; state what the list service can serve in list.calls_per_s, or make it faster");
 }
 
