--- /dev/null
+++ b/crates/proxy/src/active_configuration.rs
@@ -0,0 +1,64 @@
+//! The newest configuration, and whether it is fresh enough to admit requests by.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use tulipridge_configuration::{Caps, Configuration};
+use tulipridge_http1::Http1Limits;
+
+use crate::admission::Routing;
+use crate::bounds::client_limits;
+use crate::freshness::FreshnessGate;
+
+/// Returns how long ago the configuration was known to be the newest; none if it never was.
+pub type ConfigurationAge = Box<dyn Fn() -> Option<Duration>>;
+
+/// The newest configuration with what is derived from it.
+pub struct ActiveConfiguration {
+    routing: RefCell<Option<Rc<Routing>>>,
+    client_limits: RefCell<Rc<Http1Limits>>,
+    gate: Cell<FreshnessGate>,
+    age: ConfigurationAge,
+}
+
+impl ActiveConfiguration {
+    /// No configuration yet.
+    #[must_use]
+    pub fn new(gate: FreshnessGate, age: ConfigurationAge) -> ActiveConfiguration {
+        ActiveConfiguration {
+            routing: RefCell::default(),
+            client_limits: RefCell::new(Rc::new(client_limits(&Caps::default()))),
+            gate: Cell::new(gate),
+            age,
+        }
+    }
+
+    /// Replaces the configuration.
+    pub fn set(&self, configuration: Arc<Configuration>) {
+        *self.client_limits.borrow_mut() = Rc::new(client_limits(&configuration.caps));
+        *self.routing.borrow_mut() = Some(Routing::new(configuration));
+    }
+
+    /// Sets the age up to which the configuration may be used.
+    pub fn set_gate(&self, gate: FreshnessGate) {
+        self.gate.set(gate);
+    }
+
+    /// The newest configuration, if it is fresh enough to admit requests by.
+    pub fn routing(&self) -> Option<Rc<Routing>> {
+        let routing = self.routing.borrow();
+        routing.as_ref().filter(|_| self.gate.get().is_open((self.age)())).cloned()
+    }
+
+    /// The HTTP limits of clients' connections.
+    pub fn client_limits(&self) -> Rc<Http1Limits> {
+        self.client_limits.borrow().clone()
+    }
+
+    /// The operator's caps on clients.
+    pub fn caps(&self) -> Caps {
+        self.routing.borrow().as_ref().map_or_else(Caps::default, |routing| routing.configuration.caps)
+    }
+}
--- a/crates/proxy/src/bounds.rs
+++ b/crates/proxy/src/bounds.rs
@@ -1,4 +1,4 @@
-//! What the process may use at once, and what is in use.
+//! Limits of the process: open connections, bytes of bodies, and the HTTP limits of connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,49 +13,53 @@
 const RESERVED_DESCRIPTORS: u64 = 200;
 /// Descriptors for the listeners, the feed, the reactor and the signals.
 const OWN_DESCRIPTORS: u64 = 100;
-/// Part of the other descriptors that connections to replicas may take.
-const REPLICA_PART: u64 = 3;
-/// Bytes of bodies that are held at once.
-const HELD_BYTES: usize = 100 * 1024 * 1024;
-/// Bytes read from a socket at once: most requests come whole in one read.
+/// Connections to replicas may take the remaining descriptors divided by this.
+const REPLICA_DIVISOR: u64 = 3;
+/// Bytes of request bodies in memory at once.
+const MAX_BODY_BYTES: usize = 100 * 1024 * 1024;
+/// Bytes read from a socket at once: most requests are complete after one read.
 const READ_BYTES: usize = 24 * 1024;
-/// Header lines of a message.
-const MOST_HEADERS: usize = 128;
-/// Bytes of a head of a replica's answer.
-const ANSWER_HEAD_BYTES: usize = 32 * 1024;
-/// Longest chunk of a replica's answer.
-const LONGEST_CHUNK: usize = 1 << 30;
-/// Time for a connection to a replica to come up.
+/// Headers of a message.
+const MAX_HEADERS: usize = 128;
+/// Bytes of the head of a replica's response.
+const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
+/// Bytes of a chunk of a replica's response.
+const MAX_RESPONSE_CHUNK_BYTES: usize = 1 << 30;
+/// Timeout for connecting to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Bounds of the process.
+/// Limits of what the process uses at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Connections of clients.
     pub clients: usize,
     /// Connections to replicas.
     pub replicas: usize,
-    /// Bytes of bodies that are held.
-    pub held_bytes: usize,
+    /// Bytes of request bodies in memory.
+    pub body_bytes: usize,
 }
 
 impl Bounds {
-    /// By the descriptors that the process may use.
+    /// The limits that follow from how many descriptors the process may open.
     #[must_use]
     pub fn of(file_handles: u64) -> Self {
         let free = file_handles.saturating_sub(RESERVED_DESCRIPTORS + OWN_DESCRIPTORS).max(3);
-        let replicas = free / REPLICA_PART;
-        Bounds { clients: (free - replicas) as usize, replicas: replicas as usize, held_bytes: HELD_BYTES }
+        let replicas = free / REPLICA_DIVISOR;
+        Bounds {
+            clients: (free - replicas) as usize,
+            replicas: replicas as usize,
+            body_bytes: MAX_BODY_BYTES,
+        }
     }
 }
 
-/// What is in use.
+/// What the process uses now.
 pub struct Usage {
     bounds: Bounds,
     open_clients: Cell<usize>,
-    held_bytes: Cell<usize>,
-    /// Raised when a connection of a client is closed.
-    pub client_left: Notice,
+    body_bytes: Cell<usize>,
+    /// Raised when a client's connection is closed.
+    pub client_closed: Notice,
     bytes_freed: Notice,
 }
 
@@ -66,95 +70,95 @@
         Usage {
             bounds,
             open_clients: Cell::new(0),
-            held_bytes: Cell::new(0),
-            client_left: Notice::default(),
+            body_bytes: Cell::new(0),
+            client_closed: Notice::default(),
             bytes_freed: Notice::default(),
         }
     }
 
-    /// Whether another client may connect.
-    pub fn has_room(&self) -> bool {
+    /// Whether another client's connection may be accepted.
+    pub fn may_accept(&self) -> bool {
         self.open_clients.get() < self.bounds.clients
     }
 
-    /// Connections of clients that are open.
+    /// Open connections of clients.
     pub fn open_clients(&self) -> usize {
         self.open_clients.get()
     }
 
-    /// Ready once the bodies held are within their bound.
-    pub async fn room_for_bytes(&self) {
-        while self.held_bytes.get() > self.bounds.held_bytes {
+    /// Ready once the bodies in memory are within their limit.
+    pub async fn body_capacity(&self) {
+        while self.body_bytes.get() > self.bounds.body_bytes {
             self.bytes_freed.changed().await;
         }
     }
 }
 
-/// A place of a client's connection, given back when it is dropped.
-pub struct ClientPlace(Rc<Usage>);
+/// Counts a client's connection until it is dropped.
+pub struct ClientPermit(Rc<Usage>);
 
-impl ClientPlace {
-    /// Takes a place.
+impl ClientPermit {
+    /// Counts one more connection.
     pub fn new(usage: &Rc<Usage>) -> Self {
         usage.open_clients.set(usage.open_clients.get() + 1);
-        ClientPlace(usage.clone())
+        ClientPermit(usage.clone())
     }
 }
 
-impl Drop for ClientPlace {
+impl Drop for ClientPermit {
     fn drop(&mut self) {
         let usage = &self.0;
         usage.open_clients.set(usage.open_clients.get() - 1);
-        usage.client_left.raise();
+        usage.client_closed.raise();
     }
 }
 
-/// Bytes of a body that are counted while they are held.
-pub struct HeldBytes {
+/// Counts the bytes of a request body until it is dropped.
+pub struct BodyBytes {
     usage: Rc<Usage>,
     bytes: usize,
 }
 
-impl HeldBytes {
-    /// None yet.
+impl BodyBytes {
+    /// No bytes yet.
     pub fn new(usage: &Rc<Usage>) -> Self {
-        HeldBytes { usage: usage.clone(), bytes: 0 }
+        BodyBytes { usage: usage.clone(), bytes: 0 }
     }
 
-    /// So many are held now.
+    /// Sets how many bytes the body has.
     pub fn set(&mut self, bytes: usize) {
-        let all = &self.usage.held_bytes;
+        let all = &self.usage.body_bytes;
         all.set(all.get() - self.bytes + bytes);
         self.bytes = bytes;
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for BodyBytes {
     fn drop(&mut self) {
         self.set(0);
         self.usage.bytes_freed.raise();
     }
 }
 
-/// The limits that connections of clients keep to.
+/// The HTTP limits of clients' connections.
 #[must_use]
 pub fn client_limits(caps: &Caps) -> Http1Limits {
     Http1Limits {
         head_bytes: caps.head_bytes as usize,
-        headers: MOST_HEADERS,
+        headers: MAX_HEADERS,
         body_bytes: caps.body_bytes as usize,
         read_bytes: READ_BYTES,
         ..Http1Limits::default()
     }
 }
 
-/// The limits that connections to replicas keep to.
+/// The HTTP limits of connections to replicas.
 #[must_use]
 pub fn replica_limits() -> Http1Limits {
     Http1Limits {
-        head_bytes: ANSWER_HEAD_BYTES,
-        headers: MOST_HEADERS,
-        body_bytes: LONGEST_CHUNK,
+        head_bytes: MAX_RESPONSE_HEAD_BYTES,
+        headers: MAX_HEADERS,
+        body_bytes: MAX_RESPONSE_CHUNK_BYTES,
         read_bytes: READ_BYTES,
         connect_timeout: CONNECT_TIMEOUT,
         ..Http1Limits::default()
--- /dev/null
+++ b/crates/proxy/src/downstream/connection.rs
@@ -0,0 +1,92 @@
+//! One connection of a client: reads its requests one after the other, and keeps it open between them.
+
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::{Duration, Instant};
+
+use tulipridge_http1::codec::ParseError;
+use tulipridge_http1::{BufferedStream, Http1Limits};
+
+use crate::bounds::ClientPermit;
+use crate::downstream::client::{Client, Completion};
+use crate::downstream::request::read_request;
+use crate::exchange::handle_request;
+use crate::headers::{LocalResponse, Persistence};
+use crate::lifecycle::Stage;
+use crate::proxy::Proxy;
+
+/// Time for which bytes are read and dropped after the last response, and the timeout for writing it.
+const LINGER: Duration = Duration::from_secs(1);
+/// The idle timeout that clients are told is shorter by this than the one that is applied, so that a client does not
+/// send a request while the connection is being closed.
+const IDLE_MARGIN: Duration = Duration::from_secs(1);
+/// Larger buffers of a connection are shrunk between requests.
+const IDLE_BUFFER_BYTES: usize = 1024;
+
+/// Serves a connection to its end.
+pub async fn serve_connection(proxy: Rc<Proxy>, mut stream: BufferedStream, _permit: ClientPermit) {
+    loop {
+        let limits = proxy.client_limits();
+        if stream.buf.is_empty() && !wait_for_bytes(&proxy, &mut stream, &limits).await {
+            return;
+        }
+        let request = match read_request(&proxy, &mut stream, &limits).await {
+            Ok(Some(request)) => request,
+            Ok(None) => return,
+            Err(error) => return reject(&proxy, stream, error, &limits).await,
+        };
+        let idle_timeout = Duration::from_millis(proxy.caps().idle_ms);
+        let client = Client {
+            stream: &mut stream,
+            limits: limits.clone(),
+            announced_idle_timeout: idle_timeout.saturating_sub(IDLE_MARGIN),
+            keeps_alive: request.head.keeps_alive(&request.head.start[2]),
+        };
+        match handle_request(&proxy, client, &request).await {
+            Completion::KeepAlive => {}
+            Completion::Close => return close(stream, &limits).await,
+            Completion::Abort => return,
+        }
+        stream.buf.shrink_to(IDLE_BUFFER_BYTES);
+    }
+}
+
+/// Closes a connection after its last response. What still comes is read and dropped for a while, since a reset could
+/// overtake the response.
+async fn close(mut stream: BufferedStream, limits: &Http1Limits) {
+    let _ = stream.linger(LINGER, limits).await;
+}
+
+/// Responds to bytes that are no acceptable request.
+async fn reject(proxy: &Proxy, mut stream: BufferedStream, error: ParseError, limits: &Http1Limits) {
+    log::debug!(status = error.status; "a request can't be read: {}", error.what);
+    let mut bytes = Vec::new();
+    LocalResponse::plain(error.status).write(None, Persistence::Close, &mut bytes);
+    if proxy.alarms.by(Instant::now() + LINGER, stream.write(&bytes)).await.is_some() {
+        close(stream, limits).await;
+    }
+}
+
+/// Waits for the first bytes of a request on an idle connection; false if it ended or is to be closed.
+async fn wait_for_bytes(proxy: &Proxy, stream: &mut BufferedStream, limits: &Http1Limits) -> bool {
+    let mut idle_timeout = proxy.alarms.after(Duration::from_millis(proxy.caps().idle_ms));
+    loop {
+        if proxy.stage() >= Stage::Draining && stream.is_quiet() {
+            return false;
+        }
+        let mut stage_changed = proxy.stage_changed().changed();
+        let has_bytes = poll_fn(|context| {
+            if let Poll::Ready(read) = stream.poll_fill(context, limits) {
+                return Poll::Ready(Some(read.is_ok_and(|count| count > 0)));
+            }
+            if idle_timeout.poll_passed(context).is_ready() {
+                return Poll::Ready(Some(false));
+            }
+            std::pin::Pin::new(&mut stage_changed).poll(context).map(|()| None)
+        });
+        if let Some(has_bytes) = has_bytes.await {
+            return has_bytes;
+        }
+    }
+}
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/downstream/event_tracker.rs
@@ -1,24 +1,24 @@
-//! Whole events of a stream, and the id of the last one, so that another replica can go on behind it.
+//! Splits a stream of server-sent events, so that another replica can resume it after the last complete event.
 
 use tulipridge_http1::codec::block_ends;
 
-/// A stream without the end of an event for so many bytes is passed on as it comes and can't be resumed.
-const LONGEST_EVENT: usize = 256 * 1024;
+/// A stream with a longer event is forwarded as it arrives and can't be resumed.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Takes whole events out of a stream and notes the id of the last.
+/// Takes complete events out of a stream, and records the id of the last one.
 #[derive(Debug, Default)]
 pub struct EventTracker {
-    /// Bytes of an event whose end has not come.
+    /// Bytes of an event that is not complete yet.
     partial: Vec<u8>,
     last_id: String,
-    /// An event was too long to be held back.
-    overrun: bool,
+    /// An event was too long to be buffered.
+    has_overflowed: bool,
 }
 
 impl EventTracker {
-    /// Moves the bytes of whole events to `out` and holds back the rest; `bytes` is empty afterwards.
-    pub fn pass(&mut self, bytes: &mut Vec<u8>, out: &mut Vec<u8>) {
-        if self.overrun {
+    /// Moves the bytes of complete events to `out` and buffers the rest; `bytes` is empty afterwards.
+    pub fn push(&mut self, bytes: &mut Vec<u8>, out: &mut Vec<u8>) {
+        if self.has_overflowed {
             out.append(bytes);
             return;
         }
@@ -37,27 +37,27 @@
         } else {
             out.extend(self.partial.drain(..end));
         }
-        if self.partial.len() > LONGEST_EVENT {
-            self.overrun = true;
+        if self.partial.len() > MAX_EVENT_BYTES {
+            self.has_overflowed = true;
             out.append(&mut self.partial);
         }
     }
 
-    /// Moves what is left to `out`: the stream has ended whole.
+    /// Moves what is buffered to `out`, at the end of a complete stream.
     pub fn finish(&mut self, out: &mut Vec<u8>) {
         out.append(&mut self.partial);
     }
 
-    /// The id of the last whole event that had one.
+    /// The id of the last complete event that had one.
     #[must_use]
     pub fn last_id(&self) -> Option<&str> {
         Some(self.last_id.as_str()).filter(|id| !id.is_empty())
     }
 
-    /// Drops the part of an event that was held back, as another replica sends it whole; false if none can go on.
-    pub fn drop_partial(&mut self) -> bool {
+    /// Drops the buffered part of an event, since another replica sends it again; false if the stream can't be resumed.
+    pub fn discard_partial(&mut self) -> bool {
         self.partial.clear();
-        !self.overrun && !self.last_id.is_empty()
+        !self.has_overflowed && !self.last_id.is_empty()
     }
 }
 
--- /dev/null
+++ b/crates/proxy/src/downstream/listener.rs
@@ -0,0 +1,47 @@
+//! Accepts clients' connections until the process drains.
+
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_executor::LocalExecutor;
+use async_io::Async;
+use futures_lite::future;
+use tulipridge_http1::BufferedStream;
+
+use crate::downstream::connection::serve_connection;
+use crate::lifecycle::Stage;
+use crate::proxy::Proxy;
+
+/// Pause after a connection could not be accepted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
+
+/// Accepts connections, and serves each in a task of its own, until the process drains.
+pub async fn listen(proxy: Rc<Proxy>, executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>) {
+    while proxy.stage() < Stage::Draining {
+        future::or(accept(&proxy, &executor, &listener), proxy.stage_changed().changed()).await;
+    }
+    // What the system has accepted by now would be reset with the listener.
+    while let Some(Ok((stream, _))) = future::poll_once(listener.accept()).await {
+        spawn_connection(&proxy, &executor, stream);
+    }
+}
+
+/// Accepts one connection, or waits until one is closed if as many are open as may be.
+async fn accept(proxy: &Rc<Proxy>, executor: &Rc<LocalExecutor<'static>>, listener: &Async<TcpListener>) {
+    if !proxy.usage.may_accept() {
+        return proxy.usage.client_closed.changed().await;
+    }
+    match listener.accept().await {
+        Ok((stream, _)) => spawn_connection(proxy, executor, stream),
+        Err(error) => {
+            log::warn!(error:% = error; "a connection can't be accepted");
+            proxy.alarms.after(ACCEPT_BACKOFF).await;
+        }
+    }
+}
+
+fn spawn_connection(proxy: &Rc<Proxy>, executor: &LocalExecutor<'static>, stream: Async<TcpStream>) {
+    let permit = proxy.client_permit();
+    executor.spawn(serve_connection(proxy.clone(), BufferedStream::new(stream), permit)).detach();
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/relay.rs
@@ -0,0 +1,206 @@
+//! Forwards a replica's success to a client as it arrives.
+
+use std::future::poll_fn;
+use std::io::{self, Write};
+use std::task::{Context, Poll};
+use std::time::Instant;
+
+use tulipridge_http1::codec::{Body, LAST_CHUNK};
+
+use crate::alarms::Alarm;
+use crate::downstream::client::Client;
+use crate::downstream::event_tracker::EventTracker;
+use crate::headers::{self, Framing, Persistence};
+use crate::proxy::Proxy;
+use crate::replica::response::UpstreamResponse;
+
+/// How the forwarding of a response ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RelayEnd {
+    /// The response was forwarded completely.
+    Complete,
+    /// Upstream: the replica's response broke off, or took too long.
+    UpstreamBroken,
+    /// Downstream: the client has disconnected.
+    ClientDisconnected,
+}
+
+/// A response on its way to a client. Where it is resumed, several replicas contribute to it.
+pub struct Relay {
+    framing: Framing,
+    persistence: Persistence,
+    is_head_written: bool,
+    /// Tracks complete events where the stream may be resumed.
+    events: Option<EventTracker>,
+    /// Bytes of the body that are forwarded next.
+    payload: Vec<u8>,
+    /// Encoded bytes that are written to the client next.
+    outbound: Vec<u8>,
+}
+
+/// What ends a wait for more of a response.
+enum Arrival {
+    Read(io::Result<usize>),
+    ClientDisconnected,
+    TimedOut,
+}
+
+impl Relay {
+    /// A relay of this response, whose head is written with its first bytes. `may_resume` says that the route lets another
+    /// replica resume it.
+    #[must_use]
+    pub fn new(
+        response: &UpstreamResponse,
+        may_resume: bool,
+        persistence: Persistence,
+        is_head_request: bool,
+    ) -> Relay {
+        let is_stream = response
+            .head
+            .get("content-type")
+            .is_some_and(|content_type| content_type.starts_with("text/event-stream"));
+        let events = (may_resume && is_stream && !is_head_request).then(EventTracker::default);
+        let framing = match response.framing {
+            _ if is_head_request || matches!(response.head.status(), 204 | 304) => Framing::None,
+            // The rest from another replica may have another length.
+            _ if events.is_some() => Framing::Chunked,
+            Body::Length(length) => Framing::Length(length),
+            Body::Chunked(_) => Framing::Chunked,
+            Body::UntilClose => Framing::UntilClose,
+        };
+        let persistence = if framing == Framing::UntilClose { Persistence::Close } else { persistence };
+        Relay {
+            framing,
+            persistence,
+            is_head_written: false,
+            events,
+            payload: Vec::new(),
+            outbound: Vec::new(),
+        }
+    }
+
+    /// Whether the client's connection persists after the response.
+    #[must_use]
+    pub fn persistence(&self) -> Persistence {
+        self.persistence
+    }
+
+    /// Whether a part of the response was forwarded.
+    #[must_use]
+    pub fn has_begun(&self) -> bool {
+        self.is_head_written
+    }
+
+    /// Whether only the end of the connection shows the client where the response ends.
+    #[must_use]
+    pub fn ends_with_connection(&self) -> bool {
+        self.framing == Framing::UntilClose
+    }
+
+    /// The id of the last event that was forwarded.
+    pub fn last_event_id(&self) -> Option<&str> {
+        self.events.as_ref().and_then(EventTracker::last_id)
+    }
+
+    /// Prepares for the rest from another replica; false if the stream can't be resumed.
+    pub fn prepare_resume(&mut self) -> bool {
+        self.events.as_mut().is_some_and(EventTracker::discard_partial)
+    }
+
+    /// Forwards a response, or the rest of it from another replica, to its end.
+    pub async fn forward(
+        &mut self,
+        proxy: &Proxy,
+        client: &mut Client<'_>,
+        mut response: UpstreamResponse,
+        abort_at: Instant,
+    ) -> RelayEnd {
+        let mut timeout = proxy.alarms.at(abort_at);
+        loop {
+            self.fill_outbound(&mut response);
+            if !self.outbound.is_empty() {
+                match proxy.alarms.by(abort_at, client.stream.write(&self.outbound)).await {
+                    Some(Ok(())) => self.outbound.clear(),
+                    Some(Err(_)) => return RelayEnd::ClientDisconnected,
+                    None => return RelayEnd::UpstreamBroken,
+                }
+            }
+            if response.is_complete {
+                response.finish(&proxy.pool);
+                return RelayEnd::Complete;
+            }
+            let arrival =
+                poll_fn(|context| poll_arrival(proxy, client, &mut response, &mut timeout, context));
+            let read = match arrival.await {
+                Arrival::Read(read) => read,
+                Arrival::TimedOut => return RelayEnd::UpstreamBroken,
+                Arrival::ClientDisconnected => return RelayEnd::ClientDisconnected,
+            };
+            if response.handle_read(read, &proxy.pool).is_err() {
+                return RelayEnd::UpstreamBroken;
+            }
+        }
+    }
+
+    /// Encodes what has arrived of a response for the client. Of a stream that may be resumed, nothing is forwarded before
+    /// its first event is complete, so that another replica can still give the whole response.
+    fn fill_outbound(&mut self, response: &mut UpstreamResponse) {
+        self.fill_payload(response);
+        if self.events.is_some() && self.payload.is_empty() && !response.is_complete {
+            return;
+        }
+        if !std::mem::replace(&mut self.is_head_written, true) {
+            headers::write_response_head(
+                &response.head,
+                self.framing,
+                self.persistence,
+                &mut self.outbound,
+            );
+        }
+        match self.framing {
+            Framing::None => {}
+            Framing::Length(_) | Framing::UntilClose => self.outbound.extend_from_slice(&self.payload),
+            Framing::Chunked => self.fill_chunk(response.is_complete),
+        }
+        self.payload.clear();
+    }
+
+    fn fill_payload(&mut self, response: &mut UpstreamResponse) {
+        match &mut self.events {
+            Some(events) => {
+                events.push(&mut response.buffered, &mut self.payload);
+                if response.is_complete {
+                    events.finish(&mut self.payload);
+                }
+            }
+            None => std::mem::swap(&mut self.payload, &mut response.buffered),
+        }
+    }
+
+    fn fill_chunk(&mut self, is_last: bool) {
+        if !self.payload.is_empty() {
+            let _ = write!(self.outbound, "{:x}\r\n", self.payload.len());
+            self.outbound.extend_from_slice(&self.payload);
+            self.outbound.extend_from_slice(b"\r\n");
+        }
+        if is_last {
+            self.outbound.extend_from_slice(LAST_CHUNK);
+        }
+    }
+}
+
+fn poll_arrival(
+    proxy: &Proxy,
+    client: &mut Client<'_>,
+    response: &mut UpstreamResponse,
+    timeout: &mut Alarm,
+    context: &mut Context<'_>,
+) -> Poll<Arrival> {
+    if let Poll::Ready(read) = response.connection.poll_fill(context, proxy.pool.limits()) {
+        return Poll::Ready(Arrival::Read(read));
+    }
+    if client.poll_disconnected(context).is_ready() {
+        return Poll::Ready(Arrival::ClientDisconnected);
+    }
+    timeout.poll_passed(context).map(|()| Arrival::TimedOut)
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/request.rs
@@ -0,0 +1,129 @@
+//! Reads requests from a client's connection.
+
+use std::io;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use tulipridge_http1::codec::{self, Body, Head, ParseError};
+use tulipridge_http1::{BufferedStream, Http1Limits};
+
+use crate::bounds::BodyBytes;
+use crate::proxy::Proxy;
+
+/// Timeout for the body of a request whose client states no deadline.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interim response to `Expect: 100-continue`.
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// A request that was read completely.
+pub struct DownstreamRequest {
+    /// Its head.
+    pub head: Head,
+    /// Its body.
+    pub body: Vec<u8>,
+    /// When its first byte was read.
+    pub started: Instant,
+    /// Counts the body's bytes until the request is dropped.
+    pub body_bytes: BodyBytes,
+}
+
+impl DownstreamRequest {
+    /// The client's id of this attempt.
+    #[must_use]
+    pub fn attempt_id(&self) -> Option<&str> {
+        self.head.get("attempt-id")
+    }
+
+    /// How long the client waits from the first byte on, if it states that.
+    #[must_use]
+    pub fn time_left(&self) -> Option<Duration> {
+        time_left(&self.head)
+    }
+
+    /// Whether the method is HEAD, so that the response has no body.
+    #[must_use]
+    pub fn is_head_request(&self) -> bool {
+        self.head.start[0] == "HEAD"
+    }
+}
+
+/// How long the client waits from a request's first byte on, if its head states that.
+fn time_left(head: &Head) -> Option<Duration> {
+    let time_left_ms: f64 = head.get("time-left-ms")?.parse().ok()?;
+    Duration::try_from_secs_f64(time_left_ms / 1000.0).ok()
+}
+
+/// Reads a request whose first bytes are buffered or may be read. None if the connection ends first.
+///
+/// # Errors
+/// If the bytes are no request, exceed a limit, or come too slowly. The error has the status of the response.
+pub async fn read_request(
+    proxy: &Rc<Proxy>,
+    stream: &mut BufferedStream,
+    limits: &Http1Limits,
+) -> Result<Option<DownstreamRequest>, ParseError> {
+    let started = Instant::now();
+    let head_by = started + Duration::from_millis(proxy.caps().head_wait_ms);
+    let head = match proxy.alarms.by(head_by, read_head(stream, limits)).await {
+        Some(Ok(Some(head))) => head,
+        Some(other) => return other.map(|_| None),
+        None => return Err(request_timeout()),
+    };
+    let body_by = started + time_left(&head).unwrap_or(DEFAULT_BODY_TIMEOUT);
+    let mut body_bytes = proxy.count_body_bytes();
+    let reading = read_body(proxy, stream, limits, &head, &mut body_bytes);
+    match proxy.alarms.by(body_by.max(head_by), reading).await {
+        Some(Ok(Some(body))) => Ok(Some(DownstreamRequest { head, body, started, body_bytes })),
+        Some(other) => other.map(|_| None),
+        None => Err(request_timeout()),
+    }
+}
+
+fn request_timeout() -> ParseError {
+    ParseError { status: 408, what: "the request took too long to arrive" }
+}
+
+async fn read_head(stream: &mut BufferedStream, limits: &Http1Limits) -> Result<Option<Head>, ParseError> {
+    loop {
+        if let Some(head) = codec::request_head(&mut stream.buf, limits)? {
+            return Ok(Some(head));
+        }
+        if !stream.more(limits).await {
+            return Ok(None);
+        }
+    }
+}
+
+async fn read_body(
+    proxy: &Proxy,
+    stream: &mut BufferedStream,
+    limits: &Http1Limits,
+    head: &Head,
+    body_bytes: &mut BodyBytes,
+) -> Result<Option<Vec<u8>>, ParseError> {
+    let mut framing = head.request_body(limits)?;
+    let mut body = Vec::new();
+    if let Body::Length(length) = framing {
+        body.reserve_exact(length);
+    }
+    if framing != Body::Length(0) && stream.buf.is_empty() && head.lists("expect", "100-continue") {
+        let continued: io::Result<()> = stream.write(CONTINUE).await;
+        if continued.is_err() {
+            return Ok(None);
+        }
+    }
+    loop {
+        let is_complete = framing.take(&mut stream.buf, &mut body, limits)?;
+        if body.len() > limits.body_bytes {
+            return Err(ParseError { status: 413, what: "the body is too large" });
+        }
+        body_bytes.set(body.len());
+        if is_complete {
+            return Ok(Some(body));
+        }
+        proxy.usage.body_capacity().await;
+        if !stream.more(limits).await {
+            return Ok(None);
+        }
+    }
+}
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,8 +1,21 @@
-//! The life of one request, from the moment that it was read whole to its one final answer.
+//! The life of one request, from the moment that it was read completely to its one final response.
+//!
+//! [`handle_request`] admits a request by the newest configuration and has it placed. [`Exchange::run`] then takes the
+//! load balancer's orders one after the other:
+//!
+//! 1. `attempts` sends the request to the replica that an order names, if a send is still allowed;
+//! 2. `interruption` ends an attempt when the client disconnects, the deadline passes, the load balancer cancels it, or
+//!    the replica's weights expire;
+//! 3. the retry table ([`crate::replica::retry`]) decides what follows an attempt that failed;
+//! 4. `final_response` forwards a success as it arrives, or writes an error; a stream that breaks off may be resumed
+//!    by a further attempt.
+//!
+//! `upstream_head` encodes the head that a replica is sent.
 
-mod answers;
 mod attempts;
-mod request_head;
+mod final_response;
+mod interruption;
+mod upstream_head;
 
 use std::rc::Rc;
 use std::task::Poll;
@@ -11,113 +24,124 @@
 use futures_lite::future;
 
 use crate::admission::Admitted;
-use crate::client::{Client, Done, Incoming, write_own};
-use crate::headers::OwnAnswer;
+use crate::downstream::client::{Client, Completion, write_local_response};
+use crate::downstream::relay::Relay;
+use crate::downstream::request::DownstreamRequest;
+use crate::headers::LocalResponse;
 use crate::placement::held::Held;
 use crate::placement::prompt::PromptHeaders;
 use crate::placement::{self, Ask, Order};
 use crate::proxy::Proxy;
-use crate::relay::Relay;
-use crate::replica::attempt::{Answer, Failure};
-use crate::replica::outcome::{self, Known, LastAnswer, RequestKind};
-
-/// What a client is told while nothing can be judged or placed.
-const RETRY_SOON: Duration = Duration::from_millis(500);
-/// What a client is told whose request the newest configuration has handled otherwise, or which another gateway
-/// can serve.
-const RETRY_AT_ONCE: Duration = Duration::from_millis(50);
-/// A request that could be sent to nobody is given up after this part of its target.
-const IDLE_PART: u32 = 5;
-/// Time after its deadline at which a begun answer is broken off; its replica has ended it before.
+use crate::replica::outcome::Execution;
+use crate::replica::request_kind::RequestKind;
+use crate::replica::response::{ErrorResponse, UpstreamResponse};
+use crate::replica::retry::{self, FinalStatus};
+
+/// `Retry-After` while requests can't be admitted or placed.
+const RETRY_AFTER_DELAY: Duration = Duration::from_millis(500);
+/// `Retry-After` where the newest configuration handles the request differently, or another proxy can serve it.
+const RETRY_AFTER_MINIMUM: Duration = Duration::from_millis(50);
+/// A request for which no replica is available is given up after its latency target divided by this.
+const PLACEMENT_TIMEOUT_DIVISOR: u32 = 5;
+/// A response that has begun is aborted this long after its deadline; its replica ends it before that.
 const DEADLINE_GRACE: Duration = Duration::from_secs(1);
 
-/// Answers a request.
-pub async fn serve(proxy: &Rc<Proxy>, client: Client<'_>, incoming: &Incoming) -> Done {
+/// Serves a request: refuses it, or has it placed and writes its final response.
+pub async fn handle_request(
+    proxy: &Rc<Proxy>,
+    client: Client<'_>,
+    request: &DownstreamRequest,
+) -> Completion {
     proxy.counters.requests.add();
     let Some(routing) = proxy.routing() else {
         proxy.counters.refused.add();
-        return write_own(proxy, client, incoming, OwnAnswer::refusal(RETRY_SOON)).await;
+        return write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_DELAY))
+            .await;
     };
-    let admitted = match routing.admit(&incoming.head, proxy.chance()) {
+    let admitted = match routing.admit(&request.head, proxy.random_fraction()) {
         Ok(admitted) => admitted,
         Err(denial) => {
             proxy.counters.denied.add();
-            return write_own(proxy, client, incoming, OwnAnswer::plain(denial.status())).await;
+            return write_local_response(proxy, client, request, LocalResponse::plain(denial.status()))
+                .await;
         }
     };
     drop(routing);
-    let deadline = deadline(incoming, &admitted);
+    let deadline = deadline(request, &admitted);
     if !proxy.takes_request(deadline.saturating_duration_since(Instant::now())) {
         proxy.counters.refused.add();
-        return write_own(proxy, client, incoming, OwnAnswer::refusal(RETRY_AT_ONCE)).await;
+        return write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_MINIMUM))
+            .await;
     }
-    match Exchange::place(proxy, incoming, admitted, deadline) {
+    match Exchange::place(proxy, request, admitted, deadline) {
         Some(exchange) => exchange.run(client).await,
         None => {
             proxy.counters.refused.add();
-            write_own(proxy, client, incoming, OwnAnswer::refusal(RETRY_SOON)).await
+            write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_DELAY)).await
         }
     }
 }
 
-/// When a request is over, by what its client says and by its route.
-fn deadline(incoming: &Incoming, admitted: &Admitted) -> Instant {
+/// The deadline of a request: its client's, but no later than its route's.
+fn deadline(request: &DownstreamRequest, admitted: &Admitted) -> Instant {
     let limit = Duration::from_millis(admitted.route().time_limit_ms);
-    incoming.started + incoming.time_left().map_or(limit, |left| left.min(limit))
+    request.started + request.time_left().map_or(limit, |left| left.min(limit))
 }
 
-/// What comes next of a request that waits.
-enum Next {
+/// What ends a wait for the load balancer's next order.
+enum WaitEvent {
     Order(Order),
-    ClientLeft,
-    /// Nobody could take it for too long.
-    NobodyFree,
+    ClientDisconnected,
+    /// No replica was available within the placement timeout.
+    NoReplicaAvailable,
 }
 
 /// What a step of a request leads to.
 enum Step {
-    /// The module gives the next order.
+    /// Wait for the load balancer's next order.
     Continue,
-    /// The client gets this, and the request is over.
-    Answer(Final),
-    /// An answer has begun.
-    Begun(Box<Answer>),
+    /// The request ends with this response.
+    Respond(FinalResponse),
+    /// The response of a replica has begun and is forwarded.
+    Forward(Box<UpstreamResponse>),
 }
 
-/// The final answer of a request whose answer has not begun.
-enum Final {
-    Own(OwnAnswer),
-    Replica(Box<Failure>),
-    /// The client has left.
-    None,
+/// The final response of a request of which nothing was forwarded yet.
+enum FinalResponse {
+    /// Written by the proxy itself.
+    Local(LocalResponse),
+    /// A replica's error.
+    Upstream(Box<ErrorResponse>),
+    /// The client has disconnected and gets none.
+    ClientDisconnected,
 }
 
 /// A placed request.
 struct Exchange<'a> {
     proxy: &'a Rc<Proxy>,
-    incoming: &'a Incoming,
+    request: &'a DownstreamRequest,
     admitted: Admitted,
     prompt: PromptHeaders,
     held: Held,
     deadline: Instant,
-    /// Replicas that the request was written to.
+    /// How often the request was written to a replica.
     sends: u32,
-    /// What is known after all sends so far.
-    known: Known,
-    /// A failure of a replica that the client gets if nobody does better.
-    failure: Option<Box<Failure>>,
-    /// The answer that the client has been passed a part of.
+    /// Whether any attempt so far may have run the request.
+    execution: Execution,
+    /// A replica's error, which the client gets if no retry succeeds.
+    last_error: Option<Box<ErrorResponse>>,
+    /// The response of which a part was forwarded already, while another replica is to resume it.
     relay: Option<Relay>,
 }
 
 impl<'a> Exchange<'a> {
     fn place(
         proxy: &'a Rc<Proxy>,
-        incoming: &'a Incoming,
+        request: &'a DownstreamRequest,
         admitted: Admitted,
         deadline: Instant,
     ) -> Option<Exchange<'a>> {
-        let prompt = PromptHeaders::read(&incoming.head);
+        let prompt = PromptHeaders::read(&request.head);
         let ask = Ask {
             class: proxy.placement.borrow().class(&admitted.route().label)?,
             expires_in: deadline.saturating_duration_since(Instant::now()),
@@ -126,84 +150,84 @@
         let held = Held::place(&proxy.placement, admitted.service(), deadline, ask)?;
         Some(Exchange {
             proxy,
-            incoming,
+            request,
             admitted,
             prompt,
             held,
             deadline,
             sends: 0,
-            known: Known::NotRun,
-            failure: None,
+            execution: Execution::NotRun,
+            last_error: None,
             relay: None,
         })
     }
 
-    async fn run(mut self, mut client: Client<'_>) -> Done {
+    async fn run(mut self, mut client: Client<'_>) -> Completion {
         loop {
-            let step = match self.next(&mut client).await {
-                Next::ClientLeft => Step::Answer(Final::None),
-                Next::NobodyFree => Step::Answer(self.declined(RETRY_SOON)),
-                Next::Order(order) => self.act(&mut client, order).await,
+            let step = match self.next_event(&mut client).await {
+                WaitEvent::ClientDisconnected => Step::Respond(FinalResponse::ClientDisconnected),
+                WaitEvent::NoReplicaAvailable => Step::Respond(self.give_up(RETRY_AFTER_DELAY)),
+                WaitEvent::Order(order) => self.execute(&mut client, order).await,
             };
-            let end = match step {
-                Step::Continue => continue,
-                Step::Answer(answer) => return self.answer(client, answer).await,
-                Step::Begun(answer) => self.pass_on(&mut client, answer).await,
+            let completion = match step {
+                Step::Continue => None,
+                Step::Respond(response) => return self.respond(client, response).await,
+                Step::Forward(response) => self.forward(&mut client, response).await,
             };
-            if let Some(done) = end {
-                return done;
+            if let Some(completion) = completion {
+                return completion;
             }
         }
     }
 
-    /// Waits for what comes next, while nothing is out. It does not wait long for somebody to send to.
-    async fn next(&self, client: &mut Client<'_>) -> Next {
-        let longest = placement::target(self.admitted.route()) / IDLE_PART;
-        let from = if self.sends == 0 { self.incoming.started } else { Instant::now() };
-        let mut give_up = self.proxy.alarms.at(from + longest);
+    /// Waits for the next order while no attempt is in flight, up to the placement timeout.
+    async fn next_event(&self, client: &mut Client<'_>) -> WaitEvent {
+        let timeout = placement::target(self.admitted.route()) / PLACEMENT_TIMEOUT_DIVISOR;
+        let from = if self.sends == 0 { self.request.started } else { Instant::now() };
+        let mut give_up = self.proxy.alarms.at(from + timeout);
         future::poll_fn(|context| {
             if let Poll::Ready(order) = self.held.poll_order(context) {
-                return Poll::Ready(Next::Order(order));
+                return Poll::Ready(WaitEvent::Order(order));
             }
-            if client.poll_gone(context).is_ready() {
-                return Poll::Ready(Next::ClientLeft);
+            if client.poll_disconnected(context).is_ready() {
+                return Poll::Ready(WaitEvent::ClientDisconnected);
             }
-            give_up.poll_passed(context).map(|()| Next::NobodyFree)
+            give_up.poll_passed(context).map(|()| WaitEvent::NoReplicaAvailable)
         })
         .await
     }
 
-    async fn act(&mut self, client: &mut Client<'_>, order: Order) -> Step {
+    async fn execute(&mut self, client: &mut Client<'_>, order: Order) -> Step {
         match order {
             Order::Send { attempt, replica } => self.attempt(client, attempt, &replica).await,
-            // Nothing is out.
+            // No attempt is in flight.
             Order::Cancel(_) => Step::Continue,
-            Order::Refuse(wait) => Step::Answer(self.declined(wait)),
-            Order::Fail => Step::Answer(Final::Own(self.failed(RETRY_SOON))),
+            Order::Refuse(wait) => Step::Respond(self.give_up(wait)),
+            Order::Fail => Step::Respond(self.fail(RETRY_AFTER_DELAY)),
         }
     }
 
-    /// How the request may be repeated.
+    /// Whether the request is idempotent, and whether its response can be resumed.
     fn kind(&self) -> RequestKind {
         RequestKind::of(self.admitted.route())
     }
 
-    /// The last word on a request for which nobody is to be asked any more.
-    fn declined(&self, wait: Duration) -> Final {
-        Final::Own(self.last_answer(true, wait))
+    /// The final response of a request for which no further replica is tried.
+    fn give_up(&self, retry_after: Duration) -> FinalResponse {
+        FinalResponse::Local(self.local_response(true, retry_after))
     }
 
-    /// The last word on a request that has failed.
-    fn failed(&self, wait: Duration) -> OwnAnswer {
-        self.last_answer(false, wait)
+    /// The final response of a request that has failed.
+    fn fail(&self, retry_after: Duration) -> FinalResponse {
+        FinalResponse::Local(self.local_response(false, retry_after))
     }
 
-    fn last_answer(&self, has_given_up: bool, wait: Duration) -> OwnAnswer {
+    fn local_response(&self, has_given_up: bool, retry_after: Duration) -> LocalResponse {
         let is_late = Instant::now() >= self.deadline;
-        match outcome::last_answer(self.kind(), self.known, is_late, has_given_up) {
-            LastAnswer::Refusal => OwnAnswer::refusal(wait),
-            LastAnswer::BadGateway => OwnAnswer::plain(502),
-            LastAnswer::GatewayTimeout => OwnAnswer::plain(504),
+        match retry::final_status(self.kind(), self.execution, is_late, has_given_up) {
+            FinalStatus::ServiceUnavailable => LocalResponse::refusal(retry_after),
+            FinalStatus::BadGateway => LocalResponse::plain(502),
+            FinalStatus::GatewayTimeout => LocalResponse::plain(504),
         }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/exchange/interruption.rs
@@ -0,0 +1,87 @@
+//! What ends an attempt before it has a result: the client, the deadline, the load balancer, or expired weights.
+
+use std::task::Poll;
+
+use futures_lite::future;
+use tulipridge_protocol::feed::ModelRevision;
+
+use super::{Exchange, FinalResponse, RETRY_AFTER_MINIMUM, Step};
+use crate::downstream::client::Client;
+use crate::placement::Order;
+use crate::replica::attempt::AttemptResult;
+use crate::replica::outcome::AttemptOutcome;
+
+/// Why an attempt was ended early.
+pub(super) enum Interruption {
+    /// Downstream: the client has disconnected.
+    ClientDisconnected,
+    /// Internal: the load balancer gave another order, or the deadline passed.
+    Order(Order),
+}
+
+impl Exchange<'_> {
+    /// The result of `work`, unless the client disconnects, the load balancer gives another order, or the deadline
+    /// passes before. The load balancer does not watch the deadline once a response has begun, as when a stream is to
+    /// be resumed.
+    pub(super) async fn unless_interrupted<T>(
+        &self,
+        client: &mut Client<'_>,
+        work: impl Future<Output = T>,
+    ) -> Result<T, Interruption> {
+        let mut deadline = self.proxy.alarms.at(self.deadline);
+        let interrupted = future::poll_fn(|context| {
+            if let Poll::Ready(order) = self.held.poll_order(context) {
+                return Poll::Ready(Err(Interruption::Order(order)));
+            }
+            if client.poll_disconnected(context).is_ready() {
+                return Poll::Ready(Err(Interruption::ClientDisconnected));
+            }
+            deadline.poll_passed(context).map(|()| Err(Interruption::Order(Order::Fail)))
+        });
+        future::or(async { Ok(work.await) }, interrupted).await
+    }
+
+    /// The result of an attempt, unless no response has begun when requests queued on these weights are cancelled.
+    pub(super) async fn unless_expired(
+        &self,
+        weights: Option<&ModelRevision>,
+        attempt: impl Future<Output = AttemptResult>,
+    ) -> AttemptResult {
+        let Some(weights) = weights else { return attempt.await };
+        let expired = async {
+            self.proxy.weights_expired(weights).await;
+            AttemptResult::Failed(AttemptOutcome::WeightsExpired)
+        };
+        future::or(attempt, expired).await
+    }
+
+    /// Ends the attempt that is in flight.
+    pub(super) fn interrupt(&mut self, interruption: Interruption) -> Step {
+        match interruption {
+            Interruption::ClientDisconnected => Step::Respond(FinalResponse::ClientDisconnected),
+            Interruption::Order(order) => self.interrupt_by_order(order),
+        }
+    }
+
+    fn interrupt_by_order(&mut self, order: Order) -> Step {
+        if self.held.may_have_run() {
+            self.execution = self.execution.max(AttemptOutcome::ResponseTimeout.execution());
+        }
+        match order {
+            Order::Cancel(_) => {
+                self.held.call_off(false);
+                Step::Continue
+            }
+            Order::Fail => {
+                self.held.call_off(true);
+                Step::Respond(self.fail(RETRY_AFTER_MINIMUM))
+            }
+            Order::Refuse(wait) => {
+                self.held.call_off(true);
+                Step::Respond(self.give_up(wait))
+            }
+            // The load balancer orders no send while an attempt is in flight.
+            Order::Send { .. } => Step::Continue,
+        }
+    }
+}
--- a/crates/proxy/src/exchange/request_head.rs
+++ b/crates/proxy/src/exchange/upstream_head.rs
@@ -1,21 +1,21 @@
-//! The head with which a replica is sent a request: what the client sent, and what the system adds for it.
+//! The head of the request to a replica: the client's headers, and those that the proxy adds.
 
 use std::time::Instant;
 
 use super::Exchange;
+use crate::downstream::relay::Relay;
 use crate::headers::{self, Additions};
-use crate::kv_cache::{Chain, KvTransfer, Target};
-use crate::relay::Relay;
+use crate::kv_cache::{KvTransfer, PrefixChain, Target};
 use crate::replica::replicas::ReplicaEntry;
 
-/// Bytes of most heads.
-const USUAL_BYTES: usize = 1024;
+/// Initial capacity: the size of most heads.
+const INITIAL_CAPACITY_BYTES: usize = 1024;
 
 impl Exchange<'_> {
     /// The head with which this replica is sent the request, and the tokens of its prompt that the replica has to read.
     pub(super) fn head_for(&self, replica: &ReplicaEntry) -> (Vec<u8>, u32) {
         let admitted = &self.admitted;
-        let model = self.incoming.head.get("llm");
+        let model = self.request.head.get("llm");
         let revision = model.and_then(|model| replica.revision(model));
         let salt = model.map(|_| admitted.salt(revision.unwrap_or(0)));
         let kv = salt.as_deref().map(|salt| self.kv_transfer(replica, salt)).unwrap_or_default();
@@ -31,8 +31,8 @@
             kv,
             last_event_id: self.relay.as_ref().and_then(Relay::last_event_id),
         };
-        let mut head = Vec::with_capacity(USUAL_BYTES);
-        headers::write_request(&self.incoming.head, self.incoming.body.len(), &additions, &mut head);
+        let mut head = Vec::with_capacity(INITIAL_CAPACITY_BYTES);
+        headers::write_request_head(&self.request.head, self.request.body.len(), &additions, &mut head);
         (head, unread_tokens)
     }
 
@@ -43,7 +43,7 @@
 
     /// Where this replica takes the KV cache of the prompt from, and where it keeps it.
     fn kv_transfer(&self, replica: &ReplicaEntry, salt: &str) -> KvTransfer {
-        let chain = Chain::new(&self.prompt.shared_parts, salt);
+        let chain = PrefixChain::new(&self.prompt.shared_parts, salt);
         let replicas = self.proxy.replicas.borrow();
         let zone_of = |address| {
             let other = replicas.at(address).filter(|other| other.service == replica.service);
--- /dev/null
+++ b/crates/proxy/src/headers/local_response.rs
@@ -0,0 +1,53 @@
+//! Responses of the proxy itself.
+
+use std::io::Write;
+use std::time::Duration;
+
+use tulipridge_http1::codec;
+
+use super::{Persistence, write_line, write_persistence};
+
+/// The status of a refusal.
+const SERVICE_UNAVAILABLE: u16 = 503;
+
+/// A response of the proxy itself, without a body.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LocalResponse {
+    /// The status.
+    pub status: u16,
+    /// When the client may retry.
+    pub retry_after: Option<Duration>,
+}
+
+impl LocalResponse {
+    /// A response with a status alone.
+    #[must_use]
+    pub fn plain(status: u16) -> Self {
+        LocalResponse { status, retry_after: None }
+    }
+
+    /// 503: the request has not run and will not, so the client may retry it after this time.
+    #[must_use]
+    pub fn refusal(retry_after: Duration) -> Self {
+        LocalResponse { status: SERVICE_UNAVAILABLE, retry_after: Some(retry_after) }
+    }
+
+    /// Whether this is a refusal.
+    #[must_use]
+    pub fn is_refusal(self) -> bool {
+        self.status == SERVICE_UNAVAILABLE
+    }
+
+    /// Writes the complete response to the attempt with this id.
+    pub fn write(self, attempt_id: Option<&str>, persistence: Persistence, out: &mut Vec<u8>) {
+        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, codec::reason(self.status));
+        if let Some(id) = attempt_id {
+            write_line(out, &["Attempt-Id: ", id]);
+        }
+        if let Some(time) = self.retry_after {
+            let _ = write!(out, "Retry-After: {:.3}\r\n", time.as_secs_f64());
+        }
+        write_line(out, &["Content-Length: 0"]);
+        write_persistence(persistence, out);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/headers/request.rs
@@ -0,0 +1,91 @@
+//! The head of a request as a replica is sent it.
+
+use std::io::Write;
+use std::time::Duration;
+
+use tulipridge_http1::codec::Head;
+
+use super::{HOP_BY_HOP, is_one_of, nominated_by_connection, write_line, write_number};
+use crate::kv_cache::KvTransfer;
+
+/// Headers of a client that are not forwarded: credentials, framing, and headers that only the proxy may set.
+const NOT_FORWARDED: [&str; 11] = [
+    "authorization",
+    "cache-salt",
+    "content-length",
+    "customer",
+    "expect",
+    "expect-version",
+    "kv-fetch",
+    "kv-save",
+    "meant-server",
+    "priority",
+    "time-left-ms",
+];
+
+/// Names the last event of a stream that the client, or the proxy, has received.
+const LAST_EVENT_ID: &str = "last-event-id";
+
+/// The headers that the proxy adds to a request for one replica.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Additions<'a> {
+    /// Id of the replica that the request is for.
+    pub replica: &'a str,
+    /// Label of the tenant.
+    pub tenant: Option<&'a str>,
+    /// How long the client still waits.
+    pub time_left: Duration,
+    /// Priority, 0 first.
+    pub priority: u8,
+    /// Revision that the replica's weights must have.
+    pub revision: Option<u64>,
+    /// Cache salt: prefixes are shared only between requests with the same salt.
+    pub salt: Option<&'a str>,
+    /// Where the replica fetches KV cache from and saves it to.
+    pub kv: KvTransfer,
+    /// The event after which a stream is resumed. If absent, the client's own header is forwarded.
+    pub last_event_id: Option<&'a str>,
+}
+
+/// Writes the head of a client's request for a replica.
+pub fn write_request_head(head: &Head, body_bytes: usize, additions: &Additions<'_>, out: &mut Vec<u8>) {
+    let [method, target, _] = &head.start;
+    write_line(out, &[method, " ", target, " HTTP/1.1"]);
+    let nominated = nominated_by_connection(head);
+    for (name, value) in &head.headers {
+        let resumed = additions.last_event_id.is_some() && name.eq_ignore_ascii_case(LAST_EVENT_ID);
+        if !resumed
+            && !is_one_of(name, &HOP_BY_HOP)
+            && !is_one_of(name, &NOT_FORWARDED)
+            && !nominated.contains(name)
+        {
+            write_line(out, &[name, ": ", value]);
+        }
+    }
+    let is_framed = head.get("content-length").is_some() || head.get("transfer-encoding").is_some();
+    if is_framed || body_bytes > 0 {
+        write_number(out, "Content-Length", body_bytes as u64);
+    }
+    write_line(out, &["Meant-Server: ", additions.replica]);
+    if let Some(tenant) = additions.tenant {
+        write_line(out, &["Customer: ", tenant]);
+    }
+    write_number(out, "Time-Left-Ms", additions.time_left.as_millis() as u64);
+    write_number(out, "Priority", additions.priority.into());
+    if let Some(revision) = additions.revision {
+        write_number(out, "Expect-Version", revision);
+    }
+    if let Some(salt) = additions.salt {
+        write_line(out, &["Cache-Salt: ", salt]);
+    }
+    if let Some(source) = additions.kv.fetch {
+        let _ = write!(out, "Kv-Fetch: {source}\r\n");
+    }
+    if let Some(store) = additions.kv.save {
+        let _ = write!(out, "Kv-Save: {store}\r\n");
+    }
+    if let Some(id) = additions.last_event_id {
+        write_line(out, &["Last-Event-Id: ", id]);
+    }
+    out.extend_from_slice(b"\r\n");
+}
--- /dev/null
+++ b/crates/proxy/src/kv_cache/source.rs
@@ -0,0 +1,85 @@
+//! Chooses the source of a transfer among the replicas and stores that the index lists.
+
+use std::net::{SocketAddr, SocketAddrV4};
+
+use tulipridge_prefix_cache_index::{Index, MIN_CACHED_TOKENS};
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use super::Target;
+use super::prefix_chain::{PrefixChain, cached_tokens};
+
+/// Sources that are considered for a request.
+const MAX_CANDIDATES: usize = 64;
+
+/// A source that has cached a prefix of a chain.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Candidate {
+    /// Its address.
+    pub(super) address: SocketAddrV4,
+    /// Tokens of the chain that it has cached.
+    pub(super) tokens: u32,
+    rank: Rank,
+}
+
+/// The order among sources that have cached as much; the greatest is taken. Its fields are compared in their order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    /// Replicas go before stores.
+    is_replica: bool,
+    /// Replicas of the target's zone go before others.
+    is_same_zone: bool,
+    /// Spreads the load over equal sources.
+    spread: u64,
+}
+
+/// The search for a source of one request.
+pub(super) struct SourceSearch<'a, Zone> {
+    /// What is cached where.
+    pub(super) index: &'a Index,
+    /// The stores of the configuration.
+    pub(super) stores: &'a [SocketAddrV4],
+    /// The replica that the request goes to.
+    pub(super) target: Target,
+    /// The zone of a replica of the same service that is still listed at an address.
+    pub(super) zone_of: &'a Zone,
+    /// Number of the request, so that equal sources take turns.
+    pub(super) turn: u64,
+}
+
+impl<Zone: Fn(SocketAddr) -> Option<u16>> SourceSearch<'_, Zone> {
+    /// The source that has cached the most, among the holders of the last segment that any source has cached.
+    pub(super) fn best(&self, chain: &PrefixChain) -> Option<Candidate> {
+        chain.segments().iter().rev().find_map(|segment| {
+            let holders = self
+                .index
+                .holders(segment.key)
+                .filter(|holder| SocketAddr::V4(holder.source) != self.target.address);
+            holders
+                .take(MAX_CANDIDATES)
+                .filter_map(|holder| self.candidate(holder.source, chain))
+                .filter(|candidate| candidate.tokens >= MIN_CACHED_TOKENS)
+                .max_by_key(|candidate| (candidate.tokens / MIN_CACHED_TOKENS, candidate.rank))
+        })
+    }
+
+    fn candidate(&self, address: SocketAddrV4, chain: &PrefixChain) -> Option<Candidate> {
+        let rank = self.rank(address)?;
+        Some(Candidate { address, tokens: cached_tokens(self.index, address, chain), rank })
+    }
+
+    /// None for an address that is neither a store nor a replica of the service.
+    fn rank(&self, address: SocketAddrV4) -> Option<Rank> {
+        let spread = spread(address, self.turn);
+        if self.stores.contains(&address) {
+            return Some(Rank { is_replica: false, is_same_zone: false, spread });
+        }
+        let zone = (self.zone_of)(SocketAddr::V4(address))?;
+        Some(Rank { is_replica: true, is_same_zone: zone == self.target.zone, spread })
+    }
+}
+
+/// A number that differs between addresses and turns.
+fn spread(address: SocketAddrV4, turn: u64) -> u64 {
+    let packed = u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port());
+    xxh3_64_with_seed(&packed.to_le_bytes(), turn)
+}
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/ready.rs
@@ -1,4 +1,4 @@
-//! The check of readiness, which the platform asks once a second.
+//! The readiness check, which the platform makes once a second.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -8,42 +8,44 @@
 use async_io::Async;
 use tulipridge_http1::{BufferedStream, Http1Limits, codec};
 
-use crate::headers::{After, OwnAnswer};
+use crate::headers::{LocalResponse, Persistence};
 use crate::proxy::Proxy;
 
-/// Where the platform asks.
+/// The path of the check.
 const READY_PATH: &str = "/ready";
-/// Idle time of a connection, also the time for a question to come.
-const IDLE: Duration = Duration::from_secs(10);
+/// Idle timeout of a connection, and the timeout for a request.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Answers checks for ever.
+/// Serves readiness checks for the life of the process.
 pub async fn listen(proxy: Rc<Proxy>, executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let proxy = proxy.clone();
-                executor.spawn(async move { answer(&proxy, BufferedStream::new(stream)).await }).detach();
+                executor
+                    .spawn(async move { serve_connection(&proxy, BufferedStream::new(stream)).await })
+                    .detach();
             }
             Err(error) => {
                 log::warn!(error:% = error; "a check of readiness can't be accepted");
-                proxy.alarms.after(ACCEPT_PAUSE).await;
+                proxy.alarms.after(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-/// Answers the checks that come on one connection; none once it has ended.
-async fn answer(proxy: &Proxy, mut wire: BufferedStream) -> Option<()> {
+/// Serves the checks of one connection. None once it has ended.
+async fn serve_connection(proxy: &Proxy, mut stream: BufferedStream) -> Option<()> {
     let limits = Http1Limits::default();
     loop {
         let head = loop {
-            if let Some(head) = codec::request_head(&mut wire.buf, &limits).ok()? {
+            if let Some(head) = codec::request_head(&mut stream.buf, &limits).ok()? {
                 break head;
             }
-            let by = std::time::Instant::now() + IDLE;
-            if !proxy.alarms.by(by, wire.more(&limits)).await? {
+            let read_by = std::time::Instant::now() + IDLE_TIMEOUT;
+            if !proxy.alarms.by(read_by, stream.more(&limits)).await? {
                 return None;
             }
         };
@@ -53,12 +55,13 @@
             _ => 404,
         };
         let keeps_open = head.keeps_alive(&head.start[2]);
-        let after = if keeps_open { After::KeepOpen(IDLE) } else { After::Close };
+        let persistence =
+            if keeps_open { Persistence::KeepAlive(IDLE_TIMEOUT) } else { Persistence::Close };
         let mut bytes = Vec::new();
-        OwnAnswer::plain(status).write(None, after, &mut bytes);
-        wire.write(&bytes).await.ok()?;
+        LocalResponse::plain(status).write(None, persistence, &mut bytes);
+        stream.write(&bytes).await.ok()?;
         if !keeps_open {
-            return wire.linger(IDLE, &limits).await.ok();
+            return stream.linger(IDLE_TIMEOUT, &limits).await.ok();
         }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/replica/classify.rs
@@ -0,0 +1,52 @@
+//! Classifies a response by its head.
+
+use tulipridge_http1::codec::Head;
+
+use crate::headers::is_plain;
+use crate::replica::outcome::AttemptOutcome;
+
+/// Statuses that usually mean that a request has not run; they prove it only together with `Not-Run`.
+const REFUSAL_STATUSES: [u16; 3] = [408, 429, 503];
+
+/// What the head of a response says.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ResponseClass {
+    /// It responds to an earlier request of the connection.
+    Stale,
+    /// It responds to this request.
+    Current(AttemptOutcome),
+}
+
+impl ResponseClass {
+    /// Classifies the head of a response to the attempt with this id, sent to `replica`. A request without an id has
+    /// a response without one.
+    #[must_use]
+    pub fn of(head: &Head, attempt_id: Option<&str>, replica: &str) -> ResponseClass {
+        if head.get("attempt-id").unwrap_or_default() != attempt_id.unwrap_or_default() {
+            return ResponseClass::Stale;
+        }
+        ResponseClass::Current(outcome_of(head, replica))
+    }
+}
+
+fn outcome_of(head: &Head, replica: &str) -> AttemptOutcome {
+    let not_run = head.get("not-run").is_some();
+    match head.status() {
+        421 if head.get("server-id").is_some_and(|id| id != replica) => AttemptOutcome::WrongReplica,
+        421 => AttemptOutcome::WrongRevision,
+        400 if not_run => AttemptOutcome::Rejected,
+        200..=299 if not_run => AttemptOutcome::Unsealed,
+        _ if not_run => AttemptOutcome::NotRun,
+        200..=299 if !head.get("server-seal").is_some_and(is_plain) => AttemptOutcome::Unsealed,
+        200..=299 if is_encoded(head) => AttemptOutcome::Encoded,
+        200..=299 => AttemptOutcome::Success,
+        500 => AttemptOutcome::ServerError,
+        status if REFUSAL_STATUSES.contains(&status) => AttemptOutcome::UnconfirmedRefusal,
+        _ => AttemptOutcome::OtherError,
+    }
+}
+
+/// Whether the body has a content coding, which no request asks for.
+fn is_encoded(head: &Head) -> bool {
+    head.get("content-encoding").is_some_and(|coding| !coding.eq_ignore_ascii_case("identity"))
+}
--- a/crates/proxy/src/replica/connection.rs
+++ b/crates/proxy/src/replica/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a replica. A request is written while its answer may already come.
+//! One connection to a replica. The response may begin while the request is still being written.
 
 use std::future::poll_fn;
 use std::io;
@@ -7,19 +7,19 @@
 use tulipridge_http1::codec::Head;
 use tulipridge_http1::{BufferedStream, Http1Limits};
 
-use crate::replica::outcome::ConnectionState;
-use crate::replica::pool::Slot;
+use crate::replica::connection_state::ConnectionState;
+use crate::replica::permit::ConnectionPermit;
 
-/// A connection to a replica. Unless it is given back to its pool, it is reset when it is dropped, so that the
-/// replica drops what it was asked.
+/// A connection to a replica. Unless it is returned to its pool, it is reset when it is dropped, so that the replica
+/// cancels the request.
 pub struct Connection {
-    /// What was read and not yet taken, and the socket.
-    pub wire: BufferedStream,
-    /// The part of the request that the answer has overtaken.
+    /// The socket, with the bytes that were read and not yet decoded.
+    pub stream: BufferedStream,
+    /// The rest of a request whose response began before it was written completely.
     unsent: Unsent,
-    /// Worse than clean if it is not to be used again.
+    /// Why the connection must not be reused, if it must not.
     state: ConnectionState,
-    _slot: Slot,
+    _permit: ConnectionPermit,
 }
 
 /// Bytes that are still to be written.
@@ -30,69 +30,71 @@
 }
 
 impl Unsent {
-    fn rest(&self) -> &[u8] {
+    fn remaining(&self) -> &[u8] {
         &self.bytes[self.written..]
     }
 }
 
 /// How far a request was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
-    /// All of it.
-    Whole,
-    /// The head and a part of the body; bytes came from the replica, and the rest goes out while they are read.
-    Overtaken,
-    /// The head and a part of the body; then the connection failed. Bytes may have come before.
-    CutInBody,
-    /// Not even the head.
-    CutInHead,
+pub enum WriteProgress {
+    /// Completely.
+    Complete,
+    /// The head and a part of the body. The response has begun; the rest is written while it is read.
+    ResponseStarted,
+    /// The head and a part of the body; then the connection failed. A response may have come before.
+    BrokenInBody,
+    /// A part of the head.
+    BrokenInHead,
 }
 
 /// Why the writing of a request has stopped.
-enum Stop {
-    Whole,
-    BytesCame,
+enum WriteStop {
+    Complete,
+    ResponseStarted,
     Failed,
 }
 
 impl Connection {
     /// A connection that has just come up.
     #[must_use]
-    pub fn new(wire: BufferedStream, slot: Slot) -> Connection {
-        Connection { wire, unsent: Unsent::default(), state: ConnectionState::Clean, _slot: slot }
+    pub fn new(stream: BufferedStream, permit: ConnectionPermit) -> Connection {
+        Connection { stream, unsent: Unsent::default(), state: ConnectionState::Clean, _permit: permit }
     }
 
-    /// Notes what stands against using the connection again.
-    pub fn mark(&mut self, state: ConnectionState) {
-        self.state = state;
+    /// Records why the connection must not be reused after the response.
+    pub fn forbid_reuse(&mut self, reason: ConnectionState) {
+        self.state = reason;
     }
 
-    /// What a whole answer with this head leaves of the connection.
+    /// The state of the connection after a complete response with this head.
     #[must_use]
     pub fn state_after(&self, head: &Head) -> ConnectionState {
         match self.state {
-            ConnectionState::Clean if !self.unsent.rest().is_empty() => ConnectionState::RestDue,
-            ConnectionState::Clean if !self.wire.buf.is_empty() => ConnectionState::Surplus,
+            ConnectionState::Clean if !self.unsent.remaining().is_empty() => {
+                ConnectionState::RequestIncomplete
+            }
+            ConnectionState::Clean if !self.stream.buf.is_empty() => ConnectionState::SurplusBytes,
             ConnectionState::Clean if !head.keeps_alive(&head.start[0]) => ConnectionState::ClosedByReplica,
             state => state,
         }
     }
 
-    /// Writes a request, up to the first bytes that come from the replica.
-    pub async fn send(&mut self, head: &[u8], body: &[u8], limits: &Http1Limits) -> Sent {
+    /// Writes a request until it is complete, the response begins, or the connection fails.
+    pub async fn send(&mut self, head: &[u8], body: &[u8], limits: &Http1Limits) -> WriteProgress {
         let mut written = 0;
         let stop = poll_fn(|context| self.poll_send(context, head, body, &mut written, limits)).await;
         match stop {
-            Stop::Whole => Sent::Whole,
-            // What came can't be an answer to it.
-            _ if written < head.len() => Sent::CutInHead,
-            Stop::BytesCame => {
+            WriteStop::Complete => WriteProgress::Complete,
+            // What came can't be the response to it.
+            _ if written < head.len() => WriteProgress::BrokenInHead,
+            WriteStop::ResponseStarted => {
                 self.unsent = Unsent { bytes: body[written - head.len()..].to_vec(), written: 0 };
-                Sent::Overtaken
+                WriteProgress::ResponseStarted
             }
-            Stop::Failed => {
-                self.mark(ConnectionState::RestDue);
-                Sent::CutInBody
+            WriteStop::Failed => {
+                self.forbid_reuse(ConnectionState::RequestIncomplete);
+                WriteProgress::BrokenInBody
             }
         }
     }
@@ -104,47 +106,50 @@
         body: &[u8],
         written: &mut usize,
         limits: &Http1Limits,
-    ) -> Poll<Stop> {
+    ) -> Poll<WriteStop> {
         while *written < head.len() + body.len() {
             let head_left = &head[(*written).min(head.len())..];
             let body_left = &body[written.saturating_sub(head.len())..];
-            match self.wire.poll_write_both(context, head_left, body_left) {
+            match self.stream.poll_write_both(context, head_left, body_left) {
                 Poll::Ready(Ok(count)) => *written += count,
-                Poll::Ready(Err(_)) => return Poll::Ready(Stop::Failed),
+                Poll::Ready(Err(_)) => return Poll::Ready(WriteStop::Failed),
                 Poll::Pending => {
-                    return self.wire.poll_fill(context, limits).map(|read| match read {
-                        Ok(count) if count > 0 => Stop::BytesCame,
-                        _ => Stop::Failed,
+                    return self.stream.poll_fill(context, limits).map(|read| match read {
+                        Ok(count) if count > 0 => WriteStop::ResponseStarted,
+                        _ => WriteStop::Failed,
                     });
                 }
             }
         }
-        Poll::Ready(Stop::Whole)
+        Poll::Ready(WriteStop::Complete)
     }
 
-    /// Reads what is there, or waits for some; 0 is the replica's end.
+    /// Reads what is there, or waits for bytes; 0 is the end of the stream.
+    ///
+    /// # Errors
+    /// If the connection fails, or its buffer is full.
     pub async fn fill(&mut self, limits: &Http1Limits) -> io::Result<usize> {
         poll_fn(|context| self.poll_fill(context, limits)).await
     }
 
-    /// The same as a poll. What is left of the request goes out meanwhile.
+    /// [`Connection::fill`] as a poll. The rest of the request is written meanwhile.
     pub fn poll_fill(
         &mut self,
         context: &mut Context<'_>,
         limits: &Http1Limits,
     ) -> Poll<io::Result<usize>> {
         self.poll_unsent(context);
-        self.wire.poll_fill(context, limits)
+        self.stream.poll_fill(context, limits)
     }
 
     fn poll_unsent(&mut self, context: &mut Context<'_>) {
-        while !self.unsent.rest().is_empty() {
-            match self.wire.poll_write(context, self.unsent.rest()) {
+        while !self.unsent.remaining().is_empty() {
+            match self.stream.poll_write(context, self.unsent.remaining()) {
                 Poll::Ready(Ok(count)) => self.unsent.written += count,
                 Poll::Ready(Err(_)) => {
-                    // The answer may be there all the same.
+                    // The response may have been sent all the same.
                     self.unsent = Unsent::default();
-                    self.mark(ConnectionState::RestDue);
+                    self.forbid_reuse(ConnectionState::RequestIncomplete);
                 }
                 Poll::Pending => return,
             }
--- a/crates/proxy/src/replica/mod.rs
+++ b/crates/proxy/src/replica/mod.rs
@@ -1,12 +1,23 @@
-//! The side of the replicas: which there are, the connections to them, and one attempt to have one answer.
+//! The upstream side: the known replicas, the connections to them, and one attempt to get a response.
 //!
-//! [`replicas`] knows which may be sent requests, [`pool`] keeps their [`connection`]s, [`attempt`] writes a request
-//! and reads what comes, [`reply`] reads the head of an answer, and [`outcome`] is the table of what follows.
+//! | module | job |
+//! | --- | --- |
+//! | [`replicas`] | which replicas exist and which may be sent requests |
+//! | [`pool`], [`connection`], [`connection_state`], [`permit`], [`connect_error`] | pooled connections, and when one may be reused |
+//! | [`attempt`], [`response`], [`classify`] | write a request to one replica and read its response |
+//! | [`outcome`], [`request_kind`], [`retry`] | how an attempt ended, and what follows: the retry table |
+//! | [`weights_expiry`] | when requests still queued on withdrawn weights are cancelled |
 
 pub mod attempt;
+pub mod classify;
+pub mod connect_error;
 pub mod connection;
-pub mod expiry;
+pub mod connection_state;
 pub mod outcome;
+pub mod permit;
 pub mod pool;
 pub mod replicas;
-pub mod reply;
+pub mod request_kind;
+pub mod response;
+pub mod retry;
+pub mod weights_expiry;
--- a/crates/proxy/src/replica/replicas.rs
+++ b/crates/proxy/src/replica/replicas.rs
@@ -1,4 +1,4 @@
-//! The replicas that the control plane tells of, as the proxy uses them.
+//! The replicas that the control plane lists, as the proxy uses them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use tulipridge_load_balancer::types::{Member, Phase, ReplicaId};
 use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase, WeightsTable};
 
-/// Zones by name, as the numbers that the decision module knows them by.
+/// Numbers zones, as the load balancer takes them.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneIndex(Vec<String>);
 
@@ -18,7 +18,7 @@
         ZoneIndex(zones.into_iter().collect())
     }
 
-    /// A zone's number; one that was not known gets the next.
+    /// The number of a zone; an unknown zone gets the next one.
     pub fn number(&mut self, zone: &str) -> u16 {
         let known = self.0.iter().position(|known| known == zone);
         let number = known.unwrap_or_else(|| {
@@ -50,13 +50,13 @@
     /// The revision of its weights of a model.
     #[must_use]
     pub fn revision(&self, model: &str) -> Option<u64> {
-        self.weights(model).map(|held| held.revision)
+        self.weights(model).map(|weights| weights.revision)
     }
 
     /// Its weights of a model.
     #[must_use]
     pub fn weights(&self, model: &str) -> Option<&ModelRevision> {
-        self.models.iter().find(|held| held.model == model)
+        self.models.iter().find(|weights| weights.model == model)
     }
 
     fn member(&self) -> Member {
@@ -74,16 +74,16 @@
 
 /// All replicas by id.
 #[derive(Debug, Default)]
-pub struct Replicas {
+pub struct ReplicaTable {
     entries: BTreeMap<ReplicaId, Rc<ReplicaEntry>>,
     /// The ids of listed incarnations that still have their address, by address.
     addresses: BTreeMap<SocketAddr, ReplicaId>,
-    /// Incarnations whose address belongs to another one now, while they are still listed.
+    /// Listed incarnations whose address belongs to another one now.
     displaced: BTreeSet<ReplicaId>,
     ready: usize,
 }
 
-impl Replicas {
+impl ReplicaTable {
     /// A replica that may be sent requests.
     #[must_use]
     pub fn ready(&self, id: &ReplicaId) -> Option<&Rc<ReplicaEntry>> {
@@ -102,27 +102,28 @@
         self.ready
     }
 
-    /// Takes over the newest table. Returns the services whose replicas changed.
+    /// Applies the newest list. A replica is ready unless it drains, is displaced, or has outdated weights. Returns the
+    /// services whose replicas changed.
     pub fn update<'a>(
         &mut self,
-        lines: impl IntoIterator<Item = &'a Replica>,
+        rows: impl IntoIterator<Item = &'a Replica>,
         weights: &WeightsTable,
         zones: &mut ZoneIndex,
     ) -> BTreeSet<String> {
         let mut entries = BTreeMap::new();
-        for line in lines {
-            let Ok(address) = line.address.parse() else {
-                log::warn!(replica = &*line.id, address = &*line.address; "a replica's address can't be read");
+        for row in rows {
+            let Ok(address) = row.address.parse() else {
+                log::warn!(replica = &*row.id, address = &*row.address; "a replica's address can't be read");
                 continue;
             };
-            let id = ReplicaId::from(line.id.as_str());
+            let id = ReplicaId::from(row.id.as_str());
             let entry = ReplicaEntry {
-                phase: self.phase(&id, line, weights),
+                phase: self.phase(&id, row, weights),
                 id: id.clone(),
-                service: line.service.clone(),
+                service: row.service.clone(),
                 address,
-                zone: zones.number(&line.zone),
-                models: line.models.clone(),
+                zone: zones.number(&row.zone),
+                models: row.models.clone(),
             };
             let known = self.entries.get(&id).filter(|known| ***known == entry).cloned();
             entries.insert(id, known.unwrap_or_else(|| Rc::new(entry)));
@@ -130,17 +131,17 @@
         self.replace(entries)
     }
 
-    fn phase(&self, id: &ReplicaId, line: &Replica, weights: &WeightsTable) -> Phase {
-        let outdated = |held: &ModelRevision| {
-            weights.models.iter().any(|named| named.model == held.model && held.revision < named.least)
+    fn phase(&self, id: &ReplicaId, row: &Replica, weights: &WeightsTable) -> Phase {
+        let outdated = |loaded: &ModelRevision| {
+            weights.models.iter().any(|named| named.model == loaded.model && loaded.revision < named.least)
         };
-        let is_ready = line.phase == ReplicaPhase::Ready
+        let is_ready = row.phase == ReplicaPhase::Ready
             && !self.displaced.contains(id)
-            && !line.models.iter().any(outdated);
+            && !row.models.iter().any(outdated);
         if is_ready { Phase::Ready } else { Phase::Draining }
     }
 
-    /// An incarnation is gone, and its address has gone to another. Returns its service, if it was still in use.
+    /// Marks an incarnation as gone, since its address belongs to another one. Returns its service if it was ready.
     pub fn displace(&mut self, id: &ReplicaId) -> Option<String> {
         let entry = self.entries.get_mut(id).filter(|entry| entry.phase == Phase::Ready)?;
         Rc::make_mut(entry).phase = Phase::Draining;
@@ -152,11 +153,13 @@
     }
 
     fn replace(&mut self, entries: BTreeMap<ReplicaId, Rc<ReplicaEntry>>) -> BTreeSet<String> {
-        let same = |a: &Rc<ReplicaEntry>, b: Option<&Rc<ReplicaEntry>>| {
-            b.is_some_and(|b| (a.phase, a.zone, &a.service) == (b.phase, b.zone, &b.service))
+        let is_same = |entry: &Rc<ReplicaEntry>, other: Option<&Rc<ReplicaEntry>>| {
+            other.is_some_and(|other| {
+                (entry.phase, entry.zone, &entry.service) == (other.phase, other.zone, &other.service)
+            })
         };
-        let added = entries.values().filter(|entry| !same(entry, self.entries.get(&entry.id)));
-        let removed = self.entries.values().filter(|entry| !same(entry, entries.get(&entry.id)));
+        let added = entries.values().filter(|entry| !is_same(entry, self.entries.get(&entry.id)));
+        let removed = self.entries.values().filter(|entry| !is_same(entry, entries.get(&entry.id)));
         let changed = added.chain(removed).map(|entry| entry.service.clone()).collect();
         self.displaced.retain(|id| entries.contains_key(id));
         self.ready = entries.values().filter(|entry| entry.phase == Phase::Ready).count();
@@ -165,7 +168,7 @@
         changed
     }
 
-    /// Of two at one address, one that may be sent requests is the one that has it.
+    /// Indexes replicas by address. Of two at one address, a ready one goes before the other.
     fn by_address(
         &self,
         entries: &BTreeMap<ReplicaId, Rc<ReplicaEntry>>,
@@ -175,7 +178,7 @@
         other.into_iter().chain(ready).map(|entry| (entry.address, entry.id.clone())).collect()
     }
 
-    /// A service's replicas as the decision module takes them.
+    /// A service's replicas, as the load balancer takes them.
     #[must_use]
     pub fn members(&self, service: &str) -> Arc<[Member]> {
         self.entries.values().filter(|entry| entry.service == service).map(|entry| entry.member()).collect()
--- /dev/null
+++ b/crates/proxy/src/replica/request_kind.rs
@@ -0,0 +1,39 @@
+//! Whether the requests of a route may run more than once.
+
+use tulipridge_configuration::{Route, RouteKind};
+
+/// Whether a request is idempotent, and whether its response is a stream that can be resumed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum RequestKind {
+    /// Idempotent: it may run any number of times.
+    Safe,
+    /// Not idempotent: it may run once at most.
+    Unsafe,
+    /// A stream of events that may run once at most.
+    Stream,
+    /// A stream of events that another replica may restart, or resume after the last event.
+    ResumableStream,
+}
+
+impl RequestKind {
+    /// All kinds, in the order of the columns of `docs/design/calls.md`.
+    pub const ALL: [RequestKind; 4] =
+        [RequestKind::Safe, RequestKind::Unsafe, RequestKind::Stream, RequestKind::ResumableStream];
+
+    /// The kind of a route's requests.
+    #[must_use]
+    pub fn of(route: &Route) -> RequestKind {
+        match route.kind {
+            RouteKind::Harmless => RequestKind::Safe,
+            RouteKind::Risky => RequestKind::Unsafe,
+            RouteKind::Stream if route.resumable => RequestKind::ResumableStream,
+            RouteKind::Stream => RequestKind::Stream,
+        }
+    }
+
+    /// Whether it may run more than once.
+    #[must_use]
+    pub fn is_repeatable(self) -> bool {
+        matches!(self, RequestKind::Safe | RequestKind::ResumableStream)
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/retry_budgets.rs
@@ -0,0 +1,68 @@
+//! The retry budgets of all services.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+
+use crate::placement::budget::{RetryAllowance, RetryBudget};
+
+/// One budget of retries for each service, and what all of them are derived from.
+pub struct RetryBudgets {
+    allowance: Cell<RetryAllowance>,
+    /// Proxies that share the fleet's allowance; 0 until that is known.
+    proxy_count: Cell<u32>,
+    budgets: RefCell<BTreeMap<String, RetryBudget>>,
+}
+
+impl RetryBudgets {
+    /// No budgets yet. Each service's budget is created with its first request.
+    #[must_use]
+    pub fn new(allowance: RetryAllowance) -> RetryBudgets {
+        RetryBudgets {
+            allowance: Cell::new(allowance),
+            proxy_count: Cell::new(0),
+            budgets: RefCell::default(),
+        }
+    }
+
+    /// Sets the fleet's allowance. If it changes, all budgets start empty again.
+    pub fn set_allowance(&self, allowance: RetryAllowance) {
+        if self.allowance.replace(allowance) != allowance {
+            self.budgets.borrow_mut().clear();
+        }
+    }
+
+    /// Sets how many proxies share the fleet's allowance.
+    pub fn set_proxy_count(&self, proxy_count: u32) {
+        self.proxy_count.set(proxy_count);
+        self.budgets.borrow_mut().values_mut().for_each(|budget| budget.set_gateways(proxy_count));
+    }
+
+    /// Whether a service's budget allows a retry.
+    pub fn has_token(&self, service: &str) -> bool {
+        self.budgets.borrow().get(service).is_some_and(RetryBudget::has_token)
+    }
+
+    /// Takes a token for a retry from a service's budget; false if there is none.
+    pub fn take_token(&self, service: &str) -> bool {
+        self.budgets.borrow_mut().get_mut(service).is_some_and(RetryBudget::take)
+    }
+
+    /// Records the first send of a request, which earns the service's budget a part of a token.
+    pub fn record_first_send(&self, service: &str) {
+        let mut budgets = self.budgets.borrow_mut();
+        if let Some(budget) = budgets.get_mut(service) {
+            return budget.first_send();
+        }
+        let mut budget = self.new_budget();
+        budget.first_send();
+        budgets.insert(service.to_owned(), budget);
+    }
+
+    fn new_budget(&self) -> RetryBudget {
+        let mut budget = RetryBudget::new(self.allowance.get());
+        if self.proxy_count.get() > 0 {
+            budget.set_gateways(self.proxy_count.get());
+        }
+        budget
+    }
+}
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -19,7 +19,7 @@
 
 use crate::placement::held;
 use crate::proxy::Proxy;
-use crate::{edge, ready};
+use crate::{downstream, ready};
 
 /// Time between looks at idle connections to replicas.
 const SWEEP: Duration = Duration::from_secs(5);
@@ -86,7 +86,7 @@
     executor.spawn(held::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
     executor.spawn(housekeeping(proxy.clone())).detach();
     executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_check)).detach();
-    executor.spawn(edge::listen(proxy.clone(), executor.clone(), front_door)).detach();
+    executor.spawn(downstream::listener::listen(proxy.clone(), executor.clone(), front_door)).detach();
     executor.spawn(heed_signals(proxy.clone(), signals, settings)).detach();
     proxy.run_lifecycle().await;
     log::info!(open = proxy.usage.open_clients(); "the proxy ends");
@@ -158,7 +158,7 @@
     let mut since_counters = Duration::ZERO;
     loop {
         proxy.alarms.after(SWEEP).await;
-        proxy.pool.sweep();
+        proxy.pool.close_expired();
         since_counters += SWEEP;
         if since_counters >= COUNTERS {
             since_counters = Duration::ZERO;
--- /dev/null
+++ b/crates/proxy/src/shutdown.rs
@@ -0,0 +1,70 @@
+//! Runs the stages of a graceful shutdown: what [`crate::lifecycle`] decides, with the clock and the tasks that wait.
+
+use std::cell::RefCell;
+use std::time::Duration;
+
+use futures_lite::future;
+use tulipridge_runtime::clock;
+
+use crate::alarms::Alarms;
+use crate::bounds::Usage;
+use crate::lifecycle::{Lifecycle, Stage};
+use crate::notice::Notice;
+
+/// The stage of the process, and the notice of each change.
+#[derive(Default)]
+pub struct Shutdown {
+    lifecycle: RefCell<Lifecycle>,
+    stage_changed: Notice,
+}
+
+impl Shutdown {
+    /// Raised at each change of the stage.
+    pub fn stage_changed(&self) -> &Notice {
+        &self.stage_changed
+    }
+
+    /// Begins a graceful shutdown, as on SIGTERM; the platform kills the process after `leeway`.
+    pub fn begin(&self, leeway: Duration) {
+        self.lifecycle.borrow_mut().stop(clock::now(), leeway);
+        self.stage_changed.raise();
+    }
+
+    /// The stage now.
+    pub fn stage(&self) -> Stage {
+        self.lifecycle.borrow().stage(clock::now())
+    }
+
+    /// Whether a request that may last for `time_left` from now on is still accepted.
+    pub fn takes_request(&self, time_left: Duration) -> bool {
+        let now = clock::now();
+        self.lifecycle.borrow().takes_request(now, now + time_left)
+    }
+
+    /// Raises the notice at each change of the stage. Returns once the process may end.
+    pub async fn run(&self, alarms: &Alarms, usage: &Usage) {
+        loop {
+            let now = clock::now();
+            if self.lifecycle.borrow().may_end(now, usage.open_clients()) {
+                return;
+            }
+            let next = self.lifecycle.borrow().next_change(now);
+            let change = async {
+                match next {
+                    Some(at) => alarms.after(at.saturating_sub(now)).await,
+                    None => self.stage_changed.changed().await,
+                }
+            };
+            let client_closed = async {
+                match next {
+                    Some(_) => usage.client_closed.changed().await,
+                    None => future::pending().await,
+                }
+            };
+            future::or(change, client_closed).await;
+            if next.is_some_and(|at| clock::now() >= at) {
+                self.stage_changed.raise();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/updates.rs
@@ -0,0 +1,95 @@
+//! Applies changes from the control plane and the settings to the proxy.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use tulipridge_configuration::Configuration;
+use tulipridge_load_balancer::types::ReplicaId;
+use tulipridge_prefix_cache_index::Index;
+use tulipridge_protocol::feed::{Replica, WeightsTable};
+use tulipridge_runtime::clock;
+use tulipridge_runtime::settings::TimeLimits;
+
+use crate::freshness::FreshnessGate;
+use crate::placement::budget::RetryAllowance;
+use crate::placement::held;
+use crate::proxy::Proxy;
+
+impl Proxy {
+    /// Applies the time limits of newer settings. Retry budgets start empty again if their allowance changes.
+    pub fn set_time_limits(&self, limits: &TimeLimits) {
+        self.configuration.set_gate(FreshnessGate::of(limits));
+        self.weights_expiry.set_term(limits.revision_term());
+        self.retry_budgets.set_allowance(RetryAllowance::of(limits));
+    }
+
+    /// Applies a configuration.
+    pub fn set_configuration(&self, configuration: Arc<Configuration>) {
+        log::info!(
+            revision = configuration.revision, routes = configuration.routes.len(),
+            tenants = configuration.tenants.len();
+            "configuration applied"
+        );
+        self.placement.borrow_mut().configure(&configuration);
+        for service in &configuration.services {
+            self.set_members(&service.label);
+        }
+        let stores = configuration.services.iter().filter_map(|service| service.store_address.as_deref());
+        self.kv.borrow_mut().set_stores(stores.filter_map(|address| address.parse().ok()).collect());
+        self.configuration.set(configuration);
+    }
+
+    /// Applies the list of replicas. `weights` says which revisions of their weights may still be used.
+    pub fn set_fleet<'a>(&self, rows: impl IntoIterator<Item = &'a Replica>, weights: &WeightsTable) {
+        let changed_services = {
+            let mut zones = self.zones.borrow_mut();
+            self.replicas.borrow_mut().update(rows, weights, &mut zones)
+        };
+        let replicas = self.replicas.borrow();
+        self.pool.retain_replicas(|id| replicas.ready(id).is_some());
+        drop(replicas);
+        changed_services.iter().for_each(|service| self.set_members(service));
+        self.weights_expiry.update(weights, clock::now());
+    }
+
+    /// Applies how much work of all proxies is queued at replicas.
+    pub fn set_loads<'a>(&self, loads: impl IntoIterator<Item = (&'a Replica, u8)>) {
+        let mut by_service: BTreeMap<&str, Vec<(ReplicaId, f64)>> = BTreeMap::new();
+        for (replica, work) in loads {
+            let load = (ReplicaId::from(replica.id.as_str()), work.into());
+            by_service.entry(&replica.service).or_default().push(load);
+        }
+        let mut placement = self.placement.borrow_mut();
+        by_service
+            .into_iter()
+            .for_each(|(service, loads)| placement.set_loads(held::now(), service, loads));
+    }
+
+    /// Sets how many proxies share the fleet.
+    pub fn set_gateways(&self, proxy_count: u32) {
+        self.placement.borrow_mut().set_group_size(proxy_count);
+        self.retry_budgets.set_proxy_count(proxy_count);
+    }
+
+    /// Sends a replica no more requests, since its address belongs to another one.
+    pub fn displace(&self, id: &ReplicaId) {
+        let service = self.replicas.borrow_mut().displace(id);
+        if let Some(service) = service {
+            log::info!(replica = &*id.0; "a replica's address has gone to another one");
+            self.pool.retain_replicas(|other| other != id);
+            self.set_members(&service);
+        }
+    }
+
+    /// Sets the index of cached prefixes.
+    pub fn set_index(&self, index: Rc<RefCell<Index>>) {
+        self.kv.borrow_mut().set_index(index);
+    }
+
+    fn set_members(&self, service: &str) {
+        let members = self.replicas.borrow().members(service);
+        self.placement.borrow_mut().set_members(held::now(), service, members);
+    }
+}
--- a/crates/proxy/tests/calls.rs
+++ b/crates/proxy/tests/calls.rs
@@ -11,8 +11,10 @@
 use socket2::{Domain, Socket, Type};
 use support::{Bench, LAST, Part, TestClient, answer, header, ok, post, post_long, status, stream_head};
 use tulipridge_load_balancer::types::Verdict;
-use tulipridge_proxy::replica::outcome::{
-    Known, LastAnswer, Next, Outcome, RequestKind, SendEvent, decide, last_answer, may_send_again,
+use tulipridge_proxy::replica::outcome::{AttemptOutcome, Execution};
+use tulipridge_proxy::replica::request_kind::RequestKind;
+use tulipridge_proxy::replica::retry::{
+    FinalStatus, RetryAction, RetryDecision, decide, final_status, may_retry,
 };
 
 /// Bytes of a head that no connection takes at once.
@@ -26,7 +28,7 @@
     /// The status that the client got.
     status: String,
     /// The answer came to its end.
-    is_whole: bool,
+    is_complete: bool,
     /// The client was told when to come back.
     has_retry_after: bool,
     /// Requests whose head a replica has read.
@@ -35,7 +37,7 @@
 
 /// What was seen with a budget of repeated sends and without.
 type Pair = [Seen; 2];
-type Cells = BTreeMap<(RequestKind, SendEvent), Pair>;
+type Cells = BTreeMap<(RequestKind, AttemptOutcome), Pair>;
 
 fn path(kind: RequestKind) -> &'static str {
     match kind {
@@ -72,98 +74,113 @@
     IsSilent,
 }
 
-fn scenario(event: SendEvent) -> Scenario {
+fn scenario(event: AttemptOutcome) -> Scenario {
     let script = |parts: &[Part]| Scenario::Script(parts.to_vec());
     let replies = |line: &str, headers: &str| Scenario::Script(vec![write(answer(line, headers, "no"))]);
     match event {
-        SendEvent::ConnectRefused => Scenario::DeadAddress(Unreachable::Refuses),
-        SendEvent::ConnectTimedOut => Scenario::DeadAddress(Unreachable::IsSilent),
-        SendEvent::NoDescriptor => Scenario::NoDescriptor,
-        SendEvent::BrokenInHead => Scenario::LongHead(vec![Part::BeforeHead, Part::Reset]),
-        SendEvent::BrokenInBody => Scenario::LongBody(vec![Part::BeforeBody, Part::Reset]),
-        SendEvent::BrokenBeforeAnswer => script(&[Part::Reset]),
-        SendEvent::BrokenInAnswer => script(&[write(stream_head()), Part::Close]),
-        SendEvent::CutAnswer => script(&[write(stream_head() + &support::event(1)), Part::Close]),
-        SendEvent::Silence => script(&[Part::Wait]),
-        SendEvent::Outdated => Scenario::Withdrawn,
-        SendEvent::NotHttp => script(&[write("SSH-2.0-server\r\n\r\n")]),
-        SendEvent::OnlyForeign => script(&[write(ok("late").replace("{id}", "t0")), Part::Close]),
-        SendEvent::Unsealed => script(&[write(ok("x").replace("Server-Seal", "Other-Seal"))]),
-        SendEvent::Encoded => replies("200 OK", "Content-Encoding: gzip\r\n"),
-        SendEvent::WrongReplica => replies("421 Misdirected Request", "Server-Id: i-9\r\n"),
-        SendEvent::WrongRevision => replies("421 Misdirected Request", ""),
-        SendEvent::NotRun => replies("503 Service Unavailable", "Not-Run: 1\r\n"),
-        SendEvent::Rejected => replies("400 Bad Request", "Not-Run: 1\r\n"),
-        SendEvent::FalsePromise => replies("503 Service Unavailable", "Retry-After: 1\r\n"),
-        SendEvent::ServerError => replies("500 Internal Server Error", ""),
-        SendEvent::OtherFailure => replies("404 Not Found", ""),
-        SendEvent::Success => script(&[write(ok("served"))]),
+        AttemptOutcome::ConnectRefused => Scenario::DeadAddress(Unreachable::Refuses),
+        AttemptOutcome::ConnectTimedOut => Scenario::DeadAddress(Unreachable::IsSilent),
+        AttemptOutcome::OutOfDescriptors => Scenario::NoDescriptor,
+        AttemptOutcome::BrokenInRequestHead => Scenario::LongHead(vec![Part::BeforeHead, Part::Reset]),
+        AttemptOutcome::BrokenInRequestBody => Scenario::LongBody(vec![Part::BeforeBody, Part::Reset]),
+        AttemptOutcome::BrokenBeforeResponse => script(&[Part::Reset]),
+        AttemptOutcome::BrokenInResponse => script(&[write(stream_head()), Part::Close]),
+        AttemptOutcome::TruncatedResponse => {
+            script(&[write(stream_head() + &support::event(1)), Part::Close])
+        }
+        AttemptOutcome::ResponseTimeout => script(&[Part::Wait]),
+        AttemptOutcome::WeightsExpired => Scenario::Withdrawn,
+        AttemptOutcome::InvalidResponse => script(&[write("SSH-2.0-server\r\n\r\n")]),
+        AttemptOutcome::OnlyStaleResponses => {
+            script(&[write(ok("late").replace("{id}", "t0")), Part::Close])
+        }
+        AttemptOutcome::Unsealed => script(&[write(ok("x").replace("Server-Seal", "Other-Seal"))]),
+        AttemptOutcome::Encoded => replies("200 OK", "Content-Encoding: gzip\r\n"),
+        AttemptOutcome::WrongReplica => replies("421 Misdirected Request", "Server-Id: i-9\r\n"),
+        AttemptOutcome::WrongRevision => replies("421 Misdirected Request", ""),
+        AttemptOutcome::NotRun => replies("503 Service Unavailable", "Not-Run: 1\r\n"),
+        AttemptOutcome::Rejected => replies("400 Bad Request", "Not-Run: 1\r\n"),
+        AttemptOutcome::UnconfirmedRefusal => replies("503 Service Unavailable", "Retry-After: 1\r\n"),
+        AttemptOutcome::ServerError => replies("500 Internal Server Error", ""),
+        AttemptOutcome::OtherError => replies("404 Not Found", ""),
+        AttemptOutcome::Success => script(&[write(ok("served"))]),
     }
 }
 
 /// The status of the replica's own answer, where the event has one.
-fn replica_status(event: SendEvent) -> &'static str {
+fn replica_status(event: AttemptOutcome) -> &'static str {
     match event {
-        SendEvent::Success | SendEvent::CutAnswer | SendEvent::BrokenInAnswer => "200",
-        SendEvent::Unsealed | SendEvent::Encoded | SendEvent::OnlyForeign => "200",
-        SendEvent::WrongReplica | SendEvent::WrongRevision => "421",
-        SendEvent::NotRun | SendEvent::FalsePromise => "503",
-        SendEvent::Rejected => "400",
-        SendEvent::ServerError => "500",
-        SendEvent::OtherFailure => "404",
+        AttemptOutcome::Success | AttemptOutcome::TruncatedResponse | AttemptOutcome::BrokenInResponse => {
+            "200"
+        }
+        AttemptOutcome::Unsealed | AttemptOutcome::Encoded | AttemptOutcome::OnlyStaleResponses => "200",
+        AttemptOutcome::WrongReplica | AttemptOutcome::WrongRevision => "421",
+        AttemptOutcome::NotRun | AttemptOutcome::UnconfirmedRefusal => "503",
+        AttemptOutcome::Rejected => "400",
+        AttemptOutcome::ServerError => "500",
+        AttemptOutcome::OtherError => "404",
         _ => "none",
     }
 }
 
 /// Replicas that have read the request's head when the event has come about.
-fn arrivals(event: SendEvent) -> usize {
+fn arrivals(event: AttemptOutcome) -> usize {
     match event {
-        SendEvent::ConnectRefused
-        | SendEvent::ConnectTimedOut
-        | SendEvent::NoDescriptor
-        | SendEvent::BrokenInHead => 0,
+        AttemptOutcome::ConnectRefused
+        | AttemptOutcome::ConnectTimedOut
+        | AttemptOutcome::OutOfDescriptors
+        | AttemptOutcome::BrokenInRequestHead => 0,
         _ => 1,
     }
 }
 
 /// Whether the request was counted as sent when the event has come about: only a further send needs a token.
-fn was_sent(event: SendEvent) -> bool {
-    !matches!(event, SendEvent::ConnectRefused | SendEvent::ConnectTimedOut | SendEvent::NoDescriptor)
+fn was_sent(event: AttemptOutcome) -> bool {
+    !matches!(
+        event,
+        AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut | AttemptOutcome::OutOfDescriptors
+    )
 }
 
 // ---- what the table says will be seen ---------------------------------------------------------------------
 
-fn refused_or_failed(kind: RequestKind, event: SendEvent, has_given_up: bool) -> Seen {
-    let is_late = event == SendEvent::Silence;
-    let answer = last_answer(kind, event.known(), is_late, has_given_up);
+fn refused_or_failed(kind: RequestKind, event: AttemptOutcome, has_given_up: bool) -> Seen {
+    let is_late = event == AttemptOutcome::ResponseTimeout;
+    let answer = final_status(kind, event.execution(), is_late, has_given_up);
     let status = match answer {
-        LastAnswer::Refusal => "503",
-        LastAnswer::BadGateway => "502",
-        LastAnswer::GatewayTimeout => "504",
+        FinalStatus::ServiceUnavailable => "503",
+        FinalStatus::BadGateway => "502",
+        FinalStatus::GatewayTimeout => "504",
     };
-    let has_retry_after = answer == LastAnswer::Refusal;
-    Seen { status: status.to_owned(), is_whole: true, has_retry_after, arrivals: arrivals(event) }
+    let has_retry_after = answer == FinalStatus::ServiceUnavailable;
+    Seen { status: status.to_owned(), is_complete: true, has_retry_after, arrivals: arrivals(event) }
 }
 
-fn expected(kind: RequestKind, event: SendEvent, outcome: Outcome, has_budget: bool) -> Seen {
+fn expected(kind: RequestKind, event: AttemptOutcome, decision: RetryDecision, has_budget: bool) -> Seen {
     let arrivals = arrivals(event);
-    let replicas = |is_whole| Seen {
+    let replicas = |is_complete| Seen {
         status: replica_status(event).to_owned(),
-        is_whole,
+        is_complete,
         has_retry_after: false,
         arrivals,
     };
-    let served =
-        Seen { status: "200".to_owned(), is_whole: true, has_retry_after: false, arrivals: arrivals + 1 };
+    let served = Seen {
+        status: "200".to_owned(),
+        is_complete: true,
+        has_retry_after: false,
+        arrivals: arrivals + 1,
+    };
     let is_sent_again = has_budget || !was_sent(event);
-    match outcome.next {
+    match decision.action {
         // Nobody has a connection for it.
-        Next::SendAgain if event == SendEvent::NoDescriptor => refused_or_failed(kind, event, true),
-        Next::SendAgain | Next::SendAgainOrPassOn | Next::Resume if is_sent_again => served,
-        Next::SendAgain => refused_or_failed(kind, event, true),
-        Next::SendAgainOrPassOn | Next::PassOn => replicas(true),
-        Next::Resume | Next::BreakOff => replicas(false),
-        Next::Fail => refused_or_failed(kind, event, false),
+        RetryAction::Retry if event == AttemptOutcome::OutOfDescriptors => {
+            refused_or_failed(kind, event, true)
+        }
+        RetryAction::Retry | RetryAction::RetryOrForward | RetryAction::Resume if is_sent_again => served,
+        RetryAction::Retry => refused_or_failed(kind, event, true),
+        RetryAction::RetryOrForward | RetryAction::Forward => replicas(true),
+        RetryAction::Resume | RetryAction::Abort => replicas(false),
+        RetryAction::Fail => refused_or_failed(kind, event, false),
     }
 }
 
@@ -181,7 +198,7 @@
     }
 }
 
-fn observe(kind: RequestKind, event: SendEvent, has_budget: bool) -> Seen {
+fn observe(kind: RequestKind, event: AttemptOutcome, has_budget: bool) -> Seen {
     let scenario = scenario(event);
     let (ratio, spare) = if has_budget { (2.0, 100) } else { (0.0, 0) };
     let bench = match scenario {
@@ -190,7 +207,7 @@
         _ => Bench::with_budget(2, ratio, spare),
     };
     let mut request = request(kind, &scenario);
-    if event == SendEvent::Silence {
+    if event == AttemptOutcome::ResponseTimeout {
         request = request.replace("Time-Left-Ms: 6000", "Time-Left-Ms: 300");
     }
     let mut configuration = support::configuration();
@@ -199,7 +216,7 @@
     let answer = match &scenario {
         Scenario::Script(parts) | Scenario::LongBody(parts) | Scenario::LongHead(parts) => {
             bench.next(parts);
-            if event == SendEvent::CutAnswer {
+            if event == AttemptOutcome::TruncatedResponse {
                 bench.next(&[write(stream_head() + &support::event(2) + LAST)]);
             }
             bench.run(bench.ask(&request))
@@ -208,10 +225,10 @@
         Scenario::NoDescriptor => ask_without_descriptor(&bench, &request),
         Scenario::Withdrawn => ask_on_withdrawn_weights(&bench, &request),
     };
-    let held = if event == SendEvent::NoDescriptor { 1 } else { 0 };
+    let held = if event == AttemptOutcome::OutOfDescriptors { 1 } else { 0 };
     Seen {
         status: status(&answer).to_owned(),
-        is_whole: !answer.ends_with("(cut)"),
+        is_complete: !answer.ends_with("(cut)"),
         has_retry_after: header(&answer, "Retry-After").is_some(),
         arrivals: bench.arrivals() - held,
     }
@@ -287,26 +304,33 @@
 
 fn observe_all(kind: RequestKind) -> Cells {
     let pair = |event| [observe(kind, event, true), observe(kind, event, false)];
-    SendEvent::ALL.into_iter().map(|event| ((kind, event), pair(event))).collect()
+    AttemptOutcome::ALL.into_iter().map(|event| ((kind, event), pair(event))).collect()
 }
 
 /// The cells in which something else was seen than the table says.
-fn mismatches(cells: &Cells, table: impl Fn(RequestKind, SendEvent) -> Outcome) -> Vec<String> {
-    let check = |(&(kind, event), seen): (&(RequestKind, SendEvent), &Pair)| {
-        let outcome = table(kind, event);
-        let due = [expected(kind, event, outcome, true), expected(kind, event, outcome, false)];
+fn mismatches(cells: &Cells, table: impl Fn(RequestKind, AttemptOutcome) -> RetryDecision) -> Vec<String> {
+    let check = |(&(kind, event), seen): (&(RequestKind, AttemptOutcome), &Pair)| {
+        let decision = table(kind, event);
+        let due = [expected(kind, event, decision, true), expected(kind, event, decision, false)];
         (due != *seen).then(|| format!("{kind:?} {event:?}\n  due  {due:?}\n  seen {seen:?}"))
     };
     cells.iter().filter_map(check).collect()
 }
 
-const ALL_NEXT: [Next; 6] =
-    [Next::SendAgain, Next::SendAgainOrPassOn, Next::Resume, Next::PassOn, Next::Fail, Next::BreakOff];
+const ALL_ACTIONS: [RetryAction; 6] = [
+    RetryAction::Retry,
+    RetryAction::RetryOrForward,
+    RetryAction::Resume,
+    RetryAction::Forward,
+    RetryAction::Fail,
+    RetryAction::Abort,
+];
 
 /// Two decisions that nobody outside can tell apart for this event.
-fn look_alike(kind: RequestKind, event: SendEvent, one: Next, other: Next) -> bool {
-    let seen =
-        |next, has_budget| expected(kind, event, Outcome { next, ..decide(kind, event) }, has_budget);
+fn look_alike(kind: RequestKind, event: AttemptOutcome, one: RetryAction, other: RetryAction) -> bool {
+    let seen = |action, has_budget| {
+        expected(kind, event, RetryDecision { action, ..decide(kind, event) }, has_budget)
+    };
     seen(one, true) == seen(other, true) && seen(one, false) == seen(other, false)
 }
 
@@ -316,14 +340,17 @@
     kind: RequestKind,
 ) {
     let cells = observe_all(kind);
-    assert_eq!(cells.len(), SendEvent::ALL.len(), "each cell is brought about");
+    assert_eq!(cells.len(), AttemptOutcome::ALL.len(), "each cell is brought about");
     assert_eq!(mismatches(&cells, decide), Vec::<String>::new());
     let mut seen_mutations = 0;
-    for event in SendEvent::ALL {
+    for event in AttemptOutcome::ALL {
         let right = decide(kind, event);
-        for next in ALL_NEXT.into_iter().filter(|next| !look_alike(kind, event, right.next, *next)) {
-            let mutated = |kind, at| if at == event { Outcome { next, ..right } } else { decide(kind, at) };
-            assert_eq!(mismatches(&cells, mutated).len(), 1, "{kind:?} {event:?} {next:?}");
+        for action in
+            ALL_ACTIONS.into_iter().filter(|action| !look_alike(kind, event, right.action, *action))
+        {
+            let mutated =
+                |kind, at| if at == event { RetryDecision { action, ..right } } else { decide(kind, at) };
+            assert_eq!(mismatches(&cells, mutated).len(), 1, "{kind:?} {event:?} {action:?}");
             seen_mutations += 1;
         }
     }
@@ -333,21 +360,22 @@
 // ---- what holds of the table itself -----------------------------------------------------------------------
 
 /// What a cell of a table breaks.
-fn breach(kind: RequestKind, event: SendEvent, outcome: Outcome) -> Option<&'static str> {
-    let may_have_run = outcome.known != Known::NotRun;
-    let is_sent_again = matches!(outcome.next, Next::SendAgain | Next::SendAgainOrPassOn | Next::Resume);
+fn breach(kind: RequestKind, event: AttemptOutcome, decision: RetryDecision) -> Option<&'static str> {
+    let may_have_run = decision.execution != Execution::NotRun;
+    let is_sent_again =
+        matches!(decision.action, RetryAction::Retry | RetryAction::RetryOrForward | RetryAction::Resume);
     let says_so = event.verdict();
     let module_thinks_not_run = matches!(says_so, Verdict::Full | Verdict::NoConnection | Verdict::Moot);
     if is_sent_again && may_have_run && !kind.is_repeatable() {
         return Some("what may have run and must not be repeated is sent again");
     }
-    if outcome.next == Next::Resume && kind != RequestKind::ResumableStream {
+    if decision.action == RetryAction::Resume && kind != RequestKind::ResumableStream {
         return Some("a stream that may not be resumed is");
     }
     if module_thinks_not_run && may_have_run {
         return Some("the decision module takes what may have run for what has not");
     }
-    if outcome.next == Next::PassOn && matches!(replica_status(event), "503" | "421" | "none") {
+    if decision.action == RetryAction::Forward && matches!(replica_status(event), "503" | "421" | "none") {
         return Some("a promise or nothing is passed on");
     }
     None
@@ -356,35 +384,35 @@
 #[test]
 fn no_cell_breaks_what_the_protocol_promises() {
     for kind in RequestKind::ALL {
-        for event in SendEvent::ALL {
+        for event in AttemptOutcome::ALL {
             assert_eq!(breach(kind, event, decide(kind, event)), None, "{kind:?} {event:?}");
         }
     }
 }
 
 #[rstest]
-#[case(RequestKind::Unsafe, SendEvent::BrokenBeforeAnswer, Next::SendAgain)]
-#[case(RequestKind::Unsafe, SendEvent::BrokenInBody, Next::SendAgain)]
-#[case(RequestKind::Stream, SendEvent::CutAnswer, Next::Resume)]
-#[case(RequestKind::Safe, SendEvent::CutAnswer, Next::Resume)]
-#[case(RequestKind::Unsafe, SendEvent::FalsePromise, Next::PassOn)]
+#[case(RequestKind::Unsafe, AttemptOutcome::BrokenBeforeResponse, RetryAction::Retry)]
+#[case(RequestKind::Unsafe, AttemptOutcome::BrokenInRequestBody, RetryAction::Retry)]
+#[case(RequestKind::Stream, AttemptOutcome::TruncatedResponse, RetryAction::Resume)]
+#[case(RequestKind::Safe, AttemptOutcome::TruncatedResponse, RetryAction::Resume)]
+#[case(RequestKind::Unsafe, AttemptOutcome::UnconfirmedRefusal, RetryAction::Forward)]
 fn a_table_that_breaks_a_promise_is_seen(
     #[case] kind: RequestKind,
-    #[case] event: SendEvent,
-    #[case] next: Next,
+    #[case] event: AttemptOutcome,
+    #[case] action: RetryAction,
 ) {
-    assert!(breach(kind, event, Outcome { next, ..decide(kind, event) }).is_some());
+    assert!(breach(kind, event, RetryDecision { action, ..decide(kind, event) }).is_some());
 }
 
 #[test]
 fn nothing_is_promised_of_what_may_have_run() {
     for kind in RequestKind::ALL {
-        for known in [Known::NotRun, Known::MayHaveRun, Known::HasRun] {
+        for execution in [Execution::NotRun, Execution::MayHaveRun, Execution::HasRun] {
             for [is_late, has_given_up] in [[false, false], [false, true], [true, false], [true, true]] {
-                let answer = last_answer(kind, known, is_late, has_given_up);
-                let may_promise = known == Known::NotRun || kind.is_repeatable();
-                assert!(answer != LastAnswer::Refusal || may_promise, "{kind:?} {known:?}");
-                assert_eq!(may_send_again(kind, known), may_promise);
+                let answer = final_status(kind, execution, is_late, has_given_up);
+                let may_promise = execution == Execution::NotRun || kind.is_repeatable();
+                assert!(answer != FinalStatus::ServiceUnavailable || may_promise, "{kind:?} {execution:?}");
+                assert_eq!(may_retry(kind, execution), may_promise);
             }
         }
     }
--- a/crates/proxy/tests/calls_page.rs
+++ b/crates/proxy/tests/calls_page.rs
@@ -1,42 +1,49 @@
-//! The page of the table of sends says what the table says.
+//! `docs/design/calls.md` has the same retry table and the same connection states as the code.
 
-use tulipridge_proxy::replica::outcome::{ConnectionState, Known, Next, RequestKind, SendEvent, decide};
+use tulipridge_proxy::replica::connection_state::ConnectionState;
+use tulipridge_proxy::replica::outcome::{AttemptOutcome, Execution};
+use tulipridge_proxy::replica::request_kind::RequestKind;
+use tulipridge_proxy::replica::retry::{RetryAction, decide};
 
 const PAGE: &str = include_str!("../../../docs/design/calls.md");
 
-fn known(known: Known) -> &'static str {
-    match known {
-        Known::NotRun => "has not run",
-        Known::MayHaveRun => "may have run",
-        Known::HasRun => "has run",
+fn execution_text(execution: Execution) -> &'static str {
+    match execution {
+        Execution::NotRun => "has not run",
+        Execution::MayHaveRun => "may have run",
+        Execution::HasRun => "has run",
     }
 }
 
-fn next(next: Next) -> &'static str {
-    match next {
-        Next::SendAgain => "send again",
-        Next::SendAgainOrPassOn => "send again, else pass on",
-        Next::Resume => "resume, else break off",
-        Next::PassOn => "pass on",
-        Next::Fail => "last answer",
-        Next::BreakOff => "break off",
+fn action_text(action: RetryAction) -> &'static str {
+    match action {
+        RetryAction::Retry => "retry",
+        RetryAction::RetryOrForward => "retry, else forward",
+        RetryAction::Resume => "resume, else abort",
+        RetryAction::Forward => "forward",
+        RetryAction::Fail => "final status",
+        RetryAction::Abort => "abort",
     }
 }
 
+fn outcome_row(outcome: AttemptOutcome) -> String {
+    let actions: Vec<_> =
+        RequestKind::ALL.iter().map(|kind| action_text(decide(*kind, outcome).action)).collect();
+    format!(
+        "| `{outcome:?}` | {} | {} | `{:?}` |",
+        execution_text(outcome.execution()),
+        actions.join(" | "),
+        outcome.verdict()
+    )
+}
+
+fn connection_row(state: ConnectionState) -> String {
+    format!("| `{state:?}` | {} |", if state.is_reusable() { "pooled" } else { "closed" })
+}
+
 fn rows() -> Vec<String> {
-    let row = |event| {
-        let cells: Vec<_> = RequestKind::ALL.iter().map(|kind| next(decide(*kind, event).next)).collect();
-        format!(
-            "| `{event:?}` | {} | {} | `{:?}` |",
-            known(event.known()),
-            cells.join(" | "),
-            event.verdict()
-        )
-    };
-    let state = |state: ConnectionState| {
-        format!("| `{state:?}` | {} |", if state.is_reusable() { "kept" } else { "closed" })
-    };
-    SendEvent::ALL.into_iter().map(row).chain(ConnectionState::ALL.into_iter().map(state)).collect()
+    let outcomes = AttemptOutcome::ALL.into_iter().map(outcome_row);
+    outcomes.chain(ConnectionState::ALL.into_iter().map(connection_row)).collect()
 }
 
 /// Rows that a page lacks, and rows of these tables that it has beyond them.
@@ -53,12 +60,12 @@
 }
 
 #[test]
-fn the_page_has_each_row_of_the_table_and_no_other() {
+fn the_page_has_exactly_the_rows_of_the_code() {
     assert_eq!(differences(PAGE), Vec::<String>::new(), "\n{}", rows().join("\n"));
 }
 
 #[test]
-fn a_page_that_says_otherwise_is_seen() {
-    let wrong = PAGE.replacen("| last answer |", "| send again |", 1);
+fn a_page_with_another_action_differs_in_two_rows() {
+    let wrong = PAGE.replacen("| final status |", "| retry |", 1);
     assert_eq!(differences(&wrong).len(), 2);
 }
--- a/crates/proxy/tests/connection_states.rs
+++ b/crates/proxy/tests/connection_states.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use support::{Bench, Part, answer, ok, post, post_long, status};
-use tulipridge_proxy::replica::outcome::ConnectionState;
+use tulipridge_proxy::replica::connection_state::ConnectionState;
 
 fn write(text: impl Into<String>) -> Part {
     Part::Write(text.into())
@@ -19,17 +19,17 @@
     let unframed = ok("").replace("Content-Length: 0\r\n", "");
     match state {
         ConnectionState::Clean => (post(path, "t1"), vec![write(ok("one"))]),
-        ConnectionState::Surplus => (post(path, "t1"), vec![write(ok("one") + "noise")]),
-        ConnectionState::LateAnswer => {
+        ConnectionState::SurplusBytes => (post(path, "t1"), vec![write(ok("one") + "noise")]),
+        ConnectionState::StaleResponse => {
             (post(path, "t1"), vec![write(ok("late").replace("{id}", "t0") + &ok("one"))])
         }
-        ConnectionState::RestDue => {
+        ConnectionState::RequestIncomplete => {
             (post_long(path, "t1"), vec![Part::BeforeBody, write(ok("one")), Part::Wait, Part::ReadBody])
         }
         ConnectionState::ClosedByReplica => {
             (post(path, "t1"), vec![write(answer("200 OK", "Connection: close\r\n", "one"))])
         }
-        ConnectionState::EndsWithAnswer => (post(path, "t1"), vec![write(unframed + "one"), Part::Close]),
+        ConnectionState::DelimitedByClose => (post(path, "t1"), vec![write(unframed + "one"), Part::Close]),
         ConnectionState::NoAttemptId => {
             (without_id(&post(path, "t1")), vec![write(without_id(&ok("one")))])
         }
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/heads.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use tulipridge_http1::codec::Head;
-use tulipridge_proxy::headers::{Additions, After, Framing, OwnAnswer, write_answer, write_request};
+use tulipridge_proxy::headers::{
+    Additions, Framing, LocalResponse, Persistence, write_request_head, write_response_head,
+};
 use tulipridge_proxy::kv_cache::KvTransfer;
 
 fn head(text: &str) -> Head {
@@ -25,7 +27,7 @@
 
 fn request(client: &str, body: usize, additions: &Additions<'_>) -> String {
     let mut out = Vec::new();
-    write_request(&head(client), body, additions, &mut out);
+    write_request_head(&head(client), body, additions, &mut out);
     text(out)
 }
 
@@ -110,7 +112,7 @@
     insta::assert_snapshot!(request(client, 0, &additions));
 }
 
-fn answer(framing: Framing, after: After) -> String {
+fn answer(framing: Framing, persistence: Persistence) -> String {
     let replica = "HTTP/1.1 200 Fine\n\
                    Attempt-Id: 9c41d07b\n\
                    Server-Seal: 3e1b.07\n\
@@ -121,24 +123,24 @@
                    Connection: close\n\
                    Keep-Alive: timeout=3";
     let mut out = Vec::new();
-    write_answer(&head(replica), framing, after, &mut out);
+    write_response_head(&head(replica), framing, persistence, &mut out);
     text(out)
 }
 
 #[test]
 fn an_answer_keeps_what_concerns_the_client() {
-    let idle = After::KeepOpen(Duration::from_secs(14));
+    let idle = Persistence::KeepAlive(Duration::from_secs(14));
     insta::assert_snapshot!(answer(Framing::Length(5), idle));
 }
 
 #[test]
 fn an_answer_in_chunks_has_no_length() {
-    insta::assert_snapshot!(answer(Framing::Chunked, After::Close));
+    insta::assert_snapshot!(answer(Framing::Chunked, Persistence::Close));
 }
 
 #[test]
 fn an_answer_without_body_keeps_the_length_that_is_told() {
-    insta::assert_snapshot!(answer(Framing::None, After::Close));
+    insta::assert_snapshot!(answer(Framing::None, Persistence::Close));
 }
 
 #[test]
@@ -147,7 +149,7 @@
     replica.start[2] = "Fi\nne".to_owned();
     replica.headers.push(("X-Noise".to_owned(), "a\nContent-Length: 0".to_owned()));
     let mut out = Vec::new();
-    write_answer(&replica, Framing::Length(5), After::Close, &mut out);
+    write_response_head(&replica, Framing::Length(5), Persistence::Close, &mut out);
     insta::assert_snapshot!(text(out), @"
     HTTP/1.1 200 OK
     Server-Seal: 3e1b.07
@@ -160,6 +162,6 @@
 #[test]
 fn a_refusal_says_how_long_to_stay_away() {
     let mut out = Vec::new();
-    OwnAnswer::refusal(Duration::from_millis(350)).write(Some("t1"), After::Close, &mut out);
+    LocalResponse::refusal(Duration::from_millis(350)).write(Some("t1"), Persistence::Close, &mut out);
     insta::assert_snapshot!(text(out));
 }
--- a/crates/proxy/tests/kv_cache.rs
+++ b/crates/proxy/tests/kv_cache.rs
@@ -9,7 +9,7 @@
 use fastrand::Rng;
 use rstest::rstest;
 use tulipridge_prefix_cache_index::{CacheUpdate, Index, Liveness, PrefixKey};
-use tulipridge_proxy::kv_cache::{Chain, KvDirectory, KvTransfer, Target, kept_tokens};
+use tulipridge_proxy::kv_cache::{KvTransfer, PrefixChain, Target, TransferPlanner, cached_tokens};
 use tulipridge_proxy::placement::prompt::PromptPart;
 
 const STORE: u8 = 200;
@@ -34,8 +34,8 @@
     Duration::from_millis(count)
 }
 
-fn chain(salt: &str) -> Chain {
-    Chain::new(&PARTS.map(|(id, tokens)| PromptPart::new(id, tokens)), salt)
+fn chain(salt: &str) -> PrefixChain {
+    PrefixChain::new(&PARTS.map(|(id, tokens)| PromptPart::new(id, tokens)), salt)
 }
 
 fn keeps(number: u8, liveness: Liveness, parts: &[(&str, &str, u32)]) -> CacheUpdate {
@@ -50,13 +50,13 @@
     }
 }
 
-fn directory(updates: &[CacheUpdate]) -> KvDirectory {
+fn planner(updates: &[CacheUpdate]) -> TransferPlanner {
     let mut index = Index::default();
     updates.iter().for_each(|update| index.apply(update));
-    let mut directory = KvDirectory::default();
-    directory.set_index(Rc::new(RefCell::new(index)));
-    directory.set_stores(vec![address(STORE)]);
-    directory
+    let mut planner = TransferPlanner::default();
+    planner.set_index(Rc::new(RefCell::new(index)));
+    planner.set_stores(vec![address(STORE)]);
+    planner
 }
 
 fn fetch(plan: KvTransfer) -> Option<u8> {
@@ -87,7 +87,7 @@
 fn a_part_counts_with_all_before_it(#[case] parts: &[(&str, &str, u32)], #[case] expected: u32) {
     let mut index = Index::default();
     index.apply(&keeps(1, Liveness::Alive, parts));
-    assert_eq!(kept_tokens(&index, address(1), &chain("m1")), expected);
+    assert_eq!(cached_tokens(&index, address(1), &chain("m1")), expected);
 }
 
 // ---- fetches ----------------------------------------------------------------------------------------------
@@ -108,38 +108,34 @@
 ) {
     let updates: Vec<_> =
         kept.iter().map(|(number, parts)| keeps(*number, Liveness::Alive, parts)).collect();
-    let mut directory = directory(&updates);
-    let plan = directory.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2, 3, 4]));
+    let mut planner = planner(&updates);
+    let plan = planner.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2, 3, 4]));
     assert_eq!(fetch(plan), expected);
 }
 
 #[test]
 fn a_replica_that_was_just_sent_the_beginning_is_ahead_of_the_index() {
-    let mut directory = directory(&[keeps(STORE, Liveness::Alive, &[])]);
-    directory.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
-    assert_eq!(fetch(directory.plan(ms(900), &chain("m1"), target(2), zones(&[1, 2]))), Some(1));
-    assert_eq!(
-        fetch(directory.plan(ms(950), &chain("m2"), target(1), zones(&[1, 2]))),
-        None,
-        "another salt"
-    );
-    assert_eq!(fetch(directory.plan(ms(2_000), &chain("m1"), target(1), zones(&[1, 2]))), None, "long ago");
+    let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
+    planner.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
+    assert_eq!(fetch(planner.plan(ms(900), &chain("m1"), target(2), zones(&[1, 2]))), Some(1));
+    assert_eq!(fetch(planner.plan(ms(950), &chain("m2"), target(1), zones(&[1, 2]))), None, "another salt");
+    assert_eq!(fetch(planner.plan(ms(2_000), &chain("m1"), target(1), zones(&[1, 2]))), None, "long ago");
 }
 
 #[test]
 fn without_an_index_the_last_replica_is_asked_and_no_store() {
-    let mut directory = directory(&[]);
-    let first = directory.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
+    let mut planner = planner(&[]);
+    let first = planner.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
     assert_eq!((first.fetch, first.save), (None, None));
-    let second = directory.plan(ms(9_000), &chain("m1"), target(2), zones(&[1, 2]));
+    let second = planner.plan(ms(9_000), &chain("m1"), target(2), zones(&[1, 2]));
     assert_eq!((fetch(second), second.save), (Some(1), None));
 }
 
 #[test]
 fn a_prompt_without_long_shared_parts_moves_nothing() {
-    let mut directory = directory(&[keeps(STORE, Liveness::Alive, &[])]);
-    let short = Chain::new(&[PromptPart::new("a", 255)], "m1");
-    let plan = directory.plan(ms(0), &short, target(1), zones(&[1]));
+    let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
+    let short = PrefixChain::new(&[PromptPart::new("a", 255)], "m1");
+    let plan = planner.plan(ms(0), &short, target(1), zones(&[1]));
     assert_eq!((plan.fetch, plan.save), (None, None));
 }
 
@@ -151,7 +147,7 @@
 fn what_neither_target_nor_source_keeps_is_unread(#[case] kept: &[(u8, &[Kept])], #[case] expected: u32) {
     let updates: Vec<_> =
         kept.iter().map(|(number, parts)| keeps(*number, Liveness::Alive, parts)).collect();
-    let plan = directory(&updates).plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
+    let plan = planner(&updates).plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
     assert_eq!(plan.unread_tokens, expected);
 }
 
@@ -159,8 +155,8 @@
 #[case::within_the_bound(4_095, Some(1))]
 #[case::beyond_the_bound(4_096, None)]
 fn only_so_many_beginnings_are_remembered(#[case] others: u32, #[case] expected: Option<u8>) {
-    let mut directory = directory(&[]);
-    let mut plan = |salt: &str, number| directory.plan(ms(0), &chain(salt), target(number), zones(&[1, 2]));
+    let mut planner = planner(&[]);
+    let mut plan = |salt: &str, number| planner.plan(ms(0), &chain(salt), target(number), zones(&[1, 2]));
     plan("m1", 1);
     for other in 0..others {
         plan(&format!("other-{other}"), 2);
@@ -180,15 +176,15 @@
     #[case] parts: &[(&str, &str, u32)],
     #[case] expected: bool,
 ) {
-    let mut directory = directory(&[keeps(STORE, liveness, parts)]);
-    let plan = directory.plan(ms(0), &chain("m1"), target(1), zones(&[1]));
+    let mut planner = planner(&[keeps(STORE, liveness, parts)]);
+    let plan = planner.plan(ms(0), &chain("m1"), target(1), zones(&[1]));
     assert_eq!(plan.save.map(number), expected.then_some(STORE));
 }
 
 #[test]
 fn a_save_is_not_asked_for_again_at_once() {
-    let mut directory = directory(&[keeps(STORE, Liveness::Alive, &[])]);
-    let mut saves_at = |time| directory.plan(ms(time), &chain("m1"), target(1), zones(&[1])).save.is_some();
+    let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
+    let mut saves_at = |time| planner.plan(ms(time), &chain("m1"), target(1), zones(&[1])).save.is_some();
     assert_eq!([0, 10, 2_999, 3_000, 3_001].map(&mut saves_at), [true, false, false, true, false]);
 }
 
@@ -216,7 +212,7 @@
 fn assert_allowed(plan: KvTransfer, index: &Index, target: u8, salt: &str, sent: &[(u8, &str)]) {
     if let Some(source) = fetch(plan) {
         let chain = chain(salt);
-        let is_kept = kept_tokens(index, address(source), &chain) > 0;
+        let is_kept = cached_tokens(index, address(source), &chain) > 0;
         let is_down = index.status(address(source)).is_some_and(|s| s.liveness != Liveness::Alive);
         assert_ne!(source, target);
         assert!(!is_down, "{source} is down");
@@ -230,9 +226,9 @@
 fn no_plan_names_a_wrong_source(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut random = Rng::with_seed(seed);
     let index = Rc::new(RefCell::new(Index::default()));
-    let mut directory = KvDirectory::default();
-    directory.set_index(index.clone());
-    directory.set_stores(vec![address(STORE)]);
+    let mut planner = TransferPlanner::default();
+    planner.set_index(index.clone());
+    planner.set_stores(vec![address(STORE)]);
     let (mut now, mut sent, mut fetches) = (0, Vec::new(), 0);
     for _ in 0..5_000 {
         now += random.u64(..800);
@@ -241,7 +237,7 @@
             continue;
         }
         let (number, salt) = (pick(&mut random, &LISTED), pick(&mut random, &SALTS));
-        let plan = directory.plan(ms(now), &chain(salt), target(number), zones(&LISTED));
+        let plan = planner.plan(ms(now), &chain(salt), target(number), zones(&LISTED));
         assert_allowed(plan, &index.borrow(), number, salt, &sent);
         fetches += usize::from(plan.fetch.is_some());
         sent.push((number, salt));
--- a/crates/proxy/tests/outdated.rs
+++ b/crates/proxy/tests/outdated.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use support::{Bench, LAST, Part, event, ok, post_with, status, stream_head};
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Position, WeightsTable};
-use tulipridge_proxy::replica::expiry::Expiry;
+use tulipridge_proxy::replica::weights_expiry::WeightsExpiry;
 use tulipridge_runtime::settings::RevisionTerm;
 
 /// The operator's term: a part of it is left after a withdrawal.
@@ -64,7 +64,7 @@
         // The first event has come before the news, and the rest comes after the term.
         support::settle().await;
         bench.withdraw_at_busy(5);
-        bench.proxy.outdated(&weights("m", 4)).await;
+        bench.proxy.weights_expired(&weights("m", 4)).await;
         bench.release();
         client.answer().await
     });
@@ -80,7 +80,7 @@
         client.send(&request("/stream/").replace("Llm: m", "Llm: other")).await;
         bench.until(|| bench.arrivals() == 1).await;
         bench.withdraw_at_busy(5);
-        bench.proxy.outdated(&weights("m", 4)).await;
+        bench.proxy.weights_expired(&weights("m", 4)).await;
         bench.release();
         client.answer().await
     });
@@ -107,16 +107,16 @@
 
 #[test]
 fn each_revision_has_the_limit_of_the_first_newer_one_that_expired_them() {
-    let mut expiry = Expiry::new(TERM);
-    assert!(!expiry.take(&table(2, 0), ms(1_000)));
-    assert!(!expiry.take(&table(4, 0), ms(1_500)));
-    assert_eq!(expiry.call_off_at(&weights("m", 1)), None);
-    assert!(expiry.take(&table(4, 2), ms(11_200)));
-    assert!(expiry.take(&table(4, 4), ms(11_700)));
-    assert_eq!(expiry.call_off_at(&weights("m", 1)), Some(ms(12_280)));
-    assert_eq!(expiry.call_off_at(&weights("m", 2)), Some(ms(12_780)));
-    assert_eq!(expiry.call_off_at(&weights("m", 4)), None);
-    assert_eq!(expiry.call_off_at(&weights("other", 1)), None);
+    let mut expiry = WeightsExpiry::new(TERM);
+    assert!(!expiry.update(&table(2, 0), ms(1_000)));
+    assert!(!expiry.update(&table(4, 0), ms(1_500)));
+    assert_eq!(expiry.cancel_at(&weights("m", 1)), None);
+    assert!(expiry.update(&table(4, 2), ms(11_200)));
+    assert!(expiry.update(&table(4, 4), ms(11_700)));
+    assert_eq!(expiry.cancel_at(&weights("m", 1)), Some(ms(12_280)));
+    assert_eq!(expiry.cancel_at(&weights("m", 2)), Some(ms(12_780)));
+    assert_eq!(expiry.cancel_at(&weights("m", 4)), None);
+    assert_eq!(expiry.cancel_at(&weights("other", 1)), None);
 }
 
 #[rstest]
@@ -125,31 +125,31 @@
 #[case::so_late_that_orders_need_the_time(12_100, 12_500)]
 #[case::soon_after_a_newer_gateway_started(1_000, 2_080)]
 fn what_is_left_of_the_term_is_reckoned_from_the_naming(#[case] told: u64, #[case] limit: u64) {
-    let mut expiry = Expiry::new(TERM);
-    expiry.take(&table(2, 0), ms(1_000));
-    expiry.take(&table(2, 2), ms(told));
-    assert_eq!(expiry.call_off_at(&weights("m", 1)), Some(ms(limit)));
+    let mut expiry = WeightsExpiry::new(TERM);
+    expiry.update(&table(2, 0), ms(1_000));
+    expiry.update(&table(2, 2), ms(told));
+    assert_eq!(expiry.cancel_at(&weights("m", 1)), Some(ms(limit)));
 }
 
 #[test]
 fn a_limit_that_was_told_before_does_not_move() {
-    let mut expiry = Expiry::new(TERM);
-    expiry.take(&table(2, 2), ms(1_000));
-    assert!(!expiry.take(&table(2, 2), ms(1_300)));
-    assert!(!expiry.take(&table(2, 1), ms(1_400)));
-    assert_eq!(expiry.call_off_at(&weights("m", 1)), Some(ms(2_080)));
+    let mut expiry = WeightsExpiry::new(TERM);
+    expiry.update(&table(2, 2), ms(1_000));
+    assert!(!expiry.update(&table(2, 2), ms(1_300)));
+    assert!(!expiry.update(&table(2, 1), ms(1_400)));
+    assert_eq!(expiry.cancel_at(&weights("m", 1)), Some(ms(2_080)));
 }
 
 #[test]
 fn revisions_whose_limit_has_passed_stay_past_it() {
-    let mut expiry = Expiry::new(TERM);
+    let mut expiry = WeightsExpiry::new(TERM);
     for (index, revision) in (2..=7).enumerate() {
-        expiry.take(&table(7, revision), ms(2_000 * index as u64));
+        expiry.update(&table(7, revision), ms(2_000 * index as u64));
     }
     // Ten seconds on, the limits of revisions up to 5 have passed.
     for revision in 1..=5 {
-        let limit = expiry.call_off_at(&weights("m", revision)).expect("a limit");
+        let limit = expiry.cancel_at(&weights("m", revision)).expect("a limit");
         assert!(limit <= ms(10_000), "revision {revision} at {limit:?}");
     }
-    assert_eq!(expiry.call_off_at(&weights("m", 6)), Some(ms(11_080)));
+    assert_eq!(expiry.cancel_at(&weights("m", 6)), Some(ms(11_080)));
 }
--- a/crates/proxy/tests/pure.rs
+++ b/crates/proxy/tests/pure.rs
@@ -6,13 +6,13 @@
 use tulipridge_http1::codec::Head;
 use tulipridge_proxy::alarms::Alarms;
 use tulipridge_proxy::bounds::Bounds;
-use tulipridge_proxy::events::EventTracker;
+use tulipridge_proxy::downstream::event_tracker::EventTracker;
 use tulipridge_proxy::freshness::FreshnessGate;
 use tulipridge_proxy::lifecycle::{Lifecycle, Stage};
 use tulipridge_proxy::placement::budget::{RetryAllowance, RetryBudget};
 use tulipridge_proxy::placement::prompt::{Prompt, PromptHeaders, PromptPart};
-use tulipridge_proxy::replica::outcome::SendEvent;
-use tulipridge_proxy::replica::reply::Reply;
+use tulipridge_proxy::replica::classify::ResponseClass;
+use tulipridge_proxy::replica::outcome::AttemptOutcome;
 
 fn head(start: [&str; 3], headers: &[(&str, &str)]) -> Head {
     let owned = |(name, value): &(&str, &str)| ((*name).to_owned(), (*value).to_owned());
@@ -237,39 +237,39 @@
 // ---- what an answer's head says ---------------------------------------------------------------------------
 
 #[rstest]
-#[case(200, &[("Server-Seal", "s")], Reply::Due(SendEvent::Success))]
-#[case(200, &[], Reply::Due(SendEvent::Unsealed))]
-#[case(200, &[("Server-Seal", "s\nX: y")], Reply::Due(SendEvent::Unsealed))]
-#[case(204, &[("Server-Seal", "s")], Reply::Due(SendEvent::Success))]
-#[case(200, &[("Server-Seal", "s"), ("Not-Run", "1")], Reply::Due(SendEvent::Unsealed))]
-#[case(200, &[("Server-Seal", "s"), ("Content-Encoding", "gzip")], Reply::Due(SendEvent::Encoded))]
-#[case(200, &[("Server-Seal", "s"), ("Content-Encoding", "identity")], Reply::Due(SendEvent::Success))]
-#[case(503, &[("Not-Run", "1")], Reply::Due(SendEvent::NotRun))]
-#[case(429, &[("Not-Run", "1")], Reply::Due(SendEvent::NotRun))]
-#[case(500, &[("Not-Run", "1")], Reply::Due(SendEvent::NotRun))]
-#[case(400, &[("Not-Run", "1")], Reply::Due(SendEvent::Rejected))]
-#[case(421, &[], Reply::Due(SendEvent::WrongRevision))]
-#[case(421, &[("Server-Id", "i-1")], Reply::Due(SendEvent::WrongRevision))]
-#[case(421, &[("Server-Id", "i-2")], Reply::Due(SendEvent::WrongReplica))]
-#[case(503, &[], Reply::Due(SendEvent::FalsePromise))]
-#[case(429, &[], Reply::Due(SendEvent::FalsePromise))]
-#[case(408, &[], Reply::Due(SendEvent::FalsePromise))]
-#[case(400, &[], Reply::Due(SendEvent::OtherFailure))]
-#[case(500, &[("Server-Seal", "s")], Reply::Due(SendEvent::ServerError))]
-#[case(504, &[], Reply::Due(SendEvent::OtherFailure))]
-#[case(302, &[], Reply::Due(SendEvent::OtherFailure))]
-fn a_reply_is_read(#[case] status: u16, #[case] headers: &[(&str, &str)], #[case] expected: Reply) {
+#[case(200, &[("Server-Seal", "s")], ResponseClass::Current(AttemptOutcome::Success))]
+#[case(200, &[], ResponseClass::Current(AttemptOutcome::Unsealed))]
+#[case(200, &[("Server-Seal", "s\nX: y")], ResponseClass::Current(AttemptOutcome::Unsealed))]
+#[case(204, &[("Server-Seal", "s")], ResponseClass::Current(AttemptOutcome::Success))]
+#[case(200, &[("Server-Seal", "s"), ("Not-Run", "1")], ResponseClass::Current(AttemptOutcome::Unsealed))]
+#[case(200, &[("Server-Seal", "s"), ("Content-Encoding", "gzip")], ResponseClass::Current(AttemptOutcome::Encoded))]
+#[case(200, &[("Server-Seal", "s"), ("Content-Encoding", "identity")], ResponseClass::Current(AttemptOutcome::Success))]
+#[case(503, &[("Not-Run", "1")], ResponseClass::Current(AttemptOutcome::NotRun))]
+#[case(429, &[("Not-Run", "1")], ResponseClass::Current(AttemptOutcome::NotRun))]
+#[case(500, &[("Not-Run", "1")], ResponseClass::Current(AttemptOutcome::NotRun))]
+#[case(400, &[("Not-Run", "1")], ResponseClass::Current(AttemptOutcome::Rejected))]
+#[case(421, &[], ResponseClass::Current(AttemptOutcome::WrongRevision))]
+#[case(421, &[("Server-Id", "i-1")], ResponseClass::Current(AttemptOutcome::WrongRevision))]
+#[case(421, &[("Server-Id", "i-2")], ResponseClass::Current(AttemptOutcome::WrongReplica))]
+#[case(503, &[], ResponseClass::Current(AttemptOutcome::UnconfirmedRefusal))]
+#[case(429, &[], ResponseClass::Current(AttemptOutcome::UnconfirmedRefusal))]
+#[case(408, &[], ResponseClass::Current(AttemptOutcome::UnconfirmedRefusal))]
+#[case(400, &[], ResponseClass::Current(AttemptOutcome::OtherError))]
+#[case(500, &[("Server-Seal", "s")], ResponseClass::Current(AttemptOutcome::ServerError))]
+#[case(504, &[], ResponseClass::Current(AttemptOutcome::OtherError))]
+#[case(302, &[], ResponseClass::Current(AttemptOutcome::OtherError))]
+fn a_reply_is_read(#[case] status: u16, #[case] headers: &[(&str, &str)], #[case] expected: ResponseClass) {
     let status = status.to_string();
     let mut all = vec![("Attempt-Id", "t1")];
     all.extend_from_slice(headers);
     let head = head(["HTTP/1.1", &status, ""], &all);
-    assert_eq!(Reply::read(&head, Some("t1"), "i-1"), expected);
-    assert_eq!(Reply::read(&head, Some("t2"), "i-1"), Reply::Foreign);
-    assert_eq!(Reply::read(&head, None, "i-1"), Reply::Foreign);
+    assert_eq!(ResponseClass::of(&head, Some("t1"), "i-1"), expected);
+    assert_eq!(ResponseClass::of(&head, Some("t2"), "i-1"), ResponseClass::Stale);
+    assert_eq!(ResponseClass::of(&head, None, "i-1"), ResponseClass::Stale);
     let mut without_id = head.clone();
     without_id.headers.remove(0);
-    assert_eq!(Reply::read(&without_id, None, "i-1"), expected);
-    assert_eq!(Reply::read(&without_id, Some("t1"), "i-1"), Reply::Foreign);
+    assert_eq!(ResponseClass::of(&without_id, None, "i-1"), expected);
+    assert_eq!(ResponseClass::of(&without_id, Some("t1"), "i-1"), ResponseClass::Stale);
 }
 
 // ---- events -----------------------------------------------------------------------------------------------
@@ -278,9 +278,9 @@
 fn track(pieces: &[&str]) -> (String, Option<String>) {
     let (mut tracker, mut out) = (EventTracker::default(), Vec::new());
     for piece in pieces {
-        tracker.pass(&mut piece.as_bytes().to_vec(), &mut out);
+        tracker.push(&mut piece.as_bytes().to_vec(), &mut out);
     }
-    let resumes = tracker.drop_partial();
+    let resumes = tracker.discard_partial();
     let id = tracker.last_id().filter(|_| resumes).map(str::to_owned);
     (String::from_utf8_lossy(&out).into_owned(), id)
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -18,7 +18,7 @@
 };
 use tulipridge_proxy::placement::held;
 use tulipridge_proxy::proxy::Proxy;
-use tulipridge_proxy::{edge, ready};
+use tulipridge_proxy::{downstream, ready};
 use tulipridge_runtime::settings::Settings;
 
 pub(crate) const HOST: &str = "shop.example";
@@ -337,8 +337,8 @@
     fn with_settings(replicas: usize, settings: &Settings) -> Bench {
         let executor = Rc::new(LocalExecutor::new());
         let age = Rc::new(Cell::new(Some(Duration::ZERO)));
-        let told = age.clone();
-        let proxy = Proxy::new(settings, 7, Box::new(move || told.get()));
+        let shared_age = age.clone();
+        let proxy = Proxy::new(settings, 7, Box::new(move || shared_age.get()));
         let (script, gates) = (Script::default(), Rc::default());
         let stand_in = |n| StandIn::start(&executor, &format!("i-{n}"), &script, &gates);
         let replicas = (0..replicas).map(stand_in).collect();
@@ -356,7 +356,7 @@
         let alarms = proxy.alarms.clone();
         executor.spawn(async move { alarms.drive().await }).detach();
         executor.spawn(held::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
-        executor.spawn(edge::listen(proxy.clone(), executor.clone(), front)).detach();
+        executor.spawn(downstream::listener::listen(proxy.clone(), executor.clone(), front)).detach();
         executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_check)).detach();
         proxy.set_gateways(1);
         proxy.set_configuration(Arc::new(configuration()));
