--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be served, and by which service, according to the configuration.
+//! Admission: whether a request may be served, and by which service, according to the configuration.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use tulipridge_configuration::{Configuration, Route, Tenant};
 use tulipridge_http1::codec::Head;
 
-/// A configuration with its index.
+/// A configuration, indexed for lookups of routes and tenants.
 #[derive(Debug)]
 pub struct Routing {
     /// The configuration.
@@ -20,12 +20,12 @@
 pub enum Denial {
     /// No route has its host and path.
     NoRoute,
-    /// It has no key that is known, and needs one.
+    /// It needs a known key and has none.
     NoKey,
 }
 
 impl Denial {
-    /// The status that says so.
+    /// The status of the response.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -35,13 +35,20 @@
     }
 }
 
-/// A request that may be served.
+/// A request that may be served, with the configuration that admitted it.
 #[derive(Clone, Debug)]
 pub struct Admitted {
     routing: Rc<Routing>,
+    matched: RouteMatch,
+    /// Index of the service among the route's weighted services.
+    share: usize,
+}
+
+/// The route and the tenant of a request, as indexes into the configuration.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct RouteMatch {
     route: usize,
     tenant: Option<usize>,
-    share: usize,
 }
 
 impl Routing {
@@ -52,23 +59,26 @@
         Rc::new(Routing { configuration, table })
     }
 
-    /// Judges a request; `chance` is a number from 0 up to 1 that picks the service by the route's shares.
-    pub fn admit(self: &Rc<Self>, head: &Head, chance: f64) -> Result<Admitted, Denial> {
-        let (route, tenant) = self.judge(head)?;
-        let share = self.table.pick_share(route, chance).ok_or(Denial::NoRoute)?;
-        Ok(Admitted { routing: self.clone(), route, tenant, share })
+    /// Admits a request. `random_fraction`, from 0 up to but not including 1, chooses the service by the route's weights.
+    ///
+    /// # Errors
+    /// If no route has the request's host and path, or if the request lacks a key that the route needs.
+    pub fn admit(self: &Rc<Self>, head: &Head, random_fraction: f64) -> Result<Admitted, Denial> {
+        let matched = self.resolve(head)?;
+        let share = self.table.pick_share(matched.route, random_fraction).ok_or(Denial::NoRoute)?;
+        Ok(Admitted { routing: self.clone(), matched, share })
     }
 
-    /// The route and the tenant of a request.
-    fn judge(&self, head: &Head) -> Result<(usize, Option<usize>), Denial> {
+    /// Looks up the route and the tenant of a request.
+    fn resolve(&self, head: &Head) -> Result<RouteMatch, Denial> {
         let host = head.get("host").unwrap_or_default();
         let route = self.table.route(host, &head.start[1]).ok_or(Denial::NoRoute)?;
-        let tenant = key(head).and_then(|key| self.table.tenant(key));
-        let is_open = !self.configuration.requires_key || self.configuration.routes[route].public;
-        if tenant.is_none() && !is_open {
+        let tenant = client_key(head).and_then(|key| self.table.tenant(key));
+        let is_public = !self.configuration.requires_key || self.configuration.routes[route].public;
+        if tenant.is_none() && !is_public {
             return Err(Denial::NoKey);
         }
-        Ok((route, tenant))
+        Ok(RouteMatch { route, tenant })
     }
 }
 
@@ -76,13 +86,13 @@
     /// The route.
     #[must_use]
     pub fn route(&self) -> &Route {
-        &self.routing.configuration.routes[self.route]
+        &self.routing.configuration.routes[self.matched.route]
     }
 
-    /// The tenant that holds the client's key.
+    /// The tenant of the client's key.
     #[must_use]
     pub fn tenant(&self) -> Option<&Tenant> {
-        self.tenant.map(|tenant| &self.routing.configuration.tenants[tenant])
+        self.matched.tenant.map(|tenant| &self.routing.configuration.tenants[tenant])
     }
 
     /// The service that the request goes to.
@@ -91,45 +101,45 @@
         &self.route().shares[self.share].service
     }
 
-    /// The urgency that the operator has set, 0 first: the tenant's goes before the route's.
+    /// The rank that the operator has set, 0 first: the tenant's if it has one, else the route's.
     #[must_use]
     pub fn rank(&self) -> u8 {
-        let tenants = self.tenant().and_then(|tenant| tenant.rank);
-        tenants.unwrap_or(self.route().rank)
+        let tenant_rank = self.tenant().and_then(|tenant| tenant.rank);
+        tenant_rank.unwrap_or(self.route().rank)
     }
 
-    /// Under which text a replica keeps what it reads for this request, at this revision of its weights.
+    /// The cache salt for a replica with this revision of its weights: requests share cached prefixes only under the same
+    /// salt.
     #[must_use]
-    pub fn salt(&self, revision: u64) -> String {
+    pub fn cache_salt(&self, revision: u64) -> String {
         match self.tenant().filter(|tenant| tenant.isolated) {
             Some(tenant) => format!("m{revision}-t-{}", tenant.label),
             None => format!("m{revision}"),
         }
     }
 
-    /// Whether a newer configuration still has the request handled alike: the same route and service for the same
-    /// tenant.
+    /// Whether a newer configuration handles the request in the same way: the same route and service for the same tenant.
     #[must_use]
-    pub fn holds_under(&self, newest: &Rc<Routing>, head: &Head) -> bool {
+    pub fn is_equivalent_under(&self, newest: &Rc<Routing>, head: &Head) -> bool {
         if Rc::ptr_eq(&self.routing, newest) {
             return true;
         }
-        let Ok((route, tenant)) = newest.judge(head) else { return false };
-        let (route, own) = (&newest.configuration.routes[route], self.route());
-        let tenant = tenant.map(|tenant| &newest.configuration.tenants[tenant]);
-        let leads_there =
+        let Ok(matched) = newest.resolve(head) else { return false };
+        let (route, own) = (&newest.configuration.routes[matched.route], self.route());
+        let tenant = matched.tenant.map(|tenant| &newest.configuration.tenants[tenant]);
+        let is_own_service =
             |share: &tulipridge_configuration::Share| share.service == self.service() && share.weight > 0.0;
         route.label == own.label
             && route.kind == own.kind
             && route.resumable == own.resumable
-            && route.shares.iter().any(leads_there)
+            && route.shares.iter().any(is_own_service)
             && tenant.map(|tenant| (&tenant.label, tenant.isolated))
                 == self.tenant().map(|tenant| (&tenant.label, tenant.isolated))
     }
 }
 
 /// The key that a client sent.
-fn key(head: &Head) -> Option<&str> {
+fn client_key(head: &Head) -> Option<&str> {
     let (scheme, key) = head.get("authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("token").then_some(key.trim())
 }
--- a/crates/proxy/src/alarms.rs
+++ b/crates/proxy/src/alarms.rs
@@ -1,8 +1,7 @@
-//! Time-outs that share one timer.
+//! Timeouts that share one timer of the reactor.
 //!
-//! A timer of the reactor costs system calls when it is set and a wake-up when it fires. Most time-outs of a
-//! proxy never fire, so here they are entries of an ordered table, rounded up to ticks, and one task sleeps
-//! until the first of them.
+//! A timer of the reactor costs system calls when it is set and a wake-up when it fires. Most timeouts of a proxy never
+//! fire, so they are entries of an ordered table, rounded up to ticks, and one task sleeps until the first of them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,11 +13,15 @@
 use async_io::Timer;
 use futures_lite::future;
 
-/// Time-outs that end within the same tick end together.
+/// The resolution: timeouts within the same tick fire together.
 const TICK: Duration = Duration::from_millis(10);
 
 /// When an entry is due, and its number among those of the same tick.
-type Key = (u64, u64);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Key {
+    tick: u64,
+    number: u64,
+}
 
 #[derive(Default)]
 struct Table {
@@ -29,7 +32,7 @@
     driver: Option<Waker>,
 }
 
-/// The table of time-outs; clones share it.
+/// The table of timeouts; clones share it.
 #[derive(Clone)]
 pub struct Alarms {
     start: Instant,
@@ -43,7 +46,7 @@
 }
 
 impl Alarms {
-    /// A future that is ready once this moment has come.
+    /// A future that is ready at this time.
     #[must_use]
     pub fn at(&self, due: Instant) -> Alarm {
         let since_start = due.saturating_duration_since(self.start);
@@ -57,7 +60,7 @@
         self.at(Instant::now() + time)
     }
 
-    /// What a future gives if it ends by this moment.
+    /// The output of a future if it is ready by this time; else none, and the future is dropped.
     pub async fn by<T>(&self, due: Instant, work: impl Future<Output = T>) -> Option<T> {
         future::or(async { Some(work.await) }, async {
             self.at(due).await;
@@ -66,7 +69,7 @@
         .await
     }
 
-    /// Wakes what is due, for ever. One task of the process runs this.
+    /// Wakes the tasks whose timeouts are due, for the life of the process. One task must run this.
     pub async fn drive(&self) {
         loop {
             self.wake_due();
@@ -91,24 +94,24 @@
     }
 
     fn first_tick(&self) -> Option<u64> {
-        self.table.borrow().entries.first_key_value().map(|((tick, _), _)| *tick)
+        self.table.borrow().entries.first_key_value().map(|(key, _)| key.tick)
     }
 
     fn wake_due(&self) {
         let now = self.current_tick();
         let due = {
             let mut table = self.table.borrow_mut();
-            let later = table.entries.split_off(&(now + 1, 0));
+            let later = table.entries.split_off(&Key { tick: now + 1, number: 0 });
             std::mem::replace(&mut table.entries, later)
         };
         due.into_values().for_each(Waker::wake);
     }
 
-    /// Ends once an entry came that is due before the one slept for.
+    /// Ready once an entry is due before the one that the driver sleeps for.
     async fn earlier_entry(&self, slept_for: Option<u64>) {
         future::poll_fn(|context| {
             let mut table = self.table.borrow_mut();
-            let first = table.entries.first_key_value().map(|((tick, _), _)| *tick);
+            let first = table.entries.first_key_value().map(|(key, _)| key.tick);
             if first.is_some_and(|first| slept_for.is_none_or(|tick| first < tick)) {
                 return Poll::Ready(());
             }
@@ -119,7 +122,7 @@
     }
 }
 
-/// One time-out; dropping it takes its entry out of the table.
+/// One timeout; dropping it removes its entry from the table.
 pub struct Alarm {
     alarms: Alarms,
     tick: u64,
@@ -127,14 +130,14 @@
 }
 
 impl Alarm {
-    /// Ready once its moment has come, as a poll beside others.
+    /// Ready once its time has come. For use in a poll function, beside other polls.
     pub fn poll_passed(&mut self, context: &mut Context<'_>) -> Poll<()> {
         Pin::new(self).poll(context)
     }
 
     fn remove(&mut self) {
         if let Some(number) = self.number.take() {
-            self.alarms.table.borrow_mut().entries.remove(&(self.tick, number));
+            self.alarms.table.borrow_mut().entries.remove(&Key { tick: self.tick, number });
         }
     }
 }
@@ -153,9 +156,10 @@
             table.last_number += 1;
             table.last_number
         });
-        match table.entries.get_mut(&(this.tick, number)) {
+        let key = Key { tick: this.tick, number };
+        match table.entries.get_mut(&key) {
             Some(waker) => waker.clone_from(context.waker()),
-            None => drop(table.entries.insert((this.tick, number), context.waker().clone())),
+            None => drop(table.entries.insert(key, context.waker().clone())),
         }
         if table.sleeps_until.is_none_or(|tick| this.tick < tick)
             && let Some(driver) = table.driver.take()
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,59 +1,59 @@
-//! Counts of what the proxy did, for its log.
+//! Counters for the proxy's log.
 
 use std::cell::Cell;
 
-/// One count.
+/// One counter.
 #[derive(Debug, Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
-    /// Counts one more.
+impl Counter {
+    /// Adds one.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count so far.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// All counts.
+/// All counters.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests that were read whole.
-    pub requests: Count,
+    /// Requests that were read completely.
+    pub requests: Counter,
     /// Requests that were written to a replica for the first time.
-    pub first_sends: Count,
+    pub first_sends: Counter,
     /// Requests that were written to a further replica.
-    pub repeated_sends: Count,
-    /// Answers of replicas that were passed on whole.
-    pub passed: Count,
+    pub retries: Counter,
+    /// Successes that were forwarded completely.
+    pub completed: Counter,
     /// Requests refused with 503.
-    pub refused: Count,
+    pub refused: Counter,
     /// Requests failed with 502 or 504.
-    pub failed: Count,
+    pub failed: Counter,
     /// Requests denied with 401 or 404.
-    pub denied: Count,
-    /// Answers broken off after they had begun.
-    pub broken: Count,
-    /// Clients that left before their answer was whole.
-    pub abandoned: Count,
-    /// Attempts called off because they had not begun on weights whose term ended.
-    pub outdated: Count,
-    /// Connections made to replicas.
-    pub connects: Count,
+    pub denied: Counter,
+    /// Responses aborted after they had begun.
+    pub aborted: Counter,
+    /// Clients that disconnected before their response was complete.
+    pub client_disconnects: Counter,
+    /// Attempts cancelled because they had not begun when their weights expired.
+    pub weights_expired: Counter,
+    /// Connections to replicas that were attempted.
+    pub connects: Counter,
 }
 
 impl Counters {
-    /// Writes all counts at the level of debugging.
+    /// Logs all counters at debug level.
     pub fn log(&self) {
         log::debug!(
             requests = self.requests.get(), first_sends = self.first_sends.get(),
-            repeated_sends = self.repeated_sends.get(), passed = self.passed.get(),
+            repeated_sends = self.retries.get(), passed = self.completed.get(),
             refused = self.refused.get(), failed = self.failed.get(), denied = self.denied.get(),
-            broken = self.broken.get(), abandoned = self.abandoned.get(),
-            outdated = self.outdated.get(), connects = self.connects.get();
+            broken = self.aborted.get(), abandoned = self.client_disconnects.get(),
+            outdated = self.weights_expired.get(), connects = self.connects.get();
             "counters"
         );
     }
--- a/crates/proxy/src/exchange/attempts.rs
+++ b/crates/proxy/src/exchange/attempts.rs
@@ -54,7 +54,7 @@
     /// Whether the newest configuration still handles the request as when it was admitted.
     fn is_still_admitted(&self) -> bool {
         let newest = self.proxy.routing();
-        newest.is_some_and(|newest| self.admitted.holds_under(&newest, &self.request.head))
+        newest.is_some_and(|newest| self.admitted.is_equivalent_under(&newest, &self.request.head))
     }
 
     /// Whether a send is allowed: the first one always is; a retry must be safe, and within the route's attempts and
@@ -74,7 +74,7 @@
             self.proxy.retry_budgets.record_first_send(service);
             self.proxy.counters.first_sends.add();
         } else if self.may_send() && self.proxy.retry_budgets.take_token(service) {
-            self.proxy.counters.repeated_sends.add();
+            self.proxy.counters.retries.add();
         } else {
             return false;
         }
@@ -148,7 +148,7 @@
         self.held.outcome(decision.verdict, !is_retried);
         match outcome {
             AttemptOutcome::WrongReplica => self.proxy.displace(replica),
-            AttemptOutcome::WeightsExpired => self.proxy.counters.outdated.add(),
+            AttemptOutcome::WeightsExpired => self.proxy.counters.weights_expired.add(),
             _ => {}
         }
         match error {
--- a/crates/proxy/src/exchange/final_response.rs
+++ b/crates/proxy/src/exchange/final_response.rs
@@ -19,12 +19,12 @@
     pub(super) async fn respond(mut self, client: Client<'_>, response: FinalResponse) -> Completion {
         let counters = &self.proxy.counters;
         if self.relay.is_some() {
-            counters.broken.add();
+            counters.aborted.add();
             return Completion::Abort;
         }
         match (response, self.last_error.take()) {
             (FinalResponse::ClientDisconnected, _) => {
-                counters.abandoned.add();
+                counters.client_disconnects.add();
                 Completion::Abort
             }
             (FinalResponse::Local(_), Some(error)) | (FinalResponse::Upstream(error), _) => {
@@ -78,12 +78,12 @@
         let counters = &self.proxy.counters;
         match end {
             RelayEnd::Complete => {
-                counters.passed.add();
+                counters.completed.add();
                 self.held.outcome(AttemptOutcome::Success.verdict(), true);
                 Some(relay.persistence().into())
             }
             RelayEnd::ClientDisconnected => {
-                counters.abandoned.add();
+                counters.client_disconnects.add();
                 Some(Completion::Abort)
             }
             RelayEnd::UpstreamBroken => self.handle_broken_response(client, relay),
@@ -107,7 +107,7 @@
         let is_retried = is_resumed || decision.action == RetryAction::Retry;
         self.held.outcome(decision.verdict, !is_retried);
         if !is_retried {
-            self.proxy.counters.broken.add();
+            self.proxy.counters.aborted.add();
             client.stream.abort = relay.ends_with_connection();
             return Some(Completion::Abort);
         }
--- a/crates/proxy/src/exchange/upstream_head.rs
+++ b/crates/proxy/src/exchange/upstream_head.rs
@@ -12,14 +12,14 @@
 const INITIAL_CAPACITY_BYTES: usize = 1024;
 
 impl Exchange<'_> {
-    /// The head with which this replica is sent the request, and the tokens of its prompt that the replica has to read.
+    /// The head for this replica, and the tokens of the prompt that it has to read.
     pub(super) fn head_for(&self, replica: &ReplicaEntry) -> (Vec<u8>, u32) {
         let admitted = &self.admitted;
         let model = self.request.head.get("llm");
         let revision = model.and_then(|model| replica.revision(model));
-        let salt = model.map(|_| admitted.salt(revision.unwrap_or(0)));
+        let salt = model.map(|_| admitted.cache_salt(revision.unwrap_or(0)));
         let kv = salt.as_deref().map(|salt| self.kv_transfer(replica, salt)).unwrap_or_default();
-        // The last part of the prompt is the request's own.
+        // The last segment of the prompt is not shared with other requests.
         let unread_tokens = self.prompt.prompt.own_tokens().saturating_add(kv.unread_tokens);
         let additions = Additions {
             replica: &replica.id.0,
@@ -36,12 +36,12 @@
         (head, unread_tokens)
     }
 
-    /// The urgency by the operator's rank and by what the replica has to read.
+    /// The priority by the operator's rank and by what the replica has to read.
     fn priority(&self, unread_tokens: u32) -> u8 {
         self.proxy.urgency.borrow_mut().priority(self.admitted.rank(), unread_tokens)
     }
 
-    /// Where this replica takes the KV cache of the prompt from, and where it keeps it.
+    /// Plans where this replica fetches the KV cache of the prompt from, and where it saves it to.
     fn kv_transfer(&self, replica: &ReplicaEntry, salt: &str) -> KvTransfer {
         let chain = PrefixChain::new(&self.prompt.shared_parts, salt);
         let replicas = self.proxy.replicas.borrow();
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,44 +1,55 @@
-//! The stages of a stop: pure, with the time handed in.
+//! The stages of a graceful shutdown. Decides only: the time is passed in.
 
 use std::time::Duration;
 
-/// Time after SIGTERM for which connections and requests are still taken: by then the platform sends no more.
-const ACCEPT_ON: Duration = Duration::from_millis(2500);
-/// Connections and requests are taken for at most the first of so many equal parts of the leeway.
-const ACCEPT_PARTS: u32 = 2;
-/// Before the end of the leeway by so much, the process ends with whatever is still in flight.
+/// Time after SIGTERM for which connections and requests are still accepted: until then the platform may send some.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2500);
+/// Connections and requests are accepted for the leeway divided by this at most.
+const ACCEPT_DIVISOR: u32 = 2;
+/// The process ends this long before the end of the leeway, even with requests in flight.
 const END_MARGIN: Duration = Duration::from_millis(300);
 
-/// What the process does at a moment.
+/// What the process accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Takes connections and requests.
+    /// It accepts connections and requests.
     Serving,
-    /// Is not ready any more, but takes connections; each answer is the last of its connection.
-    Leaving,
-    /// Takes no more connections and closes idle ones. Requests in flight are answered; a new one is taken only
-    /// if it can't outlast the process.
+    /// It reports itself as not ready, but accepts connections; each response is the last of its connection.
+    NotReady,
+    /// It accepts no connections and closes idle ones. Requests in flight are completed; a new one is accepted only if
+    /// it can't outlast the process.
     Draining,
-    /// Ends.
-    Over,
+    /// It ends.
+    Terminated,
 }
 
-/// Where a process stands in its life.
+/// The state of a process between its start and its end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lifecycle {
     stop: Option<Stop>,
 }
 
+/// When SIGTERM came, and the time from then until the platform kills the process.
 #[derive(Clone, Copy, Debug)]
 struct Stop {
     at: Duration,
     leeway: Duration,
 }
 
+/// A stage and when it begins.
+#[derive(Clone, Copy, Debug)]
+struct StageStart {
+    at: Duration,
+    stage: Stage,
+}
+
 impl Stop {
-    fn stages(self) -> [(Duration, Stage); 2] {
-        let accept_until = self.at + ACCEPT_ON.min(self.leeway / ACCEPT_PARTS);
-        [(accept_until, Stage::Draining), (self.end(), Stage::Over)]
+    fn stages(self) -> [StageStart; 2] {
+        let accept_until = self.at + ACCEPT_AFTER_STOP.min(self.leeway / ACCEPT_DIVISOR);
+        [
+            StageStart { at: accept_until, stage: Stage::Draining },
+            StageStart { at: self.end(), stage: Stage::Terminated },
+        ]
     }
 
     fn end(self) -> Duration {
@@ -47,41 +58,41 @@
 }
 
 impl Lifecycle {
-    /// SIGTERM came: the process is killed once the leeway has passed. A second one changes nothing.
+    /// Records SIGTERM: the platform kills the process after `leeway`. A second one changes nothing.
     pub fn stop(&mut self, now: Duration, leeway: Duration) {
         self.stop.get_or_insert(Stop { at: now, leeway });
     }
 
-    /// The stage at a moment.
+    /// The stage at a time.
     #[must_use]
     pub fn stage(&self, now: Duration) -> Stage {
         let Some(stop) = self.stop else { return Stage::Serving };
-        let mut passed = stop.stages().into_iter().filter(|(from, _)| now >= *from);
-        passed.next_back().map_or(Stage::Leaving, |(_, stage)| stage)
+        let mut passed = stop.stages().into_iter().filter(|start| now >= start.at);
+        passed.next_back().map_or(Stage::NotReady, |start| start.stage)
     }
 
-    /// When the next stage begins; none while no stop was asked for, and after the last one.
+    /// When the next stage begins; none before SIGTERM and after the last stage.
     #[must_use]
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        self.stop?.stages().into_iter().map(|(from, _)| from).find(|from| *from > now)
+        self.stop?.stages().into_iter().map(|start| start.at).find(|at| *at > now)
     }
 
-    /// Whether a request that comes now and is over by `deadline` is still taken.
+    /// Whether a request that was read now and ends by `deadline` is still accepted.
     #[must_use]
     pub fn takes_request(&self, now: Duration, deadline: Duration) -> bool {
         match self.stage(now) {
-            Stage::Serving | Stage::Leaving => true,
-            Stage::Draining | Stage::Over => self.stop.is_some_and(|stop| deadline < stop.end()),
+            Stage::Serving | Stage::NotReady => true,
+            Stage::Draining | Stage::Terminated => self.stop.is_some_and(|stop| deadline < stop.end()),
         }
     }
 
-    /// Whether the process may end, with so many connections of clients open.
+    /// Whether the process may end while this many connections of clients are open.
     #[must_use]
     pub fn may_end(&self, now: Duration, open_connections: usize) -> bool {
         match self.stage(now) {
-            Stage::Serving | Stage::Leaving => false,
+            Stage::Serving | Stage::NotReady => false,
             Stage::Draining => open_connections == 0,
-            Stage::Over => true,
+            Stage::Terminated => true,
         }
     }
 }
--- a/crates/proxy/src/notice.rs
+++ b/crates/proxy/src/notice.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// Something that changes now and then, and that any number of tasks of one thread may wait for.
+/// Notifies any number of tasks of one thread of changes. It carries no value and keeps no past changes.
 #[derive(Debug, Default)]
 pub struct Notice {
     changes: Cell<u64>,
@@ -14,7 +14,7 @@
 }
 
 impl Notice {
-    /// Wakes all that wait.
+    /// Wakes all waiting tasks.
     pub fn raise(&self) {
         self.changes.set(self.changes.get() + 1);
         let waiting = self.waiting.take();
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! The process: settings, the feed, the listeners and the signals.
+//! The process: starts the tasks, applies changes of the control plane's feed, and handles signals.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
@@ -21,15 +21,16 @@
 use crate::proxy::Proxy;
 use crate::{downstream, ready};
 
-/// Time between looks at idle connections to replicas.
-const SWEEP: Duration = Duration::from_secs(5);
-/// Time between lines of counters in the log.
-const COUNTERS: Duration = Duration::from_secs(10);
+/// Time between closings of expired idle connections to replicas.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
+/// Time between log lines with the counters.
+const COUNTERS_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Connections that wait to be accepted.
-const ACCEPT_QUEUE: i32 = 1024;
+/// Connections that may wait to be accepted. The default of the standard library is shorter; a client that finds the queue
+/// full retries after seconds only.
+const ACCEPT_BACKLOG: i32 = 1024;
 
-/// Why the process can't serve.
+/// Why the process can't start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// The settings name no address.
@@ -38,18 +39,18 @@
         /// The field.
         field: &'static str,
     },
-    /// An address can't be listened at.
+    /// The process can't listen on an address.
     #[snafu(display("can't listen at {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// What the system reports.
         source: std::io::Error,
     },
-    /// The signals can't be awaited.
+    /// The signal handlers can't be installed.
     #[snafu(context(false), display("{source}"))]
     Signals {
-        /// What is wrong.
+        /// The cause.
         source: tulipridge_runtime::signals::SignalError,
     },
 }
@@ -58,7 +59,7 @@
 #[must_use]
 pub fn run(settings: Settings) -> ExitCode {
     let executor = Rc::new(LocalExecutor::new());
-    let outcome = async_io::block_on(executor.run(serve(settings, executor.clone())));
+    let outcome = async_io::block_on(executor.run(run_tasks(settings, executor.clone())));
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -68,15 +69,16 @@
     }
 }
 
-async fn serve(settings: Settings, executor: Rc<LocalExecutor<'static>>) -> Result<(), StartError> {
-    let front_door = listener(settings.listen_on.front_door, "frontDoor")?;
-    let ready_check = listener(settings.listen_on.ready_check, "readyCheck")?;
+/// Starts all tasks, and returns once the process has drained.
+async fn run_tasks(settings: Settings, executor: Rc<LocalExecutor<'static>>) -> Result<(), StartError> {
+    let client_listener = listener(settings.listen_on.front_door, "frontDoor")?;
+    let ready_listener = listener(settings.listen_on.ready_check, "readyCheck")?;
     let signals = SignalStream::new()?;
     let store = Rc::new(RefCell::new(FeedStore::remembering(0)));
     let subscriber = Subscriber::new(identity(&settings), store.clone());
-    let proxy = proxy(&settings, &subscriber);
+    let proxy = new_proxy(&settings, &subscriber);
     proxy.set_index(store.borrow().kept().clone());
-    follow(&proxy, &subscriber, store);
+    subscribe(&proxy, &subscriber, store);
     log::info!(seeds = settings.seed_nodes.len(); "the proxy starts");
 
     let publisher = settings.loopback_feed();
@@ -85,9 +87,9 @@
     executor.spawn(async move { alarms.drive().await }).detach();
     executor.spawn(held::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
     executor.spawn(housekeeping(proxy.clone())).detach();
-    executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_check)).detach();
-    executor.spawn(downstream::listener::listen(proxy.clone(), executor.clone(), front_door)).detach();
-    executor.spawn(heed_signals(proxy.clone(), signals, settings)).detach();
+    executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_listener)).detach();
+    executor.spawn(downstream::listener::listen(proxy.clone(), executor.clone(), client_listener)).detach();
+    executor.spawn(handle_signals(proxy.clone(), signals, settings)).detach();
     proxy.run_lifecycle().await;
     log::info!(open = proxy.usage.open_clients(); "the proxy ends");
     Ok(())
@@ -98,12 +100,12 @@
     bind(address).context(ListenSnafu { address })
 }
 
-/// Listens with a longer queue than the library would: what finds it full tries again after seconds only.
+/// Listens with [`ACCEPT_BACKLOG`].
 fn bind(address: SocketAddr) -> std::io::Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(ACCEPT_QUEUE)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     Async::new(TcpListener::from(socket))
 }
 
@@ -111,29 +113,29 @@
     Identity { name: settings.node_name.clone(), zone: settings.area.clone(), role: SubscriberRole::Proxy }
 }
 
-fn proxy(settings: &Settings, subscriber: &Rc<Subscriber>) -> Rc<Proxy> {
+fn new_proxy(settings: &Settings, subscriber: &Rc<Subscriber>) -> Rc<Proxy> {
     let subscriber = subscriber.clone();
     let seed = getrandom::u64().unwrap_or(1);
     Proxy::new(settings, seed, Box::new(move || subscriber.age(clock::now())))
 }
 
-/// Has the proxy take over each change of the feed.
-fn follow(proxy: &Rc<Proxy>, subscriber: &Rc<Subscriber>, store: Rc<RefCell<FeedStore>>) {
-    tell_work(proxy, subscriber, &store);
+/// Applies each change of the feed to the proxy.
+fn subscribe(proxy: &Rc<Proxy>, subscriber: &Rc<Subscriber>, store: Rc<RefCell<FeedStore>>) {
+    publish_queued_work(proxy, subscriber, &store);
     let proxy = proxy.clone();
-    subscriber.on_change(Box::new(move |changed| take_over(&proxy, &store.borrow(), changed)));
+    subscriber.on_change(Box::new(move |changed| apply_change(&proxy, &store.borrow(), changed)));
 }
 
-/// Has the agent told of the work that waits at replicas, each time it has changed.
-fn tell_work(proxy: &Rc<Proxy>, subscriber: &Rc<Subscriber>, store: &Rc<RefCell<FeedStore>>) {
+/// Publishes the work that is queued at replicas through the subscriber, each time it changes.
+fn publish_queued_work(proxy: &Rc<Proxy>, subscriber: &Rc<Subscriber>, store: &Rc<RefCell<FeedStore>>) {
     let (store, subscriber) = (store.clone(), subscriber.clone());
-    proxy.work.on_change(move |waiting| {
-        let units = |id: &str| waiting.get(&ReplicaId::from(id)).copied();
+    proxy.work.on_change(move |queued| {
+        let units = |id: &str| queued.get(&ReplicaId::from(id)).copied();
         subscriber.set_waiting(store.borrow().waiting_work(units));
     });
 }
 
-fn take_over(proxy: &Proxy, store: &FeedStore, changed: &Changed) {
+fn apply_change(proxy: &Proxy, store: &FeedStore, changed: &Changed) {
     if changed.group {
         proxy.set_gateways(store.group().gateways);
     }
@@ -153,21 +155,21 @@
     }
 }
 
-/// Closes old connections, and writes counters.
+/// Closes expired connections and logs counters, for the life of the process.
 async fn housekeeping(proxy: Rc<Proxy>) {
     let mut since_counters = Duration::ZERO;
     loop {
-        proxy.alarms.after(SWEEP).await;
+        proxy.alarms.after(EXPIRY_INTERVAL).await;
         proxy.pool.close_expired();
-        since_counters += SWEEP;
-        if since_counters >= COUNTERS {
+        since_counters += EXPIRY_INTERVAL;
+        if since_counters >= COUNTERS_INTERVAL {
             since_counters = Duration::ZERO;
             proxy.counters.log();
         }
     }
 }
 
-async fn heed_signals(proxy: Rc<Proxy>, mut signals: SignalStream, mut settings: Settings) {
+async fn handle_signals(proxy: Rc<Proxy>, mut signals: SignalStream, mut settings: Settings) {
     loop {
         match signals.next().await {
             ProcessSignal::Stop => {
@@ -183,13 +185,12 @@
     }
 }
 
-/// Applies what takes effect at once of newer settings, and logs whether there is more. Returns what is in force
-/// from now on.
+/// Applies those newer settings that need no restart, and logs whether there are others. Returns the settings in force.
 pub fn reload(proxy: &Proxy, known: &Settings, newest: Settings) -> Settings {
     proxy.set_time_limits(&newest.time_limits);
     let applied = Settings {
         time_limits: newest.time_limits.clone(),
-        // The agent's concern alone.
+        // Only the agent uses them.
         seed_nodes: newest.seed_nodes.clone(),
         ..known.clone()
     };
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -215,7 +215,7 @@
         client.wait_for("\r\n\r\n").await;
         drop(client);
         bench.until(|| bench.proxy.usage.open_clients() == 0).await;
-        bench.proxy.counters.passed.get()
+        bench.proxy.counters.completed.get()
     });
     assert_eq!(answer, 1);
 }
--- a/crates/proxy/tests/connection_states.rs
+++ b/crates/proxy/tests/connection_states.rs
@@ -77,7 +77,7 @@
         let mut client = bench.connect().await;
         client.send(&post("/risky/", "t1").replace("POST", "HEAD")).await;
         client.wait_for("Content-Length: 9").await;
-        bench.until(|| bench.proxy.counters.passed.get() == 1).await;
+        bench.until(|| bench.proxy.counters.completed.get() == 1).await;
         bench.arrivals()
     });
     assert_eq!(answer, 1);
--- a/crates/proxy/tests/outdated.rs
+++ b/crates/proxy/tests/outdated.rs
@@ -31,7 +31,7 @@
         let answer = client.answer().await;
         let ended = || bench.replicas.iter().map(|replica| replica.ended.get()).sum::<usize>();
         bench.until(|| ended() == 1).await;
-        assert_eq!(bench.proxy.counters.outdated.get(), 1);
+        assert_eq!(bench.proxy.counters.weights_expired.get(), 1);
         (answer, bench.arrivals())
     })
 }
--- a/crates/proxy/tests/pure.rs
+++ b/crates/proxy/tests/pure.rs
@@ -119,12 +119,12 @@
 // ---- the stages of a stop ---------------------------------------------------------------------------------
 
 #[rstest]
-#[case(0, Stage::Leaving)]
-#[case(2499, Stage::Leaving)]
+#[case(0, Stage::NotReady)]
+#[case(2499, Stage::NotReady)]
 #[case(2500, Stage::Draining)]
 #[case(7699, Stage::Draining)]
-#[case(7700, Stage::Over)]
-#[case(60_000, Stage::Over)]
+#[case(7700, Stage::Terminated)]
+#[case(60_000, Stage::Terminated)]
 fn a_stop_goes_through_its_stages(#[case] after_ms: u64, #[case] stage: Stage) {
     let mut life = Lifecycle::default();
     let stopped = Duration::from_secs(100);
@@ -146,7 +146,7 @@
         changes.push((next.as_millis(), life.stage(next)));
         now = next;
     }
-    let expected = [(2500, Stage::Draining), (7700, Stage::Over)];
+    let expected = [(2500, Stage::Draining), (7700, Stage::Terminated)];
     assert_eq!(changes, expected);
 }
 
@@ -167,9 +167,9 @@
 fn a_short_leeway_shortens_every_stage() {
     let mut life = Lifecycle::default();
     life.stop(Duration::ZERO, Duration::from_secs(1));
-    assert_eq!(life.stage(Duration::from_millis(499)), Stage::Leaving);
+    assert_eq!(life.stage(Duration::from_millis(499)), Stage::NotReady);
     assert_eq!(life.stage(Duration::from_millis(500)), Stage::Draining);
-    assert_eq!(life.stage(Duration::from_millis(700)), Stage::Over);
+    assert_eq!(life.stage(Duration::from_millis(700)), Stage::Terminated);
 }
 
 #[rstest]
