--- a/crates/proxy/tests/bodiless.rs
+++ b/crates/proxy/tests/bodiless.rs
@@ -16,7 +16,7 @@
 #[case::head_success("HEAD", "200 OK", Some("9"))]
 #[case::head_failure("HEAD", "404 Not Found", Some("9"))]
 #[case::head_server_failure("HEAD", "500 Internal Server Error", Some("9"))]
-fn the_next_answer_follows_the_head_of_one_without_a_body(
+fn the_next_response_follows_the_head_of_one_without_a_body(
     #[case] method: &str,
     #[case] status: &str,
     #[case] length: Option<&str>,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn nothing_follows_an_answer_that_was_broken_off() {
+fn nothing_follows_an_aborted_response() {
     let bench = Bench::start(1);
     bench.next(&[Part::Write(ok("whole").replace("whole", "who")), Part::Close]);
     let text = bench.run(async {
--- a/crates/proxy/tests/calls.rs
+++ b/crates/proxy/tests/calls.rs
@@ -335,7 +335,7 @@
 }
 
 #[rstest]
-fn each_send_ends_as_the_table_says(
+fn each_attempt_ends_as_the_retry_table_says(
     #[values(RequestKind::Safe, RequestKind::Unsafe, RequestKind::Stream, RequestKind::ResumableStream)]
     kind: RequestKind,
 ) {
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn no_cell_breaks_what_the_protocol_promises() {
+fn no_cell_breaks_a_guarantee_of_the_protocol() {
     for kind in RequestKind::ALL {
         for event in AttemptOutcome::ALL {
             assert_eq!(breach(kind, event, decide(kind, event)), None, "{kind:?} {event:?}");
@@ -396,7 +396,7 @@
 #[case(RequestKind::Stream, AttemptOutcome::TruncatedResponse, RetryAction::Resume)]
 #[case(RequestKind::Safe, AttemptOutcome::TruncatedResponse, RetryAction::Resume)]
 #[case(RequestKind::Unsafe, AttemptOutcome::UnconfirmedRefusal, RetryAction::Forward)]
-fn a_table_that_breaks_a_promise_is_seen(
+fn a_table_that_breaks_a_guarantee_is_detected(
     #[case] kind: RequestKind,
     #[case] event: AttemptOutcome,
     #[case] action: RetryAction,
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn nothing_is_promised_of_what_may_have_run() {
+fn a_refusal_needs_a_request_that_has_not_run_or_is_idempotent() {
     for kind in RequestKind::ALL {
         for execution in [Execution::NotRun, Execution::MayHaveRun, Execution::HasRun] {
             for [is_late, has_given_up] in [[false, false], [false, true], [true, false], [true, true]] {
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -38,7 +38,7 @@
     "1",
     Some("m4")
 )]
-fn a_replica_is_told_of_the_tenant(
+fn a_replica_is_sent_the_tenant(
     #[case] key: &str,
     #[case] headers: &str,
     #[case] tenant: Option<&str>,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn nothing_is_judged_before_a_configuration_is_known() {
+fn nothing_is_admitted_before_a_configuration_is_known() {
     let bench = Bench::start(1);
     bench.age.set(None);
     let answer = bench.run(bench.ask(&post("/nowhere/", "t1")));
@@ -75,7 +75,7 @@
 #[rstest]
 #[case(4500, "200", "200", "401", "404")]
 #[case(4501, "503", "503", "503", "503")]
-fn nothing_is_judged_by_a_configuration_that_may_be_outdated(
+fn nothing_is_admitted_by_a_configuration_that_may_be_outdated(
     #[case] age_ms: u64,
     #[case] ready: &str,
     #[case] served: &str,
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn an_incarnation_whose_address_has_gone_to_another_is_not_asked_again() {
+fn an_incarnation_whose_address_belongs_to_another_gets_no_more_requests() {
     let bench = Bench::start(2);
     let gone = "HTTP/1.1 421 Misdirected Request\r\nAttempt-Id: {id}\r\nServer-Id: i-9\r\nContent-Length: 0\r\n\r\n";
     bench.next(&[Part::Write(gone.to_owned())]);
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_stop_closes_connections_behind_their_answers() {
+fn a_shutdown_closes_connections_after_their_responses() {
     let bench = Bench::start(1);
     bench.run(async {
         let mut client = bench.connect().await;
--- a/crates/proxy/tests/connection_states.rs
+++ b/crates/proxy/tests/connection_states.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_late_answer_in_the_place_of_one_without_a_body_is_read_with_its_own() {
+fn a_stale_response_before_one_without_a_body_is_read_with_its_own_body() {
     let bench = Bench::start(1);
     let due = ok("").replace("Content-Length: 0", "Content-Length: 9");
     bench.next(&[write(ok("HTTP/1.1 ").replace("{id}", "t0") + &due)]);
--- a/crates/proxy/tests/early_answers.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_answer_that_overtakes_its_request_reaches_the_client_at_once() {
+fn an_early_response_reaches_the_client_at_once() {
     let bench = Bench::start(1);
     bench.next(&[Part::BeforeBody, write(ok("early")), Part::Wait, Part::ReadBody]);
     let answers = bench.run(async {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_rest_of_a_request_goes_out_while_its_answer_is_passed_on() {
+fn the_rest_of_a_request_is_written_while_its_response_is_forwarded() {
     let bench = Bench::start(1);
     let early = stream_head() + &event(1);
     bench.next(&[Part::BeforeBody, write(early), Part::Wait, Part::ReadBody, write(event(2) + LAST)]);
@@ -62,7 +62,7 @@
 #[case::failed("500 Internal Server Error", "", "500", 1)]
 #[case::too_long("413 Content Too Large", "", "413", 1)]
 #[case::sealed("200 OK", "", "200", 1)]
-fn an_answer_that_overtakes_its_request_is_heeded_though_its_connection_is_reset(
+fn an_early_response_counts_even_if_its_connection_is_reset(
     #[case] line: &str,
     #[case] headers: &str,
     #[case] expected: &str,
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/headers.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_resumed_request_names_the_event_that_was_passed_on() {
+fn a_resumed_request_names_the_last_forwarded_event() {
     let client = "POST / HTTP/1.1\nHost: shop.example\nLast-Event-Id: 7\nContent-Length: 0";
     let additions = Additions { last_event_id: Some("31"), ..PLAIN };
     insta::assert_snapshot!(request(client, 0, &additions));
@@ -128,23 +128,23 @@
 }
 
 #[test]
-fn an_answer_keeps_what_concerns_the_client() {
+fn a_response_keeps_end_to_end_headers() {
     let idle = Persistence::KeepAlive(Duration::from_secs(14));
     insta::assert_snapshot!(answer(Framing::Length(5), idle));
 }
 
 #[test]
-fn an_answer_in_chunks_has_no_length() {
+fn a_chunked_response_has_no_length() {
     insta::assert_snapshot!(answer(Framing::Chunked, Persistence::Close));
 }
 
 #[test]
-fn an_answer_without_body_keeps_the_length_that_is_told() {
+fn a_response_without_a_body_keeps_its_stated_length() {
     insta::assert_snapshot!(answer(Framing::None, Persistence::Close));
 }
 
 #[test]
-fn an_answer_keeps_no_line_end_within_a_value() {
+fn a_response_header_with_a_line_end_in_its_value_is_dropped() {
     let mut replica = head("HTTP/1.1 200 Fine\nServer-Seal: 3e1b.07\nX-Note: plain\tenough");
     replica.start[2] = "Fi\nne".to_owned();
     replica.headers.push(("X-Noise".to_owned(), "a\nContent-Length: 0".to_owned()));
--- a/crates/proxy/tests/kv_cache.rs
+++ b/crates/proxy/tests/kv_cache.rs
@@ -84,7 +84,10 @@
 #[case::part_of_the_first(&[("m1", "a", 512), ("m1", "c", 3_000)], 512)]
 #[case::last_alone(LAST, 0)]
 #[case::another_salt(&[("m2", "a", 2_000), ("m2", "c", 3_000)], 0)]
-fn a_part_counts_with_all_before_it(#[case] parts: &[(&str, &str, u32)], #[case] expected: u32) {
+fn a_segment_counts_only_if_all_before_it_are_cached(
+    #[case] parts: &[(&str, &str, u32)],
+    #[case] expected: u32,
+) {
     let mut index = Index::default();
     index.apply(&keeps(1, Liveness::Alive, parts));
     assert_eq!(cached_tokens(&index, address(1), &chain("m1")), expected);
@@ -114,7 +117,7 @@
 }
 
 #[test]
-fn a_replica_that_was_just_sent_the_beginning_is_ahead_of_the_index() {
+fn a_replica_that_was_just_sent_the_prefix_is_ahead_of_the_index() {
     let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
     planner.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
     assert_eq!(fetch(planner.plan(ms(900), &chain("m1"), target(2), zones(&[1, 2]))), Some(1));
@@ -123,7 +126,7 @@
 }
 
 #[test]
-fn without_an_index_the_last_replica_is_asked_and_no_store() {
+fn without_an_index_the_last_target_is_the_source_and_no_store() {
     let mut planner = planner(&[]);
     let first = planner.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
     assert_eq!((first.fetch, first.save), (None, None));
@@ -132,7 +135,7 @@
 }
 
 #[test]
-fn a_prompt_without_long_shared_parts_moves_nothing() {
+fn a_prompt_without_long_shared_segments_transfers_nothing() {
     let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
     let short = PrefixChain::new(&[PromptPart::new("a", 255)], "m1");
     let plan = planner.plan(ms(0), &short, target(1), zones(&[1]));
@@ -154,7 +157,7 @@
 #[rstest]
 #[case::within_the_bound(4_095, Some(1))]
 #[case::beyond_the_bound(4_096, None)]
-fn only_so_many_beginnings_are_remembered(#[case] others: u32, #[case] expected: Option<u8>) {
+fn a_limited_number_of_prefixes_is_remembered(#[case] others: u32, #[case] expected: Option<u8>) {
     let mut planner = planner(&[]);
     let mut plan = |salt: &str, number| planner.plan(ms(0), &chain(salt), target(number), zones(&[1, 2]));
     plan("m1", 1);
@@ -171,7 +174,7 @@
 #[case::lacks_the_last(Liveness::Alive, FIRST, true)]
 #[case::keeps_all(Liveness::Alive, WHOLE, false)]
 #[case::down(Liveness::Down, &[], false)]
-fn a_store_that_lacks_the_beginning_is_sent_it(
+fn a_store_that_lacks_the_prefix_is_sent_it(
     #[case] liveness: Liveness,
     #[case] parts: &[(&str, &str, u32)],
     #[case] expected: bool,
@@ -182,7 +185,7 @@
 }
 
 #[test]
-fn a_save_is_not_asked_for_again_at_once() {
+fn a_save_is_not_requested_again_at_once() {
     let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
     let mut saves_at = |time| planner.plan(ms(time), &chain("m1"), target(1), zones(&[1])).save.is_some();
     assert_eq!([0, 10, 2_999, 3_000, 3_001].map(&mut saves_at), [true, false, false, true, false]);
--- /dev/null
+++ b/crates/proxy/tests/lifecycle.rs
@@ -0,0 +1,80 @@
+//! The stages of a graceful shutdown.
+
+use std::time::Duration;
+
+use rstest::rstest;
+use tulipridge_proxy::lifecycle::{Lifecycle, Stage};
+
+#[rstest]
+#[case(0, Stage::NotReady)]
+#[case(2499, Stage::NotReady)]
+#[case(2500, Stage::Draining)]
+#[case(7699, Stage::Draining)]
+#[case(7700, Stage::Terminated)]
+#[case(60_000, Stage::Terminated)]
+fn a_shutdown_goes_through_its_stages(#[case] after_ms: u64, #[case] stage: Stage) {
+    let mut life = Lifecycle::default();
+    let stopped = Duration::from_secs(100);
+    assert_eq!(life.stage(stopped), Stage::Serving);
+    life.stop(stopped, Duration::from_secs(8));
+    // A second signal changes nothing.
+    life.stop(stopped + Duration::from_secs(1), Duration::from_secs(8));
+    assert_eq!(life.stage(stopped + Duration::from_millis(after_ms)), stage);
+}
+
+#[test]
+fn each_change_of_stage_has_a_time() {
+    let mut life = Lifecycle::default();
+    assert_eq!(life.next_change(Duration::ZERO), None);
+    life.stop(Duration::ZERO, Duration::from_secs(8));
+    let mut changes = Vec::new();
+    let mut now = Duration::ZERO;
+    while let Some(next) = life.next_change(now) {
+        changes.push((next.as_millis(), life.stage(next)));
+        now = next;
+    }
+    let expected = [(2500, Stage::Draining), (7700, Stage::Terminated)];
+    assert_eq!(changes, expected);
+}
+
+#[rstest]
+#[case(1000, 0, false)]
+#[case(2500, 1, false)]
+#[case(2500, 0, true)]
+#[case(7000, 1, false)]
+#[case(7700, 1, true)]
+fn a_process_ends_once_nothing_is_open(#[case] at_ms: u64, #[case] open: usize, #[case] ends: bool) {
+    let mut life = Lifecycle::default();
+    assert!(!life.may_end(Duration::ZERO, 0));
+    life.stop(Duration::ZERO, Duration::from_secs(8));
+    assert_eq!(life.may_end(Duration::from_millis(at_ms), open), ends);
+}
+
+#[test]
+fn a_short_leeway_shortens_every_stage() {
+    let mut life = Lifecycle::default();
+    life.stop(Duration::ZERO, Duration::from_secs(1));
+    assert_eq!(life.stage(Duration::from_millis(499)), Stage::NotReady);
+    assert_eq!(life.stage(Duration::from_millis(500)), Stage::Draining);
+    assert_eq!(life.stage(Duration::from_millis(700)), Stage::Terminated);
+}
+
+#[rstest]
+#[case::while_connections_are_taken(2499, 60_000, true)]
+#[case::sure_to_end_in_time(2500, 5_199, true)]
+#[case::may_outlast_the_process(2500, 5_200, false)]
+#[case::late(3_400, 8_000, false)]
+#[case::late_and_short(7_000, 699, true)]
+#[case::over(7_700, 0, false)]
+fn a_request_that_may_outlast_the_process_is_not_taken(
+    #[case] at_ms: u64,
+    #[case] lasts_ms: u64,
+    #[case] expected: bool,
+) {
+    let mut life = Lifecycle::default();
+    let now = Duration::from_millis(at_ms);
+    let deadline = now + Duration::from_millis(lasts_ms);
+    assert!(life.takes_request(now, deadline));
+    life.stop(Duration::ZERO, Duration::from_secs(8));
+    assert_eq!(life.takes_request(now, deadline), expected);
+}
--- /dev/null
+++ b/crates/proxy/tests/limits.rs
@@ -0,0 +1,24 @@
+//! Timeouts, and the limits that follow from the descriptors.
+
+use std::time::{Duration, Instant};
+
+use tulipridge_proxy::alarms::Alarms;
+use tulipridge_proxy::bounds::Bounds;
+
+#[test]
+fn a_timeout_ends_only_futures_that_are_too_slow() {
+    let past = Instant::now();
+    let alarms = Alarms::default();
+    futures_lite::future::block_on(async {
+        assert_eq!(alarms.by(past, std::future::pending::<()>()).await, None);
+        assert_eq!(alarms.by(past + Duration::from_secs(9), async { 1 }).await, Some(1));
+    });
+}
+
+#[test]
+fn connections_leave_the_reserved_descriptors_alone() {
+    let bounds = Bounds::of(4100);
+    assert!(bounds.clients + bounds.replicas <= 3800, "{bounds:?}");
+    assert!(bounds.clients > 2 * bounds.replicas - 10, "{bounds:?}");
+    assert!(Bounds::of(0).clients > 0 && Bounds::of(0).replicas > 0);
+}
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/responses.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn events_are_passed_on_as_they_arrive() {
+fn events_are_forwarded_as_they_arrive() {
     let bench = Bench::start(1);
     bench.next(&[write(stream_head() + &event(1)), Part::Wait, write(event(2) + LAST)]);
     let answer = bench.run(async {
@@ -36,7 +36,7 @@
 #[case::no_chunk("/stream/", stream_head() + &event(1), "what is this\r\n\r\n")]
 #[case::longer_than_its_size("/stream/", stream_head() + &event(1), "2\r\nlonger\r\n0\r\n\r\n")]
 #[case::amid_an_answer("/harmless/", stream_head() + &event(1), "")]
-fn an_answer_that_ends_early_does_not_look_complete(
+fn a_truncated_response_does_not_look_complete(
     #[case] path: &str,
     #[case] begun: String,
     #[case] then: &str,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_stream_is_resumed_behind_the_last_whole_event() {
+fn a_stream_is_resumed_after_the_last_complete_event() {
     let bench = Bench::start(2);
     bench.next(&[write(stream_head() + &event(1) + &event(2) + &chunk("id: 3\ndata")), Part::Close]);
     bench.next(&[write(stream_head().replace("s.1", "s.2") + &event(3) + &event(4) + LAST)]);
@@ -71,7 +71,7 @@
 #[rstest]
 #[case::from_the_start("", None)]
 #[case::from_the_clients_event("Last-Event-Id: 7\r\n", Some("7"))]
-fn a_stream_of_which_no_event_came_whole_is_another_replicas_from_its_head_on(
+fn a_stream_without_a_complete_event_is_restarted_at_another_replica(
     #[case] headers: &str,
     #[case] resumed_at: Option<&str>,
 ) {
@@ -141,7 +141,7 @@
 #[rstest]
 #[case::whole_answer(support::ok("surplus").replace("{id}", "t1"))]
 #[case::noise("noise".to_owned())]
-fn bytes_behind_an_answer_belong_to_no_request(#[case] surplus: String) {
+fn bytes_after_a_response_belong_to_no_request(#[case] surplus: String) {
     let bench = Bench::start(1);
     bench.next(&[write(support::ok("one") + &surplus)]);
     let answers = bench.run(async {
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn an_answer_to_an_earlier_request_is_skipped() {
+fn a_stale_response_is_skipped() {
     let bench = Bench::start(1);
     let late = support::ok("late").replace("{id}", "t0");
     bench.next(&[write(late + &support::ok("due"))]);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn interim_answers_are_skipped() {
+fn interim_responses_are_skipped() {
     let bench = Bench::start(1);
     bench.next(&[write("HTTP/1.1 100 Continue\r\n\r\n".to_owned() + &support::ok("due"))]);
     assert!(bench.run(bench.ask(&post("/risky/", "t1"))).ends_with("due"));
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_ends_with_its_connection() {
+fn a_response_without_a_length_ends_with_its_connection() {
     let bench = Bench::start(1);
     let head = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Seal: s\r\n\r\n";
     bench.next(&[write(head.to_owned() + "all"), Part::Close]);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_answer_to_head_has_no_body() {
+fn a_response_to_head_has_no_body() {
     let bench = Bench::start(1);
     bench.next(&[write(
         "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Seal: s\r\nContent-Length: 99\r\n\r\n",
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn pipelined_requests_are_answered_in_their_order() {
+fn pipelined_requests_are_served_in_their_order() {
     let bench = Bench::start(1);
     for body in ["one", "two"] {
         bench.next(&[write(support::ok(body))]);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_body_in_chunks_reaches_the_replica_whole() {
+fn a_chunked_request_body_reaches_the_replica_completely() {
     let bench = Bench::start(1);
     let request = post("/risky/", "t1")
         .replace("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n");
@@ -252,7 +252,10 @@
     "400"
 )]
 #[case::large_body("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4194305\r\n\r\n", "413")]
-fn what_is_no_request_is_refused_with_its_connection(#[case] request: &str, #[case] expected: &str) {
+fn bytes_that_are_no_request_are_refused_and_the_connection_is_closed(
+    #[case] request: &str,
+    #[case] expected: &str,
+) {
     let bench = Bench::start(1);
     let answer = bench.run(bench.ask(request));
     assert_eq!(status(&answer), expected);
--- a/crates/proxy/tests/never_twice.rs
+++ b/crates/proxy/tests/retry_safety.rs
@@ -69,7 +69,7 @@
 #[case("/resumable/", "200", 2)]
 #[case("/risky/", "500", 1)]
 #[case("/stream/", "500", 1)]
-fn a_failure_is_passed_on_unless_another_replica_may_do_better(
+fn an_error_is_forwarded_unless_a_retry_is_safe(
     #[case] path: &str,
     #[case] expected: &str,
     #[case] arrivals: usize,
@@ -83,7 +83,7 @@
 #[case("400 Bad Request")]
 #[case("302 Found")]
 #[case("504 Gateway Timeout")]
-fn other_failures_of_a_replica_are_passed_on_unchanged(#[case] line: &str) {
+fn other_errors_of_a_replica_are_forwarded_unchanged(#[case] line: &str) {
     let bench = Bench::start(2);
     bench.next(&write(&answer(line, "", "why")));
     let answer = bench.run(bench.ask(&post("/harmless/", "t1")));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_rejection_that_all_replicas_would_give_is_passed_on_at_once() {
+fn a_rejection_that_all_replicas_would_give_is_forwarded_at_once() {
     assert_eq!(outcome("/risky/", &not_run("400 Bad Request")), ("400".to_owned(), 1));
 }
 
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -13,6 +13,7 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, Share, Tenant};
+use tulipridge_http1::codec::Head;
 use tulipridge_protocol::feed::{
     ModelRevision, ModelWeights, Position, Replica, ReplicaPhase, WeightsTable,
 };
@@ -566,3 +567,9 @@
     });
     lines.collect::<Vec<_>>().join("\n")
 }
+
+/// The head of a message.
+pub(crate) fn head(start: [&str; 3], headers: &[(&str, &str)]) -> Head {
+    let owned = |(name, value): &(&str, &str)| ((*name).to_owned(), (*value).to_owned());
+    Head { start: start.map(str::to_owned), headers: headers.iter().map(owned).collect() }
+}
--- a/crates/proxy/tests/outdated.rs
+++ b/crates/proxy/tests/weights_expiry.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_answer_that_has_begun_goes_on_when_its_weights_are_withdrawn() {
+fn a_response_that_has_begun_continues_when_its_weights_are_withdrawn() {
     let bench = Bench::with_revision_term(2, REVISION_MS, BUDGET);
     bench.next(&[Part::Write(stream_head() + &event(1)), Part::Wait, Part::Write(event(2) + LAST)]);
     let answer = bench.run(async {
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_limit_that_was_told_before_does_not_move() {
+fn a_limit_that_is_known_does_not_move() {
     let mut expiry = WeightsExpiry::new(TERM);
     expiry.update(&table(2, 2), ms(1_000));
     assert!(!expiry.update(&table(2, 2), ms(1_300)));
--- a/crates/proxy/tests/work.rs
+++ b/crates/proxy/tests/work.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn work_counts_until_it_is_dropped_and_each_change_is_told() {
+fn work_counts_until_it_is_dropped_and_each_change_is_reported() {
     let ledger: Rc<WorkLedger> = Rc::default();
     let told = Rc::new(RefCell::new(Vec::new()));
     let seen = told.clone();
