--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,6 +1,6 @@
 //! The life of one request, from the moment that it was read completely to its one final response.
 //!
-//! [`handle_request`] admits a request by the newest configuration and has it placed. [`Exchange::run`] then takes the
+//! [`handle_request`] admits a request by the newest configuration and has it placed. `Exchange::run` then takes the
 //! load balancer's orders one after the other:
 //!
 //! 1. `attempts` sends the request to the replica that an order names, if a send is still allowed;
--- a/crates/proxy/src/exchange/attempts.rs
+++ b/crates/proxy/src/exchange/attempts.rs
@@ -102,10 +102,10 @@
         replica: Rc<ReplicaEntry>,
         connection: Connection,
     ) -> Step {
-        let (head, unread_tokens) = self.head_for(&replica);
-        let work = work::units(unread_tokens);
+        let head = self.head_for(&replica);
+        let work = work::units(head.unread_tokens);
         let request = UpstreamRequest {
-            head: &head,
+            head: &head.bytes,
             body: &self.request.body,
             attempt_id: self.request.attempt_id(),
             is_head_request: self.request.is_head_request(),
--- a/crates/proxy/src/exchange/upstream_head.rs
+++ b/crates/proxy/src/exchange/upstream_head.rs
@@ -11,9 +11,17 @@
 /// Initial capacity: the size of most heads.
 const INITIAL_CAPACITY_BYTES: usize = 1024;
 
+/// The head of a request for one replica.
+pub(super) struct UpstreamHead {
+    /// The encoded head.
+    pub(super) bytes: Vec<u8>,
+    /// Tokens of the prompt that the replica has to read, as no KV cache covers them.
+    pub(super) unread_tokens: u32,
+}
+
 impl Exchange<'_> {
-    /// The head for this replica, and the tokens of the prompt that it has to read.
-    pub(super) fn head_for(&self, replica: &ReplicaEntry) -> (Vec<u8>, u32) {
+    /// The head for this replica.
+    pub(super) fn head_for(&self, replica: &ReplicaEntry) -> UpstreamHead {
         let admitted = &self.admitted;
         let model = self.request.head.get("llm");
         let revision = model.and_then(|model| replica.revision(model));
@@ -31,9 +39,9 @@
             kv,
             last_event_id: self.relay.as_ref().and_then(Relay::last_event_id),
         };
-        let mut head = Vec::with_capacity(INITIAL_CAPACITY_BYTES);
-        headers::write_request_head(&self.request.head, self.request.body.len(), &additions, &mut head);
-        (head, unread_tokens)
+        let mut bytes = Vec::with_capacity(INITIAL_CAPACITY_BYTES);
+        headers::write_request_head(&self.request.head, self.request.body.len(), &additions, &mut bytes);
+        UpstreamHead { bytes, unread_tokens }
     }
 
     /// The priority by the operator's rank and by what the replica has to read.
--- a/crates/proxy/src/kv_cache/mod.rs
+++ b/crates/proxy/src/kv_cache/mod.rs
@@ -2,7 +2,7 @@
 //! it to. The time is passed in.
 //!
 //! The control plane's index says which replica or store has cached which prefix segment. It lags by some hundred
-//! milliseconds, so the proxy also remembers which replica it sent a prefix to recently ([`recent`]). The index may be
+//! milliseconds, so the proxy also remembers which replica it sent a prefix to recently (`recent`). The index may be
 //! wrong: fetching from a source without the prefix costs about a millisecond.
 
 pub mod planner;
--- a/crates/proxy/src/replica/outcome.rs
+++ b/crates/proxy/src/replica/outcome.rs
@@ -5,6 +5,7 @@
 
 use tulipridge_load_balancer::types::Verdict;
 
+// `crate::placement` imports it from here.
 pub use crate::replica::request_kind::RequestKind;
 
 /// How an attempt to have a request served by one replica ended.
--- a/crates/proxy/tests/bodiless.rs
+++ b/crates/proxy/tests/bodiless.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use support::{Bench, Part, SEAL, header, ok, post};
 
-/// An answer with this status, the head of which speaks of a body.
+/// A response with this status whose head states a body.
 fn bodiless(status: &str, framing: &str) -> String {
     format!("HTTP/1.1 {status}\r\nAttempt-Id: {{id}}\r\nServer-Seal: {SEAL}\r\n{framing}\r\n\r\n")
 }
--- a/crates/proxy/tests/calls.rs
+++ b/crates/proxy/tests/calls.rs
@@ -1,5 +1,5 @@
-//! Every cell of the table of sends, brought about with a real proxy and replicas that answer by script: each kind
-//! of request with each event, once with a budget of repeated sends and once without.
+//! Every cell of the retry table, brought about with a real proxy and scripted replicas: each kind of request with each
+//! outcome of an attempt, once with a retry budget and once without.
 
 mod support;
 
@@ -27,9 +27,9 @@
 struct Seen {
     /// The status that the client got.
     status: String,
-    /// The answer came to its end.
+    /// The response came to its end.
     is_complete: bool,
-    /// The client was told when to come back.
+    /// The response had `Retry-After`.
     has_retry_after: bool,
     /// Requests whose head a replica has read.
     arrivals: usize,
@@ -107,7 +107,7 @@
     }
 }
 
-/// The status of the replica's own answer, where the event has one.
+/// The status of the replica's own response, where the outcome has one.
 fn replica_status(event: AttemptOutcome) -> &'static str {
     match event {
         AttemptOutcome::Success | AttemptOutcome::TruncatedResponse | AttemptOutcome::BrokenInResponse => {
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! What the control plane's news does to requests: routes, keys, freshness, replicas that come and go.
+//! How updates from the control plane affect requests: routes, keys, freshness, replicas that come and go.
 
 mod support;
 
--- a/crates/proxy/tests/connection_states.rs
+++ b/crates/proxy/tests/connection_states.rs
@@ -1,4 +1,4 @@
-//! Whether a connection is used again after each thing that a whole answer may leave of it.
+//! Whether a connection is reused in each state that a complete response may leave it in.
 
 mod support;
 
--- a/crates/proxy/tests/responses.rs
+++ b/crates/proxy/tests/responses.rs
@@ -1,4 +1,4 @@
-//! How answers are passed on: as they arrive, never as whole when they were not, and resumed where that is allowed.
+//! Responses are forwarded as they arrive, never look complete when they are not, and are resumed where that is allowed.
 
 mod support;
 
--- a/crates/proxy/tests/retry_safety.rs
+++ b/crates/proxy/tests/retry_safety.rs
@@ -14,7 +14,7 @@
     write(&answer(status, "Not-Run: 1\r\n", ""))
 }
 
-/// The answer's status and the arrivals at replicas, two of which stand by.
+/// The status of the response, and the requests that arrived at two replicas.
 fn outcome(path: &str, first: &[Part]) -> (String, usize) {
     let bench = Bench::start(2);
     bench.next(first);
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy in the test's own process, with replicas that answer by script, over loopback.
+//! A proxy in the test's own process, with scripted replicas, over loopback.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -184,12 +184,12 @@
     }
 }
 
-/// An answer of 200 with this body.
+/// A response of 200 with this body.
 pub(crate) fn ok(body: &str) -> String {
     answer("200 OK", "", body)
 }
 
-/// A whole answer with a length.
+/// A complete response with a length.
 pub(crate) fn answer(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nAttempt-Id: {{id}}\r\nServer-Seal: {SEAL}\r\n{headers}\
@@ -403,7 +403,7 @@
         TestClient { stream, buffer: Vec::new() }
     }
 
-    /// Sends one request on a connection of its own, and reads the answer.
+    /// Sends one request on a connection of its own, and reads the response.
     pub(crate) async fn ask(&self, request: &str) -> String {
         let mut client = self.connect().await;
         client.send(request).await;
@@ -436,7 +436,7 @@
     }
 }
 
-/// Waits until the connection of an answer that has ended may be used again.
+/// Waits until the connection of a response that has ended may be reused.
 pub(crate) async fn settle() {
     async_io::Timer::after(Duration::from_millis(15)).await;
 }
@@ -456,7 +456,7 @@
         self.stream.write_all(request.as_bytes()).await.expect("a request is taken");
     }
 
-    /// The next answer; `(cut)` behind it where it does not end whole, `(closed)` where there is none.
+    /// The next response; `(cut)` after it where it is truncated, `(closed)` where there is none.
     pub(crate) async fn answer(&mut self) -> String {
         match read_message(&mut self.stream, &mut self.buffer).await {
             Some(answer) => answer,
@@ -465,12 +465,12 @@
         }
     }
 
-    /// What has come and was not taken as an answer.
+    /// Bytes that were read and are no part of a response that was taken.
     pub(crate) fn received(&self) -> String {
         String::from_utf8_lossy(&self.buffer).into_owned()
     }
 
-    /// Reads until what has come of the answer holds this.
+    /// Reads until the bytes of the response contain this.
     pub(crate) async fn wait_for(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.buffer).contains(text) {
             assert!(
@@ -534,7 +534,7 @@
     })
 }
 
-/// The status of an answer.
+/// The status of a response.
 pub(crate) fn status(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or(answer)
 }
--- a/crates/proxy/tests/urgency.rs
+++ b/crates/proxy/tests/urgency.rs
@@ -1,4 +1,4 @@
-//! The urgency that replicas are told.
+//! The priorities of requests.
 
 use rstest::rstest;
 use tulipridge_proxy::placement::urgency::Urgency;
--- a/crates/proxy/tests/weights_expiry.rs
+++ b/crates/proxy/tests/weights_expiry.rs
@@ -61,7 +61,7 @@
         let mut client = bench.connect().await;
         client.send(&request("/stream/")).await;
         bench.until(|| bench.arrivals() == 1).await;
-        // The first event has come before the news, and the rest comes after the term.
+        // The first event has come before the update, and the rest comes after the term.
         support::settle().await;
         bench.withdraw_at_busy(5);
         bench.proxy.weights_expired(&weights("m", 4)).await;
@@ -89,7 +89,7 @@
 
 // ---- the limits alone -------------------------------------------------------------------------------------
 
-/// Requests are called off 11.28 s after the naming, 1.08 s after the withdrawal.
+/// Requests are cancelled 11.28 s after the naming, 1.08 s after the withdrawal.
 const TERM: RevisionTerm = RevisionTerm::new(Duration::from_secs(12));
 
 fn weights(model: &str, revision: u64) -> ModelRevision {
