--- a/crates/proxy/src/exchange/request_head.rs
+++ b/crates/proxy/src/exchange/upstream_head.rs
@@ -1,25 +1,33 @@
-//! The head with which a replica is sent a request: what the client sent, and what the system adds for it.
+//! The head of the request to a replica: the client's headers, and those that the proxy adds.
 
 use std::time::Instant;
 
 use super::Exchange;
+use crate::downstream::relay::Relay;
 use crate::headers::{self, Additions};
-use crate::kv_cache::{Chain, KvTransfer, Target};
-use crate::relay::Relay;
+use crate::kv_cache::{KvTransfer, PrefixChain, Target};
 use crate::replica::replicas::ReplicaEntry;
 
-/// Bytes of most heads.
-const USUAL_BYTES: usize = 1024;
+/// Initial capacity: the size of most heads.
+const INITIAL_CAPACITY_BYTES: usize = 1024;
+
+/// The head of a request for one replica.
+pub(super) struct UpstreamHead {
+    /// The encoded head.
+    pub(super) bytes: Vec<u8>,
+    /// Tokens of the prompt that the replica has to read, as no KV cache covers them.
+    pub(super) unread_tokens: u32,
+}
 
 impl Exchange<'_> {
-    /// The head with which this replica is sent the request, and the tokens of its prompt that the replica has to read.
-    pub(super) fn head_for(&self, replica: &ReplicaEntry) -> (Vec<u8>, u32) {
+    /// The head for this replica.
+    pub(super) fn head_for(&self, replica: &ReplicaEntry) -> UpstreamHead {
         let admitted = &self.admitted;
-        let model = self.incoming.head.get("llm");
+        let model = self.request.head.get("llm");
         let revision = model.and_then(|model| replica.revision(model));
-        let salt = model.map(|_| admitted.salt(revision.unwrap_or(0)));
+        let salt = model.map(|_| admitted.cache_salt(revision.unwrap_or(0)));
         let kv = salt.as_deref().map(|salt| self.kv_transfer(replica, salt)).unwrap_or_default();
-        // The last part of the prompt is the request's own.
+        // The last segment of the prompt is not shared with other requests.
         let unread_tokens = self.prompt.prompt.own_tokens().saturating_add(kv.unread_tokens);
         let additions = Additions {
             replica: &replica.id.0,
@@ -31,19 +39,19 @@
             kv,
             last_event_id: self.relay.as_ref().and_then(Relay::last_event_id),
         };
-        let mut head = Vec::with_capacity(USUAL_BYTES);
-        headers::write_request(&self.incoming.head, self.incoming.body.len(), &additions, &mut head);
-        (head, unread_tokens)
+        let mut bytes = Vec::with_capacity(INITIAL_CAPACITY_BYTES);
+        headers::write_request_head(&self.request.head, self.request.body.len(), &additions, &mut bytes);
+        UpstreamHead { bytes, unread_tokens }
     }
 
-    /// The urgency by the operator's rank and by what the replica has to read.
+    /// The priority by the operator's rank and by what the replica has to read.
     fn priority(&self, unread_tokens: u32) -> u8 {
         self.proxy.urgency.borrow_mut().priority(self.admitted.rank(), unread_tokens)
     }
 
-    /// Where this replica takes the KV cache of the prompt from, and where it keeps it.
+    /// Plans where this replica fetches the KV cache of the prompt from, and where it saves it to.
     fn kv_transfer(&self, replica: &ReplicaEntry, salt: &str) -> KvTransfer {
-        let chain = Chain::new(&self.prompt.shared_parts, salt);
+        let chain = PrefixChain::new(&self.prompt.shared_parts, salt);
         let replicas = self.proxy.replicas.borrow();
         let zone_of = |address| {
             let other = replicas.at(address).filter(|other| other.service == replica.service);
--- a/crates/proxy/tests/connection_states.rs
+++ b/crates/proxy/tests/connection_states.rs
@@ -1,10 +1,10 @@
-//! Whether a connection is used again after each thing that a whole answer may leave of it.
+//! Whether a connection is reused in each state that a complete response may leave it in.
 
 mod support;
 
 use rstest::rstest;
 use support::{Bench, Part, answer, ok, post, post_long, status};
-use tulipridge_proxy::replica::outcome::ConnectionState;
+use tulipridge_proxy::replica::connection_state::ConnectionState;
 
 fn write(text: impl Into<String>) -> Part {
     Part::Write(text.into())
@@ -19,17 +19,17 @@
     let unframed = ok("").replace("Content-Length: 0\r\n", "");
     match state {
         ConnectionState::Clean => (post(path, "t1"), vec![write(ok("one"))]),
-        ConnectionState::Surplus => (post(path, "t1"), vec![write(ok("one") + "noise")]),
-        ConnectionState::LateAnswer => {
+        ConnectionState::SurplusBytes => (post(path, "t1"), vec![write(ok("one") + "noise")]),
+        ConnectionState::StaleResponse => {
             (post(path, "t1"), vec![write(ok("late").replace("{id}", "t0") + &ok("one"))])
         }
-        ConnectionState::RestDue => {
+        ConnectionState::RequestIncomplete => {
             (post_long(path, "t1"), vec![Part::BeforeBody, write(ok("one")), Part::Wait, Part::ReadBody])
         }
         ConnectionState::ClosedByReplica => {
             (post(path, "t1"), vec![write(answer("200 OK", "Connection: close\r\n", "one"))])
         }
-        ConnectionState::EndsWithAnswer => (post(path, "t1"), vec![write(unframed + "one"), Part::Close]),
+        ConnectionState::DelimitedByClose => (post(path, "t1"), vec![write(unframed + "one"), Part::Close]),
         ConnectionState::NoAttemptId => {
             (without_id(&post(path, "t1")), vec![write(without_id(&ok("one")))])
         }
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_late_answer_in_the_place_of_one_without_a_body_is_read_with_its_own() {
+fn a_stale_response_before_one_without_a_body_is_read_with_its_own_body() {
     let bench = Bench::start(1);
     let due = ok("").replace("Content-Length: 0", "Content-Length: 9");
     bench.next(&[write(ok("HTTP/1.1 ").replace("{id}", "t0") + &due)]);
@@ -77,7 +77,7 @@
         let mut client = bench.connect().await;
         client.send(&post("/risky/", "t1").replace("POST", "HEAD")).await;
         client.wait_for("Content-Length: 9").await;
-        bench.until(|| bench.proxy.counters.passed.get() == 1).await;
+        bench.until(|| bench.proxy.counters.completed.get() == 1).await;
         bench.arrivals()
     });
     assert_eq!(answer, 1);
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/headers.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use tulipridge_http1::codec::Head;
-use tulipridge_proxy::headers::{Additions, After, Framing, OwnAnswer, write_answer, write_request};
+use tulipridge_proxy::headers::{
+    Additions, Framing, LocalResponse, Persistence, write_request_head, write_response_head,
+};
 use tulipridge_proxy::kv_cache::KvTransfer;
 
 fn head(text: &str) -> Head {
@@ -25,7 +27,7 @@
 
 fn request(client: &str, body: usize, additions: &Additions<'_>) -> String {
     let mut out = Vec::new();
-    write_request(&head(client), body, additions, &mut out);
+    write_request_head(&head(client), body, additions, &mut out);
     text(out)
 }
 
@@ -104,13 +106,13 @@
 }
 
 #[test]
-fn a_resumed_request_names_the_event_that_was_passed_on() {
+fn a_resumed_request_names_the_last_forwarded_event() {
     let client = "POST / HTTP/1.1\nHost: shop.example\nLast-Event-Id: 7\nContent-Length: 0";
     let additions = Additions { last_event_id: Some("31"), ..PLAIN };
     insta::assert_snapshot!(request(client, 0, &additions));
 }
 
-fn answer(framing: Framing, after: After) -> String {
+fn answer(framing: Framing, persistence: Persistence) -> String {
     let replica = "HTTP/1.1 200 Fine\n\
                    Attempt-Id: 9c41d07b\n\
                    Server-Seal: 3e1b.07\n\
@@ -121,33 +123,33 @@
                    Connection: close\n\
                    Keep-Alive: timeout=3";
     let mut out = Vec::new();
-    write_answer(&head(replica), framing, after, &mut out);
+    write_response_head(&head(replica), framing, persistence, &mut out);
     text(out)
 }
 
 #[test]
-fn an_answer_keeps_what_concerns_the_client() {
-    let idle = After::KeepOpen(Duration::from_secs(14));
+fn a_response_keeps_end_to_end_headers() {
+    let idle = Persistence::KeepAlive(Duration::from_secs(14));
     insta::assert_snapshot!(answer(Framing::Length(5), idle));
 }
 
 #[test]
-fn an_answer_in_chunks_has_no_length() {
-    insta::assert_snapshot!(answer(Framing::Chunked, After::Close));
+fn a_chunked_response_has_no_length() {
+    insta::assert_snapshot!(answer(Framing::Chunked, Persistence::Close));
 }
 
 #[test]
-fn an_answer_without_body_keeps_the_length_that_is_told() {
-    insta::assert_snapshot!(answer(Framing::None, After::Close));
+fn a_response_without_a_body_keeps_its_stated_length() {
+    insta::assert_snapshot!(answer(Framing::None, Persistence::Close));
 }
 
 #[test]
-fn an_answer_keeps_no_line_end_within_a_value() {
+fn a_response_header_with_a_line_end_in_its_value_is_dropped() {
     let mut replica = head("HTTP/1.1 200 Fine\nServer-Seal: 3e1b.07\nX-Note: plain\tenough");
     replica.start[2] = "Fi\nne".to_owned();
     replica.headers.push(("X-Noise".to_owned(), "a\nContent-Length: 0".to_owned()));
     let mut out = Vec::new();
-    write_answer(&replica, Framing::Length(5), After::Close, &mut out);
+    write_response_head(&replica, Framing::Length(5), Persistence::Close, &mut out);
     insta::assert_snapshot!(text(out), @"
     HTTP/1.1 200 OK
     Server-Seal: 3e1b.07
@@ -160,6 +162,6 @@
 #[test]
 fn a_refusal_says_how_long_to_stay_away() {
     let mut out = Vec::new();
-    OwnAnswer::refusal(Duration::from_millis(350)).write(Some("t1"), After::Close, &mut out);
+    LocalResponse::refusal(Duration::from_millis(350)).write(Some("t1"), Persistence::Close, &mut out);
     insta::assert_snapshot!(text(out));
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy in the test's own process, with replicas that answer by script, over loopback.
+//! A proxy in the test's own process, with scripted replicas, over loopback.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -13,12 +13,13 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, Share, Tenant};
+use tulipridge_http1::codec::Head;
 use tulipridge_protocol::feed::{
     ModelRevision, ModelWeights, Position, Replica, ReplicaPhase, WeightsTable,
 };
 use tulipridge_proxy::placement::placed_request;
 use tulipridge_proxy::proxy::Proxy;
-use tulipridge_proxy::{edge, ready};
+use tulipridge_proxy::{downstream, ready};
 use tulipridge_runtime::settings::Settings;
 
 pub(crate) const HOST: &str = "shop.example";
@@ -183,12 +184,12 @@
     }
 }
 
-/// An answer of 200 with this body.
+/// A response of 200 with this body.
 pub(crate) fn ok(body: &str) -> String {
     answer("200 OK", "", body)
 }
 
-/// A whole answer with a length.
+/// A complete response with a length.
 pub(crate) fn answer(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nAttempt-Id: {{id}}\r\nServer-Seal: {SEAL}\r\n{headers}\
@@ -337,8 +338,8 @@
     fn with_settings(replicas: usize, settings: &Settings) -> Bench {
         let executor = Rc::new(LocalExecutor::new());
         let age = Rc::new(Cell::new(Some(Duration::ZERO)));
-        let told = age.clone();
-        let proxy = Proxy::new(settings, 7, Box::new(move || told.get()));
+        let shared_age = age.clone();
+        let proxy = Proxy::new(settings, 7, Box::new(move || shared_age.get()));
         let (script, gates) = (Script::default(), Rc::default());
         let stand_in = |n| StandIn::start(&executor, &format!("i-{n}"), &script, &gates);
         let replicas = (0..replicas).map(stand_in).collect();
@@ -356,7 +357,7 @@
         let alarms = proxy.alarms.clone();
         executor.spawn(async move { alarms.drive().await }).detach();
         executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
-        executor.spawn(edge::listen(proxy.clone(), executor.clone(), front)).detach();
+        executor.spawn(downstream::listener::listen(proxy.clone(), executor.clone(), front)).detach();
         executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_check)).detach();
         proxy.set_gateways(1);
         proxy.set_configuration(Arc::new(configuration()));
@@ -402,7 +403,7 @@
         TestClient { stream, buffer: Vec::new() }
     }
 
-    /// Sends one request on a connection of its own, and reads the answer.
+    /// Sends one request on a connection of its own, and reads the response.
     pub(crate) async fn ask(&self, request: &str) -> String {
         let mut client = self.connect().await;
         client.send(request).await;
@@ -435,7 +436,7 @@
     }
 }
 
-/// Waits until the connection of an answer that has ended may be used again.
+/// Waits until the connection of a response that has ended may be reused.
 pub(crate) async fn settle() {
     async_io::Timer::after(Duration::from_millis(15)).await;
 }
@@ -455,7 +456,7 @@
         self.stream.write_all(request.as_bytes()).await.expect("a request is taken");
     }
 
-    /// The next answer; `(cut)` behind it where it does not end whole, `(closed)` where there is none.
+    /// The next response; `(cut)` after it where it is truncated, `(closed)` where there is none.
     pub(crate) async fn answer(&mut self) -> String {
         match read_message(&mut self.stream, &mut self.buffer).await {
             Some(answer) => answer,
@@ -464,12 +465,12 @@
         }
     }
 
-    /// What has come and was not taken as an answer.
+    /// Bytes that were read and are no part of a response that was taken.
     pub(crate) fn received(&self) -> String {
         String::from_utf8_lossy(&self.buffer).into_owned()
     }
 
-    /// Reads until what has come of the answer holds this.
+    /// Reads until the bytes of the response contain this.
     pub(crate) async fn wait_for(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.buffer).contains(text) {
             assert!(
@@ -533,7 +534,7 @@
     })
 }
 
-/// The status of an answer.
+/// The status of a response.
 pub(crate) fn status(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or(answer)
 }
@@ -566,3 +567,9 @@
     });
     lines.collect::<Vec<_>>().join("\n")
 }
+
+/// The head of a message.
+pub(crate) fn head(start: [&str; 3], headers: &[(&str, &str)]) -> Head {
+    let owned = |(name, value): &(&str, &str)| ((*name).to_owned(), (*value).to_owned());
+    Head { start: start.map(str::to_owned), headers: headers.iter().map(owned).collect() }
+}
