--- a/crates/simulator/experiments/wide.hcl
+++ b/crates/simulator/experiments/wide.hcl
@@ -1,4 +1,4 @@
-# How fast the laboratory is: 10,000 small requests a second, a third of the gateways restarting.
+# How fast the simulator is: 10,000 small requests a second, a third of the gateways restarting.
 from     = "release.hcl"
 about    = "300 gateways, 100 real servers, 10,000 requests a second"
 warmup   = "5s"
--- a/crates/simulator/src/fleet/attempts.rs
+++ b/crates/simulator/src/fleet/attempts.rs
@@ -3,7 +3,8 @@
 use rand::RngExt;
 use tulipridge::types::{Event, Nanos, ReplicaId, RequestId, Verdict};
 
-use super::events::{AttemptEnd, FleetEvent, ReplicaProcess};
+use super::events::{AttemptEnd, FleetEvent};
+use super::processes::ReplicaProcess;
 use super::requests::{Attempt, AttemptStage};
 use super::state::{Fleet, Link, RESPONSE_COST_TOKENS};
 use crate::record::RequestOutcome;
--- a/crates/simulator/src/fleet/gateways.rs
+++ b/crates/simulator/src/fleet/gateways.rs
@@ -5,7 +5,8 @@
 use rand::RngExt;
 use tulipridge::types::{Action, Event, ListKind, Member, SettingsError};
 
-use super::events::{FleetEvent, GatewayProcess};
+use super::events::FleetEvent;
+use super::processes::GatewayProcess;
 use super::requests::AttemptStage;
 use super::state::Fleet;
 use crate::policy::Policy;
--- a/crates/simulator/src/fleet/list_service.rs
+++ b/crates/simulator/src/fleet/list_service.rs
@@ -5,7 +5,8 @@
 
 use tulipridge::types::{Event, ListKind, Member, Nanos, Phase};
 
-use super::events::{FleetEvent, GatewayProcess, ListCall};
+use super::events::FleetEvent;
+use super::processes::{GatewayProcess, ListCall};
 use super::state::{Fleet, PendingChange};
 use crate::time::{SECOND, nanos};
 
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -11,6 +11,7 @@
 mod faults;
 mod gateways;
 mod list_service;
+mod processes;
 mod replicas;
 mod requests;
 mod run;
--- a/crates/simulator/src/fleet/replicas.rs
+++ b/crates/simulator/src/fleet/replicas.rs
@@ -3,7 +3,8 @@
 use rand_distr::{Distribution, Normal};
 use tulipridge::types::Verdict;
 
-use super::events::{AttemptEnd, FleetEvent, ReplicaProcess};
+use super::events::{AttemptEnd, FleetEvent};
+use super::processes::ReplicaProcess;
 use super::state::{Fleet, LoadReport, RESPONSE_COST_TOKENS, WorkSample};
 use crate::experiment::Class;
 use crate::replica::{AttemptId, StepEvent};
--- a/crates/simulator/src/fleet/requests.rs
+++ b/crates/simulator/src/fleet/requests.rs
@@ -2,7 +2,7 @@
 
 use tulipridge::types::Nanos;
 
-use super::events::{GatewayProcess, ReplicaProcess};
+use super::processes::{GatewayProcess, ReplicaProcess};
 use crate::replica::PrefixId;
 
 /// A sequence of requests, each with the prompt and the response of those before it.
--- a/crates/simulator/src/fleet/run.rs
+++ b/crates/simulator/src/fleet/run.rs
@@ -4,7 +4,7 @@
 
 use super::events::{AttemptEnd, FleetEvent};
 use super::requests::AttemptStage;
-use super::state::Fleet;
+use super::state::{Fleet, GatewayState};
 use crate::record::WINDOW;
 use crate::replica::AttemptId;
 use crate::time::nanos;
@@ -17,8 +17,7 @@
         while let Some(event) = self.queue.advance(end) {
             self.handle(event)?;
         }
-        let without_list =
-            |gateway: &&super::state::GatewayState| gateway.policy.is_some() && !gateway.has_list;
+        let without_list = |gateway: &&GatewayState| gateway.policy.is_some() && !gateway.has_list;
         self.recorder.counters.gateways_without_list = self.gateways.iter().filter(without_list).count();
         self.count_open_streams();
         Ok(())
--- a/crates/simulator/src/fleet/state.rs
+++ b/crates/simulator/src/fleet/state.rs
@@ -6,7 +6,8 @@
 use rand_pcg::Pcg64Mcg;
 use tulipridge::types::{Action, Member, Nanos, Phase, ReplicaId};
 
-use super::events::{EventQueue, FleetEvent, GatewayProcess, ListCall};
+use super::events::{EventQueue, FleetEvent};
+use super::processes::{GatewayProcess, ListCall};
 use super::requests::{ClientRequest, GatewayRequest};
 use crate::experiment::{Experiment, Fault, PolicyKind};
 use crate::policy::{Policy, SharedFleetLoad};
--- a/crates/simulator/src/report/columns.rs
+++ b/crates/simulator/src/report/columns.rs
@@ -1,6 +1,6 @@
 //! The columns of the report's tables.
 
-use super::Report;
+use super::data::Report;
 use crate::record::{IntervalSummary, ReplicaSummary, RunSummary};
 
 /// A column of the table of intervals. Its title is part of the report's format.
--- a/crates/simulator/src/report/page.rs
+++ b/crates/simulator/src/report/page.rs
@@ -4,8 +4,9 @@
 use plotters::style::RGBColor;
 
 use super::columns::{REPLICA_COLUMNS, Row, interval_titles, replica_rows};
-use super::plots::policy_colour;
-use super::{FaultMarker, Plot, Report, ReportError};
+use super::data::{FaultMarker, Report};
+use super::error::ReportError;
+use super::plots::{Plot, policy_colour};
 
 /// The name of the template.
 const TEMPLATE: &str = "page.html";
--- a/crates/simulator/src/report/plots.rs
+++ b/crates/simulator/src/report/plots.rs
@@ -9,7 +9,8 @@
     PathElement, RGBColor, Rectangle, SVGBackend, SeriesLabelPosition, ShapeStyle, WHITE,
 };
 
-use super::{Report, ReportError};
+use super::data::Report;
+use super::error::ReportError;
 use crate::record::{ReplicaSummary, RunSummary, Window};
 
 /// A plot.
--- a/crates/simulator/src/report/text.rs
+++ b/crates/simulator/src/report/text.rs
@@ -3,8 +3,8 @@
 use std::fmt::Write;
 
 use super::columns::{REPLICA_COLUMNS, Row, interval_titles, replica_rows};
-use super::error::ExperimentId;
-use super::{Report, ReportError};
+use super::data::Report;
+use super::error::{ExperimentId, ReportError};
 use crate::record::RunSummary;
 
 /// The table of replicas is part of the text for fleets of up to this size.
