--- a/crates/fault-injection/src/deployment/faults.rs
+++ b/crates/fault-injection/src/deployment/faults.rs
@@ -3,7 +3,7 @@
 use std::process::ExitStatus;
 use std::time::Duration;
 
-use super::{Deployment, TERMINATION_LIMIT};
+use super::system::{Deployment, TERMINATION_LIMIT};
 use crate::disk;
 use crate::error::Result;
 use crate::machine::MachineId;
--- /dev/null
+++ b/crates/fault-injection/src/deployment/machines.rs
@@ -0,0 +1,52 @@
+//! The machines of a deployment, with their programs.
+
+use std::path::{Path, PathBuf};
+
+use super::settings_file;
+use crate::machine::Machine;
+use crate::process::Process;
+use crate::programs::Programs;
+
+/// A control-plane member and its disk.
+#[derive(Debug)]
+pub struct Member {
+    /// Its machine.
+    pub machine: Machine,
+    /// The program.
+    pub process: Process,
+    /// The folder of its log.
+    pub folder: PathBuf,
+    pub(super) has_booted: bool,
+}
+
+/// An edge machine.
+#[derive(Debug)]
+pub struct Edge {
+    /// Its machine.
+    pub machine: Machine,
+    /// The agent.
+    pub agent: Process,
+    /// The proxy.
+    pub proxy: Process,
+}
+
+impl Member {
+    pub(super) fn new(machine: Machine, programs: &Programs, folder: &Path) -> Member {
+        let process = new_process(&programs.member, &machine, "member", folder);
+        let folder = folder.join(format!("{}.data", machine.name));
+        Member { machine, process, folder, has_booted: false }
+    }
+}
+
+impl Edge {
+    pub(super) fn new(machine: Machine, programs: &Programs, folder: &Path) -> Edge {
+        let agent = new_process(&programs.agent, &machine, "agent", folder);
+        let proxy = new_process(&programs.proxy, &machine, "proxy", folder);
+        Edge { machine, agent, proxy }
+    }
+}
+
+fn new_process(binary: &Path, machine: &Machine, program: &str, folder: &Path) -> Process {
+    let log = folder.join(format!("{}-{program}.log", machine.name));
+    Process::new(binary.to_owned(), settings_file::path(folder, machine), log)
+}
--- a/crates/fault-injection/src/deployment/observe.rs
+++ b/crates/fault-injection/src/deployment/observe.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{CONVERGENCE_LIMIT, ClientRequest, Deployment};
+use super::system::{CONVERGENCE_LIMIT, Deployment};
 use crate::client::{CallError, Message, Request, call};
 use crate::error::Result;
 use crate::machine::Port;
@@ -14,6 +14,19 @@
 /// The timeout of a proxy's readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
 
+/// A client's request.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientRequest<'a> {
+    /// The path.
+    pub path: &'a str,
+    /// The value of `Attempt-Id`.
+    pub attempt_id: &'a str,
+    /// The body.
+    pub body: &'a str,
+    /// The client's timeout, which is also sent as the time left.
+    pub timeout: Duration,
+}
+
 impl Deployment {
     /// An operator that sends requests to all running members.
     #[must_use]
--- a/crates/fault-injection/src/deployment/settings.rs
+++ b/crates/fault-injection/src/deployment/settings.rs
@@ -1,20 +1,18 @@
-//! The settings files of the programs.
+//! The contents of the programs' settings files.
 
-use std::path::{Path, PathBuf};
-
-use snafu::ResultExt;
-
-use super::{Deployment, LIST_RATE, ZONE};
-use crate::error::{IoSnafu, Result};
+use super::settings_file;
+use super::system::{Deployment, LIST_RATE, ZONE};
+use crate::error::Result;
 use crate::machine::{Machine, Port};
 
 impl Deployment {
-    pub(super) fn seed_list(&self) -> String {
+    fn seed_list(&self) -> String {
         let seed = |index: &usize| self.members[*index].machine.socket(Port::Api).to_string();
         let seeds: Vec<String> = self.seeds.iter().map(|index| format!("'{}'", seed(index))).collect();
         format!("[{}]", seeds.join(", "))
     }
 
+    /// The settings of a member.
     pub(super) fn member_settings(&self, index: usize, is_first_boot: bool) -> String {
         let member = &self.members[index];
         let platform = member.machine.socket_toward(&self.platform_machine, Port::Api);
@@ -27,6 +25,7 @@
         )
     }
 
+    /// Writes the settings that agent and proxy of an edge machine share.
     pub(super) fn write_edge_settings(&self, index: usize) -> Result<()> {
         let machine = &self.edges[index].machine;
         let text = format!(
@@ -35,10 +34,10 @@
             machine.socket(Port::Clients),
             machine.socket(Port::Readiness),
         );
-        write(self.folder.path(), machine, &text)
+        settings_file::write(self.folder.path(), machine, &text)
     }
 
-    pub(super) fn common_settings(&self, machine: &Machine) -> String {
+    fn common_settings(&self, machine: &Machine) -> String {
         format!(
             "nodeName: {}\nipAddress: {}\narea: {ZONE}\nsparePorts: [{}, {}]\nseedNodes: {}\n\
              withstand: {{machineLosses: {}}}\n",
@@ -51,12 +50,3 @@
         )
     }
 }
-
-pub(super) fn path(folder: &Path, machine: &Machine) -> PathBuf {
-    folder.join(format!("{}.yaml", machine.name))
-}
-
-pub(super) fn write(folder: &Path, machine: &Machine, text: &str) -> Result<()> {
-    let path = path(folder, machine);
-    std::fs::write(&path, text).with_context(|_| IoSnafu { action: format!("write {}", path.display()) })
-}
--- /dev/null
+++ b/crates/fault-injection/src/deployment/system.rs
@@ -0,0 +1,196 @@
+//! A deployment and its start.
+
+use std::time::Duration;
+
+use snafu::ResultExt;
+use tempfile::TempDir;
+
+use super::machines::{Edge, Member};
+use super::settings_file;
+use super::topology::Topology;
+use crate::address::AddressBlock;
+use crate::error::{IoSnafu, Result};
+use crate::machine::{Machine, MachineId, Port};
+use crate::network::Network;
+use crate::platform::Platform;
+use crate::process::Signal;
+use crate::programs::Programs;
+use crate::relay::TcpRelay;
+use crate::replica::Replica;
+
+/// The zone of all machines.
+pub(super) const ZONE: &str = "a";
+/// The last octet of the address of machine 0.
+const FIRST_HOST: u8 = 10;
+/// The last octet of the address of the first replica.
+const FIRST_REPLICA_HOST: u8 = 200;
+/// Requests per second that members may send to the platform's list.
+pub(super) const LIST_RATE: u32 = 20;
+/// Timeout for a deployment to converge, after its start or a fault.
+pub const CONVERGENCE_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout for a program to exit after SIGTERM.
+pub(super) const TERMINATION_LIMIT: Duration = Duration::from_secs(9);
+
+/// A running system. All its programs are killed when it is dropped.
+#[derive(Debug)]
+pub struct Deployment {
+    /// The links between all machines.
+    pub network: Network,
+    /// The control-plane members, those that were not started included.
+    pub members: Vec<Member>,
+    /// The edge machines.
+    pub edges: Vec<Edge>,
+    /// The platform's list of replicas.
+    pub platform: Platform,
+    /// The replicas.
+    pub replicas: Vec<Replica>,
+    /// The operator's machine.
+    pub operator_machine: Machine,
+    /// The machine of the platform's list.
+    pub platform_machine: Machine,
+    pub(super) topology: Topology,
+    pub(super) seeds: Vec<usize>,
+    pub(super) relays: Vec<TcpRelay>,
+    pub(super) folder: TempDir,
+    _addresses: AddressBlock,
+}
+
+impl Deployment {
+    /// Starts all programs and waits until the deployment has converged.
+    ///
+    /// # Errors
+    ///
+    /// Any [`HarnessError`](crate::error::HarnessError) of the build, the start or the wait.
+    pub fn start(topology: Topology) -> Result<Deployment> {
+        let mut deployment = Deployment::build(topology)?;
+        for index in 0..topology.seeds {
+            deployment.start_member(index)?;
+        }
+        for index in 0..topology.edges {
+            deployment.start_edge(index)?;
+        }
+        deployment.wait_until_converged()?;
+        Ok(deployment)
+    }
+
+    fn build(topology: Topology) -> Result<Deployment> {
+        let programs = Programs::build()?;
+        let addresses = AddressBlock::reserve()?;
+        let folder = tempfile::Builder::new()
+            .prefix("tulipridge-fault-injection-")
+            .tempdir()
+            .context(IoSnafu { action: "make a folder" })?;
+        let mut machines = MachineFactory { addresses: &addresses, next_id: 0 };
+        let operator_machine = machines.create("operator".to_owned())?;
+        let platform_machine = machines.create("platform".to_owned())?;
+        let mut members = Vec::new();
+        for number in 1..=topology.members {
+            members.push(Member::new(
+                machines.create(format!("middle-{number}"))?,
+                &programs,
+                folder.path(),
+            ));
+        }
+        let mut edges = Vec::new();
+        for number in 1..=topology.edges {
+            edges.push(Edge::new(machines.create(format!("edge-{number}"))?, &programs, folder.path()));
+        }
+        let platform = Platform::start(platform_machine.socket(Port::Api))?;
+        let replicas = start_replicas(topology.replicas, &addresses, &platform)?;
+        let mut deployment = Deployment {
+            network: Network::default(),
+            members,
+            edges,
+            platform,
+            replicas,
+            operator_machine,
+            platform_machine,
+            topology,
+            seeds: (0..topology.seeds).collect(),
+            relays: Vec::new(),
+            folder,
+            _addresses: addresses,
+        };
+        deployment.connect()?;
+        Ok(deployment)
+    }
+
+    /// Starts a member. Only the first start of a seed is a first boot.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the settings can't be written or the program can't be started.
+    pub fn start_member(&mut self, index: usize) -> Result<()> {
+        let is_first_boot = index < self.topology.seeds && !self.members[index].has_booted;
+        let text = self.member_settings(index, is_first_boot);
+        let member = &mut self.members[index];
+        settings_file::write(self.folder.path(), &member.machine, &text)?;
+        member.has_booted = true;
+        member.process.start()
+    }
+
+    /// Starts agent and proxy of an edge machine.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the settings can't be written or a program can't be started.
+    pub fn start_edge(&mut self, index: usize) -> Result<()> {
+        self.write_edge_settings(index)?;
+        self.edges[index].agent.start()?;
+        self.edges[index].proxy.start()
+    }
+
+    /// Replaces the seeds in the settings: agents reload them at once, members at their next start.
+    ///
+    /// # Errors
+    ///
+    /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the settings can't be written or an agent can't be signalled.
+    pub fn set_seeds(&mut self, seeds: Vec<usize>) -> Result<()> {
+        self.seeds = seeds;
+        for index in 0..self.edges.len() {
+            self.write_edge_settings(index)?;
+            self.edges[index].agent.signal(Signal::HUP)?;
+        }
+        Ok(())
+    }
+}
+
+/// Creates the machines of a deployment, each with an address of its own.
+struct MachineFactory<'a> {
+    addresses: &'a AddressBlock,
+    next_id: u8,
+}
+
+impl MachineFactory<'_> {
+    fn create(&mut self, name: String) -> Result<Machine> {
+        let id = MachineId(self.next_id);
+        self.next_id += 1;
+        Machine::new(id, name, self.addresses.address(FIRST_HOST + id.0))
+    }
+}
+
+/// Starts replicas and adds them to the platform's list.
+fn start_replicas(count: usize, addresses: &AddressBlock, platform: &Platform) -> Result<Vec<Replica>> {
+    let mut replicas = Vec::new();
+    for number in 0..count {
+        let address = addresses.address(FIRST_REPLICA_HOST + number as u8);
+        let replica = Replica::start(format!("i-{number}"), address)?;
+        platform.add(&replica.id, replica.address, ZONE);
+        replicas.push(replica);
+    }
+    Ok(replicas)
+}
+
+impl Drop for Deployment {
+    fn drop(&mut self) {
+        for member in &mut self.members {
+            member.process.kill();
+        }
+        for edge in &mut self.edges {
+            edge.agent.kill();
+            edge.proxy.kill();
+        }
+        self.network.close();
+        self.relays.iter().for_each(TcpRelay::wake);
+    }
+}
--- a/crates/fault-injection/src/deployment/wiring.rs
+++ b/crates/fault-injection/src/deployment/wiring.rs
@@ -1,6 +1,6 @@
 //! The relays between machines.
 
-use super::Deployment;
+use super::system::Deployment;
 use crate::error::Result;
 use crate::machine::{Machine, MachineId, Port};
 use crate::network::Direction;
--- a/crates/fault-injection/src/kill_test/change_outcomes.rs
+++ b/crates/fault-injection/src/kill_test/change_outcomes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use super::KillReport;
+use super::report::KillReport;
 use crate::operator::{Change, Decision, Reply};
 
 /// What operators have sent and which replies they got. Shared by all of them.
--- a/crates/fault-injection/src/measurement/catch_up.rs
+++ b/crates/fault-injection/src/measurement/catch_up.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::{CHANGE_LIMIT, start};
+use super::setup::{CHANGE_LIMIT, start};
 use crate::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
 use crate::error::Result;
--- a/crates/fault-injection/src/measurement/change_cost.rs
+++ b/crates/fault-injection/src/measurement/change_cost.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::{CHANGE_LIMIT, start};
+use super::setup::{CHANGE_LIMIT, start};
 use crate::deployment::{Deployment, Topology};
 use crate::disk;
 use crate::error::Result;
--- a/crates/fault-injection/src/measurement/partition_recovery.rs
+++ b/crates/fault-injection/src/measurement/partition_recovery.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
+use super::setup::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
 use crate::consistency::consistency_violation;
 use crate::deployment::{CONVERGENCE_LIMIT, ClientRequest, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
--- a/crates/fault-injection/src/measurement/propagation.rs
+++ b/crates/fault-injection/src/measurement/propagation.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use super::{CHANGE_LIMIT, start};
+use super::setup::{CHANGE_LIMIT, start};
 use crate::deployment::{ClientRequest, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
 use crate::error::{Result, TimedOutSnafu};
--- a/crates/fault-injection/src/measurement/takeover.rs
+++ b/crates/fault-injection/src/measurement/takeover.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use super::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
+use super::setup::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
 use crate::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
 use crate::error::Result;
