--- a/crates/configuration/src/history.rs
+++ b/crates/configuration/src/configuration_state.rs
@@ -1,74 +1,73 @@
-//! The configuration in force and the calls that led to it: decides on the operator's next call.
+//! The configuration in force and the recent requests that led to it; decides on the operator's next request.
 //!
-//! Decisions change nothing. What is accepted is made durable by the caller, and then applied.
+//! A decision changes nothing. The caller makes an accepted change durable and then applies it.
 
 use std::borrow::Cow;
 
 use musli::{Decode, Encode};
 use snafu::{OptionExt, ResultExt, Snafu};
 
-use crate::digest::{CallKind, RequestDigest};
 use crate::document::Document;
 use crate::encoding::{self, EncodingError, Format};
 use crate::entry::{self, ApplyError, ChangeContent, ChangeEntry};
 use crate::fields::REVISION;
-use crate::findings::{Fault, Findings};
-use crate::remembered::RememberedCalls;
-use crate::wire;
+use crate::recent_requests::RecentRequests;
+use crate::request_digest::{RequestDigest, RequestKind};
+use crate::validation_error::{ValidationErrorKind, ValidationErrors};
 
-/// The revision on which the first configuration builds.
+/// The base revision of the first configuration.
 pub const NO_REVISION: u64 = 0;
 
-/// The form of a snapshot.
+/// The format of a snapshot.
 const SNAPSHOT_FORMAT: Format = Format(*b"CFS2");
 
-/// The answer to an operator's call.
+/// The response to an operator's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// The same call was taken before: it is acknowledged again (200).
+    /// The same request was accepted before: it is acknowledged again (200).
     AlreadyTaken,
-    /// The call builds on another revision than the current one (412).
+    /// The request builds on another revision than the current one (412).
     Stale {
         /// The current revision; [`NO_REVISION`] if there is none.
         current: u64,
     },
-    /// The configuration or the change is invalid (400).
-    Invalid(Findings),
-    /// The call is to be made durable and applied, and acknowledged after that (200).
+    /// The configuration or the patch is invalid (400).
+    Invalid(ValidationErrors),
+    /// The change is to be made durable and applied, and acknowledged after that (200).
     Accept(Box<AcceptedChange>),
 }
 
-/// A call that was accepted.
+/// An accepted change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedChange {
     /// The new configuration.
     pub document: Document,
-    /// What the log keeps of it.
+    /// Its entry in the replicated log.
     pub entry: ChangeEntry,
 }
 
-/// What an entry has done.
+/// The effect of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryOutcome {
     /// Its document is in force now.
     Applied,
-    /// Nothing: an earlier entry of the same call has taken effect.
+    /// None: an earlier entry of the same request has taken effect.
     Repeated,
-    /// Nothing: it builds on a configuration that was replaced by another call.
+    /// None: the configuration on which it builds was replaced by another request.
     Superseded,
 }
 
-/// The newest configuration, and which calls were taken.
+/// The configuration in force, and the requests that were accepted lately.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationState {
     document: Option<Document>,
-    taken: RememberedCalls,
+    recent_requests: RecentRequests,
 }
 
-/// Why bytes give no state.
+/// Why a snapshot can't be restored.
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
-    /// The bytes aren't of this form.
+    /// The bytes are not a snapshot of this format.
     #[snafu(display("cannot decode a configuration's state: {source}"))]
     Encoding {
         /// What is wrong with them.
@@ -78,40 +77,43 @@
     #[snafu(display("the decoded configuration is invalid: {source}"))]
     InvalidDocument {
         /// What is wrong with it.
-        source: Findings,
+        source: ValidationErrors,
     },
-    /// The remembered calls in them are no whole digests.
+    /// The recent requests in them are not complete digests.
     #[snafu(display("the remembered calls are cut"))]
-    CutCalls,
+    TruncatedRequests,
 }
 
 impl ConfigurationState {
-    /// The newest configuration, if there is one.
+    /// The configuration in force, if there is one.
     #[must_use]
     pub fn document(&self) -> Option<&Document> {
         self.document.as_ref()
     }
 
-    /// The newest revision; [`NO_REVISION`] if there is none.
+    /// The revision in force; [`NO_REVISION`] if there is none.
     pub fn revision(&self) -> u64 {
         self.document.as_ref().map_or(NO_REVISION, Document::revision)
     }
 
-    /// Decides on a whole configuration. Without `If-Match`, only a first configuration is taken.
+    /// Decides on a complete configuration. Without `If-Match`, only a first configuration is accepted.
     #[must_use]
     pub fn decide_put(&self, if_match: Option<u64>, body: &[u8]) -> Decision {
-        self.decide(CallKind::Put, if_match, body)
+        self.decide(RequestKind::Put, if_match, body)
     }
 
-    /// Decides on a change of named items.
+    /// Decides on a patch.
     #[must_use]
     pub fn decide_patch(&self, if_match: Option<u64>, body: &[u8]) -> Decision {
-        self.decide(CallKind::Patch, if_match, body)
+        self.decide(RequestKind::Patch, if_match, body)
     }
 
-    /// Applies an entry of the log.
+    /// Applies an entry of the replicated log.
     ///
-    /// After an error the state is as before, but it isn't the one that the members agreed on.
+    /// # Errors
+    ///
+    /// [`ApplyError`] if this state has diverged from the members' agreed one; it is left as it was, but must not be used
+    /// any further.
     pub fn apply_entry(&mut self, entry: &ChangeEntry) -> Result<EntryOutcome, ApplyError> {
         let outcome = self.outcome(entry);
         if outcome == EntryOutcome::Applied {
@@ -121,7 +123,11 @@
         Ok(outcome)
     }
 
-    /// Applies a change that this state itself has decided on: its document needn't be made again.
+    /// Applies a change that this state itself has accepted: its document needn't be computed again.
+    ///
+    /// # Errors
+    ///
+    /// [`ApplyError::OtherBase`] if the document in force has the base's revision, but another content.
     pub fn apply_accepted(&mut self, change: AcceptedChange) -> Result<EntryOutcome, ApplyError> {
         let outcome = self.outcome(&change.entry);
         if outcome == EntryOutcome::Applied {
@@ -131,30 +137,38 @@
         Ok(outcome)
     }
 
-    /// The state as bytes.
+    /// The encoded state.
     pub fn to_snapshot(&self) -> Vec<u8> {
         let document = Cow::Borrowed(self.document.as_ref().map_or(&[][..], Document::text));
-        encoding::encode(SNAPSHOT_FORMAT, &Snapshot { document, taken: self.taken.to_bytes() })
+        encoding::encode(
+            SNAPSHOT_FORMAT,
+            &Snapshot { document, recent_requests: self.recent_requests.to_bytes() },
+        )
     }
 
-    /// The state from the bytes of [`ConfigurationState::to_snapshot`].
+    /// Restores a state from the bytes of [`ConfigurationState::to_snapshot`].
+    ///
+    /// # Errors
+    ///
+    /// [`SnapshotError`] if the bytes are of another format or damaged, or if their configuration is invalid.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, SnapshotError> {
-        let snapshot: Snapshot = encoding::decode(SNAPSHOT_FORMAT, bytes).context(EncodingSnafu)?;
+        let snapshot: Snapshot<'_> = encoding::decode(SNAPSHOT_FORMAT, bytes).context(EncodingSnafu)?;
         let document = match snapshot.document.as_ref() {
             [] => None,
             text => Some(Document::parse(text).context(InvalidDocumentSnafu)?),
         };
-        let taken = RememberedCalls::from_bytes(&snapshot.taken).context(CutCallsSnafu)?;
-        Ok(ConfigurationState { document, taken })
+        let recent_requests =
+            RecentRequests::from_bytes(&snapshot.recent_requests).context(TruncatedRequestsSnafu)?;
+        Ok(ConfigurationState { document, recent_requests })
     }
 
-    fn decide(&self, kind: CallKind, if_match: Option<u64>, body: &[u8]) -> Decision {
+    fn decide(&self, kind: RequestKind, if_match: Option<u64>, body: &[u8]) -> Decision {
         let base = if_match.unwrap_or(NO_REVISION);
-        let call = match RequestDigest::of_configuration(kind, base, body) {
+        let request = match RequestDigest::of_configuration(kind, base, body) {
             Ok(digest) => digest,
-            Err(error) => return Decision::Invalid(wire::unreadable(&error)),
+            Err(error) => return Decision::Invalid(ValidationErrors::unreadable(&error)),
         };
-        if self.taken.contains(&call) {
+        if self.recent_requests.contains(&request) {
             return Decision::AlreadyTaken;
         }
         let current = self.revision();
@@ -162,41 +176,41 @@
             return Decision::Stale { current };
         }
         match self.next_document(kind, body) {
-            Ok(document) => Decision::Accept(Box::new(self.accepted(kind, call, body, document))),
-            Err(findings) => Decision::Invalid(findings),
+            Ok(document) => Decision::Accept(Box::new(self.accepted(kind, request, body, document))),
+            Err(errors) => Decision::Invalid(errors),
         }
     }
 
-    fn next_document(&self, kind: CallKind, body: &[u8]) -> Result<Document, Findings> {
+    fn next_document(&self, kind: RequestKind, body: &[u8]) -> Result<Document, ValidationErrors> {
         let document = match kind {
-            CallKind::Put => Document::parse(body)?,
-            CallKind::Patch => entry::patched(self.document(), body)?,
+            RequestKind::Put => Document::parse(body)?,
+            RequestKind::Patch => entry::patched_document(self.document(), body)?,
         };
         let current = self.revision();
         if document.revision() <= current {
-            return Err(Findings::one(REVISION, Fault::NotAbove { current }));
+            return Err(ValidationErrors::one(REVISION, ValidationErrorKind::RevisionNotAbove { current }));
         }
         Ok(document)
     }
 
     fn accepted(
         &self,
-        kind: CallKind,
-        call: RequestDigest,
+        kind: RequestKind,
+        request: RequestDigest,
         body: &[u8],
         document: Document,
     ) -> AcceptedChange {
         let content = match kind {
-            CallKind::Put => ChangeContent::of_document(self.document(), &document),
-            CallKind::Patch => ChangeContent::Patch(body.to_vec()),
+            RequestKind::Put => ChangeContent::of_document(self.document(), &document),
+            RequestKind::Patch => ChangeContent::Patch(body.to_vec()),
         };
-        let entry = ChangeEntry::new(self.document(), &document, call, content);
+        let entry = ChangeEntry::new(self.document(), &document, request, content);
         AcceptedChange { document, entry }
     }
 
-    /// What an entry does here, if it leads where it should.
+    /// The effect that an entry has here, if its result is the accepted one.
     fn outcome(&self, entry: &ChangeEntry) -> EntryOutcome {
-        if self.taken.contains(&entry.call()) {
+        if self.recent_requests.contains(&entry.request()) {
             return EntryOutcome::Repeated;
         }
         match entry.base().revision == self.revision() {
@@ -206,17 +220,18 @@
     }
 
     fn replace(&mut self, document: Document, entry: &ChangeEntry) {
-        self.taken.remember(entry.call());
+        self.recent_requests.record(entry.request());
         self.document = Some(document);
     }
 }
 
-/// A state's form in a snapshot.
+/// The encoded form of a state.
 #[derive(Encode, Decode)]
 struct Snapshot<'a> {
-    /// The newest document; empty if there is none.
+    /// The document in force; empty if there is none.
     #[musli(bytes)]
     document: Cow<'a, [u8]>,
+    /// Digests of the recent requests, oldest first.
     #[musli(bytes)]
-    taken: Vec<u8>,
+    recent_requests: Vec<u8>,
 }
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -1,7 +1,7 @@
-//! The difference between two texts: what is copied from the old one, and what is new.
+//! The difference between two texts as copies from the old one and insertions.
 //!
-//! The texts are compared piece by piece, a piece being what stands between two braces. Items of a JSON list
-//! that stayed as they were are found wherever they moved; white space and the order of fields are kept.
+//! The texts are compared chunk by chunk, a chunk being the text between two braces. Unchanged items of a JSON list are
+//! found wherever they moved; white space and the order of fields are preserved.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -9,29 +9,29 @@
 use musli::{Decode, Encode};
 use snafu::{OptionExt, Snafu};
 
-/// The shortest piece that is searched for in the old text. Shorter ones are copied only where they continue
-/// a longer copy: a step of its own would take about as many bytes as the piece.
-const MIN_SEARCHED_PIECE: usize = 32;
+/// Bytes of the shortest chunk that is searched for in the old text. Shorter ones are copied only where they continue a
+/// longer copy: a step of its own would take about as many bytes as the chunk.
+const MIN_SEARCHED_CHUNK: usize = 32;
 
-/// The most bytes that a step takes beside the text it inserts.
+/// The most encoded bytes of a step beside the text that it inserts.
 const MAX_STEP_OVERHEAD: usize = 24;
 
-/// Leads from an old text to a new one, byte for byte.
+/// Steps that build a new text from an old one, byte for byte.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Delta {
     steps: Vec<Step>,
 }
 
-/// What follows next in the new text.
+/// The next bytes of the new text.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 enum Step {
-    /// A part of the old text.
+    /// A range of bytes of the old text.
     Copy { start: usize, end: usize },
-    /// Text that is new.
+    /// New text.
     Insert(#[musli(bytes)] Vec<u8>),
 }
 
-/// A delta copies what the old text doesn't have.
+/// A delta copies a range that is not in the old text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("bytes {start} to {end} are not in the base of {length} bytes"))]
 pub struct DeltaError {
@@ -41,17 +41,21 @@
 }
 
 impl Delta {
-    /// What leads from `old` to `new`.
+    /// The steps from `old` to `new`.
     #[must_use]
     pub fn between(old: &[u8], new: &[u8]) -> Delta {
-        let mut builder = DeltaBuilder { old, places: places_of_pieces(old), delta: Delta::default() };
-        for piece in pieces(new) {
-            builder.add(&new[piece]);
+        let mut builder = DeltaBuilder { old, offsets: offsets_of_chunks(old), delta: Delta::default() };
+        for chunk in chunks(new) {
+            builder.add(&new[chunk]);
         }
         builder.delta
     }
 
     /// The new text.
+    ///
+    /// # Errors
+    ///
+    /// [`DeltaError`] if `old` is shorter than the text from which the delta was made.
     pub fn apply(&self, old: &[u8]) -> Result<Vec<u8>, DeltaError> {
         let mut new = Vec::new();
         for step in &self.steps {
@@ -63,7 +67,7 @@
         Ok(new)
     }
 
-    /// The most bytes that the delta takes when it is encoded.
+    /// An upper bound of the encoded length in bytes.
     pub fn max_encoded_length(&self) -> usize {
         self.steps.iter().map(Step::max_encoded_length).sum()
     }
@@ -85,59 +89,59 @@
 
 struct DeltaBuilder<'a> {
     old: &'a [u8],
-    places: HashMap<&'a [u8], usize>,
+    offsets: HashMap<&'a [u8], usize>,
     delta: Delta,
 }
 
 impl DeltaBuilder<'_> {
-    fn add(&mut self, piece: &[u8]) {
-        if self.continue_copy(piece) {
+    fn add(&mut self, chunk: &[u8]) {
+        if self.continue_copy(chunk) {
             return;
         }
         let steps = &mut self.delta.steps;
-        match (self.places.get(piece), steps.last_mut()) {
-            (Some(start), _) => steps.push(Step::Copy { start: *start, end: start + piece.len() }),
-            (None, Some(Step::Insert(text))) => text.extend_from_slice(piece),
-            (None, _) => steps.push(Step::Insert(piece.to_vec())),
+        match (self.offsets.get(chunk), steps.last_mut()) {
+            (Some(start), _) => steps.push(Step::Copy { start: *start, end: start + chunk.len() }),
+            (None, Some(Step::Insert(text))) => text.extend_from_slice(chunk),
+            (None, _) => steps.push(Step::Insert(chunk.to_vec())),
         }
     }
 
-    /// Whether the piece follows in the old text what was copied last; it is then copied with it.
-    fn continue_copy(&mut self, piece: &[u8]) -> bool {
+    /// Extends the last copy by the chunk if it follows there in the old text; returns whether it did.
+    fn continue_copy(&mut self, chunk: &[u8]) -> bool {
         let Some(Step::Copy { end, .. }) = self.delta.steps.last_mut() else { return false };
-        let continues = self.old[*end..].starts_with(piece);
+        let continues = self.old[*end..].starts_with(chunk);
         if continues {
-            *end += piece.len();
+            *end += chunk.len();
         }
         continues
     }
 }
 
-/// Where each piece that is worth a search is in the text for the first time.
-fn places_of_pieces(text: &[u8]) -> HashMap<&[u8], usize> {
-    let mut places = HashMap::new();
-    for piece in pieces(text).filter(|piece| piece.len() >= MIN_SEARCHED_PIECE) {
-        places.entry(&text[piece.clone()]).or_insert(piece.start);
+/// The first offset of each chunk that is long enough for the search.
+fn offsets_of_chunks(text: &[u8]) -> HashMap<&[u8], usize> {
+    let mut offsets = HashMap::new();
+    for chunk in chunks(text).filter(|chunk| chunk.len() >= MIN_SEARCHED_CHUNK) {
+        offsets.entry(&text[chunk.clone()]).or_insert(chunk.start);
     }
-    places
+    offsets
 }
 
-/// The text in pieces: one begins at each opening brace, and one after each closing brace.
-fn pieces(text: &[u8]) -> impl Iterator<Item = Range<usize>> {
+/// The ranges of the chunks: one begins at each opening brace, and one after each closing brace.
+fn chunks(text: &[u8]) -> impl Iterator<Item = Range<usize>> {
     let mut start = 0;
     std::iter::from_fn(move || {
         let rest = text.get(start..).filter(|rest| !rest.is_empty())?;
-        let piece = start..start + piece_length(rest);
-        start = piece.end;
-        Some(piece)
+        let chunk = start..start + chunk_length(rest);
+        start = chunk.end;
+        Some(chunk)
     })
 }
 
-fn piece_length(rest: &[u8]) -> usize {
+fn chunk_length(rest: &[u8]) -> usize {
     let brace = rest.iter().enumerate().skip(1).find(|(_, byte)| matches!(byte, b'{' | b'}'));
     match brace {
-        Some((place, b'{')) => place,
-        Some((place, _)) => place + 1,
+        Some((position, b'{')) => position,
+        Some((position, _)) => position + 1,
         None => rest.len(),
     }
 }
--- a/crates/configuration/src/difference.rs
+++ b/crates/configuration/src/difference.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations, item by item, and how to get from the old one to the new one.
+//! The difference between two configurations, item by item, and its application.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,12 +6,12 @@
 
 use crate::model::{Caps, Configuration, Labelled, Route, Service, Tenant};
 
-/// What differs between two revisions. Items are named by their labels.
+/// The changes between two revisions. Items are identified by their labels.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ConfigurationChanges {
-    /// The revision that the changes apply to.
+    /// The revision to which the changes apply.
     pub base: u64,
-    /// The revision that they lead to.
+    /// The revision that results.
     pub revision: u64,
     /// Routes that were added or replaced.
     pub routes: Vec<Route>,
@@ -25,36 +25,35 @@
     pub tenants: Vec<Tenant>,
     /// Tenants that were removed.
     pub removed_tenants: Vec<String>,
-    /// The limits on clients, where they changed.
+    /// The limits on clients, if they changed.
     pub caps: Option<Caps>,
-    /// Whether requests need a key, where that changed.
+    /// Whether requests need a key, if that changed.
     pub requires_key: Option<bool>,
 }
 
-/// What leads from `old` to `new`.
+/// The changes from `old` to `new`.
 #[must_use]
 pub fn difference(old: &Configuration, new: &Configuration) -> ConfigurationChanges {
-    let (routes, removed_routes) = changed_items(&old.routes, &new.routes);
-    let (services, removed_services) = changed_items(&old.services, &new.services);
-    let (tenants, removed_tenants) = changed_items(&old.tenants, &new.tenants);
+    let routes = list_changes(&old.routes, &new.routes);
+    let services = list_changes(&old.services, &new.services);
+    let tenants = list_changes(&old.tenants, &new.tenants);
     ConfigurationChanges {
         base: old.revision,
         revision: new.revision,
-        routes,
-        removed_routes,
-        services,
-        removed_services,
-        tenants,
-        removed_tenants,
+        routes: routes.changed,
+        removed_routes: routes.removed,
+        services: services.changed,
+        removed_services: services.removed,
+        tenants: tenants.changed,
+        removed_tenants: tenants.removed,
         caps: (old.caps != new.caps).then_some(new.caps),
         requires_key: (old.requires_key != new.requires_key).then_some(new.requires_key),
     }
 }
 
-/// The configuration that the changes lead to from `old`. Items that stay keep their order, new ones follow
-/// them.
+/// Applies changes to `old`. Items that stay keep their order, new ones follow them.
 ///
-/// The caller sees to it that `old` has the revision on which the changes build (`changes.base`).
+/// The caller must check that `old` has the revision to which the changes apply (`changes.base`).
 #[must_use]
 pub fn apply(old: &Configuration, changes: &ConfigurationChanges) -> Configuration {
     Configuration {
@@ -67,15 +66,22 @@
     }
 }
 
-/// Items of `new` that `old` lacks or holds otherwise, and the labels of those that only `old` has.
-fn changed_items<T: Labelled + Clone + PartialEq>(old: &[T], new: &[T]) -> (Vec<T>, Vec<String>) {
+/// The changes of one list.
+struct ListChanges<T> {
+    /// Items of the new list that are not in the old one, or differ there.
+    changed: Vec<T>,
+    /// Labels that are in the old list only.
+    removed: Vec<String>,
+}
+
+fn list_changes<T: Labelled + Clone + PartialEq>(old: &[T], new: &[T]) -> ListChanges<T> {
     let old_by_label: HashMap<&str, &T> = old.iter().map(|item| (item.label(), item)).collect();
     let new_labels: HashSet<&str> = new.iter().map(Labelled::label).collect();
     let is_changed = |item: &&T| old_by_label.get(item.label()) != Some(item);
     let changed = new.iter().filter(is_changed).cloned().collect();
     let is_removed = |label: &&str| !new_labels.contains(label);
     let removed = old.iter().map(Labelled::label).filter(is_removed).map(str::to_owned).collect();
-    (changed, removed)
+    ListChanges { changed, removed }
 }
 
 fn merged_items<T: Labelled + Clone + PartialEq>(old: &[T], changed: &[T], removed: &[String]) -> Vec<T> {
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The operator's whole configuration as it was sent, beside its typed form.
+//! The operator's complete configuration as it was sent, with its typed form.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use musli::{Decode, Encode};
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::check;
-use crate::findings::Findings;
 use crate::model::Configuration;
+use crate::parse::parse_configuration;
+use crate::validation_error::ValidationErrors;
 
-/// A configuration that was read and checked. Its bytes are kept as they were sent, fields that the system
-/// doesn't know included.
+/// A configuration that was parsed and validated. Its bytes are preserved as they were sent, including fields that the
+/// system doesn't know.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
     bytes: Arc<[u8]>,
@@ -19,7 +19,7 @@
     configuration: Arc<Configuration>,
 }
 
-/// Which document it is: its revision and a digest of its bytes. The default stands for no document.
+/// Identifies a document by its revision and a digest (XXH3, 128 bits) of its bytes. The default stands for no document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct DocumentVersion {
     /// The operator's version number.
@@ -29,14 +29,18 @@
 }
 
 impl Document {
-    /// Reads and checks a whole configuration.
-    pub fn parse(bytes: &[u8]) -> Result<Document, Findings> {
-        let configuration = Arc::new(check::configuration(bytes)?);
+    /// Parses and validates a complete configuration.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with it, each with its path.
+    pub fn parse(bytes: &[u8]) -> Result<Document, ValidationErrors> {
+        let configuration = Arc::new(parse_configuration(bytes)?);
         let digest = xxh3_128(bytes).to_le_bytes();
         Ok(Document { bytes: Arc::from(bytes), digest, configuration })
     }
 
-    /// The document as JSON: the bytes that the operator sent, or those that a change made.
+    /// The document as JSON: the bytes that the operator sent, or the result of a patch.
     #[must_use]
     pub fn to_bytes(&self) -> Arc<[u8]> {
         Arc::clone(&self.bytes)
@@ -54,7 +58,7 @@
         self.configuration.revision
     }
 
-    /// Which document it is.
+    /// The document's revision and digest.
     #[must_use]
     pub fn version(&self) -> DocumentVersion {
         DocumentVersion { revision: self.revision(), digest: self.digest }
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -1,14 +1,14 @@
 //! The binary form of values that are stored or sent between members.
 //!
-//! The bytes begin with an identifier of their format and a checksum of all that follows, so that bytes of
-//! another format, damaged ones and cut ones give a typed error instead of a wrong value.
+//! The bytes begin with an identifier of their format and a checksum of all that follows, so that bytes of another
+//! format, damaged ones and truncated ones give a typed error instead of a wrong value.
 
 use musli::mode::Binary;
 use musli::{Decode, Encode};
 use snafu::{ResultExt, Snafu, ensure};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Identifies what the bytes hold, and in which edition of its form.
+/// Identifies the type of the encoded value and the version of its encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Format(pub [u8; FORMAT_LENGTH]);
 
@@ -16,7 +16,7 @@
 const CHECKSUM_LENGTH: usize = 8;
 const HEADER_LENGTH: usize = FORMAT_LENGTH + CHECKSUM_LENGTH;
 
-/// Why bytes give no value.
+/// Why bytes can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum EncodingError {
     /// The bytes are of another format.
@@ -25,18 +25,22 @@
         /// The format that was expected.
         expected: Format,
     },
-    /// The bytes are cut or damaged.
+    /// The bytes are truncated or damaged.
     #[snafu(display("the checksum of the bytes is wrong"))]
     WrongChecksum,
-    /// The bytes are whole, but not of this form.
+    /// The checksum is right, but the bytes are not a value of this type.
     #[snafu(display("the bytes can't be decoded: {source}"))]
     Malformed {
-        /// What the decoder says.
+        /// The decoder's error.
         source: musli::wire::Error,
     },
 }
 
-/// The value as bytes.
+/// Encodes a value with the header of its format.
+///
+/// # Panics
+///
+/// If the value's `Encode` fails by itself; derived ones don't.
 pub fn encode<T: Encode<Binary>>(format: Format, value: &T) -> Vec<u8> {
     let mut bytes = format.0.to_vec();
     bytes.extend([0; CHECKSUM_LENGTH]);
@@ -47,7 +51,11 @@
     bytes
 }
 
-/// The value from the bytes of [`encode`].
+/// Decodes a value from the bytes of [`encode`].
+///
+/// # Errors
+///
+/// [`EncodingError`] if the bytes are of another format, truncated or damaged.
 pub fn decode<'de, T>(format: Format, bytes: &'de [u8]) -> Result<T, EncodingError>
 where
     T: Decode<'de, Binary, musli::alloc::Global>,
--- a/crates/configuration/src/entry.rs
+++ b/crates/configuration/src/entry.rs
@@ -1,39 +1,39 @@
-//! A change of the configuration as it is kept in the log: small where the change is small.
+//! A change of the configuration as the replicated log stores it: small where the change is small.
 
 use musli::{Decode, Encode};
 use snafu::{ResultExt, Snafu, ensure};
 
-use crate::change::Patch;
 use crate::delta::{Delta, DeltaError};
-use crate::digest::RequestDigest;
 use crate::document::{Document, DocumentVersion};
-use crate::findings::{Fault, Findings};
+use crate::patch::Patch;
+use crate::request_digest::RequestDigest;
+use crate::validation_error::{ValidationErrorKind, ValidationErrors};
 
-/// A change that was decided on, and the documents between which it leads.
+/// An accepted change, with the documents before and after it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ChangeEntry {
     base: DocumentVersion,
     result: DocumentVersion,
-    call: RequestDigest,
+    request: RequestDigest,
     content: ChangeContent,
 }
 
-/// What leads from the base to the resulting document.
+/// How the resulting document follows from the base.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) enum ChangeContent {
     /// The resulting document itself.
     Document(#[musli(bytes)] Vec<u8>),
-    /// How its text differs from that of the base.
+    /// The difference between its text and that of the base.
     Delta(Delta),
-    /// The operator's change of named items, as it was sent.
+    /// The operator's patch, as it was sent.
     Patch(#[musli(bytes)] Vec<u8>),
 }
 
-/// Why an entry can't be applied: this member's state isn't that of the member which decided. It must not be
-/// used any further.
+/// Why an entry can't be applied: this member's state has diverged from that of the member which accepted the change. The
+/// state must not be used any further.
 #[derive(Debug, Snafu)]
 pub enum ApplyError {
-    /// The newest document has the revision on which the entry builds, but another content.
+    /// The document in force has the base's revision, but another content.
     #[snafu(display("the entry builds on {expected}, but {found} is in force"))]
     OtherBase {
         /// The document on which the entry builds.
@@ -41,24 +41,24 @@
         /// The document in force.
         found: DocumentVersion,
     },
-    /// The entry has led to another document than at the member which decided.
+    /// The resulting document is another one than at the member which accepted the change.
     #[snafu(display("the entry has led to {found} instead of {expected}"))]
     OtherResult {
-        /// The document to which the entry leads.
+        /// The document that was accepted.
         expected: DocumentVersion,
-        /// The document to which it led here.
+        /// The document that results here.
         found: DocumentVersion,
     },
-    /// The document to which the entry led is invalid here.
+    /// The resulting document is invalid.
     #[snafu(display("the entry has led to an invalid configuration: {source}"))]
     InvalidResult {
         /// What is wrong with it.
-        source: Findings,
+        source: ValidationErrors,
     },
-    /// The entry uses text that the base doesn't have.
+    /// The entry copies text that the base doesn't have.
     #[snafu(display("the entry doesn't fit its base: {source}"))]
     UnfitDelta {
-        /// What is missing.
+        /// The range that is missing.
         source: DeltaError,
     },
 }
@@ -67,10 +67,10 @@
     pub(crate) fn new(
         base: Option<&Document>,
         result: &Document,
-        call: RequestDigest,
+        request: RequestDigest,
         content: ChangeContent,
     ) -> Self {
-        ChangeEntry { base: version_of(base), result: result.version(), call, content }
+        ChangeEntry { base: version_of(base), result: result.version(), request, content }
     }
 
     /// The document on which the change builds.
@@ -79,26 +79,34 @@
         self.base
     }
 
-    /// The document to which the change leads.
+    /// The resulting document.
     #[must_use]
     pub fn result(&self) -> DocumentVersion {
         self.result
     }
 
-    /// The call that led to it.
+    /// The digest of the operator's request.
     #[must_use]
-    pub fn call(&self) -> RequestDigest {
-        self.call
+    pub fn request(&self) -> RequestDigest {
+        self.request
     }
 
     /// Checks that `base` is the document on which the change builds.
+    ///
+    /// # Errors
+    ///
+    /// [`ApplyError::OtherBase`] if it is another one.
     pub(crate) fn check_base(&self, base: Option<&Document>) -> Result<(), ApplyError> {
         let found = version_of(base);
         ensure!(found == self.base, OtherBaseSnafu { expected: self.base, found });
         Ok(())
     }
 
-    /// The document to which the change leads from its base, checked to be the one that was decided on.
+    /// The resulting document, checked to be the one that was accepted.
+    ///
+    /// # Errors
+    ///
+    /// [`ApplyError`] if `base` is another document than the change's base, or if another document results.
     pub(crate) fn apply(&self, base: Option<&Document>) -> Result<Document, ApplyError> {
         self.check_base(base)?;
         let document = self.content.apply(base)?;
@@ -109,7 +117,7 @@
 }
 
 impl ChangeContent {
-    /// The smaller form of a whole document: its difference to the base, or itself.
+    /// The smaller form of a complete document: its difference to the base, or itself.
     pub(crate) fn of_document(base: Option<&Document>, document: &Document) -> Self {
         let text = document.text();
         let delta = base.map(|base| Delta::between(base.text(), text));
@@ -126,14 +134,20 @@
                 let text = delta.apply(base.map_or(&[], Document::text)).context(UnfitDeltaSnafu)?;
                 Document::parse(&text).context(InvalidResultSnafu)
             }
-            ChangeContent::Patch(body) => patched(base, body).context(InvalidResultSnafu),
+            ChangeContent::Patch(body) => patched_document(base, body).context(InvalidResultSnafu),
         }
     }
 }
 
-/// The document to which an operator's change of named items leads.
-pub(crate) fn patched(base: Option<&Document>, body: &[u8]) -> Result<Document, Findings> {
-    let Some(base) = base else { return Err(Findings::one("", Fault::NothingToChange)) };
+/// The document that results from an operator's patch.
+///
+/// # Errors
+///
+/// What is wrong with the patch or with the resulting document, or that there is no base.
+pub(crate) fn patched_document(base: Option<&Document>, body: &[u8]) -> Result<Document, ValidationErrors> {
+    let Some(base) = base else {
+        return Err(ValidationErrors::one("", ValidationErrorKind::NothingToPatch));
+    };
     base.apply(&Patch::parse(body)?)
 }
 
--- a/crates/configuration/src/fields.rs
+++ b/crates/configuration/src/fields.rs
@@ -1,6 +1,6 @@
-//! Names of the fields that the operator's JSON has at the top, and of each item's label.
+//! Names of the top-level fields of the operator's JSON, and of each item's label.
 
-/// The version number.
+/// The operator's version number.
 pub(crate) const REVISION: &str = "revision";
 /// The list of routes.
 pub(crate) const ROUTES: &str = "routes";
--- /dev/null
+++ b/crates/configuration/src/json/scalars.rs
@@ -0,0 +1,111 @@
+//! JSON values whose form serde's derived readers don't enforce.
+
+use std::fmt;
+use std::marker::PhantomData;
+
+use serde::Deserialize;
+use serde::de::value::MapAccessDeserializer;
+use serde::de::{Deserializer, Error, MapAccess, Unexpected, Visitor};
+
+use crate::model::RouteKind;
+
+/// A value that must be a JSON object. A derived reader by itself also accepts an array of the fields' values.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Object<T>(pub T);
+
+impl<'de, T: Deserialize<'de>> Deserialize<'de> for Object<T> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_map(ObjectVisitor(PhantomData))
+    }
+}
+
+struct ObjectVisitor<T>(PhantomData<T>);
+
+impl<'de, T: Deserialize<'de>> Visitor<'de> for ObjectVisitor<T> {
+    type Value = Object<T>;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("an object")
+    }
+
+    fn visit_map<A: MapAccess<'de>>(self, fields: A) -> Result<Object<T>, A::Error> {
+        T::deserialize(MapAccessDeserializer::new(fields)).map(Object)
+    }
+}
+
+/// A route's kind. An unknown name is read as the kind that is never retried.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct JsonRouteKind(pub RouteKind);
+
+impl<'de> Deserialize<'de> for JsonRouteKind {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_str(RouteKindVisitor)
+    }
+}
+
+struct RouteKindVisitor;
+
+impl Visitor<'_> for RouteKindVisitor {
+    type Value = JsonRouteKind;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("a string")
+    }
+
+    fn visit_str<E: Error>(self, text: &str) -> Result<JsonRouteKind, E> {
+        let kind = match text {
+            "harmless" => RouteKind::Harmless,
+            "stream" => RouteKind::Stream,
+            _ => RouteKind::Risky,
+        };
+        Ok(JsonRouteKind(kind))
+    }
+}
+
+/// A number from 0 up; fractions are rounded up.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct UnsignedNumber(pub u64);
+
+impl UnsignedNumber {
+    /// The number, or the largest that fits.
+    pub(crate) fn to_u32(self) -> u32 {
+        u32::try_from(self.0).unwrap_or(u32::MAX)
+    }
+
+    /// The number, or the largest that fits.
+    pub(crate) fn to_u8(self) -> u8 {
+        u8::try_from(self.0).unwrap_or(u8::MAX)
+    }
+}
+
+impl<'de> Deserialize<'de> for UnsignedNumber {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_u64(UnsignedNumberVisitor)
+    }
+}
+
+struct UnsignedNumberVisitor;
+
+impl Visitor<'_> for UnsignedNumberVisitor {
+    type Value = UnsignedNumber;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("a number from 0 up")
+    }
+
+    fn visit_u64<E: Error>(self, number: u64) -> Result<UnsignedNumber, E> {
+        Ok(UnsignedNumber(number))
+    }
+
+    fn visit_i64<E: Error>(self, number: i64) -> Result<UnsignedNumber, E> {
+        let negative = |_| E::invalid_value(Unexpected::Signed(number), &self);
+        u64::try_from(number).map(UnsignedNumber).map_err(negative)
+    }
+
+    fn visit_f64<E: Error>(self, number: f64) -> Result<UnsignedNumber, E> {
+        if number < 0.0 {
+            return Err(E::invalid_value(Unexpected::Float(number), &self));
+        }
+        Ok(UnsignedNumber(number.ceil() as u64))
+    }
+}
--- a/crates/configuration/src/lookup.rs
+++ b/crates/configuration/src/lookup.rs
@@ -1,17 +1,16 @@
-//! Finds what a request is about: its route by host and path, its tenant by key, and the service that it
-//! goes to.
+//! Routing: finds a request's route by host and path, its tenant by API key, and a service by weighted random choice.
 //!
-//! A look-up takes time by the length of the path, whatever the number of routes.
+//! The time of a look-up depends on the length of the path, not on the number of routes.
 
 use std::collections::HashMap;
 
 use crate::model::{Configuration, Route};
 
-/// Routes and keys of a configuration, indexed. Indices are positions in the configuration's own lists.
+/// An index of a configuration's routes and keys. All results are indices into the configuration's own lists.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
     hosts: HashMap<String, HostRoutes>,
-    shares: Vec<ShareTable>,
+    traffic_splits: Vec<TrafficSplit>,
     tenants_by_key: HashMap<String, usize>,
 }
 
@@ -23,7 +22,7 @@
         for (index, route) in configuration.routes.iter().enumerate() {
             let host = table.hosts.entry(route.host.to_ascii_lowercase()).or_default();
             host.insert(&route.path_prefix, index);
-            table.shares.push(ShareTable::new(route));
+            table.traffic_splits.push(TrafficSplit::new(route));
         }
         for (index, tenant) in configuration.tenants.iter().enumerate() {
             for key in &tenant.api_keys {
@@ -33,27 +32,28 @@
         table
     }
 
-    /// The route of a request: of the host's routes, the one with the longest prefix that begins the path.
+    /// The index of a request's route: of the host's routes, the one with the longest prefix of the path.
     ///
-    /// `host` is the `Host` header's value, in any case and with or without a port. `target` is the path; a
-    /// query behind it is left out.
+    /// `host` is the `Host` header's value, in any case and with or without a port. `target` is the request target; its
+    /// query is ignored.
     #[must_use]
     pub fn route(&self, host: &str, target: &str) -> Option<usize> {
         self.routes_of(without_port(host))?.longest_prefix(path_of(target))
     }
 
-    /// The tenant that holds a key.
+    /// The index of the tenant with an API key.
     #[must_use]
     pub fn tenant(&self, key: &str) -> Option<usize> {
         self.tenants_by_key.get(key).copied()
     }
 
-    /// Picks one of a route's shares by their weights. `u` is a number from 0 up to 1; equal numbers pick
-    /// equal shares. The result is a position in the route's `shares`; none if the route is unknown or has
-    /// no share.
+    /// Picks one of a route's services by their weights, as an index into the route's `service_weights`.
+    ///
+    /// `fraction` is a random number from 0 up to 1, exclusive; equal numbers pick equal services. None if the route is
+    /// unknown or has no service.
     #[must_use]
-    pub fn pick_share(&self, route: usize, u: f64) -> Option<usize> {
-        self.shares.get(route)?.pick(u)
+    pub fn pick_service(&self, route: usize, fraction: f64) -> Option<usize> {
+        self.traffic_splits.get(route)?.pick(fraction)
     }
 
     fn routes_of(&self, host: &str) -> Option<&HostRoutes> {
@@ -68,19 +68,19 @@
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
     by_prefix: HashMap<String, usize>,
-    longest: usize,
+    longest_prefix_bytes: usize,
 }
 
 impl HostRoutes {
     fn insert(&mut self, prefix: &str, index: usize) {
-        self.longest = self.longest.max(prefix.len());
+        self.longest_prefix_bytes = self.longest_prefix_bytes.max(prefix.len());
         self.by_prefix.insert(prefix.to_owned(), index);
     }
 
-    /// Tries the path's beginnings that end with a slash, the longest first. What is longer than every
-    /// prefix is not tried, so that a long path of slashes costs no more than a short one.
+    /// Looks up the path's prefixes that end with a slash, the longest first. Those longer than every route's prefix are
+    /// skipped, so that a long path of slashes costs no more than a short one.
     fn longest_prefix(&self, path: &str) -> Option<usize> {
-        let mut rest = &path.as_bytes()[..path.len().min(self.longest)];
+        let mut rest = &path.as_bytes()[..path.len().min(self.longest_prefix_bytes)];
         while let Some(slash) = rest.iter().rposition(|byte| *byte == b'/') {
             if let Some(index) = self.by_prefix.get(&path[..=slash]) {
                 return Some(*index);
@@ -91,29 +91,29 @@
     }
 }
 
-/// The sums of a route's weights, share by share.
+/// The cumulative weights of a route's services.
 #[derive(Clone, Debug, Default)]
-struct ShareTable {
-    sums: Vec<f64>,
+struct TrafficSplit {
+    cumulative_weights: Vec<f64>,
 }
 
-impl ShareTable {
+impl TrafficSplit {
     fn new(route: &Route) -> Self {
         let mut sum = 0.0;
-        let sums = route.shares.iter().map(|share| {
-            sum += share.weight;
+        let sums = route.service_weights.iter().map(|entry| {
+            sum += entry.weight;
             sum
         });
-        ShareTable { sums: sums.collect() }
+        TrafficSplit { cumulative_weights: sums.collect() }
     }
 
-    fn pick(&self, u: f64) -> Option<usize> {
-        let total = *self.sums.last()?;
-        let wanted = u * total;
-        let picked = self.sums.partition_point(|sum| *sum <= wanted);
-        // Rounding may lead past the end; the share that reaches the total first is the last one with a
-        // weight.
-        let last_weighted = self.sums.partition_point(|sum| *sum < total);
+    fn pick(&self, fraction: f64) -> Option<usize> {
+        let total = *self.cumulative_weights.last()?;
+        let wanted = fraction * total;
+        let picked = self.cumulative_weights.partition_point(|sum| *sum <= wanted);
+        // Rounding may lead past the end; the service that reaches the total first is the last one with a weight above
+        // 0.
+        let last_weighted = self.cumulative_weights.partition_point(|sum| *sum < total);
         Some(picked.min(last_weighted))
     }
 }
--- /dev/null
+++ b/crates/configuration/src/parse/mod.rs
@@ -0,0 +1,113 @@
+//! Parses the operator's configuration and validates it; all errors are reported together, each with its path.
+//!
+//! The `schematic` crate was tried for this and left out: it stops at the first value of a wrong type, can't check one
+//! list against another, and took about twice the time.
+
+mod item_path;
+mod routes;
+mod services;
+mod tenants;
+
+use std::collections::HashMap;
+
+use item_path::ItemPath;
+
+use crate::fields::{LABEL, REVISION};
+use crate::json::{JsonCaps, JsonDocument, Object, UnsignedNumber};
+use crate::model::{Caps, Configuration, Labelled};
+use crate::validation_error::{ValidationErrorKind, ValidationErrors};
+
+/// Parses and validates a complete configuration.
+///
+/// # Errors
+///
+/// Values of a wrong type are reported before all else; what the values mean is validated once all have their types.
+pub(crate) fn parse_configuration(bytes: &[u8]) -> Result<Configuration, ValidationErrors> {
+    let document = JsonDocument::from_bytes(bytes)?;
+    let mut parser = Parser::default();
+    let configuration = parser.configuration(document);
+    parser.errors.or(configuration)
+}
+
+/// What a service's label stands for.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ServiceKind {
+    Replicas,
+    Store,
+}
+
+/// Converts the JSON form into the typed one and collects validation errors. Where there are errors, the converted
+/// values must not be used.
+#[derive(Default)]
+struct Parser {
+    errors: ValidationErrors,
+    service_kinds: HashMap<String, ServiceKind>,
+}
+
+impl Parser {
+    fn configuration(&mut self, document: JsonDocument) -> Configuration {
+        let revision = self.required(document.revision, || REVISION.to_owned());
+        // Routes refer to services, so these come first.
+        let services = self.services(document.backends);
+        let routes = self.routes(document.routes);
+        let requires_key = document.customers.is_some();
+        let tenants = self.tenants(document.customers);
+        let caps = caps(document.caps.unwrap_or_default().0);
+        Configuration { revision, routes, services, caps, requires_key, tenants }
+    }
+
+    /// Converts the items of a list, whose labels must be unique.
+    fn items<J, T: Labelled>(
+        &mut self,
+        list: &'static str,
+        json_items: Vec<Object<J>>,
+        convert: fn(&mut Self, ItemPath, J) -> T,
+    ) -> Vec<T> {
+        let mut items = Vec::with_capacity(json_items.len());
+        for (index, Object(item)) in json_items.into_iter().enumerate() {
+            items.push(convert(self, ItemPath { list, index }, item));
+        }
+        self.check_unique_labels(list, &items);
+        items
+    }
+
+    fn check_unique_labels<T: Labelled>(&mut self, list: &'static str, items: &[T]) {
+        let mut first_index_by_label: HashMap<&str, usize> = HashMap::new();
+        let labels = items.iter().map(Labelled::label).enumerate();
+        for (index, label) in labels.filter(|(_, label)| !label.is_empty()) {
+            let first = *first_index_by_label.entry(label).or_insert(index);
+            if first != index {
+                let other = ItemPath { list, index: first }.path();
+                let path = ItemPath { list, index }.field(LABEL);
+                self.errors.add(path, ValidationErrorKind::DuplicateLabel { other });
+            }
+        }
+    }
+
+    /// A string that is required and must not be empty.
+    fn non_empty_string(&mut self, item: ItemPath, field: &str, value: Option<String>) -> String {
+        if value.as_deref() == Some("") {
+            self.errors.add(item.field(field), ValidationErrorKind::Empty);
+        }
+        self.required(value, || item.field(field))
+    }
+
+    /// A required value; its default, with an error, where it is missing.
+    fn required<T: Default>(&mut self, value: Option<T>, path: impl FnOnce() -> String) -> T {
+        if value.is_none() {
+            self.errors.add(path(), ValidationErrorKind::Missing);
+        }
+        value.unwrap_or_default()
+    }
+}
+
+fn caps(json: JsonCaps) -> Caps {
+    let default = Caps::default();
+    let or = |value: Option<UnsignedNumber>, default: u64| value.map_or(default, |value| value.0);
+    Caps {
+        head_bytes: or(json.head_size_bytes, default.head_bytes),
+        body_bytes: or(json.body_size_bytes, default.body_bytes),
+        head_wait_ms: or(json.head_wait_ms, default.head_wait_ms),
+        idle_ms: or(json.quiet_ms, default.idle_ms),
+    }
+}
--- /dev/null
+++ b/crates/configuration/src/patch/mod.rs
@@ -0,0 +1,152 @@
+//! A patch of the configuration: which items to add or replace, and which to remove, by their labels.
+//!
+//! Items are copied as the text that the operator sent, so that fields which the system doesn't know are preserved.
+
+mod parser;
+
+use std::borrow::Cow;
+use std::collections::{BTreeMap, HashMap, HashSet};
+
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+use crate::document::Document;
+use crate::fields::REVISION;
+use crate::json::Object;
+use crate::validation_error::ValidationErrors;
+
+/// The fields of a JSON object, each as its text.
+type RawFields<'a> = BTreeMap<Cow<'a, str>, &'a RawValue>;
+
+/// A patch as the operator sent it, its form validated. Whether its items are valid is known once it is applied.
+#[derive(Clone, Debug, Default)]
+pub struct Patch {
+    revision: u64,
+    upserts: Vec<Upsert>,
+    removals: Vec<Removal>,
+    replacements: Vec<Replacement>,
+}
+
+/// Items that replace those of a list with the same label, or are appended to it.
+#[derive(Clone, Debug)]
+struct Upsert {
+    list: String,
+    items: Vec<LabelledItem>,
+}
+
+#[derive(Clone, Debug)]
+struct LabelledItem {
+    label: String,
+    text: Box<RawValue>,
+}
+
+/// Labels of items to remove from a list.
+#[derive(Clone, Debug)]
+struct Removal {
+    list: String,
+    labels: HashSet<String>,
+}
+
+/// A field that is not a list of items and is replaced as a whole.
+#[derive(Clone, Debug)]
+struct Replacement {
+    field: String,
+    text: Box<RawValue>,
+}
+
+impl Patch {
+    /// Parses a patch and validates its form.
+    ///
+    /// # Errors
+    ///
+    /// Everything that is wrong with the form, each with its path.
+    pub fn parse(bytes: &[u8]) -> Result<Patch, ValidationErrors> {
+        parser::parse_patch(bytes)
+    }
+
+    /// The revision of the resulting document.
+    #[must_use]
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+}
+
+impl Document {
+    /// Applies a patch. Removals go before additions. Items keep their order, replaced ones their position, and new
+    /// ones follow at the end. Removing a label that isn't there changes nothing.
+    ///
+    /// # Errors
+    ///
+    /// The validation errors of the resulting document.
+    pub fn apply(&self, patch: &Patch) -> Result<Document, ValidationErrors> {
+        let bytes =
+            patched_text(self.text(), patch).map_err(|error| ValidationErrors::unreadable(&error))?;
+        Document::parse(&bytes)
+    }
+}
+
+/// The text of the document that results from a patch.
+fn patched_text(document: &[u8], patch: &Patch) -> Result<Vec<u8>, serde_json::Error> {
+    let fields: RawFields<'_> = serde_json::from_slice(document)?;
+    let mut changed: BTreeMap<&str, Cow<'_, RawValue>> = BTreeMap::new();
+    changed.extend(fields.iter().map(|(name, text)| (name.as_ref(), Cow::Borrowed(*text))));
+    changed.insert(REVISION, Cow::Owned(raw(&patch.revision)?));
+    for replacement in &patch.replacements {
+        changed.insert(&replacement.field, Cow::Borrowed(&replacement.text));
+    }
+    for removal in &patch.removals {
+        if let Some(items) = changed.get(removal.list.as_str()).and_then(|text| items_of(text)) {
+            let text = raw(&removal.apply(items))?;
+            changed.insert(&removal.list, Cow::Owned(text));
+        }
+    }
+    for upsert in &patch.upserts {
+        let items = changed.get(upsert.list.as_str()).and_then(|text| items_of(text)).unwrap_or_default();
+        let text = raw(&upsert.apply(items))?;
+        changed.insert(&upsert.list, Cow::Owned(text));
+    }
+    serde_json::to_vec(&changed)
+}
+
+impl Removal {
+    /// The items that remain.
+    fn apply<'a>(&self, mut items: Vec<&'a RawValue>) -> Vec<&'a RawValue> {
+        items.retain(|item| label_of(item).is_none_or(|label| !self.labels.contains(label.as_ref())));
+        items
+    }
+}
+
+impl Upsert {
+    /// The items with the new ones among them.
+    fn apply<'a>(&'a self, mut items: Vec<&'a RawValue>) -> Vec<&'a RawValue> {
+        let labels = items.iter().enumerate().filter_map(|(index, item)| Some((label_of(item)?, index)));
+        let index_by_label: HashMap<Cow<'_, str>, usize> = labels.collect();
+        for item in &self.items {
+            match index_by_label.get(item.label.as_str()) {
+                Some(index) => items[*index] = &item.text,
+                None => items.push(&item.text),
+            }
+        }
+        items
+    }
+}
+
+/// The items of a list, each as its text; none if the text is not a JSON array.
+fn items_of(text: &RawValue) -> Option<Vec<&RawValue>> {
+    serde_json::from_str(text.get()).ok()
+}
+
+/// An item's label; none if it has no label, or one that is not a string.
+fn label_of(item: &RawValue) -> Option<Cow<'_, str>> {
+    #[derive(Deserialize)]
+    struct Labelled<'a> {
+        #[serde(borrow)]
+        label: Cow<'a, str>,
+    }
+    let item: Result<Object<Labelled<'_>>, _> = serde_json::from_str(item.get());
+    item.ok().map(|Object(item)| item.label)
+}
+
+fn raw<T: serde::Serialize>(value: &T) -> Result<Box<RawValue>, serde_json::Error> {
+    serde_json::value::to_raw_value(value)
+}
--- /dev/null
+++ b/crates/configuration/src/patch/parser.rs
@@ -0,0 +1,121 @@
+//! The JSON form of a patch: `{"revision": ..., "caps": ..., "upsert": {...}, "remove": {...}}`.
+
+use std::borrow::Cow;
+use std::collections::HashMap;
+
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+use super::{LabelledItem, Patch, RawFields, Removal, Replacement, Upsert, label_of};
+use crate::fields::{CAPS, LABEL, REVISION, ROUTES, SERVICES, TENANTS};
+use crate::json::wrong_type;
+use crate::validation_error::{ValidationErrorKind, ValidationErrors};
+
+/// Names of a patch's fields.
+const UPSERT: &str = "upsert";
+const REMOVE: &str = "remove";
+
+/// The text of a JSON null.
+const NULL: &str = "null";
+
+/// Lists that each configuration may have; a field of another name is merged alike where it is a list.
+const KNOWN_LISTS: [&str; 3] = [ROUTES, SERVICES, TENANTS];
+
+/// Parses a patch and validates its form.
+pub(super) fn parse_patch(bytes: &[u8]) -> Result<Patch, ValidationErrors> {
+    let fields: RawFields<'_> =
+        serde_json::from_slice(bytes).map_err(|error| ValidationErrors::unreadable(&error))?;
+    let mut parser = PatchParser::default();
+    parser.parse(&fields);
+    parser.errors.or(parser.patch)
+}
+
+/// Converts the JSON form of a patch and collects what is wrong with it.
+#[derive(Default)]
+struct PatchParser {
+    patch: Patch,
+    errors: ValidationErrors,
+}
+
+impl PatchParser {
+    fn parse(&mut self, fields: &RawFields<'_>) {
+        self.patch.revision = self.revision(fields);
+        if let Some(text) = fields.get(CAPS) {
+            self.replacement(CAPS, text);
+        }
+        for (name, text) in self.object(fields, UPSERT) {
+            self.upsert(&name, text);
+        }
+        for (name, text) in self.object(fields, REMOVE) {
+            self.removal(&name, text);
+        }
+    }
+
+    fn revision(&mut self, fields: &RawFields<'_>) -> u64 {
+        let Some(text) = fields.get(REVISION).filter(|text| text.get() != NULL) else {
+            self.errors.add(REVISION, ValidationErrorKind::Missing);
+            return 0;
+        };
+        self.typed(text, || REVISION.to_owned())
+    }
+
+    /// The fields of an object; none where it is missing or null.
+    fn object<'a>(&mut self, fields: &RawFields<'a>, name: &str) -> RawFields<'a> {
+        match fields.get(name) {
+            Some(text) if text.get() != NULL => self.typed(text, || name.to_owned()),
+            _ => RawFields::new(),
+        }
+    }
+
+    /// A list is merged by labels; any other field of the configuration is replaced.
+    fn upsert(&mut self, field: &str, text: &RawValue) {
+        let is_list = text.get().starts_with('[');
+        if !is_list && !KNOWN_LISTS.contains(&field) {
+            self.replacement(field, text);
+            return;
+        }
+        let items = self.typed(text, || format!("{UPSERT}.{field}"));
+        let items = self.labelled(field, items);
+        self.patch.upserts.push(Upsert { list: field.to_owned(), items });
+    }
+
+    /// The items of a list with their labels, which are required and unique.
+    fn labelled(&mut self, list: &str, items: Vec<&RawValue>) -> Vec<LabelledItem> {
+        let mut first_index_by_label: HashMap<String, usize> = HashMap::new();
+        let mut labelled = Vec::with_capacity(items.len());
+        for (index, item) in items.into_iter().enumerate() {
+            let path = || format!("{UPSERT}.{list}[{index}].{LABEL}");
+            let Some(label) = label_of(item).map(Cow::into_owned) else {
+                self.errors.add(path(), ValidationErrorKind::Missing);
+                continue;
+            };
+            let first = *first_index_by_label.entry(label.clone()).or_insert(index);
+            if first != index {
+                let other = format!("{UPSERT}.{list}[{first}]");
+                self.errors.add(path(), ValidationErrorKind::DuplicateLabel { other });
+            }
+            labelled.push(LabelledItem { label, text: item.to_owned() });
+        }
+        labelled
+    }
+
+    fn removal(&mut self, list: &str, text: &RawValue) {
+        let labels = self.typed(text, || format!("{REMOVE}.{list}"));
+        self.patch.removals.push(Removal { list: list.to_owned(), labels });
+    }
+
+    fn replacement(&mut self, field: &str, text: &RawValue) {
+        self.patch.replacements.push(Replacement { field: field.to_owned(), text: text.to_owned() });
+    }
+
+    /// A value of the type `T`; its default, with an error, where the text is of another type.
+    fn typed<'a, T>(&mut self, text: &'a RawValue, path: impl FnOnce() -> String) -> T
+    where
+        T: Deserialize<'a> + Default,
+    {
+        serde_json::from_str(text.get()).unwrap_or_else(|error| {
+            self.errors.add(path(), wrong_type(&error));
+            T::default()
+        })
+    }
+}
--- a/crates/configuration/src/precision.rs
+++ b/crates/configuration/src/precision.rs
@@ -1,21 +1,21 @@
-//! Finds numbers in JSON that may be rounded when they are read.
+//! Finds numbers in JSON that may be rounded when they are parsed.
 
-/// Decimal digits that a 64-bit floating point number keeps apart in any case.
+/// Significant decimal digits that a 64-bit floating point number represents exactly.
 const EXACT_DIGITS: usize = f64::DIGITS as usize;
 
-/// Whether a number in the JSON text may be rounded to that of another text: it has many digits, or an
-/// exponent.
+/// Whether a number in the JSON text has so many digits, or an exponent, that it may be rounded to the same value as
+/// another number's text.
 pub(crate) fn may_round_numbers(json: &[u8]) -> bool {
     let mut scanner = NumberScanner::default();
     json.iter().any(|byte| scanner.may_round_at(*byte))
 }
 
-/// Reads JSON byte by byte.
+/// Scans JSON byte by byte.
 #[derive(Default)]
 struct NumberScanner {
     in_string: bool,
     after_backslash: bool,
-    /// Digits of the present number so far.
+    /// Digits of the current number so far.
     digits: usize,
 }
 
--- a/crates/configuration/src/digest.rs
+++ b/crates/configuration/src/request_digest.rs
@@ -1,4 +1,4 @@
-//! A digest of an operator's call, by which the same call is known when it is sent again.
+//! A digest of an operator's request, by which a retry of the same request is recognised.
 
 use std::fmt;
 
@@ -8,18 +8,18 @@
 
 use crate::precision::may_round_numbers;
 
-/// How a call brings its configuration.
+/// How a request states its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CallKind {
-    /// The whole configuration.
+pub(crate) enum RequestKind {
+    /// The complete configuration.
     Put,
-    /// A change of named items.
+    /// A patch of named items.
     Patch,
 }
 
-/// The digest of a call: of its kind and what it asks for. A configuration counts as its JSON value, beside
-/// the revision on which it builds: the order of fields and white space make no difference. Where numbers may
-/// be rounded when they are read, it counts as its bytes. The digest is the same on all machines.
+/// The digest (XXH3, 128 bits) of a request's kind and content. A configuration is digested as its JSON value, together
+/// with the revision on which it builds: the order of fields and white space make no difference. Where numbers may be
+/// rounded when they are parsed, its bytes are digested instead. The digest is the same on all machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct RequestDigest(#[musli(bytes)] RawDigest);
 
@@ -27,9 +27,13 @@
 type RawDigest = [u8; 16];
 
 impl RequestDigest {
-    /// The digest of a configuration or a change of it. Reads the whole body, which must be JSON.
+    /// The digest of a configuration or a patch.
+    ///
+    /// # Errors
+    ///
+    /// The parser's error if the body is not one JSON value.
     pub(crate) fn of_configuration(
-        kind: CallKind,
+        kind: RequestKind,
         base: u64,
         body: &[u8],
     ) -> Result<Self, serde_json::Error> {
@@ -40,18 +44,18 @@
             value = digest_of_bytes(tag::EXACT_BODY, body);
         }
         let kind = match kind {
-            CallKind::Put => tag::PUT,
-            CallKind::Patch => tag::PATCH,
+            RequestKind::Put => tag::PUT,
+            RequestKind::Patch => tag::PATCH,
         };
-        Ok(RequestDigest(digest_of_parts(kind, &[u128::from(base).to_le_bytes(), value])))
+        Ok(RequestDigest(digest_of_digests(kind, &[u128::from(base).to_le_bytes(), value])))
     }
 
-    /// The digest of a call that names weights of a model.
+    /// The digest of a request that names weights of a model.
     #[must_use]
     pub fn of_weights(model: &str, revision: u64) -> Self {
         let model = digest_of_bytes(tag::TEXT, model.as_bytes());
-        let revision = digest_of_bytes(tag::WHOLE, &revision.to_le_bytes());
-        RequestDigest(digest_of_parts(tag::WEIGHTS, &[model, revision]))
+        let revision = digest_of_bytes(tag::UNSIGNED, &revision.to_le_bytes());
+        RequestDigest(digest_of_digests(tag::WEIGHTS, &[model, revision]))
     }
 
     pub(crate) fn to_bytes(self) -> RawDigest {
@@ -63,13 +67,13 @@
     }
 }
 
-/// What a hashed part is; the seed of its hash, so that values of two types don't look alike.
+/// Seeds that say what a hash is of, so that equal bytes of two types have different digests.
 mod tag {
     pub(super) const PUT: u64 = 0;
     pub(super) const PATCH: u64 = 1;
     pub(super) const NULL: u64 = 2;
     pub(super) const BOOLEAN: u64 = 3;
-    pub(super) const WHOLE: u64 = 4;
+    pub(super) const UNSIGNED: u64 = 4;
     pub(super) const NEGATIVE: u64 = 5;
     pub(super) const FRACTION: u64 = 6;
     pub(super) const TEXT: u64 = 7;
@@ -83,11 +87,11 @@
     xxh3_128_with_seed(bytes, tag).to_le_bytes()
 }
 
-fn digest_of_parts(tag: u64, parts: &[RawDigest]) -> RawDigest {
-    digest_of_bytes(tag, parts.as_flattened())
+fn digest_of_digests(tag: u64, digests: &[RawDigest]) -> RawDigest {
+    digest_of_bytes(tag, digests.as_flattened())
 }
 
-/// Digests a JSON value while it is read, without building it.
+/// Digests a JSON value while it is parsed, without building it.
 #[derive(Clone, Copy)]
 struct ValueDigest;
 
@@ -115,7 +119,7 @@
     }
 
     fn visit_u64<E: Error>(self, number: u64) -> Result<RawDigest, E> {
-        Ok(digest_of_bytes(tag::WHOLE, &number.to_le_bytes()))
+        Ok(digest_of_bytes(tag::UNSIGNED, &number.to_le_bytes()))
     }
 
     fn visit_i64<E: Error>(self, number: i64) -> Result<RawDigest, E> {
@@ -131,20 +135,20 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<RawDigest, A::Error> {
-        let mut parts = Vec::new();
+        let mut digests = Vec::new();
         while let Some(item) = items.next_element_seed(self)? {
-            parts.push(item);
+            digests.push(item);
         }
-        Ok(digest_of_parts(tag::LIST, &parts))
+        Ok(digest_of_digests(tag::LIST, &digests))
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<RawDigest, A::Error> {
-        let mut parts = Vec::new();
+        let mut digests = Vec::new();
         while let Some(name) = fields.next_key_seed(self)? {
-            parts.push([name, fields.next_value_seed(self)?]);
+            digests.push([name, fields.next_value_seed(self)?]);
         }
-        // Of fields with the same name the last one counts: these stay in their order.
-        parts.sort_by_key(|[name, _]| *name);
-        Ok(digest_of_parts(tag::OBJECT, parts.as_flattened()))
+        // The sort is stable: of fields with the same name the last one counts, so these keep their order.
+        digests.sort_by_key(|[name, _]| *name);
+        Ok(digest_of_digests(tag::OBJECT, digests.as_flattened()))
     }
 }
--- a/crates/configuration/tests/history.rs
+++ b/crates/configuration/tests/configuration_state.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use tulipridge_configuration::{
-    AcceptedChange, ChangeEntry, ConfigurationState, Decision, EntryOutcome, REMEMBERED_CALLS,
+    AcceptedChange, ChangeEntry, ConfigurationState, Decision, EntryOutcome, MAX_RECENT_REQUESTS,
 };
 
 /// Applies a change that must take effect.
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_call_is_known_in_any_layout() {
+fn a_retried_request_is_recognised_in_any_layout() {
     let state = state_with_sample();
     let pretty = serde_json::to_vec_pretty(&sample()).expect("a value can be written");
     assert_eq!(state.decide_put(Some(0), &pretty), Decision::AlreadyTaken);
@@ -86,7 +86,7 @@
 #[case::another_field(br#"{"revision":9,"routes":[],"backends":[],"c":[1,2]}"#)]
 #[case::one_more_field(br#"{"revision":9,"routes":[],"backends":[],"b":[1,2],"c":null}"#)]
 #[case::nested_otherwise(br#"{"revision":9,"routes":[],"backends":[],"b":[[1,2]]}"#)]
-fn a_call_with_another_body_is_another(#[case] body: &[u8]) {
+fn a_request_with_another_body_is_another_request(#[case] body: &[u8]) {
     let mut state = state_with_sample();
     let taken = br#"{"revision":9,"routes":[],"backends":[],"b":[1,2]}"#;
     let change = accepted(state.decide_put(Some(7), taken));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn of_two_calls_on_one_revision_one_wins() {
+fn of_two_requests_on_one_revision_one_wins() {
     let mut state = state_with_sample();
     let (first, second) = (body(&at_revision(9)), body(&sample_with("/revision", json!(10))));
     let change = accepted(state.decide_put(Some(7), &first));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_refused_call_leaves_no_trace() {
+fn a_rejected_request_leaves_the_state_unchanged() {
     let state = state_with_sample();
     let before = state.clone();
     let refused = body(&json!({"revision": 9}));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_change_is_taken_once_and_known_after_newer_ones() {
+fn a_change_is_accepted_once_and_recognised_after_newer_ones() {
     let mut state = state_with_sample();
     let first = body(&json!({"revision": 9, "remove": {"routes": ["r-first"]}}));
     let second = body(&json!({"revision": 12, "remove": {"routes": ["r-second"]}}));
@@ -156,20 +156,20 @@
 #[case::cut(b"{\"revision\":9,")]
 #[case::more_behind(b"{\"revision\":9} x")]
 #[case::not_text(b"{\"revision\":9,\"x\":\"\xff\"}")]
-fn refuses_what_is_no_json(#[case] bytes: &[u8]) {
+fn rejects_what_is_not_json(#[case] bytes: &[u8]) {
     let state = state_with_sample();
     assert_eq!(kind_of(&state.decide_put(Some(7), bytes)), "invalid");
     assert_eq!(kind_of(&state.decide_patch(Some(7), bytes)), "invalid");
 }
 
 #[test]
-fn deep_nesting_is_refused() {
+fn deep_nesting_is_rejected() {
     let bytes = [b"{\"revision\":9,\"x\":".to_vec(), vec![b'['; 100_000]].concat();
     assert_eq!(kind_of(&state_with_sample().decide_put(Some(7), &bytes)), "invalid");
 }
 
 #[test]
-fn a_snapshot_gives_the_state_again() {
+fn a_snapshot_restores_the_state() {
     let mut state = state_with_sample();
     put(&mut state, 7, &at_revision(9));
     let restored = ConfigurationState::from_snapshot(&state.to_snapshot()).expect("a whole snapshot");
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_cut_snapshot_is_an_error() {
+fn a_truncated_snapshot_is_an_error() {
     let bytes = state_with_sample().to_snapshot();
     for length in 0..bytes.len() {
         assert!(ConfigurationState::from_snapshot(&bytes[..length]).is_err(), "cut at {length}");
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn an_accepted_change_passes_the_log() {
+fn an_accepted_change_is_restored_from_its_log_entry() {
     let mut state = state_with_sample();
     let change = accepted(state.decide_put(Some(7), &body(&at_revision(9))));
     let bytes = musli::wire::to_vec(&change.entry).expect("an entry can be encoded");
@@ -200,14 +200,14 @@
 }
 
 #[test]
-fn only_the_newest_calls_are_remembered() {
+fn only_the_newest_requests_are_recognised() {
     let mut state = ConfigurationState::default();
     let document = |revision: u64| json!({"revision": revision, "routes": [], "backends": []});
-    let newest = REMEMBERED_CALLS as u64 + 44;
+    let newest = MAX_RECENT_REQUESTS as u64 + 44;
     for revision in 1..=newest {
         put(&mut state, revision - 1, &document(revision));
     }
-    let oldest_known = newest - REMEMBERED_CALLS as u64 + 1;
+    let oldest_known = newest - MAX_RECENT_REQUESTS as u64 + 1;
     let decide = |revision: u64| state.decide_put(Some(revision - 1), &body(&document(revision)));
     assert_eq!(decide(oldest_known), Decision::AlreadyTaken);
     assert_eq!(decide(oldest_known - 1), Decision::Stale { current: newest });
--- a/crates/configuration/tests/delta.rs
+++ b/crates/configuration/tests/delta.rs
@@ -16,7 +16,7 @@
 #[case::braces_only("{{}}}{}{", "}}{}{{{}")]
 #[case::braces_in_text(ITEMS, &ITEMS.replace("first", "}{first{}"))]
 #[case::not_ascii("{\"label\":\"grün und blau und rot und gelb\"}", "{\"label\":\"grün und blau\"}")]
-fn leads_to_the_new_text(#[case] old: &str, #[case] new: &str) {
+fn a_delta_builds_the_new_text(#[case] old: &str, #[case] new: &str) {
     let delta = Delta::between(old.as_bytes(), new.as_bytes());
     assert_eq!(delta.apply(old.as_bytes()).expect("the base is the right one"), new.as_bytes());
 }
@@ -34,7 +34,7 @@
 #[case::one_more(&[0, 1, 2, 3, 4, 5, 6, 10, 7, 8, 9], ",", 250)]
 #[case::two_halves_exchanged(&[5, 6, 7, 8, 9, 0, 1, 2, 3, 4], ",", 160)]
 #[case::other_white_space(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], ",\n  ", 600)]
-fn items_that_stayed_are_copied(#[case] labels: &[usize], #[case] separator: &str, #[case] bound: usize) {
+fn unchanged_items_are_copied(#[case] labels: &[usize], #[case] separator: &str, #[case] bound: usize) {
     let old = items(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], ",");
     let new = items(labels, separator);
     let delta = Delta::between(old.as_bytes(), new.as_bytes());
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_bound_on_the_encoded_length_holds() {
+fn the_encoded_length_is_within_its_bound() {
     let old = items(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], ",");
     let new = items(&[9, 8, 7, 20, 6, 5, 21, 22, 4, 3, 2, 1, 0], ", ");
     let delta = Delta::between(old.as_bytes(), new.as_bytes());
--- a/crates/configuration/tests/difference.rs
+++ b/crates/configuration/tests/difference.rs
@@ -2,7 +2,7 @@
 
 use tulipridge_configuration::difference::{apply, difference};
 use tulipridge_configuration::{
-    Caps, Configuration, ConfigurationChanges, Route, RouteKind, Service, Share, Tenant,
+    Caps, Configuration, ConfigurationChanges, Route, RouteKind, Service, ServiceWeight, Tenant,
 };
 
 const LABELS: usize = 12;
@@ -17,7 +17,7 @@
         time_limit_ms: 1 + variant,
         target_ms: 1,
         rank: 0,
-        shares: vec![Share { service: "s0".to_owned(), weight: 1.0 }],
+        service_weights: vec![ServiceWeight { service: "s0".to_owned(), weight: 1.0 }],
         max_attempts: 1,
         public: false,
         pinned: false,
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn names_only_what_differs() {
+fn changes_contain_only_items_that_differ() {
     let old = Configuration {
         revision: 3,
         routes: vec![route(0, 0), route(1, 0), route(2, 0)],
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn equal_configurations_differ_in_nothing() {
+fn equal_configurations_have_no_changes() {
     let same = configuration(&mut fastrand::Rng::with_seed(5), 4);
     let nothing = ConfigurationChanges { base: 4, revision: 4, ..ConfigurationChanges::default() };
     assert_eq!(difference(&same, &same), nothing);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn changed_caps_are_named() {
+fn changes_contain_changed_caps() {
     let old = Configuration::default();
     let caps = Caps { idle_ms: 1, ..Caps::default() };
     let new = Configuration { caps, ..Configuration::default() };
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_need_of_keys_that_changed_is_named() {
+fn changes_contain_a_changed_requirement_of_keys() {
     for requires_key in [false, true] {
         let old = Configuration { requires_key: !requires_key, ..Configuration::default() };
         let new = Configuration { requires_key, ..Configuration::default() };
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn changes_pass_the_encoding() {
+fn changes_are_decoded_as_they_were_encoded() {
     let mut random = fastrand::Rng::with_seed(9);
     let changes = difference(&configuration(&mut random, 1), &configuration(&mut random, 2));
     let bytes = musli::wire::to_vec(&changes).expect("changes can be encoded");
--- a/crates/configuration/tests/encoding.rs
+++ b/crates/configuration/tests/encoding.rs
@@ -19,13 +19,13 @@
 #[case::part_of_the_format(b"TST")]
 #[case::another_edition(&encode(Format(*b"TST2"), &vec![1_u64]))]
 #[case::text(b"{\"revision\":1}")]
-fn another_format_is_told_apart(#[case] bytes: &[u8]) {
+fn bytes_of_another_format_are_an_error(#[case] bytes: &[u8]) {
     let error = decode::<Vec<u64>>(FORMAT, bytes).expect_err("the bytes are of another format");
     assert!(matches!(error, EncodingError::UnknownFormat { expected: FORMAT }), "{error}");
 }
 
 #[test]
-fn cut_bytes_are_an_error() {
+fn truncated_bytes_are_an_error() {
     let bytes = sample_bytes();
     for length in 0..bytes.len() {
         assert!(decode::<Vec<u64>>(FORMAT, &bytes[..length]).is_err(), "cut at {length}");
@@ -42,13 +42,13 @@
 }
 
 #[test]
-fn more_bytes_behind_are_an_error() {
+fn trailing_bytes_are_an_error() {
     let bytes = [sample_bytes(), vec![0]].concat();
     assert!(matches!(decode::<Vec<u64>>(FORMAT, &bytes), Err(EncodingError::WrongChecksum)));
 }
 
 #[test]
-fn whole_bytes_of_another_type_are_an_error() {
+fn complete_bytes_of_another_type_are_an_error() {
     let bytes = encode(FORMAT, &"text".to_owned());
     assert!(matches!(decode::<Vec<u64>>(FORMAT, &bytes), Err(EncodingError::Malformed { .. })));
 }
--- a/crates/configuration/tests/entry.rs
+++ b/crates/configuration/tests/entry.rs
@@ -61,7 +61,7 @@
 #[rstest]
 #[case::with_a_patch(true)]
 #[case::with_a_whole_document(false)]
-fn a_member_that_follows_has_the_bytes_of_the_one_that_decided(#[case] with_patch: bool) {
+fn a_following_member_has_the_bytes_of_the_accepting_one(#[case] with_patch: bool) {
     let document = large_configuration();
     let (patch, whole) = one_route_changed(&document);
     let mut deciding = state_with(&document);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_whole_document_keeps_its_bytes() {
+fn a_complete_document_keeps_its_bytes() {
     let mut following = state_with(&sample());
     let pretty = serde_json::to_vec_pretty(&sample_with("/revision", json!(9))).expect("it can be written");
     let entry = accepted(following.decide_put(Some(7), &pretty)).entry;
--- a/crates/configuration/tests/lookup.rs
+++ b/crates/configuration/tests/lookup.rs
@@ -4,10 +4,12 @@
 
 use common::{body, sample};
 use rstest::rstest;
-use tulipridge_configuration::{Configuration, Document, Route, RouteKind, RoutingTable, Share, Tenant};
+use tulipridge_configuration::{
+    Configuration, Document, Route, RouteKind, RoutingTable, ServiceWeight, Tenant,
+};
 
 fn route(host: &str, path_prefix: &str, weights: &[f64]) -> Route {
-    let share = |weight: &f64| Share { service: format!("service-{weight}"), weight: *weight };
+    let share = |weight: &f64| ServiceWeight { service: format!("service-{weight}"), weight: *weight };
     Route {
         label: format!("{host}{path_prefix}"),
         host: host.to_owned(),
@@ -16,7 +18,7 @@
         time_limit_ms: 1000,
         target_ms: 100,
         rank: 0,
-        shares: weights.iter().map(share).collect(),
+        service_weights: weights.iter().map(share).collect(),
         max_attempts: 1,
         public: true,
         pinned: false,
@@ -67,7 +69,7 @@
 /// The rule as it is written: of the routes of the host, the one with the longest prefix that begins the
 /// path.
 #[test]
-fn finds_what_a_search_through_all_routes_finds() {
+fn finds_the_same_route_as_a_linear_search() {
     let mut random = fastrand::Rng::with_seed(11);
     let segments = ["a", "b", "ab", "ö", ""];
     let path = |random: &mut fastrand::Rng| {
@@ -108,18 +110,18 @@
 #[case::from_the_border(0.9, 2)]
 #[case::near_the_end(0.999_999_999, 2)]
 #[case::rounded_to_one(1.0, 2)]
-fn picks_a_share_by_weight(#[case] u: f64, #[case] expected: usize) {
+fn picks_a_service_by_weight(#[case] u: f64, #[case] expected: usize) {
     let routes = vec![route("h", "/", &[90.0, 0.0, 10.0, 0.0])];
     let table = RoutingTable::new(&Configuration { routes, ..Configuration::default() });
-    assert_eq!(table.pick_share(0, u), Some(expected));
+    assert_eq!(table.pick_service(0, u), Some(expected));
 }
 
 #[test]
-fn a_share_without_weight_is_never_picked_first() {
+fn a_service_without_weight_is_never_picked_first() {
     let routes = vec![route("h", "/", &[0.0, 1.0])];
     let table = RoutingTable::new(&Configuration { routes, ..Configuration::default() });
-    assert_eq!(table.pick_share(0, 0.0), Some(1));
-    assert_eq!(table.pick_share(1, 0.0), None);
+    assert_eq!(table.pick_service(0, 0.0), Some(1));
+    assert_eq!(table.pick_service(1, 0.0), None);
 }
 
 #[test]
--- a/crates/configuration/tests/check.rs
+++ b/crates/configuration/tests/parse.rs
@@ -5,7 +5,7 @@
 use common::{body, sample, sample_with, sample_without};
 use rstest::rstest;
 use serde_json::{Value, json};
-use tulipridge_configuration::{Caps, Document, Fault, RouteKind, Service, Share};
+use tulipridge_configuration::{Caps, Document, RouteKind, Service, ServiceWeight, ValidationErrorKind};
 
 /// The report on an invalid document.
 fn report_on(document: &Value) -> String {
@@ -46,7 +46,7 @@
 #[case::no_tenant_rank("/customers/0/rank")]
 #[case::no_isolation("/customers/0/isolated")]
 #[case::one_cap_missing("/caps/quietMs")]
-fn takes_a_document_without_an_optional_field(#[case] pointer: &str) {
+fn accepts_a_document_without_an_optional_field(#[case] pointer: &str) {
     assert!(Document::parse(&body(&sample_without(pointer))).is_ok());
     assert!(Document::parse(&body(&sample_with(pointer, Value::Null))).is_ok());
 }
@@ -67,7 +67,7 @@
 #[case::no_share_but_a_service("/routes/0", json!({
     "label": "r", "hostname": "h", "pathStart": "/", "timeLimitMs": 1, "backend": "beta", "shares": []
 }))]
-fn takes_a_document_with(#[case] pointer: &str, #[case] value: Value) {
+fn accepts_a_document_with(#[case] pointer: &str, #[case] value: Value) {
     assert!(Document::parse(&body(&sample_with(pointer, value))).is_ok());
 }
 
@@ -86,7 +86,7 @@
     let route = &configuration.routes[0];
     assert_eq!((route.kind, route.max_attempts, route.rank), (RouteKind::Risky, 1, 0));
     assert_eq!(route.target_ms, 50);
-    assert_eq!(route.shares, [Share { service: "s".to_owned(), weight: 1.0 }]);
+    assert_eq!(route.service_weights, [ServiceWeight { service: "s".to_owned(), weight: 1.0 }]);
     let health_path = "/health".to_owned();
     assert_eq!(
         configuration.services,
@@ -116,7 +116,7 @@
 #[case::weight("/routes/0/shares/1/share", "routes[0].shares[1].share: is missing")]
 #[case::service_label("/backends/2/label", "backends[2].label: is missing")]
 #[case::tenant_label("/customers/1/label", "customers[1].label: is missing")]
-fn refuses_a_document_without(#[case] pointer: &str, #[case] report: &str) {
+fn rejects_a_document_without(#[case] pointer: &str, #[case] report: &str) {
     assert_eq!(report_on(&sample_without(pointer)), report);
 }
 
@@ -152,12 +152,12 @@
     "customers[1].label: the label is also that of customers[0]")]
 #[case::shared_key("/customers/1/apiKeys", json!(["key-b1", "key-a2"]),
     "customers[1].apiKeys[1]: tenant 'acme' holds the same key")]
-fn refuses_a_document_with(#[case] pointer: &str, #[case] value: Value, #[case] report: &str) {
+fn rejects_a_document_with(#[case] pointer: &str, #[case] value: Value, #[case] report: &str) {
     assert_eq!(report_on(&sample_with(pointer, value)), report);
 }
 
 #[test]
-fn refuses_weights_without_a_finite_sum() {
+fn rejects_weights_without_a_finite_sum() {
     let shares = json!([{"backend": "alpha", "share": 1e308}, {"backend": "beta", "share": 1e308}]);
     assert_eq!(
         report_on(&sample_with("/routes/0/shares", shares)),
@@ -175,17 +175,18 @@
 #[case::not_text(b"{\"revision\": 7, \"routes\": [], \"backends\": [], \"remark\": \"\xff\"}")]
 #[case::two_documents(b"{\"revision\":7,\"routes\":[],\"backends\":[]}{}")]
 #[case::a_field_twice(b"{\"revision\":7,\"revision\":8,\"routes\":[],\"backends\":[]}")]
-fn refuses_what_is_no_document(#[case] bytes: &[u8]) {
+fn rejects_what_is_not_a_document(#[case] bytes: &[u8]) {
     assert!(Document::parse(bytes).is_err());
 }
 
 #[test]
-fn refuses_each_cut_of_a_document() {
-    let whole = body(&sample());
-    for length in 0..whole.len() {
-        let findings = Document::parse(&whole[..length]).expect_err("a cut document is invalid");
-        let unreadable = findings.iter().all(|finding| matches!(finding.fault, Fault::Unreadable { .. }));
-        assert!(unreadable, "cut at {length}: {findings}");
+fn rejects_each_truncation_of_a_document() {
+    let complete = body(&sample());
+    for length in 0..complete.len() {
+        let errors = Document::parse(&complete[..length]).expect_err("a truncated document is invalid");
+        let unreadable =
+            errors.iter().all(|error| matches!(error.kind, ValidationErrorKind::Unreadable { .. }));
+        assert!(unreadable, "truncated at {length}: {errors}");
     }
 }
 
@@ -212,20 +213,20 @@
 }
 
 #[test]
-fn reports_all_faults_together() {
+fn reports_all_errors_together() {
     let mut document = sample();
     document["routes"][0]["shares"][0]["backend"] = json!("gamma");
     document["routes"][0]["timeLimitMs"] = json!(0);
     document["routes"][1]["label"] = json!("r-first");
     document["customers"][1]["apiKeys"][0] = json!("key-a1");
-    let findings = Document::parse(&body(&document)).expect_err("the document is invalid");
-    insta::assert_snapshot!(findings.to_string(), @"
+    let errors = Document::parse(&body(&document)).expect_err("the document is invalid");
+    insta::assert_snapshot!(errors.to_string(), @"
     routes[0].timeLimitMs: must be above 0
     routes[0].shares[0].backend: there is no service 'gamma'
     routes[1].label: the label is also that of routes[0]
     customers[1].apiKeys[0]: tenant 'acme' holds the same key
     ");
-    let report: Value = serde_json::from_slice(&findings.to_json()).expect("the report is JSON");
+    let report: Value = serde_json::from_slice(&errors.to_json()).expect("the report is JSON");
     insta::assert_snapshot!(format!("{report:#}"), @r#"
     {
       "count": 4,
@@ -253,16 +254,16 @@
 }
 
 #[test]
-fn a_long_report_is_cut_and_counted() {
+fn a_long_report_is_shortened_and_counted() {
     let routes: Vec<Value> = (0..60).map(|_| json!({})).collect();
-    let findings = Document::parse(&body(&sample_with("/routes", json!(routes))))
+    let errors = Document::parse(&body(&sample_with("/routes", json!(routes))))
         .expect_err("the document is invalid");
-    assert_eq!(findings.len(), 60 * 5);
-    assert_eq!(findings.to_string().lines().last(), Some("and 250 more"));
-    let report: Value = serde_json::from_slice(&findings.to_json()).expect("the report is JSON");
+    assert_eq!(errors.len(), 60 * 5);
+    assert_eq!(errors.to_string().lines().last(), Some("and 250 more"));
+    let report: Value = serde_json::from_slice(&errors.to_json()).expect("the report is JSON");
     assert_eq!(report["count"], json!(300));
     assert_eq!(
         report["findings"].as_array().map(Vec::len),
-        Some(tulipridge_configuration::findings::SHOWN_FINDINGS)
+        Some(tulipridge_configuration::validation_error::MAX_REPORTED_ERRORS)
     );
 }
--- a/crates/configuration/tests/change.rs
+++ b/crates/configuration/tests/patch.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn replaces_in_place_and_appends() {
+fn replaces_items_at_their_position_and_appends_new_ones() {
     let routes = [new_route("r-new", "/n/"), new_route("r-first", "/f/")];
     let change = json!({"revision": 9, "upsert": {"routes": routes}});
     let document = changed(&change);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn removes_by_label_and_passes_over_unknown_labels() {
+fn removes_by_label_and_ignores_unknown_labels() {
     let remove = json!({"routes": ["r-first", "r-none"], "customers": ["acme"], "notices": ["n"]});
     let document = changed(&json!({"revision": 9, "remove": remove}));
     assert_eq!(labels(&document["routes"]), ["r-second"]);
@@ -77,7 +77,7 @@
 #[rstest]
 #[case::among_the_lists(json!({"revision": 9, "upsert": {"caps": {"quietMs": 5}}}))]
 #[case::beside_the_lists(json!({"revision": 9, "caps": {"quietMs": 5}}))]
-fn replaces_caps_whole(#[case] change: Value) {
+fn replaces_caps_completely(#[case] change: Value) {
     let document = sample_document().apply(&patch(&change)).expect("the change is valid");
     assert_eq!(document.configuration().caps.idle_ms, 5);
     assert_eq!(
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn reports_faults_of_a_change() {
+fn reports_all_errors_of_a_patch() {
     let change = json!({
         "upsert": {
             "routes": [new_route("r", "/a/"), new_route("r", "/b/"), {"hostname": "h"}, 7],
@@ -160,7 +160,7 @@
 #[case::revision_is_negative(b"{\"revision\":-9}")]
 #[case::revision_is_missing(b"{\"upsert\":{}}")]
 #[case::revision_is_null(b"{\"revision\":null}")]
-fn refuses_what_is_no_change(#[case] bytes: &[u8]) {
+fn rejects_what_is_not_a_patch(#[case] bytes: &[u8]) {
     assert!(Patch::parse(bytes).is_err());
 }
 
@@ -176,14 +176,14 @@
     {"label": "c", "apiKeys": ["key-a1"]}
 ]}}),
     "customers[2].apiKeys[0]: tenant 'acme' holds the same key")]
-fn refuses_a_change_to_an_invalid_document(#[case] change: Value, #[case] report: &str) {
+fn rejects_a_patch_that_results_in_an_invalid_document(#[case] change: Value, #[case] report: &str) {
     let findings = sample_document().apply(&patch(&change)).expect_err("the change is invalid");
     assert_eq!(findings.to_string(), report);
 }
 
 /// Random changes give the same document as a plain model of the rules.
 #[test]
-fn random_changes_follow_the_model() {
+fn random_patches_follow_the_model() {
     let mut random = fastrand::Rng::with_seed(7);
     let mut document = Document::parse(&body(&json!({"revision": 0, "routes": [], "backends": []})))
         .expect("a valid document");
--- a/crates/configuration/tests/stored_data.rs
+++ b/crates/configuration/tests/stored_data.rs
@@ -13,7 +13,7 @@
 use musli::{Decode, Encode};
 use stored_data::{Case, check_stored, from_hex, to_hex};
 use tulipridge_configuration::{
-    AcceptedChange, ChangeEntry, ConfigurationState, Delta, Document, DocumentVersion, RememberedCalls,
+    AcceptedChange, ChangeEntry, ConfigurationState, Delta, Document, DocumentVersion, RecentRequests,
     RequestDigest,
 };
 
@@ -93,9 +93,9 @@
 fn digests_of_requests_keep_their_bytes() {
     let entries = History::after_all_kinds_of_changes().entries;
     let cases = [
-        Case::new("put-first", entries[0].call()),
-        Case::new("put-second", entries[1].call()),
-        Case::new("patch", entries[2].call()),
+        Case::new("put-first", entries[0].request()),
+        Case::new("put-second", entries[1].request()),
+        Case::new("patch", entries[2].request()),
         Case::new("weights", RequestDigest::of_weights("model-a", 12)),
         Case::new(
             "put-exact-numbers",
@@ -112,14 +112,14 @@
 }
 
 #[test]
-fn remembered_requests_keep_their_bytes_in_their_order() {
-    let mut remembered = RememberedCalls::default();
+fn recent_requests_keep_their_bytes_in_their_order() {
+    let mut recent = RecentRequests::default();
     for revision in [3, 1, 2] {
-        remembered.remember(RequestDigest::of_weights("model-a", revision));
+        recent.record(RequestDigest::of_weights("model-a", revision));
     }
-    let cases = [Case::new("empty", RememberedCalls::default()), Case::new("three", remembered)];
-    let decode = |stored: &[u8]| RememberedCalls::from_bytes(stored).expect("complete digests");
-    check_stored("remembered-requests.txt", &cases, RememberedCalls::to_bytes, decode);
+    let cases = [Case::new("empty", RecentRequests::default()), Case::new("three", recent)];
+    let decode = |stored: &[u8]| RecentRequests::from_bytes(stored).expect("complete digests");
+    check_stored("remembered-requests.txt", &cases, RecentRequests::to_bytes, decode);
 }
 
 #[test]
@@ -135,7 +135,7 @@
 }
 
 fn digest_of_put(text: &str) -> RequestDigest {
-    accepted(ConfigurationState::default().decide_put(None, text.as_bytes())).entry.call()
+    accepted(ConfigurationState::default().decide_put(None, text.as_bytes())).entry.request()
 }
 
 fn encode<T: Encode<Binary>>(value: &T) -> Vec<u8> {
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -7,10 +7,10 @@
 
 use musli::{Decode, Encode};
 use snafu::{OptionExt, ResultExt, Snafu};
+use tulipridge_configuration::configuration_state::Decision as ConfigurationDecision;
 use tulipridge_configuration::encoding::{self, EncodingError, Format};
-use tulipridge_configuration::history::Decision as ConfigurationDecision;
 use tulipridge_configuration::{
-    ApplyError, ConfigurationState, Document, EntryOutcome, Findings, SnapshotError,
+    ApplyError, ConfigurationState, Document, EntryOutcome, SnapshotError, ValidationErrors,
 };
 
 use command::Prepared;
@@ -59,7 +59,7 @@
     /// The configuration is not valid.
     InvalidConfiguration {
         /// What is wrong.
-        findings: Findings,
+        findings: ValidationErrors,
     },
     /// The weights are older than those named, and were never named themselves.
     OldWeights {
--- a/crates/control-plane/src/state/weights.rs
+++ b/crates/control-plane/src/state/weights.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 
 use musli::{Decode, Encode};
-use tulipridge_configuration::{RememberedCalls, RequestDigest};
+use tulipridge_configuration::{RecentRequests, RequestDigest};
 
 /// The newest weights of each model, and the namings that are known when they are sent again.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NamedWeights {
     newest: BTreeMap<String, u64>,
-    taken: RememberedCalls,
+    taken: RecentRequests,
 }
 
 /// The answer to a naming of weights.
@@ -54,7 +54,7 @@
 
     /// Names weights that are newer than all before.
     pub(super) fn name(&mut self, model: String, revision: u64) {
-        self.taken.remember(RequestDigest::of_weights(&model, revision));
+        self.taken.record(RequestDigest::of_weights(&model, revision));
         self.newest.insert(model, revision);
     }
 
@@ -70,7 +70,7 @@
 
     /// None if the remembered namings are no whole digests.
     pub(super) fn from_snapshot(snapshot: Snapshot) -> Option<Self> {
-        let taken = RememberedCalls::from_bytes(&snapshot.taken)?;
+        let taken = RecentRequests::from_bytes(&snapshot.taken)?;
         Some(NamedWeights { newest: snapshot.newest, taken })
     }
 }
--- a/crates/control-plane/tests/state_repeats.rs
+++ b/crates/control-plane/tests/state_repeats.rs
@@ -6,7 +6,7 @@
 use support::state_calls::{
     accepted, name, patch, patch_route, put, put_routes, restored, revision, route, take,
 };
-use tulipridge_configuration::REMEMBERED_CALLS;
+use tulipridge_configuration::MAX_RECENT_REQUESTS;
 use tulipridge_control_plane::state::{Applied, Change, Decision, State};
 
 /// A state at revision 1.
@@ -112,7 +112,7 @@
 #[test]
 fn a_naming_is_known_after_many_others() {
     let mut state = State::default();
-    let newest = REMEMBERED_CALLS as u64 + 1;
+    let newest = MAX_RECENT_REQUESTS as u64 + 1;
     for revision in 1..=newest {
         take(&mut state, &name("m", 2 * revision));
     }
@@ -131,7 +131,7 @@
 fn the_newest_naming_of_a_model_is_always_known() {
     let mut state = State::default();
     take(&mut state, &name("quiet", 7));
-    for revision in 0..REMEMBERED_CALLS as u64 {
+    for revision in 0..MAX_RECENT_REQUESTS as u64 {
         take(&mut state, &name("busy", revision));
     }
     assert_eq!(state.decide(&name("quiet", 7)), Decision::AlreadyTaken);
@@ -240,11 +240,11 @@
 #[test]
 fn a_state_of_full_windows_has_a_bounded_size() {
     let mut state = State::default();
-    for revision in 0..2 * REMEMBERED_CALLS as u64 {
+    for revision in 0..2 * MAX_RECENT_REQUESTS as u64 {
         take(&mut state, &name("m", revision));
     }
     let empty = State::default().snapshot().len();
     let length = state.snapshot().len();
-    println!("a snapshot of {empty} bytes with no calls, of {length} with {REMEMBERED_CALLS} namings");
-    assert!(length <= empty + REMEMBERED_CALLS * 16 + 64, "{length} bytes");
+    println!("a snapshot of {empty} bytes with no calls, of {length} with {MAX_RECENT_REQUESTS} namings");
+    assert!(length <= empty + MAX_RECENT_REQUESTS * 16 + 64, "{length} bytes");
 }
--- a/crates/control-plane/tests/support/operator/register.rs
+++ b/crates/control-plane/tests/support/operator/register.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::hash::Hash;
 
-use tulipridge_configuration::REMEMBERED_CALLS;
-use tulipridge_configuration::history::NO_REVISION;
+use tulipridge_configuration::MAX_RECENT_REQUESTS;
+use tulipridge_configuration::configuration_state::NO_REVISION;
 
 use super::call::{Answer, ConfigurationMethod, ConfigurationOrder, Content, WeightsOrder};
 
@@ -36,7 +36,7 @@
 
 impl Default for ConfigurationRegister {
     fn default() -> Self {
-        ConfigurationRegister::remembering(REMEMBERED_CALLS)
+        ConfigurationRegister::remembering(MAX_RECENT_REQUESTS)
     }
 }
 
--- a/crates/protocol/tests/support/configurations.rs
+++ b/crates/protocol/tests/support/configurations.rs
@@ -1,7 +1,8 @@
 //! Configurations with another value in each field.
 
 use tulipridge_configuration::{
-    Caps, Configuration, ConfigurationChanges, Route, RouteKind, Service, ServiceRuntime, Share, Tenant,
+    Caps, Configuration, ConfigurationChanges, Route, RouteKind, Service, ServiceRuntime, ServiceWeight,
+    Tenant,
 };
 
 /// A configuration in which each field has a value of its own.
@@ -46,9 +47,9 @@
         time_limit_ms: 8_000,
         target_ms: 400,
         rank: 1,
-        shares: vec![
-            Share { service: "alpha".to_owned(), weight: 90.5 },
-            Share { service: "beta".to_owned(), weight: 9.5 },
+        service_weights: vec![
+            ServiceWeight { service: "alpha".to_owned(), weight: 90.5 },
+            ServiceWeight { service: "beta".to_owned(), weight: 9.5 },
         ],
         max_attempts: 3,
         public: false,
@@ -62,7 +63,7 @@
     Route {
         label: "route-plain".to_owned(),
         kind: RouteKind::Risky,
-        shares: vec![Share { service: "gamma".to_owned(), weight: 1.0 }],
+        service_weights: vec![ServiceWeight { service: "gamma".to_owned(), weight: 1.0 }],
         public: true,
         pinned: false,
         gap_target_ms: 0,
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -55,7 +55,7 @@
     /// Judges a request; `chance` is a number from 0 up to 1 that picks the service by the route's shares.
     pub fn admit(self: &Rc<Self>, head: &Head, chance: f64) -> Result<Admitted, Denial> {
         let (route, tenant) = self.judge(head)?;
-        let share = self.table.pick_share(route, chance).ok_or(Denial::NoRoute)?;
+        let share = self.table.pick_service(route, chance).ok_or(Denial::NoRoute)?;
         Ok(Admitted { routing: self.clone(), route, tenant, share })
     }
 
@@ -88,7 +88,7 @@
     /// The service that the request goes to.
     #[must_use]
     pub fn service(&self) -> &str {
-        &self.route().shares[self.share].service
+        &self.route().service_weights[self.share].service
     }
 
     /// The urgency that the operator has set, 0 first: the tenant's goes before the route's.
@@ -117,12 +117,13 @@
         let Ok((route, tenant)) = newest.judge(head) else { return false };
         let (route, own) = (&newest.configuration.routes[route], self.route());
         let tenant = tenant.map(|tenant| &newest.configuration.tenants[tenant]);
-        let leads_there =
-            |share: &tulipridge_configuration::Share| share.service == self.service() && share.weight > 0.0;
+        let leads_there = |share: &tulipridge_configuration::ServiceWeight| {
+            share.service == self.service() && share.weight > 0.0
+        };
         route.label == own.label
             && route.kind == own.kind
             && route.resumable == own.resumable
-            && route.shares.iter().any(leads_there)
+            && route.service_weights.iter().any(leads_there)
             && tenant.map(|tenant| (&tenant.label, tenant.isolated))
                 == self.tenant().map(|tenant| (&tenant.label, tenant.isolated))
     }
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -7,7 +7,7 @@
 
 use rstest::rstest;
 use support::{Bench, Part, header, post, post_with, status};
-use tulipridge_configuration::{Configuration, Service, Share};
+use tulipridge_configuration::{Configuration, Service, ServiceWeight};
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Position, ReplicaPhase, WeightsTable};
 
 fn with_key(key: &str) -> String {
@@ -202,7 +202,7 @@
 #[case::route(changed(|configuration| drop(configuration.routes.remove(1))))]
 #[case::service(changed(|configuration| {
     configuration.services.push(Service { label: "second".to_owned(), ..Service::default() });
-    configuration.routes[1].shares = vec![Share { service: "second".to_owned(), weight: 1.0 }];
+    configuration.routes[1].service_weights = vec![ServiceWeight { service: "second".to_owned(), weight: 1.0 }];
 }))]
 fn a_request_that_waits_is_not_sent_again_under_what_was_taken_back(#[case] newest: Arc<Configuration>) {
     let bench = Bench::start(2);
@@ -243,7 +243,7 @@
         bench.proxy.set_configuration(changed(|configuration| {
             configuration.services.push(Service { label: "second".to_owned(), ..Service::default() });
             let mut route = support::route("new", "/new/", tulipridge_configuration::RouteKind::Risky);
-            route.shares = vec![Share { service: "second".to_owned(), weight: 1.0 }];
+            route.service_weights = vec![ServiceWeight { service: "second".to_owned(), weight: 1.0 }];
             configuration.routes.push(route);
         }));
         bench.set_fleet(|lines| lines[1].service = "second".to_owned());
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, Share, Tenant};
+use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, ServiceWeight, Tenant};
 use tulipridge_protocol::feed::{
     ModelRevision, ModelWeights, Position, Replica, ReplicaPhase, WeightsTable,
 };
@@ -244,7 +244,7 @@
         time_limit_ms: 8000,
         target_ms: 2000,
         rank: 1,
-        shares: vec![Share { service: "service".to_owned(), weight: 1.0 }],
+        service_weights: vec![ServiceWeight { service: "service".to_owned(), weight: 1.0 }],
         max_attempts: 2,
         public: false,
         pinned: kind == RouteKind::Stream,
