--- a/crates/configuration/benches/configuration_change.rs
+++ b/crates/configuration/benches/configuration_change.rs
@@ -17,15 +17,15 @@
     let document = common::large_configuration();
     let route = common::large_route(2_000, "moved.example");
     let patch = json!({"revision": 2, "upsert": {"routes": [&route]}});
-    let mut whole = document.clone();
-    whole["revision"] = json!(2);
-    whole["routes"][2_000] = route;
+    let mut complete = document.clone();
+    complete["revision"] = json!(2);
+    complete["routes"][2_000] = route;
     let state = state_with(&document);
     println!("configuration: {} bytes", common::body(&document).len());
     println!("empty snapshot: {} bytes", ConfigurationState::default().to_snapshot().len());
-    let (patch, whole) = (common::body(&patch), common::body(&whole));
+    let (patch, complete) = (common::body(&patch), common::body(&complete));
     report("PATCH of one route", &state, || state.decide_patch(Some(1), &patch));
-    report("PUT with one route changed", &state, || state.decide_put(Some(1), &whole));
+    report("PUT with one route changed", &state, || state.decide_put(Some(1), &complete));
 }
 
 fn report(name: &str, state: &ConfigurationState, decide: impl Fn() -> Decision) {
--- a/crates/configuration/src/configuration_state.rs
+++ b/crates/configuration/src/configuration_state.rs
@@ -80,7 +80,7 @@
         source: ValidationErrors,
     },
     /// The recent requests in them are not complete digests.
-    #[snafu(display("the remembered calls are cut"))]
+    #[snafu(display("the digests of recent requests are truncated"))]
     TruncatedRequests,
 }
 
--- a/crates/configuration/src/json/type_errors.rs
+++ b/crates/configuration/src/json/type_errors.rs
@@ -1,4 +1,4 @@
-//! Finds the values of wrong types in a document that could not be deserialized as a whole.
+//! Finds the values of wrong types in a document that could not be deserialized.
 //!
 //! serde stops at the first error. Here each item of the top-level lists is deserialized by itself, so that an error of
 //! each is reported with its path.
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -32,7 +32,7 @@
     pub host: String,
     /// The path prefix; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated, and whether the answer is a stream.
+    /// Whether requests may be retried, and whether the response is a stream.
     pub kind: RouteKind,
     /// The deadline of a request, from its arrival, in milliseconds.
     pub time_limit_ms: u64,
@@ -134,7 +134,7 @@
 pub struct Tenant {
     /// The tenant's unique label, which is sent to replicas.
     pub label: String,
-    /// Its keys; no two tenants share one.
+    /// Its API keys; no two tenants have the same one.
     pub api_keys: Vec<String>,
     /// Priority that overrides a route's, where stated.
     pub rank: Option<u8>,
--- a/crates/configuration/src/patch/mod.rs
+++ b/crates/configuration/src/patch/mod.rs
@@ -47,7 +47,7 @@
     labels: HashSet<String>,
 }
 
-/// A field that is not a list of items and is replaced as a whole.
+/// A field that is not a list of items and is replaced completely.
 #[derive(Clone, Debug)]
 struct Replacement {
     field: String,
--- a/crates/configuration/src/recent_requests.rs
+++ b/crates/configuration/src/recent_requests.rs
@@ -10,28 +10,30 @@
 /// The newest [`MAX_RECENT_REQUESTS`] requests, in the order in which they were accepted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecentRequests {
+    /// Oldest first.
     order: VecDeque<RequestDigest>,
-    known: HashSet<RequestDigest>,
+    /// The same digests, for the look-up.
+    members: HashSet<RequestDigest>,
 }
 
 impl RecentRequests {
     /// Whether the request is in the window.
     #[must_use]
     pub fn contains(&self, request: &RequestDigest) -> bool {
-        self.known.contains(request)
+        self.members.contains(request)
     }
 
     /// Records a request and evicts the oldest one from a full window. A request that is in the window already keeps
     /// its position.
     pub fn record(&mut self, request: RequestDigest) {
-        if !self.known.insert(request) {
+        if !self.members.insert(request) {
             return;
         }
         self.order.push_back(request);
         if self.order.len() > MAX_RECENT_REQUESTS
             && let Some(oldest) = self.order.pop_front()
         {
-            self.known.remove(&oldest);
+            self.members.remove(&oldest);
         }
     }
 
--- a/crates/configuration/src/validation_error.rs
+++ b/crates/configuration/src/validation_error.rs
@@ -8,13 +8,13 @@
 /// Errors that a report lists; the rest is only counted.
 pub const MAX_REPORTED_ERRORS: usize = 50;
 
-/// What the body of a refusal says about the whole document.
+/// The summary in the body of a refusal.
 const INVALID_CONFIGURATION: &str = "the configuration is invalid";
 
 /// One invalid value and where it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
-    /// The path to the value, as in `routes[3].timeLimitMs`; empty for the whole document.
+    /// The path to the value, as in `routes[3].timeLimitMs`; empty for the document itself.
     pub path: String,
     /// What is wrong with it.
     pub kind: ValidationErrorKind,
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -83,7 +83,7 @@
     })
 }
 
-/// The change of a call that must be accepted.
+/// The change of a request that must be accepted.
 pub(crate) fn accepted(decision: Decision) -> AcceptedChange {
     match decision {
         Decision::Accept(change) => *change,
--- a/crates/configuration/tests/configuration_state.rs
+++ b/crates/configuration/tests/configuration_state.rs
@@ -1,4 +1,4 @@
-//! Decisions on the operator's calls.
+//! Decisions on the operator's requests.
 
 mod common;
 
@@ -88,8 +88,8 @@
 #[case::nested_otherwise(br#"{"revision":9,"routes":[],"backends":[],"b":[[1,2]]}"#)]
 fn a_request_with_another_body_is_another_request(#[case] body: &[u8]) {
     let mut state = state_with_sample();
-    let taken = br#"{"revision":9,"routes":[],"backends":[],"b":[1,2]}"#;
-    let change = accepted(state.decide_put(Some(7), taken));
+    let accepted_body = br#"{"revision":9,"routes":[],"backends":[],"b":[1,2]}"#;
+    let change = accepted(state.decide_put(Some(7), accepted_body));
     apply(&mut state, change);
     assert_eq!(state.decide_put(Some(7), body), Decision::Stale { current: 9 });
 }
@@ -153,7 +153,7 @@
 
 #[rstest]
 #[case::nothing(b"")]
-#[case::cut(b"{\"revision\":9,")]
+#[case::truncated(b"{\"revision\":9,")]
 #[case::more_behind(b"{\"revision\":9} x")]
 #[case::not_text(b"{\"revision\":9,\"x\":\"\xff\"}")]
 fn rejects_what_is_not_json(#[case] bytes: &[u8]) {
@@ -172,18 +172,21 @@
 fn a_snapshot_restores_the_state() {
     let mut state = state_with_sample();
     put(&mut state, 7, &at_revision(9));
-    let restored = ConfigurationState::from_snapshot(&state.to_snapshot()).expect("a whole snapshot");
+    let restored = ConfigurationState::from_snapshot(&state.to_snapshot()).expect("a complete snapshot");
     assert_eq!(restored, state);
     assert_eq!(restored.decide_put(Some(0), &body(&sample())), Decision::AlreadyTaken);
     let empty = ConfigurationState::default();
-    assert_eq!(ConfigurationState::from_snapshot(&empty.to_snapshot()).expect("a whole snapshot"), empty);
+    assert_eq!(
+        ConfigurationState::from_snapshot(&empty.to_snapshot()).expect("a complete snapshot"),
+        empty
+    );
 }
 
 #[test]
 fn a_truncated_snapshot_is_an_error() {
     let bytes = state_with_sample().to_snapshot();
     for length in 0..bytes.len() {
-        assert!(ConfigurationState::from_snapshot(&bytes[..length]).is_err(), "cut at {length}");
+        assert!(ConfigurationState::from_snapshot(&bytes[..length]).is_err(), "truncated at {length}");
     }
 }
 
--- a/crates/configuration/tests/encoding.rs
+++ b/crates/configuration/tests/encoding.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_value_is_decoded_as_it_was_encoded() {
-    assert_eq!(decode::<Vec<u64>>(FORMAT, &sample_bytes()).expect("the bytes are whole"), [1, 2, 3]);
+    assert_eq!(decode::<Vec<u64>>(FORMAT, &sample_bytes()).expect("the bytes are complete"), [1, 2, 3]);
 }
 
 #[rstest]
@@ -28,16 +28,16 @@
 fn truncated_bytes_are_an_error() {
     let bytes = sample_bytes();
     for length in 0..bytes.len() {
-        assert!(decode::<Vec<u64>>(FORMAT, &bytes[..length]).is_err(), "cut at {length}");
+        assert!(decode::<Vec<u64>>(FORMAT, &bytes[..length]).is_err(), "truncated at {length}");
     }
 }
 
 #[test]
 fn each_damaged_byte_is_an_error() {
-    for place in 0..sample_bytes().len() {
+    for offset in 0..sample_bytes().len() {
         let mut bytes = sample_bytes();
-        bytes[place] ^= 0x10;
-        assert!(decode::<Vec<u64>>(FORMAT, &bytes).is_err(), "damaged at {place}");
+        bytes[offset] ^= 0x10;
+        assert!(decode::<Vec<u64>>(FORMAT, &bytes).is_err(), "damaged at {offset}");
     }
 }
 
--- a/crates/configuration/tests/entry.rs
+++ b/crates/configuration/tests/entry.rs
@@ -19,14 +19,14 @@
     musli::wire::to_vec(entry).expect("an entry can be encoded").len()
 }
 
-/// A change of one route of the large configuration, as a patch and as the whole document.
+/// A change of one route of the large configuration, as a patch and as the complete document.
 fn one_route_changed(document: &Value) -> (Value, Value) {
     let route = large_route(2_000, "moved.example");
     let patch = json!({"revision": 2, "upsert": {"routes": [&route]}});
-    let mut whole = document.clone();
-    whole["revision"] = json!(2);
-    whole["routes"][2_000] = route;
-    (patch, whole)
+    let mut complete = document.clone();
+    complete["revision"] = json!(2);
+    complete["routes"][2_000] = route;
+    (patch, complete)
 }
 
 #[test]
@@ -45,8 +45,8 @@
 #[test]
 fn a_put_that_changes_one_route_takes_the_bytes_of_little_more_than_the_route() {
     let document = large_configuration();
-    let (_, whole) = one_route_changed(&document);
-    let length = encoded_length(&put_of(&state_with(&document), &whole));
+    let (_, complete) = one_route_changed(&document);
+    let length = encoded_length(&put_of(&state_with(&document), &complete));
     println!("{} bytes of configuration: an entry of {length}", body(&document).len());
     assert!(length <= 1_000, "{length} bytes");
 }
@@ -63,19 +63,19 @@
 #[case::with_a_whole_document(false)]
 fn a_following_member_has_the_bytes_of_the_accepting_one(#[case] with_patch: bool) {
     let document = large_configuration();
-    let (patch, whole) = one_route_changed(&document);
+    let (patch, complete) = one_route_changed(&document);
     let mut deciding = state_with(&document);
     let mut following = deciding.clone();
     let change = match with_patch {
         true => accepted(deciding.decide_patch(Some(1), &body(&patch))),
-        false => accepted(deciding.decide_put(Some(1), &body(&whole))),
+        false => accepted(deciding.decide_put(Some(1), &body(&complete))),
     };
     assert_eq!(following.apply_entry(&change.entry).expect("its base is in force"), EntryOutcome::Applied);
     deciding.apply_accepted(change).expect("its base is in force");
     assert_eq!(following, deciding);
     let read_back: Value =
         serde_json::from_slice(following.document().expect("there is one").text()).expect("it is JSON");
-    assert_eq!(read_back, whole);
+    assert_eq!(read_back, complete);
 }
 
 #[test]
@@ -116,8 +116,9 @@
     let mut state = ConfigurationState::default();
     let entry = accepted(state.decide_put(None, &body(&sample()))).entry;
     let mut bytes = musli::wire::to_vec(&entry).expect("an entry can be encoded");
-    let place = bytes.windows(from.len()).position(|part| part == from.as_bytes()).expect("it is there");
-    bytes[place..place + to.len()].copy_from_slice(to.as_bytes());
+    let offset =
+        bytes.windows(from.len()).position(|window| window == from.as_bytes()).expect("it is there");
+    bytes[offset..offset + to.len()].copy_from_slice(to.as_bytes());
     let entry: ChangeEntry = musli::wire::from_slice(&bytes).expect("an entry can be decoded");
     let error = state.apply_entry(&entry).expect_err("the result is another");
     assert!(format!("{error:?}").starts_with(expected), "{error:?}");
--- a/crates/configuration/tests/lookup.rs
+++ b/crates/configuration/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! Finding routes, tenants and services.
+//! Look-up of routes, tenants and services.
 
 mod common;
 
@@ -9,7 +9,8 @@
 };
 
 fn route(host: &str, path_prefix: &str, weights: &[f64]) -> Route {
-    let share = |weight: &f64| ServiceWeight { service: format!("service-{weight}"), weight: *weight };
+    let service_weight =
+        |weight: &f64| ServiceWeight { service: format!("service-{weight}"), weight: *weight };
     Route {
         label: format!("{host}{path_prefix}"),
         host: host.to_owned(),
@@ -18,7 +19,7 @@
         time_limit_ms: 1000,
         target_ms: 100,
         rank: 0,
-        service_weights: weights.iter().map(share).collect(),
+        service_weights: weights.iter().map(service_weight).collect(),
         max_attempts: 1,
         public: true,
         pinned: false,
--- a/crates/configuration/tests/parse.rs
+++ b/crates/configuration/tests/parse.rs
@@ -1,4 +1,4 @@
-//! What a configuration may hold, and what is refused, with its place.
+//! Which configurations are accepted, and which errors are reported for others, with their paths.
 
 mod common;
 
--- a/crates/configuration/tests/patch.rs
+++ b/crates/configuration/tests/patch.rs
@@ -139,8 +139,8 @@
         },
         "remove": {"routes": "r-first", "customers": [1]}
     });
-    let findings = Patch::parse(&body(&change)).expect_err("the change is invalid");
-    insta::assert_snapshot!(findings.to_string(), @r#"
+    let errors = Patch::parse(&body(&change)).expect_err("the change is invalid");
+    insta::assert_snapshot!(errors.to_string(), @r#"
     revision: is missing
     upsert.backends: invalid type: map, expected a sequence
     upsert.routes[1].label: the label is also that of upsert.routes[0]
@@ -153,7 +153,7 @@
 
 #[rstest]
 #[case::nothing(b"")]
-#[case::cut(b"{\"revision\":9,\"upsert\":{\"routes\":[")]
+#[case::truncated(b"{\"revision\":9,\"upsert\":{\"routes\":[")]
 #[case::a_list(b"[]")]
 #[case::upsert_is_no_object(b"{\"revision\":9,\"upsert\":[]}")]
 #[case::remove_is_no_object(b"{\"revision\":9,\"remove\":\"r\"}")]
@@ -177,8 +177,8 @@
 ]}}),
     "customers[2].apiKeys[0]: tenant 'acme' holds the same key")]
 fn rejects_a_patch_that_results_in_an_invalid_document(#[case] change: Value, #[case] report: &str) {
-    let findings = sample_document().apply(&patch(&change)).expect_err("the change is invalid");
-    assert_eq!(findings.to_string(), report);
+    let errors = sample_document().apply(&patch(&change)).expect_err("the change is invalid");
+    assert_eq!(errors.to_string(), report);
 }
 
 /// Random changes give the same document as a plain model of the rules.
