--- a/crates/protocol/tests/stored_messages.rs
+++ b/crates/protocol/tests/stored_messages.rs
@@ -17,11 +17,11 @@
 use musli::mode::Binary;
 use musli::{Decode, Encode};
 use stored_data::{Case, check_stored};
-use tulipridge_prefix_cache_index::{Liveness, PrefixKey};
+use tulipridge_prefix_cache_index::{CachedPrefix, Liveness, PrefixKey};
 use tulipridge_protocol::feed::{
-    CacheTableUpdate, CacheUpdate, ConfigurationUpdate, ControlNode, FleetUpdate, Group, KnownPositions,
-    LoadTable, ModelRevision, ModelWeights, Position, QueuedWork, Replica, ReplicaPhase, Subscribe,
-    SubscriberRole, ToPublisher, ToSubscriber, WeightsTable,
+    CacheIndexUpdate, CacheUpdate, ConfigurationUpdate, ControlNode, FleetUpdate, Group, KnownPositions,
+    LoadTable, ModelRevision, ModelWeights, Position, QueuedWork, QueuedWorkEntry, Replica, ReplicaPhase,
+    Subscribe, SubscriberRole, ToPublisher, ToSubscriber, WeightsTable,
 };
 use tulipridge_protocol::frame;
 use tulipridge_protocol::node::NodeId;
@@ -35,11 +35,11 @@
             name: "machine-1".to_owned(),
             zone: "zone-2".to_owned(),
             role,
-            holds: KnownPositions {
+            known: KnownPositions {
                 configuration: 70_001,
                 fleet: position(21, 31),
                 weights: position(22, 32),
-                kept: position(23, 33),
+                cache_index: position(23, 33),
                 loads,
             },
         })
@@ -51,16 +51,19 @@
         Case::new("ping", ToPublisher::Ping { id: 300, gateways: 7 }),
         Case::new(
             "queued-work",
-            ToPublisher::Waiting(QueuedWork {
+            ToPublisher::QueuedWork(QueuedWork {
                 fleet: position(25, 35),
-                lines: vec![(1, 40), (300, 50_000)],
+                entries: vec![
+                    QueuedWorkEntry { replica_index: 1, units: 40 },
+                    QueuedWorkEntry { replica_index: 300, units: 50_000 },
+                ],
             }),
         ),
     ];
     for case in &cases {
         // A new variant needs a case above.
         match &case.value {
-            ToPublisher::Subscribe(_) | ToPublisher::Ping { .. } | ToPublisher::Waiting(_) => {}
+            ToPublisher::Subscribe(_) | ToPublisher::Ping { .. } | ToPublisher::QueuedWork(_) => {}
         }
     }
     check_framed("to-publisher.txt", &cases);
@@ -78,7 +81,7 @@
             )
             | ToSubscriber::Fleet(FleetUpdate::Snapshot { .. } | FleetUpdate::Changes { .. })
             | ToSubscriber::Weights(_)
-            | ToSubscriber::Kept(_)
+            | ToSubscriber::CacheIndex(_)
             | ToSubscriber::Group(_)
             | ToSubscriber::Pong { .. }
             | ToSubscriber::Loads(_) => {}
@@ -129,7 +132,7 @@
     let updates =
         || vec![cache_update(Liveness::Alive), cache_update(Liveness::Down), cache_update(Liveness::Gone)];
     let cache_table = |base| {
-        ToSubscriber::Kept(CacheTableUpdate { base, position: position(45, 55), updates: updates() })
+        ToSubscriber::CacheIndex(CacheIndexUpdate { base, position: position(45, 55), updates: updates() })
     };
     let control = vec![
         ControlNode { id: node(1), zone: "zone-1".to_owned() },
@@ -138,7 +141,7 @@
     let loads = LoadTable {
         position: position(46, 56),
         fleet: position(47, 57),
-        waiting: vec![0, 1, 127, 128, 255],
+        queued_units: vec![0, 1, 127, 128, 255],
     };
     vec![
         Case::new("cache-table", cache_table(None)),
@@ -277,7 +280,7 @@
         epoch: 8_589_934_593,
         voters: vec![node(11), node(12), node(13)],
         previous_voters: vec![node(14), node(15)],
-        holders: vec![node(13), node(11)],
+        data_replicas: vec![node(13), node(11)],
     }
 }
 
@@ -325,7 +328,10 @@
         next_token: 92,
         liveness,
         replace: liveness == Liveness::Gone,
-        added: vec![(PrefixKey(93), 94), (PrefixKey(u64::MAX - 5), 96)],
+        added: vec![
+            CachedPrefix { key: PrefixKey(93), tokens: 94 },
+            CachedPrefix { key: PrefixKey(u64::MAX - 5), tokens: 96 },
+        ],
         removed: vec![PrefixKey(97), PrefixKey(98_000_000_000)],
     }
 }
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -65,7 +65,7 @@
     /// If no route has the request's host and path, or if the request lacks a key that the route needs.
     pub fn admit(self: &Rc<Self>, head: &Head, random_fraction: f64) -> Result<Admitted, Denial> {
         let matched = self.resolve(head)?;
-        let share = self.table.pick_share(matched.route, random_fraction).ok_or(Denial::NoRoute)?;
+        let share = self.table.pick_service(matched.route, random_fraction).ok_or(Denial::NoRoute)?;
         Ok(Admitted { routing: self.clone(), matched, share })
     }
 
@@ -98,7 +98,7 @@
     /// The service that the request goes to.
     #[must_use]
     pub fn service(&self) -> &str {
-        &self.route().shares[self.share].service
+        &self.route().service_weights[self.share].service
     }
 
     /// The rank that the operator has set, 0 first: the tenant's if it has one, else the route's.
@@ -127,12 +127,13 @@
         let Ok(matched) = newest.resolve(head) else { return false };
         let (route, own) = (&newest.configuration.routes[matched.route], self.route());
         let tenant = matched.tenant.map(|tenant| &newest.configuration.tenants[tenant]);
-        let is_own_service =
-            |share: &tulipridge_configuration::Share| share.service == self.service() && share.weight > 0.0;
+        let is_own_service = |share: &tulipridge_configuration::ServiceWeight| {
+            share.service == self.service() && share.weight > 0.0
+        };
         route.label == own.label
             && route.kind == own.kind
             && route.resumable == own.resumable
-            && route.shares.iter().any(is_own_service)
+            && route.service_weights.iter().any(is_own_service)
             && tenant.map(|tenant| (&tenant.label, tenant.isolated))
                 == self.tenant().map(|tenant| (&tenant.label, tenant.isolated))
     }
--- a/crates/write-ahead-log/tests/stored_files.rs
+++ b/crates/write-ahead-log/tests/stored_files.rs
@@ -46,10 +46,10 @@
 fn a_stored_log_is_appended_to() {
     let directory = scratch_directory("stored-log-appended");
     copy_stored_directory(WITH_SNAPSHOT, &directory);
-    let (mut log, _) = WriteAheadLog::open(&directory).expect("a stored log");
+    let mut log = WriteAheadLog::open(&directory).expect("a stored log").log;
     log.append(&[b"fifth"]).expect("there is room");
     drop(log);
-    let (_, recovered) = WriteAheadLog::open(&directory).expect("a stored log with one more record");
+    let recovered = WriteAheadLog::open(&directory).expect("a stored log with one more record").recovered;
     assert_eq!(recovered.records.last(), Some(&b"fifth".to_vec()));
     assert_eq!(recovered.records.len(), 3);
 }
@@ -57,18 +57,17 @@
 fn recover_copy_of(stored: &str) -> Recovered {
     let directory = scratch_directory(&format!("stored-{stored}-read"));
     copy_stored_directory(stored, &directory);
-    let (_, recovered) = WriteAheadLog::open(&directory).expect("a stored log");
-    recovered
+    WriteAheadLog::open(&directory).expect("a stored log").recovered
 }
 
 fn write_segment(directory: &Path) {
-    let (mut log, _) = WriteAheadLog::open(directory).expect("an empty directory");
+    let mut log = WriteAheadLog::open(directory).expect("an empty directory").log;
     log.append(&[b"first"]).expect("there is room");
     log.append(&[b"second", &[0, 255, 10], b""]).expect("there is room");
 }
 
 fn write_snapshot(directory: &Path) {
-    let (mut log, _) = WriteAheadLog::open(directory).expect("an empty directory");
+    let mut log = WriteAheadLog::open(directory).expect("an empty directory").log;
     log.append(&[b"first", b"second"]).expect("there is room");
     log.snapshot(b"the state after two records").expect("there is room");
     log.append(&[b"third"]).expect("there is room");
