--- a/crates/control-plane/src/rollout/announcements.rs
+++ b/crates/control-plane/src/rollout/announcements.rs
@@ -18,7 +18,7 @@
 
 /// When target revisions were announced.
 ///
-/// Time beyond [`MAX_COUNTED_VACANCY`] without a primary does not count: no replica could be commanded to load, and a
+/// Of a time without a primary only the first second counts: no replica can be commanded to load meanwhile, and a
 /// successor that counted it would withdraw the weights of every replica at once.
 #[derive(Debug)]
 pub struct AnnouncementTimes {
