--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -26,7 +26,7 @@
         Discovery { store, exchange: RefCell::new(None) }
     }
 
-    /// The known members. A member may occur twice; what the feed says of it comes last.
+    /// The known members. A member may occur twice; the feed's entry comes last.
     pub(crate) fn members(&self) -> Vec<ControlNode> {
         let mut members =
             self.exchange.borrow().as_ref().map(|exchange| exchange.control_nodes()).unwrap_or_default();
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The `agent` program.
+//! The `tulipridge-agent` program.
 
 use std::process::ExitCode;
 
--- a/crates/peer-sampling/src/socket.rs
+++ b/crates/peer-sampling/src/socket.rs
@@ -110,7 +110,7 @@
             match self.socket.recv_from(&mut buffer).await {
                 Ok((length, from)) => self.handle(&buffer[..length], from).await,
                 Err(error) => {
-                    log::debug!(error:% = error; "the socket of the views has failed");
+                    log::debug!(error:% = error; "the peer-sampling socket has failed");
                     Timer::after(ERROR_RETRY_DELAY).await;
                 }
             }
--- a/crates/peer-sampling/tests/network.rs
+++ b/crates/peer-sampling/tests/network.rs
@@ -8,11 +8,11 @@
 use tulipridge_peer_sampling::view::{CAPACITY, MAX_AGE};
 use tulipridge_protocol::peer_sampling::Role;
 
-/// Ticks after which a network has mixed.
-const MIXED: u64 = 60;
-/// Ticks within which a dead process is in no view: the age at which an entry drops, and a tenth more for
+/// Ticks after which views are well mixed.
+const MIXING_TICKS: u64 = 60;
+/// Ticks within which a dead process is in no view: the age at which an entry is dropped, and a tenth more for
 /// the jitter of the ticks, and one for the tick under way.
-const FORGOTTEN: u64 = MAX_AGE as u64 * 11 / 10 + 2;
+const EXPIRY_TICKS: u64 = MAX_AGE as u64 * 11 / 10 + 2;
 
 const SMALL: Size = Size { control: 4, agents: 9 };
 const LARGE: Size = Size { control: 21, agents: 420 };
@@ -29,7 +29,7 @@
 ) {
     let mut network = Network::new(size, loss, seed);
     network.start_all();
-    network.run(MIXED);
+    network.run(MIXING_TICKS);
     for _ in 0..20 {
         network.run(1);
         assert!(network.is_connected());
@@ -39,10 +39,10 @@
 }
 
 #[rstest]
-fn everyone_is_known_where_the_view_has_room(#[values(1, 2, 3)] seed: u64) {
+fn everyone_is_known_where_the_view_has_capacity(#[values(1, 2, 3)] seed: u64) {
     let mut network = Network::new(SMALL, 0.0, seed);
     network.start_all();
-    network.run(MIXED);
+    network.run(MIXING_TICKS);
     assert!(network.view_sizes().all(|size| size == SMALL.total() - 1));
 }
 
@@ -50,7 +50,7 @@
 fn no_process_is_in_far_more_views_than_others(#[values(1, 2, 3)] seed: u64) {
     let mut network = Network::new(LARGE, 0.01, seed);
     network.start_all();
-    network.run(MIXED);
+    network.run(MIXING_TICKS);
     let agents = network.in_degrees(Role::Agent);
     let mean = agents.iter().sum::<usize>() as f64 / agents.len() as f64;
     let most = *agents.iter().max().expect("agents") as f64;
@@ -66,12 +66,16 @@
 #[rstest]
 #[case::small(SMALL, 3)]
 #[case::large(LARGE, 150)]
-fn the_dead_are_forgotten(#[case] size: Size, #[case] count: usize, #[values(1, 2)] seed: u64) {
+fn entries_of_dead_processes_are_dropped(
+    #[case] size: Size,
+    #[case] count: usize,
+    #[values(1, 2)] seed: u64,
+) {
     let mut network = Network::new(size, 0.02, seed);
     network.start_all();
-    network.run(MIXED);
+    network.run(MIXING_TICKS);
     let dead = network.kill_random(count);
-    network.run(FORGOTTEN);
+    network.run(EXPIRY_TICKS);
     assert_eq!(network.entries_of(&dead), 0);
     assert!(network.is_connected());
 }
@@ -79,22 +83,22 @@
 #[rstest]
 #[case::small(SMALL)]
 #[case::large(LARGE)]
-fn a_restarted_process_replaces_its_earlier_self(#[case] size: Size, #[values(1, 2)] seed: u64) {
+fn a_restarted_process_replaces_its_earlier_incarnation(#[case] size: Size, #[values(1, 2)] seed: u64) {
     let mut network = Network::new(size, 0.02, seed);
     network.start_all();
-    network.run(MIXED);
+    network.run(MIXING_TICKS);
     let restarted = network.kill_random(5);
     restarted.iter().for_each(|index| network.start(*index));
-    network.run(FORGOTTEN);
+    network.run(EXPIRY_TICKS);
     assert_eq!(network.entries_of_earlier_generations(), 0);
     assert!(network.is_connected());
 }
 
 #[rstest]
-fn churn_does_not_take_the_network_apart(#[values(1, 2, 3)] seed: u64) {
+fn churn_does_not_disconnect_the_network(#[values(1, 2, 3)] seed: u64) {
     let mut network = Network::new(LARGE, 0.02, seed);
     network.start_all();
-    network.run(MIXED);
+    network.run(MIXING_TICKS);
     for _ in 0..40 {
         let gone = network.kill_random(4);
         network.run(2);
@@ -113,33 +117,33 @@
     others.iter().for_each(|index| network.start(*index));
     network.run(10);
     seeds.iter().for_each(|index| network.start(*index));
-    network.run(MIXED);
+    network.run(MIXING_TICKS);
     assert!(network.is_connected());
 }
 
 #[rstest]
-fn seeds_may_be_gone_for_good(#[values(1, 2)] seed: u64) {
+fn seeds_may_be_lost_for_good(#[values(1, 2)] seed: u64) {
     let mut network = Network::new(LARGE, 0.02, seed);
     network.start_all();
-    network.run(MIXED);
+    network.run(MIXING_TICKS);
     let (seeds, _) = network.seeds_and_others();
     seeds.iter().for_each(|index| network.kill(*index));
-    network.run(2 * MIXED);
+    network.run(2 * MIXING_TICKS);
     assert!(network.is_connected());
     let without = network.processes_without_control();
     assert!(without * 10 <= LARGE.total(), "{without} know no control member");
 }
 
 #[rstest]
-fn parts_that_forgot_each_other_meet_again_after_a_cut(#[values(1, 2, 3)] seed: u64) {
+fn overlays_merge_again_after_a_long_partition(#[values(1, 2, 3)] seed: u64) {
     let mut network = Network::new(LARGE, 0.01, seed);
     network.start_all();
-    network.run(MIXED);
-    network.cut_in_halves();
-    network.run(2 * MIXED);
+    network.run(MIXING_TICKS);
+    network.partition_in_halves();
+    network.run(2 * MIXING_TICKS);
     assert!(!network.is_connected());
-    network.mend();
-    network.run(MIXED);
+    network.heal();
+    network.run(MIXING_TICKS);
     assert!(network.is_connected());
 }
 
@@ -148,10 +152,10 @@
     let measured = [SMALL, LARGE].map(|size| {
         let mut network = Network::new(size, 0.0, seed);
         network.start_all();
-        network.run(MIXED);
+        network.run(MIXING_TICKS);
         network.measure_traffic();
-        network.run(MIXED);
-        let a_tick = network.datagrams as f64 / (size.total() as u64 * MIXED) as f64;
+        network.run(MIXING_TICKS);
+        let a_tick = network.datagrams as f64 / (size.total() as u64 * MIXING_TICKS) as f64;
         (network.longest_datagram, a_tick)
     });
     for (longest, a_tick) in measured {
@@ -163,12 +167,12 @@
 }
 
 #[test]
-fn a_view_holds_no_more_than_its_capacity() {
+fn a_view_never_exceeds_its_capacity() {
     let mut network = Network::new(LARGE, 0.0, 1);
     network.start_all();
-    for _ in 0..MIXED {
+    for _ in 0..MIXING_TICKS {
         network.run(1);
         assert!(network.view_sizes().all(|size| size <= CAPACITY));
     }
-    assert_eq!(network.now_ms(), MIXED * TICK_MS);
+    assert_eq!(network.now_ms(), MIXING_TICKS * TICK_MS);
 }
--- a/crates/peer-sampling/tests/simulation/mod.rs
+++ b/crates/peer-sampling/tests/simulation/mod.rs
@@ -43,7 +43,7 @@
     scheduled: u64,
     generations: Vec<u64>,
     views: Vec<Option<View>>,
-    cut: bool,
+    is_partitioned: bool,
     measures: bool,
     pub datagrams: u64,
     pub longest_datagram: usize,
@@ -60,7 +60,7 @@
             scheduled: 0,
             generations: vec![0; size.total()],
             views: vec![None; size.total()],
-            cut: false,
+            is_partitioned: false,
             measures: false,
             datagrams: 0,
             longest_datagram: 0,
@@ -106,15 +106,15 @@
     }
 
     /// Nothing passes between processes with an even number and those with an odd one.
-    pub(crate) fn cut_in_halves(&mut self) {
-        self.cut = true;
+    pub(crate) fn partition_in_halves(&mut self) {
+        self.is_partitioned = true;
     }
 
-    pub(crate) fn mend(&mut self) {
-        self.cut = false;
+    pub(crate) fn heal(&mut self) {
+        self.is_partitioned = false;
     }
 
-    /// DatagramCounts and measures datagrams from now on.
+    /// Counts and measures datagrams from now on.
     pub(crate) fn measure_traffic(&mut self) {
         self.measures = true;
     }
@@ -218,8 +218,8 @@
             self.datagrams += 1;
             self.longest_datagram = self.longest_datagram.max(bytes.len());
         }
-        let cut = self.cut && from % 2 != to % 2;
-        if cut || self.random.f64() < self.loss {
+        let is_blocked = self.is_partitioned && from % 2 != to % 2;
+        if is_blocked || self.random.f64() < self.loss {
             return;
         }
         let delay = self.random.u64(1..=MAX_DELAY_MS);
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -203,7 +203,7 @@
     Ready,
     /// It is about to load weights or loads them; nothing new is sent.
     Loading,
-    /// It is draining before it goes; nothing new is sent.
+    /// It is draining; nothing new is sent.
     Draining,
 }
 
@@ -259,7 +259,7 @@
 /// The gateways and the members of the control plane.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Group {
-    /// Gateways that the control plane has heard of lately.
+    /// Gateways that the control plane has received pings of lately.
     pub gateways: u32,
     /// Members of the control plane, voters and standbys.
     pub control: Vec<ControlNode>,
--- a/crates/protocol/src/node.rs
+++ b/crates/protocol/src/node.rs
@@ -7,7 +7,8 @@
 
 /// The id of a process: its machine's address and a generation.
 ///
-/// The generation of a member of the control plane is that of its disk. A disk that was formatted at the first start of the whole system has generation 0. One that was formatted
+/// The generation of a member of the control plane is that of its disk. A disk that was formatted at the first start
+/// of the complete system has generation 0. One that was formatted
 /// later has a random generation, so a machine whose disk was lost is a different member
 /// from the one before. The generation of an agent is drawn at random at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
--- a/crates/protocol/tests/frame.rs
+++ b/crates/protocol/tests/frame.rs
@@ -60,26 +60,26 @@
 }
 
 #[test]
-fn messages_are_taken_in_order_whatever_the_parts_in_which_they_arrive() {
+fn messages_are_read_in_order_whatever_the_fragments_in_which_they_arrive() {
     let sent = [envelope(append(1)), envelope(install()), envelope(append(2))];
     let bytes = framed(&sent);
-    for part in 1..bytes.len() {
+    for fragment_bytes in 1..bytes.len() {
         let mut buffer = Vec::new();
         let mut taken: Vec<Envelope> = Vec::new();
-        for chunk in bytes.chunks(part) {
+        for chunk in bytes.chunks(fragment_bytes) {
             buffer.extend_from_slice(chunk);
             while let Some(message) = frame::take(&mut buffer).expect("good frames") {
                 taken.push(message);
             }
         }
-        assert_eq!(taken, sent, "in parts of {part} bytes");
+        assert_eq!(taken, sent, "in fragments of {fragment_bytes} bytes");
         assert!(buffer.is_empty());
     }
 }
 
 /// The stated length is judged before the message has come in.
 #[test]
-fn a_message_over_the_bound_is_refused_by_its_length() {
+fn a_message_over_the_limit_is_refused_by_its_length() {
     let length = MAX_MESSAGE_BYTES as u32 + 1;
     let mut bytes = length.to_le_bytes().to_vec();
     let refused = frame::take::<Envelope>(&mut bytes);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_message_over_the_bound_is_not_sent() {
+fn a_message_over_the_limit_is_not_sent() {
     let command = vec![0; MAX_MESSAGE_BYTES].into();
     let message = ReplicationMessage::Append { epoch: 7, entry: Entry { sequence: 3, command } };
     let mut bytes = Vec::new();
--- a/crates/runtime/src/settings/revision_term.rs
+++ b/crates/runtime/src/settings/revision_term.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-/// Part of the term that is left when older weights are withdrawn, ...
+/// Fraction of the term that is left when older weights are withdrawn, ...
 const WITHDRAWAL_RESERVE_PART: f64 = 0.15;
 /// ... but no less than this, which orders to all outdated replicas need, ...
 const LEAST_WITHDRAWAL_RESERVE: Duration = Duration::from_millis(1_500);
-/// ... and no more than this part, where the term is very short.
+/// ... and no more than this fraction, where the term is very short.
 const LARGEST_WITHDRAWAL_RESERVE_PART: f64 = 1.0 / 3.0;
-/// Part of the time up to the withdrawal in which all replicas should have loaded.
+/// Fraction of the time up to the withdrawal in which all replicas should have loaded.
 const LOAD_PART: f64 = 0.92;
-/// Part of the term that is left when requests that have not started on withdrawn weights are cancelled, ...
+/// Fraction of the term that is left when requests that have not started on withdrawn weights are cancelled, ...
 const CANCELLATION_RESERVE_PART: f64 = 0.06;
 /// ... but no less than this, which a busy gateway may need, ...
 const LEAST_CANCELLATION_RESERVE: Duration = Duration::from_millis(700);
-/// ... and no more than this part of what is left at the withdrawal.
+/// ... and no more than this fraction of what is left at the withdrawal.
 const LARGEST_CANCELLATION_RESERVE_PART: f64 = 0.5;
 /// Time that orders to outdated replicas have in any case before requests that are queued there are cancelled: after
 /// an order such a request is known not to have run.
--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn few_fields_are_enough_and_unknown_and_null_ones_are_ignored() {
+fn required_fields_are_enough_and_unknown_and_null_ones_are_ignored() {
     let text = "nodeName: a\nipAddress: 10.0.0.1\narea: a\nsparePorts: [7000, 7003]\nnew: {x: [1]}\n\
                 timeLimits: {withdrawMs: null, leewayS: 2.5, contactMs: 10.0, other: true}\n\
                 withstand: null\nhandlesRole: [edge, other]\n\
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_is_missing_is_reported_together() {
+fn missing_fields_are_reported_together() {
     assert_snapshot!(findings("job: x"), @r"
     nodeName: is needed and missing
     ipAddress: is needed and missing
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_is_out_of_range_is_reported_together() {
+fn values_out_of_range_are_reported_together() {
     let text = EDGE
         .replace("area: \"a\"", "area: \"c\"")
         .replace("- 7015", "- 7002")
@@ -106,6 +106,6 @@
 #[case::not_yaml("a: [")]
 #[case::not_a_mapping("- a")]
 #[case::empty("")]
-fn a_text_that_holds_no_settings_is_refused(#[case] text: &str) {
+fn a_text_without_settings_is_refused(#[case] text: &str) {
     assert!(Settings::parse(text).is_err());
 }
--- a/crates/subscription/src/publisher.rs
+++ b/crates/subscription/src/publisher.rs
@@ -90,7 +90,7 @@
             match listener.accept().await {
                 Ok((stream, address)) => self.admit(stream, address, executor),
                 Err(error) => {
-                    log::warn!(error:% = error; "can't take a connection");
+                    log::warn!(error:% = error; "a connection can't be accepted");
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -142,7 +142,7 @@
 
     fn admit(self: &Rc<Self>, stream: Async<TcpStream>, address: SocketAddr, executor: &LocalExecutor<'_>) {
         if self.subscriptions.borrow().len() >= self.settings.max_connections {
-            log::warn!(peer:% = address; "a connection over the bound is closed");
+            log::warn!(peer:% = address; "a connection over the limit is closed");
             return;
         }
         let id = self.next_subscription.replace(self.next_subscription.get() + 1);
--- a/crates/subscription/src/publisher/connection.rs
+++ b/crates/subscription/src/publisher/connection.rs
@@ -31,11 +31,11 @@
     Frame { source: FrameError },
     #[snafu(display("a message of the subscriber is too long"))]
     TooLong,
-    #[snafu(display("a message of the subscriber is out of place"))]
+    #[snafu(display("a message of the subscriber is unexpected"))]
     UnexpectedMessage,
-    #[snafu(display("the subscriber says nothing"))]
+    #[snafu(display("the subscriber is idle for too long"))]
     Idle,
-    #[snafu(display("the subscriber takes no bytes"))]
+    #[snafu(display("the subscriber accepts no bytes"))]
     Stalled,
 }
 
--- a/crates/subscription/src/store/error.rs
+++ b/crates/subscription/src/store/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum FeedError {
     /// A delta starts from another position than the one that is known here.
-    #[snafu(display("a change of the {table} does not apply to what is held"))]
+    #[snafu(display("a delta of the {table} does not start from the known position"))]
     Gap {
         /// The table that the delta is for.
         table: Table,
@@ -31,7 +31,7 @@
         f.write_str(match self {
             Table::Configuration => "configuration",
             Table::Fleet => "fleet",
-            Table::CacheIndex => "index of kept prompts",
+            Table::CacheIndex => "prefix-cache index",
         })
     }
 }
--- a/crates/subscription/src/subscriber.rs
+++ b/crates/subscription/src/subscriber.rs
@@ -168,11 +168,8 @@
             Ok(stream) => stream,
             Err(reason) => return reason,
         };
-        self.connected.set(Some(address));
-        let reason = session::run(self, &stream, failures).await;
-        self.connected.set(None);
-        self.freshness.borrow_mut().forget_pending();
-        reason
+        let _connected = ConnectedGuard::new(self, address);
+        session::run(self, &stream, failures).await
     }
 
     async fn delay(&self, duration: Duration) {
@@ -197,3 +194,22 @@
         }
     }
 }
+
+/// Marks the subscriber as connected until it is dropped.
+struct ConnectedGuard<'a> {
+    subscriber: &'a Subscriber,
+}
+
+impl<'a> ConnectedGuard<'a> {
+    fn new(subscriber: &'a Subscriber, address: SocketAddr) -> Self {
+        subscriber.connected.set(Some(address));
+        ConnectedGuard { subscriber }
+    }
+}
+
+impl Drop for ConnectedGuard<'_> {
+    fn drop(&mut self) {
+        self.subscriber.connected.set(None);
+        self.subscriber.freshness.borrow_mut().forget_pending();
+    }
+}
--- a/crates/subscription/src/subscriber/end.rs
+++ b/crates/subscription/src/subscriber/end.rs
@@ -41,10 +41,10 @@
         source: io::Error,
     },
     /// The publisher does not reply to pings.
-    #[snafu(display("the publisher does not answer"))]
+    #[snafu(display("the publisher is unresponsive"))]
     Unresponsive,
     /// The publisher replies, but its state is stale, or it does not know how fresh it is.
-    #[snafu(display("the publisher is not fresh"))]
+    #[snafu(display("the publisher's state is stale"))]
     NotFresh,
     /// A message can't be encoded or decoded.
     #[snafu(display("{source}"))]
@@ -59,6 +59,6 @@
         source: FeedError,
     },
     /// [`Subscriber::reselect`](super::Subscriber::reselect) was called.
-    #[snafu(display("another choice was asked for"))]
+    #[snafu(display("another publisher is to be selected"))]
     Reselected,
 }
--- a/crates/subscription/tests/cache_index.rs
+++ b/crates/subscription/tests/cache_index.rs
@@ -97,7 +97,7 @@
     assert_eq!(
         store.apply(ToSubscriber::CacheIndex(update)),
         Err(FeedError::Gap { table: Table::CacheIndex }),
-        "the subscriber asks again with what it holds"
+        "the subscriber reconnects with its known positions"
     );
 }
 
--- a/crates/subscription/tests/store.rs
+++ b/crates/subscription/tests/store.rs
@@ -153,7 +153,8 @@
     let outcome = apply_all(&mut subscriber, publisher.updates_for(&known));
     assert_eq!(outcome, Err(FeedError::Gap { table: Table::Fleet }));
     let known = subscriber.known_positions();
-    apply_all(&mut subscriber, publisher.updates_for(&known)).expect("it asks with what it holds");
+    apply_all(&mut subscriber, publisher.updates_for(&known))
+        .expect("the updates for its known positions apply");
     assert_same(&subscriber, &publisher);
 }
 
@@ -207,7 +208,7 @@
     assert_eq!(publisher.updates_since(&sent), vec![ToSubscriber::Group(group(4))]);
 }
 
-/// Updates of the configuration that a subscriber gets which holds revision `base`.
+/// The update of the configuration for a subscriber that knows revision `base`.
 fn configuration_update(publisher: &FeedStore, base: u64) -> ConfigurationUpdate {
     let known = KnownPositions { configuration: base, ..KnownPositions::default() };
     match publisher.updates_for(&known).as_slice() {
@@ -282,7 +283,7 @@
         self.weights.insert(primary.weights().position, primary.weights().models.clone());
     }
 
-    /// A store holds nothing but what a primary has written.
+    /// Checks that a store has nothing but what a primary has written.
     fn check(&self, store: &FeedStore) {
         if let Some(configuration) = store.configuration() {
             assert_eq!(self.configurations.get(&configuration.revision), Some(&configuration));
--- a/crates/subscription/tests/subscriber.rs
+++ b/crates/subscription/tests/subscriber.rs
@@ -257,8 +257,8 @@
 fn freshness_ends_with_the_primarys_lease() {
     network::run(|executor| async move {
         let lease = Rc::new(Cell::new(true));
-        let held = Rc::clone(&lease);
-        let age = Rc::new(move || held.get().then_some(Duration::ZERO));
+        let observed = Rc::clone(&lease);
+        let age = Rc::new(move || observed.get().then_some(Duration::ZERO));
         let (_publisher, address) = publish(&executor, &store(), age, PublisherSettings::default());
         let subscriber = subscriber(&store(), SubscriberRole::Relay);
         follow(&executor, &subscriber, address);
