--- a/crates/control-plane/src/api/message.rs
+++ b/crates/control-plane/src/api/message.rs
@@ -1,16 +1,16 @@
-//! Requests and answers of the operator's interface.
+//! Requests and responses of the operator's API.
 
 use std::sync::Arc;
 
 use serde::Serialize;
 use tulipridge_http1::codec::Head;
 
-/// A request, read whole.
+/// A complete request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// The method.
     pub method: String,
-    /// The path, with its query.
+    /// The request target: the path with its query.
     pub target: String,
     /// The headers.
     pub head: Head,
@@ -26,46 +26,46 @@
     }
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// Its status.
     pub status: u16,
-    /// Headers beyond those of the framing.
+    /// Headers beyond those of the framing, as name and value.
     pub headers: Vec<(&'static str, String)>,
     /// Its body, as JSON.
     pub body: Arc<[u8]>,
 }
 
-/// The answer to a change that is in force.
+/// The body for a change that is in force.
 #[derive(Serialize)]
-pub(crate) struct Taken {
+pub(super) struct ChangeAccepted {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
 }
 
-/// The answer to a change that builds on another version.
+/// The body for a change that builds on another version.
 #[derive(Serialize)]
-pub(crate) struct Stale {
+pub(super) struct StaleBase {
     pub error: &'static str,
     pub current: u64,
 }
 
-/// The answer to a naming of weights that are older than others.
+/// The body for weights that are older than those named.
 #[derive(Serialize)]
-pub(crate) struct OldWeights {
+pub(super) struct OldWeights {
     pub error: &'static str,
     pub newest: u64,
 }
 
-/// The answer to a call that fails for another reason.
+/// The body for a request that fails for another reason.
 #[derive(Serialize)]
 struct Failure<'a> {
     error: &'a str,
 }
 
 impl Response {
-    /// An answer with a JSON body.
+    /// A response with a body that is written as JSON.
     pub fn json(status: u16, body: &impl Serialize) -> Response {
         match serde_json::to_vec(body) {
             Ok(text) => Response::text(status, text.into()),
@@ -73,16 +73,16 @@
         }
     }
 
-    /// An answer whose body is JSON already.
+    /// A response whose body is JSON already.
     #[must_use]
     pub fn text(status: u16, body: Arc<[u8]>) -> Response {
         Response { status, headers: Vec::new(), body }
     }
 
-    /// An answer that says why the call failed.
+    /// A response that says why the request failed.
     #[must_use]
-    pub fn error(status: u16, what: &str) -> Response {
-        Response::json(status, &Failure { error: what })
+    pub fn error(status: u16, reason: &str) -> Response {
+        Response::json(status, &Failure { error: reason })
     }
 
     /// Adds a header.
@@ -91,16 +91,16 @@
         self
     }
 
-    /// The answer's head.
+    /// The encoded head.
     #[must_use]
-    pub fn encode_head(&self, keep: bool) -> String {
-        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+    pub fn encode_head(&self, keeps_alive: bool) -> String {
+        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
             head.push_str(&format!("{name}: {value}\r\n"));
         }
         head.push_str("Content-Type: application/json\r\n");
         head.push_str(&format!("Content-Length: {}\r\n", self.body.len()));
-        if !keep {
+        if !keeps_alive {
             head.push_str("Connection: close\r\n");
         }
         head.push_str("\r\n");
@@ -108,7 +108,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         307 => "Temporary Redirect",
         412 => "Precondition Failed",
--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -1,8 +1,9 @@
-//! The operator's interface over HTTP.
+//! The operator's API over HTTP/1.1.
 //!
-//! Each call is declared beside its handler, in [`settings`], [`weights`] and [`status`].
+//! Each route is declared beside its handler, in [`settings`], [`weights`] and [`status`].
 
 mod connection;
+mod limits;
 mod message;
 mod settings;
 mod status;
@@ -19,7 +20,7 @@
 use async_io::{Async, Timer};
 use tulipridge_http1::within;
 
-pub use connection::ApiLimits;
+pub use limits::ApiLimits;
 pub use message::{Request, Response};
 pub use status::{IndexSize, ReplicaWeights, Status};
 
@@ -27,16 +28,16 @@
 use crate::state::Change;
 use crate::tenure::Tenure;
 
-/// How often it is looked whether there is a primary, while none is known.
-const STANDING_INTERVAL: Duration = Duration::from_millis(20);
-/// Seconds after which a caller is told to come again while no primary is known.
+/// How often the standing is read while no primary is known.
+const STANDING_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Seconds after which a caller may retry while no primary is known.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
-/// What the calls need of the control plane.
+/// What the API needs of the control plane.
 pub trait ControlPlane: 'static {
     /// Whether this member serves the operator, and who does if it does not.
     fn standing(&self) -> Standing;
-    /// Decides on a change and carries it out; returns once it is agreed on all holders' disks.
+    /// Decides on a change and carries it out; returns once it is on the disks of all members that hold the data.
     fn change(&self, change: Change) -> impl Future<Output = ChangeOutcome>;
     /// The newest document, as the operator sent it; none before the first one.
     fn document(&self) -> impl Future<Output = Option<Arc<[u8]>>>;
@@ -52,19 +53,19 @@
         /// Since when it is primary.
         tenure: Tenure,
     },
-    /// Another member, heard lately, is the primary.
+    /// Another member is the primary: a heartbeat of it came lately.
     Follower {
         /// The primary's machine.
         primary: Ipv4Addr,
     },
-    /// It is not known who is the primary, or this member is but has no lease.
+    /// No primary is known, or this member is the primary but has no lease.
     Unknown,
 }
 
 /// What became of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is agreed on, now or since before.
+    /// It is committed, now or by an earlier request.
     Taken,
     /// It builds on another version than the current one.
     Stale {
@@ -81,85 +82,85 @@
         /// The newest revision that was named.
         newest: u64,
     },
-    /// This member is not the primary: it has not begun.
+    /// This member is not the primary. The change was not begun and is safe to retry.
     NotPrimary,
     /// The member stopped being primary meanwhile: the change may come into force or not.
     Unknown,
 }
 
-type Handling = Pin<Box<dyn Future<Output = Response>>>;
+/// The response of a handler.
+type ResponseFuture = Pin<Box<dyn Future<Output = Response>>>;
 
-/// A call of the interface.
-pub(crate) struct Call<C> {
+/// A route of the API.
+struct Route<C> {
     method: &'static str,
     path: &'static str,
     access: Access,
-    handler: fn(Rc<C>, Request) -> Handling,
+    handler: fn(Rc<C>, Request) -> ResponseFuture,
 }
 
-/// Who answers a call.
+/// Which member handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Access {
-    /// The primary, within its lease; others send the caller there.
+    /// The primary, within its lease; others redirect the caller there.
     Primary,
     /// Any member.
     Any,
 }
 
-/// The calls.
-fn calls<C: ControlPlane>() -> [Call<C>; 5] {
+fn routes<C: ControlPlane>() -> [Route<C>; 5] {
     [settings::put(), settings::patch(), settings::get(), weights::put(), status::get()]
 }
 
-/// The operator's interface of one member.
+/// The operator's API of one member.
 pub struct Api<C> {
     control: Rc<C>,
     port: u16,
     limits: ApiLimits,
-    calls: [Call<C>; 5],
+    routes: [Route<C>; 5],
 }
 
 impl<C: ControlPlane> Api<C> {
-    /// The interface; other members have theirs at the same port.
+    /// The API; other members have theirs at the same port.
     pub fn new(control: Rc<C>, port: u16, limits: ApiLimits) -> Api<C> {
-        Api { control, port, limits, calls: calls() }
+        Api { control, port, limits, routes: routes() }
     }
 
-    /// Takes connections for ever.
+    /// Accepts connections for ever.
     pub async fn serve(self: Rc<Self>, executor: &LocalExecutor<'static>, listener: Async<TcpListener>) {
-        let take = |stream| executor.spawn(connection::run(self.clone(), stream)).detach();
-        accept_all(listener, "the operator", take).await;
+        let serve = |stream| executor.spawn(connection::run(self.clone(), stream)).detach();
+        accept_all(listener, "the operator", serve).await;
     }
 
-    /// Answers a request.
-    pub async fn answer(&self, request: Request) -> Response {
+    /// Handles a request.
+    pub async fn handle(&self, request: Request) -> Response {
         let path = request.path().to_owned();
-        let mut of_path = self.calls.iter().filter(|call| call.path == path).peekable();
+        let mut of_path = self.routes.iter().filter(|route| route.path == path).peekable();
         if of_path.peek().is_none() {
             return Response::error(404, "there is no such path");
         }
-        let Some(call) = of_path.find(|call| call.method == request.method) else {
+        let Some(route) = of_path.find(|route| route.method == request.method) else {
             return Response::error(405, "the path has no such method");
         };
-        if call.access == Access::Any {
-            return (call.handler)(self.control.clone(), request).await;
+        if route.access == Access::Any {
+            return (route.handler)(self.control.clone(), request).await;
         }
         match self.known_standing().await {
-            Standing::Primary { .. } => (call.handler)(self.control.clone(), request).await,
+            Standing::Primary { .. } => (route.handler)(self.control.clone(), request).await,
             Standing::Follower { primary } => self.redirect(primary, &request.target),
             Standing::Unknown => no_primary(),
         }
     }
 
-    /// The member's standing, once there is a primary or the time for it is over. A caller that is sent away at once
-    /// comes back later and later.
+    /// The member's standing, once there is a primary or the time for it is over. Callers that get a 503 back off, so it
+    /// is better to have them wait a little.
     async fn known_standing(&self) -> Standing {
         let known = async {
             while self.control.standing() == Standing::Unknown {
-                Timer::after(STANDING_INTERVAL).await;
+                Timer::after(STANDING_POLL_INTERVAL).await;
             }
         };
-        let _ = within(self.limits.primary, known).await;
+        let _ = within(self.limits.primary_timeout, known).await;
         self.control.standing()
     }
 
@@ -170,17 +171,17 @@
     }
 }
 
-/// The answer of a member that knows nobody to ask.
+/// The response of a member that knows no primary.
 fn no_primary() -> Response {
     Response::error(503, "no primary is known").with_header("Retry-After", RETRY_AFTER_SECONDS)
 }
 
-/// The answer to a change that leads to a revision.
-fn answer_change(outcome: ChangeOutcome, revision: Option<u64>) -> Response {
+/// The response to a change that leads to a revision.
+fn change_response(outcome: ChangeOutcome, revision: Option<u64>) -> Response {
     match outcome {
-        ChangeOutcome::Taken => Response::json(200, &message::Taken { revision }),
+        ChangeOutcome::Taken => Response::json(200, &message::ChangeAccepted { revision }),
         ChangeOutcome::Stale { current } => {
-            Response::json(412, &message::Stale { error: "another version is in place", current })
+            Response::json(412, &message::StaleBase { error: "another version is in place", current })
         }
         ChangeOutcome::Invalid { report } => Response::text(400, report.as_bytes().into()),
         ChangeOutcome::OldWeights { newest } => {
--- a/crates/control-plane/src/api/settings.rs
+++ b/crates/control-plane/src/api/settings.rs
@@ -5,51 +5,53 @@
 
 use serde::Deserialize;
 
-use super::{Access, Call, ControlPlane, Handling, Request, Response, Standing, answer_change, no_primary};
+use super::{
+    Access, ControlPlane, Request, Response, ResponseFuture, Route, Standing, change_response, no_primary,
+};
 use crate::state::Change;
 
 const PATH: &str = "/settings";
 
-/// Puts a whole configuration in the place of the one that it builds on.
-pub(super) fn put<C: ControlPlane>() -> Call<C> {
-    Call { method: "PUT", path: PATH, access: Access::Primary, handler: handle_put }
+/// Replaces the configuration that it builds on.
+pub(super) fn put<C: ControlPlane>() -> Route<C> {
+    Route { method: "PUT", path: PATH, access: Access::Primary, handler: handle_put }
 }
 
 /// Changes named items of the configuration that it builds on.
-pub(super) fn patch<C: ControlPlane>() -> Call<C> {
-    Call { method: "PATCH", path: PATH, access: Access::Primary, handler: handle_patch }
+pub(super) fn patch<C: ControlPlane>() -> Route<C> {
+    Route { method: "PATCH", path: PATH, access: Access::Primary, handler: handle_patch }
 }
 
 /// Reads the newest configuration.
-pub(super) fn get<C: ControlPlane>() -> Call<C> {
-    Call { method: "GET", path: PATH, access: Access::Primary, handler: handle_get }
+pub(super) fn get<C: ControlPlane>() -> Route<C> {
+    Route { method: "GET", path: PATH, access: Access::Primary, handler: handle_get }
 }
 
-fn handle_put<C: ControlPlane>(control: Rc<C>, request: Request) -> Handling {
+fn handle_put<C: ControlPlane>(control: Rc<C>, request: Request) -> ResponseFuture {
     Box::pin(async move {
-        let Ok(if_match) = base(&request) else { return bad_base() };
+        let Ok(if_match) = base_version(&request) else { return invalid_base_version() };
         let revision = stated_revision(&request.body);
         let change = Change::PutConfiguration { if_match, body: request.body };
-        answer_change(control.change(change).await, revision)
+        change_response(control.change(change).await, revision)
     })
 }
 
-fn handle_patch<C: ControlPlane>(control: Rc<C>, request: Request) -> Handling {
+fn handle_patch<C: ControlPlane>(control: Rc<C>, request: Request) -> ResponseFuture {
     Box::pin(async move {
-        let Ok(if_match) = base(&request) else { return bad_base() };
+        let Ok(if_match) = base_version(&request) else { return invalid_base_version() };
         let revision = stated_revision(&request.body);
         let change = Change::PatchConfiguration { if_match, body: request.body };
-        answer_change(control.change(change).await, revision)
+        change_response(control.change(change).await, revision)
     })
 }
 
-fn handle_get<C: ControlPlane>(control: Rc<C>, _: Request) -> Handling {
+fn handle_get<C: ControlPlane>(control: Rc<C>, _: Request) -> ResponseFuture {
     Box::pin(async move {
         let standing = control.standing();
         let document = control.document().await;
-        // Another primary may have taken a newer one while this one was read.
-        let is_unbroken = control.standing() == standing && matches!(standing, Standing::Primary { .. });
-        if !is_unbroken {
+        // Another primary may have committed a newer one while this one was read.
+        let is_current = control.standing() == standing && matches!(standing, Standing::Primary { .. });
+        if !is_current {
             return no_primary();
         }
         match document {
@@ -60,12 +62,12 @@
 }
 
 /// The version that a change builds on; none where it names none.
-fn base(request: &Request) -> Result<Option<u64>, ParseIntError> {
+fn base_version(request: &Request) -> Result<Option<u64>, ParseIntError> {
     let Some(value) = request.head.get("if-match") else { return Ok(None) };
     value.trim().trim_matches('"').parse().map(Some)
 }
 
-fn bad_base() -> Response {
+fn invalid_base_version() -> Response {
     Response::error(400, "If-Match must be the version that the change builds on")
 }
 
--- a/crates/control-plane/src/api/weights.rs
+++ b/crates/control-plane/src/api/weights.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use super::{Access, Call, ControlPlane, Handling, Request, Response, answer_change};
+use super::{Access, ControlPlane, Request, Response, ResponseFuture, Route, change_response};
 use crate::state::Change;
 
 #[derive(Deserialize)]
@@ -15,16 +15,17 @@
 }
 
 /// Names new weights.
-pub(super) fn put<C: ControlPlane>() -> Call<C> {
-    Call { method: "POST", path: "/version-put", access: Access::Primary, handler: handle }
+pub(super) fn put<C: ControlPlane>() -> Route<C> {
+    Route { method: "POST", path: "/version-put", access: Access::Primary, handler: handle }
 }
 
-fn handle<C: ControlPlane>(control: Rc<C>, request: Request) -> Handling {
+fn handle<C: ControlPlane>(control: Rc<C>, request: Request) -> ResponseFuture {
     Box::pin(async move {
         match serde_json::from_slice::<VersionPut>(&request.body) {
-            Ok(VersionPut { model, revision }) => {
-                answer_change(control.change(Change::NameWeights { model, revision }).await, Some(revision))
-            }
+            Ok(VersionPut { model, revision }) => change_response(
+                control.change(Change::NameWeights { model, revision }).await,
+                Some(revision),
+            ),
             Err(error) => Response::error(400, &format!("the body can't be read: {error}")),
         }
     })
--- a/crates/control-plane/src/http_client.rs
+++ b/crates/control-plane/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP/1.1 to the platform and to replicas, each within a time.
+//! An HTTP/1.1 client for calls to the platform and to replicas, each with a timeout.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,51 +8,51 @@
 use tulipridge_http1::codec::{self, Body, Head};
 use tulipridge_http1::{BufferedStream, Http1Limits, within};
 
-/// Interim answers that are skipped.
-const MOST_INTERIM: u32 = 8;
-/// Statuses below this one are those of interim answers.
+/// Interim responses (1xx) that are skipped before a final one.
+const MAX_INTERIM_RESPONSES: u32 = 8;
+/// Statuses below this one are those of interim responses.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Why a call has no answer. The other side may have taken it all the same.
+/// Why a call has no response. The server may have handled it all the same, but for [`CallError::Connect`].
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection came up: the other side has not seen the call.
+    /// No connection could be established: the server has not seen the call, which is safe to retry.
     #[snafu(display("no connection to {address}: {source}"))]
     Connect {
-        /// Who was called.
+        /// The server.
         address: SocketAddr,
-        /// What the system says.
+        /// Why.
         source: io::Error,
     },
-    /// The connection failed, or the time ran out.
+    /// The connection failed, the response is malformed, or the timeout has passed.
     #[snafu(display("the call to {address} has no answer: {source}"))]
     Broken {
-        /// Who was called.
+        /// The server.
         address: SocketAddr,
-        /// What the system says.
+        /// Why.
         source: io::Error,
     },
 }
 
-/// An answer, read whole.
+/// A complete response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: u16,
     /// Its body.
     pub body: Vec<u8>,
 }
 
-/// What is called.
+/// A request to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
     /// The method.
     pub method: &'a str,
-    /// The path, with its query.
+    /// The request target: the path with its query.
     pub target: &'a str,
-    /// Further headers.
+    /// Headers beyond those of the framing, as name and value.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The body, sent as JSON; none where it is empty.
+    /// The body, which is JSON; empty for none.
     pub body: &'a [u8],
 }
 
@@ -79,90 +79,103 @@
     }
 }
 
-/// Calls one address, over a kept connection where the last call left one in order.
+/// Calls one server, over the connection of the last call where that can be reused.
 pub struct HttpClient {
     address: SocketAddr,
     limits: Http1Limits,
-    kept: Option<BufferedStream>,
+    idle_connection: Option<BufferedStream>,
 }
 
 impl HttpClient {
-    /// Nothing is connected before the first call.
+    /// A client that connects when its first call is made.
     #[must_use]
     pub fn new(address: SocketAddr, limits: Http1Limits) -> HttpClient {
-        HttpClient { address, limits, kept: None }
+        HttpClient { address, limits, idle_connection: None }
     }
 
-    /// Makes a call and reads its answer within a time; a connection that must be made first has its own limit.
-    pub async fn call(&mut self, call: Call<'_>, timeout: Duration) -> Result<Answer, CallError> {
+    /// Makes a call and reads its response within `timeout`; establishing a connection has the timeout of the limits.
+    ///
+    /// # Errors
+    ///
+    /// If there is no complete response in time. Nothing is retried.
+    pub async fn call(&mut self, call: Call<'_>, timeout: Duration) -> Result<Response, CallError> {
         let address = self.address;
-        let kept = self.kept.take().filter(BufferedStream::is_quiet);
-        let mut wire = match kept {
-            Some(wire) => wire,
-            None => {
-                BufferedStream::connect(address, &self.limits).await.context(ConnectSnafu { address })?
-            }
-        };
-        // A call that is given up is withdrawn as far as that goes: the system must not deliver it later.
-        wire.abort = true;
+        let mut stream = self.connection().await.context(ConnectSnafu { address })?;
+        // A connection that is dropped in an exchange is reset: the system must not deliver the call later.
+        stream.abort = true;
         let request = call.encode(address);
-        let exchange = exchange(&mut wire, &request, &self.limits);
+        let exchange = exchange(&mut stream, &request, &self.limits);
         let done =
             within(timeout, exchange).await.and_then(|done| done).context(BrokenSnafu { address })?;
-        wire.abort = false;
-        if done.keep {
-            self.kept = Some(wire);
+        stream.abort = false;
+        if done.is_reusable {
+            self.idle_connection = Some(stream);
+        }
+        Ok(done.response)
+    }
+
+    /// The idle connection if it is still in order, else a new one.
+    async fn connection(&mut self) -> io::Result<BufferedStream> {
+        match self.idle_connection.take().filter(BufferedStream::is_quiet) {
+            Some(stream) => Ok(stream),
+            None => BufferedStream::connect(self.address, &self.limits).await,
         }
-        Ok(done.answer)
     }
 }
 
+/// A complete exchange of a request and its response.
 struct Exchange {
-    answer: Answer,
-    keep: bool,
+    response: Response,
+    /// Whether another call may use the connection.
+    is_reusable: bool,
 }
 
-async fn exchange(wire: &mut BufferedStream, request: &[u8], limits: &Http1Limits) -> io::Result<Exchange> {
-    wire.write(request).await?;
-    let head = read_head(wire, limits).await?;
+async fn exchange(
+    stream: &mut BufferedStream,
+    request: &[u8],
+    limits: &Http1Limits,
+) -> io::Result<Exchange> {
+    stream.write(request).await?;
+    let head = read_head(stream, limits).await?;
     let framing = head.response_body().map_err(|bad| io::Error::other(bad.what))?;
-    let keep = framing != Body::UntilClose && head.keeps_alive(&head.start[0]);
-    let body = read_body(wire, framing, limits).await?;
-    Ok(Exchange { answer: Answer { status: head.status(), body }, keep: keep && wire.buf.is_empty() })
+    let keeps_alive = framing != Body::UntilClose && head.keeps_alive(&head.start[0]);
+    let body = read_body(stream, framing, limits).await?;
+    let is_reusable = keeps_alive && stream.buf.is_empty();
+    Ok(Exchange { response: Response { status: head.status(), body }, is_reusable })
 }
 
-/// Reads the head of the final answer.
-async fn read_head(wire: &mut BufferedStream, limits: &Http1Limits) -> io::Result<Head> {
-    let mut interim = 0;
+/// Reads the head of the final response.
+async fn read_head(stream: &mut BufferedStream, limits: &Http1Limits) -> io::Result<Head> {
+    let mut interim_responses = 0;
     loop {
-        match codec::response_head(&mut wire.buf, limits).map_err(|bad| io::Error::other(bad.what))? {
+        match codec::response_head(&mut stream.buf, limits).map_err(|bad| io::Error::other(bad.what))? {
             Some(head) if head.status() >= FIRST_FINAL_STATUS => return Ok(head),
-            Some(_) if interim == MOST_INTERIM => {
+            Some(_) if interim_responses == MAX_INTERIM_RESPONSES => {
                 return Err(io::Error::other("interim answers without end"));
             }
-            Some(_) => interim += 1,
-            None if wire.fill(limits).await? == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
+            Some(_) => interim_responses += 1,
+            None if stream.fill(limits).await? == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
             None => {}
         }
     }
 }
 
 async fn read_body(
-    wire: &mut BufferedStream,
+    stream: &mut BufferedStream,
     mut framing: Body,
     limits: &Http1Limits,
 ) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     loop {
-        let whole =
-            framing.take(&mut wire.buf, &mut body, limits).map_err(|bad| io::Error::other(bad.what))?;
-        if whole {
+        let is_complete =
+            framing.take(&mut stream.buf, &mut body, limits).map_err(|bad| io::Error::other(bad.what))?;
+        if is_complete {
             return Ok(body);
         }
         if body.len() > limits.body_bytes {
             return Err(io::Error::other("the answer is too long"));
         }
-        if wire.fill(limits).await? == 0 {
+        if stream.fill(limits).await? == 0 {
             return match framing {
                 Body::UntilClose => Ok(body),
                 _ => Err(io::ErrorKind::UnexpectedEof.into()),
--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -15,7 +15,7 @@
 
 use super::answer::{AnswerError, read_events, read_list};
 use super::outbox::Outbox;
-use crate::http_client::{Answer, Call, CallError, HttpClient};
+use crate::http_client::{Call, CallError, HttpClient, Response};
 
 /// Time for which a source holds a call while it has nothing to tell.
 const LONGEST_WAIT: &str = "1000";
@@ -202,7 +202,7 @@
     }
 
     /// A connection that breaks may just have been too old, so the call is made once more on a new one.
-    async fn call(&mut self, call: Call<'_>) -> Result<Answer, FollowError> {
+    async fn call(&mut self, call: Call<'_>) -> Result<Response, FollowError> {
         let answer = match self.client.call(call, ANSWER_TIMEOUT).await {
             Err(CallError::Broken { source, .. }) if source.kind() != io::ErrorKind::TimedOut => {
                 self.client.call(call, ANSWER_TIMEOUT).await
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -3,7 +3,6 @@
 mod accept;
 pub mod api;
 pub mod change;
-pub mod control_plane;
 pub mod delivery;
 pub mod discovery;
 pub mod disk;
@@ -12,6 +11,7 @@
 pub mod index;
 pub mod links;
 pub mod member;
+pub mod operator_view;
 pub mod replication;
 pub mod rollout;
 pub mod server;
--- a/crates/control-plane/src/links/inbound.rs
+++ b/crates/control-plane/src/links/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections on which other members send.
+//! Connections that other members have opened, and send on.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -14,34 +14,34 @@
 
 use crate::accept::accept_all;
 
-/// Bytes read at once.
-const READ_BYTES: usize = 64 * 1024;
+/// Bytes of a read.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
 /// A connection without traffic is probed after this time.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
 /// Time between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection.
+/// Probes without an acknowledgement that end a connection.
 const KEEPALIVE_PROBES: u32 = 3;
 
-/// Takes connections for ever.
+/// Accepts connections for ever.
 pub(super) async fn serve(
     executor: &LocalExecutor<'static>,
     listener: Async<TcpListener>,
     on_message: Rc<dyn Fn(Envelope)>,
 ) {
-    let take = |stream| executor.spawn(follow(stream, on_message.clone())).detach();
-    accept_all(listener, "members", take).await;
+    let serve = |stream| executor.spawn(receive(stream, on_message.clone())).detach();
+    accept_all(listener, "members", serve).await;
 }
 
-async fn follow(stream: Async<TcpStream>, on_message: Rc<dyn Fn(Envelope)>) {
-    if let Err(error) = read(stream, &*on_message).await {
+async fn receive(stream: Async<TcpStream>, on_message: Rc<dyn Fn(Envelope)>) {
+    if let Err(error) = read_messages(stream, &*on_message).await {
         log::debug!(error:% = error; "a connection of a member ended");
     }
 }
 
-async fn read(mut stream: Async<TcpStream>, on_message: &dyn Fn(Envelope)) -> io::Result<()> {
-    probe_when_idle(&stream)?;
-    let mut chunk = vec![0; READ_BYTES];
+async fn read_messages(mut stream: Async<TcpStream>, on_message: &dyn Fn(Envelope)) -> io::Result<()> {
+    enable_keepalive(&stream)?;
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
     let mut buffer = Vec::new();
     loop {
         let count = stream.read(&mut chunk).await?;
@@ -55,7 +55,8 @@
     }
 }
 
-fn probe_when_idle(stream: &Async<TcpStream>) -> io::Result<()> {
+/// Has the system probe an idle connection, since a peer that is cut off ends it by no packet.
+fn enable_keepalive(stream: &Async<TcpStream>) -> io::Result<()> {
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_INTERVAL)
--- a/crates/control-plane/src/links/mod.rs
+++ b/crates/control-plane/src/links/mod.rs
@@ -1,13 +1,13 @@
 //! Connections between the members of the control plane.
 //!
-//! Each member dials those it has something to say to and takes connections from all others, so a connection
-//! carries messages one way. Messages may be lost; who needs an answer asks again.
+//! Each member connects to those it has messages for and accepts connections of all others, so a connection carries
+//! messages one way. Messages may be lost; the replication repeats those that it needs.
 //!
-//! Entries and parts of the data have a connection of their own, so that heartbeats never wait behind them:
+//! Log entries and chunks of the state have a connection of their own, so that heartbeats never wait behind them:
 //! a configuration of 1.3 MB takes a second on a link of 10 Mbit/s, longer than a lease.
 
-mod inbound;
-mod outbound;
+mod incoming;
+mod outgoing;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,60 +19,67 @@
 use async_io::Async;
 use tulipridge_protocol::replication::{Envelope, ReplicationMessage};
 
-/// Messages that wait for one connection; more are dropped.
-const QUEUE_LENGTH: usize = 1_024;
+/// Messages that are queued for one connection; more are dropped.
+const QUEUE_CAPACITY: usize = 1_024;
 
-/// What a connection is for.
+/// Which messages a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Channel {
-    /// Short messages that someone waits for.
+enum LinkKind {
+    /// Short messages that must not be delayed.
     Control,
-    /// Entries and parts of the data.
+    /// Log entries and chunks of the state.
     Data,
 }
 
-impl Channel {
-    fn of(message: &ReplicationMessage) -> Channel {
+impl LinkKind {
+    fn of(message: &ReplicationMessage) -> LinkKind {
         match message {
-            ReplicationMessage::Append { .. } | ReplicationMessage::Sync { .. } => Channel::Data,
-            _ => Channel::Control,
+            ReplicationMessage::Append { .. } | ReplicationMessage::Sync { .. } => LinkKind::Data,
+            _ => LinkKind::Control,
         }
     }
 }
 
-/// Sends messages to other members.
+/// An outgoing connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct LinkKey {
+    peer: Ipv4Addr,
+    kind: LinkKind,
+}
+
+/// Sends messages to other members, and receives theirs.
 pub struct Links {
     executor: Rc<LocalExecutor<'static>>,
     port: u16,
-    queues: RefCell<BTreeMap<(Ipv4Addr, Channel), Sender<Envelope>>>,
+    queues: RefCell<BTreeMap<LinkKey, Sender<Envelope>>>,
 }
 
 impl Links {
-    /// No connections yet. All members take messages at this port.
+    /// Links without any connection yet. All members accept connections at this port.
     pub fn new(executor: Rc<LocalExecutor<'static>>, port: u16) -> Links {
         Links { executor, port, queues: RefCell::new(BTreeMap::new()) }
     }
 
-    /// Sends a message as soon as the member's machine takes it, or loses it.
+    /// Queues a message for its receiver. It is dropped if the queue is full or the connection fails.
     pub fn send(&self, envelope: Envelope) {
-        let address = envelope.to.address();
-        let channel = Channel::of(&envelope.message);
+        let peer = envelope.to.address();
+        let key = LinkKey { peer, kind: LinkKind::of(&envelope.message) };
         let mut queues = self.queues.borrow_mut();
-        let queue = queues.entry((address, channel)).or_insert_with(|| self.open(address));
+        let queue = queues.entry(key).or_insert_with(|| self.open(peer));
         if queue.try_send(envelope).is_err() {
-            log::warn!(member:% = address; "messages to a member are dropped: it takes none");
+            log::warn!(member:% = peer; "messages to a member are dropped: its queue is full");
         }
     }
 
-    fn open(&self, address: Ipv4Addr) -> Sender<Envelope> {
-        let (sender, receiver) = async_channel::bounded(QUEUE_LENGTH);
-        let socket = SocketAddr::from((address, self.port));
-        self.executor.spawn(outbound::run(socket, receiver)).detach();
+    fn open(&self, peer: Ipv4Addr) -> Sender<Envelope> {
+        let (sender, receiver) = async_channel::bounded(QUEUE_CAPACITY);
+        let address = SocketAddr::from((peer, self.port));
+        self.executor.spawn(outgoing::run(address, receiver)).detach();
         sender
     }
 
-    /// Takes connections of other members for ever, and hands on what they say.
+    /// Accepts connections of other members for ever, and passes each message to `on_message`.
     pub async fn serve(self: Rc<Self>, listener: Async<TcpListener>, on_message: Rc<dyn Fn(Envelope)>) {
-        inbound::serve(&self.executor, listener, on_message).await;
+        incoming::serve(&self.executor, listener, on_message).await;
     }
 }
--- a/crates/control-plane/src/links/outbound.rs
+++ b/crates/control-plane/src/links/outgoing.rs
@@ -1,10 +1,10 @@
-//! The connection on which a member sends to another one.
+//! A connection on which a member sends to another one.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use async_channel::{Receiver, RecvError};
+use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use socket2::SockRef;
@@ -12,66 +12,70 @@
 use tulipridge_protocol::frame;
 use tulipridge_protocol::replication::Envelope;
 
-/// Time for a connection to come up.
+/// Time for a connection to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A connection that moves no bytes for this time while some wait is given up.
+/// A connection that moves no bytes for this time while some are waiting is given up.
 const STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The first pause after a connection failed; it doubles with each further one.
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest such pause.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(400);
-/// Messages are written together up to this size.
-const BATCH_BYTES: usize = 64 * 1024;
+/// The backoff after a failed attempt to connect; it doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+/// Messages are written together until a batch has this length.
+const MIN_FULL_BATCH_BYTES: usize = 64 * 1024;
 
-/// Sends what is queued for a member, for as long as the queue is open.
+/// Sends what is queued for a member until the queue is closed. A connection is opened when there is a message for it.
 pub(super) async fn run(address: SocketAddr, queue: Receiver<Envelope>) {
-    let mut backoff = FIRST_BACKOFF;
+    let mut backoff = INITIAL_BACKOFF;
     while let Ok(first) = queue.recv().await {
         match connect(address).await {
             Ok(stream) => {
-                backoff = FIRST_BACKOFF;
-                if let Err(error) = pump(stream, first, &queue).await {
+                backoff = INITIAL_BACKOFF;
+                if let Err(error) = send_queued(stream, first, &queue).await {
                     log::debug!(member:% = address, error:% = error; "a connection to a member ended");
                 }
             }
             Err(error) => {
                 log::debug!(member:% = address, error:% = error; "a member can't be reached");
                 Timer::after(backoff).await;
-                backoff = (backoff * 2).min(LONGEST_BACKOFF);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
-        discard_waiting(&queue);
+        discard_queued(&queue);
     }
 }
 
-/// Drops what waited for a connection that failed: it may be out of date, and its sender will ask again.
-fn discard_waiting(queue: &Receiver<Envelope>) {
+/// Drops what was queued for a connection that failed: it may be out of date, and the replication sends again what it
+/// still needs.
+fn discard_queued(queue: &Receiver<Envelope>) {
     while queue.try_recv().is_ok() {}
 }
 
 async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let stream = within(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await??;
     stream.get_ref().set_nodelay(true)?;
-    // Guards against a peer behind a silent cut: what it does not acknowledge ends the connection.
+    // A peer behind a network partition resets nothing: bytes that it does not acknowledge end the connection.
     SockRef::from(stream.get_ref()).set_tcp_user_timeout(Some(STALL_TIMEOUT))?;
     Ok(stream)
 }
 
-async fn pump(stream: Async<TcpStream>, first: Envelope, queue: &Receiver<Envelope>) -> io::Result<()> {
+/// Sends the first message and those of the queue, until the queue is closed.
+async fn send_queued(
+    stream: Async<TcpStream>,
+    first: Envelope,
+    queue: &Receiver<Envelope>,
+) -> io::Result<()> {
     let mut next = first;
     loop {
         let mut batch = Vec::new();
         append(&next, &mut batch);
-        while batch.len() < BATCH_BYTES
+        while batch.len() < MIN_FULL_BATCH_BYTES
             && let Ok(envelope) = queue.try_recv()
         {
             append(&envelope, &mut batch);
         }
         write_all(&stream, &batch).await?;
-        next = match next_message(&stream, queue).await? {
-            Ok(envelope) => envelope,
-            Err(RecvError) => return Ok(()),
-        };
+        let Some(envelope) = next_message(&stream, queue).await? else { return Ok(()) };
+        next = envelope;
     }
 }
 
@@ -89,12 +93,13 @@
     Ok(())
 }
 
-/// Waits for the next message, and for the end of the connection, which carries nothing the other way.
+/// Waits for the next message; none if the queue is closed. Fails when the connection ends, which carries nothing the
+/// other way.
 async fn next_message(
     mut stream: &Async<TcpStream>,
     queue: &Receiver<Envelope>,
-) -> io::Result<Result<Envelope, RecvError>> {
-    let message = async { Ok(queue.recv().await) };
+) -> io::Result<Option<Envelope>> {
+    let message = async { Ok(queue.recv().await.ok()) };
     let end = async {
         stream.read(&mut [0]).await?;
         Err(io::ErrorKind::UnexpectedEof.into())
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/operator_view.rs
@@ -1,4 +1,4 @@
-//! What the operator's interface asks of a member.
+//! A member as the operator's API sees it.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,35 +16,37 @@
 use crate::singleton::LeaseStatus;
 use crate::state::Change;
 
-/// The duties of a primary.
-const DUTIES: [&str; 3] = ["discovery", "index", "rollout"];
+/// The singleton roles, by the names that `/status` gives them.
+const SINGLETON_ROLES: [&str; 3] = ["discovery", "index", "rollout"];
 
-struct Request {
+/// A change that waits for those before it.
+struct QueuedChange {
     change: Change,
     reply: Sender<ChangeOutcome>,
 }
 
-/// A member as the operator sees it. Changes are carried out one at a time, each on top of the last.
+/// A member as the operator sees it. Changes are carried out one at a time, each on top of the one before.
 pub struct OperatorView {
     name: String,
     node: NodeId,
     member: Rc<Member>,
     delivery: Rc<Delivery>,
-    requests: Sender<Request>,
-    queue: Receiver<Request>,
+    sender: Sender<QueuedChange>,
+    queue: Receiver<QueuedChange>,
 }
 
 impl OperatorView {
     /// A view of this member.
     pub fn new(name: String, node: NodeId, member: Rc<Member>, delivery: Rc<Delivery>) -> Rc<OperatorView> {
-        let (requests, queue) = async_channel::unbounded();
-        Rc::new(OperatorView { name, node, member, delivery, requests, queue })
+        let (sender, queue) = async_channel::unbounded();
+        Rc::new(OperatorView { name, node, member, delivery, sender, queue })
     }
 
     /// Carries out changes for ever.
     pub async fn run(self: Rc<Self>) {
-        while let Ok(Request { change, reply }) = self.queue.recv().await {
+        while let Ok(QueuedChange { change, reply }) = self.queue.recv().await {
             let outcome = change::carry_out(&*self.member, change).await;
+            // The caller may have closed its connection meanwhile.
             let _ = reply.try_send(outcome);
         }
     }
@@ -63,7 +65,7 @@
 
     async fn change(&self, change: Change) -> ChangeOutcome {
         let (reply, outcome) = async_channel::bounded(1);
-        if self.requests.try_send(Request { change, reply }).is_err() {
+        if self.sender.try_send(QueuedChange { change, reply }).is_err() {
             return ChangeOutcome::Unknown;
         }
         outcome.recv().await.unwrap_or(ChangeOutcome::Unknown)
@@ -82,17 +84,17 @@
             node: self.node.to_string(),
             name: self.name.clone(),
             role: role_name(role),
-            lease: self.member.is_primary(),
+            has_lease: self.member.is_primary(),
             epoch,
             voters: names(&needed_voters(&view)),
             holders: names(&view.holders),
             primary: self.member.known_primary().map(|node| node.to_string()),
             configuration: self.delivery.revision(),
-            weights: self.delivery.weights().into_iter().map(|line| (line.model, line.named)).collect(),
+            weights: self.named_weights(),
             replicas: self.delivery.replicas(),
             replica_weights: self.delivery.replica_weights(),
-            kept_index: self.delivery.index_size(),
-            duties: self.duties(),
+            cache_index: self.delivery.index_size(),
+            singleton_roles: self.singleton_roles(),
             age_ms: self.delivery.age().map(|age| age.as_millis() as u64),
             subscribers: self.delivery.subscribers(),
             gateways: self.delivery.gateways(),
@@ -101,10 +103,16 @@
 }
 
 impl OperatorView {
-    fn duties(&self) -> BTreeMap<&'static str, String> {
+    fn named_weights(&self) -> BTreeMap<String, u64> {
+        self.delivery.weights().into_iter().map(|weights| (weights.model, weights.named)).collect()
+    }
+
+    /// Who has each singleton role: this member, or the primary if it is another one.
+    fn singleton_roles(&self) -> BTreeMap<&'static str, String> {
         let primary = self.member.known_primary().filter(|primary| *primary != self.node);
-        let holder = self.member.singleton_lease().map(|_| self.node).or(primary);
-        holder.map(|holder| DUTIES.map(|duty| (duty, holder.to_string())).into()).unwrap_or_default()
+        let lease_holder = self.member.singleton_lease().map(|_| self.node).or(primary);
+        let Some(lease_holder) = lease_holder else { return BTreeMap::new() };
+        SINGLETON_ROLES.map(|role| (role, lease_holder.to_string())).into()
     }
 }
 
--- a/crates/control-plane/src/server/build.rs
+++ b/crates/control-plane/src/server/build.rs
@@ -16,10 +16,10 @@
 use super::start::StartedMember;
 use super::{Server, SingletonRoles};
 use crate::api::{Api, ApiLimits};
-use crate::control_plane::OperatorView;
 use crate::delivery::Delivery;
 use crate::discovery::Discovery;
 use crate::index::KeptIndex;
+use crate::operator_view::OperatorView;
 use crate::rollout::{Event, PlannerSettings, Rollout};
 use crate::singleton::SingletonContext;
 
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -23,11 +23,11 @@
 use tulipridge_runtime::signals::{ProcessSignal, SignalStream};
 
 use crate::api::Api;
-use crate::control_plane::OperatorView;
 use crate::delivery::Delivery;
 use crate::discovery::Discovery;
 use crate::index::KeptIndex;
 use crate::member::Member;
+use crate::operator_view::OperatorView;
 use crate::rollout::{Event, Rollout};
 
 pub use error::ServerError;
--- a/crates/control-plane/src/state/command.rs
+++ b/crates/control-plane/src/state/command.rs
@@ -1,4 +1,5 @@
-//! Commands: what the members agree on.
+//! Commands: what the members replicate. Their encoding is stored and sent: the order of variants and fields is part of
+//! it.
 
 use std::sync::Arc;
 
@@ -6,10 +7,10 @@
 use tulipridge_configuration::encoding::{self, EncodingError, Format};
 use tulipridge_configuration::{AcceptedChange, ChangeEntry};
 
-/// The form of an encoded command.
+/// The format of an encoded command.
 const COMMAND_FORMAT: Format = Format(*b"CMD2");
 
-/// A change that was decided on, as the members agree on it.
+/// A change that was accepted, as the members replicate it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Command {
     /// Puts a configuration in force, on top of the one that it was decided on.
@@ -26,9 +27,9 @@
 /// A change that was accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Accepted {
-    /// What the members have to agree on.
+    /// The encoded command, to be proposed.
     pub command: Arc<[u8]>,
-    /// The same, ready to be applied.
+    /// The same in memory, ready to be applied.
     pub(super) prepared: Prepared,
 }
 
@@ -40,12 +41,16 @@
 }
 
 impl Command {
-    /// The command from its bytes.
+    /// Decodes a command.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are of another format.
     pub fn from_bytes(bytes: &[u8]) -> Result<Command, EncodingError> {
         encoding::decode(COMMAND_FORMAT, bytes)
     }
 
-    /// The command as bytes.
+    /// Encodes the command.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         encoding::encode(COMMAND_FORMAT, self)
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The agreed state: the operator's configuration and the weights that were named.
+//! The replicated state: the operator's configuration and the weights that were named.
 //!
 //! No I/O and no clock: the same commands in the same order lead to the same state at every member.
 
@@ -17,24 +17,24 @@
 pub use command::{Accepted, Command};
 pub use weights::{NamedWeights, WeightsDecision};
 
-/// The form of a snapshot.
+/// The format of a snapshot.
 const SNAPSHOT_FORMAT: Format = Format(*b"STA2");
 
-/// A change that the operator asks for.
+/// A change that the operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A whole configuration.
+    /// Replaces the configuration.
     PutConfiguration {
         /// The version that it builds on.
         if_match: Option<u64>,
         /// The document.
         body: Vec<u8>,
     },
-    /// A change of named items.
+    /// Changes some items of the configuration.
     PatchConfiguration {
         /// The version that it builds on.
         if_match: Option<u64>,
-        /// What is changed.
+        /// The items.
         body: Vec<u8>,
     },
     /// New weights of a model.
@@ -46,10 +46,10 @@
     },
 }
 
-/// The answer to a change.
+/// The decision on a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// The same change was taken before.
+    /// The same change was accepted before.
     AlreadyTaken,
     /// It builds on another version than the current one.
     Stale {
@@ -58,7 +58,7 @@
     },
     /// The configuration is not valid.
     InvalidConfiguration {
-        /// What is wrong.
+        /// Why.
         findings: Findings,
     },
     /// The weights are older than those named, and were never named themselves.
@@ -66,55 +66,55 @@
         /// The newest revision that was named.
         newest: u64,
     },
-    /// It is to be agreed on.
+    /// It is accepted, and takes effect once its command is committed.
     Accept(Box<Accepted>),
 }
 
-/// What has become of a command's call.
+/// What a command has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Its configuration was taken, by this command or by an earlier one of the same call.
+    /// Its configuration is in force, by this command or by an earlier one of the same request.
     Configuration,
-    /// Its weights were named, by this command or by an earlier one of the same call.
+    /// Its weights are named, by this command or by an earlier one of the same request.
     Weights,
-    /// It was not taken: the command built on a state that was no longer in force.
+    /// Nothing: the command built on a state that was no longer in force.
     Superseded,
 }
 
-/// Why a command or a snapshot gives no state. The member must not go on with the state it has.
+/// Why a command or a snapshot can't be applied. The member must not go on with the state it has.
 #[derive(Debug, Snafu)]
 pub enum StateError {
     /// The bytes can't be decoded.
     #[snafu(display("the agreed state can't be decoded: {source}"))]
     Encoding {
-        /// What is wrong with them.
+        /// Why.
         source: EncodingError,
     },
     /// The configuration in a snapshot can't be used.
     #[snafu(display("a snapshot's configuration can't be used: {source}"))]
     Configuration {
-        /// What is wrong with it.
+        /// Why.
         source: SnapshotError,
     },
     /// The weights in a snapshot can't be used.
     #[snafu(display("the remembered namings of weights are cut"))]
     Weights,
-    /// This member's state isn't that of the member which decided.
+    /// This member's state differs from that of the member which decided.
     #[snafu(display("this member's state has diverged: {source}"))]
     Diverged {
-        /// Where it shows.
+        /// Where they differ.
         source: ApplyError,
     },
 }
 
-/// The agreed state.
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     configuration: ConfigurationState,
     weights: NamedWeights,
 }
 
-/// A state's form in a snapshot.
+/// The encoded form of a state. Stored: the order of fields is part of the format.
 #[derive(Encode, Decode)]
 struct Snapshot {
     #[musli(bytes)]
@@ -168,7 +168,11 @@
         }
     }
 
-    /// Applies a command.
+    /// Applies a committed command.
+    ///
+    /// # Errors
+    ///
+    /// If the command can't be decoded, or this member's state differs from that of the member which decided.
     pub fn apply(&mut self, command: &[u8]) -> Result<Applied, StateError> {
         match Command::from_bytes(command).context(EncodingSnafu)? {
             Command::Configure(entry) => {
@@ -179,7 +183,11 @@
         }
     }
 
-    /// Applies a change that this member itself has decided on.
+    /// Applies a committed change that this member itself has decided on.
+    ///
+    /// # Errors
+    ///
+    /// If this member's state has changed since in a way that no committed command explains.
     pub fn apply_accepted(&mut self, accepted: Accepted) -> Result<Applied, StateError> {
         match accepted.prepared {
             Prepared::Configure(change) => {
@@ -199,7 +207,7 @@
         Applied::Weights
     }
 
-    /// The state as bytes.
+    /// Encodes the state.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         let snapshot = Snapshot {
@@ -209,7 +217,11 @@
         encoding::encode(SNAPSHOT_FORMAT, &snapshot)
     }
 
-    /// The state from the bytes of [`State::snapshot`]; the empty state from none.
+    /// Decodes the bytes of [`State::snapshot`]; none stand for the empty state.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are of another format, or incomplete.
     pub fn restore(snapshot: &[u8]) -> Result<State, StateError> {
         if snapshot.is_empty() {
             return Ok(State::default());
--- a/crates/control-plane/src/state/weights.rs
+++ b/crates/control-plane/src/state/weights.rs
@@ -5,14 +5,14 @@
 use musli::{Decode, Encode};
 use tulipridge_configuration::{RememberedCalls, RequestDigest};
 
-/// The newest weights of each model, and the namings that are known when they are sent again.
+/// The newest weights of each model, and the digests by which repeated requests are recognized.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NamedWeights {
     newest: BTreeMap<String, u64>,
-    taken: RememberedCalls,
+    accepted: RememberedCalls,
 }
 
-/// The answer to a naming of weights.
+/// The decision on a request that names weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightsDecision {
     /// They were named before.
@@ -26,16 +26,16 @@
     Accept,
 }
 
-/// Their form in a snapshot.
+/// Their encoded form in a snapshot. Stored: the order of fields is part of the format.
 #[derive(Encode, Decode)]
 pub(super) struct Snapshot {
     newest: BTreeMap<String, u64>,
     #[musli(bytes)]
-    taken: Vec<u8>,
+    accepted: Vec<u8>,
 }
 
 impl NamedWeights {
-    /// Decides on a naming; nothing changes.
+    /// Decides on a request that names weights; nothing changes.
     #[must_use]
     pub fn decide(&self, model: &str, revision: u64) -> WeightsDecision {
         match self.newest.get(model) {
@@ -46,15 +46,16 @@
     }
 
     fn decide_older(&self, model: &str, revision: u64, newest: u64) -> WeightsDecision {
-        match self.taken.contains(&RequestDigest::of_weights(model, revision)) {
-            true => WeightsDecision::AlreadyNamed,
-            false => WeightsDecision::Old { newest },
+        if self.accepted.contains(&RequestDigest::of_weights(model, revision)) {
+            WeightsDecision::AlreadyNamed
+        } else {
+            WeightsDecision::Old { newest }
         }
     }
 
     /// Names weights that are newer than all before.
     pub(super) fn name(&mut self, model: String, revision: u64) {
-        self.taken.remember(RequestDigest::of_weights(&model, revision));
+        self.accepted.remember(RequestDigest::of_weights(&model, revision));
         self.newest.insert(model, revision);
     }
 
@@ -65,12 +66,12 @@
     }
 
     pub(super) fn to_snapshot(&self) -> Snapshot {
-        Snapshot { newest: self.newest.clone(), taken: self.taken.to_bytes() }
+        Snapshot { newest: self.newest.clone(), accepted: self.accepted.to_bytes() }
     }
 
-    /// None if the remembered namings are no whole digests.
+    /// Restores from a snapshot; none if its digests are incomplete.
     pub(super) fn from_snapshot(snapshot: Snapshot) -> Option<Self> {
-        let taken = RememberedCalls::from_bytes(&snapshot.taken)?;
-        Some(NamedWeights { newest: snapshot.newest, taken })
+        let accepted = RememberedCalls::from_bytes(&snapshot.accepted)?;
+        Some(NamedWeights { newest: snapshot.newest, accepted })
     }
 }
--- a/crates/control-plane/tests/api.rs
+++ b/crates/control-plane/tests/api.rs
@@ -1,4 +1,4 @@
-//! Whole exchanges with the operator's interface.
+//! Complete exchanges with the operator's API.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -22,7 +22,7 @@
 const OTHER: Standing = Standing::Follower { primary: Ipv4Addr::new(10, 0, 0, 7) };
 const OPERATOR_PORT: u16 = 8683;
 
-/// A control plane that gives the answers that it was told.
+/// A control plane that gives scripted results.
 #[derive(Default)]
 struct Scripted {
     standing: Cell<Option<Standing>>,
@@ -67,8 +67,8 @@
             role: "backup",
             replicas: 3,
             replica_weights,
-            kept_index: IndexSize { sources: 4, entries: 1_200 },
-            duties: BTreeMap::from([("discovery", "10.0.0.7/0".to_owned())]),
+            cache_index: IndexSize { sources: 4, entries: 1_200 },
+            singleton_roles: BTreeMap::from([("discovery", "10.0.0.7/0".to_owned())]),
             ..Status::default()
         }
     }
@@ -95,7 +95,7 @@
 }
 
 fn exchange(control: &Rc<Scripted>, sent: &str) -> String {
-    let limits = ApiLimits { primary: Duration::ZERO, ..ApiLimits::default() };
+    let limits = ApiLimits { primary_timeout: Duration::ZERO, ..ApiLimits::default() };
     exchange_within(control, limits, sent.replace('\n', "\r\n").as_bytes())
 }
 
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_change_in_chunks_is_taken_whole() {
+fn a_change_in_chunks_is_read_completely() {
     let control = control(ChangeOutcome::Taken);
     let sent = "PATCH /settings HTTP/1.1
 Host: x
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn an_unknown_outcome_promises_nothing() {
+fn an_unknown_outcome_is_reported_as_such() {
     assert_snapshot!(exchange(&control(ChangeOutcome::Unknown), PUT), @r#"
     HTTP/1.1 504 Gateway Timeout
     Content-Type: application/json
@@ -212,7 +212,7 @@
 #[rstest]
 #[case::change(PUT)]
 #[case::reading(GET)]
-fn without_a_primary_the_caller_comes_again(#[case] sent: &str) {
+fn without_a_primary_the_caller_is_asked_to_retry(#[case] sent: &str) {
     let answer = exchange(&at(Standing::Unknown), sent);
     assert!(answer.starts_with("HTTP/1.1 503 Service Unavailable\nRetry-After: 0.2\n"), "{answer}");
 }
@@ -224,7 +224,7 @@
 fn a_call_waits_for_the_next_primary(#[case] next: Standing, #[case] expected: &str) {
     let control = Scripted { standing_after_looks: Some((3, next)), ..Scripted::default() };
     control.standing.set(Some(Standing::Unknown));
-    let limits = ApiLimits { primary: Duration::from_secs(5), ..ApiLimits::default() };
+    let limits = ApiLimits { primary_timeout: Duration::from_secs(5), ..ApiLimits::default() };
     let answer = exchange_within(&Rc::new(control), limits, GET.replace('\n', "\r\n").as_bytes());
     assert!(answer.starts_with(expected), "{answer}");
 }
@@ -288,7 +288,7 @@
 #[case::no_request("hello\n\n", 400)]
 #[case::too_large("PUT /settings HTTP/1.1\nHost: x\nContent-Length: 99999999\n\n", 413)]
 #[case::two_lengths("PUT /settings HTTP/1.1\nHost: x\nContent-Length: 1\nContent-Length: 2\n\n", 400)]
-fn what_can_not_be_answered_is_refused(#[case] sent: &str, #[case] status: u16) {
+fn invalid_requests_are_refused(#[case] sent: &str, #[case] status: u16) {
     let answer = exchange(&at(PRIMARY), sent);
     assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
 }
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn every_member_tells_its_status() {
+fn every_member_reports_its_status() {
     assert_snapshot!(exchange(&at(OTHER), "GET /status HTTP/1.1\nHost: x\nConnection: close\n\n"), @r#"
     HTTP/1.1 200 OK
     Content-Type: application/json
@@ -317,8 +317,9 @@
 #[case::silent(b"")]
 #[case::head(b"PUT /settings HTTP/1.1\r\nHo")]
 #[case::body(b"PUT /settings HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{")]
-fn slow_callers_are_cut_off(#[case] sent: &[u8]) {
+fn slow_callers_are_disconnected(#[case] sent: &[u8]) {
     let soon = Duration::from_millis(20);
-    let limits = ApiLimits { idle: soon, head: soon, body: soon, ..ApiLimits::default() };
+    let limits =
+        ApiLimits { idle_timeout: soon, head_timeout: soon, body_timeout: soon, ..ApiLimits::default() };
     assert_eq!(exchange_within(&at(PRIMARY), limits, sent), "");
 }
--- a/crates/control-plane/tests/http_client.rs
+++ b/crates/control-plane/tests/http_client.rs
@@ -7,7 +7,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use insta::assert_snapshot;
 use rstest::rstest;
-use tulipridge_control_plane::http_client::{Answer, Call, CallError, HttpClient};
+use tulipridge_control_plane::http_client::{Call, CallError, HttpClient, Response};
 use tulipridge_http1::Http1Limits;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -35,7 +35,7 @@
     requests
 }
 
-fn call_once(answer: &str, timeout: Duration) -> (Result<Answer, CallError>, String) {
+fn call_once(answer: &str, timeout: Duration) -> (Result<Response, CallError>, String) {
     let (listener, address) = listen();
     let headers = [("Meant-Server", "i-1")];
     let call = Call { method: "POST", target: "/order", headers: &headers, body: b"{}" };
--- a/crates/control-plane/tests/support/operator/desk.rs
+++ b/crates/control-plane/tests/support/operator/desk.rs
@@ -121,7 +121,7 @@
                 self.carry_on(index, ChangeStep::after_decision(Some(*decision), is_primary));
             }
             DeskStep::AgreementTimeout { ticket } => {
-                self.end_proposal(index, ticket, ProposalOutcome::Unknown)
+                self.end_proposal(index, ticket, ProposalOutcome::Unknown);
             }
             DeskStep::Read { call } => self.read(index, call),
             DeskStep::ReadDone { call, content } => {
--- a/crates/control-plane/tests/whole_member.rs
+++ b/crates/control-plane/tests/whole_member.rs
@@ -12,7 +12,7 @@
 use futures_lite::future;
 use rstest::rstest;
 use serde_json::{Value, json};
-use tulipridge_control_plane::http_client::{Answer, Call, HttpClient};
+use tulipridge_control_plane::http_client::{Call, HttpClient, Response};
 use tulipridge_control_plane::member::compaction::COMPACT_AFTER_COMMANDS;
 use tulipridge_control_plane::server::run_until;
 use tulipridge_http1::{Http1Limits, within};
@@ -78,7 +78,7 @@
     }
 
     /// Calls the operator's interface until it answers with 200.
-    async fn call(&self, call: Call<'_>) -> Answer {
+    async fn call(&self, call: Call<'_>) -> Response {
         loop {
             if let Some(answer) = self.call_once(call).await {
                 return answer;
@@ -87,7 +87,7 @@
     }
 
     /// The answer to a call, if it is one with 200.
-    async fn call_once(&self, call: Call<'_>) -> Option<Answer> {
+    async fn call_once(&self, call: Call<'_>) -> Option<Response> {
         future::yield_now().await;
         let mut client = HttpClient::new(self.operator, Http1Limits::default());
         client.call(call, CALL_LIMIT).await.ok().filter(|answer| answer.status == 200)
@@ -163,9 +163,9 @@
 }
 
 #[test]
-fn a_configuration_is_served_and_found_again_after_a_stop() {
+fn a_configuration_is_served_and_recovered_after_a_stop() {
     let machine = Machine::new();
-    let lives = async {
+    let incarnations = async {
         run_beside(machine.settings(true), async {
             let headers = [("If-Match", "0")];
             let body = CONFIGURATION.as_bytes();
@@ -182,7 +182,7 @@
         })
         .await;
     };
-    async_io::block_on(within(LIMIT, lives)).expect("both lives end in time");
+    async_io::block_on(within(LIMIT, incarnations)).expect("both incarnations end in time");
 }
 
 /// A change of one route that builds on the revision before.
@@ -202,10 +202,10 @@
 
 /// Some changes are in a snapshot of the state then, and the newest ones in the log only.
 #[test]
-fn many_changes_are_found_again_and_known_after_a_stop() {
+fn many_changes_are_recovered_and_recognized_after_a_stop() {
     let changes = REVISION + 1..=REVISION + COMPACT_AFTER_COMMANDS as u64 + 6;
     let machine = Machine::new();
-    let lives = async {
+    let incarnations = async {
         run_beside(machine.settings(true), async {
             let put =
                 Call { method: "PUT", target: "/settings", headers: &[], body: CONFIGURATION.as_bytes() };
@@ -228,11 +228,11 @@
         })
         .await;
     };
-    async_io::block_on(within(LIMIT, lives)).expect("both lives end in time");
+    async_io::block_on(within(LIMIT, incarnations)).expect("both incarnations end in time");
 }
 
 #[test]
-fn all_members_tell_which_weights_are_named_and_who_has_the_duties() {
+fn all_members_report_named_weights_and_the_singleton_roles() {
     let machines = Machine::group(2);
     let body = br#"{"llm":"m","revision":2}"#;
     let name_weights = Call { method: "POST", target: "/version-put", headers: &[], body };
@@ -258,7 +258,7 @@
         let (first, second) = future::zip(first, second).await;
         panic!("no member ends: {first:?}, {second:?}")
     };
-    async_io::block_on(within(LIMIT, future::or(work, members))).expect("all tell it in time");
+    async_io::block_on(within(LIMIT, future::or(work, members))).expect("all report it in time");
 }
 
 /// What is wrong with a machine or its settings.
