--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -15,7 +15,7 @@
 
 use super::outbox::{Outbox, Urgency};
 use super::response::{ResponseError, parse_event_page, parse_listing};
-use crate::http_client::{Answer, Call, CallError, HttpClient};
+use crate::http_client::{Call, CallError, HttpClient, Response};
 
 /// Milliseconds for which a source may delay its response while it has no events.
 const LONG_POLL_WAIT_MS: &str = "1000";
@@ -210,7 +210,7 @@
 
     /// Calls the source. A pooled connection may have been closed meanwhile, so a call whose connection breaks is retried
     /// once on a new one.
-    async fn call(&mut self, call: Call<'_>) -> Result<Answer, PollError> {
+    async fn call(&mut self, call: Call<'_>) -> Result<Response, PollError> {
         let outcome = match self.client.call(call, RESPONSE_TIMEOUT).await {
             Err(CallError::Broken { source, .. }) if source.kind() != io::ErrorKind::TimedOut => {
                 self.client.call(call, RESPONSE_TIMEOUT).await
