--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -249,7 +249,7 @@
     /// Members that take part, as the primary knows them.
     pub fn live_members(&self) -> Vec<ControlNode> {
         let members = self.replication.borrow().live_members(clock::now());
-        members.into_iter().map(|(id, zone)| ControlNode { id, zone }).collect()
+        members.into_iter().map(|member| ControlNode { id: member.node, zone: member.zone }).collect()
     }
 
     fn input(&self, input: Input) {
--- a/crates/control-plane/src/replication/interface.rs
+++ b/crates/control-plane/src/replication/interface.rs
@@ -80,6 +80,15 @@
     RoleChanged(Role),
 }
 
+/// A member that answers the primary.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LiveMember {
+    /// The member.
+    pub node: NodeId,
+    /// Its zone.
+    pub zone: String,
+}
+
 /// Why a proposal failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
--- a/crates/control-plane/src/replication/machine.rs
+++ b/crates/control-plane/src/replication/machine.rs
@@ -12,7 +12,7 @@
 use super::discovery::Discovery;
 use super::durable::{DurableRecord, DurableState};
 use super::election::{ElectionTimer, jitter};
-use super::interface::{Output, Role};
+use super::interface::{LiveMember, Output, Role};
 use super::leadership::Leadership;
 use super::lifecycle::Lifecycle;
 use super::outbox::Outbox;
@@ -127,18 +127,18 @@
         self.peers.primary_heard_within(now, REDIRECT_FOR)
     }
 
-    /// Members that answer this primary, with their zones, itself included; empty at others.
+    /// Members that answer this primary, itself included, in order; empty at others.
     #[must_use]
-    pub fn live_members(&self, now: Duration) -> Vec<(NodeId, String)> {
+    pub fn live_members(&self, now: Duration) -> Vec<LiveMember> {
         if self.leadership.is_none() {
             return Vec::new();
         }
-        let mut members = vec![(self.settings.node, self.settings.zone.clone())];
+        let mut members = vec![LiveMember { node: self.settings.node, zone: self.settings.zone.clone() }];
         let alive = self
             .peers
             .iter()
             .filter(|(_, peer)| !peer.zone.is_empty() && is_recent(peer.acknowledged, now, VOTER_TIMEOUT));
-        members.extend(alive.map(|(node, peer)| (node, peer.zone.clone())));
+        members.extend(alive.map(|(node, peer)| LiveMember { node, zone: peer.zone.clone() }));
         members.sort();
         members
     }
--- a/crates/control-plane/src/replication/mod.rs
+++ b/crates/control-plane/src/replication/mod.rs
@@ -60,7 +60,7 @@
 
 pub use departure::Departure;
 pub use durable::{DurableRecord, DurableState, LogPosition};
-pub use interface::{FailureReason, Input, Output, Role};
+pub use interface::{FailureReason, Input, LiveMember, Output, Role};
 pub use machine::Replication;
 pub use settings::ReplicationSettings;
 pub use timing::max_write_duration;
--- a/crates/control-plane/src/replication/reconfigure.rs
+++ b/crates/control-plane/src/replication/reconfigure.rs
@@ -107,7 +107,7 @@
         candidates
     }
 
-    /// Members that asked to join lately and don't vote.
+    /// Members that requested to join lately and don't vote.
     fn standby_candidates(&self, now: Duration, base: &View) -> impl Iterator<Item = Candidate> {
         let is_standby = move |node| !base.voters.contains(&node);
         self.peers
--- a/crates/control-plane/src/replication/settings.rs
+++ b/crates/control-plane/src/replication/settings.rs
@@ -14,7 +14,7 @@
     pub seeds: Vec<NodeId>,
     /// How many machines may be lost at the same time (f).
     pub tolerated_failures: u32,
-    /// The whole system starts for the first time.
+    /// The system starts for the first time.
     pub first_boot: bool,
     /// Seed of the jitter.
     pub seed: u64,
--- a/crates/control-plane/src/replication/transfer.rs
+++ b/crates/control-plane/src/replication/transfer.rs
@@ -2,7 +2,7 @@
 //!
 //! The sender keeps the encoded data once ([`EncodedData`]) and for each receiver how far it has come
 //! ([`OutgoingTransfer`]): at most [`WINDOW_BYTES`] are on the way, so that heartbeats on the same link are not
-//! held up for long. The receiver ([`IncomingTransfer`]) keeps what it has without gaps, reports how much that is,
+//! delayed for long. The receiver ([`IncomingTransfer`]) keeps what it has without gaps, reports how much that is,
 //! and hands the data out only when all of it is there and its checksum is right. Its name identifies the data, not the
 //! view change, so a later view change with the same data goes on where the last one stopped.
 
--- a/crates/control-plane/src/replication/vote.rs
+++ b/crates/control-plane/src/replication/vote.rs
@@ -72,7 +72,7 @@
         self.promised_to = Some(proposer);
     }
 
-    /// The promise was raised without a proposer that asked for it.
+    /// The promise was raised without a request of its proposer.
     pub(super) fn clear_promised_to(&mut self) {
         self.promised_to = None;
     }
--- a/crates/control-plane/tests/model.rs
+++ b/crates/control-plane/tests/model.rs
@@ -71,7 +71,7 @@
 #[case::no_quiet_period(breaks::no_quiet_period())]
 #[case::refusal_counts_as_promise(breaks::refusal_counts_as_promise())]
 #[case::no_previous_voters(breaks::no_previous_voters())]
-#[case::one_holder(breaks::one_holder())]
+#[case::one_data_replica(breaks::one_data_replica())]
 #[case::role_instead_of_lease(breaks::role_instead_of_lease())]
 #[case::long_lease(breaks::long_lease())]
 #[case::too_much_drift(breaks::too_much_drift())]
@@ -258,7 +258,7 @@
     }
 }
 
-/// The exchange of a voter may end in two cores; crashes of the two holders, and cuts into any two parts.
+/// The exchange of a voter may end in two cores; crashes of the two data replicas, and cuts into any two parts.
 #[test]
 #[ignore = "large bounds"]
 fn three_deviations_in_a_voter_exchange() {
--- a/crates/control-plane/tests/rated_cluster/mod.rs
+++ b/crates/control-plane/tests/rated_cluster/mod.rs
@@ -63,7 +63,7 @@
 
 /// A running process.
 pub(crate) struct Process {
-    life: u64,
+    incarnation: u64,
     /// The state machine.
     pub replication: Replication,
     /// Commands that were applied, in order.
@@ -91,11 +91,11 @@
     compacts_until: Duration,
     /// Its process, while one runs.
     pub process: Option<Process>,
-    lives: u64,
+    incarnations: u64,
 }
 
 impl Member {
-    /// As the thread of the disk does: the whole state takes the place of the records.
+    /// As the thread of the disk does: the complete state takes the place of the records.
     fn compact_log_if_due(&mut self, now: Duration) {
         if self.log_bytes <= LOG_BYTES as u64 {
             return;
@@ -110,8 +110,8 @@
 #[derive(Debug)]
 enum Event {
     Arrival { from: usize, to: usize, envelope: Envelope },
-    Wake { member: usize, life: u64 },
-    Synced { member: usize, life: u64 },
+    Wake { member: usize, incarnation: u64 },
+    Synced { member: usize, incarnation: u64 },
     Start { member: usize },
 }
 
@@ -206,7 +206,7 @@
                 log_bytes: 0,
                 compacts_until: Duration::ZERO,
                 process: None,
-                lives: 0,
+                incarnations: 0,
             });
             cluster.schedule(cluster.now, Event::Start { member: index });
         }
@@ -250,8 +250,9 @@
         let leases = |member: &&Member| {
             member.process.as_ref().is_some_and(|process| process.replication.is_primary(self.now))
         };
-        let holders: Vec<NodeId> = self.members.iter().filter(leases).map(|member| member.node).collect();
-        self.checker.leases(&holders);
+        let lease_holders: Vec<NodeId> =
+            self.members.iter().filter(leases).map(|member| member.node).collect();
+        self.checker.leases(&lease_holders);
     }
 
     fn take(&mut self, event: Event) {
@@ -261,15 +262,19 @@
                     self.input(to, Input::Message(envelope));
                 }
             }
-            Event::Wake { member, life } if self.is_life(member, life) => self.input(member, Input::Tick),
-            Event::Synced { member, life } if self.is_life(member, life) => self.sync(member),
+            Event::Wake { member, incarnation } if self.is_incarnation(member, incarnation) => {
+                self.input(member, Input::Tick);
+            }
+            Event::Synced { member, incarnation } if self.is_incarnation(member, incarnation) => {
+                self.sync(member);
+            }
             Event::Wake { .. } | Event::Synced { .. } => {}
             Event::Start { member } => self.start(member),
         }
     }
 
-    fn is_life(&self, member: usize, life: u64) -> bool {
-        self.members[member].process.as_ref().is_some_and(|process| process.life == life)
+    fn is_incarnation(&self, member: usize, incarnation: u64) -> bool {
+        self.members[member].process.as_ref().is_some_and(|process| process.incarnation == incarnation)
     }
 
     fn start(&mut self, index: usize) {
@@ -278,20 +283,20 @@
         if member.process.is_some() {
             return;
         }
-        member.lives += 1;
+        member.incarnations += 1;
         let settings = ReplicationSettings {
             node: member.node,
             zone: format!("zone-{}", index % 3),
             seeds,
             tolerated_failures: self.losses,
             first_boot: self.first_boot,
-            seed: index as u64 * 1000 + member.lives,
+            seed: index as u64 * 1000 + member.incarnations,
         };
-        if member.lives == 1 {
+        if member.incarnations == 1 {
             member.disk.view = settings.first_view();
         }
         member.process = Some(Process {
-            life: member.lives,
+            incarnation: member.incarnations,
             replication: Replication::new(settings, member.disk.clone(), self.now),
             applied: Vec::new(),
             newest_length: 0,
@@ -312,10 +317,10 @@
         }
         process.replication.handle(now, input, &mut out);
         let due = process.replication.next_deadline().max(now + SHORTEST_PAUSE);
-        let life = process.life;
+        let incarnation = process.incarnation;
         if process.wake_at <= now || due < process.wake_at {
             process.wake_at = due;
-            self.schedule(due, Event::Wake { member: index, life });
+            self.schedule(due, Event::Wake { member: index, incarnation });
         }
         for output in out {
             self.carry_out(index, output);
@@ -395,8 +400,8 @@
         let begin = self.now.max(member.compacts_until);
         let due = begin + member.speed.sync + span(bytes, member.speed.bytes);
         member.log_bytes += bytes;
-        let life = member.lives;
-        self.schedule(due, Event::Synced { member: index, life });
+        let incarnation = member.incarnations;
+        self.schedule(due, Event::Synced { member: index, incarnation });
     }
 
     fn sync(&mut self, index: usize) {
@@ -492,12 +497,12 @@
         &self.members[index].process.as_ref().expect("it runs").replication
     }
 
-    /// The holders of the primary's view, the primary first.
-    pub(crate) fn holders(&self) -> Vec<usize> {
+    /// The data replicas of the primary's view, the primary first.
+    pub(crate) fn data_replicas(&self) -> Vec<usize> {
         let primary = self.primary().expect("there is a primary");
         let view = self.replication(primary).view().expect("it has a view").clone();
-        let index_of = |holder: &NodeId| {
-            self.members.iter().position(|member| member.node == *holder).expect("a member")
+        let index_of = |replica: &NodeId| {
+            self.members.iter().position(|member| member.node == *replica).expect("a member")
         };
         view.data_replicas.iter().map(index_of).collect()
     }
--- a/crates/control-plane/tests/replication_directed.rs
+++ b/crates/control-plane/tests/replication_directed.rs
@@ -1,4 +1,4 @@
-//! Single kinds of trouble, one at a time, in a simulated cluster.
+//! Single kinds of faults, one at a time, in a simulated cluster.
 
 mod support;
 
@@ -112,7 +112,7 @@
 
 /// The primary with one backup is cut off; both sides propose, one side goes on, and nothing diverges.
 #[rstest]
-fn race_on_both_sides_of_a_cut(
+fn race_on_both_sides_of_a_partition(
     #[values(0, 1, 2, 3, 4, 5, 6, 7)] seed: u64,
     #[values(false, true)] one_way: bool,
 ) {
@@ -159,7 +159,7 @@
 fn backup_whose_disk_hangs_is_exchanged() {
     let mut simulation = started(1, 3, 4, 3);
     let primary = simulation.acknowledge_one();
-    let backup = simulation.holders()[1];
+    let backup = simulation.data_replicas()[1];
     simulation.machines[backup].disk.stalled_until = simulation.now + 20 * SECOND;
     assert_goes_on(&mut simulation);
     assert_eq!(simulation.primary(), Some(primary), "the primary stays");
--- a/crates/control-plane/tests/replication_faults.rs
+++ b/crates/control-plane/tests/replication_faults.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use support::checker::Violation;
-use support::history::{Load, Trouble, play, play_with};
+use support::history::{FaultPlan, Load, play, play_with};
 use support::operator::call::{Answer, Call, ConfigurationMethod, ConfigurationOrder};
 use support::operator::client::UnexplainedObject;
 use support::simulation::{Fault, MS, SECOND, Shape, Simulation};
@@ -12,20 +12,20 @@
 const HISTORIES: u64 = 300;
 
 /// Plays histories until one shows a violation other than missing progress.
-fn first_violation(shape: Shape, trouble: Trouble) -> Option<Violation> {
+fn first_violation(shape: Shape, fault_plan: FaultPlan) -> Option<Violation> {
     (0..HISTORIES)
-        .filter_map(|seed| play(seed, shape, trouble).violation)
+        .filter_map(|seed| play(seed, shape, fault_plan).violation)
         .find(|violation| *violation != Violation::NoProgress)
 }
 
 /// Each broken promise shows.
 #[rstest]
-#[case::syncs_reported_early(Fault::EarlySync, Trouble::DisksStay)]
-#[case::clocks_far_apart(Fault::WildClocks, Trouble::DisksStay)]
-#[case::backups_report_syncs_early(Fault::EarlyBackupSync, Trouble::DisksLost)]
-fn broken_promises_are_seen(#[case] fault: Fault, #[case] trouble: Trouble) {
+#[case::syncs_reported_early(Fault::EarlySync, FaultPlan::DisksStay)]
+#[case::clocks_far_apart(Fault::WildClocks, FaultPlan::DisksStay)]
+#[case::backups_report_syncs_early(Fault::EarlyBackupSync, FaultPlan::DisksLost)]
+fn broken_promises_are_seen(#[case] fault: Fault, #[case] fault_plan: FaultPlan) {
     let shape = Shape { losses: 1, seeds: 3, machines: 3, fault };
-    let violation = first_violation(shape, trouble);
+    let violation = first_violation(shape, fault_plan);
     println!("{fault:?}: {violation:?}");
     assert!(violation.is_some(), "{fault:?} has to show");
 }
@@ -59,11 +59,11 @@
 }
 
 /// The backup does not hear the primary, and the third member starts again and again.
-fn restarts_beside_a_cut(fault: Fault, seed: u64) -> Option<Violation> {
+fn restarts_beside_a_partition(fault: Fault, seed: u64) -> Option<Violation> {
     let mut simulation = Simulation::new(seed, Shape { losses: 1, seeds: 3, machines: 3, fault });
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
-    let backup = simulation.holders()[1];
+    let backup = simulation.data_replicas()[1];
     let third = 3 - primary - backup;
     simulation.cuts.insert((primary, backup));
     simulation.cuts.insert((backup, primary));
@@ -80,10 +80,10 @@
 #[test]
 fn forgotten_promises_are_seen() {
     let violations: Vec<Violation> =
-        (0..20).filter_map(|seed| restarts_beside_a_cut(Fault::ForgottenPromises, seed)).collect();
+        (0..20).filter_map(|seed| restarts_beside_a_partition(Fault::ForgottenPromises, seed)).collect();
     assert!(!violations.is_empty());
     for seed in 0..20 {
-        assert_eq!(restarts_beside_a_cut(Fault::None, seed), None);
+        assert_eq!(restarts_beside_a_partition(Fault::None, seed), None);
     }
 }
 
@@ -94,7 +94,7 @@
 fn broken_promises_to_operators_are_seen(#[case] fault: Fault) {
     let shape = Shape { losses: 1, seeds: 3, machines: 3, fault };
     let violations = (0..HISTORIES)
-        .filter_map(|seed| play_with(seed, shape, Trouble::DisksStay, Load::Operators).violation);
+        .filter_map(|seed| play_with(seed, shape, FaultPlan::DisksStay, Load::Operators).violation);
     let unexplained =
         violations.enumerate().find(|(_, violation)| matches!(violation, Violation::Unexplained { .. }));
     println!("{fault:?}: {unexplained:?}");
@@ -145,7 +145,7 @@
 fn snapshots_without_the_state_are_seen() {
     let shape = Shape { losses: 1, seeds: 3, machines: 3, fault: Fault::EmptySnapshots };
     let violations = (0..HISTORIES)
-        .filter_map(|seed| play_with(seed, shape, Trouble::DisksStay, Load::Operators).violation);
+        .filter_map(|seed| play_with(seed, shape, FaultPlan::DisksStay, Load::Operators).violation);
     let seen = violations
         .into_iter()
         .find(|violation| matches!(violation, Violation::StatesDiffer | Violation::Unexplained { .. }));
@@ -175,21 +175,21 @@
     assert!(matches!(violation, Some(Violation::TwoLeases { .. })), "{violation:?}");
 }
 
-/// Both holders leave for good, each when it is not needed any more, or at once.
+/// Both data replicas leave for good, each when it is not needed any more, or at once.
 /// Whether the cluster goes on.
-fn both_holders_leave(hands_over: bool, seed: u64) -> bool {
+fn both_data_replicas_leave(hands_over: bool, seed: u64) -> bool {
     let shape = Shape { losses: 1, seeds: 3, machines: 5, fault: Fault::None };
     let mut simulation = Simulation::new(seed, shape);
     simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.run_for(3 * SECOND);
-    for holder in simulation.holders() {
+    for replica in simulation.data_replicas() {
         if hands_over {
-            simulation.leave(holder);
-            let has_left = |simulation: &Simulation| simulation.departure(holder).is_some();
+            simulation.leave(replica);
+            let has_left = |simulation: &Simulation| simulation.departure(replica).is_some();
             assert!(simulation.run_while_not(8 * SECOND, has_left));
         } else {
-            simulation.terminate_for_good(holder, 0);
+            simulation.terminate_for_good(replica, 0);
         }
     }
     let is_live = simulation.make_progress(6 * SECOND);
@@ -198,7 +198,7 @@
 }
 
 #[rstest]
-fn holders_that_leave_without_handing_over_are_seen(#[values(0, 1, 2, 3, 4)] seed: u64) {
-    assert!(both_holders_leave(true, seed));
-    assert!(!both_holders_leave(false, seed));
+fn data_replicas_that_leave_without_handing_over_are_seen(#[values(0, 1, 2, 3, 4)] seed: u64) {
+    assert!(both_data_replicas_leave(true, seed));
+    assert!(!both_data_replicas_leave(false, seed));
 }
--- a/crates/control-plane/tests/replication_histories.rs
+++ b/crates/control-plane/tests/replication_histories.rs
@@ -1,5 +1,5 @@
 //! Thousands of short random histories of a simulated cluster: nothing acknowledged is lost, and after
-//! trouble it goes on.
+//! faults it goes on.
 //!
 //! More of them: `HISTORIES_PER_KIND=700 cargo test --release -p tulipridge-control-plane --test replication_histories
 //! --test replication_operators -- --nocapture` plays 700 of each of the 40 kinds.
@@ -7,7 +7,7 @@
 mod support;
 
 use rstest::rstest;
-use support::history::{Load, Trouble, history_count, play, play_with};
+use support::history::{FaultPlan, Load, history_count, play, play_with};
 use support::simulation::{Fault, Shape};
 
 /// Histories of each kind, if no other number is asked for.
@@ -27,15 +27,15 @@
         usize,
         usize,
     ),
-    #[values(Trouble::DisksStay, Trouble::DisksLost)] trouble: Trouble,
+    #[values(FaultPlan::DisksStay, FaultPlan::DisksLost)] fault_plan: FaultPlan,
 ) {
     let (losses, seeds, machines) = sizes;
     let mut acknowledged = 0;
     let mut views = 0;
     let count = history_count(USUAL_HISTORIES);
     for seed in 0..count {
-        let outcome = play(seed, shape(losses, seeds, machines), trouble);
-        assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {trouble:?}");
+        let outcome = play(seed, shape(losses, seeds, machines), fault_plan);
+        assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {fault_plan:?}");
         acknowledged += outcome.acknowledged;
         views += outcome.views;
     }
@@ -47,20 +47,20 @@
 #[rstest]
 fn long_histories_hold(
     #[values((1, 3, 4), (2, 5, 5), (2, 5, 8))] sizes: (u32, usize, usize),
-    #[values(Trouble::Replacement, Trouble::ManyChanges)] trouble: Trouble,
+    #[values(FaultPlan::Replacement, FaultPlan::ManyChanges)] fault_plan: FaultPlan,
 ) {
     let (losses, seeds, machines) = sizes;
     for seed in 0..history_count(USUAL_LONG_HISTORIES) {
-        let outcome = play(seed, shape(losses, seeds, machines), trouble);
-        assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {trouble:?}");
+        let outcome = play(seed, shape(losses, seeds, machines), fault_plan);
+        assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {fault_plan:?}");
     }
 }
 
-/// Members that ended while the view was not settled: a loss at the same time left no majority of its voters.
+/// Members that ended while the view was not complete: a loss at the same time left no majority of its voters.
 #[rstest]
 #[case(1278, Load::Proposals)]
 #[case(372, Load::Operators)]
-fn a_leaving_member_stays_until_the_view_is_settled(#[case] seed: u64, #[case] load: Load) {
-    let outcome = play_with(seed, shape(1, 3, 4), Trouble::Replacement, load);
+fn a_leaving_member_stays_until_the_view_is_complete(#[case] seed: u64, #[case] load: Load) {
+    let outcome = play_with(seed, shape(1, 3, 4), FaultPlan::Replacement, load);
     assert_eq!(outcome.violation, None);
 }
--- a/crates/control-plane/tests/replication_leaving.rs
+++ b/crates/control-plane/tests/replication_leaving.rs
@@ -35,11 +35,11 @@
     }
 }
 
-/// The member with this place among the holders.
-fn holder(simulation: &Simulation, place: usize) -> usize {
+/// The member with this rank among the data replicas.
+fn data_replica(simulation: &Simulation, rank: usize) -> usize {
     let primary = simulation.primary().expect("there is a primary");
     let process = simulation.machines[primary].process.as_ref().expect("it runs");
-    let node = process.replication.view().expect("it has a view").data_replicas[place];
+    let node = process.replication.view().expect("it has a view").data_replicas[rank];
     simulation.machines.iter().position(|machine| machine.node == node).expect("it exists")
 }
 
@@ -48,7 +48,7 @@
 #[case::free_after_its_callers(1_200, Departure::Free, true)]
 #[case::voter(2_499, Departure::Votes, false)]
 #[case::voter_that_nobody_follows(2_500, Departure::Votes, true)]
-#[case::holder(7_499, Departure::StoresData, false)]
+#[case::replica(7_499, Departure::StoresData, false)]
 #[case::holder_before_it_is_killed(7_500, Departure::StoresData, true)]
 fn a_process_ends_once_it_is_not_needed(
     #[case] waited_ms: u64,
@@ -61,13 +61,13 @@
 /// The backup's disk is lost, and the primary, which alone has what was acknowledged, is told to stop and taken
 /// away.
 #[rstest]
-fn a_leaving_primary_stays_until_its_data_is_held_elsewhere(
+fn a_leaving_primary_stays_until_its_data_is_stored_elsewhere(
     #[values(0, 1, 2, 3, 4, 5, 6, 7)] seed: u64,
     #[values(0, 30, 300, 900)] after_ms: u64,
 ) {
     let mut simulation = started(1, 3, 4, seed);
     let primary = simulation.acknowledge_one();
-    let backup = holder(&simulation, 1);
+    let backup = data_replica(&simulation, 1);
     simulation.wipe(backup, 400 * MS);
     simulation.run_for(after_ms * MS);
     let leaving = simulation.primary().unwrap_or(primary);
@@ -85,7 +85,7 @@
 ) {
     let mut simulation = started(1, 3, 4, seed);
     let primary = simulation.acknowledge_one();
-    let backup = holder(&simulation, 1);
+    let backup = data_replica(&simulation, 1);
     simulation.input(primary, Input::Terminate);
     simulation.run_for(after_ms * MS);
     simulation.wipe(backup, 400 * MS);
@@ -108,10 +108,10 @@
 /// The primary and its backup are told to stop at the same time, while the third member is cut off. Neither knows of
 /// the other: found by the explorer in tests/model.rs, where they handed the lease to each other without end.
 #[rstest]
-fn two_holders_that_leave_at_once_hand_over_to_a_third_member(#[values(0, 1, 2, 3)] seed: u64) {
+fn two_data_replicas_that_leave_at_once_hand_over_to_a_third_member(#[values(0, 1, 2, 3)] seed: u64) {
     let mut simulation = started(1, 3, 3, seed);
     let primary = simulation.acknowledge_one();
-    let backup = holder(&simulation, 1);
+    let backup = data_replica(&simulation, 1);
     let views_before = views_made(&simulation, primary);
     simulation.isolate(3 - primary - backup, true, true);
     simulation.input(backup, Input::Terminate);
@@ -217,7 +217,7 @@
 fn a_departure_that_waits_for_nothing_is_seen() {
     let mut simulation = started(1, 3, 4, 1);
     let primary = simulation.acknowledge_one();
-    let backup = holder(&simulation, 1);
+    let backup = data_replica(&simulation, 1);
     simulation.wipe(backup, 400 * MS);
     simulation.input(primary, Input::Terminate);
     simulation.run_for(30 * MS);
--- a/crates/control-plane/tests/replication_member.rs
+++ b/crates/control-plane/tests/replication_member.rs
@@ -77,13 +77,13 @@
 fn install_of_a_view_that_is_known_from_heartbeats_waits_for_the_disk() {
     let standby = NodeId { ip: 2, generation: 5 };
     let primary = NodeId { ip: 1, generation: 0 };
-    let settled = View {
+    let complete = View {
         epoch: 1 << 40,
         voters: vec![primary],
         previous_voters: vec![],
         data_replicas: vec![primary],
     };
-    let installed = View { previous_voters: vec![standby], ..settled.clone() };
+    let installed = View { previous_voters: vec![standby], ..complete.clone() };
     let mut replication = Replication::new(settings(standby), Default::default(), START);
     let mut receive = |message| {
         let mut out = Vec::new();
@@ -91,7 +91,7 @@
         replication.handle(START, Input::Message(envelope), &mut out);
         out
     };
-    let heartbeat = ReplicationMessage::Heartbeat { view: settled, token: 1, committed: 0 };
+    let heartbeat = ReplicationMessage::Heartbeat { view: complete, token: 1, committed: 0 };
     let heard = receive(heartbeat);
     assert!(!heard.iter().any(|output| matches!(output, Output::Persist { .. })), "it is only heard of");
     let mut out = receive(ReplicationMessage::Install { view: installed.clone() });
--- a/crates/control-plane/tests/replication_operators.rs
+++ b/crates/control-plane/tests/replication_operators.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use rstest::rstest;
-use support::history::{Load, Trouble, history_count, play_with};
+use support::history::{FaultPlan, Load, history_count, play_with};
 use support::simulation::{Fault, Shape};
 
 /// Histories of each kind, if no other number is asked for.
@@ -16,16 +16,16 @@
 #[rstest]
 fn operators_histories_hold(
     #[values((0, 1, 1), (1, 3, 3), (1, 3, 4), (2, 5, 5), (2, 5, 8))] sizes: (u32, usize, usize),
-    #[values(Trouble::DisksStay, Trouble::DisksLost, Trouble::Replacement, Trouble::ManyChanges)]
-    trouble: Trouble,
+    #[values(FaultPlan::DisksStay, FaultPlan::DisksLost, FaultPlan::Replacement, FaultPlan::ManyChanges)]
+    fault_plan: FaultPlan,
 ) {
     let (losses, seeds, machines) = sizes;
     let mut answered = 0;
     let count = history_count(USUAL_HISTORIES);
     for seed in 0..count {
         let shape = Shape { losses, seeds, machines, fault: Fault::None };
-        let outcome = play_with(seed, shape, trouble, Load::Operators);
-        assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {trouble:?}");
+        let outcome = play_with(seed, shape, fault_plan, Load::Operators);
+        assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {fault_plan:?}");
         answered += outcome.answered;
     }
     println!("{count} histories: {answered} answered calls");
--- a/crates/control-plane/tests/replication_repeats.rs
+++ b/crates/control-plane/tests/replication_repeats.rs
@@ -27,7 +27,7 @@
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.run_for(SECOND);
-    let backup = simulation.holders()[1];
+    let backup = simulation.data_replicas()[1];
     simulation.kill(3 - primary - backup, 20 * SECOND);
     simulation.machines[backup].disk.stalled_until = simulation.now + BACKUP_STALLS_FOR;
     simulation.submit(primary, call);
--- a/crates/control-plane/tests/replication_settling.rs
+++ b/crates/control-plane/tests/replication_settling.rs
@@ -1,4 +1,4 @@
-//! A leaving member whose vote an unsettled view may need stays.
+//! A leaving member whose vote an incomplete view may need stays.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -38,10 +38,10 @@
 
 #[rstest]
 #[case::voter(&[1, 2, 3], &[], Departure::Votes)]
-#[case::place_is_taken(&[2, 3, 4], &[], Departure::Free)]
-#[case::place_is_taken_in_an_unsettled_view(&[2, 3, 4], &[1, 2, 3], Departure::CompletesView)]
-#[case::voter_of_an_unsettled_view(&[1, 3, 4], &[1, 2, 3], Departure::CompletesView)]
-fn a_vote_that_may_settle_the_view_is_needed(
+#[case::seat_is_taken(&[2, 3, 4], &[], Departure::Free)]
+#[case::seat_is_taken_in_an_incomplete_view(&[2, 3, 4], &[1, 2, 3], Departure::CompletesView)]
+#[case::voter_of_an_incomplete_view(&[1, 3, 4], &[1, 2, 3], Departure::CompletesView)]
+fn a_vote_that_may_complete_the_view_is_needed(
     #[case] voters: &[u8],
     #[case] previous_voters: &[u8],
     #[case] expected: Departure,
@@ -53,6 +53,6 @@
 #[case::after_the_grace_of_a_voter(2_500, false)]
 #[case::just_before_it_is_killed(7_499, false)]
 #[case::when_it_would_be_killed(7_500, true)]
-fn a_process_stays_until_the_view_is_settled(#[case] waited_ms: u64, #[case] expected: bool) {
+fn a_process_stays_until_the_view_is_complete(#[case] waited_ms: u64, #[case] expected: bool) {
     assert_eq!(may_end(Duration::from_millis(waited_ms), LEEWAY, Departure::CompletesView), expected);
 }
--- a/crates/control-plane/tests/replication_sync.rs
+++ b/crates/control-plane/tests/replication_sync.rs
@@ -45,7 +45,7 @@
 
 /// The backup is lost; messages are counted from now on.
 fn lose_backup(cluster: &mut Cluster) -> usize {
-    let backup = cluster.holders()[1];
+    let backup = cluster.data_replicas()[1];
     cluster.kill(backup);
     cluster.traffic.clear();
     backup
@@ -58,7 +58,7 @@
 /// The primary is lost, after the voters that were lost before it are exchanged: the one backup leads then.
 fn assert_backup_follows(cluster: &mut Cluster) {
     cluster.run_for(EXCHANGE);
-    let (primary, index) = (cluster.holders()[0], cluster.holders()[1]);
+    let (primary, index) = (cluster.data_replicas()[0], cluster.data_replicas()[1]);
     cluster.kill(primary);
     cluster.acknowledge(SHORT, seconds(20)).expect("it goes on");
     assert_eq!(cluster.primary(), Some(index));
@@ -109,7 +109,7 @@
     cluster.link_speed = link_speed;
     slow_down(&mut cluster, slow);
     let begin = cluster.now;
-    let primary = cluster.holders()[0];
+    let primary = cluster.data_replicas()[0];
     cluster.kill(primary);
     if let Some(back_after) = back_after_ms {
         cluster.run_for(milliseconds(back_after));
@@ -139,7 +139,7 @@
 #[case::fast_link(FAST_LINK, &[], 50)]
 #[case::slow_link(SLOW_LINK, &[], 50)]
 #[case::slow_disks(SLOW_LINK, &[0, 1, 2, 3], 700)]
-fn a_holder_that_has_all_is_sent_none_of_it(
+fn a_data_replica_that_has_all_is_sent_none_of_it(
     #[case] link_speed: u64,
     #[case] slow: &[usize],
     #[case] limit_ms: u64,
@@ -147,8 +147,9 @@
     let mut cluster = with_configuration();
     cluster.link_speed = link_speed;
     slow_down(&mut cluster, slow);
-    let holders = cluster.holders();
-    let voter = (0..3).find(|index| !holders.contains(index)).expect("one of three voters holds nothing");
+    let data_replicas = cluster.data_replicas();
+    let voter =
+        (0..3).find(|index| !data_replicas.contains(index)).expect("one of three voters holds nothing");
     let views = cluster.views();
     cluster.kill(voter);
     cluster.traffic.clear();
@@ -159,7 +160,11 @@
         cluster.run_for(milliseconds(7));
     }
     println!("the longest wait {longest:?}; {:?}", cluster.traffic);
-    assert_eq!((cluster.views(), cluster.holders()), (views + 1, holders), "the voter is exchanged");
+    assert_eq!(
+        (cluster.views(), cluster.data_replicas()),
+        (views + 1, data_replicas),
+        "the voter is exchanged"
+    );
     assert!(cluster.sent("sync").bytes < 1000 && cluster.sent("sync progress").messages == 0);
     assert!(longest < milliseconds(limit_ms), "{longest:?}");
     assert_holds(&cluster);
@@ -167,7 +172,7 @@
 
 /// The link of the new backup is cut at any moment of the transfer, which goes on where it was.
 #[rstest]
-fn a_transfer_goes_on_after_a_cut(#[values(0, 30, 100, 300, 700, 1000, 1100)] at_ms: u64) {
+fn a_transfer_goes_on_after_a_partition(#[values(0, 30, 100, 300, 700, 1000, 1100)] at_ms: u64) {
     let mut cluster = with_configuration();
     cluster.link_speed = SLOW_LINK;
     let backup = lose_backup(&mut cluster);
@@ -196,7 +201,7 @@
 ) {
     let mut cluster = with_configuration();
     cluster.link_speed = SLOW_LINK;
-    let (primary, backup) = (cluster.holders()[0], cluster.holders()[1]);
+    let (primary, backup) = (cluster.data_replicas()[0], cluster.data_replicas()[1]);
     cluster.kill(backup);
     cluster.traffic.clear();
     cluster.run_while_not(seconds(5), |cluster| cluster.sent("sync").messages > 0);
@@ -222,7 +227,7 @@
     let mut cluster = with_configuration();
     cluster.link_speed = link_speed;
     slow_down(&mut cluster, slow);
-    let away = cluster.holders()[1];
+    let away = cluster.data_replicas()[1];
     cluster.kill(away);
     for number in 0..400 {
         let length = if number % 40 == 0 { CONFIGURATION_BYTES } else { 2000 };
@@ -230,14 +235,15 @@
     }
     cluster.restart(away);
     cluster.run_for(EXCHANGE);
-    // Three machines are left, so each of them is a voter, and a holder when its turn comes.
-    let holders = cluster.holders();
-    let gone = (0..4).find(|index| *index != away && !holders.contains(index)).expect("there is a fourth");
+    // Three machines are left, so each of them is a voter, and a data replica when its turn comes.
+    let data_replicas = cluster.data_replicas();
+    let gone =
+        (0..4).find(|index| *index != away && !data_replicas.contains(index)).expect("there is a fourth");
     cluster.kill(gone);
     let mut has_led = false;
     for _ in 0..8 {
         cluster.run_for(EXCHANGE);
-        let primary = cluster.holders()[0];
+        let primary = cluster.data_replicas()[0];
         assert_backup_follows(&mut cluster);
         has_led |= cluster.primary() == Some(away);
         cluster.restart(primary);
@@ -310,7 +316,7 @@
     slow_down(&mut cluster, &[0, 1, 2, 3]);
     let mut longest = Duration::ZERO;
     for round in 0..6 {
-        let backup = cluster.holders()[1];
+        let backup = cluster.data_replicas()[1];
         cluster.kill(backup);
         for _ in 0..20 {
             let waited = cluster.acknowledge(20_000, seconds(20)).expect("it is acknowledged");
@@ -368,7 +374,7 @@
     vec![Envelope { message, ..envelope.clone() }]
 }
 
-/// A sender that gives whole other data, of the same length in entries.
+/// A sender that gives completely different data, of the same length in entries.
 fn other_data(envelope: &Envelope) -> Vec<Envelope> {
     let ReplicationMessage::Sync { epoch, data_epoch, transfer, .. } = envelope.message else {
         return vec![envelope.clone()];
@@ -388,7 +394,7 @@
 /// change takes, and what is seen.
 fn after_the_primary(interceptor: Option<Interceptor>) -> (Option<Duration>, Option<Violation>) {
     let mut cluster = with_configuration();
-    let (primary, backup) = (cluster.holders()[0], cluster.holders()[1]);
+    let (primary, backup) = (cluster.data_replicas()[0], cluster.data_replicas()[1]);
     cluster.kill(backup);
     cluster.interceptor = interceptor;
     cluster.run_for(EXCHANGE);
@@ -419,7 +425,7 @@
 #[test]
 fn bytes_of_other_data_are_never_taken() {
     let mut cluster = with_configuration();
-    let backup = cluster.holders()[1];
+    let backup = cluster.data_replicas()[1];
     cluster.kill(backup);
     let mut mixed = 0;
     cluster.interceptor = Some(Box::new(move |envelope| {
--- a/crates/control-plane/tests/replication_sync_member.rs
+++ b/crates/control-plane/tests/replication_sync_member.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_whole_transfer_is_confirmed_once_it_is_on_disk() {
+fn a_complete_transfer_is_confirmed_once_it_is_on_disk() {
     let mut member = Member::with(DurableState::default());
     let proposer = data(DATA_EPOCH, 2);
     let encoded = EncodedData::of(&proposer);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_holder_with_the_same_mark_takes_only_the_epoch() {
+fn a_data_replica_at_the_same_position_records_only_the_epoch() {
     let mut member = Member::with(data(DATA_EPOCH, 2));
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
@@ -150,7 +150,7 @@
 
 /// As many entries of another epoch may be other entries.
 #[test]
-fn a_holder_with_as_many_entries_of_another_epoch_needs_the_data() {
+fn a_data_replica_with_as_many_entries_of_another_epoch_needs_the_data() {
     let mut member = Member::with(data(DATA_EPOCH - 1, 1));
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
@@ -160,7 +160,7 @@
 
 /// Fewer entries of the same epoch are not all.
 #[test]
-fn a_holder_with_fewer_entries_needs_the_data() {
+fn a_data_replica_with_fewer_entries_needs_the_data() {
     let mut behind = data(DATA_EPOCH, 2);
     behind.entries.pop();
     behind.data.sequence = 4;
--- a/crates/control-plane/tests/replication_transfer.rs
+++ b/crates/control-plane/tests/replication_transfer.rs
@@ -38,15 +38,15 @@
     })
 }
 
-/// The whole data in a single chunk, however long it is.
+/// The complete data in a single chunk, however long it is.
 fn complete_chunk(data: &EncodedData) -> Chunk {
     let offsets = (0..data.id().length).step_by(CHUNK_BYTES as usize);
     let bytes: Vec<u8> = offsets.flat_map(|offset| data.chunk(offset).bytes.to_vec()).collect();
     Chunk { transfer: data.id(), offset: 0, bytes: bytes.into() }
 }
 
-fn slice(whole: &Chunk, start: usize, end: usize) -> Chunk {
-    Chunk { transfer: whole.transfer, offset: start as u64, bytes: whole.bytes[start..end].into() }
+fn slice(complete: &Chunk, start: usize, end: usize) -> Chunk {
+    Chunk { transfer: complete.transfer, offset: start as u64, bytes: complete.bytes[start..end].into() }
 }
 
 /// What may happen to a message.
@@ -92,8 +92,8 @@
     }
 
     fn transmit(&mut self, now: Duration, message: impl Fn() -> Message) {
-        let copies = if self.random.u32(0..100) < self.link.duplication { 2 } else { 1 };
-        for _ in 0..copies {
+        let replicas = if self.random.u32(0..100) < self.link.duplication { 2 } else { 1 };
+        for _ in 0..replicas {
             let delay = STEP * self.random.u32(0..self.link.delay + 1);
             if self.random.u32(0..100) >= self.link.loss {
                 self.under_way.push((now + delay, message()));
@@ -124,7 +124,7 @@
                 match message {
                     Message::Chunk(chunk) => match self.incoming.accept(&chunk) {
                         Received::Partial(received) => self.transmit(now, || Message::Progress(received)),
-                        whole => return (whole, now),
+                        complete => return (complete, now),
                     },
                     Message::Progress(received) => {
                         self.outgoing.on_received(now, received);
@@ -153,27 +153,27 @@
 #[test]
 fn a_transfer_cut_at_any_byte_goes_on_there() {
     let state = state(1000, 1);
-    let whole = complete_chunk(&EncodedData::of(&state));
-    let length = whole.bytes.len();
+    let complete = complete_chunk(&EncodedData::of(&state));
+    let length = complete.bytes.len();
     for cut in 1..length {
         let mut incoming = IncomingTransfer::default();
-        assert_eq!(incoming.accept(&slice(&whole, 0, cut)), Received::Partial(cut as u64));
-        assert_eq!(incoming.accept(&slice(&whole, cut, length)), expected(&state), "cut at {cut}");
+        assert_eq!(incoming.accept(&slice(&complete, 0, cut)), Received::Partial(cut as u64));
+        assert_eq!(incoming.accept(&slice(&complete, cut, length)), expected(&state), "cut at {cut}");
     }
 }
 
 #[test]
 fn parts_that_overlap_leave_a_gap_or_come_again_add_what_is_new() {
     let state = state(1000, 1);
-    let whole = complete_chunk(&EncodedData::of(&state));
+    let complete = complete_chunk(&EncodedData::of(&state));
     let mut incoming = IncomingTransfer::default();
     for (start, end, received) in
         [(0, 300, 300), (400, 900, 300), (0, 300, 300), (200, 500, 500), (100, 450, 500)]
     {
-        let has = incoming.accept(&slice(&whole, start, end));
+        let has = incoming.accept(&slice(&complete, start, end));
         assert_eq!(has, Received::Partial(received), "after {start}..{end}");
     }
-    assert_eq!(incoming.accept(&slice(&whole, 0, whole.bytes.len())), expected(&state));
+    assert_eq!(incoming.accept(&slice(&complete, 0, complete.bytes.len())), expected(&state));
 }
 
 #[rstest]
@@ -225,10 +225,10 @@
 #[test]
 fn other_data_starts_anew() {
     let (first, second) = (state(1000, 1), state(1000, 2));
-    let (whole, other) =
+    let (complete, other) =
         (complete_chunk(&EncodedData::of(&first)), complete_chunk(&EncodedData::of(&second)));
     let mut incoming = IncomingTransfer::default();
-    incoming.accept(&slice(&whole, 0, 600));
+    incoming.accept(&slice(&complete, 0, 600));
     assert_eq!(incoming.accept(&slice(&other, 600, 700)), Received::Partial(0));
     assert_eq!(incoming.accept(&other), expected(&second));
 }
@@ -237,34 +237,35 @@
 #[test]
 fn bytes_of_other_data_under_the_same_name_are_seen() {
     let (first, second) = (state(1000, 1), state(1000, 2));
-    let (whole, other) =
+    let (complete, other) =
         (complete_chunk(&EncodedData::of(&first)), complete_chunk(&EncodedData::of(&second)));
-    let mixed = Chunk { transfer: whole.transfer, ..slice(&other, 500, 600) };
+    let mixed = Chunk { transfer: complete.transfer, ..slice(&other, 500, 600) };
     let mut incoming = IncomingTransfer::default();
-    incoming.accept(&slice(&whole, 0, 500));
+    incoming.accept(&slice(&complete, 0, 500));
     incoming.accept(&mixed);
-    let end = slice(&whole, 600, whole.bytes.len());
+    let end = slice(&complete, 600, complete.bytes.len());
     assert_eq!(incoming.accept(&end), Received::Partial(0), "nothing of it is used");
-    assert_eq!(incoming.accept(&whole), expected(&first));
+    assert_eq!(incoming.accept(&complete), expected(&first));
 }
 
 /// The checksum is right, but the data is not what its name says.
 #[test]
 fn data_with_another_newest_entry_than_it_says_is_refused() {
-    let whole = complete_chunk(&EncodedData::of(&state(1000, 1)));
-    let transfer = TransferId { sequence: 9, ..whole.transfer };
-    let renamed = Chunk { transfer, ..whole };
+    let complete = complete_chunk(&EncodedData::of(&state(1000, 1)));
+    let transfer = TransferId { sequence: 9, ..complete.transfer };
+    let renamed = Chunk { transfer, ..complete };
     assert_eq!(IncomingTransfer::default().accept(&renamed), Received::Partial(0));
 }
 
 /// Memory is taken for bytes that have come, not for those that are announced, and never beyond a bound.
 #[test]
 fn data_over_the_bound_is_not_taken() {
-    let whole = complete_chunk(&EncodedData::of(&state(1000, 1)));
-    let announce = |length| Chunk { transfer: TransferId { length, ..whole.transfer }, ..whole.clone() };
+    let complete = complete_chunk(&EncodedData::of(&state(1000, 1)));
+    let announce =
+        |length| Chunk { transfer: TransferId { length, ..complete.transfer }, ..complete.clone() };
     let mut incoming = IncomingTransfer::default();
     assert_eq!(incoming.accept(&announce(MAX_TRANSFER_BYTES + 1)), Received::Partial(0));
-    assert_eq!(incoming.accept(&announce(MAX_TRANSFER_BYTES)), Received::Partial(whole.transfer.length));
+    assert_eq!(incoming.accept(&announce(MAX_TRANSFER_BYTES)), Received::Partial(complete.transfer.length));
     assert_eq!(incoming.accept(&announce(0)), Received::Partial(0));
 }
 
@@ -279,7 +280,7 @@
 
 /// After a cut, chunks are sent again at growing intervals until the receiver answers.
 #[test]
-fn a_silent_receiver_is_asked_less_and_less() {
+fn a_silent_receiver_is_queried_less_and_less() {
     let mut outgoing = OutgoingTransfer::new(10 * CHUNK_BYTES, false, Duration::ZERO);
     outgoing.next_offsets();
     let mut sendings = Vec::new();
--- a/crates/control-plane/tests/support/checker.rs
+++ b/crates/control-plane/tests/support/checker.rs
@@ -22,10 +22,10 @@
     /// Members that applied the same commands have different states.
     StatesDiffer,
     /// After a member left, no view without it came into force in time.
-    ViewNotSettled,
+    ViewIncomplete,
     /// No order of the operators' calls explains their answers.
     Unexplained { object: UnexplainedObject },
-    /// After the trouble a proposal was not acknowledged in time.
+    /// After the faults a proposal was not acknowledged in time.
     NoProgress,
 }
 
@@ -105,8 +105,8 @@
     }
 
     /// These members hold leases now.
-    pub(crate) fn leases(&mut self, holders: &[NodeId]) {
-        if let [first, second, ..] = holders {
+    pub(crate) fn leases(&mut self, lease_holders: &[NodeId]) {
+        if let [first, second, ..] = lease_holders {
             self.report(Violation::TwoLeases { first: *first, second: *second });
         }
     }
--- a/crates/control-plane/tests/support/disk.rs
+++ b/crates/control-plane/tests/support/disk.rs
@@ -88,7 +88,7 @@
         self.power_cut.take().map(|cut| cut.restart_after)
     }
 
-    /// Ends all trouble.
+    /// Ends all faults.
     pub(crate) fn heal(&mut self, now: u64) {
         self.stalled_until = self.stalled_until.min(now);
         self.full_until = self.full_until.min(now);
--- a/crates/control-plane/tests/support/history/any.rs
+++ b/crates/control-plane/tests/support/history/any.rs
@@ -1,4 +1,4 @@
-//! Trouble of any number of machines, whose disks stay.
+//! Faults of any number of machines, whose disks stay.
 
 use fastrand::Rng;
 
@@ -9,8 +9,8 @@
 /// Most writes after which a machine loses its power.
 const MOST_WRITES_BEFORE_POWER_CUT: u32 = 12;
 
-/// One kind of trouble.
-pub(super) fn any_trouble(simulation: &mut Simulation, script: &mut Rng) {
+/// One kind of fault.
+pub(super) fn inject_any_fault(simulation: &mut Simulation, script: &mut Rng) {
     let index = target(simulation, script);
     let span = script.u64(50..3000) * MS;
     match script.u64(0..17) {
--- a/crates/control-plane/tests/support/history/counted.rs
+++ b/crates/control-plane/tests/support/history/counted.rs
@@ -1,4 +1,4 @@
-//! Trouble of no more than f machines at once, disks included.
+//! Faults of no more than f machines at once, disks included.
 
 use fastrand::Rng;
 
@@ -10,8 +10,8 @@
     simulation.machines.iter().filter(|machine| machine.lost_until > simulation.now).count()
 }
 
-/// Trouble of one machine, if not too many are lost already.
-pub(super) fn counted_trouble(simulation: &mut Simulation, script: &mut Rng) {
+/// A fault of one machine, if not too many are lost already.
+pub(super) fn inject_counted_fault(simulation: &mut Simulation, script: &mut Rng) {
     let index = target(simulation, script);
     let span = script.u64(50..2500) * MS;
     let is_counted = simulation.machines[index].lost_until > simulation.now;
--- a/crates/control-plane/tests/support/history/final_fault.rs
+++ b/crates/control-plane/tests/support/history/final_fault.rs
@@ -2,12 +2,12 @@
 
 use fastrand::Rng;
 
-use super::{PROGRESS_WITHIN, Trouble, living};
+use super::{FaultPlan, PROGRESS_WITHIN, living};
 use crate::support::simulation::{MS, SECOND, Simulation};
 
 /// Right after an acknowledgement: all lose power, and disks that may be lost are lost.
-pub(super) fn final_fault(simulation: &mut Simulation, script: &mut Rng, trouble: Trouble) {
-    let is_calm = trouble != Trouble::DisksStay;
+pub(super) fn final_fault(simulation: &mut Simulation, script: &mut Rng, fault_plan: FaultPlan) {
+    let is_calm = fault_plan != FaultPlan::DisksStay;
     if is_calm {
         simulation.cuts.clear();
         simulation.run_for(8 * SECOND);
--- a/crates/control-plane/tests/support/history/mod.rs
+++ b/crates/control-plane/tests/support/history/mod.rs
@@ -1,4 +1,4 @@
-//! Random histories of trouble.
+//! Random histories of faults.
 
 mod any;
 mod counted;
@@ -12,7 +12,7 @@
 use super::random::{chance, pick};
 use super::simulation::{MS, Network, SECOND, Shape, Simulation};
 
-/// After trouble ends, a primary has to take a proposal within this time.
+/// After the faults have ended, a primary has to take a proposal within this time.
 pub(crate) const PROGRESS_WITHIN: u64 = 6 * SECOND;
 /// A machine counts as lost for so long after it is back.
 const LOST_AFTER_RETURN: u64 = 4 * SECOND;
@@ -22,12 +22,12 @@
 /// Most answers to operators that are lost, in a thousand.
 const MOST_LOST_ANSWERS: u64 = 200;
 
-/// What kinds of trouble a history has.
+/// Which faults a history has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trouble {
-    /// Disks stay; any number of machines may be in trouble.
+pub(crate) enum FaultPlan {
+    /// Disks stay; any number of machines may be faulty.
     DisksStay,
-    /// Disks may be lost and machines replaced; no more than f machines are in trouble at once.
+    /// Disks may be lost and machines replaced; no more than f machines are faulty at once.
     DisksLost,
     /// All machines are replaced one after the other, as planned, with other losses in between.
     Replacement,
@@ -69,42 +69,44 @@
 }
 
 /// Plays one history of proposals.
-pub(crate) fn play(seed: u64, shape: Shape, trouble: Trouble) -> Outcome {
-    play_with(seed, shape, trouble, Load::Proposals)
+pub(crate) fn play(seed: u64, shape: Shape, fault_plan: FaultPlan) -> Outcome {
+    play_with(seed, shape, fault_plan, Load::Proposals)
 }
 
 /// Plays one history.
-pub(crate) fn play_with(seed: u64, shape: Shape, trouble: Trouble, load: Load) -> Outcome {
+pub(crate) fn play_with(seed: u64, shape: Shape, fault_plan: FaultPlan, load: Load) -> Outcome {
     let mut simulation = Simulation::new(seed, shape);
     let script = &mut Rng::with_seed(seed ^ 0xabcd);
-    let is_early = trouble == Trouble::DisksStay && chance(script, 300);
+    let is_early = fault_plan == FaultPlan::DisksStay && chance(script, 300);
     simulation.run_until(if is_early { script.u64(300..1000) * MS } else { 3 * SECOND });
     simulation.end_first_boot();
-    simulation.network = network(script, trouble);
+    simulation.network = network(script, fault_plan);
     simulation.operators.loss = script.u64(0..MOST_LOST_ANSWERS);
-    match trouble {
-        Trouble::Replacement => replacement::replace_all(&mut simulation, script, |simulation, script| {
-            put_load(simulation, script, load);
-        }),
-        Trouble::ManyChanges => change_often(&mut simulation, script, load),
-        Trouble::DisksStay | Trouble::DisksLost => {
+    match fault_plan {
+        FaultPlan::Replacement => {
+            replacement::replace_all(&mut simulation, script, |simulation, script| {
+                put_load(simulation, script, load);
+            });
+        }
+        FaultPlan::ManyChanges => change_often(&mut simulation, script, load),
+        FaultPlan::DisksStay | FaultPlan::DisksLost => {
             let steps = script.u64(3..9);
             for _ in 0..steps {
-                step(&mut simulation, script, trouble);
+                step(&mut simulation, script, fault_plan);
                 put_load(&mut simulation, script, load);
             }
         }
     }
     if chance(script, 300) {
-        final_fault::final_fault(&mut simulation, script, trouble);
+        final_fault::final_fault(&mut simulation, script, fault_plan);
     }
     finish(simulation, load)
 }
 
-fn network(script: &mut Rng, trouble: Trouble) -> Network {
-    let (loss, lateness) = match trouble {
-        Trouble::DisksStay | Trouble::ManyChanges => (150, 30),
-        Trouble::DisksLost | Trouble::Replacement => (20, 3),
+fn network(script: &mut Rng, fault_plan: FaultPlan) -> Network {
+    let (loss, lateness) = match fault_plan {
+        FaultPlan::DisksStay | FaultPlan::ManyChanges => (150, 30),
+        FaultPlan::DisksLost | FaultPlan::Replacement => (20, 3),
     };
     Network {
         loss: script.u64(0..loss),
@@ -141,10 +143,10 @@
 /// Many changes at once, with a restart in the middle of them.
 fn change_often(simulation: &mut Simulation, script: &mut Rng, load: Load) {
     for _ in 0..LONG_ROUNDS {
-        let trouble_at = script.u64(0..LONG_BURST);
+        let faults_at = script.u64(0..LONG_BURST);
         for number in 0..LONG_BURST {
-            if number == trouble_at {
-                step(simulation, script, Trouble::DisksStay);
+            if number == faults_at {
+                step(simulation, script, FaultPlan::DisksStay);
             }
             match load {
                 Load::Proposals => propose_somewhere(simulation, script),
@@ -166,10 +168,10 @@
     primary.unwrap_or_else(|| pick(script, &living))
 }
 
-fn step(simulation: &mut Simulation, script: &mut Rng, trouble: Trouble) {
-    match trouble {
-        Trouble::DisksStay | Trouble::ManyChanges => any::any_trouble(simulation, script),
-        Trouble::DisksLost | Trouble::Replacement => counted::counted_trouble(simulation, script),
+fn step(simulation: &mut Simulation, script: &mut Rng, fault_plan: FaultPlan) {
+    match fault_plan {
+        FaultPlan::DisksStay | FaultPlan::ManyChanges => any::inject_any_fault(simulation, script),
+        FaultPlan::DisksLost | FaultPlan::Replacement => counted::inject_counted_fault(simulation, script),
     }
 }
 
--- a/crates/control-plane/tests/support/history/replacement.rs
+++ b/crates/control-plane/tests/support/history/replacement.rs
@@ -9,7 +9,7 @@
 use crate::support::simulation::{MS, SECOND, Simulation};
 
 /// A view without the machines that are gone has to be in force, and known, within this time.
-const SETTLED_WITHIN: u64 = 12 * SECOND;
+const COMPLETE_WITHIN: u64 = 12 * SECOND;
 /// Replacements after the last machine of the first boot has left.
 const MOST_FURTHER_REPLACEMENTS: usize = 4;
 
@@ -20,7 +20,7 @@
     load: impl Fn(&mut Simulation, &mut Rng),
 ) {
     let rounds = simulation.machines.len() + script.usize(..MOST_FURTHER_REPLACEMENTS);
-    await_settled_view(simulation);
+    await_complete_view(simulation);
     for _ in 0..rounds {
         let leaving = replace_oldest(simulation, script);
         let loses_while_leaving = chance(script, 300);
@@ -35,7 +35,7 @@
             let losses = simulation.losses();
             lose_others(simulation, script, losses);
         }
-        await_settled_view(simulation);
+        await_complete_view(simulation);
         if simulation.checker.violation.is_some() {
             return;
         }
@@ -53,9 +53,9 @@
 
 /// Where its place was not taken in time, a view without it has to be in force before anything else is lost.
 fn await_departure(simulation: &mut Simulation, leaving: usize) {
-    simulation.run_while_not(SETTLED_WITHIN, |simulation| simulation.departure(leaving).is_some());
+    simulation.run_while_not(COMPLETE_WITHIN, |simulation| simulation.departure(leaving).is_some());
     if simulation.departure(leaving) != Some(Departure::Free) {
-        await_settled_view(simulation);
+        await_complete_view(simulation);
     }
 }
 
@@ -83,11 +83,11 @@
     }
 }
 
-fn await_settled_view(simulation: &mut Simulation) {
-    let is_settled = simulation.run_while_not(SETTLED_WITHIN, |simulation| {
-        simulation.leaving_count() == 0 && simulation.is_view_settled()
+fn await_complete_view(simulation: &mut Simulation) {
+    let is_complete = simulation.run_while_not(COMPLETE_WITHIN, |simulation| {
+        simulation.leaving_count() == 0 && simulation.is_view_complete()
     });
-    if !is_settled {
-        simulation.checker.violation.get_or_insert(Violation::ViewNotSettled);
+    if !is_complete {
+        simulation.checker.violation.get_or_insert(Violation::ViewIncomplete);
     }
 }
--- a/crates/control-plane/tests/support/machine.rs
+++ b/crates/control-plane/tests/support/machine.rs
@@ -13,7 +13,7 @@
 /// A running process.
 pub(crate) struct Process {
     /// Tells this run from others.
-    pub life: u64,
+    pub incarnation: u64,
     /// The state machine.
     pub replication: Replication,
     /// What the applied commands led to.
@@ -29,7 +29,7 @@
     /// Calls and steps that were due while it was frozen.
     pub delayed_calls: Vec<OperatorEvent>,
     /// What the disk was last said to be.
-    pub told_healthy: bool,
+    pub reported_healthy: bool,
 }
 
 /// A machine.
@@ -53,7 +53,7 @@
     /// Counts as lost until then.
     pub lost_until: u64,
     /// Lives so far.
-    pub lives: u64,
+    pub incarnations: u64,
 }
 
 impl Machine {
--- a/crates/control-plane/tests/support/operator/desk.rs
+++ b/crates/control-plane/tests/support/operator/desk.rs
@@ -156,8 +156,8 @@
 
     fn schedule_step_after(&mut self, index: usize, delay: u64, step: DeskStep) {
         let Some(process) = &self.machines[index].process else { return };
-        let life = process.life;
-        let event = OperatorEvent::Step { machine: index, life, step };
+        let incarnation = process.incarnation;
+        let event = OperatorEvent::Step { machine: index, incarnation, step };
         self.schedule(self.now + delay, Event::Operator(event));
     }
 }
--- a/crates/control-plane/tests/support/operator/event.rs
+++ b/crates/control-plane/tests/support/operator/event.rs
@@ -12,7 +12,7 @@
     /// It reaches a member.
     Request { machine: usize, call: CallId },
     /// A process goes on with its work.
-    Step { machine: usize, life: u64, step: DeskStep },
+    Step { machine: usize, incarnation: u64, step: DeskStep },
     /// The answer reaches the operator.
     Answered { call: CallId, answer: Answer },
     /// The operator waits no longer.
@@ -56,8 +56,8 @@
         }
         match event {
             OperatorEvent::Request { machine, call } => self.take_request(machine, call),
-            OperatorEvent::Step { machine, life, step } => {
-                if self.is_life(machine, life) {
+            OperatorEvent::Step { machine, incarnation, step } => {
+                if self.is_incarnation(machine, incarnation) {
                     self.take_step(machine, step);
                 }
             }
--- a/crates/control-plane/tests/support/scenario.rs
+++ b/crates/control-plane/tests/support/scenario.rs
@@ -1,4 +1,4 @@
-//! What tests of single kinds of trouble begin and end with.
+//! What tests of single kinds of faults begin and end with.
 
 use super::history::PROGRESS_WITHIN;
 use super::simulation::{Fault, SECOND, Shape, Simulation};
--- a/crates/control-plane/tests/support/simulation/departure.rs
+++ b/crates/control-plane/tests/support/simulation/departure.rs
@@ -28,8 +28,8 @@
         self.input(index, Input::Terminate);
         match &self.machines[index].process {
             Some(process) => {
-                let life = process.life;
-                self.schedule(self.now + LOOK_EVERY, Event::DepartureCheck { machine: index, life });
+                let incarnation = process.incarnation;
+                self.schedule(self.now + LOOK_EVERY, Event::DepartureCheck { machine: index, incarnation });
             }
             None => self.end_departure(index, Departure::StoresData),
         }
@@ -57,8 +57,8 @@
         if may_end(Duration::from_micros(self.now - leaving.since), LEEWAY, departure) {
             self.end_departure(index, departure);
         } else {
-            let life = process.life;
-            self.schedule(self.now + LOOK_EVERY, Event::DepartureCheck { machine: index, life });
+            let incarnation = process.incarnation;
+            self.schedule(self.now + LOOK_EVERY, Event::DepartureCheck { machine: index, incarnation });
         }
     }
 
--- a/crates/control-plane/tests/support/simulation/lifecycle.rs
+++ b/crates/control-plane/tests/support/simulation/lifecycle.rs
@@ -29,7 +29,7 @@
             removed: false,
             leaving: None,
             lost_until: 0,
-            lives: 0,
+            incarnations: 0,
         });
         self.schedule(at, Event::Start { machine: index });
         index
@@ -54,7 +54,7 @@
             machine.disk.state.promised = 0;
             machine.disk.state.view = None;
         }
-        machine.lives += 1;
+        machine.incarnations += 1;
         let settings = ReplicationSettings {
             node: machine.node,
             zone: machine.zone.clone(),
@@ -63,13 +63,13 @@
             first_boot: self.first_boot,
             seed,
         };
-        if machine.lives == 1 && machine.disk.state == DurableState::default() {
+        if machine.incarnations == 1 && machine.disk.state == DurableState::default() {
             machine.disk.state.view = settings.first_view();
         }
         let local = machine.clock.local(self.now);
         let replication = Replication::new(settings, machine.disk.state.clone(), local);
         machine.process = Some(Process {
-            life: machine.lives,
+            incarnation: machine.incarnations,
             replication,
             applied: AppliedState::default(),
             was_primary: false,
@@ -77,7 +77,7 @@
             wake_at: 0,
             backlog: Vec::new(),
             delayed_calls: Vec::new(),
-            told_healthy: true,
+            reported_healthy: true,
         });
         let known = self.others(index);
         self.input(index, Input::Known(known));
--- a/crates/control-plane/tests/support/simulation/trouble.rs
+++ b/crates/control-plane/tests/support/simulation/machine_faults.rs
@@ -1,4 +1,4 @@
-//! Trouble of machines: crashes, power cuts, lost disks, replacements, pauses.
+//! Faults of machines: crashes, power cuts, lost disks, replacements, pauses.
 
 use tulipridge_control_plane::replication::Input;
 
@@ -30,8 +30,8 @@
         self.input(index, Input::Terminate);
         match &self.machines[index].process {
             Some(process) => {
-                let life = process.life;
-                self.schedule(self.now + ends_after, Event::End { machine: index, life, then });
+                let incarnation = process.incarnation;
+                self.schedule(self.now + ends_after, Event::End { machine: index, incarnation, then });
             }
             None => self.end(index, then),
         }
@@ -54,8 +54,8 @@
     pub(crate) fn fill_disk(&mut self, index: usize, span: u64) {
         let machine = &mut self.machines[index];
         machine.disk.full_until = self.now + span;
-        let life = machine.lives;
-        self.schedule(self.now + span, Event::Synced { machine: index, life });
+        let incarnation = machine.incarnations;
+        self.schedule(self.now + span, Event::Synced { machine: index, incarnation });
     }
 
     /// Cuts the power right after some more writes, before the process hears of the last one.
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Ends all trouble of network, disks and freezes; processes that are down come back soon.
+    /// Ends all faults of network, disks and freezes; processes that are down come back soon.
     pub(crate) fn heal(&mut self) {
         self.cuts.clear();
         self.network = Network::default();
--- a/crates/control-plane/tests/support/simulation/mod.rs
+++ b/crates/control-plane/tests/support/simulation/mod.rs
@@ -2,11 +2,11 @@
 
 mod departure;
 mod lifecycle;
+mod machine_faults;
 mod network;
 mod outputs;
 mod proposals;
 mod shape;
-mod trouble;
 mod views;
 
 use std::cmp::Reverse;
@@ -49,12 +49,12 @@
 #[derive(Debug)]
 pub(crate) enum Event {
     Arrival { machine: usize, envelope: Envelope },
-    Wake { machine: usize, life: u64 },
-    Synced { machine: usize, life: u64 },
+    Wake { machine: usize, incarnation: u64 },
+    Synced { machine: usize, incarnation: u64 },
     Thaw { machine: usize },
     Start { machine: usize },
-    End { machine: usize, life: u64, then: AfterEnd },
-    DepartureCheck { machine: usize, life: u64 },
+    End { machine: usize, incarnation: u64, then: AfterEnd },
+    DepartureCheck { machine: usize, incarnation: u64 },
     Operator(OperatorEvent),
 }
 
@@ -165,13 +165,13 @@
 
     fn check_leases(&mut self) {
         let now = self.now;
-        let holders: Vec<NodeId> = self
+        let lease_holders: Vec<NodeId> = self
             .machines
             .iter()
             .filter(|machine| machine.lease_valid(now))
             .map(|machine| machine.node)
             .collect();
-        self.checker.leases(&holders);
+        self.checker.leases(&lease_holders);
         let reader = self.machines.iter().find(|machine| machine.lease_valid(now));
         if let Some(machine) = reader
             && let Some(process) = &machine.process
@@ -183,25 +183,25 @@
     fn take(&mut self, event: Event) {
         match event {
             Event::Arrival { machine, envelope } => self.input(machine, Input::Message(envelope)),
-            Event::Wake { machine, life } => {
-                if self.is_life(machine, life) {
+            Event::Wake { machine, incarnation } => {
+                if self.is_incarnation(machine, incarnation) {
                     self.input(machine, Input::Tick);
                 }
             }
-            Event::Synced { machine, life } => {
-                if self.is_life(machine, life) {
+            Event::Synced { machine, incarnation } => {
+                if self.is_incarnation(machine, incarnation) {
                     self.sync(machine);
                 }
             }
             Event::Thaw { machine } => self.thaw(machine),
             Event::Start { machine } => self.start(machine),
-            Event::End { machine, life, then } => {
-                if self.is_life(machine, life) {
+            Event::End { machine, incarnation, then } => {
+                if self.is_incarnation(machine, incarnation) {
                     self.end(machine, then);
                 }
             }
-            Event::DepartureCheck { machine, life } => {
-                if self.is_life(machine, life) {
+            Event::DepartureCheck { machine, incarnation } => {
+                if self.is_incarnation(machine, incarnation) {
                     self.check_departure(machine);
                 }
             }
@@ -210,8 +210,8 @@
     }
 
     /// Whether this run of a process goes on.
-    pub(crate) fn is_life(&self, machine: usize, life: u64) -> bool {
-        self.machines[machine].process.as_ref().is_some_and(|process| process.life == life)
+    pub(crate) fn is_incarnation(&self, machine: usize, incarnation: u64) -> bool {
+        self.machines[machine].process.as_ref().is_some_and(|process| process.incarnation == incarnation)
     }
 
     fn sync(&mut self, index: usize) {
--- a/crates/control-plane/tests/support/simulation/network.rs
+++ b/crates/control-plane/tests/support/simulation/network.rs
@@ -34,8 +34,8 @@
         if chance(&mut self.random, network.loss) {
             return;
         }
-        let copies = if chance(&mut self.random, network.duplication) { 2 } else { 1 };
-        for _ in 0..copies {
+        let replicas = if chance(&mut self.random, network.duplication) { 2 } else { 1 };
+        for _ in 0..replicas {
             let mut delay = self.random.u64(200..network.delay.max(300));
             if chance(&mut self.random, network.lateness) {
                 delay += self.random.u64(0..3 * SECOND);
--- a/crates/control-plane/tests/support/simulation/outputs.rs
+++ b/crates/control-plane/tests/support/simulation/outputs.rs
@@ -21,8 +21,8 @@
         let local = machine.clock.local(now);
         let healthy = !machine.disk.waits_longer_than(now, DISK_BOUND) && !machine.disk.refuses(now);
         let mut out = Vec::new();
-        if healthy != process.told_healthy {
-            process.told_healthy = healthy;
+        if healthy != process.reported_healthy {
+            process.reported_healthy = healthy;
             process.replication.handle(local, Input::DiskHealthy(healthy), &mut out);
         }
         process.replication.handle(local, input, &mut out);
@@ -37,8 +37,8 @@
         let due = machine.clock.when(process.replication.next_deadline()).max(now + MS / 10);
         if process.wake_at <= now || due < process.wake_at {
             process.wake_at = due;
-            let life = process.life;
-            self.schedule(due, Event::Wake { machine: index, life });
+            let incarnation = process.incarnation;
+            self.schedule(due, Event::Wake { machine: index, incarnation });
         }
     }
 
@@ -52,10 +52,10 @@
                     let machine = &mut self.machines[index];
                     machine.disk.reports_early = reports_early;
                     let due = machine.disk.write(self.now, delay, ticket, records);
-                    let life = machine.lives;
-                    self.schedule(due, Event::Synced { machine: index, life });
+                    let incarnation = machine.incarnations;
+                    self.schedule(due, Event::Synced { machine: index, incarnation });
                     if reports_early {
-                        self.schedule(self.now + delay, Event::Synced { machine: index, life });
+                        self.schedule(self.now + delay, Event::Synced { machine: index, incarnation });
                     }
                 }
                 Output::Apply { sequence, command, proposal } => {
@@ -135,8 +135,8 @@
             for output in writes {
                 if let Output::Persist { ticket, records } = output {
                     let due = self.machines[index].disk.write(self.now, MS, ticket, records);
-                    let life = self.machines[index].lives;
-                    self.schedule(due, Event::Synced { machine: index, life });
+                    let incarnation = self.machines[index].incarnations;
+                    self.schedule(due, Event::Synced { machine: index, incarnation });
                 } else {
                     self.carry_out(index, vec![output]);
                 }
--- a/crates/control-plane/tests/support/simulation/views.rs
+++ b/crates/control-plane/tests/support/simulation/views.rs
@@ -27,14 +27,14 @@
     }
 
     /// The machines that hold the data in the primary's view, the primary first.
-    pub(crate) fn holders(&self) -> Vec<usize> {
+    pub(crate) fn data_replicas(&self) -> Vec<usize> {
         let view = self.primary().and_then(|primary| self.view_at(primary));
-        let holders = &view.expect("a primary has a view").data_replicas;
-        holders.iter().map(|holder| self.machine_of(*holder).expect("it is a machine")).collect()
+        let data_replicas = &view.expect("a primary has a view").data_replicas;
+        data_replicas.iter().map(|replica| self.machine_of(*replica).expect("it is a machine")).collect()
     }
 
-    /// Whether there is a primary whose view has only running members, is settled, and is known to its voters.
-    pub(crate) fn is_view_settled(&self) -> bool {
+    /// Whether there is a primary whose view has only running members, is complete, and is known to its voters.
+    pub(crate) fn is_view_complete(&self) -> bool {
         let Some(view) = self.primary().and_then(|primary| self.view_at(primary)) else { return false };
         let knows_view = |voter: &NodeId| {
             self.machine_of(*voter).and_then(|machine| self.view_at(machine)) == Some(view)
--- a/crates/control-plane/tests/support_model/breaks.rs
+++ b/crates/control-plane/tests/support_model/breaks.rs
@@ -92,7 +92,7 @@
         prefix: prefixes::steady,
         setup: Setup::three(),
         bounds: within(budget),
-        seen_as: Violation::TooFewCopies,
+        seen_as: Violation::TooFewReplicas,
     }
 }
 
@@ -101,7 +101,7 @@
     let budget = Budget { total: 3, proposals: 1, crashes: 1, cuts: 1, ..NOTHING };
     let bounds = usual(3, budget, 1000 * MS);
     Break {
-        setup: Setup { counts_copies: false, ..Setup::three() },
+        setup: Setup { counts_replicas: false, ..Setup::three() },
         bounds: Bounds { cuts: vec![split(3, &[0])], down_for: vec![0], faulty: vec![1], ..bounds },
         seen_as: Violation::AcknowledgedLost,
         ..early_appended()
@@ -115,7 +115,7 @@
         prefix: prefixes::exchange,
         setup: Setup::three(),
         bounds: within(CRASH),
-        seen_as: Violation::TooFewCopies,
+        seen_as: Violation::TooFewReplicas,
     }
 }
 
@@ -176,11 +176,11 @@
 }
 
 /// One disk is lost, and with it the only copy of an acknowledged order.
-pub(crate) fn one_holder() -> Break {
+pub(crate) fn one_data_replica() -> Break {
     Break {
-        fault: Fault::OneHolder,
+        fault: Fault::OneDataReplica,
         prefix: prefixes::steady,
-        setup: Setup { counts_copies: false, ..Setup::three() },
+        setup: Setup { counts_replicas: false, ..Setup::three() },
         bounds: within(WIPE),
         seen_as: Violation::NoCopyLeft,
     }
--- a/crates/control-plane/tests/support_model/faults.rs
+++ b/crates/control-plane/tests/support_model/faults.rs
@@ -27,8 +27,8 @@
     RefusalCountsAsPromise,
     /// Views don't name the voters before them.
     NoPreviousVoters,
-    /// Members are told to withstand no loss, so one holder is enough for them.
-    OneHolder,
+    /// Members are told to withstand no loss, so one data replica is enough for them.
+    OneDataReplica,
     /// The owner acts on its part and doesn't ask for the lease.
     RoleInsteadOfLease,
     /// The owner goes on to act as primary for a while after its lease has ended.
--- a/crates/control-plane/tests/support_model/lives.rs
+++ b/crates/control-plane/tests/support_model/incarnations.rs
@@ -12,8 +12,8 @@
 
 /// Generations of disks that were lost are counted from here.
 const FIRST_NEW_GENERATION: u64 = 1001;
-/// For how long a voter keeps its word to a primary: the term that a start must wait out.
-const GRANT_TERM: Duration = Duration::from_millis(600);
+/// How long a voter's lease grant runs: what a start must wait out.
+const GRANT_DURATION: Duration = Duration::from_millis(600);
 
 impl World {
     /// A process or its power is gone; the first `kept` unsynced records are on the disk.
@@ -59,9 +59,13 @@
             node: machine.node,
             zone: format!("zone-{member}"),
             seeds: seeds.map(|seed| NodeId { ip: seed.node.ip, generation: 0 }).collect(),
-            tolerated_failures: if self.setup.fault == Fault::OneHolder { 0 } else { self.setup.losses },
+            tolerated_failures: if self.setup.fault == Fault::OneDataReplica {
+                0
+            } else {
+                self.setup.losses
+            },
             first_boot,
-            seed: self.setup.jitter * 1000 + machine.lives * 10 + member as u64,
+            seed: self.setup.jitter * 1000 + machine.incarnations * 10 + member as u64,
         }
     }
 
@@ -73,9 +77,10 @@
         let known: Vec<NodeId> = self.members.iter().map(|other| other.node).collect();
         let machine = self.members[member].change();
         let local = machine.clock.local(now);
-        let started = if fault == Fault::NoQuietPeriod { local.saturating_sub(GRANT_TERM) } else { local };
+        let started =
+            if fault == Fault::NoQuietPeriod { local.saturating_sub(GRANT_DURATION) } else { local };
         let replication = Replication::new(settings, machine.disk.state.clone(), started);
-        machine.lives += 1;
+        machine.incarnations += 1;
         machine.restart_at = None;
         machine.process =
             Some(Process { replication, state: State::default(), sequence: 0, ticked_at: now });
--- a/crates/control-plane/tests/support_model/invariants.rs
+++ b/crates/control-plane/tests/support_model/invariants.rs
@@ -21,7 +21,7 @@
     /// A member that may answer lacks an order that was acknowledged.
     StaleRead,
     /// An order was acknowledged while fewer disks than f + 1 had it, less those that were lost.
-    TooFewCopies,
+    TooFewReplicas,
     /// An order that was acknowledged is on no disk, though no more than f were lost.
     NoCopyLeft,
     /// An order took effect twice.
--- a/crates/control-plane/tests/support_model/member.rs
+++ b/crates/control-plane/tests/support_model/member.rs
@@ -51,7 +51,7 @@
     /// What came while it was paused.
     pub backlog: Vec<Input>,
     /// Processes so far.
-    pub lives: u64,
+    pub incarnations: u64,
 }
 
 impl Member {
@@ -65,7 +65,7 @@
             restart_at: None,
             paused_until: None,
             backlog: Vec::new(),
-            lives: 0,
+            incarnations: 0,
         }
     }
 
--- a/crates/control-plane/tests/support_model/mod.rs
+++ b/crates/control-plane/tests/support_model/mod.rs
@@ -3,7 +3,7 @@
 //! - [`setup`]: what stays the same in all histories;
 //! - [`member`], [`clock`], [`disk`]: one machine; the clock is that of the simulated cluster too;
 //! - [`world`]: one state of the cluster, and what each action does to it;
-//! - [`outputs`], [`lives`], [`orders`]: the parts of it around the members' state machines;
+//! - [`outputs`], [`incarnations`], [`orders`]: the parts of it around the members' state machines;
 //! - [`actions`]: which actions are possible in a state, and the budgets that bound them;
 //! - [`invariants`]: what must hold in every state;
 //! - [`faults`]: promises that are broken on purpose, outside the code under test;
@@ -18,8 +18,8 @@
 pub(crate) mod disk;
 pub(crate) mod explorer;
 pub(crate) mod faults;
+pub(crate) mod incarnations;
 pub(crate) mod invariants;
-pub(crate) mod lives;
 pub(crate) mod member;
 pub(crate) mod orders;
 pub(crate) mod outputs;
--- a/crates/control-plane/tests/support_model/outputs.rs
+++ b/crates/control-plane/tests/support_model/outputs.rs
@@ -76,28 +76,29 @@
     fn acknowledge(&mut self, order: Order, sequence: u64, epoch: u64, command: &[u8]) {
         self.history.acknowledge(order, sequence, epoch);
         let all: Vec<NodeId> = self.members.iter().map(|member| member.node).collect();
-        self.check_copies(&all, sequence, command);
+        self.check_replicas(&all, sequence, command);
     }
 
-    /// A view has come into force: each of its holders has all that was acknowledged.
+    /// A view has come into force: each of its data replicas has all that was acknowledged.
     fn became_primary(&mut self, member: usize, epoch: u64) {
         let machine = &self.members[member];
         let Some(process) = &machine.process else { return };
         self.history.became_primary(machine.node, epoch, &process.state);
-        let holders = process.replication.view().map_or(Vec::new(), |view| view.data_replicas.clone());
+        let data_replicas =
+            process.replication.view().map_or(Vec::new(), |view| view.data_replicas.clone());
         for acknowledgement in self.history.acknowledged.clone().into_values() {
             if let Some(command) = self.history.committed.get(&acknowledgement.sequence).cloned() {
-                self.check_copies(&holders, acknowledgement.sequence, &command);
+                self.check_replicas(&data_replicas, acknowledgement.sequence, &command);
             }
         }
     }
 
-    fn check_copies(&mut self, nodes: &[NodeId], sequence: u64, command: &[u8]) {
+    fn check_replicas(&mut self, nodes: &[NodeId], sequence: u64, command: &[u8]) {
         let stores = |member: &&Slot| nodes.contains(&member.node) && member.disk.stores(sequence, command);
-        let copies = self.members.iter().filter(stores).count();
+        let replicas = self.members.iter().filter(stores).count();
         let wanted = (self.setup.losses + 1).saturating_sub(self.wipes) as usize;
-        if self.setup.counts_copies && copies < wanted {
-            self.history.report(Violation::TooFewCopies);
+        if self.setup.counts_replicas && replicas < wanted {
+            self.history.report(Violation::TooFewReplicas);
         }
     }
 
--- a/crates/control-plane/tests/support_model/prefixes.rs
+++ b/crates/control-plane/tests/support_model/prefixes.rs
@@ -140,7 +140,7 @@
 }
 
 /// The primary 0 was cut off for so long that 1 begins to take over; its first messages are on their way, and
-/// the links are whole again.
+/// the links work again.
 pub(crate) fn takeover(setup: Setup) -> World {
     let mut world = cut_off(setup);
     run_until(&mut world, |world| sends(world, is_prepare));
@@ -167,7 +167,7 @@
     world.replication(primary).view().is_some_and(|view| view.data_replicas.get(1) == Some(&node))
 }
 
-/// Backup 1 was cut off and is being exchanged for 2: the state is on its way to it. Then the links are whole.
+/// Backup 1 was cut off and is being replaced by 2: the state is on its way to it. Then the links work.
 pub(crate) fn exchange(setup: Setup) -> World {
     let mut world = steady(setup);
     let members = world.members.len();
@@ -179,8 +179,8 @@
     world
 }
 
-/// Voter 2 was cut off and is being exchanged for 3: the new view is on its way to the backup. Then the links
-/// are whole.
+/// Voter 2 was cut off and is being replaced by 3: the new view is on its way to the backup. Then the links
+/// work.
 pub(crate) fn voter_exchange(setup: Setup) -> World {
     let mut world = steady(setup);
     let members = world.members.len();
--- a/crates/control-plane/tests/support_model/setup.rs
+++ b/crates/control-plane/tests/support_model/setup.rs
@@ -26,8 +26,8 @@
     pub rates: Vec<u64>,
     /// Entries between snapshots; none are taken without it.
     pub compact_every: Option<u64>,
-    /// Whether the copies of acknowledged orders are counted.
-    pub counts_copies: bool,
+    /// Whether the replicas of acknowledged orders are counted.
+    pub counts_replicas: bool,
     /// Varies the jitter.
     pub jitter: u64,
     /// A promise that is broken.
@@ -42,7 +42,7 @@
             seeds: 3,
             rates: vec![TRUE_RATE; 3],
             compact_every: None,
-            counts_copies: true,
+            counts_replicas: true,
             jitter: 1,
             fault: Fault::None,
         }
--- a/crates/control-plane/tests/support_model/world.rs
+++ b/crates/control-plane/tests/support_model/world.rs
@@ -306,12 +306,12 @@
         if let Some(process) = first.and_then(|member| self.members[member].process.as_ref()) {
             self.history.may_answer(&process.state);
         }
-        if self.wipes <= self.setup.losses && !self.has_all_copies() {
+        if self.wipes <= self.setup.losses && !self.has_all_replicas() {
             self.history.report(Violation::NoCopyLeft);
         }
     }
 
-    fn has_all_copies(&self) -> bool {
+    fn has_all_replicas(&self) -> bool {
         self.history.acknowledged.values().all(|acknowledgement| {
             let sequence = acknowledgement.sequence;
             let Some(command) = self.history.committed.get(&sequence) else { return true };
