--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -3,6 +3,7 @@
 //! The engine owns the decision module, its clock and its timers. It feeds events to the module and hands
 //! each action to the request that waits for it.
 
+mod forwarding;
 mod request_lifecycle;
 mod streams;
 
--- a/src/engine/request_lifecycle.rs
+++ b/src/engine/request_lifecycle.rs
@@ -1,15 +1,14 @@
 //! The life of one request, from its admission to its one final answer.
 
-use std::collections::BTreeMap;
 use std::future::Future;
 use std::task::{Context, Poll};
 use std::time::Duration;
 
 use futures_lite::{Stream, StreamExt, future};
 
-use super::streams::Alarm;
+use super::forwarding::{Forwarding, Next, Scheduling, ServerSide};
 use super::{Ask, Ending, Engine, Held, Order};
-use crate::stream::{Cause, Leaving, Relay, RelayAction};
+use crate::stream::{Cause, Leaving, Relay};
 use crate::types::{Nanos, ReplicaId, Verdict};
 
 /// What came of a scheduling's stream since its last step.
@@ -154,39 +153,6 @@
     }
 }
 
-/// A scheduling that is out.
-struct Scheduling<S> {
-    number: u32,
-    server: ReplicaId,
-    steps: S,
-}
-
-/// The real servers' side of a begun stream.
-struct ServerSide<S> {
-    /// What the module holds of its request; none if another process began it.
-    held: Option<Held>,
-    out: Vec<Scheduling<S>>,
-    /// The scheduling that it belongs to.
-    number: u32,
-}
-
-impl<S> ServerSide<S> {
-    /// A scheduling has ended, and with it the request if it is the stream's own.
-    fn outcome(&mut self, number: u32, ending: Ending) {
-        if let Some(held) = &mut self.held {
-            held.outcome(number, ending, number == self.number);
-        }
-    }
-}
-
-enum Next<E> {
-    Gone(Leaving),
-    Order(Order),
-    Step(u32, Step<E>),
-    Took(usize),
-    Due,
-}
-
 /// Serves one request: asks the module at each point of choice, and gives exactly one final answer.
 pub async fn serve<E, S: Servers<E>, C: Client<E>>(
     engine: &Engine,
@@ -205,20 +171,7 @@
 
     // Until the first event: the module orders, schedulings end, the client may leave.
     let (number, events, arrival) = loop {
-        // Its leaving comes first. Guards against a request that is written to a real server, on a connection that
-        // has just come up or for want of an answer elsewhere, in the moment in which its client is seen to be gone:
-        // where this thread stood still, that was long ago.
-        let next = future::or(
-            async {
-                client.gone().await;
-                Next::Gone(Leaving::Ended)
-            },
-            future::or(async { Next::Order(held.order().await) }, async {
-                let (number, step) = any(&mut out).await;
-                Next::Step(number, step)
-            }),
-        );
-        match next.await {
+        match next_step(&mut client, &mut held, &mut out).await {
             Next::Order(Order::Schedule { number, server, timeout, write_within }) => {
                 // Guards against a close that came with the request, or that nobody has heard of yet.
                 if client.has_left().await {
@@ -265,20 +218,61 @@
         }
     };
 
-    // From here on the request belongs to that scheduling; the module calls others off, where it may. Any that
-    // go on beside it are heard to their end, but nothing of them reaches the client.
-    let first = held.first_event(number);
-    let server = out.iter().find(|s| s.number == number).map(|s| s.server.clone());
-    let Some(server) = server else { return client.fail(FailureReason::Errors).await };
+    let server_side = ServerSide { held: Some(held), out, number };
+    begin(engine, ask, client, server_side, Begun { events, arrival }, successor).await;
+}
+
+/// The first events of a request's stream.
+struct Begun<E> {
+    events: E,
+    arrival: Arrival,
+}
+
+/// Begins the answer. From here on the request belongs to that scheduling; the module calls others off, where it may.
+/// Any that go on beside it are heard to their end, but nothing of them reaches the client.
+async fn begin<E, S, C: Client<E>>(
+    engine: &Engine,
+    ask: &Ask,
+    client: C,
+    mut server_side: ServerSide<S>,
+    Begun { events, arrival }: Begun<E>,
+    successor: &impl StreamSuccessor<S, C::Answer>,
+) where
+    S: Stream<Item = Step<E>> + Unpin,
+{
+    let first = server_side.first_event();
+    let Some(server) = server_side.server() else { return client.fail(FailureReason::Errors).await };
     let mut relay = Relay::new(engine.now(), first, &engine.limits);
     let mut answer = client.begin();
     if answer.gathers() {
         relay.gathers();
     }
     arrival.put(engine, &mut relay, &mut answer, events);
-    let begun = BegunStream { id: held.id.0, class: ask.class, tenant: ask.tenant, server, first };
-    let server_side = ServerSide { held: Some(held), out, number };
-    pass_on(engine, &begun, server_side, relay, answer, successor).await;
+    let id = server_side.held.as_ref().map_or(0, |held| held.id.0);
+    let begun = BegunStream { id, class: ask.class, tenant: ask.tenant, server, first };
+    Forwarding::new(engine, &begun, server_side, relay, answer).run(successor).await;
+}
+
+/// What comes next of a request whose answer has not begun.
+async fn next_step<E, S: Stream<Item = Step<E>> + Unpin>(
+    client: &mut impl Client<E>,
+    held: &mut Held,
+    out: &mut [Scheduling<S>],
+) -> Next<E> {
+    // Its leaving comes first. Guards against a request that is written to a real server, on a connection that
+    // has just come up or for want of an answer elsewhere, in the moment in which its client is seen to be gone:
+    // where this thread stood still, that was long ago.
+    future::or(
+        async {
+            client.gone().await;
+            Next::Gone(Leaving::Ended)
+        },
+        future::or(async { Next::Order(held.order().await) }, async {
+            let (number, step) = any(out).await;
+            Next::Step(number, step)
+        }),
+    )
+    .await
 }
 
 /// Goes on with a stream that another process began, of which so many bytes wait for the client. The module here
@@ -295,177 +289,18 @@
     let mut relay = Relay::new(engine.now(), begun.first, &engine.limits);
     relay.queued(engine.now(), waiting);
     let out = vec![Scheduling { number: 0, server: begun.server.clone(), steps }];
-    pass_on(engine, begun, ServerSide { held: None, out, number: 0 }, relay, answer, successor).await;
-}
-
-/// Passes a begun stream on, up to its one end.
-async fn pass_on<E, S, A>(
-    engine: &Engine,
-    begun: &BegunStream,
-    mut server_side: ServerSide<S>,
-    mut relay: Relay,
-    mut answer: A,
-    successor: &impl StreamSuccessor<S, A>,
-) where
-    S: Stream<Item = Step<E>> + Unpin,
-    A: Answer<E>,
-{
-    let number = server_side.number;
-    let limits = engine.limits.clone();
-    let mut alarm = Alarm::new();
-    let ticket = engine.ticket(answer.gathers());
-    // Copies that began beside it: nothing of them is passed on, but each has its record.
-    let mut copies: BTreeMap<u32, (ReplicaId, Relay)> = BTreeMap::new();
-    let mut turn = 0;
-    let action = loop {
-        let now = engine.now();
-        relay.allow(now, ticket.holds(relay.held(), relay.paused_since()));
-        if ticket.evicted() {
-            relay.evict(now);
-        }
-        if let Some(at) = ticket.stop_at() {
-            relay.stop_at(at);
-        }
-        match relay.poll(now) {
-            RelayAction::Wait => {}
-            RelayAction::Offer => {
-                let taken = match &mut server_side.out[..] {
-                    [own] if own.number == number => successor.take(begun, &mut own.steps, &mut answer),
-                    // One beside which copies run stays: the module here called for them.
-                    _ => false,
-                };
-                if taken {
-                    relay.handed_over(now);
-                } else {
-                    relay.refused(now);
-                }
-                continue;
-            }
-            action => break action,
-        }
-        // Guards against a real server that floods and a client that keeps up: others have their turn too.
-        if turn >= limits.turn {
-            turn = 0;
-            future::yield_now().await;
-        }
-        let next = future::poll_fn(|cx| {
-            if ticket.poll_called(cx).is_ready() {
-                return Poll::Ready(Next::Due);
-            }
-            if let Some(Poll::Ready(order)) = server_side.held.as_mut().map(|held| held.poll_order(cx)) {
-                return Poll::Ready(Next::Order(order));
-            }
-            if let Poll::Ready(how) = answer.poll_gone(cx) {
-                return Poll::Ready(Next::Gone(how));
-            }
-            if relay.waiting() > 0
-                && let Poll::Ready(taken) = answer.poll_take(cx)
-            {
-                return Poll::Ready(taken.map_or_else(Next::Gone, Next::Took));
-            }
-            for scheduling in &mut server_side.out {
-                if (scheduling.number != number || relay.reads())
-                    && let Poll::Ready(Some(step)) = scheduling.steps.poll_next(cx)
-                {
-                    return Poll::Ready(Next::Step(scheduling.number, step));
-                }
-            }
-            alarm.poll(cx, engine, relay.due()).map(|()| Next::Due)
-        });
-        match next.await {
-            Next::Gone(how) => relay.left(engine.now(), how),
-            Next::Took(bytes) => {
-                turn += bytes;
-                relay.took(engine.now(), bytes);
-            }
-            Next::Step(n, Step::Events(events, arrival)) if n == number => {
-                turn += arrival.bytes;
-                arrival.put(engine, &mut relay, &mut answer, events);
-            }
-            Next::Step(n, Step::Bytes(mut arrival)) if n == number => {
-                turn += arrival.bytes;
-                arrival.inward += answer.holds();
-                arrival.enter(engine, &mut relay);
-            }
-            Next::Step(n, step @ (Step::Ended(_) | Step::Rejected(..))) => {
-                server_side.out.retain(|s| s.number != n);
-                let ending = match step {
-                    Step::Ended(ending) => ending,
-                    // What has begun can't be rejected any more; of another copy it says nothing.
-                    _ if n == number => Verdict::Error.into(),
-                    _ => Verdict::NotSent.into(),
-                };
-                let end = ending.end;
-                server_side.outcome(n, ending);
-                if let Some((server, mut copy)) = copies.remove(&n) {
-                    copy.server_ended(engine.now(), end);
-                    engine.record_copy(begun, &server, &mut copy);
-                }
-                if n == number {
-                    // Its connection is free or closed: that the client still takes what waits costs no real
-                    // server anything.
-                    let now = engine.now();
-                    relay.queued(now, answer.put_end(end.cause()));
-                    relay.server_ended(now, end);
-                }
-            }
-            Next::Step(n, Step::Events(_, arrival) | Step::Bytes(arrival)) => {
-                turn += arrival.bytes;
-                if let Some(scheduling) = server_side.out.iter().find(|s| s.number == n) {
-                    let begin = || {
-                        let elapsed = server_side.held.as_ref().map_or(0, |held| held.elapsed(n));
-                        let relay = Relay::new(engine.now(), elapsed, &limits);
-                        (scheduling.server.clone(), relay)
-                    };
-                    arrival.enter(engine, &mut copies.entry(n).or_insert_with(begin).1);
-                }
-            }
-            Next::Order(Order::Cancel(n)) => {
-                server_side.out.retain(|s| s.number != n);
-                if let Some((server, mut copy)) = copies.remove(&n) {
-                    copy.cancel(engine.now());
-                    engine.record_copy(begun, &server, &mut copy);
-                }
-                server_side.outcome(n, Verdict::Cancelled.into());
-                if n == number {
-                    relay.cancel(engine.now());
-                }
-            }
-            // Nothing else is meant for what has begun.
-            Next::Order(_) | Next::Due => {}
-        }
-    };
-    // The connections of all schedulings close before anything else is done; then the module is told.
-    let is_out = server_side.out.iter().any(|s| s.number == number);
-    server_side.out.clear();
-    if let (true, Some(outcome)) = (is_out, relay.outcome()) {
-        server_side.outcome(number, outcome.cause.verdict().into());
-    }
-    relay.stopped(engine.now());
-    let outcome = relay.outcome();
-    if let Some(outcome) = &outcome {
-        engine.record(begun, &begun.server, outcome);
-    }
-    for (n, (server, mut copy)) in copies {
-        // Guards against a time-out told of a copy that did answer: it is called off, however long it was out.
-        server_side.outcome(n, Verdict::Cancelled.into());
-        copy.cancel(engine.now());
-        engine.record_copy(begun, &server, &mut copy);
-    }
-    drop((ticket, server_side));
-    match (action, outcome) {
-        (RelayAction::Finish, _) => answer.finish(),
-        (_, Some(outcome)) if outcome.cause == Cause::HandedOver => drop(answer),
-        (_, Some(outcome)) if !relay.server_has_ended() => {
-            answer.put_end(outcome.cause);
-            answer.break_off();
-        }
-        _ => answer.break_off(),
-    }
+    let server_side = ServerSide { held: None, out, number: 0 };
+    Forwarding::new(engine, begun, server_side, relay, answer).run(successor).await;
 }
 
 impl Arrival {
-    fn put<E>(mut self, engine: &Engine, relay: &mut Relay, answer: &mut impl Answer<E>, events: E) {
+    pub(super) fn put<E>(
+        mut self,
+        engine: &Engine,
+        relay: &mut Relay,
+        answer: &mut impl Answer<E>,
+        events: E,
+    ) {
         relay.queued(engine.now(), answer.put(events));
         self.inward += answer.holds();
         self.enter(engine, relay);
@@ -474,7 +309,7 @@
         }
     }
 
-    fn enter(&self, engine: &Engine, relay: &mut Relay) {
+    pub(super) fn enter(&self, engine: &Engine, relay: &mut Relay) {
         let Arrival { bytes, events, inward, amid, last } = *self;
         relay.arrived(engine.now(), bytes, events, inward, amid, last);
     }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -156,7 +156,7 @@
         eventually(|| gateway.logged("reload-failed") > before);
         assert_eq!(gateway.ask("platform", "plain", 9000, 1).0, Seen::Served("Hello".into()));
     }
-    eventually(|| gateway.logged("kind=\"Whole\" servers=\"1\"") == 1);
+    eventually(|| gateway.logged("kind=\"Complete\" servers=\"1\"") == 1);
     let (addr, _elsewhere) = discovery(list(3, true, vec![entry(1, &two, "ready", 0)]));
     let mut config: Value = serde_json::from_str(&good).expect("JSON");
     config["discovery"] = addr.to_string().into();
@@ -164,7 +164,7 @@
     config["mgmt"] = "127.0.0.1:1".into();
     std::fs::write(&path, config.to_string()).expect("written");
     gateway.signal("-HUP");
-    eventually(|| gateway.logged("kind=\"Whole\" servers=\"1\"") > 1);
+    eventually(|| gateway.logged("kind=\"Complete\" servers=\"1\"") > 1);
     assert_eq!(gateway.ask("messages", "plain", 9000, 1).0, Seen::Served("Hello".into()));
     assert_eq!(two.requests.load(Ordering::SeqCst), 1);
     assert_eq!(gateway.logged("mgmt-kept"), 1);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -518,7 +518,7 @@
     /// One that has heard of its real servers.
     pub(crate) fn listed(servers: Vec<Value>, attempts: u32, limits: (u32, u32), more: Value) -> Gateway {
         let gateway = Gateway::watched(Gateway::spawn("n0", "platform", servers, attempts, limits, more));
-        eventually(|| gateway.logged("kind=\"Whole\"") > 0);
+        eventually(|| gateway.logged("kind=\"Complete\"") > 0);
         gateway
     }
 
