--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -1,6 +1,6 @@
 //! The operator's API over HTTP/1.1.
 //!
-//! Each route is declared beside its handler, in [`settings`], [`weights`] and [`status`].
+//! Each route is declared beside its handler, in `settings`, `weights` and `status`.
 
 mod connection;
 mod limits;
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a member does not run.
+//! Why a member can't start, or can't go on.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ServerError {
-    /// The settings lack something that only this program needs.
+    /// The settings lack a field that only this program needs.
     #[snafu(display("the settings have no {field}, which the control plane needs"))]
     MissingSetting {
         /// The field.
@@ -25,21 +25,21 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// Why.
         source: io::Error,
     },
     /// The disk can't be used.
     #[snafu(display("{source}"))]
     Disk {
-        /// What is wrong.
+        /// Why.
         source: DiskError,
     },
-    /// The socket of the partial views can't be opened.
+    /// The socket of the peer sampling can't be bound.
     #[snafu(display("{address} (UDP) can't be bound: {source}; is another process there?"))]
-    Views {
+    PeerSampling {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// Why.
         source: io::Error,
     },
     /// The thread of the disk has ended by itself.
@@ -48,19 +48,19 @@
     /// A thread can't be started.
     #[snafu(display("{source}"))]
     Thread {
-        /// What is wrong.
+        /// Why.
         source: StartError,
     },
     /// Signals can't be awaited.
     #[snafu(display("{source}"))]
     Signals {
-        /// What is wrong.
+        /// Why.
         source: SignalError,
     },
     /// The system gives no random number.
     #[snafu(display("the system gives no random number: {source}"))]
     NoRandom {
-        /// What the system says.
+        /// Why.
         source: getrandom::Error,
     },
     /// The replicated state can't be kept up.
--- a/crates/control-plane/tests/change.rs
+++ b/crates/control-plane/tests/change.rs
@@ -1,4 +1,4 @@
-//! What a change of the operator is answered, by who is primary before and after it was decided on.
+//! Outcomes of an operator's change, by who is primary before and after it was decided on.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -6,22 +6,22 @@
 
 use rstest::rstest;
 use tulipridge_control_plane::api::ChangeOutcome;
-use tulipridge_control_plane::change::{ChangeAuthority, ProposalOutcome, carry_out};
+use tulipridge_control_plane::change::{self, ChangeAuthority, ProposalOutcome};
 use tulipridge_control_plane::state::{Applied, Change, Decision, State};
 use tulipridge_control_plane::tenure::Tenure;
 
 const TENURE: Tenure = Tenure(7);
 const NEXT_TENURE: Tenure = Tenure(8);
 
-/// A member with a state of its own.
+/// A member with a state of its own, whose leadership and proposals are scripted.
 #[derive(Default)]
 struct Authority {
     state: RefCell<State>,
-    /// Who it takes itself for, question by question; the last one stays.
+    /// Its tenures, call by call; the last one stays.
     tenures: RefCell<VecDeque<Option<Tenure>>>,
-    /// Ends of proposals, which are applied where they say so.
-    ends: RefCell<VecDeque<ProposalOutcome>>,
-    /// A command of another member that is agreed on before the first proposal.
+    /// Outcomes of proposals; without one, a proposal is applied.
+    outcomes: RefCell<VecDeque<ProposalOutcome>>,
+    /// A command that is committed before the first proposal.
     earlier: RefCell<Option<Arc<[u8]>>>,
     decisions: Cell<u32>,
 }
@@ -33,13 +33,13 @@
         authority
     }
 
-    fn answer(&self, change: Change) -> ChangeOutcome {
-        async_io::block_on(carry_out(self, change))
+    fn carry_out(&self, change: Change) -> ChangeOutcome {
+        async_io::block_on(change::carry_out(self, change))
     }
 
-    fn take(&self, change: &Change) {
+    fn apply(&self, change: &Change) {
         let command = accepted(&self.state.borrow(), change);
-        self.state.borrow_mut().apply(&command).expect("an agreed command");
+        self.state.borrow_mut().apply(&command).expect("a committed command");
     }
 }
 
@@ -64,9 +64,9 @@
     async fn propose(&self, command: Arc<[u8]>) -> ProposalOutcome {
         let mut state = self.state.borrow_mut();
         if let Some(earlier) = self.earlier.take() {
-            state.apply(&earlier).expect("an agreed command");
+            state.apply(&earlier).expect("a committed command");
         }
-        let scripted = self.ends.borrow_mut().pop_front();
+        let scripted = self.outcomes.borrow_mut().pop_front();
         scripted.unwrap_or_else(|| ProposalOutcome::Applied(state.apply(&command).expect("a command")))
     }
 }
@@ -83,13 +83,13 @@
     Change::NameWeights { model: "m".to_owned(), revision }
 }
 
-/// Changes that get each of the decisions at a member that has taken configuration 3 and weights 5.
+/// Changes that get each of the decisions at a member with configuration 3 and weights 5.
 #[rstest]
 #[case::accept(put(3, 4), ChangeOutcome::Taken)]
 #[case::already_taken(put(0, 3), ChangeOutcome::Taken)]
 #[case::stale(put(2, 9), ChangeOutcome::Stale { current: 3 })]
 #[case::old_weights(weights(4), ChangeOutcome::OldWeights { newest: 5 })]
-fn only_a_member_that_was_primary_all_the_time_answers(
+fn only_a_member_that_was_primary_throughout_responds(
     #[case] change: Change,
     #[case] expected: ChangeOutcome,
     #[values(
@@ -101,35 +101,35 @@
     tenures: &[Option<Tenure>],
 ) {
     let authority = Authority::with_tenures(tenures);
-    authority.take(&put(0, 3));
-    authority.take(&weights(5));
+    authority.apply(&put(0, 3));
+    authority.apply(&weights(5));
     let is_primary = tenures == [Some(TENURE)];
     let expected = if is_primary { expected } else { ChangeOutcome::NotPrimary };
-    assert_eq!(authority.answer(change), expected);
+    assert_eq!(authority.carry_out(change), expected);
 }
 
 #[test]
 fn an_invalid_configuration_is_refused_by_a_primary_only() {
     let invalid = || Change::PutConfiguration { if_match: Some(0), body: b"{".to_vec() };
-    let outcome = Authority::with_tenures(&[Some(TENURE)]).answer(invalid());
+    let outcome = Authority::with_tenures(&[Some(TENURE)]).carry_out(invalid());
     assert!(matches!(outcome, ChangeOutcome::Invalid { .. }), "{outcome:?}");
     let deposed = Authority::with_tenures(&[Some(TENURE), None]);
-    assert_eq!(deposed.answer(invalid()), ChangeOutcome::NotPrimary);
+    assert_eq!(deposed.carry_out(invalid()), ChangeOutcome::NotPrimary);
 }
 
-/// The entry of a change finds another one before it. One of the same change is known when it is applied; otherwise
-/// it is decided on once more, by the newer state.
+/// Another command is committed before that of a change. If it is of the same change, that is recognized when the second
+/// one is applied; otherwise the change is decided on once more, by the newer state.
 #[rstest]
 #[case::the_same_change(put(0, 3), ChangeOutcome::Taken, 1)]
 #[case::another_change(put(0, 2), ChangeOutcome::Stale { current: 2 }, 2)]
-fn a_superseded_change_is_answered_by_the_newer_state(
+fn a_superseded_change_is_decided_on_by_the_newer_state(
     #[case] earlier: Change,
     #[case] expected: ChangeOutcome,
     #[case] decisions: u32,
 ) {
     let authority = Authority::with_tenures(&[Some(TENURE)]);
     *authority.earlier.borrow_mut() = Some(accepted(&State::default(), &earlier));
-    assert_eq!(authority.answer(put(0, 3)), expected);
+    assert_eq!(authority.carry_out(put(0, 3)), expected);
     assert_eq!(authority.decisions.get(), decisions);
 }
 
@@ -137,8 +137,8 @@
 #[case::never_begun(ProposalOutcome::NotTaken, ChangeOutcome::NotPrimary)]
 #[case::no_answer(ProposalOutcome::Unknown, ChangeOutcome::Unknown)]
 #[case::superseded_again_and_again(ProposalOutcome::Applied(Applied::Superseded), ChangeOutcome::Unknown)]
-fn what_was_not_agreed_on_is_not_refused(#[case] end: ProposalOutcome, #[case] expected: ChangeOutcome) {
+fn an_uncommitted_change_is_not_refused(#[case] end: ProposalOutcome, #[case] expected: ChangeOutcome) {
     let authority = Authority::with_tenures(&[Some(TENURE)]);
-    authority.ends.borrow_mut().extend([end; 3]);
-    assert_eq!(authority.answer(put(0, 3)), expected);
+    authority.outcomes.borrow_mut().extend([end; 3]);
+    assert_eq!(authority.carry_out(put(0, 3)), expected);
 }
--- a/crates/control-plane/tests/links.rs
+++ b/crates/control-plane/tests/links.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn messages_come_in_their_order() {
+fn messages_arrive_in_order() {
     let executor = Rc::new(LocalExecutor::new());
     let listener = listen();
     let links = Rc::new(Links::new(executor.clone(), port(&listener)));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_large_message_comes_whole() {
+fn a_large_message_arrives_complete() {
     let executor = Rc::new(LocalExecutor::new());
     let listener = listen();
     let links = Rc::new(Links::new(executor.clone(), port(&listener)));
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn a_member_that_listens_later_is_reached() {
+fn a_member_that_starts_to_listen_later_is_reached() {
     let executor = Rc::new(LocalExecutor::new());
     let port = port(&listen());
     let links = Rc::new(Links::new(executor.clone(), port));
     links.send(prepare(1));
     let listener = Async::<TcpListener>::bind((RECEIVER, port)).expect("the port is free again");
     let sending = async {
-        // Messages may be lost, so a member says what it needs to say again.
+        // Messages may be lost, so the sender repeats itself.
         for epoch in 2.. {
             links.send(prepare(epoch));
             futures_lite::future::yield_now().await;
@@ -92,7 +92,7 @@
     assert_eq!(received.len(), 1);
 }
 
-/// Nobody reads the connection of the data, which holds more than the buffers on its way take.
+/// Nobody reads the data connection, whose message is longer than all buffers on its way.
 #[test]
 fn a_short_message_does_not_wait_behind_a_long_entry() {
     let executor = Rc::new(LocalExecutor::new());
--- a/crates/control-plane/tests/whole_member.rs
+++ b/crates/control-plane/tests/member_process.rs
@@ -1,5 +1,5 @@
-//! Whole members: what the operator has put is served on the feed, and found again after a stop; what every member
-//! tells of it; and what keeps a member from starting.
+//! Complete members in this process: a configuration is served on the feed and recovered after a stop, every member
+//! reports it, and what keeps a member from starting.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -25,17 +25,17 @@
 const FIRST_ADDRESS: u8 = 77;
 /// Addresses that were given to members.
 static ADDRESSES: AtomicU8 = AtomicU8::new(FIRST_ADDRESS);
-/// Ports from the first spare one on that a member takes.
+/// Ports from the first spare one on that a member listens on.
 const SPARE_PORTS: u16 = 4;
-/// Longest time for the whole test.
-const LIMIT: Duration = Duration::from_secs(9);
-/// Longest time for a call.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of a test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(9);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 const REVISION: u64 = 3;
 const CONFIGURATION: &str = r#"{"revision":3,"routes":[{"label":"r","hostname":"a.example","pathStart":"/r/","sort":"harmless","timeLimitMs":1000,"backend":"chat"}],"backends":[{"label":"chat"}],"note":"kept"}"#;
 
-/// A machine: its disk, and the ports that its member takes.
+/// A machine: its disk, and the ports that its member listens on.
 struct Machine {
     folder: PathBuf,
     operator: SocketAddr,
@@ -58,7 +58,7 @@
         let seeds: Vec<SocketAddr> =
             addresses.iter().map(|address| SocketAddr::from((*address, operator_port))).collect();
         let machine = |operator: &SocketAddr| {
-            let folder = format!("member-whole-member-{}-{}", std::process::id(), operator.ip());
+            let folder = format!("member-process-{}-{}", std::process::id(), operator.ip());
             let folder = std::env::temp_dir().join(folder);
             Machine { folder, operator: *operator, seeds: seeds.clone(), first_spare }
         };
@@ -77,7 +77,7 @@
         Settings::parse(&text).expect("settings that can be used")
     }
 
-    /// Calls the operator's interface until it answers with 200.
+    /// Calls the operator's API until it responds with 200.
     async fn call(&self, call: Call<'_>) -> Response {
         loop {
             if let Some(answer) = self.call_once(call).await {
@@ -86,11 +86,11 @@
         }
     }
 
-    /// The answer to a call, if it is one with 200.
+    /// The response to a call, if it is one with 200.
     async fn call_once(&self, call: Call<'_>) -> Option<Response> {
         future::yield_now().await;
         let mut client = HttpClient::new(self.operator, Http1Limits::default());
-        client.call(call, CALL_LIMIT).await.ok().filter(|answer| answer.status == 200)
+        client.call(call, CALL_TIMEOUT).await.ok().filter(|answer| answer.status == 200)
     }
 
     /// Waits until the member's status holds this text.
@@ -133,7 +133,7 @@
     TcpListener::bind((address, port)).expect("the port is free")
 }
 
-/// The first of some ports in a row that nobody has at any of these addresses.
+/// The first of some consecutive ports that are free at all of these addresses.
 fn free_ports(addresses: &[Ipv4Addr], count: u16) -> u16 {
     let is_free_at = |address: &Ipv4Addr, port| {
         TcpListener::bind((*address, port)).is_ok() && UdpSocket::bind((*address, port)).is_ok()
@@ -182,7 +182,7 @@
         })
         .await;
     };
-    async_io::block_on(within(LIMIT, incarnations)).expect("both incarnations end in time");
+    async_io::block_on(within(TEST_TIMEOUT, incarnations)).expect("both incarnations end in time");
 }
 
 /// A change of one route that builds on the revision before.
@@ -228,7 +228,7 @@
         })
         .await;
     };
-    async_io::block_on(within(LIMIT, incarnations)).expect("both incarnations end in time");
+    async_io::block_on(within(TEST_TIMEOUT, incarnations)).expect("both incarnations end in time");
 }
 
 #[test]
@@ -258,7 +258,7 @@
         let (first, second) = future::zip(first, second).await;
         panic!("no member ends: {first:?}, {second:?}")
     };
-    async_io::block_on(within(LIMIT, future::or(work, members))).expect("all report it in time");
+    async_io::block_on(within(TEST_TIMEOUT, future::or(work, members))).expect("all report it in time");
 }
 
 /// What is wrong with a machine or its settings.
@@ -288,7 +288,7 @@
             std::fs::write(machine.folder.join("log-000001"), "a note").expect("the folder is there");
         }
     }
-    let end = within(LIMIT, run_until(&settings, future::pending()));
+    let end = within(TEST_TIMEOUT, run_until(&settings, future::pending()));
     let error = async_io::block_on(end).expect("it ends at once").expect_err("it can't start");
     assert!(error.to_string().contains(reason), "{error}");
     drop(taken);
--- a/crates/control-plane/tests/state.rs
+++ b/crates/control-plane/tests/state.rs
@@ -1,4 +1,4 @@
-//! The agreed state: decisions, commands, snapshots.
+//! The replicated state: decisions, commands, snapshots.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use tulipridge_control_plane::state::{Applied, Change, Decision, State};
 
 #[test]
-fn a_configuration_is_taken_on_top_of_the_newest() {
+fn a_configuration_based_on_the_newest_is_accepted() {
     let mut state = State::default();
     assert_eq!(take(&mut state, &put(0, 3)), Applied::Configuration);
     assert_eq!(take(&mut state, &put(3, 7)), Applied::Configuration);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_call_that_is_sent_again_was_taken_already() {
+fn a_repeated_request_was_accepted_already() {
     let mut state = State::default();
     take(&mut state, &put(0, 3));
     take(&mut state, &put(3, 7));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_patch_leads_to_a_whole_configuration() {
+fn a_patch_leads_to_a_complete_configuration() {
     let mut state = State::default();
     take(&mut state, &put(0, 3));
     let upsert = route("s", "/s/");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn weights_rise() {
+fn revisions_of_weights_only_rise() {
     let mut state = State::default();
     assert_eq!(take(&mut state, &name("m", 2)), Applied::Weights);
     assert_eq!(state.decide(&name("m", 2)), Decision::AlreadyTaken);
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn no_bytes_stand_for_the_first_state() {
+fn no_bytes_restore_the_empty_state() {
     assert_eq!(State::restore(&[]).expect("it can be restored"), State::default());
 }
 
 #[test]
-fn bytes_of_another_form_are_refused() {
+fn bytes_of_another_format_are_refused() {
     assert!(State::restore(&[9, 9, 9]).is_err());
     assert!(State::default().apply(&[9, 9, 9]).is_err());
 }
--- a/crates/control-plane/tests/state_repeats.rs
+++ b/crates/control-plane/tests/state_repeats.rs
@@ -1,4 +1,4 @@
-//! Calls that are sent more than once: what was taken is acknowledged again, and takes effect once.
+//! Repeated requests: what was accepted is acknowledged again, and takes effect once.
 
 mod support;
 
@@ -16,8 +16,8 @@
     state
 }
 
-/// Takes as many patches by other operators, each a revision further.
-fn take_others(state: &mut State, count: u64) {
+/// Applies as many patches by other operators, each a revision further.
+fn apply_others(state: &mut State, count: u64) {
     for _ in 0..count {
         let base = revision(state);
         let label = format!("other-{}", base % 5);
@@ -25,20 +25,20 @@
     }
 }
 
-fn put_call() -> Change {
+fn put_request() -> Change {
     put_routes(1, 2, &[route("s", "/s/")])
 }
 
-fn patch_call() -> Change {
+fn patch_request() -> Change {
     patch_route(1, 2, "s", "/s/")
 }
 
-/// Two copies of a call are decided on before either is applied, as after an agreement that took too long.
+/// A request and its repetition are decided on before either is applied, as after a commit that took too long.
 #[rstest]
-#[case::a_document(put_call(), Applied::Configuration)]
-#[case::a_patch(patch_call(), Applied::Configuration)]
+#[case::a_document(put_request(), Applied::Configuration)]
+#[case::a_patch(patch_request(), Applied::Configuration)]
 #[case::weights(name("m", 2), Applied::Weights)]
-fn two_commands_of_one_call_are_both_taken_and_apply_once(
+fn two_commands_of_one_request_are_both_accepted_and_apply_once(
     #[case] call: Change,
     #[case] expected: Applied,
     #[values(0, 1, 20)] others_between: u64,
@@ -48,7 +48,7 @@
     let second = accepted(&state, &call);
     assert_eq!(first.command, second.command);
     assert_eq!(state.apply(&first.command).expect("it can be applied"), expected);
-    take_others(&mut state, others_between);
+    apply_others(&mut state, others_between);
     let before = state.clone();
     assert_eq!(state.apply(&second.command).expect("it can be applied"), expected);
     assert_eq!(state, before);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_older_naming_whose_copy_was_taken_before_newer_weights_is_taken() {
+fn older_weights_that_were_accepted_before_newer_ones_are_accepted_again() {
     let mut state = State::default();
     let copies = [accepted(&state, &name("m", 2)), accepted(&state, &name("m", 2))];
     let rival = accepted(&state, &name("m", 1));
@@ -69,12 +69,12 @@
 }
 
 #[rstest]
-#[case::two_documents(put_call(), put_routes(1, 2, &[route("t", "/t/")]))]
-#[case::two_patches(patch_call(), patch_route(1, 2, "t", "/t/"))]
-#[case::a_document_and_a_patch(put_call(), patch_call())]
-#[case::a_patch_and_a_document(patch_call(), put_call())]
-#[case::other_revisions(put_call(), put_routes(1, 9, &[route("s", "/s/")]))]
-fn of_two_calls_on_one_base_the_first_wins(#[case] winner: Change, #[case] loser: Change) {
+#[case::two_documents(put_request(), put_routes(1, 2, &[route("t", "/t/")]))]
+#[case::two_patches(patch_request(), patch_route(1, 2, "t", "/t/"))]
+#[case::a_document_and_a_patch(put_request(), patch_request())]
+#[case::a_patch_and_a_document(patch_request(), put_request())]
+#[case::other_revisions(put_request(), put_routes(1, 9, &[route("s", "/s/")]))]
+fn of_two_requests_on_one_base_the_first_wins(#[case] winner: Change, #[case] loser: Change) {
     let mut state = first_state();
     let (first, second) = (accepted(&state, &winner), accepted(&state, &loser));
     assert_eq!(state.apply(&first.command).expect("it can be applied"), Applied::Configuration);
@@ -90,27 +90,27 @@
 #[rstest]
 #[case::another_document(put_routes(1, 2, &[route("t", "/t/")]))]
 #[case::the_same_document_on_another_base(put_routes(0, 2, &[route("s", "/s/")]))]
-#[case::a_patch_to_the_same_revision(patch_call())]
+#[case::a_patch_to_the_same_revision(patch_request())]
 fn the_same_revision_with_another_body_is_refused(#[case] other: Change) {
     let mut state = first_state();
-    take(&mut state, &put_call());
+    take(&mut state, &put_request());
     assert_eq!(state.decide(&other), Decision::Stale { current: 2 });
 }
 
 #[rstest]
-#[case::a_document(put_call())]
-#[case::a_patch(patch_call())]
-fn a_repeat_is_known_after_many_others(#[case] call: Change, #[values(1, 256, 4_000)] others: u64) {
+#[case::a_document(put_request())]
+#[case::a_patch(patch_request())]
+fn a_repeat_is_recognized_after_many_others(#[case] call: Change, #[values(1, 256, 4_000)] others: u64) {
     let mut state = first_state();
     take(&mut state, &call);
-    take_others(&mut state, others);
+    apply_others(&mut state, others);
     assert_eq!(state.decide(&call), Decision::AlreadyTaken);
     assert_eq!(restored(&state).decide(&call), Decision::AlreadyTaken);
 }
 
-/// A naming is known as long as those after it fit into the window, and never if it wasn't taken.
+/// Named weights are recognized as long as those after them fit into the window, and never if they weren't accepted.
 #[test]
-fn a_naming_is_known_after_many_others() {
+fn named_weights_are_recognized_after_many_others() {
     let mut state = State::default();
     let newest = REMEMBERED_CALLS as u64 + 1;
     for revision in 1..=newest {
@@ -126,9 +126,9 @@
     }
 }
 
-/// The newest weights of a model are known however many others were named since.
+/// The newest weights of a model are recognized however many others were named since.
 #[test]
-fn the_newest_naming_of_a_model_is_always_known() {
+fn the_newest_weights_of_a_model_are_always_recognized() {
     let mut state = State::default();
     take(&mut state, &name("quiet", 7));
     for revision in 0..REMEMBERED_CALLS as u64 {
@@ -138,22 +138,22 @@
 }
 
 #[rstest]
-#[case::a_document(put_call())]
-#[case::a_patch(patch_call())]
+#[case::a_document(put_request())]
+#[case::a_patch(patch_request())]
 #[case::weights(name("m", 2))]
-fn a_repeat_is_known_after_a_restoration(#[case] call: Change) {
+fn a_repeat_is_recognized_after_a_restoration(#[case] call: Change) {
     let mut state = first_state();
     take(&mut state, &call);
     let mut state = restored(&state);
     assert_eq!(state.decide(&call), Decision::AlreadyTaken);
-    take_others(&mut state, 3);
+    apply_others(&mut state, 3);
     assert_eq!(restored(&state).decide(&call), Decision::AlreadyTaken);
 }
 
 #[rstest]
-#[case::a_document(put_call())]
-#[case::a_patch(patch_call())]
-fn a_repeat_is_known_after_a_document_that_replaced_everything(#[case] call: Change) {
+#[case::a_document(put_request())]
+#[case::a_patch(patch_request())]
+fn a_repeat_is_recognized_after_a_document_that_replaced_everything(#[case] call: Change) {
     let mut state = first_state();
     take(&mut state, &call);
     take(&mut state, &put_routes(2, 3, &[]));
@@ -163,25 +163,25 @@
 }
 
 #[test]
-fn a_patch_is_known_after_its_items_were_changed_by_others() {
+fn a_patch_is_recognized_after_its_items_were_changed_by_others() {
     let mut state = first_state();
-    take(&mut state, &patch_call());
+    take(&mut state, &patch_request());
     take(&mut state, &patch_route(2, 3, "s", "/changed/"));
-    assert_eq!(state.decide(&patch_call()), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&patch_request()), Decision::AlreadyTaken);
     take(&mut state, &patch(3, r#"{"revision":4,"remove":{"routes":["s"]}}"#));
-    assert_eq!(state.decide(&patch_call()), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&patch_request()), Decision::AlreadyTaken);
     let document = state.document().expect("there is one");
     let labels: Vec<&str> = document.configuration().routes.iter().map(|r| r.label.as_str()).collect();
     assert_eq!(labels, ["r"]);
 }
 
-/// A call is known by its JSON value: a client that writes its order anew, perhaps with its fields in
-/// another order, still sends the same order.
+/// A request is recognized by its JSON value: a client that writes it anew, perhaps with its fields in another order,
+/// still sends the same request.
 #[rstest]
 #[case::other_white_space(r#"{ "revision": 2, "remove": {"routes": ["r"]}, "caps": {"quietMs": 5} }"#)]
 #[case::another_order_of_fields(r#"{"caps":{"quietMs":5},"remove":{"routes":["r"]},"revision":2}"#)]
 #[case::escaped_letters(r#"{"revision":2,"remove":{"routes":["\u0072"]},"caps":{"quietMs":5}}"#)]
-fn another_notation_is_the_same_call(#[case] body: &str) {
+fn another_notation_is_the_same_request(#[case] body: &str) {
     let mut state = first_state();
     take(&mut state, &patch(1, r#"{"revision":2,"remove":{"routes":["r"]},"caps":{"quietMs":5}}"#));
     assert_eq!(state.decide(&patch(1, body)), Decision::AlreadyTaken);
@@ -191,20 +191,20 @@
 #[case::another_order_of_items(r#"{"revision":2,"remove":{"routes":["q","r"]}}"#)]
 #[case::another_kind_of_number(r#"{"revision":2,"remove":{"routes":["r","q"]},"caps":{"quietMs":5.0}}"#)]
 #[case::a_field_more(r#"{"revision":2,"remove":{"routes":["r","q"]},"caps":null}"#)]
-fn another_value_is_another_call(#[case] body: &str) {
+fn another_value_is_another_request(#[case] body: &str) {
     let mut state = first_state();
     take(&mut state, &patch(1, r#"{"revision":2,"remove":{"routes":["r","q"]},"caps":{"quietMs":5}}"#));
     assert_eq!(state.decide(&patch(1, body)), Decision::Stale { current: 2 });
 }
 
-/// Numbers that are rounded to the same one when they are read make different calls.
+/// Numbers that are rounded to the same one when they are read make different requests.
 #[rstest]
 #[case::a_long_integer("123456789012345678901234567890", "123456789012345678901234567891")]
 #[case::a_long_fraction("0.12345678901234567", "0.12345678901234568")]
 #[case::a_negative_number("-0.30000000000000004", "-0.30000000000000003")]
 #[case::an_underflow("1e-400", "1E-500")]
 #[case::in_a_list("[true,\"\\\"\",10000000000000000000001]", "[true,\"\\\"\",10000000000000000000002]")]
-fn numbers_that_round_to_the_same_make_different_calls(#[case] first: &str, #[case] second: &str) {
+fn numbers_that_round_to_the_same_make_different_requests(#[case] first: &str, #[case] second: &str) {
     let call =
         |number: &str| patch(1, &format!(r#"{{"revision":2,"upsert":{{"note":{{"x":{number}}}}}}}"#));
     let mut state = first_state();
@@ -213,7 +213,7 @@
     assert_eq!(state.decide(&call(second)), Decision::Stale { current: 2 });
 }
 
-/// Digits in a text are no number: such a call is known in another notation too.
+/// Digits in a text are no number: such a request is recognized in another notation too.
 #[test]
 fn digits_in_a_text_are_not_rounded() {
     let mut state = first_state();
@@ -225,9 +225,9 @@
     assert_eq!(state.decide(&patch(1, repeat)), Decision::AlreadyTaken);
 }
 
-/// Of fields with one name the last counts, so their order makes another call.
+/// Of fields with one name the last counts, so their order makes another request.
 #[test]
-fn another_order_of_fields_with_one_name_is_another_call() {
+fn another_order_of_fields_with_one_name_is_another_request() {
     let body =
         |first, second| format!(r#"{{"revision":2,"routes":[],"backends":[],"x":{first},"x":{second}}}"#);
     let call = |body: String| Change::PutConfiguration { if_match: Some(1), body: body.into_bytes() };
@@ -236,7 +236,7 @@
     assert_eq!(state.decide(&call(body(2, 1))), Decision::Stale { current: 2 });
 }
 
-/// What the windows cost: 16 bytes for each call, and nothing that grows with time.
+/// What the windows cost: 16 bytes for each request, and nothing that grows with time.
 #[test]
 fn a_state_of_full_windows_has_a_bounded_size() {
     let mut state = State::default();
--- a/crates/write-ahead-log/tests/support/mod.rs
+++ b/crates/write-ahead-log/tests/support/mod.rs
@@ -17,7 +17,7 @@
     files: Files,
     synced: Files,
     operations_left: Option<u64>,
-    operations_to_refusal: Option<u64>,
+    operations_to_failure: Option<u64>,
     bytes_left: Option<u64>,
     capacity: Option<u64>,
     most_bytes: u64,
@@ -29,8 +29,8 @@
         self.files.values().map(|content| content.len() as u64).sum()
     }
 
-    /// How many of the bytes that are to be written at the end of a file there is room for.
-    fn room(&self, file: &str, offset: u64, wanted: usize) -> usize {
+    /// How many of the bytes that are to be written at the end of a file fit into the capacity.
+    fn writable_bytes(&self, file: &str, offset: u64, wanted: usize) -> usize {
         let Some(capacity) = self.capacity else { return wanted };
         let length = self.files.get(file).map_or(0, |content| content.len() as u64);
         let others = self.bytes() - length;
@@ -38,10 +38,10 @@
     }
 
     fn step(&mut self) -> io::Result<()> {
-        if let Some(operations) = self.operations_to_refusal {
-            self.operations_to_refusal = operations.checked_sub(1);
+        if let Some(operations) = self.operations_to_failure {
+            self.operations_to_failure = operations.checked_sub(1);
             if operations == 0 {
-                return Err(io::Error::other("refused"));
+                return Err(io::Error::other("failed"));
             }
         }
         match &mut self.operations_left {
@@ -88,8 +88,8 @@
     }
 
     /// After so many changes one operation fails.
-    pub(crate) fn refuse_after(&self, operations: u64) {
-        self.disk.borrow_mut().operations_to_refusal = Some(operations);
+    pub(crate) fn fail_once_after(&self, operations: u64) {
+        self.disk.borrow_mut().operations_to_failure = Some(operations);
     }
 
     /// Writes fail when so many bytes more have been written.
@@ -97,7 +97,7 @@
         self.disk.borrow_mut().bytes_left = bytes;
     }
 
-    /// Writes fail when all files together would take more than so many bytes. What is removed gives room.
+    /// Writes fail when all files together would take more than so many bytes. What is removed frees space.
     pub(crate) fn set_capacity(&self, bytes: Option<u64>) {
         self.disk.borrow_mut().capacity = bytes;
     }
@@ -107,7 +107,7 @@
         self.disk.borrow().bytes()
     }
 
-    /// The most that these ever were.
+    /// The largest value of [`MemoryDirectory::bytes`] so far.
     pub(crate) fn most_bytes(&self) -> u64 {
         self.disk.borrow().most_bytes
     }
@@ -207,7 +207,7 @@
         let mut disk = self.disk.borrow_mut();
         disk.step()?;
         let allowed = disk.bytes_left.map_or(bytes.len(), |left| bytes.len().min(left as usize));
-        let allowed = allowed.min(disk.room(&self.name, offset, bytes.len()));
+        let allowed = allowed.min(disk.writable_bytes(&self.name, offset, bytes.len()));
         if let Some(left) = &mut disk.bytes_left {
             *left -= allowed as u64;
         }
--- a/crates/write-ahead-log/tests/write_ahead_log.rs
+++ b/crates/write-ahead-log/tests/write_ahead_log.rs
@@ -305,7 +305,7 @@
 fn what_was_written_after_a_failed_operation_survives_a_loss_of_power() {
     for operation in 0..20 {
         survives_restart_and_loss_of_power(|directory, write_ahead_log| {
-            directory.refuse_after(operation);
+            directory.fail_once_after(operation);
             while write_ahead_log.append(&[b"5"]).is_err() {}
             let _ = write_ahead_log.snapshot(b"5");
             while write_ahead_log.append(&[b"6"]).is_err() {}
