--- a/crates/simulator/src/fleet/gateways.rs
+++ b/crates/simulator/src/fleet/gateways.rs
@@ -41,7 +41,7 @@
                 self.send_attempt(gateway, id.0, &replica, timeout);
             }
             Action::Refuse { id, retry_after } => {
-                self.answer_client(id.0, RequestOutcome::Rejected, retry_after)
+                self.answer_client(id.0, RequestOutcome::Rejected, retry_after);
             }
             Action::Fail(id) => self.answer_client(id.0, RequestOutcome::Failed, 0),
             Action::Cancel { id, attempt } => {
