--- a/crates/configuration/src/configuration_state.rs
+++ b/crates/configuration/src/configuration_state.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// The same request was accepted before: it is acknowledged again (200).
-    AlreadyTaken,
+    AlreadyAccepted,
     /// The request builds on another revision than the current one (412).
     Stale {
         /// The current revision; [`NO_REVISION`] if there is none.
@@ -169,7 +169,7 @@
             Err(error) => return Decision::Invalid(ValidationErrors::unreadable(&error)),
         };
         if self.recent_requests.contains(&request) {
-            return Decision::AlreadyTaken;
+            return Decision::AlreadyAccepted;
         }
         let current = self.revision();
         if base != current {
--- a/crates/configuration/tests/configuration_state.rs
+++ b/crates/configuration/tests/configuration_state.rs
@@ -30,7 +30,7 @@
 
 fn kind_of(decision: &Decision) -> &'static str {
     match decision {
-        Decision::AlreadyTaken => "already taken",
+        Decision::AlreadyAccepted => "already taken",
         Decision::Stale { .. } => "stale",
         Decision::Invalid(_) => "invalid",
         Decision::Accept(_) => "accept",
@@ -71,13 +71,13 @@
 fn a_retried_request_is_recognised_in_any_layout() {
     let state = state_with_sample();
     let pretty = serde_json::to_vec_pretty(&sample()).expect("a value can be written");
-    assert_eq!(state.decide_put(Some(0), &pretty), Decision::AlreadyTaken);
+    assert_eq!(state.decide_put(Some(0), &pretty), Decision::AlreadyAccepted);
     let other_order = br#"{"b":[1,{"y":2,"x":"a"}],"revision":9,"routes":[],"backends":[]}"#;
     let one_order = br#"{"backends":[],"revision":9,"routes":[],"b":[1,{"x":"a","y":2}]}"#;
     let mut state = state;
     let change = accepted(state.decide_put(Some(7), other_order));
     apply(&mut state, change);
-    assert_eq!(state.decide_put(Some(7), one_order), Decision::AlreadyTaken);
+    assert_eq!(state.decide_put(Some(7), one_order), Decision::AlreadyAccepted);
 }
 
 #[rstest]
@@ -102,7 +102,7 @@
     assert_eq!(kind_of(&state.decide_put(Some(7), &second)), "accept");
     apply(&mut state, change);
     assert_eq!(state.decide_put(Some(7), &second), Decision::Stale { current: 9 });
-    assert_eq!(state.decide_put(Some(7), &first), Decision::AlreadyTaken);
+    assert_eq!(state.decide_put(Some(7), &first), Decision::AlreadyAccepted);
 }
 
 #[test]
@@ -125,10 +125,10 @@
     let change = accepted(state.decide_patch(Some(9), &second));
     apply(&mut state, change);
     assert_eq!(state.revision(), 12);
-    assert_eq!(state.decide_patch(Some(7), &first), Decision::AlreadyTaken);
-    assert_eq!(state.decide_patch(Some(9), &second), Decision::AlreadyTaken);
+    assert_eq!(state.decide_patch(Some(7), &first), Decision::AlreadyAccepted);
+    assert_eq!(state.decide_patch(Some(9), &second), Decision::AlreadyAccepted);
     assert_eq!(state.decide_put(Some(7), &first), Decision::Stale { current: 12 });
-    assert_eq!(state.decide_put(Some(0), &body(&sample())), Decision::AlreadyTaken);
+    assert_eq!(state.decide_put(Some(0), &body(&sample())), Decision::AlreadyAccepted);
 }
 
 #[rstest]
@@ -174,7 +174,7 @@
     put(&mut state, 7, &at_revision(9));
     let restored = ConfigurationState::from_snapshot(&state.to_snapshot()).expect("a complete snapshot");
     assert_eq!(restored, state);
-    assert_eq!(restored.decide_put(Some(0), &body(&sample())), Decision::AlreadyTaken);
+    assert_eq!(restored.decide_put(Some(0), &body(&sample())), Decision::AlreadyAccepted);
     let empty = ConfigurationState::default();
     assert_eq!(
         ConfigurationState::from_snapshot(&empty.to_snapshot()).expect("a complete snapshot"),
@@ -212,6 +212,6 @@
     }
     let oldest_known = newest - MAX_RECENT_REQUESTS as u64 + 1;
     let decide = |revision: u64| state.decide_put(Some(revision - 1), &body(&document(revision)));
-    assert_eq!(decide(oldest_known), Decision::AlreadyTaken);
+    assert_eq!(decide(oldest_known), Decision::AlreadyAccepted);
     assert_eq!(decide(oldest_known - 1), Decision::Stale { current: newest });
 }
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -21,7 +21,7 @@
     /// It was committed and applied.
     Applied(Applied),
     /// It was never replicated and will not take effect.
-    NotTaken,
+    NotReplicated,
     /// It may take effect or not.
     Unknown,
 }
@@ -60,7 +60,7 @@
         }
         ChangeStep::Respond(match decision {
             Some(Decision::Accept(accepted)) => return ChangeStep::Propose(accepted),
-            Some(Decision::AlreadyTaken) => ChangeOutcome::Taken,
+            Some(Decision::AlreadyAccepted) => ChangeOutcome::Taken,
             Some(Decision::Stale { current }) => ChangeOutcome::Stale { current },
             Some(Decision::InvalidConfiguration { findings }) => {
                 ChangeOutcome::Invalid { report: String::from_utf8_lossy(&findings.to_json()).into() }
@@ -81,7 +81,7 @@
                 ChangeStep::Respond(ChangeOutcome::Taken)
             }
             ProposalOutcome::Applied(Applied::Superseded) => ChangeStep::Decide,
-            ProposalOutcome::NotTaken => ChangeStep::Respond(ChangeOutcome::NotPrimary),
+            ProposalOutcome::NotReplicated => ChangeStep::Respond(ChangeOutcome::NotPrimary),
             ProposalOutcome::Unknown => ChangeStep::Respond(ChangeOutcome::Unknown),
         }
     }
--- a/crates/control-plane/src/delivery.rs
+++ b/crates/control-plane/src/delivery.rs
@@ -111,7 +111,7 @@
     }
 
     /// Delivers updates of the prefix-cache index, as primary of `epoch`.
-    pub fn set_kept(&self, epoch: u64, updates: &[CacheUpdate]) {
+    pub fn update_cache_index(&self, epoch: u64, updates: &[CacheUpdate]) {
         let has_changed = self.store.borrow_mut().update_cache_index(epoch, updates);
         self.notify_if(has_changed);
     }
--- a/crates/control-plane/src/index/mod.rs
+++ b/crates/control-plane/src/index/mod.rs
@@ -47,7 +47,7 @@
 }
 
 /// Follows all sources while this member is primary.
-pub struct KeptIndex {
+pub struct CacheFollowers {
     context: SingletonContext,
     output: Rc<dyn IndexOutput>,
     outbox: Rc<Outbox>,
@@ -56,10 +56,10 @@
     followers: BTreeMap<SocketAddrV4, Task<()>>,
 }
 
-impl KeptIndex {
+impl CacheFollowers {
     /// Follows the stores of the configuration and the replicas of the table.
-    pub fn new(context: SingletonContext, output: Rc<dyn IndexOutput>) -> KeptIndex {
-        KeptIndex { context, output, outbox: Rc::default(), tenure: None, followers: BTreeMap::new() }
+    pub fn new(context: SingletonContext, output: Rc<dyn IndexOutput>) -> CacheFollowers {
+        CacheFollowers { context, output, outbox: Rc::default(), tenure: None, followers: BTreeMap::new() }
     }
 
     /// Follows the sources; does not return.
--- a/crates/control-plane/src/member/proposals.rs
+++ b/crates/control-plane/src/member/proposals.rs
@@ -54,7 +54,7 @@
     /// Records that a proposal has failed before its entry was committed.
     pub fn failed(&mut self, ticket: u64, reason: FailureReason) {
         let outcome = match reason {
-            FailureReason::NotReplicated => ProposalOutcome::NotTaken,
+            FailureReason::NotReplicated => ProposalOutcome::NotReplicated,
             FailureReason::OutcomeUnknown => ProposalOutcome::Unknown,
         };
         if let Some(sender) = self.uncommitted.remove(&ticket) {
--- a/crates/control-plane/src/server/build.rs
+++ b/crates/control-plane/src/server/build.rs
@@ -18,7 +18,7 @@
 use crate::api::{Api, ApiLimits};
 use crate::delivery::Delivery;
 use crate::discovery::Discovery;
-use crate::index::KeptIndex;
+use crate::index::CacheFollowers;
 use crate::operator_view::OperatorView;
 use crate::rollout::{Event, PlannerSettings, Rollout};
 use crate::singleton::SingletonContext;
@@ -95,7 +95,7 @@
             context.clone(),
             outputs.clone(),
         );
-        let kept_index = KeptIndex::new(context.clone(), outputs.clone());
+        let kept_index = CacheFollowers::new(context.clone(), outputs.clone());
         let discovery = discovery(settings, context, outputs, &rollout_events);
         SingletonRoles { discovery, kept_index, rollout, rollout_events }
     }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -25,7 +25,7 @@
 use crate::api::Api;
 use crate::delivery::Delivery;
 use crate::discovery::Discovery;
-use crate::index::KeptIndex;
+use crate::index::CacheFollowers;
 use crate::member::Member;
 use crate::operator_view::OperatorView;
 use crate::rollout::{Event, Rollout};
@@ -79,7 +79,7 @@
 /// What acts only while this member has the singleton lease.
 struct SingletonRoles {
     discovery: Option<Discovery>,
-    kept_index: KeptIndex,
+    kept_index: CacheFollowers,
     rollout: Rollout,
     rollout_events: Sender<Event>,
 }
--- a/crates/control-plane/src/server/singleton_outputs.rs
+++ b/crates/control-plane/src/server/singleton_outputs.rs
@@ -70,6 +70,6 @@
     }
 
     fn deliver(&self, epoch: u64, updates: &[CacheUpdate]) {
-        self.delivery.set_kept(epoch, updates);
+        self.delivery.update_cache_index(epoch, updates);
     }
 }
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// The same change was accepted before.
-    AlreadyTaken,
+    AlreadyAccepted,
     /// It builds on another version than the current one.
     Stale {
         /// The current version.
@@ -151,7 +151,7 @@
 
     fn configuration_decision(&self, decision: ConfigurationDecision) -> Decision {
         match decision {
-            ConfigurationDecision::AlreadyTaken => Decision::AlreadyTaken,
+            ConfigurationDecision::AlreadyAccepted => Decision::AlreadyAccepted,
             ConfigurationDecision::Stale { current } => Decision::Stale { current },
             ConfigurationDecision::Invalid(findings) => Decision::InvalidConfiguration { findings },
             ConfigurationDecision::Accept(change) => accepted(Prepared::Configure(change)),
@@ -160,7 +160,7 @@
 
     fn decide_weights(&self, model: &str, revision: u64) -> Decision {
         match self.weights.decide(model, revision) {
-            WeightsDecision::AlreadyNamed => Decision::AlreadyTaken,
+            WeightsDecision::AlreadyNamed => Decision::AlreadyAccepted,
             WeightsDecision::Old { newest } => Decision::OldWeights { newest },
             WeightsDecision::Accept => {
                 accepted(Prepared::NameWeights { model: model.to_owned(), revision })
--- a/crates/control-plane/tests/change.rs
+++ b/crates/control-plane/tests/change.rs
@@ -134,7 +134,7 @@
 }
 
 #[rstest]
-#[case::never_begun(ProposalOutcome::NotTaken, ChangeOutcome::NotPrimary)]
+#[case::never_begun(ProposalOutcome::NotReplicated, ChangeOutcome::NotPrimary)]
 #[case::no_answer(ProposalOutcome::Unknown, ChangeOutcome::Unknown)]
 #[case::superseded_again_and_again(ProposalOutcome::Applied(Applied::Superseded), ChangeOutcome::Unknown)]
 fn an_uncommitted_change_is_not_refused(#[case] end: ProposalOutcome, #[case] expected: ChangeOutcome) {
--- a/crates/control-plane/tests/member.rs
+++ b/crates/control-plane/tests/member.rs
@@ -69,7 +69,7 @@
 }
 
 #[rstest]
-#[case(FailureReason::NotReplicated, ProposalOutcome::NotTaken)]
+#[case(FailureReason::NotReplicated, ProposalOutcome::NotReplicated)]
 #[case(FailureReason::OutcomeUnknown, ProposalOutcome::Unknown)]
 fn a_proposal_that_fails_says_whether_it_may_take_effect(
     #[case] reason: FailureReason,
--- a/crates/control-plane/tests/rollout_random.rs
+++ b/crates/control-plane/tests/rollout_random.rs
@@ -301,7 +301,7 @@
             let expiry = self.expiries.iter().find(|expiry| expiry.revision > revision);
             let seen_at = |revision| self.announced.get(revision).map(|at| *at + self.delivery);
             let is_over = expiry.is_some_and(|expiry| {
-                self.now >= term.call_off_at(seen_at(&expiry.revision), expiry.known_since)
+                self.now >= term.cancel_at(seen_at(&expiry.revision), expiry.known_since)
             });
             if is_over && !self.without.cancellation {
                 self.replicas[index].queue.clear();
--- a/crates/control-plane/tests/state.rs
+++ b/crates/control-plane/tests/state.rs
@@ -20,8 +20,8 @@
     let mut state = State::default();
     take(&mut state, &put(0, 3));
     take(&mut state, &put(3, 7));
-    assert_eq!(state.decide(&put(3, 7)), Decision::AlreadyTaken);
-    assert_eq!(state.decide(&put(0, 3)), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&put(3, 7)), Decision::AlreadyAccepted);
+    assert_eq!(state.decide(&put(0, 3)), Decision::AlreadyAccepted);
 }
 
 #[test]
@@ -56,9 +56,9 @@
 fn revisions_of_weights_only_rise() {
     let mut state = State::default();
     assert_eq!(take(&mut state, &name("m", 2)), Applied::Weights);
-    assert_eq!(state.decide(&name("m", 2)), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&name("m", 2)), Decision::AlreadyAccepted);
     assert_eq!(take(&mut state, &name("m", 4)), Applied::Weights);
-    assert_eq!(state.decide(&name("m", 2)), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&name("m", 2)), Decision::AlreadyAccepted);
     assert_eq!(state.decide(&name("m", 3)), Decision::OldWeights { newest: 4 });
     assert_eq!(state.weights().newest().into_iter().collect::<Vec<_>>(), [("m".to_owned(), 4)]);
 }
--- a/crates/control-plane/tests/state_machine.rs
+++ b/crates/control-plane/tests/state_machine.rs
@@ -34,7 +34,7 @@
     let (machine, events) = machine();
     machine.apply(1, command(&State::default(), &name(2)));
     let decision = async_io::block_on(machine.decide(name(2).into()));
-    assert_eq!(decision, Some(Decision::AlreadyTaken));
+    assert_eq!(decision, Some(Decision::AlreadyAccepted));
     let (sequence, change, published) = applied(&events);
     assert_eq!((sequence, change), (1, Some(Applied::Weights)));
     assert_eq!(published.weights.into_iter().collect::<Vec<_>>(), [("m".to_owned(), 2)]);
--- a/crates/control-plane/tests/state_random.rs
+++ b/crates/control-plane/tests/state_random.rs
@@ -205,7 +205,7 @@
     fn check(&self, seed: u64) {
         let has_answer = |is_kind: fn(&Answer) -> bool| self.answers.iter().any(is_kind);
         assert!(has_answer(|answer| matches!(answer, Answer::Accept)), "seed {seed}");
-        assert!(has_answer(|answer| matches!(answer, Answer::AlreadyTaken)), "seed {seed}");
+        assert!(has_answer(|answer| matches!(answer, Answer::AlreadyAccepted)), "seed {seed}");
         assert!(has_answer(|answer| matches!(answer, Answer::Stale(_))), "seed {seed}");
         assert!(has_answer(|answer| matches!(answer, Answer::Invalid)), "seed {seed}");
         for applied in [Applied::Configuration, Applied::Weights, Applied::Superseded] {
--- a/crates/control-plane/tests/state_repeats.rs
+++ b/crates/control-plane/tests/state_repeats.rs
@@ -82,7 +82,7 @@
     assert_eq!(state.apply(&second.command).expect("it can be applied"), Applied::Superseded);
     assert_eq!(state, after);
     for _ in 0..2 {
-        assert_eq!(state.decide(&winner), Decision::AlreadyTaken);
+        assert_eq!(state.decide(&winner), Decision::AlreadyAccepted);
         assert_eq!(state.decide(&loser), Decision::Stale { current: 2 });
     }
 }
@@ -104,8 +104,8 @@
     let mut state = first_state();
     take(&mut state, &call);
     apply_others(&mut state, others);
-    assert_eq!(state.decide(&call), Decision::AlreadyTaken);
-    assert_eq!(restored(&state).decide(&call), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&call), Decision::AlreadyAccepted);
+    assert_eq!(restored(&state).decide(&call), Decision::AlreadyAccepted);
 }
 
 /// Named weights are recognized as long as those after them fit into the window, and never if they weren't accepted.
@@ -117,7 +117,7 @@
         take(&mut state, &name("m", 2 * revision));
     }
     for state in [restored(&state), state] {
-        assert_eq!(state.decide(&name("m", 4)), Decision::AlreadyTaken);
+        assert_eq!(state.decide(&name("m", 4)), Decision::AlreadyAccepted);
         assert_eq!(state.decide(&name("m", 2)), Decision::OldWeights { newest: 2 * newest });
         for never_named in [1, 3, 5, 2 * newest - 1] {
             let refused = Decision::OldWeights { newest: 2 * newest };
@@ -134,7 +134,7 @@
     for revision in 0..MAX_RECENT_REQUESTS as u64 {
         take(&mut state, &name("busy", revision));
     }
-    assert_eq!(state.decide(&name("quiet", 7)), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&name("quiet", 7)), Decision::AlreadyAccepted);
 }
 
 #[rstest]
@@ -145,9 +145,9 @@
     let mut state = first_state();
     take(&mut state, &call);
     let mut state = restored(&state);
-    assert_eq!(state.decide(&call), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&call), Decision::AlreadyAccepted);
     apply_others(&mut state, 3);
-    assert_eq!(restored(&state).decide(&call), Decision::AlreadyTaken);
+    assert_eq!(restored(&state).decide(&call), Decision::AlreadyAccepted);
 }
 
 #[rstest]
@@ -158,7 +158,7 @@
     take(&mut state, &call);
     take(&mut state, &put_routes(2, 3, &[]));
     let before = state.clone();
-    assert_eq!(state.decide(&call), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&call), Decision::AlreadyAccepted);
     assert_eq!(state, before);
 }
 
@@ -167,9 +167,9 @@
     let mut state = first_state();
     take(&mut state, &patch_request());
     take(&mut state, &patch_route(2, 3, "s", "/changed/"));
-    assert_eq!(state.decide(&patch_request()), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&patch_request()), Decision::AlreadyAccepted);
     take(&mut state, &patch(3, r#"{"revision":4,"remove":{"routes":["s"]}}"#));
-    assert_eq!(state.decide(&patch_request()), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&patch_request()), Decision::AlreadyAccepted);
     let document = state.document().expect("there is one");
     let labels: Vec<&str> = document.configuration().routes.iter().map(|r| r.label.as_str()).collect();
     assert_eq!(labels, ["r"]);
@@ -184,7 +184,7 @@
 fn another_notation_is_the_same_request(#[case] body: &str) {
     let mut state = first_state();
     take(&mut state, &patch(1, r#"{"revision":2,"remove":{"routes":["r"]},"caps":{"quietMs":5}}"#));
-    assert_eq!(state.decide(&patch(1, body)), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&patch(1, body)), Decision::AlreadyAccepted);
 }
 
 #[rstest]
@@ -209,7 +209,7 @@
         |number: &str| patch(1, &format!(r#"{{"revision":2,"upsert":{{"note":{{"x":{number}}}}}}}"#));
     let mut state = first_state();
     take(&mut state, &call(first));
-    assert_eq!(state.decide(&call(first)), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&call(first)), Decision::AlreadyAccepted);
     assert_eq!(state.decide(&call(second)), Decision::Stale { current: 2 });
 }
 
@@ -222,7 +222,7 @@
         &patch(1, r#"{"revision":2,"upsert":{"note":{"x":"\"12345678901234567890","y":1.5}}}"#),
     );
     let repeat = r#"{"upsert":{"note":{"y":1.50,"x":"\"12345678901234567890"}},"revision":2}"#;
-    assert_eq!(state.decide(&patch(1, repeat)), Decision::AlreadyTaken);
+    assert_eq!(state.decide(&patch(1, repeat)), Decision::AlreadyAccepted);
 }
 
 /// Of fields with one name the last counts, so their order makes another request.
--- a/crates/control-plane/tests/support/operator/desk.rs
+++ b/crates/control-plane/tests/support/operator/desk.rs
@@ -137,7 +137,7 @@
         let Some(current) = &process.desk.current else { return };
         let state = &process.applied.state;
         let mut decision = state.decide(&current.request.change);
-        if self.shape.fault == Fault::ForgottenRepeats && decision == Decision::AlreadyTaken {
+        if self.shape.fault == Fault::ForgottenRepeats && decision == Decision::AlreadyAccepted {
             let current = state_calls::revision(state);
             decision = Decision::Stale { current };
         }
--- a/crates/control-plane/tests/support/reference.rs
+++ b/crates/control-plane/tests/support/reference.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
     /// It was taken before.
-    AlreadyTaken,
+    AlreadyAccepted,
     /// It builds on another version than this one.
     Stale(u64),
     /// It leads to no valid configuration.
@@ -27,7 +27,7 @@
     /// The answer that a decision stands for.
     pub(crate) fn of(decision: &Decision) -> Answer {
         match decision {
-            Decision::AlreadyTaken => Answer::AlreadyTaken,
+            Decision::AlreadyAccepted => Answer::AlreadyAccepted,
             Decision::Stale { current } => Answer::Stale(*current),
             Decision::InvalidConfiguration { .. } => Answer::Invalid,
             Decision::OldWeights { newest } => Answer::OldWeights(*newest),
@@ -89,14 +89,14 @@
                 self.weights.entry(model.clone()).or_default().push(*revision);
                 Applied::Weights
             }
-            (Answer::AlreadyTaken, Change::NameWeights { .. }) => Applied::Weights,
+            (Answer::AlreadyAccepted, Change::NameWeights { .. }) => Applied::Weights,
             (Answer::Accept, _) => {
                 let call = call_of(change).expect("an accepted change is readable");
                 self.document = self.result(&call);
                 self.taken.push(call);
                 Applied::Configuration
             }
-            (Answer::AlreadyTaken, _) => Applied::Configuration,
+            (Answer::AlreadyAccepted, _) => Applied::Configuration,
             (Answer::Stale(_) | Answer::OldWeights(_) | Answer::Invalid, _) => Applied::Superseded,
         }
     }
@@ -104,7 +104,7 @@
     fn answer_weights(&self, model: &str, revision: u64) -> Answer {
         let Some(revisions) = self.weights.get(model) else { return Answer::Accept };
         match revisions.last() {
-            _ if revisions.contains(&revision) => Answer::AlreadyTaken,
+            _ if revisions.contains(&revision) => Answer::AlreadyAccepted,
             Some(newest) if *newest > revision => Answer::OldWeights(*newest),
             _ => Answer::Accept,
         }
@@ -114,7 +114,7 @@
         let Ok(body) = serde_json::from_slice(body) else { return Answer::Invalid };
         let call = ConfigurationCall { is_patch, base: if_match.unwrap_or_default(), body };
         if self.taken.contains(&call) {
-            return Answer::AlreadyTaken;
+            return Answer::AlreadyAccepted;
         }
         if call.base != self.revision() {
             return Answer::Stale(self.revision());
--- a/crates/control-plane/tests/support/simulation/outputs.rs
+++ b/crates/control-plane/tests/support/simulation/outputs.rs
@@ -147,7 +147,7 @@
 
 fn failed_end(reason: FailureReason) -> ProposalOutcome {
     match reason {
-        FailureReason::NotReplicated => ProposalOutcome::NotTaken,
+        FailureReason::NotReplicated => ProposalOutcome::NotReplicated,
         FailureReason::OutcomeUnknown => ProposalOutcome::Unknown,
     }
 }
--- a/crates/http1/src/buffered_stream.rs
+++ b/crates/http1/src/buffered_stream.rs
@@ -48,14 +48,14 @@
 /// Limits the socket buffers of a connection. Guards against a peer for whose connection the kernel would allocate
 /// megabytes, which no budget of this process counts. It must be called before the connection is established, since a
 /// window that was advertised is not withdrawn. Failures are ignored: the connection works without the limit.
-pub fn bound_buffers(socket: &SockRef<'_>, limits: &Http1Limits) {
+pub fn limit_socket_buffers(socket: &SockRef<'_>, limits: &Http1Limits) {
     let _ = socket.set_recv_buffer_size(limits.socket_buffer);
     let _ = socket.set_send_buffer_size(limits.socket_buffer);
 }
 
 async fn establish(addr: SocketAddr, limits: &Http1Limits) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
-    bound_buffers(&SockRef::from(&socket), limits);
+    limit_socket_buffers(&SockRef::from(&socket), limits);
     socket.set_nonblocking(true)?;
     match socket.connect(&addr.into()) {
         Err(e)
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -7,5 +7,5 @@
 pub mod codec;
 mod limits;
 
-pub use buffered_stream::{BufferedStream, bound_buffers, within};
+pub use buffered_stream::{BufferedStream, limit_socket_buffers, within};
 pub use limits::Http1Limits;
--- a/crates/proxy/src/exchange/upstream_head.rs
+++ b/crates/proxy/src/exchange/upstream_head.rs
@@ -51,7 +51,7 @@
 
     /// Plans where this replica fetches the KV cache of the prompt from, and where it saves it to.
     fn kv_transfer(&self, replica: &ReplicaEntry, salt: &str) -> KvTransfer {
-        let chain = PrefixChain::new(&self.prompt.shared_parts, salt);
+        let chain = PrefixChain::new(&self.prompt.prefix_segments, salt);
         let replicas = self.proxy.replicas.borrow();
         let zone_of = |address| {
             let other = replicas.at(address).filter(|other| other.service == replica.service);
--- a/crates/proxy/src/kv_cache/prefix_chain.rs
+++ b/crates/proxy/src/kv_cache/prefix_chain.rs
@@ -4,7 +4,7 @@
 
 use tulipridge_prefix_cache_index::{Index, MIN_CACHED_TOKENS, PrefixKey};
 
-use crate::placement::prompt::PromptPart;
+use crate::placement::prompt::PromptSegment;
 
 /// Sources cache whole blocks: a segment that lacks no more tokens than this is cached completely.
 pub(super) const BLOCK_SLACK_TOKENS: u32 = 64;
@@ -26,7 +26,7 @@
 impl PrefixChain {
     /// The chain of these parts of a prompt.
     #[must_use]
-    pub fn new(parts: &[PromptPart], salt: &str) -> PrefixChain {
+    pub fn new(parts: &[PromptSegment], salt: &str) -> PrefixChain {
         let indexed = parts.iter().filter(|part| part.tokens >= MIN_CACHED_TOKENS);
         let segments = indexed
             .map(|part| PrefixSegment { key: PrefixKey::salted(salt, part.hash), tokens: part.tokens });
--- a/crates/proxy/src/placement/prompt.rs
+++ b/crates/proxy/src/placement/prompt.rs
@@ -5,18 +5,18 @@
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// Hash of its id.
     pub hash: u64,
     /// Its tokens.
     pub tokens: u32,
 }
 
-impl PromptPart {
+impl PromptSegment {
     /// The part with this id.
     #[must_use]
-    pub fn new(id: &str, tokens: u32) -> PromptPart {
-        PromptPart { hash: prefix_hash(id), tokens }
+    pub fn new(id: &str, tokens: u32) -> PromptSegment {
+        PromptSegment { hash: prefix_hash(id), tokens }
     }
 }
 
@@ -49,7 +49,7 @@
     /// The prompt as a whole.
     pub prompt: Prompt,
     /// The parts that are shared with other requests, in their order: all but the last.
-    pub shared_parts: Vec<PromptPart>,
+    pub prefix_segments: Vec<PromptSegment>,
 }
 
 impl PromptHeaders {
@@ -69,19 +69,19 @@
         if let Some((tokens, answer_tokens)) = head.get("token-count").and_then(token_count) {
             (prompt.tokens, prompt.answer_tokens) = (tokens, answer_tokens);
         }
-        PromptHeaders { prompt, shared_parts: parts }
+        PromptHeaders { prompt, prefix_segments: parts }
     }
 }
 
-fn parts(list: &str) -> impl Iterator<Item = PromptPart> {
+fn parts(list: &str) -> impl Iterator<Item = PromptSegment> {
     let parts = list.split(',').map(str::trim).filter(|part| !part.is_empty());
     parts.map(|part| {
         let (id, tokens) = part.split_once(':').unwrap_or((part, "0"));
-        PromptPart::new(id, tokens.trim().parse().unwrap_or(0))
+        PromptSegment::new(id, tokens.trim().parse().unwrap_or(0))
     })
 }
 
-fn sum(parts: &[PromptPart]) -> u32 {
+fn sum(parts: &[PromptSegment]) -> u32 {
     parts.iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
 }
 
--- a/crates/proxy/src/placement/work.rs
+++ b/crates/proxy/src/placement/work.rs
@@ -15,14 +15,14 @@
 
 /// Keeps account of the work that waits.
 #[derive(Default)]
-pub struct WorkLedger {
+pub struct QueuedWorkTable {
     waiting: RefCell<WorkByReplica>,
     listener: RefCell<Option<Listener>>,
 }
 
 /// Work that waits at a replica until this is dropped.
 pub struct Waiting {
-    ledger: Rc<WorkLedger>,
+    ledger: Rc<QueuedWorkTable>,
     replica: ReplicaId,
     units: u32,
 }
@@ -33,7 +33,7 @@
     1 + unread_tokens / WORK_UNIT_TOKENS
 }
 
-impl WorkLedger {
+impl QueuedWorkTable {
     /// Sets the function that is told of each change.
     pub fn on_change(&self, listener: impl Fn(&WorkByReplica) + 'static) {
         *self.listener.borrow_mut() = Some(Box::new(listener));
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -23,7 +23,7 @@
 use crate::placement::Placement;
 use crate::placement::budget::RetryAllowance;
 use crate::placement::urgency::Urgency;
-use crate::placement::work::WorkLedger;
+use crate::placement::work::QueuedWorkTable;
 use crate::replica::pool::ConnectionPool;
 use crate::replica::replicas::{ReplicaTable, ZoneIndex};
 use crate::replica::weights_expiry::{WeightsExpiry, WeightsExpiryWatch};
@@ -47,7 +47,7 @@
     /// Priorities of requests.
     pub urgency: RefCell<Urgency>,
     /// The work that is queued at replicas.
-    pub work: Rc<WorkLedger>,
+    pub work: Rc<QueuedWorkTable>,
     /// Open connections of clients and bytes of bodies, with their limits.
     pub usage: Rc<Usage>,
     /// The retry budgets of all services.
--- a/crates/proxy/src/replica/weights_expiry.rs
+++ b/crates/proxy/src/replica/weights_expiry.rs
@@ -91,7 +91,7 @@
         let passed = self.limits.iter().filter(|limit| limit.at <= now).count();
         // The last passed limit covers all earlier ones.
         self.limits.drain(..passed.saturating_sub(1));
-        self.limits.push(ExpiryLimit { revision, at: term.call_off_at(named_at, now) });
+        self.limits.push(ExpiryLimit { revision, at: term.cancel_at(named_at, now) });
         true
     }
 }
--- a/crates/proxy/tests/kv_cache.rs
+++ b/crates/proxy/tests/kv_cache.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use tulipridge_prefix_cache_index::{CacheUpdate, CachedPrefix, Index, Liveness, PrefixKey};
 use tulipridge_proxy::kv_cache::{KvTransfer, PrefixChain, Target, TransferPlanner, cached_tokens};
-use tulipridge_proxy::placement::prompt::PromptPart;
+use tulipridge_proxy::placement::prompt::PromptSegment;
 
 const STORE: u8 = 200;
 const PARTS: [(&str, u32); 3] = [("a", 2_000), ("b", 100), ("c", 3_000)];
@@ -35,7 +35,7 @@
 }
 
 fn chain(salt: &str) -> PrefixChain {
-    PrefixChain::new(&PARTS.map(|(id, tokens)| PromptPart::new(id, tokens)), salt)
+    PrefixChain::new(&PARTS.map(|(id, tokens)| PromptSegment::new(id, tokens)), salt)
 }
 
 fn keeps(number: u8, liveness: Liveness, parts: &[(&str, &str, u32)]) -> CacheUpdate {
@@ -140,7 +140,7 @@
 #[test]
 fn a_prompt_without_long_shared_segments_transfers_nothing() {
     let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
-    let short = PrefixChain::new(&[PromptPart::new("a", 255)], "m1");
+    let short = PrefixChain::new(&[PromptSegment::new("a", 255)], "m1");
     let plan = planner.plan(ms(0), &short, target(1), zones(&[1]));
     assert_eq!((plan.fetch, plan.save), (None, None));
 }
--- a/crates/proxy/tests/prompt_headers.rs
+++ b/crates/proxy/tests/prompt_headers.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use support::head;
-use tulipridge_proxy::placement::prompt::{Prompt, PromptHeaders, PromptPart};
+use tulipridge_proxy::placement::prompt::{Prompt, PromptHeaders, PromptSegment};
 
 fn prompt(parts: &str, count: &str) -> Prompt {
     let headers = [("Prompt-Start", parts), ("Token-Count", count)];
@@ -15,8 +15,11 @@
 fn the_shared_segments_are_all_but_the_last() {
     let headers = [("Prompt-Start", "5c1e07a2:800, 91bd3f06:410,e4402b7d:250"), ("Token-Count", "1460,80")];
     let headers = PromptHeaders::read(&head(["POST", "/", "HTTP/1.1"], &headers));
-    assert_eq!(headers.shared_parts, [PromptPart::new("5c1e07a2", 800), PromptPart::new("91bd3f06", 410)]);
-    assert_eq!(headers.prompt.shared, Some(headers.shared_parts[1].hash));
+    assert_eq!(
+        headers.prefix_segments,
+        [PromptSegment::new("5c1e07a2", 800), PromptSegment::new("91bd3f06", 410)]
+    );
+    assert_eq!(headers.prompt.shared, Some(headers.prefix_segments[1].hash));
     assert_eq!(headers.prompt.own_tokens(), 250);
 }
 
--- a/crates/proxy/tests/work.rs
+++ b/crates/proxy/tests/work.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use tulipridge_load_balancer::types::ReplicaId;
-use tulipridge_proxy::placement::work::{WorkLedger, units};
+use tulipridge_proxy::placement::work::{QueuedWorkTable, units};
 
 #[rstest]
 #[case::nothing(0, 1)]
@@ -18,7 +18,7 @@
 
 #[test]
 fn work_counts_until_it_is_dropped_and_each_change_is_reported() {
-    let ledger: Rc<WorkLedger> = Rc::default();
+    let ledger: Rc<QueuedWorkTable> = Rc::default();
     let told = Rc::new(RefCell::new(Vec::new()));
     let seen = told.clone();
     ledger.on_change(move |waiting| {
--- a/crates/runtime/src/settings/revision_term.rs
+++ b/crates/runtime/src/settings/revision_term.rs
@@ -49,7 +49,7 @@
     /// gateway learned of the new weights, if it did, and `expired` when it learned that the withdrawal is due. The
     /// latter may be late, as after an election; the gateway's own clock then decides how much time is left.
     #[must_use]
-    pub fn call_off_at(self, named: Option<Duration>, expired: Duration) -> Duration {
+    pub fn cancel_at(self, named: Option<Duration>, expired: Duration) -> Duration {
         let latest = expired + self.cancellation_delay();
         let due = named.map_or(latest, |named| named + self.withdrawal() + self.cancellation_delay());
         due.max(expired + LEAST_CANCELLATION_DELAY).min(latest)
--- a/crates/runtime/tests/revision_term.rs
+++ b/crates/runtime/tests/revision_term.rs
@@ -11,7 +11,7 @@
 ) {
     let length = Duration::from_millis(length_ms);
     let term = RevisionTerm::new(length);
-    let called_off = term.call_off_at(None, term.withdrawal());
+    let called_off = term.cancel_at(None, term.withdrawal());
     assert!(term.load_by() < term.withdrawal());
     assert!(term.withdrawal() < called_off);
     assert!(called_off < length);
@@ -25,5 +25,5 @@
 fn no_term_is_divided_into_nothing() {
     let term = RevisionTerm::new(Duration::ZERO);
     assert_eq!(term.withdrawal(), Duration::ZERO);
-    assert_eq!(term.call_off_at(None, Duration::ZERO), Duration::ZERO);
+    assert_eq!(term.cancel_at(None, Duration::ZERO), Duration::ZERO);
 }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -14,7 +14,7 @@
 use listenfd::ListenFd;
 use socket2::SockRef;
 
-use super::bound_buffers;
+use super::limit_socket_buffers;
 use crate::limits::Limits;
 
 const TOLD: &str = "EDGE_INHERITED_FD";
@@ -70,7 +70,7 @@
     let is_inherited = inherited.is_some();
     let listener = inherited.map_or_else(|| TcpListener::bind(addr), Ok).and_then(|listener| {
         // Connections have their buffers from their listener.
-        bound_buffers(&SockRef::from(&listener), &limits.wire);
+        limit_socket_buffers(&SockRef::from(&listener), &limits.wire);
         Async::new(listener)
     });
     let listener = listener.map_err(|e| format!("listen {addr}: {e}"))?;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,4 +13,4 @@
 pub mod servers;
 pub mod slot_pool;
 
-pub use tulipridge_http1::{BufferedStream, bound_buffers, codec, within};
+pub use tulipridge_http1::{BufferedStream, codec, limit_socket_buffers, within};
