--- a/src/bin/tulipridge-simhost/host.rs
+++ b/src/bin/tulipridge-simhost/host.rs
@@ -131,7 +131,7 @@
         &mut self,
         now: Nanos,
         message: &str,
-        mut parts: Parts,
+        mut parts: Parts<'_>,
         reply: &mut String,
     ) -> Result<(), Fault> {
         let name = router(&mut parts)?;
@@ -162,7 +162,7 @@
         Ok(())
     }
 
-    fn list_event(&self, parts: &mut Parts) -> Result<Event, Fault> {
+    fn list_event(&self, parts: &mut Parts<'_>) -> Result<Event, Fault> {
         let kind = match parts.text("kind")? {
             "Partial" => ListKind::Changes,
             "Complete" => ListKind::Complete,
@@ -186,7 +186,7 @@
 }
 
 /// Reads a request; none if its gateway, whose `names` it uses, is not there.
-fn request_event(parts: &mut Parts, names: Option<&Names>) -> Result<Option<Event>, Fault> {
+fn request_event(parts: &mut Parts<'_>, names: Option<&Names>) -> Result<Option<Event>, Fault> {
     let id = parts.request()?;
     let expires_in = parts.whole::<i64>("expires-in-ns")?.max(0) as Nanos;
     let prefix = parts.key("shared-prefix")?;
@@ -227,7 +227,7 @@
     }
 }
 
-fn outcome_event(parts: &mut Parts) -> Result<Event, Fault> {
+fn outcome_event(parts: &mut Parts<'_>) -> Result<Event, Fault> {
     let id = parts.request()?;
     let cached = parts.part("info")?;
     let cached = cached.map(|text| text.parse().map_err(|_| fault("info", "no whole number in range")));
@@ -241,14 +241,14 @@
     Ok(Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens, report })
 }
 
-fn first_token_event(parts: &mut Parts) -> Result<Event, Fault> {
+fn first_token_event(parts: &mut Parts<'_>) -> Result<Event, Fault> {
     let id = parts.request()?;
     let elapsed = parts.span("rtt-ns")?;
     parts.part("worker")?;
     Ok(Event::FirstToken { id, attempt: parts.whole("hop")?, elapsed })
 }
 
-fn probe_event(parts: &mut Parts) -> Result<Event, Fault> {
+fn probe_event(parts: &mut Parts<'_>) -> Result<Event, Fault> {
     let replica = ReplicaId::from(parts.text("worker")?);
     let verdict = parts.verdict()?;
     let elapsed = parts.span("rtt-ns")?;
--- a/src/bin/tulipridge-simhost/parse.rs
+++ b/src/bin/tulipridge-simhost/parse.rs
@@ -204,7 +204,7 @@
 const LIST_END: usize = 10_000;
 
 /// Reads the settings of a gateway.
-pub(crate) fn settings(pairs: &Pairs) -> Result<(Settings, Names), Fault> {
+pub(crate) fn settings(pairs: &Pairs<'_>) -> Result<(Settings, Names), Fault> {
     let mut names = Names { classes: vec![], tenants: vec![], zones: pairs.list("localities") };
     let classes = classes(pairs, &mut names)?;
     let tenants = tenants(pairs, &mut names)?;
@@ -231,12 +231,12 @@
 }
 
 /// The length of a list of objects.
-fn count(pairs: &Pairs, path: &str) -> Result<usize, Fault> {
+fn count(pairs: &Pairs<'_>, path: &str) -> Result<usize, Fault> {
     let count = pairs.get(path).map_or(Ok(0), |text| whole(path, text))?;
     if count > LIST_END { Err(fault(path, "too many")) } else { Ok(count) }
 }
 
-fn classes(pairs: &Pairs, names: &mut Names) -> Result<Vec<Class>, Fault> {
+fn classes(pairs: &Pairs<'_>, names: &mut Names) -> Result<Vec<Class>, Fault> {
     let mut classes = Vec::new();
     for n in 0..count(pairs, "lanes.count")? {
         let path = |name: &str| format!("lanes.{n}.{name}");
@@ -257,7 +257,7 @@
     Ok(classes)
 }
 
-fn effect(pairs: &Pairs, path: impl Fn(&str) -> String) -> Result<Effect, Fault> {
+fn effect(pairs: &Pairs<'_>, path: impl Fn(&str) -> String) -> Result<Effect, Fault> {
     let scope = match pairs.get(&path("key-scope")) {
         None | Some("all") => Scope::All,
         Some("zone") => Scope::Zone,
@@ -273,7 +273,7 @@
     }
 }
 
-fn tenants(pairs: &Pairs, names: &mut Names) -> Result<Vec<Tenant>, Fault> {
+fn tenants(pairs: &Pairs<'_>, names: &mut Names) -> Result<Vec<Tenant>, Fault> {
     let mut tenants = Vec::new();
     for n in 0..count(pairs, "accounts.count")? {
         let path = |name: &str| format!("accounts.{n}.{name}");
@@ -284,7 +284,7 @@
     Ok(tenants)
 }
 
-fn limits(pairs: &Pairs) -> Result<Limits, Fault> {
+fn limits(pairs: &Pairs<'_>) -> Result<Limits, Fault> {
     let has_retry_after = pairs.flag("policy-limits.retry-after", false)?;
     Ok(Limits {
         max_attempts: pairs.nanos("policy-limits.send-cap", 1)? as u32,
@@ -296,7 +296,7 @@
     })
 }
 
-fn safety(pairs: &Pairs) -> Result<Safety, Fault> {
+fn safety(pairs: &Pairs<'_>) -> Result<Safety, Fault> {
     Ok(Safety {
         initial_capacity: pairs.number("safety.cold-from", 1.0)?,
         slow_start_window: pairs.nanos("safety.ramp-time-ns", 0)?,
@@ -306,7 +306,7 @@
     })
 }
 
-fn has_pushed_list(pairs: &Pairs) -> Result<bool, Fault> {
+fn has_pushed_list(pairs: &Pairs<'_>) -> Result<bool, Fault> {
     match pairs.get("discovery") {
         Some("push") | None => Ok(true),
         Some("ask") => Ok(false),
@@ -314,7 +314,7 @@
     }
 }
 
-fn units_meaning(pairs: &Pairs) -> Result<UnitsMeaning, Fault> {
+fn units_meaning(pairs: &Pairs<'_>) -> Result<UnitsMeaning, Fault> {
     match pairs.get("weight-source") {
         Some("nominal" | "rough") => Ok(UnitsMeaning::Size),
         Some("live") => Ok(UnitsMeaning::Live),
--- a/src/config.rs
+++ b/src/config.rs
@@ -80,12 +80,18 @@
 
 impl Config {
     /// Reads both files. The environment's name and addresses go before the first one's.
+    ///
+    /// # Errors
+    /// What can't be read or makes no sense, with its path.
     pub fn load(sources: &Sources) -> Result<Config, String> {
         Config::read(sources, true)
     }
 
     /// Reads both again while the program runs. What the environment said was for the start: it can't have
     /// changed since, and would hide an address that has.
+    ///
+    /// # Errors
+    /// As for [`Config::load`].
     pub fn reload(sources: &Sources) -> Result<Config, String> {
         Config::read(sources, false)
     }
@@ -129,6 +135,9 @@
     }
 
     /// Makes sense of the platform's JSON.
+    ///
+    /// # Errors
+    /// What is missing or makes no sense, with its key.
     pub fn new(config: &Value, own: settings::Settings) -> Result<Config, String> {
         let at = |key: &str| Tree { value: &config[key], path: key.to_owned() };
         let addr =
@@ -294,7 +303,7 @@
 }
 
 /// The load balancer's settings, and the names that the platform's JSON uses in them.
-fn module_settings(tree: &Tree) -> Result<(Settings, Names), String> {
+fn module_settings(tree: &Tree<'_>) -> Result<(Settings, Names), String> {
     let mut names = Names {
         zones: tree.at("localities").texts()?,
         kinds: tree.at("shapes").texts()?,
@@ -327,7 +336,7 @@
     Ok((settings, names))
 }
 
-fn classes(tree: &Tree, names: &mut Names) -> Result<Vec<Class>, String> {
+fn classes(tree: &Tree<'_>, names: &mut Names) -> Result<Vec<Class>, String> {
     let family = tree.at("family-info");
     let per_token = family.at("aim-us-per-1000-prompt-tokens").each();
     let inter_token = family.at("token-aim-ns").each();
@@ -336,7 +345,7 @@
         names.classes.push(lane.at("name").text()?);
         let effect = effect(lane)?;
         names.safe.push(effect == Effect::Safe);
-        let of_class = |list: &[Tree]| list.get(index).map_or(Ok(0), |target| target.nanos(0));
+        let of_class = |list: &[Tree<'_>]| list.get(index).map_or(Ok(0), |target| target.nanos(0));
         let deadline = lane.at("deadline-ns").nanos(0)?;
         names.deadlines.push(deadline);
         classes.push(Class {
@@ -354,7 +363,7 @@
     Ok(classes)
 }
 
-fn effect(lane: &Tree) -> Result<Effect, String> {
+fn effect(lane: &Tree<'_>) -> Result<Effect, String> {
     let scope = match lane.at("key-scope").text_or("all")?.as_str() {
         "all" => Scope::All,
         "zone" => Scope::Zone,
@@ -369,7 +378,7 @@
     }
 }
 
-fn tenants(tree: &Tree, names: &mut Names) -> Result<Vec<Tenant>, String> {
+fn tenants(tree: &Tree<'_>, names: &mut Names) -> Result<Vec<Tenant>, String> {
     let mut tenants = Vec::new();
     for account in tree.at("accounts").each() {
         names.tenants.push(account.at("name").text()?);
@@ -380,7 +389,7 @@
     Ok(tenants)
 }
 
-fn has_pushed_list(tree: &Tree) -> Result<bool, String> {
+fn has_pushed_list(tree: &Tree<'_>) -> Result<bool, String> {
     match tree.at("discovery").text_or("push")?.as_str() {
         "push" => Ok(true),
         "ask" => Ok(false),
@@ -388,7 +397,7 @@
     }
 }
 
-fn limits(policy: &Tree, max_retry_after: Nanos) -> Result<Limits, String> {
+fn limits(policy: &Tree<'_>, max_retry_after: Nanos) -> Result<Limits, String> {
     Ok(Limits {
         max_attempts: policy.at("send-cap").number(1.0)? as u32,
         hedging: policy.at("second-copies").flag()?,
@@ -399,7 +408,7 @@
     })
 }
 
-fn safety(tree: &Tree) -> Result<Safety, String> {
+fn safety(tree: &Tree<'_>) -> Result<Safety, String> {
     Ok(Safety {
         initial_capacity: tree.at("cold-from").number(1.0)?,
         slow_start_window: tree.at("ramp-time-ns").nanos(0)?,
@@ -409,7 +418,7 @@
     })
 }
 
-fn units_meaning(tree: &Tree) -> Result<UnitsMeaning, String> {
+fn units_meaning(tree: &Tree<'_>) -> Result<UnitsMeaning, String> {
     match tree.at("weight-source").text_or("silent")?.as_str() {
         "nominal" | "rough" => Ok(UnitsMeaning::Size),
         "live" => Ok(UnitsMeaning::Live),
--- a/src/engine/forwarding.rs
+++ b/src/engine/forwarding.rs
@@ -7,7 +7,7 @@
 
 use super::request_lifecycle::{Answer, Arrival, BegunStream, Step, StreamSuccessor};
 use super::streams::{Alarm, Ticket};
-use super::{Ending, Engine, Held, Order};
+use super::{AdmittedRequest, Ending, Engine, Order};
 use crate::stream::{Cause, End, Leaving, Relay, RelayAction};
 use crate::types::{Nanos, ReplicaId, Verdict};
 
@@ -21,7 +21,7 @@
 /// The real servers' side of a begun stream.
 pub(super) struct ServerSide<S> {
     /// The module's side of its request; none if another process began it.
-    pub(super) held: Option<Held>,
+    pub(super) held: Option<AdmittedRequest>,
     pub(super) out: Vec<Scheduling<S>>,
     /// The scheduling that it belongs to.
     pub(super) number: u32,
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -124,16 +124,30 @@
     }
 }
 
+/// A timer of the load balancer. The order of the fields is the order in which timers run.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingTimer {
+    due: Nanos,
+    token: u64,
+}
+
+/// A scheduling in flight.
+#[derive(Clone, Copy)]
+struct SentAttempt {
+    sent_at: Nanos,
+    timeout: Nanos,
+}
+
 struct Core {
     balancer: LoadBalancer,
-    timers: BinaryHeap<Reverse<(Nanos, u64)>>,
+    timers: BinaryHeap<Reverse<PendingTimer>>,
     waiting: BTreeMap<RequestId, Waiting>,
     actions: Vec<Action>,
     spare_id: u64,
     watch: LagMonitor,
 }
 
-/// A held request's mailbox, and how many schedulings it was ordered.
+/// An admitted request's mailbox, and how many schedulings it was ordered.
 struct Waiting {
     orders: Sender<Order>,
     schedulings: u32,
@@ -154,7 +168,10 @@
 }
 
 impl Engine {
-    /// An engine round a new module, and the orders that it will have for the fleet.
+    /// An engine with a new load balancer, and the orders that it will have for the fleet.
+    ///
+    /// # Errors
+    /// Settings that the load balancer can't work with.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -233,12 +250,12 @@
         loop {
             let now = self.now();
             self.watch(due.unwrap_or(now), now);
-            let next = self.core.borrow().timers.peek().map(|Reverse((at, _))| *at);
+            let next = self.core.borrow().timers.peek().map(|Reverse(timer)| timer.due);
             match next {
                 Some(at) if at <= now => {
                     let first = self.core.borrow_mut().timers.pop();
-                    if let Some(Reverse((_, token))) = first {
-                        self.feed(Event::Timer(token));
+                    if let Some(Reverse(timer)) = first {
+                        self.feed(Event::Timer(timer.token));
                     }
                     due = Some(now);
                     // Sockets have their turn between timers, however many are due.
@@ -280,9 +297,9 @@
         core.spare_id
     }
 
-    /// Takes a request in. What comes back owes its client one final answer. `None`: its id is held already.
+    /// Takes a request in. What comes back owes its client one final answer. `None`: a request with its id is open.
     #[must_use]
-    pub fn admit(&self, ask: &Ask) -> Option<Held> {
+    pub fn admit(&self, ask: &Ask) -> Option<AdmittedRequest> {
         let (orders, mailbox) = async_channel::unbounded();
         let id = {
             let core = &mut *self.core.borrow_mut();
@@ -298,7 +315,12 @@
             core.waiting.insert(id, Waiting { orders, schedulings: 0 });
             id
         };
-        let held = Held { engine: self.clone(), id, mailbox: Box::pin(mailbox), out: BTreeMap::new() };
+        let admitted = AdmittedRequest {
+            engine: self.clone(),
+            id,
+            mailbox: Box::pin(mailbox),
+            in_flight: BTreeMap::new(),
+        };
         let (prompt_tokens, prefix_tokens, max_output_tokens) = ask.tokens;
         self.feed(Event::Request(Request {
             id,
@@ -312,10 +334,10 @@
             max_output_tokens,
             is_retry: ask.repeat,
         }));
-        Some(held)
+        Some(admitted)
     }
 
-    /// The one place where the module is called.
+    /// The one place where the load balancer is called.
     fn feed(&self, event: Event) {
         let core = &mut *self.core.borrow_mut();
         let now = self.now();
@@ -342,9 +364,9 @@
                 Action::Fail(id) => give(id, &mut |_| Order::Fail),
                 Action::Cancel { id, attempt } => give(id, &mut |_| Order::Cancel(attempt)),
                 Action::Timer { after, token } => {
-                    let at = now.saturating_add(after);
-                    sooner |= core.timers.peek().is_none_or(|Reverse((first, _))| at < *first);
-                    core.timers.push(Reverse((at, token)));
+                    let due = now.saturating_add(after);
+                    sooner |= core.timers.peek().is_none_or(|Reverse(first)| due < first.due);
+                    core.timers.push(Reverse(PendingTimer { due, token }));
                 }
                 Action::Watch => drop(self.fleet.try_send(FleetOrder::Watch)),
                 Action::Fetch => drop(self.fleet.try_send(FleetOrder::Fetch)),
@@ -366,17 +388,17 @@
         .map_or(0, |time| time.tv_sec as Nanos * 1_000_000_000 + time.tv_nsec as Nanos)
 }
 
-/// A request that is held: its orders come out of it, its events go into it. When it is dropped the module
-/// learns that the request is over and that what was still out was called off.
-pub struct Held {
+/// An admitted request: its orders come out of it, its events go into it. When it is dropped the load balancer
+/// learns that the request is over and that schedulings in flight were cancelled.
+pub struct AdmittedRequest {
     engine: Engine,
     id: RequestId,
     mailbox: Pin<Box<Receiver<Order>>>,
-    /// Schedulings that are out: when each was ordered, and its time-out.
-    out: BTreeMap<u32, (Nanos, Nanos)>,
+    /// Schedulings in flight, by their numbers.
+    in_flight: BTreeMap<u32, SentAttempt>,
 }
 
-impl Held {
+impl AdmittedRequest {
     /// The module's next order.
     pub async fn order(&mut self) -> Order {
         future::poll_fn(|cx| self.poll_order(cx)).await
@@ -385,36 +407,37 @@
     /// The same as a poll.
     pub fn poll_order(&mut self, cx: &mut Context<'_>) -> Poll<Order> {
         match self.mailbox.as_mut().poll_next(cx) {
-            Poll::Ready(Some(order)) => Poll::Ready(self.noted(order)),
+            Poll::Ready(Some(order)) => Poll::Ready(self.record_order(order)),
             // The sender lives as long as this does.
             Poll::Ready(None) | Poll::Pending => Poll::Pending,
         }
     }
 
-    fn noted(&mut self, order: Order) -> Order {
+    fn record_order(&mut self, order: Order) -> Order {
         if let Order::Schedule { number, timeout, .. } = &order {
-            self.out.insert(*number, (self.engine.now(), timeout.as_nanos() as Nanos));
+            let timeout = timeout.as_nanos() as Nanos;
+            self.in_flight.insert(*number, SentAttempt { sent_at: self.engine.now(), timeout });
         }
         order
     }
 
     /// A scheduling's first event has come. Returns how long it took.
     pub fn first_event(&mut self, number: u32) -> Nanos {
-        let Some((sent, _)) = self.out.get(&number) else { return 0 };
-        let elapsed = self.engine.now().saturating_sub(*sent);
+        let Some(attempt) = self.in_flight.get(&number) else { return 0 };
+        let elapsed = self.engine.now().saturating_sub(attempt.sent_at);
         self.engine.feed(Event::FirstToken { id: self.id, attempt: number, elapsed });
         elapsed
     }
 
     /// How long ago a scheduling that is out was ordered.
     fn elapsed(&self, number: u32) -> Nanos {
-        self.out.get(&number).map_or(0, |(sent, _)| self.engine.now().saturating_sub(*sent))
+        self.in_flight.get(&number).map_or(0, |attempt| self.engine.now().saturating_sub(attempt.sent_at))
     }
 
     /// A scheduling has ended, and with it the request if `ended`.
     pub fn outcome(&mut self, number: u32, ending: Ending, ended: bool) {
-        let Some((sent, _)) = self.out.remove(&number) else { return };
-        let elapsed = self.engine.now().saturating_sub(sent);
+        let Some(attempt) = self.in_flight.remove(&number) else { return };
+        let elapsed = self.engine.now().saturating_sub(attempt.sent_at);
         let Ending { verdict, kept: cached_tokens, report, .. } = ending;
         let id = self.id;
         self.engine.feed(Event::Outcome {
@@ -429,15 +452,15 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         self.engine.feed(Event::Expired(self.id));
         let slack = self.engine.slack.as_nanos() as Nanos;
-        while let Some((number, (sent, timeout))) = self.out.pop_first() {
-            let elapsed = self.engine.now().saturating_sub(sent);
+        while let Some((number, attempt)) = self.in_flight.pop_first() {
+            let elapsed = self.engine.now().saturating_sub(attempt.sent_at);
             // A client leaves at its deadline, which is also the time-out's end: whichever is noticed first,
             // the real server has answered nothing in all that time.
-            let waited = elapsed.saturating_add(slack) >= timeout;
+            let waited = elapsed.saturating_add(slack) >= attempt.timeout;
             let verdict = if waited { Verdict::TimedOut } else { Verdict::Cancelled };
             let (id, report) = (self.id, Vec::new());
             let outcome = Event::Outcome {
--- a/src/engine/request_lifecycle.rs
+++ b/src/engine/request_lifecycle.rs
@@ -7,7 +7,7 @@
 use futures_lite::{Stream, StreamExt, future};
 
 use super::forwarding::{Forwarding, Next, Scheduling, ServerSide};
-use super::{Ask, Ending, Engine, Held, Order};
+use super::{AdmittedRequest, Ask, Ending, Engine, Order};
 use crate::stream::{Cause, Leaving, Relay};
 use crate::types::{Nanos, ReplicaId, Verdict};
 
@@ -256,7 +256,7 @@
 /// What comes next of a request whose answer has not begun.
 async fn next_step<E, S: Stream<Item = Step<E>> + Unpin>(
     client: &mut impl Client<E>,
-    held: &mut Held,
+    held: &mut AdmittedRequest,
     out: &mut [Scheduling<S>],
 ) -> Next<E> {
     // Its leaving comes first. Guards against a request that is written to a real server, on a connection that
