--- a/crates/load-balancer/tests/load.rs
+++ b/crates/load-balancer/tests/queued_work.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_replica_where_others_work_waits_is_passed_over() {
+fn a_replica_with_work_of_others_queued_is_passed_over() {
     let mut balancer = balancer();
     for prefix in 1..=40 {
         report(&mut balancer, START, |_| 0.0);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn what_was_told_too_long_ago_does_not_count() {
+fn an_old_report_does_not_count() {
     let mut balancer = balancer();
     for prefix in 1..=40 {
         let at = START + prefix * 10_000 * MILLI;
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn what_this_gateway_has_just_sent_counts_before_it_is_told() {
+fn work_that_was_just_sent_counts_before_it_is_reported() {
     let mut balancer = balancer();
     for prefix in 1..=40 {
         let at = START + prefix * 10_000 * MILLI;
@@ -158,8 +158,8 @@
 #[rstest]
 #[case::at_once(0, 20.0)]
 #[case::just_sent(99, 20.0)]
-#[case::told_by_now(100, 6.0)]
-fn what_was_sent_counts_until_it_must_have_been_told(#[case] later_ms: Nanos, #[case] waiting: f64) {
+#[case::reported_by_now(100, 6.0)]
+fn sent_work_counts_until_a_report_must_contain_it(#[case] later_ms: Nanos, #[case] waiting: f64) {
     let mut estimate = QueuedWorkEstimate::default();
     estimate.record_sent(START, 14.0);
     estimate.record_report(START + later_ms * MILLI, 6.0);
@@ -169,7 +169,7 @@
 #[rstest]
 #[case::lately(1_000, true)]
 #[case::too_long_ago(1_001, false)]
-fn what_is_told_holds_for_a_second(#[case] later_ms: Nanos, #[case] holds: bool) {
+fn a_report_is_fresh_for_a_second(#[case] later_ms: Nanos, #[case] holds: bool) {
     let mut freshness = ReportFreshness::default();
     assert!(!freshness.is_fresh(START));
     freshness.record_report(START);
--- a/crates/load-balancer/tests/reconfigure.rs
+++ b/crates/load-balancer/tests/reconfigure.rs
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_changed_aim_counts_for_the_requests_that_follow() {
+fn a_changed_latency_target_counts_for_the_requests_that_follow() {
     let mut driver = Driver::new(settings(4));
     driver.list();
     driver.balancer.set_classes(vec![class(4 * SECOND, Effect::Safe)]);
@@ -236,16 +236,16 @@
 #[case::fewer(2)]
 #[case::more(12)]
 #[case::many(300)]
-fn a_gateway_told_a_size_at_its_start_acts_like_one_made_with_it(#[case] size: u32) {
-    let told = run(settings(4), 0, |balancer| balancer.set_group_size(size));
-    assert_eq!(told, run(settings(size), 0, |_| {}));
-    assert_ne!(told, run(settings(4), 0, |_| {}), "the size makes no difference to this run");
+fn a_group_size_set_at_the_start_acts_like_one_in_the_settings(#[case] size: u32) {
+    let resized = run(settings(4), 0, |balancer| balancer.set_group_size(size));
+    assert_eq!(resized, run(settings(size), 0, |_| {}));
+    assert_ne!(resized, run(settings(4), 0, |_| {}), "the size makes no difference to this run");
 }
 
 #[test]
 fn a_group_of_none_counts_as_this_gateway_alone() {
-    let told = run(settings(4), 0, |balancer| balancer.set_group_size(0));
-    assert_eq!(told, run(settings(1), 0, |_| {}));
+    let resized = run(settings(4), 0, |balancer| balancer.set_group_size(0));
+    assert_eq!(resized, run(settings(1), 0, |_| {}));
 }
 
 #[test]
--- a/crates/proxy/src/placement/budget.rs
+++ b/crates/proxy/src/placement/budget.rs
@@ -2,7 +2,7 @@
 
 use tulipridge_runtime::settings::TimeLimits;
 
-/// Part of the ratio that is given out: the rest is for requests that clients count in another window.
+/// Part of the ratio that is granted: the rest is for requests that clients count in another window.
 const RATIO_PART: f64 = 0.9;
 /// Part of the fleet's spare attempts that the gateways known so far hold together: the other half is for as many
 /// gateways that nobody knows of yet.
@@ -27,8 +27,8 @@
 
 /// One gateway's tokens for repeated sends to one service.
 ///
-/// A request's first send adds a part of a token and each further send takes a whole one. The bucket starts
-/// empty, as a gateway that was just restarted may have spent what it held a moment ago.
+/// A request's first send adds a part of a token and each further send takes a full one (a token bucket). It
+/// starts empty, as a gateway that was just restarted may have spent its tokens a moment ago.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     allowance: RetryAllowance,
@@ -37,13 +37,13 @@
 }
 
 impl RetryBudget {
-    /// An empty bucket, without room until the number of gateways is known.
+    /// An empty bucket, without capacity until the number of gateways is known.
     #[must_use]
     pub fn new(allowance: RetryAllowance) -> Self {
         RetryBudget { allowance, capacity: 0.0, tokens: 0.0 }
     }
 
-    /// Makes room for this gateway's share among so many.
+    /// Sets the capacity to this gateway's part among so many gateways.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.capacity = self.allowance.spare * SPARE_PART / f64::from(gateways.max(1));
         self.tokens = self.tokens.min(self.capacity);
--- a/crates/proxy/src/placement/work.rs
+++ b/crates/proxy/src/placement/work.rs
@@ -10,17 +10,17 @@
 /// Work that waits, by replica, in units of [`WORK_UNIT_TOKENS`].
 pub type WorkByReplica = BTreeMap<ReplicaId, u32>;
 
-/// Called with all work that waits, each time it has changed.
+/// Called with all queued work each time it has changed.
 type Listener = Box<dyn Fn(&WorkByReplica)>;
 
-/// Keeps account of the work that waits.
+/// Keeps account of the queued work.
 #[derive(Default)]
 pub struct WorkLedger {
     waiting: RefCell<WorkByReplica>,
     listener: RefCell<Option<Listener>>,
 }
 
-/// Work that waits at a replica until this is dropped.
+/// Work that is queued at a replica until this guard is dropped.
 pub struct Waiting {
     ledger: Rc<WorkLedger>,
     replica: ReplicaId,
@@ -34,7 +34,7 @@
 }
 
 impl WorkLedger {
-    /// Sets the function that is told of each change.
+    /// Sets the function that is called at each change.
     pub fn on_change(&self, listener: impl Fn(&WorkByReplica) + 'static) {
         *self.listener.borrow_mut() = Some(Box::new(listener));
     }
@@ -46,7 +46,7 @@
         Waiting { ledger: self.clone(), replica: replica.clone(), units }
     }
 
-    /// Tells of all work that waits, as when the places of replicas have changed.
+    /// Reports all queued work, as when the positions of replicas have changed.
     pub fn announce(&self) {
         if let Some(listener) = &*self.listener.borrow() {
             listener(&self.waiting.borrow());
