--- a/crates/control-plane/src/server/build.rs
+++ b/crates/control-plane/src/server/build.rs
@@ -95,9 +95,9 @@
             context.clone(),
             outputs.clone(),
         );
-        let kept_index = CacheFollowers::new(context.clone(), outputs.clone());
+        let cache_followers = CacheFollowers::new(context.clone(), outputs.clone());
         let discovery = discovery(settings, context, outputs, &rollout_events);
-        SingletonRoles { discovery, kept_index, rollout, rollout_events }
+        SingletonRoles { discovery, cache_followers, rollout, rollout_events }
     }
 }
 
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use async_executor::{LocalExecutor, Task};
+use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::future;
 use snafu::ResultExt;
@@ -79,7 +79,7 @@
 /// What acts only while this member has the singleton lease.
 struct SingletonRoles {
     discovery: Option<Discovery>,
-    kept_index: CacheFollowers,
+    cache_followers: CacheFollowers,
     rollout: Rollout,
     rollout_events: Sender<Event>,
 }
@@ -89,6 +89,7 @@
         self.publish_to_delivery();
         let Server { executor, started, delivery, .. } = self;
         let StartedMember { member, links, disk_events, state_machine_events, .. } = started;
+        let SingletonRoles { discovery, cache_followers, rollout, .. } = self.singleton_roles;
         let receiver = member.clone();
         let on_message = Rc::new(move |envelope| receiver.on_message(envelope));
         let mut tasks = vec![
@@ -101,9 +102,11 @@
             executor.spawn(periodic::update_discovered_members(self.peer_sampling, member.clone())),
             executor.spawn(self.operator.run()),
             executor.spawn(serve_api(self.api, self.listeners.operator, executor.clone())),
+            executor.spawn(rollout.run()),
+            executor.spawn(cache_followers.run()),
+            executor.spawn(periodic::deliver_loads(member.clone(), delivery)),
         ];
-        tasks.extend(self.singleton_roles.spawn(&executor));
-        tasks.push(executor.spawn(periodic::deliver_loads(member.clone(), delivery)));
+        tasks.extend(discovery.map(|discovery| executor.spawn(discovery.run())));
         let state_machine_failure = async {
             let source = member.clone().run_state_machine_events(state_machine_events).await;
             Err(ServerError::State { source })
@@ -133,14 +136,6 @@
     }
 }
 
-impl SingletonRoles {
-    fn spawn(self, executor: &LocalExecutor<'static>) -> Vec<Task<()>> {
-        let mut tasks = vec![executor.spawn(self.rollout.run()), executor.spawn(self.kept_index.run())];
-        tasks.extend(self.discovery.map(|discovery| executor.spawn(discovery.run())));
-        tasks
-    }
-}
-
 async fn stop_and_depart(
     stop: impl Future<Output = ()>,
     member: &Member,
