--- /dev/null
+++ b/tests/documentation.rs
@@ -0,0 +1,144 @@
+//! What the documentation says of the sources, held to the sources: paths that it names, and words that it withdraws.
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// Words that name no item and no file in the packages under `crates/`. The gateway at the root is not held to it yet
+/// (`docs/ROADMAP.md`).
+const WITHDRAWN_WORDS: [&str; 17] = [
+    "told", "whole", "held", "ill", "sick", "duty", "news", "kin", "mates", "ask", "trouble", "mishap",
+    "keeper", "silence", "mend", "errand", "tell",
+];
+
+fn root() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn read(path: &Path) -> String {
+    fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+/// The text between backticks, line by line; code blocks are passed over.
+fn code_spans(text: &str) -> Vec<&str> {
+    let mut is_block = false;
+    let mut spans = Vec::new();
+    for line in text.lines() {
+        if line.starts_with("```") {
+            is_block = !is_block;
+        } else if !is_block {
+            spans.extend(line.split('`').skip(1).step_by(2));
+        }
+    }
+    spans
+}
+
+/// Whether a code span is a path within the repository.
+fn is_path(span: &str) -> bool {
+    let roots = ["crates/", "docs/", "src/", "tests/", "deploy/", "examples/", "fuzz/", ".ci/"];
+    roots.iter().any(|root| span.starts_with(root)) && !span.contains([' ', '*', '{', '<'])
+}
+
+fn assert_paths_exist(page: &str) {
+    let text = read(&root().join(page));
+    let paths: Vec<&str> = code_spans(&text).into_iter().filter(|span| is_path(span)).collect();
+    assert!(!paths.is_empty(), "{page} names no path");
+    let missing: Vec<&&str> = paths.iter().filter(|path| !root().join(path).exists()).collect();
+    assert!(missing.is_empty(), "{page} names what does not exist: {missing:?}");
+}
+
+fn sources_below(folder: &Path, sources: &mut Vec<PathBuf>) {
+    for entry in fs::read_dir(folder).expect("a folder of sources") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            sources_below(&path, sources);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            sources.push(path);
+        }
+    }
+}
+
+/// The name of the item that a line declares, if it declares one.
+fn declared_name(line: &str) -> Option<&str> {
+    const KEYWORDS: [&str; 8] = ["fn", "struct", "enum", "trait", "type", "const", "static", "mod"];
+    let mut words = line.split_whitespace().skip_while(|word| !KEYWORDS.contains(word)).skip(1);
+    let before = line.split_whitespace().take_while(|word| !KEYWORDS.contains(word));
+    let is_declaration =
+        before.into_iter().all(|word| word.starts_with("pub") || MODIFIERS.contains(&word));
+    let name = words.find(|word| !KEYWORDS.contains(word))?;
+    let name = name.split(|character: char| !character.is_alphanumeric() && character != '_').next()?;
+    (is_declaration && !name.is_empty()).then_some(name)
+}
+
+/// What may stand before the keyword of a declaration, beside its visibility.
+const MODIFIERS: [&str; 5] = ["async", "unsafe", "const", "in", "crate)"];
+
+/// The words of a name in snake case or camel case, in lower case.
+fn words_of(name: &str) -> BTreeSet<String> {
+    let mut spaced = String::new();
+    let mut previous = ' ';
+    for character in name.chars() {
+        if character.is_uppercase() && previous.is_lowercase() {
+            spaced.push('_');
+        }
+        spaced.push(character);
+        previous = character;
+    }
+    spaced.to_lowercase().split('_').map(str::to_owned).collect()
+}
+
+fn is_withdrawn(name: &str) -> bool {
+    words_of(name).iter().any(|word| WITHDRAWN_WORDS.contains(&word.as_str()))
+}
+
+#[test]
+fn every_path_in_the_architecture_page_exists() {
+    assert_paths_exist("docs/architecture.md");
+}
+
+#[test]
+fn every_path_in_the_readme_the_glossary_and_the_developers_page_exists() {
+    for page in ["README.md", "docs/glossary.md", "DEVELOPERS.md"] {
+        assert_paths_exist(page);
+    }
+}
+
+#[test]
+fn the_readme_lists_every_package() {
+    let readme = read(&root().join("README.md"));
+    for entry in fs::read_dir(root().join("crates")).expect("the packages") {
+        let name = entry.expect("an entry").file_name().into_string().expect("a name in UTF-8");
+        assert!(readme.contains(&format!("| `{name}` |")), "README.md does not list {name}");
+    }
+}
+
+#[test]
+fn no_item_or_file_of_a_package_has_a_withdrawn_name() {
+    let mut sources = Vec::new();
+    for entry in fs::read_dir(root().join("crates")).expect("the packages") {
+        let package = entry.expect("an entry").path();
+        sources_below(&package.join("src"), &mut sources);
+    }
+    assert!(sources.len() > 100, "only {} files found", sources.len());
+    let mut withdrawn = BTreeSet::new();
+    for source in &sources {
+        let stem = source.file_stem().and_then(|stem| stem.to_str()).expect("a name in UTF-8");
+        if is_withdrawn(stem) {
+            withdrawn.insert(format!("{}: the file", source.display()));
+        }
+        for line in read(source).lines() {
+            if let Some(name) = declared_name(line).filter(|name| is_withdrawn(name)) {
+                withdrawn.insert(format!("{}: {name}", source.display()));
+            }
+        }
+    }
+    assert!(withdrawn.is_empty(), "{withdrawn:#?}");
+}
+
+#[test]
+fn a_withdrawn_word_is_found_in_either_case() {
+    assert!(is_withdrawn("DutyHolder") && is_withdrawn("tell_role") && is_withdrawn("TOLD_AGE"));
+    assert!(!is_withdrawn("intellect") && !is_withdrawn("Wholesale"));
+    assert_eq!(declared_name("    pub(super) async fn tell_role(&mut self) {"), Some("tell_role"));
+    assert_eq!(declared_name("let told = fn_of(x);"), None);
+}
