--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -122,7 +122,7 @@
     request: &'a DownstreamRequest,
     admitted: Admitted,
     prompt: PromptHeaders,
-    held: PlacedRequest,
+    placed: PlacedRequest,
     deadline: Instant,
     /// How often the request was written to a replica.
     sends: u32,
@@ -142,18 +142,19 @@
         deadline: Instant,
     ) -> Option<Exchange<'a>> {
         let prompt = PromptHeaders::read(&request.head);
-        let ask = PlacementRequest {
+        let placement_request = PlacementRequest {
             class: proxy.placement.borrow().class(&admitted.route().label)?,
             expires_in: deadline.saturating_duration_since(Instant::now()),
             prompt: prompt.prompt,
         };
-        let held = PlacedRequest::place(&proxy.placement, admitted.service(), deadline, ask)?;
+        let placed =
+            PlacedRequest::place(&proxy.placement, admitted.service(), deadline, placement_request)?;
         Some(Exchange {
             proxy,
             request,
             admitted,
             prompt,
-            held,
+            placed,
             deadline,
             sends: 0,
             execution: Execution::NotRun,
@@ -186,7 +187,7 @@
         let from = if self.sends == 0 { self.request.started } else { Instant::now() };
         let mut give_up = self.proxy.alarms.at(from + timeout);
         future::poll_fn(|context| {
-            if let Poll::Ready(order) = self.held.poll_order(context) {
+            if let Poll::Ready(order) = self.placed.poll_order(context) {
                 return Poll::Ready(WaitEvent::Order(order));
             }
             if client.poll_disconnected(context).is_ready() {
--- a/crates/proxy/src/exchange/attempts.rs
+++ b/crates/proxy/src/exchange/attempts.rs
@@ -8,7 +8,7 @@
 use super::interruption::Interruption;
 use super::{Exchange, FinalResponse, RETRY_AFTER_DELAY, RETRY_AFTER_MINIMUM, Step};
 use crate::downstream::client::Client;
-use crate::placement::work;
+use crate::placement::queued_work;
 use crate::replica::attempt::{self, AttemptResult, UpstreamRequest};
 use crate::replica::connect_error::ConnectError;
 use crate::replica::connection::Connection;
@@ -25,13 +25,13 @@
         attempt: u32,
         replica: &ReplicaId,
     ) -> Step {
-        self.held.begin(attempt);
+        self.placed.begin(attempt);
         if !self.is_still_admitted() {
             return Step::Respond(self.fail(RETRY_AFTER_MINIMUM));
         }
         let replica = self.proxy.replicas.borrow().ready(replica).cloned();
         let Some(replica) = replica.filter(|_| self.may_send()) else {
-            self.held.outcome(Verdict::NotSent, false);
+            self.placed.outcome(Verdict::NotSent, false);
             return Step::Continue;
         };
         let connection = match self.connect(client, &replica).await {
@@ -45,7 +45,7 @@
         }
         let is_ready = self.proxy.replicas.borrow().ready(&replica.id).is_some();
         if !is_ready || !self.take_send() {
-            self.held.outcome(Verdict::NotSent, false);
+            self.placed.outcome(Verdict::NotSent, false);
             return Step::Continue;
         }
         self.send(client, replica, connection).await
@@ -103,15 +103,15 @@
         connection: Connection,
     ) -> Step {
         let head = self.head_for(&replica);
-        let work = work::units(head.unread_tokens);
+        let work = queued_work::units(head.unread_tokens);
         let request = UpstreamRequest {
             head: &head.bytes,
             body: &self.request.body,
             attempt_id: self.request.attempt_id(),
             is_head_request: self.request.is_head_request(),
         };
-        self.held.written(&replica.id, work);
-        let waiting = self.proxy.work.begin(&replica.id, work);
+        self.placed.written(&replica.id, work);
+        let waiting = self.proxy.work.add(&replica.id, work);
         let weights = self.request.head.get("llm").and_then(|model| replica.weights(model));
         let attempt = attempt::run(&self.proxy.pool, &replica, connection, request);
         let attempt = self.unless_expired(weights, attempt);
@@ -120,7 +120,7 @@
         match result {
             Ok(AttemptResult::Success(response)) => {
                 self.execution = AttemptOutcome::Success.execution();
-                self.held.first_token();
+                self.placed.first_token();
                 Step::Forward(response)
             }
             Ok(AttemptResult::Error { outcome, response }) => {
@@ -145,7 +145,7 @@
             RetryAction::RetryOrForward => self.may_send(),
             RetryAction::Resume | RetryAction::Forward | RetryAction::Fail | RetryAction::Abort => false,
         };
-        self.held.outcome(decision.verdict, !is_retried);
+        self.placed.outcome(decision.verdict, !is_retried);
         match outcome {
             AttemptOutcome::WrongReplica => self.proxy.displace(replica),
             AttemptOutcome::WeightsExpired => self.proxy.counters.weights_expired.add(),
--- a/crates/proxy/src/exchange/final_response.rs
+++ b/crates/proxy/src/exchange/final_response.rs
@@ -79,7 +79,7 @@
         match end {
             RelayEnd::Complete => {
                 counters.completed.add();
-                self.held.outcome(AttemptOutcome::Success.verdict(), true);
+                self.placed.outcome(AttemptOutcome::Success.verdict(), true);
                 Some(relay.persistence().into())
             }
             RelayEnd::ClientDisconnected => {
@@ -105,7 +105,7 @@
         let decision = retry::decide(self.kind(), outcome);
         let is_resumed = decision.action == RetryAction::Resume && self.may_resume(&mut relay);
         let is_retried = is_resumed || decision.action == RetryAction::Retry;
-        self.held.outcome(decision.verdict, !is_retried);
+        self.placed.outcome(decision.verdict, !is_retried);
         if !is_retried {
             self.proxy.counters.aborted.add();
             client.stream.reset_on_drop = relay.ends_with_connection();
--- a/crates/proxy/src/exchange/interruption.rs
+++ b/crates/proxy/src/exchange/interruption.rs
@@ -30,7 +30,7 @@
     ) -> Result<T, Interruption> {
         let mut deadline = self.proxy.alarms.at(self.deadline);
         let interrupted = future::poll_fn(|context| {
-            if let Poll::Ready(order) = self.held.poll_order(context) {
+            if let Poll::Ready(order) = self.placed.poll_order(context) {
                 return Poll::Ready(Err(Interruption::Order(order)));
             }
             if client.poll_disconnected(context).is_ready() {
@@ -64,20 +64,20 @@
     }
 
     fn interrupt_by_order(&mut self, order: Order) -> Step {
-        if self.held.may_have_run() {
+        if self.placed.may_have_run() {
             self.execution = self.execution.max(AttemptOutcome::ResponseTimeout.execution());
         }
         match order {
             Order::Cancel(_) => {
-                self.held.call_off(false);
+                self.placed.cancel(false);
                 Step::Continue
             }
             Order::Fail => {
-                self.held.call_off(true);
+                self.placed.cancel(true);
                 Step::Respond(self.fail(RETRY_AFTER_MINIMUM))
             }
             Order::Refuse(wait) => {
-                self.held.call_off(true);
+                self.placed.cancel(true);
                 Step::Respond(self.give_up(wait))
             }
             // The load balancer orders no send while an attempt is in flight.
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -4,10 +4,10 @@
 pub mod budget;
 pub mod placed_request;
 pub mod prompt;
+pub mod queued_work;
 pub mod route_class;
 mod timers;
 pub mod urgency;
-pub mod work;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/crates/proxy/src/placement/placed_request.rs
+++ b/crates/proxy/src/placement/placed_request.rs
@@ -87,7 +87,7 @@
     }
 
     /// The attempt was cancelled here.
-    pub fn call_off(&mut self, ends_request: bool) {
+    pub fn cancel(&mut self, ends_request: bool) {
         let waited = Instant::now() + DEADLINE_SLACK >= self.deadline;
         let verdict = match self.may_have_run() {
             false => Verdict::NotSent,
@@ -100,7 +100,7 @@
 
 impl Drop for PlacedRequest {
     fn drop(&mut self) {
-        self.call_off(true);
+        self.cancel(true);
         self.placement.borrow_mut().end(now(), self.id);
     }
 }
--- a/crates/proxy/src/placement/work.rs
+++ b/crates/proxy/src/placement/queued_work.rs
@@ -1,4 +1,4 @@
-//! The work that this gateway has sent to replicas and that these have not begun.
+//! The work that this gateway has sent to replicas and that these have not started.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,22 +7,22 @@
 use tulipridge_load_balancer::types::ReplicaId;
 use tulipridge_protocol::feed::WORK_UNIT_TOKENS;
 
-/// Work that waits, by replica, in units of [`WORK_UNIT_TOKENS`].
+/// Queued work by replica, in units of [`WORK_UNIT_TOKENS`].
 pub type WorkByReplica = BTreeMap<ReplicaId, u32>;
 
 /// Called with all queued work each time it has changed.
 type Listener = Box<dyn Fn(&WorkByReplica)>;
 
-/// Keeps account of the queued work.
+/// The table of queued work, and who is notified of its changes.
 #[derive(Default)]
 pub struct QueuedWorkTable {
-    waiting: RefCell<WorkByReplica>,
+    queued: RefCell<WorkByReplica>,
     listener: RefCell<Option<Listener>>,
 }
 
 /// Work that is queued at a replica until this guard is dropped.
-pub struct Waiting {
-    ledger: Rc<QueuedWorkTable>,
+pub struct QueuedWorkGuard {
+    table: Rc<QueuedWorkTable>,
     replica: ReplicaId,
     units: u32,
 }
@@ -40,29 +40,29 @@
     }
 
     /// Counts work that is sent to a replica.
-    pub fn begin(self: &Rc<Self>, replica: &ReplicaId, units: u32) -> Waiting {
-        *self.waiting.borrow_mut().entry(replica.clone()).or_default() += units;
-        self.announce();
-        Waiting { ledger: self.clone(), replica: replica.clone(), units }
+    pub fn add(self: &Rc<Self>, replica: &ReplicaId, units: u32) -> QueuedWorkGuard {
+        *self.queued.borrow_mut().entry(replica.clone()).or_default() += units;
+        self.publish();
+        QueuedWorkGuard { table: self.clone(), replica: replica.clone(), units }
     }
 
     /// Reports all queued work, as when the positions of replicas have changed.
-    pub fn announce(&self) {
+    pub fn publish(&self) {
         if let Some(listener) = &*self.listener.borrow() {
-            listener(&self.waiting.borrow());
+            listener(&self.queued.borrow());
         }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedWorkGuard {
     fn drop(&mut self) {
         {
-            let mut waiting = self.ledger.waiting.borrow_mut();
-            if let Some(units) = waiting.get_mut(&self.replica) {
+            let mut queued = self.table.queued.borrow_mut();
+            if let Some(units) = queued.get_mut(&self.replica) {
                 *units -= self.units;
             }
-            waiting.retain(|_, units| *units > 0);
+            queued.retain(|_, units| *units > 0);
         }
-        self.ledger.announce();
+        self.table.publish();
     }
 }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -146,7 +146,7 @@
     }
     if changed.fleet || changed.weights {
         proxy.set_fleet(store.fleet(), store.weights());
-        proxy.work.announce();
+        proxy.work.publish();
     }
     if changed.loads
         && let Some(loads) = store.loads()
--- a/crates/proxy/tests/work.rs
+++ b/crates/proxy/tests/queued_work.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use tulipridge_load_balancer::types::ReplicaId;
-use tulipridge_proxy::placement::work::{QueuedWorkTable, units};
+use tulipridge_proxy::placement::queued_work::{QueuedWorkTable, units};
 
 #[rstest]
 #[case::nothing(0, 1)]
@@ -18,17 +18,17 @@
 
 #[test]
 fn work_counts_until_it_is_dropped_and_each_change_is_reported() {
-    let ledger: Rc<QueuedWorkTable> = Rc::default();
+    let table: Rc<QueuedWorkTable> = Rc::default();
     let told = Rc::new(RefCell::new(Vec::new()));
     let seen = told.clone();
-    ledger.on_change(move |waiting| {
+    table.on_change(move |waiting| {
         let lines = waiting.iter().map(|(id, units)| format!("{}={units}", id.0)).collect::<Vec<_>>();
         seen.borrow_mut().push(lines.join(" "));
     });
     let (one, two) = (ReplicaId::from("i-1"), ReplicaId::from("i-2"));
-    let first = ledger.begin(&one, 3);
-    let second = ledger.begin(&one, 4);
-    let other = ledger.begin(&two, 1);
+    let first = table.add(&one, 3);
+    let second = table.add(&one, 4);
+    let other = table.add(&two, 1);
     drop(second);
     drop(first);
     drop(other);
