--- a/src/front/forwarded_request.rs
+++ b/src/front/forwarded_request.rs
@@ -76,7 +76,12 @@
         translated.as_deref().map_err(Clone::clone)
     }
 
-    /// What to send to a real server of that dialect, as a head and a body; or what its dialect can't say.
+    /// What to send to a real server of that dialect, as a head and a body.
+    ///
+    /// # Errors
+    ///
+    /// If the server speaks the other dialect, and the request's body is not valid or has no counterpart there.
+    /// The text begins with the name of the field.
     pub fn bytes(&self, server: Dialect, deadline: Duration) -> Result<(Vec<u8>, &[u8]), String> {
         let (target, body) = match (self.dialect, server) {
             (Dialect::Messages, Dialect::Platform) => (platform::PATH, self.in_other()?),
--- a/src/front/messages/message_assembler.rs
+++ b/src/front/messages/message_assembler.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    fn event(&mut self, block: SseBlock) {
+    fn event(&mut self, block: SseBlock<'_>) {
         let name = block.name();
         let data = block.data();
         let Ok(Value::Object(mut event)) = serde_json::from_str(&data) else {
@@ -145,7 +145,12 @@
         }
     }
 
-    /// The whole message, or why there is none.
+    /// The complete message as JSON.
+    ///
+    /// # Errors
+    ///
+    /// If no event gave the message a field, if the input of a block is not a JSON object, or if the message can't
+    /// be written as JSON.
     pub fn finish(self) -> Result<Vec<u8>, String> {
         let MessageAssembler { mut message, mut blocks, .. } = self;
         if message.is_empty() {
--- a/src/front/messages/mod.rs
+++ b/src/front/messages/mod.rs
@@ -306,7 +306,7 @@
 }
 
 /// Real servers are always asked for a stream: until its first event another one may be tried.
-fn edit(request: &Request, body: &[u8]) -> Option<(Range<usize>, &'static [u8])> {
+fn edit(request: &Request<'_>, body: &[u8]) -> Option<(Range<usize>, &'static [u8])> {
     match request.stream {
         Some(told) if told.get() == "true" => None,
         Some(told) => {
--- a/src/front/messages/models.rs
+++ b/src/front/messages/models.rs
@@ -33,7 +33,12 @@
     models.get(id).map(|model| shown(id, model).to_string().into_bytes())
 }
 
-/// A page of the list, as the target's query asks for it; or what is wrong with that.
+/// A page of the list, as the target's query asks for it.
+///
+/// # Errors
+///
+/// If `limit` is not a number from 1 to 1000, or if `after_id` or `before_id` is not the id of a model in `models`.
+/// The text begins with the parameter's name.
 pub fn page(models: &Models, head: &Head) -> Result<Vec<u8>, String> {
     let query = head.start[1].split_once('?').map_or("", |(_, query)| query);
     let asked = |name: &str| {
--- a/src/front/messages/request.rs
+++ b/src/front/messages/request.rs
@@ -230,9 +230,14 @@
 }
 
 impl<'a> Request<'a> {
-    /// Reads and checks a body. The error names the field that is wrong.
+    /// Reads and checks a body.
+    ///
+    /// # Errors
+    ///
+    /// If the body is not JSON of a request's form, or if a field is missing, out of its range or beyond `limits`.
+    /// The text begins with the name of that field.
     pub fn read(body: &'a [u8], purpose: Purpose, limits: &MessagesLimits) -> Result<Request<'a>, String> {
-        let request: Request = object::read(body)?;
+        let request: Request<'_> = object::read(body)?;
         request.check(purpose, limits)?;
         Ok(request)
     }
@@ -556,7 +561,7 @@
     if count > most { fault(place, format!("more than {most}")) } else { Ok(()) }
 }
 
-fn check_mark(place: &str, mark: &Mark) -> Fault {
+fn check_mark(place: &str, mark: &Mark<'_>) -> Fault {
     match mark.kind.as_deref() {
         Some("ephemeral") => {}
         Some(other) => return fault(format!("{place}.type"), format!("'{other}' is not ephemeral")),
--- a/src/front/messages/route.rs
+++ b/src/front/messages/route.rs
@@ -10,6 +10,7 @@
 
 use xxhash_rust::xxh3::Xxh3;
 
+use super::super::object::Text;
 use super::request::{Block, Content, Request, Turn};
 
 /// What a body says of its request's place.
@@ -69,7 +70,7 @@
         }
     }
 
-    fn content(&mut self, content: &Content) {
+    fn content(&mut self, content: &Content<'_>) {
         if let Some(text) = content.plain() {
             self.words(b'T', text);
         }
@@ -78,8 +79,8 @@
         }
     }
 
-    fn block(&mut self, block: &Block) {
-        let text = |text: &Option<super::super::object::Text>| text.as_deref().map(str::to_owned);
+    fn block(&mut self, block: &Block<'_>) {
+        let text = |text: &Option<Text<'_>>| text.as_deref().map(str::to_owned);
         match block.kind() {
             // The same words are the same prompt, as a string or as a block.
             "text" => self.words(b'T', block.text.as_deref().unwrap_or_default()),
@@ -122,7 +123,7 @@
         self.mark(block.cache_control.is_some());
     }
 
-    fn turn(&mut self, turn: &Turn) {
+    fn turn(&mut self, turn: &Turn<'_>) {
         self.field(b'R', turn.role.as_deref().unwrap_or_default());
         if let Some(content) = &turn.content {
             self.content(content);
@@ -133,7 +134,7 @@
 impl Route {
     /// Looks through a request.
     #[must_use]
-    pub fn of(request: &Request) -> Route {
+    pub fn of(request: &Request<'_>) -> Route {
         let mut prompt = Prompt::default();
         for tool in request.tools() {
             prompt.field(b'N', tool.kind.as_deref().unwrap_or_default());
@@ -171,7 +172,7 @@
 }
 
 /// A conversation is known by how it began, where nobody says whose it is.
-fn opening(turns: &[Turn]) -> u64 {
+fn opening(turns: &[Turn<'_>]) -> u64 {
     let mut prompt = Prompt::default();
     turns.iter().take(1).for_each(|turn| prompt.turn(turn));
     prompt.hash.digest()
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -129,7 +129,7 @@
 impl Dialect {
     /// The stream's event that says it failed; an outcome, not a part of an answer.
     #[must_use]
-    pub fn is_error(self, block: SseBlock) -> bool {
+    pub fn is_error(self, block: SseBlock<'_>) -> bool {
         match self {
             // The platform's events are many and long: only one that begins so is an error.
             Dialect::Platform => block.0.starts_with(b"data: {\"error\""),
@@ -139,7 +139,7 @@
 
     /// The stream's last event: what follows it belongs to the framing.
     #[must_use]
-    pub fn is_last(self, block: SseBlock) -> bool {
+    pub fn is_last(self, block: SseBlock<'_>) -> bool {
         match self {
             Dialect::Platform => block.0.starts_with(b"data: [DONE]"),
             Dialect::Messages => block.name() == "message_stop",
--- a/src/front/object.rs
+++ b/src/front/object.rs
@@ -148,7 +148,12 @@
     }
 }
 
-/// Reads a body. A fault is told with the field that it lies in, in the form `messages.0.content: what`.
+/// Reads a body.
+///
+/// # Errors
+///
+/// If the body is not UTF-8, not exactly one JSON value, or not of the form of `T`. In the last case the text begins
+/// with the path of the wrong field, as in `messages.0.content: what`.
 pub fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, String> {
     let text = std::str::from_utf8(body)
         .map_err(|e| format!("the body is not UTF-8 from its byte {} on", e.valid_up_to()))?;
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -48,6 +48,11 @@
 }
 
 /// What the platform's headers say of a request; the messages front reads the same ones where they are there.
+///
+/// # Errors
+///
+/// If there is more than one `X-Request-Id`, if the class or the tenant is not in `names`, or if the deadline or a
+/// length in `X-Extras` is not a number.
 pub fn ask(head: &Head, names: &Names) -> Result<Ask, &'static str> {
     // Guards against a request that this gateway and a real server would know by different ids.
     if head.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("x-request-id")).count() > 1 {
--- a/src/front/translate/event.rs
+++ b/src/front/translate/event.rs
@@ -3,7 +3,7 @@
 use crate::front::write::Object;
 
 /// Writes a named event, whose data repeats its name.
-pub(super) fn event(out: &mut Vec<u8>, name: &str, write: impl FnOnce(&mut Object)) {
+pub(super) fn event(out: &mut Vec<u8>, name: &str, write: impl FnOnce(&mut Object<'_>)) {
     out.extend_from_slice(b"event: ");
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b"\ndata: ");
--- a/src/front/translate/messages.rs
+++ b/src/front/translate/messages.rs
@@ -95,9 +95,9 @@
 }
 
 /// Tokens that an event tells.
-pub fn usage(block: SseBlock) -> Option<Usage> {
+pub fn usage(block: SseBlock<'_>) -> Option<Usage> {
     let data = block.data();
-    let event: Event = serde_json::from_str(&data).ok()?;
+    let event: Event<'_> = serde_json::from_str(&data).ok()?;
     event.usage.or(event.message.and_then(|m| m.usage)).map(Usage::from)
 }
 
@@ -119,7 +119,7 @@
 
 impl Reader {
     /// Adds what an event says.
-    pub fn read(&mut self, block: SseBlock, out: &mut Vec<AnswerPart>) {
+    pub fn read(&mut self, block: SseBlock<'_>, out: &mut Vec<AnswerPart>) {
         if block.is_comment() {
             return;
         }
@@ -132,7 +132,7 @@
         if name == "ping" {
             return out.push(AnswerPart::Ping);
         }
-        let Ok(event) = serde_json::from_str::<Event>(&data) else { return out.push(unknown(name)) };
+        let Ok(event) = serde_json::from_str::<Event<'_>>(&data) else { return out.push(unknown(name)) };
         match name {
             "message_start" => {
                 out.push(AnswerPart::Start);
@@ -182,7 +182,7 @@
         }
     }
 
-    fn begin(&mut self, index: u64, block: &Block, out: &mut Vec<AnswerPart>) {
+    fn begin(&mut self, index: u64, block: &Block<'_>, out: &mut Vec<AnswerPart>) {
         if self.blocks.len() >= MOST_BLOCKS {
             return out.push(AnswerPart::Unknown("a block of too high a number".into()));
         }
--- a/src/front/translate/mod.rs
+++ b/src/front/translate/mod.rs
@@ -43,7 +43,7 @@
     }
 
     /// Adds what an event says.
-    pub fn read(&mut self, block: SseBlock, out: &mut Vec<AnswerPart>) {
+    pub fn read(&mut self, block: SseBlock<'_>, out: &mut Vec<AnswerPart>) {
         match self {
             Reader::Platform(reader) => reader.read(block, out),
             Reader::Messages(reader) => reader.read(block, out),
@@ -53,7 +53,7 @@
 
 /// Tokens that an event of this dialect tells.
 #[must_use]
-pub fn usage(dialect: Dialect, block: SseBlock) -> Option<Usage> {
+pub fn usage(dialect: Dialect, block: SseBlock<'_>) -> Option<Usage> {
     match dialect {
         Dialect::Platform => platform::usage(block),
         Dialect::Messages => messages::usage(block),
--- a/src/front/translate/platform.rs
+++ b/src/front/translate/platform.rs
@@ -113,7 +113,7 @@
 }
 
 /// Tokens that an event tells.
-pub fn usage(block: SseBlock) -> Option<Usage> {
+pub fn usage(block: SseBlock<'_>) -> Option<Usage> {
     #[derive(Deserialize)]
     struct Told {
         usage: Option<Tokens>,
@@ -129,7 +129,7 @@
 
 impl Reader {
     /// Adds what an event says.
-    pub fn read(&mut self, block: SseBlock, out: &mut Vec<AnswerPart>) {
+    pub fn read(&mut self, block: SseBlock<'_>, out: &mut Vec<AnswerPart>) {
         if block.is_comment() {
             return;
         }
@@ -138,7 +138,7 @@
             return out.push(AnswerPart::End);
         }
         let had = out.len();
-        match serde_json::from_str::<Chunk>(&data) {
+        match serde_json::from_str::<Chunk<'_>>(&data) {
             Ok(chunk) => self.chunk(&chunk, out),
             Err(_) => out.push(AnswerPart::Unknown(name_of(block))),
         }
@@ -147,7 +147,7 @@
         }
     }
 
-    fn chunk(&mut self, chunk: &Chunk, out: &mut Vec<AnswerPart>) {
+    fn chunk(&mut self, chunk: &Chunk<'_>, out: &mut Vec<AnswerPart>) {
         if let Some(error) = &chunk.error {
             let word = |name: &str| error[name].as_str().unwrap_or_default().to_owned();
             let words = error.as_str().map_or_else(|| word("message"), str::to_owned);
@@ -183,7 +183,7 @@
         }
     }
 
-    fn delta(&mut self, delta: &Delta, out: &mut Vec<AnswerPart>) {
+    fn delta(&mut self, delta: &Delta<'_>, out: &mut Vec<AnswerPart>) {
         for name in &delta.unknown {
             out.push(AnswerPart::Unknown(format!("delta.{}", &**name)));
         }
@@ -213,7 +213,7 @@
     }
 }
 
-fn name_of(block: SseBlock) -> String {
+fn name_of(block: SseBlock<'_>) -> String {
     if block.name().is_empty() { "an unnamed event".to_owned() } else { block.name().to_owned() }
 }
 
@@ -283,13 +283,13 @@
     }
 }
 
-fn event(out: &mut Vec<u8>, write: impl FnOnce(&mut Object)) {
+fn event(out: &mut Vec<u8>, write: impl FnOnce(&mut Object<'_>)) {
     out.extend_from_slice(b"data: ");
     write(&mut Object::new(out));
     out.extend_from_slice(b"\n\n");
 }
 
-fn choice(out: &mut Vec<u8>, finish: Option<&str>, write: impl FnOnce(&mut Object)) {
+fn choice(out: &mut Vec<u8>, finish: Option<&str>, write: impl FnOnce(&mut Object<'_>)) {
     event(out, |data| {
         let mut choices = data.list("choices");
         let mut choice = choices.object();
@@ -299,9 +299,9 @@
     });
 }
 
-fn call(out: &mut Vec<u8>, number: u32, write: impl FnOnce(&mut Object)) {
+fn call(out: &mut Vec<u8>, number: u32, write: impl FnOnce(&mut Object<'_>)) {
     choice(out, None, |delta| {
-        let mut calls: List = delta.list("tool_calls");
+        let mut calls: List<'_> = delta.list("tool_calls");
         let mut call = calls.object();
         call.set("index", &number);
         write(&mut call);
--- a/src/front/translate/refusal.rs
+++ b/src/front/translate/refusal.rs
@@ -15,6 +15,6 @@
 }
 
 /// Refuses an object that has a field which this program does not know; `place` is where it stands.
-pub(super) fn refuse_unknown(place: &str, unknown: &[Text]) -> Result<(), String> {
+pub(super) fn refuse_unknown(place: &str, unknown: &[Text<'_>]) -> Result<(), String> {
     unknown.first().map_or(Ok(()), |name| none(format_args!("{place}{}", &**name)))
 }
--- a/src/front/translate/to_messages.rs
+++ b/src/front/translate/to_messages.rs
@@ -156,9 +156,14 @@
 
 type Fault = Result<(), String>;
 
-/// The body for real servers that speak the messages API; or what has no counterpart there.
+/// The body for real servers that speak the messages API.
+///
+/// # Errors
+///
+/// If `bytes` is not JSON of a chat completion's form, if a required field is missing or has a wrong value, or if a
+/// field has no counterpart in the messages API. The text begins with the name of that field.
 pub fn body(bytes: &[u8], limits: &MessagesLimits) -> Result<Vec<u8>, String> {
-    let chat: Chat = object::read(bytes)?;
+    let chat: Chat<'_> = object::read(bytes)?;
     refuse_unknown("", &chat.unknown)?;
     if chat.stream != Some(true) {
         return wrong("stream", "only true is served here");
@@ -222,7 +227,7 @@
     Ok(out)
 }
 
-fn tools(chat: &Chat, body: &mut Object) -> Fault {
+fn tools(chat: &Chat<'_>, body: &mut Object<'_>) -> Fault {
     let tools = chat.tools.as_deref().unwrap_or_default();
     if !tools.is_empty() {
         let mut list = body.list("tools");
@@ -279,7 +284,7 @@
     Ok(())
 }
 
-fn conversation(lines: &[Line], body: &mut Object, limits: &MessagesLimits) -> Fault {
+fn conversation(lines: &[Line<'_>], body: &mut Object<'_>, limits: &MessagesLimits) -> Fault {
     let openings =
         lines.iter().take_while(|l| matches!(l.role.as_deref(), Some("system" | "developer"))).count();
     if openings > 0 {
@@ -364,7 +369,7 @@
 }
 
 /// Writes a line's content as it is: a text, or blocks.
-fn said(place: &str, line: &Line, turn: &mut Object) -> Fault {
+fn said(place: &str, line: &Line<'_>, turn: &mut Object<'_>) -> Fault {
     match &line.content {
         Some(TextOr::Text(text)) => {
             turn.set("content", &**text);
@@ -376,7 +381,7 @@
 }
 
 /// Adds a line's content as blocks.
-fn content(place: &str, line: &Line, blocks: &mut List) -> Fault {
+fn content(place: &str, line: &Line<'_>, blocks: &mut List<'_>) -> Fault {
     match &line.content {
         None => {}
         Some(TextOr::Text(text)) if text.is_empty() => {}
@@ -390,11 +395,11 @@
     Ok(())
 }
 
-fn text_block(blocks: &mut List, text: &str) {
+fn text_block(blocks: &mut List<'_>, text: &str) {
     blocks.object().set("type", "text").set("text", text);
 }
 
-fn content_part(place: &str, part: &Part, blocks: &mut List) -> Fault {
+fn content_part(place: &str, part: &Part<'_>, blocks: &mut List<'_>) -> Fault {
     refuse_unknown(place, &part.unknown)?;
     match part.kind.as_deref() {
         Some("text") => {
@@ -456,7 +461,7 @@
     }
 }
 
-fn result(place: &str, line: &Line, blocks: &mut List) -> Fault {
+fn result(place: &str, line: &Line<'_>, blocks: &mut List<'_>) -> Fault {
     refuse_unknown(place, &line.unknown)?;
     let Some(id) = line.tool_call_id.as_deref() else {
         return wrong(format!("{place}tool_call_id"), "required");
@@ -474,7 +479,7 @@
     Ok(())
 }
 
-fn call(place: &str, call: &Call, blocks: &mut List, limits: &MessagesLimits) -> Fault {
+fn call(place: &str, call: &Call<'_>, blocks: &mut List<'_>, limits: &MessagesLimits) -> Fault {
     refuse_unknown(place, &call.unknown)?;
     if call.kind.as_deref().is_some_and(|k| k != "function") {
         return none(format!("{place}type"));
--- a/src/front/translate/to_platform.rs
+++ b/src/front/translate/to_platform.rs
@@ -5,11 +5,16 @@
 use base64::engine::general_purpose::STANDARD;
 
 use super::super::messages::request::{Block, Choice, Content, Request, Source, Turn};
+use super::super::object::Text;
 use super::super::write::{List, Object, value};
 use super::refusal::{none, refuse_unknown};
 
-/// The body for the platform's real servers, always of a stream; or what has no counterpart there.
-pub fn body(request: &Request) -> Result<Vec<u8>, String> {
+/// The body for the platform's real servers, always of a stream.
+///
+/// # Errors
+///
+/// If a field of the request has no counterpart in the platform's dialect; the text begins with its name.
+pub fn body(request: &Request<'_>) -> Result<Vec<u8>, String> {
     refuse_unknown("", &request.unknown)?;
     if request.top_k.is_some() {
         return none("top_k");
@@ -84,7 +89,7 @@
     Ok(out)
 }
 
-fn text_block(place: &str, block: &Block) -> Result<(), String> {
+fn text_block(place: &str, block: &Block<'_>) -> Result<(), String> {
     refuse_unknown(place, &block.unknown)?;
     if block.citations.is_some_and(|c| c.get() != "[]") {
         none(format!("{place}citations"))
@@ -93,11 +98,11 @@
     }
 }
 
-fn text_part(parts: &mut List, text: &str) {
+fn text_part(parts: &mut List<'_>, text: &str) {
     parts.object().set("type", "text").set("text", text);
 }
 
-fn tools(request: &Request, body: &mut Object) -> Result<(), String> {
+fn tools(request: &Request<'_>, body: &mut Object<'_>) -> Result<(), String> {
     if !request.tools().is_empty() {
         let mut list = body.list("tools");
         for (n, tool) in request.tools().iter().enumerate() {
@@ -140,7 +145,7 @@
 }
 
 /// A client's turn: results of tools first, each a turn of its own there, then what the client says.
-fn user(place: &str, content: &Content, turns: &mut List) -> Result<(), String> {
+fn user(place: &str, content: &Content<'_>, turns: &mut List<'_>) -> Result<(), String> {
     if let Some(text) = content.plain() {
         turns.object().set("role", "user").set("content", text);
         return Ok(());
@@ -185,7 +190,7 @@
 /// What a tool's failure is said by, since the other dialect has no field for it.
 pub const FAILED: &str = "[tool error] ";
 
-fn result(place: &str, block: &Block, turns: &mut List) -> Result<(), String> {
+fn result(place: &str, block: &Block<'_>, turns: &mut List<'_>) -> Result<(), String> {
     refuse_unknown(place, &block.unknown)?;
     let mut turn = turns.object();
     turn.set("role", "tool").set("tool_call_id", block.tool_use_id.as_deref().unwrap_or_default());
@@ -216,7 +221,7 @@
     Ok(())
 }
 
-fn image(place: &str, block: &Block, parts: &mut List) -> Result<(), String> {
+fn image(place: &str, block: &Block<'_>, parts: &mut List<'_>) -> Result<(), String> {
     refuse_unknown(place, &block.unknown)?;
     let Some(source) = block.origin() else { return none(format!("{place}source")) };
     refuse_unknown(&format!("{place}source."), &source.unknown)?;
@@ -231,13 +236,13 @@
     Ok(())
 }
 
-fn data_url(source: &Source) -> String {
-    let text = |text: &Option<super::super::object::Text>| text.as_deref().unwrap_or_default().to_owned();
+fn data_url(source: &Source<'_>) -> String {
+    let text = |text: &Option<Text<'_>>| text.as_deref().unwrap_or_default().to_owned();
     format!("data:{};base64,{}", text(&source.media_type), text(&source.data))
 }
 
 /// A document is a file there, of whichever media type.
-fn document(place: &str, block: &Block, parts: &mut List) -> Result<(), String> {
+fn document(place: &str, block: &Block<'_>, parts: &mut List<'_>) -> Result<(), String> {
     refuse_unknown(place, &block.unknown)?;
     if block.context.is_some() {
         return none(format!("{place}context"));
@@ -267,7 +272,12 @@
 }
 
 /// The model's turn: its words, then its uses of tools.
-fn assistant(place: &str, turn: &Turn, content: &Content, turns: &mut List) -> Result<(), String> {
+fn assistant(
+    place: &str,
+    turn: &Turn<'_>,
+    content: &Content<'_>,
+    turns: &mut List<'_>,
+) -> Result<(), String> {
     let mut out = turns.object();
     out.set("role", turn.role.as_deref().unwrap_or_default());
     if let Some(text) = content.plain() {
