--- a/src/front/translate/refusal.rs
+++ b/src/front/translate/refusal.rs
@@ -14,7 +14,7 @@
     Err(format!("{field}: {what}"))
 }
 
-/// Refuses an object that has a field which this program does not know; `place` is where it stands.
-pub(super) fn refuse_unknown(place: &str, unknown: &[Text<'_>]) -> Result<(), String> {
-    unknown.first().map_or(Ok(()), |name| none(format_args!("{place}{}", &**name)))
+/// Refuses an object that has a field which this program does not know; `path` is where it stands.
+pub(super) fn refuse_unknown(path: &str, unknown: &[Text<'_>]) -> Result<(), String> {
+    unknown.first().map_or(Ok(()), |name| none(format_args!("{path}{}", &**name)))
 }
--- a/src/front/translate/to_messages.rs
+++ b/src/front/translate/to_messages.rs
@@ -164,6 +164,28 @@
 /// field has no counterpart in the messages API. The text begins with the name of that field.
 pub fn body(bytes: &[u8], limits: &MessagesLimits) -> Result<Vec<u8>, String> {
     let chat: Chat<'_> = object::read(bytes)?;
+    refuse_untranslatable(&chat)?;
+    let Some(model) = chat.model.as_deref().filter(|m| !m.is_empty()) else {
+        return wrong("model", "a name is required");
+    };
+    let mut out = Vec::new();
+    let mut body = Object::new(&mut out);
+    body.set("model", model).set("stream", &true);
+    write_sampling(&chat, &mut body, limits)?;
+    write_stop_sequences(&chat, &mut body);
+    if let Some(user) = chat.user.as_deref() {
+        body.object("metadata").set("user_id", user);
+    }
+    write_service_tier(&chat, &mut body)?;
+    write_tools(&chat, &mut body)?;
+    write_tool_choice(&chat, &mut body)?;
+    write_conversation(chat.messages.as_deref().unwrap_or_default(), &mut body, limits)?;
+    drop(body);
+    Ok(out)
+}
+
+/// Refuses the request's own fields that have no counterpart.
+fn refuse_untranslatable(chat: &Chat<'_>) -> Fault {
     refuse_unknown("", &chat.unknown)?;
     if chat.stream != Some(true) {
         return wrong("stream", "only true is served here");
@@ -174,27 +196,24 @@
     if chat.n.is_some_and(|n| n != 1) {
         return none("n");
     }
-    for (name, number) in
-        [("presence_penalty", chat.presence_penalty), ("frequency_penalty", chat.frequency_penalty)]
-    {
-        if number.is_some_and(|n| n != 0.0) {
-            return none(name);
-        }
+    if chat.presence_penalty.is_some_and(|penalty| penalty != 0.0) {
+        return none("presence_penalty");
+    }
+    if chat.frequency_penalty.is_some_and(|penalty| penalty != 0.0) {
+        return none("frequency_penalty");
     }
     if chat.logprobs == Some(true) {
         return none("logprobs");
     }
-    let mut out = Vec::new();
-    let mut body = Object::new(&mut out);
-    let Some(model) = chat.model.as_deref().filter(|m| !m.is_empty()) else {
-        return wrong("model", "a name is required");
-    };
-    body.set("model", model).set("stream", &true);
-    let most = chat.max_completion_tokens.or(chat.max_tokens);
-    if most == Some(0) {
+    Ok(())
+}
+
+fn write_sampling(chat: &Chat<'_>, body: &mut Object<'_>, limits: &MessagesLimits) -> Fault {
+    let max_tokens = chat.max_completion_tokens.or(chat.max_tokens);
+    if max_tokens == Some(0) {
         return wrong("max_tokens", "0 is not a positive number");
     }
-    body.set("max_tokens", &most.unwrap_or(limits.usual_tokens));
+    body.set("max_tokens", &max_tokens.unwrap_or(limits.usual_tokens));
     if let Some(temperature) = chat.temperature {
         if !(0.0..=1.0).contains(&temperature) {
             return wrong("temperature", "the real servers' dialect has only 0 to 1");
@@ -204,6 +223,10 @@
     if let Some(top_p) = chat.top_p {
         body.set("top_p", &top_p);
     }
+    Ok(())
+}
+
+fn write_stop_sequences(chat: &Chat<'_>, body: &mut Object<'_>) {
     match &chat.stop {
         None => {}
         Some(TextOr::Text(stop)) => value(body.list("stop_sequences").item(), &**stop),
@@ -212,64 +235,56 @@
             stops.iter().for_each(|stop| value(list.item(), &**stop));
         }
     }
-    if let Some(user) = chat.user.as_deref() {
-        body.object("metadata").set("user_id", user);
-    }
+}
+
+fn write_service_tier(chat: &Chat<'_>, body: &mut Object<'_>) -> Fault {
     match chat.service_tier.as_deref() {
         None => {}
         Some("auto") => drop(body.set("service_tier", "auto")),
         Some("default") => drop(body.set("service_tier", "standard_only")),
         Some(_) => return none("service_tier"),
     }
-    tools(&chat, &mut body)?;
-    conversation(chat.messages.as_deref().unwrap_or_default(), &mut body, limits)?;
-    drop(body);
-    Ok(out)
+    Ok(())
 }
 
-fn tools(chat: &Chat<'_>, body: &mut Object<'_>) -> Fault {
+fn write_tools(chat: &Chat<'_>, body: &mut Object<'_>) -> Fault {
     let tools = chat.tools.as_deref().unwrap_or_default();
-    if !tools.is_empty() {
-        let mut list = body.list("tools");
-        for (n, tool) in tools.iter().enumerate() {
-            let place = format!("tools.{n}.");
-            refuse_unknown(&place, &tool.unknown)?;
-            if tool.kind.as_deref() != Some("function") {
-                return none(format!("{place}type"));
-            }
-            let Some(function) = &tool.function else {
-                return wrong(format!("{place}function"), "required");
-            };
-            refuse_unknown(&format!("{place}function."), &function.unknown)?;
-            let Some(name) = function.name.as_deref() else {
-                return wrong(format!("{place}function.name"), "required");
-            };
-            let mut item = list.object();
-            item.set("name", name);
-            if let Some(description) = function.description.as_deref() {
-                item.set("description", description);
-            }
-            item.raw("input_schema", function.parameters.map_or(r#"{"type":"object"}"#, RawValue::get));
-            if let Some(strict) = function.strict {
-                item.set("strict", &strict);
-            }
-        }
+    if tools.is_empty() {
+        return Ok(());
     }
-    let kind = match &chat.tool_choice {
-        None => match chat.parallel_tool_calls {
-            // It has to be said of some choice.
-            Some(false) if !tools.is_empty() => "auto",
-            _ => return Ok(()),
-        },
-        Some(TextOr::Text(word)) => match &**word {
-            "required" => "any",
-            "auto" => "auto",
-            "none" => "none",
-            _ => return none("tool_choice"),
-        },
-        Some(TextOr::Other(chosen)) if chosen.kind.as_deref() == Some("function") => "tool",
-        Some(TextOr::Other(_)) => return none("tool_choice.type"),
+    let mut list = body.list("tools");
+    for (n, tool) in tools.iter().enumerate() {
+        write_tool(&format!("tools.{n}."), tool, &mut list)?;
+    }
+    Ok(())
+}
+
+fn write_tool(path: &str, tool: &Tool<'_>, tools: &mut List<'_>) -> Fault {
+    refuse_unknown(path, &tool.unknown)?;
+    if tool.kind.as_deref() != Some("function") {
+        return none(format!("{path}type"));
+    }
+    let Some(function) = &tool.function else {
+        return wrong(format!("{path}function"), "required");
     };
+    refuse_unknown(&format!("{path}function."), &function.unknown)?;
+    let Some(name) = function.name.as_deref() else {
+        return wrong(format!("{path}function.name"), "required");
+    };
+    let mut item = tools.object();
+    item.set("name", name);
+    if let Some(description) = function.description.as_deref() {
+        item.set("description", description);
+    }
+    item.raw("input_schema", function.parameters.map_or(r#"{"type":"object"}"#, RawValue::get));
+    if let Some(strict) = function.strict {
+        item.set("strict", &strict);
+    }
+    Ok(())
+}
+
+fn write_tool_choice(chat: &Chat<'_>, body: &mut Object<'_>) -> Fault {
+    let Some(kind) = tool_choice_kind(chat)? else { return Ok(()) };
     let mut choice = body.object("tool_choice");
     choice.set("type", kind);
     if let Some(TextOr::Other(chosen)) = &chat.tool_choice {
@@ -284,219 +299,275 @@
     Ok(())
 }
 
-fn conversation(lines: &[Line<'_>], body: &mut Object<'_>, limits: &MessagesLimits) -> Fault {
-    let openings =
-        lines.iter().take_while(|l| matches!(l.role.as_deref(), Some("system" | "developer"))).count();
-    if openings > 0 {
-        let mut system = body.list("system");
-        for (n, line) in lines[..openings].iter().enumerate() {
-            let place = format!("messages.{n}.");
-            refuse_unknown(&place, &line.unknown)?;
-            match &line.content {
-                None => {}
-                Some(TextOr::Text(text)) => text_block(&mut system, text),
-                Some(TextOr::Other(parts)) => {
-                    for (n, part) in parts.iter().enumerate() {
-                        let place = format!("{place}content.{n}.");
-                        if part.kind.as_deref() != Some("text") {
-                            return none(format!("{place}type"));
-                        }
-                        content_part(&place, part, &mut system)?;
-                    }
-                }
-            }
-        }
-    }
-    let rest = &lines[openings..];
-    if rest.is_empty() {
+/// The type of the choice among tools, if there is one to write.
+fn tool_choice_kind(chat: &Chat<'_>) -> Result<Option<&'static str>, String> {
+    let has_tools = chat.tools.as_ref().is_some_and(|tools| !tools.is_empty());
+    let kind = match &chat.tool_choice {
+        // That tools are not used in parallel has to be said of some choice.
+        None if has_tools && chat.parallel_tool_calls == Some(false) => "auto",
+        None => return Ok(None),
+        Some(TextOr::Text(word)) => match &**word {
+            "required" => "any",
+            "auto" => "auto",
+            "none" => "none",
+            _ => return none("tool_choice"),
+        },
+        Some(TextOr::Other(chosen)) if chosen.kind.as_deref() == Some("function") => "tool",
+        Some(TextOr::Other(_)) => return none("tool_choice.type"),
+    };
+    Ok(Some(kind))
+}
+
+/// Writes the leading messages of the system as the system prompt, and those after them as turns.
+fn write_conversation(messages: &[Line<'_>], body: &mut Object<'_>, limits: &MessagesLimits) -> Fault {
+    let is_system = |message: &&Line<'_>| matches!(message.role.as_deref(), Some("system" | "developer"));
+    let system_count = messages.iter().take_while(is_system).count();
+    if system_count > 0 {
+        write_system(&messages[..system_count], body)?;
+    }
+    if system_count == messages.len() {
         return wrong("messages", "at least one that is not the system's is required");
     }
     let mut turns = body.list("messages");
-    let mut at = 0;
-    while let Some(line) = rest.get(at) {
-        let place = format!("messages.{}.", openings + at);
-        let place = place.as_str();
-        refuse_unknown(place, &line.unknown)?;
-        at += 1;
-        match line.role.as_deref() {
-            Some("user") => {
-                let mut turn = turns.object();
-                turn.set("role", "user");
-                said(place, line, &mut turn)?;
-            }
-            Some("tool") => {
-                // Results that follow one another, and what the client says after them, are one turn there.
-                let mut turn = turns.object();
-                turn.set("role", "user");
-                let mut blocks = turn.list("content");
-                result(place, line, &mut blocks)?;
-                while let Some(next) = rest.get(at).filter(|l| l.role.as_deref() == Some("tool")) {
-                    result(&format!("messages.{}.", openings + at), next, &mut blocks)?;
-                    at += 1;
-                }
-                if let Some(next) = rest.get(at).filter(|l| l.role.as_deref() == Some("user")) {
-                    let place = format!("messages.{}.", openings + at);
-                    refuse_unknown(&place, &next.unknown)?;
-                    content(&place, next, &mut blocks)?;
-                    at += 1;
-                }
-            }
-            Some("assistant") => {
-                let mut turn = turns.object();
-                turn.set("role", "assistant");
-                let calls = line.tool_calls.as_deref().unwrap_or_default();
-                if calls.is_empty() {
-                    said(place, line, &mut turn)?;
-                    continue;
-                }
-                let mut blocks = turn.list("content");
-                content(place, line, &mut blocks)?;
-                for (n, one) in calls.iter().enumerate() {
-                    call(&format!("{place}tool_calls.{n}."), one, &mut blocks, limits)?;
-                }
-            }
-            Some("system" | "developer") => {
-                return wrong(
-                    format!("{place}role"),
-                    "a system's line amid a conversation has no counterpart",
-                );
-            }
-            Some(_) => return none(format!("{place}role")),
-            None => return wrong(format!("{place}role"), "required"),
+    let mut index = system_count;
+    while let Some(message) = messages.get(index) {
+        let path = format!("messages.{index}.");
+        refuse_unknown(&path, &message.unknown)?;
+        if has_role(message, "tool") {
+            index = write_tool_results_turn(messages, index, &mut turns)?;
+        } else {
+            write_turn(&path, message, &mut turns, limits)?;
+            index += 1;
+        }
+    }
+    Ok(())
+}
+
+fn has_role(message: &Line<'_>, role: &str) -> bool {
+    message.role.as_deref() == Some(role)
+}
+
+fn write_system(messages: &[Line<'_>], body: &mut Object<'_>) -> Fault {
+    let mut blocks = body.list("system");
+    for (n, message) in messages.iter().enumerate() {
+        let path = format!("messages.{n}.");
+        refuse_unknown(&path, &message.unknown)?;
+        match &message.content {
+            None => {}
+            Some(TextOr::Text(text)) => write_text_block(text, &mut blocks),
+            Some(TextOr::Other(parts)) => write_system_parts(&path, parts, &mut blocks)?,
+        }
+    }
+    Ok(())
+}
+
+fn write_system_parts(path: &str, parts: &[Part<'_>], blocks: &mut List<'_>) -> Fault {
+    for (n, part) in parts.iter().enumerate() {
+        let path = format!("{path}content.{n}.");
+        if part.kind.as_deref() != Some("text") {
+            return none(format!("{path}type"));
         }
+        write_part(&path, part, blocks)?;
     }
     Ok(())
 }
 
-/// Writes a line's content as it is: a text, or blocks.
-fn said(place: &str, line: &Line<'_>, turn: &mut Object<'_>) -> Fault {
-    match &line.content {
+/// Writes a message that is not the result of a tool as a turn.
+fn write_turn(path: &str, message: &Line<'_>, turns: &mut List<'_>, limits: &MessagesLimits) -> Fault {
+    match message.role.as_deref() {
+        Some("user") => {
+            let mut turn = turns.object();
+            turn.set("role", "user");
+            write_content(path, message, &mut turn)
+        }
+        Some("assistant") => write_assistant_turn(path, message, turns, limits),
+        Some("system" | "developer") => {
+            wrong(format!("{path}role"), "a system's line amid a conversation has no counterpart")
+        }
+        Some(_) => none(format!("{path}role")),
+        None => wrong(format!("{path}role"), "required"),
+    }
+}
+
+/// Writes the results of tools that begin at `index`, and what the client says after them: they are one turn in the
+/// messages API. Returns the index of the message after that turn.
+fn write_tool_results_turn(
+    messages: &[Line<'_>],
+    mut index: usize,
+    turns: &mut List<'_>,
+) -> Result<usize, String> {
+    let mut turn = turns.object();
+    turn.set("role", "user");
+    let mut blocks = turn.list("content");
+    while let Some(result) = messages.get(index).filter(|message| has_role(message, "tool")) {
+        write_tool_result(&format!("messages.{index}."), result, &mut blocks)?;
+        index += 1;
+    }
+    if let Some(message) = messages.get(index).filter(|message| has_role(message, "user")) {
+        let path = format!("messages.{index}.");
+        refuse_unknown(&path, &message.unknown)?;
+        write_content_blocks(&path, message, &mut blocks)?;
+        index += 1;
+    }
+    Ok(index)
+}
+
+/// Writes the model's turn: what it said, then its uses of tools.
+fn write_assistant_turn(
+    path: &str,
+    message: &Line<'_>,
+    turns: &mut List<'_>,
+    limits: &MessagesLimits,
+) -> Fault {
+    let mut turn = turns.object();
+    turn.set("role", "assistant");
+    let calls = message.tool_calls.as_deref().unwrap_or_default();
+    if calls.is_empty() {
+        return write_content(path, message, &mut turn);
+    }
+    let mut blocks = turn.list("content");
+    write_content_blocks(path, message, &mut blocks)?;
+    for (n, call) in calls.iter().enumerate() {
+        write_tool_use(&format!("{path}tool_calls.{n}."), call, &mut blocks, limits)?;
+    }
+    Ok(())
+}
+
+/// Writes a message's content as it is: a text, or blocks.
+fn write_content(path: &str, message: &Line<'_>, turn: &mut Object<'_>) -> Fault {
+    match &message.content {
         Some(TextOr::Text(text)) => {
             turn.set("content", &**text);
             Ok(())
         }
-        Some(TextOr::Other(_)) => content(place, line, &mut turn.list("content")),
-        None => wrong(format!("{place}content"), "required"),
+        Some(TextOr::Other(_)) => write_content_blocks(path, message, &mut turn.list("content")),
+        None => wrong(format!("{path}content"), "required"),
     }
 }
 
-/// Adds a line's content as blocks.
-fn content(place: &str, line: &Line<'_>, blocks: &mut List<'_>) -> Fault {
-    match &line.content {
+/// Adds a message's content as blocks.
+fn write_content_blocks(path: &str, message: &Line<'_>, blocks: &mut List<'_>) -> Fault {
+    match &message.content {
         None => {}
         Some(TextOr::Text(text)) if text.is_empty() => {}
-        Some(TextOr::Text(text)) => text_block(blocks, text),
+        Some(TextOr::Text(text)) => write_text_block(text, blocks),
         Some(TextOr::Other(parts)) => {
             for (n, part) in parts.iter().enumerate() {
-                content_part(&format!("{place}content.{n}."), part, blocks)?;
+                write_part(&format!("{path}content.{n}."), part, blocks)?;
             }
         }
     }
     Ok(())
 }
 
-fn text_block(blocks: &mut List<'_>, text: &str) {
+fn write_text_block(text: &str, blocks: &mut List<'_>) {
     blocks.object().set("type", "text").set("text", text);
 }
 
-fn content_part(place: &str, part: &Part<'_>, blocks: &mut List<'_>) -> Fault {
-    refuse_unknown(place, &part.unknown)?;
+fn write_part(path: &str, part: &Part<'_>, blocks: &mut List<'_>) -> Fault {
+    refuse_unknown(path, &part.unknown)?;
     match part.kind.as_deref() {
         Some("text") => {
-            let Some(text) = part.text.as_deref() else { return wrong(format!("{place}text"), "required") };
-            text_block(blocks, text);
+            let Some(text) = part.text.as_deref() else { return wrong(format!("{path}text"), "required") };
+            write_text_block(text, blocks);
             Ok(())
         }
         Some("image_url") => {
-            let place = format!("{place}image_url.");
-            let Some(image) = &part.image_url else {
-                return wrong(place.trim_end_matches('.'), "required");
-            };
-            refuse_unknown(&place, &image.unknown)?;
-            if image.detail.as_deref().is_some_and(|d| d != "auto") {
-                return none(format!("{place}detail"));
-            }
-            let Some(url) = image.url.as_deref() else { return wrong(format!("{place}url"), "required") };
-            let mut block = blocks.object();
-            block.set("type", "image");
-            let mut source = block.object("source");
-            match parts_of(url) {
-                Some((media, data)) => {
-                    source.set("type", "base64").set("media_type", media).set("data", data);
-                }
-                None if url.starts_with("data:") => return none(format!("{place}url")),
-                None => drop(source.set("type", "url").set("url", url)),
-            }
-            Ok(())
+            let path = format!("{path}image_url");
+            let Some(image) = &part.image_url else { return wrong(path, "required") };
+            write_image(&format!("{path}."), image, blocks)
         }
         Some("file") => {
-            let place = format!("{place}file.");
-            let Some(file) = &part.file else { return wrong(place.trim_end_matches('.'), "required") };
-            refuse_unknown(&place, &file.unknown)?;
-            let Some((media, data)) = file.file_data.as_deref().and_then(parts_of) else {
-                return wrong(format!("{place}file_data"), "a data URL in base64 is required");
+            let path = format!("{path}file");
+            let Some(file) = &part.file else { return wrong(path, "required") };
+            write_document(&format!("{path}."), file, blocks)
+        }
+        Some(_) => none(format!("{path}type")),
+        None => wrong(format!("{path}type"), "required"),
+    }
+}
+
+fn write_image(path: &str, image: &Image<'_>, blocks: &mut List<'_>) -> Fault {
+    refuse_unknown(path, &image.unknown)?;
+    if image.detail.as_deref().is_some_and(|detail| detail != "auto") {
+        return none(format!("{path}detail"));
+    }
+    let Some(url) = image.url.as_deref() else { return wrong(format!("{path}url"), "required") };
+    let mut block = blocks.object();
+    block.set("type", "image");
+    let mut source = block.object("source");
+    match parts_of(url) {
+        Some((media_type, data)) => {
+            source.set("type", "base64").set("media_type", media_type).set("data", data);
+        }
+        None if url.starts_with("data:") => return none(format!("{path}url")),
+        None => drop(source.set("type", "url").set("url", url)),
+    }
+    Ok(())
+}
+
+fn write_document(path: &str, file: &File<'_>, blocks: &mut List<'_>) -> Fault {
+    refuse_unknown(path, &file.unknown)?;
+    let Some((media_type, data)) = file.file_data.as_deref().and_then(parts_of) else {
+        return wrong(format!("{path}file_data"), "a data URL in base64 is required");
+    };
+    let mut block = blocks.object();
+    block.set("type", "document");
+    if let Some(title) = file.filename.as_deref() {
+        block.set("title", title);
+    }
+    let mut source = block.object("source");
+    match media_type {
+        "application/pdf" => {
+            source.set("type", "base64").set("media_type", media_type).set("data", data);
+        }
+        "text/plain" => {
+            let Some(text) = plain_of(data) else {
+                return wrong(format!("{path}file_data"), "not the base64 of a UTF-8 text");
             };
-            let mut block = blocks.object();
-            block.set("type", "document");
-            if let Some(title) = file.filename.as_deref() {
-                block.set("title", title);
-            }
-            let mut source = block.object("source");
-            match media {
-                "application/pdf" => {
-                    source.set("type", "base64").set("media_type", media).set("data", data);
-                }
-                "text/plain" => {
-                    let Some(text) = plain_of(data) else {
-                        return wrong(format!("{place}file_data"), "not the base64 of a UTF-8 text");
-                    };
-                    source.set("type", "text").set("media_type", media).set("data", &text);
-                }
-                _ => return none(format!("{place}file_data")),
-            }
-            Ok(())
+            source.set("type", "text").set("media_type", media_type).set("data", &text);
         }
-        Some(_) => none(format!("{place}type")),
-        None => wrong(format!("{place}type"), "required"),
+        _ => return none(format!("{path}file_data")),
     }
+    Ok(())
 }
 
-fn result(place: &str, line: &Line<'_>, blocks: &mut List<'_>) -> Fault {
-    refuse_unknown(place, &line.unknown)?;
-    let Some(id) = line.tool_call_id.as_deref() else {
-        return wrong(format!("{place}tool_call_id"), "required");
+fn write_tool_result(path: &str, message: &Line<'_>, blocks: &mut List<'_>) -> Fault {
+    refuse_unknown(path, &message.unknown)?;
+    let Some(id) = message.tool_call_id.as_deref() else {
+        return wrong(format!("{path}tool_call_id"), "required");
     };
     let mut block = blocks.object();
     block.set("type", "tool_result").set("tool_use_id", id);
-    match &line.content {
+    match &message.content {
         None => {}
         Some(TextOr::Text(text)) => match text.strip_prefix(FAILED) {
             Some(words) => drop(block.set("content", words).set("is_error", &true)),
             None => drop(block.set("content", &**text)),
         },
-        Some(TextOr::Other(_)) => content(place, line, &mut block.list("content"))?,
+        Some(TextOr::Other(_)) => write_content_blocks(path, message, &mut block.list("content"))?,
     }
     Ok(())
 }
 
-fn call(place: &str, call: &Call<'_>, blocks: &mut List<'_>, limits: &MessagesLimits) -> Fault {
-    refuse_unknown(place, &call.unknown)?;
+fn write_tool_use(path: &str, call: &Call<'_>, blocks: &mut List<'_>, limits: &MessagesLimits) -> Fault {
+    refuse_unknown(path, &call.unknown)?;
     if call.kind.as_deref().is_some_and(|k| k != "function") {
-        return none(format!("{place}type"));
+        return none(format!("{path}type"));
     }
-    let Some(id) = call.id.as_deref() else { return wrong(format!("{place}id"), "required") };
-    let Some(function) = &call.function else { return wrong(format!("{place}function"), "required") };
-    let place = format!("{place}function.");
-    refuse_unknown(&place, &function.unknown)?;
-    let Some(name) = function.name.as_deref() else { return wrong(format!("{place}name"), "required") };
+    let Some(id) = call.id.as_deref() else { return wrong(format!("{path}id"), "required") };
+    let Some(function) = &call.function else { return wrong(format!("{path}function"), "required") };
+    let path = format!("{path}function.");
+    refuse_unknown(&path, &function.unknown)?;
+    let Some(name) = function.name.as_deref() else { return wrong(format!("{path}name"), "required") };
     let arguments = function.arguments.as_deref().map_or("", str::trim);
     let arguments = if arguments.is_empty() { "{}" } else { arguments };
     // It goes out as JSON, so it has to be some; that it is an object its beginning shows.
     if serde_json::from_str::<&RawValue>(arguments).is_err() || !arguments.starts_with('{') {
-        return wrong(format!("{place}arguments"), "not a JSON object");
+        return wrong(format!("{path}arguments"), "not a JSON object");
     }
     if object::depth(arguments) > limits.depth {
-        return wrong(format!("{place}arguments"), &format!("nests deeper than {}", limits.depth));
+        return wrong(format!("{path}arguments"), &format!("nests deeper than {}", limits.depth));
     }
     blocks.object().set("type", "tool_use").set("id", id).set("name", name).raw("input", arguments);
     Ok(())
--- a/src/front/translate/to_platform.rs
+++ b/src/front/translate/to_platform.rs
@@ -4,10 +4,13 @@
 use base64::display::Base64Display;
 use base64::engine::general_purpose::STANDARD;
 
-use super::super::messages::request::{Block, Choice, Content, Request, Source, Turn};
+use super::super::messages::request::{Block, Choice, Content, Request, Source, Tool, Turn};
 use super::super::object::Text;
 use super::super::write::{List, Object, value};
-use super::refusal::{none, refuse_unknown};
+use super::refusal::{none, refuse_unknown, wrong};
+
+/// Sequences that end an answer, at the most, in the platform's dialect.
+const MAX_STOP_SEQUENCES: usize = 4;
 
 /// The body for the platform's real servers, always of a stream.
 ///
@@ -15,6 +18,28 @@
 ///
 /// If a field of the request has no counterpart in the platform's dialect; the text begins with its name.
 pub fn body(request: &Request<'_>) -> Result<Vec<u8>, String> {
+    refuse_untranslatable(request)?;
+    let mut out = Vec::new();
+    let mut body = Object::new(&mut out);
+    body.set("model", request.model.as_deref().unwrap_or_default());
+    body.set("stream", &true);
+    // Without it no server tells what the answer took.
+    body.object("stream_options").set("include_usage", &true);
+    write_sampling(request, &mut body);
+    write_stop_sequences(request, &mut body)?;
+    write_user(request, &mut body)?;
+    if let Some(tier) = request.service_tier.as_deref() {
+        body.set("service_tier", if tier == "auto" { "auto" } else { "default" });
+    }
+    write_tools(request, &mut body)?;
+    write_tool_choice(request, &mut body)?;
+    write_messages(request, &mut body)?;
+    drop(body);
+    Ok(out)
+}
+
+/// Refuses the request's own fields that have no counterpart.
+fn refuse_untranslatable(request: &Request<'_>) -> Result<(), String> {
     refuse_unknown("", &request.unknown)?;
     if request.top_k.is_some() {
         return none("top_k");
@@ -24,107 +49,77 @@
     {
         return none("thinking");
     }
-    let mut out = Vec::new();
-    let mut body = Object::new(&mut out);
-    body.set("model", request.model.as_deref().unwrap_or_default());
-    body.set("stream", &true);
-    // Without it no server tells what the answer took.
-    body.object("stream_options").set("include_usage", &true);
-    if let Some(most) = request.max_tokens {
-        body.set("max_tokens", &most);
-    }
-    for (name, number) in [("temperature", request.temperature), ("top_p", request.top_p)] {
-        if let Some(number) = number {
-            body.set(name, &number);
-        }
-    }
-    if let Some(stops) = request.stop_sequences.as_deref().filter(|s| !s.is_empty()) {
-        if stops.len() > 4 {
-            return Err("stop_sequences: the real servers' dialect has no more than 4".into());
-        }
-        let mut list = body.list("stop");
-        stops.iter().for_each(|stop| value(list.item(), &**stop));
+    Ok(())
+}
+
+fn write_sampling(request: &Request<'_>, body: &mut Object<'_>) {
+    if let Some(max_tokens) = request.max_tokens {
+        body.set("max_tokens", &max_tokens);
     }
-    if let Some(metadata) = &request.metadata {
-        refuse_unknown("metadata.", &metadata.unknown)?;
-        if let Some(user) = metadata.user_id.as_deref() {
-            body.set("user", user);
-        }
+    if let Some(temperature) = request.temperature {
+        body.set("temperature", &temperature);
     }
-    if let Some(tier) = request.service_tier.as_deref() {
-        body.set("service_tier", if tier == "auto" { "auto" } else { "default" });
+    if let Some(top_p) = request.top_p {
+        body.set("top_p", &top_p);
     }
-    tools(request, &mut body)?;
-    let mut turns = body.list("messages");
-    if let Some(system) = request.system.as_ref() {
-        let mut turn = turns.object();
-        turn.set("role", "system");
-        match (system.plain(), system.blocks()) {
-            (Some(text), _) => drop(turn.set("content", text)),
-            (None, [one]) => {
-                text_block("system.0.", one)?;
-                turn.set("content", one.text.as_deref().unwrap_or_default());
-            }
-            (None, blocks) => {
-                let mut parts = turn.list("content");
-                for (n, block) in blocks.iter().enumerate() {
-                    text_block(&format!("system.{n}."), block)?;
-                    text_part(&mut parts, block.text.as_deref().unwrap_or_default());
-                }
-            }
-        }
+}
+
+fn write_stop_sequences(request: &Request<'_>, body: &mut Object<'_>) -> Result<(), String> {
+    let stops = request.stop_sequences.as_deref().unwrap_or_default();
+    if stops.is_empty() {
+        return Ok(());
     }
-    for (n, turn) in request.turns().iter().enumerate() {
-        let place = format!("messages.{n}.");
-        refuse_unknown(&place, &turn.unknown)?;
-        let Some(content) = &turn.content else { continue };
-        if turn.is_user() {
-            user(&place, content, &mut turns)?;
-        } else {
-            assistant(&place, turn, content, &mut turns)?;
-        }
+    if stops.len() > MAX_STOP_SEQUENCES {
+        let what = format!("the real servers' dialect has no more than {MAX_STOP_SEQUENCES}");
+        return wrong("stop_sequences", &what);
     }
-    drop(turns);
-    drop(body);
-    Ok(out)
+    let mut list = body.list("stop");
+    stops.iter().for_each(|stop| value(list.item(), &**stop));
+    Ok(())
 }
 
-fn text_block(place: &str, block: &Block<'_>) -> Result<(), String> {
-    refuse_unknown(place, &block.unknown)?;
-    if block.citations.is_some_and(|c| c.get() != "[]") {
-        none(format!("{place}citations"))
-    } else {
-        Ok(())
+/// Writes the id of the user from the request's metadata.
+fn write_user(request: &Request<'_>, body: &mut Object<'_>) -> Result<(), String> {
+    let Some(metadata) = &request.metadata else { return Ok(()) };
+    refuse_unknown("metadata.", &metadata.unknown)?;
+    if let Some(user) = metadata.user_id.as_deref() {
+        body.set("user", user);
     }
+    Ok(())
 }
 
-fn text_part(parts: &mut List<'_>, text: &str) {
-    parts.object().set("type", "text").set("text", text);
+fn write_tools(request: &Request<'_>, body: &mut Object<'_>) -> Result<(), String> {
+    if request.tools().is_empty() {
+        return Ok(());
+    }
+    let mut tools = body.list("tools");
+    for (n, tool) in request.tools().iter().enumerate() {
+        if !tool.is_custom() {
+            return none(format!("tools.{n}.type"));
+        }
+        refuse_unknown(&format!("tools.{n}."), &tool.unknown)?;
+        write_tool(tool, &mut tools);
+    }
+    Ok(())
 }
 
-fn tools(request: &Request<'_>, body: &mut Object<'_>) -> Result<(), String> {
-    if !request.tools().is_empty() {
-        let mut list = body.list("tools");
-        for (n, tool) in request.tools().iter().enumerate() {
-            if !tool.is_custom() {
-                return none(format!("tools.{n}.type"));
-            }
-            refuse_unknown(&format!("tools.{n}."), &tool.unknown)?;
-            let mut item = list.object();
-            item.set("type", "function");
-            let mut function = item.object("function");
-            function.set("name", tool.name.as_deref().unwrap_or_default());
-            if let Some(description) = tool.description.as_deref() {
-                function.set("description", description);
-            }
-            if let Some(schema) = tool.input_schema {
-                function.raw("parameters", schema.get());
-            }
-            if let Some(strict) = tool.strict {
-                function.set("strict", &strict);
-            }
-        }
+fn write_tool(tool: &Tool<'_>, tools: &mut List<'_>) {
+    let mut item = tools.object();
+    item.set("type", "function");
+    let mut function = item.object("function");
+    function.set("name", tool.name.as_deref().unwrap_or_default());
+    if let Some(description) = tool.description.as_deref() {
+        function.set("description", description);
+    }
+    if let Some(schema) = tool.input_schema {
+        function.raw("parameters", schema.get());
     }
+    if let Some(strict) = tool.strict {
+        function.set("strict", &strict);
+    }
+}
+
+fn write_tool_choice(request: &Request<'_>, body: &mut Object<'_>) -> Result<(), String> {
     let Some(choice) = &request.tool_choice else { return Ok(()) };
     let Choice { kind, name, disable_parallel_tool_use, unknown, .. } = choice;
     refuse_unknown("tool_choice.", unknown)?;
@@ -138,62 +133,123 @@
         Some(same) => drop(body.set("tool_choice", same)),
         None => {}
     }
-    if let Some(alone) = disable_parallel_tool_use {
-        body.set("parallel_tool_calls", &!alone);
+    if let Some(disabled) = disable_parallel_tool_use {
+        body.set("parallel_tool_calls", &!disabled);
+    }
+    Ok(())
+}
+
+/// Writes the system prompt and the turns, which are one list in the platform's dialect.
+fn write_messages(request: &Request<'_>, body: &mut Object<'_>) -> Result<(), String> {
+    let mut messages = body.list("messages");
+    if let Some(system) = &request.system {
+        write_system(system, &mut messages)?;
+    }
+    for (n, turn) in request.turns().iter().enumerate() {
+        let path = format!("messages.{n}.");
+        refuse_unknown(&path, &turn.unknown)?;
+        let Some(content) = &turn.content else { continue };
+        if turn.is_user() {
+            write_user_turn(&path, content, &mut messages)?;
+        } else {
+            write_assistant_turn(&path, turn, content, &mut messages)?;
+        }
+    }
+    Ok(())
+}
+
+fn write_system(system: &Content<'_>, messages: &mut List<'_>) -> Result<(), String> {
+    let mut message = messages.object();
+    message.set("role", "system");
+    match (system.plain(), system.blocks()) {
+        (Some(text), _) => drop(message.set("content", text)),
+        (None, [one]) => {
+            check_text("system.0.", one)?;
+            message.set("content", text_of(one));
+        }
+        (None, blocks) => {
+            let mut parts = message.list("content");
+            for (n, block) in blocks.iter().enumerate() {
+                check_text(&format!("system.{n}."), block)?;
+                write_text_part(text_of(block), &mut parts);
+            }
+        }
+    }
+    Ok(())
+}
+
+/// Refuses what a text block has beside its text, if the other dialect can't say it.
+fn check_text(path: &str, block: &Block<'_>) -> Result<(), String> {
+    refuse_unknown(path, &block.unknown)?;
+    if block.citations.is_some_and(|c| c.get() != "[]") {
+        return none(format!("{path}citations"));
     }
     Ok(())
 }
 
+fn text_of<'b>(block: &'b Block<'_>) -> &'b str {
+    block.text.as_deref().unwrap_or_default()
+}
+
+fn write_text_part(text: &str, parts: &mut List<'_>) {
+    parts.object().set("type", "text").set("text", text);
+}
+
 /// A client's turn: results of tools first, each a turn of its own there, then what the client says.
-fn user(place: &str, content: &Content<'_>, turns: &mut List<'_>) -> Result<(), String> {
+fn write_user_turn(path: &str, content: &Content<'_>, messages: &mut List<'_>) -> Result<(), String> {
     if let Some(text) = content.plain() {
-        turns.object().set("role", "user").set("content", text);
+        messages.object().set("role", "user").set("content", text);
         return Ok(());
     }
     let blocks = content.blocks();
     let results = blocks.iter().take_while(|b| b.kind() == "tool_result").count();
     for (n, block) in blocks[..results].iter().enumerate() {
-        result(&format!("{place}content.{n}."), block, turns)?;
+        write_tool_result(&format!("{path}content.{n}."), block, messages)?;
     }
     let rest = &blocks[results..];
     if rest.is_empty() && results > 0 {
         return Ok(());
     }
-    let mut turn = turns.object();
-    turn.set("role", "user");
+    let mut message = messages.object();
+    message.set("role", "user");
     if let [one] = rest
         && one.kind() == "text"
     {
-        text_block(&format!("{place}content.{results}."), one)?;
-        turn.set("content", one.text.as_deref().unwrap_or_default());
+        check_text(&format!("{path}content.{results}."), one)?;
+        message.set("content", text_of(one));
         return Ok(());
     }
-    let mut parts = turn.list("content");
+    let mut parts = message.list("content");
     for (n, block) in rest.iter().enumerate() {
-        let place = format!("{place}content.{}.", results + n);
-        match block.kind() {
-            "text" => {
-                text_block(&place, block)?;
-                text_part(&mut parts, block.text.as_deref().unwrap_or_default());
-            }
-            "image" => image(&place, block, &mut parts)?,
-            "document" => document(&place, block, &mut parts)?,
-            "tool_result" => {
-                return Err(format!("{place}type: a tool_result after other content has no counterpart"));
-            }
-            _ => return none(format!("{place}type")),
-        }
+        write_part(&format!("{path}content.{}.", results + n), block, &mut parts)?;
     }
     Ok(())
 }
 
+/// Writes a block of a client's turn that is not the result of a tool.
+fn write_part(path: &str, block: &Block<'_>, parts: &mut List<'_>) -> Result<(), String> {
+    match block.kind() {
+        "text" => {
+            check_text(path, block)?;
+            write_text_part(text_of(block), parts);
+            Ok(())
+        }
+        "image" => write_image(path, block, parts),
+        "document" => write_document(path, block, parts),
+        "tool_result" => {
+            wrong(format!("{path}type"), "a tool_result after other content has no counterpart")
+        }
+        _ => none(format!("{path}type")),
+    }
+}
+
 /// What a tool's failure is said by, since the other dialect has no field for it.
 pub const FAILED: &str = "[tool error] ";
 
-fn result(place: &str, block: &Block<'_>, turns: &mut List<'_>) -> Result<(), String> {
-    refuse_unknown(place, &block.unknown)?;
-    let mut turn = turns.object();
-    turn.set("role", "tool").set("tool_call_id", block.tool_use_id.as_deref().unwrap_or_default());
+fn write_tool_result(path: &str, block: &Block<'_>, messages: &mut List<'_>) -> Result<(), String> {
+    refuse_unknown(path, &block.unknown)?;
+    let mut message = messages.object();
+    message.set("role", "tool").set("tool_call_id", block.tool_use_id.as_deref().unwrap_or_default());
     let failed = block.is_error == Some(true);
     let mut text = String::new();
     if failed {
@@ -202,33 +258,37 @@
     match block.content.as_ref().map(|c| (c.plain(), c.blocks())) {
         None => {}
         Some((Some(plain), _)) if !failed => {
-            turn.set("content", plain);
+            message.set("content", plain);
             return Ok(());
         }
         Some((Some(plain), _)) => text.push_str(plain),
-        Some((None, blocks)) => {
-            for (n, part) in blocks.iter().enumerate() {
-                let place = format!("{place}content.{n}.");
-                if part.kind() != "text" {
-                    return none(format!("{place}type"));
-                }
-                text_block(&place, part)?;
-                text.push_str(part.text.as_deref().unwrap_or_default());
-            }
+        Some((None, blocks)) => append_texts(path, blocks, &mut text)?,
+    }
+    message.set("content", &text);
+    Ok(())
+}
+
+/// Appends the texts of a result's blocks, of which none may be of another kind.
+fn append_texts(path: &str, blocks: &[Block<'_>], text: &mut String) -> Result<(), String> {
+    for (n, block) in blocks.iter().enumerate() {
+        let path = format!("{path}content.{n}.");
+        if block.kind() != "text" {
+            return none(format!("{path}type"));
         }
+        check_text(&path, block)?;
+        text.push_str(text_of(block));
     }
-    turn.set("content", &text);
     Ok(())
 }
 
-fn image(place: &str, block: &Block<'_>, parts: &mut List<'_>) -> Result<(), String> {
-    refuse_unknown(place, &block.unknown)?;
-    let Some(source) = block.origin() else { return none(format!("{place}source")) };
-    refuse_unknown(&format!("{place}source."), &source.unknown)?;
+fn write_image(path: &str, block: &Block<'_>, parts: &mut List<'_>) -> Result<(), String> {
+    refuse_unknown(path, &block.unknown)?;
+    let Some(source) = block.origin() else { return none(format!("{path}source")) };
+    refuse_unknown(&format!("{path}source."), &source.unknown)?;
     let url = match source.kind.as_deref() {
         Some("base64") => data_url(source),
         Some("url") => source.url.as_deref().unwrap_or_default().to_owned(),
-        _ => return none(format!("{place}source.type")),
+        _ => return none(format!("{path}source.type")),
     };
     let mut part = parts.object();
     part.set("type", "image_url");
@@ -242,24 +302,24 @@
 }
 
 /// A document is a file there, of whichever media type.
-fn document(place: &str, block: &Block<'_>, parts: &mut List<'_>) -> Result<(), String> {
-    refuse_unknown(place, &block.unknown)?;
+fn write_document(path: &str, block: &Block<'_>, parts: &mut List<'_>) -> Result<(), String> {
+    refuse_unknown(path, &block.unknown)?;
     if block.context.is_some() {
-        return none(format!("{place}context"));
+        return none(format!("{path}context"));
     }
     // Without citations is what the other dialect does anyway.
     if block.citations.is_some_and(|c| c.get().contains("true")) {
-        return none(format!("{place}citations"));
+        return none(format!("{path}citations"));
     }
-    let Some(source) = block.origin() else { return none(format!("{place}source")) };
-    refuse_unknown(&format!("{place}source."), &source.unknown)?;
+    let Some(source) = block.origin() else { return none(format!("{path}source")) };
+    refuse_unknown(&format!("{path}source."), &source.unknown)?;
     let url = match source.kind.as_deref() {
         Some("base64") => data_url(source),
         Some("text") => {
             let text = source.data.as_deref().unwrap_or_default();
             format!("data:text/plain;base64,{}", Base64Display::new(text.as_bytes(), &STANDARD))
         }
-        _ => return none(format!("{place}source.type")),
+        _ => return none(format!("{path}source.type")),
     };
     let mut part = parts.object();
     part.set("type", "file");
@@ -272,48 +332,58 @@
 }
 
 /// The model's turn: its words, then its uses of tools.
-fn assistant(
-    place: &str,
+fn write_assistant_turn(
+    path: &str,
     turn: &Turn<'_>,
     content: &Content<'_>,
-    turns: &mut List<'_>,
+    messages: &mut List<'_>,
 ) -> Result<(), String> {
-    let mut out = turns.object();
-    out.set("role", turn.role.as_deref().unwrap_or_default());
+    let mut message = messages.object();
+    message.set("role", turn.role.as_deref().unwrap_or_default());
     if let Some(text) = content.plain() {
-        out.set("content", text);
+        message.set("content", text);
         return Ok(());
     }
     let blocks = content.blocks();
-    let words = blocks.iter().take_while(|b| b.kind() == "text").count();
+    let text_count = blocks.iter().take_while(|b| b.kind() == "text").count();
     for (n, block) in blocks.iter().enumerate() {
-        let place = format!("{place}content.{n}.");
+        let path = format!("{path}content.{n}.");
         match block.kind() {
-            "text" if n < words => text_block(&place, block)?,
-            "text" => return Err(format!("{place}type: a text after a tool_use has no counterpart")),
-            "tool_use" => refuse_unknown(&place, &block.unknown)?,
-            _ => return none(format!("{place}type")),
+            "text" if n < text_count => check_text(&path, block)?,
+            "text" => return wrong(format!("{path}type"), "a text after a tool_use has no counterpart"),
+            "tool_use" => refuse_unknown(&path, &block.unknown)?,
+            _ => return none(format!("{path}type")),
         }
     }
-    match &blocks[..words] {
-        [] => drop(out.raw("content", "null")),
-        [one] => drop(out.set("content", one.text.as_deref().unwrap_or_default())),
+    let (texts, uses) = blocks.split_at(text_count);
+    write_assistant_texts(texts, &mut message);
+    write_tool_calls(uses, &mut message);
+    Ok(())
+}
+
+fn write_assistant_texts(texts: &[Block<'_>], message: &mut Object<'_>) {
+    match texts {
+        [] => drop(message.raw("content", "null")),
+        [one] => drop(message.set("content", text_of(one))),
         many => {
-            let mut parts = out.list("content");
-            many.iter().for_each(|b| text_part(&mut parts, b.text.as_deref().unwrap_or_default()));
+            let mut parts = message.list("content");
+            many.iter().for_each(|block| write_text_part(text_of(block), &mut parts));
         }
     }
-    if words < blocks.len() {
-        let mut calls = out.list("tool_calls");
-        for block in &blocks[words..] {
-            let mut call = calls.object();
-            call.set("id", block.id.as_deref().unwrap_or_default()).set("type", "function");
-            let mut function = call.object("function");
-            function.set("name", block.name.as_deref().unwrap_or_default());
-            function.set("arguments", block.input.map_or("{}", |i| i.get()));
-        }
+}
+
+fn write_tool_calls(uses: &[Block<'_>], message: &mut Object<'_>) {
+    if uses.is_empty() {
+        return;
+    }
+    let mut calls = message.list("tool_calls");
+    for block in uses {
+        let mut call = calls.object();
+        call.set("id", block.id.as_deref().unwrap_or_default()).set("type", "function");
+        let mut function = call.object("function");
+        function.set("name", block.name.as_deref().unwrap_or_default());
+        function.set("arguments", block.input.map_or("{}", |input| input.get()));
     }
-    Ok(())
 }
 
 /// The bytes of a data URL's media type and base64, if it is one.
