--- a/tests/support/told.rs
+++ b/tests/support/told.rs
@@ -9,6 +9,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
+use socket2::{Domain, Socket, Type};
 
 use super::{
     Gateway, HEAD, Platform, Seen, Server, chunk, closing, entry, eventually, list, message, scripted,
@@ -49,6 +50,17 @@
     every: Duration,
 }
 
+/// Connections that wait to be accepted.
+const BACKLOG: i32 = 128;
+
+/// A socket at an address that others of this function may have too.
+fn bound_socket(addr: SocketAddr) -> Socket {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    socket.set_reuse_port(true).expect("set");
+    socket.bind(&addr.into()).expect("its port");
+    socket
+}
+
 /// The service.
 #[derive(Clone)]
 pub(crate) struct Lists {
@@ -60,30 +72,26 @@
 impl Lists {
     /// With these servers in version 2; `indented` says how its objects are written.
     pub(crate) fn new(servers: Vec<Value>, indented: bool) -> Lists {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let reservation = bound_socket(SocketAddr::from(([127, 0, 0, 1], 0)));
+        let addr = reservation.local_addr().expect("an address").as_socket().expect("of IP");
         let (written, calls) = (Vec::new(), Vec::new());
         let every = Duration::from_secs(2);
         let inside = Inside { mood: Mood::Well, moods: 0, version: 2, servers, written, calls, every };
         let lists = Lists { addr, inside: Arc::new(Mutex::new(inside)), indented };
         let kept = lists.clone();
-        thread::spawn(move || kept.listen(listener));
+        let listener = lists.open();
+        thread::spawn(move || kept.listen(reservation, listener));
         lists
     }
 
-    fn listen(self, listener: TcpListener) {
-        listener.set_nonblocking(true).expect("set");
+    /// `_reservation` keeps the port while nobody listens there: connections are refused, and no process is given it.
+    fn listen(self, _reservation: Socket, listener: TcpListener) {
         let mut open = Some(listener);
         loop {
             let away = self.inside().mood == Mood::Away;
             match (&open, away) {
                 (Some(_), true) => drop(open.take()),
-                // The port is its own still: nothing else is given one that was in use a moment ago.
-                (None, false) => {
-                    let listener = TcpListener::bind(self.addr).expect("its port");
-                    listener.set_nonblocking(true).expect("set");
-                    open = Some(listener);
-                }
+                (None, false) => open = Some(self.open()),
                 (Some(listener), false) => {
                     if let Ok((stream, _)) = listener.accept() {
                         stream.set_nonblocking(false).expect("set");
@@ -98,6 +106,13 @@
         }
     }
 
+    fn open(&self) -> TcpListener {
+        let socket = bound_socket(self.addr);
+        socket.listen(BACKLOG).expect("listens");
+        socket.set_nonblocking(true).expect("set");
+        socket.into()
+    }
+
     fn inside(&self) -> std::sync::MutexGuard<'_, Inside> {
         self.inside.lock().expect("whole")
     }
