--- a/crates/control-plane/src/replication/mod.rs
+++ b/crates/control-plane/src/replication/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! The state machine does no I/O and reads no clock. Its owner hands in messages, durable writes that have
 //! finished and the time of a steady clock, and carries out the [`Output`]s in their order.
-//! `docs/design/system.md` ("Control state") says why it is correct.
+//! `docs/design/control.md` ("Control state") says why it is correct.
 //!
 //! What the owner guarantees:
 //! - records of a [`Output::Persist`] are written and synced in order, tickets in order; a write that was
--- a/crates/protocol/src/replication.rs
+++ b/crates/protocol/src/replication.rs
@@ -1,6 +1,6 @@
 //! Agreement among the members of the control plane: who is primary, who stores the data, and its replication.
 //!
-//! `docs/design/system.md` ("Control state") says what each message guarantees.
+//! `docs/design/control.md` ("Control state") says what each message guarantees.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 /// Who votes and who stores the data, under an epoch that no two proposers share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct View {
-    /// The epoch: a counter in the upper 32 bits, the proposer's address in the lower.
+    /// The epoch: in the upper 32 bits a counter and 8 bits of the proposer's generation, in the lower its address.
     pub epoch: u64,
     /// Members that vote.
     pub voters: Vec<NodeId>,
