--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -108,6 +108,10 @@
 
     /// Lets a request in that is expected to need so many tokens, or says what it has to wait for: that of which it
     /// has to wait longest. What is more than a minute's worth counts as that, since more is never there.
+    ///
+    /// # Errors
+    ///
+    /// `Short` if one of the tenant's buckets has too little left; nothing is taken from any of them then.
     pub fn admit(
         &mut self,
         now: Nanos,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -69,26 +69,7 @@
     },
     /// Run the conformance suite: by itself over all pairings of fronts and real servers, or against a gateway that
     /// is up; exit status 0 if all that was run holds
-    Conformance {
-        /// The front of a gateway that is up, whose real servers are this suite's stand-ins
-        #[arg(long, value_name = "ADDRESS", requires = "front", requires = "servers")]
-        against: Option<SocketAddr>,
-        /// That front's dialect
-        #[arg(long, value_enum)]
-        front: Option<Speaks>,
-        /// The dialect of the real servers behind it
-        #[arg(long, value_enum)]
-        servers: Option<Speaks>,
-        /// Bring up the stand-ins for such a gateway, with discovery at this port, until Ctrl-C
-        #[arg(long, value_name = "PORT", requires = "servers", conflicts_with = "against")]
-        stand_in: Option<u16>,
-        /// Run only cases whose names hold this
-        #[arg(long, value_name = "WORD")]
-        only: Option<String>,
-        /// Write the report as JSON
-        #[arg(long)]
-        json: bool,
-    },
+    Conformance(ConformanceOptions),
     /// Make a key for a client of the messages front, and the line that the settings hold of it
     Key {
         /// The key's name in the settings
@@ -108,81 +89,115 @@
     },
 }
 
+#[derive(Args)]
+struct ConformanceOptions {
+    /// The front of a gateway that is up, whose real servers are this suite's stand-ins
+    #[arg(long, value_name = "ADDRESS", requires = "front", requires = "servers")]
+    against: Option<SocketAddr>,
+    /// That front's dialect
+    #[arg(long, value_enum)]
+    front: Option<Speaks>,
+    /// The dialect of the real servers behind it
+    #[arg(long, value_enum)]
+    servers: Option<Speaks>,
+    /// Bring up the stand-ins for such a gateway, with discovery at this port, until Ctrl-C
+    #[arg(long, value_name = "PORT", requires = "servers", conflicts_with = "against")]
+    stand_in: Option<u16>,
+    /// Run only cases whose names hold this
+    #[arg(long, value_name = "WORD")]
+    only: Option<String>,
+    /// Write the report as JSON
+    #[arg(long)]
+    json: bool,
+}
+
 /// Does what the command line says.
 pub(crate) fn run() -> ExitCode {
     let line = Line::parse();
     match line.command.unwrap_or(Command::Serve(line.files)) {
-        Command::Serve(files) => {
-            let sources = Sources { config: files.config, settings: files.settings };
-            match listen::inherited().and_then(|inherited| Ok((Config::load(&sources)?, inherited))) {
-                Ok((config, inherited)) => serve::serve(config, sources, inherited),
-                Err(what) => fault(&what),
-            }
-        }
-        Command::Check { file, config } => {
-            let sources = Sources { config, settings: Some(file.clone()) };
-            match sources.config() {
-                // With the configuration beside it everything is checked that a start would check.
-                Some(_) => match Config::load(&sources) {
-                    Ok(config) => {
-                        let limits = config.limits();
-                        println!(
-                            "{file}: good; a stream holds {} bytes, all of them {}, a socket's buffer {}",
-                            limits.stream.high, limits.stream.budget, limits.wire.socket_buffer
-                        );
-                        ExitCode::SUCCESS
-                    }
-                    Err(what) => fault(&what),
-                },
-                None => match Settings::load(&file) {
-                    Ok(_) => {
-                        println!("{file}: good; names of classes and tenants need --config to be checked");
-                        ExitCode::SUCCESS
-                    }
-                    Err(what) => fault(&what.to_string()),
-                },
+        Command::Serve(files) => serve_files(files),
+        Command::Check { file, config } => check(file, config),
+        Command::Conformance(options) => run_conformance(options),
+        Command::Key { name, tenant, read } => key(&name, tenant.as_deref(), read),
+        Command::Demo { port } => run_demo(port),
+    }
+}
+
+/// Serves with what these files say.
+fn serve_files(files: Files) -> ExitCode {
+    let sources = Sources { config: files.config, settings: files.settings };
+    match listen::inherited().and_then(|inherited| Ok((Config::load(&sources)?, inherited))) {
+        Ok((config, inherited)) => serve::serve(config, sources, inherited),
+        Err(what) => fault(&what),
+    }
+}
+
+/// Checks a settings file, with the configuration beside it if there is one.
+fn check(file: String, config: Option<String>) -> ExitCode {
+    let sources = Sources { config, settings: Some(file.clone()) };
+    if sources.config().is_none() {
+        return match Settings::load(&file) {
+            Ok(_) => {
+                println!("{file}: good; names of classes and tenants need --config to be checked");
+                ExitCode::SUCCESS
             }
+            Err(what) => fault(&what.to_string()),
+        };
+    }
+    // With the configuration beside it everything is checked that a start would check.
+    match Config::load(&sources) {
+        Ok(config) => {
+            let limits = config.limits();
+            println!(
+                "{file}: good; a stream holds {} bytes, all of them {}, a socket's buffer {}",
+                limits.stream.high, limits.stream.budget, limits.wire.socket_buffer
+            );
+            ExitCode::SUCCESS
         }
-        Command::Conformance { against, front, servers, stand_in, only, json } => {
-            let mut cases = match conformance::cases() {
-                Ok(cases) => cases,
-                Err(what) => return fault(&what),
-            };
-            cases.retain(|c| only.as_ref().is_none_or(|word| c.name.contains(word)));
-            if cases.is_empty() {
-                return fault("--only: no case has such a name");
-            }
-            if let (Some(port), Some(servers)) = (stand_in, servers) {
-                return conformance_stand_in(servers.into(), &cases, port);
-            }
-            let report = match (against, front, servers) {
-                (Some(addr), Some(front), Some(servers)) => {
-                    Ok(conformance::against(&cases, (front.into(), servers.into()), addr))
-                }
-                _ => std::env::current_exe().and_then(|program| {
-                    conformance::everywhere(&cases, &program, &std::env::temp_dir(), 16)
-                }),
-            };
-            match report {
-                Ok(report) => {
-                    print!("{}", if json { report.json() + "\n" } else { report.text() });
-                    if report.holds() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
-                }
-                Err(e) => fault(&format!("conformance: {e}")),
-            }
+        Err(what) => fault(&what),
+    }
+}
+
+/// Runs the conformance suite, or serves its stand-ins.
+fn run_conformance(options: ConformanceOptions) -> ExitCode {
+    let ConformanceOptions { against, front, servers, stand_in, only, json } = options;
+    let mut cases = match conformance::cases() {
+        Ok(cases) => cases,
+        Err(what) => return fault(&what),
+    };
+    cases.retain(|c| only.as_ref().is_none_or(|word| c.name.contains(word)));
+    if cases.is_empty() {
+        return fault("--only: no case has such a name");
+    }
+    if let (Some(port), Some(servers)) = (stand_in, servers) {
+        return conformance_stand_in(servers.into(), &cases, port);
+    }
+    let report = match (against, front, servers) {
+        (Some(addr), Some(front), Some(servers)) => {
+            Ok(conformance::against(&cases, (front.into(), servers.into()), addr))
         }
-        Command::Key { name, tenant, read } => key(&name, tenant.as_deref(), read),
-        Command::Demo { port } => {
-            let next = if port == 0 { Some(0) } else { port.checked_add(1) };
-            let Some(next) = next else {
-                return fault("--port: there is no next one for the messages front");
-            };
-            let at = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
-            demo::run(at(port), at(next))
+        _ => std::env::current_exe()
+            .and_then(|program| conformance::everywhere(&cases, &program, &std::env::temp_dir(), 16)),
+    };
+    match report {
+        Ok(report) => {
+            print!("{}", if json { report.json() + "\n" } else { report.text() });
+            if report.holds() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
+        Err(e) => fault(&format!("conformance: {e}")),
     }
 }
 
+/// Brings up the demo, with its two fronts at `port` and the port after it.
+fn run_demo(port: u16) -> ExitCode {
+    let next = if port == 0 { Some(0) } else { port.checked_add(1) };
+    let Some(next) = next else {
+        return fault("--port: there is no next one for the messages front");
+    };
+    let at = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
+    demo::run(at(port), at(next))
+}
+
 /// Serves the stand-ins until it is ended, having printed what a gateway needs for them.
 fn conformance_stand_in(servers: Dialect, cases: &[conformance::case::Case], port: u16) -> ExitCode {
     let fleet = conformance::case::Fleet::Shared;
--- a/src/conformance/case.rs
+++ b/src/conformance/case.rs
@@ -180,6 +180,10 @@
 }
 
 /// Reads a file; a fault names its line.
+///
+/// # Errors
+///
+/// The file, the line and what is wrong with it, for the first line that is no part of a case.
 pub fn parse(file: &str, text: &str) -> Result<Vec<Case>, String> {
     let mut cases: Vec<Case> = Vec::new();
     let mut input = text;
--- a/src/conformance/client.rs
+++ b/src/conformance/client.rs
@@ -147,6 +147,11 @@
 }
 
 /// Sends a request and reads its answer.
+///
+/// # Errors
+///
+/// If the connection can't be opened, or the request written, or the head read within the time limit. A body that
+/// breaks off is no error, but leaves `whole` false.
 pub fn ask(addr: SocketAddr, front: Dialect, request: &[u8]) -> io::Result<ObservedAnswer> {
     let mut stream = TcpStream::connect_timeout(&addr, PATIENCE)?;
     stream.set_read_timeout(Some(PATIENCE))?;
--- a/src/conformance/mod.rs
+++ b/src/conformance/mod.rs
@@ -34,6 +34,10 @@
 ];
 
 /// All cases of the suite; a fault names its file and line.
+///
+/// # Errors
+///
+/// The file, the line and what is wrong, for a case that can't be read or whose name is in use already.
 pub fn cases() -> Result<Vec<Case>, String> {
     let mut all: Vec<Case> = Vec::new();
     for (file, text) in FILES {
@@ -227,6 +231,10 @@
 
 /// Runs the cases over all pairings, with gateways of the suite's own; `program` is the gateway, `scratch` a
 /// directory for their settings, `at_once` how many run beside one another.
+///
+/// # Errors
+///
+/// If a directory, stand-in or gateway can't be started. A case that fails is no error, but part of the report.
 pub fn everywhere(cases: &[Case], program: &Path, scratch: &Path, at_once: usize) -> io::Result<Report> {
     // What is run in one gateway, one after the other: all shared cases of a pairing, or one with its own servers.
     let mut jobs: Vec<(Pairing, Fleet, Vec<Case>)> = Vec::new();
@@ -318,6 +326,10 @@
 
 impl Running {
     /// Starts the program in front of stand-ins that speak `servers`.
+    ///
+    /// # Errors
+    ///
+    /// If the gateway's files can't be written or the program can't be started, or if it isn't ready in time.
     pub fn start(
         stand_ins: &StandIns,
         servers: Dialect,
--- a/src/conformance/stand_in.rs
+++ b/src/conformance/stand_in.rs
@@ -49,6 +49,10 @@
 
 impl StandIns {
     /// Brings up a fleet that knows these cases; discovery listens on that port, 0 being any.
+    ///
+    /// # Errors
+    ///
+    /// If a listener can't be bound.
     pub fn start(dialect: Dialect, fleet: Fleet, cases: &[Case], port: u16) -> io::Result<StandIns> {
         let count = match fleet {
             Fleet::Shared | Fleet::Own | Fleet::Cold => 3,
--- a/src/net/edge/connection.rs
+++ b/src/net/edge/connection.rs
@@ -9,11 +9,12 @@
 
 use super::charge::Charge;
 use super::exchange::Exchange;
-use super::request::request_id;
+use super::request::{IncomingRequest, request_id};
 use super::{BufferedStream, Edge, within};
 use crate::admission::connection_slots::ConnectionState;
 use crate::engine;
-use crate::front::{Call, Dialect, ForwardedRequest, Responder};
+use crate::front::{AcceptedRequest, Call, Dialect, ForwardedRequest, Reply, Responder};
+use crate::net::codec::ParseError;
 use crate::net::servers::Dispatch;
 use crate::net::slot_pool::Slot;
 
@@ -70,19 +71,14 @@
         slot: &mut Slot,
     ) -> Option<AfterReply> {
         let is_new = slot.silent_since().is_some();
-        let (mut head, body, _bytes) = match self.request(&mut wire, dialect, slot).await {
-            Ok(Some(request)) => request,
-            // On one that has carried nothing no answer can be on its way.
-            Ok(None) if is_new => return None,
-            Ok(None) => return Some(AfterReply::Close(wire)),
-            Err(bad) => {
-                let id = request_id(self.engine.fresh_id());
-                log::info!(id = id, client:% = from, status = bad.status; "bad-request: {}", bad.what);
-                let bytes = Responder::new(dialect, &id).malformed(bad).bytes(false);
-                let written = within(self.limits.edge_write, wire.write(&bytes)).await;
-                return matches!(written, Ok(Ok(()))).then_some(AfterReply::Close(wire));
-            }
-        };
+        let IncomingRequest { mut head, body, bytes: _bytes } =
+            match self.request(&mut wire, dialect, slot).await {
+                Ok(Some(request)) => request,
+                // On one that has carried nothing no answer can be on its way.
+                Ok(None) if is_new => return None,
+                Ok(None) => return Some(AfterReply::Close(wire)),
+                Err(error) => return self.reject_malformed(wire, dialect, from, error).await,
+            };
         slot.set_state(ConnectionState::Serving);
         let crowded = self.slots.is_crowded(self.places());
         let keep = head.keeps_alive(&head.start[2]) && !crowded && self.lifecycle.keeps_connections();
@@ -94,16 +90,8 @@
                 let back = Rc::new(RefCell::new(None));
                 let headers = std::mem::take(&mut accepted.headers);
                 let responder = Responder { dialect, id, safe: accepted.safe, headers };
-                let grant = accepted.grant.take();
                 let placed = self.lifecycle.takes_requests();
-                let charge = Charge {
-                    edge: self.clone(),
-                    grant,
-                    prompt: accepted.prompt,
-                    answer: 0,
-                    events: 0,
-                    ran: placed,
-                };
+                let charge = self.charge(&mut accepted, placed);
                 let forwarded =
                     Rc::new(ForwardedRequest::ordered(&self.context, dialect, head, body, &mut accepted));
                 let client = Exchange {
@@ -135,6 +123,38 @@
                 reply
             }
         };
+        self.write_reply(wire, &reply, keep).await
+    }
+
+    /// Answers a request that can't be read, and closes its connection.
+    async fn reject_malformed(
+        &self,
+        mut wire: BufferedStream,
+        dialect: Dialect,
+        from: SocketAddr,
+        error: ParseError,
+    ) -> Option<AfterReply> {
+        let id = request_id(self.engine.fresh_id());
+        log::info!(id = id, client:% = from, status = error.status; "bad-request: {}", error.what);
+        let bytes = Responder::new(dialect, &id).malformed(error).bytes(false);
+        let written = within(self.limits.edge_write, wire.write(&bytes)).await;
+        matches!(written, Ok(Ok(()))).then_some(AfterReply::Close(wire))
+    }
+
+    /// What an accepted request is charged with, from its tenant's grant; `ran` says whether it will be placed.
+    fn charge(self: &Rc<Self>, accepted: &mut AcceptedRequest, ran: bool) -> Charge {
+        Charge {
+            edge: self.clone(),
+            grant: accepted.grant.take(),
+            prompt: accepted.prompt,
+            answer: 0,
+            events: 0,
+            ran,
+        }
+    }
+
+    /// Writes an answer that is no stream; `None` if the client did not take it in time.
+    async fn write_reply(&self, mut wire: BufferedStream, reply: &Reply, keep: bool) -> Option<AfterReply> {
         let bytes = reply.bytes(keep);
         match within(self.limits.edge_write, wire.write(&bytes)).await {
             Ok(Ok(())) if keep => Some(AfterReply::KeepAlive(wire)),
--- a/src/net/edge/handover.rs
+++ b/src/net/edge/handover.rs
@@ -22,6 +22,10 @@
 
 impl Edge {
     /// Goes on with a stream that another process of this gateway began.
+    ///
+    /// # Errors
+    ///
+    /// If a socket can't be registered or has no peer, or the snapshot lacks what the stream needs to go on.
     pub fn adopt(
         self: Rc<Self>,
         ex: &'static LocalExecutor<'static>,
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -15,6 +15,14 @@
 use crate::net::codec::{self, Body, Head, ParseError};
 use crate::net::slot_pool::Slot;
 
+/// A request that has arrived whole.
+pub(super) struct IncomingRequest {
+    pub(super) head: Head,
+    pub(super) body: Vec<u8>,
+    /// Counts the body's bytes until it is dropped.
+    pub(super) bytes: HeldBytes,
+}
+
 impl Edge {
     /// A request's id as its client is told it, and as real servers are: of the messages front every request gets
     /// one, and an id of another form is known by its hash, so that its second use is noticed here too.
@@ -59,7 +67,7 @@
         wire: &mut BufferedStream,
         dialect: Dialect,
         slot: &mut Slot,
-    ) -> Result<Option<(Head, Vec<u8>, HeldBytes)>, ParseError> {
+    ) -> Result<Option<IncomingRequest>, ParseError> {
         let (limits, wire_limits) = (&self.limits, self.wire_limits(dialect));
         let silent_since = slot.silent_since();
         if wire.buf.is_empty() {
@@ -82,44 +90,7 @@
         // The first request's time began with the connection: one that trickles in has no more than a silent one.
         let spent = silent_since.map_or(0, |since| self.engine.now().saturating_sub(since));
         slot.set_state(ConnectionState::Receiving);
-        let whole = async {
-            let head = loop {
-                if let Some(head) = codec::request_head(&mut wire.buf, wire_limits)? {
-                    break head;
-                }
-                if !wire.more(wire_limits).await {
-                    return Ok(None);
-                }
-                slot.progress();
-            };
-            let mut framing = head.request_body(wire_limits)?;
-            if head.lists("expect", "100-continue") && framing != Body::Length(0) && wire.buf.is_empty() {
-                let _ = wire.write(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-            }
-            let mut body = Vec::new();
-            let mut bytes = HeldBytes::none(self.clone());
-            if let Body::Length(length) = framing {
-                body.reserve_exact(length);
-            }
-            loop {
-                let whole = framing.take(&mut wire.buf, &mut body, wire_limits)?;
-                if body.len() > wire_limits.body_bytes {
-                    return Err(ParseError { status: 413, what: "the body is too large" });
-                }
-                bytes.grow_to(body.len());
-                if whole {
-                    return Ok(Some((head, body, bytes)));
-                }
-                // Guards against running out of memory: what does not fit waits in its socket.
-                while self.held_bytes.get() > self.fleet.overlap.part(limits.held_bytes) {
-                    Timer::after(limits.accept_pause).await;
-                }
-                if !wire.more(wire_limits).await {
-                    return Ok(None);
-                }
-                slot.progress();
-            }
-        };
+        let whole = self.receive(wire, wire_limits, slot);
         let late = || Err(ParseError { status: 408, what: "the request took too long to arrive" });
         let left = async {
             slot.evicted().await;
@@ -128,6 +99,51 @@
         let patience = limits.edge_read.saturating_sub(Duration::from_nanos(spent));
         future::or(within(patience, whole), left).await.unwrap_or_else(|_| late())
     }
+
+    /// Reads a request of which something may have come. `None`: the connection ended before the request did.
+    async fn receive(
+        self: &Rc<Self>,
+        wire: &mut BufferedStream,
+        wire_limits: &Http1Limits,
+        slot: &Slot,
+    ) -> Result<Option<IncomingRequest>, ParseError> {
+        let head = loop {
+            if let Some(head) = codec::request_head(&mut wire.buf, wire_limits)? {
+                break head;
+            }
+            if !wire.more(wire_limits).await {
+                return Ok(None);
+            }
+            slot.progress();
+        };
+        let mut framing = head.request_body(wire_limits)?;
+        if head.lists("expect", "100-continue") && framing != Body::Length(0) && wire.buf.is_empty() {
+            let _ = wire.write(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        }
+        let mut body = Vec::new();
+        let mut bytes = HeldBytes::none(self.clone());
+        if let Body::Length(length) = framing {
+            body.reserve_exact(length);
+        }
+        loop {
+            let whole = framing.take(&mut wire.buf, &mut body, wire_limits)?;
+            if body.len() > wire_limits.body_bytes {
+                return Err(ParseError { status: 413, what: "the body is too large" });
+            }
+            bytes.grow_to(body.len());
+            if whole {
+                return Ok(Some(IncomingRequest { head, body, bytes }));
+            }
+            // Guards against running out of memory: what does not fit waits in its socket.
+            while self.held_bytes.get() > self.fleet.overlap.part(self.limits.held_bytes) {
+                Timer::after(self.limits.accept_pause).await;
+            }
+            if !wire.more(wire_limits).await {
+                return Ok(None);
+            }
+            slot.progress();
+        }
+    }
 }
 
 /// A request's id as clients of the messages front are told it; its digits are those in the log.
--- a/src/net/followers.rs
+++ b/src/net/followers.rs
@@ -45,7 +45,11 @@
 
     /// Hands a stream over with its client's and its real server's connection. An error says that it was not, and
     /// may be later.
-    pub fn send(&self, snapshot: &StreamSnapshot, sides: [BorrowedFd; 2]) -> io::Result<()> {
+    ///
+    /// # Errors
+    ///
+    /// If no newer process is connected, if the snapshot has more bytes than fit, or if it can't be written now.
+    pub fn send(&self, snapshot: &StreamSnapshot, sides: [BorrowedFd<'_>; 2]) -> io::Result<()> {
         let newer = self.newer.borrow();
         let line = newer.last().ok_or(io::ErrorKind::NotConnected)?;
         let bytes = snapshot.bytes()?;
--- a/src/net/handover_message.rs
+++ b/src/net/handover_message.rs
@@ -50,6 +50,10 @@
 
 impl StreamSnapshot {
     /// Its bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the snapshot can't be serialized, or one of its parts is longer than 4 GiB.
     pub fn bytes(&self) -> io::Result<Vec<u8>> {
         let told = serde_json::to_vec(self)?;
         let parts = [&told, &self.waiting[0], &self.waiting[1], &self.waiting[2], &self.waiting[3]];
@@ -63,6 +67,10 @@
     }
 
     /// Reads one; all of the bytes must be its.
+    ///
+    /// # Errors
+    ///
+    /// If the lengths don't add up to those of `bytes`, or the description isn't a snapshot.
     pub fn read(bytes: &[u8]) -> io::Result<StreamSnapshot> {
         let wrong = || io::Error::new(io::ErrorKind::InvalidData, "lengths that don't fit");
         let (lengths, mut rest) = bytes.split_at_checked(LENGTHS).ok_or_else(wrong)?;
--- a/src/net/lifecycle_monitor.rs
+++ b/src/net/lifecycle_monitor.rs
@@ -69,11 +69,19 @@
     }
 
     /// Clients shall go elsewhere.
+    ///
+    /// # Errors
+    ///
+    /// `Stopping` if the process is on its way to its end.
     pub fn drain(&self) -> Result<(), Stopping> {
         self.change(Lifecycle::drain)
     }
 
     /// Clients may come again.
+    ///
+    /// # Errors
+    ///
+    /// `Stopping` if the process is on its way to its end.
     pub fn undrain(&self) -> Result<(), Stopping> {
         self.change(Lifecycle::undrain)
     }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -21,6 +21,10 @@
 
 /// The listener that this process has inherited, if it has one. If the platform names one and the library does not
 /// know it yet, the program starts over. To be called before anything else runs, as the environment changes.
+///
+/// # Errors
+///
+/// What is wrong with the inherited listener, or why the program could not start over with it.
 pub fn inherited() -> Result<Option<TcpListener>, String> {
     if let Ok(told) = env::var(TOLD) {
         return Err(start_over(&told));
@@ -61,6 +65,10 @@
 }
 
 /// A listener ready to accept, bound here if none was inherited; `port` says in the log what it is for.
+///
+/// # Errors
+///
+/// What can't be bound or set up, with its address; also an inherited listener that is at another address.
 pub fn open(
     addr: SocketAddr,
     inherited: Option<TcpListener>,
--- a/src/net/objects.rs
+++ b/src/net/objects.rs
@@ -28,6 +28,10 @@
 
 impl Objects {
     /// Takes the next piece from the front of `text`; `None`: more has to come first.
+    ///
+    /// # Errors
+    ///
+    /// `NoObject` if the text can't be a list of objects.
     pub fn take(&mut self, text: &mut Vec<u8>) -> Result<Option<Piece>, NoObject> {
         while let Some(byte) = text.get(self.at).copied() {
             self.at += 1;
--- a/src/net/servers/attempt.rs
+++ b/src/net/servers/attempt.rs
@@ -46,13 +46,7 @@
             forwarded.bytes(dialect, timeout).map_err(|what| Refusal::Request(400, what))?;
         let mut connection = self.connection(server, addr).await.map_err(|e| {
             log::debug!(server = &*server.0, after:? = from.elapsed(); "no-connection: {e}");
-            // Guards against blaming a real server, and its zone, for a want of descriptors here.
-            match Errno::from_io_error(&e) {
-                _ if e.kind() == io::ErrorKind::QuotaExceeded => Verdict::NotSent,
-                // No descriptor is free in the system or in this process.
-                Some(Errno::NFILE | Errno::MFILE) => Verdict::NotSent,
-                _ => Verdict::NoConnection,
-            }
+            connect_verdict(&e)
         })?;
         // Guards against sending to a real server that began to drain while the connection came up.
         if self.place(server).is_none_or(|(now, _)| now != addr) {
@@ -79,12 +73,7 @@
         let body = head.response_body().map_err(|_| Verdict::Error)?;
         let stream = head.get("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
         if head.status() != 200 || !stream {
-            let verdict = match (head.status(), dialect) {
-                (503 | 504, _) if head.get("x-not-run") == Some("1") => Verdict::Full,
-                // The messages API turns away so, without having run anything.
-                (429 | 529, Dialect::Messages) => Verdict::Full,
-                _ => Verdict::Error,
-            };
+            let verdict = unserved_verdict(&head, dialect);
             log::debug!(server = &*server.0, status = head.status(), verdict:? = verdict; "answer: it serves nobody");
             let told = self.finish_unserved(server, addr, connection, &head, body).await;
             return Err(match head.status() {
@@ -146,6 +135,27 @@
     }
 }
 
+/// What a failure to connect says of the real server.
+fn connect_verdict(error: &io::Error) -> Verdict {
+    // Guards against blaming a real server, and its zone, for a want of descriptors here.
+    match Errno::from_io_error(error) {
+        _ if error.kind() == io::ErrorKind::QuotaExceeded => Verdict::NotSent,
+        // No descriptor is free in the system or in this process.
+        Some(Errno::NFILE | Errno::MFILE) => Verdict::NotSent,
+        _ => Verdict::NoConnection,
+    }
+}
+
+/// What the head of an answer that serves nobody says of the real server.
+fn unserved_verdict(head: &Head, dialect: Dialect) -> Verdict {
+    match (head.status(), dialect) {
+        (503 | 504, _) if head.get("x-not-run") == Some("1") => Verdict::Full,
+        // The messages API turns away so, without having run anything.
+        (429 | 529, Dialect::Messages) => Verdict::Full,
+        _ => Verdict::Error,
+    }
+}
+
 /// What a real server says of a request that it holds for wrong, in either dialect's form.
 fn words(told: &[u8], limits: &Limits) -> String {
     let usual = "a real server rejected the request";
--- a/src/net/servers/running.rs
+++ b/src/net/servers/running.rs
@@ -66,6 +66,10 @@
     }
 
     /// Goes on with what another process packed.
+    ///
+    /// # Errors
+    ///
+    /// If the socket can't be registered, or the snapshot names no real server.
     pub fn unpack(fleet: Rc<Fleet>, snapshot: &mut StreamSnapshot, side: OwnedFd) -> io::Result<Running> {
         let missing = || io::Error::other("no real server in it");
         let [_, _, buf, text] = &mut snapshot.waiting;
--- a/src/process/background.rs
+++ b/src/process/background.rs
@@ -5,6 +5,10 @@
 
 /// Runs the work on a thread of its own and waits for its outcome: however long a disk takes, the serving thread
 /// serves on.
+///
+/// # Errors
+///
+/// If the thread can't be started, or ended without an outcome.
 pub async fn run_in_background<T: Send + 'static>(
     work: impl FnOnce() -> T + Send + 'static,
 ) -> io::Result<T> {
--- a/src/process/lifecycle.rs
+++ b/src/process/lifecycle.rs
@@ -55,6 +55,10 @@
     }
 
     /// Clients shall go elsewhere.
+    ///
+    /// # Errors
+    ///
+    /// `Stopping` if the process is on its way to its end.
     pub fn drain(&mut self, now: Nanos) -> Result<(), Stopping> {
         match self.state {
             State::Starting => self.drained = true,
@@ -66,6 +70,10 @@
     }
 
     /// Clients may come again.
+    ///
+    /// # Errors
+    ///
+    /// `Stopping` if the process is on its way to its end.
     pub fn undrain(&mut self, now: Nanos) -> Result<(), Stopping> {
         match self.state {
             State::Starting => self.drained = false,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -20,6 +20,10 @@
 use crate::limits::{Limits, RestLimits};
 use crate::names::Dialect;
 
+const HOUR: Duration = Duration::from_secs(3600);
+
+const DAY: Duration = Duration::from_secs(24 * 3600);
+
 /// All of the program's own settings.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -229,6 +233,10 @@
 
 impl Settings {
     /// Reads a file.
+    ///
+    /// # Errors
+    ///
+    /// The first `Fault` of the file: unreadable, no HCL, an unknown key, or a value out of its range.
     pub fn load(path: &str) -> Result<Settings, Fault> {
         let fault = |what: String| Fault { file: path.to_owned(), place: None, key: String::new(), what };
         if Path::new(path).extension().is_some_and(|e| e == "json") {
@@ -241,6 +249,10 @@
     }
 
     /// Reads a file's text; `path` is for the faults.
+    ///
+    /// # Errors
+    ///
+    /// The first `Fault` of the text: no HCL, an unknown key, or a value out of its range.
     pub fn parse(path: &str, text: &str) -> Result<Settings, Fault> {
         parse_hcl(path, text, Settings::check)
     }
@@ -300,74 +312,62 @@
     }
 
     fn check_streams(&self) -> Result<(), (&'static str, String)> {
+        self.check_sizes()?;
+        self.check_durations()?;
+        self.check_pace()?;
+        if let Some(rest) = &self.rest {
+            rest.check()?;
+        }
+        self.check_listeners()
+    }
+
+    fn check_sizes(&self) -> Result<(), (&'static str, String)> {
         let s = &self.streams;
-        let bytes = |key, given: Option<ByteSize>, least: u64, most: u64| match given {
-            Some(ByteSize(b)) if b < least || b > most => {
-                let (given, least, most) = (ByteSize(b), ByteSize(least), ByteSize(most));
-                Err((key, format!("{given} is not between {least} and {most}")))
-            }
-            _ => Ok(()),
-        };
-        bytes("messages.body", self.messages.body, 1 << 10, 32 << 20)?;
-        bytes("messages.whole_answer", self.messages.whole_answer, 4 << 10, 16 << 20)?;
-        bytes("streams.window", s.window, 4 << 10, 4 << 20)?;
-        bytes("streams.budget", s.budget, 64 << 10, 64 << 30)?;
-        bytes("streams.socket_buffer", s.socket_buffer, 4 << 10, 4 << 20)?;
-        bytes("streams.reader_floor", s.reader_floor, 1, 16 << 20)?;
+        check_size("messages.body", self.messages.body, 1 << 10, 32 << 20)?;
+        check_size("messages.whole_answer", self.messages.whole_answer, 4 << 10, 16 << 20)?;
+        check_size("streams.window", s.window, 4 << 10, 4 << 20)?;
+        check_size("streams.budget", s.budget, 64 << 10, 64 << 30)?;
+        check_size("streams.socket_buffer", s.socket_buffer, 4 << 10, 4 << 20)?;
+        check_size("streams.reader_floor", s.reader_floor, 1, 16 << 20)?;
         if let (Some(window), Some(budget)) = (s.window, s.budget)
             && window > budget
         {
             return Err(("streams.window", format!("{window} is more than streams.budget, {budget}")));
         }
-        let ms = Duration::from_millis;
-        let span = |key, given: Option<Duration>, least: Duration, most: Duration| match given {
-            Some(t) if t < least || t > most => {
-                let shown = humantime::format_duration;
-                Err((key, format!("{} is not between {} and {}", shown(t), shown(least), shown(most))))
-            }
-            _ => Ok(()),
-        };
-        let (hour, day) = (ms(3_600_000), ms(86_400_000));
-        span("streams.opening", s.opening, ms(100), hour)?;
-        span("streams.silence", s.silence, ms(100), hour)?;
-        span("streams.stall", s.stall, ms(100), hour)?;
-        span("streams.tail", s.tail, ms(100), hour)?;
-        span("streams.pace_least", s.pace_least, ms(100), hour)?;
-        span("streams.reader_span", s.reader_span, ms(100), hour)?;
-        span("streams.linger", s.linger, ms(0), hour)?;
-        span("streams.stop_within", s.stop_within, ms(0), day)?;
-        span("streams.figures_every", s.figures_every, ms(1000), day)?;
-        if let Some(factor) = s.pace_factor {
-            if !(1.0..=1000.0).contains(&factor) {
-                return Err(("streams.pace_factor", format!("{factor} is not between 1 and 1000")));
-            }
-            if s.pace_least.is_none() {
-                return Err(("streams.pace_factor", "needs streams.pace_least beside it".into()));
-            }
-        } else if s.pace_least.is_some() {
-            return Err(("streams.pace_least", "needs streams.pace_factor beside it".into()));
-        }
-        if let Some(r) = &self.rest {
-            span("rest.span", r.span, ms(1000), day)?;
-            span("rest.first", r.first, ms(100), day)?;
-            span("rest.longest", r.longest, ms(100), day)?;
-            if let (Some(first), Some(longest)) = (r.first, r.longest)
-                && first > longest
-            {
-                return Err(("rest.first", "longer than rest.longest".into()));
-            }
-            if r.faults.is_some_and(|f| f == 0 || f > 64) {
-                return Err(("rest.faults", "not between 1 and 64".into()));
+        Ok(())
+    }
+
+    fn check_durations(&self) -> Result<(), (&'static str, String)> {
+        let s = &self.streams;
+        let shortest = Duration::from_millis(100);
+        check_duration("streams.opening", s.opening, shortest, HOUR)?;
+        check_duration("streams.silence", s.silence, shortest, HOUR)?;
+        check_duration("streams.stall", s.stall, shortest, HOUR)?;
+        check_duration("streams.tail", s.tail, shortest, HOUR)?;
+        check_duration("streams.pace_least", s.pace_least, shortest, HOUR)?;
+        check_duration("streams.reader_span", s.reader_span, shortest, HOUR)?;
+        check_duration("streams.linger", s.linger, Duration::ZERO, HOUR)?;
+        check_duration("streams.stop_within", s.stop_within, Duration::ZERO, DAY)?;
+        check_duration("streams.figures_every", s.figures_every, Duration::from_secs(1), DAY)
+    }
+
+    fn check_pace(&self) -> Result<(), (&'static str, String)> {
+        let s = &self.streams;
+        match s.pace_factor {
+            Some(factor) if !(1.0..=1000.0).contains(&factor) => {
+                Err(("streams.pace_factor", format!("{factor} is not between 1 and 1000")))
             }
-            for (key, given) in [("rest.share", r.share), ("rest.most_resting", r.most_resting)] {
-                if given.is_some_and(|g| !(0.0..=1.0).contains(&g)) {
-                    return Err((key, "not between 0 and 1".into()));
-                }
+            Some(_) if s.pace_least.is_none() => {
+                Err(("streams.pace_factor", "needs streams.pace_least beside it".into()))
             }
-            if r.above.is_some_and(|a| !(1.0..=1000.0).contains(&a)) {
-                return Err(("rest.above", "not between 1 and 1000".into()));
+            None if s.pace_least.is_some() => {
+                Err(("streams.pace_least", "needs streams.pace_factor beside it".into()))
             }
+            _ => Ok(()),
         }
+    }
+
+    fn check_listeners(&self) -> Result<(), (&'static str, String)> {
         if let Some(addr) = self.messages.listen.filter(|a| a.port() != 0)
             && self.store.listen == Some(addr)
         {
@@ -413,8 +413,69 @@
     }
 }
 
+impl Rest {
+    fn check(&self) -> Result<(), (&'static str, String)> {
+        check_duration("rest.span", self.span, Duration::from_secs(1), DAY)?;
+        check_duration("rest.first", self.first, Duration::from_millis(100), DAY)?;
+        check_duration("rest.longest", self.longest, Duration::from_millis(100), DAY)?;
+        if let (Some(first), Some(longest)) = (self.first, self.longest)
+            && first > longest
+        {
+            return Err(("rest.first", "longer than rest.longest".into()));
+        }
+        if self.faults.is_some_and(|f| f == 0 || f > 64) {
+            return Err(("rest.faults", "not between 1 and 64".into()));
+        }
+        for (key, given) in [("rest.share", self.share), ("rest.most_resting", self.most_resting)] {
+            if given.is_some_and(|g| !(0.0..=1.0).contains(&g)) {
+                return Err((key, "not between 0 and 1".into()));
+            }
+        }
+        if self.above.is_some_and(|a| !(1.0..=1000.0).contains(&a)) {
+            return Err(("rest.above", "not between 1 and 1000".into()));
+        }
+        Ok(())
+    }
+}
+
+/// Checks that a size, where one is given, lies between two numbers of bytes.
+fn check_size(
+    key: &'static str,
+    given: Option<ByteSize>,
+    least: u64,
+    most: u64,
+) -> Result<(), (&'static str, String)> {
+    match given {
+        Some(ByteSize(bytes)) if bytes < least || bytes > most => {
+            let (given, least, most) = (ByteSize(bytes), ByteSize(least), ByteSize(most));
+            Err((key, format!("{given} is not between {least} and {most}")))
+        }
+        _ => Ok(()),
+    }
+}
+
+/// Checks that a duration, where one is given, lies between two others.
+fn check_duration(
+    key: &'static str,
+    given: Option<Duration>,
+    least: Duration,
+    most: Duration,
+) -> Result<(), (&'static str, String)> {
+    match given {
+        Some(duration) if duration < least || duration > most => {
+            let shown = humantime::format_duration;
+            Err((key, format!("{} is not between {} and {}", shown(duration), shown(least), shown(most))))
+        }
+        _ => Ok(()),
+    }
+}
+
 /// Reads HCL of any form; `path` is for the faults, and `check` tells the key and the fault that single values
 /// don't show.
+///
+/// # Errors
+///
+/// The first `Fault`: no HCL, a key given twice, not of the form of `T`, or what `check` finds.
 pub fn parse_hcl<T: DeserializeOwned>(
     path: &str,
     text: &str,
@@ -425,6 +486,10 @@
 
 /// The same for files of which each says what differs from those before it: what it has in blocks goes into theirs,
 /// anything else takes the place of theirs, and `null` takes theirs away.
+///
+/// # Errors
+///
+/// The first `Fault`, at its place in the last file that has the key: as for `parse_hcl`.
 pub fn parse_hcl_over<T: DeserializeOwned>(
     files: &[(&str, &str)],
     check: impl FnOnce(&T) -> Result<(), (String, String)>,
--- a/src/syslog/mod.rs
+++ b/src/syslog/mod.rs
@@ -35,6 +35,10 @@
 
 /// Sets the log up. With a collector it also returns what is to be fed to that one; else a thread writes to standard
 /// error.
+///
+/// # Errors
+///
+/// If the thread that writes to standard error can't be started.
 pub fn start(host: &str, collector: bool, limits: &Limits) -> io::Result<(Log, Option<Lines>)> {
     let mut builder = env_logger::Builder::new();
     let wanted = std::env::var("RUST_LOG").unwrap_or_else(|_| "info".to_owned());
@@ -94,7 +98,7 @@
 
 /// A record as an RFC 5424 message.
 #[must_use]
-pub fn line(time: &str, host: &str, pid: u32, record: &Record) -> String {
+pub fn line(time: &str, host: &str, pid: u32, record: &Record<'_>) -> String {
     let severity = match record.level() {
         Level::Error => 3,
         Level::Warn => 4,
