--- a/src/conformance/client.rs
+++ b/src/conformance/client.rs
@@ -41,109 +41,182 @@
 /// The request's bytes.
 #[must_use]
 pub fn request(case: &Case, front: Dialect, model: &str, id: u64) -> Vec<u8> {
-    let messages = front == Dialect::Messages;
-    let mut target =
-        ("POST".to_owned(), if messages { "/v1/messages" } else { "/v1/chat/completions" }.to_owned());
-    let mut headers: Vec<(String, String)> = vec![("Host".into(), "app.svc".into())];
-    let mut class = "plain".to_owned();
-    let mut body = json!({"model": model, "max_tokens": 50, "stream": true});
-    let (mut turns, mut raw): (Vec<Value>, Option<String>) = (Vec::new(), None);
-    let value = |json: &str| serde_json::from_str::<Value>(json).unwrap_or_default();
-    for ask in &case.ask {
-        match ask.word.as_str() {
-            "user" | "assistant" => turns.push(json!({"role": ask.word, "content": ask.at(0)})),
-            "system" if messages => body["system"] = ask.at(0).into(),
-            "system" => turns.push(json!({"role": "system", "content": ask.at(0)})),
-            "image" => {
-                let data = "aGVsbG8h";
-                let image = if messages {
-                    json!({"type": "image", "source": {"type": "base64", "media_type": "image/png", "data": data}})
-                } else {
-                    json!({"type": "image_url", "image_url": {"url": format!("data:image/png;base64,{data}")}})
-                };
-                turns
-                    .push(json!({"role": "user", "content": [image, {"type": "text", "text": ask.at(0)}]}));
-            }
-            "tool" => {
-                let schema = value(&ask.json(1));
-                let tool = if messages {
-                    json!({"name": ask.at(0), "description": "d", "input_schema": schema})
-                } else {
-                    json!({"type": "function", "function": {"name": ask.at(0), "description": "d",
-                        "parameters": schema}})
-                };
-                if let Some(tools) = body["tools"].as_array_mut() {
-                    tools.push(tool);
-                } else {
-                    body["tools"] = json!([tool]);
-                }
-            }
-            "choose" => {
-                let word = ask.at(0);
-                body["tool_choice"] = match (word.as_str(), messages) {
-                    ("auto" | "none" | "any", true) => json!({"type": word}),
-                    ("any", false) => json!("required"),
-                    ("auto" | "none", false) => json!(word),
-                    (name, true) => json!({"type": "tool", "name": name}),
-                    (name, false) => json!({"type": "function", "function": {"name": name}}),
-                };
-            }
-            "use" => {
-                let input = value(&ask.json(2));
-                turns.push(if messages {
-                    json!({"role": "assistant", "content": [
-                        {"type": "tool_use", "id": ask.at(0), "name": ask.at(1), "input": input}]})
-                } else {
-                    json!({"role": "assistant", "content": null, "tool_calls": [{"id": ask.at(0),
-                        "type": "function", "function": {"name": ask.at(1), "arguments": input.to_string()}}]})
-                });
+    let mut builder = RequestBuilder::new(front, model);
+    for directive in &case.ask {
+        builder.apply(directive);
+    }
+    builder.finish_body(case);
+    builder.add_default_headers(id);
+    builder.into_bytes(model)
+}
+
+/// A request as a case's directives put it together.
+struct RequestBuilder {
+    /// It is in the dialect of the messages API, not the platform's.
+    messages: bool,
+    method: String,
+    path: String,
+    headers: Vec<(String, String)>,
+    class: String,
+    body: Value,
+    turns: Vec<Value>,
+    /// The body's characters, where the case gives them as they are.
+    raw: Option<String>,
+}
+
+impl RequestBuilder {
+    fn new(front: Dialect, model: &str) -> RequestBuilder {
+        let messages = front == Dialect::Messages;
+        RequestBuilder {
+            messages,
+            method: "POST".to_owned(),
+            path: if messages { "/v1/messages" } else { "/v1/chat/completions" }.to_owned(),
+            headers: vec![("Host".into(), "app.svc".into())],
+            class: "plain".to_owned(),
+            body: json!({"model": model, "max_tokens": 50, "stream": true}),
+            turns: Vec::new(),
+            raw: None,
+        }
+    }
+
+    /// Does what one directive says; an unknown one does nothing.
+    fn apply(&mut self, directive: &Directive) {
+        match directive.word.as_str() {
+            role @ ("user" | "assistant") => self.add_turn(role, directive),
+            "system" if self.messages => self.body["system"] = directive.at(0).into(),
+            "system" => self.add_turn("system", directive),
+            "image" => self.add_image(directive),
+            "tool" => self.add_tool(directive),
+            "choose" => self.choose_tool(directive),
+            "use" => self.add_tool_use(directive),
+            "result" => self.add_tool_result(directive),
+            "stop" if self.messages => self.body["stop_sequences"] = json!([directive.at(0)]),
+            "stop" => self.body["stop"] = json!([directive.at(0)]),
+            "turns" => {
+                let turns = parsed(&directive.json(0));
+                self.turns.extend(turns.as_array().cloned().unwrap_or_default());
             }
-            "result" => turns.push(if messages {
-                json!({"role": "user", "content": [
-                    {"type": "tool_result", "tool_use_id": ask.at(0), "content": ask.at(1)}]})
-            } else {
-                json!({"role": "tool", "tool_call_id": ask.at(0), "content": ask.at(1)})
-            }),
-            "stop" if messages => body["stop_sequences"] = json!([ask.at(0)]),
-            "stop" => body["stop"] = json!([ask.at(0)]),
-            "turns" => turns.extend(value(&ask.json(0)).as_array().cloned().unwrap_or_default()),
-            "field" => body[ask.at(0)] = value(&ask.json(1)),
-            "drop" => drop(body.as_object_mut().map(|b| b.remove(&ask.at(0)))),
-            "body" => raw = Some(ask.at(0)),
-            "whole" => body["stream"] = false.into(),
-            "class" => class = ask.at(0),
-            "header" => headers.push((ask.at(0), ask.at(1))),
-            "path" => target = (ask.at(0), ask.at(1)),
+            "field" => self.body[directive.at(0)] = parsed(&directive.json(1)),
+            "drop" => self.drop_key(directive),
+            "body" => self.raw = Some(directive.at(0)),
+            "whole" => self.body["stream"] = false.into(),
+            "class" => self.class = directive.at(0),
+            "header" => self.headers.push((directive.at(0), directive.at(1))),
+            "path" => (self.method, self.path) = (directive.at(0), directive.at(1)),
             _ => {}
         }
     }
-    if body.get("messages").is_none() {
-        if turns.iter().all(|t| t["role"] == "system") {
-            turns.push(json!({"role": "user", "content": "Which gate?"}));
+
+    fn add_turn(&mut self, role: &str, directive: &Directive) {
+        self.turns.push(json!({"role": role, "content": directive.at(0)}));
+    }
+
+    fn add_image(&mut self, directive: &Directive) {
+        let data = "aGVsbG8h";
+        let image = if self.messages {
+            json!({"type": "image", "source": {"type": "base64", "media_type": "image/png", "data": data}})
+        } else {
+            json!({"type": "image_url", "image_url": {"url": format!("data:image/png;base64,{data}")}})
+        };
+        let text = json!({"type": "text", "text": directive.at(0)});
+        self.turns.push(json!({"role": "user", "content": [image, text]}));
+    }
+
+    fn add_tool(&mut self, directive: &Directive) {
+        let (name, schema) = (directive.at(0), parsed(&directive.json(1)));
+        let tool = if self.messages {
+            json!({"name": name, "description": "d", "input_schema": schema})
+        } else {
+            json!({"type": "function", "function": {"name": name, "description": "d", "parameters": schema}})
+        };
+        if let Some(tools) = self.body["tools"].as_array_mut() {
+            tools.push(tool);
+        } else {
+            self.body["tools"] = json!([tool]);
         }
-        body["messages"] = turns.into();
     }
-    // Keys that were dropped stay away.
-    for ask in case.ask.iter().filter(|a| a.word == "drop") {
-        body.as_object_mut().map(|b| b.remove(&ask.at(0)));
+
+    fn choose_tool(&mut self, directive: &Directive) {
+        let choice = directive.at(0);
+        self.body["tool_choice"] = match (choice.as_str(), self.messages) {
+            ("auto" | "none" | "any", true) => json!({"type": choice}),
+            ("any", false) => json!("required"),
+            ("auto" | "none", false) => json!(choice),
+            (name, true) => json!({"type": "tool", "name": name}),
+            (name, false) => json!({"type": "function", "function": {"name": name}}),
+        };
+    }
+
+    fn add_tool_use(&mut self, directive: &Directive) {
+        let (id, name, input) = (directive.at(0), directive.at(1), parsed(&directive.json(2)));
+        self.turns.push(if self.messages {
+            json!({"role": "assistant", "content": [
+                {"type": "tool_use", "id": id, "name": name, "input": input}]})
+        } else {
+            json!({"role": "assistant", "content": null, "tool_calls": [{"id": id,
+                "type": "function", "function": {"name": name, "arguments": input.to_string()}}]})
+        });
+    }
+
+    fn add_tool_result(&mut self, directive: &Directive) {
+        let (id, content) = (directive.at(0), directive.at(1));
+        self.turns.push(if self.messages {
+            json!({"role": "user", "content": [
+                {"type": "tool_result", "tool_use_id": id, "content": content}]})
+        } else {
+            json!({"role": "tool", "tool_call_id": id, "content": content})
+        });
+    }
+
+    fn drop_key(&mut self, directive: &Directive) {
+        if let Some(body) = self.body.as_object_mut() {
+            body.remove(&directive.at(0));
+        }
+    }
+
+    /// Puts the turns into the body, unless the case gave them as a field, and one of a user if there is none.
+    fn finish_body(&mut self, case: &Case) {
+        if self.body.get("messages").is_none() {
+            if self.turns.iter().all(|t| t["role"] == "system") {
+                self.turns.push(json!({"role": "user", "content": "Which gate?"}));
+            }
+            self.body["messages"] = std::mem::take(&mut self.turns).into();
+        }
+        // Keys that were dropped stay away.
+        for directive in case.ask.iter().filter(|a| a.word == "drop") {
+            self.drop_key(directive);
+        }
     }
-    for (name, value) in
-        [("X-Request-Id", format!("{id:016x}")), ("X-Class", class), ("X-Key", format!("{id:x}"))]
-    {
-        if !headers.iter().any(|(given, _)| given.eq_ignore_ascii_case(name)) {
-            headers.push((name.into(), value));
+
+    /// Adds the headers of each request that the case does not give itself.
+    fn add_default_headers(&mut self, id: u64) {
+        let class = std::mem::take(&mut self.class);
+        for (name, value) in
+            [("X-Request-Id", format!("{id:016x}")), ("X-Class", class), ("X-Key", format!("{id:x}"))]
+        {
+            if !self.headers.iter().any(|(given, _)| given.eq_ignore_ascii_case(name)) {
+                self.headers.push((name.into(), value));
+            }
         }
     }
-    let body = match raw {
-        Some(raw) => raw.replace("$MODEL", model),
-        None if target.0 == "POST" => body.to_string(),
-        None => String::new(),
-    };
-    let mut text = format!("{} {} HTTP/1.1\r\n", target.0, target.1.replace("$MODEL", model));
-    for (name, value) in headers {
-        text += &format!("{name}: {value}\r\n");
+
+    fn into_bytes(self, model: &str) -> Vec<u8> {
+        let body = match self.raw {
+            Some(raw) => raw.replace("$MODEL", model),
+            None if self.method == "POST" => self.body.to_string(),
+            None => String::new(),
+        };
+        let mut text = format!("{} {} HTTP/1.1\r\n", self.method, self.path.replace("$MODEL", model));
+        for (name, value) in self.headers {
+            text += &format!("{name}: {value}\r\n");
+        }
+        format!("{text}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
     }
-    format!("{text}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+}
+
+/// A directive's JSON; null if it is none.
+fn parsed(json: &str) -> Value {
+    serde_json::from_str(json).unwrap_or_default()
 }
 
 /// Sends a request and reads its answer.
--- a/src/conformance/stand_in.rs
+++ b/src/conformance/stand_in.rs
@@ -176,6 +176,10 @@
     Some(())
 }
 
+/// The head of an answer that is a stream.
+const STREAM_HEAD: &[u8] =
+    b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+
 /// A case's script as it is played.
 struct ScriptedAnswer<'p> {
     shared: &'p Shared,
@@ -191,9 +195,7 @@
     fn says(&mut self, event: &str) -> Option<()> {
         let mut out = Vec::new();
         if !std::mem::replace(&mut self.begun, true) {
-            out.extend_from_slice(
-                b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
-            );
+            out.extend_from_slice(STREAM_HEAD);
         }
         let pieces = if self.split > 0 { self.split } else { event.len().max(1) };
         for piece in event.as_bytes().chunks(pieces) {
@@ -210,29 +212,14 @@
 
     /// Does what a line says; `None` ends the connection.
     fn does(&mut self, words: &Directive) -> Option<()> {
-        let messages = self.shared.dialect == Dialect::Messages;
         match words.word.as_str() {
-            "hello" => {
-                for text in ["\"Hel\"", "\"lo\""] {
-                    let event = self.writer.text(messages, text);
-                    self.says(&event)?;
-                }
-                self.end("done")
-            }
-            "begin" => {
-                let event = self.writer.begin(messages);
-                self.says(&event)
-            }
-            "text" => {
-                let event = self.writer.text(messages, &words.json(0));
+            "hello" => self.hello(),
+            "begin" | "text" | "call" | "args" | "stop" | "thinking" => {
+                let event = self.written_event(words);
                 self.says(&event)
             }
-            "call" => {
-                let event = self.writer.call(messages, words.number(0), &words.at(1), &words.at(2));
-                self.says(&event)
-            }
-            "args" => {
-                let event = self.writer.args(messages, words.number(0), &words.json(1));
+            "ping" | "unknown" | "error" | "raw" => {
+                let event = self.plain_event(words);
                 self.says(&event)
             }
             "usage" => {
@@ -240,37 +227,8 @@
                 Some(())
             }
             "end" => self.end(&words.at(0)),
-            // Its stop and its tokens are told, but not that it is over.
-            "stop" => {
-                let event = self.writer.stop(messages, &words.at(0));
-                self.says(&event)
-            }
             // The last chunk, without the dialect's last event before it.
             "last" => self.stream.write_all(b"0\r\n\r\n").ok(),
-            "ping" => self.says(if messages {
-                "event: ping\ndata: {\"type\":\"ping\"}\n\n"
-            } else {
-                ": ping\n\n"
-            }),
-            "unknown" => self.says(if messages {
-                "event: glimmer\ndata: {\"type\":\"glimmer\",\"shade\":3}\n\n"
-            } else {
-                "data: {\"type\":\"glimmer\",\"shade\":3}\n\n"
-            }),
-            "thinking" => {
-                let event = self.writer.thinking(messages, &words.json(0));
-                self.says(&event)
-            }
-            "error" => {
-                let error =
-                    json!({"type": "error", "error": {"type": words.at(0), "message": words.at(1)}});
-                self.says(&if messages {
-                    format!("event: error\ndata: {error}\n\n")
-                } else {
-                    format!("data: {}\n\n", json!({"error": error["error"]}))
-                })
-            }
-            "raw" => self.says(&words.at(0)),
             "split" => {
                 self.split = words.number(0) as usize;
                 Some(())
@@ -279,31 +237,9 @@
                 thread::sleep(Duration::from_millis(words.number(0)));
                 Some(())
             }
-            "head" => {
-                // The head, and no event.
-                self.begun = true;
-                let head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-                self.stream.write_all(head).ok()
-            }
-            "full" => {
-                let answer = if messages {
-                    "HTTP/1.1 529 Overloaded\r\nContent-Length: 0\r\n\r\n"
-                } else {
-                    "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-                };
-                self.stream.write_all(answer.as_bytes()).ok()
-            }
-            "status" => {
-                let error = json!({"type": "error", "error": {"type": "invalid_request_error",
-                    "message": words.at(1)}});
-                let body = error.to_string();
-                let answer = format!(
-                    "HTTP/1.1 {} No\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
-                    words.at(0),
-                    body.len()
-                );
-                self.stream.write_all(answer.as_bytes()).ok()
-            }
+            "head" => self.head(),
+            "full" => self.full(),
+            "status" => self.status(words),
             "reset" => {
                 let _ = SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
                 None
@@ -316,15 +252,96 @@
                 None
             }
             "drain" => {
-                let mut list = self.shared.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                list.0 += 1;
-                list.1[self.server]["state"] = "draining".into();
+                self.drain();
                 Some(())
             }
             _ => None,
         }
     }
 
+    /// A whole short answer.
+    fn hello(&mut self) -> Option<()> {
+        let messages = self.shared.dialect == Dialect::Messages;
+        for text in ["\"Hel\"", "\"lo\""] {
+            let event = self.writer.text(messages, text);
+            self.says(&event)?;
+        }
+        self.end("done")
+    }
+
+    /// An event that goes on from those before it.
+    fn written_event(&mut self, words: &Directive) -> String {
+        let messages = self.shared.dialect == Dialect::Messages;
+        match words.word.as_str() {
+            "begin" => self.writer.begin(messages),
+            "text" => self.writer.text(messages, &words.json(0)),
+            "call" => self.writer.call(messages, words.number(0), &words.at(1), &words.at(2)),
+            "args" => self.writer.args(messages, words.number(0), &words.json(1)),
+            "thinking" => self.writer.thinking(messages, &words.json(0)),
+            // "stop": its stop and its tokens are told, but not that it is over.
+            _ => self.writer.stop(messages, &words.at(0)),
+        }
+    }
+
+    /// An event that stands by itself.
+    fn plain_event(&self, words: &Directive) -> String {
+        let messages = self.shared.dialect == Dialect::Messages;
+        match words.word.as_str() {
+            "ping" if messages => "event: ping\ndata: {\"type\":\"ping\"}\n\n".to_owned(),
+            "ping" => ": ping\n\n".to_owned(),
+            "unknown" if messages => {
+                "event: glimmer\ndata: {\"type\":\"glimmer\",\"shade\":3}\n\n".to_owned()
+            }
+            "unknown" => "data: {\"type\":\"glimmer\",\"shade\":3}\n\n".to_owned(),
+            "error" => {
+                let error =
+                    json!({"type": "error", "error": {"type": words.at(0), "message": words.at(1)}});
+                if messages {
+                    format!("event: error\ndata: {error}\n\n")
+                } else {
+                    format!("data: {}\n\n", json!({"error": error["error"]}))
+                }
+            }
+            // "raw": the characters as they are.
+            _ => words.at(0),
+        }
+    }
+
+    /// The head, and no event.
+    fn head(&mut self) -> Option<()> {
+        self.begun = true;
+        self.stream.write_all(STREAM_HEAD).ok()
+    }
+
+    /// Turns the request away without having run it.
+    fn full(&mut self) -> Option<()> {
+        let answer = match self.shared.dialect {
+            Dialect::Messages => "HTTP/1.1 529 Overloaded\r\nContent-Length: 0\r\n\r\n",
+            Dialect::Platform => "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
+        };
+        self.stream.write_all(answer.as_bytes()).ok()
+    }
+
+    /// Answers with a status and an error.
+    fn status(&mut self, words: &Directive) -> Option<()> {
+        let error = json!({"type": "error", "error": {"type": "invalid_request_error",
+            "message": words.at(1)}});
+        let body = error.to_string();
+        let answer = format!(
+            "HTTP/1.1 {} No\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
+            words.at(0),
+            body.len()
+        );
+        self.stream.write_all(answer.as_bytes()).ok()
+    }
+
+    /// From now on discovery lists this server as draining.
+    fn drain(&self) {
+        let mut list = self.shared.list.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        list.0 += 1;
+        list.1[self.server]["state"] = "draining".into();
+    }
+
     fn end(&mut self, stop: &str) -> Option<()> {
         let messages = self.shared.dialect == Dialect::Messages;
         let event = self.writer.stop(messages, stop)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -20,8 +20,10 @@
 use crate::limits::{Limits, RestLimits};
 use crate::names::Dialect;
 
+/// The longest time-out of a stream.
 const HOUR: Duration = Duration::from_secs(3600);
 
+/// The longest span between events of the program's own.
 const DAY: Duration = Duration::from_secs(24 * 3600);
 
 /// All of the program's own settings.
