--- a/examples/operation_bench.rs
+++ b/examples/operation_bench.rs
@@ -190,38 +190,25 @@
     Ok(count)
 }
 
-fn main() -> Any<()> {
-    let folder = format!("{}/tulipridge-bench-{}", std::env::temp_dir().display(), std::process::id());
-    let server = server(Duration::from_secs(6))?;
-    let discovery = discovery(json!({"version": 2, "full": true, "servers": [entry(server)]}).to_string())?;
-    let listener = TcpListener::bind("127.0.0.1:0")?;
-    let mut old = Gateway::start(&listener, server, discovery, &folder)?;
-    old.measure("at rest")?;
-    let crowd: Vec<TcpStream> = (0..1500).map_while(|_| TcpStream::connect(old.front).ok()).collect();
-    old.measure("1,500 mute clients")?;
-    drop(crowd);
-    let holding = Arc::new(AtomicBool::new(true));
-    let flood = {
-        let (holding, mgmt) = (holding.clone(), old.mgmt);
-        thread::spawn(move || {
-            // Callers that say nothing or half a call and stay, 200 new ones a second, each for 4 s.
-            let mut held = std::collections::VecDeque::new();
-            while holding.load(Ordering::SeqCst) {
-                if let Ok(mut stream) = TcpStream::connect(mgmt) {
-                    let _ = stream.write_all(if held.len() % 2 == 0 { b"" } else { b"GET /rea" });
-                    held.push_back(stream);
-                }
-                if held.len() > 800 {
-                    held.pop_front();
-                }
-                thread::sleep(Duration::from_millis(5));
+/// Callers that say nothing or half a call and stay, 200 new ones a second, each for 4 s.
+fn flood_with_callers(mgmt: SocketAddr, holding: Arc<AtomicBool>) -> thread::JoinHandle<()> {
+    thread::spawn(move || {
+        let mut held = std::collections::VecDeque::new();
+        while holding.load(Ordering::SeqCst) {
+            if let Ok(mut stream) = TcpStream::connect(mgmt) {
+                let _ = stream.write_all(if held.len() % 2 == 0 { b"" } else { b"GET /rea" });
+                held.push_back(stream);
             }
-        })
-    };
-    old.measure("200 mute or half callers a second")?;
-    holding.store(false, Ordering::SeqCst);
-    flood.join().map_err(|_| "the flood failed")?;
+            if held.len() > 800 {
+                held.pop_front();
+            }
+            thread::sleep(Duration::from_millis(5));
+        }
+    })
+}
 
+/// Measures while 64 clients keep the gateway's one thread full.
+fn measure_hurried(old: &Gateway) -> Any<()> {
     let going = Arc::new(AtomicBool::new(true));
     let hurried: Vec<_> = (0..64)
         .map(|_| {
@@ -235,39 +222,65 @@
     going.store(false, Ordering::SeqCst);
     let asked: u64 = hurried.into_iter().filter_map(|thread| thread.join().ok()).sum();
     println!("  they were answered {:.0} times a second", asked as f64 / took.as_secs_f64());
+    Ok(())
+}
 
+/// Starts a gateway's successor and stops the gateway while so many streams of 6 s are open; returns the successor.
+fn replace_under_streams(
+    mut old: Gateway,
+    count: u64,
+    listener: &TcpListener,
+    server: SocketAddr,
+    discovery: SocketAddr,
+    folder: &str,
+) -> Any<Gateway> {
+    let front = old.front;
+    let ask = move |n| {
+        thread::spawn(move || {
+            let id = count * 1000 + n;
+            TcpStream::connect(front).map_or_else(|_| Default::default(), |mut s| exchange(&mut s, id, id))
+        })
+    };
+    let clients: Vec<_> = (0..count).map(ask).collect();
+    thread::sleep(Duration::from_secs(1));
+    let new = Gateway::start(listener, server, discovery, folder)?;
+    Command::new("kill").args(["-TERM", &old.child.id().to_string()]).status()?;
+    let from = Instant::now();
+    old.child.wait()?;
+    println!("{count} streams of 6 s, SIGTERM at 1 s: the old process ended after {:?}", from.elapsed());
+    let (mut whole, mut gaps) = (0, Histogram::<u64>::new_with_max(60_000_000, 3)?);
+    for client in clients {
+        let (answer, gap) = client.join().map_err(|_| "a client failed")?;
+        whole += usize::from(is_whole(&answer));
+        gaps.saturating_record(gap.as_micros() as u64);
+    }
+    let of = |q| gaps.value_at_quantile(q) as f64 / 1000.0;
+    println!(
+        "  whole: {whole} of {count}; the longest gap of each, where 50 ms were sent: p50 {:.1} ms, longest {:.1} ms",
+        of(0.5),
+        of(1.0)
+    );
+    Ok(new)
+}
+
+fn main() -> Any<()> {
+    let folder = format!("{}/tulipridge-bench-{}", std::env::temp_dir().display(), std::process::id());
+    let server = server(Duration::from_secs(6))?;
+    let discovery = discovery(json!({"version": 2, "full": true, "servers": [entry(server)]}).to_string())?;
+    let listener = TcpListener::bind("127.0.0.1:0")?;
+    let mut old = Gateway::start(&listener, server, discovery, &folder)?;
+    old.measure("at rest")?;
+    let crowd: Vec<TcpStream> = (0..1500).map_while(|_| TcpStream::connect(old.front).ok()).collect();
+    old.measure("1,500 mute clients")?;
+    drop(crowd);
+    let holding = Arc::new(AtomicBool::new(true));
+    let flood = flood_with_callers(old.mgmt, holding.clone());
+    old.measure("200 mute or half callers a second")?;
+    holding.store(false, Ordering::SeqCst);
+    flood.join().map_err(|_| "the flood failed")?;
+    measure_hurried(&old)?;
     for count in [10_u64, 100, 500] {
-        let front = old.front;
-        let ask = move |n| {
-            thread::spawn(move || {
-                let id = count * 1000 + n;
-                TcpStream::connect(front)
-                    .map_or_else(|_| Default::default(), |mut s| exchange(&mut s, id, id))
-            })
-        };
-        let clients: Vec<_> = (0..count).map(ask).collect();
-        thread::sleep(Duration::from_secs(1));
-        let new = Gateway::start(&listener, server, discovery, &folder)?;
-        Command::new("kill").args(["-TERM", &old.child.id().to_string()]).status()?;
-        let from = Instant::now();
-        old.child.wait()?;
-        println!(
-            "{count} streams of 6 s, SIGTERM at 1 s: the old process ended after {:?}",
-            from.elapsed()
-        );
-        let (mut whole, mut gaps) = (0, Histogram::<u64>::new_with_max(60_000_000, 3)?);
-        for client in clients {
-            let (answer, gap) = client.join().map_err(|_| "a client failed")?;
-            whole += usize::from(is_whole(&answer));
-            gaps.saturating_record(gap.as_micros() as u64);
-        }
-        let of = |q| gaps.value_at_quantile(q) as f64 / 1000.0;
-        println!(
-            "  whole: {whole} of {count}; the longest gap of each, where 50 ms were sent: p50 {:.1} ms, longest {:.1} ms",
-            of(0.5),
-            of(1.0)
-        );
-        old = new;
+        old = replace_under_streams(old, count, &listener, server, discovery, &folder)?;
     }
     old.child.kill()?;
     old.child.wait()?;
--- a/examples/stream_bench.rs
+++ b/examples/stream_bench.rs
@@ -93,6 +93,30 @@
     addr
 }
 
+/// Sends so many events of that size, one each millisecond, then the end.
+fn send_paced(stream: &mut TcpStream, size: usize, count: usize) -> Option<()> {
+    let event = chunk(&event(size));
+    for _ in 0..count {
+        stream.write_all(event.as_bytes()).ok()?;
+        thread::sleep(Duration::from_millis(1));
+    }
+    let end = chunk("data: [DONE]\n\n") + "0\r\n\r\n";
+    stream.write_all(end.as_bytes()).ok()
+}
+
+/// Sends so many events of that size, then the end.
+fn send_in_lots(stream: &mut TcpStream, size: usize, count: usize) -> Option<()> {
+    let event = chunk(&event(size));
+    // As a server that has much to say writes: 64 KiB at a time.
+    let lot = (64 << 10) / event.len().max(1) + 1;
+    let many = event.repeat(lot);
+    for _ in 0..count / lot {
+        stream.write_all(many.as_bytes()).ok()?;
+    }
+    let end = chunk("data: [DONE]\n\n") + "0\r\n\r\n";
+    stream.write_all(end.as_bytes()).ok()
+}
+
 fn play(mut stream: TcpStream, closed: &Sender<Instant>, written: &AtomicU64) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut reader = BufReader::new(stream.try_clone().ok()?);
@@ -105,28 +129,12 @@
         let told = match kind {
             // So many events of that size, one each millisecond, then the end.
             "paced" => {
-                let (size, count) = (number(), number());
-                let event = chunk(&event(size));
-                for _ in 0..count {
-                    stream.write_all(event.as_bytes()).ok()?;
-                    thread::sleep(Duration::from_millis(1));
-                }
-                let end = chunk("data: [DONE]\n\n") + "0\r\n\r\n";
-                stream.write_all(end.as_bytes()).ok()?;
+                send_paced(&mut stream, number(), number())?;
                 continue;
             }
             // So many events of that size, then the end.
             "send" => {
-                let (size, count) = (number(), number());
-                let event = chunk(&event(size));
-                // As a server that has much to say writes: 64 KiB at a time.
-                let lot = (64 << 10) / event.len().max(1) + 1;
-                let many = event.repeat(lot);
-                for _ in 0..count / lot {
-                    stream.write_all(many.as_bytes()).ok()?;
-                }
-                let end = chunk("data: [DONE]\n\n") + "0\r\n\r\n";
-                stream.write_all(end.as_bytes()).ok()?;
+                send_in_lots(&mut stream, number(), number())?;
                 continue;
             }
             "flood" | "floodhidden" => {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -304,20 +304,42 @@
     }
 
     fn play(mut self) -> Found {
-        let case = self.case.clone();
+        let cumulative_weights = self.cumulative_weights();
+        // Some traffic before, so that gateways know the load.
+        self.now = BEGIN - 3 * SECOND;
+        self.start_gateways();
+        let end = BEGIN + self.case.ramp;
+        self.schedule_arrivals(end);
+        while let Some(Reverse((at, n))) = self.queue.pop() {
+            if at >= end {
+                break;
+            }
+            self.now = at;
+            let what = self.whats.remove(&n).expect("it was put in");
+            self.perform(what, &cumulative_weights);
+        }
+        self.found
+    }
+
+    /// For each gateway the part of all requests that comes to it or to one before it.
+    fn cumulative_weights(&self) -> Vec<f64> {
+        let case = &self.case;
         let weights: Vec<f64> = (0..case.group)
             .map(|n| (1.0 - unit(case.seed ^ 77, u64::from(n))).powf(-case.skew / 2.0).min(12.0))
             .collect();
         let all: f64 = weights.iter().sum();
-        let sum: Vec<f64> = weights
+        weights
             .iter()
             .scan(0.0, |sum, w| {
                 *sum += w / all;
                 Some(*sum)
             })
-            .collect();
-        // Some traffic before, so that gateways know the load.
-        self.now = BEGIN - 3 * SECOND;
+            .collect()
+    }
+
+    /// Starts each gateway, and puts in when it hears of the cold server and when it restarts.
+    fn start_gateways(&mut self) {
+        let case = self.case.clone();
         for me in 0..case.group as usize {
             let process = self.process(me, false);
             self.current.push(process);
@@ -330,7 +352,11 @@
                 self.at(when, What::Restart(me));
             }
         }
-        let end = BEGIN + case.ramp;
+    }
+
+    /// Puts in when requests arrive: at random times, and some of them together.
+    fn schedule_arrivals(&mut self, end: Nanos) {
+        let case = self.case.clone();
         let mut at = self.now as f64;
         let mut n = 0;
         loop {
@@ -347,75 +373,67 @@
             let at = moment + (self.chance() * 0.2 * SECOND as f64) as Nanos;
             self.at(at, What::Arrive(n));
         }
-        while let Some(Reverse((at, n))) = self.queue.pop() {
-            if at >= end {
-                break;
+    }
+
+    fn perform(&mut self, what: What, cumulative_weights: &[f64]) {
+        match what {
+            What::List { process, cold } => {
+                let members = self.list(cold).into();
+                self.tell(process, Event::List { kind: ListKind::Complete, members });
             }
-            self.now = at;
-            match self.whats.remove(&n).expect("it was put in") {
-                What::List { process, cold } => {
-                    let members = self.list(cold).into();
-                    self.tell(process, Event::List { kind: ListKind::Complete, members });
-                }
-                What::Restart(me) => {
-                    let told = self.now - BEGIN >= case.late || self.chance() < 0.5;
-                    self.before[me] = (self.current[me], self.now + OVERLAP);
-                    self.current[me] = self.process(me, told);
-                    if !told {
-                        let process = self.current[me];
-                        self.at(self.now + OVERLAP, What::List { process, cold: true });
-                    }
-                }
-                What::Arrive(n) => {
-                    let at = self.chance();
-                    let me = sum.partition_point(|s| *s < at).min(case.group as usize - 1);
-                    // Some come to the old process for as long as both take connections.
-                    let (old, until) = self.before[me];
-                    let to_old = self.now < until && self.chance() < 0.5;
-                    let process = if to_old { old } else { self.current[me] };
-                    let prompt = if case.varied { (6000.0 * self.chance()) as u32 } else { 1000 };
-                    let (id, cost) = (RequestId(n), f64::from(prompt) + ANSWER);
-                    self.costs.insert(id, (prompt, cost));
-                    let prefix = if case.one_beginning { 1 } else { 1 + (self.chance() * 40.0) as u64 };
-                    let session = Some((self.chance() * 1000.0) as u64);
-                    let request = Request {
-                        id,
-                        expires_in: 5 * SECOND,
-                        class: ClassIndex(0),
-                        tenant: Some(TenantIndex(0)),
-                        prefix: Some(prefix),
-                        session,
-                        prompt_tokens: prompt,
-                        prefix_tokens: prompt / 2,
-                        max_output_tokens: 100,
-                        is_retry: false,
-                    };
-                    self.tell(process, Event::Request(request));
-                }
-                What::Timer { process, token } => self.tell(process, Event::Timer(token)),
-                What::First { process, id, attempt } => {
-                    self.tell(process, Event::FirstToken { id, attempt, elapsed: MILLI });
-                }
-                What::Over { process, id, attempt, verdict } => {
-                    let ended = verdict == Verdict::Ok;
-                    let kept = Some(self.costs[&id].0 / 2);
-                    let (elapsed, report) = (10 * MILLI, vec![]);
-                    self.tell(
-                        process,
-                        Event::Outcome {
-                            id,
-                            attempt,
-                            verdict,
-                            ended,
-                            elapsed,
-                            cached_tokens: kept,
-                            report,
-                        },
-                    );
-                }
+            What::Restart(me) => self.restart(me),
+            What::Arrive(n) => self.arrive(n, cumulative_weights),
+            What::Timer { process, token } => self.tell(process, Event::Timer(token)),
+            What::First { process, id, attempt } => {
+                self.tell(process, Event::FirstToken { id, attempt, elapsed: MILLI });
+            }
+            What::Over { process, id, attempt, verdict } => {
+                let ended = verdict == Verdict::Ok;
+                let kept = Some(self.costs[&id].0 / 2);
+                let (elapsed, report) = (10 * MILLI, vec![]);
+                self.tell(
+                    process,
+                    Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens: kept, report },
+                );
             }
         }
-        self.found
+    }
+
+    fn restart(&mut self, me: usize) {
+        let told = self.now - BEGIN >= self.case.late || self.chance() < 0.5;
+        self.before[me] = (self.current[me], self.now + OVERLAP);
+        self.current[me] = self.process(me, told);
+        if !told {
+            let process = self.current[me];
+            self.at(self.now + OVERLAP, What::List { process, cold: true });
+        }
+    }
+
+    fn arrive(&mut self, n: u64, cumulative_weights: &[f64]) {
+        let at = self.chance();
+        let me = cumulative_weights.partition_point(|s| *s < at).min(self.case.group as usize - 1);
+        // Some come to the old process for as long as both take connections.
+        let (old, until) = self.before[me];
+        let to_old = self.now < until && self.chance() < 0.5;
+        let process = if to_old { old } else { self.current[me] };
+        let prompt = if self.case.varied { (6000.0 * self.chance()) as u32 } else { 1000 };
+        let (id, cost) = (RequestId(n), f64::from(prompt) + ANSWER);
+        self.costs.insert(id, (prompt, cost));
+        let prefix = if self.case.one_beginning { 1 } else { 1 + (self.chance() * 40.0) as u64 };
+        let session = Some((self.chance() * 1000.0) as u64);
+        let request = Request {
+            id,
+            expires_in: 5 * SECOND,
+            class: ClassIndex(0),
+            tenant: Some(TenantIndex(0)),
+            prefix: Some(prefix),
+            session,
+            prompt_tokens: prompt,
+            prefix_tokens: prompt / 2,
+            max_output_tokens: 100,
+            is_retry: false,
+        };
+        self.tell(process, Event::Request(request));
     }
 }
 
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -34,6 +34,33 @@
     }
 }
 
+/// What is left is within its limit, and a bucket is full when it says so.
+fn check_standings(quota: &mut Quota, now: u64) {
+    for tenant in 0..3 {
+        for standing in quota.standing(now, tenant) {
+            assert!(standing.remaining <= standing.limit);
+            assert!(standing.full_at >= now);
+            let mut later = quota.clone();
+            let full = later.standing(standing.full_at + 1000, tenant);
+            let then = full.iter().find(|s| s.kind == standing.kind).expect("the same");
+            assert_eq!(then.remaining, then.limit, "it is full when it says so");
+        }
+    }
+}
+
+/// Requests taken, and when, keep to a minute's burst and the rate.
+fn check_stretches(taken: &[(u64, i64)]) {
+    // In any stretch no more requests than a minute's worth and what the stretch brought.
+    for (n, (from, _)) in taken.iter().enumerate() {
+        let mut sum = 0;
+        for (to, count) in &taken[n..] {
+            sum += count;
+            let most = 6.0 + 6.0 * (to - from) as f64 / (60 * SECOND) as f64;
+            assert!(sum as f64 <= most + 0.001, "{sum} of {most}");
+        }
+    }
+}
+
 #[test]
 fn no_window_lets_in_more_than_a_burst_and_its_minutes_share_and_waits_are_honest() {
     fn holds(steps: Vec<Step>) -> bool {
@@ -80,26 +107,9 @@
                 Step::End(_) => {}
             }
             latest = latest.max(now);
-            for tenant in 0..3 {
-                for standing in quota.standing(now, tenant) {
-                    assert!(standing.remaining <= standing.limit);
-                    assert!(standing.full_at >= now);
-                    let mut later = quota.clone();
-                    let full = later.standing(standing.full_at + 1000, tenant);
-                    let then = full.iter().find(|s| s.kind == standing.kind).expect("the same");
-                    assert_eq!(then.remaining, then.limit, "it is full when it says so");
-                }
-            }
-        }
-        // In any stretch no more requests than a minute's worth and what the stretch brought.
-        for (n, (from, _)) in taken.iter().enumerate() {
-            let mut sum = 0;
-            for (to, count) in &taken[n..] {
-                sum += count;
-                let most = 6.0 + 6.0 * (to - from) as f64 / (60 * SECOND) as f64;
-                assert!(sum as f64 <= most + 0.001, "{sum} of {most}");
-            }
+            check_standings(&mut quota, now);
         }
+        check_stretches(&taken);
         true
     }
     let test = holds as fn(Vec<Step>) -> bool;
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -207,75 +207,89 @@
     }
 }
 
-#[test]
-fn a_request_follows_its_model_whatever_happens() {
-    fn follows(moves: Vec<Move>, safe: bool) -> bool {
-        let effect = if safe { Effect::Safe } else { Effect::Unsafe };
-        let (engine, _orders) = Engine::new(settings(effect), 1, &limits()).expect("good settings");
-        let member = |n: u64| Member {
-            id: ReplicaId::from(format!("s-{n}").as_str()),
-            units: 1.0,
-            zone: 0,
-            kind: 0,
-            cell: 0,
-            phase: Phase::Ready,
-            started: None,
-        };
-        engine.list(ListKind::Persisted, (0..4).map(member).collect());
-        let seen = Rc::new(Seen::default());
-        let (stay, staying) = async_channel::bounded(1);
-        let ex = LocalExecutor::new();
-        let (client, servers) = (FakeClient(seen.clone(), Box::pin(staying)), FakeServers(seen.clone()));
-        let core = engine.clone();
-        let life = ex.spawn(async move {
-            let ask = Ask {
-                id: None,
-                expires_in: 90_000_000_000,
-                class: 0,
-                tenant: None,
-                prefix: None,
-                session: Some(5),
-                tokens: (100, 0, 10),
-                repeat: false,
-            };
-            engine::serve(&core, &ask, &servers, client, &NoSuccessor).await;
-        });
-        let settle = || while ex.try_tick() {};
-        settle();
-        let mut model = Model { events: 0, schedulings: 1, told: None, over: false };
-        for step in moves {
-            let last = seen.out.borrow().last().cloned().expect("a first scheduling");
-            match step {
-                Move::Event => {
-                    drop(last.try_send(Step::Events((), Arrival { events: 1, ..Arrival::default() })));
-                }
-                Move::End(verdict) => drop(last.try_send(Step::Ended(Ending::from(verdict)))),
-                Move::Reject => drop(last.try_send(Step::Rejected(400, String::new()))),
-                Move::Leave => drop(stay.close()),
-                Move::EndAndLeave(verdict) => {
-                    let _ = last.try_send(Step::Ended(Ending::from(verdict)));
-                    stay.close();
-                }
-            }
-            settle();
-            model.take(step, safe);
-            let told = seen.finals.borrow();
-            assert!(told.len() <= 1, "two final answers: {told:?}");
-            let is = Model {
-                events: seen.events.get(),
-                schedulings: seen.out.borrow().len(),
-                told: told.first().copied(),
-                over: life.is_finished(),
-            };
-            assert_eq!(is, model, "after {step:?}");
-            // What is over holds nothing: no request in the engine, no scheduling's connection.
-            assert_eq!(engine.held(), usize::from(!model.over));
-            let open = seen.out.borrow().iter().filter(|s| !s.is_closed()).count();
-            assert_eq!(open, usize::from(!model.over));
+/// A real server that is ready.
+fn member(n: u64) -> Member {
+    Member {
+        id: ReplicaId::from(format!("s-{n}").as_str()),
+        units: 1.0,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        phase: Phase::Ready,
+        started: None,
+    }
+}
+
+fn sample_ask() -> Ask {
+    Ask {
+        id: None,
+        expires_in: 90_000_000_000,
+        class: 0,
+        tenant: None,
+        prefix: None,
+        session: Some(5),
+        tokens: (100, 0, 10),
+        repeat: false,
+    }
+}
+
+/// Lets a step happen: at the latest scheduling, or at the client, which stays until `stay` is closed.
+fn deliver(step: Move, last: &Sender<Step<()>>, stay: &Sender<()>) {
+    match step {
+        Move::Event => {
+            drop(last.try_send(Step::Events((), Arrival { events: 1, ..Arrival::default() })));
+        }
+        Move::End(verdict) => drop(last.try_send(Step::Ended(Ending::from(verdict)))),
+        Move::Reject => drop(last.try_send(Step::Rejected(400, String::new()))),
+        Move::Leave => drop(stay.close()),
+        Move::EndAndLeave(verdict) => {
+            let _ = last.try_send(Step::Ended(Ending::from(verdict)));
+            stay.close();
         }
-        true
     }
-    check(11).quickcheck(follows as fn(Vec<Move>, bool) -> bool);
+}
+
+fn follows_its_model(moves: Vec<Move>, safe: bool) -> bool {
+    let effect = if safe { Effect::Safe } else { Effect::Unsafe };
+    let (engine, _orders) = Engine::new(settings(effect), 1, &limits()).expect("good settings");
+    engine.list(ListKind::Persisted, (0..4).map(member).collect());
+    let seen = Rc::new(Seen::default());
+    let (stay, staying) = async_channel::bounded(1);
+    let ex = LocalExecutor::new();
+    let (client, servers) = (FakeClient(seen.clone(), Box::pin(staying)), FakeServers(seen.clone()));
+    let core = engine.clone();
+    let life = ex.spawn(async move {
+        let ask = sample_ask();
+        engine::serve(&core, &ask, &servers, client, &NoSuccessor).await;
+    });
+    let settle = || while ex.try_tick() {};
+    settle();
+    let mut model = Model { events: 0, schedulings: 1, told: None, over: false };
+    for step in moves {
+        let last = seen.out.borrow().last().cloned().expect("a first scheduling");
+        deliver(step, &last, &stay);
+        settle();
+        model.take(step, safe);
+        let told = seen.finals.borrow();
+        assert!(told.len() <= 1, "two final answers: {told:?}");
+        let is = Model {
+            events: seen.events.get(),
+            schedulings: seen.out.borrow().len(),
+            told: told.first().copied(),
+            over: life.is_finished(),
+        };
+        assert_eq!(is, model, "after {step:?}");
+        // What is over holds nothing: no request in the engine, no scheduling's connection.
+        assert_eq!(engine.held(), usize::from(!model.over));
+        let open = seen.out.borrow().iter().filter(|s| !s.is_closed()).count();
+        assert_eq!(open, usize::from(!model.over));
+    }
+    true
+}
+
+#[test]
+fn a_request_follows_its_model_whatever_happens() {
+    check(11).quickcheck(follows_its_model as fn(Vec<Move>, bool) -> bool);
 }
 
 #[test]
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -78,140 +78,167 @@
     allowed: usize,
 }
 
-#[test]
-fn a_stream_has_one_outcome_holds_no_more_than_its_window_and_times_only_whom_it_waits_for() {
-    fn follows(moves: Vec<Move>) -> bool {
-        let limits = limits();
-        let mut model = Model { now: 1_000 * MS, allowed: usize::MAX, ..Model::default() };
-        let mut relay = Relay::new(model.now, 5 * MS, &limits);
-        for step in moves {
-            let before = relay.reads();
-            match step {
-                Move::Come(bytes, whole) if before => {
-                    let bytes = usize::from(bytes);
-                    // All that lies at the server's side becomes whole with the next whole event.
-                    let queued = if whole { model.inward + bytes } else { 0 };
-                    model.inward = if whole { 0 } else { model.inward + bytes };
-                    relay.queued(model.now, queued);
-                    relay.arrived(model.now, bytes, u64::from(whole), model.inward, !whole, false);
-                    if queued > 0 && model.waiting == 0 {
-                        model.span = Some((model.now, 0));
-                    }
-                    model.waiting += queued;
-                    (model.came, model.amid, model.silent) = (model.came + bytes as u64, !whole, 0);
-                }
-                Move::Take(bytes) if model.waiting > 0 => {
-                    let bytes = usize::from(bytes).clamp(1, model.waiting);
-                    relay.took(model.now, bytes);
-                    model.waiting -= bytes;
-                    model.span = match model.span {
-                        Some((from, taken)) if model.waiting > 0 => Some((from, taken + bytes)),
-                        _ => None,
-                    };
-                }
-                Move::Wait(ms) => {
-                    model.now += Nanos::from(ms) * MS;
-                    if before {
-                        model.silent += Nanos::from(ms) * MS;
-                    }
-                }
-                Move::Allow(bytes) => {
-                    model.allowed = usize::from(bytes);
-                    relay.allow(model.now, model.allowed);
+impl Model {
+    /// Does one step with the relay, and with the model of it.
+    fn apply(&mut self, relay: &mut Relay, step: Move, limits: &StreamLimits) {
+        let before = relay.reads();
+        match step {
+            Move::Come(bytes, whole) if before => {
+                let bytes = usize::from(bytes);
+                // All that lies at the server's side becomes whole with the next whole event.
+                let queued = if whole { self.inward + bytes } else { 0 };
+                self.inward = if whole { 0 } else { self.inward + bytes };
+                relay.queued(self.now, queued);
+                relay.arrived(self.now, bytes, u64::from(whole), self.inward, !whole, false);
+                if queued > 0 && self.waiting == 0 {
+                    self.span = Some((self.now, 0));
                 }
-                Move::End(end) if model.server_end.is_none() => {
-                    relay.server_ended(model.now, end);
-                    model.server_end = Some((end, model.now));
-                    model.inward = 0;
-                }
-                Move::Stop(ms) => {
-                    let at = model.now + Nanos::from(ms) * MS;
-                    relay.stop_at(at);
-                    if model.stop_at.is_none_or(|was| at < was) {
-                        model.stop_at = Some(at);
-                        model.offer_at = Some(at.saturating_sub(nanos(limits.offer_before)));
-                    }
-                }
-                Move::Leave => relay.left(model.now, Leaving::Ended),
-                Move::Cancel => relay.cancel(model.now),
-                Move::Evict => relay.evict(model.now),
-                _ => {}
+                self.waiting += queued;
+                (self.came, self.amid, self.silent) = (self.came + bytes as u64, !whole, 0);
             }
-            let action = relay.poll(model.now);
-            let over = |at: Option<Nanos>| at.is_some_and(|at| model.now >= at);
-            let late_reader = model.span.is_some_and(|(from, taken)| {
-                model.now >= from + nanos(limits.reader_span) && taken < limits.reader_floor
-            });
-            let stalled = model.server_end.is_none()
-                && model.silent >= nanos(if model.amid { limits.stall } else { limits.silence });
-            let expected = match step {
-                Move::Leave => Some(Cause::ClientLeft),
-                Move::Cancel => Some(Cause::Cancelled),
-                Move::Evict if model.waiting > 0 => Some(Cause::Budget),
-                _ => match model.server_end {
-                    Some((end, _)) if model.waiting == 0 => Some(end.cause()),
-                    Some((end, at)) if end != End::Whole && over(Some(at + nanos(limits.linger))) => {
-                        Some(end.cause())
-                    }
-                    _ if stalled => Some(Cause::Stalled),
-                    _ if late_reader => Some(Cause::ReaderSlow),
-                    _ if over(model.stop_at) => Some(Cause::Shutdown),
+            Move::Take(bytes) if self.waiting > 0 => {
+                let bytes = usize::from(bytes).clamp(1, self.waiting);
+                relay.took(self.now, bytes);
+                self.waiting -= bytes;
+                self.span = match self.span {
+                    Some((from, taken)) if self.waiting > 0 => Some((from, taken + bytes)),
                     _ => None,
-                },
-            };
-            let is = relay.outcome().map(|o| o.cause);
-            assert_eq!(is, expected, "after {step:?}");
-            // It is offered for as long as its real server has more to say, and again a little later.
-            let offered = is.is_none() && model.server_end.is_none() && over(model.offer_at);
-            assert_eq!(action == RelayAction::Offer, offered);
-            assert_eq!(action == RelayAction::Wait, is.is_none() && !offered);
-            assert_eq!(action == RelayAction::Finish, is == Some(Cause::Whole));
-            if offered && model.came.is_multiple_of(3) {
-                relay.handed_over(model.now);
-                assert_eq!(relay.outcome().map(|o| o.cause), Some(Cause::HandedOver));
-                assert_eq!(
-                    relay.poll(model.now + MS),
-                    RelayAction::Cut,
-                    "nothing more is done for it here"
-                );
-                return true;
+                };
+            }
+            Move::Wait(ms) => {
+                self.now += Nanos::from(ms) * MS;
+                if before {
+                    self.silent += Nanos::from(ms) * MS;
+                }
             }
-            if offered {
-                relay.refused(model.now);
-                model.offer_at = Some(model.now + nanos(limits.offer_again));
-                assert_eq!(relay.poll(model.now), RelayAction::Wait);
+            Move::Allow(bytes) => {
+                self.allowed = usize::from(bytes);
+                relay.allow(self.now, self.allowed);
             }
-            if let Some(outcome) = relay.outcome() {
-                assert_eq!(outcome.bytes, model.came);
-                assert_eq!(relay.phase(), Phase::Ended);
-                assert!(!relay.reads() && relay.due().is_none());
-                // Whatever comes after the end changes nothing of it.
-                relay.arrived(model.now, 7, 1, 0, false, false);
-                relay.queued(model.now, 9);
-                relay.server_ended(model.now, End::Broke);
-                relay.left(model.now + MS, Leaving::Reset);
-                relay.cancel(model.now + MS);
-                assert_eq!(relay.outcome(), Some(outcome));
-                return true;
+            Move::End(end) if self.server_end.is_none() => {
+                relay.server_ended(self.now, end);
+                self.server_end = Some((end, self.now));
+                self.inward = 0;
             }
-            // A span that ended well begins anew.
-            if model.span.is_some_and(|(from, _)| model.now >= from + nanos(limits.reader_span)) {
-                model.span = Some((model.now, 0));
+            Move::Stop(ms) => {
+                let at = self.now + Nanos::from(ms) * MS;
+                relay.stop_at(at);
+                if self.stop_at.is_none_or(|was| at < was) {
+                    self.stop_at = Some(at);
+                    self.offer_at = Some(at.saturating_sub(nanos(limits.offer_before)));
+                }
             }
-            assert_eq!(relay.held(), model.waiting + model.inward);
-            assert!(
-                model.waiting == 0 || !relay.reads() || relay.held() < limits.high.min(model.allowed),
-                "read while {} bytes are held of {}",
-                relay.held(),
-                model.allowed
-            );
-            // Somebody is waited for, or nothing would ever happen again.
-            assert!(relay.due().is_some_and(|due| due > model.now));
-            assert!(relay.reads() || model.waiting > 0);
+            Move::Leave => relay.left(self.now, Leaving::Ended),
+            Move::Cancel => relay.cancel(self.now),
+            Move::Evict => relay.evict(self.now),
+            _ => {}
         }
-        true
     }
-    check(31).quickcheck(follows as fn(Vec<Move>) -> bool);
+
+    fn is_over(&self, at: Option<Nanos>) -> bool {
+        at.is_some_and(|at| self.now >= at)
+    }
+
+    /// Why the stream ends with this step, if it does.
+    fn expected_cause(&self, step: Move, limits: &StreamLimits) -> Option<Cause> {
+        let late_reader = self.span.is_some_and(|(from, taken)| {
+            self.now >= from + nanos(limits.reader_span) && taken < limits.reader_floor
+        });
+        let stalled = self.server_end.is_none()
+            && self.silent >= nanos(if self.amid { limits.stall } else { limits.silence });
+        match step {
+            Move::Leave => Some(Cause::ClientLeft),
+            Move::Cancel => Some(Cause::Cancelled),
+            Move::Evict if self.waiting > 0 => Some(Cause::Budget),
+            _ => match self.server_end {
+                Some((end, _)) if self.waiting == 0 => Some(end.cause()),
+                Some((end, at)) if end != End::Whole && self.is_over(Some(at + nanos(limits.linger))) => {
+                    Some(end.cause())
+                }
+                _ if stalled => Some(Cause::Stalled),
+                _ if late_reader => Some(Cause::ReaderSlow),
+                _ if self.is_over(self.stop_at) => Some(Cause::Shutdown),
+                _ => None,
+            },
+        }
+    }
+
+    /// What holds of a stream that goes on.
+    fn check_open(&self, relay: &Relay, limits: &StreamLimits) {
+        assert_eq!(relay.held(), self.waiting + self.inward);
+        assert!(
+            self.waiting == 0 || !relay.reads() || relay.held() < limits.high.min(self.allowed),
+            "read while {} bytes are held of {}",
+            relay.held(),
+            self.allowed
+        );
+        // Somebody is waited for, or nothing would ever happen again.
+        assert!(relay.due().is_some_and(|due| due > self.now));
+        assert!(relay.reads() || self.waiting > 0);
+    }
+}
+
+/// A stream that was handed over is done with here.
+fn check_handed_over(relay: &mut Relay, now: Nanos) {
+    relay.handed_over(now);
+    assert_eq!(relay.outcome().map(|o| o.cause), Some(Cause::HandedOver));
+    assert_eq!(relay.poll(now + MS), RelayAction::Cut, "nothing more is done for it here");
+}
+
+/// Whatever comes after the end changes nothing of it.
+fn check_ended(relay: &mut Relay, outcome: Outcome, model: &Model) {
+    assert_eq!(outcome.bytes, model.came);
+    assert_eq!(relay.phase(), Phase::Ended);
+    assert!(!relay.reads() && relay.due().is_none());
+    // Whatever comes after the end changes nothing of it.
+    relay.arrived(model.now, 7, 1, 0, false, false);
+    relay.queued(model.now, 9);
+    relay.server_ended(model.now, End::Broke);
+    relay.left(model.now + MS, Leaving::Reset);
+    relay.cancel(model.now + MS);
+    assert_eq!(relay.outcome(), Some(outcome));
+}
+
+fn follows_its_model(moves: Vec<Move>) -> bool {
+    let limits = limits();
+    let mut model = Model { now: 1_000 * MS, allowed: usize::MAX, ..Model::default() };
+    let mut relay = Relay::new(model.now, 5 * MS, &limits);
+    for step in moves {
+        model.apply(&mut relay, step, &limits);
+        let action = relay.poll(model.now);
+        let expected = model.expected_cause(step, &limits);
+        let is = relay.outcome().map(|o| o.cause);
+        assert_eq!(is, expected, "after {step:?}");
+        // It is offered for as long as its real server has more to say, and again a little later.
+        let offered = is.is_none() && model.server_end.is_none() && model.is_over(model.offer_at);
+        assert_eq!(action == RelayAction::Offer, offered);
+        assert_eq!(action == RelayAction::Wait, is.is_none() && !offered);
+        assert_eq!(action == RelayAction::Finish, is == Some(Cause::Whole));
+        if offered && model.came.is_multiple_of(3) {
+            check_handed_over(&mut relay, model.now);
+            return true;
+        }
+        if offered {
+            relay.refused(model.now);
+            model.offer_at = Some(model.now + nanos(limits.offer_again));
+            assert_eq!(relay.poll(model.now), RelayAction::Wait);
+        }
+        if let Some(outcome) = relay.outcome() {
+            check_ended(&mut relay, outcome, &model);
+            return true;
+        }
+        // A span that ended well begins anew.
+        if model.span.is_some_and(|(from, _)| model.now >= from + nanos(limits.reader_span)) {
+            model.span = Some((model.now, 0));
+        }
+        model.check_open(&relay, &limits);
+    }
+    true
+}
+
+#[test]
+fn a_stream_has_one_outcome_holds_no_more_than_its_window_and_times_only_whom_it_waits_for() {
+    check(31).quickcheck(follows_its_model as fn(Vec<Move>) -> bool);
 }
 
 #[test]
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -191,6 +191,43 @@
     Server { addr, requests, bodies, left }
 }
 
+/// What a stand-in real server writes in that manner.
+fn scripted_answer(manner: Manner, dialect: &str) -> String {
+    let begin = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let hello = opening(dialect) + &text(dialect, "Hel");
+    match (manner, dialect) {
+        (Manner::Full, "messages") => "HTTP/1.1 529 Overloaded\r\nContent-Length: 0\r\n\r\n".to_owned(),
+        (Manner::Full, _) => "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
+        (Manner::Error, _) => "HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno".to_owned(),
+        (Manner::ErrorEvent, _) => begin.to_owned() + &chunk(&error_event(dialect)) + "0\r\n\r\n",
+        (Manner::LateErrorEvent, _) => {
+            begin.to_owned() + &chunk(&(hello + &error_event(dialect))) + "0\r\n\r\n"
+        }
+        (Manner::Break | Manner::Stop, _) => begin.to_owned() + &chunk(&hello),
+        (Manner::Reset | Manner::Silence, _) => String::new(),
+        (Manner::Reject, _) => "HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno".to_owned(),
+        (Manner::Noise, _) => "\u{1}noise".to_owned(),
+        (Manner::HalfHead, _) => begin.replace("\r\n\r\n", "\r\nX-Mo"),
+        (Manner::HalfChunk, _) => begin.to_owned() + &chunk(&hello) + "ffff\r\ndata: a\n\n",
+        (Manner::HugeChunk, _) => begin.to_owned() + &chunk(&hello) + "b2d05e00\r\n",
+        (Manner::Wordy, _) => {
+            let whole = chunk(&(hello + &text(dialect, "lo") + &closing(dialect))) + "0\r\n\r\n";
+            let begin =
+                begin.replace("Type:", "Type:  ").replace("\r\n\r\n", "\r\nX-Load: \u{1} util=?\r\n\r\n");
+            "HTTP/1.1 103 Early\r\nLink: a\r\n\r\n".repeat(2) + &(begin + &whole).repeat(2)
+        }
+        (Manner::Serve | Manner::Odd | Manner::ServeAndClose, _) => {
+            let odd = if manner == Manner::Odd { odd_event(dialect) } else { String::new() };
+            let rest = text(dialect, "lo") + &closing(dialect);
+            begin.to_owned()
+                + &chunk(&hello)
+                + &chunk(&odd[..odd.len().min(9)]).repeat(usize::from(!odd.is_empty()))
+                + &chunk(&(odd.get(9..).unwrap_or_default().to_owned() + &rest))
+                + "0\r\n\r\n"
+        }
+    }
+}
+
 /// One connection of a stand-in real server.
 pub(crate) fn converse(
     mut stream: TcpStream,
@@ -207,41 +244,7 @@
         assert!(head[0].starts_with(path), "{} reached a server of {dialect}", head[0]);
         assert!(header(&head, "x-deadline-ms").is_some() && header(&head, "x-request-id").is_some());
         bodies.lock().expect("whole").push(serde_json::from_slice(&body).expect("JSON"));
-        let begin =
-            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-        let hello = opening(dialect) + &text(dialect, "Hel");
-        let answer = match (manner, dialect) {
-            (Manner::Full, "messages") => "HTTP/1.1 529 Overloaded\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            (Manner::Full, _) => "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            (Manner::Error, _) => "HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno".to_owned(),
-            (Manner::ErrorEvent, _) => begin.to_owned() + &chunk(&error_event(dialect)) + "0\r\n\r\n",
-            (Manner::LateErrorEvent, _) => {
-                begin.to_owned() + &chunk(&(hello + &error_event(dialect))) + "0\r\n\r\n"
-            }
-            (Manner::Break | Manner::Stop, _) => begin.to_owned() + &chunk(&hello),
-            (Manner::Reset | Manner::Silence, _) => String::new(),
-            (Manner::Reject, _) => "HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno".to_owned(),
-            (Manner::Noise, _) => "\u{1}noise".to_owned(),
-            (Manner::HalfHead, _) => begin.replace("\r\n\r\n", "\r\nX-Mo"),
-            (Manner::HalfChunk, _) => begin.to_owned() + &chunk(&hello) + "ffff\r\ndata: a\n\n",
-            (Manner::HugeChunk, _) => begin.to_owned() + &chunk(&hello) + "b2d05e00\r\n",
-            (Manner::Wordy, _) => {
-                let whole = chunk(&(hello + &text(dialect, "lo") + &closing(dialect))) + "0\r\n\r\n";
-                let begin = begin
-                    .replace("Type:", "Type:  ")
-                    .replace("\r\n\r\n", "\r\nX-Load: \u{1} util=?\r\n\r\n");
-                "HTTP/1.1 103 Early\r\nLink: a\r\n\r\n".repeat(2) + &(begin + &whole).repeat(2)
-            }
-            (Manner::Serve | Manner::Odd | Manner::ServeAndClose, _) => {
-                let odd = if manner == Manner::Odd { odd_event(dialect) } else { String::new() };
-                let rest = text(dialect, "lo") + &closing(dialect);
-                begin.to_owned()
-                    + &chunk(&hello)
-                    + &chunk(&odd[..odd.len().min(9)]).repeat(usize::from(!odd.is_empty()))
-                    + &chunk(&(odd.get(9..).unwrap_or_default().to_owned() + &rest))
-                    + "0\r\n\r\n"
-            }
-        };
+        let answer = scripted_answer(manner, dialect);
         stream.write_all(answer.as_bytes()).ok()?;
         match manner {
             Manner::HugeChunk => while stream.write_all(&[b'x'; 4096]).is_ok() {},
@@ -387,6 +390,66 @@
     pub log: Arc<Mutex<Vec<String>>>,
 }
 
+/// A second, in the platform's unit.
+const SECOND_NS: u64 = 1_000_000_000;
+
+/// A class of requests, as the platform's configuration has it.
+fn class_lane(name: &str, effect: &str) -> Value {
+    json!({"name": name, "effect": effect, "promise-ns": SECOND_NS, "deadline-ns": 10 * SECOND_NS,
+        "stream": true, "points": 1.0})
+}
+
+/// What the platform's configuration says of scheduling.
+fn platform_settings(attempts: u32) -> Value {
+    json!({"group-size": 1, "me": 0, "zone": "a", "localities": ["a"], "shapes": ["k"],
+        "discovery": "ask", "weight-source": "rough", "report": {"fields": ["util"]},
+        "lanes": [class_lane("plain", "retryable"), class_lane("once", "fragile")],
+        "accounts": [{"name": "office", "share": 1.0}],
+        "policy-limits": {"send-cap": attempts, "cancel": true, "retry-after": true,
+            "max-retry-after-ns": 2 * SECOND_NS, "conn-idle-ns": 5 * SECOND_NS, "connect-timeout-ns": SECOND_NS},
+        "safety": {"cold-from": 0.3, "ramp-time-ns": 60 * SECOND_NS, "fall-ns": 3 * SECOND_NS,
+            "overload-factor": 2.5, "drain-grace-ns": SECOND_NS / 4, "ask-within-ns": 10 * SECOND_NS}})
+}
+
+/// Moves what a test sets of the platform's configuration, and not of the program's own settings, to its place.
+fn override_platform_settings(settings: &mut Value, more: &mut serde_json::Map<String, Value>) {
+    // How many gateways there are, and which of them this one is.
+    for (key, of) in [("group-size", "group"), ("me", "me")] {
+        if let Some(value) = more.remove(of) {
+            settings[key] = value;
+        }
+    }
+    // What the tenant may ask for in a second.
+    if let Some(quota) = more.remove("quota_per_s") {
+        settings["accounts"][0]["quota-per-s"] = quota;
+    }
+    // How lists come, and how long a gateway may go without asking.
+    if let Some(way) = more.remove("way") {
+        settings["discovery"] = way;
+    }
+    if let Some(span) = more.remove("ask_within_s") {
+        settings["safety"]["ask-within-ns"] = (span.as_u64().expect("s") * SECOND_NS).into();
+    }
+    // How soon a first event is promised, which is when a silent attempt is looked at.
+    if let Some(time) = more.remove("promise_ms") {
+        let time = time.as_u64().expect("ms") * (SECOND_NS / 1000);
+        for lane in settings["lanes"].as_array_mut().expect("lanes") {
+            lane["promise-ns"] = time.into();
+        }
+    }
+    // How long a connection may take to come up.
+    if let Some(span) = more.remove("connect_timeout_ms") {
+        settings["policy-limits"]["connect-timeout-ns"] =
+            (span.as_u64().expect("ms") * SECOND_NS / 1000).into();
+    }
+    // A class whose repeats are discarded for a while.
+    if let Some(span) = more.remove("key_ttl_ms") {
+        let mut keyed = class_lane("keyed", "dedup");
+        keyed["key-ttl-ns"] = (span.as_u64().expect("ms") * SECOND_NS / 1000).into();
+        settings["lanes"].as_array_mut().expect("lanes").push(keyed);
+    }
+}
+
 impl Gateway {
     pub(crate) fn start(dialect: &str, servers: Vec<Value>, attempts: u32) -> Gateway {
         Gateway::watched(Gateway::spawn("n0", dialect, servers, attempts, (1024, 1024), json!({})))
@@ -414,26 +477,13 @@
         attempts: u32,
         (descriptors, told): (u32, u32),
         more: Value,
-        Platform { discovery: (addr, discovery), inherited }: Platform,
+        Platform { discovery: (addr, discovery), inherited }: Platform<'_>,
     ) -> (Child, Sender<Value>) {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-        let second = 1_000_000_000u64;
-        let lane = |name: &str, effect: &str| {
-            json!({"name": name, "effect": effect, "promise-ns": second, "deadline-ns": 10 * second,
-                "stream": true, "points": 1.0})
-        };
-        let settings = json!({"group-size": 1, "me": 0, "zone": "a", "localities": ["a"], "shapes": ["k"],
-            "discovery": "ask", "weight-source": "rough", "report": {"fields": ["util"]},
-            "lanes": [lane("plain", "retryable"), lane("once", "fragile")],
-            "accounts": [{"name": "office", "share": 1.0}],
-            "policy-limits": {"send-cap": attempts, "cancel": true, "retry-after": true,
-                "max-retry-after-ns": 2 * second, "conn-idle-ns": 5 * second, "connect-timeout-ns": second},
-            "safety": {"cold-from": 0.3, "ramp-time-ns": 60 * second, "fall-ns": 3 * second,
-                "overload-factor": 2.5, "drain-grace-ns": second / 4, "ask-within-ns": 10 * second}});
         let mut config = json!({"name": name, "listen": "127.0.0.1:0", "discovery": addr.to_string(),
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "sockets": told},
-            "known": list(1, true, servers), "settings": settings});
+            "known": list(1, true, servers), "settings": platform_settings(attempts)});
         let mut daemon = json!({"dialects": {"k": dialect}, "messages": {"listen": "127.0.0.1:0",
             "classes": {"once-model": "once"}, "class": "plain", "tenant": "office"}});
         let mut more = more.as_object().expect("an object").clone();
@@ -449,41 +499,7 @@
         let shared = more.remove("shared").unwrap_or_else(usual);
         std::fs::create_dir_all(shared.as_str().expect("a path")).expect("a folder");
         config["mgmt"] = more.remove("mgmt").unwrap_or(Value::Null);
-        // Nor how many gateways there are, and which of them this one is.
-        for (key, of) in [("group-size", "group"), ("me", "me")] {
-            if let Some(value) = more.remove(of) {
-                config["settings"][key] = value;
-            }
-        }
-        // Nor what the tenant may ask for in a second.
-        if let Some(quota) = more.remove("quota_per_s") {
-            config["settings"]["accounts"][0]["quota-per-s"] = quota;
-        }
-        // Nor how lists come, and how long a gateway may go without asking.
-        if let Some(way) = more.remove("way") {
-            config["settings"]["discovery"] = way;
-        }
-        if let Some(span) = more.remove("ask_within_s") {
-            config["settings"]["safety"]["ask-within-ns"] = (span.as_u64().expect("s") * second).into();
-        }
-        // Nor how soon a first event is promised, which is when a silent attempt is looked at.
-        if let Some(time) = more.remove("promise_ms") {
-            let time = time.as_u64().expect("ms") * (second / 1000);
-            for lane in config["settings"]["lanes"].as_array_mut().expect("lanes") {
-                lane["promise-ns"] = time.into();
-            }
-        }
-        // Nor how long a connection may take to come up.
-        if let Some(span) = more.remove("connect_timeout_ms") {
-            config["settings"]["policy-limits"]["connect-timeout-ns"] =
-                (span.as_u64().expect("ms") * second / 1000).into();
-        }
-        // Nor a class whose repeats are discarded for a while.
-        if let Some(span) = more.remove("key_ttl_ms") {
-            let mut keyed = lane("keyed", "dedup");
-            keyed["key-ttl-ns"] = (span.as_u64().expect("ms") * second / 1000).into();
-            config["settings"]["lanes"].as_array_mut().expect("lanes").push(keyed);
-        }
+        override_platform_settings(&mut config["settings"], &mut more);
         daemon.as_object_mut().expect("an object").extend(more);
         config["limits"]["memory_mb"] = memory;
         config["settings"]["policy-limits"]["second-copies"] = copies.into();
@@ -686,35 +702,22 @@
     }
 }
 
-/// Reads an answer: what became of the request, and the stream's bytes.
-pub(crate) fn seen(dialect: &str, stream: TcpStream) -> (Seen, String) {
-    let mut reader = BufReader::new(stream);
-    let mut head = Vec::new();
-    loop {
-        let mut line = String::new();
-        assert!(reader.read_line(&mut line).expect("an answer") > 0, "no answer at all");
-        match line.trim_end() {
-            "" => break,
-            line => head.push(line.to_owned()),
-        }
-    }
-    let status: u16 = head[0].split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
-    if status != 200 {
-        let mut body =
-            vec![0; header(&head, "content-length").expect("a length").parse().expect("a length")];
-        reader.read_exact(&mut body).expect("a body");
-        if dialect == "messages" {
-            let error: Value = serde_json::from_slice(&body).expect("JSON");
-            assert_eq!(error["type"], "error");
-            assert!(error["error"]["type"].is_string() && error["error"]["message"].is_string());
-        }
-        let wait = header(&head, "retry-after").map(|w| w.parse::<f64>().expect("seconds"));
-        assert!(status < 500 || wait.is_some_and(|w| (0.0..=2.0).contains(&w)), "{head:?}");
-        return (
-            if matches!(status, 429 | 503 | 529) { Seen::TurnedDown } else { Seen::Failed },
-            String::new(),
-        );
+/// Reads an answer that is no stream, and checks its form.
+fn read_error(dialect: &str, status: u16, head: &[String], reader: &mut impl Read) -> Seen {
+    let mut body = vec![0; header(head, "content-length").expect("a length").parse().expect("a length")];
+    reader.read_exact(&mut body).expect("a body");
+    if dialect == "messages" {
+        let error: Value = serde_json::from_slice(&body).expect("JSON");
+        assert_eq!(error["type"], "error");
+        assert!(error["error"]["type"].is_string() && error["error"]["message"].is_string());
     }
+    let wait = header(head, "retry-after").map(|w| w.parse::<f64>().expect("seconds"));
+    assert!(status < 500 || wait.is_some_and(|w| (0.0..=2.0).contains(&w)), "{head:?}");
+    if matches!(status, 429 | 503 | 529) { Seen::TurnedDown } else { Seen::Failed }
+}
+
+/// Reads chunks: their bytes, and whether the last one came.
+fn read_chunks(reader: &mut impl BufRead) -> (Vec<u8>, bool) {
     let mut stream = Vec::new();
     let whole = loop {
         let mut size = String::new();
@@ -731,6 +734,26 @@
         }
         stream.extend(bytes);
     };
+    (stream, whole)
+}
+
+/// Reads an answer: what became of the request, and the stream's bytes.
+pub(crate) fn seen(dialect: &str, stream: TcpStream) -> (Seen, String) {
+    let mut reader = BufReader::new(stream);
+    let mut head = Vec::new();
+    loop {
+        let mut line = String::new();
+        assert!(reader.read_line(&mut line).expect("an answer") > 0, "no answer at all");
+        match line.trim_end() {
+            "" => break,
+            line => head.push(line.to_owned()),
+        }
+    }
+    let status: u16 = head[0].split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
+    if status != 200 {
+        return (read_error(dialect, status, &head, &mut reader), String::new());
+    }
+    let (stream, whole) = read_chunks(&mut reader);
     let stream = String::from_utf8(stream).expect("UTF-8");
     let events = stream.split("\n\n").filter_map(|e| e.split_once("data: "));
     let mut words = String::new();
--- a/tests/translate.rs
+++ b/tests/translate.rs
@@ -43,6 +43,32 @@
     )
 }
 
+/// Up to two tools, and how one of them is chosen.
+fn add_tools(g: &mut Gen, body: &mut Value) {
+    let tools = usize::arbitrary(g) % 3;
+    if tools > 0 {
+        body["tools"] = (0..tools)
+            .map(|n| {
+                let mut tool = json!({"name": format!("t{n}"), "input_schema": object(g, 2)});
+                if bool::arbitrary(g) {
+                    tool["description"] = words(g).into();
+                }
+                tool
+            })
+            .collect();
+        let choices = [
+            json!({"type": "auto"}),
+            json!({"type": "any"}),
+            json!({"type": "tool", "name": "t0"}),
+            json!({"type": "none"}),
+            json!({"type": "auto", "disable_parallel_tool_use": true}),
+        ];
+        if bool::arbitrary(g) {
+            body["tool_choice"] = g.choose(&choices).expect("some").clone();
+        }
+    }
+}
+
 /// A messages request of what both dialects have words for.
 #[derive(Clone, Debug)]
 struct Asked(Value);
@@ -52,28 +78,7 @@
         let text = |g: &mut Gen| json!({"type": "text", "text": words(g)});
         let mut body =
             json!({"model": words(g), "max_tokens": 1 + u32::arbitrary(g) % 9000, "stream": true});
-        let tools = usize::arbitrary(g) % 3;
-        if tools > 0 {
-            body["tools"] = (0..tools)
-                .map(|n| {
-                    let mut tool = json!({"name": format!("t{n}"), "input_schema": object(g, 2)});
-                    if bool::arbitrary(g) {
-                        tool["description"] = words(g).into();
-                    }
-                    tool
-                })
-                .collect();
-            let choices = [
-                json!({"type": "auto"}),
-                json!({"type": "any"}),
-                json!({"type": "tool", "name": "t0"}),
-                json!({"type": "none"}),
-                json!({"type": "auto", "disable_parallel_tool_use": true}),
-            ];
-            if bool::arbitrary(g) {
-                body["tool_choice"] = g.choose(&choices).expect("some").clone();
-            }
-        }
+        add_tools(g, &mut body);
         if bool::arbitrary(g) {
             body["system"] = (0..1 + usize::arbitrary(g) % 3).map(|_| text(g)).collect();
         }
