--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -18,9 +18,6 @@
 //! assert_eq!(LoadBalancer::new(without_classes, 7).err(), Some(SettingsError::NoClasses));
 //! ```
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 mod active_request;
 mod admission_rate;
 mod balancer;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,5 +1,3 @@
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 //! Simulates a fleet in virtual time: many gateways with the real decision module, against emulated replicas.
 //!
 //! `docs/simulator.md` says how to use it, `docs/design/simulator.md` why it is so. Modules import one way: `time` and
--- a/src/bin/tulipridge-simhost/main.rs
+++ b/src/bin/tulipridge-simhost/main.rs
@@ -1,7 +1,5 @@
 //! The adapter: speaks the simulator's wire for any number of gateways, and decides nothing.
 
-#![forbid(unsafe_code)]
-
 mod host;
 mod parse;
 
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -133,6 +133,7 @@
 impl Limits {
     /// The limits of a machine: its descriptors, its memory in MB, and what the settings say of connections.
     #[must_use]
+    #[expect(clippy::too_many_lines, reason = "one line for each limit")]
     pub fn new(sockets: usize, memory_mb: usize, connect: Duration, idle: Duration) -> Limits {
         let own = (sockets / 16).max(24);
         let edge_connections = (sockets.saturating_sub(own) * 8 / 15).max(8);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,5 @@
 //! The program: its command line, and what each command starts.
 
-#![forbid(unsafe_code)]
-
 mod cli;
 mod demo;
 mod serve;
