--- a/crates/load-balancer/src/active_request.rs
+++ b/crates/load-balancer/src/active_request.rs
@@ -46,7 +46,7 @@
     /// When the client gives up.
     pub(crate) deadline: Nanos,
     /// The part of the fleet's size that shares its prefix.
-    pub(crate) owners: f64,
+    pub(crate) owner_fraction: f64,
     /// It may go to replicas in slow start only.
     pub(crate) slow_start_only: bool,
     pub(crate) attempts: Vec<Attempt>,
--- a/crates/load-balancer/src/balancer.rs
+++ b/crates/load-balancer/src/balancer.rs
@@ -22,23 +22,23 @@
 use crate::queued_work::ReportFreshness;
 use crate::random::{SplitMix64, mix};
 use crate::replica_table::{ReplicaTable, Zone};
-use crate::ring_walk::Target;
+use crate::ring_walk::SelectionCriteria;
 use crate::slow_start::SlowStart;
 use crate::tenant_demand::TenantDemands;
 use crate::types::{
     Action, Class, Event, Limits, Nanos, ReplicaWork, RequestId, Safety, Settings, SettingsError,
 };
-use request_key::key_of;
+use request_key::ring_key;
 
 /// Prompts of a class that find less than this part cached by earlier turns gain nothing from staying put.
 const LOW_SESSION_REUSE: f64 = 0.1;
 /// Requests within [`TIME_CONSTANT_S`] from which on a gateway can tell a prefix's own part of the work: of
 /// one that has a twentieth of it, the gateway has met five then.
-const ENOUGH_REQUESTS: f64 = 100.0;
+const MIN_REQUESTS_TO_COMPARE_PREFIXES: f64 = 100.0;
 /// A request is refused if the replica that it would go to lags by this part of its latency target.
-const REFUSAL_LAG_PART: f64 = 0.6;
+const REFUSAL_LAG_FRACTION: f64 = 0.6;
 /// How long a request that finds no replica waits before it looks again.
-const PARKING_INTERVAL: Nanos = 50 * MILLI;
+const PARKED_RETRY_INTERVAL: Nanos = 50 * MILLI;
 const SECOND: Nanos = 1_000_000_000;
 const MILLI: Nanos = 1_000_000;
 
@@ -134,7 +134,7 @@
     /// # Errors
     /// Settings that it can't work with.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
+        validate(&settings)?;
         let mut balancer = LoadBalancer {
             random: SplitMix64::new(seed),
             fleet: Fleet::new(&settings),
@@ -162,7 +162,8 @@
         self.settings.group_size = gateways.max(1);
         let quota = self.settings.quota_per_s();
         let seen = quota.map(|quota| quota / f64::from(gateways.max(1)) * TIME_CONSTANT_S);
-        self.admission.has_few_requests = seen.is_some_and(|requests| requests < ENOUGH_REQUESTS);
+        self.admission.has_few_requests =
+            seen.is_some_and(|requests| requests < MIN_REQUESTS_TO_COMPARE_PREFIXES);
         let budgets = self.fleet.replicas.iter_mut().map(|replica| (replica.hash, &mut replica.slow_start));
         self.fleet.slow_start.set_group_size(&self.settings, budgets);
         self.list_calls.schedule.set_group_size(&self.settings);
@@ -174,7 +175,7 @@
         match event {
             Event::List { kind, members } => self.apply_list(now, kind, &members, actions),
             Event::Request(request) => self.admit(now, request, actions),
-            Event::Expired(id) => self.expire(id, actions),
+            Event::Expired(id) => self.handle_client_left(id, actions),
             Event::FirstToken { id, attempt, .. } => self.record_first_token(now, id, attempt, actions),
             Event::Outcome { .. } => self.record_outcome(now, event, actions),
             Event::Timer(token) => self.run_timer(now, token, actions),
@@ -208,34 +209,36 @@
             return;
         };
         if active.deadline <= now {
-            return self.give_up(id, actions);
+            return self.refuse_or_fail(id, actions);
         }
         let is_hedge = active.has_attempt_in_flight();
         let Some(permit) = self.attempt_permit(now, active) else {
             if !is_hedge {
-                self.give_up(id, actions);
+                self.refuse_or_fail(id, actions);
             }
             return;
         };
         let attempted: Vec<_> = active.attempts.iter().map(|attempt| attempt.replica).collect();
-        let target = Target {
-            key: key_of(&active.request, active.owners),
+        let criteria = SelectionCriteria {
+            key: ring_key(&active.request, active.owner_fraction),
             session_hash: mix(active.request.session.unwrap_or(id.0)),
-            owners: if active.owners < 1.0 { active.owners } else { 0.0 },
+            owner_fraction: if active.owner_fraction < 1.0 { active.owner_fraction } else { 0.0 },
             has_low_reuse: self.admission.demand.cached_by_session(active.request.class)
                 < LOW_SESSION_REUSE,
             group: permit.group,
             latency_target: active.latency_target,
             slow_start_only: active.slow_start_only,
         };
-        match self.select(now, &target, &attempted) {
+        match self.select(now, &criteria, &attempted) {
             // Guards against a jam that keeps itself alive: what would be late anyway is refused at once.
-            Some(slot) if !is_hedge && self.is_lagging(slot, REFUSAL_LAG_PART, target.latency_target) => {
-                self.give_up(id, actions);
+            Some(slot)
+                if !is_hedge && self.is_lagging(slot, REFUSAL_LAG_FRACTION, criteria.latency_target) =>
+            {
+                self.refuse_or_fail(id, actions);
             }
             Some(slot) => self.send(now, id, slot, permit.write_until, actions),
             None if is_hedge => {}
-            None if target.slow_start_only => self.give_up(id, actions),
+            None if criteria.slow_start_only => self.refuse_or_fail(id, actions),
             None => self.park(id, actions),
         }
     }
@@ -243,7 +246,7 @@
     /// Keeps a request that nobody can take until the list or a replica's health changes.
     fn park(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.parked.is_empty() {
-            self.timers.set(PARKING_INTERVAL, TimerPurpose::Parked, actions);
+            self.timers.set(PARKED_RETRY_INTERVAL, TimerPurpose::Parked, actions);
         }
         self.requests.parked.push(id);
     }
@@ -255,7 +258,7 @@
     }
 }
 
-fn check(settings: &Settings) -> Result<(), SettingsError> {
+fn validate(settings: &Settings) -> Result<(), SettingsError> {
     let Safety { initial_capacity, overload_factor, .. } = settings.safety;
     let is_valid_capacity = initial_capacity > 0.0 && initial_capacity <= 1.0 && !overload_factor.is_nan();
     match settings {
--- a/crates/load-balancer/src/balancer/admission.rs
+++ b/crates/load-balancer/src/balancer/admission.rs
@@ -14,19 +14,19 @@
         }
         let expected_cost = self.admission.demand.expected_cost(&request);
         self.admission.demand.record_offered(now, expected_cost);
-        let owners = self.owners(now, &request, expected_cost);
+        let owner_fraction = self.owner_fraction(now, &request, expected_cost);
         // Always the same sessions; and guards against retries, mostly past their targets, that keep a jam
         // alive.
-        let quota_part = self.admission.tenants.record(now, &self.settings, &request);
-        let quota_part = if self.admission.rate.enforces_quotas() { quota_part } else { 1.0 };
+        let quota_fraction = self.admission.tenants.record(now, &self.settings, &request);
+        let quota_fraction = if self.admission.rate.enforces_quotas() { quota_fraction } else { 1.0 };
         let rank = unit_interval(mix(request.session.unwrap_or(id.0) ^ GOLDEN_GAMMA));
-        if rank > quota_part {
+        if rank > quota_fraction {
             return actions.push(self.refusal(id));
         }
         // Guards against idle replicas in slow start beside warm ones that jam: what only the jam turns
         // away may go to them, as far as they can take it.
         let rate = self.admission.rate.current().powi(1 + i32::from(request.is_retry));
-        let slow_start_only = rank > rate * quota_part;
+        let slow_start_only = rank > rate * quota_fraction;
         self.admission.demand.record_cost(&request);
         self.timers.set(request.expires_in, TimerPurpose::Deadline(id), actions);
         let class = &self.settings.classes[request.class.0];
@@ -36,7 +36,7 @@
             latency_target,
             target_at: now + latency_target,
             deadline: now + request.expires_in,
-            owners,
+            owner_fraction,
             slow_start_only,
             attempts: Vec::new(),
             is_answered: false,
@@ -46,13 +46,13 @@
         self.place(now, id, actions);
     }
 
-    fn owners(&mut self, now: Nanos, request: &Request, expected_cost: f64) -> f64 {
+    fn owner_fraction(&mut self, now: Nanos, request: &Request, expected_cost: f64) -> f64 {
         // A prefix that can be fetched to where the walk ends needs no further owners.
         if self.settings.has_prefix_transfer {
             return 0.0;
         }
         let has_reuse = self.admission.demand.cached_by_session(request.class) >= LOW_SESSION_REUSE;
-        self.admission.demand.owners(
+        self.admission.demand.owner_fraction(
             now,
             request,
             expected_cost,
--- a/crates/load-balancer/src/balancer/attempts.rs
+++ b/crates/load-balancer/src/balancer/attempts.rs
@@ -9,7 +9,7 @@
 use crate::types::{Action, Effect, Event, Nanos, RequestId, Scope, Verdict};
 
 /// The part of the latency target after which an attempt without a first token is looked at again.
-const SLOW_ATTEMPT_PART: f64 = 0.65;
+const SLOW_ATTEMPT_FRACTION: f64 = 0.65;
 
 /// Where a further attempt may go, and when it must be written.
 pub(super) struct AttemptPermit {
@@ -25,8 +25,8 @@
     /// Whether a further attempt is allowed, and within which bounds.
     pub(super) fn attempt_permit(&self, now: Nanos, active: &ActiveRequest) -> Option<AttemptPermit> {
         let limits = &self.settings.limits;
-        let is_last = active.attempts.len() >= limits.max_attempts as usize;
-        if is_last || active.has_attempt_in_flight() && !limits.hedging {
+        let is_exhausted = active.attempts.len() >= limits.max_attempts as usize;
+        if is_exhausted || active.has_attempt_in_flight() && !limits.hedging {
             return None;
         }
         match (self.effect_of(active), active.first_possible_run()) {
@@ -73,12 +73,12 @@
         }
         replica.breaker.begin_request();
         let zone = self.fleet.zones.entry(replica.zone).or_default();
-        zone.link.begin_request();
+        zone.breaker.begin_request();
         zone.in_flight += 1;
         let timeout = active.deadline - now;
         let write_within = write_until - now;
         actions.push(Action::Send { id, replica: replica.id.clone(), timeout, write_within });
-        let slow_after = (active.target_at.saturating_sub(now) as f64 * SLOW_ATTEMPT_PART) as Nanos;
+        let slow_after = (active.target_at.saturating_sub(now) as f64 * SLOW_ATTEMPT_FRACTION) as Nanos;
         if slow_after > 0 && active.attempts.len() == 1 {
             self.timers.set(slow_after, TimerPurpose::SlowAttempt(id), actions);
         }
@@ -96,16 +96,17 @@
             active.attempts.first().filter(|attempt| attempt.state == AttemptState::InFlight).cloned();
         self.timers.set(time_left, TimerPurpose::LatencyTarget(id), actions);
         let Some(Attempt { replica: slot, sent_at, .. }) = first else { return };
-        self.judge_slow_attempt(now, slot, sent_at);
+        self.record_slow_attempt(now, slot, sent_at);
         // Guards against waiting for what won't respond; a replica that is only slow responds soonest
         // itself.
         let replica = &self.fleet.replicas[slot];
         let is_ejected = !replica.breaker.allows(now) && !self.has_too_many_ejections();
-        let is_cut_off = self.fleet.zones.get(&replica.zone).is_some_and(|zone| self.is_unreachable(zone));
+        let is_zone_unreachable =
+            self.fleet.zones.get(&replica.zone).is_some_and(|zone| self.is_unreachable(zone));
         let limits = &self.settings.limits;
-        if (is_ejected || is_cut_off) && limits.hedging {
+        if (is_ejected || is_zone_unreachable) && limits.hedging {
             self.place(now, id, actions);
-        } else if (is_ejected || is_cut_off) && limits.cancellation && is_safe {
+        } else if (is_ejected || is_zone_unreachable) && limits.cancellation && is_safe {
             actions.push(Action::Cancel { id, attempt: 0 });
         }
     }
@@ -113,7 +114,7 @@
     /// Guards against taking a queue for a failure: its sessions would be read anew elsewhere, and jam it.
     /// A replica that has responded since is slow. Else, while others respond, what it would have answered
     /// counts.
-    fn judge_slow_attempt(&mut self, now: Nanos, slot: ReplicaSlot, sent_at: Nanos) {
+    fn record_slow_attempt(&mut self, now: Nanos, slot: ReplicaSlot, sent_at: Nanos) {
         let average = self.fleet.replicas[slot].average;
         if average.last_response_at >= sent_at {
             return;
@@ -127,7 +128,7 @@
     }
 
     /// Whether it is true that the request had no effect that a retry would repeat.
-    fn may_refuse(&self, active: &ActiveRequest) -> bool {
+    fn is_safe_to_retry(&self, active: &ActiveRequest) -> bool {
         match self.effect_of(active) {
             Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
             _ => active.first_possible_run().is_none(),
@@ -135,11 +136,11 @@
     }
 
     /// Ends a request that can't be served: with a refusal where that is true, else with a failure.
-    pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn refuse_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.active.get(&id).filter(|active| !active.is_answered) else {
             return;
         };
-        let response = if self.may_refuse(active) { self.refusal(id) } else { Action::Fail(id) };
+        let response = if self.is_safe_to_retry(active) { self.refusal(id) } else { Action::Fail(id) };
         self.finish(id, Some(response), actions);
     }
 
@@ -148,14 +149,14 @@
         let waiting = self.requests.active.get(&id).filter(|active| active.is_waiting());
         match waiting.map(|active| active.first_possible_run().is_none()) {
             // Nobody has run it, or is about to: that is a refusal, however late it comes.
-            Some(true) => self.give_up(id, actions),
+            Some(true) => self.refuse_or_fail(id, actions),
             Some(false) => self.finish(id, Some(Action::Fail(id)), actions),
             None => {}
         }
     }
 
     /// The client has left.
-    pub(super) fn expire(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn handle_client_left(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.active.get(&id).is_some_and(|active| !active.is_answered) {
             self.finish(id, None, actions);
         }
--- a/crates/load-balancer/src/balancer/discovery.rs
+++ b/crates/load-balancer/src/balancer/discovery.rs
@@ -39,8 +39,8 @@
             self.rebuild_ring();
         }
         let attempts = self.requests.active.values().flat_map(|active| &active.attempts);
-        let named: BTreeSet<ReplicaSlot> = attempts.map(|attempt| attempt.replica).collect();
-        self.fleet.replicas.free_unused(&named);
+        let referenced: BTreeSet<ReplicaSlot> = attempts.map(|attempt| attempt.replica).collect();
+        self.fleet.replicas.free_unused(&referenced);
         let slow_start = &self.fleet.slow_start;
         let is_warm = |started| slow_start.capacity_fraction(now, started) >= 1.0;
         self.fleet.replicas.update_totals(|replica| is_warm(replica.started));
@@ -50,11 +50,11 @@
     /// Sets the timer of the next call for the list where one is due. Always draws a random number.
     fn schedule_call(&mut self, now: Nanos, kind: ListKind, actions: &mut Vec<Action>) {
         self.list_calls.generation += u64::from(!matches!(kind, ListKind::Persisted | ListKind::Local));
-        let chance = self.random.next_unit();
+        let jitter = self.random.next_unit();
         let schedule = &mut self.list_calls.schedule;
         let wait = match kind {
-            ListKind::Failed => schedule.record_failure(now, chance),
-            ListKind::Persisted if !self.settings.has_pushed_list => schedule.first_wait(now, chance),
+            ListKind::Failed => schedule.record_failure(now, jitter),
+            ListKind::Persisted if !self.settings.has_pushed_list => schedule.first_wait(now, jitter),
             ListKind::Persisted | ListKind::Local => return,
             ListKind::Complete | ListKind::Changes => return schedule.record_success(now),
         };
--- a/crates/load-balancer/src/balancer/outlier_ejection.rs
+++ b/crates/load-balancer/src/balancer/outlier_ejection.rs
@@ -25,23 +25,23 @@
 };
 /// Beyond this part of the fleet, ejections are ignored (Envoy's panic threshold): then it is this gateway
 /// or the load.
-const MAX_EJECTED_PART: f64 = 0.5;
+const PANIC_THRESHOLD: f64 = 0.5;
 
 impl LoadBalancer {
     pub(super) fn has_too_many_ejections(&self) -> bool {
         let ejected = self.fleet.replicas.ready_replicas().filter(|replica| replica.breaker.is_open());
-        ejected.count() as f64 > MAX_EJECTED_PART * self.fleet.replicas.ready as f64
+        ejected.count() as f64 > PANIC_THRESHOLD * self.fleet.replicas.ready as f64
     }
 
     /// A zone is out of reach while another is not; else the fault is elsewhere.
     pub(super) fn is_unreachable(&self, zone: &Zone) -> bool {
-        zone.link.is_open() && self.fleet.zones.values().any(|zone| !zone.link.is_open())
+        zone.breaker.is_open() && self.fleet.zones.values().any(|zone| !zone.breaker.is_open())
     }
 
     pub(super) fn record_reachable(&mut self, now: Nanos, slot: ReplicaSlot) {
         let replica = &mut self.fleet.replicas[slot];
         replica.average.last_response_at = now;
-        self.fleet.zones.entry(replica.zone).or_default().link = CircuitBreaker::default();
+        self.fleet.zones.entry(replica.zone).or_default().breaker = CircuitBreaker::default();
     }
 
     /// Guards against taking a zone out of reach for many dead replicas: each request would find another of
@@ -49,7 +49,7 @@
     pub(super) fn record_unreachable(&mut self, now: Nanos, slot: ReplicaSlot) {
         let jitter = self.random.next_unit();
         let zone = self.fleet.zones.entry(self.fleet.replicas[slot].zone).or_default();
-        zone.link.record_failure(now, ZONE_EJECTION, jitter);
+        zone.breaker.record_failure(now, ZONE_EJECTION, jitter);
     }
 
     /// What an outcome says of the way to the replica's zone.
@@ -59,7 +59,7 @@
             Verdict::Ok | Verdict::Error | Verdict::Full => self.record_reachable(now, slot),
             // Guards against waiting for ever for a trial that has no result.
             Verdict::TimedOut | Verdict::Reset | Verdict::Cancelled | Verdict::NotSent => {
-                self.fleet.zones.entry(self.fleet.replicas[slot].zone).or_default().link.abandon_trial();
+                self.fleet.zones.entry(self.fleet.replicas[slot].zone).or_default().breaker.abandon_trial();
             }
         }
     }
--- a/crates/load-balancer/src/balancer/selection.rs
+++ b/crates/load-balancer/src/balancer/selection.rs
@@ -4,7 +4,7 @@
 use super::LoadBalancer;
 use crate::random::{mix, unit_interval};
 use crate::replica_table::ReplicaSlot;
-use crate::ring_walk::{Candidate, ReplicaGroup, Target, Walk, WalkBounds};
+use crate::ring_walk::{Candidate, ReplicaGroup, SelectionCriteria, Walk, WalkBounds};
 use crate::slow_start::WarmingReplica;
 use crate::types::{Nanos, Phase, ReplicaWork};
 
@@ -13,7 +13,7 @@
 const BOUND_FACTOR: f64 = 1.25;
 /// A replica whose oldest waiting request has waited for this part of a request's latency target is passed
 /// over.
-const LAG_PART: f64 = 0.5;
+const MAX_LAG_FRACTION: f64 = 0.5;
 
 impl LoadBalancer {
     /// Among the first `owners` distinct replicas clockwise from the key, the one that the session's hash
@@ -21,12 +21,12 @@
     pub(super) fn select(
         &mut self,
         now: Nanos,
-        target: &Target,
+        criteria: &SelectionCriteria,
         attempted: &[ReplicaSlot],
     ) -> Option<ReplicaSlot> {
         self.update_oldest_waits(now);
-        let mut walk = Walk::new(target, attempted, self.walk_bounds(now));
-        let start = self.fleet.ring.start(target.key);
+        let mut walk = Walk::new(criteria, attempted, self.walk_bounds(now));
+        let start = self.fleet.ring.start(criteria.key);
         self.fleet.replicas.begin_pass();
         for steps in 0..self.fleet.ring.len() {
             let node = self.fleet.ring.clockwise(start, steps);
@@ -40,9 +40,9 @@
             }
         }
         // A request that leaves nothing behind goes to the emptier of the two that its session prefers.
-        if let (true, Some(one), Some(two)) = (target.has_low_reuse, walk.best, walk.second) {
-            let is_emptier = self.relative_load(two.slot) < self.relative_load(one.slot);
-            return Some(if is_emptier { two.slot } else { one.slot });
+        if let (true, Some(best), Some(second)) = (criteria.has_low_reuse, walk.best, walk.second) {
+            let is_less_loaded = self.relative_load(second.slot) < self.relative_load(best.slot);
+            return Some(if is_less_loaded { second.slot } else { best.slot });
         }
         walk.best.map(|best| best.slot).or(walk.over_bound.map(|over| over.slot))
     }
@@ -56,46 +56,46 @@
     }
 
     fn visit(&mut self, now: Nanos, slot: ReplicaSlot, walk: &mut Walk<'_>) {
-        let target = walk.target;
+        let criteria = walk.criteria;
         let replica = &self.fleet.replicas[slot];
         let (size, hash) = (replica.size, replica.hash);
         let is_warming = self.fleet.slow_start.capacity_fraction(now, replica.started) < 1.0;
         self.fleet.replicas.mark_visited(slot);
         let is_owner = walk.count_visit(size);
         let has_turn = self.has_turn(now, slot);
-        walk.is_without_owner &= !is_owner || !has_turn;
-        let is_excluded = target.slow_start_only && !is_warming;
+        walk.no_owner_has_turn &= !is_owner || !has_turn;
+        let is_excluded = criteria.slow_start_only && !is_warming;
         if is_excluded || !has_turn || !self.is_usable(now, slot, walk) {
             return;
         }
         // Sessions prefer owners in proportion to their size, whoever else is there (rendezvous hashing);
         // those in slow start first of all, since a turn not taken is lost, and anywhere if no owner may
         // take it.
-        let preference = if is_warming && (is_owner || walk.is_without_owner) {
+        let preference = if is_warming && (is_owner || walk.no_owner_has_turn) {
             f64::MAX
         } else if is_owner || walk.best.is_none() {
-            size / -unit_interval(mix(target.session_hash ^ hash)).ln()
+            size / -unit_interval(mix(criteria.session_hash ^ hash)).ln()
         } else {
             0.0
         };
         let replica = &self.fleet.replicas[slot];
-        let is_slow =
-            self.admission.rate.is_healthy() && self.is_lagging(slot, LAG_PART, target.latency_target);
+        let is_lagging = self.admission.rate.is_healthy()
+            && self.is_lagging(slot, MAX_LAG_FRACTION, criteria.latency_target);
         let has_bound = walk.bounds.queued_work.is_finite();
         let queued_work = if has_bound { replica.queued_work.queued() } else { 0.0 };
         let is_over_bound = f64::from(replica.in_flight) > walk.bounds.in_flight * size + 1.0;
-        if is_slow || queued_work > walk.bounds.queued_work || is_over_bound {
+        if is_lagging || queued_work > walk.bounds.queued_work || is_over_bound {
             walk.add_over_bound(slot, queued_work);
         } else {
-            walk.add(Candidate { slot, preference });
+            walk.add_candidate(Candidate { slot, preference });
         }
     }
 
     /// Whether no further replica can change the choice.
     fn is_complete(&self, walk: &Walk<'_>) -> bool {
-        let seeks_turn = walk.is_without_owner && self.fleet.replicas.warm < self.fleet.replicas.ready;
+        let seeks_turn = walk.no_owner_has_turn && self.fleet.replicas.warm < self.fleet.replicas.ready;
         let is_found = walk.best.is_some_and(|best| !seeks_turn || best.preference == f64::MAX);
-        let has_choice = walk.second.is_some() || !walk.target.has_low_reuse;
+        let has_choice = walk.second.is_some() || !walk.criteria.has_low_reuse;
         is_found && walk.has_all_owners() && has_choice || walk.visited == self.fleet.replicas.ready
     }
 
@@ -145,15 +145,15 @@
     fn is_usable(&self, now: Nanos, slot: ReplicaSlot, walk: &Walk<'_>) -> bool {
         let replica = &self.fleet.replicas[slot];
         let is_healthy = replica.breaker.allows(now) || self.has_too_many_ejections();
-        let is_in_group = match walk.target.group {
+        let is_in_group = match walk.criteria.group {
             ReplicaGroup::Any => true,
             ReplicaGroup::Zone(zone) => replica.zone == zone,
             ReplicaGroup::Cell(cell) => replica.cell == cell,
         };
         let zone = self.fleet.zones.get(&replica.zone);
-        let is_reachable = zone.is_none_or(|zone| zone.link.allows(now) || !self.is_unreachable(zone));
-        let is_new = !walk.attempted.contains(&slot);
-        replica.phase == Phase::Ready && is_healthy && is_reachable && is_in_group && is_new
+        let is_reachable = zone.is_none_or(|zone| zone.breaker.allows(now) || !self.is_unreachable(zone));
+        let is_not_attempted = !walk.attempted.contains(&slot);
+        replica.phase == Phase::Ready && is_healthy && is_reachable && is_in_group && is_not_attempted
     }
 
     /// Whether a replica may be sent a request: one in slow start only on this gateway's turn.
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -15,9 +15,9 @@
 const OWNER_FACTOR: f64 = 3.0;
 /// The mean part that a request's own prefix has of the work, before anything is known: the sum of the parts' squares,
 /// some hundredths with Zipf-like demand for some tens to hundreds of prefixes.
-const INITIAL_PREFIX_PART: f64 = 1.0 / 16.0;
+const INITIAL_PREFIX_SHARE: f64 = 1.0 / 16.0;
 /// Weight of the newest request in that mean; about a minute's where one comes each second.
-const PREFIX_PART_GAIN: f64 = 0.02;
+const PREFIX_SHARE_GAIN: f64 = 0.02;
 /// A class's owners are counted anew only when wrong by more than this factor.
 const OWNER_TOLERANCE: f64 = 3.0;
 /// Prefixes that are remembered before the least used are forgotten.
@@ -49,9 +49,9 @@
 #[derive(Clone, Copy, Debug)]
 struct ClassDemand {
     /// The mean part of the work that a request's own prefix has had.
-    mean_prefix_part: f64,
+    mean_prefix_share: f64,
     /// The owners by it.
-    owners: f64,
+    owner_fraction: f64,
     /// The mean fraction of a prompt that is found cached.
     cached: f64,
     /// The mean fraction of a prompt that is found cached beyond its shared prefix, from earlier turns of its session.
@@ -61,8 +61,8 @@
 impl Default for ClassDemand {
     fn default() -> Self {
         ClassDemand {
-            mean_prefix_part: INITIAL_PREFIX_PART,
-            owners: INITIAL_PREFIX_PART.sqrt(),
+            mean_prefix_share: INITIAL_PREFIX_SHARE,
+            owner_fraction: INITIAL_PREFIX_SHARE.sqrt(),
             cached: 0.0,
             cached_by_session: 1.0,
         }
@@ -101,9 +101,9 @@
     }
 
     /// Work a second: what was done, or what was offered.
-    pub fn work_per_s(&mut self, now: Nanos, is_done: bool) -> f64 {
+    pub fn work_per_s(&mut self, now: Nanos, is_served: bool) -> f64 {
         self.decay(now);
-        if is_done { self.served / TIME_CONSTANT_S } else { self.offered / TIME_CONSTANT_S }
+        if is_served { self.served / TIME_CONSTANT_S } else { self.offered / TIME_CONSTANT_S }
     }
 
     /// What the request will probably cost, by what its class finds cached.
@@ -144,19 +144,19 @@
     /// The part of the fleet's size that shares a request's prefix; 0 where it has none. Guards against the pile-up that
     /// no gateway sees: many of them each carrying a few requests of it. All see like samples of the demand, so all come
     /// to like figures. With `is_per_class`, all prefixes of a class have as many.
-    pub fn owners(&mut self, now: Nanos, request: &Request, cost: f64, is_per_class: bool) -> f64 {
+    pub fn owner_fraction(&mut self, now: Nanos, request: &Request, cost: f64, is_per_class: bool) -> f64 {
         let Some(prefix) = request.prefix.filter(|prefix| *prefix != 0) else { return 0.0 };
         self.forget_idle_prefixes(now);
         let offered = self.offered.max(cost);
         let demand = self.prefixes.entry(prefix).or_insert(PrefixDemand { work: 0.0, updated_at: now });
         demand.work *= decay_factor(now, demand.updated_at, TIME_CONSTANT_S);
         let class = &mut self.classes[request.class.0];
-        class.mean_prefix_part += PREFIX_PART_GAIN * (demand.work / offered - class.mean_prefix_part);
+        class.mean_prefix_share += PREFIX_SHARE_GAIN * (demand.work / offered - class.mean_prefix_share);
         // With this request, so that a gateway that has seen little takes each prefix for popular: an owner too many
         // costs one reading, one too few a jam.
         *demand = PrefixDemand { work: demand.work + cost, updated_at: now };
         if is_per_class {
-            return class.owners_of_class();
+            return class.class_owner_fraction();
         }
         // A prefix that is short beside the rest of the work is cheap to have cached in many places.
         let cheapness = (cost / f64::from(request.prefix_tokens.max(1))).max(1.0);
@@ -183,12 +183,12 @@
     /// part by itself: what turns leave in a cache is read anew each time. So all prefixes of a class have as many owners
     /// as its most popular could need (no part is above the root of the sum of their squares), a power of four that stays
     /// until it is clearly wrong, and so the same nearly everywhere.
-    fn owners_of_class(&mut self) -> f64 {
-        let needed = self.mean_prefix_part.max(f64::MIN_POSITIVE).sqrt();
-        if (needed / self.owners).max(self.owners / needed) > OWNER_TOLERANCE {
-            self.owners = 4f64.powf(needed.log(4.0).round());
+    fn class_owner_fraction(&mut self) -> f64 {
+        let needed = self.mean_prefix_share.max(f64::MIN_POSITIVE).sqrt();
+        if (needed / self.owner_fraction).max(self.owner_fraction / needed) > OWNER_TOLERANCE {
+            self.owner_fraction = 4f64.powf(needed.log(4.0).round());
         }
-        self.owners
+        self.owner_fraction
     }
 }
 
--- a/crates/load-balancer/src/list_schedule.rs
+++ b/crates/load-balancer/src/list_schedule.rs
@@ -31,13 +31,13 @@
 
 const MILLI: Nanos = 1_000_000;
 /// What a call costs the service where its rate is not stated: so much of the first window is each gateway's.
-const ASSUMED_CALL_COST: Nanos = 60 * MILLI;
+const ASSUMED_SERVICE_TIME: Nanos = 60 * MILLI;
 /// The first window is at most this part of the list's longest age.
-const FIRST_WINDOW_PART: f64 = 0.55;
+const FIRST_WINDOW_FRACTION: f64 = 0.55;
 /// Yet never more calls than this multiple of what a slow service can serve.
-const MAX_DENSITY: Nanos = 4;
+const MAX_FIRST_RATE_FACTOR: Nanos = 4;
 /// The longest window as a multiple of the list's longest age, unless twice what a slow service needs for all is longer.
-const LONGEST_WINDOW_FACTOR: f64 = 1.6;
+const MAX_WAIT_FACTOR: f64 = 1.6;
 /// A gateway may go without the list for this multiple of its longest age after a failed call.
 const AGE_FACTOR_AFTER_FAILURE: Nanos = 4;
 /// Longest ages beyond this one make no difference here.
@@ -53,12 +53,12 @@
 /// long as it needs for all, however dense they come within their window.
 pub const FETCH_ALLOWANCE: Nanos = 500 * MILLI;
 /// A call that fails within this time has not waited for others: services time out after [`MIN_SERVICE_TIMEOUT`] or more.
-const QUICK_FAILURE: Nanos = 500 * MILLI;
+const QUICK_FAILURE_LIMIT: Nanos = 500 * MILLI;
 /// The shortest time after which a service that can't keep up fails a call that has waited. One that answers earlier keeps
 /// up, though calls may queue at it for a moment, as they do when many gateways start at once.
 pub const MIN_SERVICE_TIMEOUT: Nanos = 1000 * MILLI;
 /// Calls that the deadline wants early come at most so many times as dense as a slow service can serve.
-const MAX_EARLY_DENSITY: Nanos = 7;
+const MAX_EARLY_RATE_FACTOR: Nanos = 7;
 /// Late failures in a row that are taken for an outage of a service that kept up before.
 pub const OUTAGE_FAILURES: u32 = 6;
 /// The same for a service that this gateway knows nothing of yet.
@@ -84,13 +84,13 @@
     /// After a watch that became idle.
     after_idle: Nanos,
     /// After a call that failed quickly.
-    after_refusal: Nanos,
+    after_quick_failure: Nanos,
     /// The longest wait after quick failures, in windows that are skipped.
-    longest_after_refusal: Nanos,
+    max_wait_after_quick_failure: Nanos,
     /// What a slow service needs for all.
     slow_service: Nanos,
     /// The longest wait after late failures, in windows that are skipped.
-    longest: Nanos,
+    max_wait: Nanos,
 }
 
 /// The schedule of one gateway's calls for the list.
@@ -132,7 +132,7 @@
     window: Nanos,
     /// Exponent of the range from which the number of skipped windows is drawn.
     doublings: u32,
-    longest: Nanos,
+    max_wait: Nanos,
 }
 
 /// The bounds of the chain from a watch's idleness, or the service's return, to the list's application.
@@ -149,38 +149,39 @@
 impl Windows {
     /// Windows for `group` gateways; a stated `rate_per_s` of the service sets them, however long they become.
     fn new(group: Nanos, max_age: Nanos, rate_per_s: Option<f64>) -> Windows {
-        let usual = (max_age as f64 * FIRST_WINDOW_PART) as Nanos;
-        let slow = ASSUMED_CALL_COST * group;
+        let age_bound = (max_age as f64 * FIRST_WINDOW_FRACTION) as Nanos;
+        let slow = ASSUMED_SERVICE_TIME * group;
         let stated = rate_per_s
             .filter(|rate| *rate > 0.0)
             .map(|rate| (group as f64 / rate * NANOS_PER_SECOND) as Nanos);
         // A window and its slot fit into what is left of the deadline, the slot being a part of the window.
-        let within = |left: Nanos| left * group / (group + 1);
-        let early = |left| stated.unwrap_or(slow.min(within(left).max(slow / MAX_EARLY_DENSITY)));
+        let fit_with_slot = |left: Nanos| left * group / (group + 1);
+        let early_window =
+            |left| stated.unwrap_or(slow.min(fit_with_slot(left).max(slow / MAX_EARLY_RATE_FACTOR)));
         let age_after_failure = max_age
             .saturating_mul(AGE_FACTOR_AFTER_FAILURE)
             .min(AGE_FACTOR_AFTER_FAILURE * MAX_RELEVANT_AGE);
-        let most = age_after_failure
+        let max_total_wait = age_after_failure
             .saturating_sub(CALL_TIMEOUT + FETCH_ALLOWANCE)
-            .max(within(PROPAGATION_DEADLINE - FETCH_ALLOWANCE));
+            .max(fit_with_slot(PROPAGATION_DEADLINE - FETCH_ALLOWANCE));
         let two_windows = |window: Nanos| 2 * window + window / group;
-        let longest = (max_age as f64 * LONGEST_WINDOW_FACTOR) as Nanos;
+        let max_wait = (max_age as f64 * MAX_WAIT_FACTOR) as Nanos;
         // Where the rate is stated, it decides. Else two windows, of which one may be skipped, fit into what a gateway has
         // after a failed call.
-        let (slow_service, longest) = match stated {
-            Some(window) => (window, longest.max(two_windows(window))),
+        let (slow_service, max_wait) = match stated {
+            Some(window) => (window, max_wait.max(two_windows(window))),
             None => {
-                let window = slow.min(most * group / (2 * group + 1));
-                (window, longest.max(two_windows(window)).min(most))
+                let window = slow.min(max_total_wait * group / (2 * group + 1));
+                (window, max_wait.max(two_windows(window)).min(max_total_wait))
             }
         };
         Windows {
-            first: stated.unwrap_or(slow.min(usual.max(slow / MAX_DENSITY))),
-            after_idle: early(PROPAGATION_DEADLINE - WATCH_IDLE_TIMEOUT - FETCH_ALLOWANCE),
-            after_refusal: early(PROPAGATION_DEADLINE - FETCH_ALLOWANCE),
-            longest_after_refusal: PROPAGATION_DEADLINE.min(age_after_failure) - FETCH_ALLOWANCE,
+            first: stated.unwrap_or(slow.min(age_bound.max(slow / MAX_FIRST_RATE_FACTOR))),
+            after_idle: early_window(PROPAGATION_DEADLINE - WATCH_IDLE_TIMEOUT - FETCH_ALLOWANCE),
+            after_quick_failure: early_window(PROPAGATION_DEADLINE - FETCH_ALLOWANCE),
+            max_wait_after_quick_failure: PROPAGATION_DEADLINE.min(age_after_failure) - FETCH_ALLOWANCE,
             slow_service,
-            longest,
+            max_wait,
         }
     }
 }
@@ -234,21 +235,21 @@
     /// of this size within the time, by the rate stated or else by what is assumed.
     #[must_use]
     pub fn propagation_bounds(&self) -> PropagationBounds {
-        let refused = if self.windows.after_refusal <= PROPAGATION_DEADLINE - FETCH_ALLOWANCE {
-            self.with_slot(self.windows.after_refusal).max(PROPAGATION_DEADLINE - FETCH_ALLOWANCE)
+        let after_refusal = if self.windows.after_quick_failure <= PROPAGATION_DEADLINE - FETCH_ALLOWANCE {
+            self.with_slot(self.windows.after_quick_failure).max(PROPAGATION_DEADLINE - FETCH_ALLOWANCE)
         } else {
-            self.longest_wait()
+            self.max_wait()
         };
         PropagationBounds {
             after_idle: WATCH_IDLE_TIMEOUT + self.with_slot(self.windows.after_idle) + FETCH_ALLOWANCE,
-            after_refusal: refused + FETCH_ALLOWANCE,
-            after_timeout: CALL_TIMEOUT + self.longest_wait() + FETCH_ALLOWANCE,
+            after_refusal: after_refusal + FETCH_ALLOWANCE,
+            after_timeout: CALL_TIMEOUT + self.max_wait() + FETCH_ALLOWANCE,
         }
     }
 
     /// The longest wait after a late failure.
-    fn longest_wait(&self) -> Nanos {
-        self.windows.longest.max(self.with_slot(self.windows.slow_service))
+    fn max_wait(&self) -> Nanos {
+        self.windows.max_wait.max(self.with_slot(self.windows.slow_service))
     }
 
     /// A window and one slot of it.
@@ -257,59 +258,70 @@
     }
 
     /// How long a gateway that has just started waits before its first call, by the clock that all gateways share;
-    /// `chance` is a random number in 0..1.
-    pub fn first_wait(&mut self, now: Nanos, chance: f64) -> Nanos {
-        let wait = self.time_to_slot(now, self.windows.first, chance);
+    /// `jitter` is a random number in 0..1.
+    pub fn first_wait(&mut self, now: Nanos, jitter: f64) -> Nanos {
+        let wait = self.time_to_slot(now, self.windows.first, jitter);
         self.call_due = Some(now + wait);
         wait
     }
 
-    /// A call has failed, or a watch has ended. Returns how long to wait before the next one; `chance` is a random number
+    /// A call has failed, or a watch has ended. Returns how long to wait before the next one; `jitter` is a random number
     /// in 0..1.
-    pub fn record_failure(&mut self, now: Nanos, chance: f64) -> Nanos {
-        let Backoff { window, doublings, longest } = self.backoff(now);
+    pub fn record_failure(&mut self, now: Nanos, jitter: f64) -> Nanos {
+        let Backoff { window, doublings, max_wait } = self.backoff(now);
         let slot = window / Nanos::from(self.slot.group_size);
-        let most = (longest.saturating_sub(slot) / window.max(1)).max(1);
-        let windows = (1 << doublings.min(MAX_DOUBLINGS)).min(most);
+        let max_windows = (max_wait.saturating_sub(slot) / window.max(1)).max(1);
+        let windows = (1 << doublings.min(MAX_DOUBLINGS)).min(max_windows);
         (self.failures, self.has_watch) = (self.failures + 1, false);
         // The integer part says how many windows are skipped, the rest where in its slot the call comes.
-        let drawn = chance * windows as f64;
+        let drawn_windows = jitter * windows as f64;
         // Not in the slot that it may still be in: that call was this window's.
         let from = self.not_before.max(now) + slot;
-        let wait = from - now + window * drawn as Nanos + self.time_to_slot(from, window, drawn.fract());
+        let wait = from - now
+            + window * drawn_windows as Nanos
+            + self.time_to_slot(from, window, drawn_windows.fract());
         self.call_due = Some(now + wait);
         wait
     }
 
     fn backoff(&self, now: Nanos) -> Backoff {
-        let is_quick = self.call_due.is_some_and(|due| now >= due && now - due < QUICK_FAILURE);
+        let is_quick_failure =
+            self.call_due.is_some_and(|due| now >= due && now - due < QUICK_FAILURE_LIMIT);
         let is_deferred = self.not_before > now;
-        let fits = |window: Nanos| window <= PROPAGATION_DEADLINE - FETCH_ALLOWANCE;
+        let fits_deadline = |window: Nanos| window <= PROPAGATION_DEADLINE - FETCH_ALLOWANCE;
         let outage = self.outage_policy();
-        let is_outage = self.failures < outage.failures && fits(outage.window);
-        let Windows { after_idle, after_refusal, longest_after_refusal, slow_service, longest, .. } =
-            self.windows;
-        let single = |window| Backoff { window, doublings: 0, longest: window };
-        match (self.has_watch, is_quick) {
-            (true, _) => single(after_idle),
+        let is_outage = self.failures < outage.failures && fits_deadline(outage.window);
+        let Windows {
+            after_idle,
+            after_quick_failure,
+            max_wait_after_quick_failure,
+            slow_service,
+            max_wait,
+            ..
+        } = self.windows;
+        let single_window = |window| Backoff { window, doublings: 0, max_wait: window };
+        match (self.has_watch, is_quick_failure) {
+            (true, _) => single_window(after_idle),
             // While it is deferred, a gateway has spent a part of its time.
-            (_, true) if is_deferred && fits(after_idle) => single(after_idle),
-            (_, true) if fits(after_refusal) => {
-                Backoff { window: after_refusal, doublings: self.failures, longest: longest_after_refusal }
-            }
-            (_, false) if is_outage => single(outage.window),
+            (_, true) if is_deferred && fits_deadline(after_idle) => single_window(after_idle),
+            (_, true) if fits_deadline(after_quick_failure) => Backoff {
+                window: after_quick_failure,
+                doublings: self.failures,
+                max_wait: max_wait_after_quick_failure,
+            },
+            (_, false) if is_outage => single_window(outage.window),
             // Late failures that were taken for an outage don't count for the windows that are skipped.
             _ => Backoff {
                 window: slow_service,
                 doublings: 1 + self.failures.saturating_sub(outage.failures),
-                longest,
+                max_wait,
             },
         }
     }
 
     fn outage_policy(&self) -> OutagePolicy {
         let (window, failures) = match self.service {
-            ServiceState::Unknown => (self.windows.after_refusal, UNKNOWN_FAILURES),
+            ServiceState::Unknown => (self.windows.after_quick_failure, UNKNOWN_FAILURES),
             ServiceState::KeepsUp => (self.windows.after_idle, OUTAGE_FAILURES),
             ServiceState::Slow => (self.windows.slow_service, 0),
         };
@@ -317,17 +329,17 @@
     }
 
     /// The time to this gateway's next slot in windows of this length.
-    fn time_to_slot(&self, now: Nanos, window: Nanos, chance: f64) -> Nanos {
+    fn time_to_slot(&self, now: Nanos, window: Nanos, jitter: f64) -> Nanos {
         let Slot { gateway_index, group_size } = self.slot;
         let window = window.max(1);
-        let slot = (window as f64 * (f64::from(gateway_index) + chance) / f64::from(group_size)) as Nanos;
+        let slot = (window as f64 * (f64::from(gateway_index) + jitter) / f64::from(group_size)) as Nanos;
         (slot + window - now % window) % window
     }
 
     /// The service asks not to be called for `wait`; it may have asked all gateways the same.
     pub fn defer(&mut self, now: Nanos, wait: Nanos) {
         // Guards against a service that would have a gateway go without the list for long.
-        self.not_before = self.not_before.max(now.saturating_add(wait.min(self.windows.longest)));
+        self.not_before = self.not_before.max(now.saturating_add(wait.min(self.windows.max_wait)));
     }
 
     /// The list has come.
--- a/crates/load-balancer/src/replica_table.rs
+++ b/crates/load-balancer/src/replica_table.rs
@@ -51,7 +51,7 @@
 pub(crate) struct Zone {
     pub(crate) size: f64,
     pub(crate) in_flight: u32,
-    pub(crate) link: CircuitBreaker,
+    pub(crate) breaker: CircuitBreaker,
 }
 
 /// All replicas. One that is gone stays while a request names it, since late outcomes may.
@@ -124,11 +124,11 @@
 
     /// Frees the slots of replicas that are gone and that no request names any more, so that the table does not
     /// grow with every replica that was ever there.
-    pub(crate) fn free_unused(&mut self, named: &BTreeSet<ReplicaSlot>) {
+    pub(crate) fn free_unused(&mut self, referenced: &BTreeSet<ReplicaSlot>) {
         for (index, replica) in self.entries.iter().enumerate() {
             let slot = ReplicaSlot(index);
             let is_unused =
-                replica.phase == Phase::Gone && replica.virtual_nodes == 0 && !named.contains(&slot);
+                replica.phase == Phase::Gone && replica.virtual_nodes == 0 && !referenced.contains(&slot);
             if is_unused && self.slots.get(&replica.id) == Some(&slot) {
                 self.slots.remove(&replica.id);
                 self.free.push(slot);
--- a/crates/load-balancer/src/ring_walk.rs
+++ b/crates/load-balancer/src/ring_walk.rs
@@ -12,11 +12,11 @@
 }
 
 /// What a walk looks for.
-pub(crate) struct Target {
+pub(crate) struct SelectionCriteria {
     pub(crate) key: u64,
     pub(crate) session_hash: u64,
     /// The part of the fleet's size that shares the key.
-    pub(crate) owners: f64,
+    pub(crate) owner_fraction: f64,
     /// Little of a session is found cached, so it gains nothing from staying put.
     pub(crate) has_low_reuse: bool,
     pub(crate) group: ReplicaGroup,
@@ -51,7 +51,7 @@
 
 /// The state of a walk.
 pub(crate) struct Walk<'a> {
-    pub(crate) target: &'a Target,
+    pub(crate) criteria: &'a SelectionCriteria,
     /// Replicas of earlier attempts.
     pub(crate) attempted: &'a [ReplicaSlot],
     pub(crate) bounds: WalkBounds,
@@ -61,13 +61,17 @@
     pub(crate) second: Option<Candidate>,
     pub(crate) over_bound: Option<OverBound>,
     /// All owners so far are in slow start, and this gateway has no turn there.
-    pub(crate) is_without_owner: bool,
+    pub(crate) no_owner_has_turn: bool,
 }
 
 impl<'a> Walk<'a> {
-    pub(crate) fn new(target: &'a Target, attempted: &'a [ReplicaSlot], bounds: WalkBounds) -> Walk<'a> {
+    pub(crate) fn new(
+        criteria: &'a SelectionCriteria,
+        attempted: &'a [ReplicaSlot],
+        bounds: WalkBounds,
+    ) -> Walk<'a> {
         Walk {
-            target,
+            criteria,
             attempted,
             bounds,
             visited: 0,
@@ -75,13 +79,13 @@
             best: None,
             second: None,
             over_bound: None,
-            is_without_owner: true,
+            no_owner_has_turn: true,
         }
     }
 
     /// Whether the replicas visited so far include all that share the key.
     pub(crate) fn has_all_owners(&self) -> bool {
-        self.visited_size >= self.target.owners * self.bounds.total_size
+        self.visited_size >= self.criteria.owner_fraction * self.bounds.total_size
     }
 
     /// Counts a replica of this size; true if it is one of the owners.
@@ -92,18 +96,19 @@
         is_owner
     }
 
-    pub(crate) fn add(&mut self, candidate: Candidate) {
-        let beats = |other: Option<Candidate>| other.is_none_or(|o| candidate.preference > o.preference);
-        if beats(self.best) {
+    pub(crate) fn add_candidate(&mut self, candidate: Candidate) {
+        let is_better_than =
+            |other: Option<Candidate>| other.is_none_or(|o| candidate.preference > o.preference);
+        if is_better_than(self.best) {
             (self.second, self.best) = (self.best, Some(candidate));
-        } else if beats(self.second) {
+        } else if is_better_than(self.second) {
             self.second = Some(candidate);
         }
     }
 
     /// Keeps the one with the least queued work.
     pub(crate) fn add_over_bound(&mut self, slot: ReplicaSlot, queued_work: f64) {
-        let lighter = self.over_bound.filter(|least| least.queued_work <= queued_work);
-        self.over_bound = lighter.or(Some(OverBound { slot, queued_work }));
+        let current = self.over_bound.filter(|least| least.queued_work <= queued_work);
+        self.over_bound = current.or(Some(OverBound { slot, queued_work }));
     }
 }
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -13,21 +13,21 @@
 const SECOND: Nanos = 1_000_000_000;
 /// Turns come at this part of the rate that overloads a replica: the rest is for gateways that see the fleet's size
 /// differently, and for requests that cost more than most.
-const SAFE_RATE: f64 = 0.8;
+const SAFE_RATE_FRACTION: f64 = 0.8;
 /// So much of the budget may be open turns, beside what it may be exceeded by.
-const OPEN_TURNS: f64 = 0.1;
+const OPEN_TURN_FRACTION: f64 = 0.1;
 /// A process takes no turn that came before it, or so soon after its start: its gateway's last process may have.
 const RESTART_OVERLAP: Nanos = SECOND;
 /// Requests beyond the mean in work that a gateway pays back with later turns, at most.
-const MAX_DEBT: f64 = 3.0;
+const MAX_DEBT_REQUESTS: f64 = 3.0;
 
 /// The turns of this gateway at one warming replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStartBudget {
     /// Turns so far, where this gateway's own work tells them.
-    counted_turns: f64,
+    accrued_turns: f64,
     /// When they were counted.
-    counted_at: Nanos,
+    accrued_at: Nanos,
     /// The next turn that may be taken; all before it have been taken or have lapsed.
     next_turn: i64,
     /// Work sent beyond a mean request for each turn, in such requests.
@@ -38,7 +38,7 @@
     /// The budget of a replica that this gateway has just learnt of.
     #[must_use]
     pub fn new(now: Nanos) -> SlowStartBudget {
-        SlowStartBudget { counted_turns: 0.0, counted_at: now, next_turn: i64::MIN, debt: 0.0 }
+        SlowStartBudget { accrued_turns: 0.0, accrued_at: now, next_turn: i64::MIN, debt: 0.0 }
     }
 }
 
@@ -56,7 +56,7 @@
 /// The turns that have come up to now and those that may still be taken.
 struct TurnWindow {
     /// Turns that have come, with the offset of this gateway.
-    count: f64,
+    due: f64,
     /// The earliest turn that this process may take.
     earliest: i64,
 }
@@ -158,9 +158,9 @@
         // is left of the budget, and what it may be exceeded by. The gateways of a small group see enough to take each
         // turn as it comes.
         let allowed = self.overload_factor * full_rate * capacity * self.overload_window_s;
-        let open_turns = (OPEN_TURNS * allowed + 2.0 * allowed.sqrt()).min(group / 2.0) / group;
-        let lapsed = (turns.count - open_turns).floor() as i64;
-        let latest = turns.count.floor() as i64;
+        let open_turns = (OPEN_TURN_FRACTION * allowed + 2.0 * allowed.sqrt()).min(group / 2.0) / group;
+        let lapsed = (turns.due - open_turns).floor() as i64;
+        let latest = turns.due.floor() as i64;
         budget.next_turn = budget.next_turn.max(lapsed.saturating_add(1)).max(turns.earliest);
         while budget.debt >= 1.0 && budget.next_turn <= latest {
             budget.next_turn += 1;
@@ -178,13 +178,13 @@
             let window = self.window.max(1) as f64 / SECOND as f64;
             let initial = self.initial_capacity;
             let warmed = initial * age + (1.0 - initial) * age * age / (2.0 * window);
-            SAFE_RATE * self.overload_factor * full_rate * warmed / group
+            SAFE_RATE_FRACTION * self.overload_factor * full_rate * warmed / group
         };
         let first = self.first_list_at.map_or(now, |at| at.saturating_add(RESTART_OVERLAP));
         // The turns of its first moment come at once, for what may lapse.
         let missed =
             if first > replica.started { (turns(first) + offset).floor() as i64 } else { i64::MIN };
-        TurnWindow { count: turns(now) + offset, earliest: missed.saturating_add(1) }
+        TurnWindow { due: turns(now) + offset, earliest: missed.saturating_add(1) }
     }
 
     fn turns_by_own_work(
@@ -196,15 +196,16 @@
     ) -> TurnWindow {
         let group = f64::from(self.group_size);
         let capacity = self.capacity_fraction(now, Some(replica.started));
-        let elapsed = now.saturating_sub(budget.counted_at) as f64 / SECOND as f64;
-        budget.counted_turns += SAFE_RATE * self.overload_factor * full_rate * capacity * elapsed / group;
-        budget.counted_at = now;
-        TurnWindow { count: budget.counted_turns + self.turn_offset(replica.hash), earliest: 1 }
+        let elapsed = now.saturating_sub(budget.accrued_at) as f64 / SECOND as f64;
+        budget.accrued_turns +=
+            SAFE_RATE_FRACTION * self.overload_factor * full_rate * capacity * elapsed / group;
+        budget.accrued_at = now;
+        TurnWindow { due: budget.accrued_turns + self.turn_offset(replica.hash), earliest: 1 }
     }
 
     /// A request of this cost, in requests of mean work, goes to a warming replica: the turn is taken.
     pub fn take_turn(&self, budget: &mut SlowStartBudget, cost: f64) {
         budget.next_turn = budget.next_turn.saturating_add(1);
-        budget.debt = (budget.debt + cost - 1.0).clamp(-1.0, MAX_DEBT);
+        budget.debt = (budget.debt + cost - 1.0).clamp(-1.0, MAX_DEBT_REQUESTS);
     }
 }
--- a/crates/load-balancer/src/tenant_demand.rs
+++ b/crates/load-balancer/src/tenant_demand.rs
@@ -30,7 +30,7 @@
         // Retries belong to their first attempts.
         demand.requests = demand.requests * decay + f64::from(u8::from(!request.is_retry));
         demand.updated_at = now;
-        let of_group = (demand.requests * f64::from(settings.group_size)).max(f64::MIN_POSITIVE);
-        (quota * TIME_CONSTANT_S / of_group).min(1.0)
+        let group_requests = (demand.requests * f64::from(settings.group_size)).max(f64::MIN_POSITIVE);
+        (quota * TIME_CONSTANT_S / group_requests).min(1.0)
     }
 }
