--- a/crates/load-balancer/src/balancer.rs
+++ b/crates/load-balancer/src/balancer.rs
@@ -1,9 +1,9 @@
-//! Every decision of a gateway. The types it speaks are in `crates/load-balancer/src/types.rs`.
+//! The load balancer's state machine. Its events and actions are defined in [`types`](crate::types).
 //!
-//! All gateways hash replica ids into one ring of virtual nodes. A request goes to the first replica
-//! clockwise from its key (its shared prefix, else its session), past those that have too much of this
-//! gateway's work: consistent hashing with bounded loads. The modules say who may be chosen on that walk,
-//! when to walk again, when to refuse.
+//! All gateways hash replica ids onto the same ring of virtual nodes. A request goes to the first replica
+//! clockwise from its key (its shared prefix, else its session) that is within its load bound: consistent
+//! hashing with bounded loads. The submodules cover admission, selection, attempts and retries, outlier
+//! ejection and the list of replicas.
 
 mod admission;
 mod attempts;
@@ -30,14 +30,14 @@
 };
 use request_key::ring_key;
 
-/// Prompts of a class that find less than this part cached by earlier turns gain nothing from staying put.
+/// A class whose sessions reuse less than this fraction of a prompt gains nothing from session affinity.
 const LOW_SESSION_REUSE: f64 = 0.1;
-/// Requests within [`TIME_CONSTANT_S`] from which on a gateway can tell a prefix's own part of the work: of
-/// one that has a twentieth of it, the gateway has met five then.
+/// Requests within [`TIME_CONSTANT_S`] that a gateway needs to estimate the share of a single prefix. With
+/// this many, a prefix with a twentieth of the requests has been seen five times.
 const MIN_REQUESTS_TO_COMPARE_PREFIXES: f64 = 100.0;
-/// A request is refused if the replica that it would go to lags by this part of its latency target.
+/// A request is refused if its replica's oldest waiting request exceeds this fraction of the latency target.
 const REFUSAL_LAG_FRACTION: f64 = 0.6;
-/// How long a request that finds no replica waits before it looks again.
+/// Interval at which parked requests are placed again.
 const PARKED_RETRY_INTERVAL: Nanos = 50 * MILLI;
 const SECOND: Nanos = 1_000_000_000;
 const MILLI: Nanos = 1_000_000;
@@ -45,19 +45,19 @@
 /// What a timer is for.
 #[derive(Clone, Copy)]
 enum TimerPurpose {
-    /// The client gives up.
+    /// The client's deadline for the request has passed.
     Deadline(RequestId),
-    /// An attempt has had no first token for a while.
+    /// An attempt may still be waiting for its first token.
     SlowAttempt(RequestId),
-    /// The latency target has passed.
+    /// The latency target of the request has passed.
     LatencyTarget(RequestId),
-    /// Parked requests look for a replica again.
+    /// Parked requests are placed again.
     Parked,
-    /// The list is to be called for, unless there was another call since.
+    /// The list is to be requested, unless the generation has changed since the timer was set.
     ListCall(u64),
 }
 
-/// Timers that are not due yet, by their tokens.
+/// Pending timers by token.
 #[derive(Default)]
 struct Timers {
     pending: BTreeMap<u64, TimerPurpose>,
@@ -72,13 +72,13 @@
     }
 }
 
-/// The calls for the list: when they are made, and which one is the latest.
+/// The schedule of list calls, and a generation that invalidates outdated timers.
 struct ListCalls {
     schedule: ListSchedule,
     generation: u64,
 }
 
-/// What is known of the replicas, and where they are on the ring.
+/// The known replicas and zones, and the hash ring.
 struct Fleet {
     replicas: ReplicaTable,
     ring: HashRing,
@@ -99,25 +99,26 @@
     }
 }
 
-/// The requests that have not ended.
+/// Requests that have not ended.
 #[derive(Default)]
 struct Requests {
     active: BTreeMap<RequestId, ActiveRequest>,
-    /// Those that found no replica.
+    /// Requests for which no replica was available.
     parked: Vec<RequestId>,
 }
 
-/// How many requests come, and how many of them are admitted.
+/// Admission control and the demand that it is based on.
 #[derive(Default)]
 struct Admission {
     rate: AdmissionRate,
     demand: Demand,
     tenants: TenantDemands,
-    /// By the quotas this gateway meets too few requests to know prefixes apart; so at all gateways alike.
+    /// This gateway's part of the quotas is too small to estimate the share of single prefixes. The result is
+    /// the same at all gateways, since it follows from the quotas alone.
     has_few_requests: bool,
 }
 
-/// The decisions of one gateway for one service: a state machine without clock or I/O.
+/// The load balancer of one service at one gateway: a state machine without a clock or I/O.
 pub struct LoadBalancer {
     settings: Settings,
     random: SplitMix64,
@@ -129,10 +130,11 @@
 }
 
 impl LoadBalancer {
-    /// A load balancer that knows no replica yet; `seed` makes its random draws its own.
+    /// Creates a load balancer without replicas. `seed` initializes its random numbers; each gateway needs a
+    /// different one.
     ///
     /// # Errors
-    /// Settings that it can't work with.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validate(&settings)?;
         let mut balancer = LoadBalancer {
@@ -149,28 +151,28 @@
         Ok(balancer)
     }
 
-    /// Replaces the table of classes: entries may be changed or appended. Those beyond the end of a shorter
-    /// table stay as they were, since requests may name them; what was learnt of a class is kept.
+    /// Replaces the table of classes: entries may be changed or appended. If the new table is shorter, the
+    /// remaining classes are kept, since active requests may refer to them. Statistics of a class are kept.
     pub fn set_classes(&mut self, mut classes: Vec<Class>) {
         classes.extend_from_slice(self.settings.classes.get(classes.len()..).unwrap_or_default());
         self.admission.demand.set_classes(classes.len());
         self.settings.classes = classes;
     }
 
-    /// Changes how many gateways share the fleet; 0 counts as this one alone.
+    /// Changes the number of gateways that share the fleet; 0 is treated as 1.
     pub fn set_group_size(&mut self, gateways: u32) {
         self.settings.group_size = gateways.max(1);
         let quota = self.settings.quota_per_s();
-        let seen = quota.map(|quota| quota / f64::from(gateways.max(1)) * TIME_CONSTANT_S);
+        let expected_requests = quota.map(|quota| quota / f64::from(gateways.max(1)) * TIME_CONSTANT_S);
         self.admission.has_few_requests =
-            seen.is_some_and(|requests| requests < MIN_REQUESTS_TO_COMPARE_PREFIXES);
+            expected_requests.is_some_and(|requests| requests < MIN_REQUESTS_TO_COMPARE_PREFIXES);
         let budgets = self.fleet.replicas.iter_mut().map(|replica| (replica.hash, &mut replica.slow_start));
         self.fleet.slow_start.set_group_size(&self.settings, budgets);
         self.list_calls.schedule.set_group_size(&self.settings);
     }
 
-    /// Takes one event and adds what is to be done to `actions`. What the event names but this gateway does
-    /// not know (a request answered long ago, a timer of no use) is ignored.
+    /// Handles an event and appends the resulting actions to `actions`. Events for unknown requests, replicas
+    /// or timers are ignored, such as a late outcome of a request that has ended.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::List { kind, members } => self.apply_list(now, kind, &members, actions),
@@ -201,9 +203,7 @@
         }
     }
 
-    // ---- placing requests -----------------------------------------------------------------------------
-
-    /// Sends the request, parks it, or answers it.
+    /// Sends the request to a replica, parks it, or ends it with a refusal or failure.
     fn place(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.active.get(&id).filter(|active| !active.is_answered) else {
             return;
@@ -230,7 +230,7 @@
             slow_start_only: active.slow_start_only,
         };
         match self.select(now, &criteria, &attempted) {
-            // Guards against a jam that keeps itself alive: what would be late anyway is refused at once.
+            // Serving requests that will be late anyway would sustain an overload, so they are refused at once.
             Some(slot)
                 if !is_hedge && self.is_lagging(slot, REFUSAL_LAG_FRACTION, criteria.latency_target) =>
             {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Keeps a request that nobody can take until the list or a replica's health changes.
+    /// Keeps a request for which no replica is available, to be placed again on a timer or a new list.
     fn park(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.parked.is_empty() {
             self.timers.set(PARKED_RETRY_INTERVAL, TimerPurpose::Parked, actions);
--- a/crates/load-balancer/src/balancer/attempts.rs
+++ b/crates/load-balancer/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a request: where and when a further one may go, and what follows from its outcomes.
+//! Attempts: whether and where a request may be sent again, and how outcomes are handled.
 
 use super::{LoadBalancer, SECOND, TimerPurpose};
 use crate::active_request::{ActiveRequest, Attempt, AttemptState};
@@ -8,10 +8,10 @@
 use crate::ring_walk::ReplicaGroup;
 use crate::types::{Action, Effect, Event, Nanos, RequestId, Scope, Verdict};
 
-/// The part of the latency target after which an attempt without a first token is looked at again.
+/// Fraction of the time to the latency target after which an attempt without a first token is checked.
 const SLOW_ATTEMPT_FRACTION: f64 = 0.65;
 
-/// Where a further attempt may go, and when it must be written.
+/// The replicas that a further attempt may go to, and the time by which it must be written.
 pub(super) struct AttemptPermit {
     pub(super) group: ReplicaGroup,
     pub(super) write_until: Nanos,
@@ -22,7 +22,7 @@
 }
 
 impl LoadBalancer {
-    /// Whether a further attempt is allowed, and within which bounds.
+    /// Returns the bounds of a further attempt, or `None` if it isn't allowed.
     pub(super) fn attempt_permit(&self, now: Nanos, active: &ActiveRequest) -> Option<AttemptPermit> {
         let limits = &self.settings.limits;
         let is_exhausted = active.attempts.len() >= limits.max_attempts as usize;
@@ -44,7 +44,7 @@
         self.settings.classes[active.request.class.0].effect
     }
 
-    /// The replicas that discard repeats of what ran at `slot`.
+    /// The replicas that deduplicate a keyed request which may have run at `slot`.
     fn group_of(&self, scope: Scope, slot: ReplicaSlot) -> ReplicaGroup {
         match scope {
             Scope::All => ReplicaGroup::Any,
@@ -84,21 +84,22 @@
         }
     }
 
-    /// Guards against waiting for a replica that hangs or can't be reached over a connection made before.
+    /// Hedges or cancels a first attempt at a replica that hangs, or that has become unreachable over an
+    /// established connection.
     pub(super) fn check_slow_attempt(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.active.get(&id).filter(|active| active.is_waiting()) else {
             return;
         };
         let is_safe = self.effect_of(active) == Effect::Safe;
         let time_left = active.target_at.saturating_sub(now);
-        // The time was the first attempt's: it says nothing of one that began later.
+        // The timer was set for the first attempt; a later one has had less time.
         let first =
             active.attempts.first().filter(|attempt| attempt.state == AttemptState::InFlight).cloned();
         self.timers.set(time_left, TimerPurpose::LatencyTarget(id), actions);
         let Some(Attempt { replica: slot, sent_at, .. }) = first else { return };
         self.record_slow_attempt(now, slot, sent_at);
-        // Guards against waiting for what won't respond; a replica that is only slow responds soonest
-        // itself.
+        // Only an attempt that is unlikely to get a response is hedged or cancelled. If the replica is merely
+        // slow, its response still arrives sooner than one of another replica.
         let replica = &self.fleet.replicas[slot];
         let is_ejected = !replica.breaker.allows(now) && !self.has_too_many_ejections();
         let is_zone_unreachable =
@@ -111,9 +112,13 @@
         }
     }
 
-    /// Guards against taking a queue for a failure: its sessions would be read anew elsewhere, and jam it.
-    /// A replica that has responded since is slow. Else, while others respond, what it would have answered
-    /// counts.
+    /// Records a failure for a slow attempt, unless the replica has responded to another request since the
+    /// attempt was sent. Such a replica only has a queue, and ejecting it would make other replicas prefill its
+    /// sessions again and overload them.
+    ///
+    /// The replica's zone is charged with a failed connection in any case, the replica itself only while the
+    /// fleet as a whole is healthy. Its failure then includes the responses that it would normally have given
+    /// since the last one.
     fn record_slow_attempt(&mut self, now: Nanos, slot: ReplicaSlot, sent_at: Nanos) {
         let average = self.fleet.replicas[slot].average;
         if average.last_response_at >= sent_at {
@@ -127,7 +132,7 @@
         }
     }
 
-    /// Whether it is true that the request had no effect that a retry would repeat.
+    /// Whether the client can retry the request without repeating an effect.
     fn is_safe_to_retry(&self, active: &ActiveRequest) -> bool {
         match self.effect_of(active) {
             Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Ends a request that can't be served: with a refusal where that is true, else with a failure.
+    /// Ends a request that can't be served: with a refusal if a retry is safe, else with a failure.
     pub(super) fn refuse_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(active) = self.requests.active.get(&id).filter(|active| !active.is_answered) else {
             return;
@@ -144,25 +149,25 @@
         self.finish(id, Some(response), actions);
     }
 
-    /// Guards against a request without a response: parked ones and lost outcomes end here.
+    /// Ends a request that has no response at its deadline, such as a parked one or one whose outcome was lost.
     pub(super) fn end_at_deadline(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let waiting = self.requests.active.get(&id).filter(|active| active.is_waiting());
         match waiting.map(|active| active.first_possible_run().is_none()) {
-            // Nobody has run it, or is about to: that is a refusal, however late it comes.
+            // No attempt has run or can still run, so the request may be refused even this late.
             Some(true) => self.refuse_or_fail(id, actions),
             Some(false) => self.finish(id, Some(Action::Fail(id)), actions),
             None => {}
         }
     }
 
-    /// The client has left.
+    /// Ends a request whose client has disconnected.
     pub(super) fn handle_client_left(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.active.get(&id).is_some_and(|active| !active.is_answered) {
             self.finish(id, None, actions);
         }
     }
 
-    /// Marks a request as answered, cancels what is still waiting and forgets it once nothing is in flight.
+    /// Marks a request as answered and cancels its waiting attempts. Removes it if none is in flight.
     fn finish(&mut self, id: RequestId, response: Option<Action>, actions: &mut Vec<Action>) {
         actions.extend(response);
         let Some(active) = self.requests.active.get_mut(&id) else { return };
@@ -175,8 +180,8 @@
         }
     }
 
-    /// The response to an attempt has begun: it is this attempt's, and what a hedge still did would be
-    /// wasted.
+    /// Records the first token of an attempt. The response comes from this attempt, so that other attempts
+    /// which still wait are cancelled.
     pub(super) fn record_first_token(
         &mut self,
         now: Nanos,
--- a/crates/load-balancer/src/balancer/discovery.rs
+++ b/crates/load-balancer/src/balancer/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of replicas: when it is called for, and how the ring follows it.
+//! The list of replicas: when it is requested, and how it is applied to the replica table and the ring.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +10,8 @@
 use crate::slow_start::SlowStartBudget;
 use crate::types::{Action, ListKind, Member, Nanos, Phase, UnitsMeaning};
 
-/// Virtual nodes of the largest replica: more than the 100 of the literature, so that one of a quarter of
-/// its size still has some fifty; each gets a part of the ring by its size, even to about a tenth.
+/// Virtual nodes of the largest replica. The literature uses 100; with this number a replica of a quarter of
+/// the size still has about fifty, and each replica's part of the ring is within about a tenth of its size.
 const MAX_VIRTUAL_NODES: f64 = 256.0;
 
 impl LoadBalancer {
@@ -47,7 +47,8 @@
         self.place_parked(now, actions);
     }
 
-    /// Sets the timer of the next call for the list where one is due. Always draws a random number.
+    /// Sets the timer of the next list call if one is needed. Draws a random number for every kind of
+    /// list.
     fn schedule_call(&mut self, now: Nanos, kind: ListKind, actions: &mut Vec<Action>) {
         self.list_calls.generation += u64::from(!matches!(kind, ListKind::Persisted | ListKind::Local));
         let jitter = self.random.next_unit();
@@ -61,7 +62,7 @@
         self.timers.set(wait, TimerPurpose::ListCall(self.list_calls.generation), actions);
     }
 
-    /// Calls for the list unless something was heard of it since the timer was set.
+    /// Requests the list unless an update or a failure has arrived since the timer was set.
     pub(super) fn call_list(&mut self, generation: u64, actions: &mut Vec<Action>) {
         if generation != self.list_calls.generation {
             return;
@@ -72,7 +73,7 @@
         self.timers.set(self.list_calls.schedule.max_age(), next, actions);
     }
 
-    /// Takes over an entry of the list; true if the ring has to follow.
+    /// Applies an entry of the list. Returns whether the ring must be rebuilt.
     fn apply_member(&mut self, now: Nanos, member: &Member) -> bool {
         let units = self.speed_weighted_units(member);
         let slot = self.fleet.replicas.slot_or_insert(&member.id);
@@ -80,7 +81,7 @@
         let has_grown = self.fleet.replicas.learn_kind_size(member, units);
         let replica = &mut self.fleet.replicas[slot];
         if member.started.is_some() && replica.started != member.started {
-            // A new process: what the old one did says nothing of it.
+            // The process has restarted, so that statistics of the previous one don't apply.
             replica.started = member.started;
             (replica.breaker, replica.average) = (CircuitBreaker::default(), OutcomeAverage::default());
             replica.slow_start = SlowStartBudget::new(now);
@@ -89,28 +90,29 @@
         if member.phase != Phase::Gone {
             (replica.zone, replica.kind, replica.cell) = (member.zone, member.kind, member.cell);
         }
-        // Size over units is one plus the load for its size.
+        // Live units are the size divided by (1 + load per size), so this is 1 + load per size.
         let is_live = self.settings.units == UnitsMeaning::Live;
         replica.listed_load = if is_live { replica.size / units } else { 0.0 };
         replica.phase = member.phase;
         has_grown || has_changed
     }
 
-    /// A list says how many cores a replica has, and nothing of how fast they are.
+    /// The units of a replica times the speed of its machine kind. The list states the number of cores, not
+    /// their speed.
     fn speed_weighted_units(&self, member: &Member) -> f64 {
         let speed = self.settings.speeds.get(usize::from(member.kind)).copied().unwrap_or(1.0);
         let has_units = self.settings.units != UnitsMeaning::None;
         speed * if has_units { member.units.max(f64::MIN_POSITIVE) } else { 1.0 }
     }
 
-    /// Slots for replicas in its tables, those of gone ones that wait for new ones included.
+    /// The number of slots in the replica table, free ones included.
     #[must_use]
     pub fn replica_slots(&self) -> usize {
         self.fleet.replicas.slot_count()
     }
 
-    /// Brings the ring in step with the list: nodes of replicas that left go, those of new ones come, and
-    /// all others stay where they are.
+    /// Updates the ring after a change of the list: removes virtual nodes of replicas that left and inserts
+    /// those of new ones. All other nodes keep their positions.
     fn rebuild_ring(&mut self) {
         let largest = self.fleet.replicas.largest_size();
         let mut added = Vec::new();
--- a/crates/load-balancer/src/balancer/outlier_ejection.rs
+++ b/crates/load-balancer/src/balancer/outlier_ejection.rs
@@ -1,5 +1,4 @@
-//! Which replicas and zones count as healthy: outlier ejection with trials, as in Envoy, and zones out of
-//! reach.
+//! Outlier ejection of replicas, as in Envoy, and detection of unreachable zones.
 
 use super::LoadBalancer;
 use super::SECOND;
@@ -7,24 +6,24 @@
 use crate::replica_table::{ReplicaSlot, Zone};
 use crate::types::{Nanos, Phase, Verdict};
 
-/// A replica is ejected from this failure rate on: below it, another attempt elsewhere after a quick error
-/// costs less than moving all of its sessions away from what it has cached of them.
+/// Failure rate at which a replica is ejected. Below it, retrying quick errors at another replica costs less
+/// than moving all sessions of the replica away from its prefix cache.
 const EJECTION_FAILURE_RATE: f64 = 0.4;
-/// The time is doubled up to a limit, so that a dead replica costs little.
+/// The ejection time doubles up to its maximum, so that trials at a dead replica are rare.
 const REPLICA_EJECTION: EjectionPolicy = EjectionPolicy {
     consecutive_failures: 1,
     base_ejection_time: 2 * SECOND,
     max_ejection_time: 16 * SECOND,
 };
-/// Connections that failed in a zone, with none made, after which it counts as cut off. Links heal at once
-/// and a trial costs one request's wait, so the times are short.
+/// A zone is unreachable after this number of failed connections without a successful one. The times are
+/// short, since a network partition heals at once and a trial costs no more than the wait of one request.
 const ZONE_EJECTION: EjectionPolicy = EjectionPolicy {
     consecutive_failures: 3,
     base_ejection_time: SECOND / 2,
     max_ejection_time: 2 * SECOND,
 };
-/// Beyond this part of the fleet, ejections are ignored (Envoy's panic threshold): then it is this gateway
-/// or the load.
+/// Ejections are ignored if more than this fraction of the ready replicas is ejected (Envoy's panic
+/// threshold): the cause is then this gateway or the load rather than the replicas.
 const PANIC_THRESHOLD: f64 = 0.5;
 
 impl LoadBalancer {
@@ -33,7 +32,7 @@
         ejected.count() as f64 > PANIC_THRESHOLD * self.fleet.replicas.ready as f64
     }
 
-    /// A zone is out of reach while another is not; else the fault is elsewhere.
+    /// Whether a zone is unreachable. If no zone can be reached, the fault is not in the zones.
     pub(super) fn is_unreachable(&self, zone: &Zone) -> bool {
         zone.breaker.is_open() && self.fleet.zones.values().any(|zone| !zone.breaker.is_open())
     }
@@ -44,27 +43,28 @@
         self.fleet.zones.entry(replica.zone).or_default().breaker = CircuitBreaker::default();
     }
 
-    /// Guards against taking a zone out of reach for many dead replicas: each request would find another of
-    /// them.
+    /// Records a failed connection for the replica's zone. Without this, an unreachable zone would appear as
+    /// many dead replicas, each of which costs an attempt.
     pub(super) fn record_unreachable(&mut self, now: Nanos, slot: ReplicaSlot) {
         let jitter = self.random.next_unit();
         let zone = self.fleet.zones.entry(self.fleet.replicas[slot].zone).or_default();
         zone.breaker.record_failure(now, ZONE_EJECTION, jitter);
     }
 
-    /// What an outcome says of the way to the replica's zone.
+    /// Records what an outcome shows about the reachability of the replica's zone.
     pub(super) fn record_link_outcome(&mut self, now: Nanos, slot: ReplicaSlot, verdict: Verdict) {
         match verdict {
             Verdict::NoConnection => self.record_unreachable(now, slot),
             Verdict::Ok | Verdict::Error | Verdict::Full => self.record_reachable(now, slot),
-            // Guards against waiting for ever for a trial that has no result.
+            // Inconclusive: the trial must end, or the zone's breaker would wait for it forever.
             Verdict::TimedOut | Verdict::Reset | Verdict::Cancelled | Verdict::NotSent => {
                 self.fleet.zones.entry(self.fleet.replicas[slot].zone).or_default().breaker.abandon_trial();
             }
         }
     }
 
-    /// What an outcome says of the replica; a first token was recorded before.
+    /// Records what an outcome shows about the replica's health. Once the first token has arrived, a
+    /// success has been recorded, and a later timeout is not a failure.
     pub(super) fn record_replica_outcome(
         &mut self,
         now: Nanos,
@@ -78,16 +78,17 @@
             Verdict::Error | Verdict::TimedOut | Verdict::NoConnection | Verdict::Reset => {
                 self.record_result(now, slot, 1.0);
             }
-            // Full is no failure, and what was never sent or was cancelled says nothing of the replica.
+            // A full replica is not a failed one, and attempts that were not sent or were cancelled are
+            // inconclusive.
             Verdict::Full | Verdict::Cancelled | Verdict::NotSent => {
                 self.fleet.replicas[slot].breaker.abandon_trial();
             }
         }
     }
 
-    /// Records a success (0 `failures`) or a failure of some weight. A trial that went well is followed by
-    /// the next at once, until failures are rare enough: one response of a replica that fails half of its
-    /// requests says nothing.
+    /// Records a success (`failures` is 0) or a failure with the weight `failures`. A successful trial doesn't
+    /// readmit the replica by itself, since a replica that fails half of its requests passes half of its
+    /// trials. It permits the next trial at once, until the failure rate is below the threshold.
     pub(super) fn record_result(&mut self, now: Nanos, slot: ReplicaSlot, failures: f64) {
         let jitter = self.random.next_unit();
         let zone = self.fleet.zones.get(&self.fleet.replicas[slot].zone);
--- a/crates/load-balancer/src/balancer/selection.rs
+++ b/crates/load-balancer/src/balancer/selection.rs
@@ -1,4 +1,4 @@
-//! The walk along the ring: the first replica from a request's key on that may take it, past those over the
+//! Selection of a replica: a walk along the ring from the request's key, which skips replicas over the load
 //! bound (consistent hashing with bounded loads).
 
 use super::LoadBalancer;
@@ -8,16 +8,18 @@
 use crate::slow_start::WarmingReplica;
 use crate::types::{Nanos, Phase, ReplicaWork};
 
-/// A replica is passed over beyond this multiple of the mean in flight, plus one; what goes beyond the mean
-/// grows with the root of the group's size, since each of many gateways sees mostly chance.
+/// A replica is skipped if its load exceeds this multiple of the mean, plus one. For requests in flight, the
+/// excess over the mean is scaled by the square root of the group size: in a large group each gateway has
+/// few requests, and their counts are mostly noise.
 const BOUND_FACTOR: f64 = 1.25;
-/// A replica whose oldest waiting request has waited for this part of a request's latency target is passed
-/// over.
+/// A replica is skipped if its oldest waiting request exceeds this fraction of the latency target.
 const MAX_LAG_FRACTION: f64 = 0.5;
 
 impl LoadBalancer {
-    /// Among the first `owners` distinct replicas clockwise from the key, the one that the session's hash
-    /// prefers and that may take the request; then the first beyond them, past all over the bound.
+    /// Selects a replica. Of the key's owners, the distinct replicas clockwise from the key that make up
+    /// `owner_fraction` of the fleet, it is the usable one that the session prefers. If no owner is usable and
+    /// within the bounds, it is the first such replica beyond them, else the one over a bound with the least
+    /// queued work.
     pub(super) fn select(
         &mut self,
         now: Nanos,
@@ -39,7 +41,8 @@
                 break;
             }
         }
-        // A request that leaves nothing behind goes to the emptier of the two that its session prefers.
+        // Without reuse of the session's cache, the less loaded of the two preferred replicas is taken (power
+        // of two choices).
         if let (true, Some(best), Some(second)) = (criteria.has_low_reuse, walk.best, walk.second) {
             let is_less_loaded = self.relative_load(second.slot) < self.relative_load(best.slot);
             return Some(if is_less_loaded { second.slot } else { best.slot });
@@ -68,9 +71,9 @@
         if is_excluded || !has_turn || !self.is_usable(now, slot, walk) {
             return;
         }
-        // Sessions prefer owners in proportion to their size, whoever else is there (rendezvous hashing);
-        // those in slow start first of all, since a turn not taken is lost, and anywhere if no owner may
-        // take it.
+        // Sessions are spread over the owners in proportion to their sizes by weighted rendezvous hashing, so
+        // that a session's preference is stable when other replicas come or go. A replica in slow start comes
+        // first, since an unused turn lapses; if no owner has a turn, one beyond the owners does as well.
         let preference = if is_warming && (is_owner || walk.no_owner_has_turn) {
             f64::MAX
         } else if is_owner || walk.best.is_none() {
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Whether no further replica can change the choice.
+    /// Whether the walk can end, as no further replica can change the selection.
     fn is_complete(&self, walk: &Walk<'_>) -> bool {
         let seeks_turn = walk.no_owner_has_turn && self.fleet.replicas.warm < self.fleet.replicas.ready;
         let is_found = walk.best.is_some_and(|best| !seeks_turn || best.preference == f64::MAX);
@@ -104,13 +107,13 @@
         replica.listed_load + f64::from(replica.in_flight) / replica.size
     }
 
-    /// Whether the oldest request that waits at a replica has waited for more than this part of a latency
+    /// Whether the oldest waiting request at a replica has waited for more than `fraction` of the latency
     /// target.
-    pub(super) fn is_lagging(&self, slot: ReplicaSlot, part: f64, latency_target: Nanos) -> bool {
-        self.fleet.replicas[slot].oldest_wait as f64 > part * latency_target as f64
+    pub(super) fn is_lagging(&self, slot: ReplicaSlot, fraction: f64, latency_target: Nanos) -> bool {
+        self.fleet.replicas[slot].oldest_wait as f64 > fraction * latency_target as f64
     }
 
-    /// Takes over how much work is queued at each replica.
+    /// Records a report of the work queued at each replica.
     pub(super) fn record_loads(&mut self, now: Nanos, loads: &[ReplicaWork]) {
         self.fleet.load_reports.record_report(now);
         for load in loads {
@@ -120,8 +123,8 @@
         }
     }
 
-    /// How much work may be queued at a replica that is to get more: a multiple of the mean and one, as for
-    /// what is in flight. No bound without a fresh report.
+    /// The queued work above which a replica is skipped: a multiple of the mean, plus one. Infinite without a
+    /// fresh report.
     fn queued_work_bound(&self, now: Nanos) -> f64 {
         if !self.fleet.load_reports.is_fresh(now) {
             return f64::INFINITY;
@@ -131,8 +134,7 @@
         BOUND_FACTOR * queued / self.fleet.replicas.ready.max(1) as f64 + 1.0
     }
 
-    /// How long the oldest request that waits at each replica has waited: what a new one would, at the
-    /// least.
+    /// Updates the wait of the oldest waiting request at each replica, a lower bound of the wait of a new one.
     fn update_oldest_waits(&mut self, now: Nanos) {
         self.fleet.replicas.iter_mut().for_each(|replica| replica.oldest_wait = 0);
         let attempts = self.requests.active.values().flat_map(|active| &active.attempts);
@@ -156,7 +158,7 @@
         replica.phase == Phase::Ready && is_healthy && is_reachable && is_in_group && is_not_attempted
     }
 
-    /// Whether a replica may be sent a request: one in slow start only on this gateway's turn.
+    /// Whether slow start permits a request to the replica. A warm replica always has a turn.
     fn has_turn(&mut self, now: Nanos, slot: ReplicaSlot) -> bool {
         let started = self.fleet.replicas[slot].started;
         let Some(started) =
@@ -164,8 +166,9 @@
         else {
             return true;
         };
-        // Guards against two flattering measures: demand, which in an overload is beyond what any replica
-        // can do, and units that are lowered by load, of which an empty replica has the most.
+        // Served work is used where there are warm replicas, since offered work exceeds the fleet's capacity
+        // in an overload. The replica's part is its size by kind over the peak size, since live units would
+        // overstate an empty replica.
         let work = self.admission.demand.work_per_s(now, self.fleet.replicas.warm > 0)
             / self.admission.demand.mean_cost();
         let peak_size = self.fleet.replicas.peak_size;
--- a/crates/load-balancer/src/types.rs
+++ b/crates/load-balancer/src/types.rs
@@ -3,15 +3,15 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A point in time or a duration, in nanoseconds of the caller's clock. It stays an alias: all arithmetic of the decisions
-/// is on integers of this width.
+/// A point in time or a duration, in nanoseconds of the caller's clock. An alias rather than a newtype, since all time
+/// arithmetic uses integers of this width.
 pub type Nanos = u64;
 
-/// The caller's name for a request; never used twice.
+/// The caller's id of a request, which is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A replica's id: the same at every gateway, and all that decides its positions on the ring.
+/// A replica's id, the same at every gateway. It alone determines the replica's positions on the ring.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplicaId(pub Arc<str>);
 
@@ -29,96 +29,97 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantIndex(pub usize);
 
-/// What a second run of a request would do.
+/// The effect of running a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may run any number of times.
+    /// None: the request may run any number of times.
     Safe,
-    /// Nothing within a group of replicas, which discard repeats for a while after the first send.
+    /// None within a group of replicas, which deduplicate the request by its key for a limited time.
     Keyed {
-        /// Which replicas discard each other's repeats.
+        /// The replicas that share the deduplication.
         scope: Scope,
-        /// For how long, counted from the first send that may have run.
+        /// How long they deduplicate, counted from the first attempt that may have run.
         window: Nanos,
     },
-    /// Harm: it must not run twice.
+    /// The request must not run twice.
     Unsafe,
 }
 
-/// The replicas that discard repeats of a keyed request.
+/// The replicas that deduplicate a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All of them.
+    /// All replicas.
     All,
-    /// Those of one zone.
+    /// The replicas of one zone.
     Zone,
-    /// Those of one cell.
+    /// The replicas of one cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// A first token within this time earns the full value ...
+    /// Time to first token that earns the full value, for an empty prompt.
     pub latency_target: Nanos,
-    /// ... plus so much for each token of the prompt.
+    /// Added to the latency target for each token of the prompt.
     pub latency_target_per_token: Nanos,
-    /// The time between tokens that is wanted on average; 0 where none is stated.
+    /// Target of the mean time between tokens; 0 if there is none.
     pub inter_token_target: Nanos,
-    /// How long a client waits in all, over all its attempts.
+    /// How long a client waits in total, over all attempts.
     pub deadline: Nanos,
-    /// What a second run does.
+    /// The effect of a second run.
     pub effect: Effect,
-    /// Value of a response in time.
+    /// Value of a response within the latency target.
     pub value: f64,
     /// Fraction of the value that a late response earns.
     pub late_value: f64,
-    /// The response is a stream whose first token is reported by [`Event::FirstToken`].
+    /// Whether the response is a stream whose first token is reported by [`Event::FirstToken`].
     pub stream: bool,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Fraction of the service that is its own.
+    /// Fraction of the service that is reserved for the tenant.
     pub share: f64,
-    /// Requests a second, at all gateways together, that count as within the share.
+    /// Requests per second, at all gateways together, that are within the share.
     pub quota_per_s: Option<f64>,
 }
 
-/// What the site allows.
+/// What the deployment permits.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Attempts per request at the most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be in flight at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// [`Action::Cancel`] is allowed.
+    /// Whether [`Action::Cancel`] is allowed.
     pub cancellation: bool,
-    /// [`Action::Probe`] is allowed.
+    /// Whether [`Action::Probe`] is allowed.
     pub probes: bool,
-    /// [`Action::SendToPeer`] is allowed.
+    /// Whether [`Action::SendToPeer`] is allowed.
     pub peer_messages: bool,
-    /// Longest time for which a refused client is asked to stay away; 0 where it is given no advice.
+    /// Maximum retry-after of a refusal; 0 if refusals have none.
     pub max_retry_after: Nanos,
 }
 
-/// The figures behind slow start and the age of the list.
+/// Parameters of slow start, and the maximum age of the list.
 #[derive(Clone, Debug, Default)]
 pub struct Safety {
-    /// A replica starts with at least this fraction of its capacity, above 0 and at most 1 ...
+    /// Fraction of its capacity that a replica has at its start, above 0 and at most 1.
     pub initial_capacity: f64,
-    /// ... and has all of it after this time.
+    /// Time from the start of a replica until it has its full capacity.
     pub slow_start_window: Nanos,
-    /// Work beyond this multiple of the present capacity ...
+    /// A warming replica fails if it gets more work than this multiple of its current capacity within
+    /// [`Safety::overload_window`].
     pub overload_factor: f64,
-    /// ... over this time makes a warming replica fail.
+    /// The time over which the work for [`Safety::overload_factor`] is measured.
     pub overload_window: Nanos,
-    /// A gateway that polls the list must not stay without it for longer than this.
+    /// Maximum age of the list at a gateway that requests it.
     pub max_list_age: Nanos,
 }
 
-/// A value of a replica's load report.
+/// The meaning of a value in a replica's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
     /// Requests in progress.
@@ -129,68 +130,67 @@
     Utilisation,
     /// Recent service time in milliseconds.
     Latency,
-    /// Requests served a second.
+    /// Requests served per second.
     Rate,
-    /// Errors a second.
+    /// Errors per second.
     Errors,
     /// Fraction of memory in use by running requests.
     Memory,
-    /// Thousands of prompt tokens not yet read.
+    /// Thousands of prompt tokens that are not prefilled yet.
     Unread,
-    /// A value that the load balancer has no use for.
+    /// A value that the load balancer does not use.
     Other,
 }
 
-/// What [`Member::units`] says.
+/// The meaning of [`Member::units`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UnitsMeaning {
-    /// Nothing: all are alike.
+    /// None: all replicas count as equal.
     #[default]
     None,
-    /// The size, exact or rough.
+    /// The size of the replica, exact or approximate.
     Size,
-    /// The size, lowered by the load that a replica had some time ago.
+    /// The size of the replica, reduced by its load as of some time ago.
     Live,
 }
 
-/// All that a gateway needs to know at its start.
+/// Settings of a load balancer.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Gateways that share the fleet.
+    /// Number of gateways that share the fleet.
     pub group_size: u32,
-    /// This gateway's index among them, from 0.
+    /// Index of this gateway in the group, from 0.
     pub gateway_index: u32,
-    /// This gateway's zone, an index that [`Member::zone`] uses too.
+    /// Zone of this gateway, as an index like [`Member::zone`].
     pub zone: Option<u16>,
-    /// The list of replicas is pushed; else it comes after [`Action::Watch`] or [`Action::Fetch`].
+    /// Whether the list of replicas is pushed; else it is requested by [`Action::Watch`] or [`Action::Fetch`].
     pub has_pushed_list: bool,
-    /// Least time between two calls of [`LoadBalancer::handle`](crate::LoadBalancer::handle).
+    /// Minimum time between two calls of [`LoadBalancer::handle`](crate::LoadBalancer::handle).
     pub tick: Nanos,
     /// Classes of requests, at least one.
     pub classes: Vec<Class>,
-    /// Tenants; may be none.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// A replica can fetch a cached prefix from another one, so that one owner is enough for each.
+    /// Whether a replica can fetch a cached prefix from another one. A prefix then needs only one owner.
     pub has_prefix_transfer: bool,
-    /// Value of a request beyond its tenant's share, as a fraction of its class's value.
+    /// Value of a request beyond its tenant's share, as a fraction of the class's value.
     pub over_share_value: f64,
-    /// What is allowed.
+    /// What the deployment permits.
     pub limits: Limits,
-    /// Slow start and the age of the list.
+    /// Parameters of slow start, and the maximum age of the list.
     pub safety: Safety,
-    /// What the units of the list say.
+    /// The meaning of the list's units.
     pub units: UnitsMeaning,
-    /// The speed of a unit of each kind of machine beside those of others, by [`Member::kind`]; 1 where it is not
-    /// stated.
+    /// Relative speed of a unit of each machine kind, indexed by [`Member::kind`]; 1 for kinds beyond its end.
     pub speeds: Vec<f64>,
-    /// Calls that the list service can answer in a second, for all gateways together, where it is stated.
+    /// Calls per second that the list service can serve for all gateways together, if known.
     pub list_calls_per_s: Option<f64>,
-    /// What the values of a load report mean, in order; empty where there are none.
+    /// The values of a load report in order; empty if there are no reports.
     pub load_metrics: Vec<LoadMetric>,
 }
 
 impl Settings {
-    /// Requests a second that the tenants' quotas grant at all gateways together; none unless each tenant has one.
+    /// Requests per second that the tenants' quotas permit at all gateways together; `None` unless each tenant has one.
     #[must_use]
     pub fn quota_per_s(&self) -> Option<f64> {
         let all: Option<f64> = self.tenants.iter().map(|t| t.quota_per_s).sum();
@@ -198,7 +198,7 @@
     }
 }
 
-/// Settings that a gateway can't work with.
+/// An error in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// [`Settings::classes`] is empty.
@@ -207,31 +207,33 @@
     EmptyGroup,
     /// [`Limits::max_attempts`] is 0.
     NoAttempts,
-    /// [`Safety::initial_capacity`] is not above 0 and at most 1, or [`Safety::overload_factor`] is no number.
+    /// [`Safety::initial_capacity`] is not above 0 and at most 1, or [`Safety::overload_factor`] is NaN.
     InvalidInitialCapacity,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            SettingsError::NoClasses => "no classes of requests",
-            SettingsError::EmptyGroup => "a group of no gateways",
-            SettingsError::NoAttempts => "no attempt is allowed",
-            SettingsError::InvalidInitialCapacity => "the cold share is not within 0 to 1",
+            SettingsError::NoClasses => "the settings have no request classes",
+            SettingsError::EmptyGroup => "the group size is 0",
+            SettingsError::NoAttempts => "the maximum number of attempts is 0",
+            SettingsError::InvalidInitialCapacity => {
+                "the initial capacity is not above 0 and at most 1, or the overload factor is NaN"
+            }
         })
     }
 }
 
 impl std::error::Error for SettingsError {}
 
-/// What discovery knows of a replica's process.
+/// The state of a replica's process according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It runs.
+    /// The replica accepts requests.
     Ready,
-    /// It finishes what is in flight; nothing new may go there.
+    /// The replica finishes requests in flight and must not be sent new ones.
     Draining,
-    /// It has left.
+    /// The replica has left.
     #[default]
     Gone,
 }
@@ -241,82 +243,83 @@
 pub struct Member {
     /// The replica.
     pub id: ReplicaId,
-    /// To be compared with other replicas'; [`Settings::units`] says what it means.
+    /// Units of the replica, relative to those of others; [`Settings::units`] states the meaning.
     pub units: f64,
     /// Zone, as an index.
     pub zone: u16,
-    /// Kind of machine, as an index; only replicas of one kind are taken to be of one size.
+    /// Machine kind, as an index; replicas of the same kind are assumed to have the same size.
     pub kind: u16,
     /// Cell, for keyed requests.
     pub cell: u64,
     /// State of its process.
     pub phase: Phase,
-    /// When it last started; `None` is long ago.
+    /// When the process last started; `None` if long ago.
     pub started: Option<Nanos>,
 }
 
-/// How a list came about.
+/// The origin of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what has changed.
+    /// Only changed entries.
     Changes,
-    /// Changes that this gateway made itself, as when it ejects a replica: they say nothing of the list service.
+    /// Changes that this gateway made itself, such as an ejection. They don't come from the list service, and so
+    /// don't show that it is available.
     Local,
     /// The complete list.
     Complete,
-    /// The complete list as this gateway last stored it, perhaps out of date.
+    /// The complete list as this gateway last stored it; it may be out of date.
     Persisted,
-    /// A call failed or the watch broke; the last list stays in force.
+    /// A call failed or the watch ended; the last list stays in effect.
     Failed,
 }
 
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// The id of the request.
     pub id: RequestId,
-    /// Time until the client gives up this attempt.
+    /// Time until the client's deadline.
     pub expires_in: Nanos,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassIndex,
-    /// Its tenant, if it has one.
+    /// The tenant, if there is one.
     pub tenant: Option<TenantIndex>,
     /// Hash of the prefix that the prompt shares with others.
     pub prefix: Option<u64>,
-    /// Hash of the session that it belongs to.
+    /// Hash of the session.
     pub session: Option<u64>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the shared prefix among them.
+    /// Number of those tokens that belong to the shared prefix.
     pub prefix_tokens: u32,
-    /// Tokens of the response at the most.
+    /// Maximum number of tokens in the response.
     pub max_output_tokens: u32,
-    /// A client's retry, where clients mark these.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Served.
+    /// The request was served.
     Ok,
     /// The replica returned an error; it may have run.
     Error,
-    /// Rejected unseen.
+    /// The replica had no room and did not run it.
     Full,
-    /// No response in time; it may have run or run still.
+    /// No response in time; it may have run or still be running.
     TimedOut,
-    /// No connection: it never ran.
+    /// No connection was established: it never ran.
     NoConnection,
     /// The connection broke; it may have run.
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// It was not sent.
     NotSent,
 }
 
-/// Work at a replica, in units that the caller chooses.
+/// An amount of work at a replica, in a unit of the caller's choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaWork {
     /// The replica.
@@ -328,22 +331,22 @@
 /// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// How much work of all gateways is queued at each replica, as of some tens of milliseconds ago.
+    /// The work of all gateways that is queued at each replica. A report is some tens of milliseconds old.
     Loads(Vec<ReplicaWork>),
-    /// This gateway sends a replica so much work, in the unit of [`Event::Loads`].
+    /// This gateway has sent work to a replica, in the unit of [`Event::Loads`].
     WorkSent(ReplicaWork),
     /// An update of the list of replicas.
     List {
-        /// How it came about.
+        /// The origin of the update.
         kind: ListKind,
-        /// Its entries, shared so that several gateways in a process can read them at no cost.
+        /// The entries, shared so that several gateways in a process can read them without a copy.
         members: Arc<[Member]>,
     },
-    /// The list service asks not to be called for so long. The failed call is an event of its own.
+    /// The list service asks not to be called for this time. The failed call is a separate event.
     ListServiceBusy(Nanos),
-    /// A request to be placed and answered.
+    /// A new request.
     Request(Request),
-    /// The client has left.
+    /// The client has disconnected.
     Expired(RequestId),
     /// The response to an attempt has begun.
     FirstToken {
@@ -360,13 +363,13 @@
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
-        /// How.
+        /// How it ended.
         verdict: Verdict,
-        /// The request is finished; else this gateway still owes a response.
+        /// Whether the request has ended; else the client still needs a response.
         ended: bool,
         /// Time since it was sent.
         elapsed: Nanos,
-        /// Prompt tokens that the replica had cached.
+        /// Number of prompt tokens that the replica had cached.
         cached_tokens: Option<u32>,
         /// The replica's load, in the order of [`Settings::load_metrics`].
         report: Vec<f64>,
@@ -375,7 +378,7 @@
     Probed {
         /// The replica.
         replica: ReplicaId,
-        /// How.
+        /// How it ended.
         verdict: Verdict,
         /// Time since it was sent.
         elapsed: Nanos,
@@ -384,37 +387,37 @@
     },
     /// A timer is due.
     Timer(u64),
-    /// A message of another gateway.
+    /// A message from another gateway.
     PeerMessage {
-        /// Its index.
+        /// The index of the sender.
         from: u32,
         /// The message.
         bytes: Vec<u8>,
     },
 }
 
-/// What the caller has to do, in this order.
+/// An output of the state machine, to be performed by the caller in the order of the outputs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. The attempts of a request are numbered from 0 in order.
+    /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The replica to send it to.
         replica: ReplicaId,
-        /// Its time-out.
+        /// The timeout of the attempt.
         timeout: Nanos,
-        /// It may be written so long from now on: a connection may come up late.
+        /// Time from now within which it must be written, since a connection may be established late.
         write_within: Nanos,
     },
-    /// Final response: declined; a retry does no harm.
+    /// Final response: refused; a retry is safe.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0 is no advice.
+        /// Retry-after for the client; 0 if there is none.
         retry_after: Nanos,
     },
-    /// Final response: failed, nothing said about effects.
+    /// Final response: failed; the request may have had an effect.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
@@ -423,14 +426,14 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// Set a timer, due with [`Event::Timer`].
+    /// Set a timer, which is reported by [`Event::Timer`].
     Timer {
-        /// From now.
+        /// Time from now.
         after: Nanos,
-        /// To be handed back.
+        /// The token for [`Event::Timer`].
         token: u64,
     },
-    /// Request changes of the list from now on, missed ones first.
+    /// Watch the list for changes, starting with those since the last update.
     Watch,
     /// Request the complete list once.
     Fetch,
@@ -438,9 +441,9 @@
     Probe(ReplicaId),
     /// Send a message to one gateway, or to all.
     SendToPeer {
-        /// The gateway's index, or all.
+        /// The index of the gateway; `None` for all.
         to: Option<u32>,
-        /// The message, 256 bytes at the most.
+        /// The message, at most 256 bytes.
         bytes: Vec<u8>,
     },
 }
