--- a/crates/load-balancer/src/active_request.rs
+++ b/crates/load-balancer/src/active_request.rs
@@ -6,11 +6,11 @@
 /// Whether an attempt may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// It has not ended.
+    /// The attempt has not ended.
     InFlight,
-    /// It ended and has surely not run.
+    /// The attempt ended and the request has certainly not run.
     NeverRan,
-    /// It ended and may have run.
+    /// The attempt ended and the request may have run.
     MayHaveRun,
 }
 
@@ -20,7 +20,7 @@
     pub(crate) replica: ReplicaSlot,
     pub(crate) sent_at: Nanos,
     pub(crate) state: AttemptState,
-    /// Its first token has come.
+    /// Whether its first token has arrived.
     pub(crate) has_begun: bool,
 }
 
@@ -29,37 +29,37 @@
         Attempt { replica, sent_at, state: AttemptState::InFlight, has_begun: false }
     }
 
-    /// It is in flight and no token has come.
+    /// Whether it is in flight and has no first token.
     pub(crate) fn is_waiting(&self) -> bool {
         self.state == AttemptState::InFlight && !self.has_begun
     }
 }
 
-/// A request that has not been answered, or whose attempts have not all ended.
+/// A request that is unanswered or has an attempt in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveRequest {
     pub(crate) request: Request,
-    /// The time up to a first token that earns the full value.
+    /// The time to first token that earns the full value.
     pub(crate) latency_target: Nanos,
-    /// When that time is over.
+    /// The point in time at which the latency target passes.
     pub(crate) target_at: Nanos,
-    /// When the client gives up.
+    /// The client's deadline.
     pub(crate) deadline: Nanos,
-    /// The part of the fleet's size that shares its prefix.
+    /// The fraction of the fleet's size that owns its prefix.
     pub(crate) owner_fraction: f64,
-    /// It may go to replicas in slow start only.
+    /// Whether it may only be sent to replicas in slow start.
     pub(crate) slow_start_only: bool,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) is_answered: bool,
 }
 
 impl ActiveRequest {
-    /// The first attempt that may have had an effect, or may yet.
+    /// The first attempt that may have run or may still run.
     pub(crate) fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::NeverRan)
     }
 
-    /// It has no response, nor the beginning of one.
+    /// Whether it has neither a response nor a first token.
     pub(crate) fn is_waiting(&self) -> bool {
         !self.is_answered && self.attempts.iter().all(|attempt| !attempt.has_begun)
     }
@@ -68,7 +68,7 @@
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// The numbers of the attempts that wait for their first token.
+    /// The numbers of the attempts that are waiting for their first tokens.
     pub(crate) fn waiting_attempts(&self) -> impl Iterator<Item = u32> {
         let numbered = self.attempts.iter().enumerate();
         numbered.filter(|(_, attempt)| attempt.is_waiting()).map(|(number, _)| number as u32)
--- a/crates/load-balancer/src/circuit_breaker.rs
+++ b/crates/load-balancer/src/circuit_breaker.rs
@@ -1,26 +1,26 @@
-//! A circuit breaker with exponential ejection times and single trials (half-open state).
+//! A circuit breaker with exponentially growing ejection times and single trial requests (half-open state).
 
 use crate::types::Nanos;
 
-/// Doublings of the ejection time after which the limit is reached in any case; keeps the shift in range.
+/// Maximum number of doublings of the ejection time, enough to reach its limit; keeps the shift in range.
 const MAX_DOUBLINGS: u32 = 8;
-/// An ejection lasts from this multiple of its nominal time ...
+/// Minimum of the random factor applied to an ejection time.
 const MIN_JITTER: f64 = 0.75;
-/// ... to so much more, so that gateways don't retry at the same time.
+/// Range of this factor, which keeps gateways from sending their trials at the same time.
 const JITTER_RANGE: f64 = 0.5;
 
-/// When a breaker opens, and for how long. The names are those of Envoy's outlier detection.
+/// When a breaker opens and for how long. The fields are named as in Envoy's outlier detection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EjectionPolicy {
-    /// Failures in a row after which the breaker opens.
+    /// Number of consecutive failures that opens the breaker.
     pub(crate) consecutive_failures: u32,
-    /// How long it stays open the first time; doubled with each failed trial.
+    /// Time that it stays open at first; doubled by each failed trial.
     pub(crate) base_ejection_time: Nanos,
-    /// The longest time for which it stays open.
+    /// Maximum time that it stays open, before jitter.
     pub(crate) max_ejection_time: Nanos,
 }
 
-/// Opens after failures, for longer each time; then lets one trial through at a time.
+/// Opens after consecutive failures, each time for longer, and then permits one trial at a time.
 #[derive(Debug, Default)]
 pub(crate) struct CircuitBreaker {
     failures: u32,
@@ -35,27 +35,27 @@
         self.is_open
     }
 
-    /// Whether a request may pass: always while closed, and as a trial once the ejection time is over.
+    /// Whether a request is permitted: always while closed, and as a trial after the ejection time.
     pub(crate) fn allows(&self, now: Nanos) -> bool {
         !self.is_open || now >= self.open_until && !self.has_trial
     }
 
-    /// A request passes; it is the trial if the breaker is open.
+    /// Records that a request is sent; it is the trial if the breaker is open.
     pub(crate) fn begin_request(&mut self) {
         self.has_trial |= self.is_open;
     }
 
-    /// The trial has ended without a result.
+    /// Ends a trial without a result.
     pub(crate) fn abandon_trial(&mut self) {
         self.has_trial = false;
     }
 
-    /// The trial went well, but not well enough to close: the next one may follow at once.
+    /// Permits the next trial at once, after a success that is not sufficient to close the breaker.
     pub(crate) fn allow_next_trial(&mut self, now: Nanos) {
         (self.has_trial, self.open_until) = (false, now);
     }
 
-    /// Counts a failure; `jitter` is a random number in 0..1.
+    /// Records a failure. `jitter` is a random number in 0..1.
     pub(crate) fn record_failure(&mut self, now: Nanos, policy: EjectionPolicy, jitter: f64) {
         self.failures += 1;
         if self.has_trial || !self.is_open && self.failures >= policy.consecutive_failures {
--- a/crates/load-balancer/src/decaying_average.rs
+++ b/crates/load-balancer/src/decaying_average.rs
@@ -1,8 +1,8 @@
-//! The recent outcomes of attempts at a replica, as exponentially decaying counts.
+//! Exponentially decaying counts of the outcomes of attempts at a replica.
 
 use crate::types::Nanos;
 
-/// Time constant of the counts in seconds: about as long as faults last.
+/// Time constant of the counts in seconds, about the duration of a fault.
 pub const TIME_CONSTANT_S: f64 = 10.0;
 const NANOS_PER_SECOND: f64 = 1e9;
 
@@ -18,9 +18,8 @@
 }
 
 impl OutcomeAverage {
-    /// Records an outcome: 0 `failures` for a success, else the weight of the failure. Returns the failure rate, reckoned
-    /// with one success more than came. So a first failure counts for much where attempts are rare, and for little among
-    /// many.
+    /// Records an outcome: `failures` is 0 for a success, else the weight of the failure. Returns the failure rate, computed
+    /// with one additional success. A first failure thus weighs much if attempts are rare and little among many.
     pub fn record(&mut self, now: Nanos, failures: f64) -> f64 {
         let decay = decay_factor(now, self.updated_at, TIME_CONSTANT_S);
         let successes = f64::from(u8::from(failures == 0.0));
@@ -31,7 +30,7 @@
     }
 }
 
-/// What is left at `now` of a figure of time `at`, after exponential decay.
+/// The factor by which a value from time `at` has decayed at `now`.
 pub(crate) fn decay_factor(now: Nanos, at: Nanos, time_constant_s: f64) -> f64 {
     (-(now.saturating_sub(at) as f64) / NANOS_PER_SECOND / time_constant_s).exp()
 }
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -1,33 +1,33 @@
-//! Demand as far as one gateway sees it: how much work comes and is done, which part of it each prefix has, and how much
-//! of a class's prompts is found cached. No I/O and no clock.
+//! Demand as observed by one gateway: offered and served work, the share of each prefix, and the cached fraction of the
+//! prompts of each class. No I/O and no clock.
 
 use std::collections::BTreeMap;
 
 use crate::decaying_average::decay_factor;
 use crate::types::{ClassIndex, Nanos, Request};
 
-/// What a response costs, as prompt tokens read: a slot is in use about as long as this takes to read.
+/// Cost of a response in prompt tokens: decoding occupies a slot about as long as the prefill of this number of tokens.
 pub const RESPONSE_COST_TOKENS: f64 = 1000.0;
-/// Time constant of the averages, in seconds: some think times of a session, so that all classes are seen.
+/// Time constant of the averages, in seconds. It spans several think times of a session, so that all classes are seen.
 pub const TIME_CONSTANT_S: f64 = 10.0;
-/// A prefix's owners are this multiple of what its part of the demand would fill: one more replica of it costs one
-/// reading, while sets of owners that overlap are evened out by being wide.
+/// The owners of a prefix are this multiple of what its share of the demand would fill. An additional owner costs one
+/// prefill, while larger sets of owners even out the load where sets overlap.
 const OWNER_FACTOR: f64 = 3.0;
-/// The mean part that a request's own prefix has of the work, before anything is known: the sum of the parts' squares,
-/// some hundredths with Zipf-like demand for some tens to hundreds of prefixes.
+/// Initial value of the mean share of the work that a request's own prefix has. This mean is the sum of the squared shares
+/// of all prefixes, a few hundredths for a Zipf distribution over tens to hundreds of prefixes.
 const INITIAL_PREFIX_SHARE: f64 = 1.0 / 16.0;
-/// Weight of the newest request in that mean; about a minute's where one comes each second.
+/// Weight of the newest request in that mean; with one request per second it averages over about a minute.
 const PREFIX_SHARE_GAIN: f64 = 0.02;
-/// A class's owners are counted anew only when wrong by more than this factor.
+/// The owner fraction of a class is updated only if it is wrong by more than this factor.
 const OWNER_TOLERANCE: f64 = 3.0;
-/// Prefixes that are remembered before the least used are forgotten.
+/// Number of prefixes from which on those with little work are removed.
 const MAX_PREFIXES: usize = 256;
-/// Weight of the newest response in the means of cached tokens.
+/// Weight of the newest response in the mean cached fractions.
 const CACHE_GAIN: f64 = 0.05;
 /// Weight of the newest request in the mean cost.
 const COST_GAIN: f64 = 0.05;
 
-/// Work in prompt tokens, all of it decaying with [`TIME_CONSTANT_S`].
+/// Work in prompt tokens, which decays exponentially with [`TIME_CONSTANT_S`].
 #[derive(Clone, Debug)]
 pub struct Demand {
     offered: f64,
@@ -45,16 +45,16 @@
     updated_at: Nanos,
 }
 
-/// What is known of a class.
+/// The statistics of a class.
 #[derive(Clone, Copy, Debug)]
 struct ClassDemand {
-    /// The mean part of the work that a request's own prefix has had.
+    /// The mean share of the work that a request's own prefix has.
     mean_prefix_share: f64,
-    /// The owners by it.
+    /// The owner fraction that follows from this mean.
     owner_fraction: f64,
-    /// The mean fraction of a prompt that is found cached.
+    /// The mean cached fraction of a prompt.
     cached: f64,
-    /// The mean fraction of a prompt that is found cached beyond its shared prefix, from earlier turns of its session.
+    /// The mean fraction of a prompt that is cached beyond its shared prefix, from earlier turns of its session.
     cached_by_session: f64,
 }
 
@@ -83,43 +83,43 @@
 }
 
 impl Demand {
-    /// Sets how many classes there are; what is known of those that stay is kept.
+    /// Sets the number of classes. Statistics of the remaining classes are kept.
     pub fn set_classes(&mut self, count: usize) {
         self.classes.resize(count, ClassDemand::default());
     }
 
-    /// Records a request that is expected to cost so much.
+    /// Records an offered request with its expected cost.
     pub fn record_offered(&mut self, now: Nanos, cost: f64) {
         self.decay(now);
         self.offered += cost;
     }
 
-    /// Records work that was done.
+    /// Records served work.
     pub fn record_served(&mut self, now: Nanos, cost: f64) {
         self.decay(now);
         self.served += cost;
     }
 
-    /// Work a second: what was done, or what was offered.
+    /// Served or offered work per second.
     pub fn work_per_s(&mut self, now: Nanos, is_served: bool) -> f64 {
         self.decay(now);
         if is_served { self.served / TIME_CONSTANT_S } else { self.offered / TIME_CONSTANT_S }
     }
 
-    /// What the request will probably cost, by what its class finds cached.
+    /// The expected cost of a request, from the cached fraction of its class.
     #[must_use]
     pub fn expected_cost(&self, request: &Request) -> f64 {
         f64::from(request.prompt_tokens) * (1.0 - self.classes[request.class.0].cached)
             + RESPONSE_COST_TOKENS
     }
 
-    /// The fraction of a prompt of this class that earlier turns of its session left in a cache.
+    /// The mean fraction of a prompt of this class that is cached from earlier turns of its session.
     #[must_use]
     pub fn cached_by_session(&self, class: ClassIndex) -> f64 {
         self.classes[class.0].cached_by_session
     }
 
-    /// Records how much of a prompt was found cached. Returns the work that was done for the request.
+    /// Records the cached tokens of a prompt. Returns the work that the request took.
     pub fn record_cached(&mut self, request: &Request, cached_tokens: u32) -> f64 {
         let class = &mut self.classes[request.class.0];
         let prompt = f64::from(request.prompt_tokens.max(1));
@@ -130,20 +130,21 @@
         f64::from(request.prompt_tokens.saturating_sub(cached_tokens)) + RESPONSE_COST_TOKENS
     }
 
-    /// Takes a request into the mean of full costs.
+    /// Adds a request to the mean of full costs.
     pub fn record_cost(&mut self, request: &Request) {
         self.mean_cost += COST_GAIN * (full_cost(request) - self.mean_cost);
     }
 
-    /// The mean of [`full_cost`] over the latest requests.
+    /// The mean of [`full_cost`] over recent requests.
     #[must_use]
     pub fn mean_cost(&self) -> f64 {
         self.mean_cost
     }
 
-    /// The part of the fleet's size that shares a request's prefix; 0 where it has none. Guards against the pile-up that
-    /// no gateway sees: many of them each carrying a few requests of it. All see like samples of the demand, so all come
-    /// to like figures. With `is_per_class`, all prefixes of a class have as many.
+    /// The fraction of the fleet's size that owns a request's prefix; 0 if it has none. Several owners are needed since
+    /// many gateways can overload a single one with a few requests each, which none of them notices. Each gateway sees a
+    /// sample of the same demand, so that their results are similar. With `is_per_class`, all prefixes of a class have the
+    /// same owner fraction.
     pub fn owner_fraction(&mut self, now: Nanos, request: &Request, cost: f64, is_per_class: bool) -> f64 {
         let Some(prefix) = request.prefix.filter(|prefix| *prefix != 0) else { return 0.0 };
         self.forget_idle_prefixes(now);
@@ -152,13 +153,13 @@
         demand.work *= decay_factor(now, demand.updated_at, TIME_CONSTANT_S);
         let class = &mut self.classes[request.class.0];
         class.mean_prefix_share += PREFIX_SHARE_GAIN * (demand.work / offered - class.mean_prefix_share);
-        // With this request, so that a gateway that has seen little takes each prefix for popular: an owner too many
-        // costs one reading, one too few a jam.
+        // The request itself is included, so that a gateway with few requests overestimates the share of a prefix. An
+        // unneeded owner costs one prefill, while a missing one overloads the others.
         *demand = PrefixDemand { work: demand.work + cost, updated_at: now };
         if is_per_class {
             return class.class_owner_fraction();
         }
-        // A prefix that is short beside the rest of the work is cheap to have cached in many places.
+        // A prefix that is short compared to the cost of its requests is cheap to cache at many replicas.
         let cheapness = (cost / f64::from(request.prefix_tokens.max(1))).max(1.0);
         OWNER_FACTOR * cheapness * demand.work / offered
     }
@@ -179,10 +180,12 @@
 }
 
 impl ClassDemand {
-    /// Guards against sessions that move with each turn, as each of many gateways sees little and guesses one prefix's
-    /// part by itself: what turns leave in a cache is read anew each time. So all prefixes of a class have as many owners
-    /// as its most popular could need (no part is above the root of the sum of their squares), a power of four that stays
-    /// until it is clearly wrong, and so the same nearly everywhere.
+    /// The owner fraction of all prefixes of a class, used where each gateway sees too few requests to estimate the share
+    /// of a prefix. Gateways with different estimates would send the turns of a session to different replicas, and each
+    /// turn would be prefilled again.
+    ///
+    /// It is the largest that the most popular prefix can need: no share exceeds the square root of the sum of squared
+    /// shares. It is rounded to a power of four and kept until it is clearly wrong, so that nearly all gateways agree.
     fn class_owner_fraction(&mut self) -> f64 {
         let needed = self.mean_prefix_share.max(f64::MIN_POSITIVE).sqrt();
         if (needed / self.owner_fraction).max(self.owner_fraction / needed) > OWNER_TOLERANCE {
@@ -192,7 +195,7 @@
     }
 }
 
-/// What a request costs a replica that has nothing of it cached.
+/// The cost of a request at a replica that has none of it cached.
 #[must_use]
 pub fn full_cost(request: &Request) -> f64 {
     f64::from(request.prompt_tokens) + RESPONSE_COST_TOKENS
--- a/crates/load-balancer/src/hash_ring.rs
+++ b/crates/load-balancer/src/hash_ring.rs
@@ -1,4 +1,4 @@
-//! The ring of consistent hashing: virtual nodes in the order of their positions.
+//! The ring of consistent hashing: virtual nodes sorted by position.
 
 use std::cmp::Ordering;
 
@@ -6,12 +6,12 @@
 use crate::replica_table::ReplicaSlot;
 use crate::types::ReplicaId;
 
-/// A virtual node.
+/// A virtual node of a replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VirtualNode {
     pub(crate) position: u64,
     pub(crate) replica: ReplicaSlot,
-    /// Its number among the virtual nodes of its replica.
+    /// The number of the node among those of its replica, from 0.
     pub(crate) number: u32,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// All virtual nodes, sorted by position.
+/// All virtual nodes.
 #[derive(Debug, Default)]
 pub(crate) struct HashRing {
     nodes: Vec<VirtualNode>,
@@ -33,12 +33,13 @@
         self.nodes.len()
     }
 
-    /// The index of the first node at `key` or clockwise from it; the ring's length if it is the first of all.
+    /// The index of the first node at `key` or clockwise from it. This is the ring's length if the search wraps around to
+    /// the first node.
     pub(crate) fn start(&self, key: u64) -> usize {
         self.nodes.partition_point(|node| node.position < key)
     }
 
-    /// The node that is `steps` clockwise from the one at `start`. The ring must not be empty.
+    /// The node `steps` positions clockwise from the one at `start`. The ring must not be empty.
     pub(crate) fn clockwise(&self, start: usize, steps: usize) -> VirtualNode {
         self.nodes[(start + steps) % self.nodes.len()]
     }
@@ -47,7 +48,7 @@
         self.nodes.retain(is_current);
     }
 
-    /// Adds nodes. `by_id` decides between equal positions, since gateways meet replicas in different orders.
+    /// Inserts nodes. `by_id` orders nodes with equal positions, since gateways learn of replicas in different orders.
     pub(crate) fn insert(
         &mut self,
         mut added: Vec<VirtualNode>,
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -1,14 +1,14 @@
-//! Chooses a replica for each request, without a clock and without I/O: events in, actions out.
+//! Load balancing of requests over replicas, as a state machine without a clock or I/O: events in, actions out.
 //!
-//! [`LoadBalancer`] is the state machine of one service at one gateway. It combines four known techniques:
+//! [`LoadBalancer`] makes the decisions for one service at one gateway. It combines:
 //!
 //! - consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018; Envoy's `hash_balance_factor`),
-//! - outlier ejection and panic threshold (Envoy's outlier detection),
-//! - slow start of replicas that have just started ([`slow_start`]; Envoy's slow start mode),
-//! - admission by measured latency and by tenant quotas.
+//! - outlier ejection with a panic threshold (as in Envoy's outlier detection),
+//! - slow start of new replicas ([`slow_start`]; compare Envoy's slow start mode),
+//! - admission control by measured latency and by tenant quotas.
 //!
-//! [`types`] has the settings, events and actions. [`list_schedule`] says when the list service is called. What a decision
-//! rests on is estimated in [`demand`], [`queued_work`] and [`decaying_average`].
+//! [`types`] has the settings, events and actions. [`list_schedule`] schedules calls to the list service. [`demand`],
+//! [`queued_work`] and [`decaying_average`] have the estimates that decisions are based on.
 //!
 //! ```
 //! use tulipridge_load_balancer::LoadBalancer;
--- a/crates/load-balancer/src/list_schedule.rs
+++ b/crates/load-balancer/src/list_schedule.rs
@@ -1,71 +1,74 @@
-//! When the list service is called. No I/O and no clock. The schedule spares the service, which answers one call after
-//! another for all gateways.
+//! The schedule of calls to the list service. No I/O and no clock. It limits the load on the service, which handles the
+//! calls of all gateways one at a time.
 //!
-//! Each gateway has a slot of its own in a window that recurs on the clock that all share, and calls in its slot only. So
-//! the service sees an even stream whoever starts, fails or comes back, and whenever. After a failure windows are skipped,
-//! a number drawn from a range that doubles (exponential backoff with full jitter).
+//! Each gateway has a slot in a window that recurs on a shared clock, and calls only in its slot. The service thus gets an
+//! even rate of calls regardless of which gateways start, fail or return, and when. After a failure a gateway skips a
+//! random number of windows, drawn from a range that doubles (exponential backoff with full jitter).
 //!
-//! A change of the list must be applied within [`PROPAGATION_DEADLINE`] after a watch became idle or the service was back.
-//! [`ListSchedule::propagation_bounds`] states the bounds of the whole chain:
+//! A change of the list must be applied within [`PROPAGATION_DEADLINE`] after a watch became idle or the service became
+//! available again. [`ListSchedule::propagation_bounds`] returns the bounds of the total of these steps:
 //!
 //! | step | bound |
 //! | --- | --- |
-//! | an idle watch is noticed | [`WATCH_IDLE_TIMEOUT`]; none where a watch was reset or a call refused |
-//! | the rest of this gateway's slot, if it may have called in it | a window's part |
-//! | its slot | the window: what the other steps leave |
+//! | detection of an idle watch | [`WATCH_IDLE_TIMEOUT`]; 0 if a watch was reset or a call refused |
+//! | rest of this gateway's slot, in which it may already have called | the window divided by the group size |
+//! | wait for its next slot | the window, sized to fit into what the other steps leave |
 //! | connection, call, response and application of the list | [`FETCH_ALLOWANCE`] |
-//! | the drain's grace | is no step: it runs from then on, and is the reserve for a response that queues |
 //!
-//! A call that failed quickly cost the service nothing: it is down, or sheds load. A call that failed late may have waited
-//! at a service that can't keep up, and whose work at it was lost: then the window is as long as a slow service needs for
-//! all gateways, and at least one in two is skipped on average. The settings give a gateway four times as long after a
-//! failed call, and that bounds this wait as it bounds the wait after quick failures.
+//! The grace period of a drain begins after these steps. It is the reserve for a response that is queued at the service.
 //!
-//! A service that answered this gateway's last call before a client of it would have given up keeps up with the group, all of which called in the same
-//! window. If it then fails late, it is down and something before it holds calls until they time out. Calls go on as after
-//! an idle watch, so that the deadline is met at its return, but for [`OUTAGE_FAILURES`] in a row only: it may be
-//! overloaded after all. A service that has not answered yet is given the benefit of the doubt for fewer, in the window
-//! after quick failures.
+//! A call that failed quickly cost the service nothing: the service is down or sheds load. A call that failed late may have
+//! been queued at an overloaded service, whose work on it was wasted. The window is then as long as a slow service needs for
+//! all gateways, and on average at least every other window is skipped. The settings permit a gateway four times the
+//! maximum age of the list after a failed call, which bounds this wait and the wait after quick failures.
+//!
+//! If the service answered this gateway's last call before a client would have timed out, it keeps up with the group, all
+//! of which called in the same window. If calls then fail late, the service is down, and something in front of it holds
+//! calls until they time out. Calls continue as after an idle watch, so that the deadline is met when the service returns,
+//! but for at most [`OUTAGE_FAILURES`] in a row, since it may be overloaded after all. For a service that has not answered
+//! any call yet, the limit is [`UNKNOWN_FAILURES`], in the window that is used after quick failures.
 
 use crate::types::{Nanos, Settings};
 
 const MILLI: Nanos = 1_000_000;
-/// What a call costs the service where its rate is not stated: so much of the first window is each gateway's.
+/// Service time of a call if the rate of the service is not stated. A slow service needs this time per gateway.
 const ASSUMED_SERVICE_TIME: Nanos = 60 * MILLI;
-/// The first window is at most this part of the list's longest age.
+/// Limit of the first window as a fraction of the maximum age of the list.
 const FIRST_WINDOW_FRACTION: f64 = 0.55;
-/// Yet never more calls than this multiple of what a slow service can serve.
+/// Maximum rate of calls in the first window, as a multiple of what a slow service can serve. Takes precedence over
+/// [`FIRST_WINDOW_FRACTION`].
 const MAX_FIRST_RATE_FACTOR: Nanos = 4;
-/// The longest window as a multiple of the list's longest age, unless twice what a slow service needs for all is longer.
+/// Maximum wait after late failures as a multiple of the maximum age of the list, unless two windows of a slow service
+/// are longer.
 const MAX_WAIT_FACTOR: f64 = 1.6;
-/// A gateway may go without the list for this multiple of its longest age after a failed call.
+/// After a failed call a gateway may be without the list for this multiple of its maximum age.
 const AGE_FACTOR_AFTER_FAILURE: Nanos = 4;
-/// Longest ages beyond this one make no difference here.
+/// Upper limit of the maximum age in the wait after failures; larger ages make no difference.
 const MAX_RELEVANT_AGE: Nanos = 1_000_000 * MILLI;
-/// The shortest longest age that is taken from the settings.
+/// Lower limit of the maximum age from the settings.
 const MIN_LIST_AGE: Nanos = 1000 * MILLI;
-/// A change of the list counts as propagated so long after its watch became idle or the service was back.
+/// Time within which a change of the list is propagated, after a watch became idle or the service became available again.
 pub const PROPAGATION_DEADLINE: Nanos = 6000 * MILLI;
-/// A watch has traffic every 2 s; without any for this time it is idle. Little is lost if its message is only late: it is
-/// read until the gateway's slot has come.
+/// A watch without traffic for this time is idle; the service sends something every 2 s. A message that is only late is
+/// still read until the gateway's slot has come, so that a short timeout costs little.
 pub const WATCH_IDLE_TIMEOUT: Nanos = 2400 * MILLI;
-/// For a call to be made and answered and its list to be applied. A service that queues answers all of a group after as
-/// long as it needs for all, however dense they come within their window.
+/// Time for a call, its response and the application of the list. A service that queues calls needs the same total time
+/// for a group at any rate of calls within the window.
 pub const FETCH_ALLOWANCE: Nanos = 500 * MILLI;
-/// A call that fails within this time has not waited for others: services time out after [`MIN_SERVICE_TIMEOUT`] or more.
+/// A call that fails within this time was not queued: services time out after [`MIN_SERVICE_TIMEOUT`] or more.
 const QUICK_FAILURE_LIMIT: Nanos = 500 * MILLI;
-/// The shortest time after which a service that can't keep up fails a call that has waited. One that answers earlier keeps
-/// up, though calls may queue at it for a moment, as they do when many gateways start at once.
+/// Minimum time after which an overloaded service fails a queued call. A service that answers sooner keeps up, even if
+/// calls are queued for a moment, as when many gateways start at once.
 pub const MIN_SERVICE_TIMEOUT: Nanos = 1000 * MILLI;
-/// Calls that the deadline wants early come at most so many times as dense as a slow service can serve.
+/// Maximum rate of calls in windows shortened for the deadline, as a multiple of what a slow service can serve.
 const MAX_EARLY_RATE_FACTOR: Nanos = 7;
-/// Late failures in a row that are taken for an outage of a service that kept up before.
+/// Consecutive late failures that are treated as an outage if the service kept up before.
 pub const OUTAGE_FAILURES: u32 = 6;
-/// The same for a service that this gateway knows nothing of yet.
+/// Consecutive late failures that are treated as an outage if the service has not answered any call yet.
 pub const UNKNOWN_FAILURES: u32 = 3;
-/// After this time a call is given up, connection and response.
+/// Timeout of a call, for connection and response together.
 const CALL_TIMEOUT: Nanos = 3500 * MILLI;
-/// Doublings of the range of skipped windows, at most; keeps the shift in range.
+/// Maximum number of doublings of the backoff range; keeps the shift in range.
 const MAX_DOUBLINGS: u32 = 16;
 const NANOS_PER_SECOND: f64 = 1e9;
 
@@ -76,7 +79,7 @@
     group_size: u32,
 }
 
-/// The lengths of windows: the time in which each gateway of the group calls once.
+/// Window lengths by case. In a window each gateway of the group calls once.
 #[derive(Clone, Copy, Debug, Default)]
 struct Windows {
     /// After a start.
@@ -85,11 +88,11 @@
     after_idle: Nanos,
     /// After a call that failed quickly.
     after_quick_failure: Nanos,
-    /// The longest wait after quick failures, in windows that are skipped.
+    /// Limit of the wait after quick failures, skipped windows included.
     max_wait_after_quick_failure: Nanos,
-    /// What a slow service needs for all.
+    /// After a late failure: the time that a slow service needs for the calls of all gateways.
     slow_service: Nanos,
-    /// The longest wait after late failures, in windows that are skipped.
+    /// Limit of the wait after late failures, skipped windows included.
     max_wait: Nanos,
 }
 
@@ -100,61 +103,61 @@
     windows: Windows,
     slot: Slot,
     failures: u32,
-    /// The service has answered since the last failure.
+    /// Whether the service has answered since the last failure, so that a watch is established.
     has_watch: bool,
     service: ServiceState,
     /// The service asked not to be called before this time.
     not_before: Nanos,
-    /// When the last call was to be made, until it is answered.
+    /// Scheduled time of the last call, until it is answered.
     call_due: Option<Nanos>,
 }
 
-/// What the last call that the service answered says of it.
+/// The state of the service as inferred from the last call that it answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ServiceState {
-    /// It has answered none yet.
+    /// The service has not answered a call yet.
     #[default]
     Unknown,
-    /// It answered within [`MIN_SERVICE_TIMEOUT`].
+    /// The response came within [`MIN_SERVICE_TIMEOUT`].
     KeepsUp,
-    /// Its response came later.
+    /// The response came later.
     Slow,
 }
 
-/// What an outage allows: late failures in a row that are taken for one, and the window for calls in it.
+/// The number of consecutive late failures that are treated as an outage, and the window for calls in an outage.
 struct OutagePolicy {
     window: Nanos,
     failures: u32,
 }
 
-/// How windows are drawn after a failure.
+/// The backoff after a failure.
 struct Backoff {
     window: Nanos,
-    /// Exponent of the range from which the number of skipped windows is drawn.
+    /// Base-2 logarithm of the range from which the number of skipped windows is drawn.
     doublings: u32,
     max_wait: Nanos,
 }
 
-/// The bounds of the chain from a watch's idleness, or the service's return, to the list's application.
+/// Upper bounds of the time from when a watch became idle, or the service available again, until the list is applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PropagationBounds {
     /// For a watch that becomes idle.
     pub after_idle: Nanos,
     /// After calls that failed quickly.
     pub after_refusal: Nanos,
-    /// After calls that failed late, from the last call on.
+    /// After calls that failed late, from the start of the last call.
     pub after_timeout: Nanos,
 }
 
 impl Windows {
-    /// Windows for `group` gateways; a stated `rate_per_s` of the service sets them, however long they become.
+    /// Windows for `group` gateways. A stated `rate_per_s` of the service determines them, however long they become.
     fn new(group: Nanos, max_age: Nanos, rate_per_s: Option<f64>) -> Windows {
         let age_bound = (max_age as f64 * FIRST_WINDOW_FRACTION) as Nanos;
         let slow = ASSUMED_SERVICE_TIME * group;
         let stated = rate_per_s
             .filter(|rate| *rate > 0.0)
             .map(|rate| (group as f64 / rate * NANOS_PER_SECOND) as Nanos);
-        // A window and its slot fit into what is left of the deadline, the slot being a part of the window.
+        // The longest window that fits into the remaining time together with one of its slots.
         let fit_with_slot = |left: Nanos| left * group / (group + 1);
         let early_window =
             |left| stated.unwrap_or(slow.min(fit_with_slot(left).max(slow / MAX_EARLY_RATE_FACTOR)));
@@ -166,8 +169,8 @@
             .max(fit_with_slot(PROPAGATION_DEADLINE - FETCH_ALLOWANCE));
         let two_windows = |window: Nanos| 2 * window + window / group;
         let max_wait = (max_age as f64 * MAX_WAIT_FACTOR) as Nanos;
-        // Where the rate is stated, it decides. Else two windows, of which one may be skipped, fit into what a gateway has
-        // after a failed call.
+        // A stated rate takes precedence. Else two windows, one of which may be skipped, fit into the time that a gateway
+        // may be without the list after a failed call.
         let (slow_service, max_wait) = match stated {
             Some(window) => (window, max_wait.max(two_windows(window))),
             None => {
@@ -187,14 +190,14 @@
 }
 
 impl ListSchedule {
-    /// The schedule of the gateway that has these settings.
+    /// Creates the schedule of a gateway with these settings.
     #[must_use]
     pub fn from_settings(settings: &Settings) -> ListSchedule {
         let max_age = settings.safety.max_list_age.max(MIN_LIST_AGE);
         ListSchedule::new(settings.gateway_index, settings.group_size, max_age, settings.list_calls_per_s)
     }
 
-    /// Takes over another group size: slots and windows follow it, from the next call on.
+    /// Changes the group size. Slots and windows change from the next call on.
     pub fn set_group_size(&mut self, settings: &Settings) {
         let ListSchedule { failures, has_watch, service, not_before, call_due, .. } = *self;
         *self = ListSchedule {
@@ -207,14 +210,15 @@
         };
     }
 
-    /// How old the list may become: so long after a call without a response the next one is made.
+    /// The maximum age of the list. The next call is made this long after a call without a response.
     #[must_use]
     pub fn max_age(&self) -> Nanos {
         self.max_age
     }
 
-    /// For gateway `gateway_index` of `group_size` whose list may become `max_age` old; `rate_per_s` is what the service
-    /// can serve, where it is stated, and then the windows follow it however long they become.
+    /// Creates the schedule of gateway `gateway_index` of `group_size`. `max_age` is the maximum age of its list.
+    /// `rate_per_s` is the rate of calls that the service can serve, if stated; it then determines the windows, however
+    /// long they become.
     #[must_use]
     pub fn new(
         gateway_index: u32,
@@ -231,8 +235,8 @@
         }
     }
 
-    /// What the chain takes at the most. Beyond [`PROPAGATION_DEADLINE`] it doesn't fit: the service can't answer a group
-    /// of this size within the time, by the rate stated or else by what is assumed.
+    /// The upper bounds of the propagation time. A bound beyond [`PROPAGATION_DEADLINE`] means that the service can't
+    /// answer a group of this size in time, by the stated rate or else by the assumed one.
     #[must_use]
     pub fn propagation_bounds(&self) -> PropagationBounds {
         let after_refusal = if self.windows.after_quick_failure <= PROPAGATION_DEADLINE - FETCH_ALLOWANCE {
@@ -247,35 +251,35 @@
         }
     }
 
-    /// The longest wait after a late failure.
+    /// The maximum wait after a late failure.
     fn max_wait(&self) -> Nanos {
         self.windows.max_wait.max(self.with_slot(self.windows.slow_service))
     }
 
-    /// A window and one slot of it.
+    /// The length of a window plus one of its slots.
     fn with_slot(&self, window: Nanos) -> Nanos {
         window + window / Nanos::from(self.slot.group_size.max(1))
     }
 
-    /// How long a gateway that has just started waits before its first call, by the clock that all gateways share;
-    /// `jitter` is a random number in 0..1.
+    /// Returns the wait of a gateway that has just started before its first call. `now` is on the clock that all gateways
+    /// share; `jitter` is a random number in 0..1.
     pub fn first_wait(&mut self, now: Nanos, jitter: f64) -> Nanos {
         let wait = self.time_to_slot(now, self.windows.first, jitter);
         self.call_due = Some(now + wait);
         wait
     }
 
-    /// A call has failed, or a watch has ended. Returns how long to wait before the next one; `jitter` is a random number
-    /// in 0..1.
+    /// Records that a call has failed or a watch has ended, and returns the wait before the next call. `jitter` is a random
+    /// number in 0..1.
     pub fn record_failure(&mut self, now: Nanos, jitter: f64) -> Nanos {
         let Backoff { window, doublings, max_wait } = self.backoff(now);
         let slot = window / Nanos::from(self.slot.group_size);
         let max_windows = (max_wait.saturating_sub(slot) / window.max(1)).max(1);
         let windows = (1 << doublings.min(MAX_DOUBLINGS)).min(max_windows);
         (self.failures, self.has_watch) = (self.failures + 1, false);
-        // The integer part says how many windows are skipped, the rest where in its slot the call comes.
+        // The integer part is the number of skipped windows, the fraction the position of the call in its slot.
         let drawn_windows = jitter * windows as f64;
-        // Not in the slot that it may still be in: that call was this window's.
+        // The current slot is skipped, since this gateway may already have called in it.
         let from = self.not_before.max(now) + slot;
         let wait = from - now
             + window * drawn_windows as Nanos
@@ -302,7 +306,7 @@
         let single_window = |window| Backoff { window, doublings: 0, max_wait: window };
         match (self.has_watch, is_quick_failure) {
             (true, _) => single_window(after_idle),
-            // While it is deferred, a gateway has spent a part of its time.
+            // The deferral uses up a part of the time until the deadline, so the shorter window applies.
             (_, true) if is_deferred && fits_deadline(after_idle) => single_window(after_idle),
             (_, true) if fits_deadline(after_quick_failure) => Backoff {
                 window: after_quick_failure,
@@ -310,7 +314,7 @@
                 max_wait: max_wait_after_quick_failure,
             },
             (_, false) if is_outage => single_window(outage.window),
-            // Late failures that were taken for an outage don't count for the windows that are skipped.
+            // Late failures that were treated as an outage don't widen the backoff range.
             _ => Backoff {
                 window: slow_service,
                 doublings: 1 + self.failures.saturating_sub(outage.failures),
@@ -328,7 +332,7 @@
         OutagePolicy { window, failures }
     }
 
-    /// The time to this gateway's next slot in windows of this length.
+    /// The time until this gateway's next slot in windows of the given length.
     fn time_to_slot(&self, now: Nanos, window: Nanos, jitter: f64) -> Nanos {
         let Slot { gateway_index, group_size } = self.slot;
         let window = window.max(1);
@@ -336,13 +340,13 @@
         (slot + window - now % window) % window
     }
 
-    /// The service asks not to be called for `wait`; it may have asked all gateways the same.
+    /// Records that the service asks not to be called for `wait`. It may have asked all gateways the same.
     pub fn defer(&mut self, now: Nanos, wait: Nanos) {
-        // Guards against a service that would have a gateway go without the list for long.
+        // The wait is limited, so that the service can't leave a gateway without the list for too long.
         self.not_before = self.not_before.max(now.saturating_add(wait.min(self.windows.max_wait)));
     }
 
-    /// The list has come.
+    /// Records that the list has been received.
     pub fn record_success(&mut self, now: Nanos) {
         if let Some(due) = self.call_due.take() {
             let keeps_up = now.saturating_sub(due) < MIN_SERVICE_TIMEOUT;
--- a/crates/load-balancer/src/random.rs
+++ b/crates/load-balancer/src/random.rs
@@ -2,10 +2,10 @@
 
 use md5::{Digest, Md5};
 
-/// The increment of SplitMix64: 2^64 over the golden ratio, odd and without pattern.
+/// The increment of SplitMix64: 2^64 divided by the golden ratio, an odd number without a regular bit pattern.
 pub(crate) const GOLDEN_GAMMA: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// A SplitMix64 generator. It is not for secrets.
+/// A SplitMix64 generator. It is not cryptographically secure.
 #[derive(Debug)]
 pub(crate) struct SplitMix64(u64);
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Spreads the bits of a number: SplitMix64's finalizer.
+/// Mixes the bits of a number (the finalizer of SplitMix64).
 pub(crate) fn mix(mut z: u64) -> u64 {
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
@@ -33,7 +33,7 @@
     ((bits >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// The first 64 bits of the MD5 of `parts`, one after the other.
+/// The first 64 bits of the MD5 hash of the concatenated `parts`.
 pub(crate) fn md5_prefix(parts: &[&[u8]]) -> u64 {
     let digest = parts.iter().fold(Md5::new(), Md5::chain_update).finalize();
     digest.iter().take(8).fold(0, |prefix, byte| prefix << 8 | u64::from(*byte))
--- a/crates/load-balancer/src/replica_table.rs
+++ b/crates/load-balancer/src/replica_table.rs
@@ -1,4 +1,4 @@
-//! What one gateway knows of each replica and of each zone.
+//! The state of each replica and each zone at one gateway.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
@@ -10,43 +10,43 @@
 use crate::slow_start::SlowStartBudget;
 use crate::types::{Member, Nanos, Phase, ReplicaId};
 
-/// A kind's size is raised from this multiple on, so that arcs don't move with every list.
+/// The size of a machine kind is raised only by more than this factor, so that virtual nodes don't change with every list.
 const SIZE_STEP: f64 = 1.05;
 
-/// The position of a replica in the table. A free position is given to the next new replica.
+/// The index of a replica in the table. Free slots are reused for new replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReplicaSlot(usize);
 
-/// A replica as this gateway sees it. It has more than a dozen fields because each comes from another source: the list
-/// (id to `started`), outcomes (`in_flight` to `average`), load reports and the walk.
+/// The state of a replica at this gateway. The fields come from the list (`id` to `started`), from outcomes (`in_flight` to
+/// `average`), from load reports and from the walk along the ring.
 #[derive(Default)]
 pub(crate) struct Replica {
     pub(crate) id: ReplicaId,
     /// Hash of the id: the same at all gateways.
     pub(crate) hash: u64,
     pub(crate) size: f64,
-    /// Virtual nodes that it has on the ring.
+    /// Number of its virtual nodes on the ring.
     pub(crate) virtual_nodes: u32,
     pub(crate) zone: u16,
     pub(crate) kind: u16,
     pub(crate) cell: u64,
     pub(crate) phase: Phase,
     pub(crate) started: Option<Nanos>,
-    /// Attempts of this gateway that have not ended.
+    /// Number of attempts of this gateway that have not ended.
     pub(crate) in_flight: u32,
     pub(crate) breaker: CircuitBreaker,
     pub(crate) average: OutcomeAverage,
-    /// Load by the list's live units; 0 where they are not live.
+    /// Load according to the list's live units; 0 if the units are not live.
     pub(crate) listed_load: f64,
     pub(crate) slow_start: SlowStartBudget,
-    /// How long the oldest request without a first token has waited, as of the last walk.
+    /// Wait of the oldest request without a first token, as of the last walk.
     pub(crate) oldest_wait: Nanos,
     pub(crate) queued_work: QueuedWorkEstimate,
-    /// The pass over the table in which it was visited last.
+    /// Number of the last pass in which it was visited.
     visited_in: u64,
 }
 
-/// The replicas of a zone, and whether they can be reached.
+/// The state of a zone: its total size, requests in flight, and reachability.
 #[derive(Default)]
 pub(crate) struct Zone {
     pub(crate) size: f64,
@@ -54,19 +54,19 @@
     pub(crate) breaker: CircuitBreaker,
 }
 
-/// All replicas. One that is gone stays while a request names it, since late outcomes may.
+/// All replicas. A replica that has left keeps its slot while a request refers to it, since outcomes may arrive late.
 #[derive(Default)]
 pub(crate) struct ReplicaTable {
     entries: Vec<Replica>,
     free: Vec<ReplicaSlot>,
     slots: BTreeMap<ReplicaId, ReplicaSlot>,
-    /// The size of each kind of machine.
+    /// The size of each machine kind.
     kind_sizes: BTreeMap<u16, f64>,
-    /// Replicas that are ready.
+    /// Number of ready replicas.
     pub(crate) ready: usize,
-    /// Replicas that are ready and have all of their capacity.
+    /// Number of ready replicas with full capacity.
     pub(crate) warm: usize,
-    /// The largest total size that was ready at once: what the quotas were made for.
+    /// The largest total size of ready replicas so far, which the quotas are assumed to be based on.
     pub(crate) peak_size: f64,
     pass: u64,
 }
@@ -98,7 +98,7 @@
         self.entries.iter().filter(|replica| replica.phase == Phase::Ready)
     }
 
-    /// Slots in the table, free ones included.
+    /// The number of slots, free ones included.
     pub(crate) fn slot_count(&self) -> usize {
         self.entries.len()
     }
@@ -107,7 +107,7 @@
         self.slots.get(id).copied()
     }
 
-    /// The slot of a replica; one that is not known yet gets a free slot.
+    /// The slot of a replica; an unknown replica is assigned a free one.
     pub(crate) fn slot_or_insert(&mut self, id: &ReplicaId) -> ReplicaSlot {
         if let Some(slot) = self.slot_of(id) {
             return slot;
@@ -122,8 +122,8 @@
         slot
     }
 
-    /// Frees the slots of replicas that are gone and that no request names any more, so that the table does not
-    /// grow with every replica that was ever there.
+    /// Frees the slots of replicas that have left and that no request refers to, so that the table does not grow with
+    /// every replica that ever existed.
     pub(crate) fn free_unused(&mut self, referenced: &BTreeSet<ReplicaSlot>) {
         for (index, replica) in self.entries.iter().enumerate() {
             let slot = ReplicaSlot(index);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Starts a pass in which each replica is to be visited once.
+    /// Starts a pass, in which each replica is visited at most once.
     pub(crate) fn begin_pass(&mut self) {
         self.pass += 1;
     }
@@ -149,7 +149,7 @@
         self.entries[slot.0].visited_in == self.pass
     }
 
-    /// Takes all that were not visited in this pass for gone; true if one of them was ready.
+    /// Marks all replicas that were not visited in this pass as gone. Returns whether one of them was ready.
     pub(crate) fn retire_unvisited(&mut self) -> bool {
         let pass = self.pass;
         let mut has_changed = false;
@@ -160,15 +160,15 @@
         has_changed
     }
 
-    /// Counts what is ready and what `is_warm`.
+    /// Updates the numbers of ready and warm replicas, and the peak size.
     pub(crate) fn update_totals(&mut self, is_warm: impl Fn(&Replica) -> bool) {
         self.ready = self.ready_replicas().count();
         self.peak_size = self.peak_size.max(self.ready_replicas().map(|replica| replica.size).sum());
         self.warm = self.ready_replicas().filter(|replica| is_warm(replica)).count();
     }
 
-    /// Learns the size of a kind of machine; true if it has grown. Units that load lowers tell the size at the
-    /// lightest load seen.
+    /// Updates the size of a machine kind from an entry of the list. Returns whether it has grown. With live units, which
+    /// load reduces, the size is the one at the lightest load seen.
     pub(crate) fn learn_kind_size(&mut self, member: &Member, units: f64) -> bool {
         let size = self.kind_sizes.entry(member.kind).or_insert(0.0);
         let has_grown = units > *size * SIZE_STEP;
@@ -176,13 +176,13 @@
         has_grown
     }
 
-    /// The size of a kind of machine, 1 if it is not known.
+    /// The size of a machine kind, 1 if it is not known.
     pub(crate) fn kind_size(&self, kind: u16) -> f64 {
         self.kind_sizes.get(&kind).copied().unwrap_or(1.0)
     }
 
-    /// The size of the largest kind, rounded up to a power of two, so that the virtual nodes of a replica don't change
-    /// with each kind that comes or goes.
+    /// The size of the largest machine kind, rounded up to a power of two, so that the number of virtual nodes of a replica
+    /// doesn't change with each new kind.
     pub(crate) fn largest_size(&self) -> f64 {
         self.kind_sizes.values().fold(f64::MIN_POSITIVE, |a, b| a.max(*b)).log2().ceil().exp2()
     }
--- a/crates/load-balancer/src/ring_walk.rs
+++ b/crates/load-balancer/src/ring_walk.rs
@@ -1,4 +1,4 @@
-//! The state of one walk along the ring: what it looks for, the bounds, and the best replicas so far.
+//! The state of a walk along the ring: the selection criteria, the load bounds and the best candidates so far.
 
 use crate::replica_table::ReplicaSlot;
 use crate::types::Nanos;
@@ -11,48 +11,48 @@
     Cell(u64),
 }
 
-/// What a walk looks for.
+/// The properties of a request that determine the selection of a replica.
 pub(crate) struct SelectionCriteria {
     pub(crate) key: u64,
     pub(crate) session_hash: u64,
-    /// The part of the fleet's size that shares the key.
+    /// The fraction of the fleet's size that owns the key.
     pub(crate) owner_fraction: f64,
-    /// Little of a session is found cached, so it gains nothing from staying put.
+    /// Whether little of a session is found cached, so that session affinity gains nothing.
     pub(crate) has_low_reuse: bool,
     pub(crate) group: ReplicaGroup,
     pub(crate) latency_target: Nanos,
     pub(crate) slow_start_only: bool,
 }
 
-/// A replica that may take the request.
+/// A usable replica within the load bounds.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
     pub(crate) slot: ReplicaSlot,
     pub(crate) preference: f64,
 }
 
-/// A replica that may take the request, but for a bound.
+/// A usable replica that exceeds a load bound or lags.
 #[derive(Clone, Copy)]
 pub(crate) struct OverBound {
     pub(crate) slot: ReplicaSlot,
     pub(crate) queued_work: f64,
 }
 
-/// Up to what a replica takes further requests (bounded loads).
+/// The load bounds up to which a replica is selected (consistent hashing with bounded loads).
 #[derive(Clone, Copy)]
 pub(crate) struct WalkBounds {
-    /// The size of all replicas that are ready.
+    /// The total size of all ready replicas.
     pub(crate) total_size: f64,
-    /// Requests in flight for a replica of size 1.
+    /// Bound of the requests in flight per unit of size.
     pub(crate) in_flight: f64,
-    /// Infinite without a fresh report.
+    /// Bound of the queued work; infinite without a fresh report.
     pub(crate) queued_work: f64,
 }
 
 /// The state of a walk.
 pub(crate) struct Walk<'a> {
     pub(crate) criteria: &'a SelectionCriteria,
-    /// Replicas of earlier attempts.
+    /// Replicas of the request's earlier attempts.
     pub(crate) attempted: &'a [ReplicaSlot],
     pub(crate) bounds: WalkBounds,
     pub(crate) visited: usize,
@@ -60,7 +60,7 @@
     pub(crate) best: Option<Candidate>,
     pub(crate) second: Option<Candidate>,
     pub(crate) over_bound: Option<OverBound>,
-    /// All owners so far are in slow start, and this gateway has no turn there.
+    /// Whether all owners so far are in slow start and without a turn for this gateway.
     pub(crate) no_owner_has_turn: bool,
 }
 
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Whether the replicas visited so far include all that share the key.
+    /// Whether all owners of the key have been visited.
     pub(crate) fn has_all_owners(&self) -> bool {
         self.visited_size >= self.criteria.owner_fraction * self.bounds.total_size
     }
 
-    /// Counts a replica of this size; true if it is one of the owners.
+    /// Counts a visited replica of the given size. Returns whether it is an owner.
     pub(crate) fn count_visit(&mut self, size: f64) -> bool {
         let is_owner = self.visited == 0 || !self.has_all_owners();
         self.visited += 1;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Keeps the one with the least queued work.
+    /// Adds a replica over a bound; the one with the least queued work is kept.
     pub(crate) fn add_over_bound(&mut self, slot: ReplicaSlot, queued_work: f64) {
         let current = self.over_bound.filter(|least| least.queued_work <= queued_work);
         self.over_bound = current.or(Some(OverBound { slot, queued_work }));
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -1,41 +1,43 @@
-//! Slow start: how much work this gateway may send to a replica that has just started. No I/O and no clock. Which replica
-//! a request goes to is decided elsewhere, which asks here whether a warming one may be it.
+//! Slow start: limits the work that this gateway sends to a replica that has just started. No I/O and no clock. Replica
+//! selection asks this module whether a warming replica may be sent a request.
 //!
-//! The aim is that of Envoy's slow start mode; the means differ, since many gateways that share nothing must not push a
-//! replica over together, each with little. What all may send it is given out as turns, a request each, as its capacity
-//! grows. Turns go round by the gateways' indexes, from an offset that the replica's id decides. All gateways compute the
-//! turns from the replica's start and the quotas, on the clock that they share, so they agree without a message. A turn
-//! that is not taken lapses after some others, so that gateways that learn of a start late, or become busy at once, don't
-//! add theirs up. Without quotas a gateway counts turns by its own work.
+//! The purpose is that of Envoy's slow start mode. The method differs, since many gateways that share no state must not
+//! overload a replica together although each sends little. The work that all of them may send is divided into turns, each
+//! for one request of mean work, at a rate that grows with the replica's capacity. The turns go round-robin by gateway
+//! index, from an offset that depends on the replica's id. All gateways compute them from the replica's start time and the
+//! quotas, on a shared clock, and so agree without messages. An unused turn lapses after a number of later ones, so that
+//! turns don't accumulate at gateways that learn of a start late, or whose load rises suddenly. Without quotas, a gateway
+//! computes its turns from its own work.
 
 use crate::types::{Nanos, Settings};
 
 const SECOND: Nanos = 1_000_000_000;
-/// Turns come at this part of the rate that overloads a replica: the rest is for gateways that see the fleet's size
-/// differently, and for requests that cost more than most.
+/// Rate of turns as a fraction of the rate that overloads a replica. The rest is a reserve for gateways with a different
+/// view of the fleet's size, and for requests that cost more than the mean.
 const SAFE_RATE_FRACTION: f64 = 0.8;
-/// So much of the budget may be open turns, beside what it may be exceeded by.
+/// Fraction of the overload limit that may be open turns, in addition to the tolerance of twice its square root.
 const OPEN_TURN_FRACTION: f64 = 0.1;
-/// A process takes no turn that came before it, or so soon after its start: its gateway's last process may have.
+/// A gateway process takes no turn from before its start, or from this time after it: the previous process of the
+/// gateway may have taken them.
 const RESTART_OVERLAP: Nanos = SECOND;
-/// Requests beyond the mean in work that a gateway pays back with later turns, at most.
+/// Maximum excess work, in requests of mean work, that a gateway compensates for by skipping later turns.
 const MAX_DEBT_REQUESTS: f64 = 3.0;
 
-/// The turns of this gateway at one warming replica.
+/// This gateway's turns at one warming replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStartBudget {
-    /// Turns so far, where this gateway's own work tells them.
+    /// Turns accrued so far, if they are computed from this gateway's own work.
     accrued_turns: f64,
-    /// When they were counted.
+    /// When they were last updated.
     accrued_at: Nanos,
-    /// The next turn that may be taken; all before it have been taken or have lapsed.
+    /// The next turn that may be taken; all earlier ones have been taken or have lapsed.
     next_turn: i64,
-    /// Work sent beyond a mean request for each turn, in such requests.
+    /// Work sent in excess of one mean request per turn, in requests of mean work.
     debt: f64,
 }
 
 impl SlowStartBudget {
-    /// The budget of a replica that this gateway has just learnt of.
+    /// Creates the budget of a replica that this gateway has just learned of.
     #[must_use]
     pub fn new(now: Nanos) -> SlowStartBudget {
         SlowStartBudget { accrued_turns: 0.0, accrued_at: now, next_turn: i64::MIN, debt: 0.0 }
@@ -49,36 +51,36 @@
     pub hash: u64,
     /// When its process started.
     pub started: Nanos,
-    /// Its part of the fleet's size that the quotas were made for.
+    /// Its fraction of the fleet size that the quotas are based on.
     pub size_fraction: f64,
 }
 
-/// The turns that have come up to now and those that may still be taken.
+/// The turns of this gateway that are due.
 struct TurnWindow {
-    /// Turns that have come, with the offset of this gateway.
+    /// Number of turns due so far, plus this gateway's offset.
     due: f64,
     /// The earliest turn that this process may take.
     earliest: i64,
 }
 
-/// What one gateway may send to replicas in slow start.
+/// The slow start limits of one gateway.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStart {
     initial_capacity: f64,
     window: Nanos,
     overload_factor: f64,
-    /// In seconds.
+    /// The time over which the overload factor applies, in seconds.
     overload_window_s: f64,
-    /// Requests a second that the tenants' quotas grant at all gateways together, if all have one.
+    /// Requests per second that the tenants' quotas permit at all gateways together, if all tenants have one.
     quota_per_s: Option<f64>,
     gateway_index: u32,
     group_size: u32,
-    /// When this process first got a list.
+    /// When this process first received a list.
     first_list_at: Option<Nanos>,
 }
 
 impl SlowStart {
-    /// For a gateway with these settings.
+    /// Creates the limits of a gateway with these settings.
     #[must_use]
     pub fn new(settings: &Settings) -> SlowStart {
         let (safety, group_size) = (&settings.safety, settings.group_size.max(1));
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Takes over another group size. Where the quotas tell how many turns there are, this gateway's come more or less
-    /// often from now on; `budgets` are those of all replicas, each with its replica's hash.
+    /// Changes the group size. If turns are computed from the quotas, this converts the budgets to the new rate of this
+    /// gateway's turns. `budgets` has the budget of each replica with the replica's hash.
     pub fn set_group_size<'a>(
         &mut self,
         settings: &Settings,
@@ -114,18 +116,18 @@
         }
     }
 
-    /// This gateway's offset, in 0..1, among those that take turns at a replica.
+    /// This gateway's offset in the round-robin order at a replica, in 0..1.
     fn turn_offset(&self, hash: u64) -> f64 {
         let group = u64::from(self.group_size);
         ((u64::from(self.gateway_index) + hash % group) % group) as f64 / f64::from(self.group_size)
     }
 
-    /// A list has come.
+    /// Records that a list has been received.
     pub fn observe_list(&mut self, now: Nanos) {
         self.first_list_at.get_or_insert(now);
     }
 
-    /// The fraction of its capacity that a replica surely has, 1 once it is warm: the same figure at all gateways.
+    /// The fraction of its capacity that a replica has at least, 1 once it is warm. All gateways compute the same value.
     #[must_use]
     pub fn capacity_fraction(&self, now: Nanos, started: Option<Nanos>) -> f64 {
         match started {
@@ -137,8 +139,8 @@
         }
     }
 
-    /// Whether this gateway has a turn at a warming replica; `work` is what it has had of late, in requests of mean work
-    /// a second.
+    /// Whether this gateway has a turn at a warming replica. `work` is this gateway's recent work, in requests of mean work
+    /// per second.
     pub fn has_turn(
         &self,
         now: Nanos,
@@ -154,9 +156,9 @@
         } else {
             self.turns_by_own_work(now, budget, replica, full_rate)
         };
-        // So many turns of all gateways may be open, and may all be taken at once on top of those that come: some of what
-        // is left of the budget, and what it may be exceeded by. The gateways of a small group see enough to take each
-        // turn as it comes.
+        // Open turns of all gateways may be taken at once, in addition to new ones. Their number is therefore bounded by a
+        // part of the reserve plus the tolerance, and by half a turn per gateway: the gateways of a small group have
+        // enough requests to take each turn when it is due.
         let allowed = self.overload_factor * full_rate * capacity * self.overload_window_s;
         let open_turns = (OPEN_TURN_FRACTION * allowed + 2.0 * allowed.sqrt()).min(group / 2.0) / group;
         let lapsed = (turns.due - open_turns).floor() as i64;
@@ -172,7 +174,7 @@
     fn turns_by_quota(&self, now: Nanos, replica: WarmingReplica, full_rate: f64) -> TurnWindow {
         let group = f64::from(self.group_size);
         let offset = self.turn_offset(replica.hash);
-        // Turns of this gateway up to then: all gateways' in turn, so a part of them each.
+        // Turns of this gateway up to a time: those of all gateways, divided by the group size.
         let turns = |at: Nanos| {
             let age = at.saturating_sub(replica.started) as f64 / SECOND as f64;
             let window = self.window.max(1) as f64 / SECOND as f64;
@@ -181,7 +183,8 @@
             SAFE_RATE_FRACTION * self.overload_factor * full_rate * warmed / group
         };
         let first = self.first_list_at.map_or(now, |at| at.saturating_add(RESTART_OVERLAP));
-        // The turns of its first moment come at once, for what may lapse.
+        // If this process had a list for RESTART_OVERLAP before the replica started, it has missed no turn, and the first
+        // turns are due at once, up to the limit of open turns.
         let missed =
             if first > replica.started { (turns(first) + offset).floor() as i64 } else { i64::MIN };
         TurnWindow { due: turns(now) + offset, earliest: missed.saturating_add(1) }
@@ -203,7 +206,7 @@
         TurnWindow { due: budget.accrued_turns + self.turn_offset(replica.hash), earliest: 1 }
     }
 
-    /// A request of this cost, in requests of mean work, goes to a warming replica: the turn is taken.
+    /// Takes a turn for a request to a warming replica. `cost` is in requests of mean work.
     pub fn take_turn(&self, budget: &mut SlowStartBudget, cost: f64) {
         budget.next_turn = budget.next_turn.saturating_add(1);
         budget.debt = (budget.debt + cost - 1.0).clamp(-1.0, MAX_DEBT_REQUESTS);
