--- a/crates/load-balancer/src/balancer.rs
+++ b/crates/load-balancer/src/balancer.rs
@@ -47,7 +47,7 @@
 enum TimerPurpose {
     /// The client's deadline for the request has passed.
     Deadline(RequestId),
-    /// An attempt may still be waiting for its first token.
+    /// The check of an attempt without a first token is due.
     SlowAttempt(RequestId),
     /// The latency target of the request has passed.
     LatencyTarget(RequestId),
--- a/crates/load-balancer/tests/decisions.rs
+++ b/crates/load-balancer/tests/decisions.rs
@@ -1,7 +1,8 @@
-//! Pins every decision over random histories: a change of names or shape must not move a digest.
+//! Compares digests of all actions in random event sequences with recorded values, so that a refactoring can't change a
+//! decision unnoticed.
 //!
-//! A digest that moves on purpose is replaced in the commit that changes the decision, which says why. The values
-//! hold for the C library's `exp` and `ln` on the platforms that CI builds for.
+//! A commit that changes a decision on purpose replaces the digest and states why. The values depend on the C library's
+//! `exp` and `ln`, and hold for the platforms that CI builds for.
 
 use rstest::rstest;
 use tulipridge_load_balancer::LoadBalancer;
@@ -13,7 +14,7 @@
 const STEPS: u64 = 1_500;
 const REPLICAS: u64 = 24;
 
-/// A linear congruential generator, so that histories depend on their seed alone.
+/// A linear congruential generator, so that event sequences depend on their seed alone.
 struct Random(u64);
 
 impl Random {
@@ -27,7 +28,7 @@
     }
 }
 
-/// FNV-1a over the fields of actions.
+/// An FNV-1a hash of the fields of actions.
 struct Digest(u64);
 
 impl Digest {
@@ -115,7 +116,7 @@
 }
 
 /// An attempt that has not ended.
-struct Open {
+struct OpenAttempt {
     id: RequestId,
     attempt: u32,
     ends_at: Nanos,
@@ -123,32 +124,32 @@
     verdict: Verdict,
 }
 
-/// A timer that was asked for.
-struct Alarm {
+/// A timer that the balancer has set.
+struct PendingTimer {
     due: Nanos,
     token: u64,
 }
 
-struct History {
+struct Simulation {
     balancer: LoadBalancer,
     random: Random,
     digest: Digest,
     now: Nanos,
-    open: Vec<Open>,
+    open_attempts: Vec<OpenAttempt>,
     attempts: Vec<u32>,
-    alarms: Vec<Alarm>,
+    timers: Vec<PendingTimer>,
 }
 
-impl History {
-    fn new(settings: Settings, seed: u64) -> History {
-        History {
-            balancer: LoadBalancer::new(settings, seed).expect("sound settings"),
+impl Simulation {
+    fn new(settings: Settings, seed: u64) -> Simulation {
+        Simulation {
+            balancer: LoadBalancer::new(settings, seed).expect("valid settings"),
             random: Random(seed),
             digest: Digest(0xCBF2_9CE4_8422_2325),
             now: START,
-            open: Vec::new(),
+            open_attempts: Vec::new(),
             attempts: vec![0; STEPS as usize + 1],
-            alarms: Vec::new(),
+            timers: Vec::new(),
         }
     }
 
@@ -158,17 +159,17 @@
         for action in actions {
             self.digest.add_action(&action);
             match action {
-                Action::Send { id, .. } => self.open_attempt(id),
+                Action::Send { id, .. } => self.start_attempt(id),
                 Action::Timer { after, token } => {
-                    self.alarms.push(Alarm { due: self.now.saturating_add(after), token });
+                    self.timers.push(PendingTimer { due: self.now.saturating_add(after), token });
                 }
-                Action::Watch => self.answer_watch(),
+                Action::Watch => self.respond_to_watch(),
                 _ => {}
             }
         }
     }
 
-    fn open_attempt(&mut self, id: RequestId) {
+    fn start_attempt(&mut self, id: RequestId) {
         let attempt = self.attempts[id.0 as usize];
         self.attempts[id.0 as usize] += 1;
         let verdict = match self.random.below(20) {
@@ -182,14 +183,14 @@
         };
         let first_token_at = self.now + self.random.below(1_500) * MILLI;
         let ends_at = first_token_at + self.random.below(3_000) * MILLI;
-        self.open.push(Open { id, attempt, ends_at, first_token_at, verdict });
+        self.open_attempts.push(OpenAttempt { id, attempt, ends_at, first_token_at, verdict });
     }
 
-    fn answer_watch(&mut self) {
+    fn respond_to_watch(&mut self) {
         if self.random.one_in(2) {
             self.handle(Event::List { kind: ListKind::Failed, members: [].into() });
         } else {
-            self.list(ListKind::Complete);
+            self.send_list(ListKind::Complete);
         }
     }
 
@@ -212,7 +213,7 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind) {
+    fn send_list(&mut self, kind: ListKind) {
         let numbers: Vec<u64> = match kind {
             ListKind::Changes | ListKind::Local => vec![self.random.below(REPLICAS)],
             _ => (0..REPLICAS).collect(),
@@ -231,7 +232,7 @@
         self.handle(Event::WorkSent(ReplicaWork { replica, work: 3.0 }));
     }
 
-    fn request(&mut self, number: u64) {
+    fn send_request(&mut self, number: u64) {
         let prompt = 200 + self.random.below(8_000) as u32;
         let request = Request {
             id: RequestId(number),
@@ -248,45 +249,45 @@
         self.handle(Event::Request(request));
     }
 
-    /// Passes on what has come of open attempts.
+    /// Reports first tokens and outcomes that are due.
     fn finish_attempts(&mut self) {
-        while let Some(at) = self.open.iter().position(|open| open.first_token_at <= self.now) {
-            let open = &mut self.open[at];
+        while let Some(index) = self.open_attempts.iter().position(|open| open.first_token_at <= self.now) {
+            let open = &mut self.open_attempts[index];
             let (id, attempt) = (open.id, open.attempt);
             if open.ends_at > self.now && open.verdict == Verdict::Ok {
                 open.first_token_at = Nanos::MAX;
                 self.handle(Event::FirstToken { id, attempt, elapsed: MILLI });
                 continue;
             }
-            self.end_attempt(at);
+            self.end_attempt(index);
         }
-        while let Some(at) = self.open.iter().position(|open| open.ends_at <= self.now) {
-            self.end_attempt(at);
+        while let Some(index) = self.open_attempts.iter().position(|open| open.ends_at <= self.now) {
+            self.end_attempt(index);
         }
     }
 
-    fn end_attempt(&mut self, at: usize) {
-        let Open { id, attempt, verdict, .. } = self.open.swap_remove(at);
+    fn end_attempt(&mut self, index: usize) {
+        let OpenAttempt { id, attempt, verdict, .. } = self.open_attempts.swap_remove(index);
         let cached_tokens = (!self.random.one_in(4)).then_some(self.random.below(4_000) as u32);
         let (ended, elapsed, report) = (verdict == Verdict::Ok, MILLI, Vec::new());
         self.handle(Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens, report });
     }
 
-    fn run_alarms(&mut self) {
-        while let Some(at) = self.alarms.iter().position(|alarm| alarm.due <= self.now) {
-            let token = self.alarms.remove(at).token;
+    fn run_timers(&mut self) {
+        while let Some(index) = self.timers.iter().position(|timer| timer.due <= self.now) {
+            let token = self.timers.remove(index).token;
             self.handle(Event::Timer(token));
         }
     }
 
     fn step(&mut self, number: u64) {
         self.now += self.random.below(40) * MILLI;
-        self.run_alarms();
+        self.run_timers();
         self.finish_attempts();
         match self.random.below(60) {
-            0 => self.list(ListKind::Complete),
-            1..6 => self.list(ListKind::Changes),
-            6 => self.list(ListKind::Local),
+            0 => self.send_list(ListKind::Complete),
+            1..6 => self.send_list(ListKind::Changes),
+            6 => self.send_list(ListKind::Local),
             7 => self.handle(Event::ListServiceBusy(SECOND)),
             8..12 => self.report_loads(),
             12 => {
@@ -295,21 +296,21 @@
             }
             _ => {}
         }
-        self.request(number);
+        self.send_request(number);
     }
 }
 
 fn digest_of(settings: Settings, seed: u64) -> u64 {
-    let mut history = History::new(settings, seed);
-    history.list(ListKind::Persisted);
+    let mut simulation = Simulation::new(settings, seed);
+    simulation.send_list(ListKind::Persisted);
     for number in 1..=STEPS {
-        history.step(number);
+        simulation.step(number);
         if number == STEPS / 2 {
-            let group_size = 2 + history.random.below(20) as u32;
-            history.balancer.set_group_size(group_size);
+            let group_size = 2 + simulation.random.below(20) as u32;
+            simulation.balancer.set_group_size(group_size);
         }
     }
-    history.digest.0
+    simulation.digest.0
 }
 
 #[rstest]
@@ -320,7 +321,7 @@
 #[case::live_units(Settings { units: UnitsMeaning::Live, ..settings(6) }, 5, 0xFDD0_F978_59BF_B38A)]
 #[case::no_quotas(Settings { tenants: Vec::new(), units: UnitsMeaning::None, ..settings(3) }, 6, 0x23CB_9336_3438_4D21)]
 #[case::hedging(Settings { limits: Limits { hedging: true, ..settings(4).limits }, ..settings(4) }, 7, 0xD7AB_4268_BC5F_0838)]
-fn a_history_leads_to_the_same_decisions(
+fn decisions_match_the_recorded_digests(
     #[case] settings: Settings,
     #[case] seed: u64,
     #[case] expected: u64,
--- a/crates/load-balancer/tests/queued_work.rs
+++ b/crates/load-balancer/tests/queued_work.rs
@@ -1,4 +1,4 @@
-//! Choices by the work that is queued at replicas, as all gateways have reported it.
+//! Selection of replicas by the queued work that all gateways have reported.
 
 use std::sync::Arc;
 
@@ -42,14 +42,14 @@
         safety: Safety { initial_capacity: 1.0, overload_factor: 1.0, ..Safety::default() },
         ..Settings::default()
     };
-    let mut balancer = LoadBalancer::new(settings, 7).expect("sound settings");
+    let mut balancer = LoadBalancer::new(settings, 7).expect("valid settings");
     let members: Arc<[Member]> = (0..REPLICAS).map(member).collect();
     balancer.handle(START, Event::List { kind: ListKind::Complete, members }, &mut Vec::new());
     balancer
 }
 
-/// Where a request with this prefix is sent; it is answered at once, so that nothing stays in flight.
-fn choice(balancer: &mut LoadBalancer, now: Nanos, request: u64, prefix: u64) -> ReplicaId {
+/// Returns the replica that a request with this prefix is sent to. The request ends at once, so that none is in flight.
+fn select(balancer: &mut LoadBalancer, now: Nanos, request: u64, prefix: u64) -> ReplicaId {
     let request = Request {
         id: RequestId(request),
         expires_in: 8_000 * MILLI,
@@ -65,7 +65,7 @@
     let id = request.id;
     let mut actions = Vec::new();
     balancer.handle(now, Event::Request(request), &mut actions);
-    let answered = Event::Outcome {
+    let outcome = Event::Outcome {
         id,
         attempt: 0,
         verdict: Verdict::Ok,
@@ -74,7 +74,7 @@
         cached_tokens: None,
         report: Vec::new(),
     };
-    balancer.handle(now, answered, &mut Vec::new());
+    balancer.handle(now, outcome, &mut Vec::new());
     let sent = actions.into_iter().find_map(|action| match action {
         Action::Send { replica, .. } => Some(replica),
         _ => None,
@@ -93,85 +93,86 @@
 }
 
 #[test]
-fn a_replica_with_work_of_others_queued_is_passed_over() {
+fn a_replica_with_queued_work_of_other_gateways_is_skipped() {
     let mut balancer = balancer();
     for prefix in 1..=40 {
         report(&mut balancer, START, |_| 0.0);
-        let first = choice(&mut balancer, START, 1 + 2 * prefix, prefix);
+        let first = select(&mut balancer, START, 1 + 2 * prefix, prefix);
         report(&mut balancer, START, |number| if id(number) == first { 9.0 } else { 0.0 });
-        let second = choice(&mut balancer, START, 2 + 2 * prefix, prefix);
+        let second = select(&mut balancer, START, 2 + 2 * prefix, prefix);
         assert_ne!(second, first, "prefix {prefix}");
     }
 }
 
 #[test]
-fn work_below_the_bound_moves_nothing() {
+fn work_below_the_bound_does_not_change_the_selection() {
     let mut balancer = balancer();
     for prefix in 1..=40 {
         report(&mut balancer, START, |_| 4.0);
-        let first = choice(&mut balancer, START, 1 + 2 * prefix, prefix);
+        let first = select(&mut balancer, START, 1 + 2 * prefix, prefix);
         report(&mut balancer, START, |number| if id(number) == first { 5.0 } else { 4.0 });
-        assert_eq!(choice(&mut balancer, START, 2 + 2 * prefix, prefix), first, "prefix {prefix}");
+        assert_eq!(select(&mut balancer, START, 2 + 2 * prefix, prefix), first, "prefix {prefix}");
     }
 }
 
 #[test]
-fn an_old_report_does_not_count() {
+fn an_expired_report_is_ignored() {
     let mut balancer = balancer();
     for prefix in 1..=40 {
         let at = START + prefix * 10_000 * MILLI;
         report(&mut balancer, at, |_| 0.0);
-        let first = choice(&mut balancer, at, 1 + 2 * prefix, prefix);
+        let first = select(&mut balancer, at, 1 + 2 * prefix, prefix);
         report(&mut balancer, at, |number| if id(number) == first { 9.0 } else { 0.0 });
         let later = at + 1_001 * MILLI;
-        assert_eq!(choice(&mut balancer, later, 2 + 2 * prefix, prefix), first, "prefix {prefix}");
+        assert_eq!(select(&mut balancer, later, 2 + 2 * prefix, prefix), first, "prefix {prefix}");
     }
 }
 
 #[test]
-fn work_that_was_just_sent_counts_before_it_is_reported() {
+fn sent_work_counts_before_it_is_reported() {
     let mut balancer = balancer();
     for prefix in 1..=40 {
         let at = START + prefix * 10_000 * MILLI;
         report(&mut balancer, at, |_| 0.0);
-        let first = choice(&mut balancer, at, 1 + 2 * prefix, prefix);
+        let first = select(&mut balancer, at, 1 + 2 * prefix, prefix);
         balancer.handle(
             at,
             Event::WorkSent(ReplicaWork { replica: first.clone(), work: 14.0 }),
             &mut Vec::new(),
         );
-        assert_ne!(choice(&mut balancer, at, 2 + 2 * prefix, prefix), first, "prefix {prefix}");
+        assert_ne!(select(&mut balancer, at, 2 + 2 * prefix, prefix), first, "prefix {prefix}");
     }
 }
 
 #[test]
-fn gateways_that_know_the_same_do_not_all_choose_the_same_replica() {
+fn an_idle_replica_does_not_attract_every_request() {
     let mut balancer = balancer();
-    // All are over the bound but one, which is the only one that has little to do.
+    // All replicas are within the bound of 1.25 times the mean of 17.5, plus 1. If each gateway chose the one with the least
+    // work, all of them would send their requests to replica 3 until the next report.
     report(&mut balancer, START, |number| if number == 3 { 0.0 } else { 20.0 });
-    let chosen: Vec<usize> =
-        (1..=40).map(|prefix| number_of(&choice(&mut balancer, START, 1 + prefix, prefix))).collect();
-    let to_one = chosen.iter().filter(|number| **number == 3).count();
-    assert!(to_one < 40, "{chosen:?}");
+    let selected: Vec<usize> =
+        (1..=40).map(|prefix| number_of(&select(&mut balancer, START, 1 + prefix, prefix))).collect();
+    let to_idle = selected.iter().filter(|number| **number == 3).count();
+    assert!(to_idle < 40, "{selected:?}");
 }
 
 #[rstest]
 #[case::at_once(0, 20.0)]
 #[case::just_sent(99, 20.0)]
-#[case::reported_by_now(100, 6.0)]
-fn sent_work_counts_until_a_report_must_contain_it(#[case] later_ms: Nanos, #[case] waiting: f64) {
+#[case::after_the_report_delay(100, 6.0)]
+fn sent_work_counts_until_a_report_must_include_it(#[case] later_ms: Nanos, #[case] queued: f64) {
     let mut estimate = QueuedWorkEstimate::default();
     estimate.record_sent(START, 14.0);
     estimate.record_report(START + later_ms * MILLI, 6.0);
-    assert_eq!(estimate.queued(), waiting);
+    assert_eq!(estimate.queued(), queued);
 }
 
 #[rstest]
-#[case::lately(1_000, true)]
-#[case::too_long_ago(1_001, false)]
-fn a_report_is_fresh_for_a_second(#[case] later_ms: Nanos, #[case] holds: bool) {
+#[case::at_the_limit(1_000, true)]
+#[case::expired(1_001, false)]
+fn a_report_is_fresh_for_a_second(#[case] later_ms: Nanos, #[case] is_fresh: bool) {
     let mut freshness = ReportFreshness::default();
     assert!(!freshness.is_fresh(START));
     freshness.record_report(START);
-    assert_eq!(freshness.is_fresh(START + later_ms * MILLI), holds);
+    assert_eq!(freshness.is_fresh(START + later_ms * MILLI), is_fresh);
 }
--- a/crates/load-balancer/tests/reconfigure.rs
+++ b/crates/load-balancer/tests/reconfigure.rs
@@ -1,4 +1,4 @@
-//! A load balancer whose table of classes or group size changes while it runs.
+//! Changes of the class table and of the group size while a load balancer runs.
 
 use rstest::rstest;
 use tulipridge_load_balancer::LoadBalancer;
@@ -8,7 +8,7 @@
 const SECOND: Nanos = 1_000_000_000;
 const MILLI: Nanos = 1_000_000;
 const START: Nanos = 100 * SECOND;
-/// Time between two steps of a run.
+/// Time between two steps of a simulation.
 const STEP: Nanos = 50 * MILLI;
 const STEPS: u64 = 200;
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// A gateway with its clock and its timers.
+/// Runs a load balancer with a simulated clock and timers.
 struct Driver {
     balancer: LoadBalancer,
     now: Nanos,
@@ -85,9 +85,8 @@
 }
 
 impl Driver {
-    /// Knows eight warm replicas and two that have just started.
     fn new(settings: Settings) -> Driver {
-        let balancer = LoadBalancer::new(settings, 7).expect("good settings");
+        let balancer = LoadBalancer::new(settings, 7).expect("valid settings");
         Driver { balancer, now: START, timers: Vec::new() }
     }
 
@@ -102,6 +101,7 @@
         actions
     }
 
+    /// Sends a list of eight warm replicas and two that have just started.
     fn list(&mut self) -> Vec<Action> {
         let members = (0..10).map(|n| member(n, (n >= 8).then_some(START))).collect();
         self.handle(Event::List { kind: ListKind::Persisted, members })
@@ -113,8 +113,8 @@
         self.handle(Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens, report })
     }
 
-    /// Lets a step's time pass with its timers.
-    fn pass(&mut self) -> Vec<Action> {
+    /// Advances the clock by a step and runs the timers that are due.
+    fn advance(&mut self) -> Vec<Action> {
         self.now += STEP;
         let (due, rest) = self.timers.iter().partition(|(at, _)| *at <= self.now);
         self.timers = rest;
@@ -122,19 +122,20 @@
         due.into_iter().flat_map(|(_, token)| self.handle(Event::Timer(token))).collect()
     }
 
-    /// Plays a step: a request, answered at once or not at all, and now and then a failed call for the list.
+    /// Runs a step: sends a request, which gets a response at once except for every seventh, and reports a failed list call
+    /// every 30 steps.
     fn step(&mut self, step: u64) -> Vec<Action> {
-        let mut all = self.handle(Event::Request(request(step, 0)));
-        if step % 7 != 0 && is_sent(&all) {
+        let mut actions = self.handle(Event::Request(request(step, 0)));
+        if step % 7 != 0 && is_sent(&actions) {
             let (id, attempt) = (RequestId(step), 0);
-            all.extend(self.handle(Event::FirstToken { id, attempt, elapsed: MILLI }));
-            all.extend(self.outcome(id, attempt, Verdict::Ok));
+            actions.extend(self.handle(Event::FirstToken { id, attempt, elapsed: MILLI }));
+            actions.extend(self.outcome(id, attempt, Verdict::Ok));
         }
         if step % 30 == 29 {
-            all.extend(self.handle(Event::List { kind: ListKind::Failed, members: [].into() }));
+            actions.extend(self.handle(Event::List { kind: ListKind::Failed, members: [].into() }));
         }
-        all.extend(self.pass());
-        all
+        actions.extend(self.advance());
+        actions
     }
 }
 
@@ -146,29 +147,27 @@
     actions.iter().any(|action| matches!(action, Action::Fail(_)))
 }
 
-/// Plays a run from the first list on, with a change before the given step.
+/// Runs a simulation with `change` applied before the given step (0 is before the first list), and returns all actions.
 fn run(settings: Settings, change_at: u64, change: impl Fn(&mut LoadBalancer)) -> Vec<Action> {
     let mut driver = Driver::new(settings);
     if change_at == 0 {
         change(&mut driver.balancer);
     }
-    let mut all = driver.list();
+    let mut actions = driver.list();
     for step in 1..STEPS {
         if step == change_at {
             change(&mut driver.balancer);
         }
-        all.extend(driver.step(step));
+        actions.extend(driver.step(step));
     }
-    all
+    actions
 }
 
-// ---- classes ----------------------------------------------------------------------------------------------
-
 #[test]
 fn a_request_of_an_appended_class_is_placed() {
     let mut driver = Driver::new(settings(4));
     driver.list();
-    assert!(driver.handle(Event::Request(request(1, 1))).is_empty(), "there is no such class yet");
+    assert!(driver.handle(Event::Request(request(1, 1))).is_empty(), "the class does not exist yet");
     driver.balancer.set_classes(vec![class(SECOND, Effect::Safe), class(2 * SECOND, Effect::Safe)]);
     assert!(is_sent(&driver.handle(Event::Request(request(2, 1)))));
     assert!(driver.outcome(RequestId(2), 0, Verdict::Ok).is_empty());
@@ -178,23 +177,23 @@
 #[rstest]
 #[case::may_run_again(Effect::Safe, true)]
 #[case::must_not_run_twice(Effect::Unsafe, false)]
-fn a_changed_class_counts_for_requests_that_are_under_way(#[case] effect: Effect, #[case] again: bool) {
-    let other = if again { Effect::Unsafe } else { Effect::Safe };
+fn a_changed_class_applies_to_active_requests(#[case] effect: Effect, #[case] is_retried: bool) {
+    let other = if is_retried { Effect::Unsafe } else { Effect::Safe };
     let mut driver = Driver::new(Settings { classes: vec![class(SECOND, other)], ..settings(4) });
     driver.list();
     assert!(is_sent(&driver.handle(Event::Request(request(1, 0)))));
     driver.balancer.set_classes(vec![class(SECOND, effect)]);
     let actions = driver.outcome(RequestId(1), 0, Verdict::Error);
-    assert_eq!((is_sent(&actions), is_failed(&actions)), (again, !again), "{actions:?}");
+    assert_eq!((is_sent(&actions), is_failed(&actions)), (is_retried, !is_retried), "{actions:?}");
 }
 
 #[test]
-fn a_changed_latency_target_counts_for_the_requests_that_follow() {
+fn a_changed_latency_target_applies_to_later_requests() {
     let mut driver = Driver::new(settings(4));
     driver.list();
     driver.balancer.set_classes(vec![class(4 * SECOND, Effect::Safe)]);
     let actions = driver.handle(Event::Request(request(1, 0)));
-    // The client's own limit is one timer; the second look at a slow attempt comes at 0.65 of the aim.
+    // One timer is the client's deadline, the other the check for a slow attempt at 0.65 of the latency target.
     let timers = actions.iter().filter_map(|action| match action {
         Action::Timer { after, .. } => Some(*after),
         _ => None,
@@ -203,7 +202,7 @@
 }
 
 #[test]
-fn a_shorter_table_leaves_the_classes_beyond_its_end() {
+fn a_shorter_table_keeps_the_classes_beyond_its_end() {
     let classes = vec![class(SECOND, Effect::Safe), class(SECOND, Effect::Unsafe)];
     let mut driver = Driver::new(Settings { classes, ..settings(4) });
     driver.list();
@@ -214,13 +213,13 @@
 }
 
 #[test]
-fn the_same_classes_again_change_nothing() {
+fn setting_the_same_classes_changes_nothing() {
     let set = |balancer: &mut LoadBalancer| balancer.set_classes(settings(4).classes);
     assert_eq!(run(settings(4), STEPS / 2, set), run(settings(4), STEPS / 2, |_| {}));
 }
 
 #[test]
-fn what_was_learnt_of_a_class_is_kept_when_another_is_appended() {
+fn statistics_of_a_class_are_kept_when_another_is_appended() {
     let append = |balancer: &mut LoadBalancer| {
         let mut classes = settings(4).classes;
         classes.push(class(3 * SECOND, Effect::Unsafe));
@@ -229,34 +228,36 @@
     assert_eq!(run(settings(4), STEPS / 2, append), run(settings(4), STEPS / 2, |_| {}));
 }
 
-// ---- the group's size -------------------------------------------------------------------------------------
-
 #[rstest]
 #[case::alone(1)]
 #[case::fewer(2)]
 #[case::more(12)]
 #[case::many(300)]
-fn a_group_size_set_at_the_start_acts_like_one_in_the_settings(#[case] size: u32) {
+fn a_group_size_set_at_the_start_is_equivalent_to_one_in_the_settings(#[case] size: u32) {
     let resized = run(settings(4), 0, |balancer| balancer.set_group_size(size));
     assert_eq!(resized, run(settings(size), 0, |_| {}));
-    assert_ne!(resized, run(settings(4), 0, |_| {}), "the size makes no difference to this run");
+    assert_ne!(
+        resized,
+        run(settings(4), 0, |_| {}),
+        "the group size makes no difference in this simulation"
+    );
 }
 
 #[test]
-fn a_group_of_none_counts_as_this_gateway_alone() {
+fn a_group_size_of_zero_is_treated_as_one() {
     let resized = run(settings(4), 0, |balancer| balancer.set_group_size(0));
     assert_eq!(resized, run(settings(1), 0, |_| {}));
 }
 
 #[test]
-fn the_same_size_again_changes_nothing() {
+fn setting_the_same_group_size_changes_nothing() {
     let set = |balancer: &mut LoadBalancer| balancer.set_group_size(4);
     assert_eq!(run(settings(4), STEPS / 2, set), run(settings(4), STEPS / 2, |_| {}));
 }
 
 const REPLICA: WarmingReplica = WarmingReplica { hash: 5, started: START, size_fraction: 0.1 };
 
-/// The requests that one gateway may send a cold replica in some seconds, if it always has one to send.
+/// The number of requests that a gateway with constant demand may send to a replica in slow start within `seconds`.
 fn turns(slow_start: &SlowStart, budget: &mut SlowStartBudget, from: Nanos, seconds: Nanos) -> u32 {
     let mut taken = 0;
     for now in (from..from + seconds * SECOND).step_by((10 * MILLI) as usize) {
@@ -273,20 +274,20 @@
 #[case::doubles_from_one(1, 2)]
 #[case::shrinks(8, 4)]
 #[case::shrinks_to_one(6, 1)]
-fn turns_at_a_cold_replica_follow_the_size_from_the_change_on(#[case] former: u32, #[case] size: u32) {
+fn turns_in_slow_start_follow_a_change_of_the_group_size(#[case] former: u32, #[case] size: u32) {
     let mut slow_start = SlowStart::new(&settings(former));
     slow_start.observe_list(START - 10 * SECOND);
     let mut budget = SlowStartBudget::new(START);
     let before = turns(&slow_start, &mut budget, START, 6);
     slow_start.set_group_size(&settings(size), std::iter::once((REPLICA.hash, &mut budget)));
     let after = turns(&slow_start, &mut budget, START + 6 * SECOND, 6);
-    // 200 requests a second by the quotas, a tenth of the fleet, 0.8 of the factor 2.5: 40 turns a second of a warm one
-    // for all gateways, and its warmth is 0.2 at first and rises by 0.04 a second.
-    let warmth = |from: f64, to: f64| 0.2 * (to - from) + 0.02 * (to * to - from * from);
-    let due = |size: u32, from: f64, to: f64| 40.0 * warmth(from, to) / f64::from(size);
+    // Quotas of 200 requests per second, a tenth of the fleet and 0.8 of the overload factor 2.5 give 40 turns per second
+    // for all gateways at full capacity. The capacity fraction starts at 0.2 and grows by 0.04 per second.
+    let capacity_integral = |from: f64, to: f64| 0.2 * (to - from) + 0.02 * (to * to - from * from);
+    let due = |size: u32, from: f64, to: f64| 40.0 * capacity_integral(from, to) / f64::from(size);
     let (due_before, due_after) = (due(former, 0.0, 6.0), due(size, 6.0, 12.0));
     assert!((f64::from(before) - due_before).abs() <= 2.0, "{before} before, {due_before} are due");
-    // The turn that was next at the change comes when it would have: it takes as long as its group's turns did.
+    // The turn that is next at the time of the change is still due after the interval of the former group size.
     let next = f64::from(former) / f64::from(size);
     let after = f64::from(after);
     assert!(
