--- a/crates/load-balancer/src/admission_rate.rs
+++ b/crates/load-balancer/src/admission_rate.rs
@@ -2,8 +2,8 @@
 
 use crate::types::Nanos;
 
-/// Time constant, in seconds, with which the rate falls while first tokens are late. It rises more slowly; the
-/// equilibrium is at about one late token in eight.
+/// Time constant, in seconds, with which the rate falls while first tokens are late. It rises more slowly;
+/// the equilibrium is at about one late token in eight.
 const TIME_CONSTANT_S: f64 = 2.0;
 /// Limits of the step for a single first token.
 const MIN_STEP: f64 = 0.01;
@@ -16,7 +16,8 @@
 const HEALTHY_RATE: f64 = 0.9;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// Adapts the fraction of sessions that is admitted. Without it, an overload would make every response late.
+/// Adapts the fraction of sessions that is admitted. Without it, an overload would make every response
+/// late.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AdmissionRate {
     rate: f64,
@@ -45,8 +46,8 @@
         self.rate < HEALTHY_RATE
     }
 
-    /// Records a first token, or that a latency target passed without one. The step grows with the time since the last
-    /// record, so that the rate adapts as fast at a gateway with little traffic.
+    /// Records a first token, or that a latency target passed without one. The step grows with the time
+    /// since the last record, so that the rate adapts as fast at a gateway with little traffic.
     pub(crate) fn record(&mut self, now: Nanos, is_in_time: bool) {
         let elapsed = now.saturating_sub(self.updated_at) as f64 / NANOS_PER_SECOND;
         let step = (elapsed / TIME_CONSTANT_S).clamp(MIN_STEP, MAX_STEP);
--- a/crates/load-balancer/src/balancer.rs
+++ b/crates/load-balancer/src/balancer.rs
@@ -35,7 +35,8 @@
 /// Requests within [`TIME_CONSTANT_S`] that a gateway needs to estimate the share of a single prefix. With
 /// this many, a prefix with a twentieth of the requests has been seen five times.
 const MIN_REQUESTS_TO_COMPARE_PREFIXES: f64 = 100.0;
-/// A request is refused if its replica's oldest waiting request exceeds this fraction of the latency target.
+/// A request is refused if its replica's oldest waiting request exceeds this fraction of the latency
+/// target.
 const REFUSAL_LAG_FRACTION: f64 = 0.6;
 /// Interval at which parked requests are placed again.
 const PARKED_RETRY_INTERVAL: Nanos = 50 * MILLI;
@@ -113,8 +114,8 @@
     rate: AdmissionRate,
     demand: Demand,
     tenants: TenantDemands,
-    /// This gateway's part of the quotas is too small to estimate the share of single prefixes. The result is
-    /// the same at all gateways, since it follows from the quotas alone.
+    /// This gateway's part of the quotas is too small to estimate the share of single prefixes. The result
+    /// is the same at all gateways, since it follows from the quotas alone.
     has_few_requests: bool,
 }
 
@@ -130,8 +131,8 @@
 }
 
 impl LoadBalancer {
-    /// Creates a load balancer without replicas. `seed` initializes its random numbers; each gateway needs a
-    /// different one.
+    /// Creates a load balancer without replicas. `seed` initializes its random numbers; each gateway needs
+    /// a different one.
     ///
     /// # Errors
     /// Returns an error if the settings are invalid.
@@ -171,8 +172,8 @@
         self.list_calls.schedule.set_group_size(&self.settings);
     }
 
-    /// Handles an event and appends the resulting actions to `actions`. Events for unknown requests, replicas
-    /// or timers are ignored, such as a late outcome of a request that has ended.
+    /// Handles an event and appends the resulting actions to `actions`. Events for unknown requests,
+    /// replicas or timers are ignored, such as a late outcome of a request that has ended.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::List { kind, members } => self.apply_list(now, kind, &members, actions),
@@ -230,7 +231,8 @@
             slow_start_only: active.slow_start_only,
         };
         match self.select(now, &criteria, &attempted) {
-            // Serving requests that will be late anyway would sustain an overload, so they are refused at once.
+            // Serving requests that will be late anyway would sustain an overload, so they are refused at
+            // once.
             Some(slot)
                 if !is_hedge && self.is_lagging(slot, REFUSAL_LAG_FRACTION, criteria.latency_target) =>
             {
--- a/crates/load-balancer/src/balancer/attempts.rs
+++ b/crates/load-balancer/src/balancer/attempts.rs
@@ -98,8 +98,8 @@
         self.timers.set(time_left, TimerPurpose::LatencyTarget(id), actions);
         let Some(Attempt { replica: slot, sent_at, .. }) = first else { return };
         self.record_slow_attempt(now, slot, sent_at);
-        // Only an attempt that is unlikely to get a response is hedged or cancelled. If the replica is merely
-        // slow, its response still arrives sooner than one of another replica.
+        // Only an attempt that is unlikely to get a response is hedged or cancelled. If the replica is
+        // merely slow, its response still arrives sooner than one of another replica.
         let replica = &self.fleet.replicas[slot];
         let is_ejected = !replica.breaker.allows(now) && !self.has_too_many_ejections();
         let is_zone_unreachable =
@@ -113,12 +113,12 @@
     }
 
     /// Records a failure for a slow attempt, unless the replica has responded to another request since the
-    /// attempt was sent. Such a replica only has a queue, and ejecting it would make other replicas prefill its
-    /// sessions again and overload them.
+    /// attempt was sent. Such a replica only has a queue, and ejecting it would make other replicas prefill
+    /// its sessions again and overload them.
     ///
-    /// The replica's zone is charged with a failed connection in any case, the replica itself only while the
-    /// fleet as a whole is healthy. Its failure then includes the responses that it would normally have given
-    /// since the last one.
+    /// The replica's zone is charged with a failed connection in any case, the replica itself only while
+    /// the fleet as a whole is healthy. Its failure then includes the responses that it would normally have
+    /// given since the last one.
     fn record_slow_attempt(&mut self, now: Nanos, slot: ReplicaSlot, sent_at: Nanos) {
         let average = self.fleet.replicas[slot].average;
         if average.last_response_at >= sent_at {
@@ -149,7 +149,8 @@
         self.finish(id, Some(response), actions);
     }
 
-    /// Ends a request that has no response at its deadline, such as a parked one or one whose outcome was lost.
+    /// Ends a request that has no response at its deadline, such as a parked one or one whose outcome was
+    /// lost.
     pub(super) fn end_at_deadline(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let waiting = self.requests.active.get(&id).filter(|active| active.is_waiting());
         match waiting.map(|active| active.first_possible_run().is_none()) {
--- a/crates/load-balancer/src/balancer/discovery.rs
+++ b/crates/load-balancer/src/balancer/discovery.rs
@@ -10,8 +10,9 @@
 use crate::slow_start::SlowStartBudget;
 use crate::types::{Action, ListKind, Member, Nanos, Phase, UnitsMeaning};
 
-/// Virtual nodes of the largest replica. The literature uses 100; with this number a replica of a quarter of
-/// the size still has about fifty, and each replica's part of the ring is within about a tenth of its size.
+/// Virtual nodes of the largest replica. The literature uses 100; with this number a replica of a quarter
+/// of the size still has about fifty, and each replica's part of the ring is within about a tenth of its
+/// size.
 const MAX_VIRTUAL_NODES: f64 = 256.0;
 
 impl LoadBalancer {
--- a/crates/load-balancer/src/balancer/outlier_ejection.rs
+++ b/crates/load-balancer/src/balancer/outlier_ejection.rs
@@ -6,8 +6,8 @@
 use crate::replica_table::{ReplicaSlot, Zone};
 use crate::types::{Nanos, Phase, Verdict};
 
-/// Failure rate at which a replica is ejected. Below it, retrying quick errors at another replica costs less
-/// than moving all sessions of the replica away from its prefix cache.
+/// Failure rate at which a replica is ejected. Below it, retrying quick errors at another replica costs
+/// less than moving all sessions of the replica away from its prefix cache.
 const EJECTION_FAILURE_RATE: f64 = 0.4;
 /// The ejection time doubles up to its maximum, so that trials at a dead replica are rare.
 const REPLICA_EJECTION: EjectionPolicy = EjectionPolicy {
@@ -43,8 +43,8 @@
         self.fleet.zones.entry(replica.zone).or_default().breaker = CircuitBreaker::default();
     }
 
-    /// Records a failed connection for the replica's zone. Without this, an unreachable zone would appear as
-    /// many dead replicas, each of which costs an attempt.
+    /// Records a failed connection for the replica's zone. Without this, an unreachable zone would appear
+    /// as many dead replicas, each of which costs an attempt.
     pub(super) fn record_unreachable(&mut self, now: Nanos, slot: ReplicaSlot) {
         let jitter = self.random.next_unit();
         let zone = self.fleet.zones.entry(self.fleet.replicas[slot].zone).or_default();
@@ -86,9 +86,9 @@
         }
     }
 
-    /// Records a success (`failures` is 0) or a failure with the weight `failures`. A successful trial doesn't
-    /// readmit the replica by itself, since a replica that fails half of its requests passes half of its
-    /// trials. It permits the next trial at once, until the failure rate is below the threshold.
+    /// Records a success (`failures` is 0) or a failure with the weight `failures`. A successful trial
+    /// doesn't readmit the replica by itself, since a replica that fails half of its requests passes half
+    /// of its trials. It permits the next trial at once, until the failure rate is below the threshold.
     pub(super) fn record_result(&mut self, now: Nanos, slot: ReplicaSlot, failures: f64) {
         let jitter = self.random.next_unit();
         let zone = self.fleet.zones.get(&self.fleet.replicas[slot].zone);
--- a/crates/load-balancer/src/balancer/selection.rs
+++ b/crates/load-balancer/src/balancer/selection.rs
@@ -8,18 +8,18 @@
 use crate::slow_start::WarmingReplica;
 use crate::types::{Nanos, Phase, ReplicaWork};
 
-/// A replica is skipped if its load exceeds this multiple of the mean, plus one. For requests in flight, the
-/// excess over the mean is scaled by the square root of the group size: in a large group each gateway has
-/// few requests, and their counts are mostly noise.
+/// A replica is skipped if its load exceeds this multiple of the mean, plus one. For requests in flight,
+/// the excess over the mean is scaled by the square root of the group size: in a large group each gateway
+/// has few requests, and their counts are mostly noise.
 const BOUND_FACTOR: f64 = 1.25;
 /// A replica is skipped if its oldest waiting request exceeds this fraction of the latency target.
 const MAX_LAG_FRACTION: f64 = 0.5;
 
 impl LoadBalancer {
     /// Selects a replica. Of the key's owners, the distinct replicas clockwise from the key that make up
-    /// `owner_fraction` of the fleet, it is the usable one that the session prefers. If no owner is usable and
-    /// within the bounds, it is the first such replica beyond them, else the one over a bound with the least
-    /// queued work.
+    /// `owner_fraction` of the fleet, it is the usable one that the session prefers. If no owner is usable
+    /// and within the bounds, it is the first such replica beyond them, else the one over a bound with the
+    /// least queued work.
     pub(super) fn select(
         &mut self,
         now: Nanos,
@@ -41,8 +41,8 @@
                 break;
             }
         }
-        // Without reuse of the session's cache, the less loaded of the two preferred replicas is taken (power
-        // of two choices).
+        // Without reuse of the session's cache, the less loaded of the two preferred replicas is taken
+        // (power of two choices).
         if let (true, Some(best), Some(second)) = (criteria.has_low_reuse, walk.best, walk.second) {
             let is_less_loaded = self.relative_load(second.slot) < self.relative_load(best.slot);
             return Some(if is_less_loaded { second.slot } else { best.slot });
@@ -71,9 +71,10 @@
         if is_excluded || !has_turn || !self.is_usable(now, slot, walk) {
             return;
         }
-        // Sessions are spread over the owners in proportion to their sizes by weighted rendezvous hashing, so
-        // that a session's preference is stable when other replicas come or go. A replica in slow start comes
-        // first, since an unused turn lapses; if no owner has a turn, one beyond the owners does as well.
+        // Sessions are spread over the owners in proportion to their sizes by weighted rendezvous hashing,
+        // so that a session's preference is stable when other replicas come or go. A replica in slow start
+        // comes first, since an unused turn lapses; if no owner has a turn, one beyond the owners does as
+        // well.
         let preference = if is_warming && (is_owner || walk.no_owner_has_turn) {
             f64::MAX
         } else if is_owner || walk.best.is_none() {
@@ -123,8 +124,8 @@
         }
     }
 
-    /// The queued work above which a replica is skipped: a multiple of the mean, plus one. Infinite without a
-    /// fresh report.
+    /// The queued work above which a replica is skipped: a multiple of the mean, plus one. Infinite without
+    /// a fresh report.
     fn queued_work_bound(&self, now: Nanos) -> f64 {
         if !self.fleet.load_reports.is_fresh(now) {
             return f64::INFINITY;
@@ -134,7 +135,8 @@
         BOUND_FACTOR * queued / self.fleet.replicas.ready.max(1) as f64 + 1.0
     }
 
-    /// Updates the wait of the oldest waiting request at each replica, a lower bound of the wait of a new one.
+    /// Updates the wait of the oldest waiting request at each replica, a lower bound of the wait of a new
+    /// one.
     fn update_oldest_waits(&mut self, now: Nanos) {
         self.fleet.replicas.iter_mut().for_each(|replica| replica.oldest_wait = 0);
         let attempts = self.requests.active.values().flat_map(|active| &active.attempts);
@@ -166,9 +168,9 @@
         else {
             return true;
         };
-        // Served work is used where there are warm replicas, since offered work exceeds the fleet's capacity
-        // in an overload. The replica's part is its size by kind over the peak size, since live units would
-        // overstate an empty replica.
+        // Served work is used where there are warm replicas, since offered work exceeds the fleet's
+        // capacity in an overload. The replica's part is its size by kind over the peak size, since live
+        // units would overstate an empty replica.
         let work = self.admission.demand.work_per_s(now, self.fleet.replicas.warm > 0)
             / self.admission.demand.mean_cost();
         let peak_size = self.fleet.replicas.peak_size;
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -1,20 +1,23 @@
-//! Demand as observed by one gateway: offered and served work, the share of each prefix, and the cached fraction of the
-//! prompts of each class. No I/O and no clock.
+//! Demand as observed by one gateway: offered and served work, the share of each prefix, and the cached
+//! fraction of the prompts of each class. No I/O and no clock.
 
 use std::collections::BTreeMap;
 
 use crate::decaying_average::decay_factor;
 use crate::types::{ClassIndex, Nanos, Request};
 
-/// Cost of a response in prompt tokens: decoding occupies a slot about as long as the prefill of this number of tokens.
+/// Cost of a response in prompt tokens: decoding occupies a slot about as long as the prefill of this
+/// number of tokens.
 pub const RESPONSE_COST_TOKENS: f64 = 1000.0;
-/// Time constant of the averages, in seconds. It spans several think times of a session, so that all classes are seen.
+/// Time constant of the averages, in seconds. It spans several think times of a session, so that all
+/// classes are seen.
 pub const TIME_CONSTANT_S: f64 = 10.0;
-/// The owners of a prefix are this multiple of what its share of the demand would fill. An additional owner costs one
-/// prefill, while larger sets of owners even out the load where sets overlap.
+/// The owners of a prefix are this multiple of what its share of the demand would fill. An additional owner
+/// costs one prefill, while larger sets of owners even out the load where sets overlap.
 const OWNER_FACTOR: f64 = 3.0;
-/// Initial value of the mean share of the work that a request's own prefix has. This mean is the sum of the squared shares
-/// of all prefixes, a few hundredths for a Zipf distribution over tens to hundreds of prefixes.
+/// Initial value of the mean share of the work that a request's own prefix has. This mean is the sum of the
+/// squared shares of all prefixes, a few hundredths for a Zipf distribution over tens to hundreds of
+/// prefixes.
 const INITIAL_PREFIX_SHARE: f64 = 1.0 / 16.0;
 /// Weight of the newest request in that mean; with one request per second it averages over about a minute.
 const PREFIX_SHARE_GAIN: f64 = 0.02;
@@ -54,7 +57,8 @@
     owner_fraction: f64,
     /// The mean cached fraction of a prompt.
     cached: f64,
-    /// The mean fraction of a prompt that is cached beyond its shared prefix, from earlier turns of its session.
+    /// The mean fraction of a prompt that is cached beyond its shared prefix, from earlier turns of its
+    /// session.
     cached_by_session: f64,
 }
 
@@ -141,10 +145,10 @@
         self.mean_cost
     }
 
-    /// The fraction of the fleet's size that owns a request's prefix; 0 if it has none. Several owners are needed since
-    /// many gateways can overload a single one with a few requests each, which none of them notices. Each gateway sees a
-    /// sample of the same demand, so that their results are similar. With `is_per_class`, all prefixes of a class have the
-    /// same owner fraction.
+    /// The fraction of the fleet's size that owns a request's prefix; 0 if it has none. Several owners are
+    /// needed since many gateways can overload a single one with a few requests each, which none of them
+    /// notices. Each gateway sees a sample of the same demand, so that their results are similar. With
+    /// `is_per_class`, all prefixes of a class have the same owner fraction.
     pub fn owner_fraction(&mut self, now: Nanos, request: &Request, cost: f64, is_per_class: bool) -> f64 {
         let Some(prefix) = request.prefix.filter(|prefix| *prefix != 0) else { return 0.0 };
         self.forget_idle_prefixes(now);
@@ -153,8 +157,8 @@
         demand.work *= decay_factor(now, demand.updated_at, TIME_CONSTANT_S);
         let class = &mut self.classes[request.class.0];
         class.mean_prefix_share += PREFIX_SHARE_GAIN * (demand.work / offered - class.mean_prefix_share);
-        // The request itself is included, so that a gateway with few requests overestimates the share of a prefix. An
-        // unneeded owner costs one prefill, while a missing one overloads the others.
+        // The request itself is included, so that a gateway with few requests overestimates the share of a
+        // prefix. An unneeded owner costs one prefill, while a missing one overloads the others.
         *demand = PrefixDemand { work: demand.work + cost, updated_at: now };
         if is_per_class {
             return class.class_owner_fraction();
@@ -180,12 +184,13 @@
 }
 
 impl ClassDemand {
-    /// The owner fraction of all prefixes of a class, used where each gateway sees too few requests to estimate the share
-    /// of a prefix. Gateways with different estimates would send the turns of a session to different replicas, and each
-    /// turn would be prefilled again.
+    /// The owner fraction of all prefixes of a class, used where each gateway sees too few requests to
+    /// estimate the share of a prefix. Gateways with different estimates would send the turns of a session
+    /// to different replicas, and each turn would be prefilled again.
     ///
-    /// It is the largest that the most popular prefix can need: no share exceeds the square root of the sum of squared
-    /// shares. It is rounded to a power of four and kept until it is clearly wrong, so that nearly all gateways agree.
+    /// It is the largest that the most popular prefix can need: no share exceeds the square root of the sum
+    /// of squared shares. It is rounded to a power of four and kept until it is clearly wrong, so that
+    /// nearly all gateways agree.
     fn class_owner_fraction(&mut self) -> f64 {
         let needed = self.mean_prefix_share.max(f64::MIN_POSITIVE).sqrt();
         if (needed / self.owner_fraction).max(self.owner_fraction / needed) > OWNER_TOLERANCE {
--- a/crates/load-balancer/src/hash_ring.rs
+++ b/crates/load-balancer/src/hash_ring.rs
@@ -33,8 +33,8 @@
         self.nodes.len()
     }
 
-    /// The index of the first node at `key` or clockwise from it. This is the ring's length if the search wraps around to
-    /// the first node.
+    /// The index of the first node at `key` or clockwise from it. This is the ring's length if the search
+    /// wraps around to the first node.
     pub(crate) fn start(&self, key: u64) -> usize {
         self.nodes.partition_point(|node| node.position < key)
     }
@@ -48,7 +48,8 @@
         self.nodes.retain(is_current);
     }
 
-    /// Inserts nodes. `by_id` orders nodes with equal positions, since gateways learn of replicas in different orders.
+    /// Inserts nodes. `by_id` orders nodes with equal positions, since gateways learn of replicas in
+    /// different orders.
     pub(crate) fn insert(
         &mut self,
         mut added: Vec<VirtualNode>,
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -1,4 +1,5 @@
-//! Load balancing of requests over replicas, as a state machine without a clock or I/O: events in, actions out.
+//! Load balancing of requests over replicas, as a state machine without a clock or I/O: events in, actions
+//! out.
 //!
 //! [`LoadBalancer`] makes the decisions for one service at one gateway. It combines:
 //!
@@ -7,8 +8,8 @@
 //! - slow start of new replicas ([`slow_start`]; compare Envoy's slow start mode),
 //! - admission control by measured latency and by tenant quotas.
 //!
-//! [`types`] has the settings, events and actions. [`list_schedule`] schedules calls to the list service. [`demand`],
-//! [`queued_work`] and [`decaying_average`] have the estimates that decisions are based on.
+//! [`types`] has the settings, events and actions. [`list_schedule`] schedules calls to the list service.
+//! [`demand`], [`queued_work`] and [`decaying_average`] have the estimates that decisions are based on.
 //!
 //! ```
 //! use tulipridge_load_balancer::LoadBalancer;
--- a/crates/load-balancer/src/list_schedule.rs
+++ b/crates/load-balancer/src/list_schedule.rs
@@ -1,12 +1,14 @@
-//! The schedule of calls to the list service. No I/O and no clock. It limits the load on the service, which handles the
-//! calls of all gateways one at a time.
+//! The schedule of calls to the list service. No I/O and no clock. It limits the load on the service, which
+//! handles the calls of all gateways one at a time.
 //!
-//! Each gateway has a slot in a window that recurs on a shared clock, and calls only in its slot. The service thus gets an
-//! even rate of calls regardless of which gateways start, fail or return, and when. After a failure a gateway skips a
-//! random number of windows, drawn from a range that doubles (exponential backoff with full jitter).
+//! Each gateway has a slot in a window that recurs on a shared clock, and calls only in its slot. The
+//! service thus gets an even rate of calls regardless of which gateways start, fail or return, and when.
+//! After a failure a gateway skips a random number of windows, drawn from a range that doubles (exponential
+//! backoff with full jitter).
 //!
-//! A change of the list must be applied within [`PROPAGATION_DEADLINE`] after a watch became idle or the service became
-//! available again. [`ListSchedule::propagation_bounds`] returns the bounds of the total of these steps:
+//! A change of the list must be applied within [`PROPAGATION_DEADLINE`] after a watch became idle or the
+//! service became available again. [`ListSchedule::propagation_bounds`] returns the bounds of the total of
+//! these steps:
 //!
 //! | step | bound |
 //! | --- | --- |
@@ -15,31 +17,35 @@
 //! | wait for its next slot | the window, sized to fit into what the other steps leave |
 //! | connection, call, response and application of the list | [`FETCH_ALLOWANCE`] |
 //!
-//! The grace period of a drain begins after these steps. It is the reserve for a response that is queued at the service.
+//! The grace period of a drain begins after these steps. It is the reserve for a response that is queued at
+//! the service.
 //!
-//! A call that failed quickly cost the service nothing: the service is down or sheds load. A call that failed late may have
-//! been queued at an overloaded service, whose work on it was wasted. The window is then as long as a slow service needs for
-//! all gateways, and on average at least every other window is skipped. The settings permit a gateway four times the
-//! maximum age of the list after a failed call, which bounds this wait and the wait after quick failures.
+//! A call that failed quickly cost the service nothing: the service is down or sheds load. A call that
+//! failed late may have been queued at an overloaded service, whose work on it was wasted. The window is
+//! then as long as a slow service needs for all gateways, and on average at least every other window is
+//! skipped. The settings permit a gateway four times the maximum age of the list after a failed call, which
+//! bounds this wait and the wait after quick failures.
 //!
-//! If the service answered this gateway's last call before a client would have timed out, it keeps up with the group, all
-//! of which called in the same window. If calls then fail late, the service is down, and something in front of it holds
-//! calls until they time out. Calls continue as after an idle watch, so that the deadline is met when the service returns,
-//! but for at most [`OUTAGE_FAILURES`] in a row, since it may be overloaded after all. For a service that has not answered
-//! any call yet, the limit is [`UNKNOWN_FAILURES`], in the window that is used after quick failures.
+//! If the service answered this gateway's last call before a client would have timed out, it keeps up with
+//! the group, all of which called in the same window. If calls then fail late, the service is down, and
+//! something in front of it holds calls until they time out. Calls continue as after an idle watch, so that
+//! the deadline is met when the service returns, but for at most [`OUTAGE_FAILURES`] in a row, since it may
+//! be overloaded after all. For a service that has not answered any call yet, the limit is
+//! [`UNKNOWN_FAILURES`], in the window that is used after quick failures.
 
 use crate::types::{Nanos, Settings};
 
 const MILLI: Nanos = 1_000_000;
-/// Service time of a call if the rate of the service is not stated. A slow service needs this time per gateway.
+/// Service time of a call if the rate of the service is not stated. A slow service needs this time per
+/// gateway.
 const ASSUMED_SERVICE_TIME: Nanos = 60 * MILLI;
 /// Limit of the first window as a fraction of the maximum age of the list.
 const FIRST_WINDOW_FRACTION: f64 = 0.55;
-/// Maximum rate of calls in the first window, as a multiple of what a slow service can serve. Takes precedence over
-/// [`FIRST_WINDOW_FRACTION`].
+/// Maximum rate of calls in the first window, as a multiple of what a slow service can serve. Takes
+/// precedence over [`FIRST_WINDOW_FRACTION`].
 const MAX_FIRST_RATE_FACTOR: Nanos = 4;
-/// Maximum wait after late failures as a multiple of the maximum age of the list, unless two windows of a slow service
-/// are longer.
+/// Maximum wait after late failures as a multiple of the maximum age of the list, unless two windows of a
+/// slow service are longer.
 const MAX_WAIT_FACTOR: f64 = 1.6;
 /// After a failed call a gateway may be without the list for this multiple of its maximum age.
 const AGE_FACTOR_AFTER_FAILURE: Nanos = 4;
@@ -47,20 +53,23 @@
 const MAX_RELEVANT_AGE: Nanos = 1_000_000 * MILLI;
 /// Lower limit of the maximum age from the settings.
 const MIN_LIST_AGE: Nanos = 1000 * MILLI;
-/// Time within which a change of the list is propagated, after a watch became idle or the service became available again.
+/// Time within which a change of the list is propagated, after a watch became idle or the service became
+/// available again.
 pub const PROPAGATION_DEADLINE: Nanos = 6000 * MILLI;
-/// A watch without traffic for this time is idle; the service sends something every 2 s. A message that is only late is
-/// still read until the gateway's slot has come, so that a short timeout costs little.
+/// A watch without traffic for this time is idle; the service sends something every 2 s. A message that is
+/// only late is still read until the gateway's slot has come, so that a short timeout costs little.
 pub const WATCH_IDLE_TIMEOUT: Nanos = 2400 * MILLI;
-/// Time for a call, its response and the application of the list. A service that queues calls needs the same total time
-/// for a group at any rate of calls within the window.
+/// Time for a call, its response and the application of the list. A service that queues calls needs the
+/// same total time for a group at any rate of calls within the window.
 pub const FETCH_ALLOWANCE: Nanos = 500 * MILLI;
-/// A call that fails within this time was not queued: services time out after [`MIN_SERVICE_TIMEOUT`] or more.
+/// A call that fails within this time was not queued: services time out after [`MIN_SERVICE_TIMEOUT`] or
+/// more.
 const QUICK_FAILURE_LIMIT: Nanos = 500 * MILLI;
-/// Minimum time after which an overloaded service fails a queued call. A service that answers sooner keeps up, even if
-/// calls are queued for a moment, as when many gateways start at once.
+/// Minimum time after which an overloaded service fails a queued call. A service that answers sooner keeps
+/// up, even if calls are queued for a moment, as when many gateways start at once.
 pub const MIN_SERVICE_TIMEOUT: Nanos = 1000 * MILLI;
-/// Maximum rate of calls in windows shortened for the deadline, as a multiple of what a slow service can serve.
+/// Maximum rate of calls in windows shortened for the deadline, as a multiple of what a slow service can
+/// serve.
 const MAX_EARLY_RATE_FACTOR: Nanos = 7;
 /// Consecutive late failures that are treated as an outage if the service kept up before.
 pub const OUTAGE_FAILURES: u32 = 6;
@@ -124,7 +133,8 @@
     Slow,
 }
 
-/// The number of consecutive late failures that are treated as an outage, and the window for calls in an outage.
+/// The number of consecutive late failures that are treated as an outage, and the window for calls in an
+/// outage.
 struct OutagePolicy {
     window: Nanos,
     failures: u32,
@@ -138,7 +148,8 @@
     max_wait: Nanos,
 }
 
-/// Upper bounds of the time from when a watch became idle, or the service available again, until the list is applied.
+/// Upper bounds of the time from when a watch became idle, or the service available again, until the list
+/// is applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PropagationBounds {
     /// For a watch that becomes idle.
@@ -150,7 +161,8 @@
 }
 
 impl Windows {
-    /// Windows for `group` gateways. A stated `rate_per_s` of the service determines them, however long they become.
+    /// Windows for `group` gateways. A stated `rate_per_s` of the service determines them, however long
+    /// they become.
     fn new(group: Nanos, max_age: Nanos, rate_per_s: Option<f64>) -> Windows {
         let age_bound = (max_age as f64 * FIRST_WINDOW_FRACTION) as Nanos;
         let slow = ASSUMED_SERVICE_TIME * group;
@@ -169,8 +181,8 @@
             .max(fit_with_slot(PROPAGATION_DEADLINE - FETCH_ALLOWANCE));
         let two_windows = |window: Nanos| 2 * window + window / group;
         let max_wait = (max_age as f64 * MAX_WAIT_FACTOR) as Nanos;
-        // A stated rate takes precedence. Else two windows, one of which may be skipped, fit into the time that a gateway
-        // may be without the list after a failed call.
+        // A stated rate takes precedence. Else two windows, one of which may be skipped, fit into the time
+        // that a gateway may be without the list after a failed call.
         let (slow_service, max_wait) = match stated {
             Some(window) => (window, max_wait.max(two_windows(window))),
             None => {
@@ -216,9 +228,9 @@
         self.max_age
     }
 
-    /// Creates the schedule of gateway `gateway_index` of `group_size`. `max_age` is the maximum age of its list.
-    /// `rate_per_s` is the rate of calls that the service can serve, if stated; it then determines the windows, however
-    /// long they become.
+    /// Creates the schedule of gateway `gateway_index` of `group_size`. `max_age` is the maximum age of its
+    /// list. `rate_per_s` is the rate of calls that the service can serve, if stated; it then determines
+    /// the windows, however long they become.
     #[must_use]
     pub fn new(
         gateway_index: u32,
@@ -235,8 +247,8 @@
         }
     }
 
-    /// The upper bounds of the propagation time. A bound beyond [`PROPAGATION_DEADLINE`] means that the service can't
-    /// answer a group of this size in time, by the stated rate or else by the assumed one.
+    /// The upper bounds of the propagation time. A bound beyond [`PROPAGATION_DEADLINE`] means that the
+    /// service can't answer a group of this size in time, by the stated rate or else by the assumed one.
     #[must_use]
     pub fn propagation_bounds(&self) -> PropagationBounds {
         let after_refusal = if self.windows.after_quick_failure <= PROPAGATION_DEADLINE - FETCH_ALLOWANCE {
@@ -261,23 +273,24 @@
         window + window / Nanos::from(self.slot.group_size.max(1))
     }
 
-    /// Returns the wait of a gateway that has just started before its first call. `now` is on the clock that all gateways
-    /// share; `jitter` is a random number in 0..1.
+    /// Returns the wait of a gateway that has just started before its first call. `now` is on the clock
+    /// that all gateways share; `jitter` is a random number in 0..1.
     pub fn first_wait(&mut self, now: Nanos, jitter: f64) -> Nanos {
         let wait = self.time_to_slot(now, self.windows.first, jitter);
         self.call_due = Some(now + wait);
         wait
     }
 
-    /// Records that a call has failed or a watch has ended, and returns the wait before the next call. `jitter` is a random
-    /// number in 0..1.
+    /// Records that a call has failed or a watch has ended, and returns the wait before the next call.
+    /// `jitter` is a random number in 0..1.
     pub fn record_failure(&mut self, now: Nanos, jitter: f64) -> Nanos {
         let Backoff { window, doublings, max_wait } = self.backoff(now);
         let slot = window / Nanos::from(self.slot.group_size);
         let max_windows = (max_wait.saturating_sub(slot) / window.max(1)).max(1);
         let windows = (1 << doublings.min(MAX_DOUBLINGS)).min(max_windows);
         (self.failures, self.has_watch) = (self.failures + 1, false);
-        // The integer part is the number of skipped windows, the fraction the position of the call in its slot.
+        // The integer part is the number of skipped windows, the fraction the position of the call in its
+        // slot.
         let drawn_windows = jitter * windows as f64;
         // The current slot is skipped, since this gateway may already have called in it.
         let from = self.not_before.max(now) + slot;
--- a/crates/load-balancer/src/queued_work.rs
+++ b/crates/load-balancer/src/queued_work.rs
@@ -1,8 +1,8 @@
-//! An estimate of the work queued at each replica, from the last report for all gateways and the work that this gateway
-//! has sent since.
+//! An estimate of the work queued at each replica, from the last report for all gateways and the work that
+//! this gateway has sent since.
 //!
-//! A report is some tens of milliseconds old. Work that this gateway has sent in the meantime is added; that of other
-//! gateways is not known.
+//! A report is some tens of milliseconds old. Work that this gateway has sent in the meantime is added;
+//! that of other gateways is not known.
 
 use crate::types::Nanos;
 
--- a/crates/load-balancer/src/random.rs
+++ b/crates/load-balancer/src/random.rs
@@ -2,7 +2,8 @@
 
 use md5::{Digest, Md5};
 
-/// The increment of SplitMix64: 2^64 divided by the golden ratio, an odd number without a regular bit pattern.
+/// The increment of SplitMix64: 2^64 divided by the golden ratio, an odd number without a regular bit
+/// pattern.
 pub(crate) const GOLDEN_GAMMA: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// A SplitMix64 generator. It is not cryptographically secure.
--- a/crates/load-balancer/src/replica_table.rs
+++ b/crates/load-balancer/src/replica_table.rs
@@ -10,15 +10,16 @@
 use crate::slow_start::SlowStartBudget;
 use crate::types::{Member, Nanos, Phase, ReplicaId};
 
-/// The size of a machine kind is raised only by more than this factor, so that virtual nodes don't change with every list.
+/// The size of a machine kind is raised only by more than this factor, so that virtual nodes don't change
+/// with every list.
 const SIZE_STEP: f64 = 1.05;
 
 /// The index of a replica in the table. Free slots are reused for new replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReplicaSlot(usize);
 
-/// The state of a replica at this gateway. The fields come from the list (`id` to `started`), from outcomes (`in_flight` to
-/// `average`), from load reports and from the walk along the ring.
+/// The state of a replica at this gateway. The fields come from the list (`id` to `started`), from outcomes
+/// (`in_flight` to `average`), from load reports and from the walk along the ring.
 #[derive(Default)]
 pub(crate) struct Replica {
     pub(crate) id: ReplicaId,
@@ -54,7 +55,8 @@
     pub(crate) breaker: CircuitBreaker,
 }
 
-/// All replicas. A replica that has left keeps its slot while a request refers to it, since outcomes may arrive late.
+/// All replicas. A replica that has left keeps its slot while a request refers to it, since outcomes may
+/// arrive late.
 #[derive(Default)]
 pub(crate) struct ReplicaTable {
     entries: Vec<Replica>,
@@ -122,8 +124,8 @@
         slot
     }
 
-    /// Frees the slots of replicas that have left and that no request refers to, so that the table does not grow with
-    /// every replica that ever existed.
+    /// Frees the slots of replicas that have left and that no request refers to, so that the table does not
+    /// grow with every replica that ever existed.
     pub(crate) fn free_unused(&mut self, referenced: &BTreeSet<ReplicaSlot>) {
         for (index, replica) in self.entries.iter().enumerate() {
             let slot = ReplicaSlot(index);
@@ -149,7 +151,8 @@
         self.entries[slot.0].visited_in == self.pass
     }
 
-    /// Marks all replicas that were not visited in this pass as gone. Returns whether one of them was ready.
+    /// Marks all replicas that were not visited in this pass as gone. Returns whether one of them was
+    /// ready.
     pub(crate) fn retire_unvisited(&mut self) -> bool {
         let pass = self.pass;
         let mut has_changed = false;
@@ -167,8 +170,8 @@
         self.warm = self.ready_replicas().filter(|replica| is_warm(replica)).count();
     }
 
-    /// Updates the size of a machine kind from an entry of the list. Returns whether it has grown. With live units, which
-    /// load reduces, the size is the one at the lightest load seen.
+    /// Updates the size of a machine kind from an entry of the list. Returns whether it has grown. With
+    /// live units, which load reduces, the size is the one at the lightest load seen.
     pub(crate) fn learn_kind_size(&mut self, member: &Member, units: f64) -> bool {
         let size = self.kind_sizes.entry(member.kind).or_insert(0.0);
         let has_grown = units > *size * SIZE_STEP;
@@ -181,8 +184,8 @@
         self.kind_sizes.get(&kind).copied().unwrap_or(1.0)
     }
 
-    /// The size of the largest machine kind, rounded up to a power of two, so that the number of virtual nodes of a replica
-    /// doesn't change with each new kind.
+    /// The size of the largest machine kind, rounded up to a power of two, so that the number of virtual
+    /// nodes of a replica doesn't change with each new kind.
     pub(crate) fn largest_size(&self) -> f64 {
         self.kind_sizes.values().fold(f64::MIN_POSITIVE, |a, b| a.max(*b)).log2().ceil().exp2()
     }
--- a/crates/load-balancer/src/ring_walk.rs
+++ b/crates/load-balancer/src/ring_walk.rs
@@ -1,4 +1,5 @@
-//! The state of a walk along the ring: the selection criteria, the load bounds and the best candidates so far.
+//! The state of a walk along the ring: the selection criteria, the load bounds and the best candidates so
+//! far.
 
 use crate::replica_table::ReplicaSlot;
 use crate::types::Nanos;
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -1,24 +1,26 @@
-//! Slow start: limits the work that this gateway sends to a replica that has just started. No I/O and no clock. Replica
-//! selection asks this module whether a warming replica may be sent a request.
+//! Slow start: limits the work that this gateway sends to a replica that has just started. No I/O and no
+//! clock. Replica selection asks this module whether a warming replica may be sent a request.
 //!
-//! The purpose is that of Envoy's slow start mode. The method differs, since many gateways that share no state must not
-//! overload a replica together although each sends little. The work that all of them may send is divided into turns, each
-//! for one request of mean work, at a rate that grows with the replica's capacity. The turns go round-robin by gateway
-//! index, from an offset that depends on the replica's id. All gateways compute them from the replica's start time and the
-//! quotas, on a shared clock, and so agree without messages. An unused turn lapses after a number of later ones, so that
-//! turns don't accumulate at gateways that learn of a start late, or whose load rises suddenly. Without quotas, a gateway
-//! computes its turns from its own work.
+//! The purpose is that of Envoy's slow start mode. The method differs, since many gateways that share no
+//! state must not overload a replica together although each sends little. The work that all of them may
+//! send is divided into turns, each for one request of mean work, at a rate that grows with the replica's
+//! capacity. The turns go round-robin by gateway index, from an offset that depends on the replica's id.
+//! All gateways compute them from the replica's start time and the quotas, on a shared clock, and so agree
+//! without messages. An unused turn lapses after a number of later ones, so that turns don't accumulate at
+//! gateways that learn of a start late, or whose load rises suddenly. Without quotas, a gateway computes
+//! its turns from its own work.
 
 use crate::types::{Nanos, Settings};
 
 const SECOND: Nanos = 1_000_000_000;
-/// Rate of turns as a fraction of the rate that overloads a replica. The rest is a reserve for gateways with a different
-/// view of the fleet's size, and for requests that cost more than the mean.
+/// Rate of turns as a fraction of the rate that overloads a replica. The rest is a reserve for gateways
+/// with a different view of the fleet's size, and for requests that cost more than the mean.
 const SAFE_RATE_FRACTION: f64 = 0.8;
-/// Fraction of the overload limit that may be open turns, in addition to the tolerance of twice its square root.
+/// Fraction of the overload limit that may be open turns, in addition to the tolerance of twice its square
+/// root.
 const OPEN_TURN_FRACTION: f64 = 0.1;
-/// A gateway process takes no turn from before its start, or from this time after it: the previous process of the
-/// gateway may have taken them.
+/// A gateway process takes no turn from before its start, or from this time after it: the previous process
+/// of the gateway may have taken them.
 const RESTART_OVERLAP: Nanos = SECOND;
 /// Maximum excess work, in requests of mean work, that a gateway compensates for by skipping later turns.
 const MAX_DEBT_REQUESTS: f64 = 3.0;
@@ -71,7 +73,8 @@
     overload_factor: f64,
     /// The time over which the overload factor applies, in seconds.
     overload_window_s: f64,
-    /// Requests per second that the tenants' quotas permit at all gateways together, if all tenants have one.
+    /// Requests per second that the tenants' quotas permit at all gateways together, if all tenants have
+    /// one.
     quota_per_s: Option<f64>,
     gateway_index: u32,
     group_size: u32,
@@ -96,8 +99,8 @@
         }
     }
 
-    /// Changes the group size. If turns are computed from the quotas, this converts the budgets to the new rate of this
-    /// gateway's turns. `budgets` has the budget of each replica with the replica's hash.
+    /// Changes the group size. If turns are computed from the quotas, this converts the budgets to the new
+    /// rate of this gateway's turns. `budgets` has the budget of each replica with the replica's hash.
     pub fn set_group_size<'a>(
         &mut self,
         settings: &Settings,
@@ -127,7 +130,8 @@
         self.first_list_at.get_or_insert(now);
     }
 
-    /// The fraction of its capacity that a replica has at least, 1 once it is warm. All gateways compute the same value.
+    /// The fraction of its capacity that a replica has at least, 1 once it is warm. All gateways compute
+    /// the same value.
     #[must_use]
     pub fn capacity_fraction(&self, now: Nanos, started: Option<Nanos>) -> f64 {
         match started {
@@ -139,8 +143,8 @@
         }
     }
 
-    /// Whether this gateway has a turn at a warming replica. `work` is this gateway's recent work, in requests of mean work
-    /// per second.
+    /// Whether this gateway has a turn at a warming replica. `work` is this gateway's recent work, in
+    /// requests of mean work per second.
     pub fn has_turn(
         &self,
         now: Nanos,
@@ -156,9 +160,9 @@
         } else {
             self.turns_by_own_work(now, budget, replica, full_rate)
         };
-        // Open turns of all gateways may be taken at once, in addition to new ones. Their number is therefore bounded by a
-        // part of the reserve plus the tolerance, and by half a turn per gateway: the gateways of a small group have
-        // enough requests to take each turn when it is due.
+        // Open turns of all gateways may be taken at once, in addition to new ones. Their number is
+        // therefore bounded by a part of the reserve plus the tolerance, and by half a turn per gateway:
+        // the gateways of a small group have enough requests to take each turn when it is due.
         let allowed = self.overload_factor * full_rate * capacity * self.overload_window_s;
         let open_turns = (OPEN_TURN_FRACTION * allowed + 2.0 * allowed.sqrt()).min(group / 2.0) / group;
         let lapsed = (turns.due - open_turns).floor() as i64;
@@ -183,8 +187,8 @@
             SAFE_RATE_FRACTION * self.overload_factor * full_rate * warmed / group
         };
         let first = self.first_list_at.map_or(now, |at| at.saturating_add(RESTART_OVERLAP));
-        // If this process had a list for RESTART_OVERLAP before the replica started, it has missed no turn, and the first
-        // turns are due at once, up to the limit of open turns.
+        // If this process had a list for RESTART_OVERLAP before the replica started, it has missed no turn,
+        // and the first turns are due at once, up to the limit of open turns.
         let missed =
             if first > replica.started { (turns(first) + offset).floor() as i64 } else { i64::MIN };
         TurnWindow { due: turns(now) + offset, earliest: missed.saturating_add(1) }
--- a/crates/load-balancer/src/tenant_demand.rs
+++ b/crates/load-balancer/src/tenant_demand.rs
@@ -18,8 +18,8 @@
 pub(crate) struct TenantDemands(Vec<TenantDemand>);
 
 impl TenantDemands {
-    /// Records a request. Returns the fraction of its tenant's requests that is within the quota, extrapolated from this
-    /// gateway's requests to the group; 1 without a quota.
+    /// Records a request. Returns the fraction of its tenant's requests that is within the quota,
+    /// extrapolated from this gateway's requests to the group; 1 without a quota.
     pub(crate) fn record(&mut self, now: Nanos, settings: &Settings, request: &Request) -> f64 {
         let Some(index) = request.tenant else { return 1.0 };
         let tenant = settings.tenants.get(index.0);
--- a/crates/load-balancer/src/types.rs
+++ b/crates/load-balancer/src/types.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A point in time or a duration, in nanoseconds of the caller's clock. An alias rather than a newtype, since all time
-/// arithmetic uses integers of this width.
+/// A point in time or a duration, in nanoseconds of the caller's clock. An alias rather than a newtype,
+/// since all time arithmetic uses integers of this width.
 pub type Nanos = u64;
 
 /// The caller's id of a request, which is never reused.
@@ -163,7 +163,8 @@
     pub gateway_index: u32,
     /// Zone of this gateway, as an index like [`Member::zone`].
     pub zone: Option<u16>,
-    /// Whether the list of replicas is pushed; else it is requested by [`Action::Watch`] or [`Action::Fetch`].
+    /// Whether the list of replicas is pushed; else it is requested by [`Action::Watch`] or
+    /// [`Action::Fetch`].
     pub has_pushed_list: bool,
     /// Minimum time between two calls of [`LoadBalancer::handle`](crate::LoadBalancer::handle).
     pub tick: Nanos,
@@ -181,7 +182,8 @@
     pub safety: Safety,
     /// The meaning of the list's units.
     pub units: UnitsMeaning,
-    /// Relative speed of a unit of each machine kind, indexed by [`Member::kind`]; 1 for kinds beyond its end.
+    /// Relative speed of a unit of each machine kind, indexed by [`Member::kind`]; 1 for kinds beyond its
+    /// end.
     pub speeds: Vec<f64>,
     /// Calls per second that the list service can serve for all gateways together, if known.
     pub list_calls_per_s: Option<f64>,
@@ -190,7 +192,8 @@
 }
 
 impl Settings {
-    /// Requests per second that the tenants' quotas permit at all gateways together; `None` unless each tenant has one.
+    /// Requests per second that the tenants' quotas permit at all gateways together; `None` unless each
+    /// tenant has one.
     #[must_use]
     pub fn quota_per_s(&self) -> Option<f64> {
         let all: Option<f64> = self.tenants.iter().map(|t| t.quota_per_s).sum();
@@ -262,8 +265,8 @@
 pub enum ListKind {
     /// Only changed entries.
     Changes,
-    /// Changes that this gateway made itself, such as an ejection. They don't come from the list service, and so
-    /// don't show that it is available.
+    /// Changes that this gateway made itself, such as an ejection. They don't come from the list service,
+    /// and so don't show that it is available.
     Local,
     /// The complete list.
     Complete,
--- a/crates/load-balancer/tests/decisions.rs
+++ b/crates/load-balancer/tests/decisions.rs
@@ -1,8 +1,8 @@
-//! Compares digests of all actions in random event sequences with recorded values, so that a refactoring can't change a
-//! decision unnoticed.
+//! Compares digests of all actions in random event sequences with recorded values, so that a refactoring
+//! can't change a decision unnoticed.
 //!
-//! A commit that changes a decision on purpose replaces the digest and states why. The values depend on the C library's
-//! `exp` and `ln`, and hold for the platforms that CI builds for.
+//! A commit that changes a decision on purpose replaces the digest and states why. The values depend on the
+//! C library's `exp` and `ln`, and hold for the platforms that CI builds for.
 
 use rstest::rstest;
 use tulipridge_load_balancer::LoadBalancer;
--- a/crates/load-balancer/tests/queued_work.rs
+++ b/crates/load-balancer/tests/queued_work.rs
@@ -48,7 +48,8 @@
     balancer
 }
 
-/// Returns the replica that a request with this prefix is sent to. The request ends at once, so that none is in flight.
+/// Returns the replica that a request with this prefix is sent to. The request ends at once, so that none
+/// is in flight.
 fn select(balancer: &mut LoadBalancer, now: Nanos, request: u64, prefix: u64) -> ReplicaId {
     let request = Request {
         id: RequestId(request),
@@ -147,8 +148,8 @@
 #[test]
 fn an_idle_replica_does_not_attract_every_request() {
     let mut balancer = balancer();
-    // All replicas are within the bound of 1.25 times the mean of 17.5, plus 1. If each gateway chose the one with the least
-    // work, all of them would send their requests to replica 3 until the next report.
+    // All replicas are within the bound of 1.25 times the mean of 17.5, plus 1. If each gateway chose the
+    // one with the least work, all of them would send their requests to replica 3 until the next report.
     report(&mut balancer, START, |number| if number == 3 { 0.0 } else { 20.0 });
     let selected: Vec<usize> =
         (1..=40).map(|prefix| number_of(&select(&mut balancer, START, 1 + prefix, prefix))).collect();
--- a/crates/load-balancer/tests/reconfigure.rs
+++ b/crates/load-balancer/tests/reconfigure.rs
@@ -122,8 +122,8 @@
         due.into_iter().flat_map(|(_, token)| self.handle(Event::Timer(token))).collect()
     }
 
-    /// Runs a step: sends a request, which gets a response at once except for every seventh, and reports a failed list call
-    /// every 30 steps.
+    /// Runs a step: sends a request, which gets a response at once except for every seventh, and reports a
+    /// failed list call every 30 steps.
     fn step(&mut self, step: u64) -> Vec<Action> {
         let mut actions = self.handle(Event::Request(request(step, 0)));
         if step % 7 != 0 && is_sent(&actions) {
@@ -147,7 +147,8 @@
     actions.iter().any(|action| matches!(action, Action::Fail(_)))
 }
 
-/// Runs a simulation with `change` applied before the given step (0 is before the first list), and returns all actions.
+/// Runs a simulation with `change` applied before the given step (0 is before the first list), and returns
+/// all actions.
 fn run(settings: Settings, change_at: u64, change: impl Fn(&mut LoadBalancer)) -> Vec<Action> {
     let mut driver = Driver::new(settings);
     if change_at == 0 {
@@ -193,7 +194,8 @@
     driver.list();
     driver.balancer.set_classes(vec![class(4 * SECOND, Effect::Safe)]);
     let actions = driver.handle(Event::Request(request(1, 0)));
-    // One timer is the client's deadline, the other the check for a slow attempt at 0.65 of the latency target.
+    // One timer is the client's deadline, the other the check for a slow attempt at 0.65 of the latency
+    // target.
     let timers = actions.iter().filter_map(|action| match action {
         Action::Timer { after, .. } => Some(*after),
         _ => None,
@@ -257,7 +259,8 @@
 
 const REPLICA: WarmingReplica = WarmingReplica { hash: 5, started: START, size_fraction: 0.1 };
 
-/// The number of requests that a gateway with constant demand may send to a replica in slow start within `seconds`.
+/// The number of requests that a gateway with constant demand may send to a replica in slow start within
+/// `seconds`.
 fn turns(slow_start: &SlowStart, budget: &mut SlowStartBudget, from: Nanos, seconds: Nanos) -> u32 {
     let mut taken = 0;
     for now in (from..from + seconds * SECOND).step_by((10 * MILLI) as usize) {
@@ -281,13 +284,15 @@
     let before = turns(&slow_start, &mut budget, START, 6);
     slow_start.set_group_size(&settings(size), std::iter::once((REPLICA.hash, &mut budget)));
     let after = turns(&slow_start, &mut budget, START + 6 * SECOND, 6);
-    // Quotas of 200 requests per second, a tenth of the fleet and 0.8 of the overload factor 2.5 give 40 turns per second
-    // for all gateways at full capacity. The capacity fraction starts at 0.2 and grows by 0.04 per second.
+    // Quotas of 200 requests per second, a tenth of the fleet and 0.8 of the overload factor 2.5 give 40
+    // turns per second for all gateways at full capacity. The capacity fraction starts at 0.2 and grows by
+    // 0.04 per second.
     let capacity_integral = |from: f64, to: f64| 0.2 * (to - from) + 0.02 * (to * to - from * from);
     let due = |size: u32, from: f64, to: f64| 40.0 * capacity_integral(from, to) / f64::from(size);
     let (due_before, due_after) = (due(former, 0.0, 6.0), due(size, 6.0, 12.0));
     assert!((f64::from(before) - due_before).abs() <= 2.0, "{before} before, {due_before} are due");
-    // The turn that is next at the time of the change is still due after the interval of the former group size.
+    // The turn that is next at the time of the change is still due after the interval of the former group
+    // size.
     let next = f64::from(former) / f64::from(size);
     let after = f64::from(after);
     assert!(
