--- a/crates/load-balancer/src/types.rs
+++ b/crates/load-balancer/src/types.rs
@@ -106,7 +106,7 @@
 /// Parameters of slow start, and the maximum age of the list.
 #[derive(Clone, Debug, Default)]
 pub struct Safety {
-    /// Fraction of its capacity that a replica has at its start, above 0 and at most 1.
+    /// Fraction of its capacity that a replica has at least at its start, above 0 and at most 1.
     pub initial_capacity: f64,
     /// Time from the start of a replica until it has its full capacity.
     pub slow_start_window: Nanos,
