--- a/crates/control-plane/src/replication/append.rs
+++ b/crates/control-plane/src/replication/append.rs
@@ -24,7 +24,7 @@
         let is_changing = self.is_view_changing();
         match &mut self.leadership {
             Some(leadership) if is_changing => {
-                leadership.proposals.enqueue(QueuedProposal { ticket, command, since: now });
+                leadership.proposals.enqueue(QueuedProposal { ticket, command, queued_at: now });
             }
             Some(_) => self.append(now, ticket, command),
             None => {
@@ -61,7 +61,7 @@
         let sequence = self.storage.last_sequence().next();
         let Some(leadership) = &mut self.leadership else { return };
         leadership.proposals.replicate(sequence, ticket);
-        leadership.progress.appended(now, command.len());
+        leadership.progress.record_appended(now, command.len());
         let epoch = leadership.view.epoch;
         let entry = Entry { sequence, command };
         for backup in leadership.backups(node) {
@@ -100,7 +100,7 @@
         if leadership.view.epoch != epoch {
             return;
         }
-        leadership.progress.stored(now, from, sequence);
+        leadership.progress.record_stored(now, from, sequence);
         let committed = leadership.progress.committed();
         self.apply_up_to(committed);
     }
@@ -111,7 +111,7 @@
         let node = self.settings.node;
         let Some(leadership) = &mut self.leadership else { return };
         let epoch = leadership.view.epoch;
-        let lagging = leadership.progress.take_due(now);
+        let lagging = leadership.progress.take_due_resends(now);
         if is_changing {
             return;
         }
--- a/crates/control-plane/src/replication/campaign.rs
+++ b/crates/control-plane/src/replication/campaign.rs
@@ -50,9 +50,9 @@
     /// Repeats messages of the running view change, or gives it up.
     pub(super) fn run_view_change_timers(&mut self, now: Duration) {
         let Some(view_change) = &self.view_change else { return };
-        let is_hopeless = view_change.is_stalled(now) || self.misses_chosen_replica(now, view_change);
+        let should_abandon = view_change.is_stalled(now) || self.has_unresponsive_replica(now, view_change);
         let Some(view_change) = &mut self.view_change else { return };
-        if is_hopeless {
+        if should_abandon {
             self.abandon_view_change(now);
         } else if now >= view_change.resend_at {
             view_change.resend_at = now + RESEND_INTERVAL;
@@ -78,11 +78,11 @@
     }
 
     /// Whether the primary does not hear from a member any more that the new view needs as a data replica.
-    fn misses_chosen_replica(&self, now: Duration, view_change: &ViewChange) -> bool {
+    fn has_unresponsive_replica(&self, now: Duration, view_change: &ViewChange) -> bool {
         let node = self.settings.node;
         let is_silent = |replica: &NodeId| {
             let peer = self.peers.get(*replica);
-            *replica != node && !peer.is_some_and(|peer| is_recent(peer.healthy, now, BACKUP_TIMEOUT))
+            *replica != node && !peer.is_some_and(|peer| is_recent(peer.healthy_at, now, BACKUP_TIMEOUT))
         };
         self.leadership.is_some()
             && view_change.needs_data_replicas()
@@ -106,7 +106,7 @@
         if !self.view_change.as_ref().is_some_and(is_awaited) {
             return;
         }
-        self.learn(now, view);
+        self.adopt_view(now, view);
         let stalled_at = now + self.election.stall_timeout();
         let Some(view_change) = &mut self.view_change else { return };
         if view_change.record_promise(from, view) {
@@ -118,18 +118,18 @@
     /// A member has promised a higher epoch, or must not promise yet.
     pub(super) fn on_refuse(&mut self, now: Duration, from: NodeId, epoch: Epoch, promised: Epoch) {
         self.votes.observe_epoch(promised);
-        let is_outbid = promised >= epoch;
-        let outbid = self.view_change.as_mut().filter(|change| is_outbid && change.epoch == epoch);
-        if let Some(view_change) = outbid {
+        let is_preempted = promised >= epoch;
+        let preempted = self.view_change.as_mut().filter(|change| is_preempted && change.epoch == epoch);
+        if let Some(view_change) = preempted {
             view_change.shorten_stall_timeout(now + jitter(&mut self.random, 50..250));
         }
-        if is_outbid && from != self.settings.node {
-            self.force_view_change_if_outbid(epoch, promised);
+        if is_preempted && from != self.settings.node {
+            self.force_view_change_if_preempted(epoch, promised);
         }
     }
 
     /// A member has promised a higher epoch than the one led here: only a new view includes it again.
-    fn force_view_change_if_outbid(&mut self, epoch: Epoch, promised: Epoch) {
+    fn force_view_change_if_preempted(&mut self, epoch: Epoch, promised: Epoch) {
         let own = self.storage.promised();
         let Some(leadership) = &mut self.leadership else { return };
         if leadership.view.epoch == epoch && promised > own {
--- a/crates/control-plane/src/replication/departure.rs
+++ b/crates/control-plane/src/replication/departure.rs
@@ -24,7 +24,7 @@
     /// Gives the member's seats in the view to others: heartbeat acknowledgements report that it leaves, and a
     /// primary releases its lease as soon as another data replica can follow.
     pub(super) fn start_leaving(&mut self, now: Duration) {
-        self.lifecycle.leave();
+        self.lifecycle.mark_leaving();
         if self.leadership.is_none() {
             self.election.postpone_until(now + LEAVING_CAMPAIGN_DELAY);
         }
--- a/crates/control-plane/src/replication/discovery.rs
+++ b/crates/control-plane/src/replication/discovery.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether requests to join are due; if so, schedules the next ones.
-    pub(super) fn take_due(&mut self, now: Duration) -> bool {
+    pub(super) fn take_due_join(&mut self, now: Duration) -> bool {
         let is_due = now >= self.join_at;
         if is_due {
             self.join_at = now + JOIN_INTERVAL;
--- a/crates/control-plane/src/replication/election.rs
+++ b/crates/control-plane/src/replication/election.rs
@@ -6,7 +6,7 @@
 use fastrand::Rng;
 use tulipridge_protocol::node::NodeId;
 
-use super::timing::VIEW_CHANGE_STALL;
+use super::timing::VIEW_CHANGE_STALL_TIMEOUT;
 
 /// Failed view changes in a row beyond this number make no difference.
 const MAX_COUNTED_FAILURES: u32 = 4;
@@ -48,7 +48,7 @@
 
     /// How long a view change may go without progress; longer after failures.
     pub(super) fn stall_timeout(&self) -> Duration {
-        VIEW_CHANGE_STALL * (1 + self.failures)
+        VIEW_CHANGE_STALL_TIMEOUT * (1 + self.failures)
     }
 
     /// Counts a failed view change; returns how many have failed in a row.
--- a/crates/control-plane/src/replication/heartbeat.rs
+++ b/crates/control-plane/src/replication/heartbeat.rs
@@ -63,12 +63,12 @@
             self.postpone_campaign(now);
         }
         if epoch < self.storage.promised() && !has_own_promise {
-            self.learn(now, view);
+            self.adopt_view(now, view);
             self.refuse(from, epoch);
             return;
         }
         if epoch >= known_epoch {
-            self.learn(now, view);
+            self.adopt_view(now, view);
         }
         self.votes.grant_lease(now, from, epoch);
         self.commit_as_backup(from, epoch, committed);
@@ -114,11 +114,11 @@
         }
         if !was_complete && is_view_complete(&leadership.view) {
             // Until the others know it, they can't elect anyone without the voters that were replaced.
-            leadership.hasten_heartbeat(now);
+            leadership.schedule_heartbeat_now(now);
         }
         let view = leadership.view.clone();
         if self.storage.view().is_some_and(|known| known.epoch == view.epoch) {
-            self.learn(now, &view);
+            self.adopt_view(now, &view);
         }
         if from != self.settings.node {
             self.peers.record_acknowledgement(from, now, report);
--- a/crates/control-plane/src/replication/join.rs
+++ b/crates/control-plane/src/replication/join.rs
@@ -11,7 +11,7 @@
 impl Replication {
     /// Requests to join, at all known addresses, unless there is a primary.
     pub(super) fn request_to_join_if_due(&mut self, now: Duration) {
-        if self.leadership.is_some() || !self.discovery.take_due(now) {
+        if self.leadership.is_some() || !self.discovery.take_due_join(now) {
             return;
         }
         let hears_primary = self.peers.primary_heard_within(now, JOIN_INTERVAL).is_some();
@@ -44,7 +44,7 @@
         let primary = self.known_primary(now).filter(|primary| *primary != self.settings.node);
         self.peers.record_join(from, now, &zone);
         let Some(primary) = primary else { return };
-        if primary != from && self.peers.take_forward(from, now, JOIN_INTERVAL / 2) {
+        if primary != from && self.peers.take_due_forward(from, now, JOIN_INTERVAL / 2) {
             self.outbox.deliver(Envelope { from, to: primary, message: ReplicationMessage::Join { zone } });
         }
     }
--- a/crates/control-plane/src/replication/leadership.rs
+++ b/crates/control-plane/src/replication/leadership.rs
@@ -9,7 +9,7 @@
 use super::lease::Lease;
 use super::progress::Progress;
 use super::proposals::Proposals;
-use super::timing::{HEARTBEAT_INTERVAL, RESEND_INTERVAL, VIEW_CHANGE_INTERVAL};
+use super::timing::{HEARTBEAT_INTERVAL, MIN_VIEW_CHANGE_INTERVAL, RESEND_INTERVAL};
 
 /// Names one of a primary's heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,7 +75,7 @@
     }
 
     /// Sends the next heartbeats at once.
-    pub(super) fn hasten_heartbeat(&mut self, now: Duration) {
+    pub(super) fn schedule_heartbeat_now(&mut self, now: Duration) {
         self.heartbeat_at = now;
     }
 
@@ -120,8 +120,8 @@
     }
 
     /// A reconfiguration starts now.
-    pub(super) fn view_change_started(&mut self, now: Duration) {
-        self.view_change_allowed_at = now + VIEW_CHANGE_INTERVAL;
+    pub(super) fn record_view_change_start(&mut self, now: Duration) {
+        self.view_change_allowed_at = now + MIN_VIEW_CHANGE_INTERVAL;
         self.is_view_change_forced = false;
     }
 }
--- a/crates/control-plane/src/replication/lease.rs
+++ b/crates/control-plane/src/replication/lease.rs
@@ -10,19 +10,19 @@
 use tulipridge_protocol::replication::View;
 
 use super::quorum::has_quorum;
-use super::timing::{HEARTBEAT_INTERVAL, LEASE_DURATION, STEP_DOWN_AFTER};
+use super::timing::{HEARTBEAT_INTERVAL, LEASE_DURATION, STEP_DOWN_TIMEOUT};
 
 /// Heartbeats whose acknowledgements still count.
-const REMEMBERED_HEARTBEATS: usize = 16;
+const MAX_TRACKED_HEARTBEATS: usize = 16;
 const _: () = assert!(
-    REMEMBERED_HEARTBEATS as u128 * HEARTBEAT_INTERVAL.as_micros() > STEP_DOWN_AFTER.as_micros(),
+    MAX_TRACKED_HEARTBEATS as u128 * HEARTBEAT_INTERVAL.as_micros() > STEP_DOWN_TIMEOUT.as_micros(),
     "acknowledgements count for as long as a primary waits for them"
 );
 
 #[derive(Clone, Debug)]
 struct SentHeartbeat {
     token: u64,
-    at: Duration,
+    sent_at: Duration,
 }
 
 /// The lease of the member that leads a view.
@@ -61,12 +61,12 @@
 
     /// Whether it has ended, and no majority has answered for too long.
     pub(super) fn is_lost(&self, now: Duration) -> bool {
-        now.saturating_sub(self.confirmed_at) >= STEP_DOWN_AFTER && !self.is_valid(now)
+        now.saturating_sub(self.confirmed_at) >= STEP_DOWN_TIMEOUT && !self.is_valid(now)
     }
 
     /// When the primary gives up unless a majority answers.
     pub(super) fn step_down_at(&self) -> Duration {
-        self.confirmed_at + STEP_DOWN_AFTER
+        self.confirmed_at + STEP_DOWN_TIMEOUT
     }
 
     /// Whether a member has acknowledged a heartbeat of this view.
@@ -77,8 +77,8 @@
     /// Remembers that a heartbeat is sent; returns its token.
     pub(super) fn next_heartbeat(&mut self, now: Duration) -> u64 {
         self.last_token += 1;
-        self.sent.push_back(SentHeartbeat { token: self.last_token, at: now });
-        if self.sent.len() > REMEMBERED_HEARTBEATS {
+        self.sent.push_back(SentHeartbeat { token: self.last_token, sent_at: now });
+        if self.sent.len() > MAX_TRACKED_HEARTBEATS {
             self.sent.pop_front();
         }
         self.last_token
@@ -87,29 +87,29 @@
     /// Records an acknowledgement from `peer`; returns whether the heartbeat is remembered.
     pub(super) fn acknowledge(&mut self, peer: NodeId, token: u64) -> bool {
         let sent = self.sent.iter().find(|heartbeat| heartbeat.token == token);
-        let Some(sent_at) = sent.map(|heartbeat| heartbeat.at) else { return false };
+        let Some(sent_at) = sent.map(|heartbeat| heartbeat.sent_at) else { return false };
         let newest = self.acknowledged.entry(peer).or_insert(sent_at);
         *newest = sent_at.max(*newest);
         true
     }
 
-    /// Extends the lease from the newest moment since which a quorum has acknowledged; returns whether there is
+    /// Extends the lease from the latest time since which a quorum has acknowledged; returns whether there is
     /// one.
     pub(super) fn renew(&mut self, view: &View) -> bool {
-        let mut moments: Vec<Duration> = self.acknowledged.values().copied().collect();
-        moments.sort_unstable();
-        let confirmed = moments.into_iter().rev().find(|moment| self.is_confirmed_since(*moment, view));
+        let mut times: Vec<Duration> = self.acknowledged.values().copied().collect();
+        times.sort_unstable();
+        let confirmed = times.into_iter().rev().find(|time| self.is_confirmed_since(*time, view));
         let Some(confirmed) = confirmed else { return false };
         self.confirmed_at = self.confirmed_at.max(confirmed);
         self.valid_until = self.valid_until.max(confirmed + LEASE_DURATION);
         true
     }
 
-    fn is_confirmed_since(&self, moment: Duration, view: &View) -> bool {
+    fn is_confirmed_since(&self, time: Duration, view: &View) -> bool {
         let voters: BTreeSet<NodeId> = self
             .acknowledged
             .iter()
-            .filter(|(_, acknowledged)| **acknowledged >= moment)
+            .filter(|(_, acknowledged)| **acknowledged >= time)
             .map(|(node, _)| *node)
             .collect();
         has_quorum(view, &voters)
--- a/crates/control-plane/src/replication/lifecycle.rs
+++ b/crates/control-plane/src/replication/lifecycle.rs
@@ -22,7 +22,7 @@
     }
 
     /// Handles an input; returns whether it is the first one.
-    pub(super) fn start(&mut self) -> bool {
+    pub(super) fn mark_started(&mut self) -> bool {
         !std::mem::replace(&mut self.is_started, true)
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// The process ends soon.
-    pub(super) fn leave(&mut self) {
+    pub(super) fn mark_leaving(&mut self) {
         self.is_leaving = true;
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// Takes over the current role; returns whether it has to be reported.
-    pub(super) fn change_role(&mut self, role: Role) -> bool {
+    pub(super) fn record_reported_role(&mut self, role: Role) -> bool {
         std::mem::replace(&mut self.reported_role, role) != role
     }
 }
--- a/crates/control-plane/src/replication/machine.rs
+++ b/crates/control-plane/src/replication/machine.rs
@@ -22,7 +22,7 @@
 use super::settings::ReplicationSettings;
 use super::storage::Storage;
 use super::timing::{
-    ELECTION_STAGGER, ELECTION_TIMEOUT, LEAVING_CAMPAIGN_DELAY, PRIMARY_KNOWN_FOR, REDIRECT_FOR,
+    ELECTION_STAGGER, ELECTION_TIMEOUT, KNOWN_PRIMARY_MAX_AGE, LEAVING_CAMPAIGN_DELAY, REDIRECT_MAX_AGE,
     VOTER_TIMEOUT,
 };
 use super::transfer::IncomingTransfer;
@@ -119,13 +119,13 @@
         if self.is_primary(now) {
             return Some(self.settings.node);
         }
-        self.peers.primary_heard_within(now, PRIMARY_KNOWN_FOR)
+        self.peers.primary_heard_within(now, KNOWN_PRIMARY_MAX_AGE)
     }
 
     /// Another member that callers may be sent to, since it certainly was the primary a moment ago.
     #[must_use]
     pub fn redirect_target(&self, now: Duration) -> Option<NodeId> {
-        self.peers.primary_heard_within(now, REDIRECT_FOR)
+        self.peers.primary_heard_within(now, REDIRECT_MAX_AGE)
     }
 
     /// Members that answer this primary, itself included, in order; empty at others.
@@ -135,10 +135,9 @@
             return Vec::new();
         }
         let mut members = vec![LiveMember { node: self.settings.node, zone: self.settings.zone.clone() }];
-        let alive = self
-            .peers
-            .iter()
-            .filter(|(_, peer)| !peer.zone.is_empty() && is_recent(peer.acknowledged, now, VOTER_TIMEOUT));
+        let alive = self.peers.iter().filter(|(_, peer)| {
+            !peer.zone.is_empty() && is_recent(peer.acknowledged_at, now, VOTER_TIMEOUT)
+        });
         members.extend(alive.map(|(node, peer)| LiveMember { node, zone: peer.zone.clone() }));
         members.sort();
         members
@@ -195,24 +194,24 @@
 
     /// Takes over a view that is newer than the known one, or known to be in force. A member that the view
     /// doesn't concern keeps it in memory only.
-    pub(super) fn learn(&mut self, now: Duration, view: &View) {
+    pub(super) fn adopt_view(&mut self, now: Duration, view: &View) {
         if !self.storage.is_outdated_by(view) {
             return;
         }
         let node = self.settings.node;
-        let is_concerned = self.storage.has_recorded_view() || electorate(view).contains(&node);
-        if is_concerned {
+        let must_record = self.storage.has_recorded_view() || electorate(view).contains(&node);
+        if must_record {
             self.promise(view.epoch);
             self.record_view(view);
         } else {
             self.votes.observe_epoch(view.epoch);
             self.storage.set_unrecorded_view(view.clone());
         }
-        self.give_way_to_view(now, view);
+        self.yield_to_view(now, view);
     }
 
     /// Ends a view change or leadership that a newer view has overtaken.
-    fn give_way_to_view(&mut self, now: Duration, view: &View) {
+    fn yield_to_view(&mut self, now: Duration, view: &View) {
         if self.view_change.take_if(|view_change| view_change.is_outdated_by(view)).is_some() {
             let campaign_at = now + jitter(&mut self.random, 20..100);
             self.election.schedule(campaign_at);
@@ -246,7 +245,7 @@
 
     /// The owner's state starts anew from the snapshot.
     pub(super) fn restore(&mut self) {
-        self.storage.restart_from_snapshot();
+        self.storage.reset_to_snapshot();
         let sequence = self.storage.applied();
         let snapshot = self.storage.snapshot().clone();
         self.outbox.push(Output::Restore { sequence, snapshot });
--- a/crates/control-plane/src/replication/outbox.rs
+++ b/crates/control-plane/src/replication/outbox.rs
@@ -65,8 +65,8 @@
     }
 
     /// Records that all batches up to `ticket` are durable.
-    pub(super) fn persisted(&mut self, ticket: WriteTicket) {
-        self.writes.persisted(ticket);
+    pub(super) fn record_persisted(&mut self, ticket: WriteTicket) {
+        self.writes.record_persisted(ticket);
     }
 
     /// The next deferred effect that has to wait no longer.
--- a/crates/control-plane/src/replication/peers.rs
+++ b/crates/control-plane/src/replication/peers.rs
@@ -13,20 +13,20 @@
     /// Its zone; empty until it has reported it.
     pub(super) zone: String,
     /// When it last acknowledged a heartbeat.
-    pub(super) acknowledged: Option<Duration>,
+    pub(super) acknowledged_at: Option<Duration>,
     /// When it last did so with a healthy disk.
-    pub(super) healthy: Option<Duration>,
+    pub(super) healthy_at: Option<Duration>,
     /// It has reported that its process ends soon.
     pub(super) is_leaving: bool,
     /// When it last requested to join.
-    pub(super) joined: Option<Duration>,
+    pub(super) join_requested_at: Option<Duration>,
     /// When such a request was last forwarded to the primary.
-    forwarded: Option<Duration>,
+    forwarded_at: Option<Duration>,
 }
 
 impl Peer {
-    fn heard(&self) -> Option<Duration> {
-        self.acknowledged.max(self.joined)
+    fn last_seen(&self) -> Option<Duration> {
+        self.acknowledged_at.max(self.join_requested_at)
     }
 }
 
@@ -43,21 +43,21 @@
 
 /// The primary whose heartbeat came last.
 #[derive(Clone, Debug)]
-struct HeardPrimary {
+struct KnownPrimary {
     node: NodeId,
-    at: Duration,
+    heartbeat_at: Duration,
 }
 
-/// Whether a moment is there and not older than a span.
-pub(super) fn is_recent(moment: Option<Duration>, now: Duration, span: Duration) -> bool {
-    moment.is_some_and(|moment| now.saturating_sub(moment) <= span)
+/// Whether a time is there and not older than a span.
+pub(super) fn is_recent(time: Option<Duration>, now: Duration, max_age: Duration) -> bool {
+    time.is_some_and(|time| now.saturating_sub(time) <= max_age)
 }
 
 /// All other members that are known.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peers {
     peers: BTreeMap<NodeId, Peer>,
-    primary: Option<HeardPrimary>,
+    primary: Option<KnownPrimary>,
 }
 
 impl Peers {
@@ -76,54 +76,59 @@
         let peer = self.peers.entry(node).or_default();
         peer.zone = report.zone;
         peer.is_leaving = report.is_leaving;
-        peer.acknowledged = Some(now);
+        peer.acknowledged_at = Some(now);
         if report.is_disk_healthy {
-            peer.healthy = Some(now);
+            peer.healthy_at = Some(now);
         }
     }
 
-    /// Counts a member as alive and healthy at `moment` though it has acknowledged nothing.
-    pub(super) fn presume_alive(&mut self, node: NodeId, moment: Duration) {
+    /// Counts a member as alive and healthy at `time` though it has acknowledged nothing.
+    pub(super) fn presume_alive(&mut self, node: NodeId, time: Duration) {
         let peer = self.peers.entry(node).or_default();
-        peer.acknowledged = Some(moment);
-        peer.healthy = Some(moment);
+        peer.acknowledged_at = Some(time);
+        peer.healthy_at = Some(time);
     }
 
     /// Records a request to join.
     pub(super) fn record_join(&mut self, node: NodeId, now: Duration, zone: &str) {
         let peer = self.peers.entry(node).or_default();
         zone.clone_into(&mut peer.zone);
-        peer.joined = Some(now);
+        peer.join_requested_at = Some(now);
     }
 
     /// Whether a member's request to join is to be forwarded now, since the last time is longer ago than
     /// `interval`; if so, records that it is.
-    pub(super) fn take_forward(&mut self, node: NodeId, now: Duration, interval: Duration) -> bool {
+    pub(super) fn take_due_forward(&mut self, node: NodeId, now: Duration, interval: Duration) -> bool {
         let peer = self.peers.entry(node).or_default();
-        let is_due = !is_recent(peer.forwarded, now, interval);
+        let is_due = !is_recent(peer.forwarded_at, now, interval);
         if is_due {
-            peer.forwarded = Some(now);
+            peer.forwarded_at = Some(now);
         }
         is_due
     }
 
     /// Another member at the same address that acknowledged within the span.
-    pub(super) fn successor(&self, node: NodeId, now: Duration, span: Duration) -> Option<NodeId> {
+    pub(super) fn replacement_at_address(
+        &self,
+        node: NodeId,
+        now: Duration,
+        max_age: Duration,
+    ) -> Option<NodeId> {
         self.iter()
             .find(|(other, peer)| {
-                other.ip == node.ip && *other != node && is_recent(peer.healthy, now, span)
+                other.ip == node.ip && *other != node && is_recent(peer.healthy_at, now, max_age)
             })
             .map(|(other, _)| other)
     }
 
     /// Forgets standbys that are silent.
     pub(super) fn prune(&mut self, now: Duration, keep: impl Fn(NodeId) -> bool) {
-        self.peers.retain(|node, peer| keep(*node) || is_recent(peer.heard(), now, STANDBY_TIMEOUT));
+        self.peers.retain(|node, peer| keep(*node) || is_recent(peer.last_seen(), now, STANDBY_TIMEOUT));
     }
 
     /// Records a heartbeat from the primary.
     pub(super) fn record_primary(&mut self, node: NodeId, now: Duration) {
-        self.primary = Some(HeardPrimary { node, at: now });
+        self.primary = Some(KnownPrimary { node, heartbeat_at: now });
     }
 
     /// There is no other primary.
@@ -137,8 +142,8 @@
     }
 
     /// The primary whose heartbeat came last, if that is not longer ago than the span.
-    pub(super) fn primary_heard_within(&self, now: Duration, span: Duration) -> Option<NodeId> {
+    pub(super) fn primary_heard_within(&self, now: Duration, max_age: Duration) -> Option<NodeId> {
         let primary = self.primary.as_ref()?;
-        is_recent(Some(primary.at), now, span).then_some(primary.node)
+        is_recent(Some(primary.heartbeat_at), now, max_age).then_some(primary.node)
     }
 }
--- a/crates/control-plane/src/replication/pending_writes.rs
+++ b/crates/control-plane/src/replication/pending_writes.rs
@@ -40,8 +40,8 @@
 /// The batch that is being filled, and the effects that wait for it or for earlier ones.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingWrites {
-    issued: WriteTicket,
-    persisted: WriteTicket,
+    last_issued: WriteTicket,
+    last_persisted: WriteTicket,
     batch: Vec<DurableRecord>,
     pending: VecDeque<PendingEffect>,
 }
@@ -54,7 +54,7 @@
 
     /// Defers an effect until all records so far are durable.
     pub(super) fn defer(&mut self, effect: DeferredEffect) {
-        let ticket = if self.batch.is_empty() { self.issued } else { self.issued.next() };
+        let ticket = if self.batch.is_empty() { self.last_issued } else { self.last_issued.next() };
         self.pending.push_back(PendingEffect { ticket, effect });
     }
 
@@ -63,18 +63,18 @@
         if self.batch.is_empty() {
             return None;
         }
-        self.issued = self.issued.next();
-        Some(RecordBatch { ticket: self.issued, records: mem::take(&mut self.batch) })
+        self.last_issued = self.last_issued.next();
+        Some(RecordBatch { ticket: self.last_issued, records: mem::take(&mut self.batch) })
     }
 
     /// Records that all batches up to `ticket` are durable.
-    pub(super) fn persisted(&mut self, ticket: WriteTicket) {
-        self.persisted = self.persisted.max(ticket.min(self.issued));
+    pub(super) fn record_persisted(&mut self, ticket: WriteTicket) {
+        self.last_persisted = self.last_persisted.max(ticket.min(self.last_issued));
     }
 
     /// The next effect whose records are durable, in the order in which they were deferred.
     pub(super) fn pop_durable(&mut self) -> Option<DeferredEffect> {
-        let is_durable = self.pending.front().is_some_and(|pending| pending.ticket <= self.persisted);
+        let is_durable = self.pending.front().is_some_and(|pending| pending.ticket <= self.last_persisted);
         is_durable.then(|| self.pending.pop_front()).flatten().map(|pending| pending.effect)
     }
 }
--- a/crates/control-plane/src/replication/primary.rs
+++ b/crates/control-plane/src/replication/primary.rs
@@ -102,7 +102,7 @@
     /// Whether a backup stays is known from its answer to a heartbeat of this view: two that leave would hand the
     /// lease to each other for ever.
     fn choose_successor(&self, now: Duration, leadership: &Leadership) -> Option<NodeId> {
-        let stays = |peer: &Peer| is_recent(peer.healthy, now, BACKUP_TIMEOUT) && !peer.is_leaving;
+        let stays = |peer: &Peer| is_recent(peer.healthy_at, now, BACKUP_TIMEOUT) && !peer.is_leaving;
         let is_eligible = |backup: &&NodeId| {
             let has_answered = leadership.lease.is_acknowledged_by(**backup);
             has_answered && self.peers.get(**backup).is_some_and(stays)
@@ -112,7 +112,7 @@
 
     /// A primary has given up its lease.
     pub(super) fn on_release(&mut self, now: Duration, from: NodeId, epoch: Epoch, successor: NodeId) {
-        self.votes.lease_released(from, epoch);
+        self.votes.record_release(from, epoch);
         self.peers.forget_primary_if(from);
         let is_newest = self.storage.view().is_some_and(|view| view.epoch == epoch);
         if successor == self.settings.node && is_newest {
--- a/crates/control-plane/src/replication/progress.rs
+++ b/crates/control-plane/src/replication/progress.rs
@@ -6,7 +6,7 @@
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::number::SequenceNumber;
 
-use super::timing::{APPEND_STALL, RESEND_INTERVAL, max_transmission_duration, max_write_duration};
+use super::timing::{APPEND_STALL_TIMEOUT, RESEND_INTERVAL, max_transmission_duration, max_write_duration};
 
 /// How far one data replica has stored the entries.
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
     /// The newest entry that was sent to the replicas.
-    newest: SequenceNumber,
+    last_appended: SequenceNumber,
     replicas: BTreeMap<NodeId, ReplicaProgress>,
     /// Bytes of the entries that some replica has not stored, by sequence number.
     entry_bytes: BTreeMap<SequenceNumber, u64>,
@@ -43,14 +43,14 @@
     pub(super) fn new(replicas: &[NodeId], sequence: SequenceNumber, now: Duration) -> Progress {
         let progress = ReplicaProgress { stored: sequence, advanced_at: now, resend_at: now };
         let replicas = replicas.iter().map(|replica| (*replica, progress)).collect();
-        Progress { newest: sequence, replicas, entry_bytes: BTreeMap::new() }
+        Progress { last_appended: sequence, replicas, entry_bytes: BTreeMap::new() }
     }
 
     /// The next entry is sent to all replicas.
-    pub(super) fn appended(&mut self, now: Duration, bytes: usize) {
-        let previous = self.newest;
-        self.newest = self.newest.next();
-        self.entry_bytes.insert(self.newest, bytes as u64);
+    pub(super) fn record_appended(&mut self, now: Duration, bytes: usize) {
+        let previous = self.last_appended;
+        self.last_appended = self.last_appended.next();
+        self.entry_bytes.insert(self.last_appended, bytes as u64);
         let resend_at = now + resend_timeout(bytes as u64);
         for replica in self.replicas.values_mut().filter(|replica| replica.stored == previous) {
             replica.advanced_at = now;
@@ -59,8 +59,8 @@
     }
 
     /// A replica has stored an entry and all before it.
-    pub(super) fn stored(&mut self, now: Duration, from: NodeId, sequence: SequenceNumber) {
-        let resend_at = now + resend_timeout(self.bytes_after(sequence));
+    pub(super) fn record_stored(&mut self, now: Duration, from: NodeId, sequence: SequenceNumber) {
+        let resend_at = now + resend_timeout(self.next_entry_bytes(sequence));
         let Some(replica) = self.replicas.get_mut(&from) else { return };
         if sequence > replica.stored {
             *replica = ReplicaProgress { stored: sequence, advanced_at: now, resend_at };
@@ -77,8 +77,9 @@
     /// Whether a replica has stored nothing for long though there is something to store.
     pub(super) fn is_stalled(&self, replica: NodeId, now: Duration) -> bool {
         self.replicas.get(&replica).is_some_and(|replica| {
-            let bytes = self.bytes_after(replica.stored);
-            let timeout = APPEND_STALL + max_transmission_duration(bytes) + max_write_duration(bytes);
+            let bytes = self.next_entry_bytes(replica.stored);
+            let timeout =
+                APPEND_STALL_TIMEOUT + max_transmission_duration(bytes) + max_write_duration(bytes);
             self.is_lagging(replica) && now.saturating_sub(replica.advanced_at) > timeout
         })
     }
@@ -90,7 +91,7 @@
     }
 
     /// The replicas to which entries have to be sent again now; schedules the next time for them.
-    pub(super) fn take_due(&mut self, now: Duration) -> Vec<LaggingReplica> {
+    pub(super) fn take_due_resends(&mut self, now: Duration) -> Vec<LaggingReplica> {
         let due: Vec<LaggingReplica> = self
             .replicas
             .iter()
@@ -98,7 +99,7 @@
             .map(|(node, replica)| LaggingReplica { node: *node, stored: replica.stored })
             .collect();
         for LaggingReplica { node, stored } in &due {
-            let resend_at = now + resend_timeout(self.bytes_after(*stored));
+            let resend_at = now + resend_timeout(self.next_entry_bytes(*stored));
             if let Some(replica) = self.replicas.get_mut(node) {
                 replica.resend_at = resend_at;
             }
@@ -107,11 +108,11 @@
     }
 
     fn is_lagging(&self, replica: &ReplicaProgress) -> bool {
-        replica.stored < self.newest
+        replica.stored < self.last_appended
     }
 
     /// Bytes of the entry after `sequence`; 0 if there is none that some replica lacks.
-    fn bytes_after(&self, sequence: SequenceNumber) -> u64 {
+    fn next_entry_bytes(&self, sequence: SequenceNumber) -> u64 {
         self.entry_bytes.get(&sequence.next()).copied().unwrap_or(0)
     }
 }
--- a/crates/control-plane/src/replication/proposals.rs
+++ b/crates/control-plane/src/replication/proposals.rs
@@ -18,7 +18,7 @@
     /// The encoded command.
     pub(super) command: Arc<[u8]>,
     /// When the owner proposed it.
-    pub(super) since: Duration,
+    pub(super) queued_at: Duration,
 }
 
 /// All proposals without an outcome.
@@ -52,8 +52,10 @@
 
     /// Removes the next queued proposal that has waited too long; returns its failure.
     pub(super) fn expire_next(&mut self, now: Duration) -> Option<Output> {
-        let is_late = |queued: &QueuedProposal| now.saturating_sub(queued.since) >= MAX_PROPOSAL_WAIT;
-        let expired = self.queued.front().is_some_and(is_late).then(|| self.queued.pop_front()).flatten();
+        let is_expired =
+            |queued: &QueuedProposal| now.saturating_sub(queued.queued_at) >= MAX_PROPOSAL_WAIT;
+        let expired =
+            self.queued.front().is_some_and(is_expired).then(|| self.queued.pop_front()).flatten();
         expired.map(|queued| failed(queued.ticket, FailureReason::NotReplicated))
     }
 
--- a/crates/control-plane/src/replication/reconfigure.rs
+++ b/crates/control-plane/src/replication/reconfigure.rs
@@ -6,7 +6,7 @@
 
 use super::machine::Replication;
 use super::peers::is_recent;
-use super::timing::{BACKUP_TIMEOUT, JOIN_VALID_FOR, VOTER_TIMEOUT};
+use super::timing::{BACKUP_TIMEOUT, JOIN_REQUEST_TTL, VOTER_TIMEOUT};
 use super::view_change::ViewChange;
 use super::view_selection::{Candidate, ViewMembers, ViewSelection};
 
@@ -31,7 +31,7 @@
             return;
         }
         if let Some(leadership) = &mut self.leadership {
-            leadership.view_change_started(now);
+            leadership.record_view_change_start(now);
         }
         self.start_view_change(now);
     }
@@ -40,11 +40,12 @@
     pub(super) fn choose_as_primary(&self, now: Duration, base: &View) -> Option<ViewMembers> {
         let mut candidates = vec![self.own_candidate()];
         for (node, peer) in self.peers.iter() {
-            let is_silent = !is_recent(peer.acknowledged, now, BACKUP_TIMEOUT);
-            let is_replaced = is_silent && self.peers.successor(node, now, BACKUP_TIMEOUT).is_some();
+            let is_silent = !is_recent(peer.acknowledged_at, now, BACKUP_TIMEOUT);
+            let is_replaced =
+                is_silent && self.peers.replacement_at_address(node, now, BACKUP_TIMEOUT).is_some();
             let is_stalled = self.leadership.as_ref().is_some_and(|own| own.progress.is_stalled(node, now));
-            let is_alive = is_recent(peer.healthy, now, VOTER_TIMEOUT) && !is_replaced;
-            let is_ready = is_recent(peer.healthy, now, BACKUP_TIMEOUT) && !is_stalled;
+            let is_alive = is_recent(peer.healthy_at, now, VOTER_TIMEOUT) && !is_replaced;
+            let is_ready = is_recent(peer.healthy_at, now, BACKUP_TIMEOUT) && !is_stalled;
             candidates.push(Candidate {
                 node,
                 zone: peer.zone.clone(),
@@ -66,7 +67,7 @@
         for candidate in &mut candidates {
             let peer = self.peers.get(candidate.node);
             candidate.is_ready |=
-                peer.is_some_and(|peer| is_recent(peer.acknowledged, now, BACKUP_TIMEOUT));
+                peer.is_some_and(|peer| is_recent(peer.acknowledged_at, now, BACKUP_TIMEOUT));
         }
         self.selection(base, &candidates).choose(true)
     }
@@ -112,7 +113,9 @@
         let is_standby = move |node| !base.voters.contains(&node);
         self.peers
             .iter()
-            .filter(move |(node, peer)| is_recent(peer.joined, now, JOIN_VALID_FOR) && is_standby(*node))
+            .filter(move |(node, peer)| {
+                is_recent(peer.join_requested_at, now, JOIN_REQUEST_TTL) && is_standby(*node)
+            })
             .map(|(node, peer)| Candidate { node, zone: peer.zone.clone(), is_alive: true, is_ready: true })
     }
 
@@ -123,12 +126,12 @@
 
     fn selection<'a>(&self, base: &'a View, candidates: &'a [Candidate]) -> ViewSelection<'a> {
         // A proposer that leaves needs another member to take over its seats, whatever failures are tolerated.
-        let least = if self.lifecycle.is_leaving() { 2 } else { 1 };
+        let min_members = if self.lifecycle.is_leaving() { 2 } else { 1 };
         ViewSelection {
             base,
             proposer: self.settings.node,
-            target_voters: self.settings.target_voters().max(least),
-            target_data_replicas: self.settings.target_data_replicas().max(least),
+            target_voters: self.settings.target_voters().max(min_members),
+            target_data_replicas: self.settings.target_data_replicas().max(min_members),
             candidates,
         }
     }
--- a/crates/control-plane/src/replication/step.rs
+++ b/crates/control-plane/src/replication/step.rs
@@ -20,14 +20,14 @@
     ///
     /// Each input also runs the timers that are due, so [`Input::Tick`] is needed only while nothing else comes.
     pub fn handle(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
-        if self.lifecycle.start() && !self.storage.snapshot().is_empty() {
+        if self.lifecycle.mark_started() && !self.storage.snapshot().is_empty() {
             self.restore();
         }
         self.step_down_if_lease_lost(now);
         match input {
             Input::Tick => {}
             Input::Message(envelope) => self.receive(now, envelope),
-            Input::Persisted { ticket } => self.outbox.persisted(ticket),
+            Input::Persisted { ticket } => self.outbox.record_persisted(ticket),
             Input::Propose { ticket, command } => self.propose(now, ticket, command),
             Input::Compact { sequence, snapshot } => self.compact(sequence, snapshot),
             Input::DiskHealthy(is_healthy) => self.storage.set_healthy(is_healthy),
@@ -66,7 +66,7 @@
     fn perform(&mut self, effect: DeferredEffect) {
         match effect {
             DeferredEffect::Send(envelope) => self.outbox.deliver(envelope),
-            DeferredEffect::ViewDurable { epoch } => self.storage.view_is_durable(epoch),
+            DeferredEffect::ViewDurable { epoch } => self.storage.record_durable_view(epoch),
         }
     }
 
@@ -122,7 +122,7 @@
 
     fn report_role_change(&mut self) {
         let role = self.current_role();
-        if self.lifecycle.change_role(role) {
+        if self.lifecycle.record_reported_role(role) {
             self.outbox.push(Output::RoleChanged(role));
         }
     }
--- a/crates/control-plane/src/replication/storage.rs
+++ b/crates/control-plane/src/replication/storage.rs
@@ -86,7 +86,7 @@
     }
 
     /// Records that the view of this epoch is on disk.
-    pub(super) fn view_is_durable(&mut self, epoch: Epoch) {
+    pub(super) fn record_durable_view(&mut self, epoch: Epoch) {
         self.durable_view_epoch = self.durable_view_epoch.max(Some(epoch));
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Goes back, or forward, to the snapshot.
-    pub(super) fn restart_from_snapshot(&mut self) {
+    pub(super) fn reset_to_snapshot(&mut self) {
         self.applied = self.state.snapshot_sequence;
     }
 
--- a/crates/control-plane/src/replication/sync.rs
+++ b/crates/control-plane/src/replication/sync.rs
@@ -34,11 +34,11 @@
         let epoch = view_change.epoch;
         view_change.sync = Some(sync);
         self.send_chunks();
-        self.sync_itself(epoch);
+        self.sync_own_data(epoch);
     }
 
     /// The proposer's own data is complete as of its epoch.
-    fn sync_itself(&mut self, epoch: Epoch) {
+    fn sync_own_data(&mut self, epoch: Epoch) {
         let node = self.settings.node;
         if epoch < self.storage.promised() {
             self.refuse(node, epoch);
@@ -88,7 +88,7 @@
         let Some(sync) = &mut view_change.sync else { return };
         let Some(progress) = sync.record_progress(now, from, transfer, received) else { return };
         match progress {
-            TransferProgress::None => {}
+            TransferProgress::Unchanged => {}
             TransferProgress::Advanced => view_change.extend_stall_timeout(stalled_at),
             TransferProgress::Complete => {
                 view_change.extend_stall_timeout(stalled_at + max_write_duration(transfer.length));
@@ -139,7 +139,7 @@
         }
         if self.storage.position().epoch != epoch {
             self.promise_to(from, epoch);
-            self.yield_to(now, from, epoch);
+            self.yield_to_proposer(now, from, epoch);
             if !self.accept_chunk(from, epoch, data_epoch, chunk) {
                 return;
             }
--- a/crates/control-plane/src/replication/sync_phase.rs
+++ b/crates/control-plane/src/replication/sync_phase.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransferProgress {
     /// Nothing new.
-    None,
+    Unchanged,
     /// It has received more than ever before.
     Advanced,
     /// It has received everything, and writes it to its disk.
@@ -104,7 +104,7 @@
         }
         let outgoing = self.transfers.get_mut(&replica)?;
         Some(match (outgoing.on_received(now, received), outgoing.is_received()) {
-            (false, _) => TransferProgress::None,
+            (false, _) => TransferProgress::Unchanged,
             (true, false) => TransferProgress::Advanced,
             (true, true) => TransferProgress::Complete,
         })
--- a/crates/control-plane/src/replication/transfer.rs
+++ b/crates/control-plane/src/replication/transfer.rs
@@ -104,9 +104,9 @@
     /// Bytes that the receiver has.
     received: u64,
     /// What it has reported last.
-    reported: u64,
+    last_reported: u64,
     /// The most that it ever had.
-    most_received: u64,
+    max_received: u64,
     /// Bytes that were sent to it.
     sent: u64,
     resend_at: Duration,
@@ -121,8 +121,8 @@
             length,
             is_queried_first,
             received: 0,
-            reported: 0,
-            most_received: 0,
+            last_reported: 0,
+            max_received: 0,
             sent: 0,
             resend_at: now + SYNC_RESEND_INTERVAL,
             resend_after: SYNC_RESEND_INTERVAL,
@@ -146,16 +146,16 @@
     /// Less than before means that the receiver has started anew, or that the message is late: it counts when
     /// chunks have to be sent again.
     pub fn on_received(&mut self, now: Duration, received: u64) -> bool {
-        self.reported = received.min(self.length);
-        if self.reported > self.received {
-            self.received = self.reported;
+        self.last_reported = received.min(self.length);
+        if self.last_reported > self.received {
+            self.received = self.last_reported;
             self.sent = self.sent.max(self.received);
             self.resend_after = SYNC_RESEND_INTERVAL;
             self.resend_at = now + self.resend_after;
         }
-        let is_further = self.received > self.most_received;
-        self.most_received = self.most_received.max(self.received);
-        is_further
+        let has_advanced = self.received > self.max_received;
+        self.max_received = self.max_received.max(self.received);
+        has_advanced
     }
 
     /// The offsets of chunks that may be sent now.
@@ -180,7 +180,7 @@
         }
         self.resend_after = (self.resend_after * 2).min(MAX_SYNC_RESEND_INTERVAL);
         self.resend_at = now + self.resend_after;
-        self.received = self.reported;
+        self.received = self.last_reported;
         self.sent = self.received;
         if self.is_received() {
             return vec![self.length];
@@ -231,8 +231,8 @@
 
     fn append(&mut self, chunk: &Chunk) {
         let received = self.bytes.len() as u64;
-        let Some(known) = received.checked_sub(chunk.offset) else { return };
-        let Some(added) = chunk.bytes.get(known as usize..) else { return };
+        let Some(overlap) = received.checked_sub(chunk.offset) else { return };
+        let Some(added) = chunk.bytes.get(overlap as usize..) else { return };
         let missing = (self.id.length - received) as usize;
         self.bytes.extend_from_slice(&added[..added.len().min(missing)]);
     }
@@ -244,7 +244,8 @@
         }
         let data: TransferData = frame::decode(&self.bytes).ok()?;
         let sequence = data.entries.last().map_or(data.snapshot_sequence, |entry| entry.sequence);
-        let is_named = data.snapshot_sequence == self.id.snapshot_sequence && sequence == self.id.sequence;
-        is_named.then_some(data)
+        let matches_id =
+            data.snapshot_sequence == self.id.snapshot_sequence && sequence == self.id.sequence;
+        matches_id.then_some(data)
     }
 }
--- a/crates/control-plane/src/replication/view_selection.rs
+++ b/crates/control-plane/src/replication/view_selection.rs
@@ -55,8 +55,8 @@
     pub(super) fn choose(&self, replace_voters: bool) -> Option<ViewMembers> {
         let mut voters = self.base.voters.clone();
         if replace_voters && is_view_complete(self.base) {
-            self.replace_dead(&mut voters);
-            self.fill_up(&mut voters);
+            self.replace_failed(&mut voters);
+            self.add_missing_voters(&mut voters);
         }
         let data_replicas = self.data_replicas(&voters)?;
         Some(ViewMembers { voters, data_replicas })
@@ -78,9 +78,9 @@
         self.candidate(node).map_or("", |candidate| candidate.zone.as_str())
     }
 
-    fn replace_dead(&self, voters: &mut Vec<NodeId>) {
-        let dead: Vec<NodeId> = voters.iter().copied().filter(|voter| !self.is_alive(*voter)).collect();
-        for voter in dead {
+    fn replace_failed(&self, voters: &mut Vec<NodeId>) {
+        let failed: Vec<NodeId> = voters.iter().copied().filter(|voter| !self.is_alive(*voter)).collect();
+        for voter in failed {
             let position = voters.iter().position(|other| *other == voter);
             let Some(position) = position else { continue };
             if let Some(standby) = self.replacement(voters, voter) {
@@ -91,20 +91,22 @@
         }
     }
 
-    fn replacement(&self, voters: &[NodeId], dead: NodeId) -> Option<NodeId> {
+    fn replacement(&self, voters: &[NodeId], failed: NodeId) -> Option<NodeId> {
         let restarted = self.candidates.iter().find(|candidate| {
-            candidate.is_ready && candidate.node.ip == dead.ip && !voters.contains(&candidate.node)
+            candidate.is_ready && candidate.node.ip == failed.ip && !voters.contains(&candidate.node)
         });
         if let Some(candidate) = restarted {
             return Some(candidate.node);
         }
-        let others: Vec<NodeId> = voters.iter().copied().filter(|voter| *voter != dead).collect();
-        self.spread(&others, self.standbys(voters))
+        let others: Vec<NodeId> = voters.iter().copied().filter(|voter| *voter != failed).collect();
+        self.pick_from_least_used_zone(&others, self.standbys(voters))
     }
 
-    fn fill_up(&self, voters: &mut Vec<NodeId>) {
+    fn add_missing_voters(&self, voters: &mut Vec<NodeId>) {
         while voters.len() < self.target_voters {
-            let Some(standby) = self.spread(voters, self.standbys(voters)) else { return };
+            let Some(standby) = self.pick_from_least_used_zone(voters, self.standbys(voters)) else {
+                return;
+            };
             voters.push(standby);
         }
     }
@@ -119,25 +121,25 @@
     }
 
     /// The first of those from the zone with the fewest members so far.
-    fn spread(&self, chosen: &[NodeId], from: Vec<NodeId>) -> Option<NodeId> {
+    fn pick_from_least_used_zone(&self, chosen: &[NodeId], from: Vec<NodeId>) -> Option<NodeId> {
         from.into_iter()
             .min_by_key(|node| chosen.iter().filter(|other| self.zone(**other) == self.zone(*node)).count())
     }
 
     fn data_replicas(&self, voters: &[NodeId]) -> Option<Vec<NodeId>> {
-        let usable =
+        let is_eligible =
             |node: &NodeId| *node != self.proposer && voters.contains(node) && self.is_ready(*node);
         let mut data_replicas = vec![self.proposer];
-        data_replicas.extend(self.base.data_replicas.iter().copied().filter(usable));
+        data_replicas.extend(self.base.data_replicas.iter().copied().filter(is_eligible));
         data_replicas.truncate(self.target_data_replicas);
         while data_replicas.len() < self.target_data_replicas {
             let others = voters
                 .iter()
                 .copied()
-                .filter(usable)
+                .filter(is_eligible)
                 .filter(|node| !data_replicas.contains(node))
                 .collect();
-            let Some(backup) = self.spread(&data_replicas, others) else { break };
+            let Some(backup) = self.pick_from_least_used_zone(&data_replicas, others) else { break };
             data_replicas.push(backup);
         }
         let required = self.target_data_replicas.min(self.base.data_replicas.len());
--- a/crates/control-plane/src/replication/vote.rs
+++ b/crates/control-plane/src/replication/vote.rs
@@ -15,7 +15,7 @@
 struct LeaseGrant {
     primary: NodeId,
     epoch: Epoch,
-    until: Duration,
+    expires_at: Duration,
 }
 
 /// A member's votes.
@@ -52,14 +52,14 @@
 
     /// When the newest grant, and those from before the start, have run out.
     pub(super) fn grants_end(&self) -> Duration {
-        let until = self.grant.as_ref().map_or(self.no_promise_before, |grant| grant.until);
-        until.max(self.no_promise_before)
+        let expires_at = self.grant.as_ref().map_or(self.no_promise_before, |grant| grant.expires_at);
+        expires_at.max(self.no_promise_before)
     }
 
     /// Whether no lease of another member may rest on this member's vote.
     pub(super) fn may_promise_to(&self, now: Duration, proposer: NodeId) -> bool {
         let granted_to_other =
-            self.grant.as_ref().is_some_and(|grant| grant.primary != proposer && now < grant.until);
+            self.grant.as_ref().is_some_and(|grant| grant.primary != proposer && now < grant.expires_at);
         now >= self.no_promise_before && !granted_to_other
     }
 
@@ -80,11 +80,11 @@
 
     /// Grants a lease to the primary of an epoch.
     pub(super) fn grant_lease(&mut self, now: Duration, primary: NodeId, epoch: Epoch) {
-        self.grant = Some(LeaseGrant { primary, epoch, until: now + GRANT_DURATION });
+        self.grant = Some(LeaseGrant { primary, epoch, expires_at: now + GRANT_DURATION });
     }
 
     /// The primary of this epoch has given up its lease, so the grant to it may end early.
-    pub(super) fn lease_released(&mut self, primary: NodeId, epoch: Epoch) {
+    pub(super) fn record_release(&mut self, primary: NodeId, epoch: Epoch) {
         self.released_epoch = self.released_epoch.max(epoch);
         self.grant.take_if(|grant| grant.primary == primary && grant.epoch <= epoch);
     }
--- a/crates/control-plane/src/replication/voter.rs
+++ b/crates/control-plane/src/replication/voter.rs
@@ -19,14 +19,14 @@
                 return;
             }
             self.promise_to(from, epoch);
-            self.yield_to(now, from, epoch);
+            self.yield_to_proposer(now, from, epoch);
         }
         let view = self.storage.view().cloned().unwrap_or_default();
         self.outbox.send_when_durable(from, ReplicationMessage::Promise { epoch, view });
     }
 
     /// Ends this member's own view change and leadership in favour of another proposer that has its promise.
-    pub(super) fn yield_to(&mut self, now: Duration, proposer: NodeId, epoch: Epoch) {
+    pub(super) fn yield_to_proposer(&mut self, now: Duration, proposer: NodeId, epoch: Epoch) {
         if proposer == self.settings.node {
             return;
         }
@@ -48,11 +48,11 @@
             self.promise_to(from, epoch);
         }
         self.incoming.clear();
-        self.learn(now, view);
+        self.adopt_view(now, view);
         if !self.storage.has_recorded_view_of(epoch) {
             self.record_view(view);
         }
-        self.yield_to(now, from, epoch);
+        self.yield_to_proposer(now, from, epoch);
         self.outbox.send_when_durable(from, ReplicationMessage::Installed { epoch });
     }
 }
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -58,17 +58,17 @@
 
     /// Decides on a change; none if the thread has ended.
     pub async fn decide(&self, change: Arc<Change>) -> Option<Decision> {
-        self.request(|reply| Job::Decide { change, reply }).await
+        self.request(|response| Job::Decide { change, response }).await
     }
 
     /// The encoded state; none if the thread has ended.
     pub async fn snapshot(&self) -> Option<StateSnapshot> {
-        self.request(|reply| Job::Snapshot { reply }).await
+        self.request(|response| Job::Snapshot { response }).await
     }
 
     /// The newest document; none before the first one, or if the thread has ended.
     pub async fn document(&self) -> Option<Arc<[u8]>> {
-        self.request(|reply| Job::Document { reply }).await.flatten()
+        self.request(|response| Job::Document { response }).await.flatten()
     }
 
     /// Requests a [`StateMachineEvent::CaughtUp`] when all that was handed over before is applied, for a primary whose
--- a/crates/control-plane/src/state_machine/worker.rs
+++ b/crates/control-plane/src/state_machine/worker.rs
@@ -12,11 +12,11 @@
 
 /// Something to be done with the state.
 pub(super) enum Job {
-    Decide { change: Arc<Change>, reply: Sender<Decision> },
+    Decide { change: Arc<Change>, response: Sender<Decision> },
     Apply { sequence: SequenceNumber, command: Arc<[u8]> },
     Restore { sequence: SequenceNumber, snapshot: Arc<[u8]> },
-    Snapshot { reply: Sender<StateSnapshot> },
-    Document { reply: Sender<Option<Arc<[u8]>>> },
+    Snapshot { response: Sender<StateSnapshot> },
+    Document { response: Sender<Option<Arc<[u8]>>> },
     CatchUp { epoch: Epoch },
 }
 
@@ -39,18 +39,18 @@
     /// Works until the queue is closed, or the state can't be kept up.
     pub(super) fn run(mut self, queue: &mpsc::Receiver<Job>) {
         while let Ok(job) = queue.recv() {
-            if let Err(error) = self.work(job) {
+            if let Err(error) = self.run_job(job) {
                 self.report(StateMachineEvent::Failed(error));
                 return;
             }
         }
     }
 
-    // Whoever awaits a reply may have given up: then it is dropped.
-    fn work(&mut self, job: Job) -> Result<(), StateError> {
+    // Whoever awaits a response may have given up: then it is dropped.
+    fn run_job(&mut self, job: Job) -> Result<(), StateError> {
         match job {
-            Job::Decide { change, reply } => {
-                let _ = reply.try_send(self.decide(&change));
+            Job::Decide { change, response } => {
+                let _ = response.try_send(self.decide(&change));
             }
             Job::Apply { sequence, command } => {
                 let applied = self.apply(&command)?;
@@ -60,11 +60,11 @@
                 self.state = State::restore(&snapshot)?;
                 self.report_applied(sequence, None);
             }
-            Job::Snapshot { reply } => {
-                let _ = reply.try_send(self.snapshot());
+            Job::Snapshot { response } => {
+                let _ = response.try_send(self.snapshot());
             }
-            Job::Document { reply } => {
-                let _ = reply.try_send(self.state.document().map(Document::to_bytes));
+            Job::Document { response } => {
+                let _ = response.try_send(self.state.document().map(Document::to_bytes));
             }
             Job::CatchUp { epoch } => self.report(StateMachineEvent::CaughtUp { epoch }),
         }
