--- a/crates/control-plane/src/replication/append.rs
+++ b/crates/control-plane/src/replication/append.rs
@@ -1,4 +1,4 @@
-//! Log replication: proposals become entries, which commit once all data replicas have them on disk.
+//! Log replication: proposals become log entries, which commit once all data replicas have them on disk.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use super::proposals::QueuedProposal;
 use super::ticket::ProposalTicket;
 
-/// Entries sent again at once to a backup that lags.
+/// Maximum number of entries in one resend to a lagging backup.
 const MAX_RESENT_ENTRIES: usize = 256;
-/// Bytes of them, if they are more than one.
+/// Maximum bytes of entries in one resend. A single entry may be longer.
 const MAX_RESENT_BYTES: usize = 256 * 1024;
 
 impl Replication {
-    /// The owner proposes a command. During a view change it is queued.
+    /// Replicates a command of the owner, or queues it during a view change.
     pub(super) fn propose(&mut self, now: Duration, ticket: ProposalTicket, command: Arc<[u8]>) {
         let is_changing = self.is_view_changing();
         match &mut self.leadership {
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Fails queued proposals when a view change takes too long. Their commands were never replicated, so the
-    /// owner gets a certain outcome before it would give up by itself without one.
+    /// Fails proposals that were queued for too long by a view change. Their commands were never replicated, so the
+    /// owner learns the definite outcome before its own timeout, which would leave the outcome unknown.
     pub(super) fn expire_queued_proposals(&mut self, now: Duration) {
         let Some(leadership) = &mut self.leadership else { return };
         while let Some(failure) = leadership.proposals.expire_next(now) {
@@ -43,19 +43,19 @@
         }
     }
 
-    /// Whether nothing is stored until a view change has ended: one is running, or this member's promise is above
-    /// the view that it leads.
+    /// Whether proposals have to wait for a view change: one is running, or this member has promised an epoch above
+    /// that of the view that it leads.
     fn is_view_changing(&self) -> bool {
         self.view_change.is_some() || self.is_view_change_pending()
     }
 
-    /// Whether this member's promise is above the view that it leads.
+    /// Whether this member has promised an epoch above that of the view that it leads.
     pub(super) fn is_view_change_pending(&self) -> bool {
         let promised = self.storage.promised();
         self.leadership.as_ref().is_some_and(|own| own.view.epoch < promised)
     }
 
-    /// As primary, adds an entry to the log and sends it to the backups.
+    /// Appends an entry to the log of the primary and sends it to the backups.
     pub(super) fn append(&mut self, now: Duration, ticket: ProposalTicket, command: Arc<[u8]>) {
         let node = self.settings.node;
         let sequence = self.storage.last_sequence().next();
@@ -70,7 +70,7 @@
         self.on_append(node, epoch, entry);
     }
 
-    /// The primary replicates an entry.
+    /// Handles an entry from the primary: stores it and acknowledges it once it is durable.
     pub(super) fn on_append(&mut self, from: NodeId, epoch: Epoch, entry: Entry) {
         if epoch < self.storage.promised() {
             self.refuse(from, epoch);
@@ -88,7 +88,7 @@
         self.outbox.send_when_durable(from, ReplicationMessage::Appended { epoch, sequence });
     }
 
-    /// A data replica has stored an entry and all before it.
+    /// Handles a report that a data replica has stored an entry and all before it.
     pub(super) fn on_appended(
         &mut self,
         now: Duration,
@@ -105,7 +105,7 @@
         self.apply_up_to(committed);
     }
 
-    /// As primary, sends entries again that were not acknowledged in time.
+    /// Resends entries of the primary that were not acknowledged in time.
     pub(super) fn resend_entries_if_due(&mut self, now: Duration) {
         let is_changing = self.is_view_changing();
         let node = self.settings.node;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The entries after `stored`, as many as are sent again at once.
+    /// The entries after `stored`, up to the limits of one resend.
     fn entries_to_resend(&self, stored: SequenceNumber) -> Vec<Entry> {
         let mut entries = Vec::new();
         let mut bytes = 0;
--- a/crates/control-plane/src/replication/campaign.rs
+++ b/crates/control-plane/src/replication/campaign.rs
@@ -1,6 +1,6 @@
-//! The proposer's side of a view change up to the choice of the new members.
+//! The proposer's side of a view change up to the selection of the new members.
 //!
-//! A data replica that misses its primary campaigns; a primary proposes a view to exchange members.
+//! A data replica campaigns when its primary is silent; a primary proposes a view to replace members.
 
 use std::time::Duration;
 
@@ -15,15 +15,15 @@
 use super::timing::{BACKUP_TIMEOUT, RESEND_INTERVAL};
 use super::view_change::{Phase, ViewChange};
 
-/// Backoff in milliseconds after a view change that other members have acknowledged.
+/// Maximum backoff after a failed view change that other members have acknowledged.
 const ACKNOWLEDGED_BACKOFF_MS: u64 = 350;
-/// Least backoff in milliseconds after one that no member has acknowledged.
+/// Base of the maximum backoff after a failed view change that no other member has acknowledged.
 const UNACKNOWLEDGED_BACKOFF_MS: u64 = 100;
-/// What each further one in a row adds to it.
+/// Increment of that backoff for each consecutive failure.
 const UNACKNOWLEDGED_BACKOFF_STEP_MS: u64 = 250;
 
 impl Replication {
-    /// Starts a campaign if no primary is heard and it is this member's turn.
+    /// Starts a campaign if it is due and this member neither leads nor runs a view change.
     pub(super) fn campaign_if_due(&mut self, now: Duration) {
         let is_idle = self.leadership.is_none() && self.view_change.is_none();
         if is_idle && self.may_campaign() && self.election.is_due(now) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Starts a view change, unless a lease of another member may still rest on this member's vote.
+    /// Starts a view change, unless a lease of another member may still rely on a grant of this member.
     pub(super) fn start_view_change(&mut self, now: Duration) {
         let node = self.settings.node;
         let Some(base) = self.storage.view().cloned() else { return };
@@ -47,7 +47,7 @@
         self.send_prepares();
     }
 
-    /// Repeats messages of the running view change, or gives it up.
+    /// Resends messages of the running view change, or abandons it.
     pub(super) fn run_view_change_timers(&mut self, now: Duration) {
         let Some(view_change) = &self.view_change else { return };
         let should_abandon = view_change.is_stalled(now) || self.has_unresponsive_replica(now, view_change);
@@ -77,7 +77,7 @@
         self.election.schedule(campaign_at);
     }
 
-    /// Whether the primary does not hear from a member any more that the new view needs as a data replica.
+    /// Whether this member is primary and a chosen data replica of the new view no longer acknowledges heartbeats.
     fn has_unresponsive_replica(&self, now: Duration, view_change: &ViewChange) -> bool {
         let node = self.settings.node;
         let is_silent = |replica: &NodeId| {
@@ -89,7 +89,7 @@
             && view_change.view.data_replicas.iter().any(is_silent)
     }
 
-    /// Requests the promises that are missing, once this member's own one is durable.
+    /// Requests the missing promises once this member's own promise is durable.
     fn send_prepares(&mut self) {
         let Some(view_change) = &self.view_change else { return };
         let epoch = view_change.epoch;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A voter takes part in no lower epoch any more.
+    /// Handles the promise of a voter to take part in no lower epoch.
     pub(super) fn on_promise(&mut self, now: Duration, from: NodeId, epoch: Epoch, view: &View) {
         let is_awaited = |view_change: &ViewChange| view_change.awaits_promise(epoch);
         if !self.view_change.as_ref().is_some_and(is_awaited) {
@@ -115,7 +115,7 @@
         self.choose_members_if_promised(now);
     }
 
-    /// A member has promised a higher epoch, or must not promise yet.
+    /// Handles a refusal: the member has promised this epoch or a higher one, or may not promise yet.
     pub(super) fn on_refuse(&mut self, now: Duration, from: NodeId, epoch: Epoch, promised: Epoch) {
         self.votes.observe_epoch(promised);
         let is_preempted = promised >= epoch;
@@ -128,7 +128,8 @@
         }
     }
 
-    /// A member has promised a higher epoch than the one led here: only a new view includes it again.
+    /// Forces a view change if a member has promised an epoch above that of the view led here: only a new view
+    /// includes it again.
     fn force_view_change_if_preempted(&mut self, epoch: Epoch, promised: Epoch) {
         let own = self.storage.promised();
         let Some(leadership) = &mut self.leadership else { return };
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Chooses the new view's members once a quorum has promised.
+    /// Selects the members of the new view once a quorum has promised.
     fn choose_members_if_promised(&mut self, now: Duration) {
         let Some(view_change) = &self.view_change else { return };
         let has_promises = view_change.has_enough_promises(self.settings.node);
--- a/crates/control-plane/src/replication/departure.rs
+++ b/crates/control-plane/src/replication/departure.rs
@@ -1,4 +1,4 @@
-//! A member whose process ends soon: what others still need of it.
+//! Departure of a member: what the group still needs from it before its process may end.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use super::quorum::{electorate, is_view_complete};
 use super::timing::LEAVING_CAMPAIGN_DELAY;
 
-/// What would be missing if the process of a leaving member ended now.
+/// What the group would lose if the process of a leaving member ended now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
     /// It stores data that the newest view relies on.
     StoresData,
-    /// It votes on the newest view, which is not known to be in force: without its vote no other view may be able
-    /// to follow.
+    /// It votes on the newest view, which is not known to be in force: without its vote, it may be impossible to
+    /// install any further view.
     CompletesView,
     /// It stores no data, but still counts as a voter.
     Votes,
@@ -21,8 +21,8 @@
 }
 
 impl Replication {
-    /// Gives the member's seats in the view to others: heartbeat acknowledgements report that it leaves, and a
-    /// primary releases its lease as soon as another data replica can follow.
+    /// Starts to hand over this member's roles: its heartbeat acknowledgements report that it is leaving, and a
+    /// primary releases its lease as soon as another data replica can succeed it.
     pub(super) fn start_leaving(&mut self, now: Duration) {
         self.lifecycle.mark_leaving();
         if self.leadership.is_none() {
@@ -30,10 +30,10 @@
         }
     }
 
-    /// What others still need of this member.
+    /// What the group still needs from this member.
     ///
-    /// A view is recorded here only after all its data replicas have its data on disk, so a member that the newest
-    /// recorded view does not name as one stores nothing that is not stored elsewhere.
+    /// A view is recorded only after all its data replicas have its data on disk. A member that is no data replica of
+    /// the newest recorded view therefore stores nothing that is not stored elsewhere.
     #[must_use]
     pub fn departure(&self, now: Duration) -> Departure {
         if self.leadership.is_some() {
--- a/crates/control-plane/src/replication/discovery.rs
+++ b/crates/control-plane/src/replication/discovery.rs
@@ -1,4 +1,4 @@
-//! Addresses under which other members may be found, and the timer of requests to join.
+//! Addresses at which other members may be running, and the timer of requests to join.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::timing::JOIN_INTERVAL;
 
-/// How a member without a primary makes itself known.
+/// The known addresses and the time of the next requests to join.
 #[derive(Clone, Debug)]
 pub(super) struct Discovery {
     known: Vec<NodeId>,
@@ -14,7 +14,7 @@
 }
 
 impl Discovery {
-    /// No address is known; the first requests are due at `now`.
+    /// Creates a state without known addresses; the first requests are due at `now`.
     pub(super) fn new(now: Duration) -> Discovery {
         Discovery { known: Vec::new(), join_at: now }
     }
@@ -24,12 +24,11 @@
         self.known = known;
     }
 
-    /// The known addresses.
     pub(super) fn known(&self) -> &[NodeId] {
         &self.known
     }
 
-    /// When requests to join are due.
+    /// When the next requests to join are due.
     pub(super) fn join_at(&self) -> Duration {
         self.join_at
     }
--- a/crates/control-plane/src/replication/durable.rs
+++ b/crates/control-plane/src/replication/durable.rs
@@ -1,4 +1,4 @@
-//! What a member keeps on disk.
+//! The durable state of a member and the records that change it.
 
 use std::sync::Arc;
 
@@ -6,34 +6,34 @@
 use tulipridge_protocol::number::{Epoch, SequenceNumber};
 use tulipridge_protocol::replication::{Entry, View};
 
-/// All that a member keeps on disk but its generation.
+/// The durable state of a member, except its generation.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct DurableState {
-    /// The highest epoch that was promised.
+    /// The highest promised epoch.
     pub promised: Epoch,
     /// The newest recorded view.
     pub view: Option<View>,
-    /// How far the data goes.
+    /// The position up to which the data is stored.
     pub data: LogPosition,
     /// The newest entry in the snapshot.
     pub snapshot_sequence: SequenceNumber,
-    /// The encoded state at that entry.
+    /// The encoded state after that entry.
     #[musli(with = tulipridge_protocol::shared_bytes)]
     pub snapshot: Arc<[u8]>,
-    /// All entries after it.
+    /// All entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// A position in the log: two members at the same one have the same data.
+/// A position in the log. Two members at the same position have the same data.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LogPosition {
     /// The epoch in which the member was last brought up to date as a data replica.
     pub epoch: Epoch,
-    /// Its newest entry.
+    /// The newest entry of the member.
     pub sequence: SequenceNumber,
 }
 
-/// One change of what is kept on disk.
+/// One change of the durable state.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum DurableRecord {
     /// An epoch was promised.
@@ -42,9 +42,9 @@
     View(View),
     /// The data is complete as of this epoch.
     DataEpoch(Epoch),
-    /// One more entry.
+    /// An entry was appended.
     Entry(Entry),
-    /// Entries up to a sequence number are replaced by the state after them.
+    /// The entries up to `sequence` are replaced by a snapshot of the state after them.
     Snapshot {
         /// The newest entry in the snapshot.
         sequence: SequenceNumber,
@@ -61,13 +61,13 @@
         /// The encoded state.
         #[musli(with = tulipridge_protocol::shared_bytes)]
         snapshot: Arc<[u8]>,
-        /// All entries after it.
+        /// All entries after the snapshot.
         entries: Vec<Entry>,
     },
 }
 
 impl DurableRecord {
-    /// Bytes of the commands and the snapshot in it.
+    /// Total bytes of the commands and the snapshot in the record.
     #[must_use]
     pub fn payload_bytes(&self) -> u64 {
         let bytes = match self {
@@ -83,7 +83,7 @@
 }
 
 impl DurableState {
-    /// Carries out a change. Records read back in their order give the state that was written.
+    /// Applies a record. Replaying all records in order restores the state that was written.
     pub fn apply(&mut self, record: &DurableRecord) {
         match record {
             DurableRecord::Promised(epoch) => self.promised = self.promised.max(*epoch),
--- a/crates/control-plane/src/replication/election.rs
+++ b/crates/control-plane/src/replication/election.rs
@@ -1,4 +1,4 @@
-//! When a member starts a view change, and what it has learned from those that failed.
+//! When a member starts a view change, with the backoff after failed ones.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -8,20 +8,20 @@
 
 use super::timing::VIEW_CHANGE_STALL_TIMEOUT;
 
-/// Failed view changes in a row beyond this number make no difference.
+/// Consecutive failed view changes beyond this number do not increase the backoff.
 const MAX_COUNTED_FAILURES: u32 = 4;
 
-/// The election timeout and the backoff between a member's own view changes.
+/// The election timer, with the backoff between a member's own view changes.
 #[derive(Clone, Debug)]
 pub(super) struct ElectionTimer {
     campaign_at: Duration,
     failures: u32,
-    /// A primary that gave up its lease and should not be chosen again at once.
+    /// A primary that released its lease and should not become a data replica again at once.
     avoided: Option<NodeId>,
 }
 
 impl ElectionTimer {
-    /// A timer that is due at `campaign_at`.
+    /// Creates a timer that is due at `campaign_at`.
     pub(super) fn new(campaign_at: Duration) -> ElectionTimer {
         ElectionTimer { campaign_at, failures: 0, avoided: None }
     }
@@ -36,45 +36,45 @@
         now >= self.campaign_at
     }
 
-    /// Sets the time of the next campaign, sooner or later than before.
+    /// Sets the time of the next campaign, which may be sooner or later than before.
     pub(super) fn schedule(&mut self, campaign_at: Duration) {
         self.campaign_at = campaign_at;
     }
 
-    /// Starts no campaign before `earliest`.
+    /// Delays the next campaign until `earliest`, if it is due sooner.
     pub(super) fn postpone_until(&mut self, earliest: Duration) {
         self.campaign_at = self.campaign_at.max(earliest);
     }
 
-    /// How long a view change may go without progress; longer after failures.
+    /// How long a view change may go without progress. Grows with consecutive failures.
     pub(super) fn stall_timeout(&self) -> Duration {
         VIEW_CHANGE_STALL_TIMEOUT * (1 + self.failures)
     }
 
-    /// Counts a failed view change; returns how many have failed in a row.
+    /// Counts a failed view change; returns the number of consecutive failures.
     pub(super) fn record_failure(&mut self) -> u32 {
         self.failures = (self.failures + 1).min(MAX_COUNTED_FAILURES);
         self.failures
     }
 
-    /// An own view change has succeeded.
+    /// Resets the backoff after a successful view change of this member.
     pub(super) fn record_success(&mut self) {
         self.failures = 0;
         self.avoided = None;
     }
 
-    /// Prefers others to `node` in the next view.
+    /// Prefers other members to `node` in the next view.
     pub(super) fn avoid(&mut self, node: NodeId) {
         self.avoided = Some(node);
     }
 
-    /// Whether others are preferred to `node`.
+    /// Whether other members are preferred to `node`.
     pub(super) fn is_avoided(&self, node: NodeId) -> bool {
         self.avoided == Some(node)
     }
 }
 
-/// A random time from a range of milliseconds.
+/// A random duration from a range of milliseconds.
 pub(super) fn jitter(random: &mut Rng, range_ms: Range<u64>) -> Duration {
     Duration::from_micros(random.u64(range_ms.start * 1000..range_ms.end * 1000))
 }
--- a/crates/control-plane/src/replication/heartbeat.rs
+++ b/crates/control-plane/src/replication/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: the primary sends them and counts its lease from them, the other members grant it.
+//! Heartbeats: the primary sends them and derives its lease from the acknowledgements, by which voters grant it.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use super::quorum::is_view_complete;
 
 impl Replication {
-    /// As primary, sends a heartbeat to each member that it knows.
+    /// Sends a heartbeat of the primary to each known member, if due.
     pub(super) fn send_heartbeats_if_due(&mut self, now: Duration) {
         let committed = self.storage.applied();
         let Some(leadership) = &mut self.leadership else { return };
@@ -37,7 +37,7 @@
         targets
     }
 
-    /// The primary is alive.
+    /// Handles a heartbeat: adopts its view, grants the lease, applies committed entries and acknowledges it.
     pub(super) fn on_heartbeat(
         &mut self,
         now: Duration,
@@ -82,7 +82,8 @@
         }
     }
 
-    /// A voter acknowledges only once the view is on its disk: its grant must not outlive its memory of the view.
+    /// Acknowledges a heartbeat. A voter does so only once the view is durable, because the grant must not outlive
+    /// its knowledge of the view.
     fn acknowledge_heartbeat(&mut self, to: NodeId, view: &View, token: u64) {
         let message = ReplicationMessage::HeartbeatAck {
             epoch: view.epoch,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// A member has acknowledged a heartbeat.
+    /// Handles the acknowledgement of a heartbeat.
     pub(super) fn on_heartbeat_ack(
         &mut self,
         now: Duration,
@@ -113,7 +114,7 @@
             return;
         }
         if !was_complete && is_view_complete(&leadership.view) {
-            // Until the others know it, they can't elect anyone without the voters that were replaced.
+            // Until the other members learn that the view is in force, no election succeeds without the replaced voters.
             leadership.schedule_heartbeat_now(now);
         }
         let view = leadership.view.clone();
--- a/crates/control-plane/src/replication/install.rs
+++ b/crates/control-plane/src/replication/install.rs
@@ -10,7 +10,7 @@
 use super::view_change::{Phase, ViewChange};
 
 impl Replication {
-    /// Sends the new view to all of this phase that have not recorded it.
+    /// Sends the new view to the members of this phase that have not recorded it.
     pub(super) fn send_installs(&mut self) {
         let Some(view_change) = &self.view_change else { return };
         let message = ReplicationMessage::Install { view: view_change.view.clone() };
@@ -19,7 +19,7 @@
         }
     }
 
-    /// A member has recorded the new view.
+    /// Handles a report that a member has recorded the new view.
     pub(super) fn on_installed(&mut self, now: Duration, from: NodeId, epoch: Epoch) {
         let stalled_at = now + self.election.stall_timeout();
         let Some(view_change) = &mut self.view_change else { return };
--- a/crates/control-plane/src/replication/interface.rs
+++ b/crates/control-plane/src/replication/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the state machine and what comes out.
+//! Inputs and outputs of the state machine.
 
 use std::sync::Arc;
 
@@ -9,71 +9,71 @@
 use super::durable::DurableRecord;
 use super::ticket::{ProposalTicket, WriteTicket};
 
-/// What the owner hands to the state machine.
+/// An input from the owner.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A deadline has come.
+    /// A deadline has passed.
     Tick,
     /// A message has arrived.
     Message(Envelope),
-    /// All records up to this ticket are on disk.
+    /// All records up to this ticket are durable.
     Persisted {
         /// The ticket of [`Output::Persist`].
         ticket: WriteTicket,
     },
     /// A command that the primary should replicate.
     Propose {
-        /// The owner's name for it.
+        /// The owner's identifier of the proposal.
         ticket: ProposalTicket,
         /// The encoded command.
         command: Arc<[u8]>,
     },
-    /// The state after the entry `sequence`, which has been applied: older entries may go.
+    /// A snapshot of the state after the applied entry `sequence`: the entries up to it may be dropped.
     Compact {
         /// The newest entry in the snapshot.
         sequence: SequenceNumber,
         /// The encoded state.
         snapshot: Arc<[u8]>,
     },
-    /// Whether the disk answers within its bound.
+    /// Whether the disk completes writes in time.
     DiskHealthy(bool),
-    /// Addresses where members may be found. Generations do not matter.
+    /// Addresses at which other members may be running. Their generations are ignored.
     Known(Vec<NodeId>),
-    /// The process is about to end.
+    /// The process is about to shut down.
     Terminate,
 }
 
-/// What the owner has to do, in order.
+/// An action that the owner carries out. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message. It may be lost.
     Send(Envelope),
     /// Write and sync the records in order, then report with [`Input::Persisted`].
     Persist {
-        /// Rises by one with each batch.
+        /// Increases by one with each batch.
         ticket: WriteTicket,
-        /// What to write.
+        /// The records to write.
         records: Vec<DurableRecord>,
     },
-    /// An entry is committed. Comes in order without gaps.
+    /// Apply a committed entry. Entries come in order without gaps.
     Apply {
-        /// Its number.
+        /// The sequence number of the entry.
         sequence: SequenceNumber,
         /// The encoded command.
         command: Arc<[u8]>,
-        /// The ticket of the proposal, at the member where it was made.
+        /// The ticket of the proposal, at the member that proposed it.
         proposal: Option<ProposalTicket>,
     },
-    /// The state starts anew from this snapshot.
+    /// Replace the state by this snapshot.
     Restore {
         /// The newest entry in the snapshot.
         sequence: SequenceNumber,
-        /// The encoded state; empty stands for the state before the first entry.
+        /// The encoded state; empty for the state before the first entry.
         snapshot: Arc<[u8]>,
     },
-    /// No [`Output::Apply`] will name this proposal.
+    /// A proposal has failed: no [`Output::Apply`] will carry its ticket.
     ProposalFailed {
-        /// Its ticket.
+        /// The ticket of the proposal.
         proposal: ProposalTicket,
         /// Whether it may still take effect.
         reason: FailureReason,
@@ -82,25 +82,25 @@
     RoleChanged(Role),
 }
 
-/// A member that answers the primary.
+/// A member that acknowledges the heartbeats of the primary.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LiveMember {
     /// The member.
     pub node: NodeId,
-    /// Its zone.
+    /// The zone of the member.
     pub zone: String,
 }
 
 /// Why a proposal failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// It was never replicated and will not take effect.
+    /// The command was never replicated and will not take effect.
     NotReplicated,
-    /// The member ceased to be primary while it waited: it may or may not take effect.
+    /// The member ceased to be primary while the proposal was pending: it may or may not take effect.
     OutcomeUnknown,
 }
 
-/// A member's role in the newest view that it knows.
+/// The role of a member in the newest view that it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Neither votes nor stores data.
@@ -109,7 +109,7 @@
     Voter,
     /// Votes and stores data.
     Backup,
-    /// Orders the entries of this epoch. Acts only while [`super::Replication::is_primary`].
+    /// Orders the entries of this epoch. May act only while [`super::Replication::is_primary`] holds.
     Primary {
         /// The view's epoch.
         epoch: Epoch,
--- a/crates/control-plane/src/replication/join.rs
+++ b/crates/control-plane/src/replication/join.rs
@@ -1,4 +1,4 @@
-//! How a member that is in no view in force makes itself known to the primary.
+//! Requests to join: how a member without a primary makes itself known.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::timing::JOIN_INTERVAL;
 
 impl Replication {
-    /// Requests to join, at all known addresses, unless there is a primary.
+    /// Sends requests to join to all known addresses, if due, unless a primary is heard or this member is leaving.
     pub(super) fn request_to_join_if_due(&mut self, now: Duration) {
         if self.leadership.is_some() || !self.discovery.take_due_join(now) {
             return;
@@ -36,7 +36,7 @@
         targets
     }
 
-    /// A member requests to join: remembers it, and forwards the request to the primary.
+    /// Handles a request to join: records it and forwards it to the primary.
     pub(super) fn on_join(&mut self, now: Duration, from: NodeId, zone: String) {
         if from.ip == self.settings.node.ip {
             return;
--- a/crates/control-plane/src/replication/leadership.rs
+++ b/crates/control-plane/src/replication/leadership.rs
@@ -1,4 +1,4 @@
-//! What a member knows while it is primary.
+//! The state that a member keeps while it is primary.
 
 use std::time::Duration;
 
@@ -11,34 +11,34 @@
 use super::proposals::Proposals;
 use super::timing::{HEARTBEAT_INTERVAL, MIN_VIEW_CHANGE_INTERVAL, RESEND_INTERVAL};
 
-/// Names one of a primary's heartbeats.
+/// Identifies one heartbeat of a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct HeartbeatId {
     /// The epoch of the primary's view.
     pub(super) epoch: Epoch,
-    /// Rises by one with each heartbeat.
+    /// Increases by one with each heartbeat.
     pub(super) token: u64,
 }
 
 /// The primary's lease, log replication and reconfiguration.
 #[derive(Clone, Debug)]
 pub(super) struct Leadership {
-    /// The view in force that it leads.
+    /// The view that the primary leads.
     pub(super) view: View,
-    /// Its lease.
+    /// The lease of the primary.
     pub(super) lease: Lease,
-    /// How far the data replicas have stored its entries.
+    /// How far the data replicas have stored the entries.
     pub(super) progress: Progress,
-    /// What its owner waits for.
+    /// Proposals of the owner without an outcome.
     pub(super) proposals: Proposals,
     heartbeat_at: Duration,
-    /// A member has promised a higher epoch, so it takes part only in a new view.
+    /// Some member has promised a higher epoch and takes part only in a new view.
     is_view_change_forced: bool,
     view_change_allowed_at: Duration,
 }
 
 impl Leadership {
-    /// Starts to lead `view` with a log that ends at `sequence`.
+    /// Creates the state of a primary of `view` whose log ends at `sequence`.
     pub(super) fn new(view: View, sequence: SequenceNumber, first_token: u64, now: Duration) -> Self {
         let progress = Progress::new(&view.data_replicas, sequence, now);
         Leadership {
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Goes on from the previous view, which the same member led.
+    /// Takes over the lease and the proposals of the previous view, which the same member led.
     pub(super) fn continue_from(&mut self, previous: Leadership, now: Duration) {
         self.lease.continue_from(&previous.lease);
         self.proposals = previous.proposals;
         self.view_change_allowed_at = now + RESEND_INTERVAL;
     }
 
-    /// When something has to be done at the latest.
+    /// The earliest time at which a timer is due.
     pub(super) fn next_deadline(&self) -> Duration {
         let deadline = self.heartbeat_at.min(self.lease.step_down_at());
         self.progress.next_resend().map_or(deadline, |resend_at| deadline.min(resend_at))
@@ -74,14 +74,14 @@
         is_due
     }
 
-    /// Sends the next heartbeats at once.
+    /// Makes the next heartbeats due at once.
     pub(super) fn schedule_heartbeat_now(&mut self, now: Duration) {
         self.heartbeat_at = now;
     }
 
-    /// Records an acknowledgement from `peer`; returns whether it is for one of this view's heartbeats.
+    /// Records an acknowledgement from `peer`; returns whether it is for a tracked heartbeat of this view.
     ///
-    /// With a quorum's acknowledgements the view is known to be in force, and the previous voters retire.
+    /// Once a quorum has acknowledged, the view is known to be in force and the previous voters are dropped.
     pub(super) fn acknowledge(&mut self, peer: NodeId, heartbeat: HeartbeatId) -> bool {
         if heartbeat.epoch != self.view.epoch || !self.lease.acknowledge(peer, heartbeat.token) {
             return false;
@@ -92,34 +92,34 @@
         true
     }
 
-    /// The members that store the data beside `primary`.
+    /// The data replicas other than `primary`.
     pub(super) fn backups(&self, primary: NodeId) -> Vec<NodeId> {
         let mut backups = self.view.data_replicas.clone();
         backups.retain(|replica| *replica != primary);
         backups
     }
 
-    /// Whether any data replica has stored nothing for long though there is something to store.
+    /// Whether any data replica lags and has made no progress within its timeout.
     pub(super) fn has_stalled_replica(&self, now: Duration) -> bool {
         self.view.data_replicas.iter().any(|replica| self.progress.is_stalled(*replica, now))
     }
 
-    /// Whether a reconfiguration may start: the lease runs, and the last one is not too recent.
+    /// Whether a reconfiguration may start: the lease is valid and the previous one is not too recent.
     pub(super) fn may_change_view(&self, now: Duration) -> bool {
         self.lease.is_valid(now) && now >= self.view_change_allowed_at
     }
 
-    /// Whether some member takes part only in a new view.
+    /// Whether a view change is needed because some member takes part only in a new view.
     pub(super) fn is_view_change_forced(&self) -> bool {
         self.is_view_change_forced
     }
 
-    /// Some member takes part only in a new view.
+    /// Requests a view change because some member takes part only in a new view.
     pub(super) fn force_view_change(&mut self) {
         self.is_view_change_forced = true;
     }
 
-    /// A reconfiguration starts now.
+    /// Records that a reconfiguration starts.
     pub(super) fn record_view_change_start(&mut self, now: Duration) {
         self.view_change_allowed_at = now + MIN_VIEW_CHANGE_INTERVAL;
         self.is_view_change_forced = false;
--- a/crates/control-plane/src/replication/lease.rs
+++ b/crates/control-plane/src/replication/lease.rs
@@ -1,7 +1,7 @@
-//! The primary's lease: a majority of voters has acknowledged a heartbeat that was sent lately.
+//! The lease of the primary: a quorum of voters has acknowledged a recently sent heartbeat.
 //!
-//! The lease is counted from the sending of the heartbeat, each voter's grant from its arrival, so the lease ends
-//! first as long as the clocks' speeds differ by no more than [`super::timing`] allows.
+//! The lease is counted from the sending of the heartbeat, the grant of each voter from its arrival. The lease thus
+//! ends first, as long as clock drift stays within the bound in [`super::timing`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use super::quorum::has_quorum;
 use super::timing::{HEARTBEAT_INTERVAL, LEASE_DURATION, STEP_DOWN_TIMEOUT};
 
-/// Heartbeats whose acknowledgements still count.
+/// Number of sent heartbeats whose acknowledgements are accepted.
 const MAX_TRACKED_HEARTBEATS: usize = 16;
 const _: () = assert!(
     MAX_TRACKED_HEARTBEATS as u128 * HEARTBEAT_INTERVAL.as_micros() > STEP_DOWN_TIMEOUT.as_micros(),
-    "acknowledgements count for as long as a primary waits for them"
+    "acknowledgements must be accepted for as long as a primary waits for them"
 );
 
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Lease {
     valid_until: Duration,
-    /// Sending time of the newest heartbeat that a majority acknowledged.
+    /// Sending time of the newest heartbeat that a quorum acknowledged.
     confirmed_at: Duration,
     sent: VecDeque<SentHeartbeat>,
     /// Sending time of the newest heartbeat that each voter acknowledged.
@@ -38,7 +38,7 @@
 }
 
 impl Lease {
-    /// A lease that no voter has confirmed. Tokens are counted from `first_token`.
+    /// Creates a lease that no voter has granted. Tokens are counted from `first_token`.
     pub(super) fn new(first_token: u64, now: Duration) -> Lease {
         Lease {
             valid_until: Duration::ZERO,
@@ -49,22 +49,22 @@
         }
     }
 
-    /// Goes on with the lease of the previous view, which the same member led.
+    /// Takes over the lease of the previous view, which the same member led.
     pub(super) fn continue_from(&mut self, previous: &Lease) {
         self.valid_until = previous.valid_until;
     }
 
-    /// Whether no other member can be primary.
+    /// Whether the lease is unexpired, so that no other member can be primary.
     pub(super) fn is_valid(&self, now: Duration) -> bool {
         now < self.valid_until
     }
 
-    /// Whether it has ended, and no majority has answered for too long.
+    /// Whether the lease has expired and no quorum has acknowledged within the step-down timeout.
     pub(super) fn is_lost(&self, now: Duration) -> bool {
         now.saturating_sub(self.confirmed_at) >= STEP_DOWN_TIMEOUT && !self.is_valid(now)
     }
 
-    /// When the primary gives up unless a majority answers.
+    /// When the primary steps down unless a quorum acknowledges.
     pub(super) fn step_down_at(&self) -> Duration {
         self.confirmed_at + STEP_DOWN_TIMEOUT
     }
@@ -74,7 +74,7 @@
         self.acknowledged.contains_key(&member)
     }
 
-    /// Remembers that a heartbeat is sent; returns its token.
+    /// Records that a heartbeat is sent; returns its token.
     pub(super) fn next_heartbeat(&mut self, now: Duration) -> u64 {
         self.last_token += 1;
         self.sent.push_back(SentHeartbeat { token: self.last_token, sent_at: now });
@@ -84,7 +84,7 @@
         self.last_token
     }
 
-    /// Records an acknowledgement from `peer`; returns whether the heartbeat is remembered.
+    /// Records an acknowledgement from `peer`; returns whether the heartbeat is still tracked.
     pub(super) fn acknowledge(&mut self, peer: NodeId, token: u64) -> bool {
         let sent = self.sent.iter().find(|heartbeat| heartbeat.token == token);
         let Some(sent_at) = sent.map(|heartbeat| heartbeat.sent_at) else { return false };
@@ -93,7 +93,7 @@
         true
     }
 
-    /// Extends the lease from the latest time since which a quorum has acknowledged; returns whether there is
+    /// Extends the lease from the latest sending time that a quorum has acknowledged; returns whether there is
     /// one.
     pub(super) fn renew(&mut self, view: &View) -> bool {
         let mut times: Vec<Duration> = self.acknowledged.values().copied().collect();
--- a/crates/control-plane/src/replication/lifecycle.rs
+++ b/crates/control-plane/src/replication/lifecycle.rs
@@ -1,8 +1,8 @@
-//! From a process's first input to its departure, and the role that it has reported in between.
+//! Whether a member's process has started or is leaving, and the role that it last reported.
 
 use super::interface::Role;
 
-/// Where a member's process is between start and end.
+/// The lifecycle of a member's process.
 #[derive(Clone, Debug)]
 pub(super) struct Lifecycle {
     is_started: bool,
@@ -11,27 +11,27 @@
 }
 
 impl Lifecycle {
-    /// A process that has handled no input.
+    /// Creates the state of a process that has handled no input.
     pub(super) fn new() -> Lifecycle {
         Lifecycle { is_started: false, is_leaving: false, reported_role: Role::Standby }
     }
 
-    /// Whether an input was handled.
+    /// Whether the process has handled an input.
     pub(super) fn is_started(&self) -> bool {
         self.is_started
     }
 
-    /// Handles an input; returns whether it is the first one.
+    /// Records that an input is handled; returns whether it is the first one.
     pub(super) fn mark_started(&mut self) -> bool {
         !std::mem::replace(&mut self.is_started, true)
     }
 
-    /// Whether the process ends soon.
+    /// Whether the process is about to shut down.
     pub(super) fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// The process ends soon.
+    /// Records that the process is about to shut down.
     pub(super) fn mark_leaving(&mut self) {
         self.is_leaving = true;
     }
@@ -41,7 +41,7 @@
         self.reported_role
     }
 
-    /// Takes over the current role; returns whether it has to be reported.
+    /// Records the current role; returns whether it has changed and has to be reported.
     pub(super) fn record_reported_role(&mut self, role: Role) -> bool {
         std::mem::replace(&mut self.reported_role, role) != role
     }
--- a/crates/control-plane/src/replication/machine.rs
+++ b/crates/control-plane/src/replication/machine.rs
@@ -1,6 +1,6 @@
-//! The state machine's state, what its owner can read of it, and the steps that all handlers share.
+//! The state of the state machine, the queries of its owner, and the steps that all handlers share.
 //!
-//! The handlers of messages and timers are `impl Replication` blocks in modules of their own. They import this
+//! The handlers of messages and timers are `impl Replication` blocks in separate modules. They import this
 //! module and the state types; nothing imports them.
 
 use std::time::Duration;
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Replication {
     pub(super) settings: ReplicationSettings,
-    /// Source of the jitter and of the first heartbeat token.
+    /// Random source for jitter and for the first heartbeat token.
     pub(super) random: Rng,
     pub(super) lifecycle: Lifecycle,
     pub(super) storage: Storage,
@@ -44,14 +44,14 @@
     pub(super) election: ElectionTimer,
     /// The view change that this member proposes.
     pub(super) view_change: Option<ViewChange>,
-    /// What this member knows as primary.
+    /// The state that this member keeps while it is primary.
     pub(super) leadership: Option<Leadership>,
-    /// What a proposer has sent so far to bring this member up to date.
+    /// The state transfer from a proposer that brings this member up to date.
     pub(super) incoming: IncomingTransfer,
 }
 
 impl Replication {
-    /// A member that starts from what is on its disk.
+    /// Creates a member from the state on its disk.
     #[must_use]
     pub fn new(settings: ReplicationSettings, durable: DurableState, now: Duration) -> Self {
         let votes = VoteState::new(durable.promised, now);
@@ -74,7 +74,7 @@
         replication
     }
 
-    /// When [`super::Input::Tick`] is due at the latest.
+    /// The latest time at which [`super::Input::Tick`] is due.
     #[must_use]
     pub fn next_deadline(&self) -> Duration {
         if !self.lifecycle.is_started() {
@@ -92,19 +92,19 @@
         deadline
     }
 
-    /// Whether this member is primary and has a valid lease: no other member is primary then.
+    /// Whether this member is primary and holds a valid lease, which excludes any other primary.
     #[must_use]
     pub fn is_primary(&self, now: Duration) -> bool {
         self.leadership.as_ref().is_some_and(|leadership| leadership.lease.is_valid(now))
     }
 
-    /// The epoch of the view that this member leads, or else of the newest one that it knows.
+    /// The epoch of the view that this member leads, or else of the newest view that it knows.
     #[must_use]
     pub fn epoch(&self) -> Epoch {
         self.view().map_or(Epoch(0), |view| view.epoch)
     }
 
-    /// The view that this member leads, or else the newest one that it knows.
+    /// The view that this member leads, or else the newest view that it knows.
     #[must_use]
     pub fn view(&self) -> Option<&View> {
         match &self.leadership {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The primary, if a heartbeat of it has come lately.
+    /// The primary, if a heartbeat from it has arrived recently.
     #[must_use]
     pub fn known_primary(&self, now: Duration) -> Option<NodeId> {
         if self.is_primary(now) {
@@ -122,13 +122,13 @@
         self.peers.primary_heard_within(now, KNOWN_PRIMARY_MAX_AGE)
     }
 
-    /// Another member that callers may be sent to, since it certainly was the primary a moment ago.
+    /// Another member to redirect callers to: it was the primary when it sent its last heartbeat, which is recent.
     #[must_use]
     pub fn redirect_target(&self, now: Duration) -> Option<NodeId> {
         self.peers.primary_heard_within(now, REDIRECT_MAX_AGE)
     }
 
-    /// Members that answer this primary, itself included, in order; empty at others.
+    /// Members that acknowledge heartbeats of this primary, itself included, in order. Empty at other members.
     #[must_use]
     pub fn live_members(&self, now: Duration) -> Vec<LiveMember> {
         if self.leadership.is_none() {
@@ -149,13 +149,13 @@
         self.lifecycle.reported_role()
     }
 
-    /// The newest entry that was applied here.
+    /// The newest entry that this member has applied.
     #[must_use]
     pub fn applied(&self) -> SequenceNumber {
         self.storage.applied()
     }
 
-    /// Whether this member stores all data of its newest view, and can write.
+    /// Whether this member stores all data of its newest view and its disk is healthy.
     pub(super) fn may_campaign(&self) -> bool {
         let node = self.settings.node;
         let data_epoch = self.storage.position().epoch;
@@ -165,7 +165,7 @@
             && self.storage.view().is_some_and(is_up_to_date)
     }
 
-    /// Changes what is kept on disk.
+    /// Applies a record to the state and queues it for the disk.
     pub(super) fn record(&mut self, record: DurableRecord) {
         self.storage.apply_record(&record);
         self.outbox.write(record);
@@ -180,20 +180,20 @@
         }
     }
 
-    /// Raises the promised epoch at the request of its proposer.
+    /// Raises the promised epoch on a request of its proposer.
     pub(super) fn promise_to(&mut self, proposer: NodeId, epoch: Epoch) {
         self.promise(epoch);
         self.votes.set_promised_to(proposer);
     }
 
-    /// Reports to the sender of a request that this member has promised a higher epoch.
+    /// Refuses a request and tells its sender the promised epoch.
     pub(super) fn refuse(&mut self, to: NodeId, epoch: Epoch) {
         let promised = self.storage.promised();
         self.outbox.send(to, ReplicationMessage::Refuse { epoch, promised });
     }
 
-    /// Takes over a view that is newer than the known one, or known to be in force. A member that the view
-    /// doesn't concern keeps it in memory only.
+    /// Adopts a view that is newer than the known one, or that is now known to be in force. A member outside the
+    /// view's electorate that has recorded no view keeps it in memory only.
     pub(super) fn adopt_view(&mut self, now: Duration, view: &View) {
         if !self.storage.is_outdated_by(view) {
             return;
@@ -210,7 +210,7 @@
         self.yield_to_view(now, view);
     }
 
-    /// Ends a view change or leadership that a newer view has overtaken.
+    /// Ends a view change or leadership that a newer view supersedes.
     fn yield_to_view(&mut self, now: Duration, view: &View) {
         if self.view_change.take_if(|view_change| view_change.is_outdated_by(view)).is_some() {
             let campaign_at = now + jitter(&mut self.random, 20..100);
@@ -222,13 +222,14 @@
         }
     }
 
-    /// Writes a view to the disk.
+    /// Records a view durably.
     pub(super) fn record_view(&mut self, view: &View) {
         self.record(DurableRecord::View(view.clone()));
         self.outbox.defer_view_durable(view.epoch);
     }
 
-    /// How long after the election timeout this member campaigns, by its rank among the data replicas.
+    /// How long after the election timeout this member campaigns: staggered by its rank among the data replicas, so
+    /// that they do not all campaign at once.
     fn election_offset(&mut self) -> Duration {
         let node = self.settings.node;
         let replicas = self.storage.view().map_or(&[][..], |view| &view.data_replicas);
@@ -237,13 +238,13 @@
         delay + ELECTION_STAGGER * rank as u32 + jitter(&mut self.random, 0..100)
     }
 
-    /// Leaves others the time for a view change before this member proposes one.
+    /// Postpones this member's campaign by the election timeout, which leaves others time for a view change.
     pub(super) fn postpone_campaign(&mut self, now: Duration) {
         let earliest = now + ELECTION_TIMEOUT + self.election_offset();
         self.election.postpone_until(earliest);
     }
 
-    /// The owner's state starts anew from the snapshot.
+    /// Has the owner restore its state from the snapshot.
     pub(super) fn restore(&mut self) {
         self.storage.reset_to_snapshot();
         let sequence = self.storage.applied();
@@ -251,7 +252,7 @@
         self.outbox.push(Output::Restore { sequence, snapshot });
     }
 
-    /// Applies entries up to `committed`, or to the end of the log.
+    /// Applies entries up to `committed` or the end of the log.
     pub(super) fn apply_up_to(&mut self, committed: SequenceNumber) {
         while self.storage.applied() < committed {
             let Some(entry) = self.storage.apply_next() else { return };
--- a/crates/control-plane/src/replication/mod.rs
+++ b/crates/control-plane/src/replication/mod.rs
@@ -1,25 +1,25 @@
-//! Agreement on the control state: who is primary, which members store the data, and its replication.
+//! Consensus on the control state: elects the primary, selects the members that store the data, and replicates it.
 //!
-//! The protocol is primary-backup replication with views (Viewstamped Replication), where views are agreed on by
-//! Paxos (prepare, promise) and changes of voters need both old and new majorities (raft's joint consensus). An entry
-//! commits once all data replicas of the view have it on disk; the primary acts within a lease that voters grant by
-//! acknowledging its heartbeats.
+//! The protocol is primary-backup replication with views (Viewstamped Replication). Views are agreed on by Paxos
+//! (prepare, promise), and a change of voters needs a majority of both the old and the new ones (Raft's joint
+//! consensus). An entry commits once all data replicas of the view have it on disk. The primary acts within a lease
+//! that voters grant by acknowledging its heartbeats.
 //!
-//! The state machine does no I/O and reads no clock. Its owner hands in messages, durable writes that have
-//! finished and the time of a steady clock, and carries out the [`Output`]s in their order.
-//! `docs/design/control.md` ("Control state") says why it is correct.
+//! The state machine does no I/O and reads no clock. Its owner passes in messages, completed durable writes and
+//! the time of a monotonic clock, and carries out the [`Output`]s in order.
+//! `docs/design/control.md` ("Control state") explains why it is correct.
 //!
 //! What the owner guarantees:
-//! - records of a [`Output::Persist`] are written and synced in order, tickets in order; a write that was
-//!   refused is retried until it succeeds, with [`Input::DiskHealthy`] reporting the fault;
-//! - on start, [`DurableState`] is what the records read back give, by [`DurableState::apply`];
+//! - the records of an [`Output::Persist`] are written and synced in order, and so are the tickets; a write that
+//!   fails is retried until it succeeds, with [`Input::DiskHealthy`] reporting the fault;
+//! - at startup, [`DurableState`] is the result of replaying the stored records with [`DurableState::apply`];
 //! - a formatted disk has generation 0 only while `first_boot` is true, and its first record holds the
 //!   generation together with [`ReplicationSettings::first_view`].
 //!
-//! `machine` has the state, composed of parts with one job each. The handlers of messages and timers extend it in
-//! modules of their own, one an exchange of the protocol; `step` dispatches to them.
+//! `machine` holds the state, composed of parts with one responsibility each. The handlers of messages and timers
+//! extend it in separate modules, one per exchange of the protocol; `step` dispatches to them.
 
-// What the owner hands in and gets back.
+// The interface to the owner, and values that all parts share.
 mod durable;
 mod interface;
 mod settings;
@@ -45,7 +45,7 @@
 mod view_selection;
 mod vote;
 
-// The state machine, and its handlers.
+// The state machine and its handlers.
 mod append;
 mod campaign;
 mod departure;
--- a/crates/control-plane/src/replication/outbox.rs
+++ b/crates/control-plane/src/replication/outbox.rs
@@ -1,4 +1,4 @@
-//! Outputs that were not handed to the owner yet, and messages of a member to itself.
+//! Outputs that are not yet passed to the owner, and messages of a member to itself.
 
 use std::collections::VecDeque;
 
@@ -11,10 +11,10 @@
 use super::pending_writes::{DeferredEffect, PendingWrites, RecordBatch};
 use super::ticket::WriteTicket;
 
-/// Collects what one input leads to.
+/// Collects the outputs of one input.
 ///
-/// A message to the member itself takes the same way as one to another member, so that proposer and voter, or
-/// primary and data replica, need no special case for being the same process.
+/// A message to the member itself is handled like one to another member. Proposer and voter, or primary and data
+/// replica, thus need no special case when they are the same process.
 #[derive(Clone, Debug)]
 pub(super) struct Outbox {
     node: NodeId,
@@ -24,17 +24,16 @@
 }
 
 impl Outbox {
-    /// The empty outbox of a member.
+    /// Creates the empty outbox of a member.
     pub(super) fn new(node: NodeId) -> Outbox {
         Outbox { node, outputs: Vec::new(), loopback: VecDeque::new(), writes: PendingWrites::default() }
     }
 
-    /// Adds an output.
     pub(super) fn push(&mut self, output: Output) {
         self.outputs.push(output);
     }
 
-    /// Sends a message now.
+    /// Sends a message without waiting for pending records.
     pub(super) fn send(&mut self, to: NodeId, message: ReplicationMessage) {
         self.deliver(Envelope { from: self.node, to, message });
     }
@@ -45,7 +44,7 @@
         self.writes.defer(DeferredEffect::Send(envelope));
     }
 
-    /// Sends an envelope now, whoever is named as its sender.
+    /// Sends an envelope without waiting for pending records. Its sender may be another member.
     pub(super) fn deliver(&mut self, envelope: Envelope) {
         if envelope.to == self.node {
             self.loopback.push_back(envelope);
@@ -54,12 +53,12 @@
         }
     }
 
-    /// Adds a record to those that are written next.
+    /// Adds a record to the next batch.
     pub(super) fn write(&mut self, record: DurableRecord) {
         self.writes.push(record);
     }
 
-    /// Reports the view of this epoch as durable once all records so far are.
+    /// Defers [`DeferredEffect::ViewDurable`] until all records so far are durable.
     pub(super) fn defer_view_durable(&mut self, epoch: Epoch) {
         self.writes.defer(DeferredEffect::ViewDurable { epoch });
     }
@@ -69,17 +68,17 @@
         self.writes.record_persisted(ticket);
     }
 
-    /// The next deferred effect that has to wait no longer.
+    /// Removes the next deferred effect whose records are durable.
     pub(super) fn pop_durable(&mut self) -> Option<DeferredEffect> {
         self.writes.pop_durable()
     }
 
-    /// The next message of this member to itself.
+    /// Removes the next message of this member to itself.
     pub(super) fn pop_loopback(&mut self) -> Option<Envelope> {
         self.loopback.pop_front()
     }
 
-    /// Moves all outputs to `outputs`, the write of the collected records last.
+    /// Moves all outputs to `outputs`, with the write of the current batch last.
     pub(super) fn drain_into(&mut self, outputs: &mut Vec<Output>) {
         if let Some(RecordBatch { ticket, records }) = self.writes.take_batch() {
             self.outputs.push(Output::Persist { ticket, records });
--- a/crates/control-plane/src/replication/peers.rs
+++ b/crates/control-plane/src/replication/peers.rs
@@ -1,4 +1,4 @@
-//! What a member knows of the others: who is alive, who leaves, who is primary.
+//! What a member knows about the others: liveness, health, departure, and who is primary.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 
 use super::timing::STANDBY_TIMEOUT;
 
-/// One other member, as seen from here.
+/// What is known about one other member.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
-    /// Its zone; empty until it has reported it.
+    /// The zone of the member; empty until reported.
     pub(super) zone: String,
-    /// When it last acknowledged a heartbeat.
+    /// When the member last acknowledged a heartbeat.
     pub(super) acknowledged_at: Option<Duration>,
-    /// When it last did so with a healthy disk.
+    /// When the member last acknowledged a heartbeat and reported a healthy disk.
     pub(super) healthy_at: Option<Duration>,
-    /// It has reported that its process ends soon.
+    /// Whether the member has reported that it is leaving.
     pub(super) is_leaving: bool,
-    /// When it last requested to join.
+    /// When the member last requested to join.
     pub(super) join_requested_at: Option<Duration>,
-    /// When such a request was last forwarded to the primary.
+    /// When a request to join was last forwarded to the primary.
     forwarded_at: Option<Duration>,
 }
 
@@ -30,25 +30,25 @@
     }
 }
 
-/// What a member reports of itself when it acknowledges a heartbeat.
+/// What a member reports about itself when it acknowledges a heartbeat.
 #[derive(Debug)]
 pub(super) struct PeerReport {
-    /// Its zone.
+    /// The zone of the member.
     pub(super) zone: String,
-    /// Its disk answers within its bound.
+    /// Whether its disk completes writes in time.
     pub(super) is_disk_healthy: bool,
-    /// Its process ends soon.
+    /// Whether its process is about to shut down.
     pub(super) is_leaving: bool,
 }
 
-/// The primary whose heartbeat came last.
+/// The primary whose heartbeat arrived last.
 #[derive(Clone, Debug)]
 struct KnownPrimary {
     node: NodeId,
     heartbeat_at: Duration,
 }
 
-/// Whether a time is there and not older than a span.
+/// Whether there is a time and it is at most `max_age` ago.
 pub(super) fn is_recent(time: Option<Duration>, now: Duration, max_age: Duration) -> bool {
     time.is_some_and(|time| now.saturating_sub(time) <= max_age)
 }
@@ -61,7 +61,7 @@
 }
 
 impl Peers {
-    /// What is known of a member.
+    /// What is known about a member.
     pub(super) fn get(&self, node: NodeId) -> Option<&Peer> {
         self.peers.get(&node)
     }
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Counts a member as alive and healthy at `time` though it has acknowledged nothing.
+    /// Treats a member as alive and healthy at `time` without an acknowledgement.
     pub(super) fn presume_alive(&mut self, node: NodeId, time: Duration) {
         let peer = self.peers.entry(node).or_default();
         peer.acknowledged_at = Some(time);
@@ -96,8 +96,8 @@
         peer.join_requested_at = Some(now);
     }
 
-    /// Whether a member's request to join is to be forwarded now, since the last time is longer ago than
-    /// `interval`; if so, records that it is.
+    /// Whether a member's request to join should be forwarded, because the last one was forwarded more than
+    /// `interval` ago; if so, records that it is forwarded.
     pub(super) fn take_due_forward(&mut self, node: NodeId, now: Duration, interval: Duration) -> bool {
         let peer = self.peers.entry(node).or_default();
         let is_due = !is_recent(peer.forwarded_at, now, interval);
@@ -107,7 +107,7 @@
         is_due
     }
 
-    /// Another member at the same address that acknowledged within the span.
+    /// Another member at the address of `node` that acknowledged with a healthy disk within `max_age`.
     pub(super) fn replacement_at_address(
         &self,
         node: NodeId,
@@ -121,7 +121,7 @@
             .map(|(other, _)| other)
     }
 
-    /// Forgets standbys that are silent.
+    /// Removes silent members, except those for which `keep` holds.
     pub(super) fn prune(&mut self, now: Duration, keep: impl Fn(NodeId) -> bool) {
         self.peers.retain(|node, peer| keep(*node) || is_recent(peer.last_seen(), now, STANDBY_TIMEOUT));
     }
@@ -131,17 +131,17 @@
         self.primary = Some(KnownPrimary { node, heartbeat_at: now });
     }
 
-    /// There is no other primary.
+    /// Clears the last known primary.
     pub(super) fn forget_primary(&mut self) {
         self.primary = None;
     }
 
-    /// `node` is primary no longer.
+    /// Clears the last known primary if it is `node`.
     pub(super) fn forget_primary_if(&mut self, node: NodeId) {
         self.primary.take_if(|primary| primary.node == node);
     }
 
-    /// The primary whose heartbeat came last, if that is not longer ago than the span.
+    /// The primary whose heartbeat arrived last, if that was at most `max_age` ago.
     pub(super) fn primary_heard_within(&self, now: Duration, max_age: Duration) -> Option<NodeId> {
         let primary = self.primary.as_ref()?;
         is_recent(Some(primary.heartbeat_at), now, max_age).then_some(primary.node)
--- a/crates/control-plane/src/replication/pending_writes.rs
+++ b/crates/control-plane/src/replication/pending_writes.rs
@@ -1,4 +1,4 @@
-//! Records on their way to the disk, and the effects that must not happen before they are durable.
+//! Records that are being written, and the effects that must wait until they are durable.
 
 use std::collections::VecDeque;
 use std::mem;
@@ -12,13 +12,13 @@
 /// Records that are written and synced together.
 #[derive(Debug)]
 pub(super) struct RecordBatch {
-    /// Rises by one with each batch.
+    /// Increases by one with each batch.
     pub(super) ticket: WriteTicket,
-    /// In the order in which they are written.
+    /// The records in write order.
     pub(super) records: Vec<DurableRecord>,
 }
 
-/// What happens once the records before it are durable.
+/// An effect that takes place once the preceding records are durable.
 #[derive(Clone, Debug)]
 pub(super) enum DeferredEffect {
     /// A message is sent.
@@ -30,14 +30,14 @@
     },
 }
 
-/// An effect and the batch that it waits for.
+/// A deferred effect and the batch that it waits for.
 #[derive(Clone, Debug)]
 struct PendingEffect {
     ticket: WriteTicket,
     effect: DeferredEffect,
 }
 
-/// The batch that is being filled, and the effects that wait for it or for earlier ones.
+/// The open batch, and the effects that wait for it or for earlier ones.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingWrites {
     last_issued: WriteTicket,
@@ -58,7 +58,7 @@
         self.pending.push_back(PendingEffect { ticket, effect });
     }
 
-    /// Ends the batch; `None` if it is empty.
+    /// Closes the batch and returns it; `None` if it is empty.
     pub(super) fn take_batch(&mut self) -> Option<RecordBatch> {
         if self.batch.is_empty() {
             return None;
@@ -72,7 +72,7 @@
         self.last_persisted = self.last_persisted.max(ticket.min(self.last_issued));
     }
 
-    /// The next effect whose records are durable, in the order in which they were deferred.
+    /// Removes the next effect whose records are durable. Effects come in the order in which they were deferred.
     pub(super) fn pop_durable(&mut self) -> Option<DeferredEffect> {
         let is_durable = self.pending.front().is_some_and(|pending| pending.ticket <= self.last_persisted);
         is_durable.then(|| self.pending.pop_front()).flatten().map(|pending| pending.effect)
--- a/crates/control-plane/src/replication/primary.rs
+++ b/crates/control-plane/src/replication/primary.rs
@@ -1,4 +1,4 @@
-//! How a member becomes primary, acts as one, and ceases to be one.
+//! The primary role: taking it over, its timers, stepping down, and releasing the lease.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 };
 
 impl Replication {
-    /// The view is in force: everything that this member stores is committed.
+    /// Becomes primary of a view in force: everything that this member stores is committed.
     pub(super) fn become_primary(&mut self, now: Duration, view: View) {
         let first_token = self.random.u64(..) >> 1;
         let sequence = self.storage.last_sequence();
@@ -35,8 +35,8 @@
         }
     }
 
-    /// A new primary gives data replicas, which have just answered, the full time before it takes them for dead,
-    /// and others a shorter one.
+    /// Gives the data replicas, which have just responded, the full timeout before a new primary considers them failed,
+    /// and the other voters [`NEW_PRIMARY_GRACE`].
     fn presume_members_alive(&mut self, now: Duration, view: &View) {
         let others = view.voters.iter().filter(|member| **member != self.settings.node);
         for member in others {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Ceases to be primary; proposals fail.
+    /// Ceases to be primary and fails all proposals.
     pub(super) fn step_down(&mut self, now: Duration) {
         let Some(leadership) = self.leadership.take() else { return };
         self.view_change = None;
@@ -59,14 +59,14 @@
         self.election.schedule(campaign_at);
     }
 
-    /// Steps down if no majority has answered for too long.
+    /// Steps down if the lease has expired and no quorum has acknowledged in time.
     pub(super) fn step_down_if_lease_lost(&mut self, now: Duration) {
         if self.leadership.as_ref().is_some_and(|leadership| leadership.lease.is_lost(now)) {
             self.step_down(now);
         }
     }
 
-    /// Does what is due at a primary.
+    /// Runs the timers of the primary.
     pub(super) fn run_primary_timers(&mut self, now: Duration) {
         if self.leadership.is_none() {
             return;
@@ -81,8 +81,8 @@
         self.reconfigure_if_needed(now);
     }
 
-    /// Gives up the lease in favour of a backup that answers and stays; returns whether there is one. A primary that
-    /// leaves goes on without one until it has brought another member up to date.
+    /// Releases the lease in favour of a responsive backup that is not leaving; returns whether there is one. A leaving
+    /// primary without such a backup keeps the lease until it has brought another member up to date.
     fn release_lease(&mut self, now: Duration) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         if self.lifecycle.is_leaving() && self.view_change.is_some() {
@@ -99,8 +99,8 @@
         true
     }
 
-    /// Whether a backup stays is known from its answer to a heartbeat of this view: two that leave would hand the
-    /// lease to each other for ever.
+    /// Chooses a backup that has acknowledged a heartbeat of this view, and so has reported whether it is leaving:
+    /// otherwise two leaving members could release the lease to each other forever.
     fn choose_successor(&self, now: Duration, leadership: &Leadership) -> Option<NodeId> {
         let stays = |peer: &Peer| is_recent(peer.healthy_at, now, BACKUP_TIMEOUT) && !peer.is_leaving;
         let is_eligible = |backup: &&NodeId| {
@@ -110,7 +110,7 @@
         leadership.view.data_replicas.iter().skip(1).find(is_eligible).copied()
     }
 
-    /// A primary has given up its lease.
+    /// Handles the release of a lease by its primary.
     pub(super) fn on_release(&mut self, now: Duration, from: NodeId, epoch: Epoch, successor: NodeId) {
         self.votes.record_release(from, epoch);
         self.peers.forget_primary_if(from);
--- a/crates/control-plane/src/replication/progress.rs
+++ b/crates/control-plane/src/replication/progress.rs
@@ -1,4 +1,4 @@
-//! How far each data replica has stored the primary's entries (raft's progress tracker).
+//! How far each data replica has stored the primary's entries (Raft's progress tracker).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,45 +8,45 @@
 
 use super::timing::{APPEND_STALL_TIMEOUT, RESEND_INTERVAL, max_transmission_duration, max_write_duration};
 
-/// How far one data replica has stored the entries.
+/// The progress of one data replica.
 #[derive(Clone, Copy, Debug)]
 struct ReplicaProgress {
-    /// The newest entry that it has on disk, with all before it.
+    /// The newest entry that the replica has on disk, with all before it.
     stored: SequenceNumber,
-    /// When it last stored something, or since when it has had something to store.
+    /// When the replica last stored an entry, or when it last went from having none to having one to store.
     advanced_at: Duration,
-    /// When the entries that it lacks are sent again.
+    /// When the missing entries are resent.
     resend_at: Duration,
 }
 
-/// A data replica to which entries have to be sent again.
+/// A data replica to which entries have to be resent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LaggingReplica {
     /// The replica.
     pub(super) node: NodeId,
-    /// The newest entry that it has stored.
+    /// The newest entry that the replica has stored.
     pub(super) stored: SequenceNumber,
 }
 
-/// How far all data replicas have.
+/// The progress of all data replicas.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
     /// The newest entry that was sent to the replicas.
     last_appended: SequenceNumber,
     replicas: BTreeMap<NodeId, ReplicaProgress>,
-    /// Bytes of the entries that some replica has not stored, by sequence number.
+    /// Bytes of the entries that at least one replica has not stored, by sequence number.
     entry_bytes: BTreeMap<SequenceNumber, u64>,
 }
 
 impl Progress {
-    /// All replicas have stored all entries up to `sequence`.
+    /// Creates a tracker of replicas that have stored all entries up to `sequence`.
     pub(super) fn new(replicas: &[NodeId], sequence: SequenceNumber, now: Duration) -> Progress {
         let progress = ReplicaProgress { stored: sequence, advanced_at: now, resend_at: now };
         let replicas = replicas.iter().map(|replica| (*replica, progress)).collect();
         Progress { last_appended: sequence, replicas, entry_bytes: BTreeMap::new() }
     }
 
-    /// The next entry is sent to all replicas.
+    /// Records that the next entry is sent to all replicas.
     pub(super) fn record_appended(&mut self, now: Duration, bytes: usize) {
         let previous = self.last_appended;
         self.last_appended = self.last_appended.next();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A replica has stored an entry and all before it.
+    /// Records that a replica has stored an entry and all before it.
     pub(super) fn record_stored(&mut self, now: Duration, from: NodeId, sequence: SequenceNumber) {
         let resend_at = now + resend_timeout(self.next_entry_bytes(sequence));
         let Some(replica) = self.replicas.get_mut(&from) else { return };
@@ -74,7 +74,7 @@
         self.replicas.values().map(|replica| replica.stored).min().unwrap_or(SequenceNumber(0))
     }
 
-    /// Whether a replica has stored nothing for long though there is something to store.
+    /// Whether a replica lags and has stored no entry within its timeout.
     pub(super) fn is_stalled(&self, replica: NodeId, now: Duration) -> bool {
         self.replicas.get(&replica).is_some_and(|replica| {
             let bytes = self.next_entry_bytes(replica.stored);
@@ -84,13 +84,13 @@
         })
     }
 
-    /// When entries have to be sent again at the earliest.
+    /// The earliest time at which entries have to be resent.
     pub(super) fn next_resend(&self) -> Option<Duration> {
         let lagging = self.replicas.values().filter(|replica| self.is_lagging(replica));
         lagging.map(|replica| replica.resend_at).min()
     }
 
-    /// The replicas to which entries have to be sent again now; schedules the next time for them.
+    /// The replicas to which entries have to be resent now; schedules their next resend.
     pub(super) fn take_due_resends(&mut self, now: Duration) -> Vec<LaggingReplica> {
         let due: Vec<LaggingReplica> = self
             .replicas
@@ -111,14 +111,14 @@
         replica.stored < self.last_appended
     }
 
-    /// Bytes of the entry after `sequence`; 0 if there is none that some replica lacks.
+    /// Bytes of the entry after `sequence`; 0 if all replicas have stored it or it does not exist.
     fn next_entry_bytes(&self, sequence: SequenceNumber) -> u64 {
         self.entry_bytes.get(&sequence.next()).copied().unwrap_or(0)
     }
 }
 
-/// An entry is sent again only when it can't be on its way any more, so that a slow link is not filled with
-/// duplicates.
+/// How long to wait before an entry is resent. Includes the time to transmit and write it on the slowest supported
+/// link and disk, so that duplicates do not fill a slow link.
 fn resend_timeout(bytes: u64) -> Duration {
     RESEND_INTERVAL + max_transmission_duration(bytes) + max_write_duration(bytes)
 }
--- a/crates/control-plane/src/replication/proposals.rs
+++ b/crates/control-plane/src/replication/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals that the primary has accepted from its owner and not answered yet.
+//! Proposals of the owner that the primary has accepted and that have no outcome yet.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 /// A proposal that waits for the end of a view change. Its command was never replicated.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedProposal {
-    /// The owner's name for it.
+    /// The owner's identifier of the proposal.
     pub(super) ticket: ProposalTicket,
     /// The encoded command.
     pub(super) command: Arc<[u8]>,
-    /// When the owner proposed it.
+    /// When the owner made the proposal.
     pub(super) queued_at: Duration,
 }
 
@@ -30,17 +30,17 @@
 }
 
 impl Proposals {
-    /// The entry `sequence` carries the command of a proposal.
+    /// Records that the entry `sequence` carries the command of a proposal.
     pub(super) fn replicate(&mut self, sequence: SequenceNumber, ticket: ProposalTicket) {
         self.replicating.insert(sequence, ticket);
     }
 
-    /// Keeps a proposal until the view change has ended.
+    /// Queues a proposal until the view change has ended.
     pub(super) fn enqueue(&mut self, proposal: QueuedProposal) {
         self.queued.push_back(proposal);
     }
 
-    /// Removes the proposal behind an entry; returns its ticket.
+    /// Removes the proposal of an entry; returns its ticket.
     pub(super) fn take(&mut self, sequence: SequenceNumber) -> Option<ProposalTicket> {
         self.replicating.remove(&sequence)
     }
@@ -50,7 +50,7 @@
         std::mem::take(&mut self.queued)
     }
 
-    /// Removes the next queued proposal that has waited too long; returns its failure.
+    /// Removes the next queued proposal that has exceeded [`MAX_PROPOSAL_WAIT`]; returns its failure.
     pub(super) fn expire_next(&mut self, now: Duration) -> Option<Output> {
         let is_expired =
             |queued: &QueuedProposal| now.saturating_sub(queued.queued_at) >= MAX_PROPOSAL_WAIT;
@@ -59,7 +59,7 @@
         expired.map(|queued| failed(queued.ticket, FailureReason::NotReplicated))
     }
 
-    /// The failures of all proposals of a member that is primary no longer.
+    /// The failures of all proposals, for a member that ceases to be primary.
     pub(super) fn into_failures(self) -> impl Iterator<Item = Output> {
         let replicating = self.replicating.into_values();
         let queued = self.queued.into_iter();
--- a/crates/control-plane/src/replication/reconfigure.rs
+++ b/crates/control-plane/src/replication/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Which members a proposer wants in the next view, and when a primary starts a view change to get them.
+//! Selection of the members of the next view, and when a primary starts a view change to install them.
 
 use std::time::Duration;
 
@@ -11,7 +11,8 @@
 use super::view_selection::{Candidate, ViewMembers, ViewSelection};
 
 impl Replication {
-    /// Starts a view change if the members in force are not those that are wanted.
+    /// Starts a view change if the members in force differ from the wanted ones, a data replica has stalled, or a
+    /// member has promised a higher epoch.
     pub(super) fn reconfigure_if_needed(&mut self, now: Duration) {
         let is_pending = self.is_view_change_pending();
         let Some(leadership) = &self.leadership else { return };
@@ -36,7 +37,7 @@
         self.start_view_change(now);
     }
 
-    /// The members that the primary wants, by whom it hears.
+    /// The members that the primary selects from those that acknowledge its heartbeats.
     pub(super) fn choose_as_primary(&self, now: Duration, base: &View) -> Option<ViewMembers> {
         let mut candidates = vec![self.own_candidate()];
         for (node, peer) in self.peers.iter() {
@@ -57,7 +58,8 @@
         members.or_else(|| self.choose_with_stalled(now, base, candidates))
     }
 
-    /// As a last resort, backups that hang are brought up to date again.
+    /// The last resort: also selects stalled backups and ones with an unhealthy disk, which are brought up to date
+    /// again.
     fn choose_with_stalled(
         &self,
         now: Duration,
@@ -72,7 +74,7 @@
         self.selection(base, &candidates).choose(true)
     }
 
-    /// The members that a candidate can have: voters that promised, and standbys only if they are too few.
+    /// The members that a candidate selects: voters that promised, and standbys only if those are too few.
     pub(super) fn choose_as_candidate(
         &self,
         now: Duration,
@@ -93,7 +95,8 @@
         self.selection(base, &candidates).choose(true)
     }
 
-    /// This member and the base's other voters. Who promised is ready, but for a primary that just gave up.
+    /// This member and the other voters of the base. Those that promised are ready, except a primary that has just
+    /// released its lease.
     fn voter_candidates(&self, view_change: &ViewChange) -> Vec<Candidate> {
         let mut candidates = vec![self.own_candidate()];
         let voters = &view_change.base.voters;
@@ -108,7 +111,7 @@
         candidates
     }
 
-    /// Members that requested to join lately and don't vote.
+    /// Members that recently requested to join and are no voters.
     fn standby_candidates(&self, now: Duration, base: &View) -> impl Iterator<Item = Candidate> {
         let is_standby = move |node| !base.voters.contains(&node);
         self.peers
@@ -125,7 +128,7 @@
     }
 
     fn selection<'a>(&self, base: &'a View, candidates: &'a [Candidate]) -> ViewSelection<'a> {
-        // A proposer that leaves needs another member to take over its seats, whatever failures are tolerated.
+        // A leaving proposer needs another member to take over its roles, even if no failures are tolerated.
         let min_members = if self.lifecycle.is_leaving() { 2 } else { 1 };
         ViewSelection {
             base,
--- a/crates/control-plane/src/replication/settings.rs
+++ b/crates/control-plane/src/replication/settings.rs
@@ -4,28 +4,28 @@
 use tulipridge_protocol::number::Epoch;
 use tulipridge_protocol::replication::View;
 
-/// Who this member is, and how many failures the system tolerates.
+/// The identity of this member and the number of failures that the group tolerates.
 #[derive(Clone, Debug)]
 pub struct ReplicationSettings {
     /// This member.
     pub node: NodeId,
     /// Its zone.
     pub zone: String,
-    /// The seeds, with generation 0. At the first boot they form the first view.
+    /// The seed members, with generation 0. They form the first view at the first boot.
     pub seeds: Vec<NodeId>,
-    /// How many machines may be lost at the same time (f).
+    /// The number of machines that may fail at the same time (f).
     pub tolerated_failures: u32,
-    /// The system starts for the first time.
+    /// Whether the cluster starts for the first time.
     pub first_boot: bool,
-    /// Seed of the jitter.
+    /// Seed of the random number generator for jitter.
     pub seed: u64,
 }
 
 impl ReplicationSettings {
-    /// The view that a seed starts with at the first boot; none for others and later.
+    /// The initial view of a seed member at the first boot; `None` for other members and later boots.
     ///
-    /// It goes to the disk together with the generation, in one record: a disk of generation 0 without it
-    /// must not make up a first view later, from other seeds.
+    /// It is written together with the generation, in one record. Otherwise a disk of generation 0 without it could
+    /// create another first view later, from other seeds.
     #[must_use]
     pub fn first_view(&self) -> Option<View> {
         if !self.first_boot || self.node.generation != Generation(0) || !self.seeds.contains(&self.node) {
@@ -38,12 +38,12 @@
         Some(View { epoch: Epoch(0), voters, previous_voters: Vec::new(), data_replicas })
     }
 
-    /// Wanted number of voters.
+    /// The intended number of voters: 2f + 1.
     pub(super) fn target_voters(&self) -> usize {
         2 * self.tolerated_failures as usize + 1
     }
 
-    /// Wanted number of data replicas.
+    /// The intended number of data replicas: f + 1.
     pub(super) fn target_data_replicas(&self) -> usize {
         self.tolerated_failures as usize + 1
     }
--- a/crates/control-plane/src/replication/step.rs
+++ b/crates/control-plane/src/replication/step.rs
@@ -1,4 +1,4 @@
-//! The entry point: takes an input, dispatches it to its handler, and runs the timers that are due.
+//! The entry point: dispatches an input to its handler and runs the timers that are due.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,9 +16,9 @@
 use super::transfer::Chunk;
 
 impl Replication {
-    /// Handles one input; what the owner has to do is added to `out`.
+    /// Handles one input and appends the resulting actions of the owner to `out`.
     ///
-    /// Each input also runs the timers that are due, so [`Input::Tick`] is needed only while nothing else comes.
+    /// Each input also runs the timers that are due, so [`Input::Tick`] is needed only when no other input arrives.
     pub fn handle(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         if self.lifecycle.mark_started() && !self.storage.snapshot().is_empty() {
             self.restore();
@@ -49,8 +49,8 @@
         self.request_to_join_if_due(now);
     }
 
-    /// Performs the effects whose records are durable, and handles this member's messages to itself, until nothing
-    /// is left.
+    /// Performs the effects whose records are durable and handles this member's messages to itself, until none
+    /// remain.
     fn process_pending(&mut self, now: Duration) {
         loop {
             if let Some(effect) = self.outbox.pop_durable() {
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Handles a message of another member, unless it is for another generation of this one.
+    /// Handles a message from another member. Drops one for another generation of this member, except a request to
+    /// join, whose sender may know the address only.
     fn receive(&mut self, now: Duration, envelope: Envelope) {
         let node = self.settings.node;
         let is_join = matches!(envelope.message, ReplicationMessage::Join { .. });
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Replaces entries that were applied by the state after them.
+    /// Replaces applied entries by a snapshot of the state after them.
     fn compact(&mut self, sequence: SequenceNumber, snapshot: Arc<[u8]>) {
         if sequence <= self.storage.applied() && sequence > self.storage.snapshot_sequence() {
             self.record(DurableRecord::Snapshot { sequence, snapshot });
--- a/crates/control-plane/src/replication/storage.rs
+++ b/crates/control-plane/src/replication/storage.rs
@@ -1,4 +1,4 @@
-//! A member's log, view and promise, as they are on disk or on their way there.
+//! The log, view and promise of a member, including writes in progress.
 
 use std::sync::Arc;
 
@@ -12,18 +12,18 @@
 #[derive(Clone, Debug)]
 pub(super) struct Storage {
     state: DurableState,
-    /// Epoch of the newest view that is on disk or on its way there. A standby knows newer ones from heartbeats
-    /// only.
+    /// Epoch of the newest view that is durable or being written. A standby knows newer views only from
+    /// heartbeats.
     recorded_view_epoch: Option<Epoch>,
-    /// Epoch of the newest view that is surely on disk.
+    /// Epoch of the newest view that is known to be durable.
     durable_view_epoch: Option<Epoch>,
-    /// The newest entry that was handed to the owner.
+    /// The newest entry that was passed to the owner.
     applied: SequenceNumber,
     is_healthy: bool,
 }
 
 impl Storage {
-    /// The storage of a member that starts with `state`.
+    /// Creates the storage of a member that starts with `state`.
     pub(super) fn new(state: DurableState) -> Storage {
         let view_epoch = state.view.as_ref().map(|view| view.epoch);
         Storage {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// All that is kept on disk.
+    /// The durable state, including records that are being written.
     pub(super) fn state(&self) -> &DurableState {
         &self.state
     }
@@ -45,7 +45,7 @@
         self.state.promised
     }
 
-    /// How far the data goes.
+    /// The position up to which the data is stored.
     pub(super) fn position(&self) -> LogPosition {
         self.state.data
     }
@@ -60,42 +60,42 @@
         self.state.view.as_ref()
     }
 
-    /// The epoch of the newest known view; 0 without one.
+    /// The epoch of the newest known view; 0 if there is none.
     pub(super) fn view_epoch(&self) -> Epoch {
         self.view().map_or(Epoch(0), |view| view.epoch)
     }
 
-    /// Whether any view was recorded here.
+    /// Whether this member has recorded any view.
     pub(super) fn has_recorded_view(&self) -> bool {
         self.recorded_view_epoch.is_some()
     }
 
-    /// Whether a view of this epoch or a later one was recorded here.
+    /// Whether this member has recorded a view of this epoch or a later one.
     pub(super) fn has_recorded_view_of(&self, epoch: Epoch) -> bool {
         self.recorded_view_epoch >= Some(epoch)
     }
 
-    /// Whether any view is surely on disk.
+    /// Whether any view is known to be durable.
     pub(super) fn has_durable_view(&self) -> bool {
         self.durable_view_epoch.is_some()
     }
 
-    /// Whether a view of this epoch or a later one is surely on disk.
+    /// Whether a view of this epoch or a later one is known to be durable.
     pub(super) fn has_durable_view_of(&self, epoch: Epoch) -> bool {
         self.durable_view_epoch >= Some(epoch)
     }
 
-    /// Records that the view of this epoch is on disk.
+    /// Records that the view of this epoch is durable.
     pub(super) fn record_durable_view(&mut self, epoch: Epoch) {
         self.durable_view_epoch = self.durable_view_epoch.max(Some(epoch));
     }
 
-    /// Takes over a view without recording it.
+    /// Sets the newest known view without recording it.
     pub(super) fn set_unrecorded_view(&mut self, view: View) {
         self.state.view = Some(view);
     }
 
-    /// Carries out a change that is written to the disk.
+    /// Applies a record that is being written.
     pub(super) fn apply_record(&mut self, record: &DurableRecord) {
         self.state.apply(record);
         if let DurableRecord::View(view) = record {
@@ -134,7 +134,7 @@
         self.state.snapshot_sequence
     }
 
-    /// The encoded state at that entry.
+    /// The encoded state after the newest entry in the snapshot.
     pub(super) fn snapshot(&self) -> &Arc<[u8]> {
         &self.state.snapshot
     }
@@ -144,24 +144,24 @@
         self.applied
     }
 
-    /// Goes back, or forward, to the snapshot.
+    /// Resets the applied position to that of the snapshot, which may be earlier or later.
     pub(super) fn reset_to_snapshot(&mut self) {
         self.applied = self.state.snapshot_sequence;
     }
 
-    /// The entry after the newest applied one, which then counts as applied.
+    /// Advances the applied position by one entry and returns the entry; `None` if it is not stored.
     pub(super) fn apply_next(&mut self) -> Option<Entry> {
         let entry = self.entry(self.applied.next())?.clone();
         self.applied = self.applied.next();
         Some(entry)
     }
 
-    /// Whether the disk answers within its bound.
+    /// Whether the disk completes writes in time.
     pub(super) fn is_healthy(&self) -> bool {
         self.is_healthy
     }
 
-    /// Records whether the disk answers within its bound.
+    /// Records whether the disk completes writes in time.
     pub(super) fn set_healthy(&mut self, is_healthy: bool) {
         self.is_healthy = is_healthy;
     }
--- a/crates/control-plane/src/replication/sync.rs
+++ b/crates/control-plane/src/replication/sync.rs
@@ -1,13 +1,13 @@
-//! The phase of a view change that brings the new view's data replicas up to date.
+//! The sync phase of a view change, which brings the data replicas of the new view up to date.
 //!
-//! The proposer sends its data in chunks, each receiver reports how much it has, and writes the data only when all
-//! of it is there. `Synced` is sent once it is durable. Each step forward gives the view change its full time anew, so
-//! a slow link or disk ends well, and one that stands still does not hold up the view change.
+//! The proposer sends its data in chunks. Each receiver reports how much it has received, and writes the data only
+//! when it is complete. `Synced` is sent once the data is durable. Any progress restarts the stall timeout of the view
+//! change, so that it succeeds over a slow link or disk and is abandoned if one makes no progress.
 //!
-//! One that was a data replica before is queried first whether it has all, unless one chunk is enough for all.
-//! A receiver whose data has the proposer's epoch and newest entry needs nothing but the new epoch. Within an epoch
-//! the log grows only by what its one primary appends, starting from the one state with which that epoch's
-//! proposer has brought all replicas up to date, so equal positions stand for equal logs.
+//! A previous data replica is first queried whether it has all the data, unless the data fits into one chunk.
+//! A receiver whose data has the epoch and the newest entry of the proposer only records the new epoch. Within an
+//! epoch, the log grows only by entries of the one primary, starting from the one state to which that epoch's
+//! proposer has brought all replicas. Equal positions therefore mean equal logs.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 use super::transfer::{CHUNK_BYTES, Chunk, EncodedData, Received, TransferData};
 
 impl Replication {
-    /// The new data replicas are chosen: begins to bring them up to date.
+    /// Starts to bring the chosen data replicas up to date.
     pub(super) fn start_sync(&mut self, now: Duration) {
         let node = self.settings.node;
         let data = EncodedData::of(self.storage.state());
@@ -37,7 +37,7 @@
         self.sync_own_data(epoch);
     }
 
-    /// The proposer's own data is complete as of its epoch.
+    /// Records that the proposer's own data is complete as of the new epoch.
     fn sync_own_data(&mut self, epoch: Epoch) {
         let node = self.settings.node;
         if epoch < self.storage.promised() {
@@ -49,12 +49,12 @@
         self.outbox.send_when_durable(node, ReplicationMessage::Synced { epoch, sequence });
     }
 
-    /// Sends what may be on its way now.
+    /// Sends the chunks that fit into the windows.
     fn send_chunks(&mut self) {
         self.send_sync_messages(SyncPhase::next_messages);
     }
 
-    /// Sends again what was not confirmed in time.
+    /// Resends the chunks that were not confirmed in time.
     pub(super) fn resend_chunks(&mut self, now: Duration) {
         self.send_sync_messages(|sync, epoch| sync.due_messages(epoch, now));
     }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A data replica reports how much it has received.
+    /// Handles a report of a data replica on how much it has received.
     pub(super) fn on_sync_progress(
         &mut self,
         now: Duration,
@@ -97,7 +97,7 @@
         self.send_chunks();
     }
 
-    /// A data replica has all data on disk.
+    /// Handles a report that a data replica has all data on disk.
     pub(super) fn on_synced(
         &mut self,
         now: Duration,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A proposer brings this member up to date as a data replica of the view that it is about to install.
+    /// Handles a chunk from a proposer that brings this member up to date as a data replica of its new view.
     pub(super) fn on_sync(
         &mut self,
         now: Duration,
@@ -148,7 +148,7 @@
         self.outbox.send_when_durable(from, ReplicationMessage::Synced { epoch, sequence });
     }
 
-    /// Accepts a chunk of the data; returns whether this member has, with it, all that the proposer has.
+    /// Accepts a chunk of the data; returns whether this member now has all data of the proposer.
     fn accept_chunk(&mut self, from: NodeId, epoch: Epoch, data_epoch: Epoch, chunk: &Chunk) -> bool {
         let transfer = chunk.transfer;
         if self.storage.position() == (LogPosition { epoch: data_epoch, sequence: transfer.sequence }) {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Replaces the log and the snapshot. The owner's state starts anew unless the new log continues it.
+    /// Replaces the log and the snapshot. The owner restores its state unless the new log continues it.
     fn replace_data(&mut self, epoch: Epoch, data: TransferData) {
         let TransferData { snapshot_sequence, snapshot, entries } = data;
         self.record(DurableRecord::Reset { epoch, snapshot_sequence, snapshot, entries });
--- a/crates/control-plane/src/replication/sync_phase.rs
+++ b/crates/control-plane/src/replication/sync_phase.rs
@@ -1,4 +1,4 @@
-//! How far the data replicas of a new view have been brought up to date by its proposer.
+//! The state of the sync phase: the transfers from the proposer to the data replicas of the new view.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,14 +18,14 @@
     pub(super) message: ReplicationMessage,
 }
 
-/// What a data replica's progress report means for the view change.
+/// The effect of a progress report on a state transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransferProgress {
-    /// Nothing new.
+    /// The report shows no progress.
     Unchanged,
-    /// It has received more than ever before.
+    /// The replica has received more than ever before.
     Advanced,
-    /// It has received everything, and writes it to its disk.
+    /// The replica has received all data and is writing it to its disk.
     Complete,
 }
 
@@ -35,15 +35,15 @@
     /// The epoch of the data before the view change.
     data_epoch: Epoch,
     data: EncodedData,
-    /// Transfers to the replicas that have not reported all data as durable.
+    /// Transfers to the replicas that have not yet reported all data as durable.
     transfers: BTreeMap<NodeId, OutgoingTransfer>,
-    /// The proposer's own disk has still to record the epoch.
+    /// Whether the proposer's own disk has yet to record the epoch.
     awaits_own_disk: bool,
 }
 
 impl SyncPhase {
     /// Starts transfers of `data` to `replicas`. Those among `previous_replicas` are queried first, since they may
-    /// have all of it, unless one chunk is enough for everything.
+    /// have all of it, unless the data fits into one chunk.
     pub(super) fn new<'a>(
         data_epoch: Epoch,
         data: EncodedData,
@@ -61,7 +61,7 @@
         SyncPhase { data_epoch, data, transfers, awaits_own_disk: true }
     }
 
-    /// When something has to be sent again.
+    /// The earliest time at which something has to be resent; `None` if there are no transfers.
     pub(super) fn next_resend(&self) -> Option<Duration> {
         self.transfers.values().map(OutgoingTransfer::resend_at).min()
     }
@@ -110,7 +110,7 @@
         })
     }
 
-    /// Records that the proposer's own disk has recorded the epoch; returns whether this was awaited.
+    /// Records that the epoch is durable at the proposer; returns whether this was awaited.
     pub(super) fn record_own_disk(&mut self) -> bool {
         std::mem::take(&mut self.awaits_own_disk)
     }
--- a/crates/control-plane/src/replication/ticket.rs
+++ b/crates/control-plane/src/replication/ticket.rs
@@ -1,11 +1,11 @@
-//! The names by which the owner and the state machine refer to what is under way.
+//! Tickets that identify pending writes and proposals between the owner and the state machine.
 
 use tulipridge_configuration::{counted, numbers};
 
 numbers! {
-    /// Names a batch of records that the owner writes, from 1 on. The disk reports batches in this order.
+    /// Identifies a batch of records that the owner writes, counted from 1. The disk reports batches in this order.
     WriteTicket(u64);
-    /// Names a proposal of the owner at this member.
+    /// Identifies a proposal of the owner at this member.
     ProposalTicket(u64);
 }
 
--- a/crates/control-plane/src/replication/transfer.rs
+++ b/crates/control-plane/src/replication/transfer.rs
@@ -1,10 +1,10 @@
-//! Transfer of a member's complete data to another one, in chunks that may be lost, late or duplicated.
+//! State transfer: sends the complete data of a member to another one in chunks, which may be lost, late or duplicated.
 //!
-//! The sender keeps the encoded data once ([`EncodedData`]) and for each receiver how far it has come
-//! ([`OutgoingTransfer`]): at most [`WINDOW_BYTES`] are on the way, so that heartbeats on the same link are not
-//! delayed for long. The receiver ([`IncomingTransfer`]) keeps what it has without gaps, reports how much that is,
-//! and hands the data out only when all of it is there and its checksum is right. Its name identifies the data, not the
-//! view change, so a later view change with the same data goes on where the last one stopped.
+//! The sender keeps the encoded data once ([`EncodedData`]) and the progress of each receiver
+//! ([`OutgoingTransfer`]). At most [`WINDOW_BYTES`] are in flight, so that heartbeats on the same link are not
+//! delayed for long. The receiver ([`IncomingTransfer`]) keeps the received prefix without gaps, reports its length,
+//! and returns the data only when it is complete and its checksum matches. The transfer id identifies the data, not the
+//! view change, so a later view change with the same data resumes where the last one stopped.
 
 use std::mem;
 use std::sync::Arc;
@@ -19,37 +19,37 @@
 use super::durable::DurableState;
 use super::timing::{MAX_SYNC_RESEND_INTERVAL, SYNC_RESEND_INTERVAL};
 
-/// Bytes of a chunk: 52 ms on a link of 10 Mbit/s.
+/// Bytes of a chunk, which take 52 ms on a link of 10 Mbit/s.
 pub const CHUNK_BYTES: u64 = 64 * 1024;
-/// Bytes that may be on the way to a receiver.
+/// Maximum bytes in flight to a receiver.
 pub const WINDOW_BYTES: u64 = 2 * CHUNK_BYTES;
-/// The longest data that a receiver accepts, in bytes.
+/// Maximum length of the data that a receiver accepts.
 pub const MAX_TRANSFER_BYTES: u64 = 256 << 20;
 
-/// What is transferred.
+/// The data of a member in the form before encoding.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct TransferData {
     /// The newest entry in the snapshot.
     pub snapshot_sequence: SequenceNumber,
-    /// The encoded state at that entry.
+    /// The encoded state after that entry.
     #[musli(with = tulipridge_protocol::shared_bytes)]
     pub snapshot: Arc<[u8]>,
-    /// All entries after it.
+    /// All entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 /// A chunk of the encoded data.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chunk {
-    /// The data.
+    /// Identifies the data that the chunk is part of.
     pub transfer: TransferId,
-    /// Where the chunk begins, in bytes.
+    /// Offset of the chunk in the data, in bytes.
     pub offset: u64,
-    /// Its bytes.
+    /// The bytes of the chunk.
     pub bytes: Arc<[u8]>,
 }
 
-/// Data in the form in which it is transferred.
+/// The encoded data that is transferred.
 #[derive(Clone, Debug)]
 pub struct EncodedData {
     id: TransferId,
@@ -57,11 +57,11 @@
 }
 
 impl EncodedData {
-    /// The data of a member.
+    /// Encodes the data of a member.
     ///
     /// # Panics
     ///
-    /// If the data can't be encoded, which a value of plain fields always can.
+    /// If the data cannot be encoded. A value of plain fields always can.
     #[must_use]
     pub fn of(state: &DurableState) -> EncodedData {
         let data = TransferData {
@@ -69,7 +69,7 @@
             snapshot: state.snapshot.clone(),
             entries: state.entries.clone(),
         };
-        let bytes = frame::encode(&data).expect("a value of plain fields can be encoded");
+        let bytes = frame::encode(&data).expect("a value of plain fields can always be encoded");
         let id = TransferId {
             snapshot_sequence: state.snapshot_sequence,
             sequence: state.data.sequence,
@@ -79,13 +79,13 @@
         EncodedData { id, bytes }
     }
 
-    /// Identifies the data.
+    /// The id of the data.
     #[must_use]
     pub fn id(&self) -> TransferId {
         self.id
     }
 
-    /// The chunk that begins at an offset; empty at the end.
+    /// The chunk that begins at `offset`; empty at the end of the data.
     #[must_use]
     pub fn chunk(&self, offset: u64) -> Chunk {
         let start = offset.min(self.id.length);
@@ -95,26 +95,27 @@
     }
 }
 
-/// How far the transfer to one receiver has come.
+/// The progress of the transfer to one receiver.
 #[derive(Clone, Debug)]
 pub struct OutgoingTransfer {
     length: u64,
-    /// The receiver has still to be queried what it has.
+    /// Whether the receiver has yet to be queried for what it has.
     is_queried_first: bool,
-    /// Bytes that the receiver has.
+    /// Bytes that the receiver has received.
     received: u64,
-    /// What it has reported last.
+    /// Bytes received according to its last report.
     last_reported: u64,
-    /// The most that it ever had.
+    /// The most bytes that the receiver has ever received.
     max_received: u64,
-    /// Bytes that were sent to it.
+    /// Bytes sent to the receiver.
     sent: u64,
     resend_at: Duration,
     resend_after: Duration,
 }
 
 impl OutgoingTransfer {
-    /// Nothing is sent yet. A receiver that may have all is queried first, by an empty chunk.
+    /// Creates a transfer of which nothing is sent. A receiver that may have all data is queried first, with an empty
+    /// chunk.
     #[must_use]
     pub fn new(length: u64, is_queried_first: bool, now: Duration) -> OutgoingTransfer {
         OutgoingTransfer {
@@ -129,22 +130,22 @@
         }
     }
 
-    /// When something has to be sent again.
+    /// When something has to be resent.
     #[must_use]
     pub fn resend_at(&self) -> Duration {
         self.resend_at
     }
 
-    /// Whether the receiver has all, on disk or not.
+    /// Whether the receiver has received all data, durable or not.
     #[must_use]
     pub fn is_received(&self) -> bool {
         self.received == self.length
     }
 
-    /// The receiver reports how much it has. Returns whether the transfer has come further than ever.
+    /// Records a report of the receiver on how much it has received; returns whether that is more than ever before.
     ///
-    /// Less than before means that the receiver has started anew, or that the message is late: it counts when
-    /// chunks have to be sent again.
+    /// Less than before means that the receiver has restarted or that the message is late. Such a report takes effect
+    /// when chunks are resent.
     pub fn on_received(&mut self, now: Duration, received: u64) -> bool {
         self.last_reported = received.min(self.length);
         if self.last_reported > self.received {
@@ -172,8 +173,8 @@
         offsets
     }
 
-    /// The offsets of chunks that have to be sent again. A receiver that has all is queried again whether it is on
-    /// disk.
+    /// The offsets of chunks that have to be resent. A receiver that has all data is queried again whether it is
+    /// durable.
     pub fn resend_if_due(&mut self, now: Duration) -> Vec<u64> {
         if now < self.resend_at {
             return Vec::new();
@@ -189,16 +190,16 @@
     }
 }
 
-/// What a receiver has after a chunk.
+/// What a receiver has received after a chunk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Received {
-    /// So many bytes without gaps.
+    /// The number of bytes received without gaps.
     Partial(u64),
-    /// All, and it is what the sender has.
+    /// The complete data, with a matching checksum.
     Complete(TransferData),
 }
 
-/// What a member has received of the data that is sent to it. Nothing of it is on disk.
+/// The data that a member has received so far. It is kept in memory only.
 #[derive(Clone, Debug, Default)]
 pub struct IncomingTransfer {
     id: TransferId,
@@ -206,7 +207,7 @@
 }
 
 impl IncomingTransfer {
-    /// Accepts a chunk. One of other data starts anew; one that leaves a gap, or that is here already, adds nothing.
+    /// Accepts a chunk. A chunk of other data restarts the transfer; one after a gap or already received adds nothing.
     pub fn accept(&mut self, chunk: &Chunk) -> Received {
         if self.id != chunk.transfer {
             self.clear();
@@ -224,7 +225,7 @@
         data.map_or(Received::Partial(0), Received::Complete)
     }
 
-    /// Forgets what was received.
+    /// Drops what was received.
     pub fn clear(&mut self) {
         *self = IncomingTransfer::default();
     }
@@ -237,7 +238,7 @@
         self.bytes.extend_from_slice(&added[..added.len().min(missing)]);
     }
 
-    /// The data, if it is what its name says.
+    /// Decodes the data; `None` if it does not match the transfer id.
     fn decode(&self) -> Option<TransferData> {
         if xxh3_64(&self.bytes) != self.id.checksum {
             return None;
--- a/crates/control-plane/src/replication/view_change.rs
+++ b/crates/control-plane/src/replication/view_change.rs
@@ -1,6 +1,6 @@
-//! A running view change, as its proposer sees it.
+//! The state of a running view change at its proposer.
 //!
-//! The protocol is Paxos over views, with the state transfer of Viewstamped Replication: a majority promises to
+//! The protocol is Paxos over views, with the state transfer of Viewstamped Replication: a quorum promises to
 //! take part in no lower epoch (prepare), the data replicas of the new view are brought up to date (sync), and the
 //! view is recorded, first by them and then by the other voters (install).
 
@@ -16,14 +16,14 @@
 use super::timing::RESEND_INTERVAL;
 use super::view_selection::ViewMembers;
 
-/// How far a view change has come.
+/// The phase of a view change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Promises are collected.
     Preparing,
     /// The data replicas of the new view are brought up to date.
     Syncing,
-    /// The data replicas record the view, so that each of them can carry on from it.
+    /// The data replicas record the view, so that each of them can start the next view change from it.
     InstallingAtReplicas,
     /// The other voters record it.
     InstallingAtVoters,
@@ -36,23 +36,23 @@
     pub(super) epoch: Epoch,
     /// The view that the new one follows.
     pub(super) base: View,
-    /// How far it has come.
+    /// The current phase.
     pub(super) phase: Phase,
-    /// The new view, once enough members have promised.
+    /// The new view; empty until a quorum has promised.
     pub(super) view: View,
-    /// Brings the data replicas up to date, once they are chosen.
+    /// The transfers to the data replicas, during the sync phase.
     pub(super) sync: Option<SyncPhase>,
-    /// When messages that were not answered are sent again.
+    /// When unacknowledged messages are resent.
     pub(super) resend_at: Duration,
     promises: BTreeSet<NodeId>,
-    /// Those of them that have recorded the base.
+    /// The members among `promises` that have recorded the base.
     base_recorded: BTreeSet<NodeId>,
     installed: BTreeSet<NodeId>,
     stalled_at: Duration,
 }
 
 impl ViewChange {
-    /// Starts from `base`; it is given up at `stalled_at` unless there is progress.
+    /// Starts a view change from `base`, which is abandoned at `stalled_at` unless there is progress.
     pub(super) fn new(epoch: Epoch, base: View, now: Duration, stalled_at: Duration) -> ViewChange {
         ViewChange {
             epoch,
@@ -68,27 +68,27 @@
         }
     }
 
-    /// When something has to be done at the latest.
+    /// The earliest time at which a timer is due.
     pub(super) fn next_deadline(&self) -> Duration {
         self.resend_at.min(self.stalled_at)
     }
 
-    /// Whether it has gone without progress for too long.
+    /// Whether there was no progress for too long.
     pub(super) fn is_stalled(&self, now: Duration) -> bool {
         now >= self.stalled_at
     }
 
-    /// There was progress: it stalls at `stalled_at`.
+    /// Sets the stall timeout after progress.
     pub(super) fn restart_stall_timeout(&mut self, stalled_at: Duration) {
         self.stalled_at = stalled_at;
     }
 
-    /// There was progress: it stalls no sooner than `stalled_at`.
+    /// Extends the stall timeout after progress, at least to `stalled_at`.
     pub(super) fn extend_stall_timeout(&mut self, stalled_at: Duration) {
         self.stalled_at = self.stalled_at.max(stalled_at);
     }
 
-    /// It has no chance any more: gives it up no later than `stalled_at`.
+    /// Shortens the stall timeout, at most to `stalled_at`, because the view change can no longer succeed.
     pub(super) fn shorten_stall_timeout(&mut self, stalled_at: Duration) {
         self.stalled_at = self.stalled_at.min(stalled_at);
     }
@@ -98,28 +98,28 @@
         self.epoch == epoch && self.phase == Phase::Preparing
     }
 
-    /// Whether the data replicas report their progress to this epoch.
+    /// Whether the data replicas are being brought up to date for this epoch.
     pub(super) fn is_syncing(&self, epoch: Epoch) -> bool {
         self.epoch == epoch && self.phase == Phase::Syncing
     }
 
-    /// Whether members record the view of this epoch.
+    /// Whether members are recording the view of this epoch.
     pub(super) fn is_installing(&self, epoch: Epoch) -> bool {
         let is_installing = matches!(self.phase, Phase::InstallingAtReplicas | Phase::InstallingAtVoters);
         self.epoch == epoch && is_installing
     }
 
-    /// Whether the data replicas that were chosen still have something to do.
+    /// Whether the current phase depends on all chosen data replicas.
     pub(super) fn needs_data_replicas(&self) -> bool {
         matches!(self.phase, Phase::Syncing | Phase::InstallingAtReplicas)
     }
 
-    /// Whether a view makes this change pointless.
+    /// Whether `view` supersedes this view change.
     pub(super) fn is_outdated_by(&self, view: &View) -> bool {
         view.epoch > self.base.epoch && view.epoch != self.epoch
     }
 
-    /// Records a promise from `voter`, whose newest view is `recorded`; returns whether it is the first one.
+    /// Records a promise from `voter`, whose newest view is `recorded`; returns whether it is its first promise.
     pub(super) fn record_promise(&mut self, voter: NodeId, recorded: &View) -> bool {
         if recorded.epoch == self.base.epoch && !recorded.voters.is_empty() {
             self.record_base_recorded(voter, recorded);
@@ -127,11 +127,11 @@
         self.promises.insert(voter)
     }
 
-    /// A member that has promised has recorded the base.
+    /// Records that a member that has promised has recorded the base.
     ///
-    /// Once a majority of the base's voters and of its previous voters have, no other view made from the
-    /// previous voters can come into force: they refuse lower epochs, and show the base to proposers of
-    /// higher ones. So the previous voters are not needed any more.
+    /// Once a majority of the base's voters and one of its previous voters have, no other view derived from the
+    /// previous voters can come into force: they refuse lower epochs, and return the base to proposers of
+    /// higher ones. The previous voters are then no longer needed.
     fn record_base_recorded(&mut self, member: NodeId, recorded: &View) {
         self.base_recorded.insert(member);
         if is_view_complete(recorded) || has_quorum(&self.base, &self.base_recorded) {
@@ -144,41 +144,41 @@
         self.promises.contains(&voter)
     }
 
-    /// Whether the proposer itself and a quorum of the base have promised.
+    /// Whether the proposer itself and a quorum of the base view have promised.
     pub(super) fn has_enough_promises(&self, proposer: NodeId) -> bool {
         self.has_promise_of(proposer) && has_quorum(&self.base, &self.promises)
     }
 
-    /// Whether nobody but the proposer has promised.
+    /// Whether no member other than the proposer has promised.
     pub(super) fn is_unacknowledged(&self) -> bool {
         self.promises.len() <= 1
     }
 
-    /// The voters that have not promised.
+    /// The voters that have not yet promised.
     pub(super) fn missing_promises(&self) -> Vec<NodeId> {
         electorate(&self.base).difference(&self.promises).copied().collect()
     }
 
-    /// The members of the new view are chosen: their data replicas are brought up to date next.
+    /// Starts the sync phase with the chosen members of the new view.
     pub(super) fn start_syncing(&mut self, members: ViewMembers) {
         self.view = next_view(&self.base, self.epoch, members);
         self.phase = Phase::Syncing;
     }
 
-    /// All data replicas are up to date: they record the view next.
+    /// Starts to install the view at the data replicas, which are all up to date.
     pub(super) fn start_installing(&mut self, now: Duration) {
         self.sync = None;
         self.phase = Phase::InstallingAtReplicas;
         self.resend_at = now + RESEND_INTERVAL;
     }
 
-    /// All data replicas have recorded the view: the other voters record it next.
+    /// Starts to install the view at the other voters, once all data replicas have recorded it.
     pub(super) fn start_installing_at_voters(&mut self, now: Duration) {
         self.phase = Phase::InstallingAtVoters;
         self.resend_at = now + RESEND_INTERVAL;
     }
 
-    /// Records that `member` has recorded the view; returns whether this was not known.
+    /// Records that `member` has recorded the view; returns whether this is its first report.
     pub(super) fn record_installed(&mut self, member: NodeId) -> bool {
         self.installed.insert(member)
     }
@@ -203,7 +203,7 @@
     }
 }
 
-/// The view that the chosen members form after the base.
+/// The view of the chosen members that follows the base.
 fn next_view(base: &View, epoch: Epoch, members: ViewMembers) -> View {
     let has_same_voters = members.voters == base.voters;
     let previous_voters = if has_same_voters { base.previous_voters.clone() } else { base.voters.clone() };
--- a/crates/control-plane/src/replication/view_selection.rs
+++ b/crates/control-plane/src/replication/view_selection.rs
@@ -1,57 +1,57 @@
-//! Chooses the voters and data replicas of the next view.
+//! Selects the voters and data replicas of the next view.
 
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::replication::View;
 
 use super::quorum::is_view_complete;
 
-/// What the proposer knows of a member.
+/// What the proposer knows about a member.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     /// The member.
     pub(super) node: NodeId,
-    /// Its zone.
+    /// The zone of the member.
     pub(super) zone: String,
-    /// It need not be replaced as a voter.
+    /// Whether the member may remain a voter.
     pub(super) is_alive: bool,
-    /// It may be made a data replica, or a voter if it is none.
+    /// Whether the member may become a voter or a data replica.
     pub(super) is_ready: bool,
 }
 
-/// ViewMembers of the next view.
+/// The members of the next view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ViewMembers {
-    /// Who votes.
+    /// The voters.
     pub(super) voters: Vec<NodeId>,
-    /// Who stores the data, the proposer first.
+    /// The data replicas, the proposer first.
     pub(super) data_replicas: Vec<NodeId>,
 }
 
 impl ViewMembers {
-    /// Whether a view has other members, or the same ones in another order.
+    /// Whether a view has other members or the same members in another order.
     pub(super) fn differ_from(&self, view: &View) -> bool {
         self.voters != view.voters || self.data_replicas != view.data_replicas
     }
 }
 
-/// What a choice is made from.
+/// The input of a selection.
 pub(super) struct ViewSelection<'a> {
-    /// The view to follow.
+    /// The view that the next one follows.
     pub(super) base: &'a View,
     /// The proposer.
     pub(super) proposer: NodeId,
-    /// Wanted number of voters.
+    /// The intended number of voters.
     pub(super) target_voters: usize,
-    /// Wanted number of data replicas.
+    /// The intended number of data replicas.
     pub(super) target_data_replicas: usize,
-    /// All members known, the proposer included.
+    /// All known members, including the proposer.
     pub(super) candidates: &'a [Candidate],
 }
 
 impl ViewSelection<'_> {
-    /// The next view's members; `None` if there are too few data replicas.
+    /// The members of the next view; `None` if there are too few data replicas.
     ///
-    /// Voters change only if the base is known to be in force: its quorum must cover all who voted on it.
+    /// Voters are replaced only if the base is known to be in force, because its quorum must cover all that voted on it.
     pub(super) fn choose(&self, replace_voters: bool) -> Option<ViewMembers> {
         let mut voters = self.base.voters.clone();
         if replace_voters && is_view_complete(self.base) {
@@ -120,7 +120,7 @@
             .collect()
     }
 
-    /// The first of those from the zone with the fewest members so far.
+    /// The first node in `from` whose zone has the fewest members in `chosen`.
     fn pick_from_least_used_zone(&self, chosen: &[NodeId], from: Vec<NodeId>) -> Option<NodeId> {
         from.into_iter()
             .min_by_key(|node| chosen.iter().filter(|other| self.zone(**other) == self.zone(*node)).count())
--- a/crates/control-plane/src/replication/vote.rs
+++ b/crates/control-plane/src/replication/vote.rs
@@ -1,7 +1,7 @@
-//! What a member has promised to proposers, and granted to primaries, since its process started.
+//! Promises to proposers and lease grants to primaries since the process of a member started.
 //!
-//! The promised epoch itself is durable ([`super::storage`]). Lease grants are kept in memory only: a member that
-//! starts promises nothing until each grant from before has run out.
+//! The promised epoch itself is durable ([`super::storage`]). Lease grants are kept in memory only: a restarted
+//! member makes no promise until all earlier grants have expired.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use super::timing::GRANT_DURATION;
 
-/// A vote that lets a primary's lease run: no other proposer gets a promise before it ends.
+/// A grant that a primary's lease relies on: no other proposer gets a promise before it expires.
 #[derive(Clone, Debug)]
 struct LeaseGrant {
     primary: NodeId,
@@ -18,22 +18,22 @@
     expires_at: Duration,
 }
 
-/// A member's votes.
+/// The promises and grants of a member.
 #[derive(Clone, Debug)]
 pub(super) struct VoteState {
-    /// The proposer that has this process's newest promise.
+    /// The proposer that holds the newest promise of this process.
     promised_to: Option<NodeId>,
     grant: Option<LeaseGrant>,
-    /// Primaries of epochs up to this one have given up their leases.
+    /// The highest epoch whose primary has released its lease. Earlier ones count as released too.
     released_epoch: Epoch,
-    /// Grants from before the start of this process may run until then.
+    /// Grants from before the start of this process may be valid until this time.
     no_promise_before: Duration,
-    /// The highest epoch of which this member has heard.
+    /// The highest epoch that this member has observed.
     highest_epoch_seen: Epoch,
 }
 
 impl VoteState {
-    /// The votes of a member that starts at `now` with its durable promise.
+    /// Creates the state of a member that starts at `now` with its durable promise.
     pub(super) fn new(promised: Epoch, now: Duration) -> VoteState {
         let may_have_granted = promised > Epoch(0);
         VoteState {
@@ -45,18 +45,18 @@
         }
     }
 
-    /// When the grants from before the start have surely run out.
+    /// The time by which all grants from before the start have expired.
     pub(super) fn no_promise_before(&self) -> Duration {
         self.no_promise_before
     }
 
-    /// When the newest grant, and those from before the start, have run out.
+    /// The time by which the newest grant and all grants from before the start have expired.
     pub(super) fn grants_end(&self) -> Duration {
         let expires_at = self.grant.as_ref().map_or(self.no_promise_before, |grant| grant.expires_at);
         expires_at.max(self.no_promise_before)
     }
 
-    /// Whether no lease of another member may rest on this member's vote.
+    /// Whether no lease of a member other than `proposer` can rely on a grant of this member.
     pub(super) fn may_promise_to(&self, now: Duration, proposer: NodeId) -> bool {
         let granted_to_other =
             self.grant.as_ref().is_some_and(|grant| grant.primary != proposer && now < grant.expires_at);
@@ -68,43 +68,43 @@
         self.promised_to == Some(proposer)
     }
 
-    /// Records who has the newest promise.
+    /// Records the proposer that holds the newest promise.
     pub(super) fn set_promised_to(&mut self, proposer: NodeId) {
         self.promised_to = Some(proposer);
     }
 
-    /// The promise was raised without a request of its proposer.
+    /// Records that the promised epoch was raised without a request of its proposer.
     pub(super) fn clear_promised_to(&mut self) {
         self.promised_to = None;
     }
 
-    /// Grants a lease to the primary of an epoch.
+    /// Grants a lease to the primary of an epoch. Replaces the previous grant.
     pub(super) fn grant_lease(&mut self, now: Duration, primary: NodeId, epoch: Epoch) {
         self.grant = Some(LeaseGrant { primary, epoch, expires_at: now + GRANT_DURATION });
     }
 
-    /// The primary of this epoch has given up its lease, so the grant to it may end early.
+    /// Records that the primary of this epoch has released its lease, and ends the grant to it early.
     pub(super) fn record_release(&mut self, primary: NodeId, epoch: Epoch) {
         self.released_epoch = self.released_epoch.max(epoch);
         self.grant.take_if(|grant| grant.primary == primary && grant.epoch <= epoch);
     }
 
-    /// Ends the grant to a member that is known to act as primary no longer.
+    /// Ends the grant to a member that is known to have ceased to act as primary.
     pub(super) fn withdraw_grant_to(&mut self, primary: NodeId) {
         self.grant.take_if(|grant| grant.primary == primary);
     }
 
-    /// Whether the primary of this epoch has given up its lease.
+    /// Whether the primary of this epoch has released its lease.
     pub(super) fn is_released(&self, epoch: Epoch) -> bool {
         epoch <= self.released_epoch && epoch > Epoch(0)
     }
 
-    /// The highest epoch of which this member has heard.
+    /// The highest epoch that this member has observed.
     pub(super) fn highest_epoch_seen(&self) -> Epoch {
         self.highest_epoch_seen
     }
 
-    /// Records that an epoch is in use.
+    /// Records an epoch that is in use.
     pub(super) fn observe_epoch(&mut self, epoch: Epoch) {
         self.highest_epoch_seen = self.highest_epoch_seen.max(epoch);
     }
--- a/crates/control-plane/src/replication/voter.rs
+++ b/crates/control-plane/src/replication/voter.rs
@@ -1,4 +1,4 @@
-//! What a voter does for the proposer of a view change: it promises and records the view.
+//! The voter's side of a view change: promises an epoch and records the new view.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::machine::Replication;
 
 impl Replication {
-    /// A proposer requests that this member take part in no lower epoch.
+    /// Handles a request of a proposer to promise its epoch.
     pub(super) fn on_prepare(&mut self, now: Duration, from: NodeId, epoch: Epoch) {
         self.votes.observe_epoch(epoch);
         let is_repeated = epoch == self.storage.promised() && self.votes.has_promised_to(from);
@@ -25,7 +25,7 @@
         self.outbox.send_when_durable(from, ReplicationMessage::Promise { epoch, view });
     }
 
-    /// Ends this member's own view change and leadership in favour of another proposer that has its promise.
+    /// Ends this member's own view change and leadership in favour of another proposer that holds its promise.
     pub(super) fn yield_to_proposer(&mut self, now: Duration, proposer: NodeId, epoch: Epoch) {
         if proposer == self.settings.node {
             return;
@@ -37,7 +37,7 @@
         self.postpone_campaign(now);
     }
 
-    /// A proposer has this member record its view.
+    /// Handles a request of a proposer to record its view.
     pub(super) fn on_install(&mut self, now: Duration, from: NodeId, view: &View) {
         let epoch = view.epoch;
         if epoch < self.storage.promised() || epoch < self.storage.view_epoch() {
--- a/crates/control-plane/src/state_machine/event.rs
+++ b/crates/control-plane/src/state_machine/event.rs
@@ -1,4 +1,4 @@
-//! What the state machine reports and what it hands over.
+//! Events and snapshots of the state machine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,41 +9,41 @@
 
 use crate::state::{Applied, StateError};
 
-/// The encoded state after an entry.
+/// The encoded state after an entry of the log.
 #[derive(Debug)]
 pub struct StateSnapshot {
-    /// The newest entry that it contains.
+    /// The newest entry that the state contains.
     pub sequence: SequenceNumber,
     /// The encoded state.
     pub state: Vec<u8>,
 }
 
-/// What the state machine reports, in the order of the commands.
+/// An event of the state machine. Events come in the order of the commands.
 #[derive(Debug)]
 pub enum StateMachineEvent {
     /// A command was applied, or the state was restored.
     Applied {
-        /// The command's entry.
+        /// The newest entry that the state contains.
         sequence: SequenceNumber,
-        /// What it has changed; none for a restored state, which may differ in everything.
+        /// The changes of the command; `None` for a restored state, which may differ in any part.
         applied: Option<Applied>,
-        /// What is delivered now.
+        /// The published parts of the new state.
         published: Published,
     },
-    /// All that was handed over before [`StateMachine::catch_up`](super::StateMachine::catch_up) with this epoch is applied.
+    /// All jobs submitted before [`StateMachine::catch_up`](super::StateMachine::catch_up) with this epoch are done.
     CaughtUp {
         /// The epoch.
         epoch: Epoch,
     },
-    /// The state can't be kept up and the thread has ended: the member must not go on.
+    /// A command or snapshot could not be applied and the thread has ended: the member must not continue.
     Failed(StateError),
 }
 
-/// The parts of the state that are delivered.
+/// The parts of the state that are delivered to subscribers.
 #[derive(Clone, Debug, Default)]
 pub struct Published {
     /// The newest configuration.
     pub configuration: Option<Arc<Configuration>>,
-    /// The newest weights that were named, by model.
+    /// The newest target revision of the weights, by model.
     pub weights: BTreeMap<String, WeightsRevision>,
 }
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -1,7 +1,7 @@
-//! The state machine of the replication, on a thread of its own: applies committed commands to the replicated state.
+//! The replicated state machine: applies committed commands to the state on a thread of its own.
 //!
-//! Large configurations take long to read and check, so this is done beside the loop that sends heartbeats. Jobs are
-//! worked through in their order: a decision sees all commands that were handed over before it.
+//! Large configurations take long to decode and validate, which must not delay the loop that sends heartbeats. Jobs
+//! run in order: a decision sees all commands that were submitted before it.
 
 mod event;
 mod worker;
@@ -18,24 +18,24 @@
 use tulipridge_protocol::number::{Epoch, SequenceNumber};
 use worker::{Job, Worker};
 
-/// The thread could not be started.
+/// The state machine thread could not be started.
 #[derive(Debug, Snafu)]
-#[snafu(display("the thread of the agreed state can't be started: {source}"))]
+#[snafu(display("cannot start the state machine thread: {source}"))]
 pub struct StartError {
     source: std::io::Error,
 }
 
-/// Hands jobs to the thread.
+/// A handle that submits jobs to the state machine thread.
 pub struct StateMachine {
     jobs: mpsc::Sender<Job>,
 }
 
 impl StateMachine {
-    /// Starts the thread with the empty state; it reports to `events`.
+    /// Starts the thread with the empty state. It sends its events to `events`.
     ///
     /// # Errors
     ///
-    /// If the system gives no thread.
+    /// [`StartError`] if the operating system cannot create a thread.
     pub fn start(events: Sender<StateMachineEvent>) -> Result<StateMachine, StartError> {
         let (jobs, queue) = mpsc::channel();
         let worker = Worker::new(events);
@@ -51,27 +51,27 @@
         self.submit(Job::Apply { sequence, command });
     }
 
-    /// Replaces the state by that of a snapshot at an entry.
+    /// Replaces the state by a snapshot of the state after the entry `sequence`.
     pub fn restore(&self, sequence: SequenceNumber, snapshot: Arc<[u8]>) {
         self.submit(Job::Restore { sequence, snapshot });
     }
 
-    /// Decides on a change; none if the thread has ended.
+    /// Decides on a change; `None` if the thread has ended.
     pub async fn decide(&self, change: Arc<Change>) -> Option<Decision> {
         self.request(|response| Job::Decide { change, response }).await
     }
 
-    /// The encoded state; none if the thread has ended.
+    /// The encoded state; `None` if the thread has ended.
     pub async fn snapshot(&self) -> Option<StateSnapshot> {
         self.request(|response| Job::Snapshot { response }).await
     }
 
-    /// The newest document; none before the first one, or if the thread has ended.
+    /// The newest document; `None` before the first one or if the thread has ended.
     pub async fn document(&self) -> Option<Arc<[u8]>> {
         self.request(|response| Job::Document { response }).await.flatten()
     }
 
-    /// Requests a [`StateMachineEvent::CaughtUp`] when all that was handed over before is applied, for a primary whose
+    /// Requests a [`StateMachineEvent::CaughtUp`] once all previously submitted jobs are done, for a primary whose
     /// `epoch` begins.
     pub fn catch_up(&self, epoch: Epoch) {
         self.submit(Job::CatchUp { epoch });
@@ -84,7 +84,7 @@
     }
 
     fn submit(&self, job: Job) {
-        // The thread ends only after it has reported why; the process ends then too.
+        // Sending fails only after the thread has reported a failure, which ends the process.
         let _ = self.jobs.send(job);
     }
 }
--- a/crates/control-plane/src/state_machine/worker.rs
+++ b/crates/control-plane/src/state_machine/worker.rs
@@ -10,7 +10,7 @@
 use super::event::{Published, StateMachineEvent, StateSnapshot};
 use crate::state::{Accepted, Applied, Change, Decision, State, StateError};
 
-/// Something to be done with the state.
+/// A job on the state.
 pub(super) enum Job {
     Decide { change: Arc<Change>, response: Sender<Decision> },
     Apply { sequence: SequenceNumber, command: Arc<[u8]> },
@@ -20,23 +20,23 @@
     CatchUp { epoch: Epoch },
 }
 
-/// Works through jobs in their order.
+/// Runs jobs in order.
 pub(super) struct Worker {
     state: State,
     /// The newest entry that the state contains.
     sequence: SequenceNumber,
-    /// The change that was decided on last: it need not be decoded and checked again when it is committed.
+    /// The last accepted change, which need not be decoded and validated again when it is committed.
     accepted: Option<Accepted>,
     events: Sender<StateMachineEvent>,
 }
 
 impl Worker {
-    /// A worker with the empty state.
+    /// Creates a worker with the empty state.
     pub(super) fn new(events: Sender<StateMachineEvent>) -> Worker {
         Worker { state: State::default(), sequence: SequenceNumber(0), accepted: None, events }
     }
 
-    /// Works until the queue is closed, or the state can't be kept up.
+    /// Runs jobs until the queue is closed or a job fails.
     pub(super) fn run(mut self, queue: &mpsc::Receiver<Job>) {
         while let Ok(job) = queue.recv() {
             if let Err(error) = self.run_job(job) {
@@ -46,7 +46,7 @@
         }
     }
 
-    // Whoever awaits a response may have given up: then it is dropped.
+    // A response is dropped if its receiver no longer waits for it.
     fn run_job(&mut self, job: Job) -> Result<(), StateError> {
         match job {
             Job::Decide { change, response } => {
@@ -98,7 +98,7 @@
     }
 
     fn report(&self, event: StateMachineEvent) {
-        // The channel is unbounded, and closed only when the process ends.
+        // Sending cannot fail: the channel is unbounded and closed only when the process ends.
         let _ = self.events.try_send(event);
     }
 }
