--- a/crates/control-plane/src/replication/append.rs
+++ b/crates/control-plane/src/replication/append.rs
@@ -52,7 +52,7 @@
     /// Whether this member has promised an epoch above that of the view that it leads.
     pub(super) fn is_view_change_pending(&self) -> bool {
         let promised = self.storage.promised();
-        self.leadership.as_ref().is_some_and(|own| own.view.epoch < promised)
+        self.leadership.as_ref().is_some_and(|leadership| leadership.view.epoch < promised)
     }
 
     /// Appends an entry to the log of the primary and sends it to the backups.
--- a/crates/control-plane/src/replication/campaign.rs
+++ b/crates/control-plane/src/replication/campaign.rs
@@ -119,7 +119,8 @@
     pub(super) fn on_refuse(&mut self, now: Duration, from: NodeId, epoch: Epoch, promised: Epoch) {
         self.votes.observe_epoch(promised);
         let is_preempted = promised >= epoch;
-        let preempted = self.view_change.as_mut().filter(|change| is_preempted && change.epoch == epoch);
+        let preempted =
+            self.view_change.as_mut().filter(|view_change| is_preempted && view_change.epoch == epoch);
         if let Some(view_change) = preempted {
             view_change.shorten_stall_timeout(now + jitter(&mut self.random, 50..250));
         }
@@ -131,9 +132,9 @@
     /// Forces a view change if a member has promised an epoch above that of the view led here: only a new view
     /// includes it again.
     fn force_view_change_if_preempted(&mut self, epoch: Epoch, promised: Epoch) {
-        let own = self.storage.promised();
+        let own_promise = self.storage.promised();
         let Some(leadership) = &mut self.leadership else { return };
-        if leadership.view.epoch == epoch && promised > own {
+        if leadership.view.epoch == epoch && promised > own_promise {
             leadership.force_view_change();
         }
     }
--- a/crates/control-plane/src/replication/heartbeat.rs
+++ b/crates/control-plane/src/replication/heartbeat.rs
@@ -114,7 +114,8 @@
             return;
         }
         if !was_complete && is_view_complete(&leadership.view) {
-            // Until the other members learn that the view is in force, no election succeeds without the replaced voters.
+            // Until the other members learn that the view is in force, no election succeeds without the replaced
+            // voters.
             leadership.schedule_heartbeat_now(now);
         }
         let view = leadership.view.clone();
--- a/crates/control-plane/src/replication/machine.rs
+++ b/crates/control-plane/src/replication/machine.rs
@@ -216,7 +216,8 @@
             let campaign_at = now + jitter(&mut self.random, 20..100);
             self.election.schedule(campaign_at);
         }
-        let leads_older = self.leadership.as_ref().is_some_and(|own| own.view.epoch < view.epoch);
+        let leads_older =
+            self.leadership.as_ref().is_some_and(|leadership| leadership.view.epoch < view.epoch);
         if leads_older && view.data_replicas.first() != Some(&self.settings.node) {
             self.step_down(now);
         }
--- a/crates/control-plane/src/replication/primary.rs
+++ b/crates/control-plane/src/replication/primary.rs
@@ -102,10 +102,10 @@
     /// Chooses a backup that has acknowledged a heartbeat of this view, and so has reported whether it is leaving:
     /// otherwise two leaving members could release the lease to each other forever.
     fn choose_successor(&self, now: Duration, leadership: &Leadership) -> Option<NodeId> {
-        let stays = |peer: &Peer| is_recent(peer.healthy_at, now, BACKUP_TIMEOUT) && !peer.is_leaving;
+        let can_succeed = |peer: &Peer| is_recent(peer.healthy_at, now, BACKUP_TIMEOUT) && !peer.is_leaving;
         let is_eligible = |backup: &&NodeId| {
-            let has_answered = leadership.lease.is_acknowledged_by(**backup);
-            has_answered && self.peers.get(**backup).is_some_and(stays)
+            let has_acknowledged = leadership.lease.is_acknowledged_by(**backup);
+            has_acknowledged && self.peers.get(**backup).is_some_and(can_succeed)
         };
         leadership.view.data_replicas.iter().skip(1).find(is_eligible).copied()
     }
--- a/crates/control-plane/src/replication/reconfigure.rs
+++ b/crates/control-plane/src/replication/reconfigure.rs
@@ -44,7 +44,10 @@
             let is_silent = !is_recent(peer.acknowledged_at, now, BACKUP_TIMEOUT);
             let is_replaced =
                 is_silent && self.peers.replacement_at_address(node, now, BACKUP_TIMEOUT).is_some();
-            let is_stalled = self.leadership.as_ref().is_some_and(|own| own.progress.is_stalled(node, now));
+            let is_stalled = self
+                .leadership
+                .as_ref()
+                .is_some_and(|leadership| leadership.progress.is_stalled(node, now));
             let is_alive = is_recent(peer.healthy_at, now, VOTER_TIMEOUT) && !is_replaced;
             let is_ready = is_recent(peer.healthy_at, now, BACKUP_TIMEOUT) && !is_stalled;
             candidates.push(Candidate {
--- a/crates/control-plane/src/replication/view_change.rs
+++ b/crates/control-plane/src/replication/view_change.rs
@@ -129,7 +129,7 @@
 
     /// Records that a member that has promised has recorded the base.
     ///
-    /// Once a majority of the base's voters and one of its previous voters have, no other view derived from the
+    /// Once majorities of both the base's voters and its previous voters have, no other view derived from the
     /// previous voters can come into force: they refuse lower epochs, and return the base to proposers of
     /// higher ones. The previous voters are then no longer needed.
     fn record_base_recorded(&mut self, member: NodeId, recorded: &View) {
