--- a/crates/control-plane/src/replication/campaign.rs
+++ b/crates/control-plane/src/replication/campaign.rs
@@ -1,6 +1,6 @@
-//! The proposer's side of a view change up to the choice of the new members.
+//! The proposer's side of a view change up to the selection of the new members.
 //!
-//! A data replica that misses its primary campaigns; a primary proposes a view to exchange members.
+//! A data replica campaigns when its primary is silent; a primary proposes a view to replace members.
 
 use std::time::Duration;
 
@@ -15,15 +15,15 @@
 use super::timing::{BACKUP_TIMEOUT, RESEND_INTERVAL};
 use super::view_change::{Phase, ViewChange};
 
-/// Backoff in milliseconds after a view change that other members have acknowledged.
+/// Maximum backoff after a failed view change that other members have acknowledged.
 const ACKNOWLEDGED_BACKOFF_MS: u64 = 350;
-/// Least backoff in milliseconds after one that no member has acknowledged.
+/// Base of the maximum backoff after a failed view change that no other member has acknowledged.
 const UNACKNOWLEDGED_BACKOFF_MS: u64 = 100;
-/// What each further one in a row adds to it.
+/// Increment of that backoff for each consecutive failure.
 const UNACKNOWLEDGED_BACKOFF_STEP_MS: u64 = 250;
 
 impl Replication {
-    /// Starts a campaign if no primary is heard and it is this member's turn.
+    /// Starts a campaign if it is due and this member neither leads nor runs a view change.
     pub(super) fn campaign_if_due(&mut self, now: Duration) {
         let is_idle = self.leadership.is_none() && self.view_change.is_none();
         if is_idle && self.may_campaign() && self.election.is_due(now) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Starts a view change, unless a lease of another member may still rest on this member's vote.
+    /// Starts a view change, unless a lease of another member may still rely on a grant of this member.
     pub(super) fn start_view_change(&mut self, now: Duration) {
         let node = self.settings.node;
         let Some(base) = self.storage.view().cloned() else { return };
@@ -47,12 +47,12 @@
         self.send_prepares();
     }
 
-    /// Repeats messages of the running view change, or gives it up.
+    /// Resends messages of the running view change, or abandons it.
     pub(super) fn run_view_change_timers(&mut self, now: Duration) {
         let Some(view_change) = &self.view_change else { return };
-        let is_hopeless = view_change.is_stalled(now) || self.misses_chosen_replica(now, view_change);
+        let should_abandon = view_change.is_stalled(now) || self.has_unresponsive_replica(now, view_change);
         let Some(view_change) = &mut self.view_change else { return };
-        if is_hopeless {
+        if should_abandon {
             self.abandon_view_change(now);
         } else if now >= view_change.resend_at {
             view_change.resend_at = now + RESEND_INTERVAL;
@@ -77,19 +77,19 @@
         self.election.schedule(campaign_at);
     }
 
-    /// Whether the primary does not hear from a member any more that the new view needs as a data replica.
-    fn misses_chosen_replica(&self, now: Duration, view_change: &ViewChange) -> bool {
+    /// Whether this member is primary and a chosen data replica of the new view no longer acknowledges heartbeats.
+    fn has_unresponsive_replica(&self, now: Duration, view_change: &ViewChange) -> bool {
         let node = self.settings.node;
         let is_silent = |replica: &NodeId| {
             let peer = self.peers.get(*replica);
-            *replica != node && !peer.is_some_and(|peer| is_recent(peer.healthy, now, BACKUP_TIMEOUT))
+            *replica != node && !peer.is_some_and(|peer| is_recent(peer.healthy_at, now, BACKUP_TIMEOUT))
         };
         self.leadership.is_some()
             && view_change.needs_data_replicas()
             && view_change.view.data_replicas.iter().any(is_silent)
     }
 
-    /// Requests the promises that are missing, once this member's own one is durable.
+    /// Requests the missing promises once this member's own promise is durable.
     fn send_prepares(&mut self) {
         let Some(view_change) = &self.view_change else { return };
         let epoch = view_change.epoch;
@@ -100,13 +100,13 @@
         }
     }
 
-    /// A voter takes part in no lower epoch any more.
+    /// Handles the promise of a voter to take part in no lower epoch.
     pub(super) fn on_promise(&mut self, now: Duration, from: NodeId, epoch: Epoch, view: &View) {
         let is_awaited = |view_change: &ViewChange| view_change.awaits_promise(epoch);
         if !self.view_change.as_ref().is_some_and(is_awaited) {
             return;
         }
-        self.learn(now, view);
+        self.adopt_view(now, view);
         let stalled_at = now + self.election.stall_timeout();
         let Some(view_change) = &mut self.view_change else { return };
         if view_change.record_promise(from, view) {
@@ -115,29 +115,31 @@
         self.choose_members_if_promised(now);
     }
 
-    /// A member has promised a higher epoch, or must not promise yet.
+    /// Handles a refusal: the member has promised this epoch or a higher one, or may not promise yet.
     pub(super) fn on_refuse(&mut self, now: Duration, from: NodeId, epoch: Epoch, promised: Epoch) {
         self.votes.observe_epoch(promised);
-        let is_outbid = promised >= epoch;
-        let outbid = self.view_change.as_mut().filter(|change| is_outbid && change.epoch == epoch);
-        if let Some(view_change) = outbid {
+        let is_preempted = promised >= epoch;
+        let preempted =
+            self.view_change.as_mut().filter(|view_change| is_preempted && view_change.epoch == epoch);
+        if let Some(view_change) = preempted {
             view_change.shorten_stall_timeout(now + jitter(&mut self.random, 50..250));
         }
-        if is_outbid && from != self.settings.node {
-            self.force_view_change_if_outbid(epoch, promised);
+        if is_preempted && from != self.settings.node {
+            self.force_view_change_if_preempted(epoch, promised);
         }
     }
 
-    /// A member has promised a higher epoch than the one led here: only a new view includes it again.
-    fn force_view_change_if_outbid(&mut self, epoch: Epoch, promised: Epoch) {
-        let own = self.storage.promised();
+    /// Forces a view change if a member has promised an epoch above that of the view led here: only a new view
+    /// includes it again.
+    fn force_view_change_if_preempted(&mut self, epoch: Epoch, promised: Epoch) {
+        let own_promise = self.storage.promised();
         let Some(leadership) = &mut self.leadership else { return };
-        if leadership.view.epoch == epoch && promised > own {
+        if leadership.view.epoch == epoch && promised > own_promise {
             leadership.force_view_change();
         }
     }
 
-    /// Chooses the new view's members once a quorum has promised.
+    /// Selects the members of the new view once a quorum has promised.
     fn choose_members_if_promised(&mut self, now: Duration) {
         let Some(view_change) = &self.view_change else { return };
         let has_promises = view_change.has_enough_promises(self.settings.node);
--- a/crates/control-plane/src/replication/join.rs
+++ b/crates/control-plane/src/replication/join.rs
@@ -1,4 +1,4 @@
-//! How a member that is in no view in force makes itself known to the primary.
+//! Requests to join: how a member without a primary makes itself known.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use super::timing::JOIN_INTERVAL;
 
 impl Replication {
-    /// Requests to join, at all known addresses, unless there is a primary.
+    /// Sends requests to join to all known addresses, if due, unless a primary is heard or this member is leaving.
     pub(super) fn request_to_join_if_due(&mut self, now: Duration) {
-        if self.leadership.is_some() || !self.discovery.take_due(now) {
+        if self.leadership.is_some() || !self.discovery.take_due_join(now) {
             return;
         }
         let hears_primary = self.peers.primary_heard_within(now, JOIN_INTERVAL).is_some();
@@ -36,7 +36,7 @@
         targets
     }
 
-    /// A member requests to join: remembers it, and forwards the request to the primary.
+    /// Handles a request to join: records it and forwards it to the primary.
     pub(super) fn on_join(&mut self, now: Duration, from: NodeId, zone: String) {
         if from.ip == self.settings.node.ip {
             return;
@@ -44,7 +44,7 @@
         let primary = self.known_primary(now).filter(|primary| *primary != self.settings.node);
         self.peers.record_join(from, now, &zone);
         let Some(primary) = primary else { return };
-        if primary != from && self.peers.take_forward(from, now, JOIN_INTERVAL / 2) {
+        if primary != from && self.peers.take_due_forward(from, now, JOIN_INTERVAL / 2) {
             self.outbox.deliver(Envelope { from, to: primary, message: ReplicationMessage::Join { zone } });
         }
     }
--- a/crates/control-plane/src/replication/reconfigure.rs
+++ b/crates/control-plane/src/replication/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Which members a proposer wants in the next view, and when a primary starts a view change to get them.
+//! Selection of the members of the next view, and when a primary starts a view change to install them.
 
 use std::time::Duration;
 
@@ -6,12 +6,13 @@
 
 use super::machine::Replication;
 use super::peers::is_recent;
-use super::timing::{BACKUP_TIMEOUT, JOIN_VALID_FOR, VOTER_TIMEOUT};
+use super::timing::{BACKUP_TIMEOUT, JOIN_REQUEST_TTL, VOTER_TIMEOUT};
 use super::view_change::ViewChange;
 use super::view_selection::{Candidate, ViewMembers, ViewSelection};
 
 impl Replication {
-    /// Starts a view change if the members in force are not those that are wanted.
+    /// Starts a view change if the members in force differ from the wanted ones, a data replica has stalled, or a
+    /// member has promised a higher epoch.
     pub(super) fn reconfigure_if_needed(&mut self, now: Duration) {
         let is_pending = self.is_view_change_pending();
         let Some(leadership) = &self.leadership else { return };
@@ -31,20 +32,24 @@
             return;
         }
         if let Some(leadership) = &mut self.leadership {
-            leadership.view_change_started(now);
+            leadership.record_view_change_start(now);
         }
         self.start_view_change(now);
     }
 
-    /// The members that the primary wants, by whom it hears.
+    /// The members that the primary selects from those that acknowledge its heartbeats.
     pub(super) fn choose_as_primary(&self, now: Duration, base: &View) -> Option<ViewMembers> {
         let mut candidates = vec![self.own_candidate()];
         for (node, peer) in self.peers.iter() {
-            let is_silent = !is_recent(peer.acknowledged, now, BACKUP_TIMEOUT);
-            let is_replaced = is_silent && self.peers.successor(node, now, BACKUP_TIMEOUT).is_some();
-            let is_stalled = self.leadership.as_ref().is_some_and(|own| own.progress.is_stalled(node, now));
-            let is_alive = is_recent(peer.healthy, now, VOTER_TIMEOUT) && !is_replaced;
-            let is_ready = is_recent(peer.healthy, now, BACKUP_TIMEOUT) && !is_stalled;
+            let is_silent = !is_recent(peer.acknowledged_at, now, BACKUP_TIMEOUT);
+            let is_replaced =
+                is_silent && self.peers.replacement_at_address(node, now, BACKUP_TIMEOUT).is_some();
+            let is_stalled = self
+                .leadership
+                .as_ref()
+                .is_some_and(|leadership| leadership.progress.is_stalled(node, now));
+            let is_alive = is_recent(peer.healthy_at, now, VOTER_TIMEOUT) && !is_replaced;
+            let is_ready = is_recent(peer.healthy_at, now, BACKUP_TIMEOUT) && !is_stalled;
             candidates.push(Candidate {
                 node,
                 zone: peer.zone.clone(),
@@ -56,7 +61,8 @@
         members.or_else(|| self.choose_with_stalled(now, base, candidates))
     }
 
-    /// As a last resort, backups that hang are brought up to date again.
+    /// The last resort: also selects stalled backups and ones with an unhealthy disk, which are brought up to date
+    /// again.
     fn choose_with_stalled(
         &self,
         now: Duration,
@@ -66,12 +72,12 @@
         for candidate in &mut candidates {
             let peer = self.peers.get(candidate.node);
             candidate.is_ready |=
-                peer.is_some_and(|peer| is_recent(peer.acknowledged, now, BACKUP_TIMEOUT));
+                peer.is_some_and(|peer| is_recent(peer.acknowledged_at, now, BACKUP_TIMEOUT));
         }
         self.selection(base, &candidates).choose(true)
     }
 
-    /// The members that a candidate can have: voters that promised, and standbys only if they are too few.
+    /// The members that a candidate selects: voters that promised, and standbys only if those are too few.
     pub(super) fn choose_as_candidate(
         &self,
         now: Duration,
@@ -92,7 +98,8 @@
         self.selection(base, &candidates).choose(true)
     }
 
-    /// This member and the base's other voters. Who promised is ready, but for a primary that just gave up.
+    /// This member and the other voters of the base. Those that promised are ready, except a primary that has just
+    /// released its lease.
     fn voter_candidates(&self, view_change: &ViewChange) -> Vec<Candidate> {
         let mut candidates = vec![self.own_candidate()];
         let voters = &view_change.base.voters;
@@ -107,12 +114,14 @@
         candidates
     }
 
-    /// Members that requested to join lately and don't vote.
+    /// Members that recently requested to join and are no voters.
     fn standby_candidates(&self, now: Duration, base: &View) -> impl Iterator<Item = Candidate> {
         let is_standby = move |node| !base.voters.contains(&node);
         self.peers
             .iter()
-            .filter(move |(node, peer)| is_recent(peer.joined, now, JOIN_VALID_FOR) && is_standby(*node))
+            .filter(move |(node, peer)| {
+                is_recent(peer.join_requested_at, now, JOIN_REQUEST_TTL) && is_standby(*node)
+            })
             .map(|(node, peer)| Candidate { node, zone: peer.zone.clone(), is_alive: true, is_ready: true })
     }
 
@@ -122,13 +131,13 @@
     }
 
     fn selection<'a>(&self, base: &'a View, candidates: &'a [Candidate]) -> ViewSelection<'a> {
-        // A proposer that leaves needs another member to take over its seats, whatever failures are tolerated.
-        let least = if self.lifecycle.is_leaving() { 2 } else { 1 };
+        // A leaving proposer needs another member to take over its roles, even if no failures are tolerated.
+        let min_members = if self.lifecycle.is_leaving() { 2 } else { 1 };
         ViewSelection {
             base,
             proposer: self.settings.node,
-            target_voters: self.settings.target_voters().max(least),
-            target_data_replicas: self.settings.target_data_replicas().max(least),
+            target_voters: self.settings.target_voters().max(min_members),
+            target_data_replicas: self.settings.target_data_replicas().max(min_members),
             candidates,
         }
     }
--- a/crates/control-plane/src/replication/step.rs
+++ b/crates/control-plane/src/replication/step.rs
@@ -1,4 +1,4 @@
-//! The entry point: takes an input, dispatches it to its handler, and runs the timers that are due.
+//! The entry point: dispatches an input to its handler and runs the timers that are due.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use super::transfer::Chunk;
 
 impl Replication {
-    /// Handles one input; what the owner has to do is added to `out`.
+    /// Handles one input and appends the resulting actions of the owner to `out`.
     ///
-    /// Each input also runs the timers that are due, so [`Input::Tick`] is needed only while nothing else comes.
+    /// Each input also runs the timers that are due, so [`Input::Tick`] is needed only when no other input arrives.
     pub fn handle(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
-        if self.lifecycle.start() && !self.storage.snapshot().is_empty() {
+        if self.lifecycle.mark_started() && !self.storage.snapshot().is_empty() {
             self.restore();
         }
         self.step_down_if_lease_lost(now);
         match input {
             Input::Tick => {}
             Input::Message(envelope) => self.receive(now, envelope),
-            Input::Persisted { ticket } => self.outbox.persisted(ticket),
+            Input::Persisted { ticket } => self.outbox.record_persisted(ticket),
             Input::Propose { ticket, command } => self.propose(now, ticket, command),
             Input::Compact { sequence, snapshot } => self.compact(sequence, snapshot),
             Input::DiskHealthy(is_healthy) => self.storage.set_healthy(is_healthy),
@@ -49,8 +49,8 @@
         self.request_to_join_if_due(now);
     }
 
-    /// Performs the effects whose records are durable, and handles this member's messages to itself, until nothing
-    /// is left.
+    /// Performs the effects whose records are durable and handles this member's messages to itself, until none
+    /// remain.
     fn process_pending(&mut self, now: Duration) {
         loop {
             if let Some(effect) = self.outbox.pop_durable() {
@@ -66,11 +66,12 @@
     fn perform(&mut self, effect: DeferredEffect) {
         match effect {
             DeferredEffect::Send(envelope) => self.outbox.deliver(envelope),
-            DeferredEffect::ViewDurable { epoch } => self.storage.view_is_durable(epoch),
+            DeferredEffect::ViewDurable { epoch } => self.storage.record_durable_view(epoch),
         }
     }
 
-    /// Handles a message of another member, unless it is for another generation of this one.
+    /// Handles a message from another member. Drops one for another generation of this member, except a request to
+    /// join, whose sender may know the address only.
     fn receive(&mut self, now: Duration, envelope: Envelope) {
         let node = self.settings.node;
         let is_join = matches!(envelope.message, ReplicationMessage::Join { .. });
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Replaces entries that were applied by the state after them.
+    /// Replaces applied entries by a snapshot of the state after them.
     fn compact(&mut self, sequence: SequenceNumber, snapshot: Arc<[u8]>) {
         if sequence <= self.storage.applied() && sequence > self.storage.snapshot_sequence() {
             self.record(DurableRecord::Snapshot { sequence, snapshot });
@@ -122,7 +123,7 @@
 
     fn report_role_change(&mut self) {
         let role = self.current_role();
-        if self.lifecycle.change_role(role) {
+        if self.lifecycle.record_reported_role(role) {
             self.outbox.push(Output::RoleChanged(role));
         }
     }
