--- a/crates/control-plane/src/delivery.rs
+++ b/crates/control-plane/src/delivery.rs
@@ -39,7 +39,7 @@
     publisher: Rc<Publisher>,
     subscriber: Rc<Subscriber>,
     /// The feed that was chosen last: that of the primary, or none.
-    chosen_feed: Cell<Option<SocketAddr>>,
+    selected_feed: Cell<Option<SocketAddr>>,
 }
 
 impl Delivery {
@@ -48,19 +48,19 @@
         let store = Rc::new(RefCell::new(FeedStore::new()));
         let identity = Identity { name, zone, role: SubscriberRole::Relay };
         let subscriber = Subscriber::new(identity, store.clone());
-        let publisher = Publisher::new(store.clone(), age(authority.clone(), subscriber.clone()));
-        let notified = publisher.clone();
-        subscriber.on_change(Box::new(move |_| notified.notify()));
+        let publisher = Publisher::new(store.clone(), state_age(authority.clone(), subscriber.clone()));
+        let notified_publisher = publisher.clone();
+        subscriber.on_change(Box::new(move |_| notified_publisher.notify()));
         // The publisher owns the callback, so a strong reference would keep it alive for ever.
-        let reporting = Rc::downgrade(&publisher);
-        let upstream = subscriber.clone();
+        let weak_publisher = Rc::downgrade(&publisher);
+        let reporting_subscriber = subscriber.clone();
         publisher.on_queued_work(move || {
-            if let Some(publisher) = reporting.upgrade() {
-                upstream.set_queued_work(publisher.queued_work());
+            if let Some(publisher) = weak_publisher.upgrade() {
+                reporting_subscriber.set_queued_work(publisher.queued_work());
             }
         });
-        let chosen_feed = Cell::new(None);
-        Rc::new(Delivery { authority, feed_port, store, publisher, subscriber, chosen_feed })
+        let selected_feed = Cell::new(None);
+        Rc::new(Delivery { authority, feed_port, store, publisher, subscriber, selected_feed })
     }
 
     /// Serves subscribers on `listener`; does not return.
@@ -70,13 +70,13 @@
 
     /// Subscribes to the primary's feed while the primary is another member; does not return.
     pub async fn follow(self: Rc<Self>) {
-        let this = self.clone();
-        self.subscriber.clone().run(move |_| this.choose_feed()).await;
+        let delivery = self.clone();
+        self.subscriber.clone().run(move |_| delivery.select_feed()).await;
     }
 
-    fn choose_feed(&self) -> Option<SocketAddr> {
+    fn select_feed(&self) -> Option<SocketAddr> {
         let feed = self.primary_feed();
-        self.chosen_feed.set(feed);
+        self.selected_feed.set(feed);
         feed
     }
 
@@ -90,7 +90,7 @@
         let feed = self.primary_feed();
         // While no primary is known, the subscription to the last one is kept: its messages say how old the state is.
         let knows_primary = feed.is_some() || self.authority.confirms_freshness();
-        if knows_primary && feed != self.chosen_feed.get() {
+        if knows_primary && feed != self.selected_feed.get() {
             self.subscriber.reselect();
         }
     }
@@ -98,13 +98,13 @@
     /// Delivers a configuration.
     pub fn set_configuration(&self, configuration: Arc<Configuration>) {
         let has_changed = self.store.borrow_mut().set_configuration(configuration);
-        self.notify_if(has_changed);
+        self.notify_if_changed(has_changed);
     }
 
     /// Delivers the table of replicas, as primary of `epoch`.
     pub fn set_fleet(&self, epoch: Epoch, replicas: Vec<Replica>) {
         let has_changed = self.store.borrow_mut().set_fleet(epoch, replicas);
-        self.notify_if(has_changed);
+        self.notify_if_changed(has_changed);
     }
 
     /// The table of replicas that an earlier primary delivered, as long as none was delivered in this tenure.
@@ -116,19 +116,19 @@
     /// Delivers the table of weights, as primary of `epoch`.
     pub fn set_weights(&self, epoch: Epoch, weights: Vec<ModelWeights>) {
         let has_changed = self.store.borrow_mut().set_weights(epoch, weights);
-        self.notify_if(has_changed);
+        self.notify_if_changed(has_changed);
     }
 
     /// Delivers updates of the prefix-cache index, as primary of `epoch`.
     pub fn update_cache_index(&self, epoch: Epoch, updates: &[CacheUpdate]) {
         let has_changed = self.store.borrow_mut().update_cache_index(epoch, updates);
-        self.notify_if(has_changed);
+        self.notify_if_changed(has_changed);
     }
 
     /// Delivers the counts of requests queued at replicas that the proxies have reported, as primary of `epoch`.
     pub fn deliver_loads(&self, epoch: Epoch) {
         let has_changed = self.store.borrow_mut().set_loads(epoch, &self.publisher.queued_work());
-        self.notify_if(has_changed);
+        self.notify_if_changed(has_changed);
     }
 
     /// Requests that are queued at each replica, by its id, as they were delivered last.
@@ -152,10 +152,10 @@
     pub fn set_group(&self, control: Vec<ControlNode>) {
         let group = Group { gateways: self.publisher.gateways(), control };
         let has_changed = self.store.borrow_mut().set_group(group);
-        self.notify_if(has_changed);
+        self.notify_if_changed(has_changed);
     }
 
-    fn notify_if(&self, has_changed: bool) {
+    fn notify_if_changed(&self, has_changed: bool) {
         if has_changed {
             self.publisher.notify();
         }
@@ -167,12 +167,12 @@
     }
 
     /// Revision of the newest configuration that is delivered.
-    pub fn revision(&self) -> Revision {
+    pub fn configuration_revision(&self) -> Revision {
         self.store.borrow().known_positions().configuration
     }
 
     /// How many replicas are delivered.
-    pub fn replicas(&self) -> usize {
+    pub fn replica_count(&self) -> usize {
         self.store.borrow().fleet().count()
     }
 
@@ -196,22 +196,22 @@
     }
 
     /// How many processes subscribe to this feed.
-    pub fn subscribers(&self) -> usize {
+    pub fn subscriber_count(&self) -> usize {
         self.publisher.subscribers().len()
     }
 
     /// How many proxies the control plane knows of.
-    pub fn gateways(&self) -> u32 {
+    pub fn gateway_count(&self) -> u32 {
         self.store.borrow().group().gateways
     }
 
     /// How long ago the delivered state was known to be the newest; none if it never was.
     pub fn age(&self) -> Option<Duration> {
-        age(self.authority.clone(), self.subscriber.clone())()
+        state_age(self.authority.clone(), self.subscriber.clone())()
     }
 }
 
-fn age(authority: Rc<dyn Authority>, subscriber: Rc<Subscriber>) -> Rc<dyn Fn() -> Option<Duration>> {
+fn state_age(authority: Rc<dyn Authority>, subscriber: Rc<Subscriber>) -> Rc<dyn Fn() -> Option<Duration>> {
     Rc::new(move || {
         if authority.confirms_freshness() {
             return Some(Duration::ZERO);
--- a/crates/control-plane/src/discovery/page.rs
+++ b/crates/control-plane/src/discovery/page.rs
@@ -49,14 +49,14 @@
 
 #[derive(Deserialize)]
 struct PageBody<'a> {
-    #[serde(borrow)]
-    servers: Vec<&'a RawValue>,
+    #[serde(rename = "servers", borrow)]
+    entries: Vec<&'a RawValue>,
     /// A page without the field is truncated, which is not the same as being the last one.
-    #[serde(rename = "nextToken", deserialize_with = "required")]
+    #[serde(rename = "nextToken", deserialize_with = "deserialize_required")]
     next_token: Option<String>,
 }
 
-fn required<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
+fn deserialize_required<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
     Option::deserialize(deserializer)
 }
 
@@ -64,27 +64,31 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Entry {
-    ident: String,
-    backend: String,
+    #[serde(rename = "ident")]
+    id: String,
+    #[serde(rename = "backend")]
+    service: String,
     address: SocketAddrV4,
-    area: String,
+    #[serde(rename = "area")]
+    zone: String,
     capacity: u32,
     phase: Phase,
     #[serde(default)]
     warm_left_ms: f64,
-    #[serde(default)]
-    llms: Vec<Model>,
+    #[serde(rename = "llms", default)]
+    models: Vec<ListedModel>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Phase {
     Ready,
-    Emptying,
+    #[serde(rename = "emptying")]
+    Draining,
 }
 
 #[derive(Deserialize)]
-struct Model {
+struct ListedModel {
     label: String,
     revision: WeightsRevision,
 }
@@ -98,7 +102,7 @@
     pub fn parse(body: &[u8]) -> Result<Page, PageError> {
         let body: PageBody<'_> = serde_json::from_slice(body).context(MalformedSnafu)?;
         let mut page = Page { next_token: body.next_token, ..Page::default() };
-        for raw in body.servers {
+        for raw in body.entries {
             match serde_json::from_str::<Entry>(raw.get()) {
                 Ok(entry) => page.replicas.push(entry.into()),
                 Err(_) => page.malformed.push(raw.get().to_owned()),
@@ -111,24 +115,24 @@
 impl From<Entry> for Replica {
     fn from(entry: Entry) -> Replica {
         Replica {
-            id: entry.ident,
-            service: entry.backend,
+            id: entry.id,
+            service: entry.service,
             address: entry.address.to_string(),
-            zone: entry.area,
+            zone: entry.zone,
             capacity: entry.capacity,
             phase: match entry.phase {
                 Phase::Ready => ReplicaPhase::Ready,
-                Phase::Emptying => ReplicaPhase::Draining,
+                Phase::Draining => ReplicaPhase::Draining,
             },
             // A float-to-integer cast saturates at the bounds of the integer type.
             warm_left_ms: entry.warm_left_ms.ceil() as u32,
-            models: entry.llms.into_iter().map(ModelRevision::from).collect(),
+            models: entry.models.into_iter().map(ModelRevision::from).collect(),
         }
     }
 }
 
-impl From<Model> for ModelRevision {
-    fn from(model: Model) -> ModelRevision {
+impl From<ListedModel> for ModelRevision {
+    fn from(model: ListedModel) -> ModelRevision {
         ModelRevision { model: model.label, revision: model.revision }
     }
 }
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -33,11 +33,14 @@
         let previous = std::mem::replace(&mut self.listed, list);
         self.tenure.replace(tenure) != Some(tenure)
             || previous.len() != self.listed.len()
-            || previous.values().zip(self.listed.values()).any(|(before, after)| differ(before, after))
+            || previous
+                .values()
+                .zip(self.listed.values())
+                .any(|(before, after)| has_replica_changed(before, after))
     }
 
     /// Replaces the corrections by those of the roll-out now; returns whether they differ.
-    pub fn correct(&mut self, corrections: Corrections) -> bool {
+    pub fn set_corrections(&mut self, corrections: Corrections) -> bool {
         let has_changed = self.corrections != corrections;
         self.corrections = corrections;
         has_changed
@@ -71,10 +74,10 @@
     /// The table that is delivered, in the order of ids; none before a complete list came in this tenure.
     #[must_use]
     pub fn replicas(&self, tenure: Tenure) -> Option<Vec<Replica>> {
-        Some(self.listed(tenure)?.map(|replica| self.corrected(replica)).collect())
+        Some(self.listed(tenure)?.map(|replica| self.with_corrections(replica)).collect())
     }
 
-    fn corrected(&self, replica: &Replica) -> Replica {
+    fn with_corrections(&self, replica: &Replica) -> Replica {
         let mut replica = replica.clone();
         if replica.phase == ReplicaPhase::Ready && self.corrections.loading.contains(&replica.id) {
             replica.phase = ReplicaPhase::Loading;
@@ -93,7 +96,7 @@
 }
 
 /// Whether a replica has changed in more than the time that is left of its warm-up.
-fn differ(before: &Replica, after: &Replica) -> bool {
+fn has_replica_changed(before: &Replica, after: &Replica) -> bool {
     let warm_left_ms = after.warm_left_ms;
     Replica { warm_left_ms, ..before.clone() } != *after
 }
--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -103,9 +103,9 @@
     /// Polls the source; does not return.
     pub async fn run(mut self) {
         loop {
-            let began = clock::now();
+            let started_at = clock::now();
             let next = match self.poll().await {
-                Ok(()) => began + self.kind.poll_interval(),
+                Ok(()) => started_at + self.kind.poll_interval(),
                 Err(PollError::Status { status: TOO_MANY_REQUESTS }) => clock::now() + RATE_LIMIT_BACKOFF,
                 Err(error) => {
                     self.record_failure(&error);
@@ -125,7 +125,7 @@
             PollOutcome::Unchanged => {}
             PollOutcome::Update(update) => self.deliver(update),
             PollOutcome::Restarted(update) => self.restart(update).await?,
-            PollOutcome::Gap(update) => self.close_gap(update).await?,
+            PollOutcome::Gap(update) => self.recover_from_gap(update).await?,
         }
         self.record_success();
         Ok(())
@@ -145,8 +145,8 @@
     }
 
     /// Voids the entries of a source that has restarted, and reads its events from the first one.
-    async fn restart(&mut self, void: CacheUpdate) -> Result<(), PollError> {
-        self.deliver(void);
+    async fn restart(&mut self, invalidation: CacheUpdate) -> Result<(), PollError> {
+        self.deliver(invalidation);
         let outcome = self.poll_events().await?;
         if let PollOutcome::Update(update) | PollOutcome::Gap(update) = outcome {
             self.deliver(update);
@@ -155,7 +155,7 @@
     }
 
     /// Continues after lost events: a store from a full listing, a replica from the page alone.
-    async fn close_gap(&mut self, update: CacheUpdate) -> Result<(), PollError> {
+    async fn recover_from_gap(&mut self, update: CacheUpdate) -> Result<(), PollError> {
         match self.kind {
             SourceKind::Store => self.resync().await,
             SourceKind::Replica => {
@@ -168,11 +168,11 @@
     /// Queues an update of a source that is alive, and advances the cursor to it.
     fn deliver(&mut self, update: CacheUpdate) {
         self.cursor = Some(update.cursor());
-        let comes_back = self.liveness.replace(Liveness::Alive) != Some(Liveness::Alive);
-        if comes_back {
+        let has_recovered = self.liveness.replace(Liveness::Alive) != Some(Liveness::Alive);
+        if has_recovered {
             log::info!(source:% = self.source; "a source of KV cache answers");
         }
-        let urgency = if comes_back { Urgency::Immediate } else { Urgency::Batched };
+        let urgency = if has_recovered { Urgency::Immediate } else { Urgency::Batched };
         self.outbox.push(update, urgency);
     }
 
--- a/crates/control-plane/src/index/mod.rs
+++ b/crates/control-plane/src/index/mod.rs
@@ -30,7 +30,7 @@
 /// Time for which updates are collected before they are delivered.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// Rounds from one refresh of the set of sources to the next.
-const ROUNDS_PER_REFRESH: u32 = 5;
+const BATCHES_PER_REFRESH: u32 = 5;
 
 /// Sources to follow, by address.
 pub type Sources = BTreeMap<SocketAddrV4, SourceKind>;
@@ -65,25 +65,25 @@
 
     /// Follows the sources; does not return.
     pub async fn run(mut self) {
-        let mut rounds = 0;
+        let mut batches = 0;
         loop {
-            self.run_round(rounds % ROUNDS_PER_REFRESH == 0);
-            rounds = rounds.wrapping_add(1);
-            let batch = async {
+            self.run_batch(batches % BATCHES_PER_REFRESH == 0);
+            batches = batches.wrapping_add(1);
+            let batch_interval = async {
                 Timer::after(BATCH_INTERVAL).await;
             };
-            future::or(self.outbox.wait_urgent(), batch).await;
+            future::or(self.outbox.wait_urgent(), batch_interval).await;
         }
     }
 
-    fn run_round(&mut self, refresh_is_due: bool) {
+    fn run_batch(&mut self, refresh_is_due: bool) {
         let lease = self.context.lease_status.singleton_lease();
         self.reset_on_new_tenure(lease);
         let Some(lease) = lease else { return };
         if refresh_is_due || self.followers.is_empty() {
             self.refresh_sources(lease);
         }
-        self.flush(lease);
+        self.deliver_batch(lease);
     }
 
     /// Drops the followers and queued updates of another tenure: another primary may have delivered newer ones since.
@@ -96,7 +96,7 @@
         }
     }
 
-    fn flush(&self, lease: SingletonLease) {
+    fn deliver_batch(&self, lease: SingletonLease) {
         let updates = self.outbox.take();
         if !updates.is_empty() {
             self.output.deliver(lease.epoch, &updates);
@@ -108,7 +108,7 @@
         let Some(configuration) = self.output.configuration() else { return };
         let Some(replicas) = self.context.table.borrow().replicas(lease.tenure) else {
             // Before the first complete list it is unknown whether a replica is gone.
-            return self.follow(stores(&configuration));
+            return self.follow(store_sources(&configuration));
         };
         let wanted = sources(&configuration, &replicas);
         self.followers.retain(|source, _| wanted.contains_key(source));
@@ -134,7 +134,7 @@
 /// The sources to follow: the stores of a configuration, and the replicas whose service has a KV cache.
 #[must_use]
 pub fn sources(configuration: &Configuration, replicas: &[Replica]) -> Sources {
-    let mut sources = stores(configuration);
+    let mut sources = store_sources(configuration);
     let has_cache = |service: &str| {
         let service = configuration.services.iter().find(|known| known.label == service);
         let runtime = service.and_then(|service| service.runtime.as_ref());
@@ -146,7 +146,7 @@
     sources
 }
 
-fn stores(configuration: &Configuration) -> Sources {
+fn store_sources(configuration: &Configuration) -> Sources {
     let addresses = configuration.services.iter().filter_map(|service| service.store_address.as_deref());
     addresses
         .filter_map(|address| address.parse().ok())
--- a/crates/control-plane/src/index/response.rs
+++ b/crates/control-plane/src/index/response.rs
@@ -20,8 +20,10 @@
 struct EventsBody {
     boot_no: u64,
     next_token: u64,
-    gone: bool,
-    happenings: Vec<EventRow>,
+    #[serde(rename = "gone")]
+    has_gap: bool,
+    #[serde(rename = "happenings")]
+    events: Vec<EventRow>,
 }
 
 /// Number, sign, salt, segment id, tokens that are cached after the event, model.
@@ -49,7 +51,8 @@
 struct ListingBody {
     boot_no: u64,
     next_token: u64,
-    holding: Vec<ListingRow>,
+    #[serde(rename = "holding")]
+    entries: Vec<ListingRow>,
 }
 
 /// Salt, segment id, cached tokens, model.
@@ -78,8 +81,8 @@
 pub fn parse_event_page(body: &[u8]) -> Result<EventPage, ResponseError> {
     let body: EventsBody = serde_json::from_slice(body).context(MalformedSnafu)?;
     let cursor = Cursor { boot: body.boot_no, next_token: body.next_token };
-    let events = body.happenings.into_iter().map(CachedPrefix::from).collect();
-    Ok(EventPage { cursor, gap: body.gone, events })
+    let events = body.events.into_iter().map(CachedPrefix::from).collect();
+    Ok(EventPage { cursor, gap: body.has_gap, events })
 }
 
 /// Parses the response to a request for a full listing.
@@ -90,6 +93,6 @@
 pub fn parse_listing(body: &[u8]) -> Result<CacheListing, ResponseError> {
     let body: ListingBody = serde_json::from_slice(body).context(MalformedSnafu)?;
     let cursor = Cursor { boot: body.boot_no, next_token: body.next_token };
-    let prefixes = body.holding.into_iter().map(CachedPrefix::from).collect();
+    let prefixes = body.entries.into_iter().map(CachedPrefix::from).collect();
     Ok(CacheListing { cursor, prefixes })
 }
--- a/crates/control-plane/src/operator_view.rs
+++ b/crates/control-plane/src/operator_view.rs
@@ -23,7 +23,7 @@
 /// A change that waits for those before it.
 struct QueuedChange {
     change: Change,
-    reply: Sender<ChangeOutcome>,
+    outcome_sender: Sender<ChangeOutcome>,
 }
 
 /// A member as the operator sees it. Changes are carried out one at a time, each on top of the one before.
@@ -45,10 +45,10 @@
 
     /// Carries out changes for ever.
     pub async fn run(self: Rc<Self>) {
-        while let Ok(QueuedChange { change, reply }) = self.queue.recv().await {
+        while let Ok(QueuedChange { change, outcome_sender }) = self.queue.recv().await {
             let outcome = change::carry_out(&*self.member, change).await;
             // The caller may have closed its connection meanwhile.
-            let _ = reply.try_send(outcome);
+            let _ = outcome_sender.try_send(outcome);
         }
     }
 }
@@ -65,8 +65,8 @@
     }
 
     async fn change(&self, change: Change) -> ChangeOutcome {
-        let (reply, outcome) = async_channel::bounded(1);
-        if self.sender.try_send(QueuedChange { change, reply }).is_err() {
+        let (outcome_sender, outcome) = async_channel::bounded(1);
+        if self.sender.try_send(QueuedChange { change, outcome_sender }).is_err() {
             return ChangeOutcome::Unknown;
         }
         outcome.recv().await.unwrap_or(ChangeOutcome::Unknown)
@@ -87,18 +87,18 @@
             role: role_name(role),
             has_lease: self.member.is_primary(),
             epoch: epoch.0,
-            voters: names(&needed_voters(&view)),
+            voters: names(&electorate(&view)),
             holders: names(&view.data_replicas),
             primary: self.member.known_primary().map(|node| node.to_string()),
-            configuration: self.delivery.revision(),
+            configuration: self.delivery.configuration_revision(),
             weights: self.named_weights(),
-            replicas: self.delivery.replicas(),
+            replicas: self.delivery.replica_count(),
             replica_weights: self.delivery.replica_weights(),
             cache_index: self.delivery.index_size(),
             singleton_roles: self.singleton_roles(),
             age_ms: self.delivery.age().map(|age| age.as_millis() as u64),
-            subscribers: self.delivery.subscribers(),
-            gateways: self.delivery.gateways(),
+            subscribers: self.delivery.subscriber_count(),
+            gateways: self.delivery.gateway_count(),
         }
     }
 }
@@ -118,7 +118,7 @@
 }
 
 /// The view's voters, and those before them for as long as an election needs a majority of both.
-fn needed_voters(view: &View) -> Vec<NodeId> {
+fn electorate(view: &View) -> Vec<NodeId> {
     let mut voters = view.voters.clone();
     voters.extend(view.previous_voters.iter().filter(|voter| !view.voters.contains(voter)));
     voters
--- a/crates/control-plane/src/rollout/announcements.rs
+++ b/crates/control-plane/src/rollout/announcements.rs
@@ -14,7 +14,7 @@
 /// The age at which such targets are assumed to be.
 const ASSUMED_AGE: Duration = Duration::from_secs(5);
 /// Time without a primary that counts: elections are shorter, and the operator's deadlines continue meanwhile.
-const MAX_COUNTED_VACANCY: Duration = Duration::from_secs(1);
+const MAX_COUNTED_TIME_WITHOUT_PRIMARY: Duration = Duration::from_secs(1);
 /// Revisions that are remembered of each model.
 const MAX_REVISIONS: usize = 64;
 
@@ -57,7 +57,7 @@
         if has_primary {
             self.last_primary = now;
         }
-        let counts_until = now.min(self.last_primary + MAX_COUNTED_VACANCY);
+        let counts_until = now.min(self.last_primary + MAX_COUNTED_TIME_WITHOUT_PRIMARY);
         self.counted_time += counts_until.saturating_sub(self.last_advance);
         self.last_advance = now;
     }
--- a/crates/control-plane/src/rollout/controller.rs
+++ b/crates/control-plane/src/rollout/controller.rs
@@ -34,11 +34,11 @@
     sender: Sender<Event>,
     announcements: AnnouncementTimes,
     /// None before the member first became primary; stale while another one is.
-    tenure: Option<Tenure>,
+    tenure: Option<TenureState>,
 }
 
 /// The plan of one tenure of this member as primary.
-struct Tenure {
+struct TenureState {
     lease: SingletonLease,
     planner: Planner,
     /// Whether the plan has adopted what the first list of the tenure inherited from an earlier primary's table.
@@ -110,7 +110,7 @@
             Some(tenure) => tenure.lease = lease,
             None => {
                 let planner = self.new_planner(clock::now());
-                self.tenure = Some(Tenure { lease, planner, has_inherited_loads: false });
+                self.tenure = Some(TenureState { lease, planner, has_inherited_loads: false });
             }
         }
         self.inherit_loads();
@@ -143,7 +143,7 @@
 
     fn handle(&mut self, event: Event) {
         let now = clock::now();
-        let Some(Tenure { lease, planner, .. }) = &mut self.tenure else { return };
+        let Some(TenureState { lease, planner, .. }) = &mut self.tenure else { return };
         match event {
             Event::Named => announce_all(planner, &self.announcements, now),
             Event::Listed => {
@@ -167,7 +167,7 @@
         let actions = tenure.planner.step(clock::now());
         log_withdrawals(&tenure.planner, &before);
         self.output.weights(lease.epoch, tenure.planner.weights());
-        if self.context.table.borrow_mut().correct(tenure.planner.corrections()) {
+        if self.context.table.borrow_mut().set_corrections(tenure.planner.corrections()) {
             self.output.fleet_corrected();
         }
         for action in actions {
--- a/crates/control-plane/src/rollout/messages.rs
+++ b/crates/control-plane/src/rollout/messages.rs
@@ -11,9 +11,9 @@
 
 /// A command to load weights. The field names are those of the replicas' interface.
 #[derive(Debug, Serialize)]
-#[serde(rename_all = "camelCase")]
 pub struct LoadCommand<'a> {
-    order_kind: &'static str,
+    #[serde(rename = "orderKind")]
+    kind: &'static str,
     #[serde(rename = "llm")]
     model: &'a str,
     revision: WeightsRevision,
@@ -36,7 +36,7 @@
     #[must_use]
     pub fn new(weights: &'a ModelRevision, owner: &'a str, fencing_token: FencingToken) -> LoadCommand<'a> {
         LoadCommand {
-            order_kind: "revision",
+            kind: "revision",
             model: &weights.model,
             revision: weights.revision,
             method: LoadMethod::Drain,
@@ -92,7 +92,7 @@
 
 impl ReplicaReport {
     /// Whether the replica has these weights or newer ones.
-    pub(super) fn has(&self, weights: &ModelRevision) -> bool {
+    pub(super) fn has_weights(&self, weights: &ModelRevision) -> bool {
         self.models
             .iter()
             .any(|present| present.model == weights.model && present.revision >= weights.revision)
@@ -101,11 +101,11 @@
 
 #[derive(Deserialize)]
 struct ReportBody {
-    #[serde(default)]
-    llms: Vec<ReportedModel>,
-    /// Despite its name, true while a load is in progress.
-    #[serde(default)]
-    loaded: bool,
+    #[serde(rename = "llms", default)]
+    models: Vec<ReportedModel>,
+    /// The wire name is `loaded`, but the value is true while a load is in progress.
+    #[serde(rename = "loaded", default)]
+    is_loading: bool,
 }
 
 #[derive(Deserialize)]
@@ -116,8 +116,8 @@
 
 impl From<ReportBody> for ReplicaReport {
     fn from(body: ReportBody) -> ReplicaReport {
-        let models = body.llms.into_iter().map(ModelRevision::from).collect();
-        ReplicaReport { models, is_loading: body.loaded }
+        let models = body.models.into_iter().map(ModelRevision::from).collect();
+        ReplicaReport { models, is_loading: body.is_loading }
     }
 }
 
--- a/crates/control-plane/src/rollout/planner/fleet_view.rs
+++ b/crates/control-plane/src/rollout/planner/fleet_view.rs
@@ -71,35 +71,35 @@
     }
 
     /// Replicas that serve a model with weights older than `revision`.
-    pub(super) fn older<'a>(
+    pub(super) fn with_older_weights<'a>(
         &'a self,
         model: &'a str,
         revision: WeightsRevision,
     ) -> impl Iterator<Item = &'a Replica> {
-        self.serving(model).filter(move |replica| self.has_older(&replica.id, model, revision))
+        self.serving(model).filter(move |replica| self.has_older_weights(&replica.id, model, revision))
     }
 
     /// The same without those that are draining.
-    pub(super) fn lacking<'a>(
+    pub(super) fn lacking_revision<'a>(
         &'a self,
         model: &'a str,
         revision: WeightsRevision,
     ) -> impl Iterator<Item = &'a Replica> {
-        self.older(model, revision).filter(|replica| replica.phase != ReplicaPhase::Draining)
+        self.with_older_weights(model, revision).filter(|replica| replica.phase != ReplicaPhase::Draining)
     }
 
     /// Whether every replica of a model, of at least one, has `revision` or newer weights or is draining.
-    pub(super) fn all_have(&self, model: &str, revision: WeightsRevision) -> bool {
-        self.serving(model).next().is_some() && self.lacking(model, revision).next().is_none()
+    pub(super) fn is_rollout_complete(&self, model: &str, revision: WeightsRevision) -> bool {
+        self.serving(model).next().is_some() && self.lacking_revision(model, revision).next().is_none()
     }
 
     /// Whether a replica has a model with weights older than `revision`.
-    pub(super) fn has_older(&self, id: &str, model: &str, revision: WeightsRevision) -> bool {
+    pub(super) fn has_older_weights(&self, id: &str, model: &str, revision: WeightsRevision) -> bool {
         self.revision(id, model).is_some_and(|present| present < revision)
     }
 
     /// Whether a replica has these weights or newer ones.
-    pub(super) fn has(&self, id: &str, weights: &ModelRevision) -> bool {
+    pub(super) fn has_weights(&self, id: &str, weights: &ModelRevision) -> bool {
         self.revision(id, &weights.model).is_some_and(|present| present >= weights.revision)
     }
 
--- a/crates/control-plane/src/rollout/planner/mod.rs
+++ b/crates/control-plane/src/rollout/planner/mod.rs
@@ -26,10 +26,10 @@
 use crate::fleet::Corrections;
 
 /// Time for the proxies to learn that a replica receives no more requests, before it is commanded to load.
-const DRAIN_NOTICE: Duration = Duration::from_millis(200);
+const DRAIN_PROPAGATION_TIME: Duration = Duration::from_millis(200);
 /// Longest time from the start of a load to its command while requests are queued at the replica: the command rejects
 /// them.
-const MAX_DRAIN_NOTICE: Duration = Duration::from_secs(1);
+const MAX_QUEUE_DRAIN_TIME: Duration = Duration::from_secs(1);
 /// Time from one look at the queue of a draining replica to the next.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time from one request for a loading replica's report to the next.
@@ -120,11 +120,11 @@
         }
     }
 
-    /// The target that a listed replica lacks, of the first model by name of which it has older weights.
+    /// The target that a listed replica lacks_target, of the first model by name of which it has older weights.
     fn lacking_target(&self, id: &str) -> Option<ModelRevision> {
         let mut targets = self.targets.iter();
         let (model, target) =
-            targets.find(|(model, target)| self.fleet.has_older(id, model, target.desired))?;
+            targets.find(|(model, target)| self.fleet.has_older_weights(id, model, target.desired))?;
         Some(ModelRevision { model: model.clone(), revision: target.desired })
     }
 
@@ -134,12 +134,12 @@
         self.targets.entry(announcement.model.to_owned()).or_default().announce(deadline)
     }
 
-    /// Replaces the list of replicas. Loads of replicas that it lacks are dropped, and those whose weights it shows have
+    /// Replaces the list of replicas. Loads of replicas that it lacks_target are dropped, and those whose weights it shows have
     /// ended.
     pub fn set_replicas<'a>(&mut self, replicas: impl Iterator<Item = &'a Replica>, now: Duration) {
         self.fleet.set_replicas(replicas);
         self.loads.retain(|id, _| self.fleet.contains(id));
-        let is_loaded = |(id, load): &(&String, &Load)| self.fleet.has(id, &load.weights);
+        let is_loaded = |(id, load): &(&String, &Load)| self.fleet.has_weights(id, &load.weights);
         let loaded: Vec<String> = self.loads.iter().filter(is_loaded).map(|(id, _)| id.clone()).collect();
         for id in loaded {
             self.finish_load(&id, now);
@@ -182,7 +182,7 @@
     fn back_off(&mut self, replica: &str, now: Duration) {
         let Some(load) = self.loads.remove(replica) else { return };
         let model = load.weights.model;
-        let is_withdrawn = self.fleet.has_older(replica, &model, self.targets[&model].minimum);
+        let is_withdrawn = self.fleet.has_older_weights(replica, &model, self.targets[&model].minimum);
         let backoff = if is_withdrawn { URGENT_COMMAND_BACKOFF } else { COMMAND_BACKOFF };
         self.backoffs.insert(replica.to_owned(), now + backoff);
     }
@@ -194,7 +194,7 @@
             load.next_step = NextStep::ReportAt(now + REPORT_LAG);
             return;
         };
-        if !report.is_loading && report.has(&load.weights) {
+        if !report.is_loading && report.has_weights(&load.weights) {
             for weights in &report.models {
                 self.fleet.observe(replica, weights.clone());
             }
@@ -202,8 +202,8 @@
             return;
         }
         // The report may be older than the command.
-        let is_recent = now < load.accepted_at.unwrap_or(load.started_at) + REPORT_LAG;
-        if report.is_loading || is_recent {
+        let may_predate_command = now < load.accepted_at.unwrap_or(load.started_at) + REPORT_LAG;
+        if report.is_loading || may_predate_command {
             load.next_step = NextStep::ReportAt(now + REPORT_INTERVAL);
         } else if now < self.commands_from {
             // It serves requests until it may be commanded.
@@ -238,9 +238,9 @@
     /// Withdraws older weights of models whose deadline has passed, or whose replicas have all loaded.
     fn withdraw(&mut self, now: Duration) {
         for (model, target) in &mut self.targets {
-            let is_complete = self.fleet.all_have(model, target.desired);
+            let is_rollout_complete = self.fleet.is_rollout_complete(model, target.desired);
             target.expire_due(now);
-            if is_complete {
+            if is_rollout_complete {
                 target.withdraw_below(target.desired);
             }
         }
@@ -252,7 +252,7 @@
             let target = &self.targets[&model];
             let weights = ModelRevision { model: model.clone(), revision: target.desired };
             for replica in self.select_next(&model, target, now) {
-                let load = Load::start(weights.clone(), now, now + DRAIN_NOTICE);
+                let load = Load::start(weights.clone(), now, now + DRAIN_PROPAGATION_TIME);
                 self.loads.insert(replica, load);
             }
         }
@@ -262,7 +262,7 @@
         let in_progress = self.loads.values().map(|load| now.saturating_sub(load.started_at));
         let load_time = self.load_time.get(in_progress);
         let (fleet, loads, backoffs) = (&self.fleet, &self.loads, &self.backoffs);
-        Selection { model, target, fleet, loads, backoffs, load_time, now }.next()
+        Selection { model, target, fleet, loads, backoffs, load_time, now }.select()
     }
 
     /// Does the next step of a load that is due.
@@ -272,7 +272,7 @@
         let load = self.loads.get_mut(id)?;
         let target = &self.targets[&load.weights.model];
         match load.next_step {
-            NextStep::CommandAt(_) if has_queue && may_drain(load, target, now) => {
+            NextStep::CommandAt(_) if has_queue && may_wait_for_queue(load, target, now) => {
                 load.next_step = NextStep::CommandAt(now + QUEUE_CHECK_INTERVAL);
                 None
             }
@@ -302,10 +302,10 @@
 
     /// When the next load may start, while none is in progress but some replicas lack their target.
     fn next_start(&self) -> Option<Duration> {
-        let lacks = |(model, target): (&String, &Target)| {
-            self.fleet.lacking(model, target.desired).next().is_some()
+        let lacks_target = |(model, target): (&String, &Target)| {
+            self.fleet.lacking_revision(model, target.desired).next().is_some()
         };
-        if !self.loads.is_empty() || !self.targets.iter().any(lacks) {
+        if !self.loads.is_empty() || !self.targets.iter().any(lacks_target) {
             return None;
         }
         Some(self.backoffs.values().copied().min().unwrap_or(self.commands_from))
@@ -320,7 +320,7 @@
     /// Ids of replicas that have weights of a model older than `revision`, draining ones included.
     #[must_use]
     pub fn outdated_replicas(&self, model: &str, revision: WeightsRevision) -> Vec<String> {
-        self.fleet.older(model, revision).map(|replica| replica.id.clone()).collect()
+        self.fleet.with_older_weights(model, revision).map(|replica| replica.id.clone()).collect()
     }
 
     /// What the table of replicas is to show beyond the discovered list.
@@ -333,11 +333,11 @@
     /// The table of weights to be delivered, in the order of models.
     #[must_use]
     pub fn weights(&self) -> Vec<ModelWeights> {
-        self.targets.iter().map(|(model, target)| target.delivered(model)).collect()
+        self.targets.iter().map(|(model, target)| target.to_model_weights(model)).collect()
     }
 }
 
 /// Whether the command of a load may wait for the replica's queue to empty. Weights that are withdrawn do not wait.
-fn may_drain(load: &Load, target: &Target, now: Duration) -> bool {
-    now < load.started_at + MAX_DRAIN_NOTICE && load.weights.revision > target.minimum
+fn may_wait_for_queue(load: &Load, target: &Target, now: Duration) -> bool {
+    now < load.started_at + MAX_QUEUE_DRAIN_TIME && load.weights.revision > target.minimum
 }
--- a/crates/control-plane/src/rollout/planner/selection.rs
+++ b/crates/control-plane/src/rollout/planner/selection.rs
@@ -32,13 +32,13 @@
 impl<'a> Selection<'a> {
     /// Ids of the replicas that are to load next: those whose weights are withdrawn at once, the others as many at a time
     /// as the deadlines need.
-    pub(super) fn next(&self) -> Vec<String> {
-        let mut next: Vec<String> = self.urgent().map(|replica| replica.id.clone()).collect();
+    pub(super) fn select(&self) -> Vec<String> {
+        let mut selected: Vec<String> = self.urgent().map(|replica| replica.id.clone()).collect();
         let loading = self.loads.values().filter(|load| load.weights.model == self.model).count();
-        let capacity = self.max_concurrent_loads().saturating_sub(loading + next.len());
+        let capacity = self.max_concurrent_loads().saturating_sub(loading + selected.len());
         let ordered = self.in_load_order(self.usable().collect());
-        next.extend(ordered.into_iter().take(capacity).map(|replica| replica.id.clone()));
-        next
+        selected.extend(ordered.into_iter().take(capacity).map(|replica| replica.id.clone()));
+        selected
     }
 
     /// Idle replicas whose weights must not be used any more. A load command empties a replica's queue, so a draining one
@@ -47,15 +47,15 @@
         self.fleet.serving(self.model).filter(|replica| self.is_idle(replica)).filter(|replica| {
             let is_draining = replica.phase == ReplicaPhase::Draining;
             let minimum = if is_draining { self.target.expired } else { self.target.minimum };
-            self.fleet.has_older(&replica.id, self.model, minimum)
+            self.fleet.has_older_weights(&replica.id, self.model, minimum)
         })
     }
 
     /// Idle replicas that lack the target, but whose weights may still be used.
     fn usable(&self) -> impl Iterator<Item = &'a Replica> {
-        let lacking = self.fleet.lacking(self.model, self.target.desired);
+        let lacking = self.fleet.lacking_revision(self.model, self.target.desired);
         let idle = lacking.filter(|replica| self.is_idle(replica));
-        idle.filter(|replica| !self.fleet.has_older(&replica.id, self.model, self.target.minimum))
+        idle.filter(|replica| !self.fleet.has_older_weights(&replica.id, self.model, self.target.minimum))
     }
 
     fn is_idle(&self, replica: &Replica) -> bool {
@@ -72,7 +72,7 @@
     /// How many replicas have to load concurrently for all to have loaded by a deadline.
     fn needed_loads(&self, deadline: &Deadline) -> usize {
         let time_left = deadline.load_by.saturating_sub(self.now).max(self.load_time);
-        let lacking = self.fleet.lacking(self.model, deadline.revision).count();
+        let lacking = self.fleet.lacking_revision(self.model, deadline.revision).count();
         (lacking as f64 * self.load_time.as_secs_f64() / time_left.as_secs_f64()).ceil() as usize
     }
 
@@ -90,10 +90,10 @@
     fn spread_over_zones(&self, mut replicas: Vec<&'a Replica>) -> Vec<&'a Replica> {
         replicas.sort_by_key(|replica| (self.fleet.queued_requests(&replica.id), &replica.id));
         let mut zone_counts: BTreeMap<&str, usize> = BTreeMap::new();
-        let mut ranked: Vec<Ranked<'a>> = Vec::new();
+        let mut ranked: Vec<RankedReplica<'a>> = Vec::new();
         for replica in replicas {
             let count = zone_counts.entry(replica.zone.as_str()).or_default();
-            ranked.push(Ranked { rank_in_zone: *count, replica });
+            ranked.push(RankedReplica { rank_in_zone: *count, replica });
             *count += 1;
         }
         ranked.sort_by_key(|ranked| (ranked.rank_in_zone, &ranked.replica.zone, &ranked.replica.id));
@@ -102,7 +102,7 @@
 }
 
 /// A replica and its rank among those of its zone.
-struct Ranked<'a> {
+struct RankedReplica<'a> {
     rank_in_zone: usize,
     replica: &'a Replica,
 }
--- a/crates/control-plane/src/rollout/planner/target.rs
+++ b/crates/control-plane/src/rollout/planner/target.rs
@@ -35,11 +35,11 @@
 impl Deadline {
     /// The deadline of an announcement whose age is measured at `now`.
     pub(super) fn of(announcement: Announcement<'_>, term: RevisionTerm, now: Duration) -> Deadline {
-        let from_now = |time: Duration| (now + time).saturating_sub(announcement.age);
+        let after_announcement = |time: Duration| (now + time).saturating_sub(announcement.age);
         Deadline {
             revision: announcement.revision,
-            load_by: from_now(term.load_by()),
-            withdraw_at: from_now(term.withdrawal()),
+            load_by: after_announcement(term.load_by()),
+            withdraw_at: after_announcement(term.withdrawal()),
         }
     }
 }
@@ -89,7 +89,7 @@
     }
 
     /// The model's row in the table of weights.
-    pub(super) fn delivered(&self, model: &str) -> ModelWeights {
+    pub(super) fn to_model_weights(&self, model: &str) -> ModelWeights {
         ModelWeights {
             model: model.to_owned(),
             named: self.desired,
--- a/crates/control-plane/tests/fleet.rs
+++ b/crates/control-plane/tests/fleet.rs
@@ -94,8 +94,8 @@
     let mut table = FleetTable::default();
     table.replace(TENURE, vec![ready("i-1"), replica("i-2", ReplicaPhase::Draining)]);
     let loading = BTreeSet::from(["i-1".to_owned(), "i-2".to_owned()]);
-    assert!(table.correct(Corrections { loading: loading.clone(), ..Corrections::default() }));
-    assert!(!table.correct(Corrections { loading, ..Corrections::default() }));
+    assert!(table.set_corrections(Corrections { loading: loading.clone(), ..Corrections::default() }));
+    assert!(!table.set_corrections(Corrections { loading, ..Corrections::default() }));
     let phases: Vec<ReplicaPhase> =
         table.replicas(TENURE).unwrap_or_default().iter().map(|replica| replica.phase).collect();
     assert_eq!(phases, [ReplicaPhase::Loading, ReplicaPhase::Draining]);
@@ -110,8 +110,8 @@
         Corrections { revisions: BTreeMap::from([("i-1".to_owned(), models)]), ..Corrections::default() }
     };
     let revision = |table: &FleetTable| table.replicas(TENURE).unwrap_or_default()[0].models[0].revision;
-    table.correct(reported(WeightsRevision(3)));
+    table.set_corrections(reported(WeightsRevision(3)));
     assert_eq!(revision(&table), WeightsRevision(3));
-    table.correct(reported(WeightsRevision(0)));
+    table.set_corrections(reported(WeightsRevision(0)));
     assert_eq!(revision(&table), WeightsRevision(1));
 }
