--- a/crates/control-plane/src/delivery.rs
+++ b/crates/control-plane/src/delivery.rs
@@ -1,7 +1,7 @@
-//! Delivers the state to agents and to the other members.
+//! Publishes the delivered state to agents and to the other members.
 //!
-//! The primary writes the state; every other member is a relay that subscribes to the primary's feed. All members publish
-//! their state, with the age at which it was known to be the newest.
+//! The primary writes the state, and every other member is a relay that subscribes to the primary's feed. All members
+//! publish their state together with its age: the time since it was last known to be the newest.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,27 +23,28 @@
 use crate::api::{IndexSize, ReplicaWeights};
 use crate::tenure::Tenure;
 
-/// What the delivery needs to know of the control plane.
+/// The member's knowledge of who is primary.
 pub trait Authority {
-    /// Whether this member is the primary within its lease, and has applied everything that was committed before.
+    /// Whether this member is the primary within its lease and has applied everything committed before its current
+    /// epoch.
     fn confirms_freshness(&self) -> bool;
-    /// The address of the primary, if it is another member that was heard from lately.
+    /// The address of the primary, if it is another member from which a heartbeat was received recently.
     fn primary(&self) -> Option<Ipv4Addr>;
 }
 
-/// The feed of one member: its state, the publisher that serves it, and the subscription to the primary's feed.
+/// The feed of a member: the state, the publisher that serves it, and the subscription to the primary's feed.
 pub struct Delivery {
     authority: Rc<dyn Authority>,
     feed_port: u16,
     store: Rc<RefCell<FeedStore>>,
     publisher: Rc<Publisher>,
     subscriber: Rc<Subscriber>,
-    /// The feed that was chosen last: that of the primary, or none.
+    /// The feed that was selected last: that of the primary, or `None` if no other member was known to be primary.
     selected_feed: Cell<Option<SocketAddr>>,
 }
 
 impl Delivery {
-    /// The feed of the member `name` in `zone`. All members serve theirs at the same port, `feed_port`.
+    /// Creates the feed of the member `name` in `zone`. All members serve their feeds at the same port, `feed_port`.
     pub fn new(name: String, zone: String, feed_port: u16, authority: Rc<dyn Authority>) -> Rc<Delivery> {
         let store = Rc::new(RefCell::new(FeedStore::new()));
         let identity = Identity { name, zone, role: SubscriberRole::Relay };
@@ -51,7 +52,7 @@
         let publisher = Publisher::new(store.clone(), state_age(authority.clone(), subscriber.clone()));
         let notified_publisher = publisher.clone();
         subscriber.on_change(Box::new(move |_| notified_publisher.notify()));
-        // The publisher owns the callback, so a strong reference would keep it alive for ever.
+        // The publisher owns this callback, so a strong reference would be a cycle and leak the publisher.
         let weak_publisher = Rc::downgrade(&publisher);
         let reporting_subscriber = subscriber.clone();
         publisher.on_queued_work(move || {
@@ -84,11 +85,13 @@
         self.authority.primary().map(|ip| SocketAddr::from((ip, self.feed_port)))
     }
 
-    /// Reports to the primary how many proxies are served here, and selects another feed if the primary has changed.
+    /// Reports the number of gateways served here to the primary, and selects another feed if the primary has
+    /// changed.
     pub fn review(&self) {
         self.subscriber.set_gateways(self.publisher.gateways());
         let feed = self.primary_feed();
-        // While no primary is known, the subscription to the last one is kept: its messages say how old the state is.
+        // While no primary is known, the subscription to the last one is kept, because its messages contain the age
+        // of the state.
         let knows_primary = feed.is_some() || self.authority.confirms_freshness();
         if knows_primary && feed != self.selected_feed.get() {
             self.subscriber.reselect();
@@ -107,7 +110,7 @@
         self.notify_if_changed(has_changed);
     }
 
-    /// The table of replicas that an earlier primary delivered, as long as none was delivered in this tenure.
+    /// The table of replicas that an earlier primary delivered, or `None` once a table was delivered in `tenure`.
     pub fn inherited_fleet(&self, tenure: Tenure) -> Option<Vec<Replica>> {
         let store = self.store.borrow();
         (store.fleet_position().epoch < tenure.0).then(|| store.fleet().cloned().collect())
@@ -125,30 +128,31 @@
         self.notify_if_changed(has_changed);
     }
 
-    /// Delivers the counts of requests queued at replicas that the proxies have reported, as primary of `epoch`.
+    /// Delivers the work queued at replicas that the gateways have reported, as primary of `epoch`.
     pub fn deliver_loads(&self, epoch: Epoch) {
         let has_changed = self.store.borrow_mut().set_loads(epoch, &self.publisher.queued_work());
         self.notify_if_changed(has_changed);
     }
 
-    /// Requests that are queued at each replica, by its id, as they were delivered last.
+    /// The work queued at each replica, by replica id, as last delivered. The unit is
+    /// [`WORK_UNIT_TOKENS`](tulipridge_protocol::feed::WORK_UNIT_TOKENS); each request counts as at least one.
     pub fn waiting(&self) -> BTreeMap<String, u32> {
         let store = self.store.borrow();
         let loads = store.loads().into_iter().flatten();
         loads.map(|(replica, waiting)| (replica.id.clone(), waiting.into())).collect()
     }
 
-    /// The status of a source of KV cache, or `None` if it is not followed.
+    /// The status of a source of cache events, or `None` if it is not in the index.
     pub fn source_status(&self, source: SocketAddrV4) -> Option<SourceStatus> {
         self.store.borrow().cache_index().borrow().status(source)
     }
 
-    /// The sources of KV cache that are followed.
+    /// The sources of cache events that are in the index.
     pub fn known_sources(&self) -> Vec<SocketAddrV4> {
         self.store.borrow().cache_index().borrow().sources().collect()
     }
 
-    /// Delivers the group: the members of the control plane, and how many proxies there are. Called by the primary.
+    /// Delivers the group: the members of the control plane and the number of gateways. Only the primary calls this.
     pub fn set_group(&self, control: Vec<ControlNode>) {
         let group = Group { gateways: self.publisher.gateways(), control };
         let has_changed = self.store.borrow_mut().set_group(group);
@@ -161,22 +165,22 @@
         }
     }
 
-    /// The weights that were delivered last.
+    /// The table of weights that was last delivered.
     pub fn weights(&self) -> Vec<ModelWeights> {
         self.store.borrow().weights().models.clone()
     }
 
-    /// Revision of the newest configuration that is delivered.
+    /// The revision of the newest delivered configuration.
     pub fn configuration_revision(&self) -> Revision {
         self.store.borrow().known_positions().configuration
     }
 
-    /// How many replicas are delivered.
+    /// The number of replicas in the delivered table.
     pub fn replica_count(&self) -> usize {
         self.store.borrow().fleet().count()
     }
 
-    /// The replicas that have each revision, by model.
+    /// The ids of the replicas that have each revision, by model.
     pub fn replica_weights(&self) -> ReplicaWeights {
         let mut weights = ReplicaWeights::new();
         for replica in self.store.borrow().fleet() {
@@ -195,17 +199,17 @@
         IndexSize { sources: index.sources().count(), entries: index.len() }
     }
 
-    /// How many processes subscribe to this feed.
+    /// The number of processes that subscribe to this feed.
     pub fn subscriber_count(&self) -> usize {
         self.publisher.subscribers().len()
     }
 
-    /// How many proxies the control plane knows of.
+    /// The number of gateways that the control plane knows of.
     pub fn gateway_count(&self) -> u32 {
         self.store.borrow().group().gateways
     }
 
-    /// How long ago the delivered state was known to be the newest; none if it never was.
+    /// The time since the delivered state was last known to be the newest, or `None` if it never was.
     pub fn age(&self) -> Option<Duration> {
         state_age(self.authority.clone(), self.subscriber.clone())()
     }
--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Service discovery: polls the platform's paged list of replicas while this member is primary.
 //!
-//! Discovery is a singleton role: the platform's rate limit holds for all members together, so only the primary within
-//! its lease polls. A list counts only if all of its pages came within one poll.
+//! Discovery is a singleton role: the platform's rate limit applies to all members together, so only the primary
+//! within its lease polls. A list is used only if all of its pages were fetched in one poll.
 
 mod page;
 mod schedule;
@@ -22,15 +22,16 @@
 use crate::http_client::{Call, CallError, HttpClient};
 use crate::singleton::{SingletonContext, SingletonLease};
 
-/// Time for a complete page.
+/// Timeout for a complete page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time to establish a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time from one look at the lease to the next, while another member is primary.
+/// Interval at which the lease is checked while another member is primary.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest page that is read.
+/// Maximum size of a page.
 const MAX_PAGE_BYTES: usize = 8 << 20;
-/// Malformed entries that are remembered as logged; beyond these, entries are logged again.
+/// Maximum number of malformed entries that are remembered as logged. When it is reached, they are forgotten and
+/// logged again.
 const MAX_LOGGED_ENTRIES: usize = 256;
 
 /// Why a poll of the list failed.
@@ -40,13 +41,13 @@
     Call { source: CallError },
     #[snafu(display("{source}"))]
     Parse { source: PageError },
-    #[snafu(display("the platform answers with status {status}"))]
+    #[snafu(display("the platform responded with status {status}"))]
     Status { status: u16 },
     #[snafu(display("the lease was lost while the list was read"))]
     LeaseLost,
 }
 
-/// HTTP status of the platform when its rate limit is exceeded.
+/// HTTP status with which the platform reports that its rate limit is exceeded.
 const TOO_MANY_REQUESTS: u16 = 429;
 
 /// Polls the list while this member is primary.
@@ -55,17 +56,17 @@
     on_list: Box<dyn Fn()>,
     client: HttpClient,
     schedule: PollSchedule,
-    /// No call is made before this time.
+    /// The earliest time of the next call.
     next_call: Duration,
-    /// Malformed entries that were logged.
+    /// Malformed entries that have been logged.
     logged_entries: BTreeSet<String>,
     /// Whether the last poll failed.
     is_failing: bool,
 }
 
 impl Discovery {
-    /// Polls the platform at `address`, which accepts `rate_per_second` calls from all its clients together. Each complete
-    /// list replaces the one in the table, and `on_list` is called.
+    /// Creates the discovery from the platform at `address`, which accepts `rate_per_second` calls from all its
+    /// clients together. Each complete list replaces the one in the table, and then `on_list` is called.
     #[must_use]
     pub fn new(
         address: SocketAddr,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Polls the list; does not return.
+    /// Polls the list while this member is primary; does not return.
     pub async fn run(mut self) {
         loop {
             let Some(lease) = self.context.lease_status.singleton_lease() else {
@@ -121,7 +122,7 @@
         if has_changed { PollOutcome::Changed } else { PollOutcome::Unchanged }
     }
 
-    /// Reads all pages of the list.
+    /// Fetches all pages of the list.
     async fn read_list(&mut self, lease: SingletonLease) -> Result<Vec<Replica>, PollError> {
         let mut replicas = Vec::new();
         let mut token = None;
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Whether this member has been primary without interruption since it had `lease`.
+    /// Whether this member has remained primary without interruption since it held `lease`.
     fn has_lease(&self, lease: SingletonLease) -> bool {
         self.context.lease_status.singleton_lease().is_some_and(|present| present.tenure == lease.tenure)
     }
--- a/crates/control-plane/src/discovery/page.rs
+++ b/crates/control-plane/src/discovery/page.rs
@@ -11,15 +11,15 @@
 /// Why a page of the list can't be used.
 #[derive(Debug, Snafu)]
 pub enum PageError {
-    /// The page is truncated, or not what the platform's interface promises.
-    #[snafu(display("a page of the list of replicas can't be read: {source}"))]
+    /// The page is truncated, or does not conform to the platform's interface.
+    #[snafu(display("malformed page of the list of replicas: {source}"))]
     Malformed {
         /// The parser's error.
         source: serde_json::Error,
     },
 }
 
-/// The request target of the page that `token` names; none names the first one.
+/// The request target of the page with this page token, or of the first page if there is none.
 pub(super) fn page_target(token: Option<&str>) -> String {
     match token {
         None => "/servers".to_owned(),
@@ -27,7 +27,7 @@
     }
 }
 
-/// Percent-encodes a query value: page tokens are opaque, so any byte may occur in them.
+/// Percent-encodes a query value. Page tokens are opaque and may contain any byte.
 fn percent_encode(text: &str) -> String {
     let escaped = |byte: u8| match byte {
         b'A'..=b'Z' | b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => char::from(byte).to_string(),
@@ -41,9 +41,9 @@
 pub struct Page {
     /// Entries that could be parsed.
     pub replicas: Vec<Replica>,
-    /// Entries that could not be parsed, as they came.
+    /// The JSON text of the entries that could not be parsed.
     pub malformed: Vec<String>,
-    /// Page token of the next page; none on the last one.
+    /// Page token of the next page, or `None` on the last one.
     pub next_token: Option<String>,
 }
 
@@ -51,7 +51,7 @@
 struct PageBody<'a> {
     #[serde(rename = "servers", borrow)]
     entries: Vec<&'a RawValue>,
-    /// A page without the field is truncated, which is not the same as being the last one.
+    /// Required, although it may be null: a page without this field is truncated, whereas null marks the last page.
     #[serde(rename = "nextToken", deserialize_with = "deserialize_required")]
     next_token: Option<String>,
 }
@@ -60,7 +60,7 @@
     Option::deserialize(deserializer)
 }
 
-/// An entry of the list. The field names are those of the platform's interface.
+/// An entry of the list. The serialized field names are those of the platform's interface.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Entry {
@@ -94,11 +94,11 @@
 }
 
 impl Page {
-    /// Parses a page. An entry that can't be parsed is set aside, and the others are used.
+    /// Parses a page. Entries that can't be parsed are returned separately.
     ///
     /// # Errors
     ///
-    /// [`PageError::Malformed`] if the page as a whole can't be parsed, or is truncated.
+    /// [`PageError::Malformed`] if the page as a whole can't be parsed or is truncated.
     pub fn parse(body: &[u8]) -> Result<Page, PageError> {
         let body: PageBody<'_> = serde_json::from_slice(body).context(MalformedSnafu)?;
         let mut page = Page { next_token: body.next_token, ..Page::default() };
@@ -124,7 +124,7 @@
                 Phase::Ready => ReplicaPhase::Ready,
                 Phase::Draining => ReplicaPhase::Draining,
             },
-            // A float-to-integer cast saturates at the bounds of the integer type.
+            // The cast saturates at the bounds of `u32`.
             warm_left_ms: entry.warm_left_ms.ceil() as u32,
             models: entry.models.into_iter().map(ModelRevision::from).collect(),
         }
--- a/crates/control-plane/src/discovery/schedule.rs
+++ b/crates/control-plane/src/discovery/schedule.rs
@@ -1,34 +1,34 @@
-//! The schedule of the polls of the list: interval, rate limit and backoff.
+//! Schedules the polls of the list of replicas: interval, rate limit and backoff.
 
 use std::time::Duration;
 
-/// Time from the start of one poll to the start of the next while the list changes.
+/// Interval between the starts of polls while the list changes.
 const INTERVAL_WHEN_CHANGING: Duration = Duration::from_millis(700);
-/// The same once the list is stable: each call has a cost.
+/// Interval between the starts of polls while the list is stable. It is longer because each call has a cost.
 const INTERVAL_WHEN_STABLE: Duration = Duration::from_secs(1);
-/// A list that has not changed for this time is stable.
+/// A list is stable when it has not changed for this time.
 const STABLE_AFTER: Duration = Duration::from_secs(5);
-/// The fraction of the platform's rate limit that is used.
+/// Fraction of the platform's rate limit that is used.
 const RATE_LIMIT_FRACTION: f64 = 0.7;
-/// Calls per second that are made even at a lower rate limit.
+/// Minimum rate of calls per second, which is used even if the rate limit is lower.
 const MIN_CALLS_PER_SECOND: f64 = 0.1;
-/// The first backoff after a rate-limited call; it doubles with each further one.
+/// Backoff after the first rate-limited poll; it doubles with each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// The longest backoff.
+/// Maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// The delay after a failure of another kind.
+/// Delay after a failure other than rate limiting.
 const FAILURE_DELAY: Duration = Duration::from_millis(300);
 
-/// How a poll of all pages ended.
+/// The outcome of a poll of all pages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// All pages came, and the list differs from the one before.
+    /// All pages were fetched, and the list differs from the previous one.
     Changed,
-    /// All pages came, and the list is as before.
+    /// All pages were fetched, and the list equals the previous one.
     Unchanged,
     /// The platform's rate limit was exceeded.
     RateLimited,
-    /// A call failed.
+    /// The poll failed for another reason.
     Failed,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl PollSchedule {
-    /// A schedule for a platform that accepts `rate_limit` calls per second from all its clients together.
+    /// Creates a schedule for a platform that accepts `rate_limit` calls per second from all its clients together.
     #[must_use]
     pub fn new(rate_limit: f64, now: Duration) -> PollSchedule {
         let usable_rate = (rate_limit * RATE_LIMIT_FRACTION).max(MIN_CALLS_PER_SECOND);
@@ -52,13 +52,13 @@
         }
     }
 
-    /// The least time from the start of one call to the start of the next.
+    /// The minimum time between the starts of two calls.
     #[must_use]
     pub fn call_interval(&self) -> Duration {
         self.call_interval
     }
 
-    /// When the next poll starts, after one that started at `started` and ended now.
+    /// Returns when the next poll starts, after one that started at `started` and ended at `now`.
     pub fn next_poll(&mut self, started: Duration, now: Duration, outcome: PollOutcome) -> Duration {
         match outcome {
             PollOutcome::RateLimited => return self.back_off(now),
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The table of replicas: what the platform lists, corrected by what the roll-out of weights knows before the list
-//! shows it.
+//! The table of replicas: the platform's list, with corrections from the rollout of weights for changes that the list
+//! does not show yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,27 +7,27 @@
 
 use crate::tenure::Tenure;
 
-/// Replicas by id, as the last complete list had them.
+/// The last complete list of replicas, and the corrections to it.
 #[derive(Debug, Default)]
 pub struct FleetTable {
-    /// The tenure of the primary in which the list came; none before the first one.
+    /// The tenure in which the list was fetched; none before the first list.
     tenure: Option<Tenure>,
     listed: BTreeMap<String, Replica>,
     corrections: Corrections,
 }
 
-/// What the roll-out of weights knows of replicas before the list shows it.
+/// What the rollout of weights knows of replicas that the list may not show yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Corrections {
-    /// Replicas that are about to load weights, or load them now.
+    /// Ids of the replicas that are loading weights or are about to.
     pub loading: BTreeSet<String>,
-    /// Revisions that replicas have reported, by replica.
+    /// Revisions that replicas have reported, by replica id.
     pub revisions: BTreeMap<String, Vec<ModelRevision>>,
 }
 
 impl FleetTable {
-    /// Replaces the list by a complete newer one: replicas that it lacks are gone at once. Returns whether the two differ
-    /// in more than time that has passed, or are of different tenures.
+    /// Replaces the list with a newer complete one; replicas that are not in the new list are removed. Returns
+    /// whether the lists differ in more than the remaining warm-up times, or are of different tenures.
     pub fn replace(&mut self, tenure: Tenure, list: Vec<Replica>) -> bool {
         let list = list.into_iter().map(|replica| (replica.id.clone(), replica)).collect();
         let previous = std::mem::replace(&mut self.listed, list);
@@ -39,15 +39,15 @@
                 .any(|(before, after)| has_replica_changed(before, after))
     }
 
-    /// Replaces the corrections by those of the roll-out now; returns whether they differ.
+    /// Replaces the corrections with the current ones of the rollout, and returns whether they differ.
     pub fn set_corrections(&mut self, corrections: Corrections) -> bool {
         let has_changed = self.corrections != corrections;
         self.corrections = corrections;
         has_changed
     }
 
-    /// Adopts what an earlier primary delivered, in place of all corrections: replicas that were loading, and revisions
-    /// that the list does not show yet.
+    /// Replaces all corrections with those contained in the table that an earlier primary delivered: replicas that
+    /// were loading, and revisions that the list does not show yet.
     pub fn inherit(&mut self, delivered: &[Replica]) {
         let known: Vec<&Replica> =
             delivered.iter().filter(|replica| self.listed.contains_key(&replica.id)).collect();
@@ -59,19 +59,19 @@
         };
     }
 
-    /// What the delivered table shows beyond the list.
+    /// The corrections to the list.
     #[must_use]
     pub fn corrections(&self) -> &Corrections {
         &self.corrections
     }
 
-    /// Replicas as the list has them; none before a complete one came in this tenure.
+    /// The replicas in the list, without corrections, or `None` before the first complete list of this tenure.
     #[must_use]
     pub fn listed(&self, tenure: Tenure) -> Option<impl Iterator<Item = &Replica>> {
         (self.tenure == Some(tenure)).then(|| self.listed.values())
     }
 
-    /// The table that is delivered, in the order of ids; none before a complete list came in this tenure.
+    /// The corrected table to deliver, ordered by id, or `None` before the first complete list of this tenure.
     #[must_use]
     pub fn replicas(&self, tenure: Tenure) -> Option<Vec<Replica>> {
         Some(self.listed(tenure)?.map(|replica| self.with_corrections(replica)).collect())
@@ -95,7 +95,7 @@
     }
 }
 
-/// Whether a replica has changed in more than the time that is left of its warm-up.
+/// Whether a replica has changed in more than its remaining warm-up time.
 fn has_replica_changed(before: &Replica, after: &Replica) -> bool {
     let warm_left_ms = after.warm_left_ms;
     Replica { warm_left_ms, ..before.clone() } != *after
--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -1,4 +1,4 @@
-//! Follows one source by long polling for its cache events.
+//! Follows one source of cache events by long polling.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -17,33 +17,33 @@
 use super::response::{ResponseError, parse_event_page, parse_listing};
 use crate::http_client::{Call, CallError, HttpClient, Response};
 
-/// Milliseconds for which a source may delay its response while it has no events.
+/// Maximum time, in milliseconds, for which a source may delay its response while it has no events.
 const LONG_POLL_WAIT_MS: &str = "1000";
-/// A source that is not known to be alive is to respond at once.
+/// The same for a source that is not known to be alive, which should respond at once.
 const NO_WAIT_MS: &str = "0";
-/// Time for a complete response.
+/// Timeout for the complete response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time to establish a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time from the start of one poll of a replica to the start of the next.
+/// Interval between the starts of polls of a replica.
 const REPLICA_INTERVAL: Duration = Duration::from_millis(400);
-/// The same for a store, from which all proxies fetch.
+/// Interval between the starts of polls of a store. It is shorter because all gateways fetch from stores.
 const STORE_INTERVAL: Duration = Duration::from_millis(300);
-/// Delay after a failure.
+/// Delay after a failed poll.
 const FAILURE_DELAY: Duration = Duration::from_millis(500);
-/// Backoff after a response that the rate limit is exceeded.
+/// Backoff after a source has reported that its rate limit is exceeded.
 const RATE_LIMIT_BACKOFF: Duration = Duration::from_secs(1);
-/// Longest response that is read.
+/// Maximum size of a response.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// HTTP status of a source whose rate limit is exceeded.
+/// HTTP status with which a source reports that its rate limit is exceeded.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// The kind of a source.
+/// The kind of a source, which determines how it is polled and recovers from gaps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceKind {
-    /// A store: after a gap it is resynced from a full listing.
+    /// A store. After a gap in its events it is resynced from a full listing.
     Store,
-    /// A replica: a full listing would delay its requests, so after a gap it is not resynced.
+    /// A replica. It is not resynced after a gap, because a full listing would delay its requests.
     Replica,
 }
 
@@ -63,11 +63,11 @@
     Call { source: CallError },
     #[snafu(display("{source}"))]
     Parse { source: ResponseError },
-    #[snafu(display("the source answers with status {status}"))]
+    #[snafu(display("the source responded with status {status}"))]
     Status { status: u16 },
 }
 
-/// Follows one source and queues the changes of its cache for delivery.
+/// Follows one source and queues updates of its cache entries for delivery.
 pub struct Follower {
     source: SocketAddrV4,
     kind: SourceKind,
@@ -78,7 +78,8 @@
 }
 
 impl Follower {
-    /// Follows a source from its last known status; without one it is listed first.
+    /// Creates a follower that continues from the last known status of the source, or starts with a full listing if
+    /// there is none.
     pub fn new(
         source: SocketAddrV4,
         kind: SourceKind,
@@ -117,7 +118,8 @@
     }
 
     async fn poll(&mut self) -> Result<(), PollError> {
-        // Without a cursor, as after a loss of power at all members, a full listing is worth its cost, once.
+        // Without a cursor, for example after a power loss of all members, one full listing is worth its cost even
+        // for a replica.
         if self.cursor.is_none() {
             return self.resync().await;
         }
@@ -131,20 +133,20 @@
         Ok(())
     }
 
-    /// Requests a page of events at the cursor.
+    /// Requests a page of events from the cursor on.
     async fn poll_events(&mut self) -> Result<PollOutcome, PollError> {
         let page = self.request_events().await?;
         Ok(PollOutcome::of_page(self.source, self.cursor, &page))
     }
 
-    /// Replaces all entries of the source by a full listing.
+    /// Replaces all entries of the source with those of a full listing.
     async fn resync(&mut self) -> Result<(), PollError> {
         let listing = self.request_listing().await?;
         self.deliver(CacheUpdate::resync(self.source, listing));
         Ok(())
     }
 
-    /// Voids the entries of a source that has restarted, and reads its events from the first one.
+    /// Invalidates the entries of a source that has restarted, and requests its events from the first one.
     async fn restart(&mut self, invalidation: CacheUpdate) -> Result<(), PollError> {
         self.deliver(invalidation);
         let outcome = self.poll_events().await?;
@@ -154,7 +156,7 @@
         Ok(())
     }
 
-    /// Continues after lost events: a store from a full listing, a replica from the page alone.
+    /// Recovers from lost events: with a full listing of a store, or with only the entries of the page for a replica.
     async fn recover_from_gap(&mut self, update: CacheUpdate) -> Result<(), PollError> {
         match self.kind {
             SourceKind::Store => self.resync().await,
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Queues an update of a source that is alive, and advances the cursor to it.
+    /// Queues an update of the source, marks it as alive, and advances the cursor to that of the update.
     fn deliver(&mut self, update: CacheUpdate) {
         self.cursor = Some(update.cursor());
         let has_recovered = self.liveness.replace(Liveness::Alive) != Some(Liveness::Alive);
@@ -176,7 +178,7 @@
         self.outbox.push(update, urgency);
     }
 
-    /// Delivers that the source is alive, where a page without events has not.
+    /// Delivers that the source is alive, if a successful poll without an update has not done so.
     fn record_success(&mut self) {
         if let Some(cursor) = self.cursor.filter(|_| self.liveness != Some(Liveness::Alive)) {
             self.deliver(CacheUpdate::status(self.source, cursor, Liveness::Alive));
@@ -208,8 +210,8 @@
         parse_listing(&response.body).context(ParseSnafu)
     }
 
-    /// Calls the source. A pooled connection may have been closed meanwhile, so a call whose connection breaks is retried
-    /// once on a new one.
+    /// Calls the source. The source may have closed a pooled connection in the meantime, so a call whose connection
+    /// breaks is retried once on a new one. A call that timed out is not retried.
     async fn call(&mut self, call: Call<'_>) -> Result<Response, PollError> {
         let outcome = match self.client.call(call, RESPONSE_TIMEOUT).await {
             Err(CallError::Broken { source, .. }) if source.kind() != io::ErrorKind::TimedOut => {
--- a/crates/control-plane/src/index/mod.rs
+++ b/crates/control-plane/src/index/mod.rs
@@ -1,6 +1,7 @@
-//! Follows the cache events of stores and replicas while this member is primary, and delivers the prefix-cache index.
+//! Follows the cache events of stores and replicas while this member is primary, and delivers updates of the
+//! prefix-cache index.
 //!
-//! Following is a singleton role: only the primary within its lease polls the sources.
+//! This is a singleton role: only the primary within its lease polls the sources.
 
 mod follower;
 mod outbox;
@@ -27,21 +28,21 @@
 use crate::singleton::{SingletonContext, SingletonLease};
 use crate::tenure::Tenure;
 
-/// Time for which updates are collected before they are delivered.
+/// Time for which updates are collected into a batch, unless one is urgent.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Rounds from one refresh of the set of sources to the next.
+/// The set of sources is refreshed once in this number of batches.
 const BATCHES_PER_REFRESH: u32 = 5;
 
-/// Sources to follow, by address.
+/// The kinds of the sources to follow, by address.
 pub type Sources = BTreeMap<SocketAddrV4, SourceKind>;
 
-/// Delivers the updates, and provides the configuration and the present index.
+/// Provides the configuration and the current index, and delivers updates of the index.
 pub trait IndexOutput {
-    /// The operator's newest configuration.
+    /// The operator's newest configuration, or `None` before the first one.
     fn configuration(&self) -> Option<Arc<Configuration>>;
     /// The status of a source, or `None` if it was not followed before.
     fn status(&self, source: SocketAddrV4) -> Option<SourceStatus>;
-    /// All sources that the index has.
+    /// All sources in the index.
     fn known_sources(&self) -> Vec<SocketAddrV4>;
     /// Delivers updates, as primary of `epoch`.
     fn deliver(&self, epoch: Epoch, updates: &[CacheUpdate]);
@@ -52,18 +53,18 @@
     context: SingletonContext,
     output: Rc<dyn IndexOutput>,
     outbox: Rc<Outbox>,
-    /// The tenure in which the followers were started; none while another member is primary.
+    /// The tenure in which the followers were started, or `None` while another member is primary.
     tenure: Option<Tenure>,
     followers: BTreeMap<SocketAddrV4, Task<()>>,
 }
 
 impl CacheFollowers {
-    /// Follows the stores of the configuration and the replicas of the table.
+    /// Creates followers for the stores of the configuration and the replicas of the table. None is started yet.
     pub fn new(context: SingletonContext, output: Rc<dyn IndexOutput>) -> CacheFollowers {
         CacheFollowers { context, output, outbox: Rc::default(), tenure: None, followers: BTreeMap::new() }
     }
 
-    /// Follows the sources; does not return.
+    /// Follows the sources while this member is primary; does not return.
     pub async fn run(mut self) {
         let mut batches = 0;
         loop {
@@ -86,7 +87,8 @@
         self.deliver_batch(lease);
     }
 
-    /// Drops the followers and queued updates of another tenure: another primary may have delivered newer ones since.
+    /// Drops the followers and queued updates of another tenure, because another primary may have delivered newer
+    /// updates.
     fn reset_on_new_tenure(&mut self, lease: Option<SingletonLease>) {
         let tenure = lease.map(|lease| lease.tenure);
         if tenure != self.tenure {
@@ -103,11 +105,11 @@
         }
     }
 
-    /// Begins to follow new sources, and drops those that are gone.
+    /// Starts followers for new sources, and removes sources that no longer exist.
     fn refresh_sources(&mut self, lease: SingletonLease) {
         let Some(configuration) = self.output.configuration() else { return };
         let Some(replicas) = self.context.table.borrow().replicas(lease.tenure) else {
-            // Before the first complete list it is unknown whether a replica is gone.
+            // Before the first complete list it is unknown which replicas no longer exist.
             return self.follow(store_sources(&configuration));
         };
         let wanted = sources(&configuration, &replicas);
@@ -131,7 +133,7 @@
     }
 }
 
-/// The sources to follow: the stores of a configuration, and the replicas whose service has a KV cache.
+/// Returns the sources to follow: the stores of a configuration, and the replicas whose service has a KV cache.
 #[must_use]
 pub fn sources(configuration: &Configuration, replicas: &[Replica]) -> Sources {
     let mut sources = store_sources(configuration);
--- a/crates/control-plane/src/index/outbox.rs
+++ b/crates/control-plane/src/index/outbox.rs
@@ -1,4 +1,4 @@
-//! The outbox: updates that are queued to be delivered in a batch.
+//! The queue of updates that are delivered in batches.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -6,7 +6,7 @@
 
 use tulipridge_prefix_cache_index::CacheUpdate;
 
-/// Updates of all sources, in the order in which they were queued. One task at a time may wait in
+/// The queued updates of all sources, in the order in which they were added. At most one task at a time may wait in
 /// [`Outbox::wait_urgent`].
 #[derive(Debug, Default)]
 pub struct Outbox {
@@ -18,7 +18,7 @@
 pub enum Urgency {
     /// At the end of the batch interval.
     Batched,
-    /// At once.
+    /// Immediately, together with all updates queued so far.
     Immediate,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl Outbox {
-    /// Queues an update; an immediate one wakes the task that waits.
+    /// Queues an update. An immediate one wakes the waiting task.
     pub fn push(&self, update: CacheUpdate, urgency: Urgency) {
         let mut state = self.state.borrow_mut();
         state.updates.push(update);
--- a/crates/control-plane/src/index/response.rs
+++ b/crates/control-plane/src/index/response.rs
@@ -1,14 +1,14 @@
-//! Parsing of the cache-event responses of sources.
+//! Parses the responses of cache-event sources.
 
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 use tulipridge_prefix_cache_index::{CacheListing, CachedPrefix, Cursor, EventPage, PrefixKey};
 
-/// Why a source's response can't be used.
+/// Why a response of a source can't be used.
 #[derive(Debug, Snafu)]
 pub enum ResponseError {
-    /// It is not what the interface promises.
-    #[snafu(display("an answer can't be read: {source}"))]
+    /// The body does not conform to the interface.
+    #[snafu(display("malformed response: {source}"))]
     Malformed {
         /// The parser's error.
         source: serde_json::Error,
@@ -26,7 +26,7 @@
     events: Vec<EventRow>,
 }
 
-/// Number, sign, salt, segment id, tokens that are cached after the event, model.
+/// Sequence number, sign, salt, segment id, number of cached tokens after the event, model.
 #[derive(Deserialize)]
 struct EventRow(
     #[allow(dead_code)] u64,
@@ -37,7 +37,8 @@
     #[allow(dead_code)] String,
 );
 
-/// Whether a segment grew or shrank. An event's tokens are those after it in both cases, so the sign is only checked.
+/// Whether a segment grew or shrank. It is parsed only for validation, since an event contains the resulting number
+/// of tokens in both cases.
 #[derive(Deserialize)]
 enum Sign {
     #[serde(rename = "+")]
@@ -55,7 +56,7 @@
     entries: Vec<ListingRow>,
 }
 
-/// Salt, segment id, cached tokens, model.
+/// Salt, segment id, number of cached tokens, model.
 #[derive(Deserialize)]
 struct ListingRow(String, String, u32, #[allow(dead_code)] String);
 
@@ -73,7 +74,7 @@
     }
 }
 
-/// Parses the response to a request for events.
+/// Parses the response to a request for a page of events.
 ///
 /// # Errors
 ///
--- a/crates/control-plane/src/operator_view.rs
+++ b/crates/control-plane/src/operator_view.rs
@@ -1,4 +1,4 @@
-//! A member as the operator's API sees it.
+//! Implements the operator's API for a member.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,16 +17,17 @@
 use crate::singleton::LeaseStatus;
 use crate::state::Change;
 
-/// The singleton roles, by the names that `/status` gives them.
+/// The names of the singleton roles in `/status`.
 const SINGLETON_ROLES: [&str; 3] = ["discovery", "index", "rollout"];
 
-/// A change that waits for those before it.
+/// A change that waits for earlier ones to complete.
 struct QueuedChange {
     change: Change,
     outcome_sender: Sender<ChangeOutcome>,
 }
 
-/// A member as the operator sees it. Changes are carried out one at a time, each on top of the one before.
+/// The operator's interface to a member. Changes are carried out one at a time, each based on the result of the
+/// previous one.
 pub struct OperatorView {
     name: String,
     node: NodeId,
@@ -37,17 +38,17 @@
 }
 
 impl OperatorView {
-    /// A view of this member.
+    /// Creates the operator's interface to this member.
     pub fn new(name: String, node: NodeId, member: Rc<Member>, delivery: Rc<Delivery>) -> Rc<OperatorView> {
         let (sender, queue) = async_channel::unbounded();
         Rc::new(OperatorView { name, node, member, delivery, sender, queue })
     }
 
-    /// Carries out changes for ever.
+    /// Carries out queued changes; does not return.
     pub async fn run(self: Rc<Self>) {
         while let Ok(QueuedChange { change, outcome_sender }) = self.queue.recv().await {
             let outcome = change::carry_out(&*self.member, change).await;
-            // The caller may have closed its connection meanwhile.
+            // Sending fails if the caller has closed its connection in the meantime.
             let _ = outcome_sender.try_send(outcome);
         }
     }
@@ -108,7 +109,8 @@
         self.delivery.weights().into_iter().map(|weights| (weights.model, weights.named)).collect()
     }
 
-    /// Who has each singleton role: this member, or the primary if it is another one.
+    /// The node that has each singleton role: this member if it holds the lease, otherwise the primary, if it is
+    /// known and another member.
     fn singleton_roles(&self) -> BTreeMap<&'static str, String> {
         let primary = self.member.known_primary().filter(|primary| *primary != self.node);
         let lease_holder = self.member.singleton_lease().map(|_| self.node).or(primary);
@@ -117,7 +119,7 @@
     }
 }
 
-/// The view's voters, and those before them for as long as an election needs a majority of both.
+/// The view's voters, followed by the previous ones while an election needs a majority of both.
 fn electorate(view: &View) -> Vec<NodeId> {
     let mut voters = view.voters.clone();
     voters.extend(view.previous_voters.iter().filter(|voter| !view.voters.contains(voter)));
--- a/crates/control-plane/src/rollout/announcements.rs
+++ b/crates/control-plane/src/rollout/announcements.rs
@@ -1,47 +1,49 @@
-//! The age of each announced target revision, as each member measures it by its own monotonic clock.
+//! The age of each announced target revision, measured with the member's own monotonic clock.
 //!
-//! The replicated state has the target revisions, but not when they were announced: members have no clock in common.
-//! Every member records when it first sees a target, so that whichever becomes primary next continues with the
-//! deadlines that run.
+//! The replicated state contains the target revisions but not the times of their announcement, because the members
+//! have no common clock. Every member records when it first sees a target, so that a new primary can keep the
+//! deadlines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tulipridge_configuration::number::WeightsRevision;
 
-/// Targets that are seen so soon after the start may have been announced before it.
+/// A target that is first seen within this time after the start may have been announced before it.
 const CATCH_UP_TIME: Duration = Duration::from_secs(2);
-/// The age at which such targets are assumed to be.
+/// Assumed age of such a target when it is first seen.
 const ASSUMED_AGE: Duration = Duration::from_secs(5);
-/// Time without a primary that counts: elections are shorter, and the operator's deadlines continue meanwhile.
+/// Maximum time without a primary that counts towards the ages. Elections are shorter, and the operator's deadlines
+/// continue during them.
 const MAX_COUNTED_TIME_WITHOUT_PRIMARY: Duration = Duration::from_secs(1);
-/// Revisions that are remembered of each model.
+/// Maximum number of revisions that are kept of each model.
 const MAX_REVISIONS: usize = 64;
 
-/// When target revisions were announced.
+/// The times at which target revisions were announced.
 ///
-/// Of a time without a primary only the first second counts: no replica can be commanded to load meanwhile, and a
-/// successor that counted it would withdraw the weights of every replica at once.
+/// Only the first second of a period without a primary counts: replicas receive no load commands during this period,
+/// and a new primary that counted all of it would withdraw the weights of every replica at once.
 #[derive(Debug)]
 pub struct AnnouncementTimes {
-    /// Time that has counted so far.
+    /// The time that has counted so far; ages are differences of this time.
     counted_time: Duration,
     last_advance: Duration,
-    /// When a primary was last known.
+    /// When a primary was known last.
     last_primary: Duration,
     first_seen: BTreeMap<String, BTreeMap<WeightsRevision, FirstSeen>>,
 }
 
-/// When a target was first seen, in counted time.
+/// When a target was first seen.
 #[derive(Clone, Copy, Debug)]
 struct FirstSeen {
+    /// In counted time.
     at: Duration,
-    /// How old the announcement may have been by then.
+    /// The assumed age of the announcement at that time.
     age: Duration,
 }
 
 impl AnnouncementTimes {
-    /// A record without any target, that starts at `now`.
+    /// Creates an empty record that starts at `now`.
     #[must_use]
     pub fn new(now: Duration) -> AnnouncementTimes {
         AnnouncementTimes {
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Advances the time to `now`; `has_primary` says whether a primary is known.
+    /// Advances the time to `now`. `has_primary` tells whether a primary is known.
     pub fn advance(&mut self, now: Duration, has_primary: bool) {
         if has_primary {
             self.last_primary = now;
@@ -62,7 +64,7 @@
         self.last_advance = now;
     }
 
-    /// Records that a target revision is seen. Only one that is newer than all seen before counts.
+    /// Records that a target revision was seen, unless a newer or the same revision of the model is already recorded.
     pub fn record(&mut self, model: &str, revision: WeightsRevision) {
         let age = if self.counted_time < CATCH_UP_TIME { ASSUMED_AGE } else { Duration::ZERO };
         let first_seen = FirstSeen { at: self.counted_time, age };
@@ -76,7 +78,7 @@
         }
     }
 
-    /// All recorded announcements with their present ages, in the order of models and revisions.
+    /// All recorded announcements with their current ages, ordered by model and revision.
     pub fn announcements(&self) -> impl Iterator<Item = Announcement<'_>> {
         self.first_seen.iter().flat_map(move |(model, revisions)| {
             revisions.iter().map(move |(revision, first_seen)| Announcement {
@@ -87,7 +89,7 @@
         })
     }
 
-    /// The age of one announcement, or `None` if it was not recorded.
+    /// The age of an announcement, or `None` if it is not recorded.
     #[must_use]
     pub fn age(&self, model: &str, revision: WeightsRevision) -> Option<Duration> {
         let mut announcements = self.announcements();
--- a/crates/control-plane/src/rollout/controller.rs
+++ b/crates/control-plane/src/rollout/controller.rs
@@ -1,4 +1,4 @@
-//! Carries out the plan while this member is primary.
+//! Carries out the rollout plan while this member is primary.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,14 +18,14 @@
 use super::{Event, RolloutOutput};
 use crate::singleton::{SingletonContext, SingletonLease};
 
-/// Time from one look at the lease to the next, while nothing else happens.
+/// Maximum interval between checks of the lease.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Shortest wait for something that is due, so that a deadline in the past does not spin.
+/// Minimum wait, so that a deadline in the past does not cause a busy loop.
 const MIN_WAIT: Duration = Duration::from_millis(10);
 
-/// The roll-out of one member, which acts while the member is primary.
+/// The rollout controller of a member, which acts while the member is primary.
 pub struct Rollout {
-    /// The member's name, which replicas see as the owner of a command.
+    /// The member's name, which load commands contain as their owner.
     name: String,
     settings: PlannerSettings,
     context: SingletonContext,
@@ -33,20 +33,21 @@
     events: Receiver<Event>,
     sender: Sender<Event>,
     announcements: AnnouncementTimes,
-    /// None before the member first became primary; stale while another one is.
+    /// The state of the last tenure of this member: none before the first one, outdated while another member is
+    /// primary.
     tenure: Option<TenureState>,
 }
 
-/// The plan of one tenure of this member as primary.
+/// The state of one tenure of this member as primary.
 struct TenureState {
     lease: SingletonLease,
     planner: Planner,
-    /// Whether the plan has adopted what the first list of the tenure inherited from an earlier primary's table.
+    /// Whether the plan has adopted the loads that the table inherited from an earlier primary.
     has_inherited_loads: bool,
 }
 
 impl Rollout {
-    /// The roll-out of the member `name`, and the sender of its events.
+    /// Creates the controller of the member `name`, and returns it with the sender of its events.
     pub fn new(
         name: String,
         settings: PlannerSettings,
@@ -61,7 +62,7 @@
         (rollout, event_sender)
     }
 
-    /// Carries out the roll-out; does not return.
+    /// Runs the rollout; does not return.
     pub async fn run(mut self) {
         loop {
             let event = self.next_event().await;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The next event, or `None` when something else may be due.
+    /// Waits for the next event; returns `None` when the planner's next deadline or the lease check is due.
     async fn next_event(&self) -> Option<Event> {
         let wait = self.time_to_next_deadline(clock::now());
         let timer = async {
@@ -92,7 +93,8 @@
         })
     }
 
-    /// Records the announced targets, also while another member is primary: this one may be the next.
+    /// Records the announced targets. This is also done while another member is primary, as this one may become
+    /// primary.
     fn record_announcements(&mut self) {
         self.announcements.advance(clock::now(), self.context.lease_status.knows_primary());
         for (model, revision) in self.output.named() {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Begins a new plan when this member becomes primary.
+    /// Creates a new plan when this member has become primary.
     fn refresh_tenure(&mut self) {
         let Some(lease) = self.context.lease_status.singleton_lease() else { return };
         match self.tenure.as_mut().filter(|tenure| tenure.lease.tenure == lease.tenure) {
@@ -116,7 +118,7 @@
         self.inherit_loads();
     }
 
-    /// Has the plan adopt what an earlier primary knew of loads, once the first list of the tenure is there.
+    /// Passes the loads known to an earlier primary to the plan, after the first complete list of the tenure.
     fn inherit_loads(&mut self) {
         let Some(tenure) = self.tenure.as_mut().filter(|tenure| !tenure.has_inherited_loads) else {
             return;
@@ -158,12 +160,12 @@
         }
     }
 
-    /// Does what is due, if this member is primary within its lease.
+    /// Performs the planner's steps that are due, if this member holds the singleton lease.
     fn step(&mut self) {
         let Some(lease) = self.context.lease_status.singleton_lease() else { return };
         let Some(tenure) = self.tenure.as_mut().filter(|tenure| tenure.lease == lease) else { return };
         let before = tenure.planner.weights();
-        tenure.planner.set_queued_requests(self.output.waiting());
+        tenure.planner.set_queued_work(self.output.waiting());
         let actions = tenure.planner.step(clock::now());
         log_withdrawals(&tenure.planner, &before);
         self.output.weights(lease.epoch, tenure.planner.weights());
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Starts an action, whose result comes as an event.
+    /// Starts an action in the background; its result is sent as an event.
     fn spawn(&self, action: Action, fencing_token: FencingToken) {
         match action {
             Action::SendCommand { replica, weights } => self.spawn_command(replica, weights, fencing_token),
@@ -214,13 +216,14 @@
     }
 }
 
-/// Logs each model whose older weights were withdrawn since `before`, and the replicas that still have them.
+/// Logs each model of which further revisions are withdrawn compared to `before`, and the replicas that still have
+/// them.
 fn log_withdrawals(planner: &Planner, before: &[ModelWeights]) {
     let least_before: BTreeMap<&str, WeightsRevision> =
         before.iter().map(|weights| (weights.model.as_str(), weights.least)).collect();
     for weights in planner.weights() {
-        let known = least_before.get(weights.model.as_str()).copied().unwrap_or_default();
-        if weights.least > known {
+        let previous_least = least_before.get(weights.model.as_str()).copied().unwrap_or_default();
+        if weights.least > previous_least {
             let outdated = planner.outdated_replicas(&weights.model, weights.least);
             log::info!(
                 model:% = weights.model, least = weights.least.0, named = weights.named.0,
--- a/crates/control-plane/src/rollout/messages.rs
+++ b/crates/control-plane/src/rollout/messages.rs
@@ -1,15 +1,15 @@
-//! The messages that are exchanged with replicas about the weights that they serve.
+//! The messages exchanged with replicas about their weights.
 
 use serde::{Deserialize, Serialize};
 use tulipridge_configuration::number::WeightsRevision;
 use tulipridge_protocol::feed::ModelRevision;
 
-/// Fencing token of a primary: a replica refuses commands with a lower one than it has seen.
+/// Fencing token of a primary: a replica refuses commands whose token is lower than the highest one it has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(transparent)]
 pub struct FencingToken(pub u64);
 
-/// A command to load weights. The field names are those of the replicas' interface.
+/// A command to load weights. The serialized field names are those of the replicas' interface.
 #[derive(Debug, Serialize)]
 pub struct LoadCommand<'a> {
     #[serde(rename = "orderKind")]
@@ -23,16 +23,16 @@
     fencing_token: FencingToken,
 }
 
-/// What becomes of running requests when a replica is to load weights.
+/// How a replica treats running requests when it is commanded to load weights.
 #[derive(Clone, Copy, Debug, Serialize)]
 enum LoadMethod {
-    /// They run to their end before the load begins.
+    /// Running requests are completed before the load starts.
     #[serde(rename = "hold")]
     Drain,
 }
 
 impl<'a> LoadCommand<'a> {
-    /// A command to load `weights`, by the primary named `owner`.
+    /// Creates a command to load `weights` from the primary named `owner`.
     #[must_use]
     pub fn new(weights: &'a ModelRevision, owner: &'a str, fencing_token: FencingToken) -> LoadCommand<'a> {
         LoadCommand {
@@ -46,27 +46,27 @@
     }
 }
 
-/// How a load command to a replica ended.
+/// The outcome of a load command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// The load is in progress.
+    /// The replica has accepted the command, and the load is in progress.
     Accepted,
-    /// The replica has these weights.
+    /// The replica already has these weights.
     AlreadyLoaded,
-    /// Another load is in progress.
+    /// The replica is busy with another load.
     Busy,
     /// The replica has seen a higher fencing token.
     Fenced,
-    /// Another replica has the address now.
+    /// A different replica has this address now.
     WrongReplica,
-    /// The replica did not accept the command, as while it is full.
+    /// The command was not accepted for another reason: for example, the replica is full or can't be reached.
     Refused,
-    /// No response came: the command may have been accepted.
+    /// The call failed after the connection was established: the replica may have accepted the command.
     Unanswered,
 }
 
 impl CommandOutcome {
-    /// The meaning of a response's HTTP status.
+    /// The outcome that the HTTP status of a response denotes.
     #[must_use]
     pub fn from_status(status: u16) -> CommandOutcome {
         match status {
@@ -80,11 +80,11 @@
     }
 }
 
-/// A replica's report, as far as the roll-out uses it.
+/// The part of a replica's report that the rollout uses.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "ReportBody")]
 pub struct ReplicaReport {
-    /// Its models and the revision of their weights.
+    /// The replica's models, and the revisions of their weights.
     pub models: Vec<ModelRevision>,
     /// Whether a load is in progress.
     pub is_loading: bool,
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -1,8 +1,8 @@
-//! The roll-out of model weights: brings replicas to the target revisions that the operator announced.
+//! The rollout of model weights: brings the replicas to the target revisions that the operator announced.
 //!
-//! The roll-out is a singleton role: only the primary within its lease commands replicas. [`Planner`] decides without
-//! I/O and clock which replica loads when and from when on older weights are withdrawn; [`Rollout`] carries out its
-//! actions; [`AnnouncementTimes`] lets a new primary continue with the deadlines that run.
+//! The rollout is a singleton role: only the primary within its lease sends load commands. [`Planner`] decides which
+//! replica loads when, and when older weights are withdrawn; it performs no I/O and reads no clock. [`Rollout`]
+//! carries out its actions. [`AnnouncementTimes`] lets a new primary keep the deadlines of earlier announcements.
 
 mod announcements;
 mod controller;
@@ -22,39 +22,40 @@
 pub use replica_client::ReplicaEndpoint;
 use tulipridge_configuration::number::WeightsRevision;
 
-/// What the roll-out reacts to.
+/// An event that the rollout handles.
 #[derive(Debug)]
 pub enum Event {
     /// The operator may have announced new targets.
     Named,
-    /// Service discovery has read a complete list of replicas.
+    /// Service discovery has fetched a complete list of replicas.
     Listed,
-    /// A load command has ended.
+    /// The call of a load command has ended.
     CommandFinished {
         /// The replica's id.
         replica: String,
-        /// How it ended.
+        /// The outcome of the command.
         outcome: CommandOutcome,
     },
-    /// A request for a replica's report has ended.
+    /// The call for a replica's report has ended.
     ReportFinished {
         /// The replica's id.
         replica: String,
-        /// The report, if it came.
+        /// The report, or `None` if the call failed.
         report: Option<ReplicaReport>,
     },
 }
 
-/// What the roll-out reads of the replicated state, and where its results are delivered.
+/// Gives the rollout access to the replicated state, and delivers its results.
 pub trait RolloutOutput {
     /// Delivers the table of weights, as primary of `epoch`.
     fn weights(&self, epoch: Epoch, weights: Vec<ModelWeights>);
-    /// Delivers the table of replicas, whose corrections have changed.
+    /// Delivers the table of replicas after its corrections have changed.
     fn fleet_corrected(&self);
-    /// The operator's newest target revision of each model.
+    /// The newest target revision of each model that the operator announced.
     fn named(&self) -> BTreeMap<String, WeightsRevision>;
-    /// The table of weights that was delivered last, by this or an earlier primary.
+    /// The table of weights that was last delivered, by this or an earlier primary.
     fn delivered(&self) -> Vec<ModelWeights>;
-    /// Requests of proxies that are queued at each replica, by its id.
+    /// The work that gateways have queued at each replica, by replica id. The unit is
+    /// [`WORK_UNIT_TOKENS`](tulipridge_protocol::feed::WORK_UNIT_TOKENS); each request counts as at least one.
     fn waiting(&self) -> BTreeMap<String, u32>;
 }
--- a/crates/control-plane/src/rollout/planner/fleet_view.rs
+++ b/crates/control-plane/src/rollout/planner/fleet_view.rs
@@ -1,5 +1,4 @@
-//! What the planner knows of the replicas: the discovered list, the revisions that were observed since, and the requests
-//! that are queued.
+//! The planner's view of the replicas: the discovered list, the revisions observed since then, and the queued work.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +7,15 @@
 
 use super::super::replica_client::ReplicaEndpoint;
 
-/// The replicas and the weights that they have.
+/// The replicas, the weights that they have, and the work queued at them.
 #[derive(Debug, Default)]
 pub(super) struct FleetView {
     replicas: BTreeMap<String, Replica>,
-    /// Revisions that replicas were observed to have, which the list may not show yet.
+    /// Revisions that replicas were observed to have, by replica id. The list may not show them yet.
     observed: BTreeMap<String, Vec<ModelRevision>>,
-    /// Requests of proxies that are queued at replicas.
-    queued_requests: BTreeMap<String, u32>,
+    /// Work that gateways have queued at replicas, by replica id, in units of which each request counts as at least
+    /// one.
+    queued_work: BTreeMap<String, u32>,
 }
 
 impl FleetView {
@@ -25,12 +25,12 @@
         self.observed.retain(|id, _| self.replicas.contains_key(id));
     }
 
-    /// Replaces the counts of queued requests.
-    pub(super) fn set_queued_requests(&mut self, queued_requests: BTreeMap<String, u32>) {
-        self.queued_requests = queued_requests;
+    /// Replaces the amounts of queued work.
+    pub(super) fn set_queued_work(&mut self, queued_work: BTreeMap<String, u32>) {
+        self.queued_work = queued_work;
     }
 
-    /// Removes a replica until the next list.
+    /// Removes a replica until the list is replaced.
     pub(super) fn remove(&mut self, id: &str) {
         self.replicas.remove(id);
     }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Revisions that replicas were observed to have, by their ids.
+    /// Revisions that replicas were observed to have, by replica id.
     pub(super) fn observed(&self) -> &BTreeMap<String, Vec<ModelRevision>> {
         &self.observed
     }
@@ -53,24 +53,24 @@
         self.replicas.contains_key(id)
     }
 
-    /// Where a replica is called, or `None` if it is not listed or its address can't be parsed.
+    /// The endpoint of a replica, or `None` if it is not listed or its address can't be parsed.
     pub(super) fn endpoint(&self, id: &str) -> Option<ReplicaEndpoint> {
         let address = self.replicas.get(id)?.address.parse().ok()?;
         Some(ReplicaEndpoint { id: id.to_owned(), address })
     }
 
-    /// Requests that are queued at a replica, as far as proxies have reported.
-    pub(super) fn queued_requests(&self, id: &str) -> u32 {
-        self.queued_requests.get(id).copied().unwrap_or(0)
+    /// The amount of work queued at a replica, as reported by the gateways; zero if none is reported.
+    pub(super) fn queued_work(&self, id: &str) -> u32 {
+        self.queued_work.get(id).copied().unwrap_or(0)
     }
 
-    /// Replicas that serve a model.
+    /// The replicas that serve a model.
     pub(super) fn serving<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Replica> {
         let serves = move |replica: &&Replica| replica.models.iter().any(|served| served.model == model);
         self.replicas.values().filter(serves)
     }
 
-    /// Replicas that serve a model with weights older than `revision`.
+    /// The replicas that serve a model with weights older than `revision`.
     pub(super) fn with_older_weights<'a>(
         &'a self,
         model: &'a str,
@@ -79,7 +79,7 @@
         self.serving(model).filter(move |replica| self.has_older_weights(&replica.id, model, revision))
     }
 
-    /// The same without those that are draining.
+    /// The replicas that serve a model with weights older than `revision` and are not draining.
     pub(super) fn lacking_revision<'a>(
         &'a self,
         model: &'a str,
@@ -88,12 +88,12 @@
         self.with_older_weights(model, revision).filter(|replica| replica.phase != ReplicaPhase::Draining)
     }
 
-    /// Whether every replica of a model, of at least one, has `revision` or newer weights or is draining.
+    /// Whether a model has replicas, and each of them has `revision` or newer weights or is draining.
     pub(super) fn is_rollout_complete(&self, model: &str, revision: WeightsRevision) -> bool {
         self.serving(model).next().is_some() && self.lacking_revision(model, revision).next().is_none()
     }
 
-    /// Whether a replica has a model with weights older than `revision`.
+    /// Whether a replica has weights of a model that are older than `revision`.
     pub(super) fn has_older_weights(&self, id: &str, model: &str, revision: WeightsRevision) -> bool {
         self.revision(id, model).is_some_and(|present| present < revision)
     }
--- a/crates/control-plane/src/rollout/planner/load.rs
+++ b/crates/control-plane/src/rollout/planner/load.rs
@@ -1,48 +1,48 @@
-//! The load of one replica, in progress.
+//! A load in progress at one replica.
 
 use std::time::Duration;
 
 use tulipridge_protocol::feed::ModelRevision;
 
-/// The load of a replica, from the notice to the proxies up to its end.
+/// A load in progress, from the time at which the replica is marked as loading to its end.
 #[derive(Clone, Debug)]
 pub(super) struct Load {
-    /// The weights that it loads.
+    /// The weights to load.
     pub(super) weights: ModelRevision,
-    /// Since when it receives no new requests.
+    /// When the load started: from then on the replica is shown as loading and receives no new requests.
     pub(super) started_at: Duration,
-    /// When it accepted this primary's command.
+    /// When the replica accepted this primary's command.
     pub(super) accepted_at: Option<Duration>,
-    /// What comes next.
+    /// The next step of the load.
     pub(super) next_step: NextStep,
 }
 
-/// What comes next in a load.
+/// The next step of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextStep {
-    /// The command is due at this time.
+    /// Send the load command at this time.
     CommandAt(Duration),
-    /// The command's outcome is awaited.
+    /// Wait for the outcome of the command.
     AwaitOutcome,
-    /// A request for the report is due at this time.
+    /// Fetch the replica's report at this time.
     ReportAt(Duration),
-    /// The report is awaited.
+    /// Wait for the report.
     AwaitReport,
 }
 
 impl Load {
-    /// A load that starts now, whose command is due at `command_at`.
+    /// Starts a load whose command is sent at `command_at`.
     pub(super) fn start(weights: ModelRevision, now: Duration, command_at: Duration) -> Load {
         let next_step = NextStep::CommandAt(command_at);
         Load { weights, started_at: now, accepted_at: None, next_step }
     }
 
-    /// A load that an earlier primary may have commanded: the replica is asked for its report at once.
+    /// Creates a load that an earlier primary may have commanded; the replica's report is fetched at once.
     pub(super) fn inherit(weights: ModelRevision, now: Duration) -> Load {
         Load { weights, started_at: now, accepted_at: None, next_step: NextStep::ReportAt(now) }
     }
 
-    /// When something is due next, if commands may be sent from `commands_from` on; none while a response is awaited.
+    /// When the next step is due, or `None` while a response is pending. No command is due before `commands_from`.
     pub(super) fn due_at(&self, commands_from: Duration) -> Option<Duration> {
         match self.next_step {
             NextStep::CommandAt(at) => Some(at.max(commands_from)),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether something is due now.
+    /// Whether the next step is due at `now`.
     pub(super) fn is_due(&self, now: Duration, commands_from: Duration) -> bool {
         self.due_at(commands_from).is_some_and(|at| at <= now)
     }
--- a/crates/control-plane/src/rollout/planner/mod.rs
+++ b/crates/control-plane/src/rollout/planner/mod.rs
@@ -1,6 +1,7 @@
-//! Plans the roll-out of weights: which replica loads when, and from when on older weights must not be used.
+//! Plans the rollout of weights: which replica loads when, and when older weights are withdrawn.
 //!
-//! No I/O and no clock: events and the present time are handed in, actions are returned.
+//! The planner performs no I/O and reads no clock: the caller passes events and the current time, and carries out the
+//! returned actions.
 
 mod fleet_view;
 mod load;
@@ -25,67 +26,71 @@
 use super::replica_client::ReplicaEndpoint;
 use crate::fleet::Corrections;
 
-/// Time for the proxies to learn that a replica receives no more requests, before it is commanded to load.
+/// Time between marking a replica as loading and sending the load command, in which the gateways learn to send it no
+/// more requests.
 const DRAIN_PROPAGATION_TIME: Duration = Duration::from_millis(200);
-/// Longest time from the start of a load to its command while requests are queued at the replica: the command rejects
-/// them.
+/// Maximum time that the command is delayed after the start of a load while requests are queued at the replica: the
+/// command rejects them.
 const MAX_QUEUE_DRAIN_TIME: Duration = Duration::from_secs(1);
-/// Time from one look at the queue of a draining replica to the next.
+/// Interval at which a replica's queue is checked before the load command.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time from one request for a loading replica's report to the next.
+/// Interval at which a loading replica's report is fetched.
 const REPORT_INTERVAL: Duration = Duration::from_millis(150);
-/// A report may show a state that is this old.
+/// Maximum age of the state that a report shows.
 const REPORT_LAG: Duration = Duration::from_millis(600);
-/// Backoff after a replica has refused a command.
+/// Backoff after a replica refused a load command.
 const COMMAND_BACKOFF: Duration = Duration::from_secs(1);
-/// The same for one whose weights are withdrawn: it serves no requests meanwhile.
+/// Backoff for a replica with withdrawn weights, which is shorter because it receives no requests until it has
+/// loaded.
 const URGENT_COMMAND_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Times that the deployment sets.
+/// Time limits from the settings of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerSettings {
-    /// The operator's term: after it no request may begin on older weights.
+    /// The operator's term for a new revision: after it no request may start on older weights.
     pub revision_term: RevisionTerm,
-    /// The time for which a new primary sends no commands: an earlier one's lease may run so long.
+    /// The lease term. A new primary sends no commands for this time, because the lease of an earlier one may still
+    /// be valid.
     pub lease_term: Duration,
 }
 
-/// A call that the planner's caller is to make.
+/// A call to a replica that the planner requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a load command, and hand its outcome to [`Planner::record_outcome`].
+    /// Send a load command; its outcome goes to [`Planner::record_outcome`].
     SendCommand {
         /// The replica.
         replica: ReplicaEndpoint,
-        /// The model and its new revision.
+        /// The model, and the revision to load.
         weights: ModelRevision,
     },
-    /// Fetch a replica's report, and hand it to [`Planner::record_report`].
+    /// Fetch a replica's report, which goes to [`Planner::record_report`].
     FetchReport {
         /// The replica.
         replica: ReplicaEndpoint,
     },
 }
 
-/// The plan of one tenure as primary.
+/// The rollout plan of one tenure as primary.
 #[derive(Debug)]
 pub struct Planner {
     settings: PlannerSettings,
-    /// No command is sent before this time.
+    /// No load command is sent before this time.
     commands_from: Duration,
+    /// A replica has refused this primary's fencing token.
     is_fenced: bool,
-    /// The target of each model; every load is of a model with a target.
+    /// The target of each model. Every model in `loads` has one.
     targets: BTreeMap<String, Target>,
     fleet: FleetView,
-    /// Loads in progress, by the replicas' ids.
+    /// Loads in progress, by replica id.
     loads: BTreeMap<String, Load>,
-    /// Replicas that have refused a command, and until when they get no other one.
+    /// Replicas that refused a command, and when each may be sent the next one.
     backoffs: BTreeMap<String, Duration>,
     load_time: LoadTimeEstimate,
 }
 
 impl Planner {
-    /// A plan for a member that becomes primary now.
+    /// Creates the plan of a member that becomes primary at `now`.
     #[must_use]
     pub fn new(settings: PlannerSettings, now: Duration) -> Planner {
         Planner {
@@ -100,15 +105,15 @@
         }
     }
 
-    /// Adopts the table of weights that an earlier primary delivered: what was withdrawn remains so.
+    /// Adopts the table of weights that an earlier primary delivered: withdrawn revisions remain withdrawn.
     pub fn inherit(&mut self, delivered: &[ModelWeights]) {
         for weights in delivered {
             self.targets.entry(weights.model.clone()).or_default().inherit(weights);
         }
     }
 
-    /// Adopts what an earlier primary knew of the listed replicas. Those that it had loading may load still: they are asked,
-    /// and receive no requests until their report shows that they don't.
+    /// Adopts what an earlier primary knew of the listed replicas. Replicas that were loading may still be: their
+    /// reports are fetched, and they receive no requests until a report shows that no load is in progress.
     pub fn inherit_loads(&mut self, delivered: &Corrections, now: Duration) {
         for (id, models) in &delivered.revisions {
             models.iter().for_each(|weights| self.fleet.observe(id, weights.clone()));
@@ -120,7 +125,7 @@
         }
     }
 
-    /// The target that a listed replica lacks_target, of the first model by name of which it has older weights.
+    /// The target of the first model, by name, of which a listed replica has older weights.
     fn lacking_target(&self, id: &str) -> Option<ModelRevision> {
         let mut targets = self.targets.iter();
         let (model, target) =
@@ -128,14 +133,14 @@
         Some(ModelRevision { model: model.clone(), revision: target.desired })
     }
 
-    /// Adds a target that the operator announced. Returns whether it is new.
+    /// Adds a target that the operator announced, and returns whether it is new.
     pub fn announce(&mut self, announcement: Announcement<'_>, now: Duration) -> bool {
         let deadline = Deadline::of(announcement, self.settings.revision_term, now);
         self.targets.entry(announcement.model.to_owned()).or_default().announce(deadline)
     }
 
-    /// Replaces the list of replicas. Loads of replicas that it lacks_target are dropped, and those whose weights it shows have
-    /// ended.
+    /// Replaces the list of replicas. Loads of replicas that are no longer listed are dropped, and loads whose
+    /// weights the list shows are finished.
     pub fn set_replicas<'a>(&mut self, replicas: impl Iterator<Item = &'a Replica>, now: Duration) {
         self.fleet.set_replicas(replicas);
         self.loads.retain(|id, _| self.fleet.contains(id));
@@ -146,9 +151,9 @@
         }
     }
 
-    /// Replaces the counts of requests that are queued at replicas, by their ids.
-    pub fn set_queued_requests(&mut self, queued_requests: BTreeMap<String, u32>) {
-        self.fleet.set_queued_requests(queued_requests);
+    /// Replaces the amounts of work queued at replicas, by replica id. Each request counts as at least one unit.
+    pub fn set_queued_work(&mut self, queued_work: BTreeMap<String, u32>) {
+        self.fleet.set_queued_work(queued_work);
     }
 
     /// Records how a load command ended.
@@ -164,21 +169,21 @@
                 self.fleet.observe(replica, weights);
                 self.finish_load(replica, now);
             }
-            // Whether the replica loads these weights is seen in its report.
+            // The replica's report will show whether it loads these weights.
             CommandOutcome::Busy | CommandOutcome::Unanswered => {
                 load.next_step = NextStep::ReportAt(now + REPORT_LAG);
             }
             CommandOutcome::Refused => self.back_off(replica, now),
             CommandOutcome::WrongReplica => {
                 self.loads.remove(replica);
-                // Until the list shows which replica has the address, none is called there.
+                // No call is made to this address until the list shows which replica has it.
                 self.fleet.remove(replica);
             }
             CommandOutcome::Fenced => self.is_fenced = true,
         }
     }
 
-    /// Ends a load whose command was refused; the replica serves requests meanwhile.
+    /// Ends a load whose command was refused. The replica serves requests during the backoff.
     fn back_off(&mut self, replica: &str, now: Duration) {
         let Some(load) = self.loads.remove(replica) else { return };
         let model = load.weights.model;
@@ -187,7 +192,7 @@
         self.backoffs.insert(replica.to_owned(), now + backoff);
     }
 
-    /// Records a replica's report; `None` if it did not come.
+    /// Records a replica's report, or `None` if the call for it failed.
     pub fn record_report(&mut self, replica: &str, report: Option<&ReplicaReport>, now: Duration) {
         let Some(load) = self.loads.get_mut(replica) else { return };
         let Some(report) = report else {
@@ -201,12 +206,12 @@
             self.finish_load(replica, now);
             return;
         }
-        // The report may be older than the command.
+        // A report can show the state before the command was accepted.
         let may_predate_command = now < load.accepted_at.unwrap_or(load.started_at) + REPORT_LAG;
         if report.is_loading || may_predate_command {
             load.next_step = NextStep::ReportAt(now + REPORT_INTERVAL);
         } else if now < self.commands_from {
-            // It serves requests until it may be commanded.
+            // The replica serves requests until commands may be sent.
             self.loads.remove(replica);
         } else {
             load.next_step = NextStep::CommandAt(now);
@@ -220,7 +225,7 @@
         }
     }
 
-    /// Withdraws and starts what is due now, and returns the calls to make.
+    /// Withdraws revisions and starts loads that are due at `now`, and returns the calls to make.
     pub fn step(&mut self, now: Duration) -> Vec<Action> {
         self.withdraw(now);
         if self.is_fenced {
@@ -235,7 +240,8 @@
         due.iter().filter_map(|id| self.advance_load(id, now)).collect()
     }
 
-    /// Withdraws older weights of models whose deadline has passed, or whose replicas have all loaded.
+    /// Withdraws the older revisions of each model whose withdrawal deadline has passed or whose replicas have all
+    /// loaded.
     fn withdraw(&mut self, now: Duration) {
         for (model, target) in &mut self.targets {
             let is_rollout_complete = self.fleet.is_rollout_complete(model, target.desired);
@@ -265,10 +271,10 @@
         Selection { model, target, fleet, loads, backoffs, load_time, now }.select()
     }
 
-    /// Does the next step of a load that is due.
+    /// Performs the step of a load that is due.
     fn advance_load(&mut self, id: &str, now: Duration) -> Option<Action> {
         let replica = self.fleet.endpoint(id)?;
-        let has_queue = self.fleet.queued_requests(id) > 0;
+        let has_queue = self.fleet.queued_work(id) > 0;
         let load = self.loads.get_mut(id)?;
         let target = &self.targets[&load.weights.model];
         match load.next_step {
@@ -278,7 +284,7 @@
             }
             NextStep::CommandAt(_) => {
                 load.next_step = NextStep::AwaitOutcome;
-                // A newer revision may have been announced since the load started.
+                // A newer revision may have been announced after the load started.
                 load.weights.revision = load.weights.revision.max(target.desired);
                 Some(Action::SendCommand { replica, weights: load.weights.clone() })
             }
@@ -290,7 +296,7 @@
         }
     }
 
-    /// When something is due next; none while only events can change that.
+    /// The time at which a step is due next, or `None` if nothing is due before the next event.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         let deadlines = self.targets.values().flat_map(Target::deadlines);
@@ -300,7 +306,7 @@
         withdrawals.chain(loads.chain(starts).filter(|_| !self.is_fenced)).min()
     }
 
-    /// When the next load may start, while none is in progress but some replicas lack their target.
+    /// When the next load may start, if no load is in progress and some replicas lack their target.
     fn next_start(&self) -> Option<Duration> {
         let lacks_target = |(model, target): (&String, &Target)| {
             self.fleet.lacking_revision(model, target.desired).next().is_some()
@@ -311,33 +317,34 @@
         Some(self.backoffs.values().copied().min().unwrap_or(self.commands_from))
     }
 
-    /// Whether a replica has refused this primary's fencing token: another member is primary.
+    /// Whether a replica has refused this primary's fencing token because another member has become primary.
     #[must_use]
     pub fn is_fenced(&self) -> bool {
         self.is_fenced
     }
 
-    /// Ids of replicas that have weights of a model older than `revision`, draining ones included.
+    /// Ids of the replicas, including draining ones, whose weights of a model are older than `revision`.
     #[must_use]
     pub fn outdated_replicas(&self, model: &str, revision: WeightsRevision) -> Vec<String> {
         self.fleet.with_older_weights(model, revision).map(|replica| replica.id.clone()).collect()
     }
 
-    /// What the table of replicas is to show beyond the discovered list.
+    /// The corrections to the discovered list of replicas that the delivered table contains.
     #[must_use]
     pub fn corrections(&self) -> Corrections {
         let loading = self.loads.keys().cloned().collect();
         Corrections { loading, revisions: self.fleet.observed().clone() }
     }
 
-    /// The table of weights to be delivered, in the order of models.
+    /// The table of weights to deliver, ordered by model.
     #[must_use]
     pub fn weights(&self) -> Vec<ModelWeights> {
         self.targets.iter().map(|(model, target)| target.to_model_weights(model)).collect()
     }
 }
 
-/// Whether the command of a load may wait for the replica's queue to empty. Weights that are withdrawn do not wait.
+/// Whether the command of a load may wait for the replica's queue to empty. It does not wait if the replica's weights
+/// are withdrawn.
 fn may_wait_for_queue(load: &Load, target: &Target, now: Duration) -> bool {
     now < load.started_at + MAX_QUEUE_DRAIN_TIME && load.weights.revision > target.minimum
 }
--- a/crates/control-plane/src/rollout/planner/selection.rs
+++ b/crates/control-plane/src/rollout/planner/selection.rs
@@ -1,4 +1,4 @@
-//! Selects the replicas of a model that are to load next.
+//! Selects the replicas of a model that load next.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,28 +10,28 @@
 use super::load::Load;
 use super::target::{Deadline, Target};
 
-/// Replicas of a model that load concurrently, if there are enough.
+/// Minimum number of replicas of a model that load concurrently, unless this is more than half of them.
 const MIN_CONCURRENT_LOADS: usize = 3;
 
-/// What the selection of one model's replicas depends on.
+/// The inputs of the selection for one model.
 pub(super) struct Selection<'a> {
-    /// The model.
+    /// The name of the model.
     pub(super) model: &'a str,
-    /// Its target.
+    /// The target revision of the model.
     pub(super) target: &'a Target,
     pub(super) fleet: &'a FleetView,
-    /// Loads in progress, of all models.
+    /// Loads in progress of all models, by replica id.
     pub(super) loads: &'a BTreeMap<String, Load>,
-    /// Replicas that get no command now.
+    /// Replicas that refused a command recently, by id; they are not selected.
     pub(super) backoffs: &'a BTreeMap<String, Duration>,
-    /// How long a load is expected to take.
+    /// The estimated duration of a load.
     pub(super) load_time: Duration,
     pub(super) now: Duration,
 }
 
 impl<'a> Selection<'a> {
-    /// Ids of the replicas that are to load next: those whose weights are withdrawn at once, the others as many at a time
-    /// as the deadlines need.
+    /// Returns the ids of the replicas that load next: all idle ones whose weights are withdrawn, and as many of the
+    /// others as have to load concurrently to meet the deadlines.
     pub(super) fn select(&self) -> Vec<String> {
         let mut selected: Vec<String> = self.urgent().map(|replica| replica.id.clone()).collect();
         let loading = self.loads.values().filter(|load| load.weights.model == self.model).count();
@@ -41,8 +41,8 @@
         selected
     }
 
-    /// Idle replicas whose weights must not be used any more. A load command empties a replica's queue, so a draining one
-    /// is included too, once its queued requests must not begin.
+    /// Idle replicas whose weights are withdrawn. A draining replica is included only after its weights have expired:
+    /// the load command then empties its queue, whose requests must no longer start.
     fn urgent(&self) -> impl Iterator<Item = &'a Replica> {
         self.fleet.serving(self.model).filter(|replica| self.is_idle(replica)).filter(|replica| {
             let is_draining = replica.phase == ReplicaPhase::Draining;
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Idle replicas that lack the target, but whose weights may still be used.
+    /// Idle replicas that lack the target revision but whose weights are not withdrawn.
     fn usable(&self) -> impl Iterator<Item = &'a Replica> {
         let lacking = self.fleet.lacking_revision(self.model, self.target.desired);
         let idle = lacking.filter(|replica| self.is_idle(replica));
@@ -62,22 +62,24 @@
         !self.loads.contains_key(&replica.id) && !self.backoffs.contains_key(&replica.id)
     }
 
-    /// How many replicas load concurrently, so that all have loaded by each deadline. Half of them continue to serve.
+    /// The maximum number of concurrent loads: enough to meet each deadline, but at most half of the replicas
+    /// (rounded up), so that the others continue to serve.
     fn max_concurrent_loads(&self) -> usize {
         let needed = self.target.deadlines().iter().map(|deadline| self.needed_loads(deadline)).max();
         let half = self.fleet.serving(self.model).count().div_ceil(2);
         needed.unwrap_or(0).max(MIN_CONCURRENT_LOADS).min(half)
     }
 
-    /// How many replicas have to load concurrently for all to have loaded by a deadline.
+    /// The number of replicas that have to load concurrently for all of them to finish by a deadline.
     fn needed_loads(&self, deadline: &Deadline) -> usize {
         let time_left = deadline.load_by.saturating_sub(self.now).max(self.load_time);
         let lacking = self.fleet.lacking_revision(self.model, deadline.revision).count();
         (lacking as f64 * self.load_time.as_secs_f64() / time_left.as_secs_f64()).ceil() as usize
     }
 
-    /// Sorts replicas: older weights first; neighbours in the order are of different zones; and of each zone the replicas
-    /// with the fewest queued requests first, which lose the least and are the soonest drained.
+    /// Sorts replicas by revision, oldest first. Within a revision the zones alternate, and within a zone the
+    /// replicas with the least queued work come first: they drain the soonest, and the load command rejects the least
+    /// work.
     fn in_load_order(&self, replicas: Vec<&'a Replica>) -> Vec<&'a Replica> {
         let mut by_revision: BTreeMap<Option<WeightsRevision>, Vec<&'a Replica>> = BTreeMap::new();
         for replica in replicas {
@@ -86,9 +88,9 @@
         by_revision.into_values().flat_map(|replicas| self.spread_over_zones(replicas)).collect()
     }
 
-    /// Takes from each zone in turn its replica with the fewest queued requests.
+    /// Orders replicas by taking from each zone in turn the remaining one with the least queued work.
     fn spread_over_zones(&self, mut replicas: Vec<&'a Replica>) -> Vec<&'a Replica> {
-        replicas.sort_by_key(|replica| (self.fleet.queued_requests(&replica.id), &replica.id));
+        replicas.sort_by_key(|replica| (self.fleet.queued_work(&replica.id), &replica.id));
         let mut zone_counts: BTreeMap<&str, usize> = BTreeMap::new();
         let mut ranked: Vec<RankedReplica<'a>> = Vec::new();
         for replica in replicas {
@@ -101,7 +103,7 @@
     }
 }
 
-/// A replica and its rank among those of its zone.
+/// A replica, and its rank by queued work within its zone.
 struct RankedReplica<'a> {
     rank_in_zone: usize,
     replica: &'a Replica,
--- a/crates/control-plane/src/rollout/planner/target.rs
+++ b/crates/control-plane/src/rollout/planner/target.rs
@@ -1,4 +1,4 @@
-//! The target revision of one model, and the deadlines that run for it.
+//! The target revision of one model, and the deadlines of its announced revisions.
 
 use std::time::Duration;
 
@@ -8,32 +8,32 @@
 
 use super::super::announcements::Announcement;
 
-/// The weights that a model's replicas are to have.
+/// The target revision of a model, and its older revisions that are withdrawn.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Target {
     /// The newest announced revision.
     pub(super) desired: WeightsRevision,
-    /// Requests are sent only to replicas of this revision or newer; older weights are withdrawn.
+    /// The oldest revision to whose replicas requests may be sent; older ones are withdrawn.
     pub(super) minimum: WeightsRevision,
-    /// The withdrawal deadline of this revision has passed: requests that are queued on older weights must not begin.
+    /// The newest revision whose withdrawal deadline has passed: requests queued on older weights must not start.
     pub(super) expired: WeightsRevision,
-    /// Deadlines that have not passed, in the order of revisions.
+    /// Deadlines that have not passed, ordered by revision.
     deadlines: Vec<Deadline>,
 }
 
-/// The deadline of one announced revision.
+/// The deadlines of one announced revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Deadline {
-    /// The revision.
+    /// The announced revision.
     pub(super) revision: WeightsRevision,
-    /// When all replicas should have loaded it or a newer one.
+    /// When all replicas should have loaded this revision or a newer one.
     pub(super) load_by: Duration,
-    /// When older weights are withdrawn.
+    /// When older revisions are withdrawn.
     pub(super) withdraw_at: Duration,
 }
 
 impl Deadline {
-    /// The deadline of an announcement whose age is measured at `now`.
+    /// The deadlines of an announcement whose age was measured at `now`.
     pub(super) fn of(announcement: Announcement<'_>, term: RevisionTerm, now: Duration) -> Deadline {
         let after_announcement = |time: Duration| (now + time).saturating_sub(announcement.age);
         Deadline {
@@ -45,7 +45,7 @@
 }
 
 impl Target {
-    /// Adds an announced revision. Returns whether it is new; the deadlines of other revisions go on.
+    /// Adds an announced revision and returns whether it is new. The deadlines of other revisions remain.
     pub(super) fn announce(&mut self, deadline: Deadline) -> bool {
         let is_known = self.deadlines.iter().any(|known| known.revision == deadline.revision);
         if is_known || deadline.revision <= self.expired {
@@ -57,21 +57,21 @@
         true
     }
 
-    /// Adopts what an earlier primary has delivered: what it withdrew remains so.
+    /// Adopts the target that an earlier primary delivered: revisions that it withdrew remain withdrawn.
     pub(super) fn inherit(&mut self, delivered: &ModelWeights) {
         self.desired = self.desired.max(delivered.named);
         self.expire(delivered.expired);
         self.withdraw_below(delivered.least);
     }
 
-    /// Expires the revisions whose deadline has passed.
+    /// Expires and withdraws all revisions below the newest one whose withdrawal deadline has passed.
     pub(super) fn expire_due(&mut self, now: Duration) {
         let passed = self.deadlines.iter().filter(|deadline| deadline.withdraw_at <= now);
         let newest = passed.map(|deadline| deadline.revision).max();
         self.expire(newest.unwrap_or(WeightsRevision(0)));
     }
 
-    /// From now on no request is sent to replicas of a revision below this one.
+    /// Withdraws the revisions below this one: no request is sent to replicas that have them.
     pub(super) fn withdraw_below(&mut self, revision: WeightsRevision) {
         self.minimum = self.minimum.max(revision);
     }
@@ -83,7 +83,7 @@
         self.deadlines.retain(|deadline| deadline.revision > expired);
     }
 
-    /// Deadlines that have not passed.
+    /// Deadlines that have not passed, ordered by revision.
     pub(super) fn deadlines(&self) -> &[Deadline] {
         &self.deadlines
     }
--- a/crates/control-plane/src/rollout/replica_client.rs
+++ b/crates/control-plane/src/rollout/replica_client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to replicas: load commands and reports.
+//! Calls to replicas: load commands and requests for reports.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -9,23 +9,23 @@
 use super::messages::{CommandOutcome, FencingToken, LoadCommand, ReplicaReport};
 use crate::http_client::{Call, CallError, HttpClient};
 
-/// Time for a complete response.
+/// Timeout for the complete response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time to establish a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Header with the id of the replica that is meant: another one may have the address by now.
+/// Header with the id of the intended replica, since a different one may have the address by now.
 const REPLICA_ID_HEADER: &str = "Meant-Server";
 
-/// The replica that a call is for.
+/// The id and address of a replica to call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaEndpoint {
-    /// Its id.
+    /// The replica's id.
     pub id: String,
-    /// Its address.
+    /// The replica's address.
     pub address: SocketAddrV4,
 }
 
-/// Sends a command to load `weights`, as the primary named `owner`.
+/// Sends a command to load `weights` on behalf of the primary named `owner`.
 pub(super) async fn send_load_command(
     replica: &ReplicaEndpoint,
     weights: &ModelRevision,
@@ -39,13 +39,13 @@
     let call = Call { method: "POST", target: "/order", headers: &headers, body: &body };
     match client(replica.address).call(call, CALL_TIMEOUT).await {
         Ok(response) => CommandOutcome::from_status(response.status),
-        // The command was not sent.
+        // Without a connection the command was not sent.
         Err(CallError::Connect { .. }) => CommandOutcome::Refused,
         Err(CallError::Broken { .. }) => CommandOutcome::Unanswered,
     }
 }
 
-/// Fetches a replica's report, or `None` if none came that can be read.
+/// Fetches a replica's report. Returns `None` if the call fails or the report can't be parsed.
 pub(super) async fn fetch_report(address: SocketAddrV4) -> Option<ReplicaReport> {
     let response = client(address).call(Call::get("/report"), CALL_TIMEOUT).await.ok()?;
     if response.status != 200 {
--- a/crates/control-plane/src/singleton.rs
+++ b/crates/control-plane/src/singleton.rs
@@ -1,5 +1,6 @@
-//! The singleton lease: the right to do what only one member may do at a time, which is to read the platform's list of
-//! replicas, to follow the caches, and to order weights. The primary has it while it is within its lease.
+//! The singleton lease: the right to perform the singleton roles, which only one member may perform at a time. These
+//! are polling the platform's list of replicas, following cache events, and commanding replicas to load weights. The
+//! primary holds it while it is within its lease.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,30 +11,30 @@
 use crate::fleet::FleetTable;
 use crate::tenure::Tenure;
 
-/// The right to act as the only one of all members.
+/// The right of one member to perform the singleton roles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SingletonLease {
-    /// The primary's epoch: the fencing token of its orders.
+    /// The primary's epoch, which is the fencing token of its load commands.
     pub epoch: Epoch,
-    /// The tenure of the primary: while it stays the same, no other member had the lease between.
+    /// The tenure of the primary. If two leases have the same tenure, no other member held the lease between them.
     pub tenure: Tenure,
 }
 
-/// Knows whether this member has the singleton lease.
+/// Tells whether this member holds the singleton lease.
 pub trait LeaseStatus {
-    /// The lease; none while this member is not primary, not within its lease, or has yet to apply what was committed
-    /// before.
+    /// The lease, or `None` while this member is not primary, is not within its lease, or has not yet applied
+    /// everything that was committed before its current epoch.
     fn singleton_lease(&self) -> Option<SingletonLease>;
-    /// Whether some member is known to be primary, this one included.
+    /// Whether a member, which may be this one, is known to be primary.
     fn knows_primary(&self) -> bool;
 }
 
-/// What each singleton role works with.
+/// The context shared by the singleton roles.
 #[derive(Clone)]
 pub struct SingletonContext {
-    /// Runs the role's calls.
+    /// Runs the roles' calls.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Knows whether this member has the lease.
+    /// Tells whether this member holds the lease.
     pub lease_status: Rc<dyn LeaseStatus>,
     /// The table of replicas.
     pub table: Rc<RefCell<FleetTable>>,
--- a/crates/control-plane/src/tenure.rs
+++ b/crates/control-plane/src/tenure.rs
@@ -1,11 +1,11 @@
-//! How long one member has been primary without interruption.
+//! Identifies the period for which a member is primary without interruption.
 
 use std::fmt;
 
 use tulipridge_protocol::number::Epoch;
 
-/// The epoch in which a member became primary, while it stays primary through later epochs: equal tenures mean that no
-/// other member was primary between.
+/// The epoch in which a member became primary. It stays the same while the member remains primary through later
+/// epochs. If the tenures at two points in time are equal, no other member was primary between them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tenure(pub Epoch);
 
--- a/crates/control-plane/tests/rollout.rs
+++ b/crates/control-plane/tests/rollout.rs
@@ -173,7 +173,7 @@
 fn the_least_busy_of_each_zone_load_first() {
     let mut scene = Scene::new(NO_LEASE, &fleet(9, 1));
     let busy = ["i-01", "i-02", "i-03", "i-04", "i-05", "i-06"].map(|id| (id.to_owned(), 5));
-    scene.planner.set_queued_requests(busy.into());
+    scene.planner.set_queued_work(busy.into());
     scene.planner.announce(announced(2, Duration::ZERO), START);
     scene.run_until(START + ms(50));
     assert_eq!(scene.loading_replicas(), ["i-07", "i-08", "i-09"].map(str::to_owned).into());
@@ -184,16 +184,14 @@
     let mut scene = Scene::new(NO_LEASE, &fleet(3, 1));
     scene.planner.announce(announced(2, Duration::ZERO), START);
     let busy = ["i-01", "i-02", "i-03"].map(|id| (id.to_owned(), 5));
-    scene.planner.set_queued_requests(busy.into());
+    scene.planner.set_queued_work(busy.into());
     scene.run_until(START + ms(600));
     assert!(scene.commands.is_empty());
-    scene.planner.set_queued_requests([("i-01".to_owned(), 5)].into());
+    scene.planner.set_queued_work([("i-01".to_owned(), 5)].into());
     scene.run_until(START + ms(800));
     let taken = scene.commanded().len();
     assert!(taken >= 1 && !scene.commanded().contains(&"i-01"), "{:?}", scene.commanded());
-    scene
-        .planner
-        .set_queued_requests(BTreeMap::from(["i-01", "i-02", "i-03"].map(|id| (id.to_owned(), 5))));
+    scene.planner.set_queued_work(BTreeMap::from(["i-01", "i-02", "i-03"].map(|id| (id.to_owned(), 5))));
     scene.run_until(START + ms(1_100));
     assert!(scene.commanded().contains(&"i-01"));
 }
@@ -207,7 +205,7 @@
         least: WeightsRevision(2),
         expired: WeightsRevision(0),
     }]);
-    scene.planner.set_queued_requests([("i-01".to_owned(), 5)].into());
+    scene.planner.set_queued_work([("i-01".to_owned(), 5)].into());
     scene.run_until(START + ms(300));
     assert_eq!(scene.commanded(), ["i-01"]);
 }
