--- a/crates/control-plane/src/index/response.rs
+++ b/crates/control-plane/src/index/response.rs
@@ -1,14 +1,14 @@
-//! Parsing of the cache-event responses of sources.
+//! Parses the responses of cache-event sources.
 
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 use tulipridge_prefix_cache_index::{CacheListing, CachedPrefix, Cursor, EventPage, PrefixKey};
 
-/// Why a source's response can't be used.
+/// Why a response of a source can't be used.
 #[derive(Debug, Snafu)]
 pub enum ResponseError {
-    /// It is not what the interface promises.
-    #[snafu(display("an answer can't be read: {source}"))]
+    /// The body does not conform to the interface.
+    #[snafu(display("malformed response: {source}"))]
     Malformed {
         /// The parser's error.
         source: serde_json::Error,
@@ -20,11 +20,13 @@
 struct EventsBody {
     boot_no: u64,
     next_token: u64,
-    gone: bool,
-    happenings: Vec<EventRow>,
+    #[serde(rename = "gone")]
+    has_gap: bool,
+    #[serde(rename = "happenings")]
+    events: Vec<EventRow>,
 }
 
-/// Number, sign, salt, segment id, tokens that are cached after the event, model.
+/// Sequence number, sign, salt, segment id, number of cached tokens after the event, model.
 #[derive(Deserialize)]
 struct EventRow(
     #[allow(dead_code)] u64,
@@ -35,7 +37,8 @@
     #[allow(dead_code)] String,
 );
 
-/// Whether a segment grew or shrank. An event's tokens are those after it in both cases, so the sign is only checked.
+/// Whether a segment grew or shrank. It is parsed only for validation, since an event contains the resulting number
+/// of tokens in both cases.
 #[derive(Deserialize)]
 enum Sign {
     #[serde(rename = "+")]
@@ -49,10 +52,11 @@
 struct ListingBody {
     boot_no: u64,
     next_token: u64,
-    holding: Vec<ListingRow>,
+    #[serde(rename = "holding")]
+    entries: Vec<ListingRow>,
 }
 
-/// Salt, segment id, cached tokens, model.
+/// Salt, segment id, number of cached tokens, model.
 #[derive(Deserialize)]
 struct ListingRow(String, String, u32, #[allow(dead_code)] String);
 
@@ -70,7 +74,7 @@
     }
 }
 
-/// Parses the response to a request for events.
+/// Parses the response to a request for a page of events.
 ///
 /// # Errors
 ///
@@ -78,8 +82,8 @@
 pub fn parse_event_page(body: &[u8]) -> Result<EventPage, ResponseError> {
     let body: EventsBody = serde_json::from_slice(body).context(MalformedSnafu)?;
     let cursor = Cursor { boot: body.boot_no, next_token: body.next_token };
-    let events = body.happenings.into_iter().map(CachedPrefix::from).collect();
-    Ok(EventPage { cursor, gap: body.gone, events })
+    let events = body.events.into_iter().map(CachedPrefix::from).collect();
+    Ok(EventPage { cursor, gap: body.has_gap, events })
 }
 
 /// Parses the response to a request for a full listing.
@@ -90,6 +94,6 @@
 pub fn parse_listing(body: &[u8]) -> Result<CacheListing, ResponseError> {
     let body: ListingBody = serde_json::from_slice(body).context(MalformedSnafu)?;
     let cursor = Cursor { boot: body.boot_no, next_token: body.next_token };
-    let prefixes = body.holding.into_iter().map(CachedPrefix::from).collect();
+    let prefixes = body.entries.into_iter().map(CachedPrefix::from).collect();
     Ok(CacheListing { cursor, prefixes })
 }
--- a/crates/control-plane/src/operator_view.rs
+++ b/crates/control-plane/src/operator_view.rs
@@ -1,4 +1,4 @@
-//! A member as the operator's API sees it.
+//! Implements the operator's API for a member.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,16 +17,17 @@
 use crate::singleton::LeaseStatus;
 use crate::state::Change;
 
-/// The singleton roles, by the names that `/status` gives them.
+/// The names of the singleton roles in `/status`.
 const SINGLETON_ROLES: [&str; 3] = ["discovery", "index", "rollout"];
 
-/// A change that waits for those before it.
+/// A change that waits for earlier ones to complete.
 struct QueuedChange {
     change: Change,
-    reply: Sender<ChangeOutcome>,
+    outcome_sender: Sender<ChangeOutcome>,
 }
 
-/// A member as the operator sees it. Changes are carried out one at a time, each on top of the one before.
+/// The operator's interface to a member. Changes are carried out one at a time, each based on the result of the
+/// previous one.
 pub struct OperatorView {
     name: String,
     node: NodeId,
@@ -37,18 +38,18 @@
 }
 
 impl OperatorView {
-    /// A view of this member.
+    /// Creates the operator's interface to this member.
     pub fn new(name: String, node: NodeId, member: Rc<Member>, delivery: Rc<Delivery>) -> Rc<OperatorView> {
         let (sender, queue) = async_channel::unbounded();
         Rc::new(OperatorView { name, node, member, delivery, sender, queue })
     }
 
-    /// Carries out changes for ever.
+    /// Carries out queued changes; does not return.
     pub async fn run(self: Rc<Self>) {
-        while let Ok(QueuedChange { change, reply }) = self.queue.recv().await {
+        while let Ok(QueuedChange { change, outcome_sender }) = self.queue.recv().await {
             let outcome = change::carry_out(&*self.member, change).await;
-            // The caller may have closed its connection meanwhile.
-            let _ = reply.try_send(outcome);
+            // Sending fails if the caller has closed its connection in the meantime.
+            let _ = outcome_sender.try_send(outcome);
         }
     }
 }
@@ -65,8 +66,8 @@
     }
 
     async fn change(&self, change: Change) -> ChangeOutcome {
-        let (reply, outcome) = async_channel::bounded(1);
-        if self.sender.try_send(QueuedChange { change, reply }).is_err() {
+        let (outcome_sender, outcome) = async_channel::bounded(1);
+        if self.sender.try_send(QueuedChange { change, outcome_sender }).is_err() {
             return ChangeOutcome::Unknown;
         }
         outcome.recv().await.unwrap_or(ChangeOutcome::Unknown)
@@ -87,18 +88,18 @@
             role: role_name(role),
             has_lease: self.member.is_primary(),
             epoch: epoch.0,
-            voters: names(&needed_voters(&view)),
+            voters: names(&electorate(&view)),
             holders: names(&view.data_replicas),
             primary: self.member.known_primary().map(|node| node.to_string()),
-            configuration: self.delivery.revision(),
+            configuration: self.delivery.configuration_revision(),
             weights: self.named_weights(),
-            replicas: self.delivery.replicas(),
+            replicas: self.delivery.replica_count(),
             replica_weights: self.delivery.replica_weights(),
             cache_index: self.delivery.index_size(),
             singleton_roles: self.singleton_roles(),
             age_ms: self.delivery.age().map(|age| age.as_millis() as u64),
-            subscribers: self.delivery.subscribers(),
-            gateways: self.delivery.gateways(),
+            subscribers: self.delivery.subscriber_count(),
+            gateways: self.delivery.gateway_count(),
         }
     }
 }
@@ -108,7 +109,8 @@
         self.delivery.weights().into_iter().map(|weights| (weights.model, weights.named)).collect()
     }
 
-    /// Who has each singleton role: this member, or the primary if it is another one.
+    /// The node that has each singleton role: this member if it holds the lease, otherwise the primary, if it is
+    /// known and another member.
     fn singleton_roles(&self) -> BTreeMap<&'static str, String> {
         let primary = self.member.known_primary().filter(|primary| *primary != self.node);
         let lease_holder = self.member.singleton_lease().map(|_| self.node).or(primary);
@@ -117,8 +119,8 @@
     }
 }
 
-/// The view's voters, and those before them for as long as an election needs a majority of both.
-fn needed_voters(view: &View) -> Vec<NodeId> {
+/// The view's voters, followed by the previous ones while an election needs a majority of both.
+fn electorate(view: &View) -> Vec<NodeId> {
     let mut voters = view.voters.clone();
     voters.extend(view.previous_voters.iter().filter(|voter| !view.voters.contains(voter)));
     voters
