--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -93,8 +93,8 @@
     bytes: &[u8],
     persistence: Persistence,
 ) -> Completion {
-    let write_by = Instant::now() + WRITE_TIMEOUT;
-    match proxy.alarms.by(write_by, client.stream.write(bytes)).await {
+    let write_deadline = Instant::now() + WRITE_TIMEOUT;
+    match proxy.alarms.by(write_deadline, client.stream.write(bytes)).await {
         Some(Ok(())) => persistence.into(),
         _ => Completion::Abort,
     }
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -16,12 +16,12 @@
 use crate::proxy::Proxy;
 
 /// Time for which bytes are read and dropped after the last response, and the timeout for writing it.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The idle timeout that clients are told is shorter by this than the one that is applied, so that a client does not
 /// send a request while the connection is being closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 /// Larger buffers of a connection are shrunk between requests.
-const IDLE_BUFFER_BYTES: usize = 1024;
+const MAX_IDLE_BUFFER_BYTES: usize = 1024;
 
 /// Serves a connection to its end.
 pub async fn serve_connection(proxy: Rc<Proxy>, mut stream: BufferedStream, _permit: ClientPermit) {
@@ -44,17 +44,17 @@
         };
         match handle_request(&proxy, client, &request).await {
             Completion::KeepAlive => {}
-            Completion::Close => return close(stream, &limits).await,
+            Completion::Close => return lingering_close(stream, &limits).await,
             Completion::Abort => return,
         }
-        stream.buf.shrink_to(IDLE_BUFFER_BYTES);
+        stream.buf.shrink_to(MAX_IDLE_BUFFER_BYTES);
     }
 }
 
 /// Closes a connection after its last response. What still comes is read and dropped for a while, since a reset could
 /// overtake the response.
-async fn close(mut stream: BufferedStream, limits: &Http1Limits) {
-    let _ = stream.linger(LINGER, limits).await;
+async fn lingering_close(mut stream: BufferedStream, limits: &Http1Limits) {
+    let _ = stream.linger(LINGER_TIMEOUT, limits).await;
 }
 
 /// Responds to bytes that are no acceptable request.
@@ -62,8 +62,8 @@
     log::debug!(status = error.status(); "a request can't be read: {error}");
     let mut bytes = Vec::new();
     LocalResponse::plain(error.status()).write(None, Persistence::Close, &mut bytes);
-    if proxy.alarms.by(Instant::now() + LINGER, stream.write(&bytes)).await.is_some() {
-        close(stream, limits).await;
+    if proxy.alarms.by(Instant::now() + LINGER_TIMEOUT, stream.write(&bytes)).await.is_some() {
+        lingering_close(stream, limits).await;
     }
 }
 
--- a/crates/proxy/src/downstream/relay.rs
+++ b/crates/proxy/src/downstream/relay.rs
@@ -33,13 +33,13 @@
     /// Tracks complete events where the stream may be resumed.
     events: Option<EventTracker>,
     /// Bytes of the body that are forwarded next.
-    payload: Vec<u8>,
+    body: Vec<u8>,
     /// Encoded bytes that are written to the client next.
     outbound: Vec<u8>,
 }
 
 /// What ends a wait for more of a response.
-enum Arrival {
+enum ReadOutcome {
     Read(io::Result<usize>),
     ClientDisconnected,
     TimedOut,
@@ -74,7 +74,7 @@
             persistence,
             is_head_written: false,
             events,
-            payload: Vec::new(),
+            body: Vec::new(),
             outbound: Vec::new(),
         }
     }
@@ -129,12 +129,11 @@
                 response.finish(&proxy.pool);
                 return RelayEnd::Complete;
             }
-            let arrival =
-                poll_fn(|context| poll_arrival(proxy, client, &mut response, &mut timeout, context));
-            let read = match arrival.await {
-                Arrival::Read(read) => read,
-                Arrival::TimedOut => return RelayEnd::UpstreamBroken,
-                Arrival::ClientDisconnected => return RelayEnd::ClientDisconnected,
+            let outcome = poll_fn(|context| poll_read(proxy, client, &mut response, &mut timeout, context));
+            let read = match outcome.await {
+                ReadOutcome::Read(read) => read,
+                ReadOutcome::TimedOut => return RelayEnd::UpstreamBroken,
+                ReadOutcome::ClientDisconnected => return RelayEnd::ClientDisconnected,
             };
             if response.handle_read(read, &proxy.pool).is_err() {
                 return RelayEnd::UpstreamBroken;
@@ -145,8 +144,8 @@
     /// Encodes what has arrived of a response for the client. Of a stream that may be resumed, nothing is forwarded before
     /// its first event is complete, so that another replica can still give the whole response.
     fn fill_outbound(&mut self, response: &mut UpstreamResponse) {
-        self.fill_payload(response);
-        if self.events.is_some() && self.payload.is_empty() && !response.is_complete {
+        self.fill_body(response);
+        if self.events.is_some() && self.body.is_empty() && !response.is_complete {
             return;
         }
         if !std::mem::replace(&mut self.is_head_written, true) {
@@ -159,28 +158,28 @@
         }
         match self.framing {
             Framing::None => {}
-            Framing::Length(_) | Framing::UntilClose => self.outbound.extend_from_slice(&self.payload),
-            Framing::Chunked => self.fill_chunk(response.is_complete),
+            Framing::Length(_) | Framing::UntilClose => self.outbound.extend_from_slice(&self.body),
+            Framing::Chunked => self.encode_chunk(response.is_complete),
         }
-        self.payload.clear();
+        self.body.clear();
     }
 
-    fn fill_payload(&mut self, response: &mut UpstreamResponse) {
+    fn fill_body(&mut self, response: &mut UpstreamResponse) {
         match &mut self.events {
             Some(events) => {
-                events.push(&mut response.buffered, &mut self.payload);
+                events.push(&mut response.buffered, &mut self.body);
                 if response.is_complete {
-                    events.finish(&mut self.payload);
+                    events.finish(&mut self.body);
                 }
             }
-            None => std::mem::swap(&mut self.payload, &mut response.buffered),
+            None => std::mem::swap(&mut self.body, &mut response.buffered),
         }
     }
 
-    fn fill_chunk(&mut self, is_last: bool) {
-        if !self.payload.is_empty() {
-            let _ = write!(self.outbound, "{:x}\r\n", self.payload.len());
-            self.outbound.extend_from_slice(&self.payload);
+    fn encode_chunk(&mut self, is_last: bool) {
+        if !self.body.is_empty() {
+            let _ = write!(self.outbound, "{:x}\r\n", self.body.len());
+            self.outbound.extend_from_slice(&self.body);
             self.outbound.extend_from_slice(b"\r\n");
         }
         if is_last {
@@ -189,18 +188,18 @@
     }
 }
 
-fn poll_arrival(
+fn poll_read(
     proxy: &Proxy,
     client: &mut Client<'_>,
     response: &mut UpstreamResponse,
     timeout: &mut Alarm,
     context: &mut Context<'_>,
-) -> Poll<Arrival> {
+) -> Poll<ReadOutcome> {
     if let Poll::Ready(read) = response.connection.poll_fill(context, proxy.pool.limits()) {
-        return Poll::Ready(Arrival::Read(read));
+        return Poll::Ready(ReadOutcome::Read(read));
     }
     if client.poll_disconnected(context).is_ready() {
-        return Poll::Ready(Arrival::ClientDisconnected);
+        return Poll::Ready(ReadOutcome::ClientDisconnected);
     }
-    timeout.poll_passed(context).map(|()| Arrival::TimedOut)
+    timeout.poll_passed(context).map(|()| ReadOutcome::TimedOut)
 }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -13,7 +13,7 @@
 /// Timeout for the body of a request whose client states no deadline.
 const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interim response to `Expect: 100-continue`.
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// A request that was read completely.
 pub struct DownstreamRequest {
@@ -63,16 +63,16 @@
     limits: &Http1Limits,
 ) -> Result<Option<DownstreamRequest>, RequestError> {
     let started = Instant::now();
-    let head_by = started + Duration::from_millis(proxy.caps().head_wait_ms);
-    let head = match proxy.alarms.by(head_by, read_head(stream, limits)).await {
+    let head_deadline = started + Duration::from_millis(proxy.caps().head_wait_ms);
+    let head = match proxy.alarms.by(head_deadline, read_head(stream, limits)).await {
         Some(Ok(Some(head))) => head,
         Some(other) => return other.map(|_| None),
         None => return Err(RequestError::TooSlow),
     };
-    let body_by = started + time_left(&head).unwrap_or(DEFAULT_BODY_TIMEOUT);
+    let body_deadline = started + time_left(&head).unwrap_or(DEFAULT_BODY_TIMEOUT);
     let mut body_bytes = proxy.count_body_bytes();
     let reading = read_body(proxy, stream, limits, &head, &mut body_bytes);
-    match proxy.alarms.by(body_by.max(head_by), reading).await {
+    match proxy.alarms.by(body_deadline.max(head_deadline), reading).await {
         Some(Ok(Some(body))) => Ok(Some(DownstreamRequest { head, body, started, body_bytes })),
         Some(other) => other.map(|_| None),
         None => Err(RequestError::TooSlow),
@@ -106,8 +106,8 @@
         body.reserve_exact(length);
     }
     if framing != Body::Length(0) && stream.buf.is_empty() && head.lists("expect", "100-continue") {
-        let continued: io::Result<()> = stream.write(CONTINUE).await;
-        if continued.is_err() {
+        let written: io::Result<()> = stream.write(CONTINUE_RESPONSE).await;
+        if written.is_err() {
             return Ok(None);
         }
     }
--- a/crates/proxy/src/replica/attempt.rs
+++ b/crates/proxy/src/replica/attempt.rs
@@ -64,12 +64,12 @@
         connection.forbid_reuse(ConnectionState::HeadRequest);
     }
     // A replica that has closed the connection may have responded before, so a response is still read.
-    let without_response = match connection.send(request.head, request.body, pool.limits()).await {
+    let missing_response_outcome = match connection.send(request.head, request.body, pool.limits()).await {
         WriteProgress::BrokenInHead => return AttemptResult::Failed(AttemptOutcome::BrokenInRequestHead),
         WriteProgress::BrokenInBody => AttemptOutcome::BrokenInRequestBody,
         WriteProgress::Complete | WriteProgress::ResponseStarted => AttemptOutcome::BrokenBeforeResponse,
     };
-    read_response(pool, replica, connection, request, without_response).await
+    read_response(pool, replica, connection, request, missing_response_outcome).await
 }
 
 /// Reads the response to this request, and skips responses to earlier ones.
@@ -78,32 +78,32 @@
     replica: &Rc<ReplicaEntry>,
     mut connection: Connection,
     request: UpstreamRequest<'_>,
-    mut without_response: AttemptOutcome,
+    mut missing_response_outcome: AttemptOutcome,
 ) -> AttemptResult {
     for _ in 0..=MAX_STALE_RESPONSES {
         let head = match read_head(&mut connection, pool).await {
             Ok(head) => head,
-            Err(HeadError::Missing) => return AttemptResult::Failed(without_response),
+            Err(HeadError::Missing) => return AttemptResult::Failed(missing_response_outcome),
             Err(HeadError::Incomplete) => return AttemptResult::Failed(AttemptOutcome::BrokenInResponse),
             Err(HeadError::Invalid) => return AttemptResult::Failed(AttemptOutcome::InvalidResponse),
         };
         match ResponseClass::of(&head, request.attempt_id, &replica.id.0) {
             ResponseClass::Stale => {
-                without_response = AttemptOutcome::OnlyStaleResponses;
+                missing_response_outcome = AttemptOutcome::OnlyStaleResponses;
                 connection.forbid_reuse(ConnectionState::StaleResponse);
                 if read_body(pool, &mut connection, head.response_body().ok()).await.is_none() {
                     return AttemptResult::Failed(AttemptOutcome::OnlyStaleResponses);
                 }
             }
             ResponseClass::Current(AttemptOutcome::Success) => {
-                return begin_success(pool, replica, connection, head, request).await;
+                return start_success_response(pool, replica, connection, head, request).await;
             }
             ResponseClass::Current(outcome) if !is_read_to_end(outcome) => {
                 return AttemptResult::Failed(outcome);
             }
             ResponseClass::Current(outcome) => {
                 let framing = request.response_framing(&head);
-                return read_error(pool, replica, connection, head, framing, outcome).await;
+                return read_error_response(pool, replica, connection, head, framing, outcome).await;
             }
         }
     }
@@ -121,7 +121,7 @@
 }
 
 /// Reads a success up to the first bytes of its body.
-async fn begin_success(
+async fn start_success_response(
     pool: &ConnectionPool,
     replica: &Rc<ReplicaEntry>,
     connection: Connection,
@@ -145,7 +145,7 @@
 
 /// Reads a response that is no success to its end. One whose head proves that the request has not run proves it
 /// without its end, too.
-async fn read_error(
+async fn read_error_response(
     pool: &ConnectionPool,
     replica: &Rc<ReplicaEntry>,
     mut connection: Connection,
@@ -155,8 +155,8 @@
 ) -> AttemptResult {
     let is_forwardable = is_forwardable(outcome);
     let Some(body) = read_body(pool, &mut connection, framing).await else {
-        let is_proven = !is_forwardable && outcome.execution() == Execution::NotRun;
-        return AttemptResult::Failed(if is_proven { outcome } else { AttemptOutcome::BrokenInResponse });
+        let has_not_run = !is_forwardable && outcome.execution() == Execution::NotRun;
+        return AttemptResult::Failed(if has_not_run { outcome } else { AttemptOutcome::BrokenInResponse });
     };
     pool.check_in(&replica.id, connection, &head);
     if is_forwardable {
--- a/crates/proxy/src/replica/classify.rs
+++ b/crates/proxy/src/replica/classify.rs
@@ -30,13 +30,13 @@
 }
 
 fn outcome_of(head: &Head, replica: &str) -> AttemptOutcome {
-    let not_run = head.get("not-run").is_some();
+    let states_not_run = head.get("not-run").is_some();
     match head.status() {
         421 if head.get("server-id").is_some_and(|id| id != replica) => AttemptOutcome::WrongReplica,
         421 => AttemptOutcome::WrongRevision,
-        400 if not_run => AttemptOutcome::Rejected,
-        200..=299 if not_run => AttemptOutcome::Unsealed,
-        _ if not_run => AttemptOutcome::NotRun,
+        400 if states_not_run => AttemptOutcome::Rejected,
+        200..=299 if states_not_run => AttemptOutcome::Unsealed,
+        _ if states_not_run => AttemptOutcome::NotRun,
         200..=299 if !head.get("server-seal").is_some_and(is_plain) => AttemptOutcome::Unsealed,
         200..=299 if is_encoded(head) => AttemptOutcome::Encoded,
         200..=299 => AttemptOutcome::Success,
--- a/crates/proxy/src/replica/connection.rs
+++ b/crates/proxy/src/replica/connection.rs
@@ -49,7 +49,7 @@
 }
 
 /// Why the writing of a request has stopped.
-enum WriteStop {
+enum WriteEnd {
     Complete,
     ResponseStarted,
     Failed,
@@ -83,16 +83,16 @@
     /// Writes a request until it is complete, the response begins, or the connection fails.
     pub async fn send(&mut self, head: &[u8], body: &[u8], limits: &Http1Limits) -> WriteProgress {
         let mut written = 0;
-        let stop = poll_fn(|context| self.poll_send(context, head, body, &mut written, limits)).await;
-        match stop {
-            WriteStop::Complete => WriteProgress::Complete,
+        let end = poll_fn(|context| self.poll_send(context, head, body, &mut written, limits)).await;
+        match end {
+            WriteEnd::Complete => WriteProgress::Complete,
             // What came can't be the response to it.
             _ if written < head.len() => WriteProgress::BrokenInHead,
-            WriteStop::ResponseStarted => {
+            WriteEnd::ResponseStarted => {
                 self.unsent = Unsent { bytes: body[written - head.len()..].to_vec(), written: 0 };
                 WriteProgress::ResponseStarted
             }
-            WriteStop::Failed => {
+            WriteEnd::Failed => {
                 self.forbid_reuse(ConnectionState::RequestIncomplete);
                 WriteProgress::BrokenInBody
             }
@@ -106,22 +106,22 @@
         body: &[u8],
         written: &mut usize,
         limits: &Http1Limits,
-    ) -> Poll<WriteStop> {
+    ) -> Poll<WriteEnd> {
         while *written < head.len() + body.len() {
             let head_left = &head[(*written).min(head.len())..];
             let body_left = &body[written.saturating_sub(head.len())..];
             match self.stream.poll_write_both(context, head_left, body_left) {
                 Poll::Ready(Ok(count)) => *written += count,
-                Poll::Ready(Err(_)) => return Poll::Ready(WriteStop::Failed),
+                Poll::Ready(Err(_)) => return Poll::Ready(WriteEnd::Failed),
                 Poll::Pending => {
                     return self.stream.poll_fill(context, limits).map(|read| match read {
-                        Ok(count) if count > 0 => WriteStop::ResponseStarted,
-                        _ => WriteStop::Failed,
+                        Ok(count) if count > 0 => WriteEnd::ResponseStarted,
+                        _ => WriteEnd::Failed,
                     });
                 }
             }
         }
-        Poll::Ready(WriteStop::Complete)
+        Poll::Ready(WriteEnd::Complete)
     }
 
     /// Reads what is there, or waits for bytes; 0 is the end of the stream.
@@ -138,11 +138,11 @@
         context: &mut Context<'_>,
         limits: &Http1Limits,
     ) -> Poll<io::Result<usize>> {
-        self.poll_unsent(context);
+        self.poll_write_unsent(context);
         self.stream.poll_fill(context, limits)
     }
 
-    fn poll_unsent(&mut self, context: &mut Context<'_>) {
+    fn poll_write_unsent(&mut self, context: &mut Context<'_>) {
         while !self.unsent.remaining().is_empty() {
             match self.stream.poll_write(context, self.unsent.remaining()) {
                 Poll::Ready(Ok(count)) => self.unsent.written += count,
--- a/crates/proxy/src/replica/permit.rs
+++ b/crates/proxy/src/replica/permit.rs
@@ -5,9 +5,9 @@
 
 /// Counts the open connections; clones share the count.
 #[derive(Clone, Debug, Default)]
-pub struct OpenConnections(Rc<Cell<usize>>);
+pub struct OpenConnectionCount(Rc<Cell<usize>>);
 
-impl OpenConnections {
+impl OpenConnectionCount {
     /// How many connections are open.
     #[must_use]
     pub fn count(&self) -> usize {
@@ -24,7 +24,7 @@
 
 /// One open connection in the count.
 #[derive(Debug)]
-pub struct ConnectionPermit(OpenConnections);
+pub struct ConnectionPermit(OpenConnectionCount);
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
--- a/crates/proxy/src/replica/pool.rs
+++ b/crates/proxy/src/replica/pool.rs
@@ -12,7 +12,7 @@
 
 use crate::replica::connect_error::ConnectError;
 use crate::replica::connection::Connection;
-use crate::replica::permit::OpenConnections;
+use crate::replica::permit::OpenConnectionCount;
 
 /// Time after a response in which a connection is not reused: bytes that still come belong to no request.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
@@ -30,14 +30,14 @@
 /// A pooled connection, and when it may be used.
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires_at: Instant,
 }
 
 /// The connections to all replicas.
 pub struct ConnectionPool {
     idle: RefCell<BTreeMap<ReplicaId, Vec<IdleConnection>>>,
-    open: OpenConnections,
+    open: OpenConnectionCount,
     max_open: usize,
     limits: Http1Limits,
 }
@@ -46,7 +46,7 @@
     /// An empty pool. At most `max_open` connections are open at once, in use or idle, each within `limits`.
     #[must_use]
     pub fn new(max_open: usize, limits: Http1Limits) -> Self {
-        ConnectionPool { idle: RefCell::default(), open: OpenConnections::default(), max_open, limits }
+        ConnectionPool { idle: RefCell::default(), open: OpenConnectionCount::default(), max_open, limits }
     }
 
     /// The HTTP limits of connections to replicas.
@@ -60,9 +60,9 @@
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(replica)?;
-        while let Some(index) = connections.iter().rposition(|idle| now >= idle.since + REUSE_DELAY) {
-            let IdleConnection { mut connection, until, .. } = connections.remove(index);
-            if now < until && connection.stream.is_quiet() {
+        while let Some(index) = connections.iter().rposition(|idle| now >= idle.idle_since + REUSE_DELAY) {
+            let IdleConnection { mut connection, expires_at, .. } = connections.remove(index);
+            if now < expires_at && connection.stream.is_quiet() {
                 connection.stream.reset_on_drop = true;
                 return Some(connection);
             }
@@ -98,8 +98,8 @@
             return;
         }
         connection.stream.buf = Vec::new();
-        let since = Instant::now();
-        connections.push(IdleConnection { connection, since, until: since + idle_timeout });
+        let idle_since = Instant::now();
+        connections.push(IdleConnection { connection, idle_since, expires_at: idle_since + idle_timeout });
     }
 
     /// Closes the idle connections of all replicas but those for which `is_in_use` holds.
@@ -111,7 +111,7 @@
     pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(|idle| now < idle.until && idle.connection.stream.is_quiet());
+            connections.retain(|idle| now < idle.expires_at && idle.connection.stream.is_quiet());
             !connections.is_empty()
         });
     }
@@ -119,18 +119,18 @@
     fn evict_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.values_mut().filter(|connections| !connections.is_empty());
-        let oldest = oldest.min_by_key(|connections| connections[0].since);
+        let oldest = oldest.min_by_key(|connections| connections[0].idle_since);
         oldest.map(|connections| drop(connections.remove(0))).is_some()
     }
 }
 
 /// How long a connection may stay idle after a response with this head.
 fn idle_timeout(head: &Head) -> Duration {
-    let stated = head.get("keep-alive").and_then(|value| {
+    let announced = head.get("keep-alive").and_then(|value| {
         let timeout = value.split(',').find_map(|field| field.trim().strip_prefix("timeout="))?;
         timeout.trim().parse().ok().map(Duration::from_secs)
     });
-    stated.map_or(DEFAULT_IDLE_TIMEOUT, |time| time.saturating_sub(IDLE_MARGIN))
+    announced.map_or(DEFAULT_IDLE_TIMEOUT, |time| time.saturating_sub(IDLE_MARGIN))
 }
 
 /// Has the system detect a peer that is gone without closing the connection. Where the system can't, the connection is
--- a/crates/proxy/src/replica/replicas.rs
+++ b/crates/proxy/src/replica/replicas.rs
@@ -78,10 +78,10 @@
 pub struct ReplicaTable {
     entries: BTreeMap<ReplicaId, Rc<ReplicaEntry>>,
     /// The ids of listed incarnations that still have their address, by address.
-    addresses: BTreeMap<SocketAddr, ReplicaId>,
+    ids_by_address: BTreeMap<SocketAddr, ReplicaId>,
     /// Listed incarnations whose address belongs to another one now.
     displaced: BTreeSet<ReplicaId>,
-    ready: usize,
+    ready_count: usize,
 }
 
 impl ReplicaTable {
@@ -94,13 +94,13 @@
     /// The replica that is listed at an address, whether or not it may be sent requests.
     #[must_use]
     pub fn at(&self, address: SocketAddr) -> Option<&Rc<ReplicaEntry>> {
-        self.entries.get(self.addresses.get(&address)?)
+        self.entries.get(self.ids_by_address.get(&address)?)
     }
 
     /// How many replicas may be sent requests.
     #[must_use]
     pub fn ready_count(&self) -> usize {
-        self.ready
+        self.ready_count
     }
 
     /// Applies the newest list. A replica is ready unless it drains, is displaced, or has outdated weights. Returns the
@@ -147,35 +147,35 @@
         let entry = self.entries.get_mut(id).filter(|entry| entry.phase == Phase::Ready)?;
         Rc::make_mut(entry).phase = Phase::Draining;
         let service = entry.service.clone();
-        self.addresses.remove(&entry.address);
+        self.ids_by_address.remove(&entry.address);
         self.displaced.insert(id.clone());
-        self.ready -= 1;
+        self.ready_count -= 1;
         Some(service)
     }
 
     fn replace(&mut self, entries: BTreeMap<ReplicaId, Rc<ReplicaEntry>>) -> BTreeSet<String> {
-        let is_same = |entry: &Rc<ReplicaEntry>, other: Option<&Rc<ReplicaEntry>>| {
+        let is_equivalent = |entry: &Rc<ReplicaEntry>, other: Option<&Rc<ReplicaEntry>>| {
             other.is_some_and(|other| {
                 (entry.phase, entry.zone, &entry.service) == (other.phase, other.zone, &other.service)
             })
         };
-        let added = entries.values().filter(|entry| !is_same(entry, self.entries.get(&entry.id)));
-        let removed = self.entries.values().filter(|entry| !is_same(entry, entries.get(&entry.id)));
+        let added = entries.values().filter(|entry| !is_equivalent(entry, self.entries.get(&entry.id)));
+        let removed = self.entries.values().filter(|entry| !is_equivalent(entry, entries.get(&entry.id)));
         let changed = added.chain(removed).map(|entry| entry.service.clone()).collect();
         self.displaced.retain(|id| entries.contains_key(id));
-        self.ready = entries.values().filter(|entry| entry.phase == Phase::Ready).count();
-        self.addresses = self.by_address(&entries);
+        self.ready_count = entries.values().filter(|entry| entry.phase == Phase::Ready).count();
+        self.ids_by_address = self.index_by_address(&entries);
         self.entries = entries;
         changed
     }
 
     /// Indexes replicas by address. Of two at one address, a ready one goes before the other.
-    fn by_address(
+    fn index_by_address(
         &self,
         entries: &BTreeMap<ReplicaId, Rc<ReplicaEntry>>,
     ) -> BTreeMap<SocketAddr, ReplicaId> {
-        let listed = entries.values().filter(|entry| !self.displaced.contains(&entry.id));
-        let (ready, other): (Vec<_>, Vec<_>) = listed.partition(|entry| entry.phase == Phase::Ready);
+        let current = entries.values().filter(|entry| !self.displaced.contains(&entry.id));
+        let (ready, other): (Vec<_>, Vec<_>) = current.partition(|entry| entry.phase == Phase::Ready);
         other.into_iter().chain(ready).map(|entry| (entry.address, entry.id.clone())).collect()
     }
 
--- a/crates/proxy/src/replica/response.rs
+++ b/crates/proxy/src/replica/response.rs
@@ -133,8 +133,8 @@
             Ok(Some(_)) | Err(_) => return Err(HeadError::Invalid),
             Ok(None) => {
                 if !matches!(connection.fill(pool.limits()).await, Ok(1..)) {
-                    let is_missing = connection.stream.buf.is_empty();
-                    return Err(if is_missing { HeadError::Missing } else { HeadError::Incomplete });
+                    let is_empty = connection.stream.buf.is_empty();
+                    return Err(if is_empty { HeadError::Missing } else { HeadError::Incomplete });
                 }
             }
         }
--- a/crates/proxy/src/replica/retry.rs
+++ b/crates/proxy/src/replica/retry.rs
@@ -74,19 +74,19 @@
     GatewayTimeout,
 }
 
-/// The status for a request that no replica has answered. `has_given_up` says that no further replica is tried though
+/// The status for a request that no replica has answered. `is_abandoned` says that no further replica is tried though
 /// the deadline has not passed.
 #[must_use]
 pub fn final_status(
     kind: RequestKind,
     execution: Execution,
-    is_late: bool,
-    has_given_up: bool,
+    is_past_deadline: bool,
+    is_abandoned: bool,
 ) -> FinalStatus {
     match execution {
         Execution::NotRun => FinalStatus::ServiceUnavailable,
-        _ if has_given_up && kind.is_repeatable() => FinalStatus::ServiceUnavailable,
-        _ if is_late => FinalStatus::GatewayTimeout,
+        _ if is_abandoned && kind.is_repeatable() => FinalStatus::ServiceUnavailable,
+        _ if is_past_deadline => FinalStatus::GatewayTimeout,
         _ => FinalStatus::BadGateway,
     }
 }
--- a/crates/proxy/src/replica/weights_expiry.rs
+++ b/crates/proxy/src/replica/weights_expiry.rs
@@ -27,14 +27,14 @@
 #[derive(Debug, Default)]
 struct ModelExpiry {
     /// When this proxy learned that a revision is named, for revisions that have not expired earlier ones yet.
-    named_at: BTreeMap<WeightsRevision, Duration>,
+    announced_at: BTreeMap<WeightsRevision, Duration>,
     /// In the order of revisions.
-    limits: Vec<ExpiryLimit>,
+    deadlines: Vec<CancellationDeadline>,
 }
 
 /// Requests queued on revisions below this one are cancelled at this time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ExpiryLimit {
+struct CancellationDeadline {
     revision: WeightsRevision,
     at: Duration,
 }
@@ -53,46 +53,46 @@
 
     /// Applies the newest table of weights. Returns whether a limit was added.
     pub fn update(&mut self, table: &WeightsTable, now: Duration) -> bool {
-        let mut has_new_limit = false;
+        let mut has_new_deadline = false;
         for row in &table.models {
             let model = self.models.entry(row.model.clone()).or_default();
-            model.record_named(row.named, now);
-            has_new_limit |= model.expire_before(row.expired, self.term, now);
+            model.record_target(row.named, now);
+            has_new_deadline |= model.add_deadline(row.expired, self.term, now);
         }
-        has_new_limit
+        has_new_deadline
     }
 
     /// When requests that have not begun on these weights are cancelled; none while these may be used.
     #[must_use]
     pub fn cancel_at(&self, weights: &ModelRevision) -> Option<Duration> {
-        let limits = &self.models.get(&weights.model)?.limits;
-        limits.iter().find(|limit| limit.revision > weights.revision).map(|limit| limit.at)
+        let deadlines = &self.models.get(&weights.model)?.deadlines;
+        deadlines.iter().find(|deadline| deadline.revision > weights.revision).map(|deadline| deadline.at)
     }
 }
 
 impl ModelExpiry {
-    fn record_named(&mut self, revision: WeightsRevision, now: Duration) {
-        let is_new = self.named_at.last_key_value().is_none_or(|(newest, _)| *newest < revision);
-        if is_new && revision > self.expired() {
-            self.named_at.insert(revision, now);
+    fn record_target(&mut self, revision: WeightsRevision, now: Duration) {
+        let is_new = self.announced_at.last_key_value().is_none_or(|(newest, _)| *newest < revision);
+        if is_new && revision > self.oldest_valid() {
+            self.announced_at.insert(revision, now);
         }
     }
 
     /// The newest revision that has expired those before.
-    fn expired(&self) -> WeightsRevision {
-        self.limits.last().map_or(WeightsRevision(0), |limit| limit.revision)
+    fn oldest_valid(&self) -> WeightsRevision {
+        self.deadlines.last().map_or(WeightsRevision(0), |deadline| deadline.revision)
     }
 
-    fn expire_before(&mut self, revision: WeightsRevision, term: RevisionTerm, now: Duration) -> bool {
-        if revision <= self.expired() {
+    fn add_deadline(&mut self, revision: WeightsRevision, term: RevisionTerm, now: Duration) -> bool {
+        if revision <= self.oldest_valid() {
             return false;
         }
-        let named_at = self.named_at.get(&revision).copied();
-        self.named_at.retain(|other, _| *other > revision);
-        let passed = self.limits.iter().filter(|limit| limit.at <= now).count();
+        let announced_at = self.announced_at.get(&revision).copied();
+        self.announced_at.retain(|other, _| *other > revision);
+        let passed = self.deadlines.iter().filter(|deadline| deadline.at <= now).count();
         // The last passed limit covers all earlier ones.
-        self.limits.drain(..passed.saturating_sub(1));
-        self.limits.push(ExpiryLimit { revision, at: term.cancel_at(named_at, now) });
+        self.deadlines.drain(..passed.saturating_sub(1));
+        self.deadlines.push(CancellationDeadline { revision, at: term.cancel_at(announced_at, now) });
         true
     }
 }
