--- a/crates/proxy/src/replica/connect_error.rs
+++ b/crates/proxy/src/replica/connect_error.rs
@@ -1,4 +1,4 @@
-//! Why no connection to a replica came up.
+//! Errors of connecting to a replica.
 
 use std::io;
 
@@ -6,36 +6,36 @@
 
 use crate::replica::outcome::AttemptOutcome;
 
-/// `ENFILE`: all descriptors of the system are in use.
+/// Error number: the system has no free file descriptor.
 const ENFILE: i32 = 23;
-/// `EMFILE`: all descriptors of this process are in use.
+/// Error number: this process has no free file descriptor.
 const EMFILE: i32 = 24;
 
-/// Why no connection came up. In each case the request has not run, so a retry is safe.
+/// Why no connection was established. In each case the request has not run, so a retry is safe.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
     /// An upstream fault: the connection was refused, or the replica is unreachable.
-    #[snafu(display("the replica can't be reached: {source}"))]
+    #[snafu(display("failed to connect to the replica: {source}"))]
     Refused {
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// An upstream fault: the connection did not come up within the connect timeout.
-    #[snafu(display("the connection to the replica timed out: {source}"))]
+    /// An upstream fault: the connection was not established within the connect timeout.
+    #[snafu(display("connecting to the replica timed out: {source}"))]
     TimedOut {
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// An internal fault: this process or the system has no free descriptor.
-    #[snafu(display("no descriptor is free for a connection to the replica: {source}"))]
+    /// An internal fault: this process or the system has no free file descriptor.
+    #[snafu(display("no file descriptor is free for a connection to the replica: {source}"))]
     OutOfDescriptors {
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// An internal fault: as many connections to replicas are in use as this process may open.
+    /// An internal fault: the limit of open connections to replicas is reached, and all of them are in use.
     #[snafu(display("all {max_open} connections to replicas are in use"))]
     TooManyConnections {
-        /// The limit.
+        /// The limit of open connections.
         max_open: usize,
     },
 }
