--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -1,4 +1,4 @@
-//! The client's side of a request: its connection, and how responses are written to it.
+//! The client of a request, and writing of complete responses to it.
 
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -11,19 +11,19 @@
 use crate::lifecycle::Stage;
 use crate::proxy::Proxy;
 
-/// Timeout for writing a response that is complete.
+/// Timeout for writing a complete response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes that a client may pipeline behind a request that is in flight.
+/// Bytes of pipelined requests beyond which reading stops while a request is in flight.
 const MAX_PIPELINED_BYTES: usize = 16 * 1024;
 
-/// What becomes of a client's connection after a request.
+/// What happens to a client's connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// It may carry another request.
+    /// The connection may carry another request.
     KeepAlive,
-    /// The last response was written, so it is closed in order.
+    /// The last response was written. The connection is closed after a lingering read.
     Close,
-    /// The client has disconnected, or its response is incomplete: nothing more may be written.
+    /// The client has disconnected, or its response is incomplete. Nothing more may be written.
     Abort,
 }
 
@@ -42,14 +42,15 @@
     pub stream: &'a mut BufferedStream,
     /// The HTTP limits of the connection.
     pub limits: Rc<Http1Limits>,
-    /// The idle timeout that the client is told.
+    /// The idle timeout that the `Keep-Alive` header announces to the client.
     pub announced_idle_timeout: Duration,
-    /// Whether the client asked for a persistent connection.
+    /// Whether the client requested a persistent connection.
     pub keeps_alive: bool,
 }
 
 impl Client<'_> {
-    /// Ready once the client has disconnected. What it pipelines meanwhile is buffered.
+    /// Ready once the client has disconnected. Bytes that it pipelines meanwhile are buffered; beyond
+    /// [`MAX_PIPELINED_BYTES`] nothing more is read, and a disconnect is not detected.
     pub fn poll_disconnected(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
             if self.stream.buf.len() > MAX_PIPELINED_BYTES {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Whether the connection persists after a response that begins now.
+    /// Whether the connection stays open after a response that begins now.
     pub fn persistence(&self, proxy: &Proxy) -> Persistence {
         if self.keeps_alive && proxy.stage() == Stage::Serving {
             Persistence::KeepAlive(self.announced_idle_timeout)
@@ -73,7 +74,7 @@
     }
 }
 
-/// Writes a response of the proxy itself.
+/// Writes a response that the proxy itself generates.
 pub async fn write_local_response(
     proxy: &Proxy,
     client: Client<'_>,
@@ -86,7 +87,7 @@
     write_response(proxy, client, &bytes, persistence).await
 }
 
-/// Writes an encoded, complete response.
+/// Writes a complete, encoded response.
 pub async fn write_response(
     proxy: &Proxy,
     client: Client<'_>,
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: reads its requests one after the other, and keeps it open between them.
+//! A client's connection: serves its requests one after the other, and keeps it open between them.
 
 use std::future::poll_fn;
 use std::rc::Rc;
@@ -15,15 +15,16 @@
 use crate::lifecycle::Stage;
 use crate::proxy::Proxy;
 
-/// Time for which bytes are read and dropped after the last response, and the timeout for writing it.
+/// Maximum time for which bytes are read and discarded after the last response. Also the timeout for writing the
+/// response to an invalid request.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The idle timeout that clients are told is shorter by this than the one that is applied, so that a client does not
-/// send a request while the connection is being closed.
+/// The idle timeout that is announced to clients is shorter by this than the one that is applied, so that a client does
+/// not send a request while the connection is being closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// Larger buffers of a connection are shrunk between requests.
+/// Between requests, a larger read buffer is shrunk to this capacity.
 const MAX_IDLE_BUFFER_BYTES: usize = 1024;
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed.
 pub async fn serve_connection(proxy: Rc<Proxy>, mut stream: BufferedStream, _permit: ClientPermit) {
     loop {
         let limits = proxy.client_limits();
@@ -51,13 +52,13 @@
     }
 }
 
-/// Closes a connection after its last response. What still comes is read and dropped for a while, since a reset could
-/// overtake the response.
+/// Closes a connection after its last response. Reads and discards further bytes for a limited time: if the connection
+/// were closed with unread bytes, the resulting reset could overtake the response.
 async fn lingering_close(mut stream: BufferedStream, limits: &Http1Limits) {
     let _ = stream.linger(LINGER_TIMEOUT, limits).await;
 }
 
-/// Responds to bytes that are no acceptable request.
+/// Responds to an invalid request with the status of its error, and closes the connection.
 async fn reject(proxy: &Proxy, mut stream: BufferedStream, error: RequestError, limits: &Http1Limits) {
     log::debug!(status = error.status(); "a request can't be read: {error}");
     let mut bytes = Vec::new();
@@ -67,7 +68,8 @@
     }
 }
 
-/// Waits for the first bytes of a request on an idle connection; false if it ended or is to be closed.
+/// Waits for the first bytes of a request on an idle connection. Returns false if the connection has ended, its idle
+/// timeout has passed, or the process drains and nothing has been received.
 async fn wait_for_bytes(proxy: &Proxy, stream: &mut BufferedStream, limits: &Http1Limits) -> bool {
     let mut idle_timeout = proxy.alarms.after(Duration::from_millis(proxy.caps().idle_ms));
     loop {
--- a/crates/proxy/src/downstream/event_tracker.rs
+++ b/crates/proxy/src/downstream/event_tracker.rs
@@ -2,21 +2,22 @@
 
 use tulipridge_http1::codec::block_ends;
 
-/// A stream with a longer event is forwarded as it arrives and can't be resumed.
+/// Maximum length of a buffered event. From a longer event on, the stream is forwarded as it arrives and can't be
+/// resumed.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Takes complete events out of a stream, and records the id of the last one.
+/// Splits a stream into complete events, and records the id of the last one that has an id.
 #[derive(Debug, Default)]
 pub struct EventTracker {
-    /// Bytes of an event that is not complete yet.
+    /// Bytes of an incomplete event.
     partial: Vec<u8>,
     last_id: String,
-    /// An event was too long to be buffered.
+    /// Whether an event was longer than [`MAX_EVENT_BYTES`].
     has_overflowed: bool,
 }
 
 impl EventTracker {
-    /// Moves the bytes of complete events to `out` and buffers the rest; `bytes` is empty afterwards.
+    /// Appends the bytes of complete events to `out` and buffers the rest. `bytes` is empty afterwards.
     pub fn push(&mut self, bytes: &mut Vec<u8>, out: &mut Vec<u8>) {
         if self.has_overflowed {
             out.append(bytes);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Moves what is buffered to `out`, at the end of a complete stream.
+    /// Appends the buffered bytes to `out` at the end of a complete stream.
     pub fn finish(&mut self, out: &mut Vec<u8>) {
         out.append(&mut self.partial);
     }
@@ -54,14 +55,15 @@
         Some(self.last_id.as_str()).filter(|id| !id.is_empty())
     }
 
-    /// Drops the buffered part of an event, since another replica sends it again; false if the stream can't be resumed.
+    /// Discards the buffered part of an event, which another replica sends again. Returns false if the stream can't be
+    /// resumed.
     pub fn discard_partial(&mut self) -> bool {
         self.partial.clear();
         !self.has_overflowed && !self.last_id.is_empty()
     }
 }
 
-/// The id of the last event that has one.
+/// The id of the last of these events that has one.
 fn last_event_id(events: &[u8]) -> Option<&str> {
     let mut lines = events.split(|byte| *byte == b'\n').rev();
     let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections until the process drains.
+//! Accepts client connections until the process drains.
 
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -13,21 +13,21 @@
 use crate::lifecycle::Stage;
 use crate::proxy::Proxy;
 
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept, as when no file descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Accepts connections, and serves each in a task of its own, until the process drains.
+/// Accepts connections until the process drains, and serves each in its own task.
 pub async fn listen(proxy: Rc<Proxy>, executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>) {
     while proxy.stage() < Stage::Draining {
         future::or(accept(&proxy, &executor, &listener), proxy.stage_changed().changed()).await;
     }
-    // What the system has accepted by now would be reset with the listener.
+    // Connections that remain in the accept queue would be reset when the listener is closed.
     while let Some(Ok((stream, _))) = future::poll_once(listener.accept()).await {
         spawn_connection(&proxy, &executor, stream);
     }
 }
 
-/// Accepts one connection, or waits until one is closed if as many are open as may be.
+/// Accepts one connection. If the limit of open connections is reached, waits until one is closed instead.
 async fn accept(proxy: &Rc<Proxy>, executor: &Rc<LocalExecutor<'static>>, listener: &Async<TcpListener>) {
     if !proxy.usage.may_accept() {
         return proxy.usage.client_closed.changed().await;
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,8 +1,8 @@
-//! The downstream side: clients' connections, their requests, and the way of a response back to its client.
+//! The downstream side: client connections, reading of requests, and writing of responses.
 //!
-//! [`listener`] accepts connections, [`connection`] serves one, [`request`] reads a request, [`client`] writes
-//! complete responses, and [`relay`] forwards a replica's response as it arrives, with [`event_tracker`] for streams
-//! that may be resumed.
+//! [`listener`] accepts connections, [`connection`] serves a connection, [`request`] reads a request, [`client`] writes
+//! complete responses, and [`relay`] forwards a replica's response as it arrives, with [`event_tracker`] for resumable
+//! streams.
 
 pub mod client;
 pub mod connection;
--- a/crates/proxy/src/downstream/relay.rs
+++ b/crates/proxy/src/downstream/relay.rs
@@ -1,4 +1,4 @@
-//! Forwards a replica's success to a client as it arrives.
+//! Relays a replica's success to a client as it arrives.
 
 use std::future::poll_fn;
 use std::io::{self, Write};
@@ -14,31 +14,31 @@
 use crate::proxy::Proxy;
 use crate::replica::response::UpstreamResponse;
 
-/// How the forwarding of a response ended.
+/// How the relay of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayEnd {
     /// The response was forwarded completely.
     Complete,
-    /// Upstream: the replica's response broke off, or took too long.
+    /// Upstream: the connection to the replica failed, its response was malformed, or the time limit passed.
     UpstreamBroken,
-    /// Downstream: the client has disconnected.
+    /// Downstream: the client disconnected.
     ClientDisconnected,
 }
 
-/// A response on its way to a client. Where it is resumed, several replicas contribute to it.
+/// Relays one response to a client. A resumed response is read from several replicas in turn.
 pub struct Relay {
     framing: Framing,
     persistence: Persistence,
     is_head_written: bool,
-    /// Tracks complete events where the stream may be resumed.
+    /// Tracks complete events if the stream may be resumed.
     events: Option<EventTracker>,
-    /// Bytes of the body that are forwarded next.
+    /// Decoded bytes of the body that are to be encoded for the client.
     body: Vec<u8>,
-    /// Encoded bytes that are written to the client next.
+    /// Encoded bytes that are to be written to the client.
     outbound: Vec<u8>,
 }
 
-/// What ends a wait for more of a response.
+/// The result of waiting for more bytes of a response.
 enum ReadOutcome {
     Read(io::Result<usize>),
     ClientDisconnected,
@@ -46,8 +46,8 @@
 }
 
 impl Relay {
-    /// A relay of this response, whose head is written with its first bytes. `may_resume` says that the route lets another
-    /// replica resume it.
+    /// A relay for this response. The head is written together with the first bytes of the body. `may_resume` states
+    /// that the route allows another replica to resume the response.
     #[must_use]
     pub fn new(
         response: &UpstreamResponse,
@@ -62,7 +62,7 @@
         let events = (may_resume && is_stream && !is_head_request).then(EventTracker::default);
         let framing = match response.framing {
             _ if is_head_request || matches!(response.head.status(), 204 | 304) => Framing::None,
-            // The rest from another replica may have another length.
+            // Another replica that resumes the stream may send a rest of a different length.
             _ if events.is_some() => Framing::Chunked,
             Body::Length(length) => Framing::Length(length),
             Body::Chunked(_) => Framing::Chunked,
@@ -79,35 +79,37 @@
         }
     }
 
-    /// Whether the client's connection persists after the response.
+    /// Whether the client's connection stays open after the response.
     #[must_use]
     pub fn persistence(&self) -> Persistence {
         self.persistence
     }
 
-    /// Whether a part of the response was forwarded.
+    /// Whether forwarding of the response has begun.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.is_head_written
     }
 
-    /// Whether only the end of the connection shows the client where the response ends.
+    /// Whether the end of the connection delimits the response.
     #[must_use]
     pub fn ends_with_connection(&self) -> bool {
         self.framing == Framing::UntilClose
     }
 
-    /// The id of the last event that was forwarded.
+    /// The id of the last complete event that had one.
     pub fn last_event_id(&self) -> Option<&str> {
         self.events.as_ref().and_then(EventTracker::last_id)
     }
 
-    /// Prepares for the rest from another replica; false if the stream can't be resumed.
+    /// Discards the incomplete event, so that another replica can resume the stream. Returns false if the stream can't
+    /// be resumed.
     pub fn prepare_resume(&mut self) -> bool {
         self.events.as_mut().is_some_and(EventTracker::discard_partial)
     }
 
-    /// Forwards a response, or the rest of it from another replica, to its end.
+    /// Forwards a response, or the rest of one that another replica began, to its end. Ends with
+    /// [`RelayEnd::UpstreamBroken`] at `abort_at`.
     pub async fn forward(
         &mut self,
         proxy: &Proxy,
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Encodes what has arrived of a response for the client. Of a stream that may be resumed, nothing is forwarded before
-    /// its first event is complete, so that another replica can still give the whole response.
+    /// Encodes the received part of a response for the client. Nothing of a resumable stream is forwarded before its
+    /// first event is complete, so that until then another replica can still send the complete response.
     fn fill_outbound(&mut self, response: &mut UpstreamResponse) {
         self.fill_body(response);
         if self.events.is_some() && self.body.is_empty() && !response.is_complete {
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -1,4 +1,4 @@
-//! Reads requests from a client's connection.
+//! Reading of requests from a client's connection.
 
 use std::io;
 use std::rc::Rc;
@@ -10,53 +10,53 @@
 use crate::bounds::BodyBytes;
 use crate::proxy::Proxy;
 
-/// Timeout for the body of a request whose client states no deadline.
+/// Timeout for the body of a request without a `Time-Left-Ms` header, counted from the request's first byte.
 const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interim response to `Expect: 100-continue`.
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// A request that was read completely.
 pub struct DownstreamRequest {
-    /// Its head.
+    /// The head.
     pub head: Head,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
-    /// When its first byte was read.
+    /// When reading of the request began, with its first bytes available.
     pub started: Instant,
-    /// Counts the body's bytes until the request is dropped.
+    /// Counts the bytes of the body against the limit of the process until the request is dropped.
     pub body_bytes: BodyBytes,
 }
 
 impl DownstreamRequest {
-    /// The client's id of this attempt.
+    /// The `Attempt-Id` header that the client sent.
     #[must_use]
     pub fn attempt_id(&self) -> Option<&str> {
         self.head.get("attempt-id")
     }
 
-    /// How long the client waits from the first byte on, if it states that.
+    /// How long the client waits, counted from the first byte of the request, if it sends `Time-Left-Ms`.
     #[must_use]
     pub fn time_left(&self) -> Option<Duration> {
         time_left(&self.head)
     }
 
-    /// Whether the method is HEAD, so that the response has no body.
+    /// Whether the method is HEAD; its response has no body.
     #[must_use]
     pub fn is_head_request(&self) -> bool {
         self.head.start[0] == "HEAD"
     }
 }
 
-/// How long the client waits from a request's first byte on, if its head states that.
+/// The value of the `Time-Left-Ms` header. None if it is missing or invalid.
 fn time_left(head: &Head) -> Option<Duration> {
     let time_left_ms: f64 = head.get("time-left-ms")?.parse().ok()?;
     Duration::try_from_secs_f64(time_left_ms / 1000.0).ok()
 }
 
-/// Reads a request whose first bytes are buffered or may be read. None if the connection ends first.
+/// Reads a request whose first bytes are available. Returns None if the connection ends before the end of the request.
 ///
 /// # Errors
-/// If the bytes are no request, exceed a limit, or come too slowly. The error has the status of the response.
+/// If the request is malformed, exceeds a limit, or is not read in time. The error determines the response's status.
 pub async fn read_request(
     proxy: &Rc<Proxy>,
     stream: &mut BufferedStream,
--- a/crates/proxy/src/replica/attempt.rs
+++ b/crates/proxy/src/replica/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: writes a request to one replica, and reads the response up to where forwarding may begin.
+//! One attempt: sends a request to a replica, and reads the response up to the point where forwarding may begin.
 
 use std::rc::Rc;
 
@@ -12,45 +12,45 @@
 use crate::replica::replicas::ReplicaEntry;
 use crate::replica::response::{ErrorResponse, HeadError, UpstreamResponse, read_body, read_head};
 
-/// Responses to earlier requests that are skipped.
+/// Responses to earlier requests that are skipped before an attempt fails.
 const MAX_STALE_RESPONSES: u32 = 2;
 
 /// The result of an attempt, up to the first bytes of its response.
 pub enum AttemptResult {
-    /// There is no response that could be forwarded.
+    /// There is no response to forward.
     Failed(AttemptOutcome),
-    /// A complete response that is no success and may be forwarded.
+    /// A complete error response that may be forwarded.
     Error {
-        /// How the attempt ended.
+        /// The outcome of the attempt.
         outcome: AttemptOutcome,
         /// The response.
         response: ErrorResponse,
     },
-    /// The first bytes of a success.
+    /// A success, of which at least the first bytes of the body or its end were read.
     Success(Box<UpstreamResponse>),
 }
 
 /// A request as it is sent to one replica.
 #[derive(Clone, Copy)]
 pub struct UpstreamRequest<'a> {
-    /// Its encoded head.
+    /// The encoded head.
     pub head: &'a [u8],
-    /// Its body.
+    /// The body.
     pub body: &'a [u8],
-    /// The client's id of the attempt.
+    /// The `Attempt-Id` header that the client sent.
     pub attempt_id: Option<&'a str>,
-    /// The method is HEAD, so the response has no body.
+    /// Whether the method is HEAD, so that the response has no body.
     pub is_head_request: bool,
 }
 
 impl UpstreamRequest<'_> {
-    /// How the body of a response to this request is framed; none if its head does not say so properly.
+    /// The framing of the body of a response to this request. None if the head's framing is invalid.
     fn response_framing(&self, head: &Head) -> Option<Body> {
         if self.is_head_request { Some(Body::Length(0)) } else { head.response_body().ok() }
     }
 }
 
-/// Writes the request and reads the response: a success up to the first bytes of its body, anything else to its end.
+/// Sends the request and reads the response: a success up to the first bytes of its body, an error response to its end.
 pub async fn run(
     pool: &ConnectionPool,
     replica: &Rc<ReplicaEntry>,
@@ -63,7 +63,8 @@
     if request.is_head_request {
         connection.forbid_reuse(ConnectionState::HeadRequest);
     }
-    // A replica that has closed the connection may have responded before, so a response is still read.
+    // If the write of the body failed, the replica may have responded before it closed the connection, so the response
+    // is still read.
     let missing_response_outcome = match connection.send(request.head, request.body, pool.limits()).await {
         WriteProgress::BrokenInHead => return AttemptResult::Failed(AttemptOutcome::BrokenInRequestHead),
         WriteProgress::BrokenInBody => AttemptOutcome::BrokenInRequestBody,
@@ -72,7 +73,8 @@
     read_response(pool, replica, connection, request, missing_response_outcome).await
 }
 
-/// Reads the response to this request, and skips responses to earlier ones.
+/// Reads the response to this request, and skips responses to earlier ones. Returns `missing_response_outcome` if the
+/// connection ends without a response.
 async fn read_response(
     pool: &ConnectionPool,
     replica: &Rc<ReplicaEntry>,
@@ -110,17 +112,17 @@
     AttemptResult::Failed(AttemptOutcome::OnlyStaleResponses)
 }
 
-/// Whether such a response is read to its end, after which its connection may be reused.
+/// Whether an error response of this outcome is read to its end, after which its connection may be reused.
 fn is_read_to_end(outcome: AttemptOutcome) -> bool {
     !matches!(outcome, AttemptOutcome::Unsealed | AttemptOutcome::Encoded | AttemptOutcome::WrongReplica)
 }
 
-/// Whether a complete response of this outcome may be forwarded to the client.
+/// Whether an error response of this outcome may be forwarded to the client.
 fn is_forwardable(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::ServerError | AttemptOutcome::OtherError)
 }
 
-/// Reads a success up to the first bytes of its body.
+/// Reads a success up to the first bytes of its body, or to its end if the body is empty.
 async fn start_success_response(
     pool: &ConnectionPool,
     replica: &Rc<ReplicaEntry>,
@@ -143,8 +145,8 @@
     AttemptResult::Success(response)
 }
 
-/// Reads a response that is no success to its end. One whose head proves that the request has not run proves it
-/// without its end, too.
+/// Reads an error response to its end. If its body breaks off, a head that proves that the request has not run still
+/// determines the outcome, unless the response would have been forwarded.
 async fn read_error_response(
     pool: &ConnectionPool,
     replica: &Rc<ReplicaEntry>,
--- a/crates/proxy/src/replica/classify.rs
+++ b/crates/proxy/src/replica/classify.rs
@@ -1,25 +1,25 @@
-//! Classifies a response by its head.
+//! Classification of a response by its head.
 
 use tulipridge_http1::codec::Head;
 
 use crate::headers::is_plain;
 use crate::replica::outcome::AttemptOutcome;
 
-/// Statuses that usually mean that a request has not run; they prove it only together with `Not-Run`.
+/// Statuses that usually mean that a request has not run. Only the `Not-Run` header guarantees it.
 const REFUSAL_STATUSES: [u16; 3] = [408, 429, 503];
 
-/// What the head of a response says.
+/// Which request a response belongs to, and the outcome that its head indicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// It responds to an earlier request of the connection.
+    /// A response to an earlier request on the connection.
     Stale,
-    /// It responds to this request.
+    /// A response to the current request.
     Current(AttemptOutcome),
 }
 
 impl ResponseClass {
-    /// Classifies the head of a response to the attempt with this id, sent to `replica`. A request without an id has
-    /// a response without one.
+    /// Classifies a response by its `Attempt-Id` header, status and other headers. `attempt_id` and `replica` are those
+    /// of the current attempt. The response to a request without an attempt id has none either.
     #[must_use]
     pub fn of(head: &Head, attempt_id: Option<&str>, replica: &str) -> ResponseClass {
         if head.get("attempt-id").unwrap_or_default() != attempt_id.unwrap_or_default() {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Whether the body has a content coding, which no request asks for.
+/// Whether the body has a content coding. No request asks for one.
 fn is_encoded(head: &Head) -> bool {
     head.get("content-encoding").is_some_and(|coding| !coding.eq_ignore_ascii_case("identity"))
 }
--- a/crates/proxy/src/replica/connection.rs
+++ b/crates/proxy/src/replica/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a replica. The response may begin while the request is still being written.
+//! A connection to a replica. The response may begin while the request is still being written.
 
 use std::future::poll_fn;
 use std::io;
@@ -10,19 +10,19 @@
 use crate::replica::connection_state::ConnectionState;
 use crate::replica::permit::ConnectionPermit;
 
-/// A connection to a replica. Unless it is returned to its pool, it is reset when it is dropped, so that the replica
-/// cancels the request.
+/// A connection to a replica. Unless it is returned to the pool, it is reset on drop, so that the replica cancels the
+/// request.
 pub struct Connection {
     /// The socket, with the bytes that were read and not yet decoded.
     pub stream: BufferedStream,
-    /// The rest of a request whose response began before it was written completely.
+    /// The rest of a request whose response began before the request was written completely.
     unsent: Unsent,
-    /// Why the connection must not be reused, if it must not.
+    /// `Clean`, or the reason why the connection must not be reused.
     state: ConnectionState,
     _permit: ConnectionPermit,
 }
 
-/// Bytes that are still to be written.
+/// Bytes of a request body, of which a part is still to be written.
 #[derive(Default)]
 struct Unsent {
     bytes: Vec<u8>,
@@ -35,20 +35,21 @@
     }
 }
 
-/// How far a request was written.
+/// How much of a request was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// Completely.
+    /// The complete request.
     Complete,
-    /// The head and a part of the body. The response has begun; the rest is written while it is read.
+    /// The head and possibly a part of the body, before the response began. The rest is written while the response is
+    /// read.
     ResponseStarted,
-    /// The head and a part of the body; then the connection failed. A response may have come before.
+    /// The head and possibly a part of the body, before the connection failed. The replica may have responded before.
     BrokenInBody,
-    /// A part of the head.
+    /// At most a part of the head.
     BrokenInHead,
 }
 
-/// Why the writing of a request has stopped.
+/// Why the write of a request ended.
 enum WriteEnd {
     Complete,
     ResponseStarted,
@@ -56,13 +57,13 @@
 }
 
 impl Connection {
-    /// A connection that has just come up.
+    /// A newly established connection.
     #[must_use]
     pub fn new(stream: BufferedStream, permit: ConnectionPermit) -> Connection {
         Connection { stream, unsent: Unsent::default(), state: ConnectionState::Clean, _permit: permit }
     }
 
-    /// Records why the connection must not be reused after the response.
+    /// Prevents the reuse of the connection after the response, and records the reason.
     pub fn forbid_reuse(&mut self, reason: ConnectionState) {
         self.state = reason;
     }
@@ -80,13 +81,13 @@
         }
     }
 
-    /// Writes a request until it is complete, the response begins, or the connection fails.
+    /// Writes a request until it is written completely, the response begins, or the connection fails.
     pub async fn send(&mut self, head: &[u8], body: &[u8], limits: &Http1Limits) -> WriteProgress {
         let mut written = 0;
         let end = poll_fn(|context| self.poll_send(context, head, body, &mut written, limits)).await;
         match end {
             WriteEnd::Complete => WriteProgress::Complete,
-            // What came can't be the response to it.
+            // Bytes that arrive before the head is written completely can't be a response to this request.
             _ if written < head.len() => WriteProgress::BrokenInHead,
             WriteEnd::ResponseStarted => {
                 self.unsent = Unsent { bytes: body[written - head.len()..].to_vec(), written: 0 };
@@ -124,7 +125,7 @@
         Poll::Ready(WriteEnd::Complete)
     }
 
-    /// Reads what is there, or waits for bytes; 0 is the end of the stream.
+    /// Reads available bytes into the buffer, or waits for some. Returns 0 at the end of the stream.
     ///
     /// # Errors
     /// If the connection fails, or its buffer is full.
@@ -132,7 +133,7 @@
         poll_fn(|context| self.poll_fill(context, limits)).await
     }
 
-    /// [`Connection::fill`] as a poll. The rest of the request is written meanwhile.
+    /// The poll function of [`Connection::fill`]. Also writes the rest of the request, as far as the socket accepts it.
     pub fn poll_fill(
         &mut self,
         context: &mut Context<'_>,
@@ -147,7 +148,7 @@
             match self.stream.poll_write(context, self.unsent.remaining()) {
                 Poll::Ready(Ok(count)) => self.unsent.written += count,
                 Poll::Ready(Err(_)) => {
-                    // The response may have been sent all the same.
+                    // The replica may have sent the response before the write failed, so reading continues.
                     self.unsent = Unsent::default();
                     self.forbid_reuse(ConnectionState::RequestIncomplete);
                 }
--- a/crates/proxy/src/replica/connection_state.rs
+++ b/crates/proxy/src/replica/connection_state.rs
@@ -1,23 +1,23 @@
 //! Whether a connection to a replica may carry another request after a complete response.
 
-/// What a complete response leaves of the connection that it came on.
+/// The state of a connection after a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionState {
-    /// Each byte belongs to one request, and none is outstanding.
+    /// The request was written and its response read completely, and no other bytes were received.
     Clean,
-    /// Bytes came after the end of the response.
+    /// Bytes were received after the end of the response.
     SurplusBytes,
-    /// A response to an earlier request came first.
+    /// A response to an earlier request was received before this one.
     StaleResponse,
     /// The response ended before the request was written completely.
     RequestIncomplete,
-    /// The replica announced that it closes the connection.
+    /// The replica announced that it will close the connection.
     ClosedByReplica,
-    /// The end of the connection was the end of the response.
+    /// The body was delimited by the end of the connection.
     DelimitedByClose,
-    /// The request had no id, so a late response to it could not be told from the next one.
+    /// The request had no attempt id, so a late response to it could not be distinguished from the next response.
     NoAttemptId,
-    /// The response to HEAD has no body whatever its head says, so a late one could not be framed.
+    /// The request was HEAD. Its response has no body whatever the head states, so a late response could not be framed.
     HeadRequest,
 }
 
--- a/crates/proxy/src/replica/mod.rs
+++ b/crates/proxy/src/replica/mod.rs
@@ -1,12 +1,12 @@
-//! The upstream side: the known replicas, the connections to them, and one attempt to get a response.
+//! The upstream side: the replica list, pooled connections to replicas, and attempts.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`replicas`] | which replicas exist and which may be sent requests |
-//! | [`pool`], [`connection`], [`connection_state`], [`permit`], [`connect_error`] | pooled connections, and when one may be reused |
-//! | [`attempt`], [`response`], [`classify`] | write a request to one replica and read its response |
-//! | [`outcome`], [`request_kind`], [`retry`] | how an attempt ended, and what follows: the retry table |
-//! | [`weights_expiry`] | when requests still queued on withdrawn weights are cancelled |
+//! | [`replicas`] | the replica list, and which replicas may receive requests |
+//! | [`pool`], [`connection`], [`connection_state`], [`permit`], [`connect_error`] | pooled connections and their reuse |
+//! | [`attempt`], [`response`], [`classify`] | sending a request to one replica and reading its response |
+//! | [`outcome`], [`request_kind`], [`retry`] | the outcome of an attempt, and the retry table |
+//! | [`weights_expiry`] | cancellation of requests that are still queued on a withdrawn revision of the weights |
 
 pub mod attempt;
 pub mod classify;
--- a/crates/proxy/src/replica/outcome.rs
+++ b/crates/proxy/src/replica/outcome.rs
@@ -1,65 +1,65 @@
-//! How an attempt ended, and what that proves about the request and the replica.
+//! The outcome of an attempt, and what it proves about the request and the replica.
 //!
-//! `docs/design/calls.md` has the same classification as a table. The code that writes requests and reads responses
-//! reports an [`AttemptOutcome`]; [`crate::replica::retry`] decides what follows. Nothing here does I/O.
+//! `docs/design/calls.md` documents the same classification as a table. The code that writes requests and reads
+//! responses reports an [`AttemptOutcome`]; [`crate::replica::retry`] decides what follows. This module does no I/O.
 
 use tulipridge_load_balancer::types::Verdict;
 
-// `crate::placement` imports it from here.
+// Re-exported for `crate::placement`.
 pub use crate::replica::request_kind::RequestKind;
 
-/// How an attempt to have a request served by one replica ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptOutcome {
     /// The connection was refused, or the replica is unreachable.
     ConnectRefused,
-    /// The connection did not come up within the connect timeout.
+    /// The connection was not established within the connect timeout.
     ConnectTimedOut,
-    /// This process can't open another descriptor.
+    /// No connection could be opened: no file descriptor is free, or the limit of connections to replicas is reached.
     OutOfDescriptors,
     /// The connection failed before the request's head was written completely.
     BrokenInRequestHead,
-    /// The connection failed after the request's head and before the end of its body. A replica may start before it
-    /// has read all of a body.
+    /// The connection failed after the request's head and before the end of its body. The request may have run, since
+    /// a replica may start before it has read the complete body.
     BrokenInRequestBody,
-    /// The connection ended or was reset after the complete request, without a byte of a response.
+    /// The connection was closed or reset after the complete request, before the first byte of a response.
     BrokenBeforeResponse,
-    /// The response broke off before anything of it was forwarded.
+    /// The response broke off before any of it was forwarded.
     BrokenInResponse,
     /// The response broke off after a part of it was forwarded.
     TruncatedResponse,
     /// No response began before the deadline.
     ResponseTimeout,
-    /// No response began before requests queued on the replica's revision of the weights had to be cancelled.
+    /// No response began before the cancellation time of requests queued on the replica's revision of the weights.
     WeightsExpired,
-    /// The bytes that came are no HTTP response.
+    /// The bytes received are not a valid HTTP response.
     InvalidResponse,
-    /// Only responses to earlier requests came.
+    /// Only responses to earlier requests were received.
     OnlyStaleResponses,
-    /// A success without the replica's seal.
+    /// A 2xx response without a valid `Server-Seal` header, or one that also has `Not-Run`.
     Unsealed,
-    /// A success with a content coding: it is not the replica's body.
+    /// A 2xx response with a content coding. No request asks for one, so this is not the replica's body.
     Encoded,
-    /// 421 of another replica, which has the address now.
+    /// 421 from another replica, which has taken over the address.
     WrongReplica,
-    /// 421 of the replica itself, whose weights have another revision.
+    /// 421 from the intended replica, whose weights have another revision.
     WrongRevision,
-    /// The replica refused the request and states that it has not run.
+    /// An error response with `Not-Run`: the replica guarantees that the request has not run.
     NotRun,
-    /// 400 of a replica that states that the request has not run: no replica would accept it.
+    /// 400 with `Not-Run`: the request is invalid, so no replica would accept it.
     Rejected,
-    /// A status that usually means that the request has not run, without the replica's statement that it has not.
+    /// A status that usually means that the request has not run, without `Not-Run` to guarantee it.
     UnconfirmedRefusal,
     /// 500: the request ran and failed.
     ServerError,
-    /// Any other complete response that is no success.
+    /// Any other complete response that is not a success.
     OtherError,
-    /// A sealed success.
+    /// A 2xx response with a valid `Server-Seal` header.
     Success,
 }
 
 impl AttemptOutcome {
-    /// All outcomes, in the order of the rows of `docs/design/calls.md`.
+    /// All outcomes, in the order of the rows in `docs/design/calls.md`.
     pub const ALL: [AttemptOutcome; 22] = [
         AttemptOutcome::ConnectRefused,
         AttemptOutcome::ConnectTimedOut,
@@ -85,7 +85,7 @@
         AttemptOutcome::Success,
     ];
 
-    /// Whether the request may have run, as far as this outcome proves.
+    /// What this outcome proves about whether the request ran.
     #[must_use]
     pub fn execution(self) -> Execution {
         match self {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// What is reported to the load balancer about the replica.
+    /// The verdict on the replica that is reported to the load balancer.
     #[must_use]
     pub fn verdict(self) -> Verdict {
         match self {
@@ -143,10 +143,10 @@
     }
 }
 
-/// Whether a request has run, as far as is known. After several attempts the greatest value counts.
+/// Whether a request has run, as far as is known. After several attempts the greatest value applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Execution {
-    /// It has not run, and this attempt can't run it any more.
+    /// It has not run, and this attempt can no longer run it.
     NotRun,
     /// It may have run, or may still run.
     MayHaveRun,
--- a/crates/proxy/src/replica/permit.rs
+++ b/crates/proxy/src/replica/permit.rs
@@ -3,18 +3,18 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the open connections; clones share the count.
+/// The number of open connections. Clones share the count.
 #[derive(Clone, Debug, Default)]
 pub struct OpenConnectionCount(Rc<Cell<usize>>);
 
 impl OpenConnectionCount {
-    /// How many connections are open.
+    /// The number of open connections.
     #[must_use]
     pub fn count(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts one more connection until the permit is dropped.
+    /// Adds a connection to the count until the permit is dropped. The caller enforces the limit.
     #[must_use]
     pub fn acquire(&self) -> ConnectionPermit {
         self.0.set(self.0.get() + 1);
@@ -22,7 +22,7 @@
     }
 }
 
-/// One open connection in the count.
+/// Counts one open connection until it is dropped.
 #[derive(Debug)]
 pub struct ConnectionPermit(OpenConnectionCount);
 
--- a/crates/proxy/src/replica/pool.rs
+++ b/crates/proxy/src/replica/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of idle connections to replicas. A connection belongs to one incarnation of a replica.
+//! The pool of connections to replicas. A pooled connection belongs to one incarnation of a replica.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,27 +14,28 @@
 use crate::replica::connection::Connection;
 use crate::replica::permit::OpenConnectionCount;
 
-/// Time after a response in which a connection is not reused: bytes that still come belong to no request.
+/// Time after a response before its connection is reused. Bytes that arrive in this time belong to no request, and the
+/// connection is then closed.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// Idle timeout of a replica that states none.
+/// Idle timeout of connections to a replica that announces none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// An idle connection is closed this long before the replica would close it.
+/// An idle connection is closed this long before the replica would close it, so that no request meets the close.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// Idle connections that are pooled for one replica.
+/// Maximum number of idle connections to one replica.
 const MAX_IDLE_PER_REPLICA: usize = 32;
 /// The system closes a connection whose peer has not acknowledged data for this long (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
-/// Idle time before the first TCP keepalive probe, and the time between further probes.
+/// Idle time before the first TCP keepalive probe, and between further probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A pooled connection, and when it may be used.
+/// A pooled connection, and the time in which it may be reused.
 struct IdleConnection {
     connection: Connection,
     idle_since: Instant,
     expires_at: Instant,
 }
 
-/// The connections to all replicas.
+/// The idle connections to all replicas, and the count of open ones.
 pub struct ConnectionPool {
     idle: RefCell<BTreeMap<ReplicaId, Vec<IdleConnection>>>,
     open: OpenConnectionCount,
@@ -43,7 +44,7 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool. At most `max_open` connections are open at once, in use or idle, each within `limits`.
+    /// An empty pool. At most `max_open` connections are open at once, whether in use or idle. `limits` apply to each.
     #[must_use]
     pub fn new(max_open: usize, limits: Http1Limits) -> Self {
         ConnectionPool { idle: RefCell::default(), open: OpenConnectionCount::default(), max_open, limits }
@@ -54,8 +55,8 @@
         &self.limits
     }
 
-    /// Takes an idle connection that is still usable out of the pool. The one that was used last goes first, so that
-    /// surplus ones reach their idle timeout.
+    /// Takes a usable idle connection out of the pool. The most recently used connection is preferred, so that surplus
+    /// connections reach their idle timeout.
     pub fn check_out(&self, replica: &ReplicaId) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
@@ -70,10 +71,10 @@
         None
     }
 
-    /// Opens a connection. Idle ones are closed if too many are open.
+    /// Opens a connection. If the limit of open connections is reached, the oldest idle connection is closed first.
     ///
     /// # Errors
-    /// If too many connections are in use, or the connection does not come up.
+    /// If all open connections are in use, or the connection can't be established.
     pub async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         while self.open.count() >= self.max_open {
             if !self.evict_oldest() {
@@ -87,7 +88,8 @@
         Ok(Connection::new(stream, permit))
     }
 
-    /// Returns a connection after a complete response with this head. It is pooled if it may be reused, else closed.
+    /// Returns a connection after a complete response with this head. Pools it if it may be reused, and closes it
+    /// otherwise.
     pub fn check_in(&self, replica: &ReplicaId, mut connection: Connection, head: &Head) {
         connection.stream.reset_on_drop = false;
         let idle_timeout = idle_timeout(head);
@@ -102,12 +104,13 @@
         connections.push(IdleConnection { connection, idle_since, expires_at: idle_since + idle_timeout });
     }
 
-    /// Closes the idle connections of all replicas but those for which `is_in_use` holds.
+    /// Closes the idle connections to all replicas except those for which `is_in_use` returns true.
     pub fn retain_replicas(&self, is_in_use: impl Fn(&ReplicaId) -> bool) {
         self.idle.borrow_mut().retain(|replica, _| is_in_use(replica));
     }
 
-    /// Closes idle connections past their idle timeout, and those that the replica has closed.
+    /// Closes idle connections that are past their idle timeout, that the replica has closed, or that have received
+    /// bytes.
     pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, connections| {
@@ -124,7 +127,8 @@
     }
 }
 
-/// How long a connection may stay idle after a response with this head.
+/// The idle timeout of a connection after a response with this head: that of its `Keep-Alive` header less
+/// [`IDLE_MARGIN`], or the default.
 fn idle_timeout(head: &Head) -> Duration {
     let announced = head.get("keep-alive").and_then(|value| {
         let timeout = value.split(',').find_map(|field| field.trim().strip_prefix("timeout="))?;
@@ -133,8 +137,8 @@
     announced.map_or(DEFAULT_IDLE_TIMEOUT, |time| time.saturating_sub(IDLE_MARGIN))
 }
 
-/// Has the system detect a peer that is gone without closing the connection. Where the system can't, the connection is
-/// used all the same.
+/// Enables detection of a peer that has gone without closing the connection. Errors are ignored: the connection also
+/// works without the detection.
 fn enable_dead_peer_detection(stream: &BufferedStream) {
     let descriptor = stream.fd();
     let socket = SockRef::from(&descriptor);
--- a/crates/proxy/src/replica/replicas.rs
+++ b/crates/proxy/src/replica/replicas.rs
@@ -1,4 +1,4 @@
-//! The replicas that the control plane lists, as the proxy uses them.
+//! The replicas of the control plane's replica list, and which of them may receive requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,17 +9,17 @@
 use tulipridge_load_balancer::types::{Member, Phase, ReplicaId};
 use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase, WeightsTable};
 
-/// Numbers zones, as the load balancer takes them.
+/// Maps zone names to the zone numbers that the load balancer uses.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneIndex(Vec<String>);
 
 impl ZoneIndex {
-    /// Numbers these zones in their order.
+    /// Numbers these zones in the given order.
     pub fn new(zones: impl IntoIterator<Item = String>) -> Self {
         ZoneIndex(zones.into_iter().collect())
     }
 
-    /// The number of a zone; an unknown zone gets the next one.
+    /// The number of a zone. An unknown zone is added with the next number.
     pub fn number(&mut self, zone: &str) -> u16 {
         let known = self.0.iter().position(|known| known == zone);
         let number = known.unwrap_or_else(|| {
@@ -33,28 +33,28 @@
 /// One incarnation of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaEntry {
-    /// Its id, which is that of this incarnation alone.
+    /// The id, which is unique to this incarnation.
     pub id: ReplicaId,
-    /// Its service.
+    /// The service that the replica belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The number of its zone in the [`ZoneIndex`].
     pub zone: u16,
-    /// Whether it may be sent requests.
+    /// `Ready` if it may receive requests, otherwise `Draining`.
     pub phase: Phase,
-    /// The models that it serves and the revision of their weights.
+    /// The models that it serves, with the revisions of their weights.
     pub models: Vec<ModelRevision>,
 }
 
 impl ReplicaEntry {
-    /// The revision of its weights of a model.
+    /// The revision of the weights that it has loaded for a model.
     #[must_use]
     pub fn revision(&self, model: &str) -> Option<WeightsRevision> {
         self.weights(model).map(|weights| weights.revision)
     }
 
-    /// Its weights of a model.
+    /// The weights that it has loaded for a model.
     #[must_use]
     pub fn weights(&self, model: &str) -> Option<&ModelRevision> {
         self.models.iter().find(|weights| weights.model == model)
@@ -73,38 +73,38 @@
     }
 }
 
-/// All replicas by id.
+/// All listed replicas by id.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     entries: BTreeMap<ReplicaId, Rc<ReplicaEntry>>,
-    /// The ids of listed incarnations that still have their address, by address.
+    /// The ids of listed incarnations that are not displaced, by address.
     ids_by_address: BTreeMap<SocketAddr, ReplicaId>,
-    /// Listed incarnations whose address belongs to another one now.
+    /// Listed incarnations whose address another incarnation has taken over.
     displaced: BTreeSet<ReplicaId>,
     ready_count: usize,
 }
 
 impl ReplicaTable {
-    /// A replica that may be sent requests.
+    /// The replica with this id, if it may receive requests.
     #[must_use]
     pub fn ready(&self, id: &ReplicaId) -> Option<&Rc<ReplicaEntry>> {
         self.entries.get(id).filter(|entry| entry.phase == Phase::Ready)
     }
 
-    /// The replica that is listed at an address, whether or not it may be sent requests.
+    /// The replica that is listed at an address, whether or not it may receive requests.
     #[must_use]
     pub fn at(&self, address: SocketAddr) -> Option<&Rc<ReplicaEntry>> {
         self.entries.get(self.ids_by_address.get(&address)?)
     }
 
-    /// How many replicas may be sent requests.
+    /// The number of replicas that may receive requests.
     #[must_use]
     pub fn ready_count(&self) -> usize {
         self.ready_count
     }
 
-    /// Applies the newest list. A replica is ready unless it drains, is displaced, or has outdated weights. Returns the
-    /// services whose replicas changed.
+    /// Applies the newest replica list. A replica is ready if it is listed as ready, is not displaced, and has no
+    /// outdated weights. Returns the services whose replicas changed in service, zone or phase.
     pub fn update<'a>(
         &mut self,
         rows: impl IntoIterator<Item = &'a Replica>,
@@ -142,7 +142,8 @@
         if is_ready { Phase::Ready } else { Phase::Draining }
     }
 
-    /// Marks an incarnation as gone, since its address belongs to another one. Returns its service if it was ready.
+    /// Marks an incarnation as displaced, since another one has taken over its address. Returns its service if it was
+    /// ready.
     pub fn displace(&mut self, id: &ReplicaId) -> Option<String> {
         let entry = self.entries.get_mut(id).filter(|entry| entry.phase == Phase::Ready)?;
         Rc::make_mut(entry).phase = Phase::Draining;
@@ -169,7 +170,7 @@
         changed
     }
 
-    /// Indexes replicas by address. Of two at one address, a ready one goes before the other.
+    /// Indexes replicas that are not displaced by address. Of two at the same address, a ready one takes precedence.
     fn index_by_address(
         &self,
         entries: &BTreeMap<ReplicaId, Rc<ReplicaEntry>>,
@@ -179,7 +180,7 @@
         other.into_iter().chain(ready).map(|entry| (entry.address, entry.id.clone())).collect()
     }
 
-    /// A service's replicas, as the load balancer takes them.
+    /// A service's replicas in the form that the load balancer uses.
     #[must_use]
     pub fn members(&self, service: &str) -> Arc<[Member]> {
         self.entries.values().filter(|entry| entry.service == service).map(|entry| entry.member()).collect()
--- a/crates/proxy/src/replica/request_kind.rs
+++ b/crates/proxy/src/replica/request_kind.rs
@@ -1,22 +1,22 @@
-//! Whether the requests of a route may run more than once.
+//! The kinds of requests, by whether they may run more than once.
 
 use tulipridge_configuration::{Route, RouteKind};
 
-/// Whether a request is idempotent, and whether its response is a stream that can be resumed.
+/// Whether a request is idempotent, and whether its response is a resumable stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestKind {
     /// Idempotent: it may run any number of times.
     Safe,
-    /// Not idempotent: it may run once at most.
+    /// Not idempotent: it may run at most once.
     Unsafe,
-    /// A stream of events that may run once at most.
+    /// An event stream whose request may run at most once.
     Stream,
-    /// A stream of events that another replica may restart, or resume after the last event.
+    /// An event stream that another replica may restart, or resume after the last event.
     ResumableStream,
 }
 
 impl RequestKind {
-    /// All kinds, in the order of the columns of `docs/design/calls.md`.
+    /// All kinds, in the order of the columns in `docs/design/calls.md`.
     pub const ALL: [RequestKind; 4] =
         [RequestKind::Safe, RequestKind::Unsafe, RequestKind::Stream, RequestKind::ResumableStream];
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether it may run more than once.
+    /// Whether such a request may run more than once.
     #[must_use]
     pub fn is_repeatable(self) -> bool {
         matches!(self, RequestKind::Safe | RequestKind::ResumableStream)
--- a/crates/proxy/src/replica/response.rs
+++ b/crates/proxy/src/replica/response.rs
@@ -1,4 +1,4 @@
-//! A replica's response: a complete error, or a success whose body is still being read.
+//! A replica's response: a complete error response, or a success whose body is still being read.
 
 use std::io;
 use std::rc::Rc;
@@ -10,42 +10,42 @@
 use crate::replica::pool::ConnectionPool;
 use crate::replica::replicas::ReplicaEntry;
 
-/// Interim (1xx) responses that are skipped before one response.
+/// Interim (1xx) responses that are skipped before the final response.
 const MAX_INTERIM_RESPONSES: u32 = 8;
-/// Longest body of an error response that is read.
+/// Maximum length of the body of an error response or a skipped response.
 const MAX_ERROR_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Status of the first response that is no interim response.
+/// The lowest status of a final response; 1xx responses are interim.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// A complete response that is no success.
+/// A complete error response.
 #[derive(Debug)]
 pub struct ErrorResponse {
-    /// Its head.
+    /// The head.
     pub head: Head,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// A success that is being read: its head, and the first bytes of its body or its end.
+/// A success whose body is being read.
 pub struct UpstreamResponse {
-    /// The replica.
+    /// The replica that sent the response.
     pub replica: Rc<ReplicaEntry>,
-    /// The connection that the rest of the body comes from.
+    /// The connection from which the rest of the body is read.
     pub connection: Connection,
     /// The head.
     pub head: Head,
-    /// How the body is framed, as the head says.
+    /// The framing of the body, as stated by the head.
     pub framing: Body,
-    /// The framing of what is still to come of the body.
+    /// The framing of the part of the body that is not yet decoded.
     remaining: Body,
-    /// Bytes of the body that were read and not yet forwarded.
+    /// Bytes of the body that were decoded and not yet forwarded.
     pub buffered: Vec<u8>,
-    /// The end of the body was read.
+    /// Whether the body was read to its end.
     pub is_complete: bool,
 }
 
 impl UpstreamResponse {
-    /// A response of whose body nothing was read yet.
+    /// A response whose head was read and whose body was not.
     #[must_use]
     pub fn new(
         replica: Rc<ReplicaEntry>,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Waits for bytes from the replica and decodes them.
+    /// Reads bytes from the replica and decodes them.
     ///
     /// # Errors
     /// If the connection ends early or fails, or if the body is malformed.
@@ -73,7 +73,7 @@
         self.handle_read(read, pool)
     }
 
-    /// Decodes what a read of the connection gave.
+    /// Handles the result of a read: decodes the bytes, or detects the end of the body.
     ///
     /// # Errors
     /// If the connection ended early or failed, or if the body is malformed.
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Returns the connection of a complete response to the pool.
+    /// Returns the connection to the pool after a complete response.
     pub fn finish(mut self, pool: &ConnectionPool) {
         if self.framing == Body::UntilClose {
             self.connection.forbid_reuse(ConnectionState::DelimitedByClose);
@@ -109,21 +109,21 @@
     }
 }
 
-/// Why the head of a response can't be read.
+/// Why the head of a response could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadError {
-    /// The connection ended without a byte of it.
+    /// The connection ended before the first byte of the head.
     Missing,
     /// The connection ended within the head.
     Incomplete,
-    /// The bytes are no head of a response.
+    /// The bytes are not a valid head of a response, or there were too many interim responses.
     Invalid,
 }
 
-/// Reads the head of the next response and skips interim ones.
+/// Reads the head of the next final response and skips interim ones.
 ///
 /// # Errors
-/// If the connection ends before the end of the head, or if its bytes are none.
+/// If the connection ends before the end of the head, if the head is malformed, or after too many interim responses.
 pub async fn read_head(connection: &mut Connection, pool: &ConnectionPool) -> Result<Head, HeadError> {
     let mut interim = 0;
     loop {
@@ -141,8 +141,8 @@
     }
 }
 
-/// Reads a body to its end. None if its framing is unknown, only the connection's end would end it, it breaks off, or
-/// it is too long.
+/// Reads the body of an error response or a skipped response to its end. None if its framing is invalid or delimited by
+/// the end of the connection, if the connection fails, or if the body is too long.
 pub async fn read_body(
     pool: &ConnectionPool,
     connection: &mut Connection,
--- a/crates/proxy/src/replica/retry.rs
+++ b/crates/proxy/src/replica/retry.rs
@@ -1,43 +1,43 @@
-//! The retry table: what follows each [`AttemptOutcome`] for each [`RequestKind`].
+//! The retry table: the action for each [`AttemptOutcome`] and [`RequestKind`].
 //!
-//! `docs/design/calls.md` has the same table as a page, and `tests/calls_page.rs` compares the two. The caller checks
-//! the route's limit of attempts, the retry budget and the deadline. Nothing here does I/O.
+//! `docs/design/calls.md` documents the same table, and `tests/calls_page.rs` compares the two. The caller enforces
+//! the route's limit of attempts, the retry budget and the deadline. This module does no I/O.
 
 use tulipridge_load_balancer::types::Verdict;
 
 use crate::replica::outcome::{AttemptOutcome, Execution};
 use crate::replica::request_kind::RequestKind;
 
-/// What is done after an attempt.
+/// The action after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryAction {
-    /// Retry if attempts, budget and deadline allow; else the client gets [`final_status`].
+    /// Retry if attempts, budget and deadline allow; otherwise respond with [`final_status`].
     Retry,
-    /// Retry if attempts, budget and deadline allow; else the client gets the replica's error response.
+    /// Retry if attempts, budget and deadline allow; otherwise forward the replica's error response.
     RetryOrForward,
-    /// Another replica resumes the stream after the last complete event, if attempts, budget and deadline allow; else
-    /// the response is aborted.
+    /// Resume the stream at another replica after the last complete event, if attempts, budget and deadline allow;
+    /// otherwise abort the response.
     Resume,
-    /// The client gets the replica's response.
+    /// Forward the replica's response.
     Forward,
-    /// The client gets [`final_status`].
+    /// Respond with [`final_status`].
     Fail,
-    /// The client's connection ends before the end of the response.
+    /// Close the client's connection before the end of the response, which the client then sees to be incomplete.
     Abort,
 }
 
-/// A cell of the table.
+/// An entry of the retry table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryDecision {
-    /// Whether this attempt may have run the request.
+    /// Whether this attempt ran the request, as far as is known.
     pub execution: Execution,
-    /// What is done next.
+    /// The next action.
     pub action: RetryAction,
-    /// What is reported to the load balancer about the replica.
+    /// The verdict on the replica that is reported to the load balancer.
     pub verdict: Verdict,
 }
 
-/// Looks up the cell of a kind and an outcome.
+/// Returns the table's entry for a kind of request and the outcome of an attempt.
 #[must_use]
 pub fn decide(kind: RequestKind, outcome: AttemptOutcome) -> RetryDecision {
     let execution = outcome.execution();
@@ -49,7 +49,7 @@
         AttemptOutcome::ServerError => RetryAction::Forward,
         AttemptOutcome::TruncatedResponse if kind == RequestKind::ResumableStream => RetryAction::Resume,
         AttemptOutcome::TruncatedResponse => RetryAction::Abort,
-        // The deadline has passed for every replica.
+        // The deadline applies to the request, so no other replica can meet it either.
         AttemptOutcome::ResponseTimeout => RetryAction::Fail,
         _ if may_retry(kind, execution) => RetryAction::Retry,
         _ => RetryAction::Fail,
@@ -57,16 +57,17 @@
     RetryDecision { execution, action, verdict: outcome.verdict() }
 }
 
-/// Whether a retry is safe: the request has not run, or it may run more than once.
+/// Whether a retry is safe: the request has not run, or is idempotent.
 #[must_use]
 pub fn may_retry(kind: RequestKind, execution: Execution) -> bool {
     execution == Execution::NotRun || kind.is_repeatable()
 }
 
-/// The status with which the proxy itself ends a request that no replica has answered.
+/// The status of the proxy's own response to a request for which it has no replica's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
-    /// 503 with `Retry-After`: the request has not run and never will, or may run again.
+    /// 503 with `Retry-After`, which guarantees that the client may retry: the request has not run and will not run, or
+    /// it is idempotent.
     ServiceUnavailable,
     /// 502: the request may have run.
     BadGateway,
@@ -74,8 +75,8 @@
     GatewayTimeout,
 }
 
-/// The status for a request that no replica has answered. `is_abandoned` says that no further replica is tried though
-/// the deadline has not passed.
+/// The status for a request for which there is no replica's response. `is_abandoned` states that no further attempt is
+/// made although the deadline has not passed.
 #[must_use]
 pub fn final_status(
     kind: RequestKind,
--- a/crates/proxy/src/replica/weights_expiry.rs
+++ b/crates/proxy/src/replica/weights_expiry.rs
@@ -1,8 +1,9 @@
-//! When requests that are still queued at a replica must not begin on its revision of the weights any more.
+//! Cancellation of requests that are queued at replicas with a withdrawn revision of the weights.
 //!
-//! A replica starts a queued request with the weights that it has then, so it is not enough to send no new requests to
-//! a replica whose weights are withdrawn. The order to load empties its queue. A request that is still queued some time
-//! later, as when that order is lost, is cancelled by the proxy that sent it.
+//! A replica starts a queued request with the weights that it has at that time, so it is not enough to stop sending
+//! requests to a replica whose weights are withdrawn. The load command makes the replica reject its queue. A request
+//! that is still queued some time later, for example because the command was lost, is cancelled by the proxy that sent
+//! it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,23 +17,23 @@
 use crate::alarms::Alarms;
 use crate::notice::Notice;
 
-/// The cancellation times of all models. The time is passed in.
+/// The cancellation deadlines of all models. Callers pass the current time in.
 #[derive(Debug)]
 pub struct WeightsExpiry {
     term: RevisionTerm,
     models: BTreeMap<String, ModelExpiry>,
 }
 
-/// The revisions of one model.
+/// The expiry of the revisions of one model.
 #[derive(Debug, Default)]
 struct ModelExpiry {
-    /// When this proxy learned that a revision is named, for revisions that have not expired earlier ones yet.
+    /// When this proxy learned of each target revision that has not yet caused the expiry of earlier ones.
     announced_at: BTreeMap<WeightsRevision, Duration>,
-    /// In the order of revisions.
+    /// Ordered by revision.
     deadlines: Vec<CancellationDeadline>,
 }
 
-/// Requests queued on revisions below this one are cancelled at this time.
+/// The time at which requests that are queued on revisions older than `revision` are cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct CancellationDeadline {
     revision: WeightsRevision,
@@ -40,18 +41,18 @@
 }
 
 impl WeightsExpiry {
-    /// No limits yet. `term` is the operator's term for a change to new weights.
+    /// No deadlines. `term` is the operator's time limit for a change to new weights.
     #[must_use]
     pub fn new(term: RevisionTerm) -> WeightsExpiry {
         WeightsExpiry { term, models: BTreeMap::new() }
     }
 
-    /// Sets the term for limits that are added from now on.
+    /// Sets the term for deadlines that are added from now on. Existing deadlines stay.
     pub fn set_term(&mut self, term: RevisionTerm) {
         self.term = term;
     }
 
-    /// Applies the newest table of weights. Returns whether a limit was added.
+    /// Applies the newest weights table. Returns whether a deadline was added.
     pub fn update(&mut self, table: &WeightsTable, now: Duration) -> bool {
         let mut has_new_deadline = false;
         for row in &table.models {
@@ -62,7 +63,7 @@
         has_new_deadline
     }
 
-    /// When requests that have not begun on these weights are cancelled; none while these may be used.
+    /// When requests that have not started on these weights are cancelled. None while the weights may be used.
     #[must_use]
     pub fn cancel_at(&self, weights: &ModelRevision) -> Option<Duration> {
         let deadlines = &self.models.get(&weights.model)?.deadlines;
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The newest revision that has expired those before.
+    /// The oldest revision that has not expired; 0 if none has expired.
     fn oldest_valid(&self) -> WeightsRevision {
         self.deadlines.last().map_or(WeightsRevision(0), |deadline| deadline.revision)
     }
@@ -90,39 +91,39 @@
         let announced_at = self.announced_at.get(&revision).copied();
         self.announced_at.retain(|other, _| *other > revision);
         let passed = self.deadlines.iter().filter(|deadline| deadline.at <= now).count();
-        // The last passed limit covers all earlier ones.
+        // The last deadline that has passed covers the revisions of all earlier deadlines.
         self.deadlines.drain(..passed.saturating_sub(1));
         self.deadlines.push(CancellationDeadline { revision, at: term.cancel_at(announced_at, now) });
         true
     }
 }
 
-/// [`WeightsExpiry`] for tasks that wait for it.
+/// A [`WeightsExpiry`] that tasks can wait on.
 pub struct WeightsExpiryWatch {
     expiry: RefCell<WeightsExpiry>,
     changed: Notice,
 }
 
 impl WeightsExpiryWatch {
-    /// Watches these limits.
+    /// Wraps these deadlines.
     #[must_use]
     pub fn new(expiry: WeightsExpiry) -> WeightsExpiryWatch {
         WeightsExpiryWatch { expiry: RefCell::new(expiry), changed: Notice::default() }
     }
 
-    /// Sets the term for limits that are added from now on.
+    /// Sets the term for deadlines that are added from now on. Existing deadlines stay.
     pub fn set_term(&self, term: RevisionTerm) {
         self.expiry.borrow_mut().set_term(term);
     }
 
-    /// Applies the newest table of weights, and wakes waiting tasks if it adds a limit.
+    /// Applies the newest weights table, and wakes waiting tasks if a deadline was added.
     pub fn update(&self, table: &WeightsTable, now: Duration) {
         if self.expiry.borrow_mut().update(table, now) {
             self.changed.raise();
         }
     }
 
-    /// Ready once requests that have not begun on these weights are to be cancelled.
+    /// Waits until requests that have not started on these weights must be cancelled.
     pub async fn expired(&self, alarms: &Alarms, weights: &ModelRevision) {
         loop {
             let changed = self.changed.changed();
