--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -13,7 +13,7 @@
 
 /// Timeout for writing a complete response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes of pipelined requests beyond which reading stops while a request is in flight.
+/// Buffered bytes of pipelined requests beyond which no more are read while a request is in flight.
 const MAX_PIPELINED_BYTES: usize = 16 * 1024;
 
 /// What happens to a client's connection after a request.
@@ -21,7 +21,7 @@
 pub enum Completion {
     /// The connection may carry another request.
     KeepAlive,
-    /// The last response was written. The connection is closed after a lingering read.
+    /// The last response was written. The connection is closed with a lingering close.
     Close,
     /// The client has disconnected, or its response is incomplete. Nothing more may be written.
     Abort,
@@ -50,7 +50,7 @@
 
 impl Client<'_> {
     /// Ready once the client has disconnected. Bytes that it pipelines meanwhile are buffered; beyond
-    /// [`MAX_PIPELINED_BYTES`] nothing more is read, and a disconnect is not detected.
+    /// `MAX_PIPELINED_BYTES` nothing more is read, and a disconnect is not detected.
     pub fn poll_disconnected(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
             if self.stream.buf.len() > MAX_PIPELINED_BYTES {
