--- a/crates/control-plane/src/api/connection.rs
+++ b/crates/control-plane/src/api/connection.rs
@@ -22,7 +22,7 @@
     },
     /// The connection failed or a timeout has passed.
     #[snafu(display("{source}"))]
-    Broken {
+    Io {
         /// Why.
         source: io::Error,
     },
@@ -41,7 +41,7 @@
         let request = match read_request(stream, &api.limits).await {
             Ok(Some(request)) => request,
             Ok(None) => return Ok(()),
-            Err(ReadError::Broken { source }) => return Err(source),
+            Err(ReadError::Io { source }) => return Err(source),
             Err(ReadError::Malformed { source: error }) => {
                 write_response(
                     stream,
@@ -80,14 +80,12 @@
     if stream.buf.is_empty() && !wait_for_request(stream, limits).await {
         return Ok(None);
     }
-    let head =
-        within(limits.head_timeout, read_head(stream, &limits.http1)).await.context(BrokenSnafu)??;
+    let head = within(limits.head_timeout, read_head(stream, &limits.http1)).await.context(IoSnafu)??;
     if head.lists("expect", "100-continue") {
-        stream.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.context(BrokenSnafu)?;
+        stream.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.context(IoSnafu)?;
     }
-    let body = within(limits.body_timeout, read_body(stream, &head, &limits.http1))
-        .await
-        .context(BrokenSnafu)??;
+    let body =
+        within(limits.body_timeout, read_body(stream, &head, &limits.http1)).await.context(IoSnafu)??;
     let (method, target) = (head.start[0].clone(), head.start[1].clone());
     Ok(Some(Request { method, target, head, body }))
 }
@@ -124,8 +122,8 @@
 }
 
 async fn fill(stream: &mut BufferedStream, limits: &Http1Limits) -> Result<(), ReadError> {
-    match stream.fill(limits).await.context(BrokenSnafu)? {
-        0 => Err(ReadError::Broken { source: io::ErrorKind::UnexpectedEof.into() }),
+    match stream.fill(limits).await.context(IoSnafu)? {
+        0 => Err(ReadError::Io { source: io::ErrorKind::UnexpectedEof.into() }),
         _ => Ok(()),
     }
 }
--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
     /// It is committed, now or by an earlier request.
-    Taken,
+    Committed,
     /// It builds on another version than the current one.
     Stale {
         /// The current version.
@@ -181,7 +181,7 @@
 /// The response to a change that leads to a revision.
 fn change_response(outcome: ChangeOutcome, revision: Option<impl Serialize>) -> Response {
     match outcome {
-        ChangeOutcome::Taken => Response::json(200, &message::ChangeAccepted { revision }),
+        ChangeOutcome::Committed => Response::json(200, &message::ChangeAccepted { revision }),
         ChangeOutcome::Stale { current } => {
             Response::json(412, &message::StaleBase { error: "another version is in place", current })
         }
--- a/crates/control-plane/src/api/weights.rs
+++ b/crates/control-plane/src/api/weights.rs
@@ -24,7 +24,7 @@
     Box::pin(async move {
         match serde_json::from_slice::<VersionPut>(&request.body) {
             Ok(VersionPut { model, revision }) => change_response(
-                control.change(Change::NameWeights { model, revision }).await,
+                control.change(Change::SetTargetRevision { model, revision }).await,
                 Some(revision),
             ),
             Err(error) => Response::error(400, &format!("the body can't be read: {error}")),
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -60,7 +60,7 @@
         }
         ChangeStep::Respond(match decision {
             Some(Decision::Accept(accepted)) => return ChangeStep::Propose(accepted),
-            Some(Decision::AlreadyAccepted) => ChangeOutcome::Taken,
+            Some(Decision::AlreadyAccepted) => ChangeOutcome::Committed,
             Some(Decision::Stale { current }) => ChangeOutcome::Stale { current },
             Some(Decision::InvalidConfiguration { findings }) => {
                 ChangeOutcome::Invalid { report: String::from_utf8_lossy(&findings.to_json()).into() }
@@ -78,7 +78,7 @@
     pub fn after_proposal(outcome: ProposalOutcome) -> ChangeStep {
         match outcome {
             ProposalOutcome::Applied(Applied::Configuration | Applied::Weights) => {
-                ChangeStep::Respond(ChangeOutcome::Taken)
+                ChangeStep::Respond(ChangeOutcome::Committed)
             }
             ProposalOutcome::Applied(Applied::Superseded) => ChangeStep::Decide,
             ProposalOutcome::NotReplicated => ChangeStep::Respond(ChangeOutcome::NotPrimary),
--- a/crates/control-plane/src/disk/error.rs
+++ b/crates/control-plane/src/disk/error.rs
@@ -15,12 +15,12 @@
     #[snafu(display(
         "the settings have no dataFolder: the control plane runs on machines with a disk only"
     ))]
-    NoFolder,
+    MissingFolder,
     /// The folder can't be read or written.
     #[snafu(display(
         "{}: {}; make the folder readable and writable, with room left",
         folder.display(),
-        with_cause(source)
+        display_with_source(source)
     ))]
     WriteAheadLog {
         /// The folder.
@@ -30,7 +30,7 @@
     },
     /// What is in the folder was not written by this program.
     #[snafu(display("{}: {source}; start with another folder, or remove what is in this one", folder.display()))]
-    Foreign {
+    Undecodable {
         /// The folder.
         folder: PathBuf,
         /// Why a record can't be decoded.
@@ -38,20 +38,20 @@
     },
     /// The system gives no random number for the generation of a new disk.
     #[snafu(display("the system gives no random number for a new disk: {source}"))]
-    NoRandom {
+    RandomNumber {
         /// The error of the system.
         source: getrandom::Error,
     },
     /// The writer thread can't be started.
     #[snafu(display("the thread of the disk can't be started: {source}"))]
-    NoThread {
+    SpawnThread {
         /// The error of the system.
         source: std::io::Error,
     },
 }
 
 /// An error's message with that of its source.
-pub(super) fn with_cause(error: &WriteAheadLogError) -> String {
+pub(super) fn display_with_source(error: &WriteAheadLogError) -> String {
     match error.source() {
         Some(cause) => format!("{error}: {cause}"),
         None => error.to_string(),
--- a/crates/control-plane/src/disk/mod.rs
+++ b/crates/control-plane/src/disk/mod.rs
@@ -21,8 +21,8 @@
 use crate::state_log::{DiskImage, OpenError, StateLog};
 
 pub use error::DiskError;
-pub(crate) use error::NoFolderSnafu;
-use error::{NoRandomSnafu, NoThreadSnafu, WriteAheadLogSnafu};
+pub(crate) use error::MissingFolderSnafu;
+use error::{RandomNumberSnafu, SpawnThreadSnafu, WriteAheadLogSnafu};
 pub use event::DiskEvent;
 use writer::{Batch, Writer};
 
@@ -67,7 +67,7 @@
     /// If the folder can't be read or written, or holds what another program wrote.
     pub fn open(folder: &Path, boot: Boot) -> Result<OpenedDisk, DiskError> {
         let directory = FileSystemDirectory::create(folder).context(WriteAheadLogSnafu { folder })?;
-        let mut log = StateLog::open_in(directory).map_err(|error| in_folder(error, folder))?;
+        let mut log = StateLog::open_in(directory).map_err(|error| disk_error(error, folder))?;
         let is_fresh = log.is_fresh();
         if is_fresh {
             format(&mut log, folder, boot)?;
@@ -84,7 +84,7 @@
         let (batches, queue) = mpsc::channel();
         let mut writer = Writer { log: self.log, events };
         let run = move || writer.run(&queue);
-        thread::Builder::new().name("disk".to_owned()).spawn(run).context(NoThreadSnafu)?;
+        thread::Builder::new().name("disk".to_owned()).spawn(run).context(SpawnThreadSnafu)?;
         Ok(StartedDisk { disk: Disk { batches }, image: self.image })
     }
 }
@@ -100,14 +100,14 @@
 
 /// A random generation that is not the first one.
 fn new_generation() -> Result<Generation, DiskError> {
-    Ok(Generation(getrandom::u64().context(NoRandomSnafu)?.max(FIRST_GENERATION.0 + 1)))
+    Ok(Generation(getrandom::u64().context(RandomNumberSnafu)?.max(FIRST_GENERATION.0 + 1)))
 }
 
-fn in_folder(error: OpenError, folder: &Path) -> DiskError {
+fn disk_error(error: OpenError, folder: &Path) -> DiskError {
     let folder = folder.to_owned();
     match error {
-        OpenError::Unusable { source } => DiskError::WriteAheadLog { folder, source },
-        OpenError::Foreign { source } => DiskError::Foreign { folder, source },
+        OpenError::WriteAheadLog { source } => DiskError::WriteAheadLog { folder, source },
+        OpenError::Undecodable { source } => DiskError::Undecodable { folder, source },
     }
 }
 
--- a/crates/control-plane/src/disk/writer.rs
+++ b/crates/control-plane/src/disk/writer.rs
@@ -6,7 +6,7 @@
 
 use async_channel::Sender;
 
-use super::error::with_cause;
+use super::error::display_with_source;
 use super::event::DiskEvent;
 use crate::replication::{DurableRecord, WriteTicket};
 use crate::state_log::{Compaction, StateLog};
@@ -47,7 +47,7 @@
         let mut has_failed = false;
         while let Err(error) = self.log.append(&records) {
             if !has_failed {
-                log::warn!(error:% = with_cause(&error); "the disk refuses a write");
+                log::warn!(error:% = display_with_source(&error); "the disk refuses a write");
             }
             has_failed = true;
             self.report(DiskEvent::WriteFailed { error });
@@ -62,7 +62,7 @@
 
     fn compact_if_due(&mut self) {
         if let Compaction::Failed { error, is_repeated: false } = self.log.compact_if_due() {
-            log::warn!(error:% = with_cause(&error); "the log can't be made shorter");
+            log::warn!(error:% = display_with_source(&error); "the log can't be made shorter");
         }
     }
 
--- a/crates/control-plane/src/member/outputs.rs
+++ b/crates/control-plane/src/member/outputs.rs
@@ -11,18 +11,18 @@
     pub(super) fn step(&self, input: Input) {
         let mut outputs = Vec::new();
         self.replication.borrow_mut().handle(clock::now(), input, &mut outputs);
-        self.carry_out_all(outputs);
+        self.execute_all(outputs);
         self.timer.bring_forward(self.next_deadline());
     }
 
     /// Carries out outputs in their order. The last change of the role comes after all others: what was committed
     /// before it has to be with the state machine when a new primary catches up.
-    fn carry_out_all(&self, outputs: Vec<Output>) {
+    fn execute_all(&self, outputs: Vec<Output>) {
         let mut new_role = None;
         for output in outputs {
             match output {
                 Output::RoleChanged(role) => new_role = Some(role),
-                other => self.carry_out(other),
+                other => self.execute(other),
             }
         }
         if let Some(role) = new_role {
@@ -30,7 +30,7 @@
         }
     }
 
-    fn carry_out(&self, output: Output) {
+    fn execute(&self, output: Output) {
         match output {
             Output::Send(envelope) => self.links.send(envelope),
             Output::Persist { ticket, records } => self.persist(ticket, records),
--- a/crates/control-plane/src/server/build.rs
+++ b/crates/control-plane/src/server/build.rs
@@ -10,7 +10,7 @@
 use tulipridge_protocol::peer_sampling::{Entry, Role};
 use tulipridge_runtime::settings::Settings;
 
-use super::error::{NoRandomSnafu, PeerSamplingSnafu, ServerError};
+use super::error::{PeerSamplingSnafu, RandomNumberSnafu, ServerError};
 use super::listeners::Listeners;
 use super::singleton_outputs::SingletonOutputs;
 use super::start::StartedMember;
@@ -49,7 +49,7 @@
             singleton_roles,
             peer_sampling,
             listeners,
-            leeway: settings.time_limits.leeway(),
+            termination_grace_period: settings.time_limits.leeway(),
         })
     }
 }
@@ -125,7 +125,7 @@
 }
 
 fn peer_sampling(settings: &Settings, node: NodeId) -> Result<Exchange, ServerError> {
-    let seed = getrandom::u64().context(NoRandomSnafu)?;
+    let seed = getrandom::u64().context(RandomNumberSnafu)?;
     let own_entry = Entry { id: node, role: Role::Control, zone: settings.area.clone(), age: 0 };
     let address = settings.peer_sampling_socket(settings.ip_address);
     let view = View::new(own_entry, settings.seed_ips(), seed);
--- a/crates/control-plane/src/server/departure.rs
+++ b/crates/control-plane/src/server/departure.rs
@@ -19,8 +19,8 @@
 
 /// Whether the process may end, `waited` after it was asked to stop, if it is killed after `leeway`. Reads no clock.
 #[must_use]
-pub fn may_end(waited: Duration, leeway: Duration, departure: Departure) -> bool {
-    if waited >= leeway.saturating_sub(KILL_MARGIN) {
+pub fn may_exit(waited: Duration, termination_grace_period: Duration, departure: Departure) -> bool {
+    if waited >= termination_grace_period.saturating_sub(KILL_MARGIN) {
         return true;
     }
     match departure {
@@ -31,13 +31,13 @@
 }
 
 /// Gives up the member's lease and its seats in the view, and returns once its process may end.
-pub(super) async fn depart(member: &Member, leeway: Duration) {
+pub(super) async fn depart(member: &Member, termination_grace_period: Duration) {
     let started = clock::now();
     member.terminate();
     loop {
         let departure = member.departure();
         let waited = clock::now().saturating_sub(started);
-        if may_end(waited, leeway, departure) {
+        if may_exit(waited, termination_grace_period, departure) {
             log::info!(departure:? = departure, waited_ms = waited.as_millis() as u64; "the member leaves");
             return;
         }
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -59,7 +59,7 @@
     },
     /// The system gives no random number.
     #[snafu(display("the system gives no random number: {source}"))]
-    NoRandom {
+    RandomNumber {
         /// Why.
         source: getrandom::Error,
     },
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -73,7 +73,7 @@
     peer_sampling: Rc<Exchange>,
     listeners: Listeners,
     /// Time from the signal to stop until the process is killed.
-    leeway: Duration,
+    termination_grace_period: Duration,
 }
 
 /// What acts only while this member has the singleton lease.
@@ -115,7 +115,7 @@
             member.clone().run_disk_events(disk_events).await;
             DiskEndedSnafu.fail()
         };
-        let departure = stop_and_depart(stop, &member, self.leeway);
+        let departure = stop_and_depart(stop, &member, self.termination_grace_period);
         let end = future::or(departure, future::or(state_machine_failure, disk_failure)).await;
         // The tasks own the executor that owns them: the ports would stay taken.
         for task in tasks {
@@ -139,10 +139,10 @@
 async fn stop_and_depart(
     stop: impl Future<Output = ()>,
     member: &Member,
-    leeway: Duration,
+    termination_grace_period: Duration,
 ) -> Result<(), ServerError> {
     stop.await;
-    departure::depart(member, leeway).await;
+    departure::depart(member, termination_grace_period).await;
     Ok(())
 }
 
--- a/crates/control-plane/src/server/start.rs
+++ b/crates/control-plane/src/server/start.rs
@@ -9,8 +9,8 @@
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::Settings;
 
-use super::error::{DiskSnafu, NoRandomSnafu, ServerError, ThreadSnafu};
-use crate::disk::{Boot, DiskEvent, NoFolderSnafu, OpenedDisk, StartedDisk};
+use super::error::{DiskSnafu, RandomNumberSnafu, ServerError, ThreadSnafu};
+use crate::disk::{Boot, DiskEvent, MissingFolderSnafu, OpenedDisk, StartedDisk};
 use crate::links::Links;
 use crate::member::{Member, MemberParts};
 use crate::replication::{Replication, ReplicationSettings};
@@ -58,7 +58,7 @@
 }
 
 fn open_disk(settings: &Settings) -> Result<OpenedDisk, ServerError> {
-    let folder = settings.data_folder.as_deref().context(NoFolderSnafu).context(DiskSnafu)?;
+    let folder = settings.data_folder.as_deref().context(MissingFolderSnafu).context(DiskSnafu)?;
     let seed_node = NodeId::new(settings.ip_address, SEED_GENERATION);
     let boot = match settings.first_boot {
         true => Boot::First { view: replication_settings(settings, seed_node)?.first_view() },
@@ -75,6 +75,6 @@
         seeds: seeds.map(|ip| NodeId::new(ip, SEED_GENERATION)).collect(),
         tolerated_failures: settings.withstand.machine_losses,
         first_boot: settings.first_boot,
-        seed: getrandom::u64().context(NoRandomSnafu)?,
+        seed: getrandom::u64().context(RandomNumberSnafu)?,
     })
 }
--- a/crates/control-plane/src/state/command.rs
+++ b/crates/control-plane/src/state/command.rs
@@ -17,7 +17,7 @@
     /// Puts a configuration in force, on top of the one that it was decided on.
     Configure(ChangeEntry),
     /// Names weights of a model.
-    NameWeights {
+    SetTargetRevision {
         /// The model.
         model: String,
         /// The revision of the weights.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Prepared {
     Configure(Box<AcceptedChange>),
-    NameWeights { model: String, revision: WeightsRevision },
+    SetTargetRevision { model: String, revision: WeightsRevision },
 }
 
 impl Command {
@@ -68,8 +68,8 @@
     fn to_command(&self) -> Command {
         match self {
             Prepared::Configure(change) => Command::Configure(change.entry.clone()),
-            Prepared::NameWeights { model, revision } => {
-                Command::NameWeights { model: model.clone(), revision: *revision }
+            Prepared::SetTargetRevision { model, revision } => {
+                Command::SetTargetRevision { model: model.clone(), revision: *revision }
             }
         }
     }
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -16,7 +16,7 @@
 
 use command::Prepared;
 pub use command::{Accepted, Command};
-pub use weights::{NamedWeights, WeightsDecision};
+pub use weights::{TargetRevisions, WeightsDecision};
 
 /// The format of a snapshot.
 const SNAPSHOT_FORMAT: Format = Format(*b"STA2");
@@ -39,7 +39,7 @@
         body: Vec<u8>,
     },
     /// New weights of a model.
-    NameWeights {
+    SetTargetRevision {
         /// The model.
         model: String,
         /// The revision of the weights.
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     configuration: ConfigurationState,
-    weights: NamedWeights,
+    weights: TargetRevisions,
 }
 
 /// The encoded form of a state. Stored: the order of fields is part of the format.
@@ -132,7 +132,7 @@
 
     /// The weights that were named.
     #[must_use]
-    pub fn weights(&self) -> &NamedWeights {
+    pub fn weights(&self) -> &TargetRevisions {
         &self.weights
     }
 
@@ -146,7 +146,7 @@
             Change::PatchConfiguration { if_match, body } => {
                 self.configuration_decision(self.configuration.decide_patch(*if_match, body))
             }
-            Change::NameWeights { model, revision } => self.decide_weights(model, *revision),
+            Change::SetTargetRevision { model, revision } => self.decide_weights(model, *revision),
         }
     }
 
@@ -161,10 +161,10 @@
 
     fn decide_weights(&self, model: &str, revision: WeightsRevision) -> Decision {
         match self.weights.decide(model, revision) {
-            WeightsDecision::AlreadyNamed => Decision::AlreadyAccepted,
-            WeightsDecision::Old { newest } => Decision::OldWeights { newest },
+            WeightsDecision::AlreadySet => Decision::AlreadyAccepted,
+            WeightsDecision::Outdated { newest } => Decision::OldWeights { newest },
             WeightsDecision::Accept => {
-                accepted(Prepared::NameWeights { model: model.to_owned(), revision })
+                accepted(Prepared::SetTargetRevision { model: model.to_owned(), revision })
             }
         }
     }
@@ -180,7 +180,7 @@
                 let outcome = self.configuration.apply_entry(&entry).context(DivergedSnafu)?;
                 Ok(configuration_applied(outcome))
             }
-            Command::NameWeights { model, revision } => Ok(self.name_weights(model, revision)),
+            Command::SetTargetRevision { model, revision } => Ok(self.set_target_revision(model, revision)),
         }
     }
 
@@ -195,15 +195,17 @@
                 let outcome = self.configuration.apply_accepted(*change).context(DivergedSnafu)?;
                 Ok(configuration_applied(outcome))
             }
-            Prepared::NameWeights { model, revision } => Ok(self.name_weights(model, revision)),
+            Prepared::SetTargetRevision { model, revision } => {
+                Ok(self.set_target_revision(model, revision))
+            }
         }
     }
 
-    fn name_weights(&mut self, model: String, revision: WeightsRevision) -> Applied {
+    fn set_target_revision(&mut self, model: String, revision: WeightsRevision) -> Applied {
         match self.weights.decide(&model, revision) {
-            WeightsDecision::Old { .. } => return Applied::Superseded,
-            WeightsDecision::AlreadyNamed => {}
-            WeightsDecision::Accept => self.weights.name(model, revision),
+            WeightsDecision::Outdated { .. } => return Applied::Superseded,
+            WeightsDecision::AlreadySet => {}
+            WeightsDecision::Accept => self.weights.set(model, revision),
         }
         Applied::Weights
     }
@@ -230,7 +232,7 @@
         let snapshot: Snapshot = encoding::decode(SNAPSHOT_FORMAT, snapshot).context(EncodingSnafu)?;
         let configuration =
             ConfigurationState::from_snapshot(&snapshot.configuration).context(ConfigurationSnafu)?;
-        let weights = NamedWeights::from_snapshot(snapshot.weights).context(WeightsSnafu)?;
+        let weights = TargetRevisions::from_snapshot(snapshot.weights).context(WeightsSnafu)?;
         Ok(State { configuration, weights })
     }
 }
--- a/crates/control-plane/src/state/weights.rs
+++ b/crates/control-plane/src/state/weights.rs
@@ -8,7 +8,7 @@
 
 /// The newest weights of each model, and the digests by which repeated requests are recognized.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct NamedWeights {
+pub struct TargetRevisions {
     newest: BTreeMap<String, WeightsRevision>,
     accepted: RecentRequests,
 }
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightsDecision {
     /// They were named before.
-    AlreadyNamed,
+    AlreadySet,
     /// They are older than those named, and aren't known to have been named themselves.
-    Old {
+    Outdated {
         /// The newest revision that was named.
         newest: WeightsRevision,
     },
@@ -35,32 +35,32 @@
     accepted: Vec<u8>,
 }
 
-impl NamedWeights {
+impl TargetRevisions {
     /// Decides on a request that names weights; nothing changes.
     #[must_use]
     pub fn decide(&self, model: &str, revision: WeightsRevision) -> WeightsDecision {
         match self.newest.get(model) {
-            Some(newest) if *newest == revision => WeightsDecision::AlreadyNamed,
-            Some(newest) if *newest > revision => self.decide_older(model, revision, *newest),
+            Some(newest) if *newest == revision => WeightsDecision::AlreadySet,
+            Some(newest) if *newest > revision => self.decide_on_older(model, revision, *newest),
             _ => WeightsDecision::Accept,
         }
     }
 
-    fn decide_older(
+    fn decide_on_older(
         &self,
         model: &str,
         revision: WeightsRevision,
         newest: WeightsRevision,
     ) -> WeightsDecision {
         if self.accepted.contains(&RequestDigest::of_weights(model, revision)) {
-            WeightsDecision::AlreadyNamed
+            WeightsDecision::AlreadySet
         } else {
-            WeightsDecision::Old { newest }
+            WeightsDecision::Outdated { newest }
         }
     }
 
     /// Names weights that are newer than all before.
-    pub(super) fn name(&mut self, model: String, revision: WeightsRevision) {
+    pub(super) fn set(&mut self, model: String, revision: WeightsRevision) {
         self.accepted.record(RequestDigest::of_weights(&model, revision));
         self.newest.insert(model, revision);
     }
@@ -78,6 +78,6 @@
     /// Restores from a snapshot; none if its digests are incomplete.
     pub(super) fn from_snapshot(snapshot: Snapshot) -> Option<Self> {
         let accepted = RecentRequests::from_bytes(&snapshot.accepted)?;
-        Some(NamedWeights { newest: snapshot.newest, accepted })
+        Some(TargetRevisions { newest: snapshot.newest, accepted })
     }
 }
--- a/crates/control-plane/src/state_log.rs
+++ b/crates/control-plane/src/state_log.rs
@@ -27,13 +27,13 @@
 pub enum OpenError {
     /// It can't be read or written.
     #[snafu(display("{source}"))]
-    Unusable {
+    WriteAheadLog {
         /// The error of the write-ahead log.
         source: WriteAheadLogError,
     },
     /// It was not written by this program.
     #[snafu(display("{source}"))]
-    Foreign {
+    Undecodable {
         /// Why a record or the snapshot can't be decoded.
         source: FrameError,
     },
@@ -112,8 +112,8 @@
     /// If the log can't be opened, or a record was not written by this program.
     pub fn open_in(directory: D) -> Result<StateLog<D>, OpenError> {
         let OpenedLog { log: write_ahead_log, recovered } =
-            WriteAheadLog::open_in(directory).context(UnusableSnafu)?;
-        let found = DiskImage::replay(&recovered).context(ForeignSnafu)?;
+            WriteAheadLog::open_in(directory).context(WriteAheadLogSnafu)?;
+        let found = DiskImage::replay(&recovered).context(UndecodableSnafu)?;
         Ok(StateLog {
             write_ahead_log,
             is_fresh: found.is_none(),
--- a/crates/control-plane/tests/api.rs
+++ b/crates/control-plane/tests/api.rs
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_configuration_is_acknowledged_with_its_revision() {
-    let control = control(ChangeOutcome::Taken);
+    let control = control(ChangeOutcome::Committed);
     assert_snapshot!(exchange(&control, PUT), @r#"
     HTTP/1.1 200 OK
     Content-Type: application/json
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_change_in_chunks_is_read_completely() {
-    let control = control(ChangeOutcome::Taken);
+    let control = control(ChangeOutcome::Committed);
     let sent = "PATCH /settings HTTP/1.1
 Host: x
 If-Match: \"7\"
@@ -275,7 +275,7 @@
 
 #[test]
 fn weights_are_named() {
-    let control = control(ChangeOutcome::Taken);
+    let control = control(ChangeOutcome::Committed);
     let sent = "POST /version-put HTTP/1.1
 Host: x
 Content-Length: 24
@@ -283,7 +283,7 @@
 
 {\"llm\":\"m\",\"revision\":2}";
     assert!(exchange(&control, sent).starts_with("HTTP/1.1 200 OK"));
-    let change = Change::NameWeights { model: "m".to_owned(), revision: WeightsRevision(2) };
+    let change = Change::SetTargetRevision { model: "m".to_owned(), revision: WeightsRevision(2) };
     assert_eq!(*control.changes.borrow(), [change]);
 }
 
--- a/crates/control-plane/tests/change.rs
+++ b/crates/control-plane/tests/change.rs
@@ -82,13 +82,13 @@
 }
 
 fn weights(revision: u64) -> Change {
-    Change::NameWeights { model: "m".to_owned(), revision: WeightsRevision(revision) }
+    Change::SetTargetRevision { model: "m".to_owned(), revision: WeightsRevision(revision) }
 }
 
 /// Changes that get each of the decisions at a member with configuration 3 and weights 5.
 #[rstest]
-#[case::accept(put(3, 4), ChangeOutcome::Taken)]
-#[case::already_taken(put(0, 3), ChangeOutcome::Taken)]
+#[case::accept(put(3, 4), ChangeOutcome::Committed)]
+#[case::already_taken(put(0, 3), ChangeOutcome::Committed)]
 #[case::stale(put(2, 9), ChangeOutcome::Stale { current: Revision(3) })]
 #[case::old_weights(weights(4), ChangeOutcome::OldWeights { newest: WeightsRevision(5) })]
 fn only_a_member_that_was_primary_throughout_responds(
@@ -122,7 +122,7 @@
 /// Another command is committed before that of a change. If it is of the same change, that is recognized when the second
 /// one is applied; otherwise the change is decided on once more, by the newer state.
 #[rstest]
-#[case::the_same_change(put(0, 3), ChangeOutcome::Taken, 1)]
+#[case::the_same_change(put(0, 3), ChangeOutcome::Committed, 1)]
 #[case::another_change(put(0, 2), ChangeOutcome::Stale { current: Revision(2) }, 2)]
 fn a_superseded_change_is_decided_on_by_the_newer_state(
     #[case] earlier: Change,
--- a/crates/control-plane/tests/replication_leaving.rs
+++ b/crates/control-plane/tests/replication_leaving.rs
@@ -9,7 +9,7 @@
 use support::scenario::{assert_goes_on, started};
 use support::simulation::{MS, SECOND, Simulation};
 use tulipridge_control_plane::replication::{Departure, Input};
-use tulipridge_control_plane::server::departure::may_end;
+use tulipridge_control_plane::server::departure::may_exit;
 
 const LEEWAY: Duration = Duration::from_secs(8);
 const LOOK_EVERY: u64 = 50 * MS;
@@ -28,7 +28,7 @@
     loop {
         let waited = Duration::from_micros(simulation.now - since);
         let left = departure(simulation, index);
-        if may_end(waited, LEEWAY, left) {
+        if may_exit(waited, LEEWAY, left) {
             return (waited, left);
         }
         simulation.run_for(LOOK_EVERY);
@@ -55,7 +55,7 @@
     #[case] left: Departure,
     #[case] expected: bool,
 ) {
-    assert_eq!(may_end(Duration::from_millis(waited_ms), LEEWAY, left), expected);
+    assert_eq!(may_exit(Duration::from_millis(waited_ms), LEEWAY, left), expected);
 }
 
 /// The backup's disk is lost, and the primary, which alone has what was acknowledged, is told to stop and taken
--- a/crates/control-plane/tests/replication_settling.rs
+++ b/crates/control-plane/tests/replication_settling.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use tulipridge_control_plane::replication::{Departure, DurableState, Replication, ReplicationSettings};
-use tulipridge_control_plane::server::departure::may_end;
+use tulipridge_control_plane::server::departure::may_exit;
 use tulipridge_protocol::node::{Generation, NodeId};
 use tulipridge_protocol::number::Epoch;
 use tulipridge_protocol::replication::View;
@@ -55,5 +55,5 @@
 #[case::just_before_it_is_killed(7_499, false)]
 #[case::when_it_would_be_killed(7_500, true)]
 fn a_process_stays_until_the_view_is_complete(#[case] waited_ms: u64, #[case] expected: bool) {
-    assert_eq!(may_end(Duration::from_millis(waited_ms), LEEWAY, Departure::CompletesView), expected);
+    assert_eq!(may_exit(Duration::from_millis(waited_ms), LEEWAY, Departure::CompletesView), expected);
 }
--- a/crates/control-plane/tests/state_machine.rs
+++ b/crates/control-plane/tests/state_machine.rs
@@ -9,7 +9,7 @@
 use tulipridge_protocol::number::{Epoch, SequenceNumber};
 
 fn name(revision: u64) -> Change {
-    Change::NameWeights { model: "m".to_owned(), revision: WeightsRevision(revision) }
+    Change::SetTargetRevision { model: "m".to_owned(), revision: WeightsRevision(revision) }
 }
 
 fn command(state: &State, change: &Change) -> Arc<[u8]> {
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -48,7 +48,8 @@
     fn of_all_kinds_of_changes() -> History {
         let put = Change::PutConfiguration { if_match: None, body: CONFIGURATION.into() };
         let patch = Change::PatchConfiguration { if_match: Some(Revision(7)), body: PATCH.into() };
-        let weights = |model: &str, revision| Change::NameWeights { model: model.to_owned(), revision };
+        let weights =
+            |model: &str, revision| Change::SetTargetRevision { model: model.to_owned(), revision };
         let mut history = History { commands: Vec::new(), states: Vec::new() };
         for change in
             [put, weights("model-b", WeightsRevision(4)), patch, weights("model-a", WeightsRevision(300))]
@@ -85,14 +86,14 @@
         Case::new("configure-document", command(0)),
         Case::new(
             "name-weights",
-            Command::NameWeights { model: "model-b".to_owned(), revision: WeightsRevision(4) },
+            Command::SetTargetRevision { model: "model-b".to_owned(), revision: WeightsRevision(4) },
         ),
         Case::new("configure-patch", command(2)),
     ];
     for case in &cases {
         // A new variant needs a case above.
         match &case.value {
-            Command::Configure(_) | Command::NameWeights { .. } => {}
+            Command::Configure(_) | Command::SetTargetRevision { .. } => {}
         }
     }
     let decode = |stored: &[u8]| Command::from_bytes(stored).expect("a stored command");
--- a/crates/control-plane/tests/support/operator/desk.rs
+++ b/crates/control-plane/tests/support/operator/desk.rs
@@ -167,7 +167,7 @@
 
 fn answer_of(outcome: ChangeOutcome) -> Answer {
     match outcome {
-        ChangeOutcome::Taken => Answer::Taken,
+        ChangeOutcome::Committed => Answer::Taken,
         ChangeOutcome::Stale { current } => Answer::Stale { current: current.0 },
         ChangeOutcome::Invalid { .. } => Answer::Invalid,
         ChangeOutcome::OldWeights { newest } => Answer::OldWeights { newest: newest.0 },
--- a/crates/control-plane/tests/support/reference.rs
+++ b/crates/control-plane/tests/support/reference.rs
@@ -75,7 +75,7 @@
     /// The answer to a change in the present state.
     pub(crate) fn answer(&self, change: &Change) -> Answer {
         match change {
-            Change::NameWeights { model, revision } => self.answer_weights(model, revision.0),
+            Change::SetTargetRevision { model, revision } => self.answer_weights(model, revision.0),
             Change::PutConfiguration { if_match, body } => {
                 self.answer_configuration(false, if_match.map(|base| base.0), body)
             }
@@ -88,11 +88,11 @@
     /// What becomes of the command of a change that was accepted in some earlier state.
     pub(crate) fn apply(&mut self, change: &Change) -> Applied {
         match (self.answer(change), change) {
-            (Answer::Accept, Change::NameWeights { model, revision }) => {
+            (Answer::Accept, Change::SetTargetRevision { model, revision }) => {
                 self.weights.entry(model.clone()).or_default().push(revision.0);
                 Applied::Weights
             }
-            (Answer::AlreadyAccepted, Change::NameWeights { .. }) => Applied::Weights,
+            (Answer::AlreadyAccepted, Change::SetTargetRevision { .. }) => Applied::Weights,
             (Answer::Accept, _) => {
                 let call = call_of(change).expect("an accepted change is readable");
                 self.document = self.result(&call);
@@ -143,7 +143,7 @@
     let (is_patch, if_match, body) = match change {
         Change::PutConfiguration { if_match, body } => (false, if_match, body),
         Change::PatchConfiguration { if_match, body } => (true, if_match, body),
-        Change::NameWeights { .. } => return None,
+        Change::SetTargetRevision { .. } => return None,
     };
     let body = serde_json::from_slice(body).ok()?;
     Some(ConfigurationCall { is_patch, base: if_match.unwrap_or_default().0, body })
--- a/crates/control-plane/tests/support/simulation/departure.rs
+++ b/crates/control-plane/tests/support/simulation/departure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tulipridge_control_plane::replication::{Departure, Input};
-use tulipridge_control_plane::server::departure::may_end;
+use tulipridge_control_plane::server::departure::may_exit;
 
 use super::{Event, MS, Simulation};
 
@@ -54,7 +54,7 @@
         let machine = &self.machines[index];
         let (Some(leaving), Some(process)) = (machine.leaving, &machine.process) else { return };
         let departure = process.replication.departure(machine.clock.local(self.now));
-        if may_end(Duration::from_micros(self.now - leaving.since), LEEWAY, departure) {
+        if may_exit(Duration::from_micros(self.now - leaving.since), LEEWAY, departure) {
             self.end_departure(index, departure);
         } else {
             let incarnation = process.incarnation;
--- a/crates/control-plane/tests/support/state_calls.rs
+++ b/crates/control-plane/tests/support/state_calls.rs
@@ -40,7 +40,7 @@
 
 /// Names weights.
 pub(crate) fn name(model: &str, revision: u64) -> Change {
-    Change::NameWeights { model: model.to_owned(), revision: WeightsRevision(revision) }
+    Change::SetTargetRevision { model: model.to_owned(), revision: WeightsRevision(revision) }
 }
 
 /// What the members have to agree on for a change that must be accepted.
--- a/crates/control-plane/tests/support_model/orders.rs
+++ b/crates/control-plane/tests/support_model/orders.rs
@@ -23,7 +23,8 @@
 
 /// What a state answers to an order.
 pub(crate) fn answer(state: &State, order: Order) -> Answer {
-    match state.decide(&Change::NameWeights { model: "model".to_owned(), revision: WeightsRevision(order) })
+    match state
+        .decide(&Change::SetTargetRevision { model: "model".to_owned(), revision: WeightsRevision(order) })
     {
         Decision::AlreadyAccepted => Answer::Taken,
         Decision::Accept(accepted) => Answer::Agree(accepted.command.clone()),
