--- a/crates/control-plane/src/disk/error.rs
+++ b/crates/control-plane/src/disk/error.rs
@@ -13,12 +13,12 @@
 pub enum DiskError {
     /// The settings name no folder.
     #[snafu(display(
-        "the settings have no dataFolder: the control plane runs on machines with a disk only"
+        "the settings have no dataFolder: the control plane needs a folder on the machine's disk"
     ))]
     MissingFolder,
     /// The folder can't be read or written.
     #[snafu(display(
-        "{}: {}; make the folder readable and writable, with room left",
+        "{}: {}; make sure that the folder is readable and writable and has free space",
         folder.display(),
         display_with_source(source)
     ))]
@@ -29,7 +29,7 @@
         source: WriteAheadLogError,
     },
     /// What is in the folder was not written by this program.
-    #[snafu(display("{}: {source}; start with another folder, or remove what is in this one", folder.display()))]
+    #[snafu(display("{}: {source}; use another folder, or remove the files in this one", folder.display()))]
     Undecodable {
         /// The folder.
         folder: PathBuf,
@@ -37,13 +37,13 @@
         source: FrameError,
     },
     /// The system gives no random number for the generation of a new disk.
-    #[snafu(display("the system gives no random number for a new disk: {source}"))]
+    #[snafu(display("failed to get a random number for the generation of a new disk: {source}"))]
     RandomNumber {
         /// The error of the system.
         source: getrandom::Error,
     },
     /// The writer thread can't be started.
-    #[snafu(display("the thread of the disk can't be started: {source}"))]
+    #[snafu(display("failed to start the disk's writer thread: {source}"))]
     SpawnThread {
         /// The error of the system.
         source: std::io::Error,
--- a/crates/control-plane/src/http_client.rs
+++ b/crates/control-plane/src/http_client.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Snafu)]
 pub enum CallError {
     /// No connection could be established: the server has not seen the call, which is safe to retry.
-    #[snafu(display("no connection to {address}: {source}"))]
+    #[snafu(display("failed to connect to {address}: {source}"))]
     Connect {
         /// The server.
         address: SocketAddr,
@@ -25,7 +25,7 @@
         source: io::Error,
     },
     /// The connection failed, the response is malformed, or the timeout has passed.
-    #[snafu(display("the call to {address} has no answer: {source}"))]
+    #[snafu(display("the call to {address} failed without a complete response: {source}"))]
     Broken {
         /// The server.
         address: SocketAddr,
@@ -153,7 +153,7 @@
         {
             Some(head) if head.status() >= FIRST_FINAL_STATUS => return Ok(head),
             Some(_) if interim_responses == MAX_INTERIM_RESPONSES => {
-                return Err(io::Error::other("interim answers without end"));
+                return Err(io::Error::other("too many interim responses"));
             }
             Some(_) => interim_responses += 1,
             None if stream.fill(limits).await? == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
@@ -176,7 +176,7 @@
             return Ok(body);
         }
         if body.len() > limits.body_bytes {
-            return Err(io::Error::other("the answer is too long"));
+            return Err(io::Error::other("the response body exceeds the size limit"));
         }
         if stream.fill(limits).await? == 0 {
             return match framing {
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -5,7 +5,7 @@
 use tulipridge_runtime::command_line;
 
 /// What the program is, for its help.
-const DESCRIPTION: &str = "The control plane: agreed state, service discovery, delivery, weights";
+const DESCRIPTION: &str = "The control plane: replicated state, service discovery, delivery, weights";
 
 fn main() -> ExitCode {
     command_line::start("tulipridge-control-plane", DESCRIPTION, env!("CARGO_PKG_VERSION"), |settings| {
--- a/crates/control-plane/src/member/events.rs
+++ b/crates/control-plane/src/member/events.rs
@@ -22,7 +22,7 @@
         source: StateError,
     },
     /// The thread has ended by itself.
-    #[snafu(display("the thread of the agreed state has ended"))]
+    #[snafu(display("the thread of the state machine has ended unexpectedly"))]
     ThreadEnded,
 }
 
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -15,13 +15,15 @@
 #[snafu(visibility(pub(super)))]
 pub enum ServerError {
     /// The settings lack a field that only this program needs.
-    #[snafu(display("the settings have no {field}, which the control plane needs"))]
+    #[snafu(display("the settings have no {field}, which the control plane requires"))]
     MissingSetting {
         /// The field.
         field: &'static str,
     },
     /// An address can't be listened on.
-    #[snafu(display("{address} can't be listened on: {source}; is another process there?"))]
+    #[snafu(display(
+        "failed to listen on {address}: {source}; check whether another process uses the port"
+    ))]
     Listen {
         /// The address.
         address: SocketAddr,
@@ -35,7 +37,9 @@
         source: DiskError,
     },
     /// The socket of the peer sampling can't be bound.
-    #[snafu(display("{address} (UDP) can't be bound: {source}; is another process there?"))]
+    #[snafu(display(
+        "failed to bind {address} (UDP): {source}; check whether another process uses the port"
+    ))]
     PeerSampling {
         /// The address.
         address: SocketAddr,
@@ -43,7 +47,7 @@
         source: io::Error,
     },
     /// The thread of the disk has ended by itself.
-    #[snafu(display("the thread that writes to the disk has ended"))]
+    #[snafu(display("the writer thread of the disk has ended unexpectedly"))]
     DiskEnded,
     /// A thread can't be started.
     #[snafu(display("{source}"))]
@@ -58,13 +62,13 @@
         source: SignalError,
     },
     /// The system gives no random number.
-    #[snafu(display("the system gives no random number: {source}"))]
+    #[snafu(display("failed to get a random number: {source}"))]
     RandomNumber {
         /// Why.
         source: getrandom::Error,
     },
     /// The replicated state can't be kept up.
-    #[snafu(display("the agreed state can't be kept up: {source}"))]
+    #[snafu(display("the state machine has stopped: {source}"))]
     State {
         /// Why the state machine has stopped.
         source: StateMachineStopped,
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -86,19 +86,19 @@
 #[derive(Debug, Snafu)]
 pub enum StateError {
     /// The bytes can't be decoded.
-    #[snafu(display("the agreed state can't be decoded: {source}"))]
+    #[snafu(display("failed to decode the replicated state: {source}"))]
     Encoding {
         /// Why.
         source: EncodingError,
     },
     /// The configuration in a snapshot can't be used.
-    #[snafu(display("a snapshot's configuration can't be used: {source}"))]
+    #[snafu(display("failed to restore the configuration from a snapshot: {source}"))]
     Configuration {
         /// Why.
         source: SnapshotError,
     },
     /// The weights in a snapshot can't be used.
-    #[snafu(display("the remembered namings of weights are cut"))]
+    #[snafu(display("the digests of accepted target revisions in a snapshot are truncated"))]
     Weights,
     /// This member's state differs from that of the member which decided.
     #[snafu(display("this member's state has diverged: {source}"))]
--- a/crates/control-plane/tests/member_process.rs
+++ b/crates/control-plane/tests/member_process.rs
@@ -274,7 +274,7 @@
 #[rstest]
 #[case::no_folder(Fault::NoFolder, "the settings have no dataFolder")]
 #[case::no_control_port(Fault::NoControlPort, "the settings have no listenOn.controlPort")]
-#[case::taken_port(Fault::TakenPort, "can't be listened on")]
+#[case::taken_port(Fault::TakenPort, "failed to listen on")]
 #[case::foreign_file(Fault::ForeignFile, "log-000001 is not a file of a log")]
 fn a_member_that_can_not_start_says_why(#[case] fault: Fault, #[case] reason: &str) {
     let machine = Machine::new();
