--- a/crates/control-plane/src/accept.rs
+++ b/crates/control-plane/src/accept.rs
@@ -1,14 +1,14 @@
-//! The accept loop of all listeners.
+//! The accept loop that all listeners share.
 
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
 use async_io::{Async, Timer};
 
-/// The backoff after a connection can't be accepted, as while no descriptor is free.
+/// Backoff after a failed accept, for example while no file descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Accepts connections for ever and passes each to `serve`; `callers` names who opens them, for the log.
+/// Accepts connections forever and passes each one to `serve`. `callers` says in the log who opens them.
 pub(crate) async fn accept_all(
     listener: Async<TcpListener>,
     callers: &str,
--- a/crates/control-plane/src/api/connection.rs
+++ b/crates/control-plane/src/api/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: requests are read, handled and responded to one at a time.
+//! A client connection of the API. Requests are handled one at a time.
 
 use std::io;
 use std::net::TcpStream;
@@ -11,24 +11,24 @@
 
 use super::{Api, ApiLimits, ControlPlane, Request, Response};
 
-/// Why no request could be read.
+/// Why a request could not be read.
 #[derive(Debug, Snafu)]
 enum ReadError {
-    /// What came is no request.
+    /// The request is malformed.
     #[snafu(display("{source}"))]
     Malformed {
-        /// What is wrong with it.
+        /// What is wrong with the request.
         source: ParseError,
     },
-    /// The connection failed or a timeout has passed.
+    /// The connection failed or timed out.
     #[snafu(display("{source}"))]
     Io {
-        /// Why.
+        /// The error of the connection.
         source: io::Error,
     },
 }
 
-/// Serves a connection until it ends.
+/// Serves a connection until it closes.
 pub(super) async fn run<C: ControlPlane>(api: Rc<Api<C>>, stream: Async<TcpStream>) {
     let mut stream = BufferedStream::new(stream);
     if let Err(error) = serve(&api, &mut stream).await {
@@ -72,7 +72,7 @@
     within(limits.response_timeout, stream.write_both(head.as_bytes(), &response.body)).await?
 }
 
-/// Reads the next request; none if the connection ends or stays idle before one begins.
+/// Reads the next request. Returns `None` if the connection closes or the idle timeout passes before one begins.
 async fn read_request(
     stream: &mut BufferedStream,
     limits: &ApiLimits,
@@ -90,7 +90,7 @@
     Ok(Some(Request { method, target, head, body }))
 }
 
-/// Waits for the first bytes of a request; false if the connection ends or stays idle.
+/// Waits for the first bytes of a request. Returns false if the connection closes or the idle timeout passes.
 async fn wait_for_request(stream: &mut BufferedStream, limits: &ApiLimits) -> bool {
     let first = within(limits.idle_timeout, stream.fill(&limits.http1)).await;
     matches!(first, Ok(Ok(count)) if count > 0)
--- a/crates/control-plane/src/api/limits.rs
+++ b/crates/control-plane/src/api/limits.rs
@@ -1,23 +1,23 @@
-//! Limits for callers of the API.
+//! Limits on clients of the API.
 
 use std::time::Duration;
 
 use tulipridge_http1::Http1Limits;
 
-/// What a caller may send and how long it may take.
+/// Limits on the size of requests and on the time that a client may take.
 #[derive(Clone, Debug)]
 pub struct ApiLimits {
-    /// Sizes of heads and bodies; a body may have 8 MiB.
+    /// Limits on the sizes of heads and bodies. Default for a body: 8 MiB.
     pub http1: Http1Limits,
-    /// Time for which a connection may be idle between requests; 15 s.
+    /// Time that a connection may be idle between requests. Default: 15 s.
     pub idle_timeout: Duration,
-    /// Time for a complete head to arrive, once it has begun; 3 s.
+    /// Time for a complete request head to arrive after its first byte. Default: 3 s.
     pub head_timeout: Duration,
-    /// Time for a complete body to arrive; 20 s.
+    /// Time for a complete request body to arrive. Default: 20 s.
     pub body_timeout: Duration,
-    /// Time for the caller to read a response; 10 s.
+    /// Time for the client to read a response. Default: 10 s.
     pub response_timeout: Duration,
-    /// Time for a primary to be found while none is known; 700 ms, since callers turn to another member after a second
+    /// Time to wait for a primary while none is known. Default: 700 ms, since clients try another member after 1 s
     /// without a response.
     pub primary_timeout: Duration,
 }
--- a/crates/control-plane/src/api/message.rs
+++ b/crates/control-plane/src/api/message.rs
@@ -1,4 +1,4 @@
-//! Requests and responses of the operator's API.
+//! Requests and responses of the API.
 
 use std::sync::Arc;
 
@@ -30,43 +30,44 @@
 /// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Headers beyond those of the framing, as name and value.
+    /// Additional headers as pairs of name and value. `Content-Type`, `Content-Length` and `Connection` are added when
+    /// the head is encoded.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body, as JSON.
+    /// The JSON body.
     pub body: Arc<[u8]>,
 }
 
-/// The body for a change that is in force.
+/// The body for a committed change.
 #[derive(Serialize)]
 pub(super) struct ChangeAccepted<R> {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub revision: Option<R>,
 }
 
-/// The body for a change that builds on another version.
+/// The body for a change that builds on a revision other than the current one.
 #[derive(Serialize)]
 pub(super) struct StaleBase {
     pub error: &'static str,
     pub current: Revision,
 }
 
-/// The body for weights that are older than those named.
+/// The body for a revision of weights that is older than the target revision.
 #[derive(Serialize)]
 pub(super) struct OldWeights {
     pub error: &'static str,
     pub newest: WeightsRevision,
 }
 
-/// The body for a request that fails for another reason.
+/// The body for a request that failed for any other reason.
 #[derive(Serialize)]
 struct Failure<'a> {
     error: &'a str,
 }
 
 impl Response {
-    /// A response with a body that is written as JSON.
+    /// Creates a response whose body is serialized to JSON.
     pub fn json(status: u16, body: &impl Serialize) -> Response {
         match serde_json::to_vec(body) {
             Ok(text) => Response::text(status, text.into()),
@@ -74,25 +75,25 @@
         }
     }
 
-    /// A response whose body is JSON already.
+    /// Creates a response from a body that is already JSON.
     #[must_use]
     pub fn text(status: u16, body: Arc<[u8]>) -> Response {
         Response { status, headers: Vec::new(), body }
     }
 
-    /// A response that says why the request failed.
+    /// Creates an error response with the reason in its body.
     #[must_use]
     pub fn error(status: u16, reason: &str) -> Response {
         Response::json(status, &Failure { error: reason })
     }
 
-    /// Adds a header.
+    /// Appends a header.
     pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Response {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// The encoded head.
+    /// Encodes the status line and the headers.
     #[must_use]
     pub fn encode_head(&self, keeps_alive: bool) -> String {
         let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -1,6 +1,6 @@
-//! The operator's API over HTTP/1.1.
+//! The operator's HTTP/1.1 API.
 //!
-//! Each route is declared beside its handler, in `settings`, `weights` and `status`.
+//! The modules `settings`, `weights` and `status` declare each route beside its handler.
 
 mod connection;
 mod limits;
@@ -30,20 +30,20 @@
 use crate::state::Change;
 use crate::tenure::Tenure;
 
-/// How often the standing is read while no primary is known.
+/// Interval at which the standing is polled while no primary is known.
 const STANDING_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Seconds after which a caller may retry while no primary is known.
+/// Value of `Retry-After`, in seconds, while no primary is known.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
-/// What the API needs of the control plane.
+/// The operations of the control plane that the API is built on.
 pub trait ControlPlane: 'static {
-    /// Whether this member serves the operator, and who does if it does not.
+    /// Whether this member serves the operator, and if not, which member does.
     fn standing(&self) -> Standing;
-    /// Decides on a change and carries it out; returns once it is on the disks of all members that hold the data.
+    /// Decides on a change and commits it. Returns once the change is on the disks of all data replicas.
     fn change(&self, change: Change) -> impl Future<Output = ChangeOutcome>;
-    /// The newest document, as the operator sent it; none before the first one.
+    /// The current configuration document as the operator sent it; `None` before the first one.
     fn document(&self) -> impl Future<Output = Option<Arc<[u8]>>>;
-    /// How this member sees the control plane.
+    /// The control plane as this member sees it.
     fn status(&self) -> Status;
 }
 
@@ -52,45 +52,46 @@
 pub enum Standing {
     /// It is the primary, within its lease.
     Primary {
-        /// Since when it is primary.
+        /// Identifies its uninterrupted time as primary.
         tenure: Tenure,
     },
-    /// Another member is the primary: a heartbeat of it came lately.
+    /// Another member is the primary, according to a recent heartbeat.
     Follower {
-        /// The primary's machine.
+        /// The address of the primary's machine.
         primary: Ipv4Addr,
     },
     /// No primary is known, or this member is the primary but has no lease.
     Unknown,
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is committed, now or by an earlier request.
+    /// It is committed, by this request or an earlier one.
     Committed,
-    /// It builds on another version than the current one.
+    /// It builds on a revision of the configuration other than the current one.
     Stale {
-        /// The current version.
+        /// The current revision.
         current: Revision,
     },
-    /// The configuration is not valid.
+    /// The configuration is invalid.
     Invalid {
-        /// What is wrong, as JSON.
+        /// The findings as JSON.
         report: Arc<str>,
     },
-    /// The weights are older than those named, and were never named themselves.
+    /// The revision of the weights is older than the target revision and isn't known to have been a target before.
     OldWeights {
-        /// The newest revision that was named.
+        /// The target revision.
         newest: WeightsRevision,
     },
-    /// This member is not the primary. The change was not begun and is safe to retry.
+    /// This member is not the primary. The change was not started and is safe to retry.
     NotPrimary,
-    /// The member stopped being primary meanwhile: the change may come into force or not.
+    /// The change may or may not come into force. For example, the member was deposed as primary, or the commit timed
+    /// out.
     Unknown,
 }
 
-/// The response of a handler.
+/// The future of a handler's response.
 type ResponseFuture = Pin<Box<dyn Future<Output = Response>>>;
 
 /// A route of the API.
@@ -104,7 +105,7 @@
 /// Which member handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Access {
-    /// The primary, within its lease; others redirect the caller there.
+    /// The primary, within its lease. Other members redirect the client to it.
     Primary,
     /// Any member.
     Any,
@@ -114,7 +115,7 @@
     [settings::put(), settings::patch(), settings::get(), weights::put(), status::get()]
 }
 
-/// The operator's API of one member.
+/// The API server of one member.
 pub struct Api<C> {
     control: Rc<C>,
     port: u16,
@@ -123,25 +124,25 @@
 }
 
 impl<C: ControlPlane> Api<C> {
-    /// The API; other members have theirs at the same port.
+    /// Creates the API. All members serve it on the same `port`, which redirects rely on.
     pub fn new(control: Rc<C>, port: u16, limits: ApiLimits) -> Api<C> {
         Api { control, port, limits, routes: routes() }
     }
 
-    /// Accepts connections for ever.
+    /// Accepts and serves connections forever.
     pub async fn serve(self: Rc<Self>, executor: &LocalExecutor<'static>, listener: Async<TcpListener>) {
         let serve = |stream| executor.spawn(connection::run(self.clone(), stream)).detach();
         accept_all(listener, "the operator", serve).await;
     }
 
-    /// Handles a request.
+    /// Dispatches a request to the handler of its route, or redirects it to the primary.
     pub async fn handle(&self, request: Request) -> Response {
         let path = request.path().to_owned();
-        let mut of_path = self.routes.iter().filter(|route| route.path == path).peekable();
-        if of_path.peek().is_none() {
+        let mut path_routes = self.routes.iter().filter(|route| route.path == path).peekable();
+        if path_routes.peek().is_none() {
             return Response::error(404, "there is no such path");
         }
-        let Some(route) = of_path.find(|route| route.method == request.method) else {
+        let Some(route) = path_routes.find(|route| route.method == request.method) else {
             return Response::error(405, "the path has no such method");
         };
         if route.access == Access::Any {
@@ -154,8 +155,8 @@
         }
     }
 
-    /// The member's standing, once there is a primary or the time for it is over. Callers that get a 503 back off, so it
-    /// is better to have them wait a little.
+    /// Waits until a primary is known or `primary_timeout` has passed, and returns the member's standing. Waiting is
+    /// cheaper for clients than a 503, after which they back off.
     async fn known_standing(&self) -> Standing {
         let known = async {
             while self.control.standing() == Standing::Unknown {
@@ -173,12 +174,12 @@
     }
 }
 
-/// The response of a member that knows no primary.
+/// The response while no primary is known.
 fn no_primary() -> Response {
     Response::error(503, "no primary is known").with_header("Retry-After", RETRY_AFTER_SECONDS)
 }
 
-/// The response to a change that leads to a revision.
+/// The response to a change that results in `revision`.
 fn change_response(outcome: ChangeOutcome, revision: Option<impl Serialize>) -> Response {
     match outcome {
         ChangeOutcome::Committed => Response::json(200, &message::ChangeAccepted { revision }),
--- a/crates/control-plane/src/api/settings.rs
+++ b/crates/control-plane/src/api/settings.rs
@@ -13,17 +13,17 @@
 
 const PATH: &str = "/settings";
 
-/// Replaces the configuration that it builds on.
+/// The route that replaces the configuration.
 pub(super) fn put<C: ControlPlane>() -> Route<C> {
     Route { method: "PUT", path: PATH, access: Access::Primary, handler: handle_put }
 }
 
-/// Changes named items of the configuration that it builds on.
+/// The route that changes items of the configuration.
 pub(super) fn patch<C: ControlPlane>() -> Route<C> {
     Route { method: "PATCH", path: PATH, access: Access::Primary, handler: handle_patch }
 }
 
-/// Reads the newest configuration.
+/// The route that reads the current configuration.
 pub(super) fn get<C: ControlPlane>() -> Route<C> {
     Route { method: "GET", path: PATH, access: Access::Primary, handler: handle_get }
 }
@@ -50,7 +50,7 @@
     Box::pin(async move {
         let standing = control.standing();
         let document = control.document().await;
-        // Another primary may have committed a newer one while this one was read.
+        // Another primary may have committed a newer document while this one was read.
         let is_current = control.standing() == standing && matches!(standing, Standing::Primary { .. });
         if !is_current {
             return no_primary();
@@ -62,7 +62,7 @@
     })
 }
 
-/// The version that a change builds on; none where it names none.
+/// The revision in `If-Match`, which a change builds on; `None` without the header.
 fn base_version(request: &Request) -> Result<Option<Revision>, ParseIntError> {
     let Some(value) = request.head.get("if-match") else { return Ok(None) };
     value.trim().trim_matches('"').parse().map(|revision| Some(Revision(revision)))
@@ -77,7 +77,7 @@
     revision: Revision,
 }
 
-/// The revision that a change leads to, as far as that can be read.
+/// The revision stated in a change's body, if it can be parsed. It is only echoed in the response.
 fn stated_revision(body: &[u8]) -> Option<Revision> {
     serde_json::from_slice::<StatedRevision>(body).ok().map(|stated| stated.revision)
 }
--- a/crates/control-plane/src/api/status.rs
+++ b/crates/control-plane/src/api/status.rs
@@ -1,4 +1,4 @@
-//! `GET /status`: how this member sees the control plane.
+//! `GET /status`: the control plane as this member sees it.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,63 +8,63 @@
 
 use super::{Access, ControlPlane, Request, Response, ResponseFuture, Route};
 
-/// How a member sees the control plane. Each field is a key of the response, hence their number.
+/// The control plane as a member sees it. Each field is a key of the response, which is why there are so many.
 #[derive(Clone, Debug, Default, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Status {
-    /// The member.
+    /// The id of the member.
     pub node: String,
-    /// The machine's name.
+    /// The name of the member's machine.
     pub name: String,
-    /// Whether it is the primary.
+    /// The member's role: `standby`, `voter`, `backup` or `primary`.
     pub role: &'static str,
-    /// Whether it is the primary within its lease.
+    /// Whether the member is the primary within its lease.
     #[serde(rename = "lease")]
     pub has_lease: bool,
-    /// The epoch of the newest view that it knows of.
+    /// The epoch of the newest view that the member knows of.
     pub epoch: u64,
-    /// The voters; one that was replaced is listed until no election needs it any more.
+    /// The voters. A replaced voter is listed until elections no longer need its vote.
     pub voters: Vec<String>,
-    /// The members that hold the data; the first is the primary.
+    /// The data replicas. The first one is the primary.
     pub holders: Vec<String>,
-    /// The primary, if a heartbeat of it came lately.
+    /// The primary, if it sent a heartbeat recently.
     pub primary: Option<String>,
-    /// The newest configuration that it delivers.
+    /// The revision of the configuration that the member delivers.
     pub configuration: Revision,
-    /// The newest weights that were named, by model, as it delivers them.
+    /// The target revisions of weights that the member delivers, by model.
     pub weights: BTreeMap<String, WeightsRevision>,
-    /// Replicas that it delivers.
+    /// The number of replicas that the member delivers.
     pub replicas: usize,
-    /// Ids of these replicas, by model and by the revision of its weights that they have.
+    /// The ids of these replicas, by model and by the revision of the weights that they have.
     pub replica_weights: ReplicaWeights,
-    /// The prefix cache index that it delivers.
+    /// The size of the prefix cache index that the member delivers.
     #[serde(rename = "keptIndex")]
     pub cache_index: IndexSize,
-    /// Who has each singleton role: this member, or the primary if a heartbeat of it came lately.
+    /// The holder of each singleton role: this member, or the primary if it sent a heartbeat recently.
     #[serde(rename = "duties")]
     pub singleton_roles: BTreeMap<&'static str, String>,
-    /// How long ago what it delivers was known to be the newest, in milliseconds.
+    /// Time since the delivered state was known to be current, in milliseconds.
     pub age_ms: Option<u64>,
-    /// Processes that follow its feed.
+    /// The number of subscribers to the member's feed.
     pub subscribers: usize,
-    /// Proxies that the control plane knows of.
+    /// The number of proxies that the control plane knows of.
     pub gateways: u32,
 }
 
-/// Ids of replicas, by model and by the revision of its weights.
+/// The ids of replicas, by model and by the revision of its weights.
 pub type ReplicaWeights = BTreeMap<String, BTreeMap<WeightsRevision, Vec<String>>>;
 
 /// The size of the prefix cache index.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct IndexSize {
-    /// Stores and replicas that are followed.
+    /// The number of followed sources: cache stores and replicas.
     pub sources: usize,
-    /// Pairs of a prefix segment and a source that has it cached.
+    /// The number of pairs of a prefix segment and a source that has it cached.
     pub entries: usize,
 }
 
-/// Reads a member's status.
+/// The route that reads a member's status.
 pub(super) fn get<C: ControlPlane>() -> Route<C> {
     Route { method: "GET", path: "/status", access: Access::Any, handler: handle }
 }
--- a/crates/control-plane/src/api/weights.rs
+++ b/crates/control-plane/src/api/weights.rs
@@ -1,4 +1,4 @@
-//! `POST /version-put`: names new weights of a model.
+//! `POST /version-put`: sets the target revision of a model's weights.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
     revision: WeightsRevision,
 }
 
-/// Names new weights.
+/// The route that sets a target revision.
 pub(super) fn put<C: ControlPlane>() -> Route<C> {
     Route { method: "POST", path: "/version-put", access: Access::Primary, handler: handle }
 }
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -1,4 +1,4 @@
-//! An operator's change from its request to its response: decided on by the replicated state, proposed, committed.
+//! Processes an operator's change: the replicated state decides on it, then it is proposed and committed.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -10,49 +10,49 @@
 use crate::state::{Accepted, Applied, Change, Decision};
 use crate::tenure::Tenure;
 
-/// A change that is not committed in this time is left to the caller, who retries it.
+/// Time for a proposal to be committed. After that the outcome is unknown, and the caller has to retry.
 pub const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// A change is decided on so often at most, each time by a newer state.
+/// Limit on the decisions on one change, each made by a newer state.
 const MAX_DECISIONS: u32 = 3;
 
-/// How a proposal ended.
+/// The outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
     /// It was committed and applied.
     Applied(Applied),
-    /// It was never replicated and will not take effect.
+    /// It was never replicated and won't take effect.
     NotReplicated,
-    /// It may take effect or not.
+    /// It may or may not take effect.
     Unknown,
 }
 
 /// The member that decides on changes.
 pub trait ChangeAuthority {
-    /// The tenure of this member as primary, while it is within its lease. The same result twice means that no other
-    /// member was primary between.
+    /// The tenure of this member as primary, while it is within its lease. Two equal results mean that no other member
+    /// was primary in between.
     fn tenure(&self) -> Option<Tenure>;
-    /// Decides on a change by the replicated state; none if the state machine has stopped.
+    /// Has the replicated state decide on a change; `None` if the state machine has stopped.
     fn decide(&self, change: Arc<Change>) -> impl Future<Output = Option<Decision>>;
-    /// Proposes a command; returns once it is applied or has failed.
+    /// Proposes a command and returns once it has been applied or has failed.
     fn propose(&self, command: Arc<[u8]>) -> impl Future<Output = ProposalOutcome>;
 }
 
-/// What comes next for a change.
+/// The next step in processing a change.
 #[derive(Debug)]
 pub enum ChangeStep {
-    /// The state machine decides on it.
+    /// Have the state machine decide on it.
     Decide,
-    /// The members have to commit it.
+    /// Propose it to the members.
     Propose(Box<Accepted>),
-    /// The operator gets a response.
+    /// Respond to the operator.
     Respond(ChangeOutcome),
 }
 
 impl ChangeStep {
-    /// What follows from a decision; none if the state machine has stopped.
+    /// The step after a decision, which is `None` if the state machine has stopped.
     ///
-    /// A decision counts only if this member has been primary from before the state was read until after it: a deposed
-    /// primary could refuse a change that is in force.
+    /// A decision is valid only if this member was primary from before the state was read until after that: a deposed
+    /// primary could reject a change that is already in force.
     #[must_use]
     pub fn after_decision(decision: Option<Decision>, was_primary_throughout: bool) -> ChangeStep {
         if !was_primary_throughout {
@@ -70,10 +70,9 @@
         })
     }
 
-    /// What follows from the outcome of the proposal.
+    /// The step after the outcome of a proposal.
     ///
-    /// A command that changed nothing was committed after another one, so its change is decided on again, by the newer
-    /// state.
+    /// A superseded command was committed after a conflicting one, so the newer state decides on its change again.
     #[must_use]
     pub fn after_proposal(outcome: ProposalOutcome) -> ChangeStep {
         match outcome {
@@ -89,8 +88,8 @@
 
 /// Decides on a change, and has it committed if it is accepted.
 ///
-/// A process that is suspended after its last check of the tenure responds late, but with what was true while the call
-/// waited.
+/// If the process is suspended after its last check of the tenure, the response is late but states what was true while
+/// the request was pending.
 pub async fn carry_out<A: ChangeAuthority>(authority: &A, change: Change) -> ChangeOutcome {
     let change = Arc::new(change);
     let mut decisions = 0;
--- a/crates/control-plane/src/disk/error.rs
+++ b/crates/control-plane/src/disk/error.rs
@@ -1,4 +1,4 @@
-//! Why a member's disk can't be used.
+//! Errors when a member opens its disk.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use tulipridge_protocol::frame::FrameError;
 use tulipridge_write_ahead_log::WriteAheadLogError;
 
-/// Why a disk can't be used when a member starts.
+/// Why the disk can't be used when a member starts.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DiskError {
@@ -25,10 +25,10 @@
     WriteAheadLog {
         /// The folder.
         folder: PathBuf,
-        /// The error of the log.
+        /// The error of the write-ahead log.
         source: WriteAheadLogError,
     },
-    /// What is in the folder was not written by this program.
+    /// The files in the folder were not written by this program.
     #[snafu(display("{}: {source}; use another folder, or remove the files in this one", folder.display()))]
     Undecodable {
         /// The folder.
@@ -36,21 +36,21 @@
         /// Why a record can't be decoded.
         source: FrameError,
     },
-    /// The system gives no random number for the generation of a new disk.
+    /// The operating system provides no random number for the generation of a new disk.
     #[snafu(display("failed to get a random number for the generation of a new disk: {source}"))]
     RandomNumber {
-        /// The error of the system.
+        /// The error of the operating system.
         source: getrandom::Error,
     },
     /// The writer thread can't be started.
     #[snafu(display("failed to start the disk's writer thread: {source}"))]
     SpawnThread {
-        /// The error of the system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// An error's message with that of its source.
+/// Formats an error together with its source.
 pub(super) fn display_with_source(error: &WriteAheadLogError) -> String {
     match error.source() {
         Some(cause) => format!("{error}: {cause}"),
--- a/crates/control-plane/src/disk/event.rs
+++ b/crates/control-plane/src/disk/event.rs
@@ -1,20 +1,20 @@
-//! What the writer thread reports.
+//! Events of the writer thread.
 
 use tulipridge_write_ahead_log::WriteAheadLogError;
 
 use crate::replication::WriteTicket;
 
-/// What the writer thread reports.
+/// An event that the writer thread reports.
 #[derive(Debug)]
 pub enum DiskEvent {
     /// All records up to a ticket are durable.
     Persisted {
-        /// The ticket.
+        /// The ticket of the last durable batch.
         ticket: WriteTicket,
     },
-    /// A write has failed; it is retried until it succeeds.
+    /// A write has failed. It is retried until it succeeds.
     WriteFailed {
-        /// Why it has failed.
+        /// Why it failed.
         error: WriteAheadLogError,
     },
 }
--- a/crates/control-plane/src/disk/mod.rs
+++ b/crates/control-plane/src/disk/mod.rs
@@ -1,6 +1,6 @@
-//! The disk of a member: opened before the member starts, then written to by a thread of its own.
+//! A member's disk, which is opened before the member starts and then written to by a dedicated thread.
 //!
-//! A write may hang for seconds, so the thread does nothing else and the loop that sends heartbeats never waits for
+//! A write may block for seconds, so the thread does nothing else, and the loop that sends heartbeats never waits for
 //! it.
 
 mod error;
@@ -26,45 +26,45 @@
 pub use event::DiskEvent;
 use writer::{Batch, Writer};
 
-/// The generation of a disk that was formatted at the first start of the whole system.
+/// The generation of a disk that was formatted when the cluster was bootstrapped.
 const FIRST_GENERATION: Generation = Generation::FIRST;
 
-/// Whether a disk that is found empty belongs to the first start of the whole system.
+/// Whether an empty disk is formatted as part of the cluster's bootstrap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Boot {
-    /// It does.
+    /// The cluster is being bootstrapped.
     First {
-        /// The view that the member starts with, if it is one of the seeds.
+        /// The initial view, if the member is one of the seeds.
         view: Option<View>,
     },
-    /// It doesn't: the member has yet to join a view.
+    /// The cluster already exists: the member has yet to join a view.
     Later,
 }
 
-/// A disk that was opened, before its writer thread is started.
+/// An opened disk whose writer thread has not been started yet.
 pub struct OpenedDisk {
-    /// What is on it.
+    /// The content of the disk.
     pub image: DiskImage,
-    /// Whether it was empty before.
+    /// Whether the disk was empty before it was opened.
     pub is_fresh: bool,
     log: StateLog,
 }
 
-/// A disk with its writer thread.
+/// A disk whose writer thread is running.
 pub struct StartedDisk {
-    /// Takes records.
+    /// Passes records to the writer thread.
     pub disk: Disk,
-    /// What was on the disk before the first of them.
+    /// The content of the disk before the first of these records.
     pub image: DiskImage,
 }
 
 impl OpenedDisk {
-    /// Recovers what is in the folder. An empty one gets its generation and its first view in one write, which is
-    /// durable on return: a disk with the one and without the other would belong to no view ever after.
+    /// Recovers the content of the folder. An empty folder is formatted with its generation and first view in one
+    /// write, which is durable on return: a disk with only one of them could never belong to a view.
     ///
     /// # Errors
     ///
-    /// If the folder can't be read or written, or holds what another program wrote.
+    /// If the folder can't be read or written, or contains files of another program.
     pub fn open(folder: &Path, boot: Boot) -> Result<OpenedDisk, DiskError> {
         let directory = FileSystemDirectory::create(folder).context(WriteAheadLogSnafu { folder })?;
         let mut log = StateLog::open_in(directory).map_err(|error| disk_error(error, folder))?;
@@ -75,11 +75,11 @@
         Ok(OpenedDisk { image: log.image().clone(), is_fresh, log })
     }
 
-    /// Starts the writer thread, which reports to `events`. It ends when the [`Disk`] is dropped.
+    /// Starts the writer thread, which reports to `events` and exits when the [`Disk`] is dropped.
     ///
     /// # Errors
     ///
-    /// If the system gives no thread.
+    /// If the thread can't be started.
     pub fn start(self, events: Sender<DiskEvent>) -> Result<StartedDisk, DiskError> {
         let (batches, queue) = mpsc::channel();
         let mut writer = Writer { log: self.log, events };
@@ -98,7 +98,7 @@
     log.format(generation, &records).context(WriteAheadLogSnafu { folder })
 }
 
-/// A random generation that is not the first one.
+/// Returns a random generation other than [`FIRST_GENERATION`].
 fn new_generation() -> Result<Generation, DiskError> {
     Ok(Generation(getrandom::u64().context(RandomNumberSnafu)?.max(FIRST_GENERATION.0 + 1)))
 }
@@ -111,16 +111,16 @@
     }
 }
 
-/// Hands records to the writer thread.
+/// Passes records to the writer thread.
 pub struct Disk {
     batches: mpsc::Sender<Batch>,
 }
 
 impl Disk {
-    /// Hands over records to be made durable, after all that were handed over before. [`DiskEvent::Persisted`] with
-    /// this ticket or a later one follows.
+    /// Queues records to be made durable after all records queued before. Reported by [`DiskEvent::Persisted`] with
+    /// this ticket or a later one.
     pub fn persist(&self, ticket: WriteTicket, records: Vec<DurableRecord>) {
-        // The thread ends only with the process.
+        // Fails only if the writer thread has ended, which stops the member because the event channel closes.
         let _ = self.batches.send(Batch { ticket, records });
     }
 }
--- a/crates/control-plane/src/disk/writer.rs
+++ b/crates/control-plane/src/disk/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to a member's disk.
+//! The writer thread of a member's disk.
 
 use std::sync::mpsc;
 use std::thread;
@@ -11,23 +11,23 @@
 use crate::replication::{DurableRecord, WriteTicket};
 use crate::state_log::{Compaction, StateLog};
 
-/// The pause before a write that failed is retried.
+/// Delay before a failed write is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Records that are written together.
+/// Records that are written together, under one ticket.
 pub(super) struct Batch {
     pub(super) ticket: WriteTicket,
     pub(super) records: Vec<DurableRecord>,
 }
 
-/// Writes batches in their order and reports what becomes of them.
+/// Writes batches in order and reports the results.
 pub(super) struct Writer {
     pub(super) log: StateLog,
     pub(super) events: Sender<DiskEvent>,
 }
 
 impl Writer {
-    /// Writes all batches of the queue until it is closed; those that wait together share a sync.
+    /// Writes the batches of the queue until it is closed. Batches that are queued at the same time share a sync.
     pub(super) fn run(&mut self, queue: &mpsc::Receiver<Batch>) {
         while let Ok(first) = queue.recv() {
             let mut batches = vec![first];
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Writes batches under one sync, however often the disk refuses them. The operator's log has one line when that
-    /// begins and one when it ends.
+    /// Writes batches under one sync and retries until that succeeds. Only the first failure and the recovery are
+    /// logged.
     fn write_until_durable(&mut self, batches: &[Batch]) {
         let records: Vec<&DurableRecord> = batches.iter().flat_map(|batch| &batch.records).collect();
         let mut has_failed = false;
@@ -67,7 +67,7 @@
     }
 
     fn report(&self, event: DiskEvent) {
-        // The channel is unbounded, and closed only when the process ends.
+        // The send can't fail while the process runs: the channel is unbounded and stays open.
         let _ = self.events.try_send(event);
     }
 }
--- a/crates/control-plane/src/http_client.rs
+++ b/crates/control-plane/src/http_client.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 client for calls to the platform and to replicas, each with a timeout.
+//! HTTP/1.1 client for calls to the platform and to replicas. Each call has a timeout.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,15 +8,15 @@
 use tulipridge_http1::codec::{self, Body, Head};
 use tulipridge_http1::{BufferedStream, Http1Limits, within};
 
-/// Interim responses (1xx) that are skipped before a final one.
+/// Limit on the interim responses (1xx) that are skipped before the final one.
 const MAX_INTERIM_RESPONSES: u32 = 8;
-/// Statuses below this one are those of interim responses.
+/// The lowest status code of a final response; lower ones are interim.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Why a call has no response. The server may have handled it all the same, but for [`CallError::Connect`].
+/// Why a call has no response. Except after [`CallError::Connect`], the server may have handled the call.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection could be established: the server has not seen the call, which is safe to retry.
+    /// No connection could be established. The server has not seen the call, so it is safe to retry.
     #[snafu(display("failed to connect to {address}: {source}"))]
     Connect {
         /// The server.
@@ -24,7 +24,7 @@
         /// Why.
         source: io::Error,
     },
-    /// The connection failed, the response is malformed, or the timeout has passed.
+    /// The connection failed, the response is malformed, or the call timed out.
     #[snafu(display("the call to {address} failed without a complete response: {source}"))]
     Broken {
         /// The server.
@@ -37,9 +37,9 @@
 /// A complete response.
 #[derive(Debug)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
@@ -50,14 +50,14 @@
     pub method: &'a str,
     /// The request target: the path with its query.
     pub target: &'a str,
-    /// Headers beyond those of the framing, as name and value.
+    /// Additional headers as pairs of name and value. The client sets `Host`, `Content-Type` and `Content-Length`.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The body, which is JSON; empty for none.
+    /// The JSON body; empty for a request without one.
     pub body: &'a [u8],
 }
 
 impl<'a> Call<'a> {
-    /// A call without a body.
+    /// A `GET` request.
     #[must_use]
     pub fn get(target: &'a str) -> Call<'a> {
         Call { method: "GET", target, headers: &[], body: &[] }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Calls one server, over the connection of the last call where that can be reused.
+/// A client of one server. It reuses the connection of the previous call where possible.
 pub struct HttpClient {
     address: SocketAddr,
     limits: Http1Limits,
@@ -87,34 +87,36 @@
 }
 
 impl HttpClient {
-    /// A client that connects when its first call is made.
+    /// Creates a client, which connects on its first call.
     #[must_use]
     pub fn new(address: SocketAddr, limits: Http1Limits) -> HttpClient {
         HttpClient { address, limits, idle_connection: None }
     }
 
-    /// Makes a call and reads its response within `timeout`; establishing a connection has the timeout of the limits.
+    /// Sends a request and reads its response within `timeout`. Establishing a connection is bounded separately, by the
+    /// connect timeout in the client's limits.
     ///
     /// # Errors
     ///
-    /// If there is no complete response in time. Nothing is retried.
+    /// If no complete response arrives in time. Nothing is retried.
     pub async fn call(&mut self, call: Call<'_>, timeout: Duration) -> Result<Response, CallError> {
         let address = self.address;
         let mut stream = self.connection().await.context(ConnectSnafu { address })?;
-        // A connection that is dropped in an exchange is reset: the system must not deliver the call later.
+        // Reset the connection if it is dropped during the exchange, so that the kernel doesn't deliver an abandoned
+        // call later.
         stream.reset_on_drop = true;
         let request = call.encode(address);
         let exchange = exchange(&mut stream, &request, &self.limits);
-        let done =
-            within(timeout, exchange).await.and_then(|done| done).context(BrokenSnafu { address })?;
+        let completed =
+            within(timeout, exchange).await.and_then(|result| result).context(BrokenSnafu { address })?;
         stream.reset_on_drop = false;
-        if done.is_reusable {
+        if completed.is_reusable {
             self.idle_connection = Some(stream);
         }
-        Ok(done.response)
+        Ok(completed.response)
     }
 
-    /// The idle connection if it is still in order, else a new one.
+    /// Returns the idle connection if it is still usable, else opens a new one.
     async fn connection(&mut self) -> io::Result<BufferedStream> {
         match self.idle_connection.take().filter(BufferedStream::is_quiet) {
             Some(stream) => Ok(stream),
@@ -123,10 +125,10 @@
     }
 }
 
-/// A complete exchange of a request and its response.
+/// The result of a completed request-response exchange.
 struct Exchange {
     response: Response,
-    /// Whether another call may use the connection.
+    /// Whether the connection can be used for another call.
     is_reusable: bool,
 }
 
@@ -144,7 +146,7 @@
     Ok(Exchange { response: Response { status: head.status(), body }, is_reusable })
 }
 
-/// Reads the head of the final response.
+/// Reads the head of the final response and skips interim ones.
 async fn read_head(stream: &mut BufferedStream, limits: &Http1Limits) -> io::Result<Head> {
     let mut interim_responses = 0;
     loop {
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,16 +1,17 @@
 //! The control plane: replicated state, service discovery, delivery, weights.
 //!
-//! Where to look:
+//! Modules:
 //!
-//! - A member starts in [`server`], which recovers its [`disk`] and runs its tasks until it departs.
-//! - [`member`] feeds the [`replication`] protocol with messages, finished writes and the time, and carries out its
-//!   outputs: records go to the [`disk`] (kept as a [`state_log`]), messages to the [`links`], committed commands to the
-//!   [`state_machine`], which applies them to the replicated [`state`].
-//! - The operator's [`api`] serves a member as the [`operator_view`] shows it; [`change`] carries a change from its
-//!   request to its commit.
+//! - [`server`] starts a member: it recovers the [`disk`] and runs the member's tasks until its departure.
+//! - [`member`] passes messages, completed writes and the time to the [`replication`] protocol and executes its
+//!   outputs: records go to the [`disk`] (stored as a [`state_log`]), messages to the [`links`], committed commands to
+//!   the [`state_machine`], which applies them to the replicated [`state`].
+//! - [`api`] is the operator's HTTP API, backed by [`operator_view`]; [`change`] takes a change from its request to its
+//!   commit.
 //! - The primary, within its lease, has the [`singleton`] roles: [`discovery`] of replicas for the table in [`fleet`],
-//!   the prefix cache [`index`], and the [`rollout`] of weights. [`http_client`] makes their calls.
-//! - [`delivery`] publishes all of this to agents and to the other members.
+//!   the prefix cache [`index`], and the [`rollout`] of weights. They make their calls with [`http_client`].
+//! - [`delivery`] publishes the configuration, the replica table, the cache index and the rollout to agents and to the
+//!   other members.
 
 mod accept;
 pub mod api;
--- a/crates/control-plane/src/links/incoming.rs
+++ b/crates/control-plane/src/links/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections that other members have opened, and send on.
+//! Incoming connections, on which other members send messages.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -14,16 +14,16 @@
 
 use crate::accept::accept_all;
 
-/// Bytes of a read.
+/// Size of the read buffer.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// A connection without traffic is probed after this time.
+/// Idle time after which a connection is probed.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
-/// Time between probes.
+/// Interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an acknowledgement that end a connection.
+/// Number of unacknowledged probes after which the kernel closes a connection.
 const KEEPALIVE_PROBES: u32 = 3;
 
-/// Accepts connections for ever.
+/// Accepts connections forever and reads messages from each.
 pub(super) async fn serve(
     executor: &LocalExecutor<'static>,
     listener: Async<TcpListener>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Has the system probe an idle connection, since a peer that is cut off ends it by no packet.
+/// Enables TCP keepalive: a peer behind a network partition can't close the connection, so idle connections are probed.
 fn enable_keepalive(stream: &Async<TcpStream>) -> io::Result<()> {
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
--- a/crates/control-plane/src/links/mod.rs
+++ b/crates/control-plane/src/links/mod.rs
@@ -1,10 +1,10 @@
 //! Connections between the members of the control plane.
 //!
-//! Each member connects to those it has messages for and accepts connections of all others, so a connection carries
-//! messages one way. Messages may be lost; the replication repeats those that it needs.
+//! Each member connects to the members it has messages for and accepts connections from all others, so a connection
+//! carries messages in one direction. Messages may be lost; the replication protocol resends those that it needs.
 //!
-//! Log entries and chunks of the state have a connection of their own, so that heartbeats never wait behind them:
-//! a configuration of 1.3 MB takes a second on a link of 10 Mbit/s, longer than a lease.
+//! Log entries and chunks of the state have a separate connection, so that heartbeats never queue behind them:
+//! a configuration of 1.3 MB takes 1 s on a link of 10 Mbit/s, which is longer than a lease.
 
 mod incoming;
 mod outgoing;
@@ -19,10 +19,10 @@
 use async_io::Async;
 use tulipridge_protocol::replication::{Envelope, ReplicationMessage};
 
-/// Messages that are queued for one connection; more are dropped.
+/// Limit on the messages queued for one connection. Further messages are dropped.
 const QUEUE_CAPACITY: usize = 1_024;
 
-/// Which messages a connection carries.
+/// The kind of messages that a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum LinkKind {
     /// Short messages that must not be delayed.
@@ -40,14 +40,14 @@
     }
 }
 
-/// An outgoing connection.
+/// Identifies an outgoing connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LinkKey {
     peer: Ipv4Addr,
     kind: LinkKind,
 }
 
-/// Sends messages to other members, and receives theirs.
+/// Sends messages to other members and receives theirs.
 pub struct Links {
     executor: Rc<LocalExecutor<'static>>,
     port: u16,
@@ -55,12 +55,12 @@
 }
 
 impl Links {
-    /// Links without any connection yet. All members accept connections at this port.
+    /// Creates links without connections. All members accept connections on `port`.
     pub fn new(executor: Rc<LocalExecutor<'static>>, port: u16) -> Links {
         Links { executor, port, queues: RefCell::new(BTreeMap::new()) }
     }
 
-    /// Queues a message for its receiver. It is dropped if the queue is full or the connection fails.
+    /// Queues a message for its receiver. The message is dropped if the queue is full or the connection fails.
     pub fn send(&self, envelope: Envelope) {
         let peer = envelope.to.address();
         let key = LinkKey { peer, kind: LinkKind::of(&envelope.message) };
@@ -78,7 +78,7 @@
         sender
     }
 
-    /// Accepts connections of other members for ever, and passes each message to `on_message`.
+    /// Accepts connections from other members forever and passes each message to `on_message`.
     pub async fn serve(self: Rc<Self>, listener: Async<TcpListener>, on_message: Rc<dyn Fn(Envelope)>) {
         incoming::serve(&self.executor, listener, on_message).await;
     }
--- a/crates/control-plane/src/links/outgoing.rs
+++ b/crates/control-plane/src/links/outgoing.rs
@@ -1,4 +1,4 @@
-//! A connection on which a member sends to another one.
+//! An outgoing connection, on which a member sends messages to another one.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -14,16 +14,16 @@
 
 /// Time for a connection to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A connection that moves no bytes for this time while some are waiting is given up.
+/// Time without progress on pending bytes after which a connection is abandoned.
 const STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The backoff after a failed attempt to connect; it doubles with each further one.
+/// Backoff after the first failed attempt to connect. It doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff.
+/// Limit on the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
-/// Messages are written together until a batch has this length.
+/// Size from which on no further messages are added to a batch.
 const MIN_FULL_BATCH_BYTES: usize = 64 * 1024;
 
-/// Sends what is queued for a member until the queue is closed. A connection is opened when there is a message for it.
+/// Sends queued messages to a member until the queue is closed. Connects when the first message is queued.
 pub(super) async fn run(address: SocketAddr, queue: Receiver<Envelope>) {
     let mut backoff = INITIAL_BACKOFF;
     while let Ok(first) = queue.recv().await {
@@ -44,8 +44,8 @@
     }
 }
 
-/// Drops what was queued for a connection that failed: it may be out of date, and the replication sends again what it
-/// still needs.
+/// Drops the messages that are queued for a failed connection: they may be outdated, and the replication protocol
+/// resends those that it still needs.
 fn discard_queued(queue: &Receiver<Envelope>) {
     while queue.try_recv().is_ok() {}
 }
@@ -53,12 +53,12 @@
 async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let stream = within(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await??;
     stream.get_ref().set_nodelay(true)?;
-    // A peer behind a network partition resets nothing: bytes that it does not acknowledge end the connection.
+    // A peer behind a network partition can't reset the connection, so unacknowledged bytes have to time out.
     SockRef::from(stream.get_ref()).set_tcp_user_timeout(Some(STALL_TIMEOUT))?;
     Ok(stream)
 }
 
-/// Sends the first message and those of the queue, until the queue is closed.
+/// Sends the first message and then those of the queue, in batches, until the queue is closed.
 async fn send_queued(
     stream: Async<TcpStream>,
     first: Envelope,
@@ -92,8 +92,8 @@
     Ok(())
 }
 
-/// Waits for the next message; none if the queue is closed. Fails when the connection ends, which carries nothing the
-/// other way.
+/// Waits for the next message; `None` if the queue is closed. Fails if the connection closes, which shows as the end of
+/// the stream because the peer never sends on it.
 async fn next_message(
     mut stream: &Async<TcpStream>,
     queue: &Receiver<Envelope>,
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,10 +1,10 @@
-//! The control plane's program.
+//! The `tulipridge-control-plane` program.
 
 use std::process::ExitCode;
 
 use tulipridge_runtime::command_line;
 
-/// What the program is, for its help.
+/// Description in the program's help text.
 const DESCRIPTION: &str = "The control plane: replicated state, service discovery, delivery, weights";
 
 fn main() -> ExitCode {
--- a/crates/control-plane/src/member/authority.rs
+++ b/crates/control-plane/src/member/authority.rs
@@ -1,4 +1,4 @@
-//! What the other parts of the program may do by this member's leadership.
+//! The authority that a member's leadership gives to the other parts of the program.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::tenure::Tenure;
 
 impl Member {
-    /// The epoch, while this member is primary within its lease and has applied all that was committed before.
+    /// The current epoch, if this member is primary within its lease and has applied everything committed before it.
     fn acting_epoch(&self) -> Option<Epoch> {
         let epoch = self.leadership.get().ready_epoch()?;
         let replication = self.replication.borrow();
--- a/crates/control-plane/src/member/compaction.rs
+++ b/crates/control-plane/src/member/compaction.rs
@@ -1,13 +1,13 @@
-//! When the entries of the replicated log are compacted into a snapshot of the state.
+//! When to compact the entries of the replicated log into a snapshot of the state.
 
-/// Bytes of applied commands after which a snapshot is due.
+/// Size of the applied commands from which on a snapshot is due.
 pub const COMPACT_AFTER_BYTES: usize = 1 << 20;
 
-/// Applied commands after which a snapshot is due, however small they are. A member applies them again when
-/// it starts, each in about 10 ms for a configuration of 1.3 MB.
+/// Number of applied commands from which on a snapshot is due, regardless of their size. A member reapplies these
+/// commands when it starts, which takes about 10 ms each for a configuration of 1.3 MB.
 pub const COMPACT_AFTER_COMMANDS: usize = 64;
 
-/// What was applied since the last snapshot.
+/// The commands applied since the last snapshot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AppliedSinceSnapshot {
     bytes: usize,
@@ -15,7 +15,7 @@
 }
 
 impl AppliedSinceSnapshot {
-    /// Records that a command of `command_bytes` was applied.
+    /// Records an applied command of `command_bytes` bytes.
     pub fn record(&mut self, command_bytes: usize) {
         self.bytes += command_bytes;
         self.commands += 1;
--- a/crates/control-plane/src/member/disk_health.rs
+++ b/crates/control-plane/src/member/disk_health.rs
@@ -1,4 +1,4 @@
-//! The disk health monitor: whether the disk finishes its writes in time. It reads no clock.
+//! The disk health monitor, which checks whether the disk completes its writes in time. It reads no clock.
 
 use std::collections::VecDeque;
 use std::mem;
@@ -6,12 +6,12 @@
 
 use crate::replication::{WriteTicket, max_write_duration};
 
-/// A write that takes longer than this, beside the time that its bytes and those before it may take, shows that the
-/// disk is unhealthy.
+/// Time that a write may take in addition to the time for its own bytes and those queued before it. A disk that takes
+/// longer is unhealthy.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Watches the writes that the disk has not finished. A disk is healthy while the oldest of them is within its time
-/// and the last attempt at a write has not failed.
+/// Tracks pending writes. The disk is healthy while the oldest of them has not passed its deadline and the last write
+/// attempt has not failed.
 #[derive(Debug)]
 pub struct DiskHealthMonitor {
     pending: VecDeque<PendingWrite>,
@@ -23,7 +23,7 @@
 struct PendingWrite {
     ticket: WriteTicket,
     bytes: u64,
-    /// When it has to be finished.
+    /// When the write has to be complete.
     deadline: Duration,
 }
 
@@ -34,14 +34,14 @@
 }
 
 impl DiskHealthMonitor {
-    /// Records that a write of so many bytes was handed to the disk.
+    /// Records that a write of `bytes` bytes was passed to the disk.
     pub fn write_started(&mut self, ticket: WriteTicket, bytes: u64, now: Duration) {
         let pending_bytes: u64 = self.pending.iter().map(|write| write.bytes).sum();
         let deadline = now + WRITE_TIMEOUT + max_write_duration(pending_bytes + bytes);
         self.pending.push_back(PendingWrite { ticket, bytes, deadline });
     }
 
-    /// Records that the writes up to a ticket are durable.
+    /// Records that all writes up to a ticket are durable.
     pub fn write_finished(&mut self, ticket: WriteTicket) {
         self.has_failed = false;
         while self.pending.front().is_some_and(|write| write.ticket <= ticket) {
@@ -49,12 +49,12 @@
         }
     }
 
-    /// Records that a write has failed and is retried.
+    /// Records that a write has failed and will be retried.
     pub fn write_failed(&mut self) {
         self.has_failed = true;
     }
 
-    /// Whether the disk is healthy, if that has changed since the last call; it counts as healthy at first.
+    /// Returns whether the disk is healthy if that has changed since the last call. Initially it counts as healthy.
     pub fn health_change(&mut self, now: Duration) -> Option<bool> {
         let is_stalled = self.pending.front().is_some_and(|write| now >= write.deadline);
         let is_healthy = !is_stalled && !self.has_failed;
--- a/crates/control-plane/src/member/events.rs
+++ b/crates/control-plane/src/member/events.rs
@@ -1,4 +1,4 @@
-//! What a member does when its disk or its state machine reports something.
+//! Handling of the events of a member's disk and state machine.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use crate::state::StateError;
 use crate::state_machine::StateMachineEvent;
 
-/// Why the state machine has stopped. The member must not go on.
+/// Why the state machine has stopped. The member must not continue without it.
 #[derive(Debug, Snafu)]
 pub enum StateMachineStopped {
     /// A command or a snapshot could not be applied.
@@ -21,13 +21,13 @@
         /// Why.
         source: StateError,
     },
-    /// The thread has ended by itself.
+    /// The thread has ended unexpectedly.
     #[snafu(display("the thread of the state machine has ended unexpectedly"))]
     ThreadEnded,
 }
 
 impl Member {
-    /// Handles what the disk reports; returns only if its thread has ended.
+    /// Handles the events of the disk. Returns only if the writer thread has ended.
     pub async fn run_disk_events(self: Rc<Self>, events: Receiver<DiskEvent>) {
         while let Ok(event) = events.recv().await {
             match event {
@@ -48,7 +48,7 @@
         self.check_disk_health();
     }
 
-    /// Passes a change of the disk's health to the replication.
+    /// Reports a change in the disk's health to the replication protocol.
     pub(super) fn check_disk_health(&self) {
         let change = self.disk_health.borrow_mut().health_change(clock::now());
         if let Some(healthy) = change {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Handles what the state machine reports; returns only if it has stopped.
+    /// Handles the events of the state machine. Returns only if the state machine has stopped.
     pub async fn run_state_machine_events(
         self: Rc<Self>,
         events: Receiver<StateMachineEvent>,
@@ -69,7 +69,9 @@
                     self.proposals.borrow_mut().applied(sequence, applied);
                     self.compact_if_due().await;
                 }
-                StateMachineEvent::CaughtUp { epoch } => self.update_leadership(|own| own.caught_up(epoch)),
+                StateMachineEvent::CaughtUp { epoch } => {
+                    self.update_leadership(|leadership| leadership.caught_up(epoch));
+                }
                 StateMachineEvent::Failed(source) => return StateMachineStopped::Failed { source },
             }
         }
--- a/crates/control-plane/src/member/leadership.rs
+++ b/crates/control-plane/src/member/leadership.rs
@@ -1,5 +1,5 @@
-//! What a member remembers of its own leadership. It reads no clock: whether the lease runs is known to the
-//! replication.
+//! The state of a member's own leadership. It reads no clock: the replication protocol knows whether the lease is
+//! valid.
 
 use tulipridge_protocol::number::Epoch;
 
@@ -9,14 +9,14 @@
 /// A member's leadership.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Leadership {
-    /// Since when this member is primary, if it is.
+    /// The member's tenure, if it is primary.
     tenure: Option<Tenure>,
-    /// The epoch in which this member, as primary, has applied all that was committed before.
+    /// The epoch in which this member, as primary, has applied everything committed before.
     ready_epoch: Option<Epoch>,
 }
 
 impl Leadership {
-    /// Records a new role. A primary is not ready before it has caught up in its new epoch.
+    /// Records a new role. A primary is not ready until it has caught up in its new epoch.
     pub(super) fn role_changed(&mut self, role: Role) {
         self.ready_epoch = None;
         self.tenure = match role {
@@ -25,17 +25,17 @@
         };
     }
 
-    /// Records that all that was committed before `epoch` is applied.
+    /// Records that everything committed before `epoch` has been applied.
     pub(super) fn caught_up(&mut self, epoch: Epoch) {
         self.ready_epoch = Some(epoch);
     }
 
-    /// Since when this member is primary, if it is.
+    /// The member's tenure, if it is primary.
     pub(super) fn tenure(&self) -> Option<Tenure> {
         self.tenure
     }
 
-    /// The epoch in which this member is ready to act as primary. It may have ended since.
+    /// The epoch in which this member is ready to act as primary. The epoch may have ended meanwhile.
     pub(super) fn ready_epoch(&self) -> Option<Epoch> {
         self.ready_epoch
     }
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -1,5 +1,5 @@
-//! One member of the control plane: feeds the replication with messages, finished writes and the time, and carries out
-//! its outputs on the disk, the links and the state machine.
+//! One member of the control plane. It passes messages, completed writes and the time to the replication protocol and
+//! executes its outputs on the disk, the links and the state machine.
 
 mod authority;
 pub mod compaction;
@@ -34,11 +34,11 @@
 use published::PublishedState;
 use timer::DeadlineTimer;
 
-/// The parts that a member works with.
+/// The components of a member.
 pub struct MemberParts {
     /// The replication protocol.
     pub replication: Replication,
-    /// Connections to other members.
+    /// Connections to the other members.
     pub links: Rc<Links>,
     /// The disk.
     pub disk: Disk,
@@ -61,7 +61,7 @@
 }
 
 impl Member {
-    /// A member that has yet to be run, by [`Member::run`], [`Member::run_disk_events`] and
+    /// Creates a member. The caller has to run [`Member::run`], [`Member::run_disk_events`] and
     /// [`Member::run_state_machine_events`].
     #[must_use]
     pub fn new(parts: MemberParts) -> Rc<Member> {
@@ -79,12 +79,12 @@
         })
     }
 
-    /// Notifies a listener of what is delivered, now and after each change.
+    /// Sets the listener for the published state, which is notified now and after each change.
     pub fn on_published(&self, listener: PublishedListener) {
         self.published.set_listener(listener);
     }
 
-    /// Has the replication act on its deadlines, for ever.
+    /// Ticks the replication protocol at its deadlines, forever.
     pub async fn run(self: Rc<Self>) {
         loop {
             self.timer.sleep(|| self.next_deadline()).await;
@@ -93,22 +93,22 @@
         }
     }
 
-    /// Handles a message of another member.
+    /// Handles a message from another member.
     pub fn on_message(&self, envelope: Envelope) {
         self.step(Input::Message(envelope));
     }
 
-    /// Makes addresses known where members may be found.
+    /// Passes possible addresses of members to the replication protocol.
     pub fn on_discovered(&self, members: Vec<NodeId>) {
         self.step(Input::Known(members));
     }
 
-    /// Gives up the lease, if this member has it, so that another one can follow at once.
+    /// Releases the lease, if this member holds it, so that a successor can take over at once.
     pub fn terminate(&self) {
         self.step(Input::Terminate);
     }
 
-    /// What others still need of this member, whose process is to end.
+    /// What the other members still need from this member, whose process is about to exit.
     pub fn departure(&self) -> Departure {
         self.replication.borrow().departure(clock::now())
     }
@@ -118,32 +118,32 @@
         &self.state_machine
     }
 
-    /// What is delivered.
+    /// The published part of the state.
     pub fn published(&self) -> Published {
         self.published.get()
     }
 
-    /// Whether it is the primary within its lease.
+    /// Whether this member is the primary within its lease.
     pub fn is_primary(&self) -> bool {
         self.replication.borrow().is_primary(clock::now())
     }
 
-    /// The primary, this member itself included, if a heartbeat of it came lately.
+    /// The primary, which may be this member, if it sent a heartbeat recently.
     pub fn known_primary(&self) -> Option<NodeId> {
         self.replication.borrow().known_primary(clock::now())
     }
 
-    /// Another member that callers may be redirected to.
+    /// Another member to which clients can be redirected.
     pub fn redirect_target(&self) -> Option<NodeId> {
         self.replication.borrow().redirect_target(clock::now())
     }
 
-    /// Reads from the replication, for reports.
+    /// Reads from the replication protocol, for reports.
     pub fn with_replication<T>(&self, read: impl FnOnce(&Replication) -> T) -> T {
         read(&self.replication.borrow())
     }
 
-    /// Members that take part, as the primary knows them.
+    /// The live members, as known to the primary.
     pub fn live_members(&self) -> Vec<ControlNode> {
         let members = self.replication.borrow().live_members(clock::now());
         members.into_iter().map(|member| ControlNode { id: member.node, zone: member.zone }).collect()
--- a/crates/control-plane/src/member/outputs.rs
+++ b/crates/control-plane/src/member/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out what the replication decides.
+//! Execution of the outputs of the replication protocol.
 
 use tulipridge_runtime::clock;
 
@@ -6,8 +6,8 @@
 use crate::replication::{DurableRecord, Input, Output, Role, WriteTicket};
 
 impl Member {
-    /// Hands an input to the replication, carries out its outputs and brings the timer forward if a deadline has come
-    /// closer.
+    /// Passes an input to the replication protocol, executes the outputs and brings the timer forward if the next
+    /// deadline is now earlier.
     pub(super) fn step(&self, input: Input) {
         let mut outputs = Vec::new();
         self.replication.borrow_mut().handle(clock::now(), input, &mut outputs);
@@ -15,8 +15,8 @@
         self.timer.bring_forward(self.next_deadline());
     }
 
-    /// Carries out outputs in their order. The last change of the role comes after all others: what was committed
-    /// before it has to be with the state machine when a new primary catches up.
+    /// Executes outputs in order, except that the last change of role comes after all others: the state machine must
+    /// have received everything committed before it when a new primary catches up.
     fn execute_all(&self, outputs: Vec<Output>) {
         let mut new_role = None;
         for output in outputs {
@@ -64,7 +64,7 @@
 
     fn change_role(&self, role: Role) {
         log::info!(role:? = role; "the member's role has changed");
-        self.update_leadership(|own| own.role_changed(role));
+        self.update_leadership(|leadership| leadership.role_changed(role));
         if let Role::Primary { epoch } = role {
             self.state_machine.catch_up(epoch);
         }
--- a/crates/control-plane/src/member/proposals.rs
+++ b/crates/control-plane/src/member/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals of this member that await their commit, or the state machine.
+//! This member's proposals that are waiting to be committed or applied.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::replication::{FailureReason, ProposalTicket};
 use crate::state::Applied;
 
-/// Pending proposals: by ticket until their entry is committed, then by the entry's sequence number until it is
+/// Pending proposals, keyed by ticket until their entry is committed and by the entry's sequence number until it is
 /// applied.
 #[derive(Debug, Default)]
 pub struct Proposals {
@@ -18,17 +18,17 @@
     committed: BTreeMap<SequenceNumber, Sender<ProposalOutcome>>,
 }
 
-/// A proposal that was opened.
+/// A newly opened proposal.
 #[derive(Debug)]
 pub struct OpenedProposal {
-    /// Its ticket, which no other proposal of this process has.
+    /// The ticket, which is unique among the proposals of this process.
     pub ticket: ProposalTicket,
-    /// Receives its outcome once.
+    /// Receives the outcome, once.
     pub outcome: Receiver<ProposalOutcome>,
 }
 
 impl Proposals {
-    /// Opens a proposal.
+    /// Opens a proposal under a new ticket.
     pub fn open(&mut self) -> OpenedProposal {
         let (sender, outcome) = async_channel::bounded(1);
         self.last_ticket = self.last_ticket.next();
@@ -36,15 +36,15 @@
         OpenedProposal { ticket: self.last_ticket, outcome }
     }
 
-    /// Records that an entry is committed; `proposal` is the ticket if this member has proposed it.
+    /// Records that an entry is committed. `proposal` is its ticket if this member proposed it.
     pub fn committed(&mut self, sequence: SequenceNumber, proposal: Option<ProposalTicket>) {
         if let Some(sender) = proposal.and_then(|ticket| self.uncommitted.remove(&ticket)) {
             self.committed.insert(sequence, sender);
         }
     }
 
-    /// Records that the state machine has applied an entry; without `applied` the state was restored from a snapshot
-    /// at it.
+    /// Records that the state machine has reached an entry. `applied` is `None` if the state was restored from a
+    /// snapshot at this entry, which leaves the outcome unknown.
     pub fn applied(&mut self, sequence: SequenceNumber, applied: Option<Applied>) {
         let outcome = applied.map_or(ProposalOutcome::Unknown, ProposalOutcome::Applied);
         if let Some(sender) = self.committed.remove(&sequence) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Records that a proposal has failed before its entry was committed.
+    /// Records that a proposal failed before its entry was known to be committed.
     pub fn failed(&mut self, ticket: ProposalTicket, reason: FailureReason) {
         let outcome = match reason {
             FailureReason::NotReplicated => ProposalOutcome::NotReplicated,
--- a/crates/control-plane/src/member/published.rs
+++ b/crates/control-plane/src/member/published.rs
@@ -1,13 +1,13 @@
-//! The part of the state that is delivered, and who is notified of its changes.
+//! The published part of the state and the listener for its changes.
 
 use std::cell::RefCell;
 
 use crate::state_machine::Published;
 
-/// Called when what is delivered has changed.
+/// Called when the published state has changed.
 pub type PublishedListener = Box<dyn Fn(&Published)>;
 
-/// The newest published state with its listener.
+/// The current published state and its listener.
 #[derive(Default)]
 pub(super) struct PublishedState {
     current: RefCell<Published>,
@@ -27,7 +27,7 @@
         self.current.borrow().clone()
     }
 
-    /// Notifies the listener of the state as it is, and from now on of each change.
+    /// Sets the listener and notifies it of the current state.
     pub(super) fn set_listener(&self, listener: PublishedListener) {
         listener(&self.current.borrow());
         *self.listener.borrow_mut() = Some(listener);
--- a/crates/control-plane/src/member/timer.rs
+++ b/crates/control-plane/src/member/timer.rs
@@ -1,4 +1,4 @@
-//! The timer of a member's loop, which can be brought forward.
+//! The timer of a member's main loop, which can be brought forward.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use futures_lite::future;
 use tulipridge_runtime::clock;
 
-/// Longest time for which the loop sleeps: the disk's health is checked so often at least.
+/// Limit on a sleep, and thus on the interval between checks of the disk's health.
 const MAX_SLEEP: Duration = Duration::from_millis(250);
 
-/// Sleeps until a deadline, which may become earlier meanwhile.
+/// Sleeps until a deadline that can be brought forward during the sleep.
 pub(super) struct DeadlineTimer {
-    /// What the loop sleeps until.
+    /// When the current sleep ends.
     wake_time: Cell<Duration>,
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -25,7 +25,8 @@
         DeadlineTimer { wake_time: Cell::new(Duration::ZERO), sender, receiver }
     }
 
-    /// Sleeps until the deadline, which is read again each time when it was brought forward.
+    /// Sleeps until the deadline, or for [`MAX_SLEEP`] if that is shorter. The deadline is reread each time it is
+    /// brought forward.
     pub(super) async fn sleep(&self, deadline: impl Fn() -> Duration) {
         loop {
             let now = clock::now();
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Has the deadline read again if this one is earlier.
+    /// Interrupts the sleep to reread the deadline, if `deadline` is earlier than the time to wake up.
     pub(super) fn bring_forward(&self, deadline: Duration) {
         if deadline < self.wake_time.get() {
             let _ = self.sender.try_send(());
--- a/crates/control-plane/src/server/build.rs
+++ b/crates/control-plane/src/server/build.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a member together.
+//! Assembly of a member's components.
 
 use std::rc::Rc;
 
@@ -24,11 +24,11 @@
 use crate::singleton::SingletonContext;
 
 impl Server {
-    /// Binds the listeners, starts the member and puts together what serves around it.
+    /// Binds the listeners, starts the member and creates the services around it.
     ///
     /// # Errors
     ///
-    /// If an address, the disk, a thread or a random number is not to be had.
+    /// If an address can't be bound, or the disk, a thread or a random number is unavailable.
     pub(super) fn build(
         settings: &Settings,
         executor: Rc<LocalExecutor<'static>>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// The discovery of replicas; none where the platform has no list of them.
+/// Creates the discovery of replicas; `None` if the settings name no list service.
 fn discovery(
     settings: &Settings,
     context: SingletonContext,
--- a/crates/control-plane/src/server/departure.rs
+++ b/crates/control-plane/src/server/departure.rs
@@ -1,4 +1,4 @@
-//! When the process of a member that is to stop ends.
+//! Departure of a member: when a process that was told to stop exits.
 
 use std::time::Duration;
 
@@ -8,16 +8,18 @@
 use crate::member::Member;
 use crate::replication::Departure;
 
-/// Time for which a member that is to stop still serves callers, so that they find its successor.
+/// Time for which a stopping member still serves clients, so that they can find its successor.
 const STOP_GRACE: Duration = Duration::from_millis(1_200);
-/// Time for which a voter waits for another member to replace it. There may be none, and its disk stays.
+/// Time for which a voter waits to be replaced. It exits after that, since there may be no replacement and its disk is
+/// kept.
 const VOTE_GRACE: Duration = Duration::from_millis(2_500);
-/// The process ends by itself so long before it is killed.
+/// Time before the process would be killed at which it exits on its own.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// How often it is checked whether others still need the member.
+/// Interval of the checks whether others still need the member.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether the process may end, `waited` after it was asked to stop, if it is killed after `leeway`. Reads no clock.
+/// Returns whether the process may exit, `waited` after it was told to stop, if it will be killed after
+/// `termination_grace_period`. Reads no clock.
 #[must_use]
 pub fn may_exit(waited: Duration, termination_grace_period: Duration, departure: Departure) -> bool {
     if waited >= termination_grace_period.saturating_sub(KILL_MARGIN) {
@@ -30,7 +32,7 @@
     }
 }
 
-/// Gives up the member's lease and its seats in the view, and returns once its process may end.
+/// Releases the member's lease and its roles in the view, and returns once its process may exit.
 pub(super) async fn depart(member: &Member, termination_grace_period: Duration) {
     let started = clock::now();
     member.terminate();
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a member can't start, or can't go on.
+//! Errors that stop a member.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,17 +10,17 @@
 use crate::member::StateMachineStopped;
 use crate::state_machine::StartError;
 
-/// Why the control plane does not run.
+/// Why a member can't start or has to stop.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ServerError {
-    /// The settings lack a field that only this program needs.
+    /// The settings lack a field that is optional for other programs but required here.
     #[snafu(display("the settings have no {field}, which the control plane requires"))]
     MissingSetting {
         /// The field.
         field: &'static str,
     },
-    /// An address can't be listened on.
+    /// A TCP address can't be bound.
     #[snafu(display(
         "failed to listen on {address}: {source}; check whether another process uses the port"
     ))]
@@ -36,7 +36,7 @@
         /// Why.
         source: DiskError,
     },
-    /// The socket of the peer sampling can't be bound.
+    /// The UDP socket for peer sampling can't be bound.
     #[snafu(display(
         "failed to bind {address} (UDP): {source}; check whether another process uses the port"
     ))]
@@ -46,28 +46,28 @@
         /// Why.
         source: io::Error,
     },
-    /// The thread of the disk has ended by itself.
+    /// The writer thread of the disk has ended unexpectedly.
     #[snafu(display("the writer thread of the disk has ended unexpectedly"))]
     DiskEnded,
-    /// A thread can't be started.
+    /// The thread of the state machine can't be started.
     #[snafu(display("{source}"))]
     Thread {
         /// Why.
         source: StartError,
     },
-    /// Signals can't be awaited.
+    /// The signal handlers can't be set up.
     #[snafu(display("{source}"))]
     Signals {
         /// Why.
         source: SignalError,
     },
-    /// The system gives no random number.
+    /// The operating system provides no random number.
     #[snafu(display("failed to get a random number: {source}"))]
     RandomNumber {
         /// Why.
         source: getrandom::Error,
     },
-    /// The replicated state can't be kept up.
+    /// The state machine has stopped.
     #[snafu(display("the state machine has stopped: {source}"))]
     State {
         /// Why the state machine has stopped.
--- a/crates/control-plane/src/server/listeners.rs
+++ b/crates/control-plane/src/server/listeners.rs
@@ -1,4 +1,4 @@
-//! The addresses that a member listens on.
+//! The TCP listeners of a member.
 
 use std::net::{SocketAddr, TcpListener};
 
@@ -8,22 +8,22 @@
 
 use super::error::{ListenSnafu, MissingSettingSnafu, ServerError};
 
-/// Bound listeners. Connections wait in them until they are served.
+/// Bound listeners. Connections queue in their backlogs until they are served.
 pub(super) struct Listeners {
     /// The operator's API.
     pub(super) operator: Async<TcpListener>,
-    /// Messages of the other members.
+    /// Messages from the other members.
     pub(super) control: Async<TcpListener>,
-    /// Subscribers of the feed.
+    /// Subscribers to the feed.
     pub(super) feed: Async<TcpListener>,
 }
 
 impl Listeners {
-    /// Binds all of them.
+    /// Binds all listeners.
     ///
     /// # Errors
     ///
-    /// If the settings lack the port of the API, or an address is taken.
+    /// If the settings lack the port of the API, or an address can't be bound.
     pub(super) fn bind(settings: &Settings) -> Result<Listeners, ServerError> {
         let operator = settings.listen_on.control_port;
         let operator = operator.context(MissingSettingSnafu { field: "listenOn.controlPort" })?;
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The process of a member: its start, its tasks, and its end.
+//! The process of a member: its start, tasks and shutdown.
 
 mod build;
 pub mod departure;
@@ -39,17 +39,17 @@
 ///
 /// # Errors
 ///
-/// If the member can't start, or can't go on.
+/// If the member can't start, or fails while it runs.
 pub fn run(settings: Settings) -> Result<(), ServerError> {
     let signals = SignalStream::new().context(SignalsSnafu)?;
     async_io::block_on(run_until(&settings, wait_for_stop(signals)))
 }
 
-/// Runs a member until `stop` is ready, and a little longer, so that callers find its successor.
+/// Runs a member until `stop` completes, and then until its [`departure`] is complete.
 ///
 /// # Errors
 ///
-/// If the member can't start, or can't go on.
+/// If the member can't start, or fails while it runs.
 pub async fn run_until(settings: &Settings, stop: impl Future<Output = ()>) -> Result<(), ServerError> {
     let executor = Rc::new(LocalExecutor::new());
     let server = Server::build(settings, executor.clone())?;
@@ -62,7 +62,7 @@
     }
 }
 
-/// A member, ready to run.
+/// An assembled member that is ready to run.
 struct Server {
     executor: Rc<LocalExecutor<'static>>,
     started: StartedMember,
@@ -72,11 +72,11 @@
     singleton_roles: SingletonRoles,
     peer_sampling: Rc<Exchange>,
     listeners: Listeners,
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     termination_grace_period: Duration,
 }
 
-/// What acts only while this member has the singleton lease.
+/// The roles that act only while this member has the singleton lease.
 struct SingletonRoles {
     discovery: Option<Discovery>,
     cache_followers: CacheFollowers,
@@ -117,14 +117,14 @@
         };
         let departure = stop_and_depart(stop, &member, self.termination_grace_period);
         let end = future::or(departure, future::or(state_machine_failure, disk_failure)).await;
-        // The tasks own the executor that owns them: the ports would stay taken.
+        // The tasks and the executor own each other, so without this the ports would stay bound.
         for task in tasks {
             task.cancel().await;
         }
         end
     }
 
-    /// Has the replicated state delivered whenever it changes.
+    /// Passes the published state to the delivery and the rollout whenever it changes.
     fn publish_to_delivery(&self) {
         let (delivery, events) = (self.delivery.clone(), self.singleton_roles.rollout_events.clone());
         self.started.member.on_published(Box::new(move |published| {
--- a/crates/control-plane/src/server/periodic.rs
+++ b/crates/control-plane/src/server/periodic.rs
@@ -1,4 +1,4 @@
-//! What a member looks at again and again, for as long as it runs.
+//! Periodic tasks of a member.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::member::Member;
 use crate::singleton::LeaseStatus;
 
-/// How often the delivery is adapted to who is primary and who takes part.
+/// Interval at which the delivery is updated for the current primary and the live members.
 const DELIVERY_REVIEW_INTERVAL: Duration = Duration::from_millis(250);
-/// How often the work that waits at replicas is delivered, if it has changed.
+/// Interval at which the load of replicas is delivered if it has changed.
 const LOADS_INTERVAL: Duration = Duration::from_millis(50);
-/// How often members that were discovered are made known to the replication.
+/// Interval at which discovered members are passed to the replication protocol.
 const DISCOVERED_MEMBERS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Makes members that the peer sampling has discovered known to the replication.
+/// Passes members that peer sampling has discovered to the replication protocol.
 pub(super) async fn update_discovered_members(peer_sampling: Rc<Exchange>, member: Rc<Member>) {
     let mut known = Vec::new();
     loop {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Adapts the delivery to who is primary and who takes part.
+/// Updates the delivery for the current primary and the live members.
 pub(super) async fn review_delivery(member: Rc<Member>, delivery: Rc<Delivery>) {
     loop {
         delivery.review();
@@ -44,7 +44,7 @@
     }
 }
 
-/// Delivers how much work waits at replicas, while this member has the singleton lease.
+/// Delivers the load of replicas, which is their waiting work, while this member has the singleton lease.
 pub(super) async fn deliver_loads(member: Rc<Member>, delivery: Rc<Delivery>) {
     loop {
         if let Some(lease) = member.singleton_lease() {
--- a/crates/control-plane/src/server/singleton_outputs.rs
+++ b/crates/control-plane/src/server/singleton_outputs.rs
@@ -1,4 +1,4 @@
-//! Where the results of the singleton roles go.
+//! Delivery of the results of the singleton roles.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -27,8 +27,8 @@
 }
 
 impl SingletonOutputs {
-    /// Delivers the table of replicas after a complete list. The first one of a tenure adopts what an earlier primary's
-    /// table shows beyond its list.
+    /// Delivers the table of replicas after a complete fetch of the replica list. The first delivery of a tenure
+    /// inherits what the previous primary's table contains beyond the list.
     pub(super) fn deliver_list(&self) {
         let Some(lease) = self.member.singleton_lease() else { return };
         if let Some(delivered) = self.delivery.inherited_fleet(lease.tenure) {
@@ -37,7 +37,7 @@
         self.deliver_fleet(lease);
     }
 
-    /// Delivers the table of replicas as it is now.
+    /// Delivers the current table of replicas.
     fn deliver_fleet(&self, lease: SingletonLease) {
         if let Some(replicas) = self.table.borrow().replicas(lease.tenure) {
             self.delivery.set_fleet(lease.epoch, replicas);
--- a/crates/control-plane/src/server/start.rs
+++ b/crates/control-plane/src/server/start.rs
@@ -1,4 +1,4 @@
-//! The start of a member: its disk is recovered, then the replication begins with what was on it.
+//! The start of a member: recovers its disk and starts the replication protocol from the recovered state.
 
 use std::rc::Rc;
 
@@ -16,10 +16,10 @@
 use crate::replication::{Replication, ReplicationSettings};
 use crate::state_machine::{StateMachine, StateMachineEvent};
 
-/// The generation of the seeds, whose disks are formatted at the first start of the whole system.
+/// The generation of the seeds, whose disks are formatted when the cluster is bootstrapped.
 const SEED_GENERATION: Generation = Generation::FIRST;
 
-/// A member whose threads have started, and what they report.
+/// A member whose threads are running, and the events that they report.
 pub(super) struct StartedMember {
     pub(super) node: NodeId,
     pub(super) member: Rc<Member>,
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// If the disk can't be used, or the system gives no thread or no random number.
+    /// If the disk can't be used, a thread can't be started, or no random number is available.
     pub(super) fn start(
         settings: &Settings,
         executor: &Rc<LocalExecutor<'static>>,
--- a/crates/control-plane/src/state/command.rs
+++ b/crates/control-plane/src/state/command.rs
@@ -1,5 +1,5 @@
-//! Commands: what the members replicate. Their encoding is stored and sent: the order of variants and fields is part of
-//! it.
+//! Commands, which the members replicate. Their encoding is stored and sent: the order of variants and fields is part
+//! of it.
 
 use std::sync::Arc;
 
@@ -11,12 +11,12 @@
 /// The format of an encoded command.
 const COMMAND_FORMAT: Format = Format(*b"CMD2");
 
-/// A change that was accepted, as the members replicate it.
+/// An accepted change in the form that the members replicate.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Command {
-    /// Puts a configuration in force, on top of the one that it was decided on.
+    /// Puts a configuration in force on top of the one that the decision was based on.
     Configure(ChangeEntry),
-    /// Names weights of a model.
+    /// Sets the target revision of a model's weights.
     SetTargetRevision {
         /// The model.
         model: String,
@@ -25,16 +25,16 @@
     },
 }
 
-/// A change that was accepted.
+/// An accepted change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Accepted {
-    /// The encoded command, to be proposed.
+    /// The encoded command to propose.
     pub command: Arc<[u8]>,
-    /// The same in memory, ready to be applied.
+    /// The decoded command, ready to be applied without decoding.
     pub(super) prepared: Prepared,
 }
 
-/// A command, ready to be applied.
+/// A decoded command, ready to be applied.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Prepared {
     Configure(Box<AcceptedChange>),
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// If the bytes are of another format.
+    /// If the bytes have another format.
     pub fn from_bytes(bytes: &[u8]) -> Result<Command, EncodingError> {
         encoding::decode(COMMAND_FORMAT, bytes)
     }
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The replicated state: the operator's configuration and the weights that were named.
+//! The replicated state: the operator's configuration and the target revision of each model's weights.
 //!
-//! No I/O and no clock: the same commands in the same order lead to the same state at every member.
+//! It does no I/O and reads no clock: the same commands in the same order lead to the same state on every member.
 
 mod command;
 mod weights;
@@ -18,27 +18,27 @@
 pub use command::{Accepted, Command};
 pub use weights::{TargetRevisions, WeightsDecision};
 
-/// The format of a snapshot.
+/// The format of an encoded state.
 const SNAPSHOT_FORMAT: Format = Format(*b"STA2");
 
-/// A change that the operator requests.
+/// A change requested by the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Replaces the configuration.
     PutConfiguration {
-        /// The version that it builds on.
+        /// The revision that it builds on, as given by the operator.
         if_match: Option<Revision>,
-        /// The document.
+        /// The configuration document.
         body: Vec<u8>,
     },
     /// Changes some items of the configuration.
     PatchConfiguration {
-        /// The version that it builds on.
+        /// The revision that it builds on, as given by the operator.
         if_match: Option<Revision>,
-        /// The items.
+        /// The changed items.
         body: Vec<u8>,
     },
-    /// New weights of a model.
+    /// Sets the target revision of a model's weights.
     SetTargetRevision {
         /// The model.
         model: String,
@@ -52,37 +52,37 @@
 pub enum Decision {
     /// The same change was accepted before.
     AlreadyAccepted,
-    /// It builds on another version than the current one.
+    /// It builds on a revision of the configuration other than the current one.
     Stale {
-        /// The current version.
+        /// The current revision.
         current: Revision,
     },
-    /// The configuration is not valid.
+    /// The configuration is invalid.
     InvalidConfiguration {
-        /// Why.
+        /// What is wrong with it.
         findings: ValidationErrors,
     },
-    /// The weights are older than those named, and were never named themselves.
+    /// The revision of the weights is older than the target revision and isn't known to have been a target before.
     OldWeights {
-        /// The newest revision that was named.
+        /// The target revision.
         newest: WeightsRevision,
     },
-    /// It is accepted, and takes effect once its command is committed.
+    /// It is accepted and takes effect once its command is committed.
     Accept(Box<Accepted>),
 }
 
-/// What a command has changed.
+/// The effect of an applied command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Its configuration is in force, by this command or by an earlier one of the same request.
+    /// Its configuration is in force, through this command or an earlier one for the same request.
     Configuration,
-    /// Its weights are named, by this command or by an earlier one of the same request.
+    /// Its target revision is set, through this command or an earlier one for the same request.
     Weights,
-    /// Nothing: the command built on a state that was no longer in force.
+    /// None: the command built on a state that was no longer current.
     Superseded,
 }
 
-/// Why a command or a snapshot can't be applied. The member must not go on with the state it has.
+/// Why a command or a snapshot can't be applied. The member must not continue with its current state.
 #[derive(Debug, Snafu)]
 pub enum StateError {
     /// The bytes can't be decoded.
@@ -91,19 +91,19 @@
         /// Why.
         source: EncodingError,
     },
-    /// The configuration in a snapshot can't be used.
+    /// The configuration in a snapshot can't be restored.
     #[snafu(display("failed to restore the configuration from a snapshot: {source}"))]
     Configuration {
         /// Why.
         source: SnapshotError,
     },
-    /// The weights in a snapshot can't be used.
+    /// The digests of accepted target revisions in a snapshot are incomplete.
     #[snafu(display("the digests of accepted target revisions in a snapshot are truncated"))]
     Weights,
-    /// This member's state differs from that of the member which decided.
+    /// This member's state differs from that of the member that decided on the change.
     #[snafu(display("this member's state has diverged: {source}"))]
     Diverged {
-        /// Where they differ.
+        /// How they differ.
         source: ApplyError,
     },
 }
@@ -124,19 +124,19 @@
 }
 
 impl State {
-    /// The newest configuration.
+    /// The current configuration; `None` before the first one.
     #[must_use]
     pub fn document(&self) -> Option<&Document> {
         self.configuration.document()
     }
 
-    /// The weights that were named.
+    /// The target revisions of weights.
     #[must_use]
     pub fn weights(&self) -> &TargetRevisions {
         &self.weights
     }
 
-    /// Decides on a change; the state stays as it is.
+    /// Decides on a change without changing the state.
     #[must_use]
     pub fn decide(&self, change: &Change) -> Decision {
         match change {
@@ -173,7 +173,7 @@
     ///
     /// # Errors
     ///
-    /// If the command can't be decoded, or this member's state differs from that of the member which decided.
+    /// If the command can't be decoded, or this member's state differs from that of the member that decided.
     pub fn apply(&mut self, command: &[u8]) -> Result<Applied, StateError> {
         match Command::from_bytes(command).context(EncodingSnafu)? {
             Command::Configure(entry) => {
@@ -184,11 +184,11 @@
         }
     }
 
-    /// Applies a committed change that this member itself has decided on.
+    /// Applies a committed change that this member itself decided on.
     ///
     /// # Errors
     ///
-    /// If this member's state has changed since in a way that no committed command explains.
+    /// If this member's state has changed since then in a way that no committed command explains.
     pub fn apply_accepted(&mut self, accepted: Accepted) -> Result<Applied, StateError> {
         match accepted.prepared {
             Prepared::Configure(change) => {
@@ -220,11 +220,11 @@
         encoding::encode(SNAPSHOT_FORMAT, &snapshot)
     }
 
-    /// Decodes the bytes of [`State::snapshot`]; none stand for the empty state.
+    /// Restores a state from the bytes of [`State::snapshot`]. No bytes stand for the empty state.
     ///
     /// # Errors
     ///
-    /// If the bytes are of another format, or incomplete.
+    /// If the bytes have another format or are incomplete.
     pub fn restore(snapshot: &[u8]) -> Result<State, StateError> {
         if snapshot.is_empty() {
             return Ok(State::default());
--- a/crates/control-plane/src/state/weights.rs
+++ b/crates/control-plane/src/state/weights.rs
@@ -1,4 +1,4 @@
-//! Which weights the operator has named.
+//! The target revisions of weights that the operator has set.
 
 use std::collections::BTreeMap;
 
@@ -6,28 +6,28 @@
 use tulipridge_configuration::number::WeightsRevision;
 use tulipridge_configuration::{RecentRequests, RequestDigest};
 
-/// The newest weights of each model, and the digests by which repeated requests are recognized.
+/// The target revision of each model's weights, and the digests that identify repeated requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TargetRevisions {
     newest: BTreeMap<String, WeightsRevision>,
     accepted: RecentRequests,
 }
 
-/// The decision on a request that names weights.
+/// The decision on a request for a target revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightsDecision {
-    /// They were named before.
+    /// This revision is the target or was one before.
     AlreadySet,
-    /// They are older than those named, and aren't known to have been named themselves.
+    /// The revision is older than the target and isn't known to have been a target before.
     Outdated {
-        /// The newest revision that was named.
+        /// The target revision.
         newest: WeightsRevision,
     },
-    /// They are new.
+    /// The revision is newer than the target.
     Accept,
 }
 
-/// Their encoded form in a snapshot. Stored: the order of fields is part of the format.
+/// The encoded form in a snapshot. Stored: the order of fields is part of the format.
 #[derive(Encode, Decode)]
 pub(super) struct Snapshot {
     newest: BTreeMap<String, WeightsRevision>,
@@ -36,7 +36,7 @@
 }
 
 impl TargetRevisions {
-    /// Decides on a request that names weights; nothing changes.
+    /// Decides on a request for a target revision without changing anything.
     #[must_use]
     pub fn decide(&self, model: &str, revision: WeightsRevision) -> WeightsDecision {
         match self.newest.get(model) {
@@ -59,13 +59,13 @@
         }
     }
 
-    /// Names weights that are newer than all before.
+    /// Sets a target revision that is newer than the previous one.
     pub(super) fn set(&mut self, model: String, revision: WeightsRevision) {
         self.accepted.record(RequestDigest::of_weights(&model, revision));
         self.newest.insert(model, revision);
     }
 
-    /// The newest revision of each model.
+    /// The target revision of each model.
     #[must_use]
     pub fn newest(&self) -> BTreeMap<String, WeightsRevision> {
         self.newest.clone()
@@ -75,7 +75,7 @@
         Snapshot { newest: self.newest.clone(), accepted: self.accepted.to_bytes() }
     }
 
-    /// Restores from a snapshot; none if its digests are incomplete.
+    /// Restores from a snapshot; `None` if its digests are truncated.
     pub(super) fn from_snapshot(snapshot: Snapshot) -> Option<Self> {
         let accepted = RecentRequests::from_bytes(&snapshot.accepted)?;
         Some(TargetRevisions { newest: snapshot.newest, accepted })
--- a/crates/control-plane/src/state_log.rs
+++ b/crates/control-plane/src/state_log.rs
@@ -1,11 +1,11 @@
-//! A member's durable state in a write-ahead log: a record for each change, compacted into a snapshot of the complete
-//! state when the records have become many.
+//! A member's durable state in a write-ahead log: one record per change, compacted into a snapshot of the complete
+//! state once the records exceed [`COMPACT_AFTER_RECORD_BYTES`].
 //!
-//! On disk are at most [`COMPACT_AFTER_RECORD_BYTES`] of records and what was appended at once after them, and two
-//! times the state with the entries that are not in its snapshot yet: the snapshot before and the one that is being
-//! written. While a full disk refuses snapshots, records are appended until they are refused too, which is less than
-//! one snapshot later. Each append is followed by another attempt at a snapshot, also one that was refused, since there
-//! may still be space for a snapshot where there is none for a long record.
+//! Disk usage is at most [`COMPACT_AFTER_RECORD_BYTES`] of records plus one append, and twice the state including the
+//! entries that its replicated snapshot doesn't cover yet: the previous snapshot and the one that is being written.
+//! While a full disk refuses snapshots, records are still appended until those are refused too, which happens within
+//! less than the size of one snapshot. Each append, also a refused one, is followed by another attempt at a snapshot,
+//! since there may be space for a snapshot where there is none for a long record.
 
 use std::mem;
 
@@ -19,19 +19,19 @@
 
 use crate::replication::{DurableRecord, DurableState};
 
-/// Bytes of records after which they are compacted into a snapshot.
+/// Size of the records above which they are compacted into a snapshot.
 pub const COMPACT_AFTER_RECORD_BYTES: usize = 4 << 20;
 
-/// Why a log can't be opened.
+/// Why a state log can't be opened.
 #[derive(Debug, Snafu)]
 pub enum OpenError {
-    /// It can't be read or written.
+    /// The write-ahead log can't be read or written.
     #[snafu(display("{source}"))]
     WriteAheadLog {
         /// The error of the write-ahead log.
         source: WriteAheadLogError,
     },
-    /// It was not written by this program.
+    /// The log was not written by this program.
     #[snafu(display("{source}"))]
     Undecodable {
         /// Why a record or the snapshot can't be decoded.
@@ -42,23 +42,23 @@
 /// A record of the log. Stored: the order of variants is part of the format.
 #[derive(Debug, Encode, Decode)]
 enum LogRecord {
-    /// The first record: the generation of the disk.
+    /// The generation of the disk. It is the first record.
     Generation(Generation),
-    /// A change of the member's state.
+    /// A change to the member's state.
     Change(DurableRecord),
 }
 
-/// All that is on a member's disk. Stored as a snapshot: the order of fields is part of the format.
+/// The content of a member's disk. Stored as a snapshot: the order of fields is part of the format.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct DiskImage {
-    /// Tells disks of one machine apart; 0 if it was formatted at the first start of the whole system.
+    /// Distinguishes successive disks of one machine; 0 if the disk was formatted when the cluster was bootstrapped.
     pub generation: Generation,
     /// The member's state.
     pub state: DurableState,
 }
 
 impl DiskImage {
-    /// Replays the recovered records on the snapshot; none if there is neither.
+    /// Replays the recovered records on top of the snapshot; `None` if there are neither.
     fn replay(recovered: &Recovered) -> Result<Option<DiskImage>, FrameError> {
         if recovered.snapshot.is_none() && recovered.records.is_empty() {
             return Ok(None);
@@ -80,32 +80,32 @@
 /// The outcome of a compaction.
 #[derive(Debug)]
 pub enum Compaction {
-    /// None was due.
+    /// No compaction was due.
     NotDue,
     /// A snapshot has replaced the records.
     Done,
-    /// The snapshot could not be written. The records stay, so nothing is lost; the next call retries.
+    /// The snapshot could not be written. The records are kept, so nothing is lost, and the next call retries.
     Failed {
         /// Why.
         error: WriteAheadLogError,
-        /// Whether the attempt before has failed too.
+        /// Whether the previous attempt failed too.
         is_repeated: bool,
     },
 }
 
-/// The log and the state that its records give.
+/// The write-ahead log and the state that results from its records.
 #[derive(Debug)]
 pub struct StateLog<D: Directory = FileSystemDirectory> {
     write_ahead_log: WriteAheadLog<D>,
     image: DiskImage,
     is_fresh: bool,
-    /// Bytes of the records after the snapshot.
+    /// Size of the records since the last snapshot.
     record_bytes: usize,
     has_compaction_failed: bool,
 }
 
 impl<D: Directory> StateLog<D> {
-    /// Opens the log in a directory and recovers the state.
+    /// Opens the log in a directory and recovers its state.
     ///
     /// # Errors
     ///
@@ -123,26 +123,26 @@
         })
     }
 
-    /// Whether the log is empty and [`StateLog::format`] is yet to be called.
+    /// Whether the log is empty, so that [`StateLog::format`] has to be called first.
     pub fn is_fresh(&self) -> bool {
         self.is_fresh
     }
 
-    /// The state that is on the disk.
+    /// The state as it is on disk.
     pub fn image(&self) -> &DiskImage {
         &self.image
     }
 
-    /// Bytes in all files of the log.
+    /// Total size of the log's files.
     pub fn bytes_used(&self) -> u64 {
         self.write_ahead_log.bytes_used()
     }
 
-    /// Gives an empty disk its generation and its first changes, in one write that is durable on return.
+    /// Writes the generation and the first changes to an empty disk, in one write that is durable on return.
     ///
     /// # Errors
     ///
-    /// If the write fails; the disk is as empty as before then, or found formatted on the next open.
+    /// If the write fails. The next open then finds the disk either still empty or completely formatted.
     pub fn format(
         &mut self,
         generation: Generation,
@@ -157,11 +157,11 @@
         Ok(())
     }
 
-    /// Appends changes under one sync; they are durable on return.
+    /// Appends changes with a single sync. They are durable on return.
     ///
     /// # Errors
     ///
-    /// If the write fails. None of the changes counts then, and the call may be repeated.
+    /// If the write fails. Then none of the changes is part of the log, and the call may be retried.
     pub fn append(&mut self, changes: &[&DurableRecord]) -> Result<(), WriteAheadLogError> {
         let encoded: Vec<Vec<u8>> = changes.iter().map(|change| encode_change(change)).collect();
         self.append_encoded(&encoded)?;
@@ -176,7 +176,7 @@
         Ok(())
     }
 
-    /// Replaces the records by a snapshot if they are longer than [`COMPACT_AFTER_RECORD_BYTES`].
+    /// Replaces the records with a snapshot if they are larger than [`COMPACT_AFTER_RECORD_BYTES`].
     pub fn compact_if_due(&mut self) -> Compaction {
         if self.record_bytes <= COMPACT_AFTER_RECORD_BYTES {
             return Compaction::NotDue;
@@ -184,7 +184,7 @@
         self.compact(&encode(&self.image))
     }
 
-    /// After a failed append: replaces the records by a snapshot if that takes fewer bytes.
+    /// Replaces the records with a snapshot if that is smaller. Called after a failed append.
     pub fn compact_to_free_space(&mut self) -> Compaction {
         let state = encode(&self.image);
         if self.record_bytes <= state.len() {
@@ -211,5 +211,5 @@
 }
 
 fn encode<T: Encode<musli::mode::Binary>>(value: &T) -> Vec<u8> {
-    frame::encode(value).expect("a value of plain fields can be encoded")
+    frame::encode(value).expect("values of plain fields are always encodable")
 }
