--- a/crates/control-plane/src/api/connection.rs
+++ b/crates/control-plane/src/api/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: requests are read, handled and responded to one at a time.
+//! A client connection of the API. Requests are handled one at a time.
 
 use std::io;
 use std::net::TcpStream;
@@ -11,24 +11,24 @@
 
 use super::{Api, ApiLimits, ControlPlane, Request, Response};
 
-/// Why no request could be read.
+/// Why a request could not be read.
 #[derive(Debug, Snafu)]
 enum ReadError {
-    /// What came is no request.
+    /// The request is malformed.
     #[snafu(display("{source}"))]
     Malformed {
-        /// What is wrong with it.
+        /// What is wrong with the request.
         source: ParseError,
     },
-    /// The connection failed or a timeout has passed.
+    /// The connection failed or timed out.
     #[snafu(display("{source}"))]
-    Broken {
-        /// Why.
+    Io {
+        /// The error of the connection.
         source: io::Error,
     },
 }
 
-/// Serves a connection until it ends.
+/// Serves a connection until it closes.
 pub(super) async fn run<C: ControlPlane>(api: Rc<Api<C>>, stream: Async<TcpStream>) {
     let mut stream = BufferedStream::new(stream);
     if let Err(error) = serve(&api, &mut stream).await {
@@ -41,7 +41,7 @@
         let request = match read_request(stream, &api.limits).await {
             Ok(Some(request)) => request,
             Ok(None) => return Ok(()),
-            Err(ReadError::Broken { source }) => return Err(source),
+            Err(ReadError::Io { source }) => return Err(source),
             Err(ReadError::Malformed { source: error }) => {
                 write_response(
                     stream,
@@ -72,7 +72,7 @@
     within(limits.response_timeout, stream.write_both(head.as_bytes(), &response.body)).await?
 }
 
-/// Reads the next request; none if the connection ends or stays idle before one begins.
+/// Reads the next request. Returns `None` if the connection closes or the idle timeout passes before one begins.
 async fn read_request(
     stream: &mut BufferedStream,
     limits: &ApiLimits,
@@ -80,19 +80,17 @@
     if stream.buf.is_empty() && !wait_for_request(stream, limits).await {
         return Ok(None);
     }
-    let head =
-        within(limits.head_timeout, read_head(stream, &limits.http1)).await.context(BrokenSnafu)??;
+    let head = within(limits.head_timeout, read_head(stream, &limits.http1)).await.context(IoSnafu)??;
     if head.lists("expect", "100-continue") {
-        stream.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.context(BrokenSnafu)?;
+        stream.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.context(IoSnafu)?;
     }
-    let body = within(limits.body_timeout, read_body(stream, &head, &limits.http1))
-        .await
-        .context(BrokenSnafu)??;
+    let body =
+        within(limits.body_timeout, read_body(stream, &head, &limits.http1)).await.context(IoSnafu)??;
     let (method, target) = (head.start[0].clone(), head.start[1].clone());
     Ok(Some(Request { method, target, head, body }))
 }
 
-/// Waits for the first bytes of a request; false if the connection ends or stays idle.
+/// Waits for the first bytes of a request. Returns false if the connection closes or the idle timeout passes.
 async fn wait_for_request(stream: &mut BufferedStream, limits: &ApiLimits) -> bool {
     let first = within(limits.idle_timeout, stream.fill(&limits.http1)).await;
     matches!(first, Ok(Ok(count)) if count > 0)
@@ -124,8 +122,8 @@
 }
 
 async fn fill(stream: &mut BufferedStream, limits: &Http1Limits) -> Result<(), ReadError> {
-    match stream.fill(limits).await.context(BrokenSnafu)? {
-        0 => Err(ReadError::Broken { source: io::ErrorKind::UnexpectedEof.into() }),
+    match stream.fill(limits).await.context(IoSnafu)? {
+        0 => Err(ReadError::Io { source: io::ErrorKind::UnexpectedEof.into() }),
         _ => Ok(()),
     }
 }
--- a/crates/control-plane/src/api/weights.rs
+++ b/crates/control-plane/src/api/weights.rs
@@ -1,4 +1,4 @@
-//! `POST /version-put`: names new weights of a model.
+//! `POST /version-put`: sets the target revision of a model's weights.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
     revision: WeightsRevision,
 }
 
-/// Names new weights.
+/// The route that sets a target revision.
 pub(super) fn put<C: ControlPlane>() -> Route<C> {
     Route { method: "POST", path: "/version-put", access: Access::Primary, handler: handle }
 }
@@ -24,7 +24,7 @@
     Box::pin(async move {
         match serde_json::from_slice::<VersionPut>(&request.body) {
             Ok(VersionPut { model, revision }) => change_response(
-                control.change(Change::NameWeights { model, revision }).await,
+                control.change(Change::SetTargetRevision { model, revision }).await,
                 Some(revision),
             ),
             Err(error) => Response::error(400, &format!("the body can't be read: {error}")),
--- a/crates/control-plane/src/disk/error.rs
+++ b/crates/control-plane/src/disk/error.rs
@@ -1,4 +1,4 @@
-//! Why a member's disk can't be used.
+//! Errors when a member opens its disk.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -7,51 +7,51 @@
 use tulipridge_protocol::frame::FrameError;
 use tulipridge_write_ahead_log::WriteAheadLogError;
 
-/// Why a disk can't be used when a member starts.
+/// Why the disk can't be used when a member starts.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DiskError {
     /// The settings name no folder.
     #[snafu(display(
-        "the settings have no dataFolder: the control plane runs on machines with a disk only"
+        "the settings have no dataFolder: the control plane needs a folder on the machine's disk"
     ))]
-    NoFolder,
+    MissingFolder,
     /// The folder can't be read or written.
     #[snafu(display(
-        "{}: {}; make the folder readable and writable, with room left",
+        "{}: {}; make sure that the folder is readable and writable and has free space",
         folder.display(),
-        with_cause(source)
+        display_with_source(source)
     ))]
     WriteAheadLog {
         /// The folder.
         folder: PathBuf,
-        /// The error of the log.
+        /// The error of the write-ahead log.
         source: WriteAheadLogError,
     },
-    /// What is in the folder was not written by this program.
-    #[snafu(display("{}: {source}; start with another folder, or remove what is in this one", folder.display()))]
-    Foreign {
+    /// The files in the folder were not written by this program.
+    #[snafu(display("{}: {source}; use another folder, or remove the files in this one", folder.display()))]
+    Undecodable {
         /// The folder.
         folder: PathBuf,
         /// Why a record can't be decoded.
         source: FrameError,
     },
-    /// The system gives no random number for the generation of a new disk.
-    #[snafu(display("the system gives no random number for a new disk: {source}"))]
-    NoRandom {
-        /// The error of the system.
+    /// The operating system provides no random number for the generation of a new disk.
+    #[snafu(display("failed to get a random number for the generation of a new disk: {source}"))]
+    RandomNumber {
+        /// The error of the operating system.
         source: getrandom::Error,
     },
     /// The writer thread can't be started.
-    #[snafu(display("the thread of the disk can't be started: {source}"))]
-    NoThread {
-        /// The error of the system.
+    #[snafu(display("failed to start the disk's writer thread: {source}"))]
+    SpawnThread {
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// An error's message with that of its source.
-pub(super) fn with_cause(error: &WriteAheadLogError) -> String {
+/// Formats an error together with its source.
+pub(super) fn display_with_source(error: &WriteAheadLogError) -> String {
     match error.source() {
         Some(cause) => format!("{error}: {cause}"),
         None => error.to_string(),
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,11 +1,11 @@
-//! The control plane's program.
+//! The `tulipridge-control-plane` program.
 
 use std::process::ExitCode;
 
 use tulipridge_runtime::command_line;
 
-/// What the program is, for its help.
-const DESCRIPTION: &str = "The control plane: agreed state, service discovery, delivery, weights";
+/// Description in the program's help text.
+const DESCRIPTION: &str = "The control plane: replicated state, service discovery, delivery, weights";
 
 fn main() -> ExitCode {
     command_line::start("tulipridge-control-plane", DESCRIPTION, env!("CARGO_PKG_VERSION"), |settings| {
--- a/crates/control-plane/src/server/build.rs
+++ b/crates/control-plane/src/server/build.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a member together.
+//! Assembly of a member's components.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use tulipridge_protocol::peer_sampling::{Entry, Role};
 use tulipridge_runtime::settings::Settings;
 
-use super::error::{NoRandomSnafu, PeerSamplingSnafu, ServerError};
+use super::error::{PeerSamplingSnafu, RandomNumberSnafu, ServerError};
 use super::listeners::Listeners;
 use super::singleton_outputs::SingletonOutputs;
 use super::start::StartedMember;
@@ -24,11 +24,11 @@
 use crate::singleton::SingletonContext;
 
 impl Server {
-    /// Binds the listeners, starts the member and puts together what serves around it.
+    /// Binds the listeners, starts the member and creates the services around it.
     ///
     /// # Errors
     ///
-    /// If an address, the disk, a thread or a random number is not to be had.
+    /// If an address can't be bound, or the disk, a thread or a random number is unavailable.
     pub(super) fn build(
         settings: &Settings,
         executor: Rc<LocalExecutor<'static>>,
@@ -49,7 +49,7 @@
             singleton_roles,
             peer_sampling,
             listeners,
-            leeway: settings.time_limits.leeway(),
+            termination_grace_period: settings.time_limits.leeway(),
         })
     }
 }
@@ -108,7 +108,7 @@
     }
 }
 
-/// The discovery of replicas; none where the platform has no list of them.
+/// Creates the discovery of replicas; `None` if the settings name no list service.
 fn discovery(
     settings: &Settings,
     context: SingletonContext,
@@ -125,7 +125,7 @@
 }
 
 fn peer_sampling(settings: &Settings, node: NodeId) -> Result<Exchange, ServerError> {
-    let seed = getrandom::u64().context(NoRandomSnafu)?;
+    let seed = getrandom::u64().context(RandomNumberSnafu)?;
     let own_entry = Entry { id: node, role: Role::Control, zone: settings.area.clone(), age: 0 };
     let address = settings.peer_sampling_socket(settings.ip_address);
     let view = View::new(own_entry, settings.seed_ips(), seed);
--- a/crates/control-plane/src/server/start.rs
+++ b/crates/control-plane/src/server/start.rs
@@ -1,4 +1,4 @@
-//! The start of a member: its disk is recovered, then the replication begins with what was on it.
+//! The start of a member: recovers its disk and starts the replication protocol from the recovered state.
 
 use std::rc::Rc;
 
@@ -9,17 +9,17 @@
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::Settings;
 
-use super::error::{DiskSnafu, NoRandomSnafu, ServerError, ThreadSnafu};
-use crate::disk::{Boot, DiskEvent, NoFolderSnafu, OpenedDisk, StartedDisk};
+use super::error::{DiskSnafu, RandomNumberSnafu, ServerError, ThreadSnafu};
+use crate::disk::{Boot, DiskEvent, MissingFolderSnafu, OpenedDisk, StartedDisk};
 use crate::links::Links;
 use crate::member::{Member, MemberParts};
 use crate::replication::{Replication, ReplicationSettings};
 use crate::state_machine::{StateMachine, StateMachineEvent};
 
-/// The generation of the seeds, whose disks are formatted at the first start of the whole system.
+/// The generation of the seeds, whose disks are formatted when the cluster is bootstrapped.
 const SEED_GENERATION: Generation = Generation::FIRST;
 
-/// A member whose threads have started, and what they report.
+/// A member whose threads are running, and the events that they report.
 pub(super) struct StartedMember {
     pub(super) node: NodeId,
     pub(super) member: Rc<Member>,
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// If the disk can't be used, or the system gives no thread or no random number.
+    /// If the disk can't be used, a thread can't be started, or no random number is available.
     pub(super) fn start(
         settings: &Settings,
         executor: &Rc<LocalExecutor<'static>>,
@@ -58,7 +58,7 @@
 }
 
 fn open_disk(settings: &Settings) -> Result<OpenedDisk, ServerError> {
-    let folder = settings.data_folder.as_deref().context(NoFolderSnafu).context(DiskSnafu)?;
+    let folder = settings.data_folder.as_deref().context(MissingFolderSnafu).context(DiskSnafu)?;
     let seed_node = NodeId::new(settings.ip_address, SEED_GENERATION);
     let boot = match settings.first_boot {
         true => Boot::First { view: replication_settings(settings, seed_node)?.first_view() },
@@ -75,6 +75,6 @@
         seeds: seeds.map(|ip| NodeId::new(ip, SEED_GENERATION)).collect(),
         tolerated_failures: settings.withstand.machine_losses,
         first_boot: settings.first_boot,
-        seed: getrandom::u64().context(NoRandomSnafu)?,
+        seed: getrandom::u64().context(RandomNumberSnafu)?,
     })
 }
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The replicated state: the operator's configuration and the weights that were named.
+//! The replicated state: the operator's configuration and the target revision of each model's weights.
 //!
-//! No I/O and no clock: the same commands in the same order lead to the same state at every member.
+//! It does no I/O and reads no clock: the same commands in the same order lead to the same state on every member.
 
 mod command;
 mod weights;
@@ -16,30 +16,30 @@
 
 use command::Prepared;
 pub use command::{Accepted, Command};
-pub use weights::{NamedWeights, WeightsDecision};
+pub use weights::{TargetRevisions, WeightsDecision};
 
-/// The format of a snapshot.
+/// The format of an encoded state.
 const SNAPSHOT_FORMAT: Format = Format(*b"STA2");
 
-/// A change that the operator requests.
+/// A change requested by the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Replaces the configuration.
     PutConfiguration {
-        /// The version that it builds on.
+        /// The revision that it builds on, as given by the operator.
         if_match: Option<Revision>,
-        /// The document.
+        /// The configuration document.
         body: Vec<u8>,
     },
     /// Changes some items of the configuration.
     PatchConfiguration {
-        /// The version that it builds on.
+        /// The revision that it builds on, as given by the operator.
         if_match: Option<Revision>,
-        /// The items.
+        /// The changed items.
         body: Vec<u8>,
     },
-    /// New weights of a model.
-    NameWeights {
+    /// Sets the target revision of a model's weights.
+    SetTargetRevision {
         /// The model.
         model: String,
         /// The revision of the weights.
@@ -52,58 +52,58 @@
 pub enum Decision {
     /// The same change was accepted before.
     AlreadyAccepted,
-    /// It builds on another version than the current one.
+    /// It builds on a revision of the configuration other than the current one.
     Stale {
-        /// The current version.
+        /// The current revision.
         current: Revision,
     },
-    /// The configuration is not valid.
+    /// The configuration is invalid.
     InvalidConfiguration {
-        /// Why.
+        /// What is wrong with it.
         findings: ValidationErrors,
     },
-    /// The weights are older than those named, and were never named themselves.
+    /// The revision of the weights is older than the target revision and isn't known to have been a target before.
     OldWeights {
-        /// The newest revision that was named.
+        /// The target revision.
         newest: WeightsRevision,
     },
-    /// It is accepted, and takes effect once its command is committed.
+    /// It is accepted and takes effect once its command is committed.
     Accept(Box<Accepted>),
 }
 
-/// What a command has changed.
+/// The effect of an applied command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Its configuration is in force, by this command or by an earlier one of the same request.
+    /// Its configuration is in force, through this command or an earlier one for the same request.
     Configuration,
-    /// Its weights are named, by this command or by an earlier one of the same request.
+    /// Its target revision is set, through this command or an earlier one for the same request.
     Weights,
-    /// Nothing: the command built on a state that was no longer in force.
+    /// None: the command built on a state that was no longer current.
     Superseded,
 }
 
-/// Why a command or a snapshot can't be applied. The member must not go on with the state it has.
+/// Why a command or a snapshot can't be applied. The member must not continue with its current state.
 #[derive(Debug, Snafu)]
 pub enum StateError {
     /// The bytes can't be decoded.
-    #[snafu(display("the agreed state can't be decoded: {source}"))]
+    #[snafu(display("failed to decode the replicated state: {source}"))]
     Encoding {
         /// Why.
         source: EncodingError,
     },
-    /// The configuration in a snapshot can't be used.
-    #[snafu(display("a snapshot's configuration can't be used: {source}"))]
+    /// The configuration in a snapshot can't be restored.
+    #[snafu(display("failed to restore the configuration from a snapshot: {source}"))]
     Configuration {
         /// Why.
         source: SnapshotError,
     },
-    /// The weights in a snapshot can't be used.
-    #[snafu(display("the remembered namings of weights are cut"))]
+    /// The digests of accepted target revisions in a snapshot are incomplete.
+    #[snafu(display("the digests of accepted target revisions in a snapshot are truncated"))]
     Weights,
-    /// This member's state differs from that of the member which decided.
+    /// This member's state differs from that of the member that decided on the change.
     #[snafu(display("this member's state has diverged: {source}"))]
     Diverged {
-        /// Where they differ.
+        /// How they differ.
         source: ApplyError,
     },
 }
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     configuration: ConfigurationState,
-    weights: NamedWeights,
+    weights: TargetRevisions,
 }
 
 /// The encoded form of a state. Stored: the order of fields is part of the format.
@@ -124,19 +124,19 @@
 }
 
 impl State {
-    /// The newest configuration.
+    /// The current configuration; `None` before the first one.
     #[must_use]
     pub fn document(&self) -> Option<&Document> {
         self.configuration.document()
     }
 
-    /// The weights that were named.
+    /// The target revisions of weights.
     #[must_use]
-    pub fn weights(&self) -> &NamedWeights {
+    pub fn weights(&self) -> &TargetRevisions {
         &self.weights
     }
 
-    /// Decides on a change; the state stays as it is.
+    /// Decides on a change without changing the state.
     #[must_use]
     pub fn decide(&self, change: &Change) -> Decision {
         match change {
@@ -146,7 +146,7 @@
             Change::PatchConfiguration { if_match, body } => {
                 self.configuration_decision(self.configuration.decide_patch(*if_match, body))
             }
-            Change::NameWeights { model, revision } => self.decide_weights(model, *revision),
+            Change::SetTargetRevision { model, revision } => self.decide_weights(model, *revision),
         }
     }
 
@@ -161,10 +161,10 @@
 
     fn decide_weights(&self, model: &str, revision: WeightsRevision) -> Decision {
         match self.weights.decide(model, revision) {
-            WeightsDecision::AlreadyNamed => Decision::AlreadyAccepted,
-            WeightsDecision::Old { newest } => Decision::OldWeights { newest },
+            WeightsDecision::AlreadySet => Decision::AlreadyAccepted,
+            WeightsDecision::Outdated { newest } => Decision::OldWeights { newest },
             WeightsDecision::Accept => {
-                accepted(Prepared::NameWeights { model: model.to_owned(), revision })
+                accepted(Prepared::SetTargetRevision { model: model.to_owned(), revision })
             }
         }
     }
@@ -173,37 +173,39 @@
     ///
     /// # Errors
     ///
-    /// If the command can't be decoded, or this member's state differs from that of the member which decided.
+    /// If the command can't be decoded, or this member's state differs from that of the member that decided.
     pub fn apply(&mut self, command: &[u8]) -> Result<Applied, StateError> {
         match Command::from_bytes(command).context(EncodingSnafu)? {
             Command::Configure(entry) => {
                 let outcome = self.configuration.apply_entry(&entry).context(DivergedSnafu)?;
                 Ok(configuration_applied(outcome))
             }
-            Command::NameWeights { model, revision } => Ok(self.name_weights(model, revision)),
+            Command::SetTargetRevision { model, revision } => Ok(self.set_target_revision(model, revision)),
         }
     }
 
-    /// Applies a committed change that this member itself has decided on.
+    /// Applies a committed change that this member itself decided on.
     ///
     /// # Errors
     ///
-    /// If this member's state has changed since in a way that no committed command explains.
+    /// If this member's state has changed since then in a way that no committed command explains.
     pub fn apply_accepted(&mut self, accepted: Accepted) -> Result<Applied, StateError> {
         match accepted.prepared {
             Prepared::Configure(change) => {
                 let outcome = self.configuration.apply_accepted(*change).context(DivergedSnafu)?;
                 Ok(configuration_applied(outcome))
             }
-            Prepared::NameWeights { model, revision } => Ok(self.name_weights(model, revision)),
+            Prepared::SetTargetRevision { model, revision } => {
+                Ok(self.set_target_revision(model, revision))
+            }
         }
     }
 
-    fn name_weights(&mut self, model: String, revision: WeightsRevision) -> Applied {
+    fn set_target_revision(&mut self, model: String, revision: WeightsRevision) -> Applied {
         match self.weights.decide(&model, revision) {
-            WeightsDecision::Old { .. } => return Applied::Superseded,
-            WeightsDecision::AlreadyNamed => {}
-            WeightsDecision::Accept => self.weights.name(model, revision),
+            WeightsDecision::Outdated { .. } => return Applied::Superseded,
+            WeightsDecision::AlreadySet => {}
+            WeightsDecision::Accept => self.weights.set(model, revision),
         }
         Applied::Weights
     }
@@ -218,11 +220,11 @@
         encoding::encode(SNAPSHOT_FORMAT, &snapshot)
     }
 
-    /// Decodes the bytes of [`State::snapshot`]; none stand for the empty state.
+    /// Restores a state from the bytes of [`State::snapshot`]. No bytes stand for the empty state.
     ///
     /// # Errors
     ///
-    /// If the bytes are of another format, or incomplete.
+    /// If the bytes have another format or are incomplete.
     pub fn restore(snapshot: &[u8]) -> Result<State, StateError> {
         if snapshot.is_empty() {
             return Ok(State::default());
@@ -230,7 +232,7 @@
         let snapshot: Snapshot = encoding::decode(SNAPSHOT_FORMAT, snapshot).context(EncodingSnafu)?;
         let configuration =
             ConfigurationState::from_snapshot(&snapshot.configuration).context(ConfigurationSnafu)?;
-        let weights = NamedWeights::from_snapshot(snapshot.weights).context(WeightsSnafu)?;
+        let weights = TargetRevisions::from_snapshot(snapshot.weights).context(WeightsSnafu)?;
         Ok(State { configuration, weights })
     }
 }
