--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,4 +1,4 @@
-//! The load balancer alone: each rule, the ring's properties, and each failure that was found.
+//! The load balancer on its own: its rules, the properties of the ring, and regression tests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -63,7 +63,7 @@
     (0..count).map(member).collect()
 }
 
-/// A gateway with its clock, and the rules that hold whatever happens.
+/// A gateway with a clock. Checks that each request is completed once, and that no attempt is sent after that.
 struct Bench {
     balancer: LoadBalancer,
     now: Nanos,
@@ -71,11 +71,12 @@
     attempts: BTreeMap<u64, u32>,
     answered: BTreeSet<u64>,
     timers: Vec<(Nanos, u64)>,
-    /// The next requests are clients' repeats.
+    /// Whether the next requests are clients' retries.
     is_retry: bool,
-    /// The tenant of the next requests.
+    /// Tenant of the next requests.
     tenant: Option<usize>,
-    /// Prompt tokens found kept; with more than the shared beginning's, sessions have a reason to stay.
+    /// Cached prompt tokens that each response reports. If this exceeds the length of the shared prefix, it pays to
+    /// keep a session at its replica.
     kept: u32,
 }
 
@@ -161,7 +162,7 @@
         })
     }
 
-    /// One request, served at once; where it went.
+    /// Sends one request, whose response is immediate. Returns the replica that got it.
     fn served(&mut self, session: u64, prefix: Option<u64>) -> Option<String> {
         let (id, actions) = self.request(session, prefix);
         let sent = sent(&actions);
@@ -173,7 +174,7 @@
         sent
     }
 
-    /// Lets time pass with its timers.
+    /// Advances the clock and fires the timers that are due.
     fn pass(&mut self, span: Nanos) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -217,7 +218,7 @@
     assert!(LoadBalancer::new(good, 1).is_ok());
 }
 
-// ---- the ring ---------------------------------------------------------------------------------------------
+// ---- ring -------------------------------------------------------------------------------------------------
 
 #[test]
 fn gateways_agree_whatever_the_order_of_their_lists() {
@@ -256,7 +257,8 @@
 
 #[test]
 fn sessions_are_spread_by_speed() {
-    // Found on a join+vast day: a list that says 5 of fast and slow machines alike; the slow ones jammed.
+    // Regression (scenario join+vast): a list that stated 5 units for fast and slow replicas alike overloaded the
+    // slow ones.
     spread_by(1.0, vec![1.0, 3.0]);
 }
 
@@ -307,7 +309,8 @@
 
 #[test]
 fn a_popular_beginning_is_shared_and_its_sessions_stay() {
-    // Found at full size: many gateways each carried a few requests of one beginning to a single owner.
+    // Regression (full-size fleet): many gateways each sent a few requests of one prefix to a single owner, which
+    // was overloaded.
     let mut bench = Bench::new(settings(Effect::Safe), &members(20));
     let first: Vec<_> = (0..40).map(|s| bench.served(s, Some(5))).collect();
     let again: Vec<_> = (0..40).map(|s| bench.served(s, Some(5))).collect();
@@ -317,8 +320,9 @@
 
 #[test]
 fn turns_of_a_session_meet_at_one_replica_whichever_of_many_gateways_takes_them() {
-    // Found on a fleet of 327 with long sessions: each gateway guessed a beginning's owners by itself from a request
-    // a second, one turn in four stayed where the ones before had been, and half of each prompt was read anew.
+    // Regression (fleet of 327 gateways, long sessions): each gateway estimated the owners of a prefix from its own
+    // request per second. Only one turn in four went to the replica of the turns before it, and half of each prompt
+    // was prefilled again.
     let quota = Tenant { share: 1.0, quota_per_s: Some(60.0) };
     let settings = Settings { tenants: vec![quota], ..settings(Effect::Safe) };
     let mut fleet = fleet(&settings, &members(40));
@@ -329,7 +333,7 @@
     };
     let (mut homes, mut later, mut stayed, mut counts) = (BTreeMap::new(), 0, 0, BTreeMap::new());
     for _ in 0..6000 {
-        // The beginning goes with the session; low numbers are asked for more.
+        // The prefix is determined by the session; prefixes with low numbers are more frequent.
         let session = draw(800);
         let prefix = 1 + (session % 40) * (session % 40) / 40;
         let gateway = &mut fleet[draw(100) as usize];
@@ -347,7 +351,8 @@
 
 #[test]
 fn a_class_that_leaves_nothing_behind_goes_to_the_emptier_of_two() {
-    // Found with an impatient class of single turns: staying put gained nothing, unevenness cost its aim.
+    // Regression (a class of single turns with a short latency target): keeping sessions at their replica gained
+    // nothing, and the uneven load missed the latency target.
     let mut bench = Bench::new(settings(Effect::Safe), &members(10));
     let fills = |bench: &mut Bench| {
         let ids: Vec<_> = (0..40).map(|s| bench.request(s, None)).collect();
@@ -418,7 +423,8 @@
 
 #[test]
 fn a_rest_of_a_real_server_does_not_call_off_the_next_call_for_the_list() {
-    // Found by reading: a rest came as news of the list, as if the service had answered, and no call was ever made.
+    // Regression: the local ejection of a replica was taken for a response of the list service, which cancelled the
+    // next call, so that no call was ever made.
     let settings = Settings { has_pushed_list: false, ..settings(Effect::Safe) };
     for kind in [ListKind::Persisted, ListKind::Failed] {
         let mut bench = Bench::new(settings.clone(), &members(3));
@@ -433,7 +439,7 @@
     }
 }
 
-/// A hundred gateways of a group, from their start with `list`.
+/// A group of a hundred gateways that start with `list`.
 fn fleet(settings: &Settings, list: &[Member]) -> Vec<Bench> {
     let start = |me| {
         let settings = Settings { group_size: 100, gateway_index: me, ..settings.clone() };
@@ -448,7 +454,8 @@
 
 #[test]
 fn a_large_group_spreads_its_calls_for_the_list() {
-    // Found on a herd+vast day: all called at once, none was served in its time, and all called again.
+    // Regression (scenario herd+vast): all gateways called at once, no call was served within its timeout, and all
+    // of them called again.
     let settings = Settings { has_pushed_list: false, ..settings(Effect::Safe) };
     let mut fleet = fleet(&settings, &members(3));
     let mut calls = Vec::new();
@@ -468,7 +475,7 @@
     assert!(calls[24..].iter().sum::<usize>() <= 160, "no back-off: {calls:?}");
 }
 
-// ---- answers ----------------------------------------------------------------------------------------------
+// ---- completion -------------------------------------------------------------------------------------------
 
 #[test]
 fn a_request_without_replicas_waits_and_is_answered_at_its_deadline() {
@@ -590,7 +597,8 @@
 
 #[test]
 fn an_attempt_is_not_called_off_for_the_time_that_those_before_it_took() {
-    // Found with a request that was turned away and sent on at two thirds of its latency_target: 10 ms later that was called off.
+    // Regression: a request was rejected by a full replica after two thirds of its latency target, and its next
+    // attempt was cancelled 10 ms later.
     let mut bench = Bench::new(settings(Effect::Safe), &members(10));
     let (id, _) = bench.request(1, None);
     bench.pass(640 * MILLI);
@@ -600,8 +608,8 @@
     assert!(taken.collect::<BTreeSet<_>>().contains(&next), "nothing speaks against it");
 }
 
-/// A gateway with a replica that stays silent on two requests while others answer; the last of them, whose
-/// silence ejects the replica, and what followed.
+/// A gateway with a replica that does not respond to two requests while other replicas respond. Returns the last of
+/// the two requests, whose lack of a response ejects the replica, and the actions that follow.
 fn unresponsive_replica(copies: bool, effect: Effect) -> (Bench, RequestId, Vec<Action>) {
     let mut settings = settings(effect);
     settings.limits.hedging = copies;
@@ -613,7 +621,7 @@
         let (id, _) = bench.request(session, None);
         bench.handle(Event::FirstToken { id, attempt: 0, elapsed: MILLI });
     }
-    // What it answered is long ago by now, so that its silence is all that is known.
+    // The earlier responses of the replica are old by now, so that only the lack of a response counts.
     bench.pass(60 * SECOND);
     let hung: Vec<_> = (0..2).map(|_| bench.request(1, None)).collect();
     assert!(hung.iter().all(|(_, actions)| sent(actions) == sent(&hung[0].1)));
@@ -623,7 +631,7 @@
 
 #[test]
 fn what_waits_for_a_hung_replica_goes_elsewhere_as_far_as_its_effect_allows() {
-    // Found when a replacement called the silent attempt off, and that counted for nothing.
+    // Regression: the attempt was cancelled for its replacement, and its lack of a response was not counted.
     let (mut bench, id, actions) = unresponsive_replica(false, Effect::Safe);
     assert!(actions.contains(&Action::Cancel { id, attempt: 0 }) && sent(&actions).is_none());
     assert!(sent(&bench.outcome(id, Verdict::Cancelled)).is_some());
@@ -637,14 +645,14 @@
 
 #[test]
 fn the_first_token_calls_the_other_copies_off() {
-    // Found on busy days: the other copy was read to its end, beside the one whose answer was passed on.
+    // Regression (busy scenarios): the other attempt was read to its end although its response was not forwarded.
     let (mut bench, id, actions) = unresponsive_replica(true, Effect::Safe);
     assert!(sent(&actions).is_some());
     let actions = bench.handle(Event::FirstToken { id, attempt: 1, elapsed: MILLI });
     assert_eq!(actions, [Action::Cancel { id, attempt: 0 }]);
 }
 
-/// A gateway that may send second copies and has had some sessions served.
+/// A gateway that may send hedged requests and has served some sessions.
 fn with_copies(replicas: usize, sessions: u64) -> Bench {
     let mut settings = settings(Effect::Safe);
     settings.limits.hedging = true;
@@ -657,15 +665,17 @@
 
 #[test]
 fn a_single_slow_attempt_is_waited_for() {
-    // Found when copies from a budget, a tenth of the requests at most, cost an overload more than they saved.
+    // Regression: hedged requests within a budget of a tenth of all requests cost more in an overload than they
+    // gained.
     let mut bench = with_copies(10, 100);
     bench.request(1000, None);
     assert!(sent(&bench.pass(4 * SECOND)).is_none());
 }
 
-// ---- health -----------------------------------------------------------------------------------------------
+// ---- outlier ejection -------------------------------------------------------------------------------------
 
-/// Replicas that answered two requests a second each for ten seconds, and where the first session goes.
+/// A gateway whose replicas responded to two requests per second each for ten seconds, and the replica of the first
+/// session.
 fn answering(replicas: u64) -> (Bench, String) {
     let mut bench = Bench::new(settings(Effect::Safe), &members(replicas as usize));
     let home = bench.served(1, None).expect("sent");
@@ -676,7 +686,7 @@
     (bench, home)
 }
 
-/// One more request of the first session; its home fails it with an error, another one serves it.
+/// One more request of the first session: if it goes to `home`, that attempt fails and another replica responds.
 fn error_at(bench: &mut Bench, home: &str) {
     let (id, actions) = bench.request(1, None);
     if sent(&actions).as_deref() == Some(home) {
@@ -697,8 +707,8 @@
 
 #[test]
 fn a_replica_that_fails_half_is_ejected_and_one_good_trial_does_not_restore_it() {
-    // Found on days of the second deployment: three errors in a row came late where every second request failed,
-    // and any first token made all of them forgotten, so that a tenth of all attempts met an error.
+    // Regression (second deployment): where every second request failed, three errors in a row were rare, and any
+    // first token reset the count, so that a tenth of all attempts met an error.
     let (mut bench, home) = answering(4);
     let at_home = |bench: &mut Bench, verdict: Verdict| {
         let (id, actions) = bench.request(1, None);
@@ -715,7 +725,7 @@
     let met = (0..80).filter(|n| at_home(&mut bench, [Verdict::Error, Verdict::Ok][n % 2])).count();
     assert!(met < 60, "{met} of 80 met it");
     assert!(!at_home(&mut bench, Verdict::Ok), "ejected");
-    // Good trials follow one another until they outweigh what failed.
+    // Successful trials are repeated until they outweigh the failures.
     let mut trials = 0;
     while !(at_home(&mut bench, Verdict::Ok) && bench.served(1, None).as_ref() == Some(&home)) || trials < 2
     {
@@ -727,8 +737,8 @@
 
 #[test]
 fn a_replica_that_is_slow_but_answers_is_not_taken_for_a_hung_one() {
-    // Found on quiet days of the second deployment: prompts that take a second to read made two requests wait for
-    // half of the aim, their replica was ejected, and its sessions were read anew on the others.
+    // Regression (second deployment, low load): with prompts whose prefill takes a second, two requests waited for
+    // half of the latency target. Their replica was ejected, and the others had to prefill its sessions again.
     let (mut bench, home) = answering(2);
     for _ in 0..4 {
         let begin = |bench: &mut Bench, id| {
@@ -752,7 +762,8 @@
 
 #[test]
 fn a_busy_replica_that_falls_silent_is_ejected_by_the_answers_that_are_missing() {
-    // Guards against waiting for as many silent requests as it gave answers before: it gave many.
+    // Regression: the number of missing responses needed for an ejection must not grow with the number of earlier
+    // responses, which is large here.
     let (mut bench, home) = answering(4);
     let mut silent = 0;
     while sent(&bench.request(1, None).1).as_ref() == Some(&home) {
@@ -765,8 +776,8 @@
 
 #[test]
 fn a_gateway_that_meets_each_replica_seldom_ejects_one_at_the_first_failure() {
-    // Found on a zone+vast day: four slow replicas timed out three in four of what they were sent, and none of a
-    // hundred gateways ever saw three of these come together.
+    // Regression (scenario zone+vast): four slow replicas timed out three quarters of their attempts, but none of a
+    // hundred gateways saw three timeouts in a row.
     let mut bench = with_copies(40, 20);
     let (id, actions) = bench.request(1000, None);
     let slow = sent(&actions).expect("sent");
@@ -802,7 +813,7 @@
 
 #[test]
 fn a_cut_zone_is_left_alone_after_a_few_failed_connections() {
-    // Found on days with a cut zone: half of all attempts went to replicas that could not be reached.
+    // Regression (scenarios with a zone that is cut off): half of all attempts went to unreachable replicas.
     let mut list = members(40);
     for member in &mut list[20..] {
         member.zone = 1;
@@ -820,14 +831,15 @@
     }
     assert!((3..=4).contains(&failures), "{failures}");
     bench.pass(5 * SECOND);
-    // A trial that gets through opens the zone again.
+    // A trial that succeeds makes the zone available again.
     let reached: usize = (0..200).filter(|s| bench.served(*s, None).is_some_and(|s| far(&s))).count();
     assert!(reached > 50, "{reached}");
 }
 
 #[test]
 fn a_trial_that_tells_nothing_does_not_shut_a_cut_zone_for_good() {
-    // Found on reading: a client that left during a zone's trial left it marked as under way, and no other came.
+    // Regression: a client that left during the trial of a zone left the trial marked as in flight, and no further
+    // trial was made.
     for verdict in [Verdict::Cancelled, Verdict::NotSent, Verdict::TimedOut, Verdict::Reset] {
         let mut list = members(40);
         list[20..].iter_mut().for_each(|member| member.zone = 1);
@@ -857,7 +869,8 @@
 
 #[test]
 fn the_ring_is_one_whatever_the_zones() {
-    // Found on busy days: sessions kept to their gateway's zone jammed it while replicas elsewhere were idle.
+    // Regression (busy scenarios): sessions that were kept in their gateway's zone overloaded it while replicas in
+    // other zones were idle.
     let mut list = members(20);
     for member in &mut list[2..] {
         member.zone = 1;
@@ -869,7 +882,7 @@
 
 #[test]
 fn a_replica_that_lags_is_passed_over_while_others_answer() {
-    // Found with vanished and pausing replicas: their arcs kept getting requests until they were dropped.
+    // Regression (replicas that vanish or pause): their arcs of the ring got requests until they were ejected.
     let mut bench = Bench::new(settings(Effect::Safe), &members(4));
     let (_, actions) = bench.request(0, Some(5));
     let stuck = sent(&actions).expect("sent");
@@ -880,7 +893,8 @@
 
 #[test]
 fn what_would_wait_too_long_anyway_is_turned_down_at_once() {
-    // Found on overloaded days: requests joined queues that were longer than their aim, and all were late.
+    // Regression (overload scenarios): requests were queued although the wait exceeded their latency target, and
+    // all of them were late.
     let mut bench = Bench::new(settings(Effect::Safe), &members(1));
     let (id, actions) = bench.request(0, None);
     assert!(sent(&actions).is_some());
@@ -893,7 +907,8 @@
 
 #[test]
 fn a_beginning_that_is_everywhere_goes_by_its_session() {
-    // Found on a fleet of 259: a popular beginning's walk met most replicas, and its gateways ran late.
+    // Regression (fleet of 259 gateways): the ring walk of a popular prefix visited most replicas, which delayed the
+    // gateways.
     let list = members(20);
     let mut bench = Bench::new(settings(Effect::Safe), &list);
     let mut plain = Bench::new(settings(Effect::Safe), &list);
@@ -904,8 +919,8 @@
 
 // ---- cold replicas ----------------------------------------------------------------------------------------
 
-/// Requests sent to a replica that starts cold in its first seconds, by gateways of a group together, and
-/// to the mean warm one.
+/// Requests that the gateways of a group together send to a replica within 5 s of its cold start, and the mean number
+/// sent to a warm replica.
 fn cold_and_warm(units: UnitsMeaning, cold_units: f64, group: u32) -> (f64, f64) {
     let (mut cold, mut warm) = (0.0, 0.0);
     for me in 0..group {
@@ -943,15 +958,16 @@
 
 #[test]
 fn gateways_that_have_just_started_use_cold_replicas_within_the_bound() {
-    // Found on a herd+vast day: restarted gateways had served nothing, so they sent cold replicas next to nothing
-    // and all went to the few warm ones. Ten replicas of 10 requests a second, half of them cold.
+    // Regression (scenario herd+vast): restarted gateways had no record of the load, so they sent almost nothing to
+    // cold replicas and overloaded the few warm ones. Here ten replicas serve 10 requests per second each, and half
+    // of them are cold.
     let tenants = vec![Tenant { share: 1.0, quota_per_s: Some(100.0) }];
     let settings = Settings { tenants, ..settings(Effect::Safe) };
     let cold = |n| Member { started: (n < 5).then_some(100 * SECOND), ..member(n) };
     let mut fleet = fleet(&settings, &(0..10).map(cold).collect::<Vec<_>>());
     let mut sent = [[0.0; 10]; 6];
     for (second, sent) in sent.iter_mut().enumerate() {
-        // Four fifths of what the quotas allow.
+        // 80% of what the quotas permit.
         for (n, bench) in fleet.iter_mut().enumerate().filter(|(n, _)| n % 5 != second) {
             bench.now = (100 + second as u64) * SECOND + n as u64 * 10 * MILLI;
             let to = bench.served((n * 6 + second) as u64, None).expect("somebody takes it");
@@ -972,7 +988,8 @@
 
 #[test]
 fn an_empty_replica_does_not_look_large() {
-    // Found on an overloaded day: units that load lowers made an idle cold replica's share a multiple.
+    // Regression (overload scenario): live units, which fall under load, gave an idle cold replica a multiple of its
+    // share.
     let (cold, warm) = cold_and_warm(UnitsMeaning::Live, 1.0, 10);
     assert!(cold < 0.6 * warm, "sent it {cold}, others {warm} each");
 }
@@ -981,7 +998,7 @@
 
 #[test]
 fn late_first_tokens_close_the_door_and_timely_ones_open_it() {
-    // Found on overloaded days: all were let in, and all were served late.
+    // Regression (overload scenarios): all requests were admitted, and all of them were late.
     let mut bench = Bench::new(settings(Effect::Safe), &members(4));
     let mut refusals = 0;
     for session in 0..200 {
@@ -1005,8 +1022,8 @@
 
 #[test]
 fn what_the_jam_turns_away_goes_to_cold_replicas_as_far_as_they_can_take_it() {
-    // Found on a herd+mass day: of 4,400 requests in hand warm replicas held 65 each and cold ones 10, and the door
-    // turned away what the cold ones could have taken.
+    // Regression (scenario herd+mass): of 4,400 requests in flight, warm replicas had 65 each and cold ones 10, and
+    // admission control shed requests that the cold ones could have served.
     let tenants = vec![Tenant { share: 1.0, quota_per_s: Some(1000.0) }];
     let settings = Settings { tenants, ..settings(Effect::Safe) };
     let jam = |cold: usize| {
@@ -1035,14 +1052,15 @@
     assert!(none == 0 && all >= 70, "without cold ones the door is all but shut: {none} {all}");
     let (some, fewer) = jam(4);
     assert!(fewer + 10 <= all, "{some} went to cold ones, {fewer} of {all} turned away");
-    // Four of eight at a fifth of their capacity, and a quarter of 1,000 requests a second as this gateway's part:
-    // twice their part of it is 12 or 13 a second for each, and one at once.
+    // Four of the eight replicas have a fifth of their capacity, and this gateway's part of 1,000 requests per second
+    // is a quarter. Twice the cold replicas' part of it is 12 or 13 per second for each, and one at once.
     assert!((10..=28).contains(&some), "{some} went to cold ones in half a second");
 }
 
 #[test]
 fn repeats_are_turned_away_before_first_tries() {
-    // Found on overloaded days: clients' repeats, most of them past their aim, kept the jam alive.
+    // Regression (overload scenarios): clients' retries, most of them past their latency target, kept the overload
+    // going.
     let mut bench = Bench::new(settings(Effect::Safe), &members(4));
     for session in 0..4 {
         let (id, actions) = bench.request(session, None);
@@ -1061,7 +1079,8 @@
 
 #[test]
 fn in_a_jam_what_is_beyond_a_tenants_share_is_turned_away_first() {
-    // Found on busy days: requests worth a tenth were let in as readily as those within their share.
+    // Regression (busy scenarios): requests beyond the share, worth a tenth, were admitted as readily as those within
+    // it.
     let tenant = |quota| Tenant { share: 0.5, quota_per_s: Some(quota) };
     let mut settings = settings(Effect::Safe);
     settings.tenants = vec![tenant(10.0), tenant(10_000.0)];
@@ -1088,7 +1107,7 @@
     assert_eq!(refusals(false), [0, 0], "no door where there is no jam");
 }
 
-// ---- the same each time -----------------------------------------------------------------------------------
+// ---- determinism ------------------------------------------------------------------------------------------
 
 #[test]
 fn the_same_events_give_the_same_actions() {
@@ -1146,14 +1165,14 @@
         assert!((n - 3..=n).any(|ready| member(ready).id.0.to_string() == sent));
     }
     assert!(bench.balancer.replica_slots() <= 6, "{} places", bench.balancer.replica_slots());
-    // The one that a request still names is held for its late outcome, which concerns no other.
+    // A replica that a pending request refers to keeps its slot: a late outcome must not be counted for another one.
     assert!(!(196..200).any(|ready| member(ready).id.0.to_string() == first));
     assert!(sent(&bench.outcome(waiting, Verdict::Reset)).is_some(), "tried elsewhere");
 }
 
-// ---- the load balancer's own limits ------------------------------------------------------------------------------
+// ---- source files of the load balancer --------------------------------------------------------------------
 
-/// The parts of the load balancer, in the order in which `deploy/balancer.toml` names them.
+/// The source files of the load balancer, in the order of `deploy/balancer.toml`.
 const MODULE: [(&str, &str); 7] = [
     ("crates/load-balancer/src/balancer.rs", include_str!("../crates/load-balancer/src/balancer.rs")),
     (
@@ -1212,7 +1231,7 @@
         if turned_away {
             all = bench.outcome(id, Verdict::Full);
         }
-        // What is tried meanwhile ends the same way.
+        // Any further attempts end the same way.
         for _ in 0..600 {
             let passed = bench.pass(SECOND / 100);
             if turned_away && sent(&passed).is_some() {
