--- a/tests/module.rs
+++ b/tests/module.rs
@@ -63,39 +63,40 @@
     (0..count).map(member).collect()
 }
 
-/// A gateway with a clock. Checks that each request is completed once, and that no attempt is sent after that.
-struct Bench {
+/// A gateway with a clock. Checks that each request is completed once, and that no attempt is sent after
+/// that.
+struct TestGateway {
     balancer: LoadBalancer,
     now: Nanos,
     next: u64,
     attempts: BTreeMap<u64, u32>,
-    answered: BTreeSet<u64>,
+    completed: BTreeSet<u64>,
     timers: Vec<(Nanos, u64)>,
     /// Whether the next requests are clients' retries.
     is_retry: bool,
     /// Tenant of the next requests.
     tenant: Option<usize>,
-    /// Cached prompt tokens that each response reports. If this exceeds the length of the shared prefix, it pays to
-    /// keep a session at its replica.
-    kept: u32,
+    /// Cached prompt tokens that each response reports. If this exceeds the length of the shared prefix, it
+    /// pays to keep a session at its replica.
+    cached_tokens: u32,
 }
 
-impl Bench {
+impl TestGateway {
     fn new(settings: Settings, list: &[Member]) -> Self {
         let balancer = LoadBalancer::new(settings, 7).expect("good settings");
-        let mut bench = Bench {
+        let mut gateway = TestGateway {
             balancer,
             now: 100 * SECOND,
             next: 0,
             attempts: BTreeMap::new(),
-            answered: BTreeSet::new(),
+            completed: BTreeSet::new(),
             timers: vec![],
             is_retry: false,
             tenant: None,
-            kept: 900,
+            cached_tokens: 900,
         };
-        bench.list(ListKind::Persisted, list);
-        bench
+        gateway.list(ListKind::Persisted, list);
+        gateway
     }
 
     fn handle(&mut self, event: Event) -> Vec<Action> {
@@ -104,10 +105,10 @@
         for action in &actions {
             match action {
                 Action::Refuse { id, .. } | Action::Fail(id) => {
-                    assert!(self.answered.insert(id.0), "a second answer for {id:?}");
+                    assert!(self.completed.insert(id.0), "{id:?} was completed twice");
                 }
                 Action::Send { id, .. } => {
-                    assert!(!self.answered.contains(&id.0), "sent after the answer to {id:?}");
+                    assert!(!self.completed.contains(&id.0), "{id:?} was sent after its completion");
                     *self.attempts.entry(id.0).or_default() += 1;
                 }
                 Action::Timer { after, token } => self.timers.push((self.now + after, *token)),
@@ -142,13 +143,13 @@
 
     fn outcome(&mut self, id: RequestId, verdict: Verdict) -> Vec<Action> {
         let attempt = self.attempts[&id.0] - 1;
-        self.outcome_of(id, attempt, verdict)
+        self.outcome_of_attempt(id, attempt, verdict)
     }
 
-    fn outcome_of(&mut self, id: RequestId, attempt: u32, verdict: Verdict) -> Vec<Action> {
+    fn outcome_of_attempt(&mut self, id: RequestId, attempt: u32, verdict: Verdict) -> Vec<Action> {
         let ended = verdict == Verdict::Ok;
         if ended {
-            self.answered.insert(id.0);
+            self.completed.insert(id.0);
         }
         let (elapsed, report) = (10 * MILLI, vec![]);
         self.handle(Event::Outcome {
@@ -157,15 +158,15 @@
             verdict,
             ended,
             elapsed,
-            cached_tokens: Some(self.kept),
+            cached_tokens: Some(self.cached_tokens),
             report,
         })
     }
 
     /// Sends one request, whose response is immediate. Returns the replica that got it.
-    fn served(&mut self, session: u64, prefix: Option<u64>) -> Option<String> {
+    fn serve(&mut self, session: u64, prefix: Option<u64>) -> Option<String> {
         let (id, actions) = self.request(session, prefix);
-        let sent = sent(&actions);
+        let sent = destination(&actions);
         if sent.is_some() {
             self.handle(Event::FirstToken { id, attempt: 0, elapsed: MILLI });
             self.outcome(id, Verdict::Ok);
@@ -175,7 +176,7 @@
     }
 
     /// Advances the clock and fires the timers that are due.
-    fn pass(&mut self, span: Nanos) -> Vec<Action> {
+    fn advance(&mut self, span: Nanos) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while let Some(at) = self.timers.iter().map(|t| t.0).filter(|t| *t <= end).min() {
@@ -189,25 +190,25 @@
     }
 }
 
-fn sent(actions: &[Action]) -> Option<String> {
+fn destination(actions: &[Action]) -> Option<String> {
     actions.iter().find_map(|a| match a {
         Action::Send { replica, .. } => Some(replica.0.to_string()),
         _ => None,
     })
 }
 
-fn refused(actions: &[Action]) -> bool {
+fn is_refused(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
-fn failed(actions: &[Action]) -> bool {
+fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(_)))
 }
 
-// ---- settings ---------------------------------------------------------------------------------------------
+// ---- settings -------------------------------------------------------------------------------------------
 
 #[test]
-fn settings_that_cannot_work_are_an_error() {
+fn invalid_settings_are_rejected() {
     let good = settings(Effect::Safe);
     assert!(LoadBalancer::new(Settings { classes: vec![], ..good.clone() }, 1).is_err());
     assert!(LoadBalancer::new(Settings { group_size: 0, ..good.clone() }, 1).is_err());
@@ -218,31 +219,31 @@
     assert!(LoadBalancer::new(good, 1).is_ok());
 }
 
-// ---- ring -------------------------------------------------------------------------------------------------
+// ---- ring -----------------------------------------------------------------------------------------------
 
 #[test]
-fn gateways_agree_whatever_the_order_of_their_lists() {
+fn gateways_agree_regardless_of_the_order_of_their_lists() {
     let list = members(20);
     let backwards: Vec<Member> = list.iter().rev().cloned().collect();
-    let mut one = Bench::new(settings(Effect::Safe), &list);
-    let mut two = Bench::new(settings(Effect::Safe), &[]);
+    let mut one = TestGateway::new(settings(Effect::Safe), &list);
+    let mut two = TestGateway::new(settings(Effect::Safe), &[]);
     for part in backwards.chunks(3) {
         two.list(ListKind::Changes, part);
     }
     for session in 0..500 {
-        assert_eq!(one.served(session, None), two.served(session, None));
+        assert_eq!(one.serve(session, None), two.serve(session, None));
     }
 }
 
 #[test]
-fn a_replica_that_leaves_moves_only_its_own_sessions_and_gets_them_back() {
+fn a_departed_replica_moves_only_its_sessions_and_regains_them() {
     let list = members(20);
-    let mut bench = Bench::new(settings(Effect::Safe), &list);
-    let before: Vec<_> = (0..1000).map(|s| bench.served(s, None)).collect();
-    bench.list(ListKind::Complete, &list[1..]);
-    let without: Vec<_> = (0..1000).map(|s| bench.served(s, None)).collect();
-    bench.list(ListKind::Complete, &list);
-    let after: Vec<_> = (0..1000).map(|s| bench.served(s, None)).collect();
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &list);
+    let before: Vec<_> = (0..1000).map(|s| gateway.serve(s, None)).collect();
+    gateway.list(ListKind::Complete, &list[1..]);
+    let without: Vec<_> = (0..1000).map(|s| gateway.serve(s, None)).collect();
+    gateway.list(ListKind::Complete, &list);
+    let after: Vec<_> = (0..1000).map(|s| gateway.serve(s, None)).collect();
     for (was, is) in before.iter().zip(&without) {
         assert!(was == is || was.as_deref() == Some("replica-0"));
     }
@@ -251,27 +252,27 @@
 }
 
 #[test]
-fn sessions_are_spread_by_size() {
-    spread_by(3.0, vec![]);
+fn sessions_are_distributed_by_units() {
+    check_distribution(3.0, vec![]);
 }
 
 #[test]
-fn sessions_are_spread_by_speed() {
-    // Regression (scenario join+vast): a list that stated 5 units for fast and slow replicas alike overloaded the
-    // slow ones.
-    spread_by(1.0, vec![1.0, 3.0]);
+fn sessions_are_distributed_by_speed() {
+    // Regression (scenario join+vast): a list that stated 5 units for fast and slow replicas alike
+    // overloaded the slow ones.
+    check_distribution(1.0, vec![1.0, 3.0]);
 }
 
-fn spread_by(units: f64, speeds: Vec<f64>) {
+fn check_distribution(units: f64, speeds: Vec<f64>) {
     let mut list = members(10);
     for large in &mut list[..5] {
         (large.kind, large.units) = (1, units);
     }
     let settings = Settings { units: UnitsMeaning::Size, speeds, ..settings(Effect::Safe) };
-    let mut bench = Bench::new(settings, &list);
+    let mut gateway = TestGateway::new(settings, &list);
     let mut counts = BTreeMap::new();
     for session in 0..20_000 {
-        *counts.entry(bench.served(session, None).expect("sent")).or_insert(0.0) += 1.0;
+        *counts.entry(gateway.serve(session, None).expect("sent")).or_insert(0.0) += 1.0;
     }
     for (n, member) in list.iter().enumerate() {
         let fair = 20_000.0 * if n < 5 { 3.0 } else { 1.0 } / 20.0;
@@ -281,17 +282,17 @@
 }
 
 #[test]
-fn the_walk_passes_a_replica_over_the_bound() {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(10));
-    let first = sent(&bench.request(1, None).1).expect("sent");
-    let places: Vec<_> = (0..4).map(|_| sent(&bench.request(1, None).1).expect("sent")).collect();
+fn the_ring_walk_skips_a_replica_over_its_bound() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(10));
+    let first = destination(&gateway.request(1, None).1).expect("sent");
+    let places: Vec<_> = (0..4).map(|_| destination(&gateway.request(1, None).1).expect("sent")).collect();
     assert_eq!(places[0], first, "one in flight is within the bound");
-    assert!(places.iter().any(|p| *p != first), "the rest walk on");
+    assert!(places.iter().any(|p| *p != first), "requests over the bound go to further replicas");
 }
 
 #[test]
-fn a_request_without_any_key_is_placed() {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(3));
+fn a_request_without_a_key_is_sent() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(3));
     let request = Request {
         id: RequestId(9),
         expires_in: SECOND,
@@ -304,28 +305,28 @@
         max_output_tokens: 0,
         is_retry: false,
     };
-    assert!(sent(&bench.handle(Event::Request(request))).is_some());
+    assert!(destination(&gateway.handle(Event::Request(request))).is_some());
 }
 
 #[test]
-fn a_popular_beginning_is_shared_and_its_sessions_stay() {
-    // Regression (full-size fleet): many gateways each sent a few requests of one prefix to a single owner, which
-    // was overloaded.
-    let mut bench = Bench::new(settings(Effect::Safe), &members(20));
-    let first: Vec<_> = (0..40).map(|s| bench.served(s, Some(5))).collect();
-    let again: Vec<_> = (0..40).map(|s| bench.served(s, Some(5))).collect();
+fn a_popular_prefix_has_many_replicas_and_its_sessions_stay() {
+    // Regression (full-size fleet): many gateways each sent a few requests of one prefix to a single owner,
+    // which was overloaded.
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(20));
+    let first: Vec<_> = (0..40).map(|s| gateway.serve(s, Some(5))).collect();
+    let again: Vec<_> = (0..40).map(|s| gateway.serve(s, Some(5))).collect();
     assert!(first.iter().collect::<BTreeSet<_>>().len() > 10);
     assert_eq!(first, again);
 }
 
 #[test]
-fn turns_of_a_session_meet_at_one_replica_whichever_of_many_gateways_takes_them() {
-    // Regression (fleet of 327 gateways, long sessions): each gateway estimated the owners of a prefix from its own
-    // request per second. Only one turn in four went to the replica of the turns before it, and half of each prompt
-    // was prefilled again.
+fn turns_of_a_session_reach_one_replica_through_any_gateway() {
+    // Regression (fleet of 327 gateways, long sessions): each gateway estimated the owners of a prefix from
+    // its own request per second. Only one turn in four went to the replica of the turns before it, and
+    // half of each prompt was prefilled again.
     let quota = Tenant { share: 1.0, quota_per_s: Some(60.0) };
     let settings = Settings { tenants: vec![quota], ..settings(Effect::Safe) };
-    let mut fleet = fleet(&settings, &members(40));
+    let mut gateways = gateways(&settings, &members(40));
     let mut random = 1u64;
     let mut draw = |below: u64| {
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -336,13 +337,13 @@
         // The prefix is determined by the session; prefixes with low numbers are more frequent.
         let session = draw(800);
         let prefix = 1 + (session % 40) * (session % 40) / 40;
-        let gateway = &mut fleet[draw(100) as usize];
-        let Some(to) = gateway.served(session, Some(prefix)) else { continue };
+        let gateway = &mut gateways[draw(100) as usize];
+        let Some(to) = gateway.serve(session, Some(prefix)) else { continue };
         *counts.entry(to.clone()).or_insert(0) += 1;
         if let Some(home) = homes.insert(session, to.clone()) {
             (later, stayed) = (later + 1, stayed + u32::from(home == to));
         }
-        fleet.iter_mut().for_each(|g| g.now += 16 * MILLI);
+        gateways.iter_mut().for_each(|g| g.now += 16 * MILLI);
     }
     assert!(later > 4000 && stayed * 10 > later * 8, "{stayed} of {later} turns stayed");
     let most = counts.values().max().copied().unwrap_or_default();
@@ -350,166 +351,166 @@
 }
 
 #[test]
-fn a_class_that_leaves_nothing_behind_goes_to_the_emptier_of_two() {
-    // Regression (a class of single turns with a short latency target): keeping sessions at their replica gained
-    // nothing, and the uneven load missed the latency target.
-    let mut bench = Bench::new(settings(Effect::Safe), &members(10));
-    let fills = |bench: &mut Bench| {
-        let ids: Vec<_> = (0..40).map(|s| bench.request(s, None)).collect();
+fn a_class_without_cache_hits_uses_the_less_loaded_of_two() {
+    // Regression (a class of single turns with a short latency target): keeping sessions at their replica
+    // gained nothing, and the uneven load missed the latency target.
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(10));
+    let fills = |gateway: &mut TestGateway| {
+        let ids: Vec<_> = (0..40).map(|s| gateway.request(s, None)).collect();
         let mut counts = BTreeMap::new();
         for (_, actions) in &ids {
-            *counts.entry(sent(actions)).or_insert(0) += 1;
+            *counts.entry(destination(actions)).or_insert(0) += 1;
         }
         for (id, _) in ids {
-            bench.outcome(id, Verdict::Ok);
+            gateway.outcome(id, Verdict::Ok);
         }
         counts.into_values().max().expect("forty were sent")
     };
-    let sticky = fills(&mut bench);
-    bench.kept = 0;
+    let sticky = fills(&mut gateway);
+    gateway.cached_tokens = 0;
     for session in 0..100 {
-        bench.served(session, None);
+        gateway.serve(session, None);
     }
-    let loose = fills(&mut bench);
-    assert!(loose < sticky, "{loose} in the fullest, {sticky} where sessions stay");
+    let loose = fills(&mut gateway);
+    assert!(loose < sticky, "{loose} at the busiest replica, {sticky} where sessions stay");
 }
 
 #[test]
-fn a_rare_beginning_has_few_owners() {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(20));
+fn a_rare_prefix_has_few_owners() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(20));
     for session in 0..4000 {
-        bench.served(session, None);
+        gateway.serve(session, None);
     }
-    let owners: BTreeSet<_> = (0..10).map(|s| bench.served(10_000 + s, Some(5))).collect();
+    let owners: BTreeSet<_> = (0..10).map(|s| gateway.serve(10_000 + s, Some(5))).collect();
     assert!(owners.len() <= 2, "{owners:?}");
 }
 
-// ---- membership -------------------------------------------------------------------------------------------
+// ---- membership -----------------------------------------------------------------------------------------
 
 #[test]
-fn nothing_is_sent_to_what_drains_or_is_gone() {
+fn draining_and_gone_replicas_get_no_requests() {
     let mut list = members(3);
-    let mut bench = Bench::new(settings(Effect::Safe), &list);
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &list);
     list[0].phase = Phase::Draining;
     list[1].phase = Phase::Gone;
-    bench.list(ListKind::Changes, &list[..2]);
+    gateway.list(ListKind::Changes, &list[..2]);
     for session in 0..200 {
-        assert_eq!(bench.served(session, None).as_deref(), Some("replica-2"));
+        assert_eq!(gateway.serve(session, None).as_deref(), Some("replica-2"));
     }
-    bench.list(ListKind::Complete, &[]);
-    assert_eq!(sent(&bench.request(1, None).1), None);
+    gateway.list(ListKind::Complete, &[]);
+    assert_eq!(destination(&gateway.request(1, None).1), None);
 }
 
 #[test]
-fn a_list_that_must_be_asked_for_is_watched_and_asked_again_after_failures() {
+fn a_fetched_list_is_watched_and_fetched_again_after_failures() {
     let settings = Settings { has_pushed_list: false, ..settings(Effect::Safe) };
-    let mut bench = Bench::new(settings, &members(3));
+    let mut gateway = TestGateway::new(settings, &members(3));
     let watches = |actions: &[Action]| actions.iter().filter(|a| **a == Action::Watch).count();
-    assert_eq!(watches(&bench.pass(SECOND)), 1);
+    assert_eq!(watches(&gateway.advance(SECOND)), 1);
     let mut waits = Vec::new();
     for _ in 0..8 {
-        bench.list(ListKind::Failed, &[]);
-        let start = bench.now;
-        while watches(&bench.pass(100 * MILLI)) == 0 {
-            assert!(bench.now < start + 10 * SECOND, "never asked again");
+        gateway.list(ListKind::Failed, &[]);
+        let start = gateway.now;
+        while watches(&gateway.advance(100 * MILLI)) == 0 {
+            assert!(gateway.now < start + 10 * SECOND, "no further watch");
         }
-        waits.push(bench.now - start);
+        waits.push(gateway.now - start);
     }
-    assert!(waits.iter().max() > Some(&SECOND), "no backoff: {waits:?}");
-    bench.list(ListKind::Complete, &members(3));
-    assert_eq!(watches(&bench.pass(5 * SECOND)), 0);
-    assert!(bench.served(1, None).is_some(), "the list survived the failures");
+    assert!(waits.iter().max() > Some(&SECOND), "waits without backoff: {waits:?}");
+    gateway.list(ListKind::Complete, &members(3));
+    assert_eq!(watches(&gateway.advance(5 * SECOND)), 0);
+    assert!(gateway.serve(1, None).is_some(), "the list is kept after failures");
 }
 
 #[test]
-fn a_rest_of_a_real_server_does_not_call_off_the_next_call_for_the_list() {
-    // Regression: the local ejection of a replica was taken for a response of the list service, which cancelled the
-    // next call, so that no call was ever made.
+fn a_local_ejection_does_not_cancel_the_next_list_call() {
+    // Regression: the local ejection of a replica was taken for a response of the list service, which
+    // cancelled the next call, so that no call was ever made.
     let settings = Settings { has_pushed_list: false, ..settings(Effect::Safe) };
     for kind in [ListKind::Persisted, ListKind::Failed] {
-        let mut bench = Bench::new(settings.clone(), &members(3));
+        let mut gateway = TestGateway::new(settings.clone(), &members(3));
         if kind == ListKind::Failed {
-            bench.list(ListKind::Failed, &[]);
+            gateway.list(ListKind::Failed, &[]);
         }
-        let resting = Member { phase: Phase::Draining, ..member(0) };
-        bench.list(ListKind::Local, &[resting]);
-        let to: BTreeSet<_> = (0..60).filter_map(|s| bench.served(s, None)).collect();
-        assert_eq!(to.len(), 2, "the one that rests gets nothing, the others stay: {to:?}");
-        assert!(bench.pass(20 * SECOND).contains(&Action::Watch), "{kind:?}: never asked again");
+        let ejected = Member { phase: Phase::Draining, ..member(0) };
+        gateway.list(ListKind::Local, &[ejected]);
+        let to: BTreeSet<_> = (0..60).filter_map(|s| gateway.serve(s, None)).collect();
+        assert_eq!(to.len(), 2, "all but the ejected replica get requests: {to:?}");
+        assert!(gateway.advance(20 * SECOND).contains(&Action::Watch), "{kind:?}: no further watch");
     }
 }
 
 /// A group of a hundred gateways that start with `list`.
-fn fleet(settings: &Settings, list: &[Member]) -> Vec<Bench> {
+fn gateways(settings: &Settings, list: &[Member]) -> Vec<TestGateway> {
     let start = |me| {
         let settings = Settings { group_size: 100, gateway_index: me, ..settings.clone() };
         let balancer = LoadBalancer::new(settings.clone(), u64::from(me) * 977).expect("good settings");
-        let mut bench = Bench { balancer, ..Bench::new(settings, &[]) };
-        bench.timers.clear();
-        bench.list(ListKind::Persisted, list);
-        bench
+        let mut gateway = TestGateway { balancer, ..TestGateway::new(settings, &[]) };
+        gateway.timers.clear();
+        gateway.list(ListKind::Persisted, list);
+        gateway
     };
     (0..100).map(start).collect()
 }
 
 #[test]
-fn a_large_group_spreads_its_calls_for_the_list() {
-    // Regression (scenario herd+vast): all gateways called at once, no call was served within its timeout, and all
-    // of them called again.
+fn a_large_group_spreads_its_list_calls() {
+    // Regression (scenario herd+vast): all gateways called at once, no call was served within its timeout,
+    // and all of them called again.
     let settings = Settings { has_pushed_list: false, ..settings(Effect::Safe) };
-    let mut fleet = fleet(&settings, &members(3));
+    let mut gateways = gateways(&settings, &members(3));
     let mut calls = Vec::new();
     for _ in 0..40 {
         let mut now = 0;
-        for bench in &mut fleet {
-            let asked = bench.pass(500 * MILLI).contains(&Action::Watch);
+        for gateway in &mut gateways {
+            let asked = gateway.advance(500 * MILLI).contains(&Action::Watch);
             now += usize::from(asked);
             if asked {
-                bench.list(ListKind::Failed, &[]);
+                gateway.list(ListKind::Failed, &[]);
             }
         }
         calls.push(now);
     }
-    assert!(calls.iter().all(|n| *n <= 30), "calls in half seconds: {calls:?}");
+    assert!(calls.iter().all(|n| *n <= 30), "calls per half second: {calls:?}");
     assert!(calls[..12].iter().sum::<usize>() >= 100, "all have called within 6 s: {calls:?}");
-    assert!(calls[24..].iter().sum::<usize>() <= 160, "no back-off: {calls:?}");
+    assert!(calls[24..].iter().sum::<usize>() <= 160, "calls without backoff: {calls:?}");
 }
 
-// ---- completion -------------------------------------------------------------------------------------------
+// ---- completion -----------------------------------------------------------------------------------------
 
 #[test]
-fn a_request_without_replicas_waits_and_is_answered_at_its_deadline() {
-    let mut bench = Bench::new(settings(Effect::Safe), &[]);
-    let (id, actions) = bench.request(1, None);
-    assert!(sent(&actions).is_none() && !refused(&actions));
-    bench.pass(5 * SECOND - 1);
-    assert!(!bench.answered.contains(&id.0));
-    bench.pass(1);
-    assert!(bench.answered.contains(&id.0));
-    let (_, actions) = bench.request(2, None);
-    assert!(sent(&actions).is_none());
+fn a_request_without_replicas_waits_until_its_deadline() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &[]);
+    let (id, actions) = gateway.request(1, None);
+    assert!(destination(&actions).is_none() && !is_refused(&actions));
+    gateway.advance(5 * SECOND - 1);
+    assert!(!gateway.completed.contains(&id.0));
+    gateway.advance(1);
+    assert!(gateway.completed.contains(&id.0));
+    let (_, actions) = gateway.request(2, None);
+    assert!(destination(&actions).is_none());
     assert!(
-        sent(&bench.list(ListKind::Changes, &members(1))).is_some(),
-        "held ones go when a replica comes"
+        destination(&gateway.list(ListKind::Changes, &members(1))).is_some(),
+        "a waiting request is sent once a replica is listed"
     );
 }
 
 #[test]
-fn a_lost_outcome_still_gets_an_answer() {
-    let mut bench = Bench::new(settings(Effect::Unsafe), &members(3));
-    let (id, actions) = bench.request(1, None);
-    assert!(sent(&actions).is_some());
-    assert!(failed(&bench.pass(5 * SECOND)));
-    assert!(!bench.answered.insert(id.0));
+fn a_request_whose_outcome_is_lost_fails_at_its_deadline() {
+    let mut gateway = TestGateway::new(settings(Effect::Unsafe), &members(3));
+    let (id, actions) = gateway.request(1, None);
+    assert!(destination(&actions).is_some());
+    assert!(is_failed(&gateway.advance(5 * SECOND)));
+    assert!(!gateway.completed.insert(id.0));
 }
 
 #[test]
-fn what_cannot_be_placed_is_ignored() {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(3));
+fn events_of_unknown_requests_timers_and_replicas_are_ignored() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(3));
     let id = RequestId(77);
     let (elapsed, report, kept) = (1, vec![], None);
-    assert!(bench.handle(Event::Expired(id)).is_empty());
-    assert!(bench.handle(Event::FirstToken { id, attempt: 3, elapsed }).is_empty());
+    assert!(gateway.handle(Event::Expired(id)).is_empty());
+    assert!(gateway.handle(Event::FirstToken { id, attempt: 3, elapsed }).is_empty());
     let verdict = Verdict::Ok;
     let outcome = Event::Outcome {
         id,
@@ -520,457 +521,478 @@
         cached_tokens: kept,
         report: vec![],
     };
-    assert!(bench.handle(outcome).is_empty());
-    assert!(bench.handle(Event::Timer(12345)).is_empty());
+    assert!(gateway.handle(outcome).is_empty());
+    assert!(gateway.handle(Event::Timer(12345)).is_empty());
     let replica = ReplicaId::from("nobody");
-    assert!(bench.handle(Event::Probed { replica, verdict, elapsed, report }).is_empty());
+    assert!(gateway.handle(Event::Probed { replica, verdict, elapsed, report }).is_empty());
 }
 
 #[test]
-fn after_the_client_left_nothing_goes_out_and_the_attempt_is_called_off() {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(3));
-    let (id, _) = bench.request(1, None);
-    let actions = bench.handle(Event::Expired(id));
+fn a_departed_client_cancels_its_attempt_and_prevents_retries() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(3));
+    let (id, _) = gateway.request(1, None);
+    let actions = gateway.handle(Event::Expired(id));
     assert_eq!(actions, [Action::Cancel { id, attempt: 0 }]);
-    bench.answered.insert(id.0);
-    assert!(bench.outcome(id, Verdict::Reset).is_empty());
+    gateway.completed.insert(id.0);
+    assert!(gateway.outcome(id, Verdict::Reset).is_empty());
 }
 
-// ---- effects ----------------------------------------------------------------------------------------------
+// ---- effects --------------------------------------------------------------------------------------------
 
 #[test]
-fn a_safe_request_is_tried_elsewhere_up_to_the_cap() {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(10));
-    let (id, actions) = bench.request(1, None);
-    let mut places = vec![sent(&actions)];
+fn a_safe_request_is_retried_up_to_the_attempt_limit() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(10));
+    let (id, actions) = gateway.request(1, None);
+    let mut places = vec![destination(&actions)];
     for _ in 0..3 {
-        places.push(sent(&bench.outcome(id, Verdict::Error)));
+        places.push(destination(&gateway.outcome(id, Verdict::Error)));
     }
     assert!(places.iter().all(Option::is_some));
     assert_eq!(places.iter().collect::<BTreeSet<_>>().len(), 4);
-    assert!(refused(&bench.outcome(id, Verdict::Error)));
+    assert!(is_refused(&gateway.outcome(id, Verdict::Error)));
 }
 
 #[test]
-fn an_unsafe_request_runs_once() {
+fn an_unsafe_request_is_not_retried_once_it_may_have_run() {
     for verdict in [Verdict::Error, Verdict::Reset, Verdict::TimedOut, Verdict::Cancelled] {
-        let mut bench = Bench::new(settings(Effect::Unsafe), &members(10));
-        let (id, _) = bench.request(1, None);
-        assert!(sent(&bench.outcome(id, Verdict::Full)).is_some(), "full proves it never ran");
-        assert!(sent(&bench.outcome(id, Verdict::NoConnection)).is_some());
-        let actions = bench.outcome(id, verdict);
-        assert!(failed(&actions) && !refused(&actions) && sent(&actions).is_none(), "{verdict:?}");
+        let mut gateway = TestGateway::new(settings(Effect::Unsafe), &members(10));
+        let (id, _) = gateway.request(1, None);
+        assert!(
+            destination(&gateway.outcome(id, Verdict::Full)).is_some(),
+            "a full replica has not run it"
+        );
+        assert!(destination(&gateway.outcome(id, Verdict::NoConnection)).is_some());
+        let actions = gateway.outcome(id, verdict);
+        assert!(
+            is_failed(&actions) && !is_refused(&actions) && destination(&actions).is_none(),
+            "{verdict:?}"
+        );
     }
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_group_and_window() {
+fn a_keyed_request_is_retried_within_its_scope_and_window() {
     let mut list = members(12);
     for (n, member) in list.iter_mut().enumerate() {
         (member.zone, member.cell) = (n as u16 % 2, n as u64 % 4);
     }
     let place = |name: &str| list.iter().position(|m| &*m.id.0 == name).expect("listed");
     for scope in [Scope::Zone, Scope::Cell] {
-        let mut bench = Bench::new(settings(Effect::Keyed { scope, window: SECOND }), &list);
+        let mut gateway = TestGateway::new(settings(Effect::Keyed { scope, window: SECOND }), &list);
         for session in 0..50 {
-            let (id, actions) = bench.request(session, None);
-            let first = place(&sent(&actions).expect("sent"));
-            bench.now += 400 * MILLI;
-            let actions = bench.outcome(id, Verdict::Reset);
-            if let Some(second) = sent(&actions) {
+            let (id, actions) = gateway.request(session, None);
+            let first = place(&destination(&actions).expect("sent"));
+            gateway.now += 400 * MILLI;
+            let actions = gateway.outcome(id, Verdict::Reset);
+            if let Some(second) = destination(&actions) {
                 let second = place(&second);
                 let rest = |a: &Action| matches!(a, Action::Send { write_within, .. } if *write_within == 600 * MILLI);
-                assert!(actions.iter().any(rest), "what is left of the window: {actions:?}");
+                assert!(actions.iter().any(rest), "not the rest of the window: {actions:?}");
                 assert_eq!(list[first].zone, list[second].zone);
                 assert!(scope == Scope::Zone || list[first].cell == list[second].cell);
-                bench.now += SECOND;
-                let actions = bench.outcome(id, Verdict::Reset);
-                assert!(failed(&actions) && sent(&actions).is_none());
+                gateway.now += SECOND;
+                let actions = gateway.outcome(id, Verdict::Reset);
+                assert!(is_failed(&actions) && destination(&actions).is_none());
             }
         }
     }
-    let mut bench = Bench::new(settings(Effect::Keyed { scope: Scope::All, window: SECOND }), &list);
-    let (id, _) = bench.request(1, None);
-    bench.now += SECOND;
-    assert!(refused(&bench.outcome(id, Verdict::Reset)), "all discard repeats, so a refusal is true");
+    let mut gateway =
+        TestGateway::new(settings(Effect::Keyed { scope: Scope::All, window: SECOND }), &list);
+    let (id, _) = gateway.request(1, None);
+    gateway.now += SECOND;
+    assert!(
+        is_refused(&gateway.outcome(id, Verdict::Reset)),
+        "all replicas deduplicate, so the request may be refused"
+    );
 }
 
 #[test]
-fn an_attempt_is_not_called_off_for_the_time_that_those_before_it_took() {
-    // Regression: a request was rejected by a full replica after two thirds of its latency target, and its next
-    // attempt was cancelled 10 ms later.
-    let mut bench = Bench::new(settings(Effect::Safe), &members(10));
-    let (id, _) = bench.request(1, None);
-    bench.pass(640 * MILLI);
-    let next = sent(&bench.outcome(id, Verdict::Full)).expect("sent on");
-    assert!(!bench.pass(20 * MILLI).contains(&Action::Cancel { id, attempt: 1 }));
-    let taken = (2..200).filter_map(|session| bench.served(session, None));
-    assert!(taken.collect::<BTreeSet<_>>().contains(&next), "nothing speaks against it");
-}
-
-/// A gateway with a replica that does not respond to two requests while other replicas respond. Returns the last of
-/// the two requests, whose lack of a response ejects the replica, and the actions that follow.
-fn unresponsive_replica(copies: bool, effect: Effect) -> (Bench, RequestId, Vec<Action>) {
+fn an_attempt_is_not_cancelled_for_the_time_of_earlier_ones() {
+    // Regression: a request was rejected by a full replica after two thirds of its latency target, and its
+    // next attempt was cancelled 10 ms later.
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(10));
+    let (id, _) = gateway.request(1, None);
+    gateway.advance(640 * MILLI);
+    let next = destination(&gateway.outcome(id, Verdict::Full)).expect("sent on");
+    assert!(!gateway.advance(20 * MILLI).contains(&Action::Cancel { id, attempt: 1 }));
+    let taken = (2..200).filter_map(|session| gateway.serve(session, None));
+    assert!(taken.collect::<BTreeSet<_>>().contains(&next), "the replica gets further requests");
+}
+
+/// A gateway with a replica that does not respond to two requests while other replicas respond. Returns the
+/// last of the two requests, whose lack of a response ejects the replica, and the actions that follow.
+fn unresponsive_replica(hedging: bool, effect: Effect) -> (TestGateway, RequestId, Vec<Action>) {
     let mut settings = settings(effect);
-    settings.limits.hedging = copies;
-    let mut bench = Bench::new(settings, &members(10));
+    settings.limits.hedging = hedging;
+    let mut gateway = TestGateway::new(settings, &members(10));
     for session in 0..300 {
-        bench.served(session, None);
+        gateway.serve(session, None);
     }
     for session in 0..60 {
-        let (id, _) = bench.request(session, None);
-        bench.handle(Event::FirstToken { id, attempt: 0, elapsed: MILLI });
+        let (id, _) = gateway.request(session, None);
+        gateway.handle(Event::FirstToken { id, attempt: 0, elapsed: MILLI });
     }
     // The earlier responses of the replica are old by now, so that only the lack of a response counts.
-    bench.pass(60 * SECOND);
-    let hung: Vec<_> = (0..2).map(|_| bench.request(1, None)).collect();
-    assert!(hung.iter().all(|(_, actions)| sent(actions) == sent(&hung[0].1)));
-    let actions = bench.pass(650 * MILLI);
-    (bench, hung[1].0, actions)
+    gateway.advance(60 * SECOND);
+    let hung: Vec<_> = (0..2).map(|_| gateway.request(1, None)).collect();
+    assert!(hung.iter().all(|(_, actions)| destination(actions) == destination(&hung[0].1)));
+    let actions = gateway.advance(650 * MILLI);
+    (gateway, hung[1].0, actions)
 }
 
 #[test]
-fn what_waits_for_a_hung_replica_goes_elsewhere_as_far_as_its_effect_allows() {
-    // Regression: the attempt was cancelled for its replacement, and its lack of a response was not counted.
-    let (mut bench, id, actions) = unresponsive_replica(false, Effect::Safe);
-    assert!(actions.contains(&Action::Cancel { id, attempt: 0 }) && sent(&actions).is_none());
-    assert!(sent(&bench.outcome(id, Verdict::Cancelled)).is_some());
+fn requests_at_an_unresponsive_replica_are_retried_if_permitted() {
+    // Regression: the attempt was cancelled for its replacement, and its lack of a response was not
+    // counted.
+    let (mut gateway, id, actions) = unresponsive_replica(false, Effect::Safe);
+    assert!(actions.contains(&Action::Cancel { id, attempt: 0 }) && destination(&actions).is_none());
+    assert!(destination(&gateway.outcome(id, Verdict::Cancelled)).is_some());
     let (_, _, actions) = unresponsive_replica(true, Effect::Safe);
-    assert!(sent(&actions).is_some());
-    for copies in [true, false] {
-        let (_, id, actions) = unresponsive_replica(copies, Effect::Unsafe);
-        assert!(sent(&actions).is_none() && !actions.contains(&Action::Cancel { id, attempt: 0 }));
+    assert!(destination(&actions).is_some());
+    for hedging in [true, false] {
+        let (_, id, actions) = unresponsive_replica(hedging, Effect::Unsafe);
+        assert!(destination(&actions).is_none() && !actions.contains(&Action::Cancel { id, attempt: 0 }));
     }
 }
 
 #[test]
-fn the_first_token_calls_the_other_copies_off() {
-    // Regression (busy scenarios): the other attempt was read to its end although its response was not forwarded.
-    let (mut bench, id, actions) = unresponsive_replica(true, Effect::Safe);
-    assert!(sent(&actions).is_some());
-    let actions = bench.handle(Event::FirstToken { id, attempt: 1, elapsed: MILLI });
+fn the_first_token_cancels_the_other_attempts() {
+    // Regression (busy scenarios): the other attempt was read to its end although its response was not
+    // forwarded.
+    let (mut gateway, id, actions) = unresponsive_replica(true, Effect::Safe);
+    assert!(destination(&actions).is_some());
+    let actions = gateway.handle(Event::FirstToken { id, attempt: 1, elapsed: MILLI });
     assert_eq!(actions, [Action::Cancel { id, attempt: 0 }]);
 }
 
 /// A gateway that may send hedged requests and has served some sessions.
-fn with_copies(replicas: usize, sessions: u64) -> Bench {
+fn hedging_gateway(replicas: usize, sessions: u64) -> TestGateway {
     let mut settings = settings(Effect::Safe);
     settings.limits.hedging = true;
-    let mut bench = Bench::new(settings, &members(replicas));
+    let mut gateway = TestGateway::new(settings, &members(replicas));
     for session in 0..sessions {
-        bench.served(session, None);
+        gateway.serve(session, None);
     }
-    bench
+    gateway
 }
 
 #[test]
-fn a_single_slow_attempt_is_waited_for() {
-    // Regression: hedged requests within a budget of a tenth of all requests cost more in an overload than they
-    // gained.
-    let mut bench = with_copies(10, 100);
-    bench.request(1000, None);
-    assert!(sent(&bench.pass(4 * SECOND)).is_none());
+fn a_single_slow_attempt_causes_no_hedged_request() {
+    // Regression: hedged requests within a budget of a tenth of all requests cost more in an overload than
+    // they gained.
+    let mut gateway = hedging_gateway(10, 100);
+    gateway.request(1000, None);
+    assert!(destination(&gateway.advance(4 * SECOND)).is_none());
 }
 
-// ---- outlier ejection -------------------------------------------------------------------------------------
+// ---- outlier ejection -----------------------------------------------------------------------------------
 
-/// A gateway whose replicas responded to two requests per second each for ten seconds, and the replica of the first
-/// session.
-fn answering(replicas: u64) -> (Bench, String) {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(replicas as usize));
-    let home = bench.served(1, None).expect("sent");
+/// A gateway whose replicas responded to two requests per second each for ten seconds, and the replica of
+/// the first session.
+fn responsive_replicas(replicas: u64) -> (TestGateway, String) {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(replicas as usize));
+    let home = gateway.serve(1, None).expect("sent");
     for session in 0..20 * replicas {
-        bench.pass(500 * MILLI / replicas);
-        bench.served(session, None);
+        gateway.advance(500 * MILLI / replicas);
+        gateway.serve(session, None);
     }
-    (bench, home)
+    (gateway, home)
 }
 
-/// One more request of the first session: if it goes to `home`, that attempt fails and another replica responds.
-fn error_at(bench: &mut Bench, home: &str) {
-    let (id, actions) = bench.request(1, None);
-    if sent(&actions).as_deref() == Some(home) {
-        bench.outcome(id, Verdict::Error);
+/// One more request of the first session: if it goes to `home`, that attempt fails and another replica
+/// responds.
+fn error_from(gateway: &mut TestGateway, home: &str) {
+    let (id, actions) = gateway.request(1, None);
+    if destination(&actions).as_deref() == Some(home) {
+        gateway.outcome(id, Verdict::Error);
     }
-    bench.outcome(id, Verdict::Ok);
-    bench.pass(125 * MILLI);
+    gateway.outcome(id, Verdict::Ok);
+    gateway.advance(125 * MILLI);
 }
 
 #[test]
-fn errors_among_many_answers_are_chance_and_many_of_them_eject() {
-    let (mut bench, home) = answering(4);
-    (0..3).for_each(|_| error_at(&mut bench, &home));
-    assert_eq!(bench.served(1, None).as_ref(), Some(&home), "three in a row, after a score of answers");
-    (0..30).for_each(|_| error_at(&mut bench, &home));
-    assert_ne!(bench.served(1, None).as_ref(), Some(&home), "ejected");
+fn few_errors_among_many_responses_do_not_eject_but_many_do() {
+    let (mut gateway, home) = responsive_replicas(4);
+    (0..3).for_each(|_| error_from(&mut gateway, &home));
+    assert_eq!(gateway.serve(1, None).as_ref(), Some(&home), "three errors in a row after many responses");
+    (0..30).for_each(|_| error_from(&mut gateway, &home));
+    assert_ne!(gateway.serve(1, None).as_ref(), Some(&home), "ejected");
 }
 
 #[test]
-fn a_replica_that_fails_half_is_ejected_and_one_good_trial_does_not_restore_it() {
-    // Regression (second deployment): where every second request failed, three errors in a row were rare, and any
-    // first token reset the count, so that a tenth of all attempts met an error.
-    let (mut bench, home) = answering(4);
-    let at_home = |bench: &mut Bench, verdict: Verdict| {
-        let (id, actions) = bench.request(1, None);
-        let there = sent(&actions).as_deref() == Some(&*home);
+fn a_replica_with_half_its_attempts_failing_is_ejected() {
+    // Regression (second deployment): where every second request failed, three errors in a row were rare,
+    // and any first token reset the count, so that a tenth of all attempts met an error.
+    let (mut gateway, home) = responsive_replicas(4);
+    let request_to_home = |gateway: &mut TestGateway, verdict: Verdict| {
+        let (id, actions) = gateway.request(1, None);
+        let there = destination(&actions).as_deref() == Some(&*home);
         if there {
-            bench.outcome(id, verdict);
+            gateway.outcome(id, verdict);
         }
         if verdict != Verdict::Ok || !there {
-            bench.outcome(id, Verdict::Ok);
+            gateway.outcome(id, Verdict::Ok);
         }
-        bench.pass(125 * MILLI);
+        gateway.advance(125 * MILLI);
         there
     };
-    let met = (0..80).filter(|n| at_home(&mut bench, [Verdict::Error, Verdict::Ok][n % 2])).count();
-    assert!(met < 60, "{met} of 80 met it");
-    assert!(!at_home(&mut bench, Verdict::Ok), "ejected");
+    let met =
+        (0..80).filter(|n| request_to_home(&mut gateway, [Verdict::Error, Verdict::Ok][n % 2])).count();
+    assert!(met < 60, "{met} of 80 requests met the failing replica");
+    assert!(!request_to_home(&mut gateway, Verdict::Ok), "ejected");
     // Successful trials are repeated until they outweigh the failures.
     let mut trials = 0;
-    while !(at_home(&mut bench, Verdict::Ok) && bench.served(1, None).as_ref() == Some(&home)) || trials < 2
+    while !(request_to_home(&mut gateway, Verdict::Ok) && gateway.serve(1, None).as_ref() == Some(&home))
+        || trials < 2
     {
         trials += 1;
-        bench.pass(SECOND);
-        assert!(trials < 40, "it never comes back");
+        gateway.advance(SECOND);
+        assert!(trials < 40, "not readmitted");
     }
 }
 
 #[test]
-fn a_replica_that_is_slow_but_answers_is_not_taken_for_a_hung_one() {
-    // Regression (second deployment, low load): with prompts whose prefill takes a second, two requests waited for
-    // half of the latency target. Their replica was ejected, and the others had to prefill its sessions again.
-    let (mut bench, home) = answering(2);
+fn a_slow_replica_that_responds_is_not_ejected() {
+    // Regression (second deployment, low load): with prompts whose prefill takes a second, two requests
+    // waited for half of the latency target. Their replica was ejected, and the others had to prefill its
+    // sessions again.
+    let (mut gateway, home) = responsive_replicas(2);
     for _ in 0..4 {
-        let begin = |bench: &mut Bench, id| {
-            bench.handle(Event::FirstToken { id, attempt: 0, elapsed: MILLI });
-            bench.outcome(id, Verdict::Ok);
+        let begin = |gateway: &mut TestGateway, id| {
+            gateway.handle(Event::FirstToken { id, attempt: 0, elapsed: MILLI });
+            gateway.outcome(id, Verdict::Ok);
         };
-        let ask = |bench: &mut Bench| {
-            let (id, actions) = bench.request(1, None);
-            assert_eq!(sent(&actions).as_ref(), Some(&home), "it stays");
+        let send_first = |gateway: &mut TestGateway| {
+            let (id, actions) = gateway.request(1, None);
+            assert_eq!(destination(&actions).as_ref(), Some(&home), "the session stays at its replica");
             id
         };
-        let before = ask(&mut bench);
-        let waiting = [(); 3].map(|()| ask(&mut bench));
-        bench.pass(200 * MILLI);
-        begin(&mut bench, before);
-        let actions = bench.pass(600 * MILLI);
-        assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "nothing is called off");
-        waiting.iter().for_each(|id| begin(&mut bench, *id));
+        let before = send_first(&mut gateway);
+        let waiting = [(); 3].map(|()| send_first(&mut gateway));
+        gateway.advance(200 * MILLI);
+        begin(&mut gateway, before);
+        let actions = gateway.advance(600 * MILLI);
+        assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "no attempt is cancelled");
+        waiting.iter().for_each(|id| begin(&mut gateway, *id));
     }
 }
 
 #[test]
-fn a_busy_replica_that_falls_silent_is_ejected_by_the_answers_that_are_missing() {
-    // Regression: the number of missing responses needed for an ejection must not grow with the number of earlier
-    // responses, which is large here.
-    let (mut bench, home) = answering(4);
-    let mut silent = 0;
-    while sent(&bench.request(1, None).1).as_ref() == Some(&home) {
-        silent += 1;
-        bench.pass(250 * MILLI);
-        assert!(silent < 14, "it is still sent requests after {silent} that it did not answer");
-        (100..104).for_each(|session| drop(bench.served(session, None).filter(|at| *at != home)));
+fn a_busy_replica_is_ejected_when_its_responses_stop() {
+    // Regression: the number of missing responses needed for an ejection must not grow with the number of
+    // earlier responses, which is large here.
+    let (mut gateway, home) = responsive_replicas(4);
+    let mut unanswered = 0;
+    while destination(&gateway.request(1, None).1).as_ref() == Some(&home) {
+        unanswered += 1;
+        gateway.advance(250 * MILLI);
+        assert!(unanswered < 14, "still gets requests after {unanswered} without a response");
+        (100..104).for_each(|session| drop(gateway.serve(session, None).filter(|at| *at != home)));
     }
 }
 
 #[test]
-fn a_gateway_that_meets_each_replica_seldom_ejects_one_at_the_first_failure() {
-    // Regression (scenario zone+vast): four slow replicas timed out three quarters of their attempts, but none of a
-    // hundred gateways saw three timeouts in a row.
-    let mut bench = with_copies(40, 20);
-    let (id, actions) = bench.request(1000, None);
-    let slow = sent(&actions).expect("sent");
-    let copy = sent(&bench.pass(SECOND)).expect("a copy goes elsewhere");
-    assert_ne!(copy, slow);
-    bench.handle(Event::FirstToken { id, attempt: 1, elapsed: MILLI });
-    assert_ne!(bench.served(1000, None), Some(slow), "ejected");
+fn a_gateway_with_few_requests_ejects_at_the_first_failure() {
+    // Regression (scenario zone+vast): four slow replicas timed out three quarters of their attempts, but
+    // none of a hundred gateways saw three timeouts in a row.
+    let mut gateway = hedging_gateway(40, 20);
+    let (id, actions) = gateway.request(1000, None);
+    let slow = destination(&actions).expect("sent");
+    let second = destination(&gateway.advance(SECOND)).expect("a hedged request is sent");
+    assert_ne!(second, slow);
+    gateway.handle(Event::FirstToken { id, attempt: 1, elapsed: MILLI });
+    assert_ne!(gateway.serve(1000, None), Some(slow), "ejected");
 }
 
 #[test]
-fn full_is_no_failure() {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(4));
-    let busy = bench.served(1, None).expect("sent");
+fn a_full_replica_is_not_ejected() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(4));
+    let busy = gateway.serve(1, None).expect("sent");
     for _ in 0..5 {
-        let (id, _) = bench.request(1, None);
-        bench.outcome(id, Verdict::Full);
-        bench.outcome(id, Verdict::Ok);
+        let (id, _) = gateway.request(1, None);
+        gateway.outcome(id, Verdict::Full);
+        gateway.outcome(id, Verdict::Ok);
     }
-    assert_eq!(bench.served(1, None).as_ref(), Some(&busy));
+    assert_eq!(gateway.serve(1, None).as_ref(), Some(&busy));
 }
 
 #[test]
-fn when_most_seem_faulty_ejections_are_not_believed() {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(4));
+fn ejections_are_ignored_if_most_replicas_seem_faulty() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(4));
     for session in 0..100 {
-        let (id, _) = bench.request(session, None);
-        while !bench.answered.contains(&id.0) {
-            bench.outcome(id, Verdict::Error);
+        let (id, _) = gateway.request(session, None);
+        while !gateway.completed.contains(&id.0) {
+            gateway.outcome(id, Verdict::Error);
         }
     }
-    assert!(sent(&bench.request(1000, None).1).is_some());
+    assert!(destination(&gateway.request(1000, None).1).is_some());
 }
 
 #[test]
-fn a_cut_zone_is_left_alone_after_a_few_failed_connections() {
-    // Regression (scenarios with a zone that is cut off): half of all attempts went to unreachable replicas.
+fn an_unreachable_zone_is_avoided_after_few_failed_connections() {
+    // Regression (scenarios with a zone that is cut off): half of all attempts went to unreachable
+    // replicas.
     let mut list = members(40);
     for member in &mut list[20..] {
         member.zone = 1;
     }
     let far = |name: &str| list[20..].iter().any(|m| &*m.id.0 == name);
-    let mut bench = Bench::new(settings(Effect::Safe), &list);
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &list);
     let mut failures = 0;
     for session in 0..200 {
-        let (id, mut actions) = bench.request(session, None);
-        while sent(&actions).is_some_and(|s| far(&s)) {
+        let (id, mut actions) = gateway.request(session, None);
+        while destination(&actions).is_some_and(|s| far(&s)) {
             failures += 1;
-            actions = bench.outcome(id, Verdict::NoConnection);
+            actions = gateway.outcome(id, Verdict::NoConnection);
         }
-        bench.outcome(id, Verdict::Ok);
+        gateway.outcome(id, Verdict::Ok);
     }
     assert!((3..=4).contains(&failures), "{failures}");
-    bench.pass(5 * SECOND);
+    gateway.advance(5 * SECOND);
     // A trial that succeeds makes the zone available again.
-    let reached: usize = (0..200).filter(|s| bench.served(*s, None).is_some_and(|s| far(&s))).count();
+    let reached: usize = (0..200).filter(|s| gateway.serve(*s, None).is_some_and(|s| far(&s))).count();
     assert!(reached > 50, "{reached}");
 }
 
 #[test]
-fn a_trial_that_tells_nothing_does_not_shut_a_cut_zone_for_good() {
-    // Regression: a client that left during the trial of a zone left the trial marked as in flight, and no further
-    // trial was made.
+fn an_inconclusive_trial_does_not_exclude_a_zone_for_good() {
+    // Regression: a client that left during the trial of a zone left the trial marked as in flight, and no
+    // further trial was made.
     for verdict in [Verdict::Cancelled, Verdict::NotSent, Verdict::TimedOut, Verdict::Reset] {
         let mut list = members(40);
         list[20..].iter_mut().for_each(|member| member.zone = 1);
         let far = |name: &str| list[20..].iter().any(|m| &*m.id.0 == name);
-        let mut bench = Bench::new(settings(Effect::Safe), &list);
+        let mut gateway = TestGateway::new(settings(Effect::Safe), &list);
         for session in 0..200 {
-            let (id, mut actions) = bench.request(session, None);
-            while sent(&actions).is_some_and(|s| far(&s)) {
-                actions = bench.outcome(id, Verdict::NoConnection);
+            let (id, mut actions) = gateway.request(session, None);
+            while destination(&actions).is_some_and(|s| far(&s)) {
+                actions = gateway.outcome(id, Verdict::NoConnection);
             }
-            bench.outcome(id, Verdict::Ok);
+            gateway.outcome(id, Verdict::Ok);
         }
-        bench.pass(5 * SECOND);
+        gateway.advance(5 * SECOND);
         let (id, _) = (0..200)
-            .map(|s| bench.request(s, None))
-            .find(|(_, a)| far(&sent(a).expect("sent")))
+            .map(|s| gateway.request(s, None))
+            .find(|(_, a)| far(&destination(a).expect("sent")))
             .expect("a trial");
-        bench.handle(Event::Expired(id));
-        bench.outcome(id, verdict);
-        bench.pass(5 * SECOND);
-        let reached: usize = (0..200).filter(|s| bench.served(*s, None).is_some_and(|s| far(&s))).count();
+        gateway.handle(Event::Expired(id));
+        gateway.outcome(id, verdict);
+        gateway.advance(5 * SECOND);
+        let reached: usize = (0..200).filter(|s| gateway.serve(*s, None).is_some_and(|s| far(&s))).count();
         assert!(reached > 50, "{reached} after {verdict:?}");
     }
 }
 
-// ---- zones ------------------------------------------------------------------------------------------------
+// ---- zones ----------------------------------------------------------------------------------------------
 
 #[test]
-fn the_ring_is_one_whatever_the_zones() {
-    // Regression (busy scenarios): sessions that were kept in their gateway's zone overloaded it while replicas in
-    // other zones were idle.
+fn the_ring_does_not_depend_on_zones() {
+    // Regression (busy scenarios): sessions that were kept in their gateway's zone overloaded it while
+    // replicas in other zones were idle.
     let mut list = members(20);
     for member in &mut list[2..] {
         member.zone = 1;
     }
-    let mut bench = Bench::new(Settings { zone: Some(0), ..settings(Effect::Safe) }, &list);
-    let mut plain = Bench::new(settings(Effect::Safe), &members(20));
-    assert!((0..300).all(|s| bench.served(s, None) == plain.served(s, None)));
+    let mut gateway = TestGateway::new(Settings { zone: Some(0), ..settings(Effect::Safe) }, &list);
+    let mut plain = TestGateway::new(settings(Effect::Safe), &members(20));
+    assert!((0..300).all(|s| gateway.serve(s, None) == plain.serve(s, None)));
 }
 
 #[test]
-fn a_replica_that_lags_is_passed_over_while_others_answer() {
-    // Regression (replicas that vanish or pause): their arcs of the ring got requests until they were ejected.
-    let mut bench = Bench::new(settings(Effect::Safe), &members(4));
-    let (_, actions) = bench.request(0, Some(5));
-    let stuck = sent(&actions).expect("sent");
-    assert!((1..20).any(|s| bench.served(s, Some(5)).is_some_and(|r| r == stuck)), "an owner");
-    bench.now += 550 * MILLI;
-    assert!((1..40).all(|s| bench.served(s, Some(5)).is_some_and(|r| r != stuck)));
+fn a_lagging_replica_is_skipped_while_others_respond() {
+    // Regression (replicas that vanish or pause): their arcs of the ring got requests until they were
+    // ejected.
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(4));
+    let (_, actions) = gateway.request(0, Some(5));
+    let stuck = destination(&actions).expect("sent");
+    assert!((1..20).any(|s| gateway.serve(s, Some(5)).is_some_and(|r| r == stuck)), "an owner");
+    gateway.now += 550 * MILLI;
+    assert!((1..40).all(|s| gateway.serve(s, Some(5)).is_some_and(|r| r != stuck)));
 }
 
 #[test]
-fn what_would_wait_too_long_anyway_is_turned_down_at_once() {
-    // Regression (overload scenarios): requests were queued although the wait exceeded their latency target, and
-    // all of them were late.
-    let mut bench = Bench::new(settings(Effect::Safe), &members(1));
-    let (id, actions) = bench.request(0, None);
-    assert!(sent(&actions).is_some());
-    bench.now += 650 * MILLI;
-    let (_, actions) = bench.request(1, None);
-    assert!(sent(&actions).is_none() && refused(&actions), "{actions:?}");
-    bench.handle(Event::FirstToken { id, attempt: 0, elapsed: 0 });
-    assert!(sent(&bench.request(2, None).1).is_some(), "the queue moves again");
+fn a_request_that_would_wait_too_long_is_shed_at_once() {
+    // Regression (overload scenarios): requests were queued although the wait exceeded their latency
+    // target, and all of them were late.
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(1));
+    let (id, actions) = gateway.request(0, None);
+    assert!(destination(&actions).is_some());
+    gateway.now += 650 * MILLI;
+    let (_, actions) = gateway.request(1, None);
+    assert!(destination(&actions).is_none() && is_refused(&actions), "{actions:?}");
+    gateway.handle(Event::FirstToken { id, attempt: 0, elapsed: 0 });
+    assert!(destination(&gateway.request(2, None).1).is_some(), "admitted once the queue moves");
 }
 
 #[test]
-fn a_beginning_that_is_everywhere_goes_by_its_session() {
-    // Regression (fleet of 259 gateways): the ring walk of a popular prefix visited most replicas, which delayed the
-    // gateways.
+fn a_prefix_cached_everywhere_is_routed_by_session() {
+    // Regression (fleet of 259 gateways): the ring walk of a popular prefix visited most replicas, which
+    // delayed the gateways.
     let list = members(20);
-    let mut bench = Bench::new(settings(Effect::Safe), &list);
-    let mut plain = Bench::new(settings(Effect::Safe), &list);
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &list);
+    let mut plain = TestGateway::new(settings(Effect::Safe), &list);
     for session in 0..200 {
-        assert_eq!(bench.served(session, Some(5)), plain.served(session, None));
+        assert_eq!(gateway.serve(session, Some(5)), plain.serve(session, None));
     }
 }
 
-// ---- cold replicas ----------------------------------------------------------------------------------------
+// ---- cold replicas --------------------------------------------------------------------------------------
 
-/// Requests that the gateways of a group together send to a replica within 5 s of its cold start, and the mean number
-/// sent to a warm replica.
+/// Requests that the gateways of a group together send to a replica within 5 s of its cold start, and the
+/// mean number sent to a warm replica.
 fn cold_and_warm(units: UnitsMeaning, cold_units: f64, group: u32) -> (f64, f64) {
     let (mut cold, mut warm) = (0.0, 0.0);
     for me in 0..group {
         let settings = Settings { group_size: group, gateway_index: me, units, ..settings(Effect::Safe) };
         let balancer = LoadBalancer::new(settings, u64::from(me)).expect("good settings");
         let mut list = members(10);
-        let mut bench = Bench { balancer, ..Bench::new(self::settings(Effect::Safe), &[]) };
-        bench.list(ListKind::Persisted, &list);
+        let mut gateway = TestGateway { balancer, ..TestGateway::new(self::settings(Effect::Safe), &[]) };
+        gateway.list(ListKind::Persisted, &list);
         for session in 0..200 {
-            bench.served(session, Some(session % 3));
-            bench.now += 50 * MILLI;
+            gateway.serve(session, Some(session % 3));
+            gateway.now += 50 * MILLI;
         }
         let mut new = member(10);
-        (new.started, new.units) = (Some(bench.now), cold_units);
+        (new.started, new.units) = (Some(gateway.now), cold_units);
         list.push(new);
-        bench.list(ListKind::Changes, &list[10..]);
+        gateway.list(ListKind::Changes, &list[10..]);
         for session in 0..100 {
-            match bench.served(session, Some(session % 3)).as_deref() {
+            match gateway.serve(session, Some(session % 3)).as_deref() {
                 Some("replica-10") => cold += 1.0,
                 _ => warm += 0.1,
             }
-            bench.now += 50 * MILLI;
+            gateway.now += 50 * MILLI;
         }
     }
     (cold, warm)
 }
 
 #[test]
-fn a_cold_replica_gets_no_more_than_its_warmth_for_any_group_size() {
+fn a_cold_replica_is_within_its_capacity_for_any_group_size() {
     for group in [1, 4, 40] {
         let (cold, warm) = cold_and_warm(UnitsMeaning::None, 1.0, group);
-        assert!(cold < 0.6 * warm, "{group} gateways sent it {cold}, others {warm} each");
+        assert!(
+            cold < 0.6 * warm,
+            "{group} gateways sent {cold} to the cold replica, {warm} to each warm one"
+        );
     }
 }
 
 #[test]
-fn gateways_that_have_just_started_use_cold_replicas_within_the_bound() {
-    // Regression (scenario herd+vast): restarted gateways had no record of the load, so they sent almost nothing to
-    // cold replicas and overloaded the few warm ones. Here ten replicas serve 10 requests per second each, and half
-    // of them are cold.
+fn restarted_gateways_use_cold_replicas_within_the_bound() {
+    // Regression (scenario herd+vast): restarted gateways had no record of the load, so they sent almost
+    // nothing to cold replicas and overloaded the few warm ones. Here ten replicas serve 10 requests per
+    // second each, and half of them are cold.
     let tenants = vec![Tenant { share: 1.0, quota_per_s: Some(100.0) }];
     let settings = Settings { tenants, ..settings(Effect::Safe) };
     let cold = |n| Member { started: (n < 5).then_some(100 * SECOND), ..member(n) };
-    let mut fleet = fleet(&settings, &(0..10).map(cold).collect::<Vec<_>>());
+    let mut gateways = gateways(&settings, &(0..10).map(cold).collect::<Vec<_>>());
     let mut sent = [[0.0; 10]; 6];
     for (second, sent) in sent.iter_mut().enumerate() {
         // 80% of what the quotas permit.
-        for (n, bench) in fleet.iter_mut().enumerate().filter(|(n, _)| n % 5 != second) {
-            bench.now = (100 + second as u64) * SECOND + n as u64 * 10 * MILLI;
-            let to = bench.served((n * 6 + second) as u64, None).expect("somebody takes it");
+        for (n, gateway) in gateways.iter_mut().enumerate().filter(|(n, _)| n % 5 != second) {
+            gateway.now = (100 + second as u64) * SECOND + n as u64 * 10 * MILLI;
+            let to = gateway.serve((n * 6 + second) as u64, None).expect("admitted");
             sent[to.trim_start_matches("replica-").parse::<usize>().expect("a number")] += 1.0;
         }
     }
@@ -987,144 +1009,145 @@
 }
 
 #[test]
-fn an_empty_replica_does_not_look_large() {
-    // Regression (overload scenario): live units, which fall under load, gave an idle cold replica a multiple of its
-    // share.
+fn an_idle_replica_is_not_overestimated() {
+    // Regression (overload scenario): live units, which fall under load, gave an idle cold replica a
+    // multiple of its share.
     let (cold, warm) = cold_and_warm(UnitsMeaning::Live, 1.0, 10);
-    assert!(cold < 0.6 * warm, "sent it {cold}, others {warm} each");
+    assert!(cold < 0.6 * warm, "sent {cold} to the cold replica, {warm} to each warm one");
 }
 
-// ---- admission --------------------------------------------------------------------------------------------
+// ---- admission ------------------------------------------------------------------------------------------
 
 #[test]
-fn late_first_tokens_close_the_door_and_timely_ones_open_it() {
+fn late_first_tokens_cause_shedding_and_timely_ones_end_it() {
     // Regression (overload scenarios): all requests were admitted, and all of them were late.
-    let mut bench = Bench::new(settings(Effect::Safe), &members(4));
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(4));
     let mut refusals = 0;
     for session in 0..200 {
-        let (id, actions) = bench.request(session, None);
-        refusals += u32::from(refused(&actions));
-        bench.pass(100 * MILLI);
-        if !refused(&actions) {
-            bench.pass(1100 * MILLI);
-            let attempt = bench.attempts[&id.0] - 1;
-            bench.handle(Event::FirstToken { id, attempt, elapsed: SECOND });
-            bench.outcome_of(id, attempt, Verdict::Ok);
+        let (id, actions) = gateway.request(session, None);
+        refusals += u32::from(is_refused(&actions));
+        gateway.advance(100 * MILLI);
+        if !is_refused(&actions) {
+            gateway.advance(1100 * MILLI);
+            let attempt = gateway.attempts[&id.0] - 1;
+            gateway.handle(Event::FirstToken { id, attempt, elapsed: SECOND });
+            gateway.outcome_of_attempt(id, attempt, Verdict::Ok);
         }
     }
     assert!(refusals > 100, "{refusals}");
     for session in 0..3000 {
-        bench.served(session, None);
-        bench.now += 100 * MILLI;
+        gateway.serve(session, None);
+        gateway.now += 100 * MILLI;
     }
-    assert!((0..100).all(|s| bench.served(s, None).is_some()), "open again");
+    assert!((0..100).all(|s| gateway.serve(s, None).is_some()), "all are admitted again");
 }
 
 #[test]
-fn what_the_jam_turns_away_goes_to_cold_replicas_as_far_as_they_can_take_it() {
-    // Regression (scenario herd+mass): of 4,400 requests in flight, warm replicas had 65 each and cold ones 10, and
-    // admission control shed requests that the cold ones could have served.
+fn excess_load_goes_to_cold_replicas_up_to_their_capacity() {
+    // Regression (scenario herd+mass): of 4,400 requests in flight, warm replicas had 65 each and cold ones
+    // 10, and admission control shed requests that the cold ones could have served.
     let tenants = vec![Tenant { share: 1.0, quota_per_s: Some(1000.0) }];
     let settings = Settings { tenants, ..settings(Effect::Safe) };
-    let jam = |cold: usize| {
-        let mut bench = Bench::new(settings.clone(), &members(4));
+    let overload = |cold: usize| {
+        let mut gateway = TestGateway::new(settings.clone(), &members(4));
         for session in 0..12 {
-            let (id, actions) = bench.request(session, None);
-            bench.pass(1100 * MILLI);
-            if sent(&actions).is_some() {
-                bench.outcome_of(id, 0, Verdict::Ok);
+            let (id, actions) = gateway.request(session, None);
+            gateway.advance(1100 * MILLI);
+            if destination(&actions).is_some() {
+                gateway.outcome_of_attempt(id, 0, Verdict::Ok);
             }
         }
-        let now = bench.now;
+        let now = gateway.now;
         let fresh = (4..4 + cold).map(|n| Member { started: Some(now), ..member(n) }).collect::<Vec<_>>();
-        bench.list(ListKind::Changes, &fresh);
-        let (mut to_cold, mut turned_away) = (0, 0);
+        gateway.list(ListKind::Changes, &fresh);
+        let (mut to_cold, mut shed) = (0, 0);
         for session in 100..200 {
-            let (_, actions) = bench.request(session, None);
-            turned_away += u32::from(refused(&actions));
+            let (_, actions) = gateway.request(session, None);
+            shed += u32::from(is_refused(&actions));
             let new = |to: String| to["replica-".len()..].parse::<usize>().is_ok_and(|n| n >= 4);
-            to_cold += u32::from(sent(&actions).is_some_and(new));
-            bench.now += 5 * MILLI;
+            to_cold += u32::from(destination(&actions).is_some_and(new));
+            gateway.now += 5 * MILLI;
         }
-        (to_cold, turned_away)
+        (to_cold, shed)
     };
-    let (none, all) = jam(0);
-    assert!(none == 0 && all >= 70, "without cold ones the door is all but shut: {none} {all}");
-    let (some, fewer) = jam(4);
-    assert!(fewer + 10 <= all, "{some} went to cold ones, {fewer} of {all} turned away");
-    // Four of the eight replicas have a fifth of their capacity, and this gateway's part of 1,000 requests per second
-    // is a quarter. Twice the cold replicas' part of it is 12 or 13 per second for each, and one at once.
-    assert!((10..=28).contains(&some), "{some} went to cold ones in half a second");
+    let (none, all) = overload(0);
+    assert!(none == 0 && all >= 70, "without cold replicas nearly all are shed: {none} {all}");
+    let (some, fewer) = overload(4);
+    assert!(fewer + 10 <= all, "{some} went to cold replicas, {fewer} of {all} shed");
+    // Four of the eight replicas have a fifth of their capacity, and this gateway's part of 1,000 requests
+    // per second is a quarter. Twice the cold replicas' part of it is 12 or 13 per second for each, and one
+    // at once.
+    assert!((10..=28).contains(&some), "{some} went to cold replicas in half a second");
 }
 
 #[test]
-fn repeats_are_turned_away_before_first_tries() {
-    // Regression (overload scenarios): clients' retries, most of them past their latency target, kept the overload
-    // going.
-    let mut bench = Bench::new(settings(Effect::Safe), &members(4));
+fn retries_are_shed_before_first_attempts() {
+    // Regression (overload scenarios): clients' retries, most of them past their latency target, kept the
+    // overload going.
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(4));
     for session in 0..4 {
-        let (id, actions) = bench.request(session, None);
-        bench.pass(1100 * MILLI);
-        if sent(&actions).is_some() {
-            bench.outcome_of(id, 0, Verdict::Ok);
+        let (id, actions) = gateway.request(session, None);
+        gateway.advance(1100 * MILLI);
+        if destination(&actions).is_some() {
+            gateway.outcome_of_attempt(id, 0, Verdict::Ok);
         }
     }
     let mut counts = [0, 0];
     for (count, repeat) in counts.iter_mut().zip([false, true]) {
-        bench.is_retry = repeat;
-        *count = (0..300).filter(|s| refused(&bench.request(1000 + s, None).1)).count();
+        gateway.is_retry = repeat;
+        *count = (0..300).filter(|s| is_refused(&gateway.request(1000 + s, None).1)).count();
     }
     assert!(counts[0] > 0 && counts[1] > counts[0] + 20 && counts[1] < 300, "{counts:?}");
 }
 
 #[test]
-fn in_a_jam_what_is_beyond_a_tenants_share_is_turned_away_first() {
-    // Regression (busy scenarios): requests beyond the share, worth a tenth, were admitted as readily as those within
-    // it.
+fn an_overload_first_sheds_requests_beyond_a_tenants_share() {
+    // Regression (busy scenarios): requests beyond the share, worth a tenth, were admitted as readily as
+    // those within it.
     let tenant = |quota| Tenant { share: 0.5, quota_per_s: Some(quota) };
     let mut settings = settings(Effect::Safe);
     settings.tenants = vec![tenant(10.0), tenant(10_000.0)];
-    let refusals = |jam: bool| {
-        let mut bench = Bench::new(settings.clone(), &members(4));
-        for session in 0..4 * u64::from(jam) {
-            let (id, actions) = bench.request(session, None);
-            bench.pass(1100 * MILLI);
-            if sent(&actions).is_some() {
-                bench.outcome_of(id, 0, Verdict::Ok);
+    let refusals = |overload: bool| {
+        let mut gateway = TestGateway::new(settings.clone(), &members(4));
+        for session in 0..4 * u64::from(overload) {
+            let (id, actions) = gateway.request(session, None);
+            gateway.advance(1100 * MILLI);
+            if destination(&actions).is_some() {
+                gateway.outcome_of_attempt(id, 0, Verdict::Ok);
             }
         }
         [0, 1].map(|tenant| {
-            bench.tenant = Some(tenant);
-            let turned_away = |s: &u64| {
-                bench.now += MILLI;
-                refused(&bench.request(1000 + s, None).1)
+            gateway.tenant = Some(tenant);
+            let shed = |s: &u64| {
+                gateway.now += MILLI;
+                is_refused(&gateway.request(1000 + s, None).1)
             };
-            (0..300).filter(turned_away).count()
+            (0..300).filter(shed).count()
         })
     };
     let [over, within] = refusals(true);
     assert!(over > 280 && within < 280, "{over} {within}");
-    assert_eq!(refusals(false), [0, 0], "no door where there is no jam");
+    assert_eq!(refusals(false), [0, 0], "no shedding without an overload");
 }
 
-// ---- determinism ------------------------------------------------------------------------------------------
+// ---- determinism ----------------------------------------------------------------------------------------
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut bench = Bench::new(settings(Effect::Safe), &members(12));
+        let mut gateway = TestGateway::new(settings(Effect::Safe), &members(12));
         let mut all = Vec::new();
         let mut state = 1u64;
         for session in 0..600 {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            let (id, actions) = bench.request(session % 50, (session % 3 == 0).then_some(session % 7));
-            let out = sent(&actions).is_some();
+            let (id, actions) = gateway.request(session % 50, (session % 3 == 0).then_some(session % 7));
+            let out = destination(&actions).is_some();
             all.extend(actions);
             if out && state >> 62 != 0 {
                 let verdict = [Verdict::Ok, Verdict::Error, Verdict::Full, Verdict::Reset];
-                all.extend(bench.outcome(id, verdict[(state >> 40) as usize % 4]));
+                all.extend(gateway.outcome(id, verdict[(state >> 40) as usize % 4]));
             }
-            all.extend(bench.pass(20 * MILLI));
+            all.extend(gateway.advance(20 * MILLI));
         }
         all
     };
@@ -1132,48 +1155,49 @@
 }
 
 #[test]
-fn every_request_is_answered_once_whatever_happens() {
+fn every_request_is_completed_exactly_once() {
     for effect in [Effect::Safe, Effect::Unsafe, Effect::Keyed { scope: Scope::Zone, window: SECOND }] {
-        let mut bench = Bench::new(settings(effect), &members(6));
+        let mut gateway = TestGateway::new(settings(effect), &members(6));
         let mut state = 3u64;
         for session in 0..500 {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            let (id, actions) = bench.request(session, Some(session % 5));
-            if sent(&actions).is_some() {
+            let (id, actions) = gateway.request(session, Some(session % 5));
+            if destination(&actions).is_some() {
                 let verdicts = [Verdict::Error, Verdict::Full, Verdict::Reset, Verdict::NoConnection];
-                bench.outcome(id, verdicts[(state >> 40) as usize % 4]);
+                gateway.outcome(id, verdicts[(state >> 40) as usize % 4]);
             }
             if session % 50 == 0 {
-                bench.list(ListKind::Complete, &members(6)[(state >> 33) as usize % 5..]);
+                gateway.list(ListKind::Complete, &members(6)[(state >> 33) as usize % 5..]);
             }
-            bench.pass(30 * MILLI);
+            gateway.advance(30 * MILLI);
         }
-        bench.pass(10 * SECOND);
-        assert_eq!(bench.answered.len(), 500, "{effect:?}");
+        gateway.advance(10 * SECOND);
+        assert_eq!(gateway.completed.len(), 500, "{effect:?}");
     }
 }
 
 #[test]
-fn replicas_that_are_gone_leave_their_places_to_new_ones() {
-    let mut bench = Bench::new(settings(Effect::Safe), &members(4));
-    let (waiting, actions) = bench.request(1, None);
-    let first = sent(&actions).expect("sent");
+fn slots_of_gone_replicas_are_reused() {
+    let mut gateway = TestGateway::new(settings(Effect::Safe), &members(4));
+    let (waiting, actions) = gateway.request(1, None);
+    let first = destination(&actions).expect("sent");
     for n in 4..200 {
         let leaves = Member { phase: Phase::Gone, ..member(n - 4) };
-        bench.list(ListKind::Changes, &[member(n), leaves]);
-        let sent = bench.served(n as u64, None).expect("served");
+        gateway.list(ListKind::Changes, &[member(n), leaves]);
+        let sent = gateway.serve(n as u64, None).expect("served");
         assert!((n - 3..=n).any(|ready| member(ready).id.0.to_string() == sent));
     }
-    assert!(bench.balancer.replica_slots() <= 6, "{} places", bench.balancer.replica_slots());
-    // A replica that a pending request refers to keeps its slot: a late outcome must not be counted for another one.
+    assert!(gateway.balancer.replica_slots() <= 6, "{} slots", gateway.balancer.replica_slots());
+    // A replica that a pending request refers to keeps its slot: a late outcome must not be counted for
+    // another one.
     assert!(!(196..200).any(|ready| member(ready).id.0.to_string() == first));
-    assert!(sent(&bench.outcome(waiting, Verdict::Reset)).is_some(), "tried elsewhere");
+    assert!(destination(&gateway.outcome(waiting, Verdict::Reset)).is_some(), "retried at another replica");
 }
 
-// ---- source files of the load balancer --------------------------------------------------------------------
+// ---- source files of the load balancer ------------------------------------------------------------------
 
 /// The source files of the load balancer, in the order of `deploy/balancer.toml`.
-const MODULE: [(&str, &str); 7] = [
+const BALANCER_SOURCES: [(&str, &str); 7] = [
     ("crates/load-balancer/src/balancer.rs", include_str!("../crates/load-balancer/src/balancer.rs")),
     (
         "crates/load-balancer/src/balancer/admission.rs",
@@ -1202,43 +1226,43 @@
 ];
 
 #[test]
-fn the_module_stays_short() {
-    let lines = || MODULE.iter().flat_map(|(_, text)| text.lines());
+fn the_balancer_sources_stay_short() {
+    let lines = || BALANCER_SOURCES.iter().flat_map(|(_, text)| text.lines());
     assert!(lines().filter(|l| !l.trim().is_empty()).count() <= 950);
     assert!(lines().all(|l| l.chars().count() <= 110));
-    assert!(MODULE[0].1.lines().take(3).any(|l| l.contains("crates/load-balancer/src/types.rs")));
+    assert!(BALANCER_SOURCES[0].1.lines().take(3).any(|l| l.contains("crates/load-balancer/src/types.rs")));
 }
 
 #[test]
-fn all_parts_of_the_module_are_named_as_policy() {
+fn the_policy_setting_names_all_balancer_sources() {
     let deploy = include_str!("../deploy/balancer.toml");
     let policy = deploy.lines().find(|line| line.starts_with("policy = ")).expect("a policy");
     let named: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
-    assert_eq!(named, MODULE.map(|(path, _)| path));
+    assert_eq!(named, BALANCER_SOURCES.map(|(path, _)| path));
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/crates/load-balancer/src/balancer");
-    let files = std::fs::read_dir(folder).expect("the module's folder").count();
-    assert_eq!(files + 1, MODULE.len());
+    let files = std::fs::read_dir(folder).expect("the balancer's directory").count();
+    assert_eq!(files + 1, BALANCER_SOURCES.len());
 }
 
 #[test]
-fn a_request_that_was_turned_away_until_its_deadline_is_refused_and_one_that_may_run_yet_fails() {
-    for (effect, turned_away) in
+fn a_request_at_its_deadline_fails_only_if_it_may_have_run() {
+    for (effect, shed) in
         [(Effect::Safe, true), (Effect::Unsafe, true), (Effect::Safe, false), (Effect::Unsafe, false)]
     {
-        let mut bench = Bench::new(settings(effect), &members(1));
-        let (id, mut all) = bench.request(1, None);
-        assert!(sent(&all).is_some());
-        if turned_away {
-            all = bench.outcome(id, Verdict::Full);
+        let mut gateway = TestGateway::new(settings(effect), &members(1));
+        let (id, mut all) = gateway.request(1, None);
+        assert!(destination(&all).is_some());
+        if shed {
+            all = gateway.outcome(id, Verdict::Full);
         }
         // Any further attempts end the same way.
         for _ in 0..600 {
-            let passed = bench.pass(SECOND / 100);
-            if turned_away && sent(&passed).is_some() {
-                all.extend(bench.outcome(id, Verdict::Full));
+            let passed = gateway.advance(SECOND / 100);
+            if shed && destination(&passed).is_some() {
+                all.extend(gateway.outcome(id, Verdict::Full));
             }
             all.extend(passed);
         }
-        assert_eq!((refused(&all), failed(&all)), (turned_away, !turned_away), "{effect:?}: {all:?}");
+        assert_eq!((is_refused(&all), is_failed(&all)), (shed, !shed), "{effect:?}: {all:?}");
     }
 }
