--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -1,5 +1,5 @@
-//! Clients that go: nothing is sent on for one that has closed, reset or cancelled its request. What counts is when a
-//! request's last byte reaches a replica, against the instant in which its client left.
+//! A request whose client has closed, reset or half-closed its connection must not be sent to a replica any
+//! more. The tests compare when the last byte of a request reached a replica with when its client left.
 
 mod support;
 
@@ -18,13 +18,13 @@
 use support::*;
 use tulipridge::admission::pipelined::{Bounds, Disposition, PipelinedInput};
 
-/// No attempt's last byte may arrive later after its client's leaving. Whatever a test provokes is due three times
-/// later at the least, so that a busy machine makes no difference.
+/// Maximum time from a client's departure to the last byte of an attempt. The tests provoke attempts after
+/// at least three times this delay, so that a busy machine makes no difference.
 const BOUND: Duration = Duration::from_millis(100);
 const WAYS: [Way; 3] = [Way::Close, Way::Reset, Way::HalfClose];
-/// The id of a request that lies behind another's is that one's and this.
+/// Added to the id of a request to get the id of the request pipelined behind it.
 const BEHIND: u64 = 0x1000;
-/// More than a connection's buffers hold, and less than a request may.
+/// Larger than a connection's buffers, and below the limit of a request's size.
 const LARGE: usize = 200 << 10;
 
 /// How a client leaves.
@@ -32,15 +32,15 @@
 enum Way {
     Close,
     Reset,
-    /// It ends its sending only. Nobody can tell that from a close before something is written to it.
+    /// Only the sending side is shut down. This cannot be told from a close until something is written.
     HalfClose,
 }
 
-/// Clients that have left, each with when.
+/// Departed clients, with the time of their departure.
 #[derive(Default)]
 struct Left {
     at: BTreeMap<u64, Instant>,
-    /// What is left of a connection is kept for as long as the test lasts.
+    /// Half-closed connections, kept open until the test ends.
     halves: Vec<TcpStream>,
 }
 
@@ -53,7 +53,7 @@
                 drop(stream);
             }
             Way::HalfClose => {
-                // A flood may have been ended before.
+                // The gateway may already have closed the connection of a flooding client.
                 let _ = stream.shutdown(Shutdown::Write);
                 self.halves.push(stream);
             }
@@ -61,13 +61,13 @@
         self.at.insert(id, Instant::now());
     }
 
-    /// Those whose further request lay behind the one that they waited for, by that one's id.
+    /// The same departures, under the ids of the pipelined requests.
     fn behind(&self) -> Left {
         Left { at: self.at.iter().map(|(id, at)| (id + BEHIND, *at)).collect(), halves: Vec::new() }
     }
 }
 
-/// A request as bytes, with a body that is longer by `padding`.
+/// A request as bytes, with `padding` further bytes in its body.
 fn bytes(front: &str, class: &str, id: u64, padding: usize) -> Vec<u8> {
     let more = if front == "messages" { format!("X-Request-Id: {id:016x}\r\n") } else { String::new() };
     let (head, body) = request(front, class, 9000, id as usize, &more);
@@ -76,7 +76,7 @@
     (head.replace(&length(&body), &length(&longer)) + &longer).into_bytes()
 }
 
-/// What a stand-in does with a request: of this number at it, and with this id.
+/// What a replica does with a request. Arguments: stream, number of the request on its connection, id.
 type Work = dyn Fn(&mut TcpStream, usize, u64) -> Option<()> + Send + Sync;
 
 const FULL: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
@@ -90,18 +90,18 @@
     stream.write_all(words.as_bytes()).ok()
 }
 
-/// Waits for the end of a connection on which an answer is due.
+/// Waits until a connection ends without sending a response.
 fn hang(stream: &mut TcpStream) -> Option<()> {
     let _ = stream.read(&mut [0]);
     None
 }
 
-/// Replicas' notes: the ids of the requests that reached them, with when their last byte did.
+/// Requests that reached the replicas: each one's id and the arrival of its last byte.
 #[derive(Clone, Default)]
 struct Notes(Arc<Mutex<Vec<(u64, Instant)>>>);
 
 impl Notes {
-    /// A replica that listens already.
+    /// Starts a replica on an existing listener.
     fn listen(&self, listener: TcpListener, work: Arc<Work>) {
         let notes = self.clone();
         thread::spawn(move || {
@@ -124,7 +124,7 @@
         None
     }
 
-    /// A new replica: its address.
+    /// Starts a replica and returns its address.
     fn server(
         &self,
         work: impl Fn(&mut TcpStream, usize, u64) -> Option<()> + Send + Sync + 'static,
@@ -135,12 +135,13 @@
         addr
     }
 
-    /// When a request reached any replica.
+    /// Arrivals of a request at all replicas.
     fn of(&self, id: u64) -> Vec<Instant> {
         self.0.lock().expect("whole").iter().filter(|(other, _)| *other == id).map(|(_, at)| *at).collect()
     }
 
-    /// None of these was sent on more than the bound after its client had left, nor more often than this in all.
+    /// Checks for each departed client that its request was sent at most `most` times, and never later than
+    /// the bound after its departure.
     fn hold(&self, what: &str, left: &Left, most: usize) {
         for (id, left) in &left.at {
             let all = self.of(*id);
@@ -156,10 +157,10 @@
     addrs.iter().enumerate().map(|(n, addr)| entry_at(n, *addr, "ready", 0)).collect()
 }
 
-/// A gateway that has heard of these replicas.
+/// A gateway whose list has these replicas.
 fn gateway(addrs: &[SocketAddr], mut more: Value) -> Gateway {
     if more.get("promise_ms").is_none() {
-        // Guards against what the load balancer does about silence, where leaving is all that is looked at.
+        // With a long latency target, the load balancer does not react to missing responses.
         more["promise_ms"] = json!(9000);
     }
     Gateway::listed(entries(addrs), 3, (1024, 1024), more)
@@ -171,14 +172,14 @@
     stream
 }
 
-/// Clients of both fronts, one for each way to leave.
+/// Clients of both front APIs, one for each kind of departure.
 struct Crowd {
     leavers: Vec<(u64, Way, TcpStream)>,
     left: Left,
 }
 
 impl Crowd {
-    /// Their bytes are what `bytes` makes of front and id.
+    /// `bytes` makes the bytes that a client sends from its API and request id.
     fn new(gateway: &Gateway, bytes: impl Fn(&str, u64) -> Vec<u8>) -> Crowd {
         let mut leavers = Vec::new();
         for (f, front) in FRONTS.into_iter().enumerate() {
@@ -201,7 +202,7 @@
     }
 }
 
-/// A client that stays, which shows that there was something to be sent.
+/// A client that stays connected, to show that a departed client's request would have been sent.
 fn stays(gateway: &Gateway, front: &'static str, id: u64) -> thread::JoinHandle<Seen> {
     let stream = sent(gateway.front(front), &bytes(front, "plain", id, 0));
     thread::spawn(move || seen(front, stream).0)
@@ -209,7 +210,7 @@
 
 const STAYER: u64 = 0xabc;
 
-/// A gateway that stands still, as one that waits for a processor does, until this is dropped.
+/// A gateway process that is stopped until this is dropped, as if it got no processor time.
 struct Frozen<'a>(&'a Gateway);
 
 impl Frozen<'_> {
@@ -228,7 +229,8 @@
 #[test]
 fn in_a_retrys_wait_with_no_server_to_go_to() {
     for refused in [false, true] {
-        // The first attempt is turned away, or has no connection: that one's wait is for a first server.
+        // The first attempt is rejected, or finds no connection; then the request waits for its first
+        // replica.
         let notes = Notes::default();
         let (taken, nobody) = late::bound();
         let first = if refused { nobody } else { notes.server(|stream, _, _| say(stream, FULL)) };
@@ -251,7 +253,7 @@
 
 #[test]
 fn between_attempts_and_with_one_under_way() {
-    // A gateway that stood still learns of the failure and of the leaving together.
+    // A gateway that was stopped sees the failure and the departure together.
     for frozen in [false, true] {
         for failure in [ERROR, FULL, ""] {
             let notes = Notes::default();
@@ -280,7 +282,7 @@
 
 #[test]
 fn while_its_connection_to_a_real_server_comes_up() {
-    // The gateway stands still meanwhile, or doesn't.
+    // With and without a gateway that is stopped meanwhile.
     for frozen in [false, true] {
         let (notes, late) = (Notes::default(), late::Late::new());
         let gateway = gateway(&[late.addr], json!({"connect_timeout_ms": 2500}));
@@ -293,7 +295,7 @@
             late.open(),
             Arc::new(|stream: &mut TcpStream, _, _| say(stream, &complete_response())),
         );
-        // Its connections are up then, if they were not abandoned.
+        // By now its connections are established, unless they were abandoned.
         thread::sleep(ms(1200));
         drop(still);
         assert_eq!(stayer.join().expect("an answer"), Seen::Served("a".into()));
@@ -305,7 +307,7 @@
 #[test]
 fn while_its_request_is_written_to_a_real_server_that_does_not_read() {
     for frozen in [false, true] {
-        // It fits into what the system holds for the gateway's side, or not.
+        // A size that fits into the system's send buffer of the gateway, and one that does not.
         for padding in [30 << 10, LARGE] {
             let notes = Notes::default();
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -333,14 +335,15 @@
 
 #[test]
 fn behind_another_request_on_its_connection() {
-    // What the first one meets: an answer while its client is still there would set the second off.
+    // The outcome of the first request; if its client were still there, the second one would be sent after
+    // it.
     let all = [("whole", complete_response()), ("an error", ERROR.to_owned()), ("full", FULL.to_owned())]
         .map(|(what, answer)| thread::spawn(move || behind_one_that_meets(what, &answer)));
     all.into_iter().for_each(|one| one.join().expect("it holds"));
 }
 
 fn behind_one_that_meets(what: &str, answer: &str) {
-    // The second is so long; more than is kept of it hides the close.
+    // Padding of the second request. A close is not visible behind more bytes than are kept.
     for padding in [0, 20 << 10, LARGE] {
         for frozen in [false, true] {
             let (notes, answer) = (Notes::default(), answer.to_owned());
@@ -382,7 +385,7 @@
     };
     let gateway = gateway(&[server(), server(), server()], json!({}));
     let mut crowd = Crowd::new(&gateway, |front, id| bytes(front, "plain", id, 0));
-    // As much as the two systems take: requests of a pair, or noise.
+    // Each client sends as much as the socket buffers take: requests, or bytes that are not HTTP.
     for (n, (id, _, stream)) in crowd.leavers.iter_mut().enumerate() {
         let more = match n % 2 {
             0 => bytes(FRONTS[n / 3], "plain", *id + BEHIND, LARGE).repeat(30),
@@ -436,7 +439,7 @@
 #[test]
 fn one_that_sends_more_than_is_kept_is_answered_as_far_as_that_goes_and_one_that_floods_gets_413() {
     let notes = Notes::default();
-    // It never answers those that flood.
+    // Requests of flooding clients get no response.
     let server = notes.server(|stream, _, id| {
         if id % 0x11 == 3 {
             return hang(stream);
@@ -446,7 +449,7 @@
     });
     let gateway = gateway(&[server], json!({}));
     for (f, front) in FRONTS.into_iter().enumerate() {
-        // A whole further request is kept, and a part of the third, behind which the connection ends.
+        // A second request is kept completely, and the third in part, after which the connection ends.
         let id = 0x11 * (f as u64 + 1);
         let three: Vec<u8> =
             (0..3).flat_map(|n| bytes(front, "plain", id + n, LARGE * n.min(1) as usize)).collect();
@@ -459,7 +462,7 @@
             "{front}: two whole answers"
         );
         assert_eq!([0, 1, 2].map(|n| notes.of(id + n).len()), [1, 1, 0], "{front}");
-        // A flood ends, with what it had asked for.
+        // A client that floods gets an error for its open request, and its connection is closed.
         let mut stream = sent(gateway.front(front), &bytes(front, "plain", id + 3, 0));
         stream.write_all(&vec![b'x'; 6 << 20]).expect("no reset while it is sent");
         thread::sleep(ms(300));
@@ -472,7 +475,7 @@
 
 #[test]
 fn a_burst_of_leavers() {
-    // Before the news of a server to go to, which a gateway that stood still learns together with their leaving.
+    // The clients leave before a replica is listed; a gateway that was stopped sees both together.
     for frozen in [false, true] {
         let notes = Notes::default();
         let first = notes.server(|stream, _, _| say(stream, FULL));
@@ -506,7 +509,7 @@
     let notes = Notes::default();
     let server = notes.server(|stream, _, _| say(stream, &complete_response()));
     let gateway = gateway(&[server], json!({}));
-    // A connection to the replica lies ready.
+    // An idle connection to the replica is available.
     assert_eq!(stays(&gateway, "platform", STAYER).join().expect("an answer"), Seen::Served("a".into()));
     let rested: Vec<_> = FRONTS
         .map(|front| {
@@ -540,7 +543,7 @@
 }
 
 fn second_copy(frozen: bool) {
-    // The first of them falls silent after a while; the others answer.
+    // Later the first replica stops responding; the others respond.
     let (notes, mute) = (Notes::default(), Arc::new(Mutex::new(None::<Vec<u64>>)));
     let servers: Vec<_> = (0..6)
         .map(|n| {
@@ -561,8 +564,8 @@
         clients.insert(0x400 + n, sent(gateway.front(front), &bytes(front, "plain", 0x400 + n, 0)));
     }
     let from = Instant::now();
-    // A copy comes where no answer has come after 650 ms, once silence has shown that the replica is sick: what
-    // the first of them tell.
+    // A hedged request is sent after 650 ms without a response, once the missing responses to the first
+    // requests have shown that the replica is unresponsive.
     thread::sleep(ms(300));
     let silent = mute.lock().expect("whole").clone().expect("it is mute");
     assert!(silent.len() >= 6, "{silent:x?}");
@@ -616,12 +619,12 @@
             more,
             platform,
         ));
-        // It takes and gives streams then.
+        // From then on it accepts and hands over streams.
         eventually(|| call(gateway.mgmt.expect("it listens for calls"), "GET /ready") == 200);
         gateway
     };
     let mut old = start();
-    // The second is short, or longer than what is handed over.
+    // The second request is short, or longer than what is handed over.
     let mut clients: Vec<_> = (0..6)
         .map(|n| {
             let (id, way, padding) = (0x100 + n as u64, WAYS[n % 3], LARGE * (n / 3));
@@ -637,7 +640,7 @@
     eventually(|| new.logged(" handover ") > 0);
     let mut left = Left::default();
     clients.drain(..).for_each(|(id, way, stream)| left.go(id, way, stream));
-    // The streams end only now, which would be the turn of those behind them.
+    // The streams end only now; the pipelined requests would be next.
     thread::sleep(3 * BOUND);
     end.store(true, Ordering::SeqCst);
     thread::sleep(3 * BOUND);
@@ -648,8 +651,8 @@
     }
 }
 
-/// What is kept is the beginning of what came, without a gap, and within its bounds; a flood is told once more was
-/// dropped than one that has left can have left behind, and not before.
+/// Keeps a prefix of the received bytes without a gap and within the bounds. A flood is reported once more
+/// bytes are dropped than a departed client can have left in the buffers, and not before.
 fn kept_is_a_beginning(came: Vec<(u8, bool)>, cut: bool) {
     let bounds = Bounds { least: 100, most: 400, flood: 1000 };
     let mut pipelined = PipelinedInput::new(bounds, cut);
