--- a/tests/list_propagation.rs
+++ b/tests/list_propagation.rs
@@ -1,6 +1,7 @@
-//! When the list's news count as told, whether or not they arrived: nothing new may go to a drained replica
-//! after that and the grace. The gateway makes no call that may wait for a change (a watch is one answer that stays
-//! open), so of a call with a wait the plain bound holds: it is given up and made again, though it hang anywhere.
+//! Propagation of a drain from the list service: after the propagation deadline and the grace period, a
+//! drained replica gets no new request, even if the change did not reach the gateway. The gateway makes no
+//! long-polling calls: a watch is one response that stays open. A call that hangs is thus abandoned and
+//! repeated within the deadline, in whichever phase it hangs.
 
 mod support;
 
@@ -10,11 +11,11 @@
 
 use support::list_propagation::{Mood, Scene};
 
-/// What a silent watch misses counts as told so long after it fell silent.
+/// A change that an idle watch misses must be applied within this time after the watch became idle.
 const PROPAGATION_DEADLINE: Duration = Duration::from_secs(6);
-/// For the drain that comes amid a silence or an outage.
+/// Delay of a drain after the start of an idle phase or an outage.
 const AMID: Duration = Duration::from_millis(500);
-/// Discovery is down for so long: longer than a silence that is noticed.
+/// Length of an outage of the list service; longer than the timeout of an idle watch.
 const DOWN: Duration = Duration::from_secs(3);
 
 fn silent(way: &str) {
@@ -35,18 +36,18 @@
     silent("ask");
 }
 
-/// The watch is reset, and the call that follows hangs in that mood.
+/// The watch is reset, and the next call hangs as `behaviour` says.
 fn hanging(way: &str, mood: Mood) {
     let scene = Scene::new(way, 10, false, false);
     scene.lists.become_(Mood::Reset);
-    // Those that are open are reset by then; calls meanwhile are, too.
+    // By then open watches are reset. Calls made meanwhile are reset too.
     thread::sleep(Duration::from_millis(50));
     let from = scene.lists.become_(mood);
     support::eventually(|| scene.lists.calls_since(from) > 0);
     scene.lists.drain(0);
     thread::sleep(AMID);
     scene.lists.become_(Mood::Well);
-    // A second is left for the slot that a gateway of a larger group waits for.
+    // One second is reserved for the wait of a gateway in a larger group for its slot.
     scene.holds(&format!("{way}, {mood:?}"), from, PROPAGATION_DEADLINE - Duration::from_secs(1));
 }
 
@@ -57,11 +58,11 @@
     all.into_iter().flatten().for_each(|one| one.join().expect("it holds"));
 }
 
-/// Discovery is down in that mood, and a drain is made meanwhile.
+/// A drain during an outage of the list service.
 fn outage(way: &str, mood: Mood, counted: Duration) {
     let scene = Scene::new(way, 1, false, false);
     if way == "ask" {
-        // Watches end when it goes down.
+        // An outage ends open watches.
         scene.lists.become_(Mood::Reset);
         thread::sleep(Duration::from_millis(20));
     }
@@ -77,13 +78,15 @@
 
 #[test]
 fn pushed_what_the_agent_has_counts_at_once_after_an_outage() {
+    // The local agent already has the change, so no time is permitted for it.
     let all = DOWNS.map(|mood| thread::spawn(move || outage("push", mood, Duration::ZERO)));
     all.into_iter().for_each(|one| one.join().expect("it holds"));
 }
 
 #[test]
 fn asked_the_list_is_had_in_time_after_an_outage() {
-    // The settings of the test give 1 s for asking, and four times as much after a call that failed.
+    // The maximum age of the list is 1 s here, and the settings permit four times as much after a failed
+    // call.
     let all = DOWNS.map(|mood| thread::spawn(move || outage("ask", mood, Duration::from_secs(4))));
     all.into_iter().for_each(|one| one.join().expect("it holds"));
 }
@@ -101,7 +104,7 @@
 #[test]
 fn pushed_what_the_agent_has_counts_from_the_first_moment_of_a_process() {
     let scene = Scene::new("push", 10, false, true);
-    // It takes requests once it listens, which the machine's speed decides.
+    // The gateway takes requests once it listens, which depends on the speed of the machine.
     scene.holds("push, new process", Instant::now(), Duration::ZERO);
 }
 
@@ -117,22 +120,22 @@
     all.into_iter().for_each(|one| one.join().expect("it holds"));
 }
 
-/// The first and the last of a group of 300, whose slots lie at the ends of a window.
+/// The first and last gateway of a group of 300, whose slots are at the ends of the window.
 const ENDS: [(u32, u32); 2] = [(0, 300), (299, 300)];
 
-/// The plays of one such test at a time are enough for a small machine.
+/// Serializes the tests with groups of 300, which would overload a small machine if run at once.
 static ALONE: Mutex<()> = Mutex::new(());
 
-/// Plays it for both ends of a group, with waits that lie over a window of up to 5.5 s: each gateway calls in a slot
-/// that recurs on the clock that all share, and opens its first watch in it, so whether it comes late depends on when
-/// after that something happens.
+/// Runs the scenario for both ends of a group, after delays that cover a window of up to 5.5 s. Each
+/// gateway calls in a slot that recurs on a shared clock, and opens its first watch in it. Whether a call
+/// is late thus depends on when the event happens relative to the slot.
 fn at_any_instant(play: fn((u32, u32), Duration)) {
     let all = (0..7)
         .flat_map(|n| ENDS.map(|who| thread::spawn(move || play(who, Duration::from_millis(800) * n))));
     all_hold(all.collect());
 }
 
-/// Waits for all before it says that one didn't hold, so that none is left behind.
+/// Joins all threads before it fails, so that none continues to run.
 fn all_hold(all: Vec<thread::JoinHandle<()>>) {
     let ends: Vec<_> = all.into_iter().map(std::thread::JoinHandle::join).collect();
     let broken = ends.iter().filter(|end| end.is_err()).count();
@@ -152,7 +155,7 @@
     });
 }
 
-/// Discovery is down in that mood for long enough that calls fail, and a drain is made meanwhile.
+/// A drain during an outage that is long enough for calls to fail.
 fn outage_of_300(who: (u32, u32), mood: Mood, ask_within_s: u64, counted: Duration) {
     let scene = Scene::of(who, "ask", ask_within_s, false, false);
     scene.lists.become_(Mood::Reset);
@@ -161,11 +164,11 @@
     thread::sleep(AMID);
     scene.lists.drain(0);
     match mood {
-        // Nobody is there to see calls: longer than any gateway waits for its first slot.
+        // No calls are seen; this is longer than any gateway waits for its first slot.
         Mood::Away => thread::sleep(Duration::from_millis(6500)),
         _ => {
             support::eventually(|| scene.lists.calls_since(down) > 0);
-            // Not at the same time after a call for both.
+            // Different delays after a call for the two gateways.
             thread::sleep(AMID + Duration::from_millis(9) * who.0);
         }
     }
@@ -186,7 +189,8 @@
 #[test]
 fn asked_the_list_is_had_in_time_after_calls_that_hung_in_a_group_of_300() {
     let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    // Such a call may wait at a service that can't keep up, and the settings give four times as long after it: 12 s.
+    // Such a call may be queued at an overloaded service. The settings permit four times the maximum age
+    // after it: 12 s.
     let all = [Mood::Mute, Mood::HeadOnly].map(|mood| {
         ENDS.map(|who| thread::spawn(move || outage_of_300(who, mood, 3, Duration::from_secs(12))))
     });
@@ -198,7 +202,8 @@
     let scene = Scene::of((150, 300), "ask", 10, false, false);
     let from = scene.lists.lines_every(Duration::from_millis(2550));
     thread::sleep(Duration::from_secs(9));
-    // Three silences of 150 ms more than is waited for: the slot, which recurs after 3.1 s, lies in one at the most.
+    // Three times the watch is idle for 150 ms more than the timeout. The slot recurs after 3.1 s and is in
+    // at most one of these intervals.
     let calls = scene.lists.calls_since(from);
     assert!(calls <= 1, "{calls} calls");
     let from = scene.lists.drain(0);
--- a/tests/support/list_propagation.rs
+++ b/tests/support/list_propagation.rs
@@ -1,4 +1,5 @@
-//! A list service with moods, replicas that note when they were asked, and clients that keep asking.
+//! A list service with selectable faults, replicas that record the arrival of requests, and clients that
+//! send requests.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,44 +17,46 @@
     seen, send, text,
 };
 
-/// What the list service does with calls that come, and with watches that are open.
+/// What the list service does with calls and with open watches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Mood {
-    /// It answers at once.
+    /// Responds at once.
     Well,
-    /// Calls are taken and never answered; open watches fall silent for good.
+    /// Accepts calls without a response; open watches become idle for good.
     Mute,
-    /// The same after an answer's head.
+    /// Like `NoResponse`, after the head of a response.
     HeadOnly,
-    /// The same, with the head not before this many milliseconds.
+    /// Like `HeadOnly`, with the head sent after this many milliseconds.
     LateHead(u64),
-    /// Calls are reset, and so are open watches.
+    /// Resets calls and open watches.
     Reset,
-    /// Calls get 503, and open watches end.
+    /// Responds 503 to calls, and ends open watches.
     Sorry,
-    /// Calls get 503 and are asked to stay away for so many milliseconds, and open watches end.
+    /// Responds 503 to calls with a `Retry-After` of this many milliseconds, and ends open watches.
     Later(u64),
-    /// Nobody listens, and open watches are reset.
+    /// Does not listen, and resets open watches.
     Away,
 }
 
 struct Inside {
     mood: Mood,
-    /// Counts moods, so that a watch knows whether it is older than the present one.
+    /// Number of changes of the behaviour, by which a watch knows whether it was opened before the last
+    /// one.
     moods: usize,
     version: u64,
     servers: Vec<Value>,
-    /// When lists of that version or later were first written, and the paths of calls.
+    /// Time of each write of a list, with its version.
     written: Vec<(u64, Instant)>,
+    /// Time of each call.
     calls: Vec<Instant>,
-    /// A watch without news says an empty line so often.
+    /// Interval of the empty lines on a watch without changes.
     every: Duration,
 }
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 128;
 
-/// A socket at an address that others of this function may have too.
+/// Binds a socket with `SO_REUSEPORT` to an address that other such sockets may share.
 fn bound_socket(addr: SocketAddr) -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_reuse_port(true).expect("set");
@@ -61,7 +64,7 @@
     socket
 }
 
-/// The service.
+/// The list service.
 #[derive(Clone)]
 pub(crate) struct Lists {
     pub addr: SocketAddr,
@@ -70,7 +73,7 @@
 }
 
 impl Lists {
-    /// With these servers in version 2; `indented` says how its objects are written.
+    /// Starts a service with these replicas in version 2; `indented` is whether it writes indented JSON.
     pub(crate) fn new(servers: Vec<Value>, indented: bool) -> Lists {
         let reservation = bound_socket(SocketAddr::from(([127, 0, 0, 1], 0)));
         let addr = reservation.local_addr().expect("an address").as_socket().expect("of IP");
@@ -84,7 +87,8 @@
         lists
     }
 
-    /// `_reservation` keeps the port while nobody listens there: connections are refused, and no process is given it.
+    /// `_reservation` keeps the port while the service does not listen: connections are refused, and the
+    /// port is not assigned to another process.
     fn listen(self, _reservation: Socket, listener: TcpListener) {
         let mut open = Some(listener);
         loop {
@@ -117,29 +121,29 @@
         self.inside.lock().expect("whole")
     }
 
-    /// Changes its mood, and says when.
+    /// Sets the behaviour and returns the time.
     pub(crate) fn become_(&self, mood: Mood) -> Instant {
         let mut inside = self.inside();
         (inside.mood, inside.moods) = (mood, inside.moods + 1);
         Instant::now()
     }
 
-    /// Watches that are open fall silent, calls are answered as ever. Says since when.
+    /// Makes open watches idle, while calls get responses as before. Returns the time.
     pub(crate) fn make_watches_idle(&self) -> Instant {
         let from = self.become_(Mood::Mute);
-        // Each has seen it by then.
+        // By then each watch has seen the change.
         thread::sleep(Duration::from_millis(30));
         self.become_(Mood::Well);
         from
     }
 
-    /// Empty lines come so far apart from now on.
+    /// Sets the interval of empty lines. Returns the time.
     pub(crate) fn lines_every(&self, every: Duration) -> Instant {
         self.inside().every = every;
         Instant::now()
     }
 
-    /// One server drains from now on.
+    /// Drains a replica. Returns the time.
     pub(crate) fn drain(&self, n: usize) -> Instant {
         let mut inside = self.inside();
         inside.version += 1;
@@ -147,13 +151,13 @@
         Instant::now()
     }
 
-    /// When its present version was first written to anybody.
+    /// When the current version was first written to a caller.
     pub(crate) fn written(&self) -> Option<Instant> {
         let inside = self.inside();
         inside.written.iter().find(|(version, _)| *version >= inside.version).map(|(_, at)| *at)
     }
 
-    /// Calls that came since then.
+    /// Number of calls since `from`.
     pub(crate) fn calls_since(&self, from: Instant) -> usize {
         self.inside().calls.iter().filter(|at| **at >= from).count()
     }
@@ -197,7 +201,7 @@
             Mood::Mute | Mood::Away => {}
         }
         if mood != Mood::Well {
-            // Up to the caller's end.
+            // Until the caller closes the connection.
             let _ = message(&mut reader);
             return None;
         }
@@ -235,7 +239,7 @@
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// A replica that serves at once and notes when each request was there.
+/// A replica that responds at once and records the arrival of each request.
 pub(crate) fn noting() -> (Server, Arc<Mutex<Vec<Instant>>>) {
     let came: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let noted = came.clone();
@@ -247,7 +251,8 @@
     (server, came)
 }
 
-/// Two replicas, the first of which will drain, their list service, and a gateway whose clients keep asking.
+/// Two replicas, the first of which is drained, their list service, and a gateway with clients that send
+/// requests.
 pub(crate) struct Scene {
     pub lists: Lists,
     pub gateway: Gateway,
@@ -257,13 +262,13 @@
 }
 
 impl Scene {
-    /// `way` is how the settings say that lists come, and `ask_within_s` for how long it may go without asking. The
-    /// gateway knows both servers as ready, whatever the list says.
+    /// `way` is the discovery mode in the settings, and `ask_within_s` the maximum age of the list. The
+    /// gateway's persisted list has both replicas as ready, whatever the service's list has.
     pub(crate) fn new(way: &str, ask_within_s: u64, indented: bool, drained: bool) -> Scene {
         Scene::of((0, 1), way, ask_within_s, indented, drained)
     }
 
-    /// The same with a gateway of that number in a group of that size.
+    /// The same with a gateway of this index in a group of this size.
     pub(crate) fn of(
         (me, group): (u32, u32),
         way: &str,
@@ -282,7 +287,8 @@
         let gateway =
             Gateway::watched(Gateway::spawn_by("n0", "platform", servers, 3, (1024, 1024), more, platform));
         let over = Arc::new(AtomicBool::new(false));
-        // Many scenes are played at a time: with shorter pauses a busy machine answers so slowly that gateways shed.
+        // Many scenarios run at once. With shorter pauses, a busy machine is so slow that gateways shed
+        // load.
         let pause = Duration::from_millis(25);
         let (front, next) = (gateway.front("platform"), Arc::new(AtomicUsize::new(1)));
         let clients = (0..3).map(|_| {
@@ -308,21 +314,22 @@
         scene
     }
 
-    /// Requests that reached a server, or did so after a moment.
+    /// Number of requests that reached a replica, since `from` if it is given.
     pub(crate) fn since(&self, n: usize, from: Option<Instant>) -> usize {
         let came = self.came[n].lock().expect("whole");
         came.iter().filter(|at| from.is_none_or(|from| **at > from)).count()
     }
 
-    /// Waits until the drain was written, and for some time after its grace and the moment at which it counts as
-    /// told; then, nothing may have gone to the drained server after that moment and the grace, while the other one
-    /// was asked. Says how long after `from` it was written.
+    /// Waits until the drain is written, and for some time after the propagation deadline and the grace
+    /// period. Checks that the drained replica got no requests after that, while the other one did. Returns
+    /// the time from `from` until the drain was written.
     pub(crate) fn holds(mut self, what: &str, from: Instant, counted: Duration) -> Duration {
         eventually(|| self.lists.written().is_some());
         let written = self.lists.written().expect("just seen");
         let due = from + counted + GRACE + SLACK;
         let until = due.max(written + GRACE) + Duration::from_millis(300);
-        // What is told early is kept to early: there is nothing to see in the rest of the time.
+        // A drain that was written early is also obeyed early; there is nothing to see in the remaining
+        // time.
         let until = until.min(written + GRACE + Duration::from_millis(500)).max(Instant::now());
         thread::sleep(until - Instant::now());
         self.over.store(true, Ordering::SeqCst);
@@ -339,7 +346,7 @@
     }
 }
 
-/// The time that the settings give after a drain is told.
+/// Grace period of a drain in the settings.
 pub(crate) const GRACE: Duration = Duration::from_millis(250);
-/// For a machine that does other work beside.
+/// Allowance for other load on the machine.
 pub(crate) const SLACK: Duration = Duration::from_millis(100);
