--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -20,39 +20,40 @@
 
 /// Maximum time from a client's departure to the last byte of an attempt. The tests provoke attempts after
 /// at least three times this delay, so that a busy machine makes no difference.
-const BOUND: Duration = Duration::from_millis(100);
-const WAYS: [Way; 3] = [Way::Close, Way::Reset, Way::HalfClose];
+const MAX_SEND_DELAY: Duration = Duration::from_millis(100);
+const DEPARTURES: [Departure; 3] = [Departure::Close, Departure::Reset, Departure::HalfClose];
 /// Added to the id of a request to get the id of the request pipelined behind it.
-const BEHIND: u64 = 0x1000;
+const PIPELINED_ID_OFFSET: u64 = 0x1000;
 /// Larger than a connection's buffers, and below the limit of a request's size.
-const LARGE: usize = 200 << 10;
+const LARGE_PADDING: usize = 200 << 10;
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum Departure {
     Close,
     Reset,
-    /// Only the sending side is shut down. This cannot be told from a close until something is written.
+    /// Only the sending side is shut down. This cannot be distinguished from a close until something is
+    /// written.
     HalfClose,
 }
 
 /// Departed clients, with the time of their departure.
 #[derive(Default)]
-struct Left {
+struct Departed {
     at: BTreeMap<u64, Instant>,
     /// Half-closed connections, kept open until the test ends.
     halves: Vec<TcpStream>,
 }
 
-impl Left {
-    fn go(&mut self, id: u64, way: Way, stream: TcpStream) {
-        match way {
-            Way::Close => drop(stream),
-            Way::Reset => {
+impl Departed {
+    fn leave(&mut self, id: u64, departure: Departure, stream: TcpStream) {
+        match departure {
+            Departure::Close => drop(stream),
+            Departure::Reset => {
                 SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
                 drop(stream);
             }
-            Way::HalfClose => {
+            Departure::HalfClose => {
                 // The gateway may already have closed the connection of a flooding client.
                 let _ = stream.shutdown(Shutdown::Write);
                 self.halves.push(stream);
@@ -62,13 +63,16 @@
     }
 
     /// The same departures, under the ids of the pipelined requests.
-    fn behind(&self) -> Left {
-        Left { at: self.at.iter().map(|(id, at)| (id + BEHIND, *at)).collect(), halves: Vec::new() }
+    fn pipelined(&self) -> Departed {
+        Departed {
+            at: self.at.iter().map(|(id, at)| (id + PIPELINED_ID_OFFSET, *at)).collect(),
+            halves: Vec::new(),
+        }
     }
 }
 
 /// A request as bytes, with `padding` further bytes in its body.
-fn bytes(front: &str, class: &str, id: u64, padding: usize) -> Vec<u8> {
+fn request_bytes(front: &str, class: &str, id: u64, padding: usize) -> Vec<u8> {
     let more = if front == "messages" { format!("X-Request-Id: {id:016x}\r\n") } else { String::new() };
     let (head, body) = request(front, class, 9000, id as usize, &more);
     let longer = body.replace("Which gate?", &format!("Which gate?{}", "x".repeat(padding)));
@@ -77,7 +81,7 @@
 }
 
 /// What a replica does with a request. Arguments: stream, number of the request on its connection, id.
-type Work = dyn Fn(&mut TcpStream, usize, u64) -> Option<()> + Send + Sync;
+type Handler = dyn Fn(&mut TcpStream, usize, u64) -> Option<()> + Send + Sync;
 
 const FULL: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno";
@@ -86,69 +90,78 @@
     HEAD.to_owned() + &chunk(&text("platform", "a")) + &chunk(&closing("platform")) + "0\r\n\r\n"
 }
 
-fn say(stream: &mut TcpStream, words: &str) -> Option<()> {
-    stream.write_all(words.as_bytes()).ok()
+fn write(stream: &mut TcpStream, text: &str) -> Option<()> {
+    stream.write_all(text.as_bytes()).ok()
 }
 
 /// Waits until a connection ends without sending a response.
-fn hang(stream: &mut TcpStream) -> Option<()> {
+fn wait_for_close(stream: &mut TcpStream) -> Option<()> {
     let _ = stream.read(&mut [0]);
     None
 }
 
 /// Requests that reached the replicas: each one's id and the arrival of its last byte.
 #[derive(Clone, Default)]
-struct Notes(Arc<Mutex<Vec<(u64, Instant)>>>);
+struct Arrivals(Arc<Mutex<Vec<(u64, Instant)>>>);
 
-impl Notes {
+impl Arrivals {
     /// Starts a replica on an existing listener.
-    fn listen(&self, listener: TcpListener, work: Arc<Work>) {
-        let notes = self.clone();
+    fn serve_on(&self, listener: TcpListener, handler: Arc<Handler>) {
+        let arrivals = self.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (notes, work) = (notes.clone(), work.clone());
-                thread::spawn(move || notes.converse(stream, &*work));
+                let (arrivals, handler) = (arrivals.clone(), handler.clone());
+                thread::spawn(move || arrivals.serve_connection(stream, &*handler));
             }
         });
     }
 
-    fn converse(&self, stream: TcpStream, work: &Work) -> Option<()> {
+    fn serve_connection(&self, stream: TcpStream, handler: &Handler) -> Option<()> {
         let mut reader = BufReader::new(stream);
         for number in 0.. {
             let (head, _) = message(&mut reader)?;
             let at = Instant::now();
             let id = u64::from_str_radix(&header(&head, "x-request-id")?, 16).expect("hex digits");
-            self.0.lock().expect("whole").push((id, at));
-            work(reader.get_mut(), number, id)?;
+            self.0.lock().expect("not poisoned").push((id, at));
+            handler(reader.get_mut(), number, id)?;
         }
         None
     }
 
     /// Starts a replica and returns its address.
-    fn server(
+    fn spawn_replica(
         &self,
-        work: impl Fn(&mut TcpStream, usize, u64) -> Option<()> + Send + Sync + 'static,
+        handler: impl Fn(&mut TcpStream, usize, u64) -> Option<()> + Send + Sync + 'static,
     ) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
-        self.listen(listener, Arc::new(work));
+        self.serve_on(listener, Arc::new(handler));
         addr
     }
 
     /// Arrivals of a request at all replicas.
-    fn of(&self, id: u64) -> Vec<Instant> {
-        self.0.lock().expect("whole").iter().filter(|(other, _)| *other == id).map(|(_, at)| *at).collect()
+    fn times(&self, id: u64) -> Vec<Instant> {
+        self.0
+            .lock()
+            .expect("not poisoned")
+            .iter()
+            .filter(|(other, _)| *other == id)
+            .map(|(_, at)| *at)
+            .collect()
     }
 
     /// Checks for each departed client that its request was sent at most `most` times, and never later than
     /// the bound after its departure.
-    fn hold(&self, what: &str, left: &Left, most: usize) {
-        for (id, left) in &left.at {
-            let all = self.of(*id);
-            let late: Vec<_> =
-                all.iter().filter(|at| **at > *left + BOUND).map(|at| at.duration_since(*left)).collect();
-            assert!(late.is_empty(), "{what}: {id:x} was sent on {late:?} after its client had left");
-            assert!(all.len() <= most, "{what}: {id:x} was sent on {} times", all.len());
+    fn check(&self, what: &str, departed: &Departed, most: usize) {
+        for (id, departure) in &departed.at {
+            let all = self.times(*id);
+            let late: Vec<_> = all
+                .iter()
+                .filter(|at| **at > *departure + MAX_SEND_DELAY)
+                .map(|at| at.duration_since(*departure))
+                .collect();
+            assert!(late.is_empty(), "{what}: {id:x} was sent {late:?} after its client left");
+            assert!(all.len() <= most, "{what}: {id:x} was sent {} times", all.len());
         }
     }
 }
@@ -166,229 +179,250 @@
     Gateway::listed(entries(addrs), 3, (1024, 1024), more)
 }
 
-fn sent(addr: SocketAddr, bytes: &[u8]) -> TcpStream {
+fn connect_and_send(addr: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut stream = connect(addr);
     stream.write_all(bytes).expect("sent");
     stream
 }
 
 /// Clients of both front APIs, one for each kind of departure.
-struct Crowd {
-    leavers: Vec<(u64, Way, TcpStream)>,
-    left: Left,
+struct Clients {
+    connected: Vec<(u64, Departure, TcpStream)>,
+    departed: Departed,
 }
 
-impl Crowd {
-    /// `bytes` makes the bytes that a client sends from its API and request id.
-    fn new(gateway: &Gateway, bytes: impl Fn(&str, u64) -> Vec<u8>) -> Crowd {
-        let mut leavers = Vec::new();
+impl Clients {
+    /// `make_bytes` makes the bytes that a client sends from its API and request id.
+    fn new(gateway: &Gateway, make_bytes: impl Fn(&str, u64) -> Vec<u8>) -> Clients {
+        let mut connected = Vec::new();
         for (f, front) in FRONTS.into_iter().enumerate() {
-            for (w, way) in WAYS.into_iter().enumerate() {
+            for (w, departure) in DEPARTURES.into_iter().enumerate() {
                 let id = (0x100 * (f + 1) + w) as u64;
-                leavers.push((id, way, sent(gateway.front(front), &bytes(front, id))));
+                connected.push((
+                    id,
+                    departure,
+                    connect_and_send(gateway.front(front), &make_bytes(front, id)),
+                ));
             }
         }
-        Crowd { leavers, left: Left::default() }
+        Clients { connected, departed: Departed::default() }
     }
 
     fn ids(&self) -> Vec<u64> {
-        self.leavers.iter().map(|(id, ..)| *id).collect()
+        self.connected.iter().map(|(id, ..)| *id).collect()
     }
 
     fn leave(&mut self) {
-        for (id, way, stream) in self.leavers.drain(..) {
-            self.left.go(id, way, stream);
+        for (id, departure, stream) in self.connected.drain(..) {
+            self.departed.leave(id, departure, stream);
         }
     }
 }
 
 /// A client that stays connected, to show that a departed client's request would have been sent.
-fn stays(gateway: &Gateway, front: &'static str, id: u64) -> thread::JoinHandle<Seen> {
-    let stream = sent(gateway.front(front), &bytes(front, "plain", id, 0));
+fn staying_client(gateway: &Gateway, front: &'static str, id: u64) -> thread::JoinHandle<Seen> {
+    let stream = connect_and_send(gateway.front(front), &request_bytes(front, "plain", id, 0));
     thread::spawn(move || seen(front, stream).0)
 }
 
-const STAYER: u64 = 0xabc;
+const STAYING_ID: u64 = 0xabc;
 
 /// A gateway process that is stopped until this is dropped, as if it got no processor time.
-struct Frozen<'a>(&'a Gateway);
+struct Stopped<'a>(&'a Gateway);
 
-impl Frozen<'_> {
-    fn new(gateway: &Gateway) -> Frozen<'_> {
+impl Stopped<'_> {
+    fn new(gateway: &Gateway) -> Stopped<'_> {
         gateway.signal("-STOP");
-        Frozen(gateway)
+        Stopped(gateway)
     }
 }
 
-impl Drop for Frozen<'_> {
+impl Drop for Stopped<'_> {
     fn drop(&mut self) {
         self.0.signal("-CONT");
     }
 }
 
 #[test]
-fn in_a_retrys_wait_with_no_server_to_go_to() {
+fn a_departed_client_is_not_retried_when_a_replica_is_listed() {
     for refused in [false, true] {
         // The first attempt is rejected, or finds no connection; then the request waits for its first
         // replica.
-        let notes = Notes::default();
+        let arrivals = Arrivals::default();
         let (taken, nobody) = late::bound();
-        let first = if refused { nobody } else { notes.server(|stream, _, _| say(stream, FULL)) };
+        let first =
+            if refused { nobody } else { arrivals.spawn_replica(|stream, _, _| write(stream, FULL)) };
         let gateway = gateway(&[first], json!({}));
-        let mut crowd = Crowd::new(&gateway, |front, id| bytes(front, "plain", id, 0));
-        let stayers = FRONTS.map(|front| stays(&gateway, front, STAYER + u64::from(front == "messages")));
+        let mut clients = Clients::new(&gateway, |front, id| request_bytes(front, "plain", id, 0));
+        let staying_clients = FRONTS
+            .map(|front| staying_client(&gateway, front, STAYING_ID + u64::from(front == "messages")));
         thread::sleep(ms(200));
-        crowd.leave();
-        thread::sleep(3 * BOUND);
-        let good = notes.server(|stream, _, _| say(stream, &complete_response()));
+        clients.leave();
+        thread::sleep(3 * MAX_SEND_DELAY);
+        let good = arrivals.spawn_replica(|stream, _, _| write(stream, &complete_response()));
         gateway.discovery.send(list(3, false, vec![entry_at(1, good, "ready", 0)])).expect("open");
-        for stayer in stayers {
-            assert_eq!(stayer.join().expect("an answer"), Seen::Served("a".into()));
+        for staying in staying_clients {
+            assert_eq!(staying.join().expect("a response"), Seen::Served("a".into()));
         }
-        thread::sleep(3 * BOUND);
-        notes.hold("held", &crowd.left, 1);
+        thread::sleep(3 * MAX_SEND_DELAY);
+        arrivals.check("waiting for a replica", &clients.departed, 1);
         drop(taken);
     }
 }
 
 #[test]
-fn between_attempts_and_with_one_under_way() {
+fn a_departed_client_is_not_retried_after_a_failed_attempt() {
     // A gateway that was stopped sees the failure and the departure together.
-    for frozen in [false, true] {
+    for stopped in [false, true] {
         for failure in [ERROR, FULL, ""] {
-            let notes = Notes::default();
+            let arrivals = Arrivals::default();
             let server = || {
-                notes.server(move |stream, _, _| {
+                arrivals.spawn_replica(move |stream, _, _| {
                     thread::sleep(ms(600));
-                    if failure.is_empty() { None } else { say(stream, failure) }
+                    if failure.is_empty() { None } else { write(stream, failure) }
                 })
             };
             let gateway = gateway(&[server(), server(), server()], json!({}));
-            let mut crowd = Crowd::new(&gateway, |front, id| bytes(front, "plain", id, 0));
-            let stayer = stays(&gateway, "platform", STAYER);
+            let mut clients = Clients::new(&gateway, |front, id| request_bytes(front, "plain", id, 0));
+            let staying = staying_client(&gateway, "platform", STAYING_ID);
             thread::sleep(ms(200));
-            let still = frozen.then(|| Frozen::new(&gateway));
-            crowd.leave();
+            let guard = stopped.then(|| Stopped::new(&gateway));
+            clients.leave();
             thread::sleep(ms(600));
-            drop(still);
-            assert_ne!(stayer.join().expect("an answer"), Seen::Served("a".into()));
-            thread::sleep(3 * BOUND);
-            assert!(notes.of(STAYER).len() > 1, "one that stays is tried again");
-            notes.hold(&format!("after '{failure:.12}', frozen: {frozen}"), &crowd.left, 1);
-            assert!(crowd.left.at.keys().all(|id| notes.of(*id).len() == 1), "each was tried once");
+            drop(guard);
+            assert_ne!(staying.join().expect("a response"), Seen::Served("a".into()));
+            thread::sleep(3 * MAX_SEND_DELAY);
+            assert!(arrivals.times(STAYING_ID).len() > 1, "the request of a client that stays is retried");
+            arrivals.check(&format!("after '{failure:.12}', stopped: {stopped}"), &clients.departed, 1);
+            assert!(
+                clients.departed.at.keys().all(|id| arrivals.times(*id).len() == 1),
+                "each request was sent once"
+            );
         }
     }
 }
 
 #[test]
-fn while_its_connection_to_a_real_server_comes_up() {
+fn a_departure_while_connecting_prevents_the_send() {
     // With and without a gateway that is stopped meanwhile.
-    for frozen in [false, true] {
-        let (notes, late) = (Notes::default(), late::Late::new());
+    for stopped in [false, true] {
+        let (arrivals, late) = (Arrivals::default(), late::Late::new());
         let gateway = gateway(&[late.addr], json!({"connect_timeout_ms": 2500}));
-        let mut crowd = Crowd::new(&gateway, |front, id| bytes(front, "plain", id, 0));
-        let stayer = stays(&gateway, "platform", STAYER);
+        let mut clients = Clients::new(&gateway, |front, id| request_bytes(front, "plain", id, 0));
+        let staying = staying_client(&gateway, "platform", STAYING_ID);
         thread::sleep(ms(300));
-        let still = frozen.then(|| Frozen::new(&gateway));
-        crowd.leave();
-        notes.listen(
+        let guard = stopped.then(|| Stopped::new(&gateway));
+        clients.leave();
+        arrivals.serve_on(
             late.open(),
-            Arc::new(|stream: &mut TcpStream, _, _| say(stream, &complete_response())),
+            Arc::new(|stream: &mut TcpStream, _, _| write(stream, &complete_response())),
         );
         // By now its connections are established, unless they were abandoned.
         thread::sleep(ms(1200));
-        drop(still);
-        assert_eq!(stayer.join().expect("an answer"), Seen::Served("a".into()));
-        thread::sleep(3 * BOUND);
-        notes.hold(&format!("connecting, frozen: {frozen}"), &crowd.left, 0);
+        drop(guard);
+        assert_eq!(staying.join().expect("a response"), Seen::Served("a".into()));
+        thread::sleep(3 * MAX_SEND_DELAY);
+        arrivals.check(&format!("connecting, stopped: {stopped}"), &clients.departed, 0);
     }
 }
 
 #[test]
-fn while_its_request_is_written_to_a_real_server_that_does_not_read() {
-    for frozen in [false, true] {
+fn a_departure_during_the_write_leaves_a_request_incomplete() {
+    for stopped in [false, true] {
         // A size that fits into the system's send buffer of the gateway, and one that does not.
-        for padding in [30 << 10, LARGE] {
-            let notes = Notes::default();
+        for padding in [30 << 10, LARGE_PADDING] {
+            let arrivals = Arrivals::default();
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
             let addr = listener.local_addr().expect("an address");
             SockRef::from(&listener).set_recv_buffer_size(4 << 10).expect("a socket");
             let gateway = gateway(&[addr], json!({}));
-            let mut crowd = Crowd::new(&gateway, |front, id| bytes(front, "plain", id, padding));
-            let stayer = sent(gateway.front("platform"), &bytes("platform", "plain", STAYER, padding));
+            let mut clients =
+                Clients::new(&gateway, |front, id| request_bytes(front, "plain", id, padding));
+            let staying = connect_and_send(
+                gateway.front("platform"),
+                &request_bytes("platform", "plain", STAYING_ID, padding),
+            );
             thread::sleep(ms(300));
-            let still = frozen.then(|| Frozen::new(&gateway));
-            crowd.leave();
-            thread::sleep(3 * BOUND);
-            drop(still);
-            thread::sleep(3 * BOUND);
-            notes.listen(
+            let guard = stopped.then(|| Stopped::new(&gateway));
+            clients.leave();
+            thread::sleep(3 * MAX_SEND_DELAY);
+            drop(guard);
+            thread::sleep(3 * MAX_SEND_DELAY);
+            arrivals.serve_on(
                 listener,
-                Arc::new(|stream: &mut TcpStream, _, _| say(stream, &complete_response())),
+                Arc::new(|stream: &mut TcpStream, _, _| write(stream, &complete_response())),
+            );
+            assert_eq!(seen("platform", staying).0, Seen::Served("a".into()));
+            thread::sleep(3 * MAX_SEND_DELAY);
+            arrivals.check(
+                &format!("{padding} bytes, partly written, stopped: {stopped}"),
+                &clients.departed,
+                0,
             );
-            assert_eq!(seen("platform", stayer).0, Seen::Served("a".into()));
-            thread::sleep(3 * BOUND);
-            notes.hold(&format!("{padding} bytes, partly written, frozen: {frozen}"), &crowd.left, 0);
         }
     }
 }
 
 #[test]
-fn behind_another_request_on_its_connection() {
+fn a_departure_discards_the_pipelined_request() {
     // The outcome of the first request; if its client were still there, the second one would be sent after
     // it.
-    let all = [("whole", complete_response()), ("an error", ERROR.to_owned()), ("full", FULL.to_owned())]
-        .map(|(what, answer)| thread::spawn(move || behind_one_that_meets(what, &answer)));
-    all.into_iter().for_each(|one| one.join().expect("it holds"));
+    let all =
+        [("complete", complete_response()), ("an error", ERROR.to_owned()), ("full", FULL.to_owned())]
+            .map(|(what, response)| thread::spawn(move || check_pipelined_request(what, &response)));
+    all.into_iter().for_each(|one| one.join().expect("the check passes"));
 }
 
-fn behind_one_that_meets(what: &str, answer: &str) {
+fn check_pipelined_request(what: &str, response: &str) {
     // Padding of the second request. A close is not visible behind more bytes than are kept.
-    for padding in [0, 20 << 10, LARGE] {
-        for frozen in [false, true] {
-            let (notes, answer) = (Notes::default(), answer.to_owned());
+    for padding in [0, 20 << 10, LARGE_PADDING] {
+        for stopped in [false, true] {
+            let (arrivals, response) = (Arrivals::default(), response.to_owned());
             let server = || {
-                let answer = answer.clone();
-                notes.server(move |stream, _, _| {
+                let response = response.clone();
+                arrivals.spawn_replica(move |stream, _, _| {
                     thread::sleep(ms(600));
-                    say(stream, &answer)
+                    write(stream, &response)
                 })
             };
             let gateway = gateway(&[server(), server(), server()], json!({}));
-            let mut crowd = Crowd::new(&gateway, |front, id| {
-                let second = bytes(front, "plain", id + BEHIND, padding);
-                [bytes(front, "plain", id, 0), second].concat()
+            let mut clients = Clients::new(&gateway, |front, id| {
+                let second = request_bytes(front, "plain", id + PIPELINED_ID_OFFSET, padding);
+                [request_bytes(front, "plain", id, 0), second].concat()
             });
-            let first = crowd.ids();
+            let first = clients.ids();
             thread::sleep(ms(200));
-            let still = frozen.then(|| Frozen::new(&gateway));
-            crowd.leave();
+            let guard = stopped.then(|| Stopped::new(&gateway));
+            clients.leave();
             thread::sleep(ms(600));
-            drop(still);
+            drop(guard);
             thread::sleep(ms(1000));
-            let what = format!("{what}, {padding} bytes behind it, frozen: {frozen}");
-            notes.hold(&what, &crowd.left, 1);
-            notes.hold(&format!("{what}, the second"), &crowd.left.behind(), 0);
-            assert!(first.iter().all(|id| notes.of(*id).len() == 1), "{what}: each first one was sent");
+            let what = format!("{what}, {padding} pipelined bytes, stopped: {stopped}");
+            arrivals.check(&what, &clients.departed, 1);
+            arrivals.check(&format!("{what}, pipelined request"), &clients.departed.pipelined(), 0);
+            assert!(
+                first.iter().all(|id| arrivals.times(*id).len() == 1),
+                "{what}: not all first requests were sent"
+            );
         }
     }
 }
 
 #[test]
-fn behind_more_than_is_ever_kept() {
-    let notes = Notes::default();
+fn a_departure_behind_more_input_than_is_kept_is_noticed() {
+    let arrivals = Arrivals::default();
     let server = || {
-        notes.server(|stream, _, _| {
+        arrivals.spawn_replica(|stream, _, _| {
             thread::sleep(ms(700));
-            say(stream, ERROR)
+            write(stream, ERROR)
         })
     };
     let gateway = gateway(&[server(), server(), server()], json!({}));
-    let mut crowd = Crowd::new(&gateway, |front, id| bytes(front, "plain", id, 0));
+    let mut clients = Clients::new(&gateway, |front, id| request_bytes(front, "plain", id, 0));
     // Each client sends as much as the socket buffers take: requests, or bytes that are not HTTP.
-    for (n, (id, _, stream)) in crowd.leavers.iter_mut().enumerate() {
+    for (n, (id, _, stream)) in clients.connected.iter_mut().enumerate() {
         let more = match n % 2 {
-            0 => bytes(FRONTS[n / 3], "plain", *id + BEHIND, LARGE).repeat(30),
+            0 => request_bytes(FRONTS[n / 3], "plain", *id + PIPELINED_ID_OFFSET, LARGE_PADDING).repeat(30),
             _ => vec![b'x'; 6 << 20],
         };
         stream.set_nonblocking(true).expect("a socket");
@@ -401,204 +435,228 @@
             }
         }
     }
-    crowd.leave();
+    clients.leave();
     thread::sleep(ms(2500));
-    notes.hold("much behind it", &crowd.left, 1);
-    notes.hold("much behind it, the second", &crowd.left.behind(), 0);
+    arrivals.check("much pipelined input", &clients.departed, 1);
+    arrivals.check("much pipelined input, pipelined request", &clients.departed.pipelined(), 0);
 }
 
 #[test]
-fn one_that_stays_is_answered_however_much_it_sent_behind_its_request() {
-    let notes = Notes::default();
-    let server = notes.server(|stream, _, _| {
+fn pipelined_requests_of_any_size_are_served() {
+    let arrivals = Arrivals::default();
+    let server = arrivals.spawn_replica(|stream, _, _| {
         thread::sleep(ms(300));
-        say(stream, &complete_response())
+        write(stream, &complete_response())
     });
     let gateway = gateway(&[server], json!({}));
     for front in FRONTS {
-        for (n, padding) in [0, 20 << 10, LARGE].into_iter().enumerate() {
+        for (n, padding) in [0, 20 << 10, LARGE_PADDING].into_iter().enumerate() {
             let id = 0x10 * (n as u64 + 1) + u64::from(front == "messages");
             let mut stream = connect(gateway.front(front));
             let mut writer = stream.try_clone().expect("a clone");
-            let second = bytes(front, "plain", id + BEHIND, padding);
-            let both = [bytes(front, "plain", id, 0), second].concat();
+            let second = request_bytes(front, "plain", id + PIPELINED_ID_OFFSET, padding);
+            let both = [request_bytes(front, "plain", id, 0), second].concat();
             let writing = thread::spawn(move || writer.write_all(&both));
             let mut got = Vec::new();
             while got.windows(7).filter(|w| w == b"\r\n0\r\n\r\n").count() < 2 {
                 let mut piece = [0; 4096];
-                let count = stream.read(&mut piece).expect("an answer");
+                let count = stream.read(&mut piece).expect("a response");
                 assert!(count > 0, "{front}, {padding}: {}", String::from_utf8_lossy(&got));
                 got.extend_from_slice(&piece[..count]);
             }
-            writing.join().expect("a thread").expect("all is taken");
-            assert_eq!((notes.of(id).len(), notes.of(id + BEHIND).len()), (1, 1), "{front}, {padding}");
+            writing.join().expect("a thread").expect("all is written");
+            assert_eq!(
+                (arrivals.times(id).len(), arrivals.times(id + PIPELINED_ID_OFFSET).len()),
+                (1, 1),
+                "{front}, {padding}"
+            );
         }
     }
 }
 
 #[test]
-fn one_that_sends_more_than_is_kept_is_answered_as_far_as_that_goes_and_one_that_floods_gets_413() {
-    let notes = Notes::default();
-    // Requests of flooding clients get no response.
-    let server = notes.server(|stream, _, id| {
+fn kept_requests_are_served_and_a_flood_gets_413() {
+    let arrivals = Arrivals::default();
+    // The replica sends no response to requests of flooding clients.
+    let server = arrivals.spawn_replica(|stream, _, id| {
         if id % 0x11 == 3 {
-            return hang(stream);
+            return wait_for_close(stream);
         }
         thread::sleep(ms(400));
-        say(stream, &complete_response())
+        write(stream, &complete_response())
     });
     let gateway = gateway(&[server], json!({}));
     for (f, front) in FRONTS.into_iter().enumerate() {
         // A second request is kept completely, and the third in part, after which the connection ends.
         let id = 0x11 * (f as u64 + 1);
-        let three: Vec<u8> =
-            (0..3).flat_map(|n| bytes(front, "plain", id + n, LARGE * n.min(1) as usize)).collect();
-        let mut stream = sent(gateway.front(front), &three);
+        let three: Vec<u8> = (0..3)
+            .flat_map(|n| request_bytes(front, "plain", id + n, LARGE_PADDING * n.min(1) as usize))
+            .collect();
+        let mut stream = connect_and_send(gateway.front(front), &three);
         let mut got = Vec::new();
         stream.read_to_end(&mut got).expect("an end without a reset");
         assert_eq!(
             got.windows(7).filter(|w| w == b"\r\n0\r\n\r\n").count(),
             2,
-            "{front}: two whole answers"
+            "{front}: two complete responses"
         );
-        assert_eq!([0, 1, 2].map(|n| notes.of(id + n).len()), [1, 1, 0], "{front}");
+        assert_eq!([0, 1, 2].map(|n| arrivals.times(id + n).len()), [1, 1, 0], "{front}");
         // A client that floods gets an error for its open request, and its connection is closed.
-        let mut stream = sent(gateway.front(front), &bytes(front, "plain", id + 3, 0));
+        let mut stream = connect_and_send(gateway.front(front), &request_bytes(front, "plain", id + 3, 0));
         stream.write_all(&vec![b'x'; 6 << 20]).expect("no reset while it is sent");
         thread::sleep(ms(300));
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an end without a reset");
-        assert!(answer.starts_with("HTTP/1.1 413 "), "{front}: {answer}");
+        let mut response = String::new();
+        stream.read_to_string(&mut response).expect("an end without a reset");
+        assert!(response.starts_with("HTTP/1.1 413 "), "{front}: {response}");
         assert_eq!(gateway.logged(" flooded "), f + 1);
     }
 }
 
 #[test]
-fn a_burst_of_leavers() {
+fn many_departures_at_once_prevent_their_retries() {
     // The clients leave before a replica is listed; a gateway that was stopped sees both together.
-    for frozen in [false, true] {
-        let notes = Notes::default();
-        let first = notes.server(|stream, _, _| say(stream, FULL));
+    for stopped in [false, true] {
+        let arrivals = Arrivals::default();
+        let first = arrivals.spawn_replica(|stream, _, _| write(stream, FULL));
         let gateway = gateway(&[first], json!({}));
-        let stayer = stays(&gateway, "platform", STAYER);
+        let staying = staying_client(&gateway, "platform", STAYING_ID);
         let mut clients: Vec<_> = (0..300u64)
             .map(|n| {
                 let front = FRONTS[n as usize / 2 % 2];
-                let stream = sent(gateway.front(front), &bytes(front, "plain", 0x1000 + n, 0));
-                (0x1000 + n, WAYS[n as usize % 3], stream)
+                let stream =
+                    connect_and_send(gateway.front(front), &request_bytes(front, "plain", 0x1000 + n, 0));
+                (0x1000 + n, DEPARTURES[n as usize % 3], stream)
             })
             .collect();
-        eventually(|| notes.0.lock().expect("whole").len() > 300);
-        thread::sleep(BOUND);
-        let still = frozen.then(|| Frozen::new(&gateway));
-        let mut left = Left::default();
-        clients.drain(..).for_each(|(id, way, stream)| left.go(id, way, stream));
-        thread::sleep(3 * BOUND);
-        let good = notes.server(|stream, _, _| say(stream, &complete_response()));
+        eventually(|| arrivals.0.lock().expect("not poisoned").len() > 300);
+        thread::sleep(MAX_SEND_DELAY);
+        let guard = stopped.then(|| Stopped::new(&gateway));
+        let mut departed = Departed::default();
+        clients.drain(..).for_each(|(id, departure, stream)| departed.leave(id, departure, stream));
+        thread::sleep(3 * MAX_SEND_DELAY);
+        let good = arrivals.spawn_replica(|stream, _, _| write(stream, &complete_response()));
         gateway.discovery.send(list(3, false, vec![entry_at(1, good, "ready", 0)])).expect("open");
         thread::sleep(ms(1000));
-        drop(still);
-        assert_eq!(stayer.join().expect("an answer"), Seen::Served("a".into()));
-        thread::sleep(3 * BOUND);
-        notes.hold(&format!("a burst, frozen: {frozen}"), &left, 1);
+        drop(guard);
+        assert_eq!(staying.join().expect("a response"), Seen::Served("a".into()));
+        thread::sleep(3 * MAX_SEND_DELAY);
+        arrivals.check(&format!("a burst, stopped: {stopped}"), &departed, 1);
     }
 }
 
 #[test]
-fn before_its_request_is_read() {
-    let notes = Notes::default();
-    let server = notes.server(|stream, _, _| say(stream, &complete_response()));
+fn an_unread_request_of_a_departed_client_is_not_sent() {
+    let arrivals = Arrivals::default();
+    let server = arrivals.spawn_replica(|stream, _, _| write(stream, &complete_response()));
     let gateway = gateway(&[server], json!({}));
     // An idle connection to the replica is available.
-    assert_eq!(stays(&gateway, "platform", STAYER).join().expect("an answer"), Seen::Served("a".into()));
-    let rested: Vec<_> = FRONTS
+    assert_eq!(
+        staying_client(&gateway, "platform", STAYING_ID).join().expect("a response"),
+        Seen::Served("a".into())
+    );
+    let idle: Vec<_> = FRONTS
         .map(|front| {
             let mut stream = connect(gateway.front(front));
             stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").expect("sent");
-            let mut answer = [0; 1024];
-            assert!(stream.read(&mut answer).expect("an answer") > 0);
+            let mut response = [0; 1024];
+            assert!(stream.read(&mut response).expect("a response") > 0);
             (front, stream)
         })
         .into();
-    let frozen = Frozen::new(&gateway);
-    let mut left = Left::default();
-    for (n, (front, mut stream)) in rested.into_iter().enumerate() {
+    let guard = Stopped::new(&gateway);
+    let mut departed = Departed::default();
+    for (n, (front, mut stream)) in idle.into_iter().enumerate() {
         let id = 0x900 + n as u64;
-        stream.write_all(&bytes(front, "plain", id, 0)).expect("sent");
-        left.go(id, WAYS[n], stream);
+        stream.write_all(&request_bytes(front, "plain", id, 0)).expect("sent");
+        departed.leave(id, DEPARTURES[n], stream);
     }
     for n in 0..60u64 {
         let (front, id) = (FRONTS[n as usize % 2], 0x1000 + n);
         let padding = if n % 4 < 2 { 0 } else { 40 << 10 };
-        left.go(id, WAYS[n as usize % 3], sent(gateway.front(front), &bytes(front, "plain", id, padding)));
+        departed.leave(
+            id,
+            DEPARTURES[n as usize % 3],
+            connect_and_send(gateway.front(front), &request_bytes(front, "plain", id, padding)),
+        );
     }
-    thread::sleep(3 * BOUND);
-    drop(frozen);
-    thread::sleep(3 * BOUND);
-    notes.hold("unread", &left, 0);
+    thread::sleep(3 * MAX_SEND_DELAY);
+    drop(guard);
+    thread::sleep(3 * MAX_SEND_DELAY);
+    arrivals.check("unread", &departed, 0);
     assert_eq!(
-        stays(&gateway, "messages", STAYER + 1).join().expect("an answer"),
+        staying_client(&gateway, "messages", STAYING_ID + 1).join().expect("a response"),
         Seen::Served("a".into())
     );
 }
 
-fn second_copy(frozen: bool) {
+fn check_hedged_requests(stopped: bool) {
     // Later the first replica stops responding; the others respond.
-    let (notes, mute) = (Notes::default(), Arc::new(Mutex::new(None::<Vec<u64>>)));
+    let (arrivals, unresponsive) = (Arrivals::default(), Arc::new(Mutex::new(None::<Vec<u64>>)));
     let servers: Vec<_> = (0..6)
         .map(|n| {
-            let mute = mute.clone();
-            notes.server(move |stream, _, id| {
-                let held = n == 0 && mute.lock().expect("whole").as_mut().map(|ids| ids.push(id)).is_some();
-                if held { hang(stream) } else { say(stream, &complete_response()) }
+            let unresponsive = unresponsive.clone();
+            arrivals.spawn_replica(move |stream, _, id| {
+                let held = n == 0
+                    && unresponsive
+                        .lock()
+                        .expect("not poisoned")
+                        .as_mut()
+                        .map(|ids| ids.push(id))
+                        .is_some();
+                if held { wait_for_close(stream) } else { write(stream, &complete_response()) }
             })
         })
         .collect();
     let gateway = gateway(&servers, json!({"copies": true, "promise_ms": 1000}));
-    let answered = |n: u64| stays(&gateway, FRONTS[n as usize % 2], 0x2000 + n).join().expect("an answer");
+    let answered =
+        |n: u64| staying_client(&gateway, FRONTS[n as usize % 2], 0x2000 + n).join().expect("a response");
     assert!((0..16).all(|n| answered(n) == Seen::Served("a".into())));
-    *mute.lock().expect("whole") = Some(Vec::new());
+    *unresponsive.lock().expect("not poisoned") = Some(Vec::new());
     let mut clients: BTreeMap<u64, TcpStream> = BTreeMap::new();
     for n in 0..60u64 {
         let front = FRONTS[n as usize % 2];
-        clients.insert(0x400 + n, sent(gateway.front(front), &bytes(front, "plain", 0x400 + n, 0)));
+        clients.insert(
+            0x400 + n,
+            connect_and_send(gateway.front(front), &request_bytes(front, "plain", 0x400 + n, 0)),
+        );
     }
     let from = Instant::now();
     // A hedged request is sent after 650 ms without a response, once the missing responses to the first
     // requests have shown that the replica is unresponsive.
     thread::sleep(ms(300));
-    let silent = mute.lock().expect("whole").clone().expect("it is mute");
-    assert!(silent.len() >= 6, "{silent:x?}");
-    let still = frozen.then(|| Frozen::new(&gateway));
-    let mut left = Left::default();
-    for (n, id) in silent.iter().enumerate().skip(3).step_by(2) {
-        left.go(*id, WAYS[n / 2 % 3], clients.remove(id).expect("a client"));
+    let unanswered =
+        unresponsive.lock().expect("not poisoned").clone().expect("the replica is unresponsive");
+    assert!(unanswered.len() >= 6, "{unanswered:x?}");
+    let guard = stopped.then(|| Stopped::new(&gateway));
+    let mut departed = Departed::default();
+    for (n, id) in unanswered.iter().enumerate().skip(3).step_by(2) {
+        departed.leave(*id, DEPARTURES[n / 2 % 3], clients.remove(id).expect("a client"));
     }
     thread::sleep(ms(800).saturating_sub(from.elapsed()));
-    drop(still);
+    drop(guard);
     thread::sleep(ms(1300).saturating_sub(from.elapsed()));
-    notes.hold(&format!("before a copy, frozen: {frozen}"), &left, 1);
-    let copied = silent.iter().filter(|id| notes.of(**id).len() > 1).count();
-    println!("{} silent, {} left, {copied} copied", silent.len(), left.at.len());
-    assert!(copied > 0, "of those that stayed some were sent on twice");
+    arrivals.check(&format!("before a hedged request, stopped: {stopped}"), &departed, 1);
+    let hedged = unanswered.iter().filter(|id| arrivals.times(**id).len() > 1).count();
+    println!("{} unanswered, {} departed, {hedged} hedged", unanswered.len(), departed.at.len());
+    assert!(hedged > 0, "no request of a client that stayed was hedged");
 }
 
 #[test]
-fn before_a_second_copy() {
-    [false, true].into_iter().for_each(second_copy);
+fn a_departure_prevents_the_hedged_request() {
+    [false, true].into_iter().for_each(check_hedged_requests);
 }
 
 #[test]
-fn behind_a_handed_over_stream() {
-    let notes = Notes::default();
+fn a_departure_discards_requests_behind_a_resumed_stream() {
+    let arrivals = Arrivals::default();
     let end = Arc::new(AtomicBool::new(false));
-    let told = end.clone();
-    let server = notes.server(move |stream, _, _| {
-        say(stream, &(HEAD.to_owned() + &chunk(&text("platform", "a"))))?;
-        while !told.load(Ordering::SeqCst) {
+    let ended = end.clone();
+    let server = arrivals.spawn_replica(move |stream, _, _| {
+        write(stream, &(HEAD.to_owned() + &chunk(&text("platform", "a"))))?;
+        while !ended.load(Ordering::SeqCst) {
             thread::sleep(ms(10));
         }
-        say(stream, &(chunk(&closing("platform")) + "0\r\n\r\n"))
+        write(stream, &(chunk(&closing("platform")) + "0\r\n\r\n"))
     });
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let shared = format!("{}/{}-gone", env!("CARGO_TARGET_TMPDIR"), std::process::id());
@@ -620,40 +678,44 @@
             platform,
         ));
         // From then on it accepts and hands over streams.
-        eventually(|| call(gateway.mgmt.expect("it listens for calls"), "GET /ready") == 200);
+        eventually(|| call(gateway.mgmt.expect("it has a management port"), "GET /ready") == 200);
         gateway
     };
     let mut old = start();
     // The second request is short, or longer than what is handed over.
     let mut clients: Vec<_> = (0..6)
         .map(|n| {
-            let (id, way, padding) = (0x100 + n as u64, WAYS[n % 3], LARGE * (n / 3));
-            let second = bytes("platform", "once", id + BEHIND, padding);
-            let two = [bytes("platform", "once", id, 0), second].concat();
-            let mut stream = sent(old.front("platform"), &two);
+            let (id, departure, padding) = (0x100 + n as u64, DEPARTURES[n % 3], LARGE_PADDING * (n / 3));
+            let second = request_bytes("platform", "once", id + PIPELINED_ID_OFFSET, padding);
+            let two = [request_bytes("platform", "once", id, 0), second].concat();
+            let mut stream = connect_and_send(old.front("platform"), &two);
             begun(&mut stream);
-            (id, way, stream)
+            (id, departure, stream)
         })
         .collect();
     let new = start();
     assert_eq!(old.stop(), Some(0));
     eventually(|| new.logged(" handover ") > 0);
-    let mut left = Left::default();
-    clients.drain(..).for_each(|(id, way, stream)| left.go(id, way, stream));
+    let mut departed = Departed::default();
+    clients.drain(..).for_each(|(id, departure, stream)| departed.leave(id, departure, stream));
     // The streams end only now; the pipelined requests would be next.
-    thread::sleep(3 * BOUND);
+    thread::sleep(3 * MAX_SEND_DELAY);
     end.store(true, Ordering::SeqCst);
-    thread::sleep(3 * BOUND);
-    notes.hold("handed over", &left, 1);
-    notes.hold("handed over, the second", &left.behind(), 0);
+    thread::sleep(3 * MAX_SEND_DELAY);
+    arrivals.check("handed over", &departed, 1);
+    arrivals.check("handed over, pipelined request", &departed.pipelined(), 0);
     for id in 0x100..0x106 {
-        assert_eq!((notes.of(id).len(), notes.of(id + BEHIND).len()), (1, 0), "{id:x}");
+        assert_eq!(
+            (arrivals.times(id).len(), arrivals.times(id + PIPELINED_ID_OFFSET).len()),
+            (1, 0),
+            "{id:x}"
+        );
     }
 }
 
 /// Keeps a prefix of the received bytes without a gap and within the bounds. A flood is reported once more
 /// bytes are dropped than a departed client can have left in the buffers, and not before.
-fn kept_is_a_beginning(came: Vec<(u8, bool)>, cut: bool) {
+fn keeps_a_prefix_within_bounds(came: Vec<(u8, bool)>, cut: bool) {
     let bounds = Bounds { least: 100, most: 400, flood: 1000 };
     let mut pipelined = PipelinedInput::new(bounds, cut);
     let (mut kept, mut dropped, mut gap) = (0, 0, cut);
@@ -680,7 +742,7 @@
 }
 
 #[test]
-fn what_comes_behind_a_request_is_kept_without_a_gap_and_within_its_bounds() {
+fn pipelined_input_is_kept_without_a_gap_within_its_bounds() {
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(40, 45)).tests(400);
-    check.quickcheck(kept_is_a_beginning as fn(Vec<(u8, bool)>, bool));
+    check.quickcheck(keeps_a_prefix_within_bounds as fn(Vec<(u8, bool)>, bool));
 }
