--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,5 +1,5 @@
-//! What all gateways of a group together send a cold server: random groups, traffic and troubles with fixed seeds, the
-//! decision modules side by side on one clock.
+//! The load that all gateways of a group together send to a cold replica, for random groups, traffic and
+//! faults from fixed seeds. The load balancers run side by side on one clock.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -11,47 +11,47 @@
 
 const SECOND: Nanos = 1_000_000_000;
 const MILLI: Nanos = 1_000_000;
-/// What an answer costs, as prompt tokens read.
+/// Cost of a response, in prompt tokens.
 const ANSWER: f64 = 1000.0;
-/// An old process of a gateway goes on for so long beside the new one.
+/// For this time an old process of a gateway takes requests beside the new one.
 const OVERLAP: Nanos = 700 * MILLI;
 const BEGIN: Nanos = 100 * SECOND;
 
-/// A group, its servers, its traffic and its troubles.
+/// A group of gateways, its replicas, its traffic and its faults.
 #[derive(Clone, Debug)]
 struct Case {
     seed: u64,
     group: u32,
     warm: usize,
     cold: usize,
-    /// Requests a second of mean work that the quotas grant at all gateways together.
+    /// Requests of mean cost per second that the quotas permit, at all gateways together.
     quota: f64,
-    /// What comes, as a multiple of it.
+    /// Offered load, as a multiple of the quota.
     load: f64,
-    /// 0 is even; else the busiest gateways see several times the mean.
+    /// 0 for an even distribution over gateways; otherwise the busiest ones get several times the mean.
     skew: f64,
-    /// All ask for one and the same beginning.
+    /// Whether all requests have the same prompt prefix.
     one_beginning: bool,
     varied: bool,
     from: f64,
     ramp: Nanos,
     factor: f64,
     fall: Nanos,
-    /// News of a cold server's start come to each gateway within this time.
+    /// Maximum delay of the list with the cold replicas at a gateway.
     late: Nanos,
-    /// This share of the gateways starts anew, one after the other or at once, while servers are cold.
+    /// Fraction of the gateways that restart while replicas are cold, at once or at different times.
     restarted: f64,
     at_once: bool,
-    /// This share of the attempts ends with an error at once.
+    /// Fraction of the attempts that fail at once.
     errors: f64,
-    /// This share of the attempts gets no answer before its time is over.
+    /// Fraction of the attempts that time out without a response.
     mute: f64,
     copies: bool,
-    /// Requests to each gateway that come together at one moment, as after an outage.
+    /// Requests per gateway that arrive together, as after an outage.
     burst: f64,
 }
 
-/// A number of 0..1 without state (SplitMix64).
+/// Returns a number from 0 to 1 without state (SplitMix64).
 fn unit(seed: u64, n: u64) -> f64 {
     let mut z = seed.wrapping_add((n + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -67,7 +67,7 @@
         let group = (300f64.powf(unit(seed, 1)) as u32).clamp(1, 300);
         let cold = if often(2, 0.4) { 1 } else { pick(2, 1.0, 12.0) as usize };
         let warm = if often(3, 0.3) { 0 } else { pick(3, 1.0, 20.0) as usize };
-        // From one request in the time that counts to a hundred, for each server.
+        // From 1 to 100 requests per replica within the overload window.
         let (factor, fall) = (pick(4, 1.5, 4.0), pick(5, 1.0, 3.0));
         let (from, ramp) = (pick(6, 0.1, 0.6), pick(7, 3.0, 20.0));
         let calls = 100f64.powf(unit(seed, 8));
@@ -77,7 +77,7 @@
             group,
             warm,
             cold,
-            // Bounded work a case.
+            // Limits the work per case.
             quota: quota.min(80.0),
             load: 0.5 * 8f64.powf(unit(seed, 9)),
             skew: if often(10, 0.5) { 0.0 } else { pick(10, 0.0, 2.0) },
@@ -98,12 +98,13 @@
     }
 }
 
-/// What came of a case.
+/// Result of a case.
 #[derive(Clone, Copy, Debug, Default)]
 struct Found {
-    /// Most requests of mean work in the time that counts, over the budget and what it may be passed by.
+    /// Maximum over all overload windows of the work in requests of mean cost, divided by the budget and
+    /// its tolerance.
     worst: f64,
-    /// That many, and the budget then.
+    /// Work and budget in that window.
     sent: f64,
     budget: f64,
 }
@@ -124,10 +125,10 @@
     whats: BTreeMap<u64, What>,
     count: u64,
     drawn: u64,
-    /// All processes there ever were; `current` says which one of each gateway takes what comes.
+    /// All processes of the run; `current` has the index of each gateway's process that takes requests.
     processes: Vec<LoadBalancer>,
     current: Vec<usize>,
-    /// The process before that, and until when some still come to it.
+    /// Each gateway's previous process, and until when some requests still reach it.
     before: Vec<(usize, Nanos)>,
     costs: BTreeMap<RequestId, (u32, f64)>,
     attempts: BTreeMap<RequestId, u32>,
@@ -187,7 +188,7 @@
             has_pushed_list: true,
             tick: MILLI,
             classes: vec![class],
-            // Nobody is beyond its share: the door says nothing of that here.
+            // All load is within the tenant's share, so admission control does not shed for the share here.
             tenants: vec![Tenant { share: 1.0, quota_per_s: Some(case.quota) }],
             over_share_value: 1.0,
             limits: Limits {
@@ -209,7 +210,8 @@
         }
     }
 
-    /// The list before (`cold` false) and after the cold ones started; before, warm ones stood in their place.
+    /// The list before (`cold` is false) and after the cold replicas started; before, they are warm ones
+    /// with other ids.
     fn list(&self, cold: bool) -> Vec<Member> {
         let all = 0..self.case.warm + self.case.cold;
         all.map(|n| {
@@ -270,9 +272,10 @@
         }
     }
 
-    /// Requests of mean work that the settings let one cold server be sent in the time that counts from `at` on, by its
-    /// warmth: its part of what the quotas ask of all servers is what it can do. The sum of what is allowed in that time:
-    /// less than what its warmth at the end would allow, which is what "what the settings allow it then" may also say.
+    /// Requests of mean cost that the settings permit for one cold replica in the overload window that
+    /// starts at `at`. The capacity of a warm replica is its part of the quotas. The permitted work is
+    /// summed over the window, which gives less than the capacity at its end would permit, the other
+    /// reading of the rule.
     fn budget(&self, at: Nanos) -> f64 {
         let case = &self.case;
         let warmth = |at: Nanos| {
@@ -295,7 +298,7 @@
             sent.pop_front();
         }
         let sum = sent.iter().map(|(_, cost)| cost).sum::<f64>();
-        // The first window begins with the server.
+        // The first window starts with the replica.
         let budget = self.budget(now.saturating_sub(span).max(BEGIN));
         let ratio = sum / (budget + 2.0 * budget.sqrt() + 2.0);
         if ratio > self.found.worst {
@@ -305,7 +308,7 @@
 
     fn play(mut self) -> Found {
         let cumulative_weights = self.cumulative_weights();
-        // Some traffic before, so that gateways know the load.
+        // Earlier traffic lets the gateways measure the load.
         self.now = BEGIN - 3 * SECOND;
         self.start_gateways();
         let end = BEGIN + self.case.ramp;
@@ -321,7 +324,7 @@
         self.found
     }
 
-    /// For each gateway the part of all requests that comes to it or to one before it.
+    /// Cumulative fraction of all requests per gateway.
     fn cumulative_weights(&self) -> Vec<f64> {
         let case = &self.case;
         let weights: Vec<f64> = (0..case.group)
@@ -337,7 +340,7 @@
             .collect()
     }
 
-    /// Starts each gateway, and puts in when it hears of the cold server and when it restarts.
+    /// Starts each gateway, and schedules its list with the cold replicas and its restart.
     fn start_gateways(&mut self) {
         let case = self.case.clone();
         for me in 0..case.group as usize {
@@ -354,7 +357,7 @@
         }
     }
 
-    /// Puts in when requests arrive: at random times, and some of them together.
+    /// Schedules the arrival of requests: at random times, and a burst.
     fn schedule_arrivals(&mut self, end: Nanos) {
         let case = self.case.clone();
         let mut at = self.now as f64;
@@ -412,7 +415,7 @@
     fn arrive(&mut self, n: u64, cumulative_weights: &[f64]) {
         let at = self.chance();
         let me = cumulative_weights.partition_point(|s| *s < at).min(self.case.group as usize - 1);
-        // Some come to the old process for as long as both take connections.
+        // Some requests reach the old process while both accept connections.
         let (old, until) = self.before[me];
         let to_old = self.now < until && self.chance() < 0.5;
         let process = if to_old { old } else { self.current[me] };
@@ -449,7 +452,7 @@
             .collect();
         parts.into_iter().flat_map(|part| part.join().expect("played")).collect::<Vec<_>>()
     });
-    // All of them, not the first only: how many, and the worst one.
+    // Reports the number of failed cases and the worst one.
     played.sort_by(|a, b| b.0.worst.total_cmp(&a.0.worst));
     let over = played.iter().filter(|(found, _)| found.worst > 1.0).count();
     assert_eq!(over, 0, "of {} cases; the worst: {:#?}", played.len(), played[0]);
