--- a/tests/pace.rs
+++ b/tests/pace.rs
@@ -1,4 +1,4 @@
-//! When the list service is called, for any group, slot and instant.
+//! The schedule of calls to the list service, for any group, slot and time.
 
 use quickcheck::{Gen, QuickCheck};
 use tulipridge::list_schedule::{
@@ -8,7 +8,7 @@
 use tulipridge::types::Nanos;
 
 const MILLI: Nanos = 1_000_000;
-/// What a call is taken to cost the service where nobody has said.
+/// Service time of a call that is assumed if the rate of the service is not stated.
 const EACH: Nanos = 60 * MILLI;
 const SECOND: Nanos = 1000 * MILLI;
 
@@ -38,21 +38,22 @@
     }
 }
 
-/// The service has answered the first call of this gateway, but late.
+/// A schedule after a first call that the service answered late.
 fn slow(mut calls: ListSchedule) -> ListSchedule {
     let due = calls.first_wait(0, 0.0);
     calls.record_success(due + SECOND);
     calls
 }
 
-/// The service has answered the first call of this gateway at once.
+/// A schedule after a first call that the service answered at once.
 fn quick(mut calls: ListSchedule) -> ListSchedule {
     let due = calls.first_wait(0, 0.0);
     calls.record_success(due + SECOND / 10);
     calls
 }
 
-/// The longest waits after the watch has ended and calls have failed in a row, each 2 s after it was due.
+/// The maximum waits after the end of a watch and each of `failures` calls that fail in a row, 2 s after
+/// they were due.
 fn waits_in_an_outage(mut calls: ListSchedule, failures: usize) -> Vec<Nanos> {
     let mut now = 77 * SECOND;
     let mut waits = Vec::new();
@@ -67,7 +68,7 @@
 #[test]
 fn a_service_that_kept_up_is_called_on_in_an_outage_so_that_its_return_is_noticed_in_time() {
     let waits = waits_in_an_outage(quick(ListSchedule::new(7, 300, 10 * SECOND, None)), 12);
-    // The first one follows the end of the watch.
+    // The first wait follows the end of the watch.
     let outage = OUTAGE_FAILURES as usize;
     assert!(
         waits[..outage].iter().all(|wait| 2 * SECOND + wait + FETCH_ALLOWANCE <= PROPAGATION_DEADLINE),
@@ -76,9 +77,9 @@
     assert!(waits[outage..].iter().all(|wait| *wait > 10 * SECOND), "it may be overloaded: {waits:?}");
 }
 
-/// An answer that queued for a moment, as when many gateways start at once, is no sign of overload: a service that can't
-/// keep up would have failed the call. Taken for one, it put calls off by two windows of 18 s in the next outage, and
-/// drains in it were heard of too late.
+/// Regression: a response that is queued for a moment, as when many gateways start at once, is no sign of
+/// overload, since an overloaded service would have failed the call. When it was taken for one, calls were
+/// delayed by two windows of 18 s in the next outage, and drains were applied too late.
 #[test]
 fn a_service_whose_answer_queued_for_less_than_its_timeout_is_called_on_in_an_outage() {
     for queued in [SECOND / 2, 7 * SECOND / 10, MIN_SERVICE_TIMEOUT - MILLI] {
@@ -104,7 +105,8 @@
 
 #[test]
 fn quick_failures_keep_to_the_time_that_the_settings_give_after_a_failed_call() {
-    // Found by a test of the program that failed now and then: 1 s for asking gives 4 s after a failure.
+    // Regression: a test of the program failed at times. A maximum age of 1 s permits 4 s after a failed
+    // call.
     let mut calls = ListSchedule::new(0, 1, SECOND, None);
     let mut now = 77 * SECOND;
     for _ in 0..12 {
@@ -123,7 +125,7 @@
 
 #[test]
 fn failures_widen_the_window_up_to_its_longest_and_an_answer_resets_it() {
-    // The longest of many draws, in whole seconds: the last slot of the last window.
+    // The maximum of many draws, in whole seconds: the last slot of the last window.
     let longest = |calls: &ListSchedule| {
         let waits = (0..1000).map(|n| calls.clone().record_failure(77 * SECOND, f64::from(n) / 1000.0));
         waits.max().unwrap_or(0) / SECOND
@@ -139,7 +141,7 @@
     calls.record_success(0);
     assert_eq!(longest(&calls), 2, "a watch that ends is no sign of a slow service");
     let large = ListSchedule::new(0, 1000, 10 * SECOND, None);
-    // Windows of 60 s would be beyond the 40 s that the settings give after a failed call.
+    // Windows of 60 s would exceed the 40 s that the settings permit after a failed call.
     assert_eq!(longest(&large), 30, "two windows of 18 s");
     let mut told = ListSchedule::new(999, 1000, 10 * SECOND, Some(100.0));
     assert_eq!((told.first_wait(0, 0.5), longest(&told)), (9995 * MILLI, 12));
@@ -147,7 +149,7 @@
 
 #[test]
 fn the_service_never_sees_more_than_its_rate_whatever_fails() {
-    // It fails every call for a while, of gateways that start within a second.
+    // The service fails all calls of gateways that start within a second.
     let mut next: Vec<(Nanos, ListSchedule)> = (0..300)
         .map(|me| {
             let start = 77 * SECOND + Nanos::from(me) * 7919 % 1000 * MILLI;
@@ -178,12 +180,13 @@
     assert!(calls.record_failure(2 * SECOND, 0.0) < SECOND);
 }
 
-/// Whatever happens: no wait beyond the longest window and what the service asked for, none before its time.
+/// No wait exceeds the maximum window and the time that the service requested, and no call precedes the
+/// latter.
 #[test]
 fn waits_stay_within_their_bounds_whatever_happens() {
     fn holds((me, group, steps): (u32, u16, Vec<(u8, u16, u8)>)) -> bool {
         let mut calls = ListSchedule::new(me, group.into(), 10 * SECOND, None);
-        // The settings give 40 s after a failed call, of which the next one takes its part.
+        // The settings permit 40 s after a failed call, which includes the time of the next call.
         let first = (16 * SECOND).max(2 * EACH * Nanos::from(group));
         let longest = first.min(36 * SECOND);
         let (mut now, mut asked) = (0, 0);
@@ -204,7 +207,8 @@
                 }
                 _ => {
                     let wait = calls.record_failure(now, chance);
-                    // A watch that ended is no failure: a seventh of what a slow service needs.
+                    // The end of a watch is not a failure: its window is a seventh of the time that a slow
+                    // service needs.
                     let longest = longest.max(first / 14);
                     now + wait >= asked && wait <= 2 * longest + asked.saturating_sub(now)
                 }
@@ -215,9 +219,10 @@
     check.quickcheck(holds as fn((u32, u16, Vec<(u8, u16, u8)>)) -> bool);
 }
 
-/// For any group, slot and instant: what happens from a silence, a refusal or a call that hung up to the list's
-/// application fits what `budget` states; that fits the time after which news count as told, unless the service can't
-/// answer the group in what is left of it, by the rate stated or at seven times the pace that is assumed.
+/// For any group, slot and time, the total time from an idle watch, a refusal or a hung call to the
+/// application of the list is within `propagation_bounds`. These are within the propagation deadline,
+/// unless the service can't serve the group in the remaining time at the stated rate, or at seven times the
+/// assumed rate.
 #[test]
 fn the_complete_chain_fits_its_budget_for_any_group_slot_and_instant() {
     fn holds((group, me, at, chance): (u16, u16, u32, u16), (stated, failures): (u8, u8)) -> bool {
@@ -250,7 +255,7 @@
             (at, hung) = (at + 3 * SECOND + wait, hung.max(3 * SECOND + wait + FETCH_ALLOWANCE));
         }
 
-        // The exception: what the service needs for all is longer than what is left.
+        // The exception: the service needs more time for all gateways than remains.
         let need = rate.map_or(u64::from(group) * EACH / 7, |r| (f64::from(group) / r * 1e9) as Nanos);
         let room = |left: Nanos| need + need / Nanos::from(group) < left - MILLI;
         let fits = |room: bool, budget: Nanos| !room || budget <= PROPAGATION_DEADLINE;
@@ -263,7 +268,7 @@
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(60, 17)).tests(20_000);
     check.quickcheck(holds as fn((u16, u16, u32, u16), (u8, u8)) -> bool);
-    // The fleets that are known are no exception.
+    // The group sizes of the known fleets are no exception.
     for group in [1, 92, 300, 309, 350] {
         let budget = ListSchedule::new(0, group, 10 * SECOND, None).propagation_bounds();
         assert!(
@@ -273,7 +278,7 @@
     }
 }
 
-/// A group whose watches fall silent together comes evenly, and all within what is left of the time.
+/// Calls of a group whose watches become idle together are spread evenly over the remaining time.
 #[test]
 fn watches_that_fall_silent_together_make_no_herd() {
     for (group, rate, most) in [(30, None, 18), (300, None, 99), (1000, None, 118), (200, Some(80.0), 81)] {
@@ -291,8 +296,10 @@
     }
 }
 
-/// Watches of a group fall silent at once, each with its last line up to 2 s before, at a service that answers one call
-/// after another and fails what has waited for a second: how many have the list later than 6 s after, and the grace.
+/// The watches of a group become idle at once, each up to 2 s after its last line. The service handles one
+/// call after another and fails those that were queued for a second. Returns the number of gateways that
+/// get the list after the deadline (6 s) and the grace period, and the time of the last one in
+/// milliseconds.
 fn late_after_idle_watches(group: u32, serves: f64, rate: Option<f64>) -> (usize, Nanos) {
     let silence = 77 * SECOND;
     let mut next: Vec<(Nanos, ListSchedule)> = (0..group)
