--- a/tests/pace.rs
+++ b/tests/pace.rs
@@ -9,11 +9,11 @@
 
 const MILLI: Nanos = 1_000_000;
 /// Service time of a call that is assumed if the rate of the service is not stated.
-const EACH: Nanos = 60 * MILLI;
+const ASSUMED_SERVICE_TIME: Nanos = 60 * MILLI;
 const SECOND: Nanos = 1000 * MILLI;
 
 #[test]
-fn first_calls_of_a_group_come_evenly_whenever_each_of_them_started() {
+fn first_calls_of_a_group_are_spread_evenly() {
     for (group, rate, window) in [
         (3, None, 180),
         (50, None, 3000),
@@ -23,10 +23,10 @@
         (300, Some(30.0), 10_000),
     ] {
         let calls: Vec<Nanos> = (0..group)
-            .map(|me| {
-                let start = 77 * SECOND + Nanos::from(me) * 7919 % 1000 * MILLI;
-                let wait = ListSchedule::new(me, group, 10 * SECOND, rate)
-                    .first_wait(start, f64::from(me % 10) / 10.0);
+            .map(|gateway_index| {
+                let start = 77 * SECOND + Nanos::from(gateway_index) * 7919 % 1000 * MILLI;
+                let wait = ListSchedule::new(gateway_index, group, 10 * SECOND, rate)
+                    .first_wait(start, f64::from(gateway_index % 10) / 10.0);
                 assert!(wait <= window * MILLI, "{group} {rate:?}: {wait}");
                 start + wait
             })
@@ -39,14 +39,14 @@
 }
 
 /// A schedule after a first call that the service answered late.
-fn slow(mut calls: ListSchedule) -> ListSchedule {
+fn after_slow_response(mut calls: ListSchedule) -> ListSchedule {
     let due = calls.first_wait(0, 0.0);
     calls.record_success(due + SECOND);
     calls
 }
 
 /// A schedule after a first call that the service answered at once.
-fn quick(mut calls: ListSchedule) -> ListSchedule {
+fn after_quick_response(mut calls: ListSchedule) -> ListSchedule {
     let due = calls.first_wait(0, 0.0);
     calls.record_success(due + SECOND / 10);
     calls
@@ -54,7 +54,7 @@
 
 /// The maximum waits after the end of a watch and each of `failures` calls that fail in a row, 2 s after
 /// they were due.
-fn waits_in_an_outage(mut calls: ListSchedule, failures: usize) -> Vec<Nanos> {
+fn max_waits_in_outage(mut calls: ListSchedule, failures: usize) -> Vec<Nanos> {
     let mut now = 77 * SECOND;
     let mut waits = Vec::new();
     for _ in 0..failures {
@@ -66,35 +66,38 @@
 }
 
 #[test]
-fn a_service_that_kept_up_is_called_on_in_an_outage_so_that_its_return_is_noticed_in_time() {
-    let waits = waits_in_an_outage(quick(ListSchedule::new(7, 300, 10 * SECOND, None)), 12);
+fn an_outage_of_a_service_that_kept_up_does_not_delay_calls() {
+    let waits = max_waits_in_outage(after_quick_response(ListSchedule::new(7, 300, 10 * SECOND, None)), 12);
     // The first wait follows the end of the watch.
     let outage = OUTAGE_FAILURES as usize;
     assert!(
         waits[..outage].iter().all(|wait| 2 * SECOND + wait + FETCH_ALLOWANCE <= PROPAGATION_DEADLINE),
         "{waits:?}"
     );
-    assert!(waits[outage..].iter().all(|wait| *wait > 10 * SECOND), "it may be overloaded: {waits:?}");
+    assert!(
+        waits[outage..].iter().all(|wait| *wait > 10 * SECOND),
+        "the service may be overloaded: {waits:?}"
+    );
 }
 
 /// Regression: a response that is queued for a moment, as when many gateways start at once, is no sign of
 /// overload, since an overloaded service would have failed the call. When it was taken for one, calls were
 /// delayed by two windows of 18 s in the next outage, and drains were applied too late.
 #[test]
-fn a_service_whose_answer_queued_for_less_than_its_timeout_is_called_on_in_an_outage() {
+fn a_briefly_queued_response_does_not_delay_calls_in_an_outage() {
     for queued in [SECOND / 2, 7 * SECOND / 10, MIN_SERVICE_TIMEOUT - MILLI] {
         let mut calls = ListSchedule::new(7, 300, 10 * SECOND, None);
         let due = calls.first_wait(0, 0.0);
         calls.record_success(due + queued);
-        let waits = waits_in_an_outage(calls, OUTAGE_FAILURES as usize);
+        let waits = max_waits_in_outage(calls, OUTAGE_FAILURES as usize);
         let is_in_time = |wait: &Nanos| 2 * SECOND + wait + FETCH_ALLOWANCE <= PROPAGATION_DEADLINE;
         assert!(waits.iter().all(is_in_time), "{queued}: {waits:?}");
     }
 }
 
 #[test]
-fn a_service_that_was_never_heard_of_is_called_on_for_a_shorter_time() {
-    let waits = waits_in_an_outage(ListSchedule::new(7, 300, 10 * SECOND, None), 8);
+fn an_outage_of_an_unknown_service_delays_calls_sooner() {
+    let waits = max_waits_in_outage(ListSchedule::new(7, 300, 10 * SECOND, None), 8);
     let unknown = UNKNOWN_FAILURES as usize;
     assert!(
         waits[..unknown].iter().all(|wait| wait + FETCH_ALLOWANCE <= PROPAGATION_DEADLINE),
@@ -104,7 +107,7 @@
 }
 
 #[test]
-fn quick_failures_keep_to_the_time_that_the_settings_give_after_a_failed_call() {
+fn quick_failures_wait_no_longer_than_the_settings_permit() {
     // Regression: a test of the program failed at times. A maximum age of 1 s permits 4 s after a failed
     // call.
     let mut calls = ListSchedule::new(0, 1, SECOND, None);
@@ -118,19 +121,19 @@
 }
 
 #[test]
-fn a_service_that_answered_late_is_spared_from_its_first_failure_on() {
-    let waits = waits_in_an_outage(slow(ListSchedule::new(7, 300, 10 * SECOND, None)), 6);
+fn a_slow_service_gets_fewer_calls_after_its_first_failure() {
+    let waits = max_waits_in_outage(after_slow_response(ListSchedule::new(7, 300, 10 * SECOND, None)), 6);
     assert!(waits[1..].iter().all(|wait| *wait > 10 * SECOND), "{waits:?}");
 }
 
 #[test]
-fn failures_widen_the_window_up_to_its_longest_and_an_answer_resets_it() {
+fn failures_extend_the_window_and_a_response_resets_it() {
     // The maximum of many draws, in whole seconds: the last slot of the last window.
     let longest = |calls: &ListSchedule| {
         let waits = (0..1000).map(|n| calls.clone().record_failure(77 * SECOND, f64::from(n) / 1000.0));
         waits.max().unwrap_or(0) / SECOND
     };
-    let mut calls = slow(ListSchedule::new(0, 100, 10 * SECOND, None));
+    let mut calls = after_slow_response(ListSchedule::new(0, 100, 10 * SECOND, None));
     calls.record_failure(0, 0.5);
     let mut waits = Vec::new();
     for _ in 0..4 {
@@ -139,21 +142,21 @@
     }
     assert_eq!(waits, [7, 7, 7, 7], "windows of 6 s: two fit into 16 s");
     calls.record_success(0);
-    assert_eq!(longest(&calls), 2, "a watch that ends is no sign of a slow service");
+    assert_eq!(longest(&calls), 2, "the end of a watch is no sign of a slow service");
     let large = ListSchedule::new(0, 1000, 10 * SECOND, None);
     // Windows of 60 s would exceed the 40 s that the settings permit after a failed call.
     assert_eq!(longest(&large), 30, "two windows of 18 s");
-    let mut told = ListSchedule::new(999, 1000, 10 * SECOND, Some(100.0));
-    assert_eq!((told.first_wait(0, 0.5), longest(&told)), (9995 * MILLI, 12));
+    let mut stated = ListSchedule::new(999, 1000, 10 * SECOND, Some(100.0));
+    assert_eq!((stated.first_wait(0, 0.5), longest(&stated)), (9995 * MILLI, 12));
 }
 
 #[test]
-fn the_service_never_sees_more_than_its_rate_whatever_fails() {
+fn failures_never_exceed_the_stated_rate_of_the_service() {
     // The service fails all calls of gateways that start within a second.
     let mut next: Vec<(Nanos, ListSchedule)> = (0..300)
-        .map(|me| {
-            let start = 77 * SECOND + Nanos::from(me) * 7919 % 1000 * MILLI;
-            let mut calls = ListSchedule::new(me, 300, 10 * SECOND, Some(50.0));
+        .map(|gateway_index| {
+            let start = 77 * SECOND + Nanos::from(gateway_index) * 7919 % 1000 * MILLI;
+            let mut calls = ListSchedule::new(gateway_index, 300, 10 * SECOND, Some(50.0));
             (start + calls.first_wait(start, 0.5), calls)
         })
         .collect();
@@ -165,12 +168,12 @@
     }
     let within = |from: &Nanos| called.iter().filter(|c| (*from..*from + SECOND).contains(*c)).count();
     let most = called.iter().map(within).max().unwrap_or(0);
-    assert!(most <= 55, "{most} in a second, of 50");
-    assert!(called[2999] - called[0] > 60 * SECOND, "and less and less");
+    assert!(most <= 55, "{most} in a second, limit 50");
+    assert!(called[2999] - called[0] > 60 * SECOND, "the rate does not fall");
 }
 
 #[test]
-fn a_service_that_asks_to_be_left_alone_is_and_not_for_ever() {
+fn calls_are_deferred_on_request_for_a_limited_time() {
     let mut calls = ListSchedule::new(0, 10, 10 * SECOND, None);
     calls.defer(SECOND, 3 * SECOND);
     assert!((2 * SECOND..4 * SECOND).contains(&calls.record_failure(2 * SECOND, 0.0)));
@@ -183,13 +186,13 @@
 /// No wait exceeds the maximum window and the time that the service requested, and no call precedes the
 /// latter.
 #[test]
-fn waits_stay_within_their_bounds_whatever_happens() {
-    fn holds((me, group, steps): (u32, u16, Vec<(u8, u16, u8)>)) -> bool {
-        let mut calls = ListSchedule::new(me, group.into(), 10 * SECOND, None);
+fn waits_stay_within_their_bounds() {
+    fn is_within_bounds((gateway_index, group, steps): (u32, u16, Vec<(u8, u16, u8)>)) -> bool {
+        let mut calls = ListSchedule::new(gateway_index, group.into(), 10 * SECOND, None);
         // The settings permit 40 s after a failed call, which includes the time of the next call.
-        let first = (16 * SECOND).max(2 * EACH * Nanos::from(group));
+        let first = (16 * SECOND).max(2 * ASSUMED_SERVICE_TIME * Nanos::from(group));
         let longest = first.min(36 * SECOND);
-        let (mut now, mut asked) = (0, 0);
+        let (mut now, mut deferred_until) = (0, 0);
         steps.into_iter().all(|(what, span, chance)| {
             now += Nanos::from(span) * MILLI;
             let chance = f64::from(chance) / 256.0;
@@ -197,12 +200,12 @@
                 0 => calls.first_wait(now, chance) <= first,
                 1 => {
                     calls.defer(now, Nanos::from(span) * MILLI);
-                    asked = asked.max(now + (Nanos::from(span) * MILLI).min(longest));
+                    deferred_until = deferred_until.max(now + (Nanos::from(span) * MILLI).min(longest));
                     true
                 }
                 2 => {
                     calls.record_success(now);
-                    asked = 0;
+                    deferred_until = 0;
                     true
                 }
                 _ => {
@@ -210,84 +213,92 @@
                     // The end of a watch is not a failure: its window is a seventh of the time that a slow
                     // service needs.
                     let longest = longest.max(first / 14);
-                    now + wait >= asked && wait <= 2 * longest + asked.saturating_sub(now)
+                    now + wait >= deferred_until && wait <= 2 * longest + deferred_until.saturating_sub(now)
                 }
             }
         })
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(60, 11)).tests(2000);
-    check.quickcheck(holds as fn((u32, u16, Vec<(u8, u16, u8)>)) -> bool);
+    check.quickcheck(is_within_bounds as fn((u32, u16, Vec<(u8, u16, u8)>)) -> bool);
 }
 
-/// For any group, slot and time, the total time from an idle watch, a refusal or a hung call to the
-/// application of the list is within `propagation_bounds`. These are within the propagation deadline,
+/// For any group, slot and time, the total time from an idle watch, a refusal or a hung call to
+/// the application of the list is within `propagation_bounds`. These are within the propagation deadline,
 /// unless the service can't serve the group in the remaining time at the stated rate, or at seven times the
 /// assumed rate.
 #[test]
-fn the_complete_chain_fits_its_budget_for_any_group_slot_and_instant() {
-    fn holds((group, me, at, chance): (u16, u16, u32, u16), (stated, failures): (u8, u8)) -> bool {
+fn propagation_bounds_hold_for_any_group_slot_and_time() {
+    fn is_within_bounds(
+        (group, gateway_index, at, chance): (u16, u16, u32, u16),
+        (stated, failures): (u8, u8),
+    ) -> bool {
         let group = u32::from(group) % 1000 + 1;
         let rate = (stated % 3 == 0).then(|| f64::from(stated) + 10.0);
-        let patience = 10 * SECOND;
-        let calls = ListSchedule::new(me.into(), group, patience, rate);
-        let budget = calls.propagation_bounds();
+        let max_list_age = 10 * SECOND;
+        let calls = ListSchedule::new(gateway_index.into(), group, max_list_age, rate);
+        let bounds = calls.propagation_bounds();
         let now = 1000 * SECOND + Nanos::from(at) * 7919;
         let mut draws = (0..).map(|n| (f64::from(chance) / 65536.0 + f64::from(n) * 0.37).fract());
         let mut chance = move || draws.next().unwrap_or(0.5);
 
         let mut one = calls.clone();
         one.record_success(now);
-        let silent = WATCH_IDLE_TIMEOUT + one.record_failure(now, chance()) + FETCH_ALLOWANCE;
+        let after_idle = WATCH_IDLE_TIMEOUT + one.record_failure(now, chance()) + FETCH_ALLOWANCE;
 
-        let (mut one, mut at, mut refused) = (calls.clone(), now, 0);
+        let (mut one, mut at, mut after_refusal) = (calls.clone(), now, 0);
         one.record_success(now);
         at += one.record_failure(at, chance());
         for _ in 0..=failures % 8 {
             let wait = one.record_failure(at + 1, chance());
-            (at, refused) = (at + 1 + wait, refused.max(wait + FETCH_ALLOWANCE));
+            (at, after_refusal) = (at + 1 + wait, after_refusal.max(wait + FETCH_ALLOWANCE));
         }
 
-        let (mut one, mut at, mut hung) = (calls, now, 0);
+        let (mut one, mut at, mut after_timeout) = (calls, now, 0);
         one.record_success(now);
         at += one.record_failure(at, chance());
         for _ in 0..=failures % 8 {
             let wait = one.record_failure(at + 3 * SECOND, chance());
-            (at, hung) = (at + 3 * SECOND + wait, hung.max(3 * SECOND + wait + FETCH_ALLOWANCE));
+            (at, after_timeout) =
+                (at + 3 * SECOND + wait, after_timeout.max(3 * SECOND + wait + FETCH_ALLOWANCE));
         }
 
         // The exception: the service needs more time for all gateways than remains.
-        let need = rate.map_or(u64::from(group) * EACH / 7, |r| (f64::from(group) / r * 1e9) as Nanos);
-        let room = |left: Nanos| need + need / Nanos::from(group) < left - MILLI;
-        let fits = |room: bool, budget: Nanos| !room || budget <= PROPAGATION_DEADLINE;
-        silent <= budget.after_idle
-            && refused <= budget.after_refusal
-            && hung <= budget.after_timeout
-            && fits(room(PROPAGATION_DEADLINE - WATCH_IDLE_TIMEOUT - FETCH_ALLOWANCE), budget.after_idle)
-            && fits(room(PROPAGATION_DEADLINE - FETCH_ALLOWANCE), budget.after_refusal)
-            && (rate.is_some() || budget.after_timeout <= 4 * patience)
+        let service_time = rate
+            .map_or(u64::from(group) * ASSUMED_SERVICE_TIME / 7, |r| (f64::from(group) / r * 1e9) as Nanos);
+        let can_serve = |left: Nanos| service_time + service_time / Nanos::from(group) < left - MILLI;
+        let fits = |can_serve: bool, bounds: Nanos| !can_serve || bounds <= PROPAGATION_DEADLINE;
+        after_idle <= bounds.after_idle
+            && after_refusal <= bounds.after_refusal
+            && after_timeout <= bounds.after_timeout
+            && fits(
+                can_serve(PROPAGATION_DEADLINE - WATCH_IDLE_TIMEOUT - FETCH_ALLOWANCE),
+                bounds.after_idle,
+            )
+            && fits(can_serve(PROPAGATION_DEADLINE - FETCH_ALLOWANCE), bounds.after_refusal)
+            && (rate.is_some() || bounds.after_timeout <= 4 * max_list_age)
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(60, 17)).tests(20_000);
-    check.quickcheck(holds as fn((u16, u16, u32, u16), (u8, u8)) -> bool);
+    check.quickcheck(is_within_bounds as fn((u16, u16, u32, u16), (u8, u8)) -> bool);
     // The group sizes of the known fleets are no exception.
     for group in [1, 92, 300, 309, 350] {
-        let budget = ListSchedule::new(0, group, 10 * SECOND, None).propagation_bounds();
+        let bounds = ListSchedule::new(0, group, 10 * SECOND, None).propagation_bounds();
         assert!(
-            budget.after_idle <= PROPAGATION_DEADLINE && budget.after_refusal <= PROPAGATION_DEADLINE,
-            "{group}: {budget:?}"
+            bounds.after_idle <= PROPAGATION_DEADLINE && bounds.after_refusal <= PROPAGATION_DEADLINE,
+            "{group}: {bounds:?}"
         );
     }
 }
 
 /// Calls of a group whose watches become idle together are spread evenly over the remaining time.
 #[test]
-fn watches_that_fall_silent_together_make_no_herd() {
+fn calls_after_simultaneously_idle_watches_are_spread() {
     for (group, rate, most) in [(30, None, 18), (300, None, 99), (1000, None, 118), (200, Some(80.0), 81)] {
         let calls: Vec<Nanos> = (0..group)
-            .map(|me| {
-                let noticed = 77 * SECOND + Nanos::from(me) * 7919 % 100 * MILLI;
-                let mut calls = ListSchedule::new(me, group, 10 * SECOND, rate);
+            .map(|gateway_index| {
+                let noticed = 77 * SECOND + Nanos::from(gateway_index) * 7919 % 100 * MILLI;
+                let mut calls = ListSchedule::new(gateway_index, group, 10 * SECOND, rate);
                 calls.record_success(noticed);
-                noticed + calls.record_failure(noticed, f64::from(me % 10) / 10.0)
+                noticed + calls.record_failure(noticed, f64::from(gateway_index % 10) / 10.0)
             })
             .collect();
         let within = |from: &Nanos| calls.iter().filter(|c| (*from..*from + SECOND).contains(*c)).count();
@@ -300,38 +311,39 @@
 /// call after another and fails those that were queued for a second. Returns the number of gateways that
 /// get the list after the deadline (6 s) and the grace period, and the time of the last one in
 /// milliseconds.
-fn late_after_idle_watches(group: u32, serves: f64, rate: Option<f64>) -> (usize, Nanos) {
-    let silence = 77 * SECOND;
+fn late_after_idle_watches(group: u32, calls_per_s: f64, rate: Option<f64>) -> (usize, Nanos) {
+    let idle_since = 77 * SECOND;
     let mut next: Vec<(Nanos, ListSchedule)> = (0..group)
-        .map(|me| {
-            let noticed = silence + WATCH_IDLE_TIMEOUT - Nanos::from(me) * 7919 % 2000 * MILLI;
-            let mut calls = ListSchedule::new(me, group, 10 * SECOND, rate);
+        .map(|gateway_index| {
+            let noticed =
+                idle_since + WATCH_IDLE_TIMEOUT - Nanos::from(gateway_index) * 7919 % 2000 * MILLI;
+            let mut calls = ListSchedule::new(gateway_index, group, 10 * SECOND, rate);
             calls.record_success(noticed);
-            (noticed + calls.record_failure(noticed, f64::from(me % 10) / 10.0), calls)
+            (noticed + calls.record_failure(noticed, f64::from(gateway_index % 10) / 10.0), calls)
         })
         .collect();
-    let work = (1e9 / serves) as Nanos;
-    let (mut free, mut had) = (0, Vec::new());
+    let work = (1e9 / calls_per_s) as Nanos;
+    let (mut free_at, mut received) = (0, Vec::new());
     for n in 0..20_000 {
         let Some(first) = (0..next.len()).min_by_key(|n| next[*n].0) else { break };
         let at = next[first].0;
-        if free.max(at) - at > SECOND {
+        if free_at.max(at) - at > SECOND {
             let (due, calls) = &mut next[first];
             *due = at + SECOND + calls.record_failure(at + SECOND, f64::from(n * 37 % 100) / 100.0);
         } else {
-            free = free.max(at) + work;
-            had.push(free - silence);
+            free_at = free_at.max(at) + work;
+            received.push(free_at - idle_since);
             next.swap_remove(first);
         }
     }
-    assert_eq!(had.len(), group as usize, "all have it in the end");
-    let late = had.iter().filter(|at| **at > PROPAGATION_DEADLINE + 250 * MILLI).count();
-    (late, had.into_iter().max().unwrap_or(0) / MILLI)
+    assert_eq!(received.len(), group as usize, "not all gateways got the list");
+    let late = received.iter().filter(|at| **at > PROPAGATION_DEADLINE + 250 * MILLI).count();
+    (late, received.into_iter().max().unwrap_or(0) / MILLI)
 }
 
 #[test]
-fn a_group_whose_watches_become_idle_is_informed_in_time_where_the_service_can_do_it() {
-    for (group, serves, rate, most) in [
+fn idle_watches_are_replaced_in_time_if_the_service_keeps_up() {
+    for (group, calls_per_s, rate, most) in [
         (92, 30.0, None, 0),
         (300, 100.0, None, 0),
         (300, 85.0, None, 0),
@@ -340,8 +352,10 @@
         (300, 20.0, None, 189),
         (1000, 100.0, None, 504),
     ] {
-        let (late, last) = late_after_idle_watches(group, serves, rate);
-        println!("{group} at {serves} a second, stated {rate:?}: {late} late, the last after {last} ms");
-        assert!(late <= most, "{group} at {serves} a second: {late} late, the last after {last} ms");
+        let (late, last) = late_after_idle_watches(group, calls_per_s, rate);
+        println!(
+            "{group} at {calls_per_s} a second, stated {rate:?}: {late} late, the last after {last} ms"
+        );
+        assert!(late <= most, "{group} at {calls_per_s} a second: {late} late, the last after {last} ms");
     }
 }
