--- a/tests/lag.rs
+++ b/tests/lag.rs
@@ -1,4 +1,4 @@
-//! The watch on the serving thread: what it tells, and through the program.
+//! The lag monitor of the serving thread, on its own and in the program.
 
 mod support;
 
@@ -14,51 +14,51 @@
 
 const MS: u64 = 1_000_000;
 
-fn watch() -> LagMonitor {
+fn monitor() -> LagMonitor {
     let second = Duration::from_secs(1);
     LagMonitor::new(0, 0, &Limits::new(1024, 192, second, second))
 }
 
 #[test]
-fn a_late_run_is_reported_with_the_threads_own_time_once_a_spell() {
-    let mut watch = watch();
-    assert_eq!(watch.ran(50 * MS, 150 * MS, || 9 * MS), None, "late by no more than is usual");
-    // Others had the processor, or a system call waited: hardly any time of its own.
-    let told = watch.ran(200 * MS, 900 * MS, || 10 * MS);
-    assert_eq!(told, Some(LagSpell { due: 200 * MS, late: 700 * MS, span: 750 * MS, cpu: MS }));
-    assert_eq!(watch.ran(900 * MS, 1100 * MS, || 200 * MS), None, "the same spell");
-    assert_eq!(watch.ran(2080 * MS, 2090 * MS, || 210 * MS), None, "on time");
-    // A loop of the program's own.
-    let told = watch.ran(2100 * MS, 2500 * MS, || 610 * MS);
-    assert_eq!(told, Some(LagSpell { due: 2100 * MS, late: 400 * MS, span: 410 * MS, cpu: 400 * MS }));
+fn a_late_run_is_reported_with_cpu_time_once_per_spell() {
+    let mut monitor = monitor();
+    assert_eq!(monitor.ran(50 * MS, 150 * MS, || 9 * MS), None, "within the permitted lag");
+    // Other threads had the processor, or a system call blocked: little processor time of its own.
+    let report = monitor.ran(200 * MS, 900 * MS, || 10 * MS);
+    assert_eq!(report, Some(LagSpell { due: 200 * MS, late: 700 * MS, span: 750 * MS, cpu: MS }));
+    assert_eq!(monitor.ran(900 * MS, 1100 * MS, || 200 * MS), None, "the same spell");
+    assert_eq!(monitor.ran(2080 * MS, 2090 * MS, || 210 * MS), None, "on time");
+    // A long computation of the program itself.
+    let report = monitor.ran(2100 * MS, 2500 * MS, || 610 * MS);
+    assert_eq!(report, Some(LagSpell { due: 2100 * MS, late: 400 * MS, span: 410 * MS, cpu: 400 * MS }));
 }
 
 #[test]
-fn the_threads_clock_is_read_seldom() {
-    let (mut watch, reads) = (watch(), Cell::new(0));
+fn the_cpu_clock_is_read_at_most_every_10_ms() {
+    let (mut monitor, reads) = (monitor(), Cell::new(0));
     for now in 1..=1000 {
-        let told = watch.ran(now * MS, now * MS, || {
+        let report = monitor.ran(now * MS, now * MS, || {
             reads.set(reads.get() + 1);
             now * MS
         });
-        assert_eq!(told, None);
+        assert_eq!(report, None);
     }
     assert_eq!(reads.get(), 100, "each 10 ms, however often it runs");
 }
 
-/// Random runs: each is on time, a little late or very late, and uses some of its time.
+/// Random runs that are on time, slightly late or very late, with random processor time.
 #[test]
-fn it_tells_each_spells_first_late_run_and_no_other() {
+fn only_the_first_late_run_of_a_spell_is_reported() {
     fn property(steps: Vec<(u16, u16, u8)>) -> bool {
-        let (mut watch, mut now, mut cpu) = (watch(), 0, 0);
-        // When the model last saw it late, and when it last looked.
+        let (mut monitor, mut now, mut cpu) = (monitor(), 0, 0);
+        // When the model last saw a late run, and the two clocks at its last reading.
         let (mut last, mut seen) = (None::<u64>, (0, 0));
         steps.iter().all(|(sleep, late, busy)| {
             let due = now + u64::from(sleep % 251) * MS;
             let late = u64::from(late % 400) * MS * u64::from(busy % 3);
             now = due + late;
             cpu += (now - seen.0).min(u64::from(*busy) * MS);
-            let told = watch.ran(due, now, || cpu);
+            let report = monitor.ran(due, now, || cpu);
             let over = late > 100 * MS;
             let first = over && last.is_none_or(|last| now - last >= 1000 * MS);
             let expected = first.then(|| LagSpell { due, late, span: now - seen.0, cpu: cpu - seen.1 });
@@ -68,7 +68,7 @@
             if over || now - seen.0 >= 10 * MS {
                 seen = (now, cpu);
             }
-            told == expected
+            report == expected
         })
     }
     let steps = property as fn(Vec<(u16, u16, u8)>) -> bool;
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn a_program_that_was_not_run_says_so_and_that_it_was_not_its_own_work() {
-    let server = server("platform", Manner::Serve);
-    let gateway = Gateway::start("platform", vec![entry(0, &server, "ready", 0)], 1);
+fn a_stopped_process_logs_a_late_run_with_little_cpu_time() {
+    let replica = server("platform", Manner::Serve);
+    let gateway = Gateway::start("platform", vec![entry(0, &replica, "ready", 0)], 1);
     gateway.signal("-STOP");
     thread::sleep(Duration::from_millis(1200));
     gateway.signal("-CONT");
@@ -86,11 +86,11 @@
         let value = line.split_once(&format!("{name}=\"")).expect("a value").1;
         value.split('"').next().expect("a value").parse().expect("a number")
     };
-    // At the latest it was due 250 ms after it was stopped.
-    let shown = || {
-        let log = gateway.log.lock().expect("whole");
+    // It was due at most 250 ms after it was stopped.
+    let is_logged = || {
+        let log = gateway.log.lock().expect("not poisoned");
         let mut late = log.iter().filter(|l| l.contains(" thread-late "));
         late.any(|l| number(l, "late_ms") >= 900 && number(l, "cpu_ms") < number(l, "late_ms") / 2)
     };
-    eventually(shown);
+    eventually(is_logged);
 }
--- a/tests/units/case_files.rs
+++ b/tests/units/case_files.rs
@@ -3,7 +3,7 @@
 use tulipridge::conformance::case::{Outcome, parse};
 
 #[test]
-fn a_file_is_read_line_by_line_and_a_fault_names_its_line() {
+fn a_case_file_is_parsed_and_errors_name_their_line() {
     let cases = parse(
         "f",
         "# c\ncase a\n  ask user \"x \\\"y\\\"\"\n  serve call 0 c1 find\n  then\n  serve end\n\
@@ -15,10 +15,10 @@
     assert_eq!((cases[0].serve.len(), cases[0].serve[0][0].number(0)), (2, 0));
     assert_eq!(cases[0].see[1].directive.json(1), "{\"a\": [1]}");
     assert_eq!(cases[0].outcome, Outcome::Broken);
-    // A carriage return that ends no line once ended no reading either.
+    // Regression: a carriage return that does not end a line made the parser loop forever.
     assert!(parse("f", "case a\r\n  serve end\r\n").is_ok_and(|cases| cases[0].serve[0].len() == 1));
     assert!(parse("f", "case\ra\r\r  x").is_err());
-    for (text, told) in [
+    for (text, message) in [
         ("x a\n", "f:1: only"),
         ("case a\n  odd\n", "f:2: 'odd' is no keyword"),
         ("case a\n  outcome odd\n", "f:2: 'odd' is no outcome"),
@@ -28,7 +28,7 @@
         ("  ask user x\n", "f:1: no case"),
         ("case a\ncase a\n", "f:2: this name"),
     ] {
-        let fault = parse("f", text).expect_err(text);
-        assert!(fault.to_string().starts_with(told), "{fault}");
+        let error = parse("f", text).expect_err(text);
+        assert!(error.to_string().starts_with(message), "{error}");
     }
 }
--- a/tests/units/json_nesting.rs
+++ b/tests/units/json_nesting.rs
@@ -1,9 +1,9 @@
-//! Following the brackets of a JSON text that comes in pieces.
+//! Tracking the nesting of a JSON text that arrives in pieces.
 
 use tulipridge::front::object::{Nesting, depth};
 
 #[test]
-fn a_json_text_in_pieces_is_complete_at_its_end_and_not_before() {
+fn a_json_text_in_pieces_is_complete_only_at_its_end() {
     let json = r#"{"a":"}\"]","b":[1,{"c":"\\"}]}"#;
     let mut nesting = Nesting::default();
     for at in 0..json.len() {
--- a/tests/units/messages_order.rs
+++ b/tests/units/messages_order.rs
@@ -1,4 +1,4 @@
-//! What a request to the messages API asks of the engine.
+//! Conversion of a messages API request to the engine's request.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -45,31 +45,32 @@
     FrontContext::new(Rc::new(RefCell::new(names)), Rc::new(limits), setup)
 }
 
-/// What a request with these headers and this body, over a usual one, comes to: an order, or a status.
+/// Submits a request with these headers, and with `body` merged into a default one. Returns the accepted
+/// request or the status.
 fn accepted(
     context: &FrontContext,
     headers: &[(&str, &str)],
     body: Value,
 ) -> Result<Box<AcceptedRequest>, u16> {
-    let mut whole = json!({"model": "map-fast", "max_tokens": 9, "stream": true,
+    let mut request_body = json!({"model": "map-fast", "max_tokens": 9, "stream": true,
         "messages": [{"role": "user", "content": "Which gate?"}]});
-    whole.as_object_mut().expect("an object").extend(body.as_object().expect("an object").clone());
+    request_body.as_object_mut().expect("an object").extend(body.as_object().expect("an object").clone());
     let mut head = Head { start: ["POST", PATH, "HTTP/1.1"].map(String::from), ..Head::default() };
     if !headers.iter().any(|(name, _)| *name == "x-api-key") {
         head.headers.push(("x-api-key".into(), "of-nobody".into()));
     }
     head.headers.extend(headers.iter().map(|(n, v)| (n.to_string(), v.to_string())));
-    let body = whole.to_string();
+    let body = request_body.to_string();
     match call(context, SECOND, &head, body.as_bytes(), "req_00000000000000a1", ReplicaDialects::default())
     {
-        Call::Serve(order) => Ok(order),
-        Call::Respond(reply) => Err(reply.status),
+        Call::Serve(request) => Ok(request),
+        Call::Respond(response) => Err(response.status),
         Call::Health => Err(0),
     }
 }
 
 #[test]
-fn the_body_says_what_headers_do_not() {
+fn the_body_determines_what_headers_do_not_set() {
     let context = context();
     let plain = accepted(&context, &[], json!({})).expect("good");
     assert_eq!((plain.placement.class, plain.placement.expires_in, plain.safe), (0, 5 * SECOND, true));
@@ -85,7 +86,7 @@
     assert_eq!((bulk.placement.class, bulk.placement.expires_in, bulk.safe), (1, 20 * SECOND, false));
     let docs = accepted(&context, &[("x-class", "docs")], json!({"model": "map-bulk"})).expect("good");
     assert_eq!(docs.placement.class, 0);
-    // A conversation is known by its user, else by how it began.
+    // A session is identified by the user id, otherwise by the first turn.
     let session = |body| accepted(&context, &[], body).expect("good").placement.session;
     let turn = |text: &str| json!({"messages": [{"role": "user", "content": text}]});
     assert_eq!(
@@ -97,17 +98,18 @@
         session(json!({"metadata": {"user_id": "v"}}))
     );
     assert_ne!(session(turn("one")), session(turn("two")));
-    assert_eq!(accepted(&context, &[], json!({"model": "map-slow"})).err(), Some(404), "it is not listed");
+    assert_eq!(accepted(&context, &[], json!({"model": "map-slow"})).err(), Some(404), "an unlisted model");
 }
 
 #[test]
-fn what_a_clients_library_says_of_repeats_and_patience_is_heeded() {
+fn retry_and_timeout_headers_of_client_libraries_are_used() {
     let context = context();
-    let asked = |headers: &[(&str, &str)]| accepted(&context, headers, json!({})).expect("good").placement;
-    assert!(!asked(&[("x-stainless-retry-count", "0")]).is_retry);
-    assert!(asked(&[("x-stainless-retry-count", "1")]).is_retry);
-    assert!(asked(&[("x-retry", "1")]).is_retry);
-    assert!(!asked(&[("x-stainless-retry-count", "many")]).is_retry);
+    let request_with =
+        |headers: &[(&str, &str)]| accepted(&context, headers, json!({})).expect("good").placement;
+    assert!(!request_with(&[("x-stainless-retry-count", "0")]).is_retry);
+    assert!(request_with(&[("x-stainless-retry-count", "1")]).is_retry);
+    assert!(request_with(&[("x-retry", "1")]).is_retry);
+    assert!(!request_with(&[("x-stainless-retry-count", "many")]).is_retry);
     for (name, seconds, expected) in [
         ("x-stainless-timeout", "600", 5 * SECOND),
         ("x-stainless-timeout", "2", 2 * SECOND),
@@ -115,28 +117,29 @@
         ("x-stainless-timeout", "-3", 5 * SECOND),
         ("x-stainless-timeout", "NaN", 5 * SECOND),
     ] {
-        assert_eq!(asked(&[(name, seconds)]).expires_in, expected, "{name}: {seconds}");
+        assert_eq!(request_with(&[(name, seconds)]).expires_in, expected, "{name}: {seconds}");
     }
     let both = [("x-stainless-timeout", "3"), ("x-stainless-read-timeout", "2")];
-    assert_eq!(asked(&both).expires_in, 2 * SECOND);
-    assert_eq!(asked(&[("x-deadline-ms", "700"), both[0]]).expires_in, 700_000_000);
+    assert_eq!(request_with(&both).expires_in, 2 * SECOND);
+    assert_eq!(request_with(&[("x-deadline-ms", "700"), both[0]]).expires_in, 700_000_000);
 }
 
 #[test]
-fn a_key_says_whose_limits_are_spent_and_the_body_how_much() {
+fn a_key_determines_the_tenant_and_the_body_the_tokens() {
     let context = context();
     let tenant = |headers: &[(&str, &str)]| {
-        accepted(&context, headers, json!({})).map(|order| order.placement.tenant)
+        accepted(&context, headers, json!({})).map(|request| request.placement.tenant)
     };
     assert_eq!(tenant(&[("x-api-key", "of-b")]).ok(), Some(Some(1)));
     assert_eq!(tenant(&[("x-api-key", "of-b"), ("x-tenant", "b")]).ok(), Some(Some(1)));
     assert_eq!(tenant(&[("x-api-key", "of-b"), ("x-tenant", "a")]).err(), Some(403));
-    // A key without a tenant is the usual one's, and of no other by its header.
+    // A key without a tenant uses the default tenant; a header cannot select another one.
     assert_eq!(tenant(&[("x-tenant", "a")]).ok(), Some(Some(0)));
     assert_eq!(tenant(&[("x-tenant", "b")]).err(), Some(403));
-    // Tenant a has 1,000 tokens a minute: a header that makes its prompt small is no way round it.
+    // Tenant a has 1,000 tokens per minute, and a header with a small prompt length does not evade this
+    // limit.
     let long = json!({"messages": [{"role": "user", "content": "x".repeat(3600)}]});
     let small = [("x-extras", "prompt_len=0,prefix_len=0,max_out=0")];
-    assert!(accepted(&context, &small, long.clone()).is_ok_and(|order| order.prompt == 900));
+    assert!(accepted(&context, &small, long.clone()).is_ok_and(|request| request.prompt == 900));
     assert_eq!(accepted(&context, &small, long).err(), Some(429));
 }
--- a/tests/units/request_reading.rs
+++ b/tests/units/request_reading.rs
@@ -1,112 +1,127 @@
-//! Reading and refusing bodies of the messages API.
+//! Parsing and rejecting request bodies of the messages API.
 
 use serde_json::{Value, json};
 use tulipridge::front::messages::request::{Purpose, Request};
 use tulipridge::front::object::Text;
 use tulipridge::limits::MessagesLimits;
 
-fn fault_of(body: Value) -> String {
+fn error_of(body: Value) -> String {
     let limits = MessagesLimits::default();
     Request::read(body.to_string().as_bytes(), Purpose::Generation, &limits)
         .map_or_else(|error| error.to_string(), |_| String::new())
 }
 
-fn with(field: &str, value: Value) -> String {
+fn error_with_field(field: &str, value: Value) -> String {
     let mut body = json!({"model": "m", "max_tokens": 9, "messages": [{"role": "user", "content": "x"}]});
     body[field] = value;
-    fault_of(body)
+    error_of(body)
 }
 
-fn block(block: Value) -> String {
-    with("messages", json!([{"role": "user", "content": [block]}]))
+fn error_with_block(block: Value) -> String {
+    error_with_field("messages", json!([{"role": "user", "content": [block]}]))
 }
 
 #[test]
-fn each_fault_is_reported_with_its_field() {
-    for (fault, field) in [
-        (with("model", json!("")), "model: "),
-        (with("model", json!(7)), "model: invalid type"),
-        (with("max_tokens", json!(-3)), "max_tokens: invalid"),
-        (with("max_tokens", json!(0)), "max_tokens: "),
-        (with("messages", json!([])), "messages: "),
-        (with("messages", json!([{"role": "robot", "content": "x"}])), "messages.0.role: 'robot'"),
-        (with("messages", json!([{"role": "user"}])), "messages.0.content: required"),
-        (with("messages", json!([{"role": "user", "content": 3}])), "messages.0.content: invalid type"),
-        (with("stream", json!("yes")), "stream: "),
-        (with("temperature", json!(1.5)), "temperature: 1.5"),
-        (with("stop_sequences", json!(["a", " "])), "stop_sequences.1: "),
-        (with("service_tier", json!("gold")), "service_tier: 'gold'"),
-        (with("thinking", json!({"type": "enabled"})), "thinking.budget_tokens: required"),
-        (with("thinking", json!({"type": "enabled", "budget_tokens": 10})), "thinking.budget_tokens: 10"),
-        (with("tools", json!([{"name": "a b", "input_schema": {}}])), "tools.0.name: "),
-        (with("tools", json!([{"name": "a"}])), "tools.0.input_schema: required"),
-        (with("tool_choice", json!({"type": "tool", "name": "b"})), "tool_choice.name: "),
-        (with("system", json!([{"type": "image"}])), "system.0.type: 'image'"),
-        (block(json!({"text": "x"})), "messages.0.content.0.type: required"),
-        (block(json!({"type": "text"})), "messages.0.content.0.text: required"),
-        (block(json!({"type": "text", "text": 4})), "messages.0.content.0.text: invalid type"),
-        (block(json!({"type": "thinking"})), "messages.0.content.0.type: 'thinking'"),
+fn each_error_is_reported_with_its_field() {
+    for (error, field) in [
+        (error_with_field("model", json!("")), "model: "),
+        (error_with_field("model", json!(7)), "model: invalid type"),
+        (error_with_field("max_tokens", json!(-3)), "max_tokens: invalid"),
+        (error_with_field("max_tokens", json!(0)), "max_tokens: "),
+        (error_with_field("messages", json!([])), "messages: "),
         (
-            block(json!({"type": "tool_result", "tool_use_id": "t"})),
+            error_with_field("messages", json!([{"role": "robot", "content": "x"}])),
+            "messages.0.role: 'robot'",
+        ),
+        (error_with_field("messages", json!([{"role": "user"}])), "messages.0.content: required"),
+        (
+            error_with_field("messages", json!([{"role": "user", "content": 3}])),
+            "messages.0.content: invalid type",
+        ),
+        (error_with_field("stream", json!("yes")), "stream: "),
+        (error_with_field("temperature", json!(1.5)), "temperature: 1.5"),
+        (error_with_field("stop_sequences", json!(["a", " "])), "stop_sequences.1: "),
+        (error_with_field("service_tier", json!("gold")), "service_tier: 'gold'"),
+        (error_with_field("thinking", json!({"type": "enabled"})), "thinking.budget_tokens: required"),
+        (
+            error_with_field("thinking", json!({"type": "enabled", "budget_tokens": 10})),
+            "thinking.budget_tokens: 10",
+        ),
+        (error_with_field("tools", json!([{"name": "a b", "input_schema": {}}])), "tools.0.name: "),
+        (error_with_field("tools", json!([{"name": "a"}])), "tools.0.input_schema: required"),
+        (error_with_field("tool_choice", json!({"type": "tool", "name": "b"})), "tool_choice.name: "),
+        (error_with_field("system", json!([{"type": "image"}])), "system.0.type: 'image'"),
+        (error_with_block(json!({"text": "x"})), "messages.0.content.0.type: required"),
+        (error_with_block(json!({"type": "text"})), "messages.0.content.0.text: required"),
+        (error_with_block(json!({"type": "text", "text": 4})), "messages.0.content.0.text: invalid type"),
+        (error_with_block(json!({"type": "thinking"})), "messages.0.content.0.type: 'thinking'"),
+        (
+            error_with_block(json!({"type": "tool_result", "tool_use_id": "t"})),
             "messages.0.content.0.tool_use_id: no tool use",
         ),
         (
-            block(json!({"type": "image", "source": {"type": "base64", "media_type": "image/tiff"}})),
+            error_with_block(
+                json!({"type": "image", "source": {"type": "base64", "media_type": "image/tiff"}}),
+            ),
             "messages.0.content.0.source.media_type: 'image/tiff'",
         ),
         (
-            block(json!({"type": "image", "source": {"type": "base64", "media_type": "image/png",
-                "data": "a\u{e9}"}})),
+            error_with_block(
+                json!({"type": "image", "source": {"type": "base64", "media_type": "image/png",
+                "data": "a\u{e9}"}}),
+            ),
             "messages.0.content.0.source.data: not base64",
         ),
         (
-            block(
+            error_with_block(
                 json!({"type": "text", "text": "x", "cache_control": {"type": "ephemeral", "ttl": "9d"}}),
             ),
             "messages.0.content.0.cache_control.ttl: '9d'",
         ),
     ] {
-        assert!(fault.starts_with(field), "{fault} is not {field}");
+        assert!(error.starts_with(field), "{error} is not {field}");
     }
 }
 
 #[test]
-fn what_is_no_json_or_hostile_is_refused_in_words() {
+fn malformed_and_hostile_bodies_are_rejected_with_a_message() {
     let limits = MessagesLimits::default();
-    let fault_of_body =
-        |body: &[u8]| Request::read(body, Purpose::Generation, &limits).expect_err("a fault").to_string();
+    let error_of_bytes =
+        |body: &[u8]| Request::read(body, Purpose::Generation, &limits).expect_err("an error").to_string();
     assert!(
-        fault_of_body(b"{\"model\": \"\xff\"}").starts_with("the body is not UTF-8 from its byte 11 on")
+        error_of_bytes(b"{\"model\": \"\xff\"}").starts_with("the body is not UTF-8 from its byte 11 on")
     );
-    assert!(fault_of_body(b"{").starts_with("the body is not JSON"));
-    assert!(fault_of_body(b"[]").starts_with("invalid type"));
-    assert!(fault_of_body(b"{} {}").starts_with("the body is not"));
-    assert!(fault_of_body(br#"{"model":"a","model":"b"}"#).starts_with("model: given twice"));
-    assert!(fault_of_body(br#"{"odd":1,"odd":2}"#).starts_with("odd: given twice"));
+    assert!(error_of_bytes(b"{").starts_with("the body is not JSON"));
+    assert!(error_of_bytes(b"[]").starts_with("invalid type"));
+    assert!(error_of_bytes(b"{} {}").starts_with("the body is not"));
+    assert!(error_of_bytes(br#"{"model":"a","model":"b"}"#).starts_with("model: given twice"));
+    assert!(error_of_bytes(br#"{"odd":1,"odd":2}"#).starts_with("odd: given twice"));
     assert!(
-        fault_of_body(br#"{"messages":[{"role":"user","role":"user"}]}"#)
+        error_of_bytes(br#"{"messages":[{"role":"user","role":"user"}]}"#)
             .starts_with("messages.0.role: given twice")
     );
-    assert!(fault_of_body(br#"{"max_tokens":1e999}"#).contains("number out of range"));
+    assert!(error_of_bytes(br#"{"max_tokens":1e999}"#).contains("number out of range"));
     let deep = format!(
         r#"{{"model":"m","max_tokens":1,"tools":[{{"name":"t","input_schema":{}1{}}}],"messages":[{{"role":"user","content":""}}]}}"#,
         "[".repeat(100_000),
         "]".repeat(100_000)
     );
-    assert!(fault_of_body(deep.as_bytes()).starts_with("tools.0.input_schema: nests deeper than 64"));
+    assert!(error_of_bytes(deep.as_bytes()).starts_with("tools.0.input_schema: nests deeper than 64"));
     let nested = format!("{}{}", r#"{"messages":[{"content":"#, r#"[{"content":"#.repeat(20_000));
-    assert!(!fault_of_body(nested.as_bytes()).is_empty());
+    assert!(!error_of_bytes(nested.as_bytes()).is_empty());
     let names: String = (0..100).map(|n| format!(r#""f{n}":0,"#)).collect();
-    assert!(fault_of_body(format!("{{{names}\"z\":0}}").as_bytes()).starts_with("too many unknown fields"));
+    assert!(
+        error_of_bytes(format!("{{{names}\"z\":0}}").as_bytes()).starts_with("too many unknown fields")
+    );
     let many = format!(
         r#"{{"model":"m","max_tokens":1,"messages":[{{"role":"user","content":[{}{{"type":"text","text":""}}]}}]}}"#,
         r#"{"type":"text","text":""},"#.repeat(9000)
     );
-    assert!(fault_of_body(many.as_bytes()).starts_with("messages: more than"));
+    assert!(error_of_bytes(many.as_bytes()).starts_with("messages: more than"));
 }
 
 #[test]
-fn all_that_the_published_form_allows_is_read() {
+fn all_documented_fields_are_accepted() {
     let body = json!({"model": "m", "max_tokens": 4096, "stream": true, "temperature": 0.4, "top_p": 1,
         "top_k": 40, "stop_sequences": ["END"], "service_tier": "auto", "metadata": {"user_id": "u"},
         "thinking": {"type": "enabled", "budget_tokens": 1024}, "container": null, "speed": "fast",
@@ -130,7 +145,7 @@
                 {"type": "tool_use", "id": "u1", "name": "t", "input": {"a": [1, {"b": null}]}}]},
             {"role": "user", "content": [{"type": "tool_result", "tool_use_id": "u1", "is_error": true,
                 "content": [{"type": "text", "text": "no"}]}]}]});
-    assert_eq!(fault_of(body.clone()), "");
+    assert_eq!(error_of(body.clone()), "");
     let text = body.to_string();
     let limits = MessagesLimits::default();
     let read = Request::read(text.as_bytes(), Purpose::Generation, &limits).expect("good");
--- a/tests/units/surrogate_joining.rs
+++ b/tests/units/surrogate_joining.rs
@@ -1,4 +1,4 @@
-//! Joining surrogate halves that a server cut apart.
+//! Joining surrogate halves that a replica sent in separate fragments.
 
 use tulipridge::front::translate::text_fragment::FragmentJoiner;
 
@@ -13,11 +13,11 @@
 }
 
 #[test]
-fn a_pair_that_was_parted_is_one_character_again() {
+fn a_split_surrogate_pair_is_joined_to_one_character() {
     assert_eq!(joined(&[r#""a\ud83d\udeeb""#]), "a\u{1f6eb}");
     assert_eq!(joined(&[r#""a\ud83d""#, r#""\udeebb""#]), "a\u{1f6eb}b");
     assert_eq!(joined(&[r#""\ud83d""#, r#""""#, r#""\udeeb\ud83d""#, r#""\udeeb""#]), "\u{1f6eb}\u{1f6eb}");
-    // A half that stays one is shown as what can't be read, and nothing beside it is lost.
+    // A lone half becomes U+FFFD, and the text around it is kept.
     assert_eq!(joined(&[r#""a\ud83d""#, r#""b""#]), "a\u{fffd}b");
     assert_eq!(joined(&[r#""\udeeba""#, r#""\ud83d""#]), "\u{fffd}a\u{fffd}");
     assert_eq!(joined(&[r#""\ud83d\ud83d\udeeb""#]), "\u{fffd}\u{1f6eb}");
