--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -276,13 +276,13 @@
     for stopped in [false, true] {
         for failure in [ERROR, FULL, ""] {
             let arrivals = Arrivals::default();
-            let server = || {
+            let replica = || {
                 arrivals.spawn_replica(move |stream, _, _| {
                     thread::sleep(ms(600));
                     if failure.is_empty() { None } else { write(stream, failure) }
                 })
             };
-            let gateway = gateway(&[server(), server(), server()], json!({}));
+            let gateway = gateway(&[replica(), replica(), replica()], json!({}));
             let mut clients = Clients::new(&gateway, |front, id| request_bytes(front, "plain", id, 0));
             let staying = staying_client(&gateway, "platform", STAYING_ID);
             thread::sleep(ms(200));
@@ -378,14 +378,14 @@
     for padding in [0, 20 << 10, LARGE_PADDING] {
         for stopped in [false, true] {
             let (arrivals, response) = (Arrivals::default(), response.to_owned());
-            let server = || {
+            let replica = || {
                 let response = response.clone();
                 arrivals.spawn_replica(move |stream, _, _| {
                     thread::sleep(ms(600));
                     write(stream, &response)
                 })
             };
-            let gateway = gateway(&[server(), server(), server()], json!({}));
+            let gateway = gateway(&[replica(), replica(), replica()], json!({}));
             let mut clients = Clients::new(&gateway, |front, id| {
                 let second = request_bytes(front, "plain", id + PIPELINED_ID_OFFSET, padding);
                 [request_bytes(front, "plain", id, 0), second].concat()
@@ -411,13 +411,13 @@
 #[test]
 fn a_departure_behind_more_input_than_is_kept_is_noticed() {
     let arrivals = Arrivals::default();
-    let server = || {
+    let replica = || {
         arrivals.spawn_replica(|stream, _, _| {
             thread::sleep(ms(700));
             write(stream, ERROR)
         })
     };
-    let gateway = gateway(&[server(), server(), server()], json!({}));
+    let gateway = gateway(&[replica(), replica(), replica()], json!({}));
     let mut clients = Clients::new(&gateway, |front, id| request_bytes(front, "plain", id, 0));
     // Each client sends as much as the socket buffers take: requests, or bytes that are not HTTP.
     for (n, (id, _, stream)) in clients.connected.iter_mut().enumerate() {
@@ -444,11 +444,11 @@
 #[test]
 fn pipelined_requests_of_any_size_are_served() {
     let arrivals = Arrivals::default();
-    let server = arrivals.spawn_replica(|stream, _, _| {
+    let replica = arrivals.spawn_replica(|stream, _, _| {
         thread::sleep(ms(300));
         write(stream, &complete_response())
     });
-    let gateway = gateway(&[server], json!({}));
+    let gateway = gateway(&[replica], json!({}));
     for front in FRONTS {
         for (n, padding) in [0, 20 << 10, LARGE_PADDING].into_iter().enumerate() {
             let id = 0x10 * (n as u64 + 1) + u64::from(front == "messages");
@@ -478,14 +478,14 @@
 fn kept_requests_are_served_and_a_flood_gets_413() {
     let arrivals = Arrivals::default();
     // The replica sends no response to requests of flooding clients.
-    let server = arrivals.spawn_replica(|stream, _, id| {
+    let replica = arrivals.spawn_replica(|stream, _, id| {
         if id % 0x11 == 3 {
             return wait_for_close(stream);
         }
         thread::sleep(ms(400));
         write(stream, &complete_response())
     });
-    let gateway = gateway(&[server], json!({}));
+    let gateway = gateway(&[replica], json!({}));
     for (f, front) in FRONTS.into_iter().enumerate() {
         // A second request is kept completely, and the third in part, after which the connection ends.
         let id = 0x11 * (f as u64 + 1);
@@ -547,8 +547,8 @@
 #[test]
 fn an_unread_request_of_a_departed_client_is_not_sent() {
     let arrivals = Arrivals::default();
-    let server = arrivals.spawn_replica(|stream, _, _| write(stream, &complete_response()));
-    let gateway = gateway(&[server], json!({}));
+    let replica = arrivals.spawn_replica(|stream, _, _| write(stream, &complete_response()));
+    let gateway = gateway(&[replica], json!({}));
     // An idle connection to the replica is available.
     assert_eq!(
         staying_client(&gateway, "platform", STAYING_ID).join().expect("a response"),
@@ -592,7 +592,7 @@
 fn check_hedged_requests(stopped: bool) {
     // Later the first replica stops responding; the others respond.
     let (arrivals, unresponsive) = (Arrivals::default(), Arc::new(Mutex::new(None::<Vec<u64>>)));
-    let servers: Vec<_> = (0..6)
+    let replicas: Vec<_> = (0..6)
         .map(|n| {
             let unresponsive = unresponsive.clone();
             arrivals.spawn_replica(move |stream, _, id| {
@@ -607,7 +607,7 @@
             })
         })
         .collect();
-    let gateway = gateway(&servers, json!({"copies": true, "promise_ms": 1000}));
+    let gateway = gateway(&replicas, json!({"copies": true, "promise_ms": 1000}));
     let answered =
         |n: u64| staying_client(&gateway, FRONTS[n as usize % 2], 0x2000 + n).join().expect("a response");
     assert!((0..16).all(|n| answered(n) == Seen::Served("a".into())));
@@ -651,7 +651,7 @@
     let arrivals = Arrivals::default();
     let end = Arc::new(AtomicBool::new(false));
     let ended = end.clone();
-    let server = arrivals.spawn_replica(move |stream, _, _| {
+    let replica = arrivals.spawn_replica(move |stream, _, _| {
         write(stream, &(HEAD.to_owned() + &chunk(&text("platform", "a"))))?;
         while !ended.load(Ordering::SeqCst) {
             thread::sleep(ms(10));
@@ -665,13 +665,13 @@
             "streams": {"stop_within": "1s", "silence": "1m"}});
         let inherited = OwnedFd::from(listener.try_clone().expect("a copy"));
         let platform = Platform {
-            discovery: discovery(list(2, true, entries(&[server]))),
+            discovery: discovery(list(2, true, entries(&[replica]))),
             inherited: Some(("4", inherited.into())),
         };
         let gateway = Gateway::watched(Gateway::spawn_by(
             "n0",
             "platform",
-            entries(&[server]),
+            entries(&[replica]),
             3,
             (1024, 1024),
             more,
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -285,9 +285,10 @@
 fn the_ring_walk_skips_a_replica_over_its_bound() {
     let mut gateway = TestGateway::new(settings(Effect::Safe), &members(10));
     let first = destination(&gateway.request(1, None).1).expect("sent");
-    let places: Vec<_> = (0..4).map(|_| destination(&gateway.request(1, None).1).expect("sent")).collect();
-    assert_eq!(places[0], first, "one in flight is within the bound");
-    assert!(places.iter().any(|p| *p != first), "requests over the bound go to further replicas");
+    let replicas: Vec<_> =
+        (0..4).map(|_| destination(&gateway.request(1, None).1).expect("sent")).collect();
+    assert_eq!(replicas[0], first, "one in flight is within the bound");
+    assert!(replicas.iter().any(|p| *p != first), "requests over the bound go to further replicas");
 }
 
 #[test]
@@ -310,8 +311,7 @@
 
 #[test]
 fn a_popular_prefix_has_many_replicas_and_its_sessions_stay() {
-    // Regression (full-size fleet): many gateways each sent a few requests of one prefix to a single owner,
-    // which was overloaded.
+    // Regression (full-size fleet): many gateways each sent a few requests of one prefix to a single owner.
     let mut gateway = TestGateway::new(settings(Effect::Safe), &members(20));
     let first: Vec<_> = (0..40).map(|s| gateway.serve(s, Some(5))).collect();
     let again: Vec<_> = (0..40).map(|s| gateway.serve(s, Some(5))).collect();
@@ -508,19 +508,12 @@
 fn events_of_unknown_requests_timers_and_replicas_are_ignored() {
     let mut gateway = TestGateway::new(settings(Effect::Safe), &members(3));
     let id = RequestId(77);
-    let (elapsed, report, kept) = (1, vec![], None);
+    let (elapsed, report, cached_tokens) = (1, vec![], None);
     assert!(gateway.handle(Event::Expired(id)).is_empty());
     assert!(gateway.handle(Event::FirstToken { id, attempt: 3, elapsed }).is_empty());
     let verdict = Verdict::Ok;
-    let outcome = Event::Outcome {
-        id,
-        attempt: 0,
-        verdict,
-        ended: true,
-        elapsed,
-        cached_tokens: kept,
-        report: vec![],
-    };
+    let outcome =
+        Event::Outcome { id, attempt: 0, verdict, ended: true, elapsed, cached_tokens, report: vec![] };
     assert!(gateway.handle(outcome).is_empty());
     assert!(gateway.handle(Event::Timer(12345)).is_empty());
     let replica = ReplicaId::from("nobody");
@@ -543,12 +536,12 @@
 fn a_safe_request_is_retried_up_to_the_attempt_limit() {
     let mut gateway = TestGateway::new(settings(Effect::Safe), &members(10));
     let (id, actions) = gateway.request(1, None);
-    let mut places = vec![destination(&actions)];
+    let mut replicas = vec![destination(&actions)];
     for _ in 0..3 {
-        places.push(destination(&gateway.outcome(id, Verdict::Error)));
+        replicas.push(destination(&gateway.outcome(id, Verdict::Error)));
     }
-    assert!(places.iter().all(Option::is_some));
-    assert_eq!(places.iter().collect::<BTreeSet<_>>().len(), 4);
+    assert!(replicas.iter().all(Option::is_some));
+    assert_eq!(replicas.iter().collect::<BTreeSet<_>>().len(), 4);
     assert!(is_refused(&gateway.outcome(id, Verdict::Error)));
 }
 
@@ -634,10 +627,10 @@
     }
     // The earlier responses of the replica are old by now, so that only the lack of a response counts.
     gateway.advance(60 * SECOND);
-    let hung: Vec<_> = (0..2).map(|_| gateway.request(1, None)).collect();
-    assert!(hung.iter().all(|(_, actions)| destination(actions) == destination(&hung[0].1)));
+    let pending: Vec<_> = (0..2).map(|_| gateway.request(1, None)).collect();
+    assert!(pending.iter().all(|(_, actions)| destination(actions) == destination(&pending[0].1)));
     let actions = gateway.advance(650 * MILLI);
-    (gateway, hung[1].0, actions)
+    (gateway, pending[1].0, actions)
 }
 
 #[test]
@@ -901,13 +894,13 @@
 #[test]
 fn a_lagging_replica_is_skipped_while_others_respond() {
     // Regression (replicas that vanish or pause): their arcs of the ring got requests until they were
-    // ejected.
+    // removed.
     let mut gateway = TestGateway::new(settings(Effect::Safe), &members(4));
     let (_, actions) = gateway.request(0, Some(5));
-    let stuck = destination(&actions).expect("sent");
-    assert!((1..20).any(|s| gateway.serve(s, Some(5)).is_some_and(|r| r == stuck)), "an owner");
+    let lagging = destination(&actions).expect("sent");
+    assert!((1..20).any(|s| gateway.serve(s, Some(5)).is_some_and(|r| r == lagging)), "an owner");
     gateway.now += 550 * MILLI;
-    assert!((1..40).all(|s| gateway.serve(s, Some(5)).is_some_and(|r| r != stuck)));
+    assert!((1..40).all(|s| gateway.serve(s, Some(5)).is_some_and(|r| r != lagging)));
 }
 
 #[test]
@@ -938,8 +931,8 @@
 
 // ---- cold replicas --------------------------------------------------------------------------------------
 
-/// Requests that the gateways of a group together send to a replica within 5 s of its cold start, and the
-/// mean number sent to a warm replica.
+/// Requests that the gateways of a group together send to a replica in the first seconds after its cold
+/// start, and the mean number sent to a warm replica.
 fn cold_and_warm(units: UnitsMeaning, cold_units: f64, group: u32) -> (f64, f64) {
     let (mut cold, mut warm) = (0.0, 0.0);
     for me in 0..group {
@@ -980,8 +973,8 @@
 
 #[test]
 fn restarted_gateways_use_cold_replicas_within_the_bound() {
-    // Regression (scenario herd+vast): restarted gateways had no record of the load, so they sent almost
-    // nothing to cold replicas and overloaded the few warm ones. Here ten replicas serve 10 requests per
+    // Regression (scenario herd+vast): restarted gateways had not served any requests, so they sent almost
+    // nothing to cold replicas and all else to the few warm ones. Here ten replicas serve 10 requests per
     // second each, and half of them are cold.
     let tenants = vec![Tenant { share: 1.0, quota_per_s: Some(100.0) }];
     let settings = Settings { tenants, ..settings(Effect::Safe) };
@@ -1093,8 +1086,8 @@
         }
     }
     let mut counts = [0, 0];
-    for (count, repeat) in counts.iter_mut().zip([false, true]) {
-        gateway.is_retry = repeat;
+    for (count, is_retry) in counts.iter_mut().zip([false, true]) {
+        gateway.is_retry = is_retry;
         *count = (0..300).filter(|s| is_refused(&gateway.request(1000 + s, None).1)).count();
     }
     assert!(counts[0] > 0 && counts[1] > counts[0] + 20 && counts[1] < 300, "{counts:?}");
--- a/tests/pace.rs
+++ b/tests/pace.rs
@@ -52,8 +52,8 @@
     calls
 }
 
-/// The maximum waits after the end of a watch and each of `failures` calls that fail in a row, 2 s after
-/// they were due.
+/// The maximum waits after the end of a watch and after calls that fail in a row, each 2 s after
+/// it was due.
 fn max_waits_in_outage(mut calls: ListSchedule, failures: usize) -> Vec<Nanos> {
     let mut now = 77 * SECOND;
     let mut waits = Vec::new();
