--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -41,11 +41,11 @@
 
 /// A request that may be served, with the configuration that admitted it.
 #[derive(Clone, Debug)]
-pub struct Admitted {
+pub struct AdmittedRequest {
     routing: Rc<Routing>,
     matched: RouteMatch,
     /// Index of the service among the route's weighted services.
-    share: usize,
+    service_weight_index: usize,
 }
 
 /// The route and the tenant of a request, as indexes into the configuration.
@@ -67,10 +67,11 @@
     ///
     /// # Errors
     /// If no route has the request's host and path, or if the request lacks a key that the route needs.
-    pub fn admit(self: &Rc<Self>, head: &Head, random_fraction: f64) -> Result<Admitted, Denial> {
+    pub fn admit(self: &Rc<Self>, head: &Head, random_fraction: f64) -> Result<AdmittedRequest, Denial> {
         let matched = self.resolve(head)?;
-        let share = self.table.pick_service(matched.route, random_fraction).ok_or(Denial::NoRoute)?;
-        Ok(Admitted { routing: self.clone(), matched, share })
+        let service_weight_index =
+            self.table.pick_service(matched.route, random_fraction).ok_or(Denial::NoRoute)?;
+        Ok(AdmittedRequest { routing: self.clone(), matched, service_weight_index })
     }
 
     /// Looks up the route and the tenant of a request.
@@ -86,7 +87,7 @@
     }
 }
 
-impl Admitted {
+impl AdmittedRequest {
     /// The route.
     #[must_use]
     pub fn route(&self) -> &Route {
@@ -102,7 +103,7 @@
     /// The service that the request goes to.
     #[must_use]
     pub fn service(&self) -> &str {
-        &self.route().service_weights[self.share].service
+        &self.route().service_weights[self.service_weight_index].service
     }
 
     /// The rank that the operator has set, 0 first: the tenant's if it has one, else the route's.
--- a/crates/proxy/src/alarms.rs
+++ b/crates/proxy/src/alarms.rs
@@ -77,15 +77,15 @@
             self.table.borrow_mut().sleeps_until = until;
             let sleep = async {
                 match until {
-                    Some(tick) => drop(Timer::at(self.moment(tick)).await),
+                    Some(tick) => drop(Timer::at(self.instant_of(tick)).await),
                     None => future::pending().await,
                 }
             };
-            future::or(sleep, self.earlier_entry(until)).await;
+            future::or(sleep, self.earlier_entry_added(until)).await;
         }
     }
 
-    fn moment(&self, tick: u64) -> Instant {
+    fn instant_of(&self, tick: u64) -> Instant {
         self.start + Duration::from_nanos(tick.saturating_mul(TICK.as_nanos() as u64))
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// Ready once an entry is due before the one that the driver sleeps for.
-    async fn earlier_entry(&self, slept_for: Option<u64>) {
+    async fn earlier_entry_added(&self, slept_for: Option<u64>) {
         future::poll_fn(|context| {
             let mut table = self.table.borrow_mut();
             let first = table.entries.first_key_value().map(|(key, _)| key.tick);
--- a/crates/proxy/src/bounds.rs
+++ b/crates/proxy/src/bounds.rs
@@ -30,7 +30,7 @@
 
 /// Limits of what the process uses at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ResourceLimits {
     /// Connections of clients.
     pub clients: usize,
     /// Connections to replicas.
@@ -39,13 +39,13 @@
     pub body_bytes: usize,
 }
 
-impl Bounds {
+impl ResourceLimits {
     /// The limits that follow from how many descriptors the process may open.
     #[must_use]
-    pub fn of(file_handles: u64) -> Self {
+    pub fn for_file_handles(file_handles: u64) -> Self {
         let free = file_handles.saturating_sub(RESERVED_DESCRIPTORS + OWN_DESCRIPTORS).max(3);
         let replicas = free / REPLICA_DIVISOR;
-        Bounds {
+        ResourceLimits {
             clients: (free - replicas) as usize,
             replicas: replicas as usize,
             body_bytes: MAX_BODY_BYTES,
@@ -54,31 +54,31 @@
 }
 
 /// What the process uses now.
-pub struct Usage {
-    bounds: Bounds,
+pub struct ResourceUsage {
+    limits: ResourceLimits,
     open_clients: Cell<usize>,
     body_bytes: Cell<usize>,
     /// Raised when a client's connection is closed.
     pub client_closed: Notice,
-    bytes_freed: Notice,
+    body_bytes_freed: Notice,
 }
 
-impl Usage {
+impl ResourceUsage {
     /// Nothing is in use yet.
     #[must_use]
-    pub fn new(bounds: Bounds) -> Self {
-        Usage {
-            bounds,
+    pub fn new(limits: ResourceLimits) -> Self {
+        ResourceUsage {
+            limits,
             open_clients: Cell::new(0),
             body_bytes: Cell::new(0),
             client_closed: Notice::default(),
-            bytes_freed: Notice::default(),
+            body_bytes_freed: Notice::default(),
         }
     }
 
     /// Whether another client's connection may be accepted.
     pub fn may_accept(&self) -> bool {
-        self.open_clients.get() < self.bounds.clients
+        self.open_clients.get() < self.limits.clients
     }
 
     /// Open connections of clients.
@@ -88,18 +88,18 @@
 
     /// Ready once the bodies in memory are within their limit.
     pub async fn body_capacity(&self) {
-        while self.body_bytes.get() > self.bounds.body_bytes {
-            self.bytes_freed.changed().await;
+        while self.body_bytes.get() > self.limits.body_bytes {
+            self.body_bytes_freed.changed().await;
         }
     }
 }
 
 /// Counts a client's connection until it is dropped.
-pub struct ClientPermit(Rc<Usage>);
+pub struct ClientPermit(Rc<ResourceUsage>);
 
 impl ClientPermit {
     /// Counts one more connection.
-    pub fn new(usage: &Rc<Usage>) -> Self {
+    pub fn new(usage: &Rc<ResourceUsage>) -> Self {
         usage.open_clients.set(usage.open_clients.get() + 1);
         ClientPermit(usage.clone())
     }
@@ -115,13 +115,13 @@
 
 /// Counts the bytes of a request body until it is dropped.
 pub struct BodyBytes {
-    usage: Rc<Usage>,
+    usage: Rc<ResourceUsage>,
     bytes: usize,
 }
 
 impl BodyBytes {
     /// No bytes yet.
-    pub fn new(usage: &Rc<Usage>) -> Self {
+    pub fn new(usage: &Rc<ResourceUsage>) -> Self {
         BodyBytes { usage: usage.clone(), bytes: 0 }
     }
 
@@ -136,7 +136,7 @@
 impl Drop for BodyBytes {
     fn drop(&mut self) {
         self.set(0);
-        self.usage.bytes_freed.raise();
+        self.usage.body_bytes_freed.raise();
     }
 }
 
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -8,7 +8,7 @@
 
 impl Counter {
     /// Adds one.
-    pub fn add(&self) {
+    pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -23,14 +23,14 @@
 
 use futures_lite::future;
 
-use crate::admission::Admitted;
+use crate::admission::AdmittedRequest;
 use crate::downstream::client::{Client, Completion, write_local_response};
 use crate::downstream::relay::Relay;
 use crate::downstream::request::DownstreamRequest;
 use crate::headers::LocalResponse;
 use crate::placement::placed_request::PlacedRequest;
 use crate::placement::prompt::PromptHeaders;
-use crate::placement::{self, Order, PlacementRequest};
+use crate::placement::{self, PlacementRequest, RequestAction};
 use crate::proxy::Proxy;
 use crate::replica::outcome::Execution;
 use crate::replica::request_kind::RequestKind;
@@ -52,45 +52,45 @@
     client: Client<'_>,
     request: &DownstreamRequest,
 ) -> Completion {
-    proxy.counters.requests.add();
+    proxy.counters.requests.increment();
     let Some(routing) = proxy.routing_for(&request.head) else {
-        proxy.counters.refused.add();
+        proxy.counters.refused.increment();
         return write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_DELAY))
             .await;
     };
     let admitted = match routing.admit(&request.head, proxy.random_fraction()) {
         Ok(admitted) => admitted,
         Err(denial) => {
-            proxy.counters.denied.add();
+            proxy.counters.denied.increment();
             return write_local_response(proxy, client, request, LocalResponse::plain(denial.status()))
                 .await;
         }
     };
     drop(routing);
     let deadline = deadline(request, &admitted);
-    if !proxy.takes_request(deadline.saturating_duration_since(Instant::now())) {
-        proxy.counters.refused.add();
+    if !proxy.accepts_request(deadline.saturating_duration_since(Instant::now())) {
+        proxy.counters.refused.increment();
         return write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_MINIMUM))
             .await;
     }
     match Exchange::place(proxy, request, admitted, deadline) {
         Some(exchange) => exchange.run(client).await,
         None => {
-            proxy.counters.refused.add();
+            proxy.counters.refused.increment();
             write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_DELAY)).await
         }
     }
 }
 
 /// The deadline of a request: its client's, but no later than its route's.
-fn deadline(request: &DownstreamRequest, admitted: &Admitted) -> Instant {
+fn deadline(request: &DownstreamRequest, admitted: &AdmittedRequest) -> Instant {
     let limit = Duration::from_millis(admitted.route().time_limit_ms);
     request.started + request.time_left().map_or(limit, |left| left.min(limit))
 }
 
-/// What ends a wait for the load balancer's next order.
+/// What ends a wait for the load balancer's next action.
 enum WaitEvent {
-    Order(Order),
+    Action(RequestAction),
     ClientDisconnected,
     /// No replica was available within the placement timeout.
     NoReplicaAvailable,
@@ -98,7 +98,7 @@
 
 /// What a step of a request leads to.
 enum Step {
-    /// Wait for the load balancer's next order.
+    /// Wait for the load balancer's next action.
     Continue,
     /// The request ends with this response.
     Respond(FinalResponse),
@@ -120,7 +120,7 @@
 struct Exchange<'a> {
     proxy: &'a Rc<Proxy>,
     request: &'a DownstreamRequest,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     prompt: PromptHeaders,
     placed: PlacedRequest,
     deadline: Instant,
@@ -138,7 +138,7 @@
     fn place(
         proxy: &'a Rc<Proxy>,
         request: &'a DownstreamRequest,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         deadline: Instant,
     ) -> Option<Exchange<'a>> {
         let prompt = PromptHeaders::read(&request.head);
@@ -167,8 +167,8 @@
         loop {
             let step = match self.next_event(&mut client).await {
                 WaitEvent::ClientDisconnected => Step::Respond(FinalResponse::ClientDisconnected),
-                WaitEvent::NoReplicaAvailable => Step::Respond(self.give_up(RETRY_AFTER_DELAY)),
-                WaitEvent::Order(order) => self.execute(&mut client, order).await,
+                WaitEvent::NoReplicaAvailable => Step::Respond(self.abandoned_response(RETRY_AFTER_DELAY)),
+                WaitEvent::Action(action) => self.execute(&mut client, action).await,
             };
             let completion = match step {
                 Step::Continue => None,
@@ -183,28 +183,28 @@
 
     /// Waits for the next order while no attempt is in flight, up to the placement timeout.
     async fn next_event(&self, client: &mut Client<'_>) -> WaitEvent {
-        let timeout = placement::target(self.admitted.route()) / PLACEMENT_TIMEOUT_DIVISOR;
+        let timeout = placement::latency_target(self.admitted.route()) / PLACEMENT_TIMEOUT_DIVISOR;
         let from = if self.sends == 0 { self.request.started } else { Instant::now() };
-        let mut give_up = self.proxy.alarms.at(from + timeout);
+        let mut placement_timeout = self.proxy.alarms.at(from + timeout);
         future::poll_fn(|context| {
-            if let Poll::Ready(order) = self.placed.poll_order(context) {
-                return Poll::Ready(WaitEvent::Order(order));
+            if let Poll::Ready(action) = self.placed.poll_action(context) {
+                return Poll::Ready(WaitEvent::Action(action));
             }
             if client.poll_disconnected(context).is_ready() {
                 return Poll::Ready(WaitEvent::ClientDisconnected);
             }
-            give_up.poll_passed(context).map(|()| WaitEvent::NoReplicaAvailable)
+            placement_timeout.poll_passed(context).map(|()| WaitEvent::NoReplicaAvailable)
         })
         .await
     }
 
-    async fn execute(&mut self, client: &mut Client<'_>, order: Order) -> Step {
-        match order {
-            Order::Send { attempt, replica } => self.attempt(client, attempt, &replica).await,
+    async fn execute(&mut self, client: &mut Client<'_>, action: RequestAction) -> Step {
+        match action {
+            RequestAction::Send { attempt, replica } => self.attempt(client, attempt, &replica).await,
             // No attempt is in flight.
-            Order::Cancel(_) => Step::Continue,
-            Order::Refuse(wait) => Step::Respond(self.give_up(wait)),
-            Order::Fail => Step::Respond(self.fail(RETRY_AFTER_DELAY)),
+            RequestAction::Cancel(_) => Step::Continue,
+            RequestAction::Refuse(wait) => Step::Respond(self.abandoned_response(wait)),
+            RequestAction::Fail => Step::Respond(self.failed_response(RETRY_AFTER_DELAY)),
         }
     }
 
@@ -214,18 +214,18 @@
     }
 
     /// The final response of a request for which no further replica is tried.
-    fn give_up(&self, retry_after: Duration) -> FinalResponse {
+    fn abandoned_response(&self, retry_after: Duration) -> FinalResponse {
         FinalResponse::Local(self.local_response(true, retry_after))
     }
 
     /// The final response of a request that has failed.
-    fn fail(&self, retry_after: Duration) -> FinalResponse {
+    fn failed_response(&self, retry_after: Duration) -> FinalResponse {
         FinalResponse::Local(self.local_response(false, retry_after))
     }
 
-    fn local_response(&self, has_given_up: bool, retry_after: Duration) -> LocalResponse {
+    fn local_response(&self, is_abandoned: bool, retry_after: Duration) -> LocalResponse {
         let is_late = Instant::now() >= self.deadline;
-        match retry::final_status(self.kind(), self.execution, is_late, has_given_up) {
+        match retry::final_status(self.kind(), self.execution, is_late, is_abandoned) {
             FinalStatus::ServiceUnavailable => LocalResponse::refusal(retry_after),
             FinalStatus::BadGateway => LocalResponse::plain(502),
             FinalStatus::GatewayTimeout => LocalResponse::plain(504),
--- a/crates/proxy/src/exchange/attempts.rs
+++ b/crates/proxy/src/exchange/attempts.rs
@@ -25,13 +25,13 @@
         attempt: u32,
         replica: &ReplicaId,
     ) -> Step {
-        self.placed.begin(attempt);
+        self.placed.begin_attempt(attempt);
         if !self.is_still_admitted() {
-            return Step::Respond(self.fail(RETRY_AFTER_MINIMUM));
+            return Step::Respond(self.failed_response(RETRY_AFTER_MINIMUM));
         }
         let replica = self.proxy.replicas.borrow().ready(replica).cloned();
         let Some(replica) = replica.filter(|_| self.may_send()) else {
-            self.placed.outcome(Verdict::NotSent, false);
+            self.placed.end_attempt(Verdict::NotSent, false);
             return Step::Continue;
         };
         let connection = match self.connect(client, &replica).await {
@@ -41,11 +41,11 @@
         };
         // The replica may have begun to drain, and the configuration have changed, while a connection came up.
         if !self.is_still_admitted() {
-            return Step::Respond(self.fail(RETRY_AFTER_MINIMUM));
+            return Step::Respond(self.failed_response(RETRY_AFTER_MINIMUM));
         }
         let is_ready = self.proxy.replicas.borrow().ready(&replica.id).is_some();
-        if !is_ready || !self.take_send() {
-            self.placed.outcome(Verdict::NotSent, false);
+        if !is_ready || !self.reserve_send() {
+            self.placed.end_attempt(Verdict::NotSent, false);
             return Step::Continue;
         }
         self.send(client, replica, connection).await
@@ -68,13 +68,13 @@
     }
 
     /// Counts a send that follows at once, and takes its token from the retry budget; false if it is not allowed.
-    fn take_send(&mut self) -> bool {
+    fn reserve_send(&mut self) -> bool {
         let service = self.admitted.service();
         if self.sends == 0 {
             self.proxy.retry_budgets.record_first_send(service);
-            self.proxy.counters.first_sends.add();
+            self.proxy.counters.first_sends.increment();
         } else if self.may_send() && self.proxy.retry_budgets.take_token(service) {
-            self.proxy.counters.retries.add();
+            self.proxy.counters.retries.increment();
         } else {
             return false;
         }
@@ -91,7 +91,7 @@
         if let Some(connection) = self.proxy.pool.check_out(&replica.id) {
             return Ok(Ok(connection));
         }
-        self.proxy.counters.connects.add();
+        self.proxy.counters.connects.increment();
         self.unless_interrupted(client, self.proxy.pool.connect(replica.address)).await
     }
 
@@ -103,15 +103,15 @@
         connection: Connection,
     ) -> Step {
         let head = self.head_for(&replica);
-        let work = queued_work::units(head.unread_tokens);
+        let work = queued_work::work_units(head.unread_tokens);
         let request = UpstreamRequest {
             head: &head.bytes,
             body: &self.request.body,
             attempt_id: self.request.attempt_id(),
             is_head_request: self.request.is_head_request(),
         };
-        self.placed.written(&replica.id, work);
-        let waiting = self.proxy.work.add(&replica.id, work);
+        self.placed.record_send(&replica.id, work);
+        let waiting = self.proxy.queued_work.add(&replica.id, work);
         let weights = self.request.head.get("llm").and_then(|model| replica.weights(model));
         let attempt = attempt::run(&self.proxy.pool, &replica, connection, request);
         let attempt = self.unless_expired(weights, attempt);
@@ -120,7 +120,7 @@
         match result {
             Ok(AttemptResult::Success(response)) => {
                 self.execution = AttemptOutcome::Success.execution();
-                self.placed.first_token();
+                self.placed.record_first_token();
                 Step::Forward(response)
             }
             Ok(AttemptResult::Error { outcome, response }) => {
@@ -145,17 +145,17 @@
             RetryAction::RetryOrForward => self.may_send(),
             RetryAction::Resume | RetryAction::Forward | RetryAction::Fail | RetryAction::Abort => false,
         };
-        self.placed.outcome(decision.verdict, !is_retried);
+        self.placed.end_attempt(decision.verdict, !is_retried);
         match outcome {
             AttemptOutcome::WrongReplica => self.proxy.displace(replica),
-            AttemptOutcome::WeightsExpired => self.proxy.counters.weights_expired.add(),
+            AttemptOutcome::WeightsExpired => self.proxy.counters.weights_expired.increment(),
             _ => {}
         }
         match error {
             Some(error) if is_retried => self.last_error = Some(error),
             Some(error) => return Step::Respond(FinalResponse::Upstream(error)),
             None if is_retried => {}
-            None => return Step::Respond(self.fail(RETRY_AFTER_DELAY)),
+            None => return Step::Respond(self.failed_response(RETRY_AFTER_DELAY)),
         }
         Step::Continue
     }
--- a/crates/proxy/src/exchange/final_response.rs
+++ b/crates/proxy/src/exchange/final_response.rs
@@ -19,16 +19,16 @@
     pub(super) async fn respond(mut self, client: Client<'_>, response: FinalResponse) -> Completion {
         let counters = &self.proxy.counters;
         if self.relay.is_some() {
-            counters.aborted.add();
+            counters.aborted.increment();
             return Completion::Abort;
         }
         match (response, self.last_error.take()) {
             (FinalResponse::ClientDisconnected, _) => {
-                counters.client_disconnects.add();
+                counters.client_disconnects.increment();
                 Completion::Abort
             }
             (FinalResponse::Local(_), Some(error)) | (FinalResponse::Upstream(error), _) => {
-                counters.failed.add();
+                counters.failed.increment();
                 self.respond_upstream_error(client, &error).await
             }
             (FinalResponse::Local(response), None) => self.respond_locally(client, response).await,
@@ -38,9 +38,9 @@
     async fn respond_locally(self, client: Client<'_>, response: LocalResponse) -> Completion {
         let (proxy, request) = (self.proxy, self.request);
         if response.is_refusal() {
-            proxy.counters.refused.add();
+            proxy.counters.refused.increment();
         } else {
-            proxy.counters.failed.add();
+            proxy.counters.failed.increment();
         }
         // An attempt that is still in flight is cancelled before the client gets its response.
         drop(self);
@@ -78,12 +78,12 @@
         let counters = &self.proxy.counters;
         match end {
             RelayEnd::Complete => {
-                counters.completed.add();
-                self.placed.outcome(AttemptOutcome::Success.verdict(), true);
+                counters.completed.increment();
+                self.placed.end_attempt(AttemptOutcome::Success.verdict(), true);
                 Some(relay.persistence().into())
             }
             RelayEnd::ClientDisconnected => {
-                counters.client_disconnects.add();
+                counters.client_disconnects.increment();
                 Some(Completion::Abort)
             }
             RelayEnd::UpstreamBroken => self.handle_broken_response(client, relay),
@@ -105,9 +105,9 @@
         let decision = retry::decide(self.kind(), outcome);
         let is_resumed = decision.action == RetryAction::Resume && self.may_resume(&mut relay);
         let is_retried = is_resumed || decision.action == RetryAction::Retry;
-        self.placed.outcome(decision.verdict, !is_retried);
+        self.placed.end_attempt(decision.verdict, !is_retried);
         if !is_retried {
-            self.proxy.counters.aborted.add();
+            self.proxy.counters.aborted.increment();
             client.stream.reset_on_drop = relay.ends_with_connection();
             return Some(Completion::Abort);
         }
--- a/crates/proxy/src/exchange/interruption.rs
+++ b/crates/proxy/src/exchange/interruption.rs
@@ -7,7 +7,7 @@
 
 use super::{Exchange, FinalResponse, RETRY_AFTER_MINIMUM, Step};
 use crate::downstream::client::Client;
-use crate::placement::Order;
+use crate::placement::RequestAction;
 use crate::replica::attempt::AttemptResult;
 use crate::replica::outcome::AttemptOutcome;
 
@@ -15,12 +15,12 @@
 pub(super) enum Interruption {
     /// Downstream: the client has disconnected.
     ClientDisconnected,
-    /// Internal: the load balancer gave another order, or the deadline passed.
-    Order(Order),
+    /// Internal: the load balancer gave another action, or the deadline passed.
+    Action(RequestAction),
 }
 
 impl Exchange<'_> {
-    /// The result of `work`, unless the client disconnects, the load balancer gives another order, or the deadline
+    /// The result of `work`, unless the client disconnects, the load balancer gives another action, or the deadline
     /// passes before. The load balancer does not watch the deadline once a response has begun, as when a stream is to
     /// be resumed.
     pub(super) async fn unless_interrupted<T>(
@@ -30,13 +30,13 @@
     ) -> Result<T, Interruption> {
         let mut deadline = self.proxy.alarms.at(self.deadline);
         let interrupted = future::poll_fn(|context| {
-            if let Poll::Ready(order) = self.placed.poll_order(context) {
-                return Poll::Ready(Err(Interruption::Order(order)));
+            if let Poll::Ready(action) = self.placed.poll_action(context) {
+                return Poll::Ready(Err(Interruption::Action(action)));
             }
             if client.poll_disconnected(context).is_ready() {
                 return Poll::Ready(Err(Interruption::ClientDisconnected));
             }
-            deadline.poll_passed(context).map(|()| Err(Interruption::Order(Order::Fail)))
+            deadline.poll_passed(context).map(|()| Err(Interruption::Action(RequestAction::Fail)))
         });
         future::or(async { Ok(work.await) }, interrupted).await
     }
@@ -59,29 +59,29 @@
     pub(super) fn interrupt(&mut self, interruption: Interruption) -> Step {
         match interruption {
             Interruption::ClientDisconnected => Step::Respond(FinalResponse::ClientDisconnected),
-            Interruption::Order(order) => self.interrupt_by_order(order),
+            Interruption::Action(action) => self.interrupt_by_action(action),
         }
     }
 
-    fn interrupt_by_order(&mut self, order: Order) -> Step {
+    fn interrupt_by_action(&mut self, action: RequestAction) -> Step {
         if self.placed.may_have_run() {
             self.execution = self.execution.max(AttemptOutcome::ResponseTimeout.execution());
         }
-        match order {
-            Order::Cancel(_) => {
-                self.placed.cancel(false);
+        match action {
+            RequestAction::Cancel(_) => {
+                self.placed.cancel_attempt(false);
                 Step::Continue
             }
-            Order::Fail => {
-                self.placed.cancel(true);
-                Step::Respond(self.fail(RETRY_AFTER_MINIMUM))
+            RequestAction::Fail => {
+                self.placed.cancel_attempt(true);
+                Step::Respond(self.failed_response(RETRY_AFTER_MINIMUM))
             }
-            Order::Refuse(wait) => {
-                self.placed.cancel(true);
-                Step::Respond(self.give_up(wait))
+            RequestAction::Refuse(wait) => {
+                self.placed.cancel_attempt(true);
+                Step::Respond(self.abandoned_response(wait))
             }
             // The load balancer orders no send while an attempt is in flight.
-            Order::Send { .. } => Step::Continue,
+            RequestAction::Send { .. } => Step::Continue,
         }
     }
 }
--- a/crates/proxy/src/exchange/upstream_head.rs
+++ b/crates/proxy/src/exchange/upstream_head.rs
@@ -31,7 +31,7 @@
         });
         let kv = salt.as_ref().map(|salt| self.kv_transfer(replica, salt)).unwrap_or_default();
         // The last segment of the prompt is not shared with other requests.
-        let unread_tokens = self.prompt.prompt.own_tokens().saturating_add(kv.unread_tokens);
+        let unread_tokens = self.prompt.prompt.unshared_tokens().saturating_add(kv.unread_tokens);
         let additions = Additions {
             replica: &replica.id.0,
             tenant: admitted.tenant().map(|tenant| tenant.label.as_str()),
@@ -65,6 +65,11 @@
             other.map(|other| other.zone)
         };
         let target = Target { address: replica.address, zone: replica.zone };
-        self.proxy.kv.borrow_mut().plan(tulipridge_runtime::clock::now(), &chain, target, zone_of)
+        self.proxy.transfer_planner.borrow_mut().plan(
+            tulipridge_runtime::clock::now(),
+            &chain,
+            target,
+            zone_of,
+        )
     }
 }
--- a/crates/proxy/src/kv_cache/planner.rs
+++ b/crates/proxy/src/kv_cache/planner.rs
@@ -30,7 +30,7 @@
     stores: Vec<SocketAddrV4>,
     recent: RecentSends,
     /// Number of the last planned request.
-    turn: u64,
+    request_number: u64,
 }
 
 impl TransferPlanner {
@@ -54,7 +54,7 @@
         zone_of: impl Fn(SocketAddr) -> Option<u16>,
     ) -> KvTransfer {
         let Some(key) = chain.key() else { return KvTransfer::default() };
-        self.turn = self.turn.wrapping_add(1);
+        self.request_number = self.request_number.wrapping_add(1);
         let cached = self.cached_at(target.address, chain);
         let source = self.source(now, chain, target, cached, zone_of);
         let store = self.store_to_save(now, key, chain);
@@ -90,8 +90,8 @@
             return None;
         }
         let index = self.index.borrow();
-        let (stores, turn) = (self.stores.as_slice(), self.turn);
-        let search = SourceSearch { index: &index, stores, target, zone_of: &zone_of, turn };
+        let (stores, request_number) = (self.stores.as_slice(), self.request_number);
+        let search = SourceSearch { index: &index, stores, target, zone_of: &zone_of, request_number };
         if let Some(best) = search.best(chain).filter(|best| best.tokens >= min_tokens) {
             return Some(Source { address: SocketAddr::V4(best.address), tokens: best.tokens });
         }
--- a/crates/proxy/src/kv_cache/prefix_chain.rs
+++ b/crates/proxy/src/kv_cache/prefix_chain.rs
@@ -24,13 +24,15 @@
 pub struct PrefixChain(Vec<PrefixSegment>);
 
 impl PrefixChain {
-    /// The chain of these parts of a prompt.
+    /// The chain of these segments of a prompt.
     #[must_use]
-    pub fn new(parts: &[PromptSegment], salt: &str) -> PrefixChain {
-        let indexed = parts.iter().filter(|part| part.tokens >= MIN_CACHED_TOKENS);
-        let segments = indexed
-            .map(|part| PrefixSegment { key: PrefixKey::salted(salt, part.hash), tokens: part.tokens });
-        PrefixChain(segments.collect())
+    pub fn new(segments: &[PromptSegment], salt: &str) -> PrefixChain {
+        let indexed = segments.iter().filter(|segment| segment.tokens >= MIN_CACHED_TOKENS);
+        let keyed = indexed.map(|segment| PrefixSegment {
+            key: PrefixKey::salted(salt, segment.hash),
+            tokens: segment.tokens,
+        });
+        PrefixChain(keyed.collect())
     }
 
     /// Its segments.
--- a/crates/proxy/src/kv_cache/source.rs
+++ b/crates/proxy/src/kv_cache/source.rs
@@ -18,18 +18,18 @@
     pub(super) address: SocketAddrV4,
     /// Tokens of the chain that it has cached.
     pub(super) tokens: u32,
-    rank: Rank,
+    preference: Preference,
 }
 
 /// The order among sources that have cached as much; the greatest is taken. Its fields are compared in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Rank {
+struct Preference {
     /// Replicas go before stores.
     is_replica: bool,
     /// Replicas of the target's zone go before others.
     is_same_zone: bool,
     /// Spreads the load over equal sources.
-    spread: u64,
+    tie_breaker: u64,
 }
 
 /// The search for a source of one request.
@@ -43,7 +43,7 @@
     /// The zone of a replica of the same service that is still listed at an address.
     pub(super) zone_of: &'a Zone,
     /// Number of the request, so that equal sources take turns.
-    pub(super) turn: u64,
+    pub(super) request_number: u64,
 }
 
 impl<Zone: Fn(SocketAddr) -> Option<u16>> SourceSearch<'_, Zone> {
@@ -58,28 +58,28 @@
                 .take(MAX_CANDIDATES)
                 .filter_map(|location| self.candidate(location.source, chain))
                 .filter(|candidate| candidate.tokens >= MIN_CACHED_TOKENS)
-                .max_by_key(|candidate| (candidate.tokens / MIN_CACHED_TOKENS, candidate.rank))
+                .max_by_key(|candidate| (candidate.tokens / MIN_CACHED_TOKENS, candidate.preference))
         })
     }
 
     fn candidate(&self, address: SocketAddrV4, chain: &PrefixChain) -> Option<Candidate> {
-        let rank = self.rank(address)?;
-        Some(Candidate { address, tokens: cached_tokens(self.index, address, chain), rank })
+        let preference = self.preference(address)?;
+        Some(Candidate { address, tokens: cached_tokens(self.index, address, chain), preference })
     }
 
     /// None for an address that is neither a store nor a replica of the service.
-    fn rank(&self, address: SocketAddrV4) -> Option<Rank> {
-        let spread = spread(address, self.turn);
+    fn preference(&self, address: SocketAddrV4) -> Option<Preference> {
+        let tie_breaker = tie_breaker(address, self.request_number);
         if self.stores.contains(&address) {
-            return Some(Rank { is_replica: false, is_same_zone: false, spread });
+            return Some(Preference { is_replica: false, is_same_zone: false, tie_breaker });
         }
         let zone = (self.zone_of)(SocketAddr::V4(address))?;
-        Some(Rank { is_replica: true, is_same_zone: zone == self.target.zone, spread })
+        Some(Preference { is_replica: true, is_same_zone: zone == self.target.zone, tie_breaker })
     }
 }
 
 /// A number that differs between addresses and turns.
-fn spread(address: SocketAddrV4, turn: u64) -> u64 {
+fn tie_breaker(address: SocketAddrV4, request_number: u64) -> u64 {
     let packed = u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port());
-    xxh3_64_with_seed(&packed.to_le_bytes(), turn)
+    xxh3_64_with_seed(&packed.to_le_bytes(), request_number)
 }
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -26,14 +26,14 @@
 /// The state of a process between its start and its end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lifecycle {
-    stop: Option<Stop>,
+    stop: Option<StopSignal>,
 }
 
 /// When SIGTERM came, and the time from then until the platform kills the process.
 #[derive(Clone, Copy, Debug)]
-struct Stop {
+struct StopSignal {
     at: Duration,
-    leeway: Duration,
+    grace_period: Duration,
 }
 
 /// A stage and when it begins.
@@ -43,9 +43,9 @@
     stage: Stage,
 }
 
-impl Stop {
+impl StopSignal {
     fn stages(self) -> [StageStart; 2] {
-        let accept_until = self.at + ACCEPT_AFTER_STOP.min(self.leeway / ACCEPT_DIVISOR);
+        let accept_until = self.at + ACCEPT_AFTER_STOP.min(self.grace_period / ACCEPT_DIVISOR);
         [
             StageStart { at: accept_until, stage: Stage::Draining },
             StageStart { at: self.end(), stage: Stage::Terminated },
@@ -53,14 +53,14 @@
     }
 
     fn end(self) -> Duration {
-        self.at + self.leeway.saturating_sub(END_MARGIN)
+        self.at + self.grace_period.saturating_sub(END_MARGIN)
     }
 }
 
 impl Lifecycle {
     /// Records SIGTERM: the platform kills the process after `leeway`. A second one changes nothing.
-    pub fn stop(&mut self, now: Duration, leeway: Duration) {
-        self.stop.get_or_insert(Stop { at: now, leeway });
+    pub fn stop(&mut self, now: Duration, grace_period: Duration) {
+        self.stop.get_or_insert(StopSignal { at: now, grace_period });
     }
 
     /// The stage at a time.
@@ -73,13 +73,13 @@
 
     /// When the next stage begins; none before SIGTERM and after the last stage.
     #[must_use]
-    pub fn next_change(&self, now: Duration) -> Option<Duration> {
+    pub fn next_stage_at(&self, now: Duration) -> Option<Duration> {
         self.stop?.stages().into_iter().map(|start| start.at).find(|at| *at > now)
     }
 
     /// Whether a request that was read now and ends by `deadline` is still accepted.
     #[must_use]
-    pub fn takes_request(&self, now: Duration, deadline: Duration) -> bool {
+    pub fn accepts_request(&self, now: Duration, deadline: Duration) -> bool {
         match self.stage(now) {
             Stage::Serving | Stage::NotReady => true,
             Stage::Draining | Stage::Terminated => self.stop.is_some_and(|stop| deadline < stop.end()),
--- a/crates/proxy/src/placement/budget.rs
+++ b/crates/proxy/src/placement/budget.rs
@@ -3,10 +3,10 @@
 use tulipridge_runtime::settings::TimeLimits;
 
 /// Part of the ratio that is granted: the rest is for requests that clients count in another window.
-const RATIO_PART: f64 = 0.9;
+const GRANTED_RATIO_FRACTION: f64 = 0.9;
 /// Part of the fleet's spare attempts that the gateways known so far hold together: the other half is for as many
 /// gateways that nobody knows of yet.
-const SPARE_PART: f64 = 0.5;
+const GRANTED_SPARE_FRACTION: f64 = 0.5;
 
 /// What the deployment allows the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -44,18 +44,18 @@
     }
 
     /// Sets the capacity to this gateway's part among so many gateways.
-    pub fn set_gateways(&mut self, gateways: u32) {
-        self.capacity = self.allowance.spare * SPARE_PART / f64::from(gateways.max(1));
+    pub fn set_proxy_count(&mut self, proxy_count: u32) {
+        self.capacity = self.allowance.spare * GRANTED_SPARE_FRACTION / f64::from(proxy_count.max(1));
         self.tokens = self.tokens.min(self.capacity);
     }
 
     /// Counts a request's first send.
-    pub fn first_send(&mut self) {
-        self.tokens = (self.tokens + self.allowance.ratio * RATIO_PART).min(self.capacity);
+    pub fn record_first_send(&mut self) {
+        self.tokens = (self.tokens + self.allowance.ratio * GRANTED_RATIO_FRACTION).min(self.capacity);
     }
 
     /// Takes a token for a repeated send; false if there is none, and then nothing may be sent.
-    pub fn take(&mut self) -> bool {
+    pub fn take_token(&mut self) -> bool {
         let has_token = self.tokens >= 1.0;
         if has_token {
             self.tokens -= 1.0;
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -26,7 +26,7 @@
 use crate::placement::service_index::ServiceIndex;
 use crate::placement::timers::{DueTimer, TimerKey, TimerQueue};
 
-pub use crate::placement::route_class::{effect_of, target};
+pub use crate::placement::route_class::{effect_of, latency_target};
 
 /// Attempts of a request at the most; a route may allow fewer.
 const MAX_ATTEMPTS: u32 = 3;
@@ -35,7 +35,7 @@
 
 /// What the load balancer wants done for one request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum RequestAction {
     /// Send it. Attempts are numbered from 0.
     Send {
         /// The attempt's number.
@@ -78,7 +78,7 @@
 /// A request that is placed, until it has ended.
 struct ActiveRequest {
     service: ServiceIndex,
-    orders: VecDeque<Order>,
+    actions: VecDeque<RequestAction>,
     waker: Option<Waker>,
     attempts: u32,
     timers: Vec<TimerKey>,
@@ -86,7 +86,7 @@
 
 impl ActiveRequest {
     fn new(service: ServiceIndex) -> ActiveRequest {
-        ActiveRequest { service, orders: VecDeque::new(), waker: None, attempts: 0, timers: Vec::new() }
+        ActiveRequest { service, actions: VecDeque::new(), waker: None, attempts: 0, timers: Vec::new() }
     }
 }
 
@@ -188,16 +188,16 @@
     }
 
     /// Takes over the replicas of a service.
-    pub fn set_members(&mut self, now: Nanos, service: &str, members: Arc<[Member]>) {
+    pub fn set_replicas(&mut self, now: Nanos, service: &str, members: Arc<[Member]>) {
         if let Some(&service) = self.service_index.get(service) {
-            self.feed(now, service, None, Event::List { kind: ListKind::Complete, members });
+            self.handle_event(now, service, None, Event::List { kind: ListKind::Complete, members });
         }
     }
 
     /// Takes over how much work of all gateways is queued at the replicas of a service.
     pub fn set_loads(&mut self, now: Nanos, service: &str, loads: Vec<ReplicaWork>) {
         if let Some(&service) = self.service_index.get(service) {
-            self.feed(now, service, None, Event::Loads(loads));
+            self.handle_event(now, service, None, Event::Loads(loads));
         }
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Places a request; none if its service never had replicas.
-    pub fn request(&mut self, now: Nanos, service: &str, request: PlacementRequest) -> Option<RequestId> {
+    pub fn place(&mut self, now: Nanos, service: &str, request: PlacementRequest) -> Option<RequestId> {
         let &service = self.service_index.get(service)?;
         self.last_id += 1;
         let id = RequestId(self.last_id);
@@ -223,27 +223,27 @@
             session: prompt.session,
             prompt_tokens: prompt.tokens,
             prefix_tokens: prompt.shared_tokens,
-            max_output_tokens: prompt.answer_tokens,
+            max_output_tokens: prompt.max_output_tokens,
             is_retry: false,
         };
-        self.feed(now, service, Some(id), Event::Request(request));
+        self.handle_event(now, service, Some(id), Event::Request(request));
         Some(id)
     }
 
     /// A request is sent to a replica, which has so much work to do for it.
-    pub fn sent(&mut self, now: Nanos, id: RequestId, replica: &ReplicaId, work: u32) {
+    pub fn record_send(&mut self, now: Nanos, id: RequestId, replica: &ReplicaId, work: u32) {
         let work = ReplicaWork { replica: replica.clone(), work: work.into() };
-        self.feed_request(now, id, Event::WorkSent(work));
+        self.handle_request_event(now, id, Event::WorkSent(work));
     }
 
     /// The response to an attempt has begun.
-    pub fn first_token(&mut self, now: Nanos, id: RequestId, attempt: u32, elapsed: Duration) {
+    pub fn record_first_token(&mut self, now: Nanos, id: RequestId, attempt: u32, elapsed: Duration) {
         let elapsed = nanos(elapsed);
-        self.feed_request(now, id, Event::FirstToken { id, attempt, elapsed });
+        self.handle_request_event(now, id, Event::FirstToken { id, attempt, elapsed });
     }
 
     /// An attempt has ended.
-    pub fn outcome(&mut self, now: Nanos, id: RequestId, outcome: AttemptOutcome) {
+    pub fn record_outcome(&mut self, now: Nanos, id: RequestId, outcome: AttemptOutcome) {
         let AttemptOutcome { attempt, verdict, elapsed, ends_request } = outcome;
         let event = Event::Outcome {
             id,
@@ -254,26 +254,26 @@
             cached_tokens: None,
             report: Vec::new(),
         };
-        self.feed_request(now, id, event);
+        self.handle_request_event(now, id, event);
     }
 
     /// A request has ended; the outcomes of all its attempts must have been handed in. The load balancer is rid of its
     /// timers at once, which spares their wake-ups.
-    pub fn end(&mut self, now: Nanos, id: RequestId) {
-        self.feed_request(now, id, Event::Expired(id));
+    pub fn end_request(&mut self, now: Nanos, id: RequestId) {
+        self.handle_request_event(now, id, Event::Expired(id));
         let Some(request) = self.requests.remove(&id) else { return };
         for key in request.timers {
             if self.timers.remove(&key) {
-                self.feed(now, request.service, None, Event::Timer(key.token));
+                self.handle_event(now, request.service, None, Event::Timer(key.token));
             }
         }
     }
 
     /// The next order for a request, in their order.
-    pub fn poll_order(&mut self, id: RequestId, context: &mut Context<'_>) -> Poll<Order> {
+    pub fn poll_action(&mut self, id: RequestId, context: &mut Context<'_>) -> Poll<RequestAction> {
         let Some(request) = self.requests.get_mut(&id) else { return Poll::Pending };
-        if let Some(order) = request.orders.pop_front() {
-            return Poll::Ready(order);
+        if let Some(action) = request.actions.pop_front() {
+            return Poll::Ready(action);
         }
         match &mut request.waker {
             Some(waker) => waker.clone_from(context.waker()),
@@ -294,7 +294,7 @@
             if let Some(active) = request.and_then(|id| self.requests.get_mut(&id)) {
                 active.timers.retain(|other| *other != key);
             }
-            self.feed(now, key.service, request, Event::Timer(key.token));
+            self.handle_event(now, key.service, request, Event::Timer(key.token));
         }
     }
 
@@ -305,38 +305,50 @@
 
     /// Requests that are placed and have not ended.
     #[must_use]
-    pub fn live_count(&self) -> usize {
+    pub fn active_request_count(&self) -> usize {
         self.requests.len()
     }
 
     /// Hands an event of a request to its service's load balancer, unless the request has ended.
-    fn feed_request(&mut self, now: Nanos, id: RequestId, event: Event) {
+    fn handle_request_event(&mut self, now: Nanos, id: RequestId, event: Event) {
         if let Some(service) = self.requests.get(&id).map(|request| request.service) {
-            self.feed(now, service, Some(id), event);
+            self.handle_event(now, service, Some(id), event);
         }
     }
 
     /// The one place where a load balancer is called; `request` is the one that the event is about.
-    fn feed(&mut self, now: Nanos, service: ServiceIndex, request: Option<RequestId>, event: Event) {
+    fn handle_event(
+        &mut self,
+        now: Nanos,
+        service: ServiceIndex,
+        request: Option<RequestId>,
+        event: Event,
+    ) {
         let mut actions = std::mem::take(&mut self.actions);
         self.services[service.0].handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(now, service, request, action);
+            self.apply_action(now, service, request, action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, now: Nanos, service: ServiceIndex, request: Option<RequestId>, action: Action) {
+    fn apply_action(
+        &mut self,
+        now: Nanos,
+        service: ServiceIndex,
+        request: Option<RequestId>,
+        action: Action,
+    ) {
         match action {
-            Action::Send { id, replica, .. } => self.order(id, |request| {
+            Action::Send { id, replica, .. } => self.push_action(id, |request| {
                 request.attempts += 1;
-                Order::Send { attempt: request.attempts - 1, replica }
+                RequestAction::Send { attempt: request.attempts - 1, replica }
             }),
             Action::Refuse { id, retry_after } => {
-                self.order(id, |_| Order::Refuse(Duration::from_nanos(retry_after)));
+                self.push_action(id, |_| RequestAction::Refuse(Duration::from_nanos(retry_after)));
             }
-            Action::Fail(id) => self.order(id, |_| Order::Fail),
-            Action::Cancel { id, attempt } => self.order(id, |_| Order::Cancel(attempt)),
+            Action::Fail(id) => self.push_action(id, |_| RequestAction::Fail),
+            Action::Cancel { id, attempt } => self.push_action(id, |_| RequestAction::Cancel(attempt)),
             Action::Timer { after, token } => {
                 self.set_timer(TimerKey { due: now.saturating_add(after), service, token }, request);
             }
@@ -345,10 +357,10 @@
         }
     }
 
-    fn order(&mut self, id: RequestId, order: impl FnOnce(&mut ActiveRequest) -> Order) {
+    fn push_action(&mut self, id: RequestId, action: impl FnOnce(&mut ActiveRequest) -> RequestAction) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let order = order(request);
-        request.orders.push_back(order);
+        let action = action(request);
+        request.actions.push_back(action);
         if let Some(waker) = request.waker.take() {
             waker.wake();
         }
--- a/crates/proxy/src/placement/placed_request.rs
+++ b/crates/proxy/src/placement/placed_request.rs
@@ -9,7 +9,7 @@
 use tulipridge_load_balancer::types::{Nanos, ReplicaId, RequestId, Verdict};
 use tulipridge_runtime::clock;
 
-use crate::placement::{AttemptOutcome, Order, Placement, PlacementRequest};
+use crate::placement::{AttemptOutcome, Placement, PlacementRequest, RequestAction};
 
 /// A client that leaves so shortly before its deadline has waited for all of its time.
 const DEADLINE_SLACK: Duration = Duration::from_millis(50);
@@ -45,23 +45,23 @@
         deadline: Instant,
         request: PlacementRequest,
     ) -> Option<PlacedRequest> {
-        let id = placement.borrow_mut().request(now(), service, request)?;
+        let id = placement.borrow_mut().place(now(), service, request)?;
         Some(PlacedRequest { placement: placement.clone(), id, deadline, in_flight: None })
     }
 
     /// The load balancer's next order.
-    pub fn poll_order(&self, context: &mut Context<'_>) -> Poll<Order> {
-        self.placement.borrow_mut().poll_order(self.id, context)
+    pub fn poll_action(&self, context: &mut Context<'_>) -> Poll<RequestAction> {
+        self.placement.borrow_mut().poll_action(self.id, context)
     }
 
     /// An attempt was ordered and begins.
-    pub fn begin(&mut self, attempt: u32) {
+    pub fn begin_attempt(&mut self, attempt: u32) {
         self.in_flight = Some(InFlight { attempt, began_at: Instant::now(), is_written: false });
     }
 
     /// The attempt's bytes go out: from now on it may run, and the replica has so much work to do for it.
-    pub fn written(&mut self, replica: &ReplicaId, work: u32) {
-        self.placement.borrow_mut().sent(now(), self.id, replica, work);
+    pub fn record_send(&mut self, replica: &ReplicaId, work: u32) {
+        self.placement.borrow_mut().record_send(now(), self.id, replica, work);
         if let Some(attempt) = &mut self.in_flight {
             attempt.is_written = true;
         }
@@ -74,34 +74,34 @@
     }
 
     /// The response to the attempt has begun.
-    pub fn first_token(&mut self) {
+    pub fn record_first_token(&mut self) {
         let Some(InFlight { attempt, began_at, .. }) = self.in_flight else { return };
-        self.placement.borrow_mut().first_token(now(), self.id, attempt, began_at.elapsed());
+        self.placement.borrow_mut().record_first_token(now(), self.id, attempt, began_at.elapsed());
     }
 
     /// The attempt has ended, and with it the request if `ends_request`.
-    pub fn outcome(&mut self, verdict: Verdict, ends_request: bool) {
+    pub fn end_attempt(&mut self, verdict: Verdict, ends_request: bool) {
         let Some(InFlight { attempt, began_at, .. }) = self.in_flight.take() else { return };
         let outcome = AttemptOutcome { attempt, verdict, elapsed: began_at.elapsed(), ends_request };
-        self.placement.borrow_mut().outcome(now(), self.id, outcome);
+        self.placement.borrow_mut().record_outcome(now(), self.id, outcome);
     }
 
     /// The attempt was cancelled here.
-    pub fn cancel(&mut self, ends_request: bool) {
+    pub fn cancel_attempt(&mut self, ends_request: bool) {
         let waited = Instant::now() + DEADLINE_SLACK >= self.deadline;
         let verdict = match self.may_have_run() {
             false => Verdict::NotSent,
             true if waited => Verdict::TimedOut,
             true => Verdict::Cancelled,
         };
-        self.outcome(verdict, ends_request);
+        self.end_attempt(verdict, ends_request);
     }
 }
 
 impl Drop for PlacedRequest {
     fn drop(&mut self) {
-        self.cancel(true);
-        self.placement.borrow_mut().end(now(), self.id);
+        self.cancel_attempt(true);
+        self.placement.borrow_mut().end_request(now(), self.id);
     }
 }
 
--- a/crates/proxy/src/placement/prompt.rs
+++ b/crates/proxy/src/placement/prompt.rs
@@ -29,16 +29,16 @@
     pub session: Option<u64>,
     /// Tokens of the prompt.
     pub tokens: u32,
-    /// Tokens of all parts but the last.
+    /// Tokens of all segments but the last.
     pub shared_tokens: u32,
     /// Tokens of the answer at the most.
-    pub answer_tokens: u32,
+    pub max_output_tokens: u32,
 }
 
 impl Prompt {
     /// Tokens that no other request shares.
     #[must_use]
-    pub fn own_tokens(&self) -> u32 {
+    pub fn unshared_tokens(&self) -> u32 {
         self.tokens.saturating_sub(self.shared_tokens)
     }
 }
@@ -48,41 +48,41 @@
 pub struct PromptHeaders {
     /// The prompt as a whole.
     pub prompt: Prompt,
-    /// The parts that are shared with other requests, in their order: all but the last.
+    /// The segments that are shared with other requests, in their order: all but the last.
     pub prefix_segments: Vec<PromptSegment>,
 }
 
 impl PromptHeaders {
     /// Reads `Prompt-Start` and `Token-Count`. What can't be read is taken as absent.
     pub fn read(head: &Head) -> PromptHeaders {
-        let mut parts: Vec<_> =
-            head.get("prompt-start").map(|list| parts(list).collect()).unwrap_or_default();
-        let session = parts.pop();
-        let shared_tokens = sum(&parts);
+        let mut segments: Vec<_> =
+            head.get("prompt-start").map(|list| segments(list).collect()).unwrap_or_default();
+        let session = segments.pop();
+        let shared_tokens = sum(&segments);
         let mut prompt = Prompt {
-            shared: parts.last().map(|part| part.hash),
-            session: session.map(|part| part.hash),
-            tokens: session.map_or(0, |part| shared_tokens.saturating_add(part.tokens)),
+            shared: segments.last().map(|segment| segment.hash),
+            session: session.map(|segment| segment.hash),
+            tokens: session.map_or(0, |segment| shared_tokens.saturating_add(segment.tokens)),
             shared_tokens,
-            answer_tokens: 0,
+            max_output_tokens: 0,
         };
-        if let Some((tokens, answer_tokens)) = head.get("token-count").and_then(token_count) {
-            (prompt.tokens, prompt.answer_tokens) = (tokens, answer_tokens);
+        if let Some((tokens, max_output_tokens)) = head.get("token-count").and_then(token_count) {
+            (prompt.tokens, prompt.max_output_tokens) = (tokens, max_output_tokens);
         }
-        PromptHeaders { prompt, prefix_segments: parts }
+        PromptHeaders { prompt, prefix_segments: segments }
     }
 }
 
-fn parts(list: &str) -> impl Iterator<Item = PromptSegment> {
-    let parts = list.split(',').map(str::trim).filter(|part| !part.is_empty());
-    parts.map(|part| {
-        let (id, tokens) = part.split_once(':').unwrap_or((part, "0"));
+fn segments(list: &str) -> impl Iterator<Item = PromptSegment> {
+    let segments = list.split(',').map(str::trim).filter(|segment| !segment.is_empty());
+    segments.map(|segment| {
+        let (id, tokens) = segment.split_once(':').unwrap_or((segment, "0"));
         PromptSegment::new(id, tokens.trim().parse().unwrap_or(0))
     })
 }
 
-fn sum(parts: &[PromptSegment]) -> u32 {
-    parts.iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
+fn sum(segments: &[PromptSegment]) -> u32 {
+    segments.iter().fold(0, |sum, segment| sum.saturating_add(segment.tokens))
 }
 
 fn token_count(value: &str) -> Option<(u32, u32)> {
--- a/crates/proxy/src/placement/queued_work.rs
+++ b/crates/proxy/src/placement/queued_work.rs
@@ -29,7 +29,7 @@
 
 /// The units of a prompt of which so many tokens have to be read: one for any request, and one more for each whole unit.
 #[must_use]
-pub fn units(unread_tokens: u32) -> u32 {
+pub fn work_units(unread_tokens: u32) -> u32 {
     1 + unread_tokens / WORK_UNIT_TOKENS
 }
 
--- a/crates/proxy/src/placement/route_class.rs
+++ b/crates/proxy/src/placement/route_class.rs
@@ -12,14 +12,14 @@
 /// The target of a route that states none is this part of its time limit.
 const DEFAULT_TARGET_DIVISOR: u64 = 4;
 /// Clients give a stream up after an idle time of this length at the least ...
-const MIN_PATIENCE_MS: u64 = 2_000;
+const MIN_CLIENT_TIMEOUT_MS: u64 = 2_000;
 /// ... or of this multiple of the target ...
-const PATIENCE_PER_TARGET: u64 = 4;
+const CLIENT_TIMEOUT_PER_TARGET: u64 = 4;
 /// ... or of this multiple of the longest gap in time, whichever is longest.
-const PATIENCE_PER_GAP: u64 = 8;
+const CLIENT_TIMEOUT_PER_GAP: u64 = 8;
 /// The latency target is this part of the clients' patience: late responses earn a part of their value, and those that
 /// come when nobody waits any more earn nothing.
-const TARGET_PER_PATIENCE: f64 = 0.75;
+const TARGET_PER_CLIENT_TIMEOUT: f64 = 0.75;
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
 /// Whether a route's requests may run twice.
@@ -32,7 +32,7 @@
 #[must_use]
 pub fn class_of(route: &Route) -> Class {
     Class {
-        latency_target: latency_target_ms(route).saturating_mul(NANOS_PER_MILLI),
+        latency_target: first_token_target_ms(route).saturating_mul(NANOS_PER_MILLI),
         latency_target_per_token: 0,
         inter_token_target: 0,
         deadline: route.time_limit_ms.saturating_mul(NANOS_PER_MILLI),
@@ -45,7 +45,7 @@
 
 /// The time within which a response of a route earns its full value.
 #[must_use]
-pub fn target(route: &Route) -> Duration {
+pub fn latency_target(route: &Route) -> Duration {
     Duration::from_millis(target_ms(route))
 }
 
@@ -54,13 +54,13 @@
 }
 
 /// The time up to a first token that the load balancer works towards.
-fn latency_target_ms(route: &Route) -> u64 {
+fn first_token_target_ms(route: &Route) -> u64 {
     let target = target_ms(route);
     if route.kind != RouteKind::Stream {
         return target;
     }
-    let by_target = target.saturating_mul(PATIENCE_PER_TARGET);
-    let by_gap = route.gap_target_ms.saturating_mul(PATIENCE_PER_GAP);
-    let patience = by_target.max(by_gap).max(MIN_PATIENCE_MS).min(route.time_limit_ms);
-    target.max((patience as f64 * TARGET_PER_PATIENCE) as u64)
+    let by_target = target.saturating_mul(CLIENT_TIMEOUT_PER_TARGET);
+    let by_gap = route.gap_target_ms.saturating_mul(CLIENT_TIMEOUT_PER_GAP);
+    let client_timeout_ms = by_target.max(by_gap).max(MIN_CLIENT_TIMEOUT_MS).min(route.time_limit_ms);
+    target.max((client_timeout_ms as f64 * TARGET_PER_CLIENT_TIMEOUT) as u64)
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -15,7 +15,7 @@
 use crate::active_configuration::{ActiveConfiguration, ConfigurationAge};
 use crate::admission::{self, Routing};
 use crate::alarms::Alarms;
-use crate::bounds::{BodyBytes, Bounds, ClientPermit, Usage, replica_limits};
+use crate::bounds::{BodyBytes, ClientPermit, ResourceLimits, ResourceUsage, replica_limits};
 use crate::counters::Counters;
 use crate::freshness::FreshnessGate;
 use crate::kv_cache::TransferPlanner;
@@ -42,15 +42,15 @@
     /// The load balancers of all services.
     pub placement: Rc<RefCell<Placement>>,
     /// Plans transfers of KV cache.
-    pub kv: RefCell<TransferPlanner>,
+    pub transfer_planner: RefCell<TransferPlanner>,
     /// The replicas.
     pub replicas: RefCell<ReplicaTable>,
     /// Priorities of requests.
     pub urgency: RefCell<Urgency>,
     /// The work that is queued at replicas.
-    pub work: Rc<QueuedWorkTable>,
+    pub queued_work: Rc<QueuedWorkTable>,
     /// Open connections of clients and bytes of bodies, with their limits.
-    pub usage: Rc<Usage>,
+    pub usage: Rc<ResourceUsage>,
     /// The retry budgets of all services.
     pub retry_budgets: RetryBudgets,
     pub(crate) configuration: ActiveConfiguration,
@@ -65,19 +65,19 @@
     #[must_use]
     pub fn new(settings: &Settings, seed: u64, age: ConfigurationAge) -> Rc<Proxy> {
         let limits = &settings.time_limits;
-        let bounds = Bounds::of(settings.caps.file_handles);
+        let resource_limits = ResourceLimits::for_file_handles(settings.caps.file_handles);
         let mut zones = ZoneIndex::new(settings.zones.keys().cloned());
         let zone = zones.number(&settings.area);
         Rc::new(Proxy {
             alarms: Alarms::default(),
             counters: Counters::default(),
-            pool: ConnectionPool::new(bounds.replicas, replica_limits()),
+            pool: ConnectionPool::new(resource_limits.replicas, replica_limits()),
             placement: Rc::new(RefCell::new(Placement::new(zone, seed))),
-            kv: RefCell::default(),
+            transfer_planner: RefCell::default(),
             replicas: RefCell::default(),
             urgency: RefCell::default(),
-            work: Rc::default(),
-            usage: Rc::new(Usage::new(bounds)),
+            queued_work: Rc::default(),
+            usage: Rc::new(ResourceUsage::new(resource_limits)),
             retry_budgets: RetryBudgets::new(RetryAllowance::of(limits)),
             configuration: ActiveConfiguration::new(FreshnessGate::of(limits), age),
             weights_expiry: WeightsExpiryWatch::new(WeightsExpiry::new(limits.revision_term())),
@@ -125,8 +125,8 @@
     }
 
     /// Begins a graceful shutdown, as on SIGTERM; the platform kills the process after `leeway`.
-    pub fn stop(&self, leeway: Duration) {
-        self.shutdown.begin(leeway);
+    pub fn stop(&self, grace_period: Duration) {
+        self.shutdown.begin(grace_period);
     }
 
     /// The stage of the process.
@@ -140,8 +140,8 @@
     }
 
     /// Whether a request that may last for `time_left` from now on is still accepted.
-    pub fn takes_request(&self, time_left: Duration) -> bool {
-        self.shutdown.takes_request(time_left)
+    pub fn accepts_request(&self, time_left: Duration) -> bool {
+        self.shutdown.accepts_request(time_left)
     }
 
     /// Runs the stages of the process. Returns once it may end.
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/ready.rs
@@ -25,7 +25,7 @@
             Ok((stream, _)) => {
                 let proxy = proxy.clone();
                 executor
-                    .spawn(async move { serve_connection(&proxy, BufferedStream::new(stream)).await })
+                    .spawn(async move { serve_checks(&proxy, BufferedStream::new(stream)).await })
                     .detach();
             }
             Err(error) => {
@@ -37,15 +37,15 @@
 }
 
 /// Serves the checks of one connection. None once it has ended.
-async fn serve_connection(proxy: &Proxy, mut stream: BufferedStream) -> Option<()> {
+async fn serve_checks(proxy: &Proxy, mut stream: BufferedStream) -> Option<()> {
     let limits = Http1Limits::default();
     loop {
         let head = loop {
             if let Some(head) = codec::request_head(&mut stream.buf, &limits).ok()? {
                 break head;
             }
-            let read_by = std::time::Instant::now() + IDLE_TIMEOUT;
-            if !proxy.alarms.by(read_by, stream.more(&limits)).await? {
+            let read_deadline = std::time::Instant::now() + IDLE_TIMEOUT;
+            if !proxy.alarms.by(read_deadline, stream.more(&limits)).await? {
                 return None;
             }
         };
--- a/crates/proxy/src/retry_budgets.rs
+++ b/crates/proxy/src/retry_budgets.rs
@@ -34,7 +34,7 @@
     /// Sets how many proxies share the fleet's allowance.
     pub fn set_proxy_count(&self, proxy_count: u32) {
         self.proxy_count.set(proxy_count);
-        self.budgets.borrow_mut().values_mut().for_each(|budget| budget.set_gateways(proxy_count));
+        self.budgets.borrow_mut().values_mut().for_each(|budget| budget.set_proxy_count(proxy_count));
     }
 
     /// Whether a service's budget allows a retry.
@@ -44,24 +44,24 @@
 
     /// Takes a token for a retry from a service's budget; false if there is none.
     pub fn take_token(&self, service: &str) -> bool {
-        self.budgets.borrow_mut().get_mut(service).is_some_and(RetryBudget::take)
+        self.budgets.borrow_mut().get_mut(service).is_some_and(RetryBudget::take_token)
     }
 
     /// Records the first send of a request, which earns the service's budget a part of a token.
     pub fn record_first_send(&self, service: &str) {
         let mut budgets = self.budgets.borrow_mut();
         if let Some(budget) = budgets.get_mut(service) {
-            return budget.first_send();
+            return budget.record_first_send();
         }
         let mut budget = self.new_budget();
-        budget.first_send();
+        budget.record_first_send();
         budgets.insert(service.to_owned(), budget);
     }
 
     fn new_budget(&self) -> RetryBudget {
         let mut budget = RetryBudget::new(self.allowance.get());
         if self.proxy_count.get() > 0 {
-            budget.set_gateways(self.proxy_count.get());
+            budget.set_proxy_count(self.proxy_count.get());
         }
         budget
     }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -22,9 +22,9 @@
 use crate::{downstream, ready};
 
 /// Time between closings of expired idle connections to replicas.
-const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
+const EXPIRED_CONNECTIONS_INTERVAL: Duration = Duration::from_secs(5);
 /// Time between log lines with the counters.
-const COUNTERS_INTERVAL: Duration = Duration::from_secs(10);
+const COUNTERS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Connections that may wait to be accepted. The default of the standard library is shorter; a client that finds the queue
 /// full retries after seconds only.
@@ -86,7 +86,7 @@
     let alarms = proxy.alarms.clone();
     executor.spawn(async move { alarms.drive().await }).detach();
     executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
-    executor.spawn(housekeeping(proxy.clone())).detach();
+    executor.spawn(run_periodic_tasks(proxy.clone())).detach();
     executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_listener)).detach();
     executor.spawn(downstream::listener::listen(proxy.clone(), executor.clone(), client_listener)).detach();
     executor.spawn(handle_signals(proxy.clone(), signals, settings)).detach();
@@ -129,7 +129,7 @@
 /// Publishes the work that is queued at replicas through the subscriber, each time it changes.
 fn publish_queued_work(proxy: &Rc<Proxy>, subscriber: &Rc<Subscriber>, store: &Rc<RefCell<FeedStore>>) {
     let (store, subscriber) = (store.clone(), subscriber.clone());
-    proxy.work.on_change(move |queued| {
+    proxy.queued_work.on_change(move |queued| {
         let units = |id: &str| queued.get(&ReplicaId::from(id)).copied();
         subscriber.set_queued_work(store.borrow().queued_work(units));
     });
@@ -137,7 +137,7 @@
 
 fn apply_change(proxy: &Proxy, store: &FeedStore, changed: &StateChanges) {
     if changed.group {
-        proxy.set_gateways(store.group().gateways);
+        proxy.set_proxy_count(store.group().gateways);
     }
     if changed.configuration {
         if let Some(configuration) = store.configuration() {
@@ -146,7 +146,7 @@
     }
     if changed.fleet || changed.weights {
         proxy.set_fleet(store.fleet(), store.weights());
-        proxy.work.publish();
+        proxy.queued_work.publish();
     }
     if changed.loads {
         if let Some(loads) = store.loads() {
@@ -156,14 +156,14 @@
 }
 
 /// Closes expired connections and logs counters, for the life of the process.
-async fn housekeeping(proxy: Rc<Proxy>) {
-    let mut since_counters = Duration::ZERO;
+async fn run_periodic_tasks(proxy: Rc<Proxy>) {
+    let mut since_counters_log = Duration::ZERO;
     loop {
-        proxy.alarms.after(EXPIRY_INTERVAL).await;
+        proxy.alarms.after(EXPIRED_CONNECTIONS_INTERVAL).await;
         proxy.pool.close_expired();
-        since_counters += EXPIRY_INTERVAL;
-        if since_counters >= COUNTERS_INTERVAL {
-            since_counters = Duration::ZERO;
+        since_counters_log += EXPIRED_CONNECTIONS_INTERVAL;
+        if since_counters_log >= COUNTERS_LOG_INTERVAL {
+            since_counters_log = Duration::ZERO;
             proxy.counters.log();
         }
     }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -7,7 +7,7 @@
 use tulipridge_runtime::clock;
 
 use crate::alarms::Alarms;
-use crate::bounds::Usage;
+use crate::bounds::ResourceUsage;
 use crate::lifecycle::{Lifecycle, Stage};
 use crate::notice::Notice;
 
@@ -25,8 +25,8 @@
     }
 
     /// Begins a graceful shutdown, as on SIGTERM; the platform kills the process after `leeway`.
-    pub fn begin(&self, leeway: Duration) {
-        self.lifecycle.borrow_mut().stop(clock::now(), leeway);
+    pub fn begin(&self, grace_period: Duration) {
+        self.lifecycle.borrow_mut().stop(clock::now(), grace_period);
         self.stage_changed.raise();
     }
 
@@ -36,19 +36,19 @@
     }
 
     /// Whether a request that may last for `time_left` from now on is still accepted.
-    pub fn takes_request(&self, time_left: Duration) -> bool {
+    pub fn accepts_request(&self, time_left: Duration) -> bool {
         let now = clock::now();
-        self.lifecycle.borrow().takes_request(now, now + time_left)
+        self.lifecycle.borrow().accepts_request(now, now + time_left)
     }
 
     /// Raises the notice at each change of the stage. Returns once the process may end.
-    pub async fn run(&self, alarms: &Alarms, usage: &Usage) {
+    pub async fn run(&self, alarms: &Alarms, usage: &ResourceUsage) {
         loop {
             let now = clock::now();
             if self.lifecycle.borrow().may_end(now, usage.open_clients()) {
                 return;
             }
-            let next = self.lifecycle.borrow().next_change(now);
+            let next = self.lifecycle.borrow().next_stage_at(now);
             let change = async {
                 match next {
                     Some(at) => alarms.after(at.saturating_sub(now)).await,
--- a/crates/proxy/src/updates.rs
+++ b/crates/proxy/src/updates.rs
@@ -34,10 +34,12 @@
         );
         self.placement.borrow_mut().configure(&configuration);
         for service in &configuration.services {
-            self.set_members(&service.label);
+            self.update_placement(&service.label);
         }
         let stores = configuration.services.iter().filter_map(|service| service.store_address.as_deref());
-        self.kv.borrow_mut().set_stores(stores.filter_map(|address| address.parse().ok()).collect());
+        self.transfer_planner
+            .borrow_mut()
+            .set_stores(stores.filter_map(|address| address.parse().ok()).collect());
         self.configuration.set(configuration);
     }
 
@@ -50,7 +52,7 @@
         let replicas = self.replicas.borrow();
         self.pool.retain_replicas(|id| replicas.ready(id).is_some());
         drop(replicas);
-        changed_services.iter().for_each(|service| self.set_members(service));
+        changed_services.iter().for_each(|service| self.update_placement(service));
         self.weights_expiry.update(weights, clock::now());
     }
 
@@ -68,7 +70,7 @@
     }
 
     /// Sets how many proxies share the fleet.
-    pub fn set_gateways(&self, proxy_count: u32) {
+    pub fn set_proxy_count(&self, proxy_count: u32) {
         self.placement.borrow_mut().set_group_size(proxy_count);
         self.retry_budgets.set_proxy_count(proxy_count);
     }
@@ -79,17 +81,17 @@
         if let Some(service) = service {
             log::info!(replica = &*id.0; "a replica's address has gone to another one");
             self.pool.retain_replicas(|other| other != id);
-            self.set_members(&service);
+            self.update_placement(&service);
         }
     }
 
     /// Sets the index of cached prefixes.
     pub fn set_index(&self, index: Rc<RefCell<Index>>) {
-        self.kv.borrow_mut().set_index(index);
+        self.transfer_planner.borrow_mut().set_index(index);
     }
 
-    fn set_members(&self, service: &str) {
+    fn update_placement(&self, service: &str) {
         let members = self.replicas.borrow().members(service);
-        self.placement.borrow_mut().set_members(placed_request::now(), service, members);
+        self.placement.borrow_mut().set_replicas(placed_request::now(), service, members);
     }
 }
--- a/crates/proxy/tests/cache_salt.rs
+++ b/crates/proxy/tests/cache_salt.rs
@@ -26,7 +26,7 @@
         added: Vec::new(),
         removed: Vec::new(),
     });
-    let mut planner = bench.proxy.kv.borrow_mut();
+    let mut planner = bench.proxy.transfer_planner.borrow_mut();
     planner.set_index(Rc::new(RefCell::new(index)));
     planner.set_stores(vec![STORE]);
 }
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -160,7 +160,7 @@
     let bench = Bench::start(1);
     let is_sent = Rc::new(Cell::new(false));
     let sent = is_sent.clone();
-    bench.proxy.work.on_change(move |_| sent.set(true));
+    bench.proxy.queued_work.on_change(move |_| sent.set(true));
     let answer = bench.run(async {
         let mut client = bench.connect().await;
         client.send(&with_key("k1")).await;
--- a/crates/proxy/tests/lifecycle.rs
+++ b/crates/proxy/tests/lifecycle.rs
@@ -25,11 +25,11 @@
 #[test]
 fn each_change_of_stage_has_a_time() {
     let mut life = Lifecycle::default();
-    assert_eq!(life.next_change(Duration::ZERO), None);
+    assert_eq!(life.next_stage_at(Duration::ZERO), None);
     life.stop(Duration::ZERO, Duration::from_secs(8));
     let mut changes = Vec::new();
     let mut now = Duration::ZERO;
-    while let Some(next) = life.next_change(now) {
+    while let Some(next) = life.next_stage_at(now) {
         changes.push((next.as_millis(), life.stage(next)));
         now = next;
     }
@@ -74,7 +74,7 @@
     let mut life = Lifecycle::default();
     let now = Duration::from_millis(at_ms);
     let deadline = now + Duration::from_millis(lasts_ms);
-    assert!(life.takes_request(now, deadline));
+    assert!(life.accepts_request(now, deadline));
     life.stop(Duration::ZERO, Duration::from_secs(8));
-    assert_eq!(life.takes_request(now, deadline), expected);
+    assert_eq!(life.accepts_request(now, deadline), expected);
 }
--- a/crates/proxy/tests/limits.rs
+++ b/crates/proxy/tests/limits.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use tulipridge_proxy::alarms::Alarms;
-use tulipridge_proxy::bounds::Bounds;
+use tulipridge_proxy::bounds::ResourceLimits;
 
 #[test]
 fn a_timeout_ends_only_futures_that_are_too_slow() {
@@ -17,8 +17,10 @@
 
 #[test]
 fn connections_leave_the_reserved_descriptors_alone() {
-    let bounds = Bounds::of(4100);
+    let bounds = ResourceLimits::for_file_handles(4100);
     assert!(bounds.clients + bounds.replicas <= 3800, "{bounds:?}");
     assert!(bounds.clients > 2 * bounds.replicas - 10, "{bounds:?}");
-    assert!(Bounds::of(0).clients > 0 && Bounds::of(0).replicas > 0);
+    assert!(
+        ResourceLimits::for_file_handles(0).clients > 0 && ResourceLimits::for_file_handles(0).replicas > 0
+    );
 }
--- a/crates/proxy/tests/placement.rs
+++ b/crates/proxy/tests/placement.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use tulipridge_load_balancer::types::{ClassIndex, Member, Nanos, Phase, ReplicaId, RequestId, Verdict};
 use tulipridge_proxy::placement::prompt::Prompt;
-use tulipridge_proxy::placement::{self, AttemptOutcome, Order, Placement, PlacementRequest};
+use tulipridge_proxy::placement::{self, AttemptOutcome, Placement, PlacementRequest, RequestAction};
 
 const SECOND: Nanos = 1_000_000_000;
 const START: Nanos = 5 * SECOND;
@@ -21,7 +21,7 @@
 fn placement(members: &[Member]) -> Placement {
     let mut placement = Placement::new(0, 7);
     placement.configure(&support::configuration());
-    placement.set_members(START, "service", Arc::from(members));
+    placement.set_replicas(START, "service", Arc::from(members));
     placement
 }
 
@@ -36,7 +36,7 @@
 
 fn place(placement: &mut Placement, route: &str, prompt: Prompt) -> RequestId {
     let request = placement_request(placement, route, prompt);
-    placement.request(START, "service", request).expect("a known service")
+    placement.place(START, "service", request).expect("a known service")
 }
 
 /// How the first attempt ended, at once.
@@ -44,16 +44,16 @@
     AttemptOutcome { attempt: 0, verdict, elapsed: Duration::ZERO, ends_request }
 }
 
-fn next(placement: &mut Placement, id: RequestId) -> Option<Order> {
-    match placement.poll_order(id, &mut Context::from_waker(Waker::noop())) {
+fn next(placement: &mut Placement, id: RequestId) -> Option<RequestAction> {
+    match placement.poll_action(id, &mut Context::from_waker(Waker::noop())) {
         Poll::Ready(order) => Some(order),
         Poll::Pending => None,
     }
 }
 
-fn sent_to(order: Option<Order>) -> (u32, ReplicaId) {
+fn sent_to(order: Option<RequestAction>) -> (u32, ReplicaId) {
     match order {
-        Some(Order::Send { attempt, replica }) => (attempt, replica),
+        Some(RequestAction::Send { attempt, replica }) => (attempt, replica),
         other => panic!("no send: {other:?}"),
     }
 }
@@ -76,26 +76,29 @@
     let id = place(&mut placement, route, Prompt::default());
     let (attempt, first) = sent_to(next(&mut placement, id));
     assert_eq!(attempt, 0);
-    placement.outcome(START, id, outcome(verdict, false));
+    placement.record_outcome(START, id, outcome(verdict, false));
     let order = next(&mut placement, id);
     if is_repeated {
         let (attempt, second) = sent_to(order);
         assert_eq!(attempt, 1);
         assert_ne!(first, second);
     } else {
-        assert_eq!(order, Some(Order::Fail));
+        assert_eq!(order, Some(RequestAction::Fail));
     }
 }
 
 #[rstest]
-#[case::may_have_run(None, Order::Fail)]
-#[case::has_not_run(Some(Verdict::Full), Order::Fail)]
-fn a_request_that_is_out_fails_at_its_deadline(#[case] first: Option<Verdict>, #[case] expected: Order) {
+#[case::may_have_run(None, RequestAction::Fail)]
+#[case::has_not_run(Some(Verdict::Full), RequestAction::Fail)]
+fn a_request_that_is_out_fails_at_its_deadline(
+    #[case] first: Option<Verdict>,
+    #[case] expected: RequestAction,
+) {
     let mut placement = placement(&ready(2));
     let id = place(&mut placement, "risky", Prompt::default());
     sent_to(next(&mut placement, id));
     if let Some(verdict) = first {
-        placement.outcome(START, id, outcome(verdict, false));
+        placement.record_outcome(START, id, outcome(verdict, false));
         sent_to(next(&mut placement, id));
     }
     placement.run_timers(START + 6 * SECOND - 1);
@@ -110,7 +113,7 @@
     let id = place(&mut placement, "risky", Prompt::default());
     assert_eq!(next(&mut placement, id), None);
     placement.run_timers(START + 7 * SECOND);
-    assert!(matches!(next(&mut placement, id), Some(Order::Refuse(_))));
+    assert!(matches!(next(&mut placement, id), Some(RequestAction::Refuse(_))));
 }
 
 #[test]
@@ -118,7 +121,7 @@
     let mut placement = placement(&ready(2));
     let id = place(&mut placement, "stream", Prompt::default());
     sent_to(next(&mut placement, id));
-    placement.first_token(START, id, 0, Duration::ZERO);
+    placement.record_first_token(START, id, 0, Duration::ZERO);
     placement.run_timers(START + 7 * SECOND);
     assert_eq!(next(&mut placement, id), None);
 }
@@ -128,9 +131,9 @@
     let mut placement = placement(&ready(2));
     let id = place(&mut placement, "risky", Prompt::default());
     assert!(placement.next_timer().is_some());
-    placement.outcome(START, id, outcome(Verdict::Ok, true));
-    placement.end(START, id);
-    assert_eq!((placement.next_timer(), placement.live_count()), (None, 0));
+    placement.record_outcome(START, id, outcome(Verdict::Ok, true));
+    placement.end_request(START, id);
+    assert_eq!((placement.next_timer(), placement.active_request_count()), (None, 0));
 }
 
 #[test]
@@ -141,7 +144,7 @@
         session: Some(session),
         tokens: 1000,
         shared_tokens: 900,
-        answer_tokens: 80,
+        max_output_tokens: 80,
     };
     // Others' requests make each subject a small part of all.
     let mut replicas = std::collections::BTreeSet::new();
@@ -149,8 +152,8 @@
         let subject = n % 40;
         let id = place(&mut placement, "stream", prompt(subject, 1000 + n));
         let (_, replica) = sent_to(next(&mut placement, id));
-        placement.outcome(START, id, outcome(Verdict::Ok, true));
-        placement.end(START, id);
+        placement.record_outcome(START, id, outcome(Verdict::Ok, true));
+        placement.end_request(START, id);
         if subject == 3 && n > 200 {
             replicas.insert(replica);
         }
@@ -174,7 +177,7 @@
     assert_eq!(placement.class("new"), Some(ClassIndex(5)));
     let id = place(&mut placement, "risky", Prompt::default());
     sent_to(next(&mut placement, id));
-    placement.outcome(START, id, outcome(Verdict::Reset, false));
+    placement.record_outcome(START, id, outcome(Verdict::Reset, false));
     sent_to(next(&mut placement, id));
 }
 
@@ -184,12 +187,12 @@
 fn a_route_without_a_target_gets_one(#[case] stated_ms: u64, #[case] expected_ms: u64) {
     let route = support::route("risky", "/risky/", tulipridge_configuration::RouteKind::Risky);
     let route = tulipridge_configuration::Route { target_ms: stated_ms, ..route };
-    assert_eq!(placement::target(&route), Duration::from_millis(expected_ms));
+    assert_eq!(placement::latency_target(&route), Duration::from_millis(expected_ms));
 }
 
 #[test]
 fn a_request_for_an_unknown_service_is_not_placed() {
     let mut placement = placement(&ready(2));
     let request = placement_request(&placement, "risky", Prompt::default());
-    assert_eq!(placement.request(START, "nowhere", request), None);
+    assert_eq!(placement.place(START, "nowhere", request), None);
 }
--- a/crates/proxy/tests/prompt_headers.rs
+++ b/crates/proxy/tests/prompt_headers.rs
@@ -20,13 +20,13 @@
         [PromptSegment::new("5c1e07a2", 800), PromptSegment::new("91bd3f06", 410)]
     );
     assert_eq!(headers.prompt.shared, Some(headers.prefix_segments[1].hash));
-    assert_eq!(headers.prompt.own_tokens(), 250);
+    assert_eq!(headers.prompt.unshared_tokens(), 250);
 }
 
 #[test]
 fn the_key_is_the_last_shared_segment() {
     let whole = prompt("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80");
-    assert_eq!((whole.tokens, whole.shared_tokens, whole.answer_tokens), (1460, 1210, 80));
+    assert_eq!((whole.tokens, whole.shared_tokens, whole.max_output_tokens), (1460, 1210, 80));
     let same_subject = prompt("91bd3f06:410,ffff:10", "420,80");
     assert_eq!(whole.shared, same_subject.shared);
     assert_ne!(whole.session, same_subject.session);
--- a/crates/proxy/tests/queued_work.rs
+++ b/crates/proxy/tests/queued_work.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use tulipridge_load_balancer::types::ReplicaId;
-use tulipridge_proxy::placement::queued_work::{QueuedWorkTable, units};
+use tulipridge_proxy::placement::queued_work::{QueuedWorkTable, work_units};
 
 #[rstest]
 #[case::nothing(0, 1)]
@@ -13,7 +13,7 @@
 #[case::a_unit(1_024, 2)]
 #[case::a_long_prompt(17_020, 17)]
 fn a_request_counts_by_what_has_to_be_read(#[case] unread_tokens: u32, #[case] expected: u32) {
-    assert_eq!(units(unread_tokens), expected);
+    assert_eq!(work_units(unread_tokens), expected);
 }
 
 #[test]
--- a/crates/proxy/tests/retry_budget.rs
+++ b/crates/proxy/tests/retry_budget.rs
@@ -21,7 +21,7 @@
     let allowance = RetryAllowance { ratio: RATIO, spare: SPARE };
     let fresh = || {
         let mut budget = RetryBudget::new(allowance);
-        budget.set_gateways(known);
+        budget.set_proxy_count(known);
         budget
     };
     let mut gateways: Vec<RetryBudget> = (0..2 * known).map(|_| fresh()).collect();
@@ -33,9 +33,9 @@
                 *gateway = fresh();
             }
             for _ in 0..random.u64(..=load) {
-                gateway.first_send();
+                gateway.record_first_send();
                 second.requests += 1.0;
-                while random.u8(..4) > 0 && gateway.take() {
+                while random.u8(..4) > 0 && gateway.take_token() {
                     second.repeats += 1.0;
                 }
             }
@@ -62,9 +62,9 @@
     let mut repeats = 0;
     for _ in 0..2 * known {
         let mut budget = RetryBudget::new(RetryAllowance { ratio: RATIO, spare: SPARE });
-        budget.set_gateways(known);
-        (0..10_000).for_each(|_| budget.first_send());
-        repeats += (0..1_000).filter(|_| budget.take()).count();
+        budget.set_proxy_count(known);
+        (0..10_000).for_each(|_| budget.record_first_send());
+        repeats += (0..1_000).filter(|_| budget.take_token()).count();
     }
     assert!(repeats as f64 <= SPARE, "{repeats} repeats");
 }
@@ -72,22 +72,22 @@
 #[test]
 fn a_budget_begins_empty_and_without_room() {
     let mut budget = RetryBudget::new(RetryAllowance { ratio: 1.0, spare: 100.0 });
-    (0..10).for_each(|_| budget.first_send());
-    assert!(!budget.take(), "nothing is known of other gateways");
-    budget.set_gateways(10);
-    assert!(!budget.take());
-    (0..100).for_each(|_| budget.first_send());
-    assert_eq!((0..100).filter(|_| budget.take()).count(), 5, "half of the spare, shared by ten");
-    budget.first_send();
+    (0..10).for_each(|_| budget.record_first_send());
+    assert!(!budget.take_token(), "nothing is known of other gateways");
+    budget.set_proxy_count(10);
+    assert!(!budget.take_token());
+    (0..100).for_each(|_| budget.record_first_send());
+    assert_eq!((0..100).filter(|_| budget.take_token()).count(), 5, "half of the spare, shared by ten");
+    budget.record_first_send();
     assert!(!budget.has_token(), "0.9 of a token is none");
 }
 
 #[test]
 fn more_gateways_leave_each_less_at_once() {
     let mut budget = RetryBudget::new(RetryAllowance { ratio: 1.0, spare: 100.0 });
-    budget.set_gateways(1);
-    (0..100).for_each(|_| budget.first_send());
-    budget.set_gateways(50);
-    assert!(budget.take());
-    assert!(!budget.take());
+    budget.set_proxy_count(1);
+    (0..100).for_each(|_| budget.record_first_send());
+    budget.set_proxy_count(50);
+    assert!(budget.take_token());
+    assert!(!budget.take_token());
 }
--- a/crates/proxy/tests/retry_safety.rs
+++ b/crates/proxy/tests/retry_safety.rs
@@ -191,5 +191,5 @@
         bench.until(|| bench.replicas[0].ended.get() == 1).await;
     }));
     assert!(ended.is_some(), "the replica still works for a client that has left");
-    assert_eq!(bench.proxy.placement.borrow().live_count(), 0);
+    assert_eq!(bench.proxy.placement.borrow().active_request_count(), 0);
 }
--- a/crates/proxy/tests/support/bench.rs
+++ b/crates/proxy/tests/support/bench.rs
@@ -96,7 +96,7 @@
         executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
         executor.spawn(downstream::listener::listen(proxy.clone(), executor.clone(), front)).detach();
         executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_check)).detach();
-        proxy.set_gateways(1);
+        proxy.set_proxy_count(1);
         proxy.set_configuration(Arc::new(configuration()));
         bench.set_fleet(|_| {});
         bench
