--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,9 +1,9 @@
-//! The life of one request, from the moment that it was read completely to its one final response.
+//! Handles one request, from when it was read completely to its final response.
 //!
-//! [`handle_request`] admits a request by the newest configuration and has it placed. `Exchange::run` then takes the
-//! load balancer's orders one after the other:
+//! [`handle_request`] admits a request by the newest configuration and has it placed. `Exchange::run` then executes the
+//! load balancer's actions one at a time:
 //!
-//! 1. `attempts` sends the request to the replica that an order names, if a send is still allowed;
+//! 1. `attempts` sends the request to the replica that an action names, if a send is still allowed;
 //! 2. `interruption` ends an attempt when the client disconnects, the deadline passes, the load balancer cancels it, or
 //!    the replica's weights expire;
 //! 3. the retry table ([`crate::replica::retry`]) decides what follows an attempt that failed;
@@ -41,7 +41,7 @@
 const RETRY_AFTER_DELAY: Duration = Duration::from_millis(500);
 /// `Retry-After` where the newest configuration handles the request differently, or another proxy can serve it.
 const RETRY_AFTER_MINIMUM: Duration = Duration::from_millis(50);
-/// A request for which no replica is available is given up after its latency target divided by this.
+/// A request for which no replica is available is abandoned after its latency target divided by this.
 const PLACEMENT_TIMEOUT_DIVISOR: u32 = 5;
 /// A response that has begun is aborted this long after its deadline; its replica ends it before that.
 const DEADLINE_GRACE: Duration = Duration::from_secs(1);
@@ -116,7 +116,7 @@
     ClientDisconnected,
 }
 
-/// A placed request.
+/// A placed request and the state of its attempts.
 struct Exchange<'a> {
     proxy: &'a Rc<Proxy>,
     request: &'a DownstreamRequest,
@@ -124,13 +124,13 @@
     prompt: PromptHeaders,
     placed: PlacedRequest,
     deadline: Instant,
-    /// How often the request was written to a replica.
+    /// The number of times that the request was sent to a replica.
     sends: u32,
     /// Whether any attempt so far may have run the request.
     execution: Execution,
     /// A replica's error, which the client gets if no retry succeeds.
     last_error: Option<Box<ErrorResponse>>,
-    /// The response of which a part was forwarded already, while another replica is to resume it.
+    /// The response that was partly forwarded and is to be resumed by another replica.
     relay: Option<Relay>,
 }
 
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Waits for the next order while no attempt is in flight, up to the placement timeout.
+    /// Waits for the next action while no attempt is in flight, up to the placement timeout.
     async fn next_event(&self, client: &mut Client<'_>) -> WaitEvent {
         let timeout = placement::latency_target(self.admitted.route()) / PLACEMENT_TIMEOUT_DIVISOR;
         let from = if self.sends == 0 { self.request.started } else { Instant::now() };
--- a/crates/proxy/src/exchange/attempts.rs
+++ b/crates/proxy/src/exchange/attempts.rs
@@ -39,7 +39,7 @@
             Ok(Err(error)) => return self.handle_failure(&replica.id, error.outcome(), None),
             Err(interruption) => return self.interrupt(interruption),
         };
-        // The replica may have begun to drain, and the configuration have changed, while a connection came up.
+        // While the connection was established, the replica may have begun to drain or the configuration may have changed.
         if !self.is_still_admitted() {
             return Step::Respond(self.failed_response(RETRY_AFTER_MINIMUM));
         }
@@ -67,7 +67,7 @@
         self.sends == 0 || retry::may_retry(self.kind(), self.execution) && is_in_budget()
     }
 
-    /// Counts a send that follows at once, and takes its token from the retry budget; false if it is not allowed.
+    /// Counts a send that follows immediately, and takes its token from the retry budget; false if it is not allowed.
     fn reserve_send(&mut self) -> bool {
         let service = self.admitted.service();
         if self.sends == 0 {
@@ -111,12 +111,12 @@
             is_head_request: self.request.is_head_request(),
         };
         self.placed.record_send(&replica.id, work);
-        let waiting = self.proxy.queued_work.add(&replica.id, work);
+        let queued_work = self.proxy.queued_work.add(&replica.id, work);
         let weights = self.request.head.get("llm").and_then(|model| replica.weights(model));
         let attempt = attempt::run(&self.proxy.pool, &replica, connection, request);
         let attempt = self.unless_expired(weights, attempt);
         let result = self.unless_interrupted(client, attempt).await;
-        drop(waiting);
+        drop(queued_work);
         match result {
             Ok(AttemptResult::Success(response)) => {
                 self.execution = AttemptOutcome::Success.execution();
--- a/crates/proxy/src/exchange/final_response.rs
+++ b/crates/proxy/src/exchange/final_response.rs
@@ -63,7 +63,7 @@
         write_response(proxy, client, &bytes, persistence).await
     }
 
-    /// Forwards a success as it arrives. None if it broke off, and another attempt may resume it or start it anew.
+    /// Forwards a success as it arrives. None if it broke off, and another attempt may resume or restart it.
     pub(super) async fn forward(
         &mut self,
         client: &mut Client<'_>,
--- a/crates/proxy/src/exchange/interruption.rs
+++ b/crates/proxy/src/exchange/interruption.rs
@@ -15,12 +15,12 @@
 pub(super) enum Interruption {
     /// Downstream: the client has disconnected.
     ClientDisconnected,
-    /// Internal: the load balancer gave another action, or the deadline passed.
+    /// Internal: the load balancer decided on another action, or the deadline passed.
     Action(RequestAction),
 }
 
 impl Exchange<'_> {
-    /// The result of `work`, unless the client disconnects, the load balancer gives another action, or the deadline
+    /// The result of `work`, unless the client disconnects, the load balancer decides otherwise, or the deadline
     /// passes before. The load balancer does not watch the deadline once a response has begun, as when a stream is to
     /// be resumed.
     pub(super) async fn unless_interrupted<T>(
@@ -80,7 +80,7 @@
                 self.placed.cancel_attempt(true);
                 Step::Respond(self.abandoned_response(wait))
             }
-            // The load balancer orders no send while an attempt is in flight.
+            // The load balancer sends no second attempt while an attempt is in flight.
             RequestAction::Send { .. } => Step::Continue,
         }
     }
--- a/crates/proxy/src/exchange/upstream_head.rs
+++ b/crates/proxy/src/exchange/upstream_head.rs
@@ -15,7 +15,7 @@
 pub(super) struct UpstreamHead {
     /// The encoded head.
     pub(super) bytes: Vec<u8>,
-    /// Tokens of the prompt that the replica has to read, as no KV cache covers them.
+    /// Tokens of the prompt that the replica has to prefill, as no KV cache covers them.
     pub(super) unread_tokens: u32,
 }
 
@@ -47,7 +47,7 @@
         UpstreamHead { bytes, unread_tokens }
     }
 
-    /// The priority by the operator's rank and by what the replica has to read.
+    /// The priority, by the operator-set rank and by the number of tokens to prefill.
     fn priority(&self, unread_tokens: u32) -> u8 {
         self.proxy.urgency.borrow_mut().priority(self.admitted.rank(), unread_tokens)
     }
--- a/crates/proxy/src/kv_cache/mod.rs
+++ b/crates/proxy/src/kv_cache/mod.rs
@@ -1,7 +1,7 @@
-//! Transfers of KV cache: where a replica fetches the cache of a prompt's shared prefix from, and which store it saves
-//! it to. The time is passed in.
+//! KV cache transfers: the source from which a replica fetches the cache of a shared prompt prefix, and the store that
+//! it saves it to. The time is passed in.
 //!
-//! The control plane's index says which replica or store has cached which prefix segment. It lags by some hundred
+//! The index of the control plane lists which replica or store has cached which prefix segment. It lags by some hundred
 //! milliseconds, so the proxy also remembers which replica it sent a prefix to recently (`recent`). The index may be
 //! wrong: fetching from a source without the prefix costs about a millisecond.
 
--- a/crates/proxy/src/kv_cache/planner.rs
+++ b/crates/proxy/src/kv_cache/planner.rs
@@ -12,14 +12,14 @@
 use super::source::SourceSearch;
 use super::{KvTransfer, Target};
 
-/// For this long after a send, the replica that got the prefix may be ahead of the index.
+/// How long after a send a replica may have cached a prefix that the index does not list yet.
 const RECENT_SEND_TTL: Duration = Duration::from_secs(1);
 
 /// Where a prefix may be fetched from.
 #[derive(Clone, Copy, Debug)]
 struct Source {
     address: SocketAddr,
-    /// Tokens of the chain that it has cached, as far as the index says.
+    /// Tokens of the chain that it has cached, according to the index.
     tokens: u32,
 }
 
@@ -29,7 +29,7 @@
     index: Rc<RefCell<Index>>,
     stores: Vec<SocketAddrV4>,
     recent: RecentSends,
-    /// Number of the last planned request.
+    /// The number of the last planned request.
     request_number: u64,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Tokens of the chain that a replica or a store has cached, as far as the index says.
+    /// Tokens of the chain that a replica or a store has cached, according to the index.
     fn cached_at(&self, address: SocketAddr, chain: &PrefixChain) -> u32 {
         match address {
             SocketAddr::V4(address) => cached_tokens(&self.index.borrow(), address, chain),
@@ -76,7 +76,7 @@
     }
 
     /// Where the chain is fetched from. None if no source has cached enough more of it than the target, which has cached
-    /// `cached` tokens: few tokens are read again as fast as they are fetched.
+    /// `cached` tokens: recomputing few tokens is as fast as fetching them.
     fn source(
         &self,
         now: Duration,
--- a/crates/proxy/src/kv_cache/prefix_chain.rs
+++ b/crates/proxy/src/kv_cache/prefix_chain.rs
@@ -19,12 +19,12 @@
 }
 
 /// The shared segments of a prompt in their order, under one cache salt. Segments that are too short to be indexed are
-/// left out; they are read along with the next one.
+/// left out; they are prefilled with the next one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PrefixChain(Vec<PrefixSegment>);
 
 impl PrefixChain {
-    /// The chain of these segments of a prompt.
+    /// Builds the chain of these prompt segments under a salt.
     #[must_use]
     pub fn new(segments: &[PromptSegment], salt: &str) -> PrefixChain {
         let indexed = segments.iter().filter(|segment| segment.tokens >= MIN_CACHED_TOKENS);
--- a/crates/proxy/src/kv_cache/recent.rs
+++ b/crates/proxy/src/kv_cache/recent.rs
@@ -1,4 +1,4 @@
-//! The prefixes that this proxy has sent recently, since the index lags behind.
+//! Remembers the prefixes that this proxy sent recently, since the index lags behind.
 
 use std::net::SocketAddr;
 use std::num::NonZeroUsize;
@@ -6,12 +6,12 @@
 
 use lru::LruCache;
 
-/// Prefixes that are remembered; beyond it, the least recently used one is dropped.
+/// Maximum number of prefixes; beyond it, the least recently used one is evicted.
 const MAX_PREFIXES: NonZeroUsize = NonZeroUsize::new(4096).expect("above 0");
-/// A prefix is not saved again before the index has had time to show that it was.
+/// Minimum time between saves of a prefix, so that the index can list the previous save first.
 const SAVE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The last time that a prefix was sent.
+/// The last send of a prefix.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecentSend {
     /// The replica that it was sent to.
--- a/crates/proxy/src/kv_cache/source.rs
+++ b/crates/proxy/src/kv_cache/source.rs
@@ -8,7 +8,7 @@
 use super::Target;
 use super::prefix_chain::{PrefixChain, cached_tokens};
 
-/// Sources that are considered for a request.
+/// Maximum number of sources that are considered for a request.
 const MAX_CANDIDATES: usize = 64;
 
 /// A source that has cached a prefix of a chain.
@@ -21,12 +21,12 @@
     preference: Preference,
 }
 
-/// The order among sources that have cached as much; the greatest is taken. Its fields are compared in their order.
+/// The preference among sources that have cached equally much; the greatest wins. Fields are compared in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
-    /// Replicas go before stores.
+    /// Replicas are preferred to stores.
     is_replica: bool,
-    /// Replicas of the target's zone go before others.
+    /// Replicas in the zone of the target are preferred to others.
     is_same_zone: bool,
     /// Spreads the load over equal sources.
     tie_breaker: u64,
@@ -42,7 +42,7 @@
     pub(super) target: Target,
     /// The zone of a replica of the same service that is still listed at an address.
     pub(super) zone_of: &'a Zone,
-    /// Number of the request, so that equal sources take turns.
+    /// The number of the request; varies the choice among equal sources.
     pub(super) request_number: u64,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// A number that differs between addresses and turns.
+/// A pseudorandom number for an address and a request.
 fn tie_breaker(address: SocketAddrV4, request_number: u64) -> u64 {
     let packed = u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port());
     xxh3_64_with_seed(&packed.to_le_bytes(), request_number)
--- a/crates/proxy/src/placement/budget.rs
+++ b/crates/proxy/src/placement/budget.rs
@@ -1,34 +1,34 @@
-//! The budget of repeated sends of one service.
+//! The retry budget of one service: a token bucket.
 
 use tulipridge_runtime::settings::TimeLimits;
 
-/// Part of the ratio that is granted: the rest is for requests that clients count in another window.
+/// Fraction of the ratio that is granted; the rest covers requests that clients count in another window.
 const GRANTED_RATIO_FRACTION: f64 = 0.9;
-/// Part of the fleet's spare attempts that the gateways known so far hold together: the other half is for as many
-/// gateways that nobody knows of yet.
+/// Fraction of the spare retries of the fleet that the known proxies share; the other half is reserved for up to as
+/// many proxies that are not known yet.
 const GRANTED_SPARE_FRACTION: f64 = 0.5;
 
-/// What the deployment allows the whole fleet.
+/// The retries that the deployment allows to the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAllowance {
-    /// Repeated sends for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeated sends beyond the ratio within a window.
+    /// Retries beyond the ratio within a window.
     pub spare: f64,
 }
 
 impl RetryAllowance {
-    /// What the settings say.
+    /// The allowance of the settings.
     #[must_use]
     pub fn of(limits: &TimeLimits) -> RetryAllowance {
         RetryAllowance { ratio: limits.retry_ratio, spare: limits.spare_tries as f64 }
     }
 }
 
-/// One gateway's tokens for repeated sends to one service.
+/// The token bucket of one proxy for retries to one service.
 ///
-/// A request's first send adds a part of a token and each further send takes a full one (a token bucket). It
-/// starts empty, as a gateway that was just restarted may have spent its tokens a moment ago.
+/// The first send of a request adds a fraction of a token, and each retry takes a whole token. The bucket
+/// starts empty, because a proxy that was restarted may have spent its tokens shortly before.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     allowance: RetryAllowance,
@@ -37,24 +37,24 @@
 }
 
 impl RetryBudget {
-    /// An empty bucket, without capacity until the number of gateways is known.
+    /// An empty bucket, without capacity until the number of proxies is known.
     #[must_use]
     pub fn new(allowance: RetryAllowance) -> Self {
         RetryBudget { allowance, capacity: 0.0, tokens: 0.0 }
     }
 
-    /// Sets the capacity to this gateway's part among so many gateways.
+    /// Sets the capacity to the share of one of `proxy_count` proxies.
     pub fn set_proxy_count(&mut self, proxy_count: u32) {
         self.capacity = self.allowance.spare * GRANTED_SPARE_FRACTION / f64::from(proxy_count.max(1));
         self.tokens = self.tokens.min(self.capacity);
     }
 
-    /// Counts a request's first send.
+    /// Records the first send of a request.
     pub fn record_first_send(&mut self) {
         self.tokens = (self.tokens + self.allowance.ratio * GRANTED_RATIO_FRACTION).min(self.capacity);
     }
 
-    /// Takes a token for a repeated send; false if there is none, and then nothing may be sent.
+    /// Takes a token for a retry; false if there is none, and then the retry must not be sent.
     pub fn take_token(&mut self) -> bool {
         let has_token = self.tokens >= 1.0;
         if has_token {
@@ -63,7 +63,7 @@
         has_token
     }
 
-    /// Whether a repeated send would find a token.
+    /// Whether a token is available for a retry.
     #[must_use]
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! Which replica each request goes to: a load balancer for each service, their timers, and the orders that follow for
-//! each request. The time is handed in.
+//! Chooses the replica for each request: one load balancer per service, their timers, and the actions they decide for
+//! each request. The current time is passed in.
 
 pub mod budget;
 pub mod placed_request;
@@ -28,26 +28,26 @@
 
 pub use crate::placement::route_class::{effect_of, latency_target};
 
-/// Attempts of a request at the most; a route may allow fewer.
+/// Maximum attempts of a request; a route may allow fewer.
 const MAX_ATTEMPTS: u32 = 3;
-/// Longest time for which a refused client is asked to stay away.
-const MAX_RETRY_AFTER: Nanos = 1_000_000_000;
+/// Upper limit of the retry-after delay of a refused request, in nanoseconds.
+const MAX_RETRY_AFTER_NS: Nanos = 1_000_000_000;
 
-/// What the load balancer wants done for one request.
+/// What the load balancer decides for one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestAction {
-    /// Send it. Attempts are numbered from 0.
+    /// Send it to a replica. Attempts are numbered from 0.
     Send {
         /// The attempt's number.
         attempt: u32,
-        /// Where to.
+        /// The replica to send it to.
         replica: ReplicaId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel(u32),
-    /// Respond that the request has not run, and how long the client should stay away.
+    /// Refuse the request, which has not run; the client may retry it after this delay.
     Refuse(Duration),
-    /// Respond that the request failed.
+    /// Respond with a failure.
     Fail,
 }
 
@@ -56,7 +56,7 @@
 pub struct PlacementRequest {
     /// Class of its route.
     pub class: ClassIndex,
-    /// Time until its client gives up.
+    /// Time until its deadline.
     pub expires_in: Duration,
     /// Its prompt.
     pub prompt: Prompt,
@@ -71,7 +71,7 @@
     pub verdict: Verdict,
     /// Time since it began.
     pub elapsed: Duration,
-    /// The request has ended with it.
+    /// Whether the request ends with this attempt.
     pub ends_request: bool,
 }
 
@@ -107,7 +107,7 @@
 }
 
 impl Placement {
-    /// Without services yet; `seed` makes this gateway's random draws its own.
+    /// A placement without services. `seed` seeds the random choices, so that they differ between proxies.
     #[must_use]
     pub fn new(zone: u16, seed: u64) -> Self {
         Placement {
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Takes over a configuration: routes are classes, and each service has a load balancer. Those of services that are
-    /// gone stay for the requests that they still have.
+    /// Applies a configuration: each route is a request class, and each service has a load balancer. Load balancers of
+    /// removed services are kept for the requests that are still active.
     pub fn configure(&mut self, configuration: &Configuration) {
         for route in &configuration.routes {
             let class = route_class::class_of(route);
@@ -156,7 +156,7 @@
                 self.service_index.insert(label.to_owned(), ServiceIndex(index));
                 self.services.push(balancer);
             }
-            Err(error) => log::error!(service = label, error:% = error; "a service can't be placed"),
+            Err(error) => log::error!(service = label, error:% = error; "failed to create a load balancer"),
         }
     }
 
@@ -170,7 +170,7 @@
             limits: Limits {
                 max_attempts: MAX_ATTEMPTS,
                 cancellation: true,
-                max_retry_after: MAX_RETRY_AFTER,
+                max_retry_after: MAX_RETRY_AFTER_NS,
                 ..Limits::default()
             },
             safety: Safety { initial_capacity: 1.0, overload_factor: 1.0, ..Safety::default() },
@@ -178,36 +178,36 @@
         }
     }
 
-    /// Takes over how many gateways share the fleet; 0 counts as one.
-    pub fn set_group_size(&mut self, gateways: u32) {
-        let gateways = gateways.max(1);
-        if gateways != self.group_size {
-            self.group_size = gateways;
-            self.services.iter_mut().for_each(|service| service.set_group_size(gateways));
+    /// Sets how many proxies share the fleet; 0 counts as one.
+    pub fn set_group_size(&mut self, proxy_count: u32) {
+        let proxy_count = proxy_count.max(1);
+        if proxy_count != self.group_size {
+            self.group_size = proxy_count;
+            self.services.iter_mut().for_each(|service| service.set_group_size(proxy_count));
         }
     }
 
-    /// Takes over the replicas of a service.
+    /// Replaces the replica list of a service.
     pub fn set_replicas(&mut self, now: Nanos, service: &str, members: Arc<[Member]>) {
         if let Some(&service) = self.service_index.get(service) {
             self.handle_event(now, service, None, Event::List { kind: ListKind::Complete, members });
         }
     }
 
-    /// Takes over how much work of all gateways is queued at the replicas of a service.
+    /// Sets the work of all proxies that is queued at the replicas of a service.
     pub fn set_loads(&mut self, now: Nanos, service: &str, loads: Vec<ReplicaWork>) {
         if let Some(&service) = self.service_index.get(service) {
             self.handle_event(now, service, None, Event::Loads(loads));
         }
     }
 
-    /// The class of a route.
+    /// The request class of a route.
     #[must_use]
     pub fn class(&self, route: &str) -> Option<ClassIndex> {
         self.class_index.get(route).copied()
     }
 
-    /// Places a request; none if its service never had replicas.
+    /// Places a request. None if the service has no load balancer.
     pub fn place(&mut self, now: Nanos, service: &str, request: PlacementRequest) -> Option<RequestId> {
         let &service = self.service_index.get(service)?;
         self.last_id += 1;
@@ -230,19 +230,19 @@
         Some(id)
     }
 
-    /// A request is sent to a replica, which has so much work to do for it.
+    /// Records that a request is sent to a replica, with `work` units of work for it.
     pub fn record_send(&mut self, now: Nanos, id: RequestId, replica: &ReplicaId, work: u32) {
         let work = ReplicaWork { replica: replica.clone(), work: work.into() };
         self.handle_request_event(now, id, Event::WorkSent(work));
     }
 
-    /// The response to an attempt has begun.
+    /// Records that the response to an attempt has begun.
     pub fn record_first_token(&mut self, now: Nanos, id: RequestId, attempt: u32, elapsed: Duration) {
         let elapsed = nanos(elapsed);
         self.handle_request_event(now, id, Event::FirstToken { id, attempt, elapsed });
     }
 
-    /// An attempt has ended.
+    /// Records the outcome of an attempt.
     pub fn record_outcome(&mut self, now: Nanos, id: RequestId, outcome: AttemptOutcome) {
         let AttemptOutcome { attempt, verdict, elapsed, ends_request } = outcome;
         let event = Event::Outcome {
@@ -257,8 +257,8 @@
         self.handle_request_event(now, id, event);
     }
 
-    /// A request has ended; the outcomes of all its attempts must have been handed in. The load balancer is rid of its
-    /// timers at once, which spares their wake-ups.
+    /// Ends a request; the outcomes of all its attempts must be recorded before. Its timers are run early, which
+    /// saves their wake-ups.
     pub fn end_request(&mut self, now: Nanos, id: RequestId) {
         self.handle_request_event(now, id, Event::Expired(id));
         let Some(request) = self.requests.remove(&id) else { return };
@@ -269,7 +269,7 @@
         }
     }
 
-    /// The next order for a request, in their order.
+    /// The next action for a request, first in, first out.
     pub fn poll_action(&mut self, id: RequestId, context: &mut Context<'_>) -> Poll<RequestAction> {
         let Some(request) = self.requests.get_mut(&id) else { return Poll::Pending };
         if let Some(action) = request.actions.pop_front() {
@@ -298,25 +298,25 @@
         }
     }
 
-    /// Ready once a timer is due before `known`, the time for which the caller already waits.
+    /// Ready once a timer is due before `known`, the time that the caller already waits for.
     pub fn poll_earlier_timer(&mut self, known: Option<Nanos>, context: &mut Context<'_>) -> Poll<()> {
         self.timers.poll_earlier(known, context)
     }
 
-    /// Requests that are placed and have not ended.
+    /// The number of requests that are placed and have not ended.
     #[must_use]
     pub fn active_request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Hands an event of a request to its service's load balancer, unless the request has ended.
+    /// Passes an event of a request to the load balancer of its service, unless the request has ended.
     fn handle_request_event(&mut self, now: Nanos, id: RequestId, event: Event) {
         if let Some(service) = self.requests.get(&id).map(|request| request.service) {
             self.handle_event(now, service, Some(id), event);
         }
     }
 
-    /// The one place where a load balancer is called; `request` is the one that the event is about.
+    /// Passes an event to a load balancer and applies the resulting actions. `request` is the request it concerns.
     fn handle_event(
         &mut self,
         now: Nanos,
@@ -352,7 +352,7 @@
             Action::Timer { after, token } => {
                 self.set_timer(TimerKey { due: now.saturating_add(after), service, token }, request);
             }
-            // The list is pushed, replicas are not probed, and gateways share nothing.
+            // The replica list is pushed, replicas are not probed, and load balancers exchange no messages.
             Action::Watch | Action::Fetch | Action::Probe(_) | Action::SendToPeer { .. } => {}
         }
     }
--- a/crates/proxy/src/placement/placed_request.rs
+++ b/crates/proxy/src/placement/placed_request.rs
@@ -1,4 +1,4 @@
-//! A request that a load balancer places: orders come out of it, events go into it. Also the task that runs timers.
+//! A placed request: receives actions from its load balancer and reports events to it. Also the timer task.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 
 use crate::placement::{AttemptOutcome, Placement, PlacementRequest, RequestAction};
 
-/// A client that leaves so shortly before its deadline has waited for all of its time.
+/// A request that is cancelled this shortly before its deadline counts as timed out.
 const DEADLINE_SLACK: Duration = Duration::from_millis(50);
 
 /// The load balancers' clock.
@@ -28,8 +28,8 @@
     is_written: bool,
 }
 
-/// A request that is placed. When it is dropped, the load balancer learns that the request is over and that an attempt
-/// in flight was cancelled.
+/// A placed request. Dropping it ends the request at the load balancer and cancels an attempt that is
+/// in flight.
 pub struct PlacedRequest {
     placement: Rc<RefCell<Placement>>,
     id: RequestId,
@@ -38,7 +38,7 @@
 }
 
 impl PlacedRequest {
-    /// Places a request that expires at `deadline`; none if its service is not known.
+    /// Places a request that expires at `deadline`; none if its service has no load balancer.
     pub fn place(
         placement: &Rc<RefCell<Placement>>,
         service: &str,
@@ -49,17 +49,17 @@
         Some(PlacedRequest { placement: placement.clone(), id, deadline, in_flight: None })
     }
 
-    /// The load balancer's next order.
+    /// The next action of the load balancer.
     pub fn poll_action(&self, context: &mut Context<'_>) -> Poll<RequestAction> {
         self.placement.borrow_mut().poll_action(self.id, context)
     }
 
-    /// An attempt was ordered and begins.
+    /// Begins an attempt.
     pub fn begin_attempt(&mut self, attempt: u32) {
         self.in_flight = Some(InFlight { attempt, began_at: Instant::now(), is_written: false });
     }
 
-    /// The attempt's bytes go out: from now on it may run, and the replica has so much work to do for it.
+    /// Records that the attempt is being written: from now on it may run, and counts as `work` units at the replica.
     pub fn record_send(&mut self, replica: &ReplicaId, work: u32) {
         self.placement.borrow_mut().record_send(now(), self.id, replica, work);
         if let Some(attempt) = &mut self.in_flight {
@@ -73,25 +73,25 @@
         self.in_flight.is_some_and(|attempt| attempt.is_written)
     }
 
-    /// The response to the attempt has begun.
+    /// Records that the response to the attempt has begun.
     pub fn record_first_token(&mut self) {
         let Some(InFlight { attempt, began_at, .. }) = self.in_flight else { return };
         self.placement.borrow_mut().record_first_token(now(), self.id, attempt, began_at.elapsed());
     }
 
-    /// The attempt has ended, and with it the request if `ends_request`.
+    /// Ends the attempt, and with it the request if `ends_request`.
     pub fn end_attempt(&mut self, verdict: Verdict, ends_request: bool) {
         let Some(InFlight { attempt, began_at, .. }) = self.in_flight.take() else { return };
         let outcome = AttemptOutcome { attempt, verdict, elapsed: began_at.elapsed(), ends_request };
         self.placement.borrow_mut().record_outcome(now(), self.id, outcome);
     }
 
-    /// The attempt was cancelled here.
+    /// Ends the attempt as cancelled by the proxy.
     pub fn cancel_attempt(&mut self, ends_request: bool) {
-        let waited = Instant::now() + DEADLINE_SLACK >= self.deadline;
+        let has_timed_out = Instant::now() + DEADLINE_SLACK >= self.deadline;
         let verdict = match self.may_have_run() {
             false => Verdict::NotSent,
-            true if waited => Verdict::TimedOut,
+            true if has_timed_out => Verdict::TimedOut,
             true => Verdict::Cancelled,
         };
         self.end_attempt(verdict, ends_request);
--- a/crates/proxy/src/placement/prompt.rs
+++ b/crates/proxy/src/placement/prompt.rs
@@ -1,9 +1,9 @@
-//! What a request says of its prompt, and the key of the ring that follows from it.
+//! The prompt headers of a request, and the ring key that is derived from them.
 
 use tulipridge_http1::codec::Head;
 use tulipridge_prefix_cache_index::prefix_hash;
 
-/// A part of a prompt.
+/// A segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
     /// Hash of its id.
@@ -13,25 +13,25 @@
 }
 
 impl PromptSegment {
-    /// The part with this id.
+    /// The segment with this id.
     #[must_use]
     pub fn new(id: &str, tokens: u32) -> PromptSegment {
         PromptSegment { hash: prefix_hash(id), tokens }
     }
 }
 
-/// The prompt as the decision module takes it.
+/// The prompt as the load balancer uses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Hash of the last part that is shared with other requests.
+    /// Hash of the last segment that is shared with other requests.
     pub shared: Option<u64>,
-    /// Hash of the last part, which belongs to the request or to its session.
+    /// Hash of the last segment, which belongs to the request or to its session.
     pub session: Option<u64>,
     /// Tokens of the prompt.
     pub tokens: u32,
     /// Tokens of all segments but the last.
     pub shared_tokens: u32,
-    /// Tokens of the answer at the most.
+    /// Maximum tokens of the response.
     pub max_output_tokens: u32,
 }
 
@@ -43,17 +43,17 @@
     }
 }
 
-/// What the headers of a request say of its prompt, read once for all its attempts.
+/// The prompt headers of a request, parsed once for all its attempts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptHeaders {
     /// The prompt as a whole.
     pub prompt: Prompt,
-    /// The segments that are shared with other requests, in their order: all but the last.
+    /// The segments that are shared with other requests, in order: all but the last.
     pub prefix_segments: Vec<PromptSegment>,
 }
 
 impl PromptHeaders {
-    /// Reads `Prompt-Start` and `Token-Count`. What can't be read is taken as absent.
+    /// Parses `Prompt-Start` and `Token-Count`. Values that cannot be parsed count as absent.
     pub fn read(head: &Head) -> PromptHeaders {
         let mut segments: Vec<_> =
             head.get("prompt-start").map(|list| segments(list).collect()).unwrap_or_default();
@@ -86,6 +86,6 @@
 }
 
 fn token_count(value: &str) -> Option<(u32, u32)> {
-    let (tokens, answer) = value.split_once(',')?;
-    Some((tokens.trim().parse().ok()?, answer.trim().parse().ok()?))
+    let (tokens, max_output_tokens) = value.split_once(',')?;
+    Some((tokens.trim().parse().ok()?, max_output_tokens.trim().parse().ok()?))
 }
--- a/crates/proxy/src/placement/queued_work.rs
+++ b/crates/proxy/src/placement/queued_work.rs
@@ -1,4 +1,4 @@
-//! The work that this gateway has sent to replicas and that these have not started.
+//! The work that this proxy has sent to replicas and that they have not started.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 /// Called with all queued work each time it has changed.
 type Listener = Box<dyn Fn(&WorkByReplica)>;
 
-/// The table of queued work, and who is notified of its changes.
+/// The table of queued work, and the listener that is notified of changes.
 #[derive(Default)]
 pub struct QueuedWorkTable {
     queued: RefCell<WorkByReplica>,
@@ -27,7 +27,7 @@
     units: u32,
 }
 
-/// The units of a prompt of which so many tokens have to be read: one for any request, and one more for each whole unit.
+/// Work units of a request with `unread_tokens` to prefill: one per request, plus one for each whole unit of tokens.
 #[must_use]
 pub fn work_units(unread_tokens: u32) -> u32 {
     1 + unread_tokens / WORK_UNIT_TOKENS
@@ -39,14 +39,14 @@
         *self.listener.borrow_mut() = Some(Box::new(listener));
     }
 
-    /// Counts work that is sent to a replica.
+    /// Counts work that is sent to a replica until the guard is dropped.
     pub fn add(self: &Rc<Self>, replica: &ReplicaId, units: u32) -> QueuedWorkGuard {
         *self.queued.borrow_mut().entry(replica.clone()).or_default() += units;
         self.publish();
         QueuedWorkGuard { table: self.clone(), replica: replica.clone(), units }
     }
 
-    /// Reports all queued work, as when the positions of replicas have changed.
+    /// Notifies the listener of all queued work, also when the positions of replicas in the feed have changed.
     pub fn publish(&self) {
         if let Some(listener) = &*self.listener.borrow() {
             listener(&self.queued.borrow());
--- a/crates/proxy/src/placement/route_class.rs
+++ b/crates/proxy/src/placement/route_class.rs
@@ -1,4 +1,4 @@
-//! A route as a class of requests: its latency target and what may be repeated.
+//! The request class of a route: its latency targets, and whether its requests may be retried.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 
 use crate::replica::outcome::RequestKind;
 
-/// What a late response earns beside one in time.
+/// Value of a late response, relative to one in time.
 const LATE_VALUE: f64 = 0.3;
-/// The target of a route that states none is this part of its time limit.
+/// A route without a target gets its time limit divided by this.
 const DEFAULT_TARGET_DIVISOR: u64 = 4;
-/// Clients give a stream up after an idle time of this length at the least ...
+/// Clients abandon a stream after an idle time of at least this length ...
 const MIN_CLIENT_TIMEOUT_MS: u64 = 2_000;
 /// ... or of this multiple of the target ...
 const CLIENT_TIMEOUT_PER_TARGET: u64 = 4;
 /// ... or of this multiple of the longest gap in time, whichever is longest.
 const CLIENT_TIMEOUT_PER_GAP: u64 = 8;
-/// The latency target is this part of the clients' patience: late responses earn a part of their value, and those that
-/// come when nobody waits any more earn nothing.
+/// The first-token target, as a fraction of the client timeout: late responses have a part of their value, and those
+/// that arrive after the client has timed out have none.
 const TARGET_PER_CLIENT_TIMEOUT: f64 = 0.75;
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// Whether a route's requests may run twice.
+/// Whether the requests of a route may run twice.
 #[must_use]
 pub fn effect_of(route: &Route) -> Effect {
     if RequestKind::of(route).is_repeatable() { Effect::Safe } else { Effect::Unsafe }
 }
 
-/// The class of a route's requests.
+/// The request class of a route.
 #[must_use]
 pub fn class_of(route: &Route) -> Class {
     Class {
@@ -43,7 +43,7 @@
     }
 }
 
-/// The time within which a response of a route earns its full value.
+/// The time within which a response of a route has its full value.
 #[must_use]
 pub fn latency_target(route: &Route) -> Duration {
     Duration::from_millis(target_ms(route))
@@ -53,7 +53,7 @@
     if route.target_ms > 0 { route.target_ms } else { route.time_limit_ms / DEFAULT_TARGET_DIVISOR }
 }
 
-/// The time up to a first token that the load balancer works towards.
+/// The target for the time to first token that the load balancer uses.
 fn first_token_target_ms(route: &Route) -> u64 {
     let target = target_ms(route);
     if route.kind != RouteKind::Stream {
--- a/crates/proxy/src/placement/service_index.rs
+++ b/crates/proxy/src/placement/service_index.rs
@@ -1,4 +1,4 @@
-//! Names a service within the placement.
+//! Identifies a service within the placement.
 
 /// The position of a service among the load balancers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/proxy/src/placement/timers.rs
+++ b/crates/proxy/src/placement/timers.rs
@@ -13,7 +13,7 @@
     pub(crate) due: Nanos,
     /// The service whose load balancer set the timer.
     pub(crate) service: ServiceIndex,
-    /// The load balancer's name for it.
+    /// The load balancer's id of the timer.
     pub(crate) token: u64,
 }
 
@@ -37,7 +37,7 @@
         self.timers.first_key_value().map(|(key, _)| key.due)
     }
 
-    /// Adds a timer, and wakes whoever waits for the next one if this is it.
+    /// Adds a timer, and wakes the waiting task if it is due before all others.
     pub(crate) fn insert(&mut self, key: TimerKey, request: Option<RequestId>) {
         let is_first = self.next_due().is_none_or(|first| key.due < first);
         self.timers.insert(key, request);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Removes a timer; false if it has run.
+    /// Removes a timer; false if it has already run.
     pub(crate) fn remove(&mut self, key: &TimerKey) -> bool {
         self.timers.remove(key).is_some()
     }
@@ -60,7 +60,7 @@
         Some(DueTimer { key, request })
     }
 
-    /// Ready once a timer is due before `known`, the time for which the caller already waits.
+    /// Ready once a timer is due before `known`, the time that the caller already waits for.
     pub(crate) fn poll_earlier(&mut self, known: Option<Nanos>, context: &mut Context<'_>) -> Poll<()> {
         if self.next_due().is_some_and(|due| known.is_none_or(|known| due < known)) {
             return Poll::Ready(());
--- a/crates/proxy/src/placement/urgency.rs
+++ b/crates/proxy/src/placement/urgency.rs
@@ -1,27 +1,27 @@
-//! How urgent a replica is told that a request is.
+//! The priority of a request at its replica.
 //!
-//! A replica lets the more urgent in ahead of others, and reads one prompt after the other. By rank alone, a short
-//! question would wait behind every long prompt of a higher rank. So a request that has clearly more to be read than
-//! others counts as one rank less urgent, or as several: what is read quickly goes ahead of what holds others up, and
-//! among requests of a like length the rank decides.
+//! A replica admits requests in order of priority, and prefills one prompt at a time. By rank alone, a short
+//! prompt would wait behind every long prompt of a higher rank. So a request with clearly more tokens to prefill
+//! than the mean is lowered by one rank or more: short prefills go ahead of those that delay others, and
+//! among requests of similar length the rank decides.
 
 use tulipridge_configuration::number::Rank;
 
-/// The least urgent that a replica knows.
+/// The lowest priority that replicas support.
 const LAST_PRIORITY: u8 = 9;
-/// Multiples of the mean of tokens to be read from which on a request counts as one rank less urgent, two, and three.
+/// Multiples of the mean prefill length above which a request is lowered by one rank, two ranks, and three ranks.
 const STEPS: [f64; 3] = [1.25, 3.0, 6.0];
 /// Weight of the newest request in the mean.
 const MEAN_GAIN: f64 = 0.02;
 
-/// What this gateway's requests have to be read on average, and the urgency that follows for each.
+/// Tracks the mean prefill length of the requests of this proxy, and derives the priority of each request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Urgency {
     mean_tokens: Option<f64>,
 }
 
 impl Urgency {
-    /// The urgency for a replica, 0 first, of a request of this rank with so many tokens to be read.
+    /// The priority, 0 first, of a request with this rank and `unread_tokens` to prefill.
     pub fn priority(&mut self, rank: Rank, unread_tokens: u32) -> u8 {
         let unread = f64::from(unread_tokens);
         let mean = self.mean_tokens.unwrap_or(unread);
