--- a/crates/proxy/src/active_configuration.rs
+++ b/crates/proxy/src/active_configuration.rs
@@ -1,4 +1,4 @@
-//! The newest configuration, and whether it is fresh enough to admit requests by.
+//! The newest configuration, and whether it is fresh enough to admit requests.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::bounds::client_limits;
 use crate::freshness::{Credentials, FreshnessGate};
 
-/// Returns how long ago the configuration was known to be the newest; none if it never was.
+/// Returns the time since the configuration was last known to be the newest; none if it never was.
 pub type ConfigurationAge = Box<dyn Fn() -> Option<Duration>>;
 
 /// The newest configuration with what is derived from it.
@@ -46,7 +46,7 @@
         self.gate.set(gate);
     }
 
-    /// The newest configuration, if it is fresh enough to admit requests with these credentials by.
+    /// The newest configuration, if it is fresh enough to admit requests with these credentials.
     pub fn routing(&self, credentials: Credentials) -> Option<Rc<Routing>> {
         let routing = self.routing.borrow();
         routing.as_ref().filter(|_| self.gate.get().is_open((self.age)(), credentials)).cloned()
--- a/crates/proxy/src/alarms.rs
+++ b/crates/proxy/src/alarms.rs
@@ -1,4 +1,4 @@
-//! Timeouts that share one timer of the reactor.
+//! Timeouts that share one reactor timer.
 //!
 //! A timer of the reactor costs system calls when it is set and a wake-up when it fires. Most timeouts of a proxy never
 //! fire, so they are entries of an ordered table, rounded up to ticks, and one task sleeps until the first of them.
@@ -27,7 +27,7 @@
 struct Table {
     entries: BTreeMap<Key, Waker>,
     last_number: u64,
-    /// Tick for which the driver sleeps; none while it sleeps without end.
+    /// The tick that the driver sleeps until; none while no timeout is set.
     sleeps_until: Option<u64>,
     driver: Option<Waker>,
 }
@@ -130,7 +130,7 @@
 }
 
 impl Alarm {
-    /// Ready once its time has come. For use in a poll function, beside other polls.
+    /// Ready once the timeout has passed. For use inside a poll function.
     pub fn poll_passed(&mut self, context: &mut Context<'_>) -> Poll<()> {
         Pin::new(self).poll(context)
     }
--- a/crates/proxy/src/bounds.rs
+++ b/crates/proxy/src/bounds.rs
@@ -9,26 +9,26 @@
 
 use crate::notice::Notice;
 
-/// Descriptors that the platform keeps for files outside the disk folder.
+/// File descriptors that the platform reserves for files outside the disk folder.
 const RESERVED_DESCRIPTORS: u64 = 200;
-/// Descriptors for the listeners, the feed, the reactor and the signals.
+/// File descriptors for the listeners, the feed, the reactor and the signals.
 const OWN_DESCRIPTORS: u64 = 100;
 /// Connections to replicas may take the remaining descriptors divided by this.
 const REPLICA_DIVISOR: u64 = 3;
-/// Bytes of request bodies in memory at once.
+/// Maximum bytes of request bodies in memory.
 const MAX_BODY_BYTES: usize = 100 * 1024 * 1024;
 /// Bytes read from a socket at once: most requests are complete after one read.
 const READ_BYTES: usize = 24 * 1024;
-/// Headers of a message.
+/// Maximum headers of a message.
 const MAX_HEADERS: usize = 128;
-/// Bytes of the head of a replica's response.
+/// Maximum bytes of the head of a response from a replica.
 const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
-/// Bytes of a chunk of a replica's response.
+/// Maximum bytes of a chunk of a response from a replica.
 const MAX_RESPONSE_CHUNK_BYTES: usize = 1 << 30;
 /// Timeout for connecting to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Limits of what the process uses at once.
+/// Limits of the resources that the process uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
     /// Connections of clients.
@@ -40,7 +40,7 @@
 }
 
 impl ResourceLimits {
-    /// The limits that follow from how many descriptors the process may open.
+    /// The limits for the number of file descriptors that the process may open.
     #[must_use]
     pub fn for_file_handles(file_handles: u64) -> Self {
         let free = file_handles.saturating_sub(RESERVED_DESCRIPTORS + OWN_DESCRIPTORS).max(3);
@@ -53,7 +53,7 @@
     }
 }
 
-/// What the process uses now.
+/// The resources in use.
 pub struct ResourceUsage {
     limits: ResourceLimits,
     open_clients: Cell<usize>,
@@ -64,7 +64,7 @@
 }
 
 impl ResourceUsage {
-    /// Nothing is in use yet.
+    /// No resources in use.
     #[must_use]
     pub fn new(limits: ResourceLimits) -> Self {
         ResourceUsage {
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -1,4 +1,4 @@
-//! Whether the configuration is fresh enough to admit requests by it.
+//! Whether the configuration is fresh enough to admit requests.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 const SAFETY_MARGIN: Duration = Duration::from_millis(500);
 /// Maximum age where withdrawals have no strict limit.
 const LENIENT_MAX_AGE: Duration = Duration::from_secs(10);
-/// Fraction of the time within which a withdrawal must take effect, after which a machine without a sound path to the
+/// Fraction of the time within which a withdrawal must take effect, after which a machine without a working path to the
 /// control plane admits no request with a key: another machine may know whether the key is still valid.
 const KEY_FRACTION: f64 = 0.6;
 
@@ -22,7 +22,7 @@
     None,
 }
 
-/// The maximum ages of a configuration by which requests may be admitted.
+/// The maximum ages of a configuration that admits requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessGate {
     max_age: Duration,
@@ -30,7 +30,7 @@
 }
 
 impl FreshnessGate {
-    /// The gate that the settings ask for.
+    /// The gate that the settings require.
     #[must_use]
     pub fn of(limits: &TimeLimits) -> Self {
         FreshnessGate::new(limits.shut_tight, limits.withdraw())
@@ -44,7 +44,7 @@
         FreshnessGate { max_age, max_age_for_keys }
     }
 
-    /// Whether requests may be admitted by a configuration that was known to be the newest this long ago; none is never.
+    /// Whether a configuration admits requests if it was last known to be the newest `age` ago; none means never.
     #[must_use]
     pub fn is_open(&self, age: Option<Duration>, credentials: Credentials) -> bool {
         let max_age = match credentials {
--- a/crates/proxy/src/headers/mod.rs
+++ b/crates/proxy/src/headers/mod.rs
@@ -1,5 +1,5 @@
-//! Heads of messages: a client's request as a replica is sent it ([`request`]), a replica's response as the client gets
-//! it ([`response`]), and responses of the proxy itself ([`local_response`]).
+//! Encodes message heads: requests to replicas ([`request`]), responses of replicas to clients
+//! ([`response`]), and responses of the proxy itself ([`local_response`]).
 
 pub mod local_response;
 pub mod request;
@@ -14,7 +14,7 @@
 pub use request::{Additions, write_request_head};
 pub use response::{Framing, write_response_head};
 
-/// Headers that concern one connection alone (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -59,7 +59,7 @@
     headers.map(|(name, _)| name.clone()).collect()
 }
 
-/// Whether a header's value has no control characters, which clients may take for the end of a line.
+/// Whether a header's value has no control characters, which clients may interpret as a line end.
 #[must_use]
 pub fn is_plain(value: &str) -> bool {
     !value.chars().any(|character| character.is_control() && character != '\t')
--- a/crates/proxy/src/headers/request.rs
+++ b/crates/proxy/src/headers/request.rs
@@ -1,4 +1,4 @@
-//! The head of a request as a replica is sent it.
+//! Encodes the head of a request to a replica.
 
 use std::io::Write;
 use std::time::Duration;
@@ -24,17 +24,17 @@
     "time-left-ms",
 ];
 
-/// Names the last event of a stream that the client, or the proxy, has received.
+/// The header with the id of the last event of a stream that the client, or the proxy, has received.
 const LAST_EVENT_ID: &str = "last-event-id";
 
 /// The headers that the proxy adds to a request for one replica.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Additions<'a> {
-    /// Id of the replica that the request is for.
+    /// Id of the target replica.
     pub replica: &'a str,
     /// Label of the tenant.
     pub tenant: Option<&'a str>,
-    /// How long the client still waits.
+    /// Time until the deadline of the request.
     pub time_left: Duration,
     /// Priority, 0 first.
     pub priority: u8,
--- a/crates/proxy/src/headers/response.rs
+++ b/crates/proxy/src/headers/response.rs
@@ -1,4 +1,4 @@
-//! The head of a replica's response as the client gets it.
+//! Encodes the head of the response to a client, from the response of a replica.
 
 use tulipridge_http1::codec::{self, Head};
 
@@ -10,7 +10,7 @@
 /// 204 No Content: the response has no body and must not have a length.
 const NO_CONTENT: u16 = 204;
 
-/// How the client can tell the end of a response's body.
+/// How the end of a response body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// By its length.
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// Time after SIGTERM for which connections and requests are still accepted: until then the platform may send some.
+/// Time after SIGTERM for which connections and requests are accepted, since the platform may still route some here.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2500);
-/// Connections and requests are accepted for the leeway divided by this at most.
+/// Connections and requests are accepted for at most the grace period divided by this.
 const ACCEPT_DIVISOR: u32 = 2;
-/// The process ends this long before the end of the leeway, even with requests in flight.
+/// The process exits this long before the grace period ends, even with requests in flight.
 const END_MARGIN: Duration = Duration::from_millis(300);
 
 /// What the process accepts.
@@ -19,7 +19,7 @@
     /// It accepts no connections and closes idle ones. Requests in flight are completed; a new one is accepted only if
     /// it can't outlast the process.
     Draining,
-    /// It ends.
+    /// It exits.
     Terminated,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl Lifecycle {
-    /// Records SIGTERM: the platform kills the process after `leeway`. A second one changes nothing.
+    /// Records SIGTERM: the platform kills the process after `grace_period`. A second one changes nothing.
     pub fn stop(&mut self, now: Duration, grace_period: Duration) {
         self.stop.get_or_insert(StopSignal { at: now, grace_period });
     }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -87,7 +87,7 @@
         })
     }
 
-    /// The newest configuration, if it is fresh enough to admit a request with this head by.
+    /// The newest configuration, if it is fresh enough to admit a request with this head.
     pub fn routing_for(&self, head: &Head) -> Option<Rc<Routing>> {
         self.configuration.routing(admission::credentials(head))
     }
@@ -114,7 +114,7 @@
         self.random.borrow_mut().f64()
     }
 
-    /// A random number that is used once.
+    /// A random nonce.
     pub fn random_nonce(&self) -> u128 {
         self.random.borrow_mut().u128(..)
     }
@@ -124,7 +124,7 @@
         self.weights_expiry.expired(&self.alarms, weights).await;
     }
 
-    /// Begins a graceful shutdown, as on SIGTERM; the platform kills the process after `leeway`.
+    /// Begins a graceful shutdown, as on SIGTERM; the platform kills the process after `grace_period`.
     pub fn stop(&self, grace_period: Duration) {
         self.shutdown.begin(grace_period);
     }
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/ready.rs
@@ -29,7 +29,7 @@
                     .detach();
             }
             Err(error) => {
-                log::warn!(error:% = error; "a check of readiness can't be accepted");
+                log::warn!(error:% = error; "failed to accept a connection of the readiness check");
                 proxy.alarms.after(ACCEPT_BACKOFF).await;
             }
         }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -26,8 +26,8 @@
 /// Time between log lines with the counters.
 const COUNTERS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Connections that may wait to be accepted. The default of the standard library is shorter; a client that finds the queue
-/// full retries after seconds only.
+/// Maximum length of the accept queue. The default of the standard library is shorter; a client that finds the queue
+/// full retries only after seconds.
 const ACCEPT_BACKLOG: i32 = 1024;
 
 /// Why the process can't start.
@@ -63,7 +63,7 @@
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::error!(error:% = error; "the proxy can't start");
+            log::error!(error:% = error; "the proxy failed to start");
             ExitCode::FAILURE
         }
     }
@@ -79,7 +79,7 @@
     let proxy = new_proxy(&settings, &subscriber);
     proxy.set_index(store.borrow().cache_index().clone());
     subscribe(&proxy, &subscriber, store);
-    log::info!(seeds = settings.seed_nodes.len(); "the proxy starts");
+    log::info!(seeds = settings.seed_nodes.len(); "the proxy is starting");
 
     let publisher = settings.loopback_feed();
     executor.spawn(async move { subscriber.run(|_| Some(publisher)).await }).detach();
@@ -91,7 +91,7 @@
     executor.spawn(downstream::listener::listen(proxy.clone(), executor.clone(), client_listener)).detach();
     executor.spawn(handle_signals(proxy.clone(), signals, settings)).detach();
     proxy.run_lifecycle().await;
-    log::info!(open = proxy.usage.open_clients(); "the proxy ends");
+    log::info!(open = proxy.usage.open_clients(); "the proxy exits");
     Ok(())
 }
 
@@ -173,12 +173,12 @@
     loop {
         match signals.next().await {
             ProcessSignal::Stop => {
-                log::info!(open = proxy.usage.open_clients(); "the proxy stops");
+                log::info!(open = proxy.usage.open_clients(); "the proxy begins a graceful shutdown");
                 proxy.stop(settings.time_limits.leeway());
             }
             ProcessSignal::Reload => match Settings::load() {
                 Ok(newest) => settings = reload(&proxy, &settings, newest),
-                Err(error) => log::warn!(error:% = error; "the settings can't be read again"),
+                Err(error) => log::warn!(error:% = error; "failed to reload the settings"),
             },
         }
         future::yield_now().await;
@@ -196,7 +196,7 @@
     };
     log::info!(
         others_wait_for_restart = applied != newest;
-        "the settings are read again: timeLimits are in force"
+        "settings reloaded; timeLimits are in force"
     );
     applied
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -24,7 +24,7 @@
         &self.stage_changed
     }
 
-    /// Begins a graceful shutdown, as on SIGTERM; the platform kills the process after `leeway`.
+    /// Begins a graceful shutdown, as on SIGTERM; the platform kills the process after `grace_period`.
     pub fn begin(&self, grace_period: Duration) {
         self.lifecycle.borrow_mut().stop(clock::now(), grace_period);
         self.stage_changed.raise();
