--- a/crates/proxy/src/bounds.rs
+++ b/crates/proxy/src/bounds.rs
@@ -9,28 +9,28 @@
 
 use crate::notice::Notice;
 
-/// Descriptors that the platform keeps for files outside the disk folder.
+/// File descriptors that the platform reserves for files outside the disk folder.
 const RESERVED_DESCRIPTORS: u64 = 200;
-/// Descriptors for the listeners, the feed, the reactor and the signals.
+/// File descriptors for the listeners, the feed, the reactor and the signals.
 const OWN_DESCRIPTORS: u64 = 100;
 /// Connections to replicas may take the remaining descriptors divided by this.
 const REPLICA_DIVISOR: u64 = 3;
-/// Bytes of request bodies in memory at once.
+/// Maximum bytes of request bodies in memory.
 const MAX_BODY_BYTES: usize = 100 * 1024 * 1024;
 /// Bytes read from a socket at once: most requests are complete after one read.
 const READ_BYTES: usize = 24 * 1024;
-/// Headers of a message.
+/// Maximum headers of a message.
 const MAX_HEADERS: usize = 128;
-/// Bytes of the head of a replica's response.
+/// Maximum bytes of the head of a response from a replica.
 const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
-/// Bytes of a chunk of a replica's response.
+/// Maximum bytes of a chunk of a response from a replica.
 const MAX_RESPONSE_CHUNK_BYTES: usize = 1 << 30;
 /// Timeout for connecting to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Limits of what the process uses at once.
+/// Limits of the resources that the process uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ResourceLimits {
     /// Connections of clients.
     pub clients: usize,
     /// Connections to replicas.
@@ -39,13 +39,13 @@
     pub body_bytes: usize,
 }
 
-impl Bounds {
-    /// The limits that follow from how many descriptors the process may open.
+impl ResourceLimits {
+    /// The limits for the number of file descriptors that the process may open.
     #[must_use]
-    pub fn of(file_handles: u64) -> Self {
+    pub fn for_file_handles(file_handles: u64) -> Self {
         let free = file_handles.saturating_sub(RESERVED_DESCRIPTORS + OWN_DESCRIPTORS).max(3);
         let replicas = free / REPLICA_DIVISOR;
-        Bounds {
+        ResourceLimits {
             clients: (free - replicas) as usize,
             replicas: replicas as usize,
             body_bytes: MAX_BODY_BYTES,
@@ -53,32 +53,32 @@
     }
 }
 
-/// What the process uses now.
-pub struct Usage {
-    bounds: Bounds,
+/// The resources in use.
+pub struct ResourceUsage {
+    limits: ResourceLimits,
     open_clients: Cell<usize>,
     body_bytes: Cell<usize>,
     /// Raised when a client's connection is closed.
     pub client_closed: Notice,
-    bytes_freed: Notice,
+    body_bytes_freed: Notice,
 }
 
-impl Usage {
-    /// Nothing is in use yet.
+impl ResourceUsage {
+    /// No resources in use.
     #[must_use]
-    pub fn new(bounds: Bounds) -> Self {
-        Usage {
-            bounds,
+    pub fn new(limits: ResourceLimits) -> Self {
+        ResourceUsage {
+            limits,
             open_clients: Cell::new(0),
             body_bytes: Cell::new(0),
             client_closed: Notice::default(),
-            bytes_freed: Notice::default(),
+            body_bytes_freed: Notice::default(),
         }
     }
 
     /// Whether another client's connection may be accepted.
     pub fn may_accept(&self) -> bool {
-        self.open_clients.get() < self.bounds.clients
+        self.open_clients.get() < self.limits.clients
     }
 
     /// Open connections of clients.
@@ -88,18 +88,18 @@
 
     /// Ready once the bodies in memory are within their limit.
     pub async fn body_capacity(&self) {
-        while self.body_bytes.get() > self.bounds.body_bytes {
-            self.bytes_freed.changed().await;
+        while self.body_bytes.get() > self.limits.body_bytes {
+            self.body_bytes_freed.changed().await;
         }
     }
 }
 
 /// Counts a client's connection until it is dropped.
-pub struct ClientPermit(Rc<Usage>);
+pub struct ClientPermit(Rc<ResourceUsage>);
 
 impl ClientPermit {
     /// Counts one more connection.
-    pub fn new(usage: &Rc<Usage>) -> Self {
+    pub fn new(usage: &Rc<ResourceUsage>) -> Self {
         usage.open_clients.set(usage.open_clients.get() + 1);
         ClientPermit(usage.clone())
     }
@@ -115,13 +115,13 @@
 
 /// Counts the bytes of a request body until it is dropped.
 pub struct BodyBytes {
-    usage: Rc<Usage>,
+    usage: Rc<ResourceUsage>,
     bytes: usize,
 }
 
 impl BodyBytes {
     /// No bytes yet.
-    pub fn new(usage: &Rc<Usage>) -> Self {
+    pub fn new(usage: &Rc<ResourceUsage>) -> Self {
         BodyBytes { usage: usage.clone(), bytes: 0 }
     }
 
@@ -136,7 +136,7 @@
 impl Drop for BodyBytes {
     fn drop(&mut self) {
         self.set(0);
-        self.usage.bytes_freed.raise();
+        self.usage.body_bytes_freed.raise();
     }
 }
 
--- a/crates/proxy/src/exchange/upstream_head.rs
+++ b/crates/proxy/src/exchange/upstream_head.rs
@@ -15,7 +15,7 @@
 pub(super) struct UpstreamHead {
     /// The encoded head.
     pub(super) bytes: Vec<u8>,
-    /// Tokens of the prompt that the replica has to read, as no KV cache covers them.
+    /// Tokens of the prompt that the replica has to prefill, as no KV cache covers them.
     pub(super) unread_tokens: u32,
 }
 
@@ -31,7 +31,7 @@
         });
         let kv = salt.as_ref().map(|salt| self.kv_transfer(replica, salt)).unwrap_or_default();
         // The last segment of the prompt is not shared with other requests.
-        let unread_tokens = self.prompt.prompt.own_tokens().saturating_add(kv.unread_tokens);
+        let unread_tokens = self.prompt.prompt.unshared_tokens().saturating_add(kv.unread_tokens);
         let additions = Additions {
             replica: &replica.id.0,
             tenant: admitted.tenant().map(|tenant| tenant.label.as_str()),
@@ -47,7 +47,7 @@
         UpstreamHead { bytes, unread_tokens }
     }
 
-    /// The priority by the operator's rank and by what the replica has to read.
+    /// The priority, by the operator-set rank and by the number of tokens to prefill.
     fn priority(&self, unread_tokens: u32) -> u8 {
         self.proxy.urgency.borrow_mut().priority(self.admitted.rank(), unread_tokens)
     }
@@ -65,6 +65,11 @@
             other.map(|other| other.zone)
         };
         let target = Target { address: replica.address, zone: replica.zone };
-        self.proxy.kv.borrow_mut().plan(tulipridge_runtime::clock::now(), &chain, target, zone_of)
+        self.proxy.transfer_planner.borrow_mut().plan(
+            tulipridge_runtime::clock::now(),
+            &chain,
+            target,
+            zone_of,
+        )
     }
 }
--- a/crates/proxy/src/kv_cache/prefix_chain.rs
+++ b/crates/proxy/src/kv_cache/prefix_chain.rs
@@ -19,18 +19,20 @@
 }
 
 /// The shared segments of a prompt in their order, under one cache salt. Segments that are too short to be indexed are
-/// left out; they are read along with the next one.
+/// left out; they are prefilled with the next one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PrefixChain(Vec<PrefixSegment>);
 
 impl PrefixChain {
-    /// The chain of these parts of a prompt.
+    /// Builds the chain of these prompt segments under a salt.
     #[must_use]
-    pub fn new(parts: &[PromptSegment], salt: &str) -> PrefixChain {
-        let indexed = parts.iter().filter(|part| part.tokens >= MIN_CACHED_TOKENS);
-        let segments = indexed
-            .map(|part| PrefixSegment { key: PrefixKey::salted(salt, part.hash), tokens: part.tokens });
-        PrefixChain(segments.collect())
+    pub fn new(segments: &[PromptSegment], salt: &str) -> PrefixChain {
+        let indexed = segments.iter().filter(|segment| segment.tokens >= MIN_CACHED_TOKENS);
+        let keyed = indexed.map(|segment| PrefixSegment {
+            key: PrefixKey::salted(salt, segment.hash),
+            tokens: segment.tokens,
+        });
+        PrefixChain(keyed.collect())
     }
 
     /// Its segments.
