--- a/crates/control-plane/tests/support_model/actions.rs
+++ b/crates/control-plane/tests/support_model/actions.rs
@@ -1,62 +1,62 @@
-//! Actions, and the bounds within which all of them are tried.
+//! Actions, and the bounds within which all of them are explored.
 
-use super::orders::Order;
-use super::world::World;
+use super::cluster::Cluster;
+use super::requests::RequestId;
 
 /// One step of a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Action {
-    /// The oldest message (or with [`Ordering::Any`] any message) arrives.
+    /// Delivers the oldest message, or any message with [`Schedule::Any`].
     Deliver(usize),
-    /// A message arrives, and the same again later.
+    /// Delivers a message and leaves a duplicate for later delivery.
     Duplicate(usize),
-    /// The oldest message is held up: it arrives at any later moment, or never.
+    /// Delays the oldest message: it is delivered at any later moment, or never.
     Delay,
-    /// A message that was held up arrives.
+    /// Delivers a delayed message.
     DeliverDelayed(usize),
-    /// The oldest unsynced batch of a member reaches the disk.
+    /// Syncs the oldest pending batch of a member.
     Sync(usize),
-    /// A member's batches wait from now on until their sync is chosen.
+    /// From now on, the batches of a member are synced only by an explicit [`Action::Sync`].
     SlowDisk(usize),
-    /// Time goes on to the next timer, which is handled.
+    /// Advances time to the next timer and fires it.
     Advance,
-    /// Time goes on by [`Bounds::wait`], and nothing happens.
+    /// Advances time by [`Bounds::wait`] without any other event.
     Wait,
-    /// A process or its power is gone; the first `kept` unsynced records are on the disk.
+    /// A process crashes or loses power; the first `kept` unsynced records are on the disk.
     Crash { member: usize, kept: usize, down_for: u64 },
-    /// Power is lost everywhere at once, and all that is unsynced with it.
+    /// All machines lose power at once, and with it all unsynced records.
     PowerCut,
-    /// A disk is lost; the member comes back as a newcomer.
+    /// A disk is lost; the member returns with an empty one, under a new generation.
     Wipe { member: usize, down_for: u64 },
-    /// A member handles nothing for a while; its clock goes on.
+    /// A member handles no input for `span`; its clock runs on.
     Pause { member: usize, span: u64 },
-    /// Links are cut: an index into [`Bounds::cuts`].
+    /// Cuts the links at this index of [`Bounds::cuts`].
     Cut(usize),
-    /// All links work again.
+    /// Restores all links.
     Heal,
-    /// A new order is given to a primary.
+    /// Submits a new request to a primary.
     Propose(usize),
-    /// An order that was given before is repeated at a primary.
-    Repeat { member: usize, order: Order },
-    /// A process is told to end.
+    /// Submits an earlier request again.
+    Repeat { member: usize, request: RequestId },
+    /// Asks a process to terminate.
     Terminate(usize),
 }
 
-/// In which order things happen that take no time.
+/// The order of events that take no time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ordering {
-    /// Any order: each message, sync and timer may come next, and messages may stay on their way for ever,
-    /// so loss and lateness cost nothing. For short histories.
+pub(crate) enum Schedule {
+    /// Any message, sync or timer may come next. Messages may stay in transit forever, so loss and
+    /// delay cost no budget. For short histories.
     Any,
-    /// Syncs first, then messages in the order of their sending, then the next timer; everything else costs
-    /// a part of the budget. For long histories.
-    Usual,
+    /// A deterministic order: syncs first, then messages in the order of sending, then the next timer.
+    /// Every deviation costs budget. For long histories.
+    Default,
 }
 
-/// How many more actions of each kind a history may have.
+/// The number of further actions of each kind that a history may contain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
-    /// All kinds together.
+    /// Limit on the sum over all kinds.
     pub total: u8,
     /// [`Action::Delay`].
     pub delays: u8,
@@ -85,7 +85,7 @@
 }
 
 impl Budget {
-    /// Actions of any kinds, and of some in all.
+    /// Up to `total` actions, of any kinds.
     pub(crate) fn any(total: u8) -> Budget {
         Budget {
             total,
@@ -104,7 +104,7 @@
         }
     }
 
-    fn part(&mut self, action: &Action) -> Option<&mut u8> {
+    fn counter(&mut self, action: &Action) -> Option<&mut u8> {
         match action {
             Action::Deliver(_)
             | Action::DeliverDelayed(_)
@@ -129,13 +129,13 @@
     /// Whether the action is within the budget.
     pub(crate) fn allows(mut self, action: &Action) -> bool {
         let total = self.total;
-        self.part(action).is_none_or(|part| *part > 0 && total > 0)
+        self.counter(action).is_none_or(|counter| *counter > 0 && total > 0)
     }
 
-    /// Takes the action's cost off.
+    /// Subtracts the cost of an action.
     pub(crate) fn spend(&mut self, action: &Action) {
-        if let Some(part) = self.part(action) {
-            *part = part.saturating_sub(1);
+        if let Some(counter) = self.counter(action) {
+            *counter = counter.saturating_sub(1);
             self.total = self.total.saturating_sub(1);
         }
     }
@@ -144,30 +144,31 @@
 /// Links, as pairs of sender and receiver.
 pub(crate) type Links = Vec<(usize, usize)>;
 
-/// What bounds the histories that are tried.
+/// Limits of the explored histories.
 #[derive(Clone, Debug)]
 pub(crate) struct Bounds {
-    /// The order of things that take no time.
-    pub ordering: Ordering,
-    /// Actions that cost something.
+    /// The order of events that take no time.
+    pub schedule: Schedule,
+    /// Deviations that a history may contain.
     pub budget: Budget,
-    /// True time in microseconds, from the start, at which histories end.
+    /// True time in microseconds, from the initial state, at which histories end.
     pub span: u64,
-    /// Longest history, in actions.
+    /// Maximum number of actions in a history.
     pub depth: usize,
-    /// For how long processes that crash or lose their disk stay away.
+    /// Durations for which crashed or wiped members stay down.
     pub down_for: Vec<u64>,
-    /// For how long members pause.
+    /// Durations of pauses.
     pub pauses: Vec<u64>,
-    /// While messages are held up, time may go on in steps of this, so that they arrive between timers too.
+    /// While messages are delayed, time may advance in steps of this length, so that they are also delivered
+    /// between timers.
     pub wait: Option<u64>,
-    /// Sets of links that may be cut together.
+    /// Sets of links that are cut together.
     pub cuts: Vec<Links>,
-    /// Members that crash, lose their disk, pause or are told to end.
+    /// Members that may crash, lose their disk, pause or be asked to terminate.
     pub faulty: Vec<usize>,
 }
 
-/// Each member cut off: both ways, and in either direction alone.
+/// Isolates each member: in both directions, and in either direction alone.
 pub(crate) fn isolations(members: usize) -> Vec<Links> {
     let others = |member: usize| (0..members).filter(move |other| *other != member);
     let mut cuts = Vec::new();
@@ -181,70 +182,70 @@
     cuts
 }
 
-/// The link between each two members cut both ways.
+/// Cuts the link between each pair of members in both directions.
 pub(crate) fn pairs(members: usize) -> Vec<Links> {
     let pairs = (0..members).flat_map(|first| (first + 1..members).map(move |second| (first, second)));
     pairs.map(|(first, second)| vec![(first, second), (second, first)]).collect()
 }
 
-/// The members of one side cut from all others.
+/// Cuts all links between the members of one side and all others.
 pub(crate) fn split(members: usize, side: &[usize]) -> Links {
     let all = (0..members).flat_map(|from| (0..members).map(move |to| (from, to)));
     all.filter(|(from, to)| side.contains(from) != side.contains(to)).collect()
 }
 
-/// All actions that are possible in a state within the bounds; the usual one comes first.
-pub(crate) fn possible(world: &World, bounds: &Bounds) -> Vec<Action> {
-    let mut actions = match bounds.ordering {
-        Ordering::Usual => usual_step(world, bounds),
-        Ordering::Any => any_steps(world),
+/// All actions that are enabled in a state within the bounds; the default one comes first.
+pub(crate) fn possible(cluster: &Cluster, bounds: &Bounds) -> Vec<Action> {
+    let mut actions = match bounds.schedule {
+        Schedule::Default => default_steps(cluster, bounds),
+        Schedule::Any => any_steps(cluster),
     };
-    actions.extend((0..world.delayed.len()).map(Action::DeliverDelayed));
-    for member in 0..world.members.len() {
-        actions.extend(slow_syncs(world, member));
-        if world.is_fresh(member) {
-            actions.extend(member_faults(world, bounds, member));
-            actions.extend(orders(world, member));
+    actions.extend((0..cluster.delayed.len()).map(Action::DeliverDelayed));
+    for member in 0..cluster.members.len() {
+        actions.extend(slow_syncs(cluster, member));
+        if cluster.explores_faults_of(member) {
+            actions.extend(member_faults(cluster, bounds, member));
+            actions.extend(requests(cluster, member));
         }
     }
-    if world.is_all_fresh() {
+    if cluster.explores_cluster_faults() {
         actions.push(Action::PowerCut);
         actions.extend((0..bounds.cuts.len()).map(Action::Cut));
-        if !world.cut_links.is_empty() {
+        if !cluster.cut_links.is_empty() {
             actions.push(Action::Heal);
         }
     }
-    actions.retain(|action| world.budget.allows(action));
+    actions.retain(|action| cluster.budget.allows(action));
     actions
 }
 
-fn usual_step(world: &World, bounds: &Bounds) -> Vec<Action> {
-    let syncing = world
+fn default_steps(cluster: &Cluster, bounds: &Bounds) -> Vec<Action> {
+    let syncing = cluster
         .members
         .iter()
         .position(|member| member.is_running() && !member.disk.is_slow && !member.disk.pending.is_empty());
     if let Some(member) = syncing {
         return vec![Action::Sync(member), Action::SlowDisk(member)];
     }
-    if !world.network.is_empty() {
+    if !cluster.network.is_empty() {
         return vec![Action::Deliver(0), Action::Delay, Action::Duplicate(0)];
     }
     let may_wait = bounds.wait.is_some_and(|wait| {
-        !world.delayed.is_empty() && world.next_due().is_some_and(|(due, _)| due > world.now + wait)
+        !cluster.delayed.is_empty() && cluster.next_due().is_some_and(|(due, _)| due > cluster.now + wait)
     });
     if may_wait { vec![Action::Advance, Action::Wait] } else { vec![Action::Advance] }
 }
 
-fn any_steps(world: &World) -> Vec<Action> {
+fn any_steps(cluster: &Cluster) -> Vec<Action> {
     let mut actions = Vec::new();
-    for (index, member) in world.members.iter().enumerate() {
+    for (index, member) in cluster.members.iter().enumerate() {
         if member.is_running() && !member.disk.pending.is_empty() {
             actions.push(Action::Sync(index));
         }
     }
-    for index in 0..world.network.len() {
+    for index in 0..cluster.network.len() {
         let is_repeated =
-            index > 0 && world.network[index - 1].fingerprint == world.network[index].fingerprint;
+            index > 0 && cluster.network[index - 1].fingerprint == cluster.network[index].fingerprint;
         if !is_repeated {
             actions.push(Action::Deliver(index));
             actions.push(Action::Duplicate(index));
@@ -254,14 +255,14 @@
     actions
 }
 
-fn slow_syncs(world: &World, member: usize) -> Option<Action> {
-    let machine = &world.members[member];
+fn slow_syncs(cluster: &Cluster, member: usize) -> Option<Action> {
+    let machine = &cluster.members[member];
     let is_waiting = machine.is_running() && machine.disk.is_slow && !machine.disk.pending.is_empty();
     is_waiting.then_some(Action::Sync(member))
 }
 
-fn member_faults(world: &World, bounds: &Bounds, member: usize) -> Vec<Action> {
-    let machine = &world.members[member];
+fn member_faults(cluster: &Cluster, bounds: &Bounds, member: usize) -> Vec<Action> {
+    let machine = &cluster.members[member];
     let mut actions = Vec::new();
     if machine.process.is_none() || !bounds.faulty.contains(&member) {
         return actions;
@@ -278,13 +279,13 @@
     actions
 }
 
-fn orders(world: &World, member: usize) -> Vec<Action> {
-    if !world.may_answer(member) || !world.members[member].is_running() {
+fn requests(cluster: &Cluster, member: usize) -> Vec<Action> {
+    if !cluster.acts_as_primary(member) || !cluster.members[member].is_running() {
         return Vec::new();
     }
-    let mut asked = world.history.asked.clone();
-    asked.sort_unstable();
-    asked.dedup();
-    let repeats = asked.into_iter().map(|order| Action::Repeat { member, order });
+    let mut requested = cluster.history.requested.clone();
+    requested.sort_unstable();
+    requested.dedup();
+    let repeats = requested.into_iter().map(|request| Action::Repeat { member, request });
     std::iter::once(Action::Propose(member)).chain(repeats).collect()
 }
--- a/crates/control-plane/tests/support_model/world.rs
+++ b/crates/control-plane/tests/support_model/cluster.rs
@@ -1,4 +1,4 @@
-//! One state of the cluster, and what each action does to it.
+//! The state of the cluster, and the effect of each action.
 
 use std::collections::BTreeSet;
 use std::collections::hash_map::DefaultHasher;
@@ -9,62 +9,65 @@
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::replication::Envelope;
 
-use super::actions::{Action, Bounds, Budget, Links, Ordering};
+use super::actions::{Action, Bounds, Budget, Links, Schedule};
 use super::faults::Fault;
 use super::invariants::{History, Violation};
-use super::member::{Member, Slot};
+use super::member::{CachedMember, Member};
 use super::setup::{MS, Setup};
 
-/// How far clocks are off true time with [`Fault::Drift`], in parts of a hundred.
-const UNBEARABLE_DRIFT_PERCENT: u64 = 6;
-/// How much longer than its lease an owner acts as primary with [`Fault::LongLease`].
+/// Clock drift with [`Fault::ExcessiveDrift`], in percent.
+const EXCESSIVE_DRIFT_PERCENT: u64 = 6;
+/// Time for which a member acts as primary after its lease has ended, with [`Fault::OverrunLease`].
 const LEASE_EXCESS: u64 = 45 * MS;
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
-    /// Tells it from others.
+    /// Hash of the message.
     pub fingerprint: u64,
     /// The message.
     pub envelope: Rc<Envelope>,
 }
 
-/// One state of the cluster.
+/// The state of the cluster.
 #[derive(Clone)]
-pub(crate) struct World {
+pub(crate) struct Cluster {
     /// True time in microseconds.
     pub now: u64,
     /// All members.
-    pub members: Vec<Slot>,
-    /// Messages on their way: in the order of their sending, or of their fingerprints if any may be next.
+    pub members: Vec<CachedMember>,
+    /// Messages in transit: in the order of sending, or by fingerprint if any may be next.
     pub network: Vec<Message>,
-    /// Messages that were held up.
+    /// Delayed messages.
     pub delayed: Vec<Message>,
     /// Links that are cut.
     pub cut_links: BTreeSet<(usize, usize)>,
-    /// What is left of the budget.
+    /// The remaining budget.
     pub budget: Budget,
-    /// What the invariants need.
+    /// The record that the invariants are checked against.
     pub history: History,
-    /// The member that acted last; none if time went on since.
+    /// The member that acted last; none if time has advanced since.
     pub(super) last_actor: Option<usize>,
-    /// Disks that were lost.
+    /// Number of disks lost.
     pub(super) wipes: u32,
-    /// What stays the same.
+    /// The configuration of the cluster.
     pub(super) setup: Rc<Setup>,
-    /// Any message may be next, so their order says nothing.
+    /// Whether the network is sorted: where any message may be next, the order of sending has no meaning.
     sorts_network: bool,
 }
 
-impl World {
+impl Cluster {
     /// All machines with empty disks; their processes start at once.
-    pub(crate) fn new(mut setup: Setup) -> World {
-        if setup.fault == Fault::Drift {
-            setup.rates = Setup::three_with_drift(UNBEARABLE_DRIFT_PERCENT).rates;
+    pub(crate) fn new(mut setup: Setup) -> Cluster {
+        if setup.fault == Fault::ExcessiveDrift {
+            setup.clock_rates = Setup::three_with_drift(EXCESSIVE_DRIFT_PERCENT).clock_rates;
         }
-        let members =
-            setup.rates.iter().enumerate().map(|(index, rate)| Slot::new(Member::new(index, *rate)));
-        let mut world = World {
+        let members = setup
+            .clock_rates
+            .iter()
+            .enumerate()
+            .map(|(index, rate)| CachedMember::new(Member::new(index, *rate)));
+        let mut cluster = Cluster {
             now: 0,
             members: members.collect(),
             network: Vec::new(),
@@ -77,15 +80,15 @@
             wipes: 0,
             setup: Rc::new(setup),
         };
-        for member in 0..world.members.len() {
-            let settings = world.settings(member, true);
-            world.members[member].change().disk.state.view = settings.first_view();
-            world.start(member);
+        for member in 0..cluster.members.len() {
+            let settings = cluster.settings(member, true);
+            cluster.members[member].make_mut().disk.state.view = settings.first_view();
+            cluster.start(member);
         }
-        world
+        cluster
     }
 
-    /// What an action would do here, in one line.
+    /// Describes the effect of an action in this state, in one line.
     pub(crate) fn describe(&self, action: &Action) -> String {
         let message = match action {
             Action::Deliver(index) | Action::Duplicate(index) => self.network.get(*index),
@@ -106,52 +109,52 @@
         }
     }
 
-    /// Takes this state as the beginning of an exploration.
-    pub(crate) fn begin(mut self, bounds: &Bounds) -> World {
+    /// Makes this the initial state of an exploration.
+    pub(crate) fn begin(mut self, bounds: &Bounds) -> Cluster {
         self.budget = bounds.budget;
         self.last_actor = None;
-        self.sorts_network = bounds.ordering == Ordering::Any;
+        self.sorts_network = bounds.schedule == Schedule::Any;
         self.sort_network();
         self
     }
 
-    /// Whether faults of this member are tried now.
+    /// Whether faults of this member are explored in this state.
     ///
-    /// A fault of one member and a step of another at the same true time may change places: neither sees the
-    /// other. So faults of a member are tried right after its own steps, and whenever time has gone on.
-    pub(crate) fn is_fresh(&self, member: usize) -> bool {
+    /// Partial-order reduction: a fault of one member and a step of another at the same true time commute.
+    /// Faults of a member are explored right after its own steps, and whenever time has advanced.
+    pub(crate) fn explores_faults_of(&self, member: usize) -> bool {
         self.last_actor.is_none_or(|actor| actor == member)
     }
 
-    /// Whether faults that concern several members are tried now: whenever time has gone on.
-    pub(crate) fn is_all_fresh(&self) -> bool {
+    /// Whether faults that affect several members are explored: whenever time has advanced.
+    pub(crate) fn explores_cluster_faults(&self) -> bool {
         self.last_actor.is_none()
     }
 
-    /// Whether a member would act as primary now.
-    pub(crate) fn may_answer(&self, member: usize) -> bool {
+    /// Whether a member acts as primary now.
+    pub(crate) fn acts_as_primary(&self, member: usize) -> bool {
         let member = &self.members[member];
         let Some(process) = &member.process else { return false };
         match self.setup.fault {
             Fault::RoleInsteadOfLease => matches!(process.replication.role(), Role::Primary { .. }),
-            Fault::LongLease => {
+            Fault::OverrunLease => {
                 process.replication.is_primary(member.clock.local(self.now.saturating_sub(LEASE_EXCESS)))
             }
             _ => process.replication.is_primary(member.clock.local(self.now)),
         }
     }
 
-    /// The member that would act as primary.
+    /// The member that acts as primary.
     pub(crate) fn primary(&self) -> Option<usize> {
-        (0..self.members.len()).find(|member| self.may_answer(*member))
+        (0..self.members.len()).find(|member| self.acts_as_primary(*member))
     }
 
-    /// The state machine of a member that runs.
+    /// The state machine of a running member.
     pub(crate) fn replication(&self, member: usize) -> &Replication {
         &self.members[member].process.as_ref().expect("it runs").replication
     }
 
-    /// A number that tells apart states that may go on differently.
+    /// A hash that distinguishes states with different futures.
     pub(crate) fn key(&mut self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for slot in &mut self.members {
@@ -170,7 +173,7 @@
         hasher.finish()
     }
 
-    /// Takes an action, and checks what must hold after it.
+    /// Executes an action and checks the invariants.
     pub(crate) fn take(&mut self, action: Action, bounds: &Bounds) {
         self.budget.spend(&action);
         match action {
@@ -189,7 +192,7 @@
                 self.deliver(&message);
             }
             Action::Sync(member) => self.sync(member),
-            Action::SlowDisk(member) => self.members[member].change().disk.is_slow = true,
+            Action::SlowDisk(member) => self.members[member].make_mut().disk.is_slow = true,
             Action::Advance => self.advance(),
             Action::Wait => {
                 self.now += bounds.wait.unwrap_or(0);
@@ -199,26 +202,25 @@
             Action::PowerCut => (0..self.members.len()).for_each(|member| self.crash(member, 0, 0)),
             Action::Wipe { member, down_for } => self.wipe(member, down_for),
             Action::Pause { member, span } => {
-                self.members[member].change().paused_until = Some(self.now + span);
+                self.members[member].make_mut().paused_until = Some(self.now + span);
             }
             Action::Cut(cut) => self.cut(&bounds.cuts[cut]),
             Action::Heal => self.cut_links.clear(),
             Action::Propose(member) => self.propose(member),
-            Action::Repeat { member, order } => self.order(member, order),
+            Action::Repeat { member, request } => self.submit(member, request),
             Action::Terminate(member) => self.input(member, Input::Terminate),
         }
         self.sort_network();
         self.check();
     }
 
-    /// Cuts links.
     pub(crate) fn cut(&mut self, links: &Links) {
         self.cut_links.extend(links);
     }
 
-    /// When the next timer is due, and whose it is.
+    /// The due time and the member of the next timer.
     pub(crate) fn next_due(&self) -> Option<(u64, usize)> {
-        let due = |(index, slot): (usize, &Slot)| Some((slot.due(self.now)?, index));
+        let due = |(index, slot): (usize, &CachedMember)| Some((slot.due(self.now)?, index));
         self.members.iter().enumerate().filter_map(due).min()
     }
 
@@ -228,14 +230,14 @@
         if self.members[member].process.is_none() {
             self.start(member);
         } else if self.members[member].paused_until.is_some() {
-            let machine = self.members[member].change();
+            let machine = self.members[member].make_mut();
             machine.paused_until = None;
             let backlog = std::mem::take(&mut machine.backlog);
             for input in backlog {
                 self.input(member, input);
             }
         } else {
-            if let Some(process) = &mut self.members[member].change().process {
+            if let Some(process) = &mut self.members[member].make_mut().process {
                 process.ticked_at = due;
             }
             self.input(member, Input::Tick);
@@ -274,16 +276,16 @@
     }
 
     fn sync(&mut self, member: usize) {
-        if let Some(ticket) = self.members[member].change().disk.sync_batch() {
+        if let Some(ticket) = self.members[member].make_mut().disk.sync_batch() {
             self.input(member, Input::Persisted { ticket: WriteTicket(ticket) });
         }
     }
 
-    /// Hands an input to a process, now or when its pause ends.
+    /// Passes an input to a process, now or at the end of its pause.
     pub(crate) fn input(&mut self, member: usize, input: Input) {
         self.last_actor = Some(member);
         let now = self.now;
-        let machine = self.members[member].change();
+        let machine = self.members[member].make_mut();
         let local = machine.clock.local(now);
         let Some(process) = &mut machine.process else { return };
         if machine.paused_until.is_some() {
@@ -292,22 +294,22 @@
         }
         let mut outputs = Vec::new();
         process.replication.handle(local, input, &mut outputs);
-        self.carry_out(member, outputs);
+        self.execute_outputs(member, outputs);
     }
 
-    /// Checks what must hold in every state.
+    /// Checks the invariants of every state.
     fn check(&mut self) {
-        let mut answering = (0..self.members.len()).filter(|member| self.may_answer(*member));
-        let first = answering.next();
-        let second = answering.next();
+        let mut primaries = (0..self.members.len()).filter(|member| self.acts_as_primary(*member));
+        let first = primaries.next();
+        let second = primaries.next();
         if second.is_some() {
             self.history.report(Violation::TwoLeases);
         }
         if let Some(process) = first.and_then(|member| self.members[member].process.as_ref()) {
-            self.history.may_answer(&process.state);
+            self.history.check_read(&process.state);
         }
-        if self.wipes <= self.setup.losses && !self.has_all_replicas() {
-            self.history.report(Violation::NoCopyLeft);
+        if self.wipes <= self.setup.tolerated_failures && !self.has_all_replicas() {
+            self.history.report(Violation::NoReplicaLeft);
         }
     }
 
--- a/crates/control-plane/tests/support_model/disk.rs
+++ b/crates/control-plane/tests/support_model/disk.rs
@@ -1,32 +1,32 @@
-//! A disk whose writes are synced one batch after the other.
+//! A disk whose writes are synced one batch at a time.
 
 use std::collections::VecDeque;
 
 use tulipridge_control_plane::replication::{DurableRecord, DurableState};
 use tulipridge_protocol::number::SequenceNumber;
 
-/// A batch that is not synced yet.
+/// An unsynced batch.
 #[derive(Clone, Debug)]
 pub(crate) struct Batch {
-    /// Its ticket.
+    /// The ticket that reports its sync.
     pub ticket: u64,
-    /// What is written.
+    /// The records written.
     pub records: Vec<DurableRecord>,
 }
 
-/// One member's disk.
+/// The disk of a member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
-    /// What is synced.
+    /// The synced records, applied.
     pub state: DurableState,
-    /// Batches in their order.
+    /// Unsynced batches, oldest first.
     pub pending: VecDeque<Batch>,
-    /// Batches wait until their sync is chosen.
+    /// Whether batches are synced only by an explicit action.
     pub is_slow: bool,
 }
 
 impl Disk {
-    /// Syncs the oldest batch; its ticket.
+    /// Syncs the oldest batch and returns its ticket.
     pub(crate) fn sync_batch(&mut self) -> Option<u64> {
         let batch = self.pending.pop_front()?;
         for record in &batch.records {
@@ -35,12 +35,12 @@
         Some(batch.ticket)
     }
 
-    /// Number of records that are not synced.
+    /// Number of unsynced records.
     pub(crate) fn unsynced(&self) -> usize {
         self.pending.iter().map(|batch| batch.records.len()).sum()
     }
 
-    /// The process or the power is gone: the first `kept` of the unsynced records are found later.
+    /// Crash or power loss: of the unsynced records, only the first `kept` survive.
     pub(crate) fn lose_unsynced(&mut self, kept: usize) {
         let records: Vec<DurableRecord> = self.pending.drain(..).flat_map(|batch| batch.records).collect();
         for record in &records[..kept] {
@@ -49,7 +49,7 @@
         self.is_slow = false;
     }
 
-    /// Whether an entry with this command is synced, or in the snapshot.
+    /// Whether an entry with this command is synced, or covered by the snapshot.
     pub(crate) fn stores(&self, sequence: u64, command: &[u8]) -> bool {
         let is_entry = |entry: &tulipridge_protocol::replication::Entry| {
             entry.sequence == SequenceNumber(sequence) && *entry.command == *command
--- a/crates/control-plane/tests/support_model/faults.rs
+++ b/crates/control-plane/tests/support_model/faults.rs
@@ -1,59 +1,59 @@
-//! Promises that are broken on purpose, around the code under test, to show that the checker sees them.
+//! Faults injected around the code under test, each of which violates a guarantee that the checker must detect.
 
 use tulipridge_control_plane::replication::DurableRecord;
 use tulipridge_protocol::replication::{Envelope, ReplicationMessage, View};
 
-/// A promise that is broken.
+/// A violated guarantee.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Fault {
     /// None.
     #[default]
     None,
-    /// A promise is sent before its record is on disk.
+    /// A promise is sent before its record is durable.
     EarlyPromise,
-    /// An entry is acknowledged before it is on disk.
-    EarlyAppended,
-    /// Data brought by a sync is acknowledged before it is on disk.
-    EarlySynced,
-    /// A member forgets what it has promised when it starts.
-    ForgottenPromise,
-    /// A member forgets its view when it starts.
-    ForgottenView,
-    /// A disk that was wiped keeps its generation.
-    KeptGeneration,
-    /// Nothing of a running grant is waited for after a start.
-    NoQuietPeriod,
-    /// A refusal of a voter that has granted a lease is taken for a promise.
+    /// An entry is acknowledged before it is durable.
+    EarlyAppendAck,
+    /// Data received in a sync is acknowledged before it is durable.
+    EarlySyncAck,
+    /// A member loses its promised epoch on restart.
+    LostPromise,
+    /// A member loses its view on restart.
+    LostView,
+    /// A member whose disk was wiped keeps its generation.
+    ReusedGeneration,
+    /// A member does not wait after a start for lease grants of its earlier incarnation to expire.
+    NoLeaseWaitAtStart,
+    /// A refusal by a voter that has granted a lease counts as a promise.
     RefusalCountsAsPromise,
-    /// Views don't name the voters before them.
+    /// Views do not name the voters of the previous view.
     NoPreviousVoters,
-    /// Members are told to withstand no loss, so one data replica is enough for them.
-    OneDataReplica,
-    /// The owner acts on its part and doesn't ask for the lease.
+    /// Members are configured to tolerate no failure, so one data replica suffices for them.
+    SingleDataReplica,
+    /// A member acts as primary by its role, without a check of its lease.
     RoleInsteadOfLease,
-    /// The owner goes on to act as primary for a while after its lease has ended.
-    LongLease,
-    /// Clocks run further off true time than the terms bear.
-    Drift,
-    /// An entry takes effect though an earlier one of the same order did.
-    RepeatTakesEffect,
-    /// The agreed state is not taken over from snapshots.
-    ForgottenOrders,
+    /// A member acts as primary for a while after its lease has ended.
+    OverrunLease,
+    /// Clocks drift further than the lease terms allow for.
+    ExcessiveDrift,
+    /// An entry takes effect though an earlier entry of the same request did.
+    RepeatedRequestApplied,
+    /// The replicated state is not restored from snapshots.
+    SnapshotIgnored,
 }
 
 impl Fault {
-    /// Whether these records are reported as synced before they are.
+    /// Whether these records are reported as durable before they are.
     pub(crate) fn reports_early(self, records: &[DurableRecord]) -> bool {
         let is_early = |record: &DurableRecord| match self {
             Fault::EarlyPromise => matches!(record, DurableRecord::Promised(_)),
-            Fault::EarlyAppended => matches!(record, DurableRecord::Entry(_)),
-            Fault::EarlySynced => matches!(record, DurableRecord::Reset { .. }),
+            Fault::EarlyAppendAck => matches!(record, DurableRecord::Entry(_)),
+            Fault::EarlySyncAck => matches!(record, DurableRecord::Reset { .. }),
             _ => false,
         };
         records.iter().any(is_early)
     }
 
-    /// What becomes of a message on its way.
+    /// Alters a message in transit.
     pub(crate) fn change_message(self, envelope: &mut Envelope) {
         match (self, &mut envelope.message) {
             (
--- a/crates/control-plane/tests/support_model/incarnations.rs
+++ b/crates/control-plane/tests/support_model/incarnations.rs
@@ -1,4 +1,4 @@
-//! How processes start and end, and how disks are lost.
+//! Starts and crashes of processes, and losses of disks.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use tulipridge_protocol::node::{Generation, NodeId};
 use tulipridge_protocol::number::Epoch;
 
+use super::cluster::Cluster;
 use super::faults::Fault;
 use super::member::Process;
-use super::world::World;
 
-/// Generations of disks that were lost are counted from here.
-const FIRST_NEW_GENERATION: u64 = 1001;
-/// How long a voter's lease grant runs: what a start must wait out.
+/// Base of the generations that replace those of lost disks.
+const REPLACED_GENERATION_BASE: u64 = 1001;
+/// Duration of a voter's lease grant, which a member waits out after a start.
 const GRANT_DURATION: Duration = Duration::from_millis(600);
 
-impl World {
-    /// A process or its power is gone; the first `kept` unsynced records are on the disk.
+impl Cluster {
+    /// A process crashes or loses power; the first `kept` unsynced records are on the disk.
     pub(super) fn crash(&mut self, member: usize, kept: usize, down_for: u64) {
         let now = self.now;
         let fault = self.setup.fault;
-        let machine = self.members[member].change();
+        let machine = self.members[member].make_mut();
         machine.process = None;
         machine.paused_until = None;
         machine.backlog.clear();
         machine.disk.lose_unsynced(kept);
         match fault {
-            Fault::ForgottenPromise => machine.disk.state.promised = Epoch(0),
-            Fault::ForgottenView => machine.disk.state.view = None,
+            Fault::LostPromise => machine.disk.state.promised = Epoch(0),
+            Fault::LostView => machine.disk.state.view = None,
             _ => {}
         }
         machine.restart_at = Some(now + down_for);
@@ -39,13 +39,13 @@
         }
     }
 
-    /// A disk is lost; the member comes back as a newcomer.
+    /// A disk is lost; the member returns with an empty one, under a new generation.
     pub(super) fn wipe(&mut self, member: usize, down_for: u64) {
         self.wipes += 1;
-        let generation = FIRST_NEW_GENERATION + u64::from(self.wipes);
-        let keeps_generation = self.setup.fault == Fault::KeptGeneration;
+        let generation = REPLACED_GENERATION_BASE + u64::from(self.wipes);
+        let keeps_generation = self.setup.fault == Fault::ReusedGeneration;
         self.crash(member, 0, down_for.max(1));
-        let machine = self.members[member].change();
+        let machine = self.members[member].make_mut();
         machine.disk.state = DurableState::default();
         if !keeps_generation {
             machine.node.generation = Generation(generation);
@@ -60,13 +60,13 @@
             node: machine.node,
             zone: format!("zone-{member}"),
             seeds: seeds.map(|seed| NodeId { ip: seed.node.ip, generation: Generation(0) }).collect(),
-            tolerated_failures: if self.setup.fault == Fault::OneDataReplica {
+            tolerated_failures: if self.setup.fault == Fault::SingleDataReplica {
                 0
             } else {
-                self.setup.losses
+                self.setup.tolerated_failures
             },
             first_boot,
-            seed: self.setup.jitter * 1000 + machine.incarnations * 10 + member as u64,
+            seed: self.setup.jitter_seed * 1000 + machine.incarnations * 10 + member as u64,
         }
     }
 
@@ -76,10 +76,10 @@
         let fault = self.setup.fault;
         let now = self.now;
         let known: Vec<NodeId> = self.members.iter().map(|other| other.node).collect();
-        let machine = self.members[member].change();
+        let machine = self.members[member].make_mut();
         let local = machine.clock.local(now);
         let started =
-            if fault == Fault::NoQuietPeriod { local.saturating_sub(GRANT_DURATION) } else { local };
+            if fault == Fault::NoLeaseWaitAtStart { local.saturating_sub(GRANT_DURATION) } else { local };
         let replication = Replication::new(settings, machine.disk.state.clone(), started);
         machine.incarnations += 1;
         machine.restart_at = None;
--- a/crates/control-plane/tests/support_model/invariants.rs
+++ b/crates/control-plane/tests/support_model/invariants.rs
@@ -1,72 +1,72 @@
-//! What must hold in every state, and what has to be remembered to say so.
+//! The invariants of every state, and the record of a history that they are checked against.
 
 use std::collections::BTreeMap;
 
 use tulipridge_control_plane::state::State;
 use tulipridge_protocol::node::NodeId;
 
-use super::orders::{Order, is_taken};
+use super::requests::{RequestId, is_applied};
 
-/// Something that must not happen.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Violation {
-    /// Two members may act as primary at the same time.
+    /// Two members act as primary at the same time.
     TwoLeases,
-    /// Two members are primary of one epoch.
+    /// Two members became primary in one epoch.
     SharedEpoch,
-    /// Two members applied different entries under one number, or reached different states by them.
+    /// Two members applied different entries with one sequence number, or reached different states by them.
     Diverged,
-    /// A new primary lacks an order that was acknowledged in an earlier epoch.
+    /// A new primary lacks a request that was acknowledged in an earlier epoch.
     AcknowledgedLost,
-    /// A member that may answer lacks an order that was acknowledged.
+    /// A member that acts as primary lacks an acknowledged request.
     StaleRead,
-    /// An order was acknowledged while fewer disks than f + 1 had it, less those that were lost.
+    /// A request was acknowledged with fewer than f + 1 durable replicas, not counting lost disks.
     TooFewReplicas,
-    /// An order that was acknowledged is on no disk, though no more than f were lost.
-    NoCopyLeft,
-    /// An order took effect twice.
+    /// No disk stores an acknowledged request, though at most f disks were lost.
+    NoReplicaLeft,
+    /// A request took effect twice.
     AppliedTwice,
 }
 
-/// An order that its proposer was told to be agreed.
+/// A request that was acknowledged to its proposer.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Acknowledgement {
-    /// The entry's number.
+    /// The sequence number of its entry.
     pub sequence: u64,
-    /// The epoch in which it was acknowledged first.
+    /// The epoch in which it was first acknowledged.
     pub epoch: u64,
 }
 
-/// What happened so far, as far as the invariants need it.
+/// The part of a history that the invariants need.
 #[derive(Clone, Debug, Default, Hash)]
 pub(crate) struct History {
-    /// Commands of committed entries, by their numbers.
+    /// Commands of committed entries, by sequence number.
     pub committed: BTreeMap<u64, std::sync::Arc<[u8]>>,
-    /// Fingerprints of the state after an entry.
+    /// Fingerprints of the state after each entry.
     states: BTreeMap<u64, u64>,
-    /// The entry by which an order took effect.
-    effects: BTreeMap<Order, u64>,
-    /// Orders that were acknowledged.
-    pub acknowledged: BTreeMap<Order, Acknowledgement>,
+    /// The entry by which a request took effect.
+    effects: BTreeMap<RequestId, u64>,
+    /// Acknowledged requests.
+    pub acknowledged: BTreeMap<RequestId, Acknowledgement>,
     primaries: BTreeMap<u64, NodeId>,
-    /// Orders of proposals, by their tickets.
-    pub asked: Vec<Order>,
+    /// Submitted requests, indexed by proposal ticket.
+    pub requested: Vec<RequestId>,
     /// The first violation.
     pub violation: Option<Violation>,
 }
 
 impl History {
-    /// Notes a violation.
+    /// Records a violation, unless there was one before.
     pub(crate) fn report(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
-    /// A member applied an entry, which took effect or not, and has this state now.
+    /// Records that a member applied an entry; `effect` is the request that it put into effect, if any.
     pub(crate) fn applied(
         &mut self,
         sequence: u64,
         command: &std::sync::Arc<[u8]>,
-        effect: Option<Order>,
+        effect: Option<RequestId>,
         state: u64,
     ) {
         let first = self.committed.entry(sequence).or_insert_with(|| command.clone());
@@ -75,40 +75,40 @@
         if !is_same_command || !is_same_state {
             self.report(Violation::Diverged);
         }
-        let first = effect.map(|order| *self.effects.entry(order).or_insert(sequence));
+        let first = effect.map(|request| *self.effects.entry(request).or_insert(sequence));
         if first.is_some_and(|first| first != sequence) {
             self.report(Violation::AppliedTwice);
         }
     }
 
-    /// A member restored the state after an entry.
+    /// Records that a member restored the state after an entry.
     pub(crate) fn restored(&mut self, sequence: u64, state: u64) {
         if *self.states.entry(sequence).or_insert(state) != state {
             self.report(Violation::Diverged);
         }
     }
 
-    /// A proposer was told that its order is agreed.
-    pub(crate) fn acknowledge(&mut self, order: Order, sequence: u64, epoch: u64) {
-        self.acknowledged.entry(order).or_insert(Acknowledgement { sequence, epoch });
+    /// Records that a request was acknowledged to its proposer.
+    pub(crate) fn acknowledge(&mut self, request: RequestId, sequence: u64, epoch: u64) {
+        self.acknowledged.entry(request).or_insert(Acknowledgement { sequence, epoch });
     }
 
-    /// A member became primary with this state.
+    /// Records that a member became primary with this state.
     pub(crate) fn became_primary(&mut self, node: NodeId, epoch: u64, state: &State) {
         if *self.primaries.entry(epoch).or_insert(node) != node {
             self.report(Violation::SharedEpoch);
         }
-        let is_lost = |(order, acknowledged): (&Order, &Acknowledgement)| {
-            acknowledged.epoch < epoch && !is_taken(state, *order)
+        let is_lost = |(request, acknowledged): (&RequestId, &Acknowledgement)| {
+            acknowledged.epoch < epoch && !is_applied(state, *request)
         };
         if self.acknowledged.iter().any(is_lost) {
             self.report(Violation::AcknowledgedLost);
         }
     }
 
-    /// A member that may answer has this state.
-    pub(crate) fn may_answer(&mut self, state: &State) {
-        if self.acknowledged.keys().any(|order| !is_taken(state, *order)) {
+    /// Checks the state of a member that acts as primary.
+    pub(crate) fn check_read(&mut self, state: &State) {
+        if self.acknowledged.keys().any(|request| !is_applied(state, *request)) {
             self.report(Violation::StaleRead);
         }
     }
--- a/crates/control-plane/tests/support_model/member.rs
+++ b/crates/control-plane/tests/support_model/member.rs
@@ -15,9 +15,9 @@
 use super::disk::Disk;
 use super::setup::MS;
 
-/// A timer that is due again at once waits this long.
-const SHORTEST_WAIT: u64 = MS / 10;
-/// Clocks show this at the true time 0, in microseconds, so that nothing happens before their zero.
+/// Shortest time between two ticks of a member, in microseconds.
+const MIN_TIMER_DELAY: u64 = MS / 10;
+/// Reading of all clocks at true time 0, in microseconds, so that no deadline lies before their zero.
 const CLOCK_START: u64 = 1_000_000_000;
 
 /// A running process.
@@ -25,32 +25,32 @@
 pub(crate) struct Process {
     /// The state machine under test.
     pub replication: Replication,
-    /// The agreed state.
+    /// The replicated state.
     pub state: State,
-    /// The newest entry in it.
+    /// Sequence number of the newest entry in the state.
     pub sequence: u64,
-    /// When it was last handed a tick.
+    /// Time of the last tick.
     pub ticked_at: u64,
 }
 
 /// One member.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
-    /// Its address, and the generation of its present disk.
+    /// Its address, and the generation of its current disk.
     pub node: NodeId,
     /// Its clock.
     pub clock: Clock,
     /// Its disk.
     pub disk: Disk,
-    /// Its process, while one runs.
+    /// Its running process.
     pub process: Option<Process>,
-    /// When its process starts again.
+    /// Time at which its process starts again.
     pub restart_at: Option<u64>,
-    /// It handles nothing before this time.
+    /// Time until which it handles no input.
     pub paused_until: Option<u64>,
-    /// What came while it was paused.
+    /// Inputs that arrived during the pause.
     pub backlog: Vec<Input>,
-    /// Processes so far.
+    /// Number of processes started.
     pub incarnations: u64,
 }
 
@@ -84,18 +84,18 @@
             return Some(paused_until.max(now));
         }
         let due = self.clock.when(process.replication.next_deadline());
-        Some(due.max(process.ticked_at + SHORTEST_WAIT).max(now))
+        Some(due.max(process.ticked_at + MIN_TIMER_DELAY).max(now))
     }
 }
 
-/// A member, and the fingerprint that it had when it was last asked for.
+/// A member with its cached fingerprint.
 #[derive(Clone)]
-pub(crate) struct Slot {
+pub(crate) struct CachedMember {
     member: Rc<Member>,
     fingerprint: Option<u64>,
 }
 
-impl Deref for Slot {
+impl Deref for CachedMember {
     type Target = Member;
 
     fn deref(&self) -> &Member {
@@ -103,28 +103,28 @@
     }
 }
 
-impl Slot {
-    /// A member that is not asked for its fingerprint yet.
-    pub(crate) fn new(member: Member) -> Slot {
-        Slot { member: Rc::new(member), fingerprint: None }
+impl CachedMember {
+    /// Wraps a member, without a fingerprint yet.
+    pub(crate) fn new(member: Member) -> CachedMember {
+        CachedMember { member: Rc::new(member), fingerprint: None }
     }
 
-    /// The member's fingerprint.
+    /// The fingerprint, computed if the member has changed since the last call.
     pub(crate) fn fingerprint(&mut self) -> u64 {
         *self.fingerprint.get_or_insert_with(|| fingerprint(&self.member))
     }
 
-    /// The member, to be changed.
-    pub(crate) fn change(&mut self) -> &mut Member {
+    /// Mutable access to the member, which invalidates its fingerprint.
+    pub(crate) fn make_mut(&mut self) -> &mut Member {
         self.fingerprint = None;
         Rc::make_mut(&mut self.member)
     }
 }
 
-/// A number that tells apart values with different debug output.
+/// A hash of the debug output.
 ///
-/// The output of a state machine shows all its fields, so two states with the same number go on alike but
-/// for a chance of about one in 2^64 for each pair.
+/// The debug output of a state machine shows all fields, so two states with equal hashes behave alike, except
+/// for a collision with a probability of about 2^-64 per pair.
 pub(crate) fn fingerprint(value: &impl Debug) -> u64 {
     let mut hasher = DefaultHasher::new();
     format!("{value:?}").hash(&mut hasher);
--- a/crates/control-plane/tests/support_model/outputs.rs
+++ b/crates/control-plane/tests/support_model/outputs.rs
@@ -1,4 +1,4 @@
-//! What the owner of a member does with its outputs, and with the operator's orders.
+//! Execution of a member's outputs, and submission of the operator's requests.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -9,16 +9,16 @@
 use tulipridge_protocol::number::SequenceNumber;
 use tulipridge_protocol::replication::Envelope;
 
+use super::cluster::{Cluster, Message};
 use super::disk::Batch;
 use super::faults::Fault;
 use super::invariants::Violation;
-use super::member::{Slot, fingerprint};
-use super::orders::{Answer, Order, answer, is_command_of, is_taken};
-use super::world::{Message, World};
+use super::member::{CachedMember, fingerprint};
+use super::requests::{RequestId, Response, is_applied, is_command_of, respond};
 
-impl World {
-    /// Carries out a member's outputs in their order.
-    pub(super) fn carry_out(&mut self, member: usize, outputs: Vec<Output>) {
+impl Cluster {
+    /// Executes the outputs of a member in order.
+    pub(super) fn execute_outputs(&mut self, member: usize, outputs: Vec<Output>) {
         let mut early = Vec::new();
         for output in outputs {
             match output {
@@ -50,11 +50,11 @@
     }
 
     fn persist(&mut self, member: usize, ticket: u64, records: Vec<DurableRecord>) {
-        self.members[member].change().disk.pending.push_back(Batch { ticket, records });
+        self.members[member].make_mut().disk.pending.push_back(Batch { ticket, records });
     }
 
-    /// An entry is applied. Its proposer is told that the order was taken if the state says so now: also when
-    /// an earlier entry of the same order has taken effect before.
+    /// Applies an entry. Its proposer is told that the request was applied if the state says so afterwards, even when
+    /// an earlier entry of the same request took effect.
     fn apply(
         &mut self,
         member: usize,
@@ -62,31 +62,33 @@
         command: &Arc<[u8]>,
         proposal: Option<ProposalTicket>,
     ) {
-        let machine = self.members[member].change();
+        let machine = self.members[member].make_mut();
         let Some(process) = &mut machine.process else { return };
         assert_eq!(process.sequence + 1, sequence.0, "entries are applied in order without gaps");
         let before = fingerprint(&process.state.snapshot());
-        process.state.apply(command).expect("a command that was decided on");
+        process.state.apply(command).expect("the state accepted the command");
         process.sequence = sequence.0;
         let state = fingerprint(&process.state.snapshot());
         let epoch = process.replication.epoch();
-        let order = self.history.asked.iter().copied().find(|order| is_command_of(command, *order));
-        let takes_effect = state != before || self.setup.fault == Fault::RepeatTakesEffect;
-        let effect = order.filter(|_| takes_effect);
-        let answered = order.filter(|order| proposal.is_some() && is_taken(&process.state, *order));
+        let request =
+            self.history.requested.iter().copied().find(|request| is_command_of(command, *request));
+        let takes_effect = state != before || self.setup.fault == Fault::RepeatedRequestApplied;
+        let effect = request.filter(|_| takes_effect);
+        let acknowledged =
+            request.filter(|request| proposal.is_some() && is_applied(&process.state, *request));
         self.history.applied(sequence.0, command, effect, state);
-        if let Some(order) = answered {
-            self.acknowledge(order, sequence.0, epoch.0, command);
+        if let Some(request) = acknowledged {
+            self.acknowledge(request, sequence.0, epoch.0, command);
         }
     }
 
-    fn acknowledge(&mut self, order: Order, sequence: u64, epoch: u64, command: &[u8]) {
-        self.history.acknowledge(order, sequence, epoch);
+    fn acknowledge(&mut self, request: RequestId, sequence: u64, epoch: u64, command: &[u8]) {
+        self.history.acknowledge(request, sequence, epoch);
         let all: Vec<NodeId> = self.members.iter().map(|member| member.node).collect();
         self.check_replicas(&all, SequenceNumber(sequence), command);
     }
 
-    /// A view has come into force: each of its data replicas has all that was acknowledged.
+    /// A view has taken effect: each of its data replicas must store all acknowledged requests.
     fn became_primary(&mut self, member: usize, epoch: u64) {
         let machine = &self.members[member];
         let Some(process) = &machine.process else { return };
@@ -101,22 +103,23 @@
     }
 
     fn check_replicas(&mut self, nodes: &[NodeId], sequence: SequenceNumber, command: &[u8]) {
-        let stores =
-            |member: &&Slot| nodes.contains(&member.node) && member.disk.stores(sequence.0, command);
+        let stores = |member: &&CachedMember| {
+            nodes.contains(&member.node) && member.disk.stores(sequence.0, command)
+        };
         let replicas = self.members.iter().filter(stores).count();
-        let wanted = (self.setup.losses + 1).saturating_sub(self.wipes) as usize;
-        if self.setup.counts_replicas && replicas < wanted {
+        let required = (self.setup.tolerated_failures + 1).saturating_sub(self.wipes) as usize;
+        if self.setup.checks_replica_count && replicas < required {
             self.history.report(Violation::TooFewReplicas);
         }
     }
 
     fn restore(&mut self, member: usize, sequence: u64, snapshot: &[u8]) {
-        let forgets = self.setup.fault == Fault::ForgottenOrders;
-        let Some(process) = &mut self.members[member].change().process else { return };
+        let forgets = self.setup.fault == Fault::SnapshotIgnored;
+        let Some(process) = &mut self.members[member].make_mut().process else { return };
         process.state = if forgets {
             State::default()
         } else {
-            State::restore(snapshot).expect("a snapshot that was taken")
+            State::restore(snapshot).expect("the snapshot is valid")
         };
         process.sequence = sequence;
         let state = fingerprint(&process.state.snapshot());
@@ -128,7 +131,7 @@
     fn compact_if_due(&mut self, member: usize) {
         let Some(every) = self.setup.compact_every else { return };
         let now = self.now;
-        let machine = self.members[member].change();
+        let machine = self.members[member].make_mut();
         let Some(process) = &mut machine.process else { return };
         if process.sequence == 0 || process.sequence.checked_rem(every) != Some(0) {
             return;
@@ -140,29 +143,29 @@
         let mut outputs = Vec::new();
         process.replication.handle(machine.clock.local(now), input, &mut outputs);
         if !outputs.is_empty() {
-            self.carry_out(member, outputs);
+            self.execute_outputs(member, outputs);
         }
     }
 
-    /// Gives a new order to a member.
+    /// Submits a new request to a member.
     pub(super) fn propose(&mut self, member: usize) {
-        let newest = self.history.asked.iter().max().copied().unwrap_or(0);
-        self.order(member, newest + 1);
+        let newest = self.history.requested.iter().max().copied().unwrap_or(0);
+        self.submit(member, newest + 1);
     }
 
-    /// An operator gives an order: the primary answers it at once if it knows it, else it is agreed on.
-    pub(super) fn order(&mut self, member: usize, order: Order) {
-        let ticket = self.history.asked.len() as u64;
-        self.history.asked.push(order);
+    /// Submits a request: the primary responds at once if it has applied it, and otherwise proposes it.
+    pub(super) fn submit(&mut self, member: usize, request: RequestId) {
+        let ticket = self.history.requested.len() as u64;
+        self.history.requested.push(request);
         let Some(process) = &self.members[member].process else { return };
-        match answer(&process.state, order) {
-            Answer::Agree(command) => {
+        match respond(&process.state, request) {
+            Response::Propose(command) => {
                 self.input(member, Input::Propose { ticket: ProposalTicket(ticket), command });
             }
-            Answer::Taken => {
-                self.history.acknowledge(order, process.sequence, process.replication.epoch().0);
+            Response::AlreadyApplied => {
+                self.history.acknowledge(request, process.sequence, process.replication.epoch().0);
             }
-            Answer::Refused => {}
+            Response::Refused => {}
         }
     }
 }
