--- a/crates/control-plane/tests/replication_histories.rs
+++ b/crates/control-plane/tests/replication_histories.rs
@@ -1,8 +1,8 @@
-//! Thousands of short random histories of a simulated cluster: nothing acknowledged is lost, and after
-//! faults it goes on.
+//! Short random histories of a simulated cluster: no acknowledged command is lost, and the cluster makes progress
+//! after faults.
 //!
-//! More of them: `HISTORIES_PER_KIND=700 cargo test --release -p tulipridge-control-plane --test replication_histories
-//! --test replication_operators -- --nocapture` plays 700 of each of the 40 kinds.
+//! `HISTORIES_PER_KIND=700 cargo test --release -p tulipridge-control-plane --test replication_histories
+//! --test replication_operators -- --nocapture` runs 700 histories of each of the 40 kinds.
 
 mod support;
 
@@ -10,16 +10,16 @@
 use support::history::{FaultPlan, Load, history_count, play, play_with};
 use support::simulation::{Fault, Shape};
 
-/// Histories of each kind, if no other number is asked for.
-const USUAL_HISTORIES: u64 = 250;
-/// The same, of those with long histories.
-const USUAL_LONG_HISTORIES: u64 = 50;
+/// Default number of histories of each kind.
+const DEFAULT_HISTORIES: u64 = 250;
+/// Default number of long histories of each kind.
+const DEFAULT_LONG_HISTORIES: u64 = 50;
 
 fn shape(losses: u32, seeds: usize, machines: usize) -> Shape {
     Shape { losses, seeds, machines, fault: Fault::None }
 }
 
-/// Every history holds.
+/// No history violates an invariant.
 #[rstest]
 fn histories_hold(
     #[values((0, 1, 1), (0, 1, 3), (1, 3, 3), (1, 3, 4), (1, 3, 6), (2, 3, 8), (2, 5, 5), (3, 3, 10), (3, 7, 7))]
@@ -29,35 +29,38 @@
     let (losses, seeds, machines) = sizes;
     let mut acknowledged = 0;
     let mut views = 0;
-    let count = history_count(USUAL_HISTORIES);
+    let count = history_count(DEFAULT_HISTORIES);
     for seed in 0..count {
         let outcome = play(seed, shape(losses, seeds, machines), fault_plan);
-        assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {fault_plan:?}");
+        assert_eq!(outcome.violation, None, "seed {seed}, sizes {sizes:?}, {fault_plan:?}");
         acknowledged += outcome.acknowledged;
         views += outcome.views;
     }
     println!("{count} histories: {acknowledged} acknowledged, {views} views");
-    assert!(acknowledged as u64 > count && views as u64 > count, "the histories do something");
+    assert!(
+        acknowledged as u64 > count && views as u64 > count,
+        "commands are acknowledged and views change"
+    );
 }
 
-/// Planned replacement, and hundreds of changes, without operators.
+/// Planned replacement of machines, and histories with hundreds of changes, without operators.
 #[rstest]
 fn long_histories_hold(
     #[values((1, 3, 4), (2, 5, 5), (2, 5, 8), (3, 7, 9))] sizes: (u32, usize, usize),
     #[values(FaultPlan::Replacement, FaultPlan::ManyChanges)] fault_plan: FaultPlan,
 ) {
     let (losses, seeds, machines) = sizes;
-    for seed in 0..history_count(USUAL_LONG_HISTORIES) {
+    for seed in 0..history_count(DEFAULT_LONG_HISTORIES) {
         let outcome = play(seed, shape(losses, seeds, machines), fault_plan);
-        assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {fault_plan:?}");
+        assert_eq!(outcome.violation, None, "seed {seed}, sizes {sizes:?}, {fault_plan:?}");
     }
 }
 
-/// Members that ended while the view was not complete: a loss at the same time left no majority of its voters.
+/// Members must not end while the view is incomplete: a loss at the same time left no majority of its voters.
 #[rstest]
 #[case(1278, Load::Proposals)]
 #[case(372, Load::Operators)]
-fn a_leaving_member_stays_until_the_view_is_complete(#[case] seed: u64, #[case] load: Load) {
+fn a_departing_member_stays_until_the_view_is_complete(#[case] seed: u64, #[case] load: Load) {
     let outcome = play_with(seed, shape(1, 3, 4), FaultPlan::Replacement, load);
     assert_eq!(outcome.violation, None);
 }
--- a/crates/control-plane/tests/replication_leaving.rs
+++ b/crates/control-plane/tests/replication_leaving.rs
@@ -1,4 +1,4 @@
-//! Members that are told to stop: nothing that only they hold is lost, and no majority is.
+//! Departures of members: no data of which they have the only replica is lost, and no majority is.
 
 mod support;
 
@@ -12,30 +12,30 @@
 use tulipridge_control_plane::server::departure::may_end;
 
 const LEEWAY: Duration = Duration::from_secs(8);
-const LOOK_EVERY: u64 = 50 * MS;
+const CHECK_INTERVAL_US: u64 = 50 * MS;
 
-fn departure(simulation: &Simulation, index: usize) -> Departure {
+fn departure_state(simulation: &Simulation, index: usize) -> Departure {
     let machine = &simulation.machines[index];
     let process = machine.process.as_ref().expect("it runs");
     process.replication.departure(machine.clock.local(simulation.now))
 }
 
-/// Tells a member to stop and waits until its process would end: how long that took, and what was still needed of
-/// it.
-fn leave(simulation: &mut Simulation, index: usize) -> (Duration, Departure) {
+/// Asks a member to terminate and waits until its process may end; returns how long that took, and the departure
+/// state at the end.
+fn depart(simulation: &mut Simulation, index: usize) -> (Duration, Departure) {
     let since = simulation.now;
     simulation.input(index, Input::Terminate);
     loop {
         let waited = Duration::from_micros(simulation.now - since);
-        let left = departure(simulation, index);
-        if may_end(waited, LEEWAY, left) {
-            return (waited, left);
+        let departure = departure_state(simulation, index);
+        if may_end(waited, LEEWAY, departure) {
+            return (waited, departure);
         }
-        simulation.run_for(LOOK_EVERY);
+        simulation.run_for(CHECK_INTERVAL_US);
     }
 }
 
-/// The member with this rank among the data replicas.
+/// The member at this position of the view's data replicas.
 fn data_replica(simulation: &Simulation, rank: usize) -> usize {
     let primary = simulation.primary().expect("there is a primary");
     let process = simulation.machines[primary].process.as_ref().expect("it runs");
@@ -45,23 +45,23 @@
 
 #[rstest]
 #[case::free(1_199, Departure::Free, false)]
-#[case::free_after_its_callers(1_200, Departure::Free, true)]
+#[case::free_after_the_stop_grace(1_200, Departure::Free, true)]
 #[case::voter(2_499, Departure::Votes, false)]
-#[case::voter_that_nobody_follows(2_500, Departure::Votes, true)]
-#[case::replica(7_499, Departure::StoresData, false)]
-#[case::holder_before_it_is_killed(7_500, Departure::StoresData, true)]
-fn a_process_ends_once_it_is_not_needed(
+#[case::voter_after_the_vote_grace(2_500, Departure::Votes, true)]
+#[case::data_replica(7_499, Departure::StoresData, false)]
+#[case::data_replica_at_the_kill_margin(7_500, Departure::StoresData, true)]
+fn a_process_ends_once_it_is_not_required(
     #[case] waited_ms: u64,
-    #[case] left: Departure,
+    #[case] departure: Departure,
     #[case] expected: bool,
 ) {
-    assert_eq!(may_end(Duration::from_millis(waited_ms), LEEWAY, left), expected);
+    assert_eq!(may_end(Duration::from_millis(waited_ms), LEEWAY, departure), expected);
 }
 
-/// The backup's disk is lost, and the primary, which alone has what was acknowledged, is told to stop and taken
-/// away.
+/// The backup's disk is lost, and the primary, which has the only replica of the acknowledged data, is asked to
+/// terminate and removed.
 #[rstest]
-fn a_leaving_primary_stays_until_its_data_is_stored_elsewhere(
+fn a_departing_primary_stays_until_its_data_is_replicated(
     #[values(0, 1, 2, 3, 4, 5, 6, 7)] seed: u64,
     #[values(0, 30, 300, 900)] after_ms: u64,
 ) {
@@ -70,16 +70,16 @@
     let backup = data_replica(&simulation, 1);
     simulation.wipe(backup, 400 * MS);
     simulation.run_for(after_ms * MS);
-    let leaving = simulation.primary().unwrap_or(primary);
-    let (_, left) = leave(&mut simulation, leaving);
-    assert_ne!(left, Departure::StoresData);
-    simulation.replace(leaving, 500 * MS);
+    let departing = simulation.primary().unwrap_or(primary);
+    let (_, departure) = depart(&mut simulation, departing);
+    assert_ne!(departure, Departure::StoresData);
+    simulation.replace(departing, 500 * MS);
     assert_goes_on(&mut simulation);
 }
 
-/// The successor of a primary that leaves loses its disk before it has become primary.
+/// The successor of a departing primary loses its disk before it has become primary.
 #[rstest]
-fn a_leaving_primary_carries_on_for_a_lost_successor(
+fn a_departing_primary_remains_if_its_successor_is_lost(
     #[values(0, 1, 2, 3)] seed: u64,
     #[values(1, 10, 30, 60, 100)] after_ms: u64,
 ) {
@@ -89,61 +89,61 @@
     simulation.input(primary, Input::Terminate);
     simulation.run_for(after_ms * MS);
     simulation.wipe(backup, 400 * MS);
-    let (waited, left) = leave(&mut simulation, primary);
-    assert_ne!(left, Departure::StoresData, "after {waited:?}");
+    let (waited, departure) = depart(&mut simulation, primary);
+    assert_ne!(departure, Departure::StoresData, "after {waited:?}");
     simulation.replace(primary, 500 * MS);
     assert_goes_on(&mut simulation);
 }
 
-/// Views that may follow each other when two members leave and a third one comes back.
-const MOST_VIEWS: u64 = 8;
+/// Maximum number of view changes when two members depart and a third one returns.
+const MAX_VIEWS: u64 = 8;
 
-/// The round of the newest view that a member knows: it grows by one with each view.
-fn views_made(simulation: &Simulation, index: usize) -> u64 {
+/// The round of the newest view that a member knows, which grows by one with each view.
+fn view_round(simulation: &Simulation, index: usize) -> u64 {
     const ROUND_SHIFT: u32 = 40;
     let process = simulation.machines[index].process.as_ref().expect("it runs");
     process.replication.epoch().0 >> ROUND_SHIFT
 }
 
-/// The primary and its backup are told to stop at the same time, while the third member is cut off. Neither knows of
-/// the other: found by the explorer in tests/model.rs, where they handed the lease to each other without end.
+/// The primary and its backup are asked to terminate at the same time, while the third member is isolated. Neither
+/// knows of the other's departure; they must not hand the lease to each other without end (found by tests/model.rs).
 #[rstest]
-fn two_data_replicas_that_leave_at_once_hand_over_to_a_third_member(#[values(0, 1, 2, 3)] seed: u64) {
+fn two_departing_data_replicas_hand_over_to_a_third_member(#[values(0, 1, 2, 3)] seed: u64) {
     let mut simulation = started(1, 3, 3, seed);
     let primary = simulation.acknowledge_one();
     let backup = data_replica(&simulation, 1);
-    let views_before = views_made(&simulation, primary);
+    let views_before = view_round(&simulation, primary);
     simulation.isolate(3 - primary - backup, true, true);
     simulation.input(backup, Input::Terminate);
     simulation.input(primary, Input::Terminate);
     simulation.run_for(500 * MS);
     simulation.heal();
     simulation.run_for(SECOND);
-    let views = views_made(&simulation, primary) - views_before;
-    assert!(views <= MOST_VIEWS, "{views} views follow each other");
+    let views = view_round(&simulation, primary) - views_before;
+    assert!(views <= MAX_VIEWS, "{views} view changes");
     let successor = simulation.acknowledge_one();
     assert!(successor != primary && successor != backup);
     assert_goes_on(&mut simulation);
 }
 
-/// Any one member leaves for good; right after its process has ended another one loses its disk.
+/// Any one member departs for good; right after its process has ended, as many others as tolerated lose their disks.
 #[rstest]
 #[case(1, 3, 4)]
 #[case(2, 5, 6)]
 #[case(2, 3, 8)]
-fn a_second_loss_right_after_a_departure_is_survived(
+fn losses_right_after_a_departure_are_tolerated(
     #[case] losses: u32,
     #[case] seeds: usize,
     #[case] machines: usize,
     #[values(0, 1, 2)] seed: u64,
 ) {
-    for leaving in 0..machines {
+    for departing in 0..machines {
         let mut simulation = started(losses, seeds, machines, seed);
         simulation.acknowledge_one();
-        let (_, left) = leave(&mut simulation, leaving);
-        assert_eq!(left, Departure::Free, "machine {leaving}");
-        simulation.replace(leaving, 30 * SECOND);
-        let mut others: Vec<usize> = (0..machines).filter(|index| *index != leaving).collect();
+        let (_, departure) = depart(&mut simulation, departing);
+        assert_eq!(departure, Departure::Free, "machine {departing}");
+        simulation.replace(departing, 30 * SECOND);
+        let mut others: Vec<usize> = (0..machines).filter(|index| *index != departing).collect();
         let primary = simulation.primary();
         others.sort_by_key(|index| Some(*index) != primary);
         for index in others.into_iter().take(losses as usize) {
@@ -153,12 +153,12 @@
     }
 }
 
-/// Every machine is replaced by a new one, the newcomer first, again and again: none of the first seeds is left.
+/// Every machine is replaced several times, each by a new one that joins first: none of the first seeds remains.
 #[rstest]
-#[case::without_losses(0, 1, 1)]
+#[case::no_loss_tolerated(0, 1, 1)]
 #[case::one_loss(1, 3, 4)]
 #[case::two_losses(2, 5, 5)]
-fn planned_replacement_goes_on_after_all_seeds_are_gone(
+fn planned_replacement_continues_without_the_first_seeds(
     #[case] losses: u32,
     #[case] seeds: usize,
     #[case] machines: usize,
@@ -170,20 +170,20 @@
         let generation = simulation.random.u64(..) | 1;
         simulation.add_machine(generation, simulation.now);
         simulation.run_for(2 * SECOND);
-        let (_, left) = leave(&mut simulation, oldest);
-        assert_ne!(left, Departure::StoresData, "machine {oldest}");
+        let (_, departure) = depart(&mut simulation, oldest);
+        assert_ne!(departure, Departure::StoresData, "machine {oldest}");
         simulation.machines[oldest].process = None;
         simulation.machines[oldest].removed = true;
         assert_goes_on(&mut simulation);
     }
 }
 
-/// Without another machine nothing can be handed over: the process stays until it is killed, but where a loss need
-/// not be withstood and nobody else is there.
+/// Without another machine nothing can be handed over: the process stays until it is killed, unless no loss has to be
+/// tolerated.
 #[rstest]
-#[case::no_loss_withstood(0, 1, 1, Departure::Free)]
+#[case::no_loss_tolerated(0, 1, 1, Departure::Free)]
 #[case::others_are_down(1, 3, 3, Departure::StoresData)]
-fn a_member_that_is_left_alone(
+fn departure_of_the_last_running_member(
     #[case] losses: u32,
     #[case] seeds: usize,
     #[case] machines: usize,
@@ -194,34 +194,34 @@
     for index in (0..machines).filter(|index| *index != primary) {
         simulation.kill(index, 60 * SECOND);
     }
-    let (_, left) = leave(&mut simulation, primary);
-    assert_eq!(left, expected);
+    let (_, departure) = depart(&mut simulation, primary);
+    assert_eq!(departure, expected);
 }
 
-/// Each machine is stopped and started in turn, several times.
+/// Rolling restarts of all machines, several times.
 #[rstest]
-fn rolling_restarts_keep_the_system_up(#[values(0, 1, 2, 3)] seed: u64) {
+fn rolling_restarts_keep_the_cluster_available(#[values(0, 1, 2, 3)] seed: u64) {
     let mut simulation = started(1, 3, 4, seed);
     for round in 0..12 {
         simulation.acknowledge_one();
-        let (waited, left) = leave(&mut simulation, round % 4);
-        assert_eq!(left, Departure::Free, "round {round} after {waited:?}");
+        let (waited, departure) = depart(&mut simulation, round % 4);
+        assert_eq!(departure, Departure::Free, "round {round} after {waited:?}");
         simulation.kill(round % 4, 300 * MS);
         assert_goes_on(&mut simulation);
         simulation.run_for(SECOND);
     }
 }
 
-/// Broken on purpose: a primary that ends without a look at what only it holds. The system has to be seen to stop.
+/// Injected fault: a primary ends although it has the only replica of the data. The cluster must be seen to stop.
 #[test]
-fn a_departure_that_waits_for_nothing_is_seen() {
+fn a_departure_without_handover_is_detected() {
     let mut simulation = started(1, 3, 4, 1);
     let primary = simulation.acknowledge_one();
     let backup = data_replica(&simulation, 1);
     simulation.wipe(backup, 400 * MS);
     simulation.input(primary, Input::Terminate);
     simulation.run_for(30 * MS);
-    assert_eq!(departure(&simulation, primary), Departure::StoresData);
+    assert_eq!(departure_state(&simulation, primary), Departure::StoresData);
     simulation.replace(primary, 500 * MS);
     assert!(!simulation.make_progress(PROGRESS_WITHIN) || simulation.checker.violation.is_some());
 }
--- a/crates/control-plane/tests/replication_member.rs
+++ b/crates/control-plane/tests/replication_member.rs
@@ -1,4 +1,4 @@
-//! What one member answers to single messages.
+//! The reactions of a single member to single messages.
 
 use std::time::Duration;
 use tulipridge_control_plane::replication::{
@@ -23,7 +23,7 @@
     }
 }
 
-/// A message to the member that had the disk before is not for the newcomer.
+/// A message to the generation of an earlier disk is not for the member with the new one.
 #[test]
 fn message_to_another_generation_is_dropped() {
     let newcomer = NodeId { ip: 2, generation: Generation(77) };
@@ -32,16 +32,16 @@
     let mut out = Vec::new();
     replication.handle(START, Input::Tick, &mut out);
     out.clear();
-    for (generation, answers) in [(0, false), (77, true)] {
+    for (generation, is_handled) in [(0, false), (77, true)] {
         let to = NodeId { ip: 2, generation: Generation(generation) };
         let message = ReplicationMessage::Prepare { epoch: Epoch(1 << 40) };
         replication.handle(START, Input::Message(Envelope { from: proposer, to, message }), &mut out);
-        assert_eq!(!out.is_empty(), answers);
+        assert_eq!(!out.is_empty(), is_handled);
         out.clear();
     }
 }
 
-/// A promise leaves only after its record is on disk.
+/// A promise is sent only after its record is durable.
 #[test]
 fn promise_waits_for_the_disk() {
     let voter = NodeId { ip: 2, generation: Generation(0) };
@@ -52,8 +52,8 @@
     out.clear();
     let message = ReplicationMessage::Prepare { epoch: Epoch(1 << 40) };
     replication.handle(START, Input::Message(Envelope { from: proposer, to: voter, message }), &mut out);
-    let Some(Output::Persist { ticket, .. }) = out.pop() else { panic!("a record is written first") };
-    assert!(out.is_empty(), "nothing else happens before");
+    let Some(Output::Persist { ticket, .. }) = out.pop() else { panic!("the record is written first") };
+    assert!(out.is_empty(), "nothing is sent before the record is durable");
     replication.handle(START, Input::Persisted { ticket }, &mut out);
     let is_promise = |output: &Output| {
         matches!(output, Output::Send(Envelope { message: ReplicationMessage::Promise { .. }, .. }))
@@ -61,9 +61,9 @@
     assert!(out.iter().any(is_promise));
 }
 
-/// A standby takes no proposals.
+/// A standby rejects proposals.
 #[test]
-fn proposal_at_a_standby_fails_at_once() {
+fn proposal_at_a_standby_fails_immediately() {
     let mut replication =
         Replication::new(settings(NodeId { ip: 2, generation: Generation(3) }), Default::default(), START);
     let mut out = Vec::new();
@@ -80,9 +80,10 @@
     assert_eq!(replication.view(), None::<&View>);
 }
 
-/// A view that a standby has heard of is not on its disk: it says that it has recorded the view only after that.
+/// A view that a standby knows only from heartbeats is not durable: the standby confirms its installation only after
+/// it has recorded the view durably.
 #[test]
-fn install_of_a_view_that_is_known_from_heartbeats_waits_for_the_disk() {
+fn install_of_a_view_known_from_heartbeats_waits_for_the_disk() {
     let standby = NodeId { ip: 2, generation: Generation(5) };
     let primary = NodeId { ip: 1, generation: Generation(0) };
     let complete = View {
@@ -101,20 +102,22 @@
     };
     let heartbeat =
         ReplicationMessage::Heartbeat { view: complete, token: 1, committed: SequenceNumber(0) };
-    let heard = receive(heartbeat);
-    assert!(!heard.iter().any(|output| matches!(output, Output::Persist { .. })), "it is only heard of");
+    let after_heartbeat = receive(heartbeat);
+    let is_persisted = |output: &Output| matches!(output, Output::Persist { .. });
+    assert!(!after_heartbeat.iter().any(is_persisted), "a view from a heartbeat is not recorded");
     let mut out = receive(ReplicationMessage::Install { view: installed.clone() });
     let Some(Output::Persist { ticket, records }) = out.pop() else { panic!("the view is written first") };
     assert!(records.contains(&DurableRecord::View(installed)), "{records:?}");
-    assert_eq!(out, [], "nothing is said before");
+    assert_eq!(out, [], "nothing is sent before the view is durable");
     replication.handle(START, Input::Persisted { ticket }, &mut out);
     let message = ReplicationMessage::Installed { epoch: Epoch(1 << 40) };
     assert!(out.contains(&Output::Send(Envelope { from: standby, to: primary, message })));
 }
 
-/// A disk without a view gets none from the settings, which may name other seeds than at the first start.
+/// A member whose disk has no view takes none from its settings, which may name other seeds than at the first
+/// start.
 #[test]
-fn seed_whose_disk_has_no_view_makes_none_up() {
+fn seed_whose_disk_has_no_view_creates_none() {
     let seed = NodeId { ip: 1, generation: Generation(0) };
     let mut replication = Replication::new(settings(seed), Default::default(), START);
     let mut out = Vec::new();
--- a/crates/control-plane/tests/replication_repeats.rs
+++ b/crates/control-plane/tests/replication_repeats.rs
@@ -1,4 +1,4 @@
-//! Changes that operators send again while the first sending still waits.
+//! Changes that operators retry while the first attempt is still pending.
 
 mod support;
 
@@ -7,53 +7,54 @@
 use support::operator::client::UnexplainedObject;
 use support::simulation::{Fault, MS, SECOND, Shape, Simulation};
 
-/// Longer than a member waits for an agreement.
-const BACKUP_STALLS_FOR: u64 = 5500 * MS;
-/// So late that the operator still waits when the backup's disk is back.
-const SENT_AGAIN_AFTER: u64 = 4900 * MS;
+/// Microseconds; longer than a member waits for a proposal to be committed.
+const BACKUP_STALL_US: u64 = 5500 * MS;
+/// Microseconds; so late that the operator still waits when the backup's disk has recovered.
+const RETRY_AFTER_US: u64 = 4900 * MS;
 
-fn first_configuration() -> Call {
+fn configuration_change() -> Call {
     Call::Configure(ConfigurationOrder { method: ConfigurationMethod::Put, base: 0, revision: 3, mark: 1 })
 }
 
-fn first_weights() -> Call {
+fn weights_change() -> Call {
     Call::NameWeights(WeightsOrder { model: "large", revision: 3 })
 }
 
-/// Of three machines one is down, and the backup's disk hangs. A change is sent, and once more by an operator
-/// who has heard nothing; when the disk is back, both are agreed on.
-fn change_sent_twice_while_nothing_is_agreed(call: Call, fault: Fault) -> (Simulation, Option<Answer>) {
+/// Of three machines one is down, and the backup's disk hangs. A change is sent, and retried by an operator that has
+/// received no response; when the disk recovers, both proposals are committed.
+fn retry_while_the_first_attempt_is_pending(call: Call, fault: Fault) -> (Simulation, Option<Answer>) {
     let mut simulation = Simulation::new(2, Shape { losses: 1, seeds: 3, machines: 3, fault });
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.run_for(SECOND);
     let backup = simulation.data_replicas()[1];
     simulation.kill(3 - primary - backup, 20 * SECOND);
-    simulation.machines[backup].disk.stalled_until = simulation.now + BACKUP_STALLS_FOR;
+    simulation.machines[backup].disk.stalled_until = simulation.now + BACKUP_STALL_US;
     simulation.submit(primary, call);
-    simulation.run_for(SENT_AGAIN_AFTER);
+    simulation.run_for(RETRY_AFTER_US);
     assert_eq!(simulation.primary(), Some(primary));
-    let again = simulation.submit(primary, call);
+    let retry = simulation.submit(primary, call);
     simulation.run_for(4 * SECOND);
-    let answer = simulation.operators.answer(again).cloned();
-    (simulation, answer)
+    let response = simulation.operators.answer(retry).cloned();
+    (simulation, response)
 }
 
 #[rstest]
-#[case::configuration(first_configuration())]
-#[case::weights(first_weights())]
-fn change_that_waits_is_taken_once_and_known_when_it_is_sent_again(#[case] call: Call) {
-    let (simulation, answer) = change_sent_twice_while_nothing_is_agreed(call, Fault::None);
-    assert_eq!(answer, Some(Answer::Taken));
+#[case::configuration(configuration_change())]
+#[case::weights(weights_change())]
+fn a_pending_change_is_applied_once_and_its_retry_is_recognized(#[case] call: Call) {
+    let (simulation, response) = retry_while_the_first_attempt_is_pending(call, Fault::None);
+    assert_eq!(response, Some(Answer::Taken));
     assert_eq!(simulation.operators.unexplained(), None);
 }
 
-/// What members did before they decided anew: the second proposal found the first one in its way.
+/// A member must decide again on a superseded proposal: if it refuses it although the change is in effect, the
+/// checker detects it.
 #[rstest]
-#[case::configuration(first_configuration(), UnexplainedObject::Configuration)]
-#[case::weights(first_weights(), UnexplainedObject::Weights("large"))]
-fn refusal_of_a_change_that_is_in_force_is_seen(#[case] call: Call, #[case] object: UnexplainedObject) {
-    let (simulation, answer) = change_sent_twice_while_nothing_is_agreed(call, Fault::SupersededRefused);
-    println!("answered {answer:?}");
+#[case::configuration(configuration_change(), UnexplainedObject::Configuration)]
+#[case::weights(weights_change(), UnexplainedObject::Weights("large"))]
+fn a_refusal_of_a_change_in_effect_is_detected(#[case] call: Call, #[case] object: UnexplainedObject) {
+    let (simulation, response) = retry_while_the_first_attempt_is_pending(call, Fault::SupersededRefused);
+    println!("response {response:?}");
     assert_eq!(simulation.operators.unexplained(), Some(object));
 }
--- a/crates/control-plane/tests/replication_settling.rs
+++ b/crates/control-plane/tests/replication_settling.rs
@@ -1,4 +1,4 @@
-//! A leaving member whose vote an incomplete view may need stays.
+//! A departing member stays as long as an incomplete view may need its vote.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     NodeId::new(Ipv4Addr::new(10, 0, 0, number), Generation(0))
 }
 
-/// What is needed of member 1 if this is the newest view that it knows.
+/// The departure state of member 1 if this is the newest view that it knows.
 fn departure(voters: &[u8], previous_voters: &[u8]) -> Departure {
     let nodes = |numbers: &[u8]| numbers.iter().map(|number| node(*number)).collect();
     let view = View {
@@ -39,10 +39,10 @@
 
 #[rstest]
 #[case::voter(&[1, 2, 3], &[], Departure::Votes)]
-#[case::seat_is_taken(&[2, 3, 4], &[], Departure::Free)]
-#[case::seat_is_taken_in_an_incomplete_view(&[2, 3, 4], &[1, 2, 3], Departure::CompletesView)]
+#[case::replaced(&[2, 3, 4], &[], Departure::Free)]
+#[case::replaced_in_an_incomplete_view(&[2, 3, 4], &[1, 2, 3], Departure::CompletesView)]
 #[case::voter_of_an_incomplete_view(&[1, 3, 4], &[1, 2, 3], Departure::CompletesView)]
-fn a_vote_that_may_complete_the_view_is_needed(
+fn a_vote_that_may_complete_the_view_is_required(
     #[case] voters: &[u8],
     #[case] previous_voters: &[u8],
     #[case] expected: Departure,
@@ -51,9 +51,9 @@
 }
 
 #[rstest]
-#[case::after_the_grace_of_a_voter(2_500, false)]
-#[case::just_before_it_is_killed(7_499, false)]
-#[case::when_it_would_be_killed(7_500, true)]
-fn a_process_stays_until_the_view_is_complete(#[case] waited_ms: u64, #[case] expected: bool) {
+#[case::after_the_wait_of_a_voter(2_500, false)]
+#[case::just_before_the_kill_margin(7_499, false)]
+#[case::at_the_kill_margin(7_500, true)]
+fn a_process_waits_until_the_view_is_complete(#[case] waited_ms: u64, #[case] expected: bool) {
     assert_eq!(may_end(Duration::from_millis(waited_ms), LEEWAY, Departure::CompletesView), expected);
 }
