--- a/crates/control-plane/tests/replication_directed.rs
+++ b/crates/control-plane/tests/replication_directed.rs
@@ -1,4 +1,4 @@
-//! Single kinds of faults, one at a time, in a simulated cluster.
+//! Tests of single kinds of faults in a simulated cluster.
 
 mod support;
 
@@ -14,10 +14,10 @@
 }
 
 #[test]
-fn first_start_has_a_primary_within_a_second() {
+fn first_start_elects_a_primary_within_a_second() {
     let mut simulation = Simulation::new(1, Shape { losses: 1, seeds: 3, machines: 4, fault: Fault::None });
-    let is_up = simulation.run_while_not(SECOND, |simulation| simulation.primary().is_some());
-    assert!(is_up);
+    let is_elected = simulation.run_while_not(SECOND, |simulation| simulation.primary().is_some());
+    assert!(is_elected);
 }
 
 #[rstest]
@@ -63,13 +63,16 @@
 }
 
 #[rstest]
-fn all_killed_at_once(#[values(0, 1, 2, 3, 4, 5, 6, 7)] seed: u64, #[values(false, true)] is_power: bool) {
+fn all_members_killed_at_once(
+    #[values(0, 1, 2, 3, 4, 5, 6, 7)] seed: u64,
+    #[values(false, true)] is_power_loss: bool,
+) {
     let mut simulation = started(1, 3, 4, seed);
     for _ in 0..4 {
         simulation.acknowledge_one();
         for index in 0..4 {
             let restart_after = simulation.random.u64(100..1000) * MS;
-            if is_power {
+            if is_power_loss {
                 simulation.cut_power(index, restart_after);
             } else {
                 simulation.kill(index, restart_after);
@@ -79,9 +82,12 @@
     }
 }
 
-/// In the end none of the first machines is left.
+/// Replaces all of the first machines, one after the other.
 #[rstest]
-fn members_replaced_again_and_again(#[values(1, 2, 3)] losses: u32, #[values(0, 1, 2, 3)] seed: u64) {
+fn all_members_replaced_one_after_the_other(
+    #[values(1, 2, 3)] losses: u32,
+    #[values(0, 1, 2, 3)] seed: u64,
+) {
     let mut simulation = started(losses, 3, 4 + 2 * losses as usize, seed);
     let first = simulation.machines.len();
     for index in 0..first {
@@ -101,9 +107,9 @@
     assert_eq!(voters_of(&simulation).len(), 5);
 }
 
-/// A machine whose disk is lost takes its old self's place soon.
+/// A voter that lost its disk becomes a voter again under its new generation.
 #[test]
-fn lost_voter_is_replaced_by_its_new_self() {
+fn wiped_voter_becomes_a_voter_again() {
     let mut simulation = started(1, 3, 3, 5);
     let primary = simulation.primary().expect("there is a primary");
     let other = (primary + 1) % 3;
@@ -112,9 +118,9 @@
     assert!(voters_of(&simulation).contains(&simulation.machines[other].node));
 }
 
-/// The primary with one backup is cut off; both sides propose, one side goes on, and nothing diverges.
+/// The primary is isolated and all members propose: one side makes progress, and the members do not diverge.
 #[rstest]
-fn race_on_both_sides_of_a_partition(
+fn proposals_on_both_sides_of_a_partition(
     #[values(0, 1, 2, 3, 4, 5, 6, 7)] seed: u64,
     #[values(false, true)] one_way: bool,
 ) {
@@ -132,12 +138,12 @@
     simulation.heal();
     assert_goes_on(&mut simulation);
     simulation.run_for(SECOND);
-    assert_eq!(simulation.primary(), Some(successor), "the returned member disturbs nobody");
+    assert_eq!(simulation.primary(), Some(successor), "the returned member causes no view change");
 }
 
-/// Nobody hears a primary whose messages are lost, though it hears the others.
+/// A primary whose outgoing messages are lost is replaced, although it receives those of the others.
 #[test]
-fn primary_that_is_not_heard_is_followed() {
+fn primary_without_outgoing_messages_is_replaced() {
     let mut simulation = started(1, 3, 4, 3);
     let primary = simulation.acknowledge_one();
     simulation.isolate(primary, false, true);
@@ -147,40 +153,40 @@
 }
 
 #[test]
-fn disk_that_hangs_ends_primacy() {
+fn primary_whose_disk_hangs_is_replaced() {
     let mut simulation = started(1, 3, 4, 3);
     let primary = simulation.acknowledge_one();
     simulation.machines[primary].disk.stalled_until = simulation.now + 10 * SECOND;
     simulation.propose(primary);
     simulation.run_for(2500 * MS);
-    assert_ne!(simulation.primary().expect("there is another"), primary);
+    assert_ne!(simulation.primary().expect("there is another primary"), primary);
     assert_goes_on(&mut simulation);
 }
 
 #[test]
-fn backup_whose_disk_hangs_is_exchanged() {
+fn backup_whose_disk_hangs_is_replaced() {
     let mut simulation = started(1, 3, 4, 3);
     let primary = simulation.acknowledge_one();
     let backup = simulation.data_replicas()[1];
     simulation.machines[backup].disk.stalled_until = simulation.now + 20 * SECOND;
     assert_goes_on(&mut simulation);
-    assert_eq!(simulation.primary(), Some(primary), "the primary stays");
+    assert_eq!(simulation.primary(), Some(primary), "the primary remains");
 }
 
 #[test]
-fn terminated_primary_is_followed_at_once() {
+fn terminated_primary_is_succeeded_within_600_ms() {
     let mut simulation = started(1, 3, 4, 3);
     let primary = simulation.acknowledge_one();
     simulation.input(primary, Input::Terminate);
-    let is_followed = simulation.run_while_not(600 * MS, |simulation| {
+    let is_succeeded = simulation.run_while_not(600 * MS, |simulation| {
         simulation.primary().is_some_and(|successor| successor != primary)
     });
-    assert!(is_followed);
+    assert!(is_succeeded);
 }
 
-/// Thawed after a long time, an old primary neither holds a lease nor acknowledges anything of its own.
+/// A primary that was paused for longer than its lease neither holds a lease afterwards nor acknowledges anything.
 #[rstest]
-fn frozen_primary_wakes_as_a_follower(#[values(0, 1, 2, 3)] seed: u64) {
+fn paused_primary_resumes_without_a_lease(#[values(0, 1, 2, 3)] seed: u64) {
     let mut simulation = started(1, 3, 4, seed);
     let primary = simulation.acknowledge_one();
     simulation.freeze(primary, 3 * SECOND);
@@ -193,13 +199,10 @@
     assert_goes_on(&mut simulation);
 }
 
-/// Machines whose share of a core is a quota run for 10 ms of each 100 ms, each with a phase of its own: first the
-/// primary alone, then its backup too, then all.
+/// Machines with a CPU quota run for 10 ms of each 100 ms, each with a phase of its own: first the primary alone,
+/// then its backup too, then all.
 #[rstest]
-fn a_quota_of_processor_time_changes_no_view(
-    #[values(0, 1, 2, 3)] seed: u64,
-    #[values(1, 2, 4)] machines: usize,
-) {
+fn cpu_quota_causes_no_view_change(#[values(0, 1, 2, 3)] seed: u64, #[values(1, 2, 4)] machines: usize) {
     let mut simulation = started(1, 3, 4, seed);
     let primary = simulation.acknowledge_one();
     let mut limited = simulation.data_replicas();
@@ -221,12 +224,12 @@
     assert_goes_on(&mut simulation);
 }
 
-/// Two data replicas have disks that take 30 times as long, and changes go on.
+/// Changes are acknowledged while the disks of two data replicas take 30 times as long.
 #[rstest]
 #[case(1, 3, 4)]
 #[case(2, 5, 5)]
 #[case(3, 7, 7)]
-fn changes_go_on_with_two_slow_disks(
+fn changes_are_acknowledged_with_two_slow_disks(
     #[case] losses: u32,
     #[case] seeds: usize,
     #[case] machines: usize,
@@ -246,7 +249,7 @@
 }
 
 #[test]
-fn bad_network_is_survived() {
+fn unreliable_network_is_tolerated() {
     let mut simulation = started(2, 3, 8, 9);
     simulation.network = Network { loss: 200, duplication: 200, lateness: 50, delay: 60 * MS };
     for _ in 0..30 {
--- a/crates/control-plane/tests/replication_faults.rs
+++ b/crates/control-plane/tests/replication_faults.rs
@@ -1,4 +1,4 @@
-//! Members that break their promises: the checker of the histories has to see it.
+//! Injected faults that violate a guarantee: the checkers must detect them.
 
 mod support;
 
@@ -9,30 +9,29 @@
 use support::operator::client::UnexplainedObject;
 use support::simulation::{Fault, MS, SECOND, Shape, Simulation};
 
-const HISTORIES: u64 = 300;
+const MAX_HISTORIES: u64 = 300;
 
-/// Plays histories until one shows a violation other than missing progress.
+/// Runs histories until one has a violation other than missing progress.
 fn first_violation(shape: Shape, fault_plan: FaultPlan) -> Option<Violation> {
-    (0..HISTORIES)
+    (0..MAX_HISTORIES)
         .filter_map(|seed| play(seed, shape, fault_plan).violation)
         .find(|violation| *violation != Violation::NoProgress)
 }
 
-/// Each broken promise shows.
 #[rstest]
 #[case::syncs_reported_early(Fault::EarlySync, FaultPlan::DisksStay)]
-#[case::clocks_far_apart(Fault::WildClocks, FaultPlan::DisksStay)]
+#[case::clocks_beyond_the_drift_limit(Fault::WildClocks, FaultPlan::DisksStay)]
 #[case::backups_report_syncs_early(Fault::EarlyBackupSync, FaultPlan::DisksLost)]
-fn broken_promises_are_seen(#[case] fault: Fault, #[case] fault_plan: FaultPlan) {
+fn violated_guarantees_are_detected(#[case] fault: Fault, #[case] fault_plan: FaultPlan) {
     let shape = Shape { losses: 1, seeds: 3, machines: 3, fault };
     let violation = first_violation(shape, fault_plan);
     println!("{fault:?}: {violation:?}");
-    assert!(violation.is_some(), "{fault:?} has to show");
+    assert!(violation.is_some(), "{fault:?} is not detected");
 }
 
-/// The first primary is cut off, the second loses power and the third member its disk; then the first is
-/// back.
-fn stale_primary_meets_a_lost_disk(fault: Fault) -> Option<Violation> {
+/// The first primary is isolated, its successor loses power and the third member its disk; then the first one is
+/// reconnected.
+fn stale_primary_and_lost_disk(fault: Fault) -> Option<Violation> {
     let mut simulation = Simulation::new(1, Shape { losses: 1, seeds: 3, machines: 3, fault });
     let stale = simulation.acknowledge_one();
     simulation.end_first_boot();
@@ -46,20 +45,20 @@
     simulation.run_for(9 * SECOND);
     assert!(fault != Fault::None || simulation.primary().is_none(), "the stale member has no majority");
     simulation.run_for(8 * SECOND);
-    let is_live = simulation.make_progress(SECOND);
-    assert!(is_live || simulation.checker.violation.is_some());
+    let makes_progress = simulation.make_progress(SECOND);
+    assert!(makes_progress || simulation.checker.violation.is_some());
     simulation.checker.violation
 }
 
 #[test]
-fn lost_disk_that_keeps_its_generation_is_seen() {
-    assert_eq!(stale_primary_meets_a_lost_disk(Fault::None), None);
-    let violation = stale_primary_meets_a_lost_disk(Fault::KeptGeneration);
+fn lost_disk_that_keeps_its_generation_is_detected() {
+    assert_eq!(stale_primary_and_lost_disk(Fault::None), None);
+    let violation = stale_primary_and_lost_disk(Fault::KeptGeneration);
     assert!(matches!(violation, Some(Violation::AcknowledgedLost { .. })), "{violation:?}");
 }
 
-/// The backup does not hear the primary, and the third member starts again and again.
-fn restarts_beside_a_partition(fault: Fault, seed: u64) -> Option<Violation> {
+/// The link between the primary and the backup is cut, and the third member restarts repeatedly.
+fn restarts_during_a_partition(fault: Fault, seed: u64) -> Option<Violation> {
     let mut simulation = Simulation::new(seed, Shape { losses: 1, seeds: 3, machines: 3, fault });
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
@@ -72,50 +71,50 @@
         simulation.kill(third, 20 * MS);
     }
     simulation.heal();
-    let is_live = simulation.make_progress(6 * SECOND);
-    assert!(is_live || simulation.checker.violation.is_some());
+    let makes_progress = simulation.make_progress(6 * SECOND);
+    assert!(makes_progress || simulation.checker.violation.is_some());
     simulation.checker.violation
 }
 
 #[test]
-fn forgotten_promises_are_seen() {
+fn lost_promises_are_detected() {
     let violations: Vec<Violation> =
-        (0..20).filter_map(|seed| restarts_beside_a_partition(Fault::ForgottenPromises, seed)).collect();
+        (0..20).filter_map(|seed| restarts_during_a_partition(Fault::ForgottenPromises, seed)).collect();
     assert!(!violations.is_empty());
     for seed in 0..20 {
-        assert_eq!(restarts_beside_a_partition(Fault::None, seed), None);
+        assert_eq!(restarts_during_a_partition(Fault::None, seed), None);
     }
 }
 
-/// Plays histories of operators until one shows that their answers cannot be explained.
+/// Runs histories of operators until one has responses that are not linearizable.
 #[rstest]
-#[case::lease_is_ignored(Fault::IgnoredLease)]
-#[case::repeats_are_forgotten(Fault::ForgottenRepeats)]
-fn broken_promises_to_operators_are_seen(#[case] fault: Fault) {
+#[case::lease_ignored(Fault::IgnoredLease)]
+#[case::retries_forgotten(Fault::ForgottenRepeats)]
+fn violated_guarantees_to_operators_are_detected(#[case] fault: Fault) {
     let shape = Shape { losses: 1, seeds: 3, machines: 3, fault };
-    let violations = (0..HISTORIES)
+    let violations = (0..MAX_HISTORIES)
         .filter_map(|seed| play_with(seed, shape, FaultPlan::DisksStay, Load::Operators).violation);
     let unexplained =
         violations.enumerate().find(|(_, violation)| matches!(violation, Violation::Unexplained { .. }));
     println!("{fault:?}: {unexplained:?}");
-    assert!(unexplained.is_some(), "{fault:?} has to show");
+    assert!(unexplained.is_some(), "{fault:?} is not detected");
 }
 
-/// A primary is cut off from the others, which take a change; then it is asked.
-fn cut_off_primary_is_asked(call: Call, fault: Fault) -> Option<UnexplainedObject> {
+/// A primary is isolated, the others accept a change, and then the primary receives a call.
+fn call_to_an_isolated_primary(call: Call, fault: Fault) -> Option<UnexplainedObject> {
     let mut simulation = Simulation::new(3, Shape { losses: 1, seeds: 3, machines: 3, fault });
     let old = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.isolate(old, true, true);
-    let is_followed = simulation.run_while_not(6 * SECOND, |simulation| {
+    let is_succeeded = simulation.run_while_not(6 * SECOND, |simulation| {
         simulation.primary().is_some_and(|successor| successor != old)
     });
-    assert!(is_followed);
+    assert!(is_succeeded);
     let successor = simulation.primary().expect("there is a successor");
     let change = ConfigurationOrder { method: ConfigurationMethod::Put, base: 0, revision: 3, mark: 1 };
-    let taken = simulation.submit(successor, Call::Configure(change));
+    let accepted = simulation.submit(successor, Call::Configure(change));
     simulation.run_for(SECOND);
-    assert_eq!(simulation.operators.answer(taken), Some(&Answer::Taken));
+    assert_eq!(simulation.operators.answer(accepted), Some(&Answer::Taken));
     simulation.submit(old, call);
     simulation.run_for(SECOND);
     simulation.operators.unexplained()
@@ -135,26 +134,26 @@
     revision: 0,
     mark: 2,
 }))]
-fn answers_after_the_lease_are_seen(#[case] call: Call) {
-    assert_eq!(cut_off_primary_is_asked(call, Fault::None), None);
-    let unexplained = cut_off_primary_is_asked(call, Fault::IgnoredLease);
+fn responses_after_the_lease_are_detected(#[case] call: Call) {
+    assert_eq!(call_to_an_isolated_primary(call, Fault::None), None);
+    let unexplained = call_to_an_isolated_primary(call, Fault::IgnoredLease);
     assert_eq!(unexplained, Some(UnexplainedObject::Configuration));
 }
 
 #[test]
-fn snapshots_without_the_state_are_seen() {
+fn empty_snapshots_are_detected() {
     let shape = Shape { losses: 1, seeds: 3, machines: 3, fault: Fault::EmptySnapshots };
-    let violations = (0..HISTORIES)
+    let violations = (0..MAX_HISTORIES)
         .filter_map(|seed| play_with(seed, shape, FaultPlan::DisksStay, Load::Operators).violation);
-    let seen = violations
+    let detected = violations
         .into_iter()
         .find(|violation| matches!(violation, Violation::StatesDiffer | Violation::Unexplained { .. }));
-    println!("{seen:?}");
-    assert!(seen.is_some());
+    println!("{detected:?}");
+    assert!(detected.is_some());
 }
 
-/// The primary is left with standbys only, and the other voters go on without it.
-fn primary_among_standbys(fault: Fault) -> Option<Violation> {
+/// The primary is connected only to standbys, and the other voters make progress without it.
+fn primary_connected_to_standbys_only(fault: Fault) -> Option<Violation> {
     let mut simulation = Simulation::new(4, Shape { losses: 1, seeds: 3, machines: 5, fault });
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
@@ -169,15 +168,15 @@
 }
 
 #[test]
-fn standby_that_counts_as_a_voter_is_seen() {
-    assert_eq!(primary_among_standbys(Fault::None), None);
-    let violation = primary_among_standbys(Fault::StandbyVotes);
+fn standby_that_counts_as_a_voter_is_detected() {
+    assert_eq!(primary_connected_to_standbys_only(Fault::None), None);
+    let violation = primary_connected_to_standbys_only(Fault::StandbyVotes);
     assert!(matches!(violation, Some(Violation::TwoLeases { .. })), "{violation:?}");
 }
 
-/// Both data replicas leave for good, each when it is not needed any more, or at once.
-/// Whether the cluster goes on.
-fn both_data_replicas_leave(hands_over: bool, seed: u64) -> bool {
+/// Both data replicas depart for good, each after its data is handed over, or at once. Returns whether the cluster
+/// makes progress.
+fn both_data_replicas_depart(hands_over: bool, seed: u64) -> bool {
     let shape = Shape { losses: 1, seeds: 3, machines: 5, fault: Fault::None };
     let mut simulation = Simulation::new(seed, shape);
     simulation.acknowledge_one();
@@ -186,19 +185,19 @@
     for replica in simulation.data_replicas() {
         if hands_over {
             simulation.leave(replica);
-            let has_left = |simulation: &Simulation| simulation.departure(replica).is_some();
-            assert!(simulation.run_while_not(8 * SECOND, has_left));
+            let has_departed = |simulation: &Simulation| simulation.departure(replica).is_some();
+            assert!(simulation.run_while_not(8 * SECOND, has_departed));
         } else {
             simulation.terminate_for_good(replica, 0);
         }
     }
-    let is_live = simulation.make_progress(6 * SECOND);
-    assert_eq!(simulation.checker.violation, None, "it stops rather than go on without the data");
-    is_live
+    let makes_progress = simulation.make_progress(6 * SECOND);
+    assert_eq!(simulation.checker.violation, None, "the cluster must not continue without the data");
+    makes_progress
 }
 
 #[rstest]
-fn data_replicas_that_leave_without_handing_over_are_seen(#[values(0, 1, 2, 3, 4)] seed: u64) {
-    assert!(both_data_replicas_leave(true, seed));
-    assert!(!both_data_replicas_leave(false, seed));
+fn departures_without_handover_are_detected(#[values(0, 1, 2, 3, 4)] seed: u64) {
+    assert!(both_data_replicas_depart(true, seed));
+    assert!(!both_data_replicas_depart(false, seed));
 }
--- a/crates/control-plane/tests/replication_sync_member.rs
+++ b/crates/control-plane/tests/replication_sync_member.rs
@@ -1,4 +1,4 @@
-//! What one member does with the chunks of the data that a proposer sends.
+//! Handling of the chunks of a sync by a single member.
 
 use std::time::Duration;
 use tulipridge_control_plane::replication::{
@@ -13,7 +13,7 @@
 const START: Duration = Duration::from_secs(1);
 const MEMBER: NodeId = NodeId { ip: 2, generation: Generation(0) };
 const PROPOSER: NodeId = NodeId { ip: 1, generation: Generation(0) };
-/// The epoch of the proposer's data, and those of its attempts.
+/// The epoch of the proposer's data, and the epochs of its attempts.
 const DATA_EPOCH: u64 = 1 << 40;
 const FIRST_EPOCH: u64 = 2 << 40;
 const SECOND_EPOCH: u64 = 3 << 40;
@@ -67,12 +67,12 @@
     }
 }
 
-fn answers(out: &[Output]) -> Vec<ReplicationMessage> {
-    let answer = |output: &Output| match output {
+fn responses(out: &[Output]) -> Vec<ReplicationMessage> {
+    let response = |output: &Output| match output {
         Output::Send(envelope) if envelope.to == PROPOSER => Some(envelope.message.clone()),
         _ => None,
     };
-    out.iter().filter_map(answer).collect()
+    out.iter().filter_map(response).collect()
 }
 
 fn records(out: &[Output]) -> Vec<DurableRecord> {
@@ -88,7 +88,7 @@
         Output::Persist { ticket, .. } => Some(*ticket),
         _ => None,
     };
-    (out.iter().filter_map(ticket).next_back().expect("something is written")).0
+    (out.iter().filter_map(ticket).next_back().expect("a record is written")).0
 }
 
 fn progress(epoch: u64, transfer: TransferId, received: u64) -> ReplicationMessage {
@@ -101,21 +101,21 @@
 }
 
 #[test]
-fn a_partial_transfer_touches_no_data() {
+fn a_partial_transfer_changes_no_data() {
     let old = data(1 << 39, 1);
     let mut member = Member::with(old);
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let chunks = chunks(&encoded);
     let out = member.sync(FIRST_EPOCH, chunks[0].clone());
     assert_eq!(records(&out), [DurableRecord::Promised(Epoch(FIRST_EPOCH))]);
-    assert_eq!(answers(&out), [progress(FIRST_EPOCH, encoded.id(), CHUNK_BYTES)]);
+    assert_eq!(responses(&out), [progress(FIRST_EPOCH, encoded.id(), CHUNK_BYTES)]);
     for chunk in &chunks[1..chunks.len() - 1] {
         assert_eq!(records(&member.sync(FIRST_EPOCH, chunk.clone())), []);
     }
 }
 
 #[test]
-fn a_complete_transfer_is_confirmed_once_it_is_on_disk() {
+fn a_complete_transfer_is_confirmed_once_it_is_durable() {
     let mut member = Member::with(DurableState::default());
     let proposer = data(DATA_EPOCH, 2);
     let encoded = EncodedData::of(&proposer);
@@ -130,15 +130,15 @@
         entries: proposer.entries,
     };
     assert_eq!(records(&out), [reset]);
-    assert_eq!(answers(&out), [progress(FIRST_EPOCH, encoded.id(), encoded.id().length)]);
+    assert_eq!(responses(&out), [progress(FIRST_EPOCH, encoded.id(), encoded.id().length)]);
     let ticket = last_ticket(&out);
-    // Asked again meanwhile, it says nothing before.
-    assert_eq!(answers(&member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length))), []);
+    // A query before the data is durable is not confirmed yet.
+    assert_eq!(responses(&member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length))), []);
     let out = member.input(Input::Persisted { ticket: WriteTicket(ticket) });
     let synced = ReplicationMessage::Synced { epoch: Epoch(FIRST_EPOCH), sequence: SequenceNumber(5) };
-    assert_eq!(answers(&out), [synced.clone(), synced.clone()]);
-    let again = member.sync(FIRST_EPOCH, encoded.chunk(0));
-    assert_eq!((answers(&again), records(&again)), (vec![synced], vec![]));
+    assert_eq!(responses(&out), [synced.clone(), synced.clone()]);
+    let repeated = member.sync(FIRST_EPOCH, encoded.chunk(0));
+    assert_eq!((responses(&repeated), records(&repeated)), (vec![synced], vec![]));
 }
 
 #[test]
@@ -150,25 +150,25 @@
         records(&out),
         [DurableRecord::Promised(Epoch(FIRST_EPOCH)), DurableRecord::DataEpoch(Epoch(FIRST_EPOCH))]
     );
-    assert_eq!(answers(&out), []);
+    assert_eq!(responses(&out), []);
     let out = member.input(Input::Persisted { ticket: WriteTicket(last_ticket(&out)) });
     assert_eq!(
-        answers(&out),
+        responses(&out),
         [ReplicationMessage::Synced { epoch: Epoch(FIRST_EPOCH), sequence: SequenceNumber(5) }]
     );
 }
 
-/// As many entries of another epoch may be other entries.
+/// The same number of entries from another epoch may be different entries.
 #[test]
-fn a_data_replica_with_as_many_entries_of_another_epoch_needs_the_data() {
+fn a_data_replica_at_another_epoch_needs_the_data() {
     let mut member = Member::with(data(DATA_EPOCH - 1, 1));
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
     assert_eq!(records(&out), [DurableRecord::Promised(Epoch(FIRST_EPOCH))]);
-    assert_eq!(answers(&out), [progress(FIRST_EPOCH, encoded.id(), 0)]);
+    assert_eq!(responses(&out), [progress(FIRST_EPOCH, encoded.id(), 0)]);
 }
 
-/// Fewer entries of the same epoch are not all.
+/// Fewer entries of the same epoch are incomplete data.
 #[test]
 fn a_data_replica_with_fewer_entries_needs_the_data() {
     let mut behind = data(DATA_EPOCH, 2);
@@ -177,34 +177,34 @@
     let mut member = Member::with(behind);
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
-    assert_eq!(answers(&out), [progress(FIRST_EPOCH, encoded.id(), 0)]);
+    assert_eq!(responses(&out), [progress(FIRST_EPOCH, encoded.id(), 0)]);
 }
 
 #[test]
-fn a_higher_epoch_with_the_same_data_goes_on() {
+fn a_higher_epoch_with_the_same_data_resumes() {
     let mut member = Member::with(DurableState::default());
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let chunks = chunks(&encoded);
     member.sync(FIRST_EPOCH, chunks[0].clone());
     member.sync(FIRST_EPOCH, chunks[1].clone());
     let out = member.sync(SECOND_EPOCH, chunks[0].clone());
-    assert_eq!(answers(&out), [progress(SECOND_EPOCH, encoded.id(), 2 * CHUNK_BYTES)]);
-    let late = answers(&member.sync(FIRST_EPOCH, chunks[2].clone()));
+    assert_eq!(responses(&out), [progress(SECOND_EPOCH, encoded.id(), 2 * CHUNK_BYTES)]);
+    let late_response = responses(&member.sync(FIRST_EPOCH, chunks[2].clone()));
     assert_eq!(
-        late,
+        late_response,
         [ReplicationMessage::Refuse { epoch: Epoch(FIRST_EPOCH), promised: Epoch(SECOND_EPOCH) }]
     );
     let out = member.sync(SECOND_EPOCH, chunks[2].clone());
-    assert_eq!(answers(&out), [progress(SECOND_EPOCH, encoded.id(), 3 * CHUNK_BYTES)]);
+    assert_eq!(responses(&out), [progress(SECOND_EPOCH, encoded.id(), 3 * CHUNK_BYTES)]);
 }
 
 #[test]
-fn a_part_of_other_data_starts_anew() {
+fn a_chunk_of_other_data_restarts_the_transfer() {
     let mut member = Member::with(DurableState::default());
     let first = EncodedData::of(&data(DATA_EPOCH, 2));
     let second = EncodedData::of(&data(DATA_EPOCH, 3));
     member.sync(FIRST_EPOCH, first.chunk(0));
     let out = member.sync(SECOND_EPOCH, second.chunk(CHUNK_BYTES));
-    assert_eq!(answers(&out), [progress(SECOND_EPOCH, second.id(), 0)]);
+    assert_eq!(responses(&out), [progress(SECOND_EPOCH, second.id(), 0)]);
     assert_eq!(records(&out), [DurableRecord::Promised(Epoch(SECOND_EPOCH))]);
 }
--- a/crates/control-plane/tests/replication_transfer.rs
+++ b/crates/control-plane/tests/replication_transfer.rs
@@ -13,9 +13,9 @@
 use tulipridge_protocol::number::{Epoch, SequenceNumber};
 use tulipridge_protocol::replication::{Entry, TransferId};
 
-/// More time than any transfer of these tests takes.
-const LIMIT: Duration = Duration::from_secs(600);
-/// The time of a step of the simulated link.
+/// Time limit of a transfer.
+const TIME_LIMIT: Duration = Duration::from_secs(600);
+/// Time step of the simulated link.
 const STEP: Duration = Duration::from_millis(10);
 
 /// A member's data with one long entry.
@@ -50,18 +50,18 @@
     Chunk { transfer: complete.transfer, offset: start as u64, bytes: complete.bytes[start..end].into() }
 }
 
-/// What may happen to a message.
+/// Faults of a link.
 #[derive(Clone, Copy)]
 struct Link {
-    /// Messages lost, in a hundred.
+    /// Lost messages, in percent.
     loss: u32,
-    /// Messages doubled, in a hundred.
+    /// Duplicated messages, in percent.
     duplication: u32,
     /// Longest delay in steps.
     delay: u32,
 }
 
-/// A message on its way.
+/// A message in transit.
 enum Message {
     Chunk(Chunk),
     Progress(u64),
@@ -74,8 +74,8 @@
     data: EncodedData,
     outgoing: OutgoingTransfer,
     incoming: IncomingTransfer,
-    under_way: Vec<(Duration, Message)>,
-    parts_sent: u64,
+    in_transit: Vec<(Duration, Message)>,
+    chunks_sent: u64,
 }
 
 impl Transfer {
@@ -87,39 +87,39 @@
             outgoing: OutgoingTransfer::new(data.id().length, false, Duration::ZERO),
             data,
             incoming: IncomingTransfer::default(),
-            under_way: Vec::new(),
-            parts_sent: 0,
+            in_transit: Vec::new(),
+            chunks_sent: 0,
         }
     }
 
     fn transmit(&mut self, now: Duration, message: impl Fn() -> Message) {
-        let replicas = if self.random.u32(0..100) < self.link.duplication { 2 } else { 1 };
-        for _ in 0..replicas {
+        let copies = if self.random.u32(0..100) < self.link.duplication { 2 } else { 1 };
+        for _ in 0..copies {
             let delay = STEP * self.random.u32(0..self.link.delay + 1);
             if self.random.u32(0..100) >= self.link.loss {
-                self.under_way.push((now + delay, message()));
+                self.in_transit.push((now + delay, message()));
             }
         }
     }
 
     fn send(&mut self, now: Duration, offsets: Vec<u64>) {
-        assert!(offsets.len() as u64 * CHUNK_BYTES <= WINDOW_BYTES, "no more than the window at once");
-        self.parts_sent += offsets.len() as u64;
+        assert!(offsets.len() as u64 * CHUNK_BYTES <= WINDOW_BYTES, "at most a window is sent at once");
+        self.chunks_sent += offsets.len() as u64;
         for offset in offsets {
             let chunk = self.data.chunk(offset);
             self.transmit(now, || Message::Chunk(chunk.clone()));
         }
     }
 
-    /// Lets the transfer run until the receiver has all; what it then has, and when.
+    /// Runs the transfer until the receiver has all data; returns the data and the time.
     fn run(&mut self) -> (Received, Duration) {
         let mut now = Duration::ZERO;
         let offsets = self.outgoing.next_offsets();
         self.send(now, offsets);
-        while now < LIMIT {
+        while now < TIME_LIMIT {
             let (arrived, rest) =
-                std::mem::take(&mut self.under_way).into_iter().partition(|(at, _)| *at <= now);
-            self.under_way = rest;
+                std::mem::take(&mut self.in_transit).into_iter().partition(|(at, _)| *at <= now);
+            self.in_transit = rest;
             let arrived: Vec<(Duration, Message)> = arrived;
             for (_, message) in arrived {
                 match message {
@@ -138,12 +138,12 @@
             self.send(now, offsets);
             now += STEP;
         }
-        panic!("the transfer does not end");
+        panic!("the transfer did not complete");
     }
 }
 
 #[test]
-fn small_data_is_one_part() {
+fn small_data_is_one_chunk() {
     let state = state(1000, 1);
     let data = EncodedData::of(&state);
     let mut outgoing = OutgoingTransfer::new(data.id().length, false, Duration::ZERO);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_transfer_cut_at_any_byte_goes_on_there() {
+fn a_transfer_interrupted_at_any_byte_resumes_there() {
     let state = state(1000, 1);
     let complete = complete_chunk(&EncodedData::of(&state));
     let length = complete.bytes.len();
@@ -164,41 +164,41 @@
 }
 
 #[test]
-fn parts_that_overlap_leave_a_gap_or_come_again_add_what_is_new() {
+fn overlapping_or_repeated_chunks_add_only_new_bytes() {
     let state = state(1000, 1);
     let complete = complete_chunk(&EncodedData::of(&state));
     let mut incoming = IncomingTransfer::default();
     for (start, end, received) in
         [(0, 300, 300), (400, 900, 300), (0, 300, 300), (200, 500, 500), (100, 450, 500)]
     {
-        let has = incoming.accept(&slice(&complete, start, end));
-        assert_eq!(has, Received::Partial(received), "after {start}..{end}");
+        let length = incoming.accept(&slice(&complete, start, end));
+        assert_eq!(length, Received::Partial(received), "after {start}..{end}");
     }
     assert_eq!(incoming.accept(&slice(&complete, 0, complete.bytes.len())), expected(&state));
 }
 
 #[rstest]
-#[case::good(Link { loss: 0, duplication: 0, delay: 0 })]
+#[case::reliable(Link { loss: 0, duplication: 0, delay: 0 })]
 #[case::slow(Link { loss: 0, duplication: 0, delay: 100 })]
 #[case::lossy(Link { loss: 30, duplication: 0, delay: 2 })]
-#[case::doubling(Link { loss: 0, duplication: 50, delay: 20 })]
-#[case::bad(Link { loss: 30, duplication: 30, delay: 60 })]
-fn a_transfer_over_any_link_ends_with_the_data(#[case] link: Link) {
+#[case::duplicating(Link { loss: 0, duplication: 50, delay: 20 })]
+#[case::lossy_duplicating_and_slow(Link { loss: 30, duplication: 30, delay: 60 })]
+fn a_transfer_over_any_link_delivers_the_data(#[case] link: Link) {
     let state = state(20 * CHUNK_BYTES as usize + 17, 2);
-    let (mut longest, mut most_parts) = (Duration::ZERO, 0);
+    let (mut longest, mut max_chunks) = (Duration::ZERO, 0);
     for seed in 0..40 {
         let mut transfer = Transfer::new(seed, &state, link);
-        let (received, at) = transfer.run();
+        let (received, duration) = transfer.run();
         assert_eq!(received, expected(&state), "seed {seed}");
-        longest = longest.max(at);
-        most_parts = most_parts.max(transfer.parts_sent);
+        longest = longest.max(duration);
+        max_chunks = max_chunks.max(transfer.chunks_sent);
     }
-    println!("21 chunks: longest {longest:?}, most chunks sent {most_parts}");
+    println!("21 chunks: longest {longest:?}, max chunks sent {max_chunks}");
 }
 
-/// A receiver that starts again has nothing; the sender hears it and starts again too.
+/// A restarted receiver has no data; the sender learns this and starts from the beginning.
 #[test]
-fn a_receiver_that_starts_again_gets_all_anew() {
+fn a_restarted_receiver_is_sent_all_data_again() {
     let state = state(5 * CHUNK_BYTES as usize, 3);
     let link = Link { loss: 0, duplication: 0, delay: 1 };
     let mut transfer = Transfer::new(1, &state, link);
@@ -206,25 +206,26 @@
     assert_eq!(transfer.run().0, expected(&state));
 }
 
-/// A sender that starts again with the same data, as under a higher epoch, sends only what is missing.
+/// A sender that restarts the transfer with the same data, for example under a higher epoch, sends only the missing
+/// part.
 #[test]
-fn a_later_attempt_with_the_same_data_goes_on() {
+fn a_later_attempt_with_the_same_data_resumes() {
     let state = state(5 * CHUNK_BYTES as usize, 3);
     let data = EncodedData::of(&state);
     let mut incoming = IncomingTransfer::default();
     for number in 0..4 {
         incoming.accept(&data.chunk(number * CHUNK_BYTES));
     }
-    let again = EncodedData::of(&state);
-    let mut outgoing = OutgoingTransfer::new(again.id().length, false, Duration::ZERO);
+    let second_attempt = EncodedData::of(&state);
+    let mut outgoing = OutgoingTransfer::new(second_attempt.id().length, false, Duration::ZERO);
     let first = outgoing.next_offsets();
-    assert_eq!(incoming.accept(&again.chunk(first[0])), Received::Partial(4 * CHUNK_BYTES));
+    assert_eq!(incoming.accept(&second_attempt.chunk(first[0])), Received::Partial(4 * CHUNK_BYTES));
     assert!(outgoing.on_received(Duration::ZERO, 4 * CHUNK_BYTES));
     assert_eq!(outgoing.next_offsets(), [4 * CHUNK_BYTES, 5 * CHUNK_BYTES]);
 }
 
 #[test]
-fn other_data_starts_anew() {
+fn other_data_restarts_the_transfer() {
     let (first, second) = (state(1000, 1), state(1000, 2));
     let (complete, other) =
         (complete_chunk(&EncodedData::of(&first)), complete_chunk(&EncodedData::of(&second)));
@@ -234,33 +235,33 @@
     assert_eq!(incoming.accept(&other), expected(&second));
 }
 
-/// A sender that is broken gives bytes of other data under the name of these.
+/// A faulty sender sends bytes of other data under the identifier of this transfer.
 #[test]
-fn bytes_of_other_data_under_the_same_name_are_seen() {
+fn bytes_of_other_data_under_the_same_id_are_detected() {
     let (first, second) = (state(1000, 1), state(1000, 2));
     let (complete, other) =
         (complete_chunk(&EncodedData::of(&first)), complete_chunk(&EncodedData::of(&second)));
-    let mixed = Chunk { transfer: complete.transfer, ..slice(&other, 500, 600) };
+    let corrupted = Chunk { transfer: complete.transfer, ..slice(&other, 500, 600) };
     let mut incoming = IncomingTransfer::default();
     incoming.accept(&slice(&complete, 0, 500));
-    incoming.accept(&mixed);
+    incoming.accept(&corrupted);
     let end = slice(&complete, 600, complete.bytes.len());
-    assert_eq!(incoming.accept(&end), Received::Partial(0), "nothing of it is used");
+    assert_eq!(incoming.accept(&end), Received::Partial(0), "none of the data is used");
     assert_eq!(incoming.accept(&complete), expected(&first));
 }
 
-/// The checksum is right, but the data is not what its name says.
+/// The checksum matches, but the data does not end at the sequence number of its identifier.
 #[test]
-fn data_with_another_newest_entry_than_it_says_is_refused() {
+fn data_with_another_sequence_than_its_id_is_rejected() {
     let complete = complete_chunk(&EncodedData::of(&state(1000, 1)));
     let transfer = TransferId { sequence: SequenceNumber(9), ..complete.transfer };
     let renamed = Chunk { transfer, ..complete };
     assert_eq!(IncomingTransfer::default().accept(&renamed), Received::Partial(0));
 }
 
-/// Memory is taken for bytes that have come, not for those that are announced, and never beyond a bound.
+/// Memory is allocated for received bytes, not for announced ones, and never beyond a limit.
 #[test]
-fn data_over_the_bound_is_not_taken() {
+fn data_over_the_size_limit_is_not_accepted() {
     let complete = complete_chunk(&EncodedData::of(&state(1000, 1)));
     let announce =
         |length| Chunk { transfer: TransferId { length, ..complete.transfer }, ..complete.clone() };
@@ -270,33 +271,33 @@
     assert_eq!(incoming.accept(&announce(0)), Received::Partial(0));
 }
 
-/// It answers an empty chunk with how much it has, and gets the rest.
+/// The receiver responds to an empty chunk with the length it has, and is sent the rest.
 #[test]
-fn a_receiver_that_may_have_all_is_asked_first() {
+fn a_receiver_that_may_have_all_data_is_queried_first() {
     let mut outgoing = OutgoingTransfer::new(10 * CHUNK_BYTES, true, Duration::ZERO);
     assert_eq!(outgoing.next_offsets(), [10 * CHUNK_BYTES]);
     assert!(!outgoing.on_received(STEP, 0));
     assert_eq!(outgoing.next_offsets(), [0, CHUNK_BYTES]);
 }
 
-/// After a cut, chunks are sent again at growing intervals until the receiver answers.
+/// Chunks are resent at growing intervals until the receiver responds.
 #[test]
-fn a_silent_receiver_is_queried_less_and_less() {
+fn resends_to_a_silent_receiver_back_off() {
     let mut outgoing = OutgoingTransfer::new(10 * CHUNK_BYTES, false, Duration::ZERO);
     outgoing.next_offsets();
-    let mut sendings = Vec::new();
+    let mut resent_at_ms = Vec::new();
     for step in 0..1200 {
         let now = STEP * step;
         if !outgoing.resend_if_due(now).is_empty() {
-            sendings.push(now.as_millis());
+            resent_at_ms.push(now.as_millis());
         }
     }
-    assert_eq!(sendings, [300, 900, 2100, 4500, 6900, 9300, 11700]);
+    assert_eq!(resent_at_ms, [300, 900, 2100, 4500, 6900, 9300, 11700]);
 }
 
-/// A late answer is no step, neither forward nor back.
+/// A late response neither advances the transfer nor sets it back.
 #[test]
-fn a_late_answer_changes_nothing() {
+fn a_late_response_changes_nothing() {
     let mut outgoing = OutgoingTransfer::new(10 * CHUNK_BYTES, false, Duration::ZERO);
     assert!(outgoing.on_received(STEP, 5 * CHUNK_BYTES));
     assert_eq!(outgoing.next_offsets(), [5 * CHUNK_BYTES, 6 * CHUNK_BYTES]);
@@ -307,9 +308,9 @@
     assert_eq!(outgoing.next_offsets(), [7 * CHUNK_BYTES]);
 }
 
-/// What a receiver has anew after a restart is no step forward until it has more than before.
+/// After a restart of the receiver, only data beyond what it had before counts as progress.
 #[test]
-fn a_receiver_that_starts_again_is_no_step_forward() {
+fn a_restarted_receiver_makes_no_progress_at_first() {
     let mut outgoing = OutgoingTransfer::new(10 * CHUNK_BYTES, false, Duration::ZERO);
     assert!(outgoing.on_received(STEP, 2 * CHUNK_BYTES));
     assert!(!outgoing.on_received(STEP, 0));
