--- a/crates/control-plane/tests/replication_directed.rs
+++ b/crates/control-plane/tests/replication_directed.rs
@@ -10,7 +10,7 @@
 
 fn voters_of(simulation: &Simulation) -> Vec<NodeId> {
     let primary = simulation.primary().expect("there is a primary");
-    simulation.view_at(primary).expect("it has a view").voters.clone()
+    simulation.view_at(primary).expect("the member has a view").voters.clone()
 }
 
 #[test]
@@ -208,7 +208,7 @@
     let mut limited = simulation.data_replicas();
     let others: Vec<usize> = (0..4).filter(|machine| !limited.contains(machine)).collect();
     limited.extend(others);
-    let view = simulation.view_at(primary).expect("it has a view").clone();
+    let view = simulation.view_at(primary).expect("the member has a view").clone();
     for period in 0..600 {
         for machine in limited.iter().take(machines) {
             simulation.freeze(*machine, 90 * MS);
--- a/crates/control-plane/tests/replication_faults.rs
+++ b/crates/control-plane/tests/replication_faults.rs
@@ -158,7 +158,7 @@
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.run_for(3 * SECOND);
-    let voters = simulation.view_at(primary).expect("it has a view").voters.clone();
+    let voters = simulation.view_at(primary).expect("the member has a view").voters.clone();
     let is_other_voter =
         |index: &usize| *index != primary && voters.contains(&simulation.machines[*index].node);
     let others: Vec<usize> = (0..5).filter(is_other_voter).collect();
--- a/crates/control-plane/tests/replication_leaving.rs
+++ b/crates/control-plane/tests/replication_leaving.rs
@@ -16,7 +16,7 @@
 
 fn departure_state(simulation: &Simulation, index: usize) -> Departure {
     let machine = &simulation.machines[index];
-    let process = machine.process.as_ref().expect("it runs");
+    let process = machine.process.as_ref().expect("the process is running");
     process.replication.departure(machine.clock.local(simulation.now))
 }
 
@@ -38,9 +38,9 @@
 /// The member at this position of the view's data replicas.
 fn data_replica(simulation: &Simulation, rank: usize) -> usize {
     let primary = simulation.primary().expect("there is a primary");
-    let process = simulation.machines[primary].process.as_ref().expect("it runs");
-    let node = process.replication.view().expect("it has a view").data_replicas[rank];
-    simulation.machines.iter().position(|machine| machine.node == node).expect("it exists")
+    let process = simulation.machines[primary].process.as_ref().expect("the process is running");
+    let node = process.replication.view().expect("the member has a view").data_replicas[rank];
+    simulation.machines.iter().position(|machine| machine.node == node).expect("the machine exists")
 }
 
 #[rstest]
@@ -101,7 +101,7 @@
 /// The round of the newest view that a member knows, which grows by one with each view.
 fn view_round(simulation: &Simulation, index: usize) -> u64 {
     const ROUND_SHIFT: u32 = 40;
-    let process = simulation.machines[index].process.as_ref().expect("it runs");
+    let process = simulation.machines[index].process.as_ref().expect("the process is running");
     process.replication.epoch().0 >> ROUND_SHIFT
 }
 
--- a/crates/control-plane/tests/support_model/cluster.rs
+++ b/crates/control-plane/tests/support_model/cluster.rs
@@ -151,7 +151,7 @@
 
     /// The state machine of a running member.
     pub(crate) fn replication(&self, member: usize) -> &Replication {
-        &self.members[member].process.as_ref().expect("it runs").replication
+        &self.members[member].process.as_ref().expect("the process is running").replication
     }
 
     /// A hash that distinguishes states with different futures.
