--- a/crates/control-plane/tests/rated_cluster/mod.rs
+++ b/crates/control-plane/tests/rated_cluster/mod.rs
@@ -1,7 +1,7 @@
-//! A cluster whose links and disks have a speed, with commands as long as a configuration. No faults but those that
-//! a test makes.
+//! A simulated cluster whose links and disks have a limited bandwidth, with commands as long as a configuration. The only
+//! faults are those that a test injects.
 
-#![allow(dead_code, reason = "each test program uses a part of it")]
+#![allow(dead_code, reason = "each test program uses only some of it")]
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -21,42 +21,42 @@
 
 use super::support::checker::Checker;
 
-/// A link of 10 Mbit/s, in bytes a second.
+/// Bandwidth of a link of 10 Mbit/s, in bytes per second.
 pub(crate) const SLOW_LINK: u64 = 10_000_000 / 8;
-/// A link of 1 Gbit/s.
+/// Bandwidth of a link of 1 Gbit/s, in bytes per second.
 pub(crate) const FAST_LINK: u64 = 1_000_000_000 / 8;
-/// A configuration of an operator.
+/// Length of an operator's configuration.
 pub(crate) const CONFIGURATION_BYTES: usize = 1_300_000;
 
-/// Applied bytes after which a member makes a snapshot, as a real one does.
-const COMPACT_AFTER: usize = 1 << 20;
-/// Syncs of a compaction: the new segment, its name, the snapshot, and its name.
+/// Applied bytes after which a member takes a snapshot; the same as in a real member.
+const COMPACT_AFTER_BYTES: usize = 1 << 20;
+/// Syncs of a compaction: the new segment, its directory entry, the snapshot, and its directory entry.
 const COMPACTION_SYNCS: u32 = 4;
-/// Bytes of a message beside its commands and data.
+/// Bytes of a message in addition to its commands and data.
 const MESSAGE_OVERHEAD: u64 = 100;
-/// Shortest time between two looks at a member's deadline.
-const SHORTEST_PAUSE: Duration = Duration::from_micros(100);
+/// Shortest time between two ticks of a member.
+const MIN_TICK_INTERVAL: Duration = Duration::from_micros(100);
 
-/// How fast a disk is.
+/// The speed of a disk.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DiskSpeed {
-    /// Bytes a second.
+    /// Bytes per second.
     pub bytes: u64,
-    /// What each sync takes beside.
+    /// Additional time of each sync.
     pub sync: Duration,
 }
 
 impl DiskSpeed {
-    /// A usual disk.
+    /// A typical disk.
     pub(crate) const USUAL: DiskSpeed = DiskSpeed { bytes: 300_000_000, sync: Duration::from_millis(3) };
 
-    /// One that takes so many times as long.
+    /// A disk that takes this many times as long.
     pub(crate) fn slower(self, times: u32) -> DiskSpeed {
         DiskSpeed { bytes: self.bytes / u64::from(times), sync: self.sync * times }
     }
 }
 
-/// Records that are not on disk.
+/// Records that are not yet durable.
 #[derive(Debug)]
 struct PendingWrite {
     ticket: u64,
@@ -68,36 +68,36 @@
     incarnation: u64,
     /// The state machine.
     pub replication: Replication,
-    /// Commands that were applied, in order.
+    /// The ids of the applied commands, in order.
     pub applied: Vec<u64>,
-    newest_length: usize,
+    newest_command_bytes: usize,
     applied_bytes: usize,
     wake_at: Duration,
 }
 
 /// A member.
 pub(crate) struct Member {
-    /// Its name.
+    /// Its address and generation.
     pub node: NodeId,
-    /// What is on its disk.
+    /// The durable state on its disk.
     pub disk: DurableState,
-    /// How fast that is.
+    /// The speed of its disk.
     pub speed: DiskSpeed,
     pending: VecDeque<PendingWrite>,
     disk_health: DiskHealthMonitor,
-    /// How many of the pending writes are being written under one sync.
-    writing: usize,
+    /// How many of the pending writes the running sync covers.
+    syncing: usize,
     /// Bytes written since the log was last compacted.
     log_bytes: u64,
-    /// Until when the disk is busy with that.
-    compacts_until: Duration,
-    /// Its process, while one runs.
+    /// Until when the disk is busy with a compaction.
+    compacting_until: Duration,
+    /// Its process, if it is running.
     pub process: Option<Process>,
     incarnations: u64,
 }
 
 impl Member {
-    /// As the thread of the disk does: the complete state takes the place of the records.
+    /// Replaces the records by the complete state, as a real member's disk thread does.
     fn compact_log_if_due(&mut self, now: Duration) {
         if self.log_bytes <= COMPACT_AFTER_RECORD_BYTES as u64 {
             return;
@@ -105,7 +105,8 @@
         let entries = self.disk.entries.iter().map(|entry| entry.command.len() as u64);
         let bytes = self.disk.snapshot.len() as u64 + entries.sum::<u64>();
         self.log_bytes = 0;
-        self.compacts_until = now + COMPACTION_SYNCS * self.speed.sync + span(bytes, self.speed.bytes);
+        self.compacting_until =
+            now + COMPACTION_SYNCS * self.speed.sync + transfer_time(bytes, self.speed.bytes);
     }
 }
 
@@ -117,53 +118,53 @@
     Start { member: usize },
 }
 
-/// Messages and bytes of one kind.
+/// Messages of one kind and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Traffic {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes.
+    /// Total bytes of the messages.
     pub bytes: u64,
 }
 
-/// How a proposal ended, and when.
+/// The outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// It was acknowledged.
+    /// It was acknowledged at this time.
     Acknowledged(Duration),
     /// It failed.
     Failed(FailureReason),
 }
 
-/// Changes messages on their way out: the messages that leave in place of one.
+/// Replaces a message that is being sent by the returned ones.
 pub(crate) type Interceptor = Box<dyn FnMut(&Envelope) -> Vec<Envelope>>;
 
-/// The cluster.
+/// A simulated cluster.
 pub(crate) struct Cluster {
-    /// True time, which all clocks show.
+    /// Virtual time, which all clocks show.
     pub now: Duration,
     /// All members.
     pub members: Vec<Member>,
-    /// What must hold.
+    /// Checks the invariants.
     pub checker: Checker,
-    /// Bytes a second of each direction of each link.
+    /// Bytes per second in each direction of each link.
     pub link_speed: u64,
-    /// The time that a message takes beside.
+    /// Additional time that each message takes.
     pub latency: Duration,
-    /// Directions that are cut.
+    /// Partitioned directions of links, as sender and receiver.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Faults of messages.
+    /// Injects faults into messages.
     pub interceptor: Option<Interceptor>,
     /// Messages that were sent, by kind.
     pub traffic: BTreeMap<&'static str, Traffic>,
-    /// Proposals that have ended.
+    /// The outcomes of proposals, by ticket.
     pub ends: BTreeMap<u64, End>,
-    /// Applied bytes after which a member makes a snapshot.
+    /// Applied bytes after which a member takes a snapshot.
     pub compact_after: usize,
-    losses: u32,
+    tolerated_failures: u32,
     seeds: usize,
     first_boot: bool,
-    /// When a direction of a link is free, for data or for other messages.
+    /// When a direction of a link becomes free, separately for data (`true`) and for other messages.
     link_free_at: BTreeMap<(usize, usize, bool), Duration>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, Event>,
@@ -173,7 +174,7 @@
 
 impl Cluster {
     /// A cluster that starts for the first time.
-    pub(crate) fn new(losses: u32, seeds: usize, members: usize) -> Cluster {
+    pub(crate) fn new(tolerated_failures: u32, seeds: usize, members: usize) -> Cluster {
         let mut cluster = Cluster {
             now: Duration::from_secs(100),
             members: Vec::new(),
@@ -184,8 +185,8 @@
             interceptor: None,
             traffic: BTreeMap::new(),
             ends: BTreeMap::new(),
-            compact_after: COMPACT_AFTER,
-            losses,
+            compact_after: COMPACT_AFTER_BYTES,
+            tolerated_failures,
             seeds,
             first_boot: true,
             link_free_at: BTreeMap::new(),
@@ -204,9 +205,9 @@
                 speed,
                 pending: VecDeque::new(),
                 disk_health: DiskHealthMonitor::default(),
-                writing: 0,
+                syncing: 0,
                 log_bytes: 0,
-                compacts_until: Duration::ZERO,
+                compacting_until: Duration::ZERO,
                 process: None,
                 incarnations: 0,
             });
@@ -223,22 +224,22 @@
         self.queue.push(Reverse((at.max(self.now), self.next_event)));
     }
 
-    /// Lets a span pass.
-    pub(crate) fn run_for(&mut self, span: Duration) {
-        self.run_while_not(span, |_| false);
+    /// Runs the cluster for a time.
+    pub(crate) fn run_for(&mut self, duration: Duration) {
+        self.run_while_not(duration, |_| false);
     }
 
-    /// Lets time pass until something holds; whether it did within the span.
-    pub(crate) fn run_while_not(&mut self, span: Duration, holds: impl Fn(&Cluster) -> bool) -> bool {
-        let until = self.now + span;
+    /// Runs the cluster until a condition holds, for a limited time. Returns whether it holds.
+    pub(crate) fn run_while_not(&mut self, limit: Duration, holds: impl Fn(&Cluster) -> bool) -> bool {
+        let until = self.now + limit;
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at > until || holds(self) {
                 break;
             }
             self.queue.pop();
             self.now = at;
-            let event = self.events.remove(&number).expect("each event is there once");
-            self.take(event);
+            let event = self.events.remove(&number).expect("each queued number has an event");
+            self.handle_event(event);
             self.check_leases();
         }
         let has_ended = holds(self);
@@ -257,7 +258,7 @@
         self.checker.leases(&lease_holders);
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrival { from, to, envelope } => {
                 if !self.cuts.contains(&(from, to)) {
@@ -268,7 +269,7 @@
                 self.input(member, Input::Tick);
             }
             Event::Synced { member, incarnation } if self.is_incarnation(member, incarnation) => {
-                self.sync(member);
+                self.finish_write(member);
             }
             Event::Wake { .. } | Event::Synced { .. } => {}
             Event::Start { member } => self.start(member),
@@ -290,7 +291,7 @@
             node: member.node,
             zone: format!("zone-{}", index % 3),
             seeds,
-            tolerated_failures: self.losses,
+            tolerated_failures: self.tolerated_failures,
             first_boot: self.first_boot,
             seed: index as u64 * 1000 + member.incarnations,
         };
@@ -301,14 +302,14 @@
             incarnation: member.incarnations,
             replication: Replication::new(settings, member.disk.clone(), self.now),
             applied: Vec::new(),
-            newest_length: 0,
+            newest_command_bytes: 0,
             applied_bytes: 0,
             wake_at: Duration::ZERO,
         });
         self.input(index, Input::Tick);
     }
 
-    /// Hands an input to a member.
+    /// Passes an input to a member's state machine and handles the outputs.
     pub(crate) fn input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let member = &mut self.members[index];
@@ -318,19 +319,19 @@
             process.replication.handle(now, Input::DiskHealthy(healthy), &mut out);
         }
         process.replication.handle(now, input, &mut out);
-        let due = process.replication.next_deadline().max(now + SHORTEST_PAUSE);
+        let due = process.replication.next_deadline().max(now + MIN_TICK_INTERVAL);
         let incarnation = process.incarnation;
         if process.wake_at <= now || due < process.wake_at {
             process.wake_at = due;
             self.schedule(due, Event::Wake { member: index, incarnation });
         }
         for output in out {
-            self.carry_out(index, output);
+            self.handle_output(index, output);
         }
-        self.compact_when_due(index);
+        self.compact_if_due(index);
     }
 
-    fn carry_out(&mut self, index: usize, output: Output) {
+    fn handle_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Send(envelope) => self.send(index, envelope),
             Output::Persist { ticket, records } => self.write(index, ticket.0, records),
@@ -358,14 +359,14 @@
         proposal: Option<ProposalTicket>,
     ) {
         let Some(process) = &mut self.members[index].process else { return };
-        let name = command_name(command);
-        process.applied.push(name);
-        process.newest_length = command.len();
+        let id = command_id(command);
+        process.applied.push(id);
+        process.newest_command_bytes = command.len();
         process.applied_bytes += command.len();
         assert_eq!(process.applied.len() as u64, sequence.0, "entries are applied in order without gaps");
-        self.checker.applied(sequence.0, name);
+        self.checker.applied(sequence.0, id);
         if let Some(ticket) = proposal {
-            self.checker.acknowledge(sequence.0, name, process.replication.epoch().0);
+            self.checker.acknowledge(sequence.0, id, process.replication.epoch().0);
             self.ends.insert(ticket.0, End::Acknowledged(self.now));
         }
     }
@@ -373,18 +374,22 @@
     fn restore(&mut self, index: usize, sequence: u64, snapshot: &[u8]) {
         let Some(process) = &mut self.members[index].process else { return };
         process.applied_bytes = 0;
-        (process.applied, process.newest_length) = read_snapshot(snapshot);
-        assert_eq!(process.applied.len() as u64, sequence, "the snapshot holds what it says");
+        (process.applied, process.newest_command_bytes) = read_snapshot(snapshot);
+        assert_eq!(
+            process.applied.len() as u64,
+            sequence,
+            "a snapshot holds all commands up to its sequence number"
+        );
     }
 
-    fn compact_when_due(&mut self, index: usize) {
+    fn compact_if_due(&mut self, index: usize) {
         let Some(process) = &mut self.members[index].process else { return };
         if process.applied_bytes < self.compact_after {
             return;
         }
         process.applied_bytes = 0;
         let sequence = process.applied.len() as u64;
-        let snapshot = write_snapshot(&process.applied, process.newest_length);
+        let snapshot = write_snapshot(&process.applied, process.newest_command_bytes);
         self.input(index, Input::Compact { sequence: SequenceNumber(sequence), snapshot });
     }
 
@@ -393,35 +398,35 @@
         let member = &mut self.members[index];
         member.disk_health.write_started(WriteTicket(ticket), bytes, self.now);
         member.pending.push_back(PendingWrite { ticket, records });
-        self.write_what_waits(index);
+        self.start_pending_write(index);
     }
 
-    /// An idle disk writes all that waits under one sync.
-    fn write_what_waits(&mut self, index: usize) {
+    /// Writes all pending records under one sync if the disk is idle.
+    fn start_pending_write(&mut self, index: usize) {
         let member = &mut self.members[index];
-        if member.writing > 0 || member.pending.is_empty() {
+        if member.syncing > 0 || member.pending.is_empty() {
             return;
         }
-        member.writing = member.pending.len();
+        member.syncing = member.pending.len();
         let records = member.pending.iter().flat_map(|write| &write.records);
         let bytes: u64 = records.map(DurableRecord::payload_bytes).sum();
-        let begin = self.now.max(member.compacts_until);
-        let due = begin + member.speed.sync + span(bytes, member.speed.bytes);
+        let start_time = self.now.max(member.compacting_until);
+        let due = start_time + member.speed.sync + transfer_time(bytes, member.speed.bytes);
         member.log_bytes += bytes;
         let incarnation = member.incarnations;
         self.schedule(due, Event::Synced { member: index, incarnation });
     }
 
-    fn sync(&mut self, index: usize) {
+    fn finish_write(&mut self, index: usize) {
         let member = &mut self.members[index];
-        let written = std::mem::take(&mut member.writing);
+        let written = std::mem::take(&mut member.syncing);
         let mut newest = None;
         for write in member.pending.drain(..written) {
             write.records.iter().for_each(|record| member.disk.apply(record));
             newest = Some(write.ticket);
         }
         member.compact_log_if_due(self.now);
-        self.write_what_waits(index);
+        self.start_pending_write(index);
         if let Some(ticket) = newest {
             self.members[index].disk_health.write_finished(WriteTicket(ticket));
             self.input(index, Input::Persisted { ticket: WriteTicket(ticket) });
@@ -438,8 +443,8 @@
         }
     }
 
-    /// Each direction of a link takes one entry or part of the data after the other. Other messages have a
-    /// connection of their own.
+    /// Entries and parts of transferred data share one connection in each direction of a link and are sent one after the
+    /// other. Other messages have a separate connection.
     fn transmit(&mut self, from: usize, envelope: Envelope) {
         let Some(to) = self.members.iter().position(|member| member.node.ip == envelope.to.ip) else {
             return;
@@ -453,12 +458,12 @@
         }
         let is_data = matches!(kind, "sync" | "append");
         let free_at = self.link_free_at.entry((from, to, is_data)).or_default();
-        *free_at = self.now.max(*free_at) + span(bytes, self.link_speed);
+        *free_at = self.now.max(*free_at) + transfer_time(bytes, self.link_speed);
         let at = *free_at + self.latency;
         self.schedule(at, Event::Arrival { from, to, envelope });
     }
 
-    /// Proposes a command of a length at a member; its ticket.
+    /// Proposes a command of this length at a member and returns its ticket.
     pub(crate) fn propose(&mut self, index: usize, length: usize) -> u64 {
         let ticket = self.next_command;
         self.next_command += 1;
@@ -469,16 +474,16 @@
         ticket
     }
 
-    /// Proposes again and again, at whoever is primary, until a command is acknowledged; how long that took.
+    /// Proposes commands at the current primary until one is acknowledged. Returns how long that took.
     pub(crate) fn acknowledge(&mut self, length: usize, limit: Duration) -> Option<Duration> {
-        let begin = self.now;
-        while self.now < begin + limit {
+        let start_time = self.now;
+        while self.now < start_time + limit {
             if let Some(primary) = self.primary() {
                 let ticket = self.propose(primary, length);
-                let left = (begin + limit).saturating_sub(self.now);
+                let left = (start_time + limit).saturating_sub(self.now);
                 self.run_while_not(left, |cluster| cluster.ends.contains_key(&ticket));
                 if let Some(End::Acknowledged(at)) = self.ends.get(&ticket) {
-                    return Some(*at - begin);
+                    return Some(*at - start_time);
                 }
             }
             self.run_for(Duration::from_millis(20));
@@ -486,12 +491,12 @@
         None
     }
 
-    /// How many views have come into force.
+    /// The number of views that have had a primary.
     pub(crate) fn views(&self) -> usize {
         self.checker.primary_count()
     }
 
-    /// What was sent of a kind.
+    /// The messages of a kind that were sent.
     pub(crate) fn sent(&self, kind: &str) -> Traffic {
         self.traffic.get(kind).copied().unwrap_or_default()
     }
@@ -505,34 +510,34 @@
 
     /// The state machine of a running member.
     pub(crate) fn replication(&self, index: usize) -> &Replication {
-        &self.members[index].process.as_ref().expect("it runs").replication
+        &self.members[index].process.as_ref().expect("the member is running").replication
     }
 
     /// The data replicas of the primary's view, the primary first.
     pub(crate) fn data_replicas(&self) -> Vec<usize> {
         let primary = self.primary().expect("there is a primary");
-        let view = self.replication(primary).view().expect("it has a view").clone();
+        let view = self.replication(primary).view().expect("the primary has a view").clone();
         let index_of = |replica: &NodeId| {
             self.members.iter().position(|member| member.node == *replica).expect("a member")
         };
         view.data_replicas.iter().map(index_of).collect()
     }
 
-    /// The power of a member is cut; it stays away.
+    /// Cuts a member's power: it loses what is not durable, and stays down until it is restarted.
     pub(crate) fn kill(&mut self, index: usize) {
         let member = &mut self.members[index];
         member.process = None;
         member.pending.clear();
         member.disk_health = DiskHealthMonitor::default();
-        member.writing = 0;
+        member.syncing = 0;
     }
 
-    /// A member starts from its disk.
+    /// Starts a member from its disk.
     pub(crate) fn restart(&mut self, index: usize) {
         self.schedule(self.now, Event::Start { member: index });
     }
 
-    /// A member's disk is lost.
+    /// Kills a member and replaces its disk by an empty one, which has another generation.
     pub(crate) fn wipe(&mut self, index: usize) {
         self.kill(index);
         let member = &mut self.members[index];
@@ -540,12 +545,12 @@
         member.node.generation.0 += 1000;
     }
 
-    /// All connections begin anew: what waits on them does not hold up what is sent from now on.
+    /// Replaces all connections, so that queued messages do not delay those that are sent from now on.
     pub(crate) fn reconnect(&mut self) {
         self.link_free_at.clear();
     }
 
-    /// Cuts a member off, or ends that.
+    /// Partitions a member from all others, or ends the partition.
     pub(crate) fn isolate(&mut self, index: usize, is_cut: bool) {
         for other in 0..self.members.len() {
             for direction in [(index, other), (other, index)] {
@@ -559,7 +564,7 @@
     }
 }
 
-fn span(bytes: u64, speed: u64) -> Duration {
+fn transfer_time(bytes: u64, speed: u64) -> Duration {
     Duration::from_micros(bytes * 1_000_000 / speed)
 }
 
@@ -574,26 +579,27 @@
     (kind, bytes as u64 + MESSAGE_OVERHEAD)
 }
 
-/// A command: its name, then filler.
-fn command(name: u64, length: usize) -> Arc<[u8]> {
+/// Encodes a command: its id, then padding.
+fn command(id: u64, length: usize) -> Arc<[u8]> {
     let mut bytes = vec![0; length.max(8)];
-    bytes[..8].copy_from_slice(&name.to_le_bytes());
+    bytes[..8].copy_from_slice(&id.to_le_bytes());
     bytes.into()
 }
 
-fn command_name(command: &[u8]) -> u64 {
-    word(command, 0)
+fn command_id(command: &[u8]) -> u64 {
+    read_u64(command, 0)
 }
 
-fn word(bytes: &[u8], index: usize) -> u64 {
-    u64::from_le_bytes(bytes[index * 8..index * 8 + 8].try_into().expect("eight bytes"))
+fn read_u64(bytes: &[u8], index: usize) -> u64 {
+    u64::from_le_bytes(bytes[index * 8..index * 8 + 8].try_into().expect("a slice of eight bytes"))
 }
 
-/// The names of all commands, and the newest one's length, as the state holds the newest configuration.
-fn write_snapshot(applied: &[u64], newest_length: usize) -> Arc<[u8]> {
+/// Encodes the ids of all commands, then padding as long as the newest command, since a real snapshot holds the newest
+/// configuration.
+fn write_snapshot(applied: &[u64], newest_command_bytes: usize) -> Arc<[u8]> {
     let mut bytes = (applied.len() as u64).to_le_bytes().to_vec();
-    applied.iter().for_each(|name| bytes.extend(name.to_le_bytes()));
-    bytes.resize(bytes.len() + newest_length, 0);
+    applied.iter().for_each(|id| bytes.extend(id.to_le_bytes()));
+    bytes.resize(bytes.len() + newest_command_bytes, 0);
     bytes.into()
 }
 
@@ -601,7 +607,7 @@
     if bytes.is_empty() {
         return (Vec::new(), 0);
     }
-    let count = word(bytes, 0) as usize;
-    let names = (1..=count).map(|index| word(bytes, index)).collect();
-    (names, bytes.len() - 8 * (count + 1))
+    let count = read_u64(bytes, 0) as usize;
+    let ids = (1..=count).map(|index| read_u64(bytes, index)).collect();
+    (ids, bytes.len() - 8 * (count + 1))
 }
--- a/crates/control-plane/tests/rollout_stand_ins/mod.rs
+++ b/crates/control-plane/tests/rollout_stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the member that a roll-out of weights is part of.
+//! Test doubles for the member that a rollout of weights runs in.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,10 +10,10 @@
 use tulipridge_protocol::feed::ModelWeights;
 use tulipridge_protocol::number::Epoch;
 
-/// The epoch has risen since the member became primary.
+/// The lease of a member that has been primary since epoch 7, and whose epoch has risen since.
 pub(crate) const LEASE: SingletonLease = SingletonLease { epoch: Epoch(9), tenure: Tenure(Epoch(7)) };
 
-/// A member that is primary.
+/// The status of a member that is primary.
 pub(crate) struct PrimaryStatus;
 
 impl LeaseStatus for PrimaryStatus {
@@ -26,7 +26,7 @@
     }
 }
 
-/// What the roll-out has delivered.
+/// Records what the rollout delivers.
 #[derive(Default)]
 pub(crate) struct Output {
     pub(crate) weights: RefCell<Vec<ModelWeights>>,
