--- a/crates/control-plane/tests/api.rs
+++ b/crates/control-plane/tests/api.rs
@@ -1,4 +1,4 @@
-//! Complete exchanges with the operator's API.
+//! Complete HTTP exchanges with the operator's API.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -21,28 +21,28 @@
 use tulipridge_protocol::number::Epoch;
 
 const PRIMARY: Standing = Standing::Primary { tenure: Tenure(Epoch(5)) };
-const OTHER: Standing = Standing::Follower { primary: Ipv4Addr::new(10, 0, 0, 7) };
+const FOLLOWER: Standing = Standing::Follower { primary: Ipv4Addr::new(10, 0, 0, 7) };
 const OPERATOR_PORT: u16 = 8683;
 
-/// A control plane that gives scripted results.
+/// A control plane with scripted results.
 #[derive(Default)]
-struct Scripted {
+struct ScriptedControlPlane {
     standing: Cell<Option<Standing>>,
     outcomes: RefCell<VecDeque<ChangeOutcome>>,
     changes: RefCell<Vec<Change>>,
     document: Option<Arc<[u8]>>,
-    /// Its standing once it was looked at so often.
-    standing_after_looks: Option<(u32, Standing)>,
-    looks: Cell<u32>,
-    /// Its standing once a document was read, where that changes meanwhile.
-    standing_after_reading: Option<Standing>,
+    /// The standing after this many queries for it.
+    standing_after_queries: Option<(u32, Standing)>,
+    standing_queries: Cell<u32>,
+    /// The standing after the document was read, if it changes during the read.
+    standing_after_document: Option<Standing>,
 }
 
-impl ControlPlane for Scripted {
+impl ControlPlane for ScriptedControlPlane {
     fn standing(&self) -> Standing {
-        self.looks.set(self.looks.get() + 1);
-        match self.standing_after_looks {
-            Some((looks, standing)) if self.looks.get() > looks => standing,
+        self.standing_queries.set(self.standing_queries.get() + 1);
+        match self.standing_after_queries {
+            Some((count, standing)) if self.standing_queries.get() > count => standing,
             _ => self.standing.get().unwrap_or(PRIMARY),
         }
     }
@@ -53,8 +53,8 @@
     }
 
     async fn document(&self) -> Option<Arc<[u8]>> {
-        if self.standing_after_reading.is_some() {
-            self.standing.set(self.standing_after_reading);
+        if self.standing_after_document.is_some() {
+            self.standing.set(self.standing_after_document);
         }
         self.document.clone()
     }
@@ -79,18 +79,18 @@
     }
 }
 
-/// Sends bytes to a new connection and reads up to its end.
-fn exchange_within(control: &Rc<Scripted>, limits: ApiLimits, sent: &[u8]) -> String {
+/// Sends bytes over a new connection and reads the response up to the connection's end.
+fn exchange_within(control: &Rc<ScriptedControlPlane>, limits: ApiLimits, sent: &[u8]) -> String {
     let executor = LocalExecutor::new();
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
     let address = listener.get_ref().local_addr().expect("it is bound");
     let api = Rc::new(Api::new(control.clone(), OPERATOR_PORT, limits));
     let call = async {
-        let mut stream = Async::<TcpStream>::connect(address).await.expect("the interface listens");
-        stream.write_all(sent).await.expect("it takes the call");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.expect("it answers in text");
-        answer.replace("\r\n", "\n")
+        let mut stream = Async::<TcpStream>::connect(address).await.expect("the API listens");
+        stream.write_all(sent).await.expect("the API reads the call");
+        let mut response = String::new();
+        stream.read_to_string(&mut response).await.expect("the response is text");
+        response.replace("\r\n", "\n")
     };
     let serving = async {
         api.serve(&executor, listener).await;
@@ -99,17 +99,20 @@
     async_io::block_on(executor.run(futures_lite::future::or(call, serving)))
 }
 
-fn exchange(control: &Rc<Scripted>, sent: &str) -> String {
+fn exchange(control: &Rc<ScriptedControlPlane>, sent: &str) -> String {
     let limits = ApiLimits { primary_timeout: Duration::ZERO, ..ApiLimits::default() };
     exchange_within(control, limits, sent.replace('\n', "\r\n").as_bytes())
 }
 
-fn control(outcome: ChangeOutcome) -> Rc<Scripted> {
-    Rc::new(Scripted { outcomes: RefCell::new([outcome].into()), ..Scripted::default() })
+fn control(outcome: ChangeOutcome) -> Rc<ScriptedControlPlane> {
+    Rc::new(ScriptedControlPlane {
+        outcomes: RefCell::new([outcome].into()),
+        ..ScriptedControlPlane::default()
+    })
 }
 
-fn at(standing: Standing) -> Rc<Scripted> {
-    Rc::new(Scripted { standing: Cell::new(Some(standing)), ..Scripted::default() })
+fn at(standing: Standing) -> Rc<ScriptedControlPlane> {
+    Rc::new(ScriptedControlPlane { standing: Cell::new(Some(standing)), ..ScriptedControlPlane::default() })
 }
 
 const PUT: &str = "PUT /settings HTTP/1.1
@@ -165,7 +168,7 @@
 }
 
 #[test]
-fn a_change_on_top_of_another_version_is_refused() {
+fn a_change_based_on_another_version_is_refused() {
     assert_snapshot!(exchange(&control(ChangeOutcome::Stale { current: Revision(6) }), PUT), @r#"
     HTTP/1.1 412 Precondition Failed
     Content-Type: application/json
@@ -177,7 +180,7 @@
 }
 
 #[test]
-fn findings_are_passed_on() {
+fn findings_are_returned_to_the_caller() {
     let report = r#"{"problem":"the configuration is invalid","count":1}"#;
     assert_snapshot!(exchange(&control(ChangeOutcome::Invalid { report: report.into() }), PUT), @r#"
     HTTP/1.1 400 Bad Request
@@ -202,8 +205,8 @@
 }
 
 #[test]
-fn a_follower_names_the_primary() {
-    let control = at(OTHER);
+fn a_follower_redirects_to_the_primary() {
+    let control = at(FOLLOWER);
     assert_snapshot!(exchange(&control, PUT), @r#"
     HTTP/1.1 307 Temporary Redirect
     Location: http://10.0.0.7:8683/settings
@@ -218,34 +221,38 @@
 
 #[rstest]
 #[case::change(PUT)]
-#[case::reading(GET)]
+#[case::read(GET)]
 fn without_a_primary_the_caller_is_asked_to_retry(#[case] sent: &str) {
-    let answer = exchange(&at(Standing::Unknown), sent);
-    assert!(answer.starts_with("HTTP/1.1 503 Service Unavailable\nRetry-After: 0.2\n"), "{answer}");
+    let response = exchange(&at(Standing::Unknown), sent);
+    assert!(response.starts_with("HTTP/1.1 503 Service Unavailable\nRetry-After: 0.2\n"), "{response}");
 }
 
-/// A call that comes between two primaries waits for the next one and is sent there, or answered.
+/// A call that arrives while there is no primary waits for the next one, and is redirected to it or gets its response.
 #[rstest]
-#[case::another_member(OTHER, "HTTP/1.1 307 Temporary Redirect\nLocation: http://10.0.0.7:8683/settings\n")]
+#[case::another_member(
+    FOLLOWER,
+    "HTTP/1.1 307 Temporary Redirect\nLocation: http://10.0.0.7:8683/settings\n"
+)]
 #[case::this_member(PRIMARY, "HTTP/1.1 404 Not Found\n")]
 fn a_call_waits_for_the_next_primary(#[case] next: Standing, #[case] expected: &str) {
-    let control = Scripted { standing_after_looks: Some((3, next)), ..Scripted::default() };
+    let control =
+        ScriptedControlPlane { standing_after_queries: Some((3, next)), ..ScriptedControlPlane::default() };
     control.standing.set(Some(Standing::Unknown));
     let limits = ApiLimits { primary_timeout: Duration::from_secs(5), ..ApiLimits::default() };
-    let answer = exchange_within(&Rc::new(control), limits, GET.replace('\n', "\r\n").as_bytes());
-    assert!(answer.starts_with(expected), "{answer}");
+    let response = exchange_within(&Rc::new(control), limits, GET.replace('\n', "\r\n").as_bytes());
+    assert!(response.starts_with(expected), "{response}");
 }
 
 #[test]
-fn the_primary_may_change_while_a_call_waits() {
-    let answer = exchange(&control(ChangeOutcome::NotPrimary), PUT);
-    assert!(answer.starts_with("HTTP/1.1 503 Service Unavailable\nRetry-After: 0.2\n"), "{answer}");
+fn a_call_is_retryable_if_the_primary_changes_while_it_waits() {
+    let response = exchange(&control(ChangeOutcome::NotPrimary), PUT);
+    assert!(response.starts_with("HTTP/1.1 503 Service Unavailable\nRetry-After: 0.2\n"), "{response}");
 }
 
 #[test]
-fn the_document_is_returned_as_it_was_sent() {
+fn the_document_is_returned_byte_for_byte() {
     let document = Some(br#"{"revision":7,  "routes":[]}"#.as_slice().into());
-    let control = Rc::new(Scripted { document, ..Scripted::default() });
+    let control = Rc::new(ScriptedControlPlane { document, ..ScriptedControlPlane::default() });
     assert_snapshot!(exchange(&control, GET), @r#"
     HTTP/1.1 200 OK
     Content-Type: application/json
@@ -257,24 +264,28 @@
 }
 
 #[rstest]
-#[case::another_primary(OTHER)]
+#[case::another_primary(FOLLOWER)]
 #[case::no_lease(Standing::Unknown)]
-#[case::another_primary_between(Standing::Primary { tenure: Tenure(Epoch(9)) })]
+#[case::another_tenure(Standing::Primary { tenure: Tenure(Epoch(9)) })]
 fn a_document_that_may_be_old_is_not_returned(#[case] standing: Standing) {
     let document = Some(br#"{"revision":7}"#.as_slice().into());
-    let standing_after_reading = Some(standing);
-    let control = Rc::new(Scripted { document, standing_after_reading, ..Scripted::default() });
-    let answer = exchange(&control, GET);
-    assert!(answer.starts_with("HTTP/1.1 503 Service Unavailable\nRetry-After: 0.2\n"), "{answer}");
+    let standing_after_document = Some(standing);
+    let control = Rc::new(ScriptedControlPlane {
+        document,
+        standing_after_document,
+        ..ScriptedControlPlane::default()
+    });
+    let response = exchange(&control, GET);
+    assert!(response.starts_with("HTTP/1.1 503 Service Unavailable\nRetry-After: 0.2\n"), "{response}");
 }
 
 #[test]
-fn there_is_no_document_before_the_first_one() {
+fn without_a_document_the_status_is_404() {
     assert!(exchange(&at(PRIMARY), GET).starts_with("HTTP/1.1 404 Not Found"));
 }
 
 #[test]
-fn weights_are_named() {
+fn a_target_revision_is_set() {
     let control = control(ChangeOutcome::Committed);
     let sent = "POST /version-put HTTP/1.1
 Host: x
@@ -290,27 +301,30 @@
 #[rstest]
 #[case::unknown_path("GET /nothing HTTP/1.1\nHost: x\nConnection: close\n\n", 404)]
 #[case::unknown_method("DELETE /settings HTTP/1.1\nHost: x\nConnection: close\n\n", 405)]
-#[case::bad_base("PUT /settings HTTP/1.1\nHost: x\nIf-Match: *\nConnection: close\n\n", 400)]
-#[case::bad_weights("POST /version-put HTTP/1.1\nHost: x\nContent-Length: 2\nConnection: close\n\n{}", 400)]
+#[case::invalid_if_match("PUT /settings HTTP/1.1\nHost: x\nIf-Match: *\nConnection: close\n\n", 400)]
+#[case::invalid_target_revision(
+    "POST /version-put HTTP/1.1\nHost: x\nContent-Length: 2\nConnection: close\n\n{}",
+    400
+)]
 #[case::no_request("hello\n\n", 400)]
 #[case::too_large("PUT /settings HTTP/1.1\nHost: x\nContent-Length: 99999999\n\n", 413)]
 #[case::two_lengths("PUT /settings HTTP/1.1\nHost: x\nContent-Length: 1\nContent-Length: 2\n\n", 400)]
-fn invalid_requests_are_refused(#[case] sent: &str, #[case] status: u16) {
-    let answer = exchange(&at(PRIMARY), sent);
-    assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
+fn invalid_requests_are_rejected(#[case] sent: &str, #[case] status: u16) {
+    let response = exchange(&at(PRIMARY), sent);
+    assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{response}");
 }
 
 #[test]
 fn several_calls_share_a_connection() {
     let first = "GET /status HTTP/1.1\nHost: x\n\n";
-    let answer = exchange(&at(OTHER), &format!("{first}{GET}"));
-    let statuses: Vec<&str> = answer.split("HTTP/1.1 ").skip(1).map(|answer| &answer[..3]).collect();
+    let response = exchange(&at(FOLLOWER), &format!("{first}{GET}"));
+    let statuses: Vec<&str> = response.split("HTTP/1.1 ").skip(1).map(|response| &response[..3]).collect();
     assert_eq!(statuses, ["200", "307"]);
 }
 
 #[test]
 fn every_member_reports_its_status() {
-    assert_snapshot!(exchange(&at(OTHER), "GET /status HTTP/1.1\nHost: x\nConnection: close\n\n"), @r#"
+    assert_snapshot!(exchange(&at(FOLLOWER), "GET /status HTTP/1.1\nHost: x\nConnection: close\n\n"), @r#"
     HTTP/1.1 200 OK
     Content-Type: application/json
     Content-Length: 329
--- a/crates/control-plane/tests/rollout_random.rs
+++ b/crates/control-plane/tests/rollout_random.rs
@@ -1,6 +1,6 @@
-//! Random histories of a roll-out, in virtual time: announcements in quick succession, long queues, replicas that refuse,
-//! are unreachable, crash, return and leave, and primaries that succeed one another. No request begins on weights whose
-//! term has passed.
+//! Random histories of a rollout, in virtual time: frequent announcements, long queues, replicas that refuse, are
+//! unreachable, crash, restart and leave, and changes of the primary. No request may begin on weights whose term has
+//! passed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,28 +14,30 @@
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Replica, ReplicaPhase};
 use tulipridge_runtime::settings::RevisionTerm;
 
+/// Time from the announcement of a revision after which no request may begin on older weights.
 const TERM: Duration = Duration::from_secs(12);
-const LEASE: Duration = Duration::from_secs(3);
+const LEASE_TERM: Duration = Duration::from_secs(3);
 const STEP: Duration = Duration::from_millis(25);
-/// Time until proxies have what the primary delivers.
-const DELIVERY: Duration = Duration::from_millis(75);
-/// The same where links are congested.
-const LATE_DELIVERY: Duration = Duration::from_millis(500);
+/// Delay until proxies have what the primary delivers.
+const DELIVERY_DELAY: Duration = Duration::from_millis(75);
+/// The same delay over congested links.
+const CONGESTED_DELIVERY_DELAY: Duration = Duration::from_millis(500);
+/// Length of a history.
 const LENGTH: Duration = Duration::from_secs(45);
 const REPLICAS: usize = 12;
 const MAX_QUEUE_TIME_MS: u64 = 9_000;
 const MODEL: &str = "m";
 
-/// A mechanism that a history leaves out.
+/// The mechanisms that are disabled in a history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Without {
+struct Disabled {
     /// Proxies do not cancel queued requests.
     cancellation: bool,
-    /// A successor takes all announcements to be new.
+    /// A new primary assumes that all announcements are new.
     ages: bool,
 }
 
-/// A load that ends at a time.
+/// A load that is in progress.
 #[derive(Clone, Copy)]
 struct RunningLoad {
     revision: u64,
@@ -48,7 +50,7 @@
     /// When each queued request begins, unless it is cancelled or rejected first.
     queue: Vec<Duration>,
     load: Option<RunningLoad>,
-    /// Commands are lost until then.
+    /// Calls to the replica are lost until then.
     unreachable_until: Duration,
     leaves_at: Option<Duration>,
 }
@@ -79,7 +81,7 @@
     }
 }
 
-/// What is delivered to proxies.
+/// What the primary delivers to proxies.
 #[derive(Clone, Debug, Default)]
 struct Table {
     least: u64,
@@ -101,14 +103,14 @@
 
 struct History {
     random: Rng,
-    without: Without,
-    delivery: Duration,
+    disabled: Disabled,
+    delivery_delay: Duration,
     now: Duration,
     replicas: Vec<SimulatedReplica>,
     created: usize,
     planner: Planner,
-    times: AnnouncementTimes,
-    /// No primary acts before this.
+    announcement_times: AnnouncementTimes,
+    /// There is no primary before this time.
     vacant_until: Duration,
     announced: BTreeMap<u64, Duration>,
     in_flight: VecDeque<Delivery>,
@@ -122,19 +124,19 @@
 }
 
 impl History {
-    fn new(seed: u64, without: Without, delivery: Duration) -> History {
+    fn new(seed: u64, disabled: Disabled, delivery_delay: Duration) -> History {
         let now = Duration::from_secs(10);
-        let mut times = AnnouncementTimes::new(Duration::ZERO);
-        times.advance(now, true);
+        let mut announcement_times = AnnouncementTimes::new(Duration::ZERO);
+        announcement_times.advance(now, true);
         History {
             random: Rng::with_seed(seed),
-            without,
-            delivery,
+            disabled,
+            delivery_delay,
             now,
             replicas: (0..REPLICAS).map(|number| SimulatedReplica::new(number, 1)).collect(),
             created: REPLICAS,
             planner: planner(now, Duration::ZERO),
-            times,
+            announcement_times,
             vacant_until: Duration::ZERO,
             announced: BTreeMap::new(),
             in_flight: VecDeque::new(),
@@ -158,9 +160,9 @@
         self.violations
     }
 
-    /// Draws whether an event happens in this step that happens once in so many seconds on average.
-    fn happens_every(&mut self, seconds: f64) -> bool {
-        self.random.f64() < STEP.as_secs_f64() / seconds
+    /// Draws whether an event happens in this step, given the mean time between such events.
+    fn happens_every(&mut self, mean_seconds: f64) -> bool {
+        self.random.f64() < STEP.as_secs_f64() / mean_seconds
     }
 
     fn millis(&mut self, range: std::ops::Range<u64>) -> Duration {
@@ -171,7 +173,7 @@
         if self.happens_every(4.0) && self.announced.len() < 6 {
             let revision = 2 + self.announced.len() as u64;
             self.announced.insert(revision, self.now);
-            self.times.record(MODEL, WeightsRevision(revision));
+            self.announcement_times.record(MODEL, WeightsRevision(revision));
         }
     }
 
@@ -206,10 +208,10 @@
             least: WeightsRevision(self.table.least),
             expired: WeightsRevision(self.table.expired),
         };
-        self.planner = planner(self.vacant_until, LEASE);
+        self.planner = planner(self.vacant_until, LEASE_TERM);
         self.planner.inherit(&[delivered]);
-        for announced in self.times.announcements() {
-            let age = if self.without.ages { Duration::ZERO } else { announced.age };
+        for announced in self.announcement_times.announcements() {
+            let age = if self.disabled.ages { Duration::ZERO } else { announced.age };
             self.planner.announce(Announcement { age, ..announced }, self.vacant_until);
         }
     }
@@ -220,25 +222,25 @@
 
     fn step_primary(&mut self) {
         let has_primary = self.now >= self.vacant_until;
-        self.times.advance(self.now, has_primary);
+        self.announcement_times.advance(self.now, has_primary);
         if !has_primary {
             return;
         }
-        for announced in self.times.announcements() {
+        for announced in self.announcement_times.announcements() {
             self.planner.announce(announced, self.now);
         }
         self.planner.set_replicas(self.replicas.iter().map(|replica| &replica.listed), self.now);
         for action in self.planner.step(self.now) {
-            self.act(action);
+            self.perform(action);
         }
         let weights = self.planner.weights().pop();
         let (least, expired) = weights.map_or((0, 0), |weights| (weights.least.0, weights.expired.0));
         let loading = self.planner.corrections().loading.into_iter().collect();
         let table = Table { least, expired, loading };
-        self.in_flight.push_back(Delivery { due_at: self.now + self.delivery, table });
+        self.in_flight.push_back(Delivery { due_at: self.now + self.delivery_delay, table });
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         let load_time = self.millis(400..2_500);
         match action {
             Action::SendCommand { replica, weights } => {
@@ -285,7 +287,7 @@
         }
     }
 
-    /// Sends requests to replicas that may receive them, and cancels those that must not begin.
+    /// Sends requests to replicas that may receive them, and cancels queued requests that must not begin any more.
     fn step_proxies(&mut self) {
         let term = RevisionTerm::new(TERM);
         for index in 0..self.replicas.len() {
@@ -300,11 +302,11 @@
                 self.replicas[index].queue.push(begins);
             }
             let expiry = self.expiries.iter().find(|expiry| expiry.revision > revision);
-            let seen_at = |revision| self.announced.get(revision).map(|at| *at + self.delivery);
+            let seen_at = |revision| self.announced.get(revision).map(|at| *at + self.delivery_delay);
             let is_over = expiry.is_some_and(|expiry| {
                 self.now >= term.cancel_at(seen_at(&expiry.revision), expiry.known_since)
             });
-            if is_over && !self.without.cancellation {
+            if is_over && !self.disabled.cancellation {
                 self.replicas[index].queue.clear();
             }
         }
@@ -332,18 +334,18 @@
     }
 }
 
-/// A history in which a request began too late.
+/// A history in which a request began on weights whose term had passed.
 #[derive(Debug, PartialEq, Eq)]
 struct Violation {
     seed: u64,
-    first: String,
+    first_violation: String,
 }
 
-/// The histories of these seeds in which a request began too late.
-fn violations(seeds: std::ops::Range<u64>, without: Without, delivery: Duration) -> Vec<Violation> {
+/// The violations among the histories of these seeds.
+fn violations(seeds: std::ops::Range<u64>, disabled: Disabled, delivery_delay: Duration) -> Vec<Violation> {
     let violation = |seed| {
-        let first = History::new(seed, without, delivery).run().into_iter().next()?;
-        Some(Violation { seed, first })
+        let first_violation = History::new(seed, disabled, delivery_delay).run().into_iter().next()?;
+        Some(Violation { seed, first_violation })
     };
     seeds.filter_map(violation).collect()
 }
@@ -351,14 +353,14 @@
 #[rstest]
 fn no_request_begins_on_weights_whose_term_has_passed(
     #[values(0, 1, 2, 3)] batch: u64,
-    #[values(DELIVERY, LATE_DELIVERY)] delivery: Duration,
+    #[values(DELIVERY_DELAY, CONGESTED_DELIVERY_DELAY)] delivery_delay: Duration,
 ) {
-    assert_eq!(violations(batch * 100..batch * 100 + 100, Without::default(), delivery), []);
+    assert_eq!(violations(batch * 100..batch * 100 + 100, Disabled::default(), delivery_delay), []);
 }
 
 #[rstest]
-#[case::without_cancellation(Without { cancellation: true, ..Without::default() })]
-#[case::without_ages(Without { ages: true, ..Without::default() })]
-fn a_left_out_mechanism_is_detected(#[case] without: Without) {
-    assert!(!violations(0..100, without, DELIVERY).is_empty());
+#[case::without_cancellation(Disabled { cancellation: true, ..Disabled::default() })]
+#[case::without_ages(Disabled { ages: true, ..Disabled::default() })]
+fn a_disabled_mechanism_is_detected(#[case] disabled: Disabled) {
+    assert!(!violations(0..100, disabled, DELIVERY_DELAY).is_empty());
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,7 +1,7 @@
-//! What a member keeps on disk, against the bytes that an earlier version wrote (`tests/data/README.md`).
+//! Compatibility of a member's data on disk with the bytes that an earlier version wrote (`tests/data/README.md`).
 //!
-//! A value is encoded by position: types, fields and variants may be renamed here and in the sources, the bytes
-//! stay. Neighbouring fields of one type have different values, so that an exchange of two of them is found.
+//! Values are encoded by position: renaming types, fields and variants does not change the bytes. Adjacent fields of the
+//! same type have different values, so that a swap of two of them is detected.
 
 #[path = "../../../tests/support/stored_data.rs"]
 mod stored_data;
@@ -27,18 +27,18 @@
 use tulipridge_protocol::replication::{Entry, TransferId, View};
 use tulipridge_write_ahead_log::FileSystemDirectory;
 
-/// The first configuration; the same text at all times.
+/// The first configuration. The stored bytes contain this text, so it must not change.
 const CONFIGURATION: &str = r#"{"revision":7,"routes":[{"label":"r-first","hostname":"shop.example","pathStart":"/cart/","sort":"stream","timeLimitMs":8000,"targetMs":400,"rank":1,"backend":"alpha","tries":2}],"backends":[{"label":"alpha","checkPath":"/alive","connLimit":630}]}"#;
-/// A change of named items.
+/// A patch of named items.
 const PATCH: &str = r#"{"revision":300,"upsert":{"backends":[{"label":"beta"}]}}"#;
-/// The disk of a member that was there from the first start and became primary.
+/// The stored directory of a member that existed from the first start and became primary.
 const PRIMARY: &str = "state-primary";
-/// The disk of a member that joined later, got its data from a primary, and has compacted it.
+/// The stored directory of a member that joined later, received its data from a primary, and has compacted its log.
 const BACKUP: &str = "state-backup";
 /// The generation of the backup's disk.
 const GENERATION: u64 = 0xfeed_0000_0001;
 
-/// The agreed state after each of its commands.
+/// A sequence of commands, and the replicated state after each of them.
 struct History {
     commands: Vec<Arc<[u8]>>,
     states: Vec<State>,
@@ -61,18 +61,20 @@
 
     fn apply(&mut self, change: &Change) {
         let mut state = self.states.last().cloned().unwrap_or_default();
-        let Decision::Accept(accepted) = state.decide(change) else { panic!("not accepted: {change:?}") };
+        let Decision::Accept(accepted) = state.decide(change) else {
+            panic!("the change was not accepted: {change:?}")
+        };
         self.commands.push(accepted.command.clone());
-        state.apply_accepted(*accepted).expect("it builds on the newest state");
+        state.apply_accepted(*accepted).expect("the command is based on the newest state");
         self.states.push(state);
     }
 
-    /// The entry with a number, from 1.
+    /// The entry with a sequence number; the first one has 1.
     fn entry(&self, sequence: u64) -> Entry {
         Entry { sequence: SequenceNumber(sequence), command: self.commands[sequence as usize - 1].clone() }
     }
 
-    /// The encoded state after an entry.
+    /// The snapshot of the state after an entry.
     fn snapshot(&self, sequence: u64) -> Arc<[u8]> {
         self.states[sequence as usize - 1].snapshot().into()
     }
@@ -91,7 +93,7 @@
         Case::new("configure-patch", command(2)),
     ];
     for case in &cases {
-        // A new variant needs a case above.
+        // Fails to compile when a variant is added, which then needs a case above.
         match &case.value {
             Command::Configure(_) | Command::SetTargetRevision { .. } => {}
         }
@@ -101,7 +103,7 @@
 }
 
 #[test]
-fn snapshots_of_the_agreed_state_keep_their_bytes() {
+fn snapshots_of_the_state_keep_their_bytes() {
     let history = History::of_all_kinds_of_changes();
     let cases = [
         Case::new("empty", State::default()),
@@ -134,7 +136,7 @@
         ),
     ];
     for case in &cases {
-        // A new variant needs a case above.
+        // Fails to compile when a variant is added, which then needs a case above.
         match &case.value {
             DurableRecord::Promised(_)
             | DurableRecord::View(_)
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn the_image_of_a_disk_keeps_its_bytes() {
+fn disk_images_keep_their_bytes() {
     let state = durable_state();
     let empty = DiskImage { generation: Generation(5), state: DurableState::default() };
     let cases =
@@ -157,7 +159,7 @@
 }
 
 #[test]
-fn transferred_data_keeps_its_bytes_and_its_name() {
+fn transferred_data_keeps_its_bytes_and_its_id() {
     let state = durable_state();
     let encoded = EncodedData::of(&state);
     let id = encoded.id();
@@ -180,7 +182,7 @@
 }
 
 #[test]
-fn the_directory_of_a_primary_is_read() {
+fn the_stored_directory_of_a_primary_is_readable() {
     let history = History::of_all_kinds_of_changes();
     let image = open_copy_of(PRIMARY);
     let expected = DurableState {
@@ -192,11 +194,11 @@
         entries: vec![history.entry(3), history.entry(4)],
     };
     assert_eq!(image, DiskImage { generation: Generation(0), state: expected });
-    assert_eq!(agreed_state(&image.state), history.states[3]);
+    assert_eq!(replicated_state(&image.state), history.states[3]);
 }
 
 #[test]
-fn the_directory_of_a_backup_is_read() {
+fn the_stored_directory_of_a_backup_is_readable() {
     let history = History::of_all_kinds_of_changes();
     let image = open_copy_of(BACKUP);
     let expected = DurableState {
@@ -208,18 +210,18 @@
         entries: vec![history.entry(4)],
     };
     assert_eq!(image, DiskImage { generation: Generation(GENERATION), state: expected });
-    assert_eq!(agreed_state(&image.state), history.states[3]);
+    assert_eq!(replicated_state(&image.state), history.states[3]);
 }
 
 #[test]
-fn the_directory_of_a_primary_is_written_to_the_stored_bytes() {
+fn a_primary_writes_the_bytes_of_the_stored_directory() {
     let directory = scratch_directory("stored-state-primary-written");
     write_primary(&directory);
     check_stored_directory(PRIMARY, &directory);
 }
 
 #[test]
-fn the_directory_of_a_backup_is_written_to_the_stored_bytes() {
+fn a_backup_writes_the_bytes_of_the_stored_directory() {
     let directory = scratch_directory("stored-state-backup-written");
     write_backup(&directory);
     check_stored_directory(BACKUP, &directory);
@@ -230,7 +232,7 @@
     let directory = scratch_directory("stored-state-start");
     copy_stored_directory(PRIMARY, &directory);
     let opened = OpenedDisk::open(&directory, Boot::Later).expect("a stored directory");
-    assert!(!opened.is_fresh, "a directory with data was taken for an empty one");
+    assert!(!opened.is_fresh, "a directory with data must not be recognized as empty");
     assert_eq!(opened.image.generation, Generation(0));
     assert_eq!(opened.image.state.data.sequence, SequenceNumber(4));
 }
@@ -288,11 +290,11 @@
     log.append(&records).expect("there is room");
 }
 
-/// The state that a member has after its snapshot and the entries that follow it.
-fn agreed_state(durable: &DurableState) -> State {
+/// The state after a snapshot and the entries that follow it.
+fn replicated_state(durable: &DurableState) -> State {
     let mut state = State::restore(&durable.snapshot).expect("a snapshot");
     for entry in &durable.entries {
-        state.apply(&entry.command).expect("a command that builds on the one before");
+        state.apply(&entry.command).expect("a command based on the one before");
     }
     state
 }
@@ -301,8 +303,8 @@
 where
     T: Debug + PartialEq + Encode<Binary> + for<'de> Decode<'de, Binary, Global>,
 {
-    let encode = |value: &T| frame::encode(value).expect("it is encoded");
-    let decode = |stored: &[u8]| frame::decode(stored).expect("it is read");
+    let encode = |value: &T| frame::encode(value).expect("the value can be encoded");
+    let decode = |stored: &[u8]| frame::decode(stored).expect("the stored bytes can be decoded");
     check_stored(file, cases, encode, decode);
 }
 
