--- a/crates/control-plane/tests/announcement_times.rs
+++ b/crates/control-plane/tests/announcement_times.rs
@@ -1,4 +1,4 @@
-//! The age of announced target revisions, as a member that may become primary measures it.
+//! The age of announced target revisions, as measured by every member that may become primary.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use tulipridge_control_plane::rollout::AnnouncementTimes;
 
 const START: Duration = Duration::from_secs(100);
-/// A member that has followed for so long sees new announcements at once.
+/// By this time a member has followed for long enough that it sees new announcements at once.
 const CAUGHT_UP: Duration = Duration::from_secs(102);
 
 fn secs(count: u64) -> Duration {
@@ -20,7 +20,7 @@
     times
 }
 
-/// The same, which first saw one revision 5 s ago and another 2 s ago.
+/// A member that has caught up, and saw one revision first 5 s ago and two others 2 s ago.
 fn with_two_announcements() -> AnnouncementTimes {
     let mut times = caught_up();
     times.record("m", WeightsRevision(2));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_announcement_has_an_age_of_its_own() {
+fn each_announcement_has_its_own_age() {
     let times = with_two_announcements();
     assert_eq!(times.age("m", WeightsRevision(2)), Some(secs(5)));
     assert_eq!(times.age("m", WeightsRevision(3)), Some(secs(2)));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn of_time_without_a_primary_only_the_first_second_counts() {
+fn at_most_a_second_without_a_primary_counts_towards_the_age() {
     let mut times = caught_up();
     times.record("m", WeightsRevision(2));
     times.advance(CAUGHT_UP + secs(1), true);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_short_time_without_a_primary_counts() {
+fn a_short_time_without_a_primary_counts_towards_the_age() {
     let mut times = caught_up();
     times.record("m", WeightsRevision(2));
     for step in 1..=4 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_target_that_is_seen_right_after_the_start_is_assumed_to_be_older() {
+fn a_target_seen_right_after_the_start_is_assumed_to_be_older() {
     let mut times = AnnouncementTimes::new(START);
     times.advance(START + secs(1), true);
     times.record("m", WeightsRevision(2));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_target_that_is_seen_before_any_primary_is_known_is_assumed_to_be_older() {
+fn a_target_seen_before_any_primary_is_assumed_to_be_older() {
     let mut times = AnnouncementTimes::new(START);
     times.advance(START + secs(30), false);
     times.record("m", WeightsRevision(2));
--- a/crates/control-plane/tests/api.rs
+++ b/crates/control-plane/tests/api.rs
@@ -83,7 +83,7 @@
 fn exchange_within(control: &Rc<ScriptedControlPlane>, limits: ApiLimits, sent: &[u8]) -> String {
     let executor = LocalExecutor::new();
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
-    let address = listener.get_ref().local_addr().expect("it is bound");
+    let address = listener.get_ref().local_addr().expect("the listener is bound");
     let api = Rc::new(Api::new(control.clone(), OPERATOR_PORT, limits));
     let call = async {
         let mut stream = Async::<TcpStream>::connect(address).await.expect("the API listens");
@@ -227,7 +227,8 @@
     assert!(response.starts_with("HTTP/1.1 503 Service Unavailable\nRetry-After: 0.2\n"), "{response}");
 }
 
-/// A call that arrives while there is no primary waits for the next one, and is redirected to it or gets its response.
+/// A call that arrives while there is no primary waits for the next one, and is redirected to it or gets its
+/// response.
 #[rstest]
 #[case::another_member(
     FOLLOWER,
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -252,8 +252,8 @@
     let _ = SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
 }
 
-/// Makes two calls, the first of which ends as given. Returns what the caller knows of it and whether its connection was
-/// reused.
+/// Makes two calls, the first of which ends as given. Returns what the caller knows of it and whether its
+/// connection was reused.
 fn call_twice(outcome: Outcome) -> (CallResult, Connection) {
     let executor = LocalExecutor::new();
     let (listener, address) = listen();
--- a/crates/control-plane/tests/change.rs
+++ b/crates/control-plane/tests/change.rs
@@ -1,4 +1,4 @@
-//! Outcomes of an operator's change, by who is primary before and after it was decided on.
+//! Outcomes of an operator's change, depending on which member is primary before and after the decision.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,13 +15,13 @@
 const TENURE: Tenure = Tenure(Epoch(7));
 const NEXT_TENURE: Tenure = Tenure(Epoch(8));
 
-/// A member with a state of its own, whose leadership and proposals are scripted.
+/// A member with its own state, whose tenures and proposals are scripted.
 #[derive(Default)]
 struct Authority {
     state: RefCell<State>,
-    /// Its tenures, call by call; the last one stays.
+    /// The results of consecutive calls of `tenure`; the last one repeats.
     tenures: RefCell<VecDeque<Option<Tenure>>>,
-    /// Outcomes of proposals; without one, a proposal is applied.
+    /// The outcomes of consecutive proposals; further proposals are applied.
     outcomes: RefCell<VecDeque<ProposalOutcome>>,
     /// A command that is committed before the first proposal.
     earlier: RefCell<Option<Arc<[u8]>>>,
@@ -48,7 +48,7 @@
 fn accepted(state: &State, change: &Change) -> Arc<[u8]> {
     match state.decide(change) {
         Decision::Accept(accepted) => accepted.command,
-        other => panic!("it is accepted: {other:?}"),
+        other => panic!("the change was not accepted: {other:?}"),
     }
 }
 
@@ -85,10 +85,10 @@
     Change::SetTargetRevision { model: "m".to_owned(), revision: WeightsRevision(revision) }
 }
 
-/// Changes that get each of the decisions at a member with configuration 3 and weights 5.
+/// One change for each kind of decision, at a member with configuration 3 and weights 5.
 #[rstest]
 #[case::accept(put(3, 4), ChangeOutcome::Committed)]
-#[case::already_taken(put(0, 3), ChangeOutcome::Committed)]
+#[case::already_accepted(put(0, 3), ChangeOutcome::Committed)]
 #[case::stale(put(2, 9), ChangeOutcome::Stale { current: Revision(3) })]
 #[case::old_weights(weights(4), ChangeOutcome::OldWeights { newest: WeightsRevision(5) })]
 fn only_a_member_that_was_primary_throughout_responds(
@@ -119,8 +119,9 @@
     assert_eq!(deposed.carry_out(invalid()), ChangeOutcome::NotPrimary);
 }
 
-/// Another command is committed before that of a change. If it is of the same change, that is recognized when the second
-/// one is applied; otherwise the change is decided on once more, by the newer state.
+/// Another command is committed before the command of a change. If both are commands of the same change, the second
+/// one is recognized as a repeat when it is applied; otherwise the change is decided on again, with the newer
+/// state.
 #[rstest]
 #[case::the_same_change(put(0, 3), ChangeOutcome::Committed, 1)]
 #[case::another_change(put(0, 2), ChangeOutcome::Stale { current: Revision(2) }, 2)]
@@ -136,11 +137,11 @@
 }
 
 #[rstest]
-#[case::never_begun(ProposalOutcome::NotReplicated, ChangeOutcome::NotPrimary)]
-#[case::no_answer(ProposalOutcome::Unknown, ChangeOutcome::Unknown)]
-#[case::superseded_again_and_again(ProposalOutcome::Applied(Applied::Superseded), ChangeOutcome::Unknown)]
-fn an_uncommitted_change_is_not_refused(#[case] end: ProposalOutcome, #[case] expected: ChangeOutcome) {
+#[case::not_replicated(ProposalOutcome::NotReplicated, ChangeOutcome::NotPrimary)]
+#[case::unknown(ProposalOutcome::Unknown, ChangeOutcome::Unknown)]
+#[case::always_superseded(ProposalOutcome::Applied(Applied::Superseded), ChangeOutcome::Unknown)]
+fn an_uncommitted_change_is_not_refused(#[case] outcome: ProposalOutcome, #[case] expected: ChangeOutcome) {
     let authority = Authority::with_tenures(&[Some(TENURE)]);
-    authority.outcomes.borrow_mut().extend([end; 3]);
+    authority.outcomes.borrow_mut().extend([outcome; 3]);
     assert_eq!(authority.carry_out(put(0, 3)), expected);
 }
--- a/crates/control-plane/tests/delivery.rs
+++ b/crates/control-plane/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! The feed of one member.
+//! The fleet that a member's feed hands over to a new tenure.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
--- a/crates/control-plane/tests/discovery.rs
+++ b/crates/control-plane/tests/discovery.rs
@@ -54,9 +54,9 @@
 #[rstest]
 #[case::unknown_phase(ENTRY.replace("ready", "asleep"))]
 #[case::no_id(ENTRY.replace("ident", "name"))]
-#[case::name_for_address(ENTRY.replace("10.128.0.9:8080", "host:8080"))]
-#[case::no_object("17".to_owned())]
-fn a_malformed_entry_is_set_aside(#[case] entry: String) {
+#[case::host_name_for_address(ENTRY.replace("10.128.0.9:8080", "host:8080"))]
+#[case::not_an_object("17".to_owned())]
+fn a_malformed_entry_is_returned_separately(#[case] entry: String) {
     let page =
         Page::parse(page(&format!("{entry},{ENTRY}"), "null").as_bytes()).expect("the page is complete");
     assert_eq!(page.replicas.len(), 1);
@@ -103,11 +103,11 @@
     assert_eq!(schedule.next_poll(ms(0), ms(12_000), PollOutcome::Changed), ms(12_000) + interval);
 }
 
-// ---- complete polls------------------------------------------------------------------------------------------
+// ---- complete polls -----------------------------------------------------------------------------------------
 
 const LEASE: SingletonLease = SingletonLease { epoch: Epoch(9), tenure: Tenure(Epoch(7)) };
 
-/// A member that is primary.
+/// The status of a member that is primary.
 struct PrimaryStatus;
 
 impl LeaseStatus for PrimaryStatus {
@@ -120,19 +120,19 @@
     }
 }
 
-/// What a poll has shown.
+/// The result of a poll.
 struct Polled {
-    /// The calls that the platform received.
+    /// The requests that the platform received.
     calls: Vec<String>,
-    /// The ids in the table.
+    /// The ids of the replicas in the table.
     ids: Vec<String>,
 }
 
-/// Polls a platform with these pages up to the first complete list.
+/// Polls a platform that returns these pages, up to the first complete list.
 fn poll(pages: &[String]) -> Polled {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
-    let address = listener.get_ref().local_addr().expect("it is bound");
+    let address = listener.get_ref().local_addr().expect("the listener is bound");
     let context = SingletonContext { executor, lease_status: Rc::new(PrimaryStatus), table: Rc::default() };
     let table = context.table.clone();
     let (sender, listed) = async_channel::unbounded();
@@ -141,8 +141,8 @@
     };
     let discovery = Discovery::new(address, 1_000.0, context, Box::new(on_list));
     let polled = async {
-        let calls = respond_to_calls(&listener, address, pages).await;
-        listed.recv().await.expect("the list comes");
+        let calls = respond_to_requests(&listener, address, pages).await;
+        listed.recv().await.expect("the list is complete");
         calls
     };
     let polling = async {
@@ -155,17 +155,17 @@
     Polled { calls: calls.expect("the poll ends in time"), ids: ids.collect() }
 }
 
-/// Responds to one call with each page, and returns the calls.
-async fn respond_to_calls(
+/// Responds to one request with each page, and returns the requests.
+async fn respond_to_requests(
     listener: &Async<TcpListener>,
     address: SocketAddr,
     pages: &[String],
 ) -> Vec<String> {
-    let (mut stream, _) = listener.accept().await.expect("a call comes");
+    let (mut stream, _) = listener.accept().await.expect("a request arrives");
     let mut calls = Vec::new();
     for page in pages {
         let mut request = vec![0; 4096];
-        let count = stream.read(&mut request).await.expect("a call comes");
+        let count = stream.read(&mut request).await.expect("a request arrives");
         let request = String::from_utf8_lossy(&request[..count]).replace(&address.to_string(), "ADDRESS");
         calls.push(request.trim_end().replace("\r\n", " | "));
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", page.len());
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn all_pages_are_read_whatever_characters_their_tokens_have() {
+fn all_pages_are_read_with_any_characters_in_their_tokens() {
     let entry = |id: &str| ENTRY.replace("i-1", id);
     let pages = [
         page(&entry("i-1"), r#""p-50""#),
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -23,10 +23,10 @@
     }
 
     fn open(&self, boot: Boot) -> OpenedDisk {
-        OpenedDisk::open(&self.0, boot).expect("the folder can be used")
+        OpenedDisk::open(&self.0, boot).expect("the folder is usable")
     }
 
-    /// Writes batches of records as one process would.
+    /// Writes batches of records in one process, and waits until all are durable.
     fn write(&self, batches: &[Vec<DurableRecord>]) {
         let (sender, events) = async_channel::unbounded();
         let opened = self.open(Boot::First { view: None });
@@ -39,7 +39,7 @@
         {
         }
         drop(disk);
-        // The thread has closed its files once its channel closes.
+        // The channel closes after the disk's thread has closed its files.
         while events.recv_blocking().is_ok() {}
     }
 }
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_disk_of_the_first_start_has_generation_0() {
+fn the_disk_of_a_first_boot_has_generation_0() {
     let folder = Folder::new();
     let opened = folder.open(Boot::First { view: None });
     assert!(opened.is_fresh);
@@ -73,13 +73,14 @@
     let opened = folder.open(Boot::First { view: Some(view(0)) });
     assert_eq!(opened.image.state.view, Some(view(0)));
     drop(opened);
-    // Before anything else was written, and with settings that no longer name the first start.
+    // The member is restarted before it has written anything else, with settings that no longer say it is the first
+    // boot.
     let again = folder.open(Boot::Later);
     assert_eq!((again.image.generation, again.image.state.view.clone()), (Generation(0), Some(view(0))));
 }
 
 #[test]
-fn a_later_disk_has_a_generation_of_its_own_and_keeps_it() {
+fn the_disk_of_a_later_boot_keeps_a_generation_of_its_own() {
     let folder = Folder::new();
     let generation = folder.open(Boot::Later).image.generation;
     assert_ne!(generation, Generation(0));
@@ -91,7 +92,7 @@
 #[rstest]
 #[case::short(100)]
 #[case::longer_than_the_log(3 << 20)]
-fn what_was_persisted_is_recovered(#[case] bytes: usize) {
+fn persisted_records_are_recovered(#[case] bytes: usize) {
     let folder = Folder::new();
     let batches = vec![
         vec![
@@ -112,9 +113,10 @@
 #[test]
 fn an_unusable_folder_is_named_in_the_error() {
     let folder = Folder::new();
-    std::fs::write(&folder.0, "a file").expect("the folder's place is free");
-    let error = OpenedDisk::open(&folder.0, Boot::First { view: None }).err().expect("a file is no folder");
+    std::fs::write(&folder.0, "a file").expect("the folder does not exist yet");
+    let error =
+        OpenedDisk::open(&folder.0, Boot::First { view: None }).err().expect("a file is not a folder");
     assert!(matches!(error, DiskError::WriteAheadLog { .. }));
     assert!(error.to_string().starts_with(&folder.0.display().to_string()), "{error}");
-    std::fs::remove_file(&folder.0).expect("the file is there");
+    std::fs::remove_file(&folder.0).expect("the file exists");
 }
--- a/crates/control-plane/tests/disk_log.rs
+++ b/crates/control-plane/tests/disk_log.rs
@@ -1,5 +1,5 @@
-//! Log messages about a disk that refuses writes. The logger is one for the whole process, so this test has a
-//! program of its own.
+//! Log messages about a disk that refuses writes. The logger is global to the process, so this test has its own test
+//! program.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -11,10 +11,10 @@
 use tulipridge_protocol::number::SequenceNumber;
 use tulipridge_protocol::replication::Entry;
 
-/// Longer than the records after which the log is compacted, and than a segment of it.
-const LONG_ENTRY: usize = 5 << 20;
-/// Refused writes that are to be logged once.
-const REFUSALS: usize = 3;
+/// Longer than a segment of the log, and than the records after which the log is compacted.
+const LONG_ENTRY_BYTES: usize = 5 << 20;
+/// Number of refused writes, which must be logged only once.
+const REFUSED_WRITES: usize = 3;
 
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
@@ -41,7 +41,7 @@
     );
 }
 
-/// Waits until a ticket is on disk.
+/// Waits until the write with this ticket is durable.
 fn wait_for(events: &Receiver<DiskEvent>, ticket: u64) {
     while !matches!(events.recv_blocking(), Ok(DiskEvent::Persisted { ticket: done }) if done == WriteTicket(ticket))
     {
@@ -49,23 +49,23 @@
 }
 
 #[test]
-fn a_refusing_disk_is_logged_once() {
+fn a_disk_that_refuses_writes_is_logged_once() {
     log::set_logger(&CollectingLogger).expect("there is no other logger");
     log::set_max_level(LevelFilter::Info);
     let folder: PathBuf = std::env::temp_dir().join(format!("member-disk-log-{}", std::process::id()));
-    let opened = OpenedDisk::open(&folder, Boot::First { view: None }).expect("the folder can be used");
+    let opened = OpenedDisk::open(&folder, Boot::First { view: None }).expect("the folder is usable");
     let (sender, events) = async_channel::unbounded();
     let disk = opened.start(sender).expect("the thread starts").disk;
 
-    // Without the folder no new file can be created, and the one that is open is full after the first entry.
-    std::fs::remove_dir_all(&folder).expect("the folder is there");
-    persist(&disk, 1, LONG_ENTRY);
+    // Without the folder, no new file can be created, and the open file is full after the first entry.
+    std::fs::remove_dir_all(&folder).expect("the folder exists");
+    persist(&disk, 1, LONG_ENTRY_BYTES);
     wait_for(&events, 1);
     persist(&disk, 2, 1);
-    for _ in 0..REFUSALS {
+    for _ in 0..REFUSED_WRITES {
         assert!(matches!(events.recv_blocking(), Ok(DiskEvent::WriteFailed { .. })));
     }
-    std::fs::create_dir(&folder).expect("the folder's place is free");
+    std::fs::create_dir(&folder).expect("the folder does not exist");
     wait_for(&events, 2);
     persist(&disk, 3, 1);
     wait_for(&events, 3);
@@ -77,5 +77,5 @@
         lines,
         ["the log can't be made shorter", "the disk refuses a write", "the disk takes writes again"]
     );
-    std::fs::remove_dir_all(&folder).expect("the folder is there");
+    std::fs::remove_dir_all(&folder).expect("the folder exists");
 }
--- a/crates/control-plane/tests/fleet.rs
+++ b/crates/control-plane/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The table of replicas.
+//! The table of replicas: lists of one tenure, and corrections of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_complete_list_replaces_the_last_one() {
+fn a_complete_list_replaces_the_previous_one() {
     let mut table = FleetTable::default();
     assert!(table.replace(TENURE, vec![ready("i-2"), ready("i-1")]));
     assert_eq!(ids(&table), ["i-1", "i-2"]);
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn an_equal_list_is_no_change() {
+fn an_equal_list_is_not_a_change() {
     let mut table = FleetTable::default();
     table.replace(TENURE, vec![ready("i-1")]);
     assert!(!table.replace(TENURE, vec![ready("i-1")]));
 }
 
 #[test]
-fn passing_warm_up_time_is_no_change() {
+fn a_shorter_remaining_warm_up_is_not_a_change() {
     let mut table = FleetTable::default();
     table.replace(TENURE, vec![Replica { warm_left_ms: 900, ..ready("i-1") }]);
     assert!(!table.replace(TENURE, vec![Replica { warm_left_ms: 200, ..ready("i-1") }]));
@@ -63,7 +63,7 @@
     assert!(table.replicas(NEXT_TENURE).is_none());
     assert!(
         table.replace(NEXT_TENURE, vec![ready("i-1")]),
-        "the first list of a tenure always counts as a change"
+        "the first list of a tenure is always a change"
     );
 }
 
--- a/crates/control-plane/tests/index.rs
+++ b/crates/control-plane/tests/index.rs
@@ -1,5 +1,5 @@
-//! Following the cache events of sources: parsing their responses, the choice of sources, and complete exchanges with
-//! a source.
+//! Following the cache events of sources: parsing of responses, choice of sources, and complete exchanges with a
+//! source.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -41,18 +41,18 @@
 }
 
 #[rstest]
-#[case::cut_off(&EVENTS[..EVENTS.len() - 1])]
-#[case::unknown_sign(&EVENTS.replace(r#""+""#, r#""?""#))]
+#[case::truncated(&EVENTS[..EVENTS.len() - 1])]
+#[case::unknown_event_kind(&EVENTS.replace(r#""+""#, r#""?""#))]
 #[case::negative_tokens(&EVENTS.replace("800", "-800"))]
-#[case::text_for_a_number(&EVENTS.replace("77120", r#""77120""#))]
-#[case::no_gap_field(&EVENTS.replace(r#""gone":false,"#, ""))]
+#[case::string_for_a_number(&EVENTS.replace("77120", r#""77120""#))]
+#[case::no_gone_field(&EVENTS.replace(r#""gone":false,"#, ""))]
 #[case::short_event(&EVENTS.replace(r#",800,"m""#, ""))]
 #[case::empty("")]
 fn malformed_event_pages_are_rejected(#[case] body: &str) {
     assert!(parse_event_page(body.as_bytes()).is_err());
 }
 
-// ---- choice of sources------------------------------------------------------------------------------------
+// ---- choice of sources -----------------------------------------------------------------------------------
 
 fn replica(service: &str, address: &str) -> Replica {
     Replica {
@@ -98,29 +98,29 @@
 
 // ---- exchanges --------------------------------------------------------------------------------------------
 
-/// What a scripted source does with a call.
-enum Reaction {
+/// What a scripted source does when it receives a call.
+enum Action {
     Respond(u16, String),
     Close,
 }
 
-/// Reacts to calls in turn, and ends with the first call after them. Returns the calls.
-async fn react(listener: Async<TcpListener>, script: Vec<Reaction>) -> Vec<String> {
+/// Handles each call by the next action of the script, and returns the calls when one arrives after the last action.
+async fn serve_script(listener: Async<TcpListener>, script: Vec<Action>) -> Vec<String> {
     let mut script = script.into_iter();
     let mut calls = Vec::new();
     loop {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         while let Some(call) = read_call(&mut stream).await {
-            let Some(reaction) = script.next() else { return calls };
+            let Some(action) = script.next() else { return calls };
             calls.push(call);
-            let Reaction::Respond(status, body) = reaction else { break };
+            let Action::Respond(status, body) = action else { break };
             let head = format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all((head + &body).as_bytes()).await.expect("the follower reads");
         }
     }
 }
 
-/// The request line and the requested wait.
+/// Reads a call and returns its request line with its `Wait-Ms` header, or `None` once the connection has ended.
 async fn read_call(stream: &mut Async<TcpStream>) -> Option<String> {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -130,31 +130,31 @@
         }
         bytes.push(byte[0]);
     }
-    let text = String::from_utf8(bytes).expect("a head is text");
+    let text = String::from_utf8(bytes).expect("a request head is text");
     let mut lines = text.lines();
     let start = lines.next().unwrap_or_default().to_owned();
     let wait = lines.find(|line| line.starts_with("Wait-Ms")).unwrap_or("no wait");
     Some(format!("{start} ({wait})"))
 }
 
-fn page(boot: u64, next: u64, gone: bool, events: &str) -> Reaction {
+fn page(boot: u64, next: u64, gone: bool, events: &str) -> Action {
     let body = format!(r#"{{"bootNo":{boot},"nextToken":{next},"gone":{gone},"happenings":[{events}]}}"#);
-    Reaction::Respond(200, body)
+    Action::Respond(200, body)
 }
 
-fn list(boot: u64, next: u64, listed: &str) -> Reaction {
-    Reaction::Respond(200, format!(r#"{{"bootNo":{boot},"nextToken":{next},"holding":[{listed}]}}"#))
+fn list(boot: u64, next: u64, listed: &str) -> Action {
+    Action::Respond(200, format!(r#"{{"bootNo":{boot},"nextToken":{next},"holding":[{listed}]}}"#))
 }
 
-/// Follows a scripted source to the end of its script.
-fn exchange(kind: SourceKind, script: Vec<Reaction>) -> (Vec<String>, Vec<CacheUpdate>) {
+/// Follows a scripted source to the end of its script. Returns the calls and the updates.
+fn exchange(kind: SourceKind, script: Vec<Action>) -> (Vec<String>, Vec<CacheUpdate>) {
     let executor = LocalExecutor::new();
     let listener =
         Async::<TcpListener>::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
     let Ok(SocketAddr::V4(address)) = listener.get_ref().local_addr() else { panic!("an IPv4 address") };
     let outbox = Rc::<Outbox>::default();
     let follow = executor.spawn(Follower::new(address, kind, None, outbox.clone()).run());
-    let calls = async_io::block_on(executor.run(react(listener, script)));
+    let calls = async_io::block_on(executor.run(serve_script(listener, script)));
     drop(follow);
     (calls, outbox.take())
 }
@@ -184,8 +184,8 @@
         list(7, 5, LISTED),
         page(7, 6, false, ADDED),
         page(7, 7, false, REMOVED),
-        Reaction::Close,
-        Reaction::Close,
+        Action::Close,
+        Action::Close,
     ];
     let (calls, updates) = exchange(SourceKind::Store, script);
     assert_snapshot!(calls.join("\n"), @r"
@@ -252,7 +252,7 @@
 fn a_source_that_is_down_is_polled_without_a_wait() {
     let script = vec![
         list(7, 5, LISTED),
-        Reaction::Respond(500, String::new()),
+        Action::Respond(500, String::new()),
         page(7, 5, false, ""),
         page(7, 5, false, ""),
     ];
@@ -271,10 +271,10 @@
 }
 
 #[rstest]
-#[case::malformed(Reaction::Respond(200, "{}".to_owned()))]
-#[case::unknown_status(Reaction::Respond(500, String::new()))]
-fn a_source_with_an_invalid_response_is_down(#[case] wrong: Reaction) {
-    let (_, updates) = exchange(SourceKind::Store, vec![list(7, 5, LISTED), wrong]);
+#[case::malformed(Action::Respond(200, "{}".to_owned()))]
+#[case::unknown_status(Action::Respond(500, String::new()))]
+fn a_source_with_an_invalid_response_is_down(#[case] invalid: Action) {
+    let (_, updates) = exchange(SourceKind::Store, vec![list(7, 5, LISTED), invalid]);
     let liveness: Vec<Liveness> = updates.iter().map(|update| update.liveness).collect();
     assert_eq!(liveness, [Liveness::Alive, Liveness::Down]);
     assert!(!updates[1].replace, "its entries are retained");
--- a/crates/control-plane/tests/links.rs
+++ b/crates/control-plane/tests/links.rs
@@ -12,7 +12,7 @@
 use tulipridge_protocol::number::{Epoch, SequenceNumber};
 use tulipridge_protocol::replication::{Entry, Envelope, ReplicationMessage};
 
-/// Two machines that share a port, as in a deployment.
+/// The addresses of two machines, which use the same port as in a deployment.
 const SENDER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
 const RECEIVER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
@@ -26,10 +26,10 @@
 }
 
 fn port(listener: &Async<TcpListener>) -> u16 {
-    listener.get_ref().local_addr().expect("it is bound").port()
+    listener.get_ref().local_addr().expect("the listener is bound").port()
 }
 
-/// Runs until so many messages have come.
+/// Serves the listener until `count` messages have arrived, and returns them.
 async fn receive(
     executor: &Rc<LocalExecutor<'static>>,
     links: &Rc<Links>,
@@ -43,7 +43,7 @@
     let serving = executor.spawn(links.clone().serve(listener, on_message));
     let mut envelopes = Vec::new();
     while envelopes.len() < count {
-        envelopes.push(receiver.recv().await.expect("the interface serves"));
+        envelopes.push(receiver.recv().await.expect("the links are served"));
     }
     serving.cancel().await;
     envelopes
@@ -81,7 +81,7 @@
     links.send(prepare(1));
     let listener = Async::<TcpListener>::bind((RECEIVER, port)).expect("the port is free again");
     let sending = async {
-        // Messages may be lost, so the sender repeats itself.
+        // Messages may be lost, so the sender sends further ones.
         for epoch in 2.. {
             links.send(prepare(epoch));
             futures_lite::future::yield_now().await;
@@ -93,7 +93,7 @@
     assert_eq!(received.len(), 1);
 }
 
-/// Nobody reads the data connection, whose message is longer than all buffers on its way.
+/// The receiver does not read the data connection, and its message is longer than all buffers on the path.
 #[test]
 fn a_short_message_does_not_wait_behind_a_long_entry() {
     let executor = Rc::new(LocalExecutor::new());
@@ -105,11 +105,11 @@
     let received = async_io::block_on(executor.run(async {
         let mut connections = Vec::new();
         loop {
-            let (mut stream, _) = listener.accept().await.expect("both connections come up");
+            let (mut stream, _) = listener.accept().await.expect("both connections are established");
             let mut buffer = vec![0; 4096];
-            let count = stream.read(&mut buffer).await.expect("something is sent");
+            let count = stream.read(&mut buffer).await.expect("the connection sends bytes");
             buffer.truncate(count);
-            if let Some(message) = frame::take::<Envelope>(&mut buffer).expect("a good frame") {
+            if let Some(message) = frame::take::<Envelope>(&mut buffer).expect("a valid frame") {
                 return message;
             }
             connections.push(stream);
--- a/crates/control-plane/tests/member.rs
+++ b/crates/control-plane/tests/member.rs
@@ -1,4 +1,4 @@
-//! What a member tracks beside the replication: the health of its disk, its proposals, and when to compact.
+//! What a member tracks in addition to the replication: its disk's health, its proposals, and when a snapshot is due.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_write_that_hangs_shows_an_unhealthy_disk() {
+fn a_write_that_hangs_makes_the_disk_unhealthy() {
     let mut monitor = DiskHealthMonitor::default();
     monitor.write_started(WriteTicket(1), 0, ms(0));
     monitor.write_started(WriteTicket(2), 0, ms(900));
@@ -32,9 +32,10 @@
     assert_eq!(monitor.health_change(ms(5_000)), Some(true));
 }
 
-/// A long write, and a short one behind it, have the time that their bytes take at 4 MiB/s beside.
+/// The limit for a long write, and for a short one queued behind it, is extended by the time that the bytes take at
+/// 4 MiB/s.
 #[test]
-fn a_long_write_has_more_time() {
+fn a_long_write_has_a_longer_limit() {
     let mut monitor = DiskHealthMonitor::default();
     monitor.write_started(WriteTicket(1), 2 << 20, ms(0));
     monitor.write_started(WriteTicket(2), 0, ms(100));
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_refused_write_shows_an_unhealthy_disk_until_it_succeeds() {
+fn a_refused_write_makes_the_disk_unhealthy_until_it_succeeds() {
     let mut monitor = DiskHealthMonitor::default();
     monitor.write_started(WriteTicket(1), 0, ms(0));
     monitor.write_failed();
@@ -72,7 +73,7 @@
 #[rstest]
 #[case(FailureReason::NotReplicated, ProposalOutcome::NotReplicated)]
 #[case(FailureReason::OutcomeUnknown, ProposalOutcome::Unknown)]
-fn a_proposal_that_fails_says_whether_it_may_take_effect(
+fn a_failed_proposal_reports_whether_it_may_take_effect(
     #[case] reason: FailureReason,
     #[case] expected: ProposalOutcome,
 ) {
@@ -88,7 +89,7 @@
 #[case::nothing(&[], false)]
 #[case::one_small_command(&[(1, 300)], false)]
 #[case::many_small_commands(&[(COMPACT_AFTER_COMMANDS, 0)], true)]
-#[case::one_less(&[(COMPACT_AFTER_COMMANDS - 1, 300)], false)]
+#[case::one_command_less(&[(COMPACT_AFTER_COMMANDS - 1, 300)], false)]
 #[case::one_large_command(&[(1, COMPACT_AFTER_BYTES)], true)]
 #[case::several_large_commands(&[(1, COMPACT_AFTER_BYTES - 1), (1, 1)], true)]
 fn a_snapshot_is_due_after_many_commands_or_bytes(#[case] commands: &[(usize, usize)], #[case] due: bool) {
--- a/crates/control-plane/tests/member_process.rs
+++ b/crates/control-plane/tests/member_process.rs
@@ -1,5 +1,5 @@
-//! Complete members in the test process: configuration on the feed, recovery after a stop, the status of every member,
-//! and errors that prevent a start.
+//! Complete members in the test process: configuration on the feed, recovery after a stop, the status of every
+//! member, and errors that prevent a start.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -21,8 +21,8 @@
 use tulipridge_runtime::settings::Settings;
 use tulipridge_subscription::{FeedStore, Identity, Subscriber, clock};
 
-/// The last byte of the first member's address on the loopback network. Each member has an address that no other program
-/// uses, so that free ports stay free.
+/// The last byte of the first member's address on the loopback network. Each member has an address that no other
+/// program uses, so that free ports stay free.
 const FIRST_ADDRESS: u8 = 77;
 /// The last byte of the next member's address.
 static NEXT_ADDRESS: AtomicU8 = AtomicU8::new(FIRST_ADDRESS);
--- a/crates/control-plane/tests/rated_cluster/mod.rs
+++ b/crates/control-plane/tests/rated_cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated cluster whose links and disks have a limited bandwidth, with commands as long as a configuration. The only
-//! faults are those that a test injects.
+//! A simulated cluster whose links and disks have a limited bandwidth, with commands as long as a configuration.
+//! The only faults are those that a test injects.
 
 #![allow(dead_code, reason = "each test program uses only some of it")]
 
@@ -443,8 +443,8 @@
         }
     }
 
-    /// Entries and parts of transferred data share one connection in each direction of a link and are sent one after the
-    /// other. Other messages have a separate connection.
+    /// Entries and parts of transferred data share one connection in each direction of a link and are sent one
+    /// after the other. Other messages have a separate connection.
     fn transmit(&mut self, from: usize, envelope: Envelope) {
         let Some(to) = self.members.iter().position(|member| member.node.ip == envelope.to.ip) else {
             return;
@@ -594,8 +594,8 @@
     u64::from_le_bytes(bytes[index * 8..index * 8 + 8].try_into().expect("a slice of eight bytes"))
 }
 
-/// Encodes the ids of all commands, then padding as long as the newest command, since a real snapshot holds the newest
-/// configuration.
+/// Encodes the ids of all commands, then padding as long as the newest command, since a real snapshot holds the
+/// newest configuration.
 fn write_snapshot(applied: &[u64], newest_command_bytes: usize) -> Arc<[u8]> {
     let mut bytes = (applied.len() as u64).to_le_bytes().to_vec();
     applied.iter().for_each(|id| bytes.extend(id.to_le_bytes()));
--- a/crates/control-plane/tests/rollout_exchange.rs
+++ b/crates/control-plane/tests/rollout_exchange.rs
@@ -1,4 +1,4 @@
-//! The roll-out of weights over loopback: the calls that a replica receives, and what is delivered.
+//! A rollout of weights over loopback: the calls that a replica receives, and the deliveries to proxies.
 
 mod rollout_stand_ins;
 
@@ -20,7 +20,7 @@
 use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase};
 use tulipridge_runtime::settings::RevisionTerm;
 
-const LIMIT: Duration = Duration::from_secs(8);
+const TEST_TIMEOUT: Duration = Duration::from_secs(8);
 
 fn replica(address: SocketAddr) -> Replica {
     Replica {
@@ -37,7 +37,7 @@
 
 /// Accepts a connection with one call, and responds to it.
 async fn respond(listener: &Async<TcpListener>, status: &str, body: &str) -> String {
-    let (mut stream, _) = listener.accept().await.expect("a call comes");
+    let (mut stream, _) = listener.accept().await.expect("a call arrives");
     let call = read_call(&mut stream).await;
     let response = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     stream.write_all(response.as_bytes()).await.expect("the response is read");
@@ -46,7 +46,7 @@
 
 async fn read_call(stream: &mut Async<TcpStream>) -> String {
     let mut call = vec![0; 4096];
-    let count = stream.read(&mut call).await.expect("a call comes");
+    let count = stream.read(&mut call).await.expect("a call arrives");
     String::from_utf8_lossy(&call[..count]).replace("\r\n", "\n")
 }
 
@@ -54,7 +54,7 @@
 fn a_replica_is_commanded_to_load_and_polled_until_it_has() {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
-    let address = listener.get_ref().local_addr().expect("it is bound");
+    let address = listener.get_ref().local_addr().expect("the listener is bound");
     let table = Rc::new(RefCell::new(FleetTable::default()));
     table.borrow_mut().replace(LEASE.tenure, vec![replica(address)]);
     let context = SingletonContext {
@@ -70,12 +70,12 @@
     let (rollout, _events) = Rollout::new("middle-1".to_owned(), settings, context, output.clone());
     let loaded = async {
         let command = respond(&listener, "202 Accepted", "").await;
-        let phase = table.borrow().replicas(LEASE.tenure).expect("a list has come")[0].phase;
+        let phase = table.borrow().replicas(LEASE.tenure).expect("the table has a list")[0].phase;
         assert_eq!(phase, ReplicaPhase::Loading, "it receives no requests while it loads");
-        let loads = r#"{"llms":[{"label":"m","revision":1}],"loaded":true}"#;
-        let report = respond(&listener, "200 OK", loads).await;
-        let has_loaded = r#"{"llms":[{"label":"m","revision":2}],"loaded":false}"#;
-        respond(&listener, "200 OK", has_loaded).await;
+        let loading = r#"{"llms":[{"label":"m","revision":1}],"loaded":true}"#;
+        let report = respond(&listener, "200 OK", loading).await;
+        let loaded_report = r#"{"llms":[{"label":"m","revision":2}],"loaded":false}"#;
+        respond(&listener, "200 OK", loaded_report).await;
         while output.weights.borrow().iter().all(|weights| weights.least < WeightsRevision(2)) {
             future::yield_now().await;
         }
@@ -86,7 +86,7 @@
         String::new()
     };
     let run = executor.run(future::or(loaded, working));
-    let calls = async_io::block_on(within(LIMIT, run)).expect("it loads in time");
+    let calls = async_io::block_on(within(TEST_TIMEOUT, run)).expect("the load ends in time");
     let calls = calls.replace(&address.to_string(), "ADDRESS");
     assert_snapshot!(calls.trim_end(), @r#"
     POST /order HTTP/1.1
@@ -100,17 +100,21 @@
     GET /report HTTP/1.1
     Host: ADDRESS
     "#);
-    let delivered = table.borrow().replicas(LEASE.tenure).expect("a list has come");
+    let delivered = table.borrow().replicas(LEASE.tenure).expect("the table has a list");
     assert_eq!(delivered[0].phase, ReplicaPhase::Ready);
-    assert_eq!(delivered[0].models[0].revision, WeightsRevision(2), "before the list shows it");
-    assert_eq!(output.corrections.get(), 2, "one as it begins to load, one as it has");
+    assert_eq!(
+        delivered[0].models[0].revision,
+        WeightsRevision(2),
+        "the new revision is delivered before the list shows it"
+    );
+    assert_eq!(output.corrections.get(), 2, "one when it begins to load, one when it has loaded");
 }
 
 #[test]
-fn a_replica_that_an_earlier_primary_had_loading_is_polled_within_its_lease() {
+fn a_new_primary_polls_loading_replicas_within_the_lease_term() {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
-    let listed = replica(listener.get_ref().local_addr().expect("it is bound"));
+    let listed = replica(listener.get_ref().local_addr().expect("the listener is bound"));
     let table = Rc::new(RefCell::new(FleetTable::default()));
     table.borrow_mut().replace(LEASE.tenure, vec![listed.clone()]);
     table.borrow_mut().inherit(&[Replica { phase: ReplicaPhase::Loading, ..listed }]);
@@ -125,30 +129,31 @@
     };
     let (rollout, _events) =
         Rollout::new("middle-1".to_owned(), settings, context, Rc::new(Output::default()));
-    let phase = || table.borrow().replicas(LEASE.tenure).expect("a list has come")[0].phase;
+    let phase = || table.borrow().replicas(LEASE.tenure).expect("the table has a list")[0].phase;
     let loaded = async {
-        let loads = r#"{"llms":[{"label":"m","revision":1}],"loaded":true}"#;
-        let report = respond(&listener, "200 OK", loads).await;
+        let loading = r#"{"llms":[{"label":"m","revision":1}],"loaded":true}"#;
+        let report = respond(&listener, "200 OK", loading).await;
         assert!(report.starts_with("GET /report"), "{report}");
         assert_eq!(phase(), ReplicaPhase::Loading);
-        let has_loaded = r#"{"llms":[{"label":"m","revision":2}],"loaded":false}"#;
-        respond(&listener, "200 OK", has_loaded).await;
+        let loaded_report = r#"{"llms":[{"label":"m","revision":2}],"loaded":false}"#;
+        respond(&listener, "200 OK", loaded_report).await;
         while phase() == ReplicaPhase::Loading {
             future::yield_now().await;
         }
     };
     let run = executor.run(future::or(loaded, rollout.run()));
-    async_io::block_on(within(LIMIT, run)).expect("it is ready in time");
+    async_io::block_on(within(TEST_TIMEOUT, run)).expect("the replica is ready in time");
 }
 
 #[test]
-fn a_target_that_is_announced_before_the_start_is_assumed_to_be_older() {
+fn a_target_announced_before_the_start_is_assumed_to_be_older() {
     let executor = Rc::new(LocalExecutor::new());
     let table = Rc::new(RefCell::new(FleetTable::default()));
     let context =
         SingletonContext { executor: executor.clone(), lease_status: Rc::new(PrimaryStatus), table };
     let output = Rc::new(Output::default());
-    // By its assumed age the deadline is near; counted from now, the withdrawal would come after four seconds.
+    // With the assumed age, the deadline is near; if the age were counted from now, the withdrawal would come after
+    // 4 s.
     let term = RevisionTerm::new(Duration::from_secs(6));
     let settings = PlannerSettings { revision_term: term, lease_term: Duration::ZERO };
     let (rollout, _events) = Rollout::new("middle-1".to_owned(), settings, context, output.clone());
@@ -158,5 +163,5 @@
         }
     };
     let run = executor.run(future::or(withdrawn, rollout.run()));
-    async_io::block_on(within(Duration::from_secs(2), run)).expect("it does not count from now");
+    async_io::block_on(within(Duration::from_secs(2), run)).expect("the age is not counted from now");
 }
--- a/crates/control-plane/tests/state.rs
+++ b/crates/control-plane/tests/state.rs
@@ -34,16 +34,16 @@
 }
 
 #[test]
-fn of_two_changes_on_the_same_version_one_takes_effect() {
+fn only_one_of_two_changes_to_the_same_version_takes_effect() {
     let mut state = State::default();
     let (first, second) = (accepted(&state, &put(0, 3)), accepted(&state, &put(0, 4)));
-    assert_eq!(state.apply(&first.command).expect("it can be applied"), Applied::Configuration);
-    assert_eq!(state.apply(&second.command).expect("it can be applied"), Applied::Superseded);
+    assert_eq!(state.apply(&first.command).expect("the command can be applied"), Applied::Configuration);
+    assert_eq!(state.apply(&second.command).expect("the command can be applied"), Applied::Superseded);
     assert_eq!(revision(&state), 3);
 }
 
 #[test]
-fn a_patch_leads_to_a_complete_configuration() {
+fn a_patch_results_in_a_complete_configuration() {
     let mut state = State::default();
     take(&mut state, &put(0, 3));
     let upsert = route("s", "/s/");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn revisions_of_weights_only_rise() {
+fn target_revisions_only_increase() {
     let mut state = State::default();
     assert_eq!(take(&mut state, &name("m", 2)), Applied::Weights);
     assert_eq!(state.decide(&name("m", 2)), Decision::AlreadyAccepted);
@@ -77,7 +77,7 @@
     for change in changes {
         take(&mut state, change);
     }
-    assert_eq!(State::restore(&state.snapshot()).expect("it can be restored"), state);
+    assert_eq!(State::restore(&state.snapshot()).expect("the snapshot can be restored"), state);
 }
 
 #[test]
@@ -86,19 +86,19 @@
     for change in [put(0, 3), name("m", 2), put(3, 8)] {
         let accepted = accepted(&deciding, &change);
         following.apply(&accepted.command).expect("the command can be applied");
-        deciding.apply_accepted(accepted).expect("its base is in force");
+        deciding.apply_accepted(accepted).expect("the command is based on the current state");
     }
     assert_eq!(deciding, following);
     assert_eq!(deciding.snapshot(), following.snapshot());
 }
 
 #[test]
-fn no_bytes_restore_the_empty_state() {
-    assert_eq!(State::restore(&[]).expect("it can be restored"), State::default());
+fn an_empty_snapshot_restores_the_empty_state() {
+    assert_eq!(State::restore(&[]).expect("the snapshot can be restored"), State::default());
 }
 
 #[test]
-fn bytes_of_another_format_are_refused() {
+fn bytes_of_another_format_are_rejected() {
     assert!(State::restore(&[9, 9, 9]).is_err());
     assert!(State::default().apply(&[9, 9, 9]).is_err());
 }
--- a/crates/control-plane/tests/state_log.rs
+++ b/crates/control-plane/tests/state_log.rs
@@ -1,4 +1,4 @@
-//! Compaction of a member's log: it stays short under hundreds of long changes, also after its disk was full for a while.
+//! Compaction of a member's log: it stays short after hundreds of long changes, even if the disk is full for a while.
 
 #[path = "../../write-ahead-log/tests/support/mod.rs"]
 mod memory_directory;
@@ -14,20 +14,20 @@
 use tulipridge_protocol::replication::Entry;
 use tulipridge_write_ahead_log::WriteAheadLogError;
 
-/// A configuration of an operator.
+/// Length of an operator's configuration.
 const CHANGE_BYTES: usize = 1_300_000;
-/// What a member's log may take on disk: 4 MiB of records, the last change with its snapshot, and two times the
+/// Bytes that a member's log may take on disk: 4 MiB of records, the last change with its snapshot, and twice the
 /// state, which is a snapshot and an entry.
 const LOG_BOUND: u64 = (COMPACT_AFTER_RECORD_BYTES + 6 * CHANGE_BYTES) as u64 + MARGIN;
-/// Bytes beside the changes and the state.
+/// Bytes in addition to the changes and the state.
 const MARGIN: u64 = 10_000;
 
-/// A member that gets one long change after the other.
+/// A member that receives consecutive long changes.
 struct Member {
     directory: MemoryDirectory,
     log: StateLog<MemoryDirectory>,
     sequence: u64,
-    /// How many entries the snapshot is behind.
+    /// The number of entries by which the snapshot lags behind.
     lag: u64,
 }
 
@@ -36,15 +36,16 @@
         Member::behind(0)
     }
 
-    /// A member that learns later what is agreed, as backups do with the next heartbeat.
+    /// A member that learns late which entries are committed, as a backup does with the next heartbeat.
     fn behind(lag: u64) -> Member {
         let directory = MemoryDirectory::default();
         let mut log = StateLog::open_in(directory.clone()).expect("an empty directory");
-        log.format(Generation(0), &[]).expect("there is room");
+        log.format(Generation(0), &[]).expect("there is free space");
         Member { directory, log, sequence: 0, lag }
     }
 
-    /// Appends an entry and, as it is longer than the applied bytes after which a member compacts, the state after it.
+    /// Appends an entry and a snapshot, since each entry is longer than the applied bytes after which a member
+    /// takes one.
     fn change(&mut self) -> Result<(), WriteAheadLogError> {
         let sequence = self.sequence + 1;
         let bytes: Arc<[u8]> = vec![sequence as u8; CHANGE_BYTES].into();
@@ -58,10 +59,10 @@
         Ok(())
     }
 
-    /// What is found after a restart.
+    /// Checks that a restart recovers the log's state from the synced files.
     fn assert_is_recovered(&self) {
-        let found = StateLog::open_in(MemoryDirectory::with(self.directory.synced_files()));
-        assert_eq!(found.expect("what was written").image(), self.log.image());
+        let recovered = StateLog::open_in(MemoryDirectory::with(self.directory.synced_files()));
+        assert_eq!(recovered.expect("the log is readable").image(), self.log.image());
         assert_eq!(self.log.image().state.data.sequence, SequenceNumber(self.sequence));
     }
 }
@@ -70,7 +71,7 @@
 fn hundreds_of_long_changes_leave_a_short_log(#[values(0, 8)] lag: u64) {
     let mut member = Member::behind(lag);
     for _ in 0..300 {
-        member.change().expect("there is room");
+        member.change().expect("there is free space");
         assert!(!matches!(member.log.compact_if_due(), Compaction::Failed { .. }));
         assert_eq!(member.log.bytes_used(), member.directory.bytes());
     }
@@ -79,20 +80,20 @@
     member.assert_is_recovered();
 }
 
-/// Something else fills the disk while there is no room for a snapshot, or none for a record either; changes go on
-/// until they are refused, and both go on once there is room again.
+/// Other data fills the disk until there is no space for a snapshot, or for a record either. Changes continue until
+/// they are refused, and changes and snapshots succeed again once there is free space.
 #[rstest]
 fn a_full_disk_lets_the_log_grow_by_no_more_than_a_snapshot(
-    #[values(0, 100, 1_000_000, 1_400_000, 2_700_000, 3_900_000)] room: u64,
+    #[values(0, 100, 1_000_000, 1_400_000, 2_700_000, 3_900_000)] free_bytes: u64,
 ) {
     let mut member = Member::new();
     for _ in 0..7 {
-        member.change().expect("there is room");
+        member.change().expect("there is free space");
         member.log.compact_if_due();
     }
     let (mut refused_changes, mut refused_snapshots) = (0, 0);
     for _ in 0..20 {
-        member.directory.set_capacity(Some(member.directory.bytes() + room));
+        member.directory.set_capacity(Some(member.directory.bytes() + free_bytes));
         for _ in 0..10 {
             let is_refused = member.change().is_err();
             refused_changes += u32::from(is_refused);
@@ -102,34 +103,34 @@
             member.assert_is_recovered();
         }
         member.directory.set_capacity(None);
-        member.change().expect("there is room again");
+        member.change().expect("there is free space again");
         assert!(!matches!(member.log.compact_if_due(), Compaction::Failed { .. }));
     }
     println!(
-        "room for {room}: {refused_changes} changes and {refused_snapshots} snapshots refused, at most {} bytes",
+        "{free_bytes} bytes free: {refused_changes} changes and {refused_snapshots} snapshots refused, at most {} bytes",
         member.directory.most_bytes()
     );
     assert!(refused_changes > 0, "the disk was full");
-    assert!(member.directory.most_bytes() < LOG_BOUND + room);
+    assert!(member.directory.most_bytes() < LOG_BOUND + free_bytes);
     member.assert_is_recovered();
 }
 
-/// A disk of its own on which the log has all the room is never too small for it.
+/// A disk of the stated bound is large enough for the log if nothing else is on it.
 #[test]
 fn a_disk_of_the_stated_size_is_enough() {
     let mut member = Member::new();
     member.directory.set_capacity(Some(LOG_BOUND));
     for _ in 0..100 {
-        member.change().expect("there is room");
+        member.change().expect("there is free space");
         assert!(!matches!(member.log.compact_if_due(), Compaction::Failed { .. }));
     }
 }
 
-/// A disk with room for a change beside the log or for a snapshot, but not for both.
+/// The disk has space for the log and either a change or a snapshot, but not both.
 #[test]
 fn a_refused_change_succeeds_after_a_compaction() {
     let mut member = Member::new();
-    member.change().expect("there is room");
+    member.change().expect("there is free space");
     member.log.compact_to_free_space();
     member.directory.set_capacity(Some(4 * CHANGE_BYTES as u64 + MARGIN));
     let mut refused = 0;
@@ -138,7 +139,7 @@
             refused += 1;
             assert!(matches!(member.log.compact_to_free_space(), Compaction::Done));
             member.assert_is_recovered();
-            member.change().expect("there is room now");
+            member.change().expect("there is free space now");
         }
         member.log.compact_if_due();
     }
@@ -147,22 +148,22 @@
     member.assert_is_recovered();
 }
 
-/// A snapshot that takes as much as the records gives no room.
+/// A snapshot as large as the records frees no space.
 #[test]
-fn no_compaction_is_done_that_frees_no_space() {
+fn a_compaction_that_frees_no_space_is_not_done() {
     let mut member = Member::new();
     assert!(matches!(member.log.compact_to_free_space(), Compaction::NotDue));
-    member.change().expect("there is room");
+    member.change().expect("there is free space");
     assert!(matches!(member.log.compact_to_free_space(), Compaction::Done));
     assert!(matches!(member.log.compact_to_free_space(), Compaction::NotDue));
 }
 
-/// Snapshots can't be written for long: the log grows by each change, and is short again after.
+/// While no compaction runs, the log grows with each change; the next compaction shortens it.
 #[test]
 fn an_overdue_compaction_shortens_the_log() {
     let mut member = Member::new();
     for _ in 0..100 {
-        member.change().expect("there is room");
+        member.change().expect("there is free space");
     }
     assert!(member.directory.bytes() > 200 * CHANGE_BYTES as u64, "nothing was compacted");
     assert!(matches!(member.log.compact_if_due(), Compaction::Done));
--- a/crates/control-plane/tests/state_random.rs
+++ b/crates/control-plane/tests/state_random.rs
@@ -1,5 +1,5 @@
-//! Random calls of several operators: members that decide, follow and restore snapshots all agree with a plain
-//! model, at every step.
+//! Random requests of several operators: members that decide, follow and restore snapshots agree with a reference model
+//! after every step.
 
 mod support;
 
@@ -14,59 +14,59 @@
 use tulipridge_control_plane::state::{Accepted, Applied, Change, Decision, State};
 
 const STEPS: usize = 400;
-/// The most commands that were decided on and not yet applied.
-const MAX_UNDER_WAY: usize = 8;
+/// Maximum number of commands that were decided on and are not yet applied.
+const MAX_PENDING: usize = 8;
 const LABELS: [&str; 5] = ["a", "b", "c", "d", "e"];
 const PREFIXES: [&str; 6] = ["/1/", "/2/", "/3/", "/4/", "/5/", "/6/"];
 const MODELS: [&str; 2] = ["m", "n"];
 
-/// Members of one group and the model of what they agree on.
-struct Group {
+/// Members of one cluster, and the reference model of their replicated state.
+struct Cluster {
     random: Rng,
     reference: Reference,
-    /// Decides on all changes, and uses what it has prepared.
+    /// Decides on all changes, and applies the states that its decisions prepared.
     deciding: State,
-    /// Applies the encoded commands.
+    /// Applies the encoded commands only.
     following: State,
-    /// Now and then goes on from a snapshot of another member.
+    /// Occasionally restores a snapshot of another member.
     restoring: State,
-    under_way: VecDeque<(Change, Accepted)>,
-    sent: Vec<Change>,
+    pending: VecDeque<(Change, Accepted)>,
+    sent_changes: Vec<Change>,
     outcomes: Outcomes,
 }
 
-/// What has happened, so that a history which tests nothing is noticed.
+/// The decisions and outcomes of a history, so that a history which covers too little is detected.
 #[derive(Default)]
 struct Outcomes {
     answers: Vec<Answer>,
     applied: Vec<Applied>,
 }
 
-impl Group {
-    fn new(seed: u64) -> Group {
-        Group {
+impl Cluster {
+    fn new(seed: u64) -> Cluster {
+        Cluster {
             random: Rng::with_seed(seed),
             reference: Reference::default(),
             deciding: State::default(),
             following: State::default(),
             restoring: State::default(),
-            under_way: VecDeque::new(),
-            sent: Vec::new(),
+            pending: VecDeque::new(),
+            sent_changes: Vec::new(),
             outcomes: Outcomes::default(),
         }
     }
 
     fn step(&mut self) {
         match self.random.u8(..10) {
-            0..5 if self.under_way.len() < MAX_UNDER_WAY => self.call(),
+            0..5 if self.pending.len() < MAX_PENDING => self.send_request(),
             5 => self.restore(),
             _ => self.apply_next(),
         }
     }
 
-    /// An operator sends a new call, or an earlier one again.
-    fn call(&mut self) {
-        let change = match self.sent.is_empty() || chance(&mut self.random, 700) {
+    /// An operator sends a new request, or repeats an earlier one.
+    fn send_request(&mut self) {
+        let change = match self.sent_changes.is_empty() || chance(&mut self.random, 700) {
             true => self.new_change(),
             false => self.repeated_change(),
         };
@@ -77,23 +77,27 @@
         assert_eq!(answer, self.reference.answer(&change), "{change:?}");
         self.outcomes.answers.push(answer);
         if let Decision::Accept(accepted) = decision {
-            self.under_way.push_back((change.clone(), *accepted));
+            self.pending.push_back((change.clone(), *accepted));
         }
-        self.sent.push(change);
+        self.sent_changes.push(change);
     }
 
     fn apply_next(&mut self) {
-        let Some((change, accepted)) = self.under_way.pop_front() else { return };
+        let Some((change, accepted)) = self.pending.pop_front() else { return };
         let takes_effect = self.reference.answer(&change) == Answer::Accept;
         let expected = self.reference.apply(&change);
         self.outcomes.applied.push(expected);
         let command = accepted.command.clone();
-        assert_eq!(self.following.apply(&command).expect("it can be applied"), expected, "{change:?}");
-        assert_eq!(self.restoring.apply(&command).expect("it can be applied"), expected);
-        assert_eq!(self.deciding.apply_accepted(accepted).expect("it can be applied"), expected);
+        assert_eq!(
+            self.following.apply(&command).expect("the command can be applied"),
+            expected,
+            "{change:?}"
+        );
+        assert_eq!(self.restoring.apply(&command).expect("the command can be applied"), expected);
+        assert_eq!(self.deciding.apply_accepted(accepted).expect("the command can be applied"), expected);
         self.check();
         if let (true, Change::PutConfiguration { body, .. }) = (takes_effect, &change) {
-            assert_eq!(self.following.document().expect("it was put").text(), body);
+            assert_eq!(self.following.document().expect("a document was put").text(), body);
         }
     }
 
@@ -120,26 +124,29 @@
     }
 
     fn new_change(&mut self) -> Change {
-        let base = self.base();
-        let revision = base + self.random.u64(0..4);
+        let if_match = self.if_match();
+        let revision = if_match + self.random.u64(0..4);
         match self.random.u8(..10) {
             0..3 => {
                 let routes = self.routes();
-                put_routes(base, revision, &routes)
+                put_routes(if_match, revision, &routes)
             }
             3..6 => {
                 let (label, prefix) = (pick(&mut self.random, &LABELS), pick(&mut self.random, &PREFIXES));
-                patch_route(base, revision, label, prefix)
+                patch_route(if_match, revision, label, prefix)
             }
-            6 => self.removal(base, revision, "routes", &LABELS),
-            7 => self.removal(base, revision, "backends", &["chat", "none", "none"]),
-            8 => self.cut_change(base, revision),
-            _ => name(pick(&mut self.random, &MODELS), self.random.u64(0..self.sent.len() as u64 + 3)),
+            6 => self.removal(if_match, revision, "routes", &LABELS),
+            7 => self.removal(if_match, revision, "backends", &["chat", "none", "none"]),
+            8 => self.truncated_change(if_match, revision),
+            _ => name(
+                pick(&mut self.random, &MODELS),
+                self.random.u64(0..self.sent_changes.len() as u64 + 3),
+            ),
         }
     }
 
-    /// Mostly the version in force.
-    fn base(&mut self) -> u64 {
+    /// Usually the current revision.
+    fn if_match(&mut self) -> u64 {
         match chance(&mut self.random, 900) {
             true => self.reference.revision(),
             false => self.random.u64(0..self.reference.revision() + 2),
@@ -152,56 +159,56 @@
         (0..count).map(&mut new_route).collect()
     }
 
-    fn removal(&mut self, base: u64, revision: u64, list: &str, labels: &[&str]) -> Change {
+    fn removal(&mut self, if_match: u64, revision: u64, list: &str, labels: &[&str]) -> Change {
         let label = pick(&mut self.random, labels);
-        patch(base, &format!(r#"{{"revision":{revision},"remove":{{"{list}":["{label}"]}}}}"#))
+        patch(if_match, &format!(r#"{{"revision":{revision},"remove":{{"{list}":["{label}"]}}}}"#))
     }
 
-    fn cut_change(&mut self, base: u64, revision: u64) -> Change {
-        let Change::PutConfiguration { if_match, mut body } = put_routes(base, revision, &[]) else {
-            unreachable!("a put is a put")
+    fn truncated_change(&mut self, if_match: u64, revision: u64) -> Change {
+        let Change::PutConfiguration { if_match, mut body } = put_routes(if_match, revision, &[]) else {
+            unreachable!("put_routes returns a put")
         };
         body.truncate(self.random.usize(..body.len()));
         Change::PutConfiguration { if_match, body }
     }
 
-    /// One of the calls that were sent, at times written otherwise.
+    /// One of the requests that were sent, sometimes in another serialization.
     fn repeated_change(&mut self) -> Change {
-        let index = self.random.usize(..self.sent.len());
-        let mut change = self.sent[index].clone();
+        let index = self.random.usize(..self.sent_changes.len());
+        let mut change = self.sent_changes[index].clone();
         if chance(&mut self.random, 300) {
-            rewrite(&mut change);
+            reserialize(&mut change);
         }
         change
     }
 }
 
-/// The same call with its fields in order and white space between them.
-fn rewrite(change: &mut Change) {
+/// Serializes a request again, with its fields sorted and with white space.
+fn reserialize(change: &mut Change) {
     let (Change::PutConfiguration { body, .. } | Change::PatchConfiguration { body, .. }) = change else {
         return;
     };
     if let Ok(value) = serde_json::from_slice::<Value>(body) {
-        *body = serde_json::to_vec_pretty(&value).expect("a value can be written");
+        *body = serde_json::to_vec_pretty(&value).expect("a JSON value can be serialized");
     }
 }
 
 #[rstest]
-fn members_agree_with_the_model(#[values(0, 1, 2, 3, 4, 5, 6, 7)] tens: u64) {
-    for seed in 10 * tens..10 * (tens + 1) {
-        let mut group = Group::new(seed);
+fn members_agree_with_the_reference_model(#[values(0, 1, 2, 3, 4, 5, 6, 7)] batch: u64) {
+    for seed in 10 * batch..10 * (batch + 1) {
+        let mut cluster = Cluster::new(seed);
         for _ in 0..STEPS {
-            group.step();
+            cluster.step();
         }
-        while !group.under_way.is_empty() {
-            group.apply_next();
+        while !cluster.pending.is_empty() {
+            cluster.apply_next();
         }
-        group.outcomes.check(seed);
+        cluster.outcomes.check(seed);
     }
 }
 
 impl Outcomes {
-    /// Each kind of answer and of outcome has happened.
+    /// Checks that each kind of decision and of outcome has occurred.
     fn check(&self, seed: u64) {
         let has_answer = |is_kind: fn(&Answer) -> bool| self.answers.iter().any(is_kind);
         assert!(has_answer(|answer| matches!(answer, Answer::Accept)), "seed {seed}");
--- a/crates/control-plane/tests/state_repeats.rs
+++ b/crates/control-plane/tests/state_repeats.rs
@@ -1,4 +1,4 @@
-//! Repeated requests: what was accepted is acknowledged again, and takes effect once.
+//! Repeated requests: an accepted request is acknowledged again and takes effect only once.
 
 mod support;
 
@@ -17,7 +17,7 @@
     state
 }
 
-/// Applies as many patches by other operators, each a revision further.
+/// Applies `count` patches of other operators, each of which raises the revision by one.
 fn apply_others(state: &mut State, count: u64) {
     for _ in 0..count {
         let base = revision(state);
@@ -34,38 +34,39 @@
     patch_route(1, 2, "s", "/s/")
 }
 
-/// A request and its repetition are decided on before either is applied, as after a commit that took too long.
+/// A request and its repeat are decided on before either of them is applied. This happens when a commit takes
+/// longer than the operator's timeout.
 #[rstest]
 #[case::a_document(put_request(), Applied::Configuration)]
 #[case::a_patch(patch_request(), Applied::Configuration)]
 #[case::weights(name("m", 2), Applied::Weights)]
 fn two_commands_of_one_request_are_both_accepted_and_apply_once(
-    #[case] call: Change,
+    #[case] request: Change,
     #[case] expected: Applied,
     #[values(0, 1, 20)] others_between: u64,
 ) {
     let mut state = first_state();
-    let first = accepted(&state, &call);
-    let second = accepted(&state, &call);
+    let first = accepted(&state, &request);
+    let second = accepted(&state, &request);
     assert_eq!(first.command, second.command);
-    assert_eq!(state.apply(&first.command).expect("it can be applied"), expected);
+    assert_eq!(state.apply(&first.command).expect("the command can be applied"), expected);
     apply_others(&mut state, others_between);
     let before = state.clone();
-    assert_eq!(state.apply(&second.command).expect("it can be applied"), expected);
+    assert_eq!(state.apply(&second.command).expect("the command can be applied"), expected);
     assert_eq!(state, before);
-    assert_eq!(state.apply_accepted(second).expect("it can be applied"), expected);
+    assert_eq!(state.apply_accepted(second).expect("the command can be applied"), expected);
     assert_eq!(state, before);
 }
 
 #[test]
-fn older_weights_that_were_accepted_before_newer_ones_are_accepted_again() {
+fn a_repeat_of_older_weights_is_accepted_after_newer_ones() {
     let mut state = State::default();
-    let copies = [accepted(&state, &name("m", 2)), accepted(&state, &name("m", 2))];
+    let repeats = [accepted(&state, &name("m", 2)), accepted(&state, &name("m", 2))];
     let rival = accepted(&state, &name("m", 1));
-    assert_eq!(state.apply(&copies[0].command).expect("it can be applied"), Applied::Weights);
+    assert_eq!(state.apply(&repeats[0].command).expect("the command can be applied"), Applied::Weights);
     take(&mut state, &name("m", 4));
-    assert_eq!(state.apply(&copies[1].command).expect("it can be applied"), Applied::Weights);
-    assert_eq!(state.apply(&rival.command).expect("it can be applied"), Applied::Superseded);
+    assert_eq!(state.apply(&repeats[1].command).expect("the command can be applied"), Applied::Weights);
+    assert_eq!(state.apply(&rival.command).expect("the command can be applied"), Applied::Superseded);
     assert_eq!(state.weights().newest()["m"], WeightsRevision(4));
 }
 
@@ -78,9 +79,9 @@
 fn of_two_requests_on_one_base_the_first_wins(#[case] winner: Change, #[case] loser: Change) {
     let mut state = first_state();
     let (first, second) = (accepted(&state, &winner), accepted(&state, &loser));
-    assert_eq!(state.apply(&first.command).expect("it can be applied"), Applied::Configuration);
+    assert_eq!(state.apply(&first.command).expect("the command can be applied"), Applied::Configuration);
     let after = state.clone();
-    assert_eq!(state.apply(&second.command).expect("it can be applied"), Applied::Superseded);
+    assert_eq!(state.apply(&second.command).expect("the command can be applied"), Applied::Superseded);
     assert_eq!(state, after);
     for _ in 0..2 {
         assert_eq!(state.decide(&winner), Decision::AlreadyAccepted);
@@ -101,17 +102,20 @@
 #[rstest]
 #[case::a_document(put_request())]
 #[case::a_patch(patch_request())]
-fn a_repeat_is_recognized_after_many_others(#[case] call: Change, #[values(1, 256, 4_000)] others: u64) {
+fn a_repeat_is_recognized_after_many_other_requests(
+    #[case] request: Change,
+    #[values(1, 256, 4_000)] others: u64,
+) {
     let mut state = first_state();
-    take(&mut state, &call);
+    take(&mut state, &request);
     apply_others(&mut state, others);
-    assert_eq!(state.decide(&call), Decision::AlreadyAccepted);
-    assert_eq!(restored(&state).decide(&call), Decision::AlreadyAccepted);
+    assert_eq!(state.decide(&request), Decision::AlreadyAccepted);
+    assert_eq!(restored(&state).decide(&request), Decision::AlreadyAccepted);
 }
 
-/// Named weights are recognized as long as those after them fit into the window, and never if they weren't accepted.
+/// A target revision is recognized as long as the later ones fit into the window, and never if it was not accepted.
 #[test]
-fn named_weights_are_recognized_after_many_others() {
+fn a_repeated_target_revision_is_recognized_after_many_others() {
     let mut state = State::default();
     let newest = MAX_RECENT_REQUESTS as u64 + 1;
     for revision in 1..=newest {
@@ -123,16 +127,16 @@
             state.decide(&name("m", 2)),
             Decision::OldWeights { newest: WeightsRevision(2 * newest) }
         );
-        for never_named in [1, 3, 5, 2 * newest - 1] {
+        for never_set in [1, 3, 5, 2 * newest - 1] {
             let refused = Decision::OldWeights { newest: WeightsRevision(2 * newest) };
-            assert_eq!(state.decide(&name("m", never_named)), refused);
+            assert_eq!(state.decide(&name("m", never_set)), refused);
         }
     }
 }
 
-/// The newest weights of a model are recognized however many others were named since.
+/// The newest target revision of a model is recognized however many of other models were set since.
 #[test]
-fn the_newest_weights_of_a_model_are_always_recognized() {
+fn the_newest_revision_of_a_model_is_always_recognized() {
     let mut state = State::default();
     take(&mut state, &name("quiet", 7));
     for revision in 0..MAX_RECENT_REQUESTS as u64 {
@@ -145,24 +149,24 @@
 #[case::a_document(put_request())]
 #[case::a_patch(patch_request())]
 #[case::weights(name("m", 2))]
-fn a_repeat_is_recognized_after_a_restoration(#[case] call: Change) {
+fn a_repeat_is_recognized_after_a_restore(#[case] request: Change) {
     let mut state = first_state();
-    take(&mut state, &call);
+    take(&mut state, &request);
     let mut state = restored(&state);
-    assert_eq!(state.decide(&call), Decision::AlreadyAccepted);
+    assert_eq!(state.decide(&request), Decision::AlreadyAccepted);
     apply_others(&mut state, 3);
-    assert_eq!(restored(&state).decide(&call), Decision::AlreadyAccepted);
+    assert_eq!(restored(&state).decide(&request), Decision::AlreadyAccepted);
 }
 
 #[rstest]
 #[case::a_document(put_request())]
 #[case::a_patch(patch_request())]
-fn a_repeat_is_recognized_after_a_document_that_replaced_everything(#[case] call: Change) {
+fn a_repeat_is_recognized_after_a_document_that_replaces_all(#[case] request: Change) {
     let mut state = first_state();
-    take(&mut state, &call);
+    take(&mut state, &request);
     take(&mut state, &put_routes(2, 3, &[]));
     let before = state.clone();
-    assert_eq!(state.decide(&call), Decision::AlreadyAccepted);
+    assert_eq!(state.decide(&request), Decision::AlreadyAccepted);
     assert_eq!(state, before);
 }
 
@@ -174,18 +178,17 @@
     assert_eq!(state.decide(&patch_request()), Decision::AlreadyAccepted);
     take(&mut state, &patch(3, r#"{"revision":4,"remove":{"routes":["s"]}}"#));
     assert_eq!(state.decide(&patch_request()), Decision::AlreadyAccepted);
-    let document = state.document().expect("there is one");
+    let document = state.document().expect("there is a document");
     let labels: Vec<&str> = document.configuration().routes.iter().map(|r| r.label.as_str()).collect();
     assert_eq!(labels, ["r"]);
 }
 
-/// A request is recognized by its JSON value: a client that writes it anew, perhaps with its fields in another order,
-/// still sends the same request.
+/// A request is recognized by its JSON value, so a client may serialize it again, with its fields in another order.
 #[rstest]
 #[case::other_white_space(r#"{ "revision": 2, "remove": {"routes": ["r"]}, "caps": {"quietMs": 5} }"#)]
-#[case::another_order_of_fields(r#"{"caps":{"quietMs":5},"remove":{"routes":["r"]},"revision":2}"#)]
-#[case::escaped_letters(r#"{"revision":2,"remove":{"routes":["\u0072"]},"caps":{"quietMs":5}}"#)]
-fn another_notation_is_the_same_request(#[case] body: &str) {
+#[case::another_field_order(r#"{"caps":{"quietMs":5},"remove":{"routes":["r"]},"revision":2}"#)]
+#[case::escaped_characters(r#"{"revision":2,"remove":{"routes":["\u0072"]},"caps":{"quietMs":5}}"#)]
+fn another_serialization_is_the_same_request(#[case] body: &str) {
     let mut state = first_state();
     take(&mut state, &patch(1, r#"{"revision":2,"remove":{"routes":["r"]},"caps":{"quietMs":5}}"#));
     assert_eq!(state.decide(&patch(1, body)), Decision::AlreadyAccepted);
@@ -194,32 +197,32 @@
 #[rstest]
 #[case::another_order_of_items(r#"{"revision":2,"remove":{"routes":["q","r"]}}"#)]
 #[case::another_kind_of_number(r#"{"revision":2,"remove":{"routes":["r","q"]},"caps":{"quietMs":5.0}}"#)]
-#[case::a_field_more(r#"{"revision":2,"remove":{"routes":["r","q"]},"caps":null}"#)]
+#[case::an_additional_field(r#"{"revision":2,"remove":{"routes":["r","q"]},"caps":null}"#)]
 fn another_value_is_another_request(#[case] body: &str) {
     let mut state = first_state();
     take(&mut state, &patch(1, r#"{"revision":2,"remove":{"routes":["r","q"]},"caps":{"quietMs":5}}"#));
     assert_eq!(state.decide(&patch(1, body)), Decision::Stale { current: Revision(2) });
 }
 
-/// Numbers that are rounded to the same one when they are read make different requests.
+/// Requests differ if their numbers differ, even where both numbers are parsed as the same float.
 #[rstest]
 #[case::a_long_integer("123456789012345678901234567890", "123456789012345678901234567891")]
 #[case::a_long_fraction("0.12345678901234567", "0.12345678901234568")]
 #[case::a_negative_number("-0.30000000000000004", "-0.30000000000000003")]
 #[case::an_underflow("1e-400", "1E-500")]
 #[case::in_a_list("[true,\"\\\"\",10000000000000000000001]", "[true,\"\\\"\",10000000000000000000002]")]
-fn numbers_that_round_to_the_same_make_different_requests(#[case] first: &str, #[case] second: &str) {
-    let call =
+fn numbers_that_parse_as_the_same_float_are_different_requests(#[case] first: &str, #[case] second: &str) {
+    let request =
         |number: &str| patch(1, &format!(r#"{{"revision":2,"upsert":{{"note":{{"x":{number}}}}}}}"#));
     let mut state = first_state();
-    take(&mut state, &call(first));
-    assert_eq!(state.decide(&call(first)), Decision::AlreadyAccepted);
-    assert_eq!(state.decide(&call(second)), Decision::Stale { current: Revision(2) });
+    take(&mut state, &request(first));
+    assert_eq!(state.decide(&request(first)), Decision::AlreadyAccepted);
+    assert_eq!(state.decide(&request(second)), Decision::Stale { current: Revision(2) });
 }
 
-/// Digits in a text are no number: such a request is recognized in another notation too.
+/// Digits in a string are not a number, so such a request is recognized in another serialization too.
 #[test]
-fn digits_in_a_text_are_not_rounded() {
+fn digits_in_a_string_are_not_a_number() {
     let mut state = first_state();
     take(
         &mut state,
@@ -229,27 +232,29 @@
     assert_eq!(state.decide(&patch(1, repeat)), Decision::AlreadyAccepted);
 }
 
-/// Of fields with one name the last counts, so their order makes another request.
+/// Of duplicate fields the last one counts, so another order of them is another request.
 #[test]
-fn another_order_of_fields_with_one_name_is_another_request() {
+fn another_order_of_duplicate_fields_is_another_request() {
     let body =
         |first, second| format!(r#"{{"revision":2,"routes":[],"backends":[],"x":{first},"x":{second}}}"#);
-    let call =
+    let request =
         |body: String| Change::PutConfiguration { if_match: Some(Revision(1)), body: body.into_bytes() };
     let mut state = first_state();
-    take(&mut state, &call(body(1, 2)));
-    assert_eq!(state.decide(&call(body(2, 1))), Decision::Stale { current: Revision(2) });
+    take(&mut state, &request(body(1, 2)));
+    assert_eq!(state.decide(&request(body(2, 1))), Decision::Stale { current: Revision(2) });
 }
 
-/// What the windows cost: 16 bytes for each request, and nothing that grows with time.
+/// The windows of recent requests take 16 bytes for each request, and do not grow beyond their limit.
 #[test]
-fn a_state_of_full_windows_has_a_bounded_size() {
+fn a_state_with_full_windows_has_a_bounded_size() {
     let mut state = State::default();
     for revision in 0..2 * MAX_RECENT_REQUESTS as u64 {
         take(&mut state, &name("m", revision));
     }
     let empty = State::default().snapshot().len();
     let length = state.snapshot().len();
-    println!("a snapshot of {empty} bytes with no calls, of {length} with {MAX_RECENT_REQUESTS} namings");
+    println!(
+        "snapshot: {empty} bytes with no requests, {length} bytes with {MAX_RECENT_REQUESTS} target revisions"
+    );
     assert!(length <= empty + MAX_RECENT_REQUESTS * 16 + 64, "{length} bytes");
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,7 +1,7 @@
 //! Compatibility of a member's data on disk with the bytes that an earlier version wrote (`tests/data/README.md`).
 //!
-//! Values are encoded by position: renaming types, fields and variants does not change the bytes. Adjacent fields of the
-//! same type have different values, so that a swap of two of them is detected.
+//! Values are encoded by position: renaming types, fields and variants does not change the bytes. Adjacent fields
+//! of the same type have different values, so that a swap of two of them is detected.
 
 #[path = "../../../tests/support/stored_data.rs"]
 mod stored_data;
@@ -240,7 +240,7 @@
 fn write_primary(directory: &Path) {
     let history = History::of_all_kinds_of_changes();
     let mut log = open(directory);
-    log.format(Generation(0), &[DurableRecord::View(first_view())]).expect("there is room");
+    log.format(Generation(0), &[DurableRecord::View(first_view())]).expect("there is free space");
     append(&mut log, &[DurableRecord::Promised(Epoch(4_294_967_301)), DurableRecord::View(view())]);
     append(&mut log, &[DurableRecord::DataEpoch(Epoch(4_294_967_302))]);
     append(&mut log, &[DurableRecord::Entry(history.entry(1)), DurableRecord::Entry(history.entry(2))]);
@@ -261,7 +261,7 @@
         entries: vec![history.entry(sequence + 1)],
     };
     let mut log = open(directory);
-    log.format(Generation(GENERATION), &[]).expect("there is room");
+    log.format(Generation(GENERATION), &[]).expect("there is free space");
     append(&mut log, &[DurableRecord::Promised(Epoch(4_294_967_303))]);
     append(&mut log, &[reset(Epoch(4_294_967_300), 1)]);
     append(&mut log, &[reset(Epoch(4_294_967_304), 2)]);
@@ -287,7 +287,7 @@
 
 fn append(log: &mut StateLog, records: &[DurableRecord]) {
     let records: Vec<&DurableRecord> = records.iter().collect();
-    log.append(&records).expect("there is room");
+    log.append(&records).expect("there is free space");
 }
 
 /// The state after a snapshot and the entries that follow it.
