--- a/examples/stream_bench.rs
+++ b/examples/stream_bench.rs
@@ -584,7 +584,7 @@
     ];
     for (name, pace) in limits {
         let mut rules = base.clone();
-        rules.pace = pace.map(|(factor, least)| PaceLimit { factor, least });
+        rules.pace = pace.map(|(factor, min_timeout)| PaceLimit { factor, min_timeout });
         let mut seed = 7u64;
         let mut random = |most: u64| {
             seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
--- a/fuzz/fuzz_targets/events.rs
+++ b/fuzz/fuzz_targets/events.rs
@@ -25,7 +25,7 @@
                 if translator.is_full() {
                     return out;
                 }
-                assert!(translator.buffered_bytes() <= limits.messages.call_bytes);
+                assert!(translator.buffered_bytes() <= limits.messages.pending_tool_call_bytes);
             }
             out
         };
--- a/src/engine/core.rs
+++ b/src/engine/core.rs
@@ -102,7 +102,7 @@
         };
         let clock = Rc::new(Clock { unix, from: Instant::now() });
         let core = Rc::new(RefCell::new(core));
-        let (slack, longest) = (limits.timeout_slack, limits.longest_wait.as_nanos() as Nanos);
+        let (slack, longest) = (limits.timeout_slack, limits.max_request_lifetime.as_nanos() as Nanos);
         let streams = Rc::new(RefCell::new(Streams::new(limits)));
         let limits = Rc::new(limits.stream.clone());
         Ok((Engine { core, clock, fleet, nudge, nudged, slack, longest, limits, streams }, orders))
--- a/src/engine/forwarding.rs
+++ b/src/engine/forwarding.rs
@@ -122,7 +122,7 @@
                 action => break action,
             }
             // Yields to other tasks if a fast replica and a fast client would keep this one running.
-            if self.turn_bytes >= self.engine.limits.bytes_per_turn {
+            if self.turn_bytes >= self.engine.limits.bytes_before_yield {
                 self.turn_bytes = 0;
                 future::yield_now().await;
             }
--- a/src/engine/stream_table.rs
+++ b/src/engine/stream_table.rs
@@ -25,7 +25,7 @@
     pub(super) fn new(limits: &Limits) -> Streams {
         let stream = &limits.stream;
         Streams {
-            budget: Budget::new(stream.budget, stream.high_watermark, stream.floor),
+            budget: Budget::new(stream.budget, stream.high_watermark, stream.min_buffer),
             statistics: StreamStatistics::default(),
             outliers: limits.outliers.as_ref().map(OutlierEjection::new),
             members: BTreeMap::new(),
--- a/src/engine/streams.rs
+++ b/src/engine/streams.rs
@@ -59,7 +59,7 @@
                 }
                 self.apply_standing(change);
             }
-            if let Some(every) = self.limits.figures_every {
+            if let Some(every) = self.limits.statistics_interval {
                 if figures_at.is_some_and(|at| at <= now) {
                     self.log_figures();
                     figures_at = None;
--- a/src/front/response_encoder.rs
+++ b/src/front/response_encoder.rs
@@ -36,7 +36,7 @@
         let translator = StreamTranslator::new(responder.dialect, id, model, omissions.clone(), limits);
         let form = if is_message {
             Form::Message {
-                assembler: MessageAssembler::new(limits.messages.whole_bytes),
+                assembler: MessageAssembler::new(limits.messages.assembled_bytes),
                 events: Vec::new(),
                 omissions,
             }
--- a/src/front/translate/mod.rs
+++ b/src/front/translate/mod.rs
@@ -74,7 +74,7 @@
         OmissionLog {
             names: RefCell::default(),
             others: RefCell::default(),
-            max_names: limits.log.noted_names,
+            max_names: limits.log.unknown_event_names,
         }
     }
 
@@ -138,9 +138,11 @@
     ) -> StreamTranslator {
         let writer = match client {
             Dialect::Platform => Writer::Platform(platform::Writer::default()),
-            Dialect::Messages => {
-                Writer::Messages(Box::new(messages::Writer::new(id, model, limits.messages.call_bytes)))
-            }
+            Dialect::Messages => Writer::Messages(Box::new(messages::Writer::new(
+                id,
+                model,
+                limits.messages.pending_tool_call_bytes,
+            ))),
         };
         StreamTranslator {
             client,
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,67 +1,67 @@
-//! All sizes, counts and times that bound the program, set once at start and handed down.
+//! The limits on sizes, counts and times of the whole program, computed once at startup.
 
 use std::time::Duration;
 
 use tulipridge_http1::Http1Limits;
 
-/// What a gateway may use and how long it waits. Nothing else in the network code states a bound, but for
-/// what a connection keeps to by itself.
+/// The resources that a gateway may use, and its timeouts. The network code has no other limits than these and the
+/// ones of a single HTTP/1 connection.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// What each connection keeps to.
+    /// Limits of each HTTP/1 connection.
     pub wire: Http1Limits,
-    /// Descriptors kept back from clients and replicas: for discovery, the store, the log, the runtime's own and
-    /// the second address, which must not depend on what else is going on.
-    pub own_descriptors: usize,
-    /// The longest time that a client may ask for; it bounds how long its request is remembered.
-    pub longest_wait: Duration,
-    /// What a forwarded stream may buffer and wait for.
+    /// File descriptors that connections of clients and to replicas may not use. Discovery, the store, the log, the
+    /// runtime and the management address need them whatever the load is.
+    pub reserved_descriptors: usize,
+    /// The longest time to a deadline that a client may ask for; it bounds how long its request is kept.
+    pub max_request_lifetime: Duration,
+    /// Buffers and timeouts of forwarded streams.
     pub stream: StreamLimits,
-    /// What the messages front accepts and assembles.
+    /// Limits on requests and assembled responses of the messages API.
     pub messages: MessagesLimits,
-    /// When a replica is ejected because its streams fail; `None`: never.
+    /// Thresholds for ejecting a replica whose streams fail; `None`: replicas are not ejected for that.
     pub outliers: Option<OutlierLimits>,
-    /// A time-out that fell this short of its end when the client left counts as one.
+    /// If the client leaves this shortly before an attempt's timeout, the attempt counts as timed out.
     pub timeout_slack: Duration,
-    /// What connections of clients may use.
+    /// Limits of client connections.
     pub edge: EdgeLimits,
-    /// What callers at the second address may use.
+    /// Limits of connections to the management address.
     pub management: ManagementLimits,
-    /// What connections to replicas may use.
+    /// Limits of connections to replicas.
     pub replicas: ReplicaLimits,
-    /// How discovery is called and watched.
+    /// Limits and timeouts of calls to discovery.
     pub discovery: DiscoveryLimits,
-    /// How the process starts, stops and hands over.
+    /// Timing of startup, shutdown and handover.
     pub lifecycle: LifecycleLimits,
-    /// What the log may hold and wait for.
+    /// Limits of the log queue.
     pub log: LogLimits,
-    /// What the replicated store may hold, and how often it is exchanged.
+    /// Size limits and intervals of the replicated store.
     pub store: StoreLimits,
-    /// When the serving thread counts as late.
+    /// Thresholds for reporting that the serving thread runs late.
     pub lag: LagLimits,
 }
 
 impl Limits {
-    /// The limits of a machine: its descriptors, its memory in MB, and what the settings say of connections.
+    /// Computes the limits from the number of file descriptors, the memory in MB, and the connect and idle timeouts.
     #[must_use]
     pub fn new(sockets: usize, memory_mb: usize, connect: Duration, idle: Duration) -> Limits {
-        let own = (sockets / 16).max(24);
-        let edge_connections = (sockets.saturating_sub(own) * 8 / 15).max(8);
-        // A third of the memory is the system's for connections: two buffers for each stream's two connections
-        // fill at most, and the system doubles what it is asked for.
+        let reserved = (sockets / 16).max(24);
+        let edge_connections = (sockets.saturating_sub(reserved) * 8 / 15).max(8);
+        // A third of the memory is for the kernel's socket buffers. At most two buffers of a stream's two connections fill,
+        // and the kernel doubles the requested size.
         let socket_buffer = ((memory_mb << 20) / 3 / edge_connections / 4).clamp(4 << 10, 64 << 10);
-        let server_connections = (sockets.saturating_sub(own) * 7 / 15).max(8);
+        let replica_connections = (sockets.saturating_sub(reserved) * 7 / 15).max(8);
         Limits {
             wire: Http1Limits { socket_buffer, connect_timeout: connect, ..Http1Limits::default() },
-            own_descriptors: own,
-            longest_wait: Duration::from_secs(60),
+            reserved_descriptors: reserved,
+            max_request_lifetime: Duration::from_secs(60),
             stream: StreamLimits::new(memory_mb),
             messages: MessagesLimits::default(),
             outliers: None,
             timeout_slack: Duration::from_millis(25),
             edge: EdgeLimits::new(edge_connections, memory_mb),
-            management: ManagementLimits::new(own),
-            replicas: ReplicaLimits::new(server_connections, idle),
+            management: ManagementLimits::new(reserved),
+            replicas: ReplicaLimits::new(replica_connections, idle),
             discovery: DiscoveryLimits::new(),
             lifecycle: LifecycleLimits::new(),
             log: LogLimits::new(),
@@ -70,179 +70,180 @@
         }
     }
 
-    /// The same where another process of this gateway may be up beside this one: its own descriptors are kept back too.
+    /// Reserves descriptors for a second process of this gateway too, while both run during a handover.
     #[must_use]
-    pub fn for_two(mut self) -> Limits {
-        self.edge.connections = self.edge.connections.saturating_sub(self.own_descriptors * 8 / 15).max(8);
+    pub fn with_overlapping_process(mut self) -> Limits {
+        self.edge.connections =
+            self.edge.connections.saturating_sub(self.reserved_descriptors * 8 / 15).max(8);
         self.replicas.connections =
-            self.replicas.connections.saturating_sub(self.own_descriptors * 7 / 15).max(8);
+            self.replicas.connections.saturating_sub(self.reserved_descriptors * 7 / 15).max(8);
         self
     }
 }
 
-/// What connections of clients may use.
+/// Limits of client connections.
 #[derive(Clone, Debug)]
 pub struct EdgeLimits {
-    /// Edge connections open at once.
+    /// Maximum number of open client connections.
     pub connections: usize,
-    /// Bytes of requests buffered at once; beyond it, bodies wait in their sockets until other requests are done.
+    /// Bytes of requests buffered at once. Above it, bodies are not read until other requests have ended.
     pub buffered_bytes: usize,
-    /// Bytes that a client may pipeline behind its open request, beyond those that are buffered, before its connection
-    /// is closed.
+    /// Bytes that are read and dropped behind a client's open request, beyond those that are buffered, before its
+    /// connection is closed.
     pub flood_bytes: usize,
-    /// While connection slots are scarce, one without any data is closed after this time.
-    pub silent_timeout: Duration,
-    /// While connection slots are scarce, one whose request has stopped arriving is closed after this time.
-    pub slow_timeout: Duration,
-    /// While connection slots are scarce, an idle one is closed after this time since its last response.
-    pub rested_timeout: Duration,
-    /// While connection slots are scarce, a closing one is closed after this time since its last response.
-    pub closing_timeout: Duration,
-    /// The same whatever still comes.
-    pub linger: Duration,
-    /// How often a listener without a free slot looks for one.
+    /// While connection slots are scarce, a connection that has sent nothing may be evicted after this time.
+    pub evict_silent_after: Duration,
+    /// The same for a connection with an incomplete request, since its last data.
+    pub evict_receiving_after: Duration,
+    /// The same for an idle connection, since its last response.
+    pub evict_idle_after: Duration,
+    /// The same for a closing connection, since its last response.
+    pub evict_closing_after: Duration,
+    /// Maximum time for which a closing connection is still read, so that a reset doesn't overtake the response.
+    pub max_closing_time: Duration,
+    /// How often a listener without a free slot checks for one.
     pub slot_check_interval: Duration,
-    /// An edge connection without a request is closed after this time.
+    /// A client connection without a request is closed after this time.
     pub idle_timeout: Duration,
-    /// Time for a request to arrive whole, from the connection's accepting or else the request's first byte.
+    /// Timeout for a complete request, from the accept of the connection or the first byte of a later request.
     pub read_timeout: Duration,
-    /// Time in which a client must take a response that is no stream.
+    /// Timeout for writing a response that is not a stream.
     pub write_timeout: Duration,
-    /// Pause of the listener after it found no descriptor free.
+    /// Pause of a listener after an accept failed, such as for want of a descriptor.
     pub accept_pause: Duration,
 }
 
-/// What callers at the second address may use.
+/// Limits of connections to the management address.
 #[derive(Clone, Debug)]
 pub struct ManagementLimits {
-    /// Callers at the second address at once.
-    pub callers: usize,
-    /// While slots are scarce, a caller that has sent nothing is closed after this time.
-    pub silent_timeout: Duration,
-    /// While slots are scarce, a caller whose call has stopped arriving is closed after this time.
-    pub slow_timeout: Duration,
-    /// Time for a call to arrive whole.
+    /// Maximum number of open connections.
+    pub connections: usize,
+    /// While slots are scarce, a connection that has sent nothing or is idle may be evicted after this time.
+    pub evict_silent_after: Duration,
+    /// The same for a connection with an incomplete call, since its last data.
+    pub evict_receiving_after: Duration,
+    /// Timeout for a complete call.
     pub read_timeout: Duration,
-    /// Time in which a caller must take its response.
+    /// Timeout for writing a response.
     pub write_timeout: Duration,
 }
 
-/// What connections to replicas may use.
+/// Limits of connections to replicas.
 #[derive(Clone, Debug)]
 pub struct ReplicaLimits {
-    /// Interim responses (1xx) before one that counts.
+    /// Maximum number of interim responses (1xx) before the final one.
     pub interim_heads: usize,
-    /// Connections to replicas open at once, idle ones included.
+    /// Maximum number of open connections to replicas, including idle ones.
     pub connections: usize,
     /// An idle connection to a replica is closed after this time.
     pub idle_timeout: Duration,
-    /// A connection to a replica is not used again sooner after a response.
-    pub settle_time: Duration,
-    /// How often idle connections are looked through.
+    /// Minimum time after a response before its connection is used again.
+    pub reuse_delay: Duration,
+    /// How often idle connections are checked for their timeout.
     pub sweep_interval: Duration,
-    /// Time in which the rest of an unusable response is read, to keep its connection.
+    /// Timeout for reading the rest of an unusable response, so that its connection can be used again.
     pub drain_timeout: Duration,
-    /// Time between the head of a response and its first event.
-    pub stream_opening: Duration,
-    /// The rest of a head that has begun must come within this time.
-    pub head_stall: Duration,
+    /// Timeout from the head of a response to its first event.
+    pub first_event_timeout: Duration,
+    /// Idle timeout within an incomplete head or an incomplete first event.
+    pub partial_head_timeout: Duration,
 }
 
-/// How discovery is called and watched.
+/// Limits and timeouts of calls to discovery.
 #[derive(Clone, Debug)]
 pub struct DiscoveryLimits {
-    /// Bytes of one object of discovery's responses.
+    /// Maximum size of one object in a response of discovery, in bytes.
     pub list_bytes: usize,
-    /// A watch without a line for this time counts as broken, and is listened to until another takes its place.
+    /// A watch without a line for this time counts as broken; it is still read until a new one replaces it.
     pub watch_idle_timeout: Duration,
-    /// The same where lists are pushed: what the agent has counts whether or not a watch is open, and a call costs
-    /// nothing.
+    /// The same for an agent that pushes lists. It is shorter because calls to the local agent are cheap, and updates of the
+    /// agent count as delivered even if no watch is open.
     pub agent_idle_timeout: Duration,
-    /// After this time without a response, an agent is called a second time in parallel.
-    pub agent_answer_timeout: Duration,
-    /// Calls to an agent that fail begin so far apart at the least.
-    pub agent_pause: Duration,
-    /// Time for discovery's response to begin.
-    pub answer_timeout: Duration,
-    /// Without a response of discovery, a list from the configuration counts as good after this time.
-    pub list_wait: Duration,
+    /// After this time without a response, a second call to an agent is started in parallel.
+    pub agent_hedge_delay: Duration,
+    /// Minimum time between the starts of calls to an agent that fail.
+    pub agent_retry_interval: Duration,
+    /// Timeout for the head of discovery's response.
+    pub response_timeout: Duration,
+    /// Time after the start without a response of discovery after which the list from the configuration is used.
+    pub list_fallback_delay: Duration,
 }
 
-/// How the process starts, stops and hands over.
+/// Timing of startup, shutdown and handover.
 #[derive(Clone, Debug)]
 pub struct LifecycleLimits {
-    /// How often a starting process looks whether it can serve.
+    /// How often a starting process checks whether it is ready to serve.
     pub start_check_interval: Duration,
-    /// Bytes of a stream that is handed over, all that waits at it included.
+    /// Maximum size of the message that hands over a stream, including its buffered data, in bytes.
     pub handover_bytes: usize,
-    /// How often an older process looks whether what it holds has changed, to tell the newer one.
+    /// How often the old process checks whether its state has changed and must be reported to the new process.
     pub report_interval: Duration,
-    /// After SIGTERM or a drain, requests are taken for this time on connections that clients have.
-    pub stop_grace: Duration,
+    /// After SIGTERM or a drain, requests on open client connections are accepted for this time.
+    pub shutdown_grace: Duration,
 }
 
-/// What the log may hold and wait for.
+/// Limits of the log queue.
 #[derive(Clone, Debug)]
 pub struct LogLimits {
-    /// Log lines that wait for standard error or the collector; further ones are dropped and counted.
+    /// Maximum number of queued lines for standard error or the collector; further ones are dropped and counted.
     pub lines: usize,
-    /// Bytes of all of them together.
+    /// Maximum size of all queued lines, in bytes.
     pub bytes: usize,
-    /// Unknown event names that are remembered so as to be logged once.
-    pub noted_names: usize,
-    /// Time for the log to get out at the program's end or at a panic.
+    /// Maximum number of unknown event names that are remembered, so that each is logged once.
+    pub unknown_event_names: usize,
+    /// Timeout for flushing the queue at exit or at a panic.
     pub drain_timeout: Duration,
-    /// How often it is looked whether it is.
+    /// How often the queue is checked during this flush.
     pub drain_check_interval: Duration,
 }
 
-/// What the replicated store may hold, and how often it is exchanged.
+/// Size limits and intervals of the replicated store.
 #[derive(Clone, Debug)]
 pub struct StoreLimits {
-    /// Keys that the store holds.
+    /// Maximum number of keys.
     pub keys: usize,
-    /// Bytes of a key or a value of the store.
+    /// Maximum size of a key or a value, in bytes.
     pub entry_bytes: usize,
-    /// Bytes of a line between stores: all keys at their largest fit.
+    /// Maximum size of a line between peers, in bytes: the maximum number of entries of maximum size fits.
     pub line_bytes: usize,
-    /// Connections to the store's port.
+    /// Maximum number of connections to the store's port.
     pub peers: usize,
-    /// A stamp of the store further ahead of the clock than this is garbage: it would win for ever.
+    /// Entries with a timestamp further ahead of the clock are rejected: no later write could replace them.
     pub max_clock_lead: Duration,
-    /// Time between two notes of this node's state in the store.
+    /// Interval at which this node writes its state to the store.
     pub state_interval: Duration,
-    /// Time between two exchanges of the store with a peer.
+    /// Interval between two exchanges with a peer.
     pub peer_interval: Duration,
 }
 
-/// When the serving thread counts as late.
+/// Thresholds for reporting that the serving thread runs late.
 #[derive(Clone, Debug)]
 pub struct LagLimits {
-    /// The serving thread may run so late before it is told.
+    /// A delay of the serving thread above this is logged.
     pub threshold: Duration,
-    /// A spell of running late is over after this time without.
-    pub calm_time: Duration,
-    /// Time between two looks at the thread's own processor time.
-    pub recheck_interval: Duration,
+    /// The thread counts as recovered after this time without a delay above the threshold.
+    pub recovery_time: Duration,
+    /// Interval at which the CPU time of the thread is read.
+    pub cpu_check_interval: Duration,
 }
 
 impl EdgeLimits {
     fn new(connections: usize, memory_mb: usize) -> EdgeLimits {
         EdgeLimits {
             connections,
-            // What is written to a replica is copied only meanwhile.
+            // The copy of a request that is written to a replica exists only during the write.
             buffered_bytes: (memory_mb << 20) * 3 / 8,
-            // A client that has left has no more on its way than its system keeps for a connection: 4 MB, as Linux
-            // comes.
+            // A client that has left can have no more data in flight than its kernel's socket buffer: 4 MB by default on
+            // Linux.
             flood_bytes: 4 << 20,
-            silent_timeout: Duration::from_millis(200),
-            slow_timeout: Duration::from_secs(1),
-            rested_timeout: Duration::from_secs(2),
-            closing_timeout: Duration::from_millis(20),
-            linger: Duration::from_secs(1),
+            evict_silent_after: Duration::from_millis(200),
+            evict_receiving_after: Duration::from_secs(1),
+            evict_idle_after: Duration::from_secs(2),
+            evict_closing_after: Duration::from_millis(20),
+            max_closing_time: Duration::from_secs(1),
             slot_check_interval: Duration::from_millis(50),
             idle_timeout: Duration::from_secs(4),
-            // A client that sends no whole request is owed an error or a close within 3 s of connecting.
+            // A client that sends no complete request must get an error or a close within 3 s of connecting.
             read_timeout: Duration::from_millis(2200),
             write_timeout: Duration::from_secs(10),
             accept_pause: Duration::from_millis(20),
@@ -251,12 +252,12 @@
 }
 
 impl ManagementLimits {
-    fn new(own_descriptors: usize) -> ManagementLimits {
+    fn new(reserved_descriptors: usize) -> ManagementLimits {
         ManagementLimits {
-            callers: (own_descriptors - 16).min(32),
-            silent_timeout: Duration::from_millis(20),
-            slow_timeout: Duration::from_millis(100),
-            // A response is due within a second, however the call came.
+            connections: (reserved_descriptors - 16).min(32),
+            evict_silent_after: Duration::from_millis(20),
+            evict_receiving_after: Duration::from_millis(100),
+            // A response is due within a second, however slowly the call arrives.
             read_timeout: Duration::from_millis(600),
             write_timeout: Duration::from_millis(200),
         }
@@ -268,14 +269,15 @@
         ReplicaLimits {
             interim_heads: 16,
             connections,
-            // Well before the other side's limit, so that no request crosses its close.
+            // Well below the replica's own idle timeout, so that no request is sent while the replica closes.
             idle_timeout: idle.mul_f64(0.6),
-            // A second response may come some milliseconds behind the first, and would be taken for the next one's.
-            settle_time: Duration::from_millis(20),
+            // A replica may send a second response some milliseconds after the first; on a connection in use again, it would
+            // be taken for the response to the next request.
+            reuse_delay: Duration::from_millis(20),
             sweep_interval: Duration::from_millis(250),
             drain_timeout: Duration::from_millis(50),
-            stream_opening: Duration::from_secs(4),
-            head_stall: Duration::from_millis(1500),
+            first_event_timeout: Duration::from_secs(4),
+            partial_head_timeout: Duration::from_millis(1500),
         }
     }
 }
@@ -285,13 +287,13 @@
         DiscoveryLimits {
             list_bytes: 1 << 20,
             watch_idle_timeout: Duration::from_nanos(crate::list_schedule::WATCH_IDLE_TIMEOUT),
-            // An empty line is due after 2 s.
+            // The agent sends an empty line every 2 s.
             agent_idle_timeout: Duration::from_millis(2300),
-            // Together well below the time for which a drained server may still be sent to.
-            agent_answer_timeout: Duration::from_millis(100),
-            agent_pause: Duration::from_millis(50),
-            answer_timeout: Duration::from_millis(2500),
-            list_wait: Duration::from_secs(1),
+            // Together with the retry interval well below the time for which a drained replica may still get requests.
+            agent_hedge_delay: Duration::from_millis(100),
+            agent_retry_interval: Duration::from_millis(50),
+            response_timeout: Duration::from_millis(2500),
+            list_fallback_delay: Duration::from_secs(1),
         }
     }
 }
@@ -300,10 +302,10 @@
     fn new() -> LifecycleLimits {
         LifecycleLimits {
             start_check_interval: Duration::from_millis(10),
-            // What a stream may hold at each of its sides, and its description.
+            // The buffers of both sides of a stream, and its metadata.
             handover_bytes: 160 << 10,
             report_interval: Duration::from_millis(20),
-            stop_grace: Duration::from_millis(700),
+            shutdown_grace: Duration::from_millis(700),
         }
     }
 }
@@ -313,7 +315,7 @@
         LogLimits {
             lines: 1024,
             bytes: 256 << 10,
-            noted_names: 64,
+            unknown_event_names: 64,
             drain_timeout: Duration::from_millis(200),
             drain_check_interval: Duration::from_millis(1),
         }
@@ -338,58 +340,58 @@
     fn new() -> LagLimits {
         LagLimits {
             threshold: Duration::from_millis(100),
-            calm_time: Duration::from_secs(1),
-            recheck_interval: Duration::from_millis(10),
+            recovery_time: Duration::from_secs(1),
+            cpu_check_interval: Duration::from_millis(10),
         }
     }
 }
 
-/// An idle timeout that adapts to the gaps of a stream.
+/// An idle timeout that is a multiple of a stream's longest gap.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaceLimit {
     /// Multiple of the longest gap so far.
     pub factor: f64,
     /// The shortest idle timeout.
-    pub least: Duration,
+    pub min_timeout: Duration,
 }
 
-/// What a forwarded stream may buffer and wait for.
+/// Buffers and timeouts of forwarded streams.
 #[derive(Clone, Debug)]
 pub struct StreamLimits {
-    /// Bytes that a stream buffers before it is no longer read.
+    /// Buffered bytes above which the replica is not read.
     pub high_watermark: usize,
-    /// Bytes at or under which it is read again.
+    /// Buffered bytes at or below which the replica is read again.
     pub low_watermark: usize,
-    /// Bytes that all streams together buffer before streams are evicted.
+    /// Memory budget of all streams, in bytes; above it, streams are evicted.
     pub budget: usize,
-    /// Bytes that each stream may buffer however short the budget is.
-    pub floor: usize,
-    /// Time without data between two events after which a stream counts as stalled.
+    /// Bytes that each stream may buffer even if the budget is used up.
+    pub min_buffer: usize,
+    /// A stream without data for this time between two events counts as stalled.
     pub idle_timeout: Duration,
-    /// The same within a chunk or an event.
-    pub stall: Duration,
-    /// The same after the dialect's last event, for the last chunk.
-    pub tail: Duration,
-    /// If set, the idle timeout follows the longest gap of the stream, within the limits above.
+    /// The same within an incomplete chunk or event.
+    pub partial_event_timeout: Duration,
+    /// The same after the dialect's last event, while the last chunk is missing.
+    pub last_chunk_timeout: Duration,
+    /// If set, the idle timeout adapts to the stream's longest gap; the timeouts above remain the maximum.
     pub pace: Option<PaceLimit>,
-    /// The span over which a reader's progress is looked at.
-    pub reader_span: Duration,
-    /// Bytes that a reader takes in that span at the least, while bytes wait for it.
-    pub reader_floor: usize,
-    /// After a break, the client may take what waits for this time.
+    /// Interval over which the client's read rate is measured.
+    pub reader_interval: Duration,
+    /// Bytes that the client must read per interval while bytes are pending.
+    pub reader_min_bytes: usize,
+    /// Time for which a client may read pending bytes after the replica's side has broken off.
     pub linger: Duration,
-    /// After SIGTERM, streams are cut after this time.
-    pub stop: Duration,
-    /// How long before it is cut a stream is offered to the successor process.
-    pub offer_before: Duration,
-    /// Pause before it is offered again.
-    pub offer_again: Duration,
-    /// Pause between two snapshots of the figures in the log; none: only at the end.
-    pub figures_every: Option<Duration>,
-    /// How often ejections that are over and statistics that are due are looked for.
+    /// Time from SIGTERM until open streams are aborted.
+    pub shutdown_timeout: Duration,
+    /// How long before that a stream is first offered to the successor process.
+    pub handover_lead_time: Duration,
+    /// Pause before a refused stream is offered again.
+    pub handover_retry_interval: Duration,
+    /// Interval at which stream statistics are logged; `None`: only at exit.
+    pub statistics_interval: Option<Duration>,
+    /// How often the gateway checks for ejections that have ended and statistics that are due.
     pub check_interval: Duration,
-    /// Bytes that one stream may forward before it yields to other tasks.
-    pub bytes_per_turn: usize,
+    /// Bytes that a stream may forward before its task yields to others.
+    pub bytes_before_yield: usize,
 }
 
 impl StreamLimits {
@@ -399,49 +401,49 @@
             high_watermark,
             low_watermark: high_watermark / 4,
             budget: (memory_mb << 20) / 8,
-            floor: 4 << 10,
-            // Guards against a stream that has stopped for good on an open connection: its client is owed an end
-            // within 5 s of the last event.
+            min_buffer: 4 << 10,
+            // A replica may stop sending without closing its connection. The client must get an end of the stream within
+            // 5 s of the last event.
             idle_timeout: Duration::from_secs(4),
-            stall: Duration::from_millis(1500),
-            tail: Duration::from_millis(1500),
+            partial_event_timeout: Duration::from_millis(1500),
+            last_chunk_timeout: Duration::from_millis(1500),
             pace: None,
-            reader_span: Duration::from_secs(8),
-            reader_floor: 4 << 10,
+            reader_interval: Duration::from_secs(8),
+            reader_min_bytes: 4 << 10,
             linger: Duration::from_secs(1),
-            // A planned stop kills no sooner than 3.7 s after its SIGTERM.
-            stop: Duration::from_millis(3550),
-            offer_before: Duration::from_millis(500),
-            offer_again: Duration::from_millis(20),
-            figures_every: None,
+            // A planned stop sends SIGKILL no sooner than 3.7 s after SIGTERM.
+            shutdown_timeout: Duration::from_millis(3550),
+            handover_lead_time: Duration::from_millis(500),
+            handover_retry_interval: Duration::from_millis(20),
+            statistics_interval: None,
             check_interval: Duration::from_millis(250),
-            bytes_per_turn: 32 << 10,
+            bytes_before_yield: 32 << 10,
         }
     }
 }
 
-/// What the messages front accepts and assembles.
+/// Limits on requests and assembled responses of the messages API.
 #[derive(Clone, Debug)]
 pub struct MessagesLimits {
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How deep a tool's schema or input nests.
+    /// Maximum nesting depth of a tool's schema or input.
     pub depth: usize,
-    /// Blocks in a request, those within results and documents counted.
+    /// Maximum number of content blocks in a request, including those within tool results and documents.
     pub blocks: usize,
-    /// Turns in a request.
+    /// Maximum number of turns in a request.
     pub turns: usize,
-    /// Tools in a request.
+    /// Maximum number of tools in a request.
     pub tools: usize,
-    /// Stop sequences in a request.
+    /// Maximum number of stop sequences in a request.
     pub stop_sequences: usize,
-    /// Bytes of a response that is assembled before it is sent.
-    pub whole_bytes: usize,
-    /// Bytes of tool calls that wait for the end of another one.
-    pub call_bytes: usize,
-    /// Maximum number of output tokens where the request states none and the other dialect requires one.
+    /// Maximum size of a response that is assembled before it is sent, in bytes.
+    pub assembled_bytes: usize,
+    /// Maximum size of buffered tool calls that wait for an earlier one to end, in bytes.
+    pub pending_tool_call_bytes: usize,
+    /// Output token limit for a request without one, if the replica's dialect requires it.
     pub default_max_tokens: u64,
-    /// Bytes of a replica's error message about an invalid request.
+    /// Maximum size of a replica's error message about an invalid request, in bytes.
     pub error_message_bytes: usize,
 }
 
@@ -454,32 +456,32 @@
             turns: 4096,
             tools: 256,
             stop_sequences: 64,
-            whole_bytes: 256 << 10,
-            call_bytes: 64 << 10,
+            assembled_bytes: 256 << 10,
+            pending_tool_call_bytes: 64 << 10,
             default_max_tokens: 4096,
             error_message_bytes: 4 << 10,
         }
     }
 }
 
-/// When a replica is ejected because its streams fail.
+/// Thresholds for ejecting a replica whose streams fail.
 #[derive(Clone, Debug)]
 pub struct OutlierLimits {
-    /// The window over which ends of streams are counted.
+    /// Sliding window over which ends of streams are counted.
     pub window: Duration,
-    /// Ends remembered for each replica.
+    /// Maximum number of ends that are kept for each replica.
     pub max_ends: usize,
-    /// Failures within the window before an ejection.
+    /// Minimum number of failures within the window for an ejection.
     pub min_failures: usize,
-    /// The failure rate before an ejection, 0 to 1.
+    /// Minimum failure rate for an ejection, 0 to 1.
     pub min_failure_rate: f64,
-    /// How many times the failure rate of the other replicas it must be.
+    /// Minimum ratio of the failure rate to that of the other replicas.
     pub ratio_to_others: f64,
-    /// How long the first ejection lasts.
+    /// Duration of the first ejection.
     pub ejection_time: Duration,
-    /// How long an ejection may last; each one that follows soon lasts twice as long as the one before.
+    /// Maximum duration of an ejection. An ejection soon after another one lasts twice as long as that one.
     pub max_ejection_time: Duration,
-    /// The share of the ready replicas that may be ejected, 0 to 1.
+    /// Maximum share of the ready replicas that may be ejected, 0 to 1.
     pub max_ejected_share: f64,
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -85,7 +85,8 @@
                     }
                     // An update of the agent counts as delivered even if no watch is open, so a watch that has
                     // lasted is reopened at once, and a failed one at a steady rate.
-                    Timer::after(this.limits.discovery.agent_pause.saturating_sub(from.elapsed())).await;
+                    Timer::after(this.limits.discovery.agent_retry_interval.saturating_sub(from.elapsed()))
+                        .await;
                 }
             })
         };
@@ -150,10 +151,10 @@
             end
         };
         let beside = async {
-            Timer::after(self.limits.discovery.agent_answer_timeout).await;
+            Timer::after(self.limits.discovery.agent_hedge_delay).await;
             while begun.get().is_none() {
                 let late = async {
-                    Timer::after(self.limits.discovery.agent_answer_timeout).await;
+                    Timer::after(self.limits.discovery.agent_hedge_delay).await;
                     if begun.get() == Some(1) {
                         future::pending::<()>().await;
                     }
@@ -164,7 +165,8 @@
                 if begun.get() == Some(1) {
                     return end;
                 }
-                Timer::after(self.limits.discovery.agent_pause.saturating_sub(from.elapsed())).await;
+                Timer::after(self.limits.discovery.agent_retry_interval.saturating_sub(from.elapsed()))
+                    .await;
             }
             future::pending().await
         };
@@ -191,7 +193,7 @@
         let mut wire = BufferedStream::connect(self.addr.get(), &limits.wire).await?;
         let request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.addr.get());
         wire.write(request.as_bytes()).await?;
-        let begun = within(limits.discovery.answer_timeout, async {
+        let begun = within(limits.discovery.response_timeout, async {
             loop {
                 match codec::response_head(&mut wire.buf, &limits.wire) {
                     Ok(Some(head)) => return Ok(head),
--- a/src/net/edge/connection.rs
+++ b/src/net/edge/connection.rs
@@ -47,7 +47,7 @@
         slot.set_state(ConnectionState::Closing);
         let longest = match self.lifecycle.is_stopping() {
             true => self.limits.wire.linger_quiet,
-            false => self.limits.edge.linger,
+            false => self.limits.edge.max_closing_time,
         };
         let left = async {
             slot.evicted().await;
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -59,10 +59,10 @@
         followers: Rc<Followers>,
     ) -> Edge {
         let timeouts = SlotTimeouts {
-            silent: limits.edge.silent_timeout,
-            receiving: limits.edge.slow_timeout,
-            idle: limits.edge.rested_timeout,
-            closing: limits.edge.closing_timeout,
+            silent: limits.edge.evict_silent_after,
+            receiving: limits.edge.evict_receiving_after,
+            idle: limits.edge.evict_idle_after,
+            closing: limits.edge.evict_closing_after,
         };
         let slots = Rc::new(SlotPool::new(engine.clone(), timeouts));
         let body_bytes = limits.messages.body_bytes;
@@ -131,7 +131,7 @@
     /// open requests get their responses.
     pub async fn stop(&self) {
         self.lifecycle.stop();
-        self.engine.stop_streams(self.limits.stream.stop);
+        self.engine.stop_streams(self.limits.stream.shutdown_timeout);
         while !self.lifecycle.over(self.open()) || self.listeners.get() > 0 {
             // Looks again by itself: the listeners wait for the same word, and only one of all hears it.
             let word = future::or(self.slots.freed(), self.lifecycle.changed());
@@ -142,7 +142,7 @@
     /// Takes fewer connections from now on, since there are fewer descriptors than the configuration says.
     fn run_out(&self) {
         let overlap = &self.fleet.overlap;
-        if overlap.ran_out(self.report().open, self.limits.own_descriptors) {
+        if overlap.ran_out(self.report().open, self.limits.reserved_descriptors) {
             let ConnectionCounts { edge, replicas } = overlap.limits();
             log::warn!(edge = edge, replicas = replicas; "descriptors-short: raise this process's limit to what limits.sockets says; until then it holds fewer connections");
         }
--- a/src/net/lifecycle_monitor.rs
+++ b/src/net/lifecycle_monitor.rs
@@ -32,7 +32,7 @@
         shared: bool,
         ready: Box<dyn Fn() -> bool>,
     ) -> LifecycleMonitor {
-        let grace = limits.lifecycle.stop_grace.as_nanos() as Nanos;
+        let grace = limits.lifecycle.shutdown_grace.as_nanos() as Nanos;
         let life = RefCell::new(Lifecycle::new(engine.now(), shared, grace));
         LifecycleMonitor {
             engine,
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -30,10 +30,10 @@
     /// No callers yet.
     pub fn new(engine: Engine, lifecycle: Rc<LifecycleMonitor>, limits: Rc<Limits>) -> Mgmt {
         let timeouts = SlotTimeouts {
-            silent: limits.management.silent_timeout,
-            receiving: limits.management.slow_timeout,
-            idle: limits.management.silent_timeout,
-            closing: limits.edge.closing_timeout,
+            silent: limits.management.evict_silent_after,
+            receiving: limits.management.evict_receiving_after,
+            idle: limits.management.evict_silent_after,
+            closing: limits.edge.evict_closing_after,
         };
         Mgmt { lifecycle, limits, slots: Rc::new(SlotPool::new(engine, timeouts)) }
     }
@@ -41,8 +41,8 @@
     /// Takes calls for as long as the program lives.
     pub async fn listen(self: Rc<Self>, ex: &'static LocalExecutor<'static>, listener: Async<TcpListener>) {
         loop {
-            if self.slots.in_use() >= self.limits.management.callers {
-                self.slots.evict_and_wait(self.limits.management.silent_timeout).await;
+            if self.slots.in_use() >= self.limits.management.connections {
+                self.slots.evict_and_wait(self.limits.management.evict_silent_after).await;
                 continue;
             }
             match listener.accept().await {
@@ -78,7 +78,7 @@
         if matches!(written, Ok(Ok(()))) {
             // Reads a body that was sent with the call, since a reset could overtake the response.
             slot.set_state(ConnectionState::Closing);
-            let _ = wire.linger(self.limits.edge.linger, &self.limits.wire).await;
+            let _ = wire.linger(self.limits.edge.max_closing_time, &self.limits.wire).await;
         }
     }
 
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -89,7 +89,7 @@
             let mut wire = BufferedStream::connect(peer, &limits.wire).await?;
             loop {
                 write(&mut wire, &json!({"digest": store.digest()}), &limits).await?;
-                let line = within(limits.discovery.answer_timeout, read(&mut wire, &limits)).await??;
+                let line = within(limits.discovery.response_timeout, read(&mut wire, &limits)).await??;
                 let Some(Message::DigestResponse { news, digest }) = line else {
                     return Err(io::Error::other("no response to a digest"));
                 };
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -163,7 +163,7 @@
         let mut replicas = self.replicas.borrow_mut();
         let idle = &mut replicas.get_mut(replica)?.idle;
         while let Some(last) =
-            idle.iter().rposition(|idle| idle.since.elapsed() >= self.limits.replicas.settle_time)
+            idle.iter().rposition(|idle| idle.since.elapsed() >= self.limits.replicas.reuse_delay)
         {
             let IdleConnection { connection, since } = idle.remove(last);
             // Guards against a request written into a connection that has ended or is about to.
--- a/src/net/upstream/open_response.rs
+++ b/src/net/upstream/open_response.rs
@@ -46,8 +46,11 @@
         loop {
             let amid = !open.text.is_empty() || open.body.is_amid(&open.connection.wire.buf);
             // The time is limited for a head without events and for an incomplete first event.
-            let limit =
-                if amid { self.limits.replicas.head_stall } else { self.limits.replicas.stream_opening };
+            let limit = if amid {
+                self.limits.replicas.partial_head_timeout
+            } else {
+                self.limits.replicas.first_event_timeout
+            };
             match within(limit, self.next(open)).await {
                 Ok(Ok(batch)) if batch.events == 0 => open.early += std::mem::take(&mut open.came),
                 Ok(next) => return next,
--- a/src/net/upstream/probe.rs
+++ b/src/net/upstream/probe.rs
@@ -38,7 +38,7 @@
             }
             AttemptOutcome { load_report: self.load(&head), ..Verdict::Error.into() }
         };
-        within(self.limits.discovery.answer_timeout, exchange)
+        within(self.limits.discovery.response_timeout, exchange)
             .await
             .unwrap_or_else(|_| Verdict::TimedOut.into())
     }
--- a/src/net/upstream/response_head.rs
+++ b/src/net/upstream/response_head.rs
@@ -25,7 +25,9 @@
         // Guards against waiting until the deadline for a head that has begun and does not end.
         let begun = !wire.buf.is_empty();
         let fill = wire.fill(&limits.wire);
-        if (if begun { within(limits.replicas.head_stall, fill).await? } else { fill.await })? == 0 {
+        if (if begun { within(limits.replicas.partial_head_timeout, fill).await? } else { fill.await })?
+            == 0
+        {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
--- a/src/process/lag.rs
+++ b/src/process/lag.rs
@@ -39,8 +39,8 @@
         let nanos = |span: std::time::Duration| span.as_nanos() as Nanos;
         LagMonitor {
             most: nanos(limits.lag.threshold),
-            calm: nanos(limits.lag.calm_time),
-            again: nanos(limits.lag.recheck_interval),
+            calm: nanos(limits.lag.recovery_time),
+            again: nanos(limits.lag.cpu_check_interval),
             seen: (now, cpu),
             spell: None,
         }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -58,7 +58,7 @@
 /// Serves until a signal ends it; `sources` is what SIGHUP reads again, `inherited` the platform's own listener.
 pub(crate) fn serve(config: Config, sources: Sources, inherited: Option<TcpListener>) -> ExitCode {
     let limits = config.limits();
-    let limits = Rc::new(if inherited.is_some() { limits.for_two() } else { limits });
+    let limits = Rc::new(if inherited.is_some() { limits.with_overlapping_process() } else { limits });
     let executor: Executor = Box::leak(Box::default());
     async_io::block_on(executor.run(async {
         let collector = config.own.syslog.tcp;
@@ -173,7 +173,8 @@
     let (fleet, discovery, limits) = (fleet.clone(), discovery.clone(), limits.clone());
     let started = Instant::now();
     Box::new(move || {
-        fleet.any_ready() && (discovery.has_list() || started.elapsed() > limits.discovery.list_wait)
+        fleet.any_ready()
+            && (discovery.has_list() || started.elapsed() > limits.discovery.list_fallback_delay)
     })
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -235,10 +235,10 @@
     /// Puts what is set here in place of what the machine's size gave.
     pub fn apply(&self, limits: &mut Limits) {
         let s = &self.streams;
-        limits.replicas.stream_opening = s.opening.unwrap_or(limits.replicas.stream_opening);
+        limits.replicas.first_event_timeout = s.opening.unwrap_or(limits.replicas.first_event_timeout);
         let m = &mut limits.messages;
         m.body_bytes = self.messages.body.map_or(m.body_bytes, |b| b.0 as usize);
-        m.whole_bytes = self.messages.whole_answer.map_or(m.whole_bytes, |b| b.0 as usize);
+        m.assembled_bytes = self.messages.whole_answer.map_or(m.assembled_bytes, |b| b.0 as usize);
         let l = &mut limits.stream;
         let set = |to: &mut usize, from: Option<ByteSize>| *to = from.map_or(*to, |b| b.0 as usize);
         let time = |to: &mut Duration, from: Option<Duration>| *to = from.unwrap_or(*to);
@@ -246,16 +246,16 @@
         l.low_watermark = l.high_watermark / 4;
         set(&mut l.budget, s.budget);
         set(&mut limits.wire.socket_buffer, s.socket_buffer);
-        set(&mut l.reader_floor, s.reader_floor);
+        set(&mut l.reader_min_bytes, s.reader_floor);
         time(&mut l.idle_timeout, s.silence);
-        time(&mut l.stall, s.stall);
-        time(&mut l.tail, s.tail);
-        time(&mut l.reader_span, s.reader_span);
+        time(&mut l.partial_event_timeout, s.stall);
+        time(&mut l.last_chunk_timeout, s.tail);
+        time(&mut l.reader_interval, s.reader_span);
         time(&mut l.linger, s.linger);
-        time(&mut l.stop, s.stop_within);
+        time(&mut l.shutdown_timeout, s.stop_within);
         let pace = s.pace_factor.zip(s.pace_least);
-        l.pace = pace.map(|(factor, least)| PaceLimit { factor, least }).or(l.pace);
-        l.figures_every = s.figures_every.or(l.figures_every);
+        l.pace = pace.map(|(factor, min_timeout)| PaceLimit { factor, min_timeout }).or(l.pace);
+        l.statistics_interval = s.figures_every.or(l.statistics_interval);
         if let Some(r) = &self.rest {
             let mut outliers = OutlierLimits::default();
             time(&mut outliers.window, r.span);
--- a/src/stream/relay.rs
+++ b/src/stream/relay.rs
@@ -266,13 +266,13 @@
     pub fn stop_at(&mut self, at: Nanos) {
         if self.stop_at.is_none_or(|before| at < before) {
             self.stop_at = Some(at);
-            self.offer_at = Some(at.saturating_sub(nanos(self.limits.offer_before)));
+            self.offer_at = Some(at.saturating_sub(nanos(self.limits.handover_lead_time)));
         }
     }
 
     /// Records that no process took the stream over; it is offered again soon.
     pub fn refused(&mut self, now: Nanos) {
-        self.offer_at = Some(now.saturating_add(nanos(self.limits.offer_again)));
+        self.offer_at = Some(now.saturating_add(nanos(self.limits.handover_retry_interval)));
     }
 
     /// Ends the stream here: the successor process continues it.
@@ -305,9 +305,9 @@
             None => {}
         }
         if let Some(span) = self.span
-            && now >= span.started_at.saturating_add(nanos(self.limits.reader_span))
+            && now >= span.started_at.saturating_add(nanos(self.limits.reader_interval))
         {
-            if span.taken < self.limits.reader_floor {
+            if span.taken < self.limits.reader_min_bytes {
                 return self.end(now, Cause::ReaderSlow);
             }
             self.span = Some(ReaderSpan { started_at: now, taken: 0 });
@@ -327,7 +327,7 @@
         if self.ended.is_some() {
             return None;
         }
-        let span = self.span.map(|span| span.started_at.saturating_add(nanos(self.limits.reader_span)));
+        let span = self.span.map(|span| span.started_at.saturating_add(nanos(self.limits.reader_interval)));
         let (idle, offer) =
             if self.replica_end.is_none() { (self.idle_until(), self.offer_at) } else { (None, None) };
         [span, idle, offer, self.stop_at, self.linger_until].into_iter().flatten().min()
@@ -446,14 +446,14 @@
     fn idle_until(&self) -> Option<Nanos> {
         let limits = &self.limits;
         let flat = match (self.last_event, self.amid) {
-            (true, _) => limits.tail,
-            (_, true) => limits.stall,
+            (true, _) => limits.last_chunk_timeout,
+            (_, true) => limits.partial_event_timeout,
             _ => limits.idle_timeout,
         };
         let limit = match limits.pace {
             // Follows the longest gap of this stream; the flat limit stays the upper bound.
-            Some(PaceLimit { factor, least }) => {
-                nanos(flat).min(nanos(least).max((self.longest_gap as f64 * factor) as Nanos))
+            Some(PaceLimit { factor, min_timeout }) => {
+                nanos(flat).min(nanos(min_timeout).max((self.longest_gap as f64 * factor) as Nanos))
             }
             None => nanos(flat),
         };
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -140,7 +140,7 @@
                 relay.stop_at(at);
                 if self.stop_at.is_none_or(|was| at < was) {
                     self.stop_at = Some(at);
-                    self.offer_at = Some(at.saturating_sub(nanos(limits.offer_before)));
+                    self.offer_at = Some(at.saturating_sub(nanos(limits.handover_lead_time)));
                 }
             }
             Move::Leave => relay.left(self.now, Leaving::Ended),
@@ -157,10 +157,11 @@
     /// Why the stream ends with this step, if it does.
     fn expected_cause(&self, step: Move, limits: &StreamLimits) -> Option<Cause> {
         let late_reader = self.span.is_some_and(|(from, taken)| {
-            self.now >= from + nanos(limits.reader_span) && taken < limits.reader_floor
+            self.now >= from + nanos(limits.reader_interval) && taken < limits.reader_min_bytes
         });
         let stalled = self.replica_end.is_none()
-            && self.silent >= nanos(if self.amid { limits.stall } else { limits.idle_timeout });
+            && self.silent
+                >= nanos(if self.amid { limits.partial_event_timeout } else { limits.idle_timeout });
         match step {
             Move::Leave => Some(Cause::ClientLeft),
             Move::Cancel => Some(Cause::Cancelled),
@@ -239,7 +240,7 @@
         }
         if offered {
             relay.refused(model.now);
-            model.offer_at = Some(model.now + nanos(limits.offer_again));
+            model.offer_at = Some(model.now + nanos(limits.handover_retry_interval));
             assert_eq!(relay.poll(model.now), RelayAction::Wait);
         }
         if let Some(outcome) = relay.outcome() {
@@ -247,7 +248,7 @@
             return true;
         }
         // A span that ended well begins anew.
-        if model.span.is_some_and(|(from, _)| model.now >= from + nanos(limits.reader_span)) {
+        if model.span.is_some_and(|(from, _)| model.now >= from + nanos(limits.reader_interval)) {
             model.span = Some((model.now, 0));
         }
         model.check_open(&relay, &limits);
@@ -319,7 +320,7 @@
     assert_eq!(stall(&limits, false, false, 600 * MS), 4_000);
     assert_eq!(stall(&limits, true, false, 600 * MS), 1_500);
     assert_eq!(stall(&limits, false, true, 600 * MS), 1_500);
-    limits.pace = Some(PaceLimit { factor: 3.0, least: Duration::from_millis(900) });
+    limits.pace = Some(PaceLimit { factor: 3.0, min_timeout: Duration::from_millis(900) });
     assert_eq!(stall(&limits, false, false, 10 * MS), 900);
     assert_eq!(stall(&limits, false, false, 600 * MS), 1_800);
     assert_eq!(stall(&limits, false, false, 3_000 * MS), 4_000);
