--- a/examples/stream_bench.rs
+++ b/examples/stream_bench.rs
@@ -604,11 +604,11 @@
                         _ => 15 + random(15),
                     };
                     now += gap * 1_000_000;
-                    if relay.poll(now) == RelayAction::Cut {
+                    if relay.poll(now) == RelayAction::Abort {
                         lost[n] += 1;
                         break;
                     }
-                    relay.arrived(now, &Arrival { bytes: 120, events: 1, ..Arrival::default() });
+                    relay.record_arrival(now, &Arrival { bytes: 120, events: 1, ..Arrival::default() });
                 }
                 if let (0, Some(due)) = (n, relay.due()) {
                     noticed.saturating_record((due - now) / 1_000_000);
--- a/src/engine/core.rs
+++ b/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The engine: the load balancer with its clock, its timers, and the requests that wait for its actions.
+//! The engine: drives the load balancer with a clock and timers, and passes its actions to the open requests.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -18,25 +18,25 @@
 use crate::LoadBalancer;
 use crate::limits::{Limits, StreamLimits};
 use crate::process::lag::{LagMonitor, LagSpell};
-use crate::stream::Change;
+use crate::stream::EjectionChange;
 use crate::types::{
     Action, ClassIndex, Event, ListKind, Member, Nanos, ReplicaId, Request, RequestId, Settings,
     SettingsError, TenantIndex, Verdict,
 };
 
-/// Unix time that never runs backwards, so that the load balancer's clock and `started_ms` agree.
+/// A monotonic clock that starts at Unix time, so that the load balancer can compare it with a replica's `started_ms`.
 struct Clock {
-    unix: Nanos,
-    from: Instant,
+    unix_start: Nanos,
+    started_at: Instant,
 }
 
 impl Clock {
     fn now(&self) -> Nanos {
-        self.unix + self.from.elapsed().as_nanos() as Nanos
+        self.unix_start + self.started_at.elapsed().as_nanos() as Nanos
     }
 }
 
-/// A timer of the load balancer. The order of the fields is the order in which timers run.
+/// A pending timer of the load balancer. Timers fire in the order of the fields.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingTimer {
     due: Nanos,
@@ -45,7 +45,7 @@
 
 /// An attempt in flight.
 #[derive(Clone, Copy)]
-struct SentAttempt {
+struct InFlightAttempt {
     sent_at: Nanos,
     timeout: Nanos,
 }
@@ -55,57 +55,72 @@
     timers: BinaryHeap<Reverse<PendingTimer>>,
     requests: BTreeMap<RequestId, RequestMailbox>,
     actions: Vec<Action>,
-    spare_id: u64,
+    id_state: u64,
     lag: LagMonitor,
 }
 
-/// Where an admitted request gets its actions, and how many attempts it was told to start.
+/// The queue of actions for an admitted request, and the number of attempts that it was told to start.
 struct RequestMailbox {
     actions: Sender<RequestAction>,
     attempts: u32,
 }
 
-/// The load balancer with its surroundings; clones share it.
+/// The load balancer and its runtime state. Clones are handles to the same engine.
 #[derive(Clone)]
 pub struct Engine {
     core: Rc<RefCell<Core>>,
     clock: Rc<Clock>,
-    fleet: Sender<FleetAction>,
-    nudge: Sender<()>,
-    nudged: Receiver<()>,
-    slack: Duration,
-    longest: Nanos,
+    fleet_actions: Sender<FleetAction>,
+    timer_wakeup: Sender<()>,
+    timer_wakeups: Receiver<()>,
+    timeout_slack: Duration,
+    max_request_lifetime: Nanos,
     pub(super) limits: Rc<StreamLimits>,
     pub(super) streams: Rc<RefCell<Streams>>,
 }
 
 impl Engine {
-    /// An engine with a new load balancer, and the orders that it will have for the fleet.
+    /// Creates an engine with a new load balancer. Returns it with the receiver of its actions for discovery and probes.
     ///
     /// # Errors
-    /// Settings that the load balancer can't work with.
+    /// The error of the load balancer if it rejects the settings.
     pub fn new(
         settings: Settings,
         seed: u64,
         limits: &Limits,
     ) -> Result<(Engine, Receiver<FleetAction>), SettingsError> {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos;
-        let (fleet, orders) = async_channel::unbounded();
-        let (nudge, nudged) = async_channel::bounded(1);
+        let unix_start =
+            SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos;
+        let (fleet_actions, fleet_receiver) = async_channel::unbounded();
+        let (timer_wakeup, timer_wakeups) = async_channel::bounded(1);
         let core = Core {
             balancer: LoadBalancer::new(settings, seed)?,
             timers: BinaryHeap::new(),
             requests: BTreeMap::new(),
             actions: Vec::new(),
-            spare_id: seed,
-            lag: LagMonitor::new(unix, cpu_time(), limits),
+            id_state: seed,
+            lag: LagMonitor::new(unix_start, cpu_time(), limits),
         };
-        let clock = Rc::new(Clock { unix, from: Instant::now() });
+        let clock = Rc::new(Clock { unix_start, started_at: Instant::now() });
         let core = Rc::new(RefCell::new(core));
-        let (slack, longest) = (limits.timeout_slack, limits.max_request_lifetime.as_nanos() as Nanos);
+        let (timeout_slack, max_request_lifetime) =
+            (limits.timeout_slack, limits.max_request_lifetime.as_nanos() as Nanos);
         let streams = Rc::new(RefCell::new(Streams::new(limits)));
         let limits = Rc::new(limits.stream.clone());
-        Ok((Engine { core, clock, fleet, nudge, nudged, slack, longest, limits, streams }, orders))
+        Ok((
+            Engine {
+                core,
+                clock,
+                fleet_actions,
+                timer_wakeup,
+                timer_wakeups,
+                timeout_slack,
+                max_request_lifetime,
+                limits,
+                streams,
+            },
+            fleet_receiver,
+        ))
     }
 
     /// The load balancer's clock: Unix time in nanoseconds.
@@ -114,50 +129,50 @@
         self.clock.now()
     }
 
-    /// Requests that have not been answered yet.
+    /// Number of open requests, which have no final response yet.
     #[must_use]
     pub fn request_count(&self) -> usize {
         self.core.borrow().requests.len()
     }
 
-    /// Has the list followed anew, at once: the load balancer's schedule of calls is for those that fail.
-    pub fn watch_list(&self) {
-        let _ = self.fleet.try_send(FleetAction::WatchList);
+    /// Opens a new watch of the list at once. The load balancer's schedule of calls applies only after failures.
+    pub fn restart_list_watch(&self) {
+        let _ = self.fleet_actions.try_send(FleetAction::WatchList);
     }
 
-    /// Slots that the load balancer keeps for replicas, to be observed from outside.
+    /// Number of slots that the load balancer keeps for replicas; for monitoring.
     #[must_use]
     pub fn replica_slots(&self) -> usize {
         self.core.borrow().balancer.replica_slots()
     }
 
-    /// Takes over an update of the list. A replica that is ejected stays draining until its ejection is over.
+    /// Applies an update of the replica list. An ejected replica is treated as draining until its ejection ends.
     pub fn update_list(&self, kind: ListKind, mut members: Vec<Member>) {
-        self.streams.borrow_mut().listed(kind, &mut members);
-        self.feed(Event::List { kind, members: members.into() });
+        self.streams.borrow_mut().record_list(kind, &mut members);
+        self.handle_event(Event::List { kind, members: members.into() });
     }
 
-    /// The list service asks not to be called for so long.
+    /// Defers calls to the list service, as it has asked for.
     pub fn defer_list_calls(&self, wait: Duration) {
-        self.feed(Event::ListServiceBusy(Nanos::try_from(wait.as_nanos()).unwrap_or(Nanos::MAX)));
+        self.handle_event(Event::ListServiceBusy(Nanos::try_from(wait.as_nanos()).unwrap_or(Nanos::MAX)));
     }
 
-    /// Applies a change of a replica's standing.
-    pub(super) fn apply_standing(&self, change: &Change) {
-        if let Some(member) = self.streams.borrow_mut().changed(change) {
-            self.feed(Event::List { kind: ListKind::Local, members: [member].into() });
+    /// Applies an ejection or its end to the load balancer's list.
+    pub(super) fn apply_ejection_change(&self, change: &EjectionChange) {
+        if let Some(member) = self.streams.borrow_mut().changed_member(change) {
+            self.handle_event(Event::List { kind: ListKind::Local, members: [member].into() });
         }
     }
 
-    /// Records how a probe ended.
+    /// Records the outcome of a probe.
     pub fn record_probe(&self, replica: ReplicaId, elapsed: Duration, outcome: AttemptOutcome) {
         let (verdict, elapsed) = (outcome.verdict, elapsed.as_nanos() as Nanos);
-        self.feed(Event::Probed { replica, verdict, elapsed, report: outcome.load_report });
+        self.handle_event(Event::Probed { replica, verdict, elapsed, report: outcome.load_report });
     }
 
-    /// Hands the timers to the load balancer as they come due, for ever; by them it is seen whether the thread runs in time.
+    /// Fires the load balancer's timers when they are due, and records how late they fire; never returns.
     pub async fn run_timers(&self) {
-        // When it was to go on, where that is known.
+        // When this iteration was due, if that is known.
         let mut due = None;
         loop {
             let now = self.now();
@@ -167,10 +182,10 @@
                 Some(at) if at <= now => {
                     let first = self.core.borrow_mut().timers.pop();
                     if let Some(Reverse(timer)) = first {
-                        self.feed(Event::Timer(timer.token));
+                        self.handle_event(Event::Timer(timer.token));
                     }
                     due = Some(now);
-                    // Sockets have their turn between timers, however many are due.
+                    // Yields to I/O between two timers, even if many are due.
                     future::yield_now().await;
                 }
                 _ => {
@@ -183,33 +198,33 @@
                             None => future::pending().await,
                         }
                     };
-                    future::or(until, async { self.nudged.recv().await.unwrap_or_default() }).await;
+                    future::or(until, async { self.timer_wakeups.recv().await.unwrap_or_default() }).await;
                 }
             }
         }
     }
 
-    /// Logs if the thread runs late. Loops that sleep for a known time report here, and none sleeps less for it: a wake-up
-    /// costs a gateway that is idle more than all else.
+    /// Records how late the thread runs, and logs a delay above the threshold. Loops that sleep for a known time call this; none
+    /// wakes more often for it, since wake-ups are the main cost of an idle gateway.
     pub(super) fn record_lag(&self, due: Nanos, now: Nanos) {
         let spell = self.core.borrow_mut().lag.ran(due, now, cpu_time);
         if let Some(LagSpell { due, late, span, cpu }) = spell {
             let due = humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_nanos(due));
             let [late, span, cpu] = [late, span, cpu].map(|nanos| nanos / 1_000_000);
             log::warn!(due:% = due, late_ms = late, span_ms = span, cpu_ms = cpu;
-                "thread-late: the one thread stood still; with cpu_ms as long as late_ms by its own work");
+                "thread-late: the serving thread was delayed; by its own work if cpu_ms is close to late_ms");
         }
     }
 
-    /// An id for a request whose client gave it none.
+    /// Generates an id for a request whose client gave none (a linear congruential generator).
     #[must_use]
-    pub fn fresh_id(&self) -> u64 {
+    pub fn generate_id(&self) -> u64 {
         let core = &mut *self.core.borrow_mut();
-        core.spare_id = core.spare_id.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        core.spare_id
+        core.id_state = core.id_state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        core.id_state
     }
 
-    /// Admits a request. What comes back owes its client one final response. `None`: a request with its id is open.
+    /// Admits a request, which must get exactly one final response. `None`: a request with the same id is open.
     #[must_use]
     pub fn admit(&self, request: &PlacementRequest) -> Option<AdmittedRequest> {
         let (actions, mailbox) = async_channel::unbounded();
@@ -220,8 +235,8 @@
                 return None;
             }
             while id.is_none_or(|id| core.requests.contains_key(&RequestId(id))) {
-                core.spare_id = core.spare_id.wrapping_add(1);
-                id = Some(core.spare_id);
+                core.id_state = core.id_state.wrapping_add(1);
+                id = Some(core.id_state);
             }
             let id = RequestId(id.unwrap_or_default());
             core.requests.insert(id, RequestMailbox { actions, attempts: 0 });
@@ -234,9 +249,9 @@
             in_flight: BTreeMap::new(),
         };
         let TokenCounts { prompt, prefix, max_output } = request.tokens;
-        self.feed(Event::Request(Request {
+        self.handle_event(Event::Request(Request {
             id,
-            expires_in: request.expires_in.min(self.longest),
+            expires_in: request.expires_in.min(self.max_request_lifetime),
             class: ClassIndex(request.class),
             tenant: request.tenant.map(TenantIndex),
             prefix: request.prefix,
@@ -249,8 +264,8 @@
         Some(admitted)
     }
 
-    /// The one place where the load balancer is called.
-    fn feed(&self, event: Event) {
+    /// Passes an event to the load balancer and carries out its actions. All calls of the load balancer go through here.
+    fn handle_event(&self, event: Event) {
         let core = &mut *self.core.borrow_mut();
         let now = self.now();
         core.balancer.handle(now, event, &mut core.actions);
@@ -259,7 +274,7 @@
             let mut send = |id: RequestId, action: &mut dyn FnMut(&mut RequestMailbox) -> RequestAction| {
                 if let Some(mailbox) = core.requests.get_mut(&id) {
                     let action = action(mailbox);
-                    // A request that is just being dropped takes no more actions.
+                    // Fails for a request that is being dropped, which needs no more actions.
                     let _ = mailbox.actions.try_send(action);
                 }
             };
@@ -280,47 +295,47 @@
                     is_sooner |= core.timers.peek().is_none_or(|Reverse(first)| due < first.due);
                     core.timers.push(Reverse(PendingTimer { due, token }));
                 }
-                Action::Watch => drop(self.fleet.try_send(FleetAction::WatchList)),
-                Action::Fetch => drop(self.fleet.try_send(FleetAction::FetchList)),
-                Action::Probe(replica) => drop(self.fleet.try_send(FleetAction::Probe(replica))),
-                // Gateways share nothing that feeds a decision.
+                Action::Watch => drop(self.fleet_actions.try_send(FleetAction::WatchList)),
+                Action::Fetch => drop(self.fleet_actions.try_send(FleetAction::FetchList)),
+                Action::Probe(replica) => drop(self.fleet_actions.try_send(FleetAction::Probe(replica))),
+                // Gateways don't exchange data for placement decisions.
                 Action::SendToPeer { .. } => {}
             }
         }
         if is_sooner {
-            let _ = self.nudge.try_send(());
+            let _ = self.timer_wakeup.try_send(());
         }
     }
 }
 
-/// The processor time that this thread has had. A system that does not say it leaves the watch without that figure.
+/// The CPU time of this thread; 0 on a system that doesn't report it.
 fn cpu_time() -> Nanos {
     let thread = DynamicClockId::Known(ClockId::ThreadCPUTime);
     clock_gettime_dynamic(thread)
         .map_or(0, |time| time.tv_sec as Nanos * 1_000_000_000 + time.tv_nsec as Nanos)
 }
 
-/// An admitted request: its actions come out of it, its events go into it. When it is dropped the load balancer
-/// learns that the request is over and that attempts in flight were cancelled.
+/// An admitted request: yields the load balancer's actions for it, and takes its events. Dropping it tells the load
+/// balancer that the request has ended and that its attempts in flight were cancelled.
 pub struct AdmittedRequest {
     engine: Engine,
     pub(super) id: RequestId,
     mailbox: Pin<Box<Receiver<RequestAction>>>,
-    /// Attempts in flight, by their numbers.
-    in_flight: BTreeMap<u32, SentAttempt>,
+    /// Attempts in flight, by number.
+    in_flight: BTreeMap<u32, InFlightAttempt>,
 }
 
 impl AdmittedRequest {
-    /// The load balancer's next action.
+    /// Waits for the load balancer's next action.
     pub async fn next_action(&mut self) -> RequestAction {
         future::poll_fn(|cx| self.poll_action(cx)).await
     }
 
-    /// The same as a poll.
+    /// Polls for the load balancer's next action.
     pub fn poll_action(&mut self, cx: &mut Context<'_>) -> Poll<RequestAction> {
         match self.mailbox.as_mut().poll_next(cx) {
             Poll::Ready(Some(action)) => Poll::Ready(self.record_action(action)),
-            // The sender lives as long as this does.
+            // `None` does not occur: the engine keeps the sender until this is dropped.
             Poll::Ready(None) | Poll::Pending => Poll::Pending,
         }
     }
@@ -328,31 +343,31 @@
     fn record_action(&mut self, action: RequestAction) -> RequestAction {
         if let RequestAction::StartAttempt { number, timeout, .. } = &action {
             let timeout = timeout.as_nanos() as Nanos;
-            self.in_flight.insert(*number, SentAttempt { sent_at: self.engine.now(), timeout });
+            self.in_flight.insert(*number, InFlightAttempt { sent_at: self.engine.now(), timeout });
         }
         action
     }
 
-    /// An attempt's first event has come. Returns how long it took.
+    /// Records the first event of an attempt. Returns the time that it took.
     pub fn record_first_event(&mut self, number: u32) -> Nanos {
         let Some(attempt) = self.in_flight.get(&number) else { return 0 };
         let elapsed = self.engine.now().saturating_sub(attempt.sent_at);
-        self.engine.feed(Event::FirstToken { id: self.id, attempt: number, elapsed });
+        self.engine.handle_event(Event::FirstToken { id: self.id, attempt: number, elapsed });
         elapsed
     }
 
-    /// How long ago an attempt that is in flight was started.
+    /// Time since the start of an attempt in flight.
     pub(super) fn elapsed(&self, number: u32) -> Nanos {
         self.in_flight.get(&number).map_or(0, |attempt| self.engine.now().saturating_sub(attempt.sent_at))
     }
 
-    /// An attempt has ended, and with it the request if `ended`.
+    /// Records the outcome of an attempt; `ended` says whether the request has ended too.
     pub fn record_outcome(&mut self, number: u32, outcome: AttemptOutcome, ended: bool) {
         let Some(attempt) = self.in_flight.remove(&number) else { return };
         let elapsed = self.engine.now().saturating_sub(attempt.sent_at);
         let AttemptOutcome { verdict, cached_tokens, load_report: report, .. } = outcome;
         let id = self.id;
-        self.engine.feed(Event::Outcome {
+        self.engine.handle_event(Event::Outcome {
             id,
             attempt: number,
             verdict,
@@ -366,14 +381,14 @@
 
 impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        self.engine.feed(Event::Expired(self.id));
-        let slack = self.engine.slack.as_nanos() as Nanos;
+        self.engine.handle_event(Event::Expired(self.id));
+        let timeout_slack = self.engine.timeout_slack.as_nanos() as Nanos;
         while let Some((number, attempt)) = self.in_flight.pop_first() {
             let elapsed = self.engine.now().saturating_sub(attempt.sent_at);
-            // A client leaves at its deadline, which is also the time-out's end: whichever is noticed first,
-            // the replica has answered nothing in all that time.
-            let waited = elapsed.saturating_add(slack) >= attempt.timeout;
-            let verdict = if waited { Verdict::TimedOut } else { Verdict::Cancelled };
+            // A client often leaves at its deadline, when the attempt's timeout expires too. Whichever is noticed first, the
+            // replica has not responded within the timeout.
+            let has_timed_out = elapsed.saturating_add(timeout_slack) >= attempt.timeout;
+            let verdict = if has_timed_out { Verdict::TimedOut } else { Verdict::Cancelled };
             let (id, report) = (self.id, Vec::new());
             let outcome = Event::Outcome {
                 id,
@@ -384,7 +399,7 @@
                 cached_tokens: None,
                 report,
             };
-            self.engine.feed(outcome);
+            self.engine.handle_event(outcome);
         }
         self.engine.core.borrow_mut().requests.remove(&self.id);
     }
--- a/src/engine/forwarding.rs
+++ b/src/engine/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwards a begun stream from its replica to its client, up to its one end.
+//! Forwards a started stream from its replica to its client until it ends.
 
 use std::collections::BTreeMap;
 use std::task::{Context, Poll};
@@ -7,107 +7,117 @@
 
 use super::core::{AdmittedRequest, Engine};
 use super::interface::{AttemptOutcome, RequestAction};
-use super::participants::{BegunStream, ResponseSink, Step, StreamSuccessor};
-use super::streams::{Alarm, Ticket};
-use crate::stream::{Arrival, Cause, End, Leaving, Relay, RelayAction};
+use super::participants::{AttemptUpdate, ResponseSink, StreamInfo, StreamSuccessor};
+use super::streams::{StreamRegistration, StreamTimer};
+use crate::stream::{Arrival, Cause, Disconnect, End, Relay, RelayAction};
 use crate::types::{Nanos, ReplicaId, Verdict};
 
 /// An attempt in flight.
 pub(super) struct Attempt<S> {
     pub(super) number: u32,
     pub(super) replica: ReplicaId,
-    pub(super) steps: S,
+    pub(super) updates: S,
 }
 
-/// The replicas' side of a begun stream.
+/// The replica side of a started stream.
 pub(super) struct ReplicaSide<S> {
-    /// The load balancer's side of its request; none if another process began it.
+    /// The request at the load balancer; `None` if another process started the stream.
     pub(super) admitted: Option<AdmittedRequest>,
-    pub(super) out: Vec<Attempt<S>>,
-    /// The attempt that it belongs to.
+    pub(super) attempts: Vec<Attempt<S>>,
+    /// The number of the attempt that is forwarded.
     pub(super) number: u32,
 }
 
 impl<S> ReplicaSide<S> {
-    /// The first event has come. Returns how long it took.
-    pub(super) fn first_event(&mut self) -> Nanos {
+    /// Records the first event. Returns the time that it took.
+    pub(super) fn record_first_event(&mut self) -> Nanos {
         let number = self.number;
         self.admitted.as_mut().map_or(0, |admitted| admitted.record_first_event(number))
     }
 
-    /// The replica of the attempt that the stream belongs to.
+    /// The replica of the forwarded attempt.
     pub(super) fn replica(&self) -> Option<ReplicaId> {
-        let own = self.out.iter().find(|attempt| attempt.number == self.number);
+        let own = self.attempts.iter().find(|attempt| attempt.number == self.number);
         own.map(|attempt| attempt.replica.clone())
     }
 
-    /// An attempt has ended, and with it the request if it is the stream's own.
-    fn outcome(&mut self, number: u32, outcome: AttemptOutcome) {
+    /// Records the outcome of an attempt. The request ends with the forwarded attempt.
+    fn record_outcome(&mut self, number: u32, outcome: AttemptOutcome) {
         if let Some(admitted) = &mut self.admitted {
             admitted.record_outcome(number, outcome, number == self.number);
         }
     }
 
     fn remove(&mut self, number: u32) {
-        self.out.retain(|attempt| attempt.number != number);
+        self.attempts.retain(|attempt| attempt.number != number);
     }
 }
 
-/// The next event of a request.
-pub(super) enum Next<E> {
-    /// The client has left.
-    Gone(Leaving),
-    /// The load balancer wants something done.
+/// An event of a request.
+pub(super) enum RequestEvent<E> {
+    /// The client has disconnected.
+    ClientLeft(Disconnect),
+    /// The load balancer requires an action.
     Action(RequestAction),
-    /// An attempt has something.
-    Step(u32, Step<E>),
+    /// An attempt has yielded an update.
+    Update(u32, AttemptUpdate<E>),
     /// The client has taken bytes.
-    Took(usize),
-    /// A timer is due.
-    Due,
+    BytesTaken(usize),
+    /// A timer is due, or the stream was notified of an eviction or the shutdown.
+    TimerDue,
 }
 
-/// A hedged attempt beside the stream's own: none of its data is forwarded, but its end is recorded.
+/// A hedged attempt beside the forwarded one. Its data is dropped, but its end is recorded.
 struct Hedge {
     replica: ReplicaId,
     relay: Relay,
 }
 
-/// A begun stream on its way to the client.
+/// A started stream that is being forwarded to its client.
 pub(super) struct Forwarding<'a, S, A> {
     engine: &'a Engine,
-    begun: &'a BegunStream,
+    info: &'a StreamInfo,
     replica_side: ReplicaSide<S>,
     relay: Relay,
-    answer: A,
-    alarm: Alarm,
-    ticket: Ticket,
+    sink: A,
+    timer: StreamTimer,
+    registration: StreamRegistration,
     hedges: BTreeMap<u32, Hedge>,
-    /// Bytes since other tasks last had their turn.
-    turn_bytes: usize,
+    /// Bytes forwarded since the last yield to other tasks.
+    bytes_since_yield: usize,
 }
 
 impl<'a, S, A> Forwarding<'a, S, A> {
     pub(super) fn new<E>(
         engine: &'a Engine,
-        begun: &'a BegunStream,
+        info: &'a StreamInfo,
         replica_side: ReplicaSide<S>,
         relay: Relay,
-        answer: A,
+        sink: A,
     ) -> Forwarding<'a, S, A>
     where
-        S: Stream<Item = Step<E>> + Unpin,
+        S: Stream<Item = AttemptUpdate<E>> + Unpin,
         A: ResponseSink<E>,
     {
-        let (alarm, ticket) = (Alarm::new(), engine.ticket(answer.is_assembled()));
+        let (timer, registration) = (StreamTimer::new(), engine.register_stream(sink.is_assembled()));
         let hedges = BTreeMap::new();
-        Forwarding { engine, begun, replica_side, relay, answer, alarm, ticket, hedges, turn_bytes: 0 }
+        Forwarding {
+            engine,
+            info,
+            replica_side,
+            relay,
+            sink,
+            timer,
+            registration,
+            hedges,
+            bytes_since_yield: 0,
+        }
     }
 
-    /// Forwards the stream up to its end.
+    /// Forwards the stream until it ends.
     pub(super) async fn run<E>(mut self, successor: &impl StreamSuccessor<S, A>)
     where
-        S: Stream<Item = Step<E>> + Unpin,
+        S: Stream<Item = AttemptUpdate<E>> + Unpin,
         A: ResponseSink<E>,
     {
         let action = loop {
@@ -115,111 +125,124 @@
             self.apply_budget(now);
             match self.relay.poll(now) {
                 RelayAction::Wait => {}
-                RelayAction::Offer => {
+                RelayAction::OfferHandover => {
                     self.offer(now, successor);
                     continue;
                 }
                 action => break action,
             }
-            // Yields to other tasks if a fast replica and a fast client would keep this one running.
-            if self.turn_bytes >= self.engine.limits.bytes_before_yield {
-                self.turn_bytes = 0;
+            // A fast replica with a fast client would otherwise starve other tasks.
+            if self.bytes_since_yield >= self.engine.limits.bytes_before_yield {
+                self.bytes_since_yield = 0;
                 future::yield_now().await;
             }
-            let next = future::poll_fn(|cx| self.poll_next(cx)).await;
-            self.apply(next);
+            let event = future::poll_fn(|cx| self.poll_next(cx)).await;
+            self.apply(event);
         };
         self.close(action);
     }
 
     /// Passes the memory budget and the shutdown deadline to the relay.
     fn apply_budget(&mut self, now: Nanos) {
-        self.relay.allow(now, self.ticket.update(self.relay.buffered_bytes(), self.relay.paused_since()));
-        if self.ticket.evicted() {
+        self.relay.set_allowance(
+            now,
+            self.registration.update(self.relay.buffered_bytes(), self.relay.paused_since()),
+        );
+        if self.registration.take_eviction() {
             self.relay.evict(now);
         }
-        if let Some(at) = self.ticket.stop_at() {
-            self.relay.stop_at(at);
+        if let Some(at) = self.registration.shutdown_at() {
+            self.relay.set_shutdown_deadline(at);
         }
     }
 
-    /// Offers the stream to the successor process. A stream with hedged attempts stays: they belong to this load balancer.
+    /// Offers the stream to the successor process. A stream with hedged attempts is not offered: they belong to the load
+    /// balancer of this process.
     fn offer(&mut self, now: Nanos, successor: &impl StreamSuccessor<S, A>) {
         let number = self.replica_side.number;
-        let is_taken = match &mut self.replica_side.out[..] {
-            [own] if own.number == number => successor.take(self.begun, &mut own.steps, &mut self.answer),
+        let is_taken = match &mut self.replica_side.attempts[..] {
+            [own] if own.number == number => {
+                successor.take_over(self.info, &mut own.updates, &mut self.sink)
+            }
             _ => false,
         };
         if is_taken {
             self.relay.handed_over(now);
         } else {
-            self.relay.refused(now);
+            self.relay.handover_refused(now);
         }
     }
 
-    fn poll_next<E>(&mut self, cx: &mut Context<'_>) -> Poll<Next<E>>
+    fn poll_next<E>(&mut self, cx: &mut Context<'_>) -> Poll<RequestEvent<E>>
     where
-        S: Stream<Item = Step<E>> + Unpin,
+        S: Stream<Item = AttemptUpdate<E>> + Unpin,
         A: ResponseSink<E>,
     {
-        if self.ticket.poll_called(cx).is_ready() {
-            return Poll::Ready(Next::Due);
+        if self.registration.poll_notified(cx).is_ready() {
+            return Poll::Ready(RequestEvent::TimerDue);
         }
-        if let Some(Poll::Ready(order)) =
+        if let Some(Poll::Ready(action)) =
             self.replica_side.admitted.as_mut().map(|admitted| admitted.poll_action(cx))
         {
-            return Poll::Ready(Next::Action(order));
+            return Poll::Ready(RequestEvent::Action(action));
         }
-        if let Poll::Ready(how) = self.answer.poll_gone(cx) {
-            return Poll::Ready(Next::Gone(how));
+        if let Poll::Ready(disconnect) = self.sink.poll_disconnect(cx) {
+            return Poll::Ready(RequestEvent::ClientLeft(disconnect));
         }
-        if self.relay.waiting() > 0
-            && let Poll::Ready(taken) = self.answer.poll_take(cx)
+        if self.relay.client_queued() > 0
+            && let Poll::Ready(taken) = self.sink.poll_write(cx)
         {
-            return Poll::Ready(taken.map_or_else(Next::Gone, Next::Took));
+            return Poll::Ready(taken.map_or_else(RequestEvent::ClientLeft, RequestEvent::BytesTaken));
         }
-        for attempt in &mut self.replica_side.out {
-            if (attempt.number != self.replica_side.number || self.relay.reads())
-                && let Poll::Ready(Some(step)) = attempt.steps.poll_next(cx)
+        for attempt in &mut self.replica_side.attempts {
+            if (attempt.number != self.replica_side.number || self.relay.wants_read())
+                && let Poll::Ready(Some(update)) = attempt.updates.poll_next(cx)
             {
-                return Poll::Ready(Next::Step(attempt.number, step));
+                return Poll::Ready(RequestEvent::Update(attempt.number, update));
             }
         }
-        self.alarm.poll(cx, self.engine, self.relay.due()).map(|()| Next::Due)
+        self.timer.poll(cx, self.engine, self.relay.due()).map(|()| RequestEvent::TimerDue)
     }
 
-    fn apply<E>(&mut self, next: Next<E>)
+    fn apply<E>(&mut self, event: RequestEvent<E>)
     where
         A: ResponseSink<E>,
     {
         let own = self.replica_side.number;
-        match next {
-            Next::Gone(how) => self.relay.left(self.engine.now(), how),
-            Next::Took(bytes) => {
-                self.turn_bytes += bytes;
-                self.relay.took(self.engine.now(), bytes);
+        match event {
+            RequestEvent::ClientLeft(disconnect) => {
+                self.relay.client_left(self.engine.now(), disconnect);
             }
-            Next::Step(number, Step::Events(events, arrival)) if number == own => {
-                self.turn_bytes += arrival.bytes;
-                forward_arrival(self.engine, &mut self.relay, &mut self.answer, arrival, events);
+            RequestEvent::BytesTaken(bytes) => {
+                self.bytes_since_yield += bytes;
+                self.relay.record_taken(self.engine.now(), bytes);
             }
-            Next::Step(number, Step::Bytes(mut arrival)) if number == own => {
-                self.turn_bytes += arrival.bytes;
-                arrival.inward += self.answer.buffered_bytes();
+            RequestEvent::Update(number, AttemptUpdate::Events(events, arrival)) if number == own => {
+                self.bytes_since_yield += arrival.bytes;
+                forward_arrival(self.engine, &mut self.relay, &mut self.sink, arrival, events);
+            }
+            RequestEvent::Update(number, AttemptUpdate::Bytes(mut arrival)) if number == own => {
+                self.bytes_since_yield += arrival.bytes;
+                arrival.replica_buffered += self.sink.buffered_bytes();
                 record_arrival(self.engine, &mut self.relay, &arrival);
             }
-            Next::Step(number, Step::Ended(outcome)) => self.end_attempt(number, outcome),
-            // A begun stream can't be rejected any more, and a rejected hedge says nothing about it.
-            Next::Step(number, Step::Rejected(..)) => {
+            RequestEvent::Update(number, AttemptUpdate::Ended(outcome)) => {
+                self.end_attempt(number, outcome);
+            }
+            // A started stream can't be rejected any more. A rejected hedge says nothing about its replica.
+            RequestEvent::Update(number, AttemptUpdate::Rejected(..)) => {
                 let verdict = if number == own { Verdict::Error } else { Verdict::NotSent };
                 self.end_attempt(number, verdict.into());
             }
-            Next::Step(number, Step::Events(_, arrival) | Step::Bytes(arrival)) => {
+            RequestEvent::Update(
+                number,
+                AttemptUpdate::Events(_, arrival) | AttemptUpdate::Bytes(arrival),
+            ) => {
                 self.record_hedge(number, arrival);
             }
-            Next::Action(RequestAction::CancelAttempt(number)) => self.cancel(number),
-            // No other action concerns a begun stream.
-            Next::Action(_) | Next::Due => {}
+            RequestEvent::Action(RequestAction::CancelAttempt(number)) => self.cancel(number),
+            // No other action concerns a started stream.
+            RequestEvent::Action(_) | RequestEvent::TimerDue => {}
         }
     }
 
@@ -229,23 +252,23 @@
     {
         self.replica_side.remove(number);
         let end: End = outcome.end;
-        self.replica_side.outcome(number, outcome);
+        self.replica_side.record_outcome(number, outcome);
         if let Some(mut hedge) = self.hedges.remove(&number) {
             hedge.relay.replica_ended(self.engine.now(), end);
-            self.engine.record_hedged(self.begun, &hedge.replica, &mut hedge.relay);
+            self.engine.record_hedged(self.info, &hedge.replica, &mut hedge.relay);
         }
         if number == self.replica_side.number {
-            // The connection is released or closed; the client can take the rest without any cost to the replica.
+            // The replica's connection is released or closed already; the client reads the rest at no cost to the replica.
             let now = self.engine.now();
-            self.relay.queued(now, self.answer.put_end(end.cause()));
+            self.relay.record_queued(now, self.sink.queue_end(end.cause()));
             self.relay.replica_ended(now, end);
         }
     }
 
     fn record_hedge(&mut self, number: u32, arrival: Arrival) {
-        self.turn_bytes += arrival.bytes;
+        self.bytes_since_yield += arrival.bytes;
         let (engine, replica_side) = (self.engine, &self.replica_side);
-        let attempt = replica_side.out.iter().find(|attempt| attempt.number == number);
+        let attempt = replica_side.attempts.iter().find(|attempt| attempt.number == number);
         let Some(attempt) = attempt else { return };
         let begin = || {
             let elapsed = replica_side.admitted.as_ref().map_or(0, |admitted| admitted.elapsed(number));
@@ -259,48 +282,49 @@
         self.replica_side.remove(number);
         if let Some(mut hedge) = self.hedges.remove(&number) {
             hedge.relay.cancel(self.engine.now());
-            self.engine.record_hedged(self.begun, &hedge.replica, &mut hedge.relay);
+            self.engine.record_hedged(self.info, &hedge.replica, &mut hedge.relay);
         }
-        self.replica_side.outcome(number, Verdict::Cancelled.into());
+        self.replica_side.record_outcome(number, Verdict::Cancelled.into());
         if number == self.replica_side.number {
             self.relay.cancel(self.engine.now());
         }
     }
 
-    /// Ends both sides: first the connections of all attempts close, then the load balancer learns of it, and then the
-    /// response ends.
+    /// Ends both sides in this order: closes the connections of all attempts, reports to the load balancer, and ends the
+    /// response.
     fn close<E>(self, action: RelayAction)
     where
         A: ResponseSink<E>,
     {
-        let Forwarding { engine, begun, mut replica_side, mut relay, mut answer, ticket, hedges, .. } =
-            self;
+        let Forwarding {
+            engine, info, mut replica_side, mut relay, mut sink, registration, hedges, ..
+        } = self;
         let own = replica_side.number;
-        let is_in_flight = replica_side.out.iter().any(|attempt| attempt.number == own);
-        replica_side.out.clear();
+        let is_in_flight = replica_side.attempts.iter().any(|attempt| attempt.number == own);
+        replica_side.attempts.clear();
         if let (true, Some(outcome)) = (is_in_flight, relay.outcome()) {
-            replica_side.outcome(own, outcome.cause.verdict().into());
+            replica_side.record_outcome(own, outcome.cause.verdict().into());
         }
-        relay.stopped(engine.now());
+        relay.connection_released(engine.now());
         let outcome = relay.outcome();
         if let Some(outcome) = &outcome {
-            engine.record(begun, &begun.replica, outcome);
+            engine.record_stream_end(info, &info.replica, outcome);
         }
         for (number, mut hedge) in hedges {
-            // A hedge that has sent data did not time out: it is cancelled, however long it ran.
-            replica_side.outcome(number, Verdict::Cancelled.into());
+            // A hedge that has sent data counts as cancelled and not as timed out, (disconnect)ever long it ran.
+            replica_side.record_outcome(number, Verdict::Cancelled.into());
             hedge.relay.cancel(engine.now());
-            engine.record_hedged(begun, &hedge.replica, &mut hedge.relay);
+            engine.record_hedged(info, &hedge.replica, &mut hedge.relay);
         }
-        drop((ticket, replica_side));
+        drop((registration, replica_side));
         match (action, outcome) {
-            (RelayAction::Finish, _) => answer.finish(),
-            (_, Some(outcome)) if outcome.cause == Cause::HandedOver => drop(answer),
+            (RelayAction::Finish, _) => sink.finish(),
+            (_, Some(outcome)) if outcome.cause == Cause::HandedOver => drop(sink),
             (_, Some(outcome)) if !relay.replica_has_ended() => {
-                answer.put_end(outcome.cause);
-                answer.break_off();
+                sink.queue_end(outcome.cause);
+                sink.abort();
             }
-            _ => answer.break_off(),
+            _ => sink.abort(),
         }
     }
 }
@@ -309,18 +333,18 @@
 pub(super) fn forward_arrival<E>(
     engine: &Engine,
     relay: &mut Relay,
-    answer: &mut impl ResponseSink<E>,
+    sink: &mut impl ResponseSink<E>,
     mut arrival: Arrival,
     events: E,
 ) {
-    relay.queued(engine.now(), answer.put(events));
-    arrival.inward += answer.buffered_bytes();
+    relay.record_queued(engine.now(), sink.queue(events));
+    arrival.replica_buffered += sink.buffered_bytes();
     record_arrival(engine, relay, &arrival);
-    if answer.is_full() {
-        relay.too_long(engine.now());
+    if sink.is_full() {
+        relay.buffer_exceeded(engine.now());
     }
 }
 
 fn record_arrival(engine: &Engine, relay: &mut Relay, arrival: &Arrival) {
-    relay.arrived(engine.now(), arrival);
+    relay.record_arrival(engine.now(), arrival);
 }
--- a/src/engine/interface.rs
+++ b/src/engine/interface.rs
@@ -1,28 +1,28 @@
-//! What goes into the engine and what comes out of it.
+//! Inputs and outputs of the engine.
 
 use std::time::Duration;
 
 use crate::stream::End;
 use crate::types::{Nanos, ReplicaId, Verdict};
 
-/// A request that is to be placed; the engine makes sure that its id is unique.
+/// A request to be placed on a replica. The engine makes sure that its id is unique.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// The client's id, if it gave one.
+    /// The id that the client gave, if any.
     pub id: Option<u64>,
-    /// Time until the client gives up, counted from the request's last byte.
+    /// Time until the client abandons the request, counted from the request's last byte.
     pub expires_in: Nanos,
     /// Index of the class.
     pub class: usize,
     /// Index of the tenant.
     pub tenant: Option<usize>,
-    /// The prefix that the prompt shares with others.
+    /// Hash of the prefix that the prompt shares with others.
     pub prefix: Option<u64>,
-    /// The session.
+    /// Hash of the session.
     pub session: Option<u64>,
     /// Its size.
     pub tokens: TokenCounts,
-    /// The client sends it again.
+    /// Whether it is a retry of the client.
     pub is_retry: bool,
 }
 
@@ -37,7 +37,7 @@
     pub max_output: u32,
 }
 
-/// What the load balancer wants done for one request.
+/// An action of the load balancer for one request.
 #[derive(Debug, PartialEq)]
 pub enum RequestAction {
     /// Start an attempt; they are numbered from 0.
@@ -46,23 +46,23 @@
         number: u32,
         /// The replica.
         replica: ReplicaId,
-        /// How long it may take to its first event.
+        /// Timeout for its first event.
         timeout: Duration,
-        /// Within what time it may be written, however late its connection comes up.
+        /// The request may be written only within this time, even if the connection takes longer to open.
         write_within: Duration,
     },
     /// Cancel an attempt.
     CancelAttempt(u32),
-    /// Final response: shed, with the time that the client should stay away.
+    /// Final response: shed, with the time after which the client may retry.
     Shed(Duration),
     /// Final response: failed.
     Fail,
 }
 
-/// What the load balancer wants done by discovery and probes.
+/// An action of the load balancer for discovery or probes.
 #[derive(Debug, PartialEq)]
 pub enum FleetAction {
-    /// Follow the changes of the list.
+    /// Watch the list for changes.
     WatchList,
     /// Fetch the complete list.
     FetchList,
@@ -73,13 +73,13 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptOutcome {
-    /// How.
+    /// The verdict for the load balancer.
     pub verdict: Verdict,
     /// Prompt tokens that the replica had cached.
     pub cached_tokens: Option<u32>,
-    /// Its load, in the settings' order; empty if it reported none.
+    /// The replica's load report, in the order of the settings; empty if there is none.
     pub load_report: Vec<f64>,
-    /// How its stream ended, where one had begun.
+    /// How its stream ended, if one had started.
     pub end: End,
 }
 
@@ -94,12 +94,12 @@
     }
 }
 
-/// Why a request failed, for a client that can be told.
+/// Why a request failed, for the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// Nobody has run it: every replica that was tried has refused it.
+    /// No replica has run it: all replicas that were tried refused it.
     Refused,
-    /// It was tried, and replicas failed it.
+    /// Replicas failed while they ran it.
     Errors,
     /// No replica responded in time.
     NoAnswer,
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! Requests, attempts and outcomes; no wire is known here.
+//! Requests, attempts and outcomes, independent of any wire protocol.
 //!
-//! [`Engine`] owns the load balancer, its clock and its timers. It feeds events to the load balancer and hands each action to
-//! the request that waits for it. [`serve`] takes a request from its admission to its one final response: until the first
-//! event by the load balancer's actions, from then on as a stream that is forwarded.
+//! [`Engine`] owns the load balancer, its clock and its timers. It passes events to the load balancer and each action to
+//! its request. [`serve`] runs a request from its admission to its one final response: until the first event, it carries
+//! out the load balancer's actions; from then on it forwards the response as a stream.
 
 mod core;
 mod forwarding;
@@ -18,6 +18,6 @@
     AttemptOutcome, FailureReason, FleetAction, PlacementRequest, RequestAction, TokenCounts,
 };
 pub use participants::{
-    AttemptRunner, BegunStream, Client, Rejection, ResponseSink, Step, StreamSuccessor,
+    AttemptRunner, AttemptUpdate, Client, Rejection, ResponseSink, StreamInfo, StreamSuccessor,
 };
-pub use request_lifecycle::{carry_on, serve};
+pub use request_lifecycle::{resume_stream, serve};
--- a/src/engine/participants.rs
+++ b/src/engine/participants.rs
@@ -1,4 +1,4 @@
-//! Interfaces of the engine to both sides of a request, its replicas and its client.
+//! The engine's interfaces to the two sides of a request: its replicas and its client.
 
 use std::future::Future;
 use std::task::{Context, Poll};
@@ -7,23 +7,23 @@
 use futures_lite::Stream;
 
 use super::interface::{AttemptOutcome, FailureReason};
-use crate::stream::{Arrival, Cause, Leaving};
+use crate::stream::{Arrival, Cause, Disconnect};
 use crate::types::{Nanos, ReplicaId};
 
-/// What an attempt yields: events, then one outcome.
+/// What an attempt yields: any number of events, then one end.
 #[derive(Debug)]
-pub enum Step<E> {
+pub enum AttemptUpdate<E> {
     /// Events of the response's stream that arrived together.
     Events(E, Arrival),
-    /// Bytes that are no complete event yet.
+    /// Bytes without a complete event.
     Bytes(Arrival),
     /// The request itself is invalid; no replica would accept it.
     Rejected(Rejection),
-    /// The end.
+    /// The end of the attempt.
     Ended(AttemptOutcome),
 }
 
-/// Why a request is refused that no replica would accept.
+/// Why a request is rejected that no replica would accept.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// The HTTP status.
@@ -35,72 +35,73 @@
 /// Runs attempts. Dropping an attempt closes its connection.
 pub trait AttemptRunner<E> {
     /// A running attempt.
-    type Steps: Stream<Item = Step<E>> + Unpin;
+    type Updates: Stream<Item = AttemptUpdate<E>> + Unpin;
     /// Starts an attempt.
-    fn start_attempt(&self, replica: ReplicaId, timeout: Duration, write_within: Duration) -> Self::Steps;
+    fn start_attempt(&self, replica: ReplicaId, timeout: Duration, write_within: Duration)
+    -> Self::Updates;
 }
 
-/// What another process has to know of a begun stream beside its two sides.
+/// Metadata of a started stream, as needed by a process that takes it over.
 #[derive(Clone, Debug)]
-pub struct BegunStream {
-    /// Its request's id.
+pub struct StreamInfo {
+    /// The id of its request.
     pub id: u64,
-    /// Its request's class.
+    /// The class of its request.
     pub class: usize,
-    /// Its request's tenant.
+    /// The tenant of its request.
     pub tenant: Option<usize>,
     /// Its replica.
     pub replica: ReplicaId,
-    /// How long its first event took.
-    pub first: Nanos,
+    /// Time from the start of its attempt to its first event.
+    pub time_to_first_event: Nanos,
 }
 
 /// The successor process, if there is one.
 pub trait StreamSuccessor<S, A> {
-    /// Hands a begun stream over with both its sides. Returns whether it was taken; if so, both sides may only be
+    /// Offers a started stream with both its sides. Returns whether it was taken over; if so, both sides may only be
     /// dropped.
-    fn take(&self, begun: &BegunStream, steps: &mut S, answer: &mut A) -> bool;
+    fn take_over(&self, info: &StreamInfo, updates: &mut S, sink: &mut A) -> bool;
 }
 
 /// The client's side of a request. Each way to respond consumes the client, so that it gets just one response.
 pub trait Client<E>: Sized {
-    /// What a begun response is written to.
+    /// The type that the response is written to.
     type Sink: ResponseSink<E>;
     /// Returns once the client has left.
-    fn gone(&mut self) -> impl Future<Output = ()>;
-    /// Whether it has left, even if no task was woken for it yet.
-    fn has_left(&mut self) -> impl Future<Output = bool>;
-    /// Called when it has left, or has sent too much behind its request.
-    fn left(self) -> impl Future<Output = ()>;
+    fn wait_for_disconnect(&mut self) -> impl Future<Output = ()>;
+    /// Whether the client has left. Checks the connection itself, since this task may not have been woken yet.
+    fn is_disconnected(&mut self) -> impl Future<Output = bool>;
+    /// Ends the exchange with a client that has left, or has sent too much pipelined data.
+    fn abandon(self) -> impl Future<Output = ()>;
     /// Final response: shed.
     fn shed(self, wait: Duration) -> impl Future<Output = ()>;
     /// Final response: the request itself is invalid.
     fn reject(self, rejection: Rejection) -> impl Future<Output = ()>;
     /// Final response: failed.
     fn fail(self, reason: FailureReason) -> impl Future<Output = ()>;
-    /// Begins the response.
+    /// Starts the response.
     fn begin(self) -> Self::Sink;
 }
 
-/// A begun response; it is ended by `finish`, by `break_off`, or by the client's leaving.
+/// A started response. It ends with `finish`, with `abort`, or when the client leaves.
 pub trait ResponseSink<E> {
     /// Ready once the client has left.
-    fn poll_gone(&mut self, cx: &mut Context<'_>) -> Poll<Leaving>;
-    /// Whether the response is assembled, so that nothing is queued before its end.
+    fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<Disconnect>;
+    /// Whether the response is assembled before it is sent, so that nothing is queued until its end.
     fn is_assembled(&self) -> bool;
     /// Bytes that are buffered and not yet queued.
     fn buffered_bytes(&self) -> usize;
-    /// Whether it can't buffer any more.
+    /// Whether its buffer is full.
     fn is_full(&self) -> bool;
     /// Queues events for the client. Returns the number of queued bytes.
-    fn put(&mut self, events: E) -> usize;
-    /// Queues the end of the stream: its regular one, or an error event. Returns the number of queued bytes.
-    fn put_end(&mut self, cause: Cause) -> usize;
-    /// Writes queued bytes, and returns how many the client took; an error says that it has left. Called only while bytes
+    fn queue(&mut self, events: E) -> usize;
+    /// Queues the regular end of the stream or an error event. Returns the number of queued bytes.
+    fn queue_end(&mut self, cause: Cause) -> usize;
+    /// Writes queued bytes, and returns how many were written; fails if the client has left. Called only while bytes
     /// are queued.
-    fn poll_take(&mut self, cx: &mut Context<'_>) -> Poll<Result<usize, Leaving>>;
-    /// Ends a response whose bytes are all taken; the connection may serve again.
+    fn poll_write(&mut self, cx: &mut Context<'_>) -> Poll<Result<usize, Disconnect>>;
+    /// Ends a response whose bytes are all written; the connection may be used again.
     fn finish(self);
-    /// Ends the response as broken; the client gets only the queued bytes that it takes at once.
-    fn break_off(self);
+    /// Ends the response as incomplete. Queued bytes are written only as far as possible without waiting.
+    fn abort(self);
 }
--- a/src/engine/request_lifecycle.rs
+++ b/src/engine/request_lifecycle.rs
@@ -5,39 +5,39 @@
 use futures_lite::{Stream, StreamExt, future};
 
 use super::core::{AdmittedRequest, Engine};
-use super::forwarding::{Attempt, Forwarding, Next, ReplicaSide, forward_arrival};
+use super::forwarding::{Attempt, Forwarding, ReplicaSide, RequestEvent, forward_arrival};
 use super::interface::{FailureReason, PlacementRequest, RequestAction};
 use super::participants::{
-    AttemptRunner, BegunStream, Client, Rejection, ResponseSink, Step, StreamSuccessor,
+    AttemptRunner, AttemptUpdate, Client, Rejection, ResponseSink, StreamInfo, StreamSuccessor,
 };
-use crate::stream::{Arrival, Leaving, Relay};
+use crate::stream::{Arrival, Disconnect, Relay};
 use crate::types::Verdict;
 
-/// The ends of a request's attempts so far.
+/// Summary of the ended attempts of a request.
 #[derive(Default)]
 struct AttemptHistory {
-    ended: bool,
-    silent: bool,
-    errors: bool,
+    any_ended: bool,
+    any_timed_out: bool,
+    any_error: bool,
 }
 
 impl AttemptHistory {
     fn record(&mut self, verdict: Verdict) {
-        self.ended = true;
+        self.any_ended = true;
         match verdict {
             Verdict::Full | Verdict::NoConnection | Verdict::NotSent => {}
-            Verdict::TimedOut | Verdict::Cancelled => self.silent = true,
-            _ => self.errors = true,
+            Verdict::TimedOut | Verdict::Cancelled => self.any_timed_out = true,
+            _ => self.any_error = true,
         }
     }
 
-    fn reason(&self, out: usize) -> FailureReason {
+    fn reason(&self, in_flight: usize) -> FailureReason {
         match self {
-            _ if out > 0 => FailureReason::NoAnswer,
-            AttemptHistory { silent: true, .. } | AttemptHistory { ended: false, .. } => {
+            _ if in_flight > 0 => FailureReason::NoAnswer,
+            AttemptHistory { any_timed_out: true, .. } | AttemptHistory { any_ended: false, .. } => {
                 FailureReason::NoAnswer
             }
-            AttemptHistory { errors: true, .. } => FailureReason::Errors,
+            AttemptHistory { any_error: true, .. } => FailureReason::Errors,
             _ => FailureReason::Refused,
         }
     }
@@ -49,146 +49,155 @@
     request: &PlacementRequest,
     runner: &S,
     mut client: C,
-    successor: &impl StreamSuccessor<S::Steps, C::Sink>,
+    successor: &impl StreamSuccessor<S::Updates, C::Sink>,
 ) {
-    // A second request under the id of an open one is rejected: neither replicas nor the load balancer could tell them
+    // A second request with the id of an open one is rejected: replicas and the load balancer could not tell them
     // apart.
     let Some(mut admitted) = engine.admit(request) else {
         let message = "a request with this id is open".to_owned();
         return client.reject(Rejection { status: 409, message }).await;
     };
-    let mut out: Vec<Attempt<S::Steps>> = Vec::new();
+    let mut attempts: Vec<Attempt<S::Updates>> = Vec::new();
     let mut history = AttemptHistory::default();
 
-    // Until the first event: actions of the load balancer, ends of attempts, the client's leaving.
+    // Until the first event, handles the load balancer's actions, ends of attempts and the client's disconnect.
     let (number, events, arrival) = loop {
-        match next_step(&mut client, &mut admitted, &mut out).await {
-            Next::Action(RequestAction::StartAttempt { number, replica, timeout, write_within }) => {
-                // The client may have closed with the request, or since the last poll.
-                if client.has_left().await {
-                    drop((out, admitted));
-                    return client.left().await;
+        match next_event(&mut client, &mut admitted, &mut attempts).await {
+            RequestEvent::Action(RequestAction::StartAttempt {
+                number,
+                replica,
+                timeout,
+                write_within,
+            }) => {
+                // The client may have closed its connection together with the request, or since the last poll.
+                if client.is_disconnected().await {
+                    drop((attempts, admitted));
+                    return client.abandon().await;
                 }
-                out.push(Attempt {
-                    number,
-                    replica: replica.clone(),
-                    steps: runner.start_attempt(replica, timeout, write_within),
-                });
+                let updates = runner.start_attempt(replica.clone(), timeout, write_within);
+                attempts.push(Attempt { number, replica, updates });
             }
-            Next::Action(RequestAction::CancelAttempt(number)) => {
-                out.retain(|s| s.number != number);
+            RequestEvent::Action(RequestAction::CancelAttempt(number)) => {
+                attempts.retain(|attempt| attempt.number != number);
                 history.record(Verdict::Cancelled);
                 admitted.record_outcome(number, Verdict::Cancelled.into(), false);
             }
-            Next::Action(RequestAction::Shed(wait)) => {
-                // Connections close before the response is written, which may take a slow client long.
-                drop((out, admitted));
+            RequestEvent::Action(RequestAction::Shed(wait)) => {
+                // Closes the replicas' connections first, since a slow client may take long to read the response.
+                drop((attempts, admitted));
                 return client.shed(wait).await;
             }
-            Next::Action(RequestAction::Fail) => {
-                let reason = history.reason(out.len());
-                drop((out, admitted));
+            RequestEvent::Action(RequestAction::Fail) => {
+                let reason = history.reason(attempts.len());
+                drop((attempts, admitted));
                 return client.fail(reason).await;
             }
-            Next::Step(_, Step::Rejected(rejection)) => {
-                drop((out, admitted));
+            RequestEvent::Update(_, AttemptUpdate::Rejected(rejection)) => {
+                drop((attempts, admitted));
                 return client.reject(rejection).await;
             }
-            Next::Step(number, Step::Ended(outcome)) => {
-                out.retain(|s| s.number != number);
+            RequestEvent::Update(number, AttemptUpdate::Ended(outcome)) => {
+                attempts.retain(|attempt| attempt.number != number);
                 history.record(outcome.verdict);
                 admitted.record_outcome(number, outcome, false);
             }
-            Next::Step(number, Step::Events(events, arrival)) => break (number, events, arrival),
-            // Timers and taken bytes concern begun streams only.
-            Next::Step(_, Step::Bytes(_)) | Next::Took(_) | Next::Due => {}
-            Next::Gone(_) => {
-                drop((out, admitted));
-                return client.left().await;
+            RequestEvent::Update(number, AttemptUpdate::Events(events, arrival)) => {
+                break (number, events, arrival);
+            }
+            // Timers and taken bytes concern only started streams.
+            RequestEvent::Update(_, AttemptUpdate::Bytes(_))
+            | RequestEvent::BytesTaken(_)
+            | RequestEvent::TimerDue => {}
+            RequestEvent::ClientLeft(_) => {
+                drop((attempts, admitted));
+                return client.abandon().await;
             }
         }
     };
 
-    let replica_side = ReplicaSide { admitted: Some(admitted), out, number };
-    begin(engine, request, client, replica_side, Begun { events, arrival }, successor).await;
+    let replica_side = ReplicaSide { admitted: Some(admitted), attempts, number };
+    begin_response(engine, request, client, replica_side, FirstEvents { events, arrival }, successor).await;
 }
 
 /// The first events of a request's stream.
-struct Begun<E> {
+struct FirstEvents<E> {
     events: E,
     arrival: Arrival,
 }
 
-/// Begins the response. From here on the request belongs to this attempt. The load balancer may cancel others; those that
-/// run on are observed to their end, but none of their data reaches the client.
-async fn begin<E, S, C: Client<E>>(
+/// Starts the response. From then on only this attempt is forwarded. The load balancer may cancel others; those that
+/// continue are recorded until they end, but their data is dropped.
+async fn begin_response<E, S, C: Client<E>>(
     engine: &Engine,
     request: &PlacementRequest,
     client: C,
     mut replica_side: ReplicaSide<S>,
-    Begun { events, arrival }: Begun<E>,
+    FirstEvents { events, arrival }: FirstEvents<E>,
     successor: &impl StreamSuccessor<S, C::Sink>,
 ) where
-    S: Stream<Item = Step<E>> + Unpin,
+    S: Stream<Item = AttemptUpdate<E>> + Unpin,
 {
-    let first = replica_side.first_event();
+    let time_to_first_event = replica_side.record_first_event();
     let Some(replica) = replica_side.replica() else { return client.fail(FailureReason::Errors).await };
-    let mut relay = Relay::new(engine.now(), first, &engine.limits);
-    let mut answer = client.begin();
-    if answer.is_assembled() {
+    let mut relay = Relay::new(engine.now(), time_to_first_event, &engine.limits);
+    let mut sink = client.begin();
+    if sink.is_assembled() {
         relay.set_assembled();
     }
-    forward_arrival(engine, &mut relay, &mut answer, arrival, events);
+    forward_arrival(engine, &mut relay, &mut sink, arrival, events);
     let id = replica_side.admitted.as_ref().map_or(0, |admitted| admitted.id.0);
-    let begun = BegunStream { id, class: request.class, tenant: request.tenant, replica, first };
-    Forwarding::new(engine, &begun, replica_side, relay, answer).run(successor).await;
+    let info =
+        StreamInfo { id, class: request.class, tenant: request.tenant, replica, time_to_first_event };
+    Forwarding::new(engine, &info, replica_side, relay, sink).run(successor).await;
 }
 
-/// The next event of a request whose response has not begun.
-async fn next_step<E, S: Stream<Item = Step<E>> + Unpin>(
+/// Waits for the next event of a request whose response has not started.
+async fn next_event<E, S: Stream<Item = AttemptUpdate<E>> + Unpin>(
     client: &mut impl Client<E>,
     admitted: &mut AdmittedRequest,
-    out: &mut [Attempt<S>],
-) -> Next<E> {
-    // The client's leaving is polled first, so that no attempt is started for a client that has left, perhaps long ago if
-    // this thread was not scheduled.
+    attempts: &mut [Attempt<S>],
+) -> RequestEvent<E> {
+    // Polls the client's disconnect first, so that no attempt is started for a client that has left, which may have been
+    // long ago if this thread was not scheduled.
     future::or(
         async {
-            client.gone().await;
-            Next::Gone(Leaving::Ended)
+            client.wait_for_disconnect().await;
+            RequestEvent::ClientLeft(Disconnect::Closed)
         },
-        future::or(async { Next::Action(admitted.next_action().await) }, async {
-            let (number, step) = any(out).await;
-            Next::Step(number, step)
+        future::or(async { RequestEvent::Action(admitted.next_action().await) }, async {
+            let (number, update) = next_update(attempts).await;
+            RequestEvent::Update(number, update)
         }),
     )
     .await
 }
 
-/// Continues a stream that another process began, with `waiting` bytes buffered for the client. The load balancer of this
-/// process does not know it.
-pub async fn carry_on<E, S, A>(
+/// Continues a stream that another process started, with `queued_bytes` buffered for the client. The load balancer of
+/// this process does not know the stream.
+pub async fn resume_stream<E, S, A>(
     engine: &Engine,
-    begun: &BegunStream,
-    (steps, answer, waiting): (S, A, usize),
+    info: &StreamInfo,
+    (updates, sink, queued_bytes): (S, A, usize),
     successor: &impl StreamSuccessor<S, A>,
 ) where
-    S: Stream<Item = Step<E>> + Unpin,
+    S: Stream<Item = AttemptUpdate<E>> + Unpin,
     A: ResponseSink<E>,
 {
-    let mut relay = Relay::new(engine.now(), begun.first, &engine.limits);
-    relay.queued(engine.now(), waiting);
-    let out = vec![Attempt { number: 0, replica: begun.replica.clone(), steps }];
-    let replica_side = ReplicaSide { admitted: None, out, number: 0 };
-    Forwarding::new(engine, begun, replica_side, relay, answer).run(successor).await;
+    let mut relay = Relay::new(engine.now(), info.time_to_first_event, &engine.limits);
+    relay.record_queued(engine.now(), queued_bytes);
+    let attempts = vec![Attempt { number: 0, replica: info.replica.clone(), updates }];
+    let replica_side = ReplicaSide { admitted: None, attempts, number: 0 };
+    Forwarding::new(engine, info, replica_side, relay, sink).run(successor).await;
 }
 
-/// The next step of whichever attempt has one.
-async fn any<E, S: Stream<Item = Step<E>> + Unpin>(out: &mut [Attempt<S>]) -> (u32, Step<E>) {
+/// Waits for the next update of any attempt.
+async fn next_update<E, S: Stream<Item = AttemptUpdate<E>> + Unpin>(
+    attempts: &mut [Attempt<S>],
+) -> (u32, AttemptUpdate<E>) {
     future::poll_fn(|cx| {
-        for attempt in out.iter_mut() {
-            if let Poll::Ready(Some(step)) = attempt.steps.poll_next(cx) {
-                return Poll::Ready((attempt.number, step));
+        for attempt in attempts.iter_mut() {
+            if let Poll::Ready(Some(update)) = attempt.updates.poll_next(cx) {
+                return Poll::Ready((attempt.number, update));
             }
         }
         Poll::Pending
--- a/src/engine/stream_table.rs
+++ b/src/engine/stream_table.rs
@@ -1,24 +1,24 @@
-//! What is kept of all streams that are forwarded: the budget, the record, and the standing of replicas.
+//! State shared by all forwarded streams: the memory budget, the statistics, and the ejection of replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::task::Waker;
 
 use crate::limits::Limits;
-use crate::stream::{Account, Budget, Change, OutlierEjection, StreamStatistics};
+use crate::stream::{Account, Budget, EjectionChange, OutlierEjection, StreamStatistics};
 use crate::types::{ListKind, Member, Nanos, Phase, ReplicaId};
 
-/// The streams that are forwarded, and the standing of the replicas that they come from.
+/// State shared by all forwarded streams.
 pub(super) struct Streams {
     pub(super) budget: Budget,
     pub(super) statistics: StreamStatistics,
     pub(super) outliers: Option<OutlierEjection>,
-    /// The list as it was received; an ejection overrides it for a while.
+    /// The list as it was received, without the changes by ejections.
     members: BTreeMap<ReplicaId, Member>,
     pub(super) wakers: BTreeMap<Account, Waker>,
     pub(super) evicted: BTreeSet<Account>,
-    pub(super) stop_at: Option<Nanos>,
-    pub(super) classes: Vec<String>,
-    pub(super) tenants: Vec<String>,
+    pub(super) shutdown_at: Option<Nanos>,
+    pub(super) class_names: Vec<String>,
+    pub(super) tenant_names: Vec<String>,
 }
 
 impl Streams {
@@ -31,14 +31,14 @@
             members: BTreeMap::new(),
             wakers: BTreeMap::new(),
             evicted: BTreeSet::new(),
-            stop_at: None,
-            classes: Vec::new(),
-            tenants: Vec::new(),
+            shutdown_at: None,
+            class_names: Vec::new(),
+            tenant_names: Vec::new(),
         }
     }
 
-    /// Records the list, and drains those in it that are ejected.
-    pub(super) fn listed(&mut self, kind: ListKind, members: &mut [Member]) {
+    /// Records an update of the list, and marks ejected replicas in it as draining.
+    pub(super) fn record_list(&mut self, kind: ListKind, members: &mut [Member]) {
         let Some(outliers) = &mut self.outliers else { return };
         if matches!(kind, ListKind::Complete | ListKind::Persisted) {
             self.members.clear();
@@ -58,11 +58,11 @@
         }
     }
 
-    /// The list's entry that a change of standing leads to.
-    pub(super) fn changed(&mut self, change: &Change) -> Option<Member> {
+    /// The list entry of a replica after an ejection or its end.
+    pub(super) fn changed_member(&mut self, change: &EjectionChange) -> Option<Member> {
         let (id, phase) = match change {
-            Change::Eject(id) => (id, Phase::Draining),
-            Change::Readmit(id) => (id, Phase::Ready),
+            EjectionChange::Eject(id) => (id, Phase::Draining),
+            EjectionChange::Readmit(id) => (id, Phase::Ready),
         };
         let member = self.members.get(id)?;
         Some(Member { phase, ..member.clone() })
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -62,7 +62,7 @@
     pub fn move_to(&self, addr: SocketAddr) {
         if self.addr.replace(addr) != addr {
             log::info!(discovery:% = addr, version = self.version.get(); "discovery-moved: it is watched there now");
-            self.engine.watch_list();
+            self.engine.restart_list_watch();
         }
     }
 
--- a/src/net/edge/connection.rs
+++ b/src/net/edge/connection.rs
@@ -133,7 +133,7 @@
         from: SocketAddr,
         error: RequestError,
     ) -> Option<AfterResponse> {
-        let id = request_id(self.engine.fresh_id());
+        let id = request_id(self.engine.generate_id());
         log::info!(id = id, client:% = from, status = error.status(); "bad-request: {error}");
         let bytes = Responder::new(dialect, &id).malformed(error).bytes(false);
         let written = within(self.limits.edge.write_timeout, wire.write(&bytes)).await;
--- a/src/net/edge/exchange.rs
+++ b/src/net/edge/exchange.rs
@@ -11,7 +11,7 @@
 use super::{BufferedStream, Edge, within};
 use crate::admission::pipelined::{Disposition, PipelinedInput};
 use crate::front::{Responder, Response};
-use crate::stream::Leaving;
+use crate::stream::Disconnect;
 
 /// What a client has sent behind its open request.
 pub(super) struct Pipelined {
@@ -56,13 +56,13 @@
     /// Ready once the client has left. What comes behind its request is read to its end, since the client's own end
     /// comes behind that; it waits in the buffer, up to its bound. A half-close counts as leaving: until something is
     /// written, nobody can tell it from a close.
-    pub(super) fn poll_gone(&mut self, cx: &mut Context<'_>) -> Poll<Leaving> {
+    pub(super) fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<Disconnect> {
         let Exchange { edge, wire, pipelined: Pipelined { input, counted }, .. } = self;
         loop {
             let had = wire.buf.len();
             let came = match ready!(wire.poll_fill(cx, &edge.limits.wire)) {
-                Ok(0) => return Poll::Ready(Leaving::Ended),
-                Err(_) => return Poll::Ready(Leaving::Reset),
+                Ok(0) => return Poll::Ready(Disconnect::Closed),
+                Err(_) => return Poll::Ready(Disconnect::Reset),
                 Ok(count) => count,
             };
             // Guards against crowding out requests that are on their way in: half of their memory stays theirs.
@@ -71,7 +71,7 @@
             match input.received(had, came, has_memory) {
                 Disposition::Keep => counted.grow_to(wire.buf.len()),
                 Disposition::Drop => wire.buf.truncate(had),
-                Disposition::Flood => return Poll::Ready(Leaving::Reset),
+                Disposition::Flood => return Poll::Ready(Disconnect::Reset),
             }
             wire.is_truncated = input.is_truncated();
             // Its end may have come with these bytes.
--- a/src/net/edge/handover.rs
+++ b/src/net/edge/handover.rs
@@ -1,4 +1,4 @@
-//! Takes over and hands over begun streams between processes of the gateway.
+//! Takes over and hands over started streams between processes of the gateway.
 
 use std::cell::RefCell;
 use std::io;
@@ -14,7 +14,7 @@
 use super::responding_client::RespondingClient;
 use super::{BufferedStream, Edge};
 use crate::admission::connection_slots::ConnectionState;
-use crate::engine::{self, BegunStream};
+use crate::engine::{self, StreamInfo};
 use crate::front::{Dialect, Responder, ResponseEncoder};
 use crate::net::handover_message::StreamSnapshot;
 use crate::net::upstream::Running;
@@ -35,7 +35,7 @@
         let out = std::mem::take(&mut snapshot.buffers.to_client);
         let wire = BufferedStream::handed(client, std::mem::take(&mut snapshot.buffers.from_client))?;
         let from = wire.peer()?;
-        let steps = Running::unpack(self.fleet.clone(), &mut snapshot, replica)?;
+        let updates = Running::unpack(self.fleet.clone(), &mut snapshot, replica)?;
         let (responder, waiting) = (Responder::new(Dialect::Platform, &snapshot.name), out.len());
         let encoder =
             ResponseEncoder::resumed(responder.clone(), self.context.omissions.clone(), &self.limits);
@@ -52,18 +52,18 @@
             from: Instant::now(),
             charge: Charge { edge: self.clone(), grant: None, prompt: 0, output: 0, events: 0, ran: true },
         };
-        let answer = RespondingClient { exchange, encoder, out, written: 0 };
-        let begun = BegunStream {
+        let sink = RespondingClient { exchange, encoder, out, written: 0 };
+        let info = StreamInfo {
             id: snapshot.id,
             class: snapshot.class,
             tenant: snapshot.tenant,
             replica: ReplicaId::from(snapshot.replica.as_str()),
-            first: snapshot.first,
+            time_to_first_event: snapshot.first,
         };
         let mut slot = self.slots.acquire();
         slot.set_state(ConnectionState::Serving);
         ex.spawn(async move {
-            engine::carry_on(&self.engine, &begun, (steps, answer, waiting), &*self).await;
+            engine::resume_stream(&self.engine, &info, (updates, sink, waiting), &*self).await;
             match back.take() {
                 Some(AfterResponse::KeepAlive(wire)) => {
                     slot.set_state(ConnectionState::Idle);
@@ -79,24 +79,24 @@
 }
 
 impl engine::StreamSuccessor<Running, RespondingClient> for Edge {
-    fn take(&self, begun: &BegunStream, steps: &mut Running, answer: &mut RespondingClient) -> bool {
+    fn take_over(&self, info: &StreamInfo, updates: &mut Running, sink: &mut RespondingClient) -> bool {
         if !self.followers.has_follower() {
             return false;
         }
         let mut snapshot = StreamSnapshot {
-            id: begun.id,
-            class: begun.class,
-            tenant: begun.tenant,
-            first: begun.first,
+            id: info.id,
+            class: info.class,
+            tenant: info.tenant,
+            first: info.time_to_first_event,
             ..StreamSnapshot::default()
         };
-        let sent = match (answer.pack(&mut snapshot), steps.pack(&mut snapshot)) {
+        let sent = match (sink.pack(&mut snapshot), updates.pack(&mut snapshot)) {
             (Some(client), Some(replica)) => self.followers.send(&snapshot, [client, replica]),
             _ => Err(io::Error::other("its state can't be handed over")),
         };
         match &sent {
-            Ok(()) => steps.given_away(),
-            Err(e) => log::debug!(id = format!("{:016x}", begun.id); "not-handed-over: {e}"),
+            Ok(()) => updates.given_away(),
+            Err(e) => log::debug!(id = format!("{:016x}", info.id); "not-handed-over: {e}"),
         }
         sent.is_ok()
     }
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -131,7 +131,7 @@
     /// open requests get their responses.
     pub async fn stop(&self) {
         self.lifecycle.stop();
-        self.engine.stop_streams(self.limits.stream.shutdown_timeout);
+        self.engine.shut_down_streams(self.limits.stream.shutdown_timeout);
         while !self.lifecycle.over(self.open()) || self.listeners.get() > 0 {
             // Looks again by itself: the listeners wait for the same word, and only one of all hears it.
             let word = future::or(self.slots.freed(), self.lifecycle.changed());
@@ -163,7 +163,7 @@
     pub fn overlap(&self, change: impl FnOnce(&Overlap)) {
         let overlap = &self.fleet.overlap;
         change(overlap);
-        self.engine.budget_streams(overlap.part(self.limits.stream.budget));
+        self.engine.set_stream_budget(overlap.part(self.limits.stream.budget));
     }
 
     /// Edge connections that are open.
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -33,7 +33,7 @@
         if dialect == Dialect::Platform {
             return head.get("x-request-id").unwrap_or_default().to_owned();
         }
-        let number = given.unwrap_or_else(|| self.engine.fresh_id());
+        let number = given.unwrap_or_else(|| self.engine.generate_id());
         // Two of them are left for the front to refuse.
         if head.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("x-request-id")).count() > 1 {
             return request_id(number);
--- a/src/net/edge/responding_client.rs
+++ b/src/net/edge/responding_client.rs
@@ -8,7 +8,7 @@
 use crate::front::ResponseEncoder;
 use crate::net::handover_message::StreamSnapshot;
 use crate::net::upstream::Batch;
-use crate::stream::{Cause, Leaving};
+use crate::stream::{Cause, Disconnect};
 
 /// Upper bound of the bytes that frame a batch of events.
 const FRAMING_BYTES: usize = 256;
@@ -63,8 +63,8 @@
 }
 
 impl engine::ResponseSink<Batch> for RespondingClient {
-    fn poll_gone(&mut self, cx: &mut Context<'_>) -> Poll<Leaving> {
-        self.exchange.poll_gone(cx)
+    fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<Disconnect> {
+        self.exchange.poll_disconnect(cx)
     }
 
     fn is_assembled(&self) -> bool {
@@ -79,7 +79,7 @@
         self.encoder.is_full()
     }
 
-    fn put(&mut self, batch: Batch) -> usize {
+    fn queue(&mut self, batch: Batch) -> usize {
         self.exchange.charge.record(&batch);
         if !self.encoder.is_message() {
             // Reserves no more than the events need, since the queue of a paused reader lives long.
@@ -89,7 +89,7 @@
         self.add(|encoder, out| encoder.events(batch.dialect, &batch.bytes, keep, out))
     }
 
-    fn put_end(&mut self, cause: Cause) -> usize {
+    fn queue_end(&mut self, cause: Cause) -> usize {
         if cause == Cause::Complete {
             self.exchange.charge.complete();
         }
@@ -97,14 +97,14 @@
         self.add(|encoder, out| encoder.end(cause, keep, out))
     }
 
-    fn poll_take(&mut self, cx: &mut Context<'_>) -> Poll<Result<usize, Leaving>> {
+    fn poll_write(&mut self, cx: &mut Context<'_>) -> Poll<Result<usize, Disconnect>> {
         let taken = ready!(self.exchange.wire.poll_write(cx, &self.out[self.written..]));
         Poll::Ready(match taken {
             Ok(count) => {
                 self.taken(count);
                 Ok(count)
             }
-            Err(_) => Err(Leaving::Reset),
+            Err(_) => Err(Disconnect::Reset),
         })
     }
 
@@ -114,7 +114,7 @@
         self.exchange.give_back(keep);
     }
 
-    fn break_off(self) {
+    fn abort(self) {
         self.exchange.wire.write_now(&self.out[self.written..]);
         self.exchange.give_back(false);
     }
--- a/src/net/edge/waiting_client.rs
+++ b/src/net/edge/waiting_client.rs
@@ -17,16 +17,16 @@
 impl engine::Client<Batch> for WaitingClient {
     type Sink = RespondingClient;
 
-    async fn gone(&mut self) {
-        future::poll_fn(|cx| self.0.poll_gone(cx)).await;
+    async fn wait_for_disconnect(&mut self) {
+        future::poll_fn(|cx| self.0.poll_disconnect(cx)).await;
     }
 
-    async fn has_left(&mut self) -> bool {
+    async fn is_disconnected(&mut self) -> bool {
         self.0.wire.recheck_readiness();
-        future::poll_once(self.gone()).await.is_some()
+        future::poll_once(self.wait_for_disconnect()).await.is_some()
     }
 
-    async fn left(mut self) {
+    async fn abandon(mut self) {
         if !self.0.pipelined.input.is_flood() {
             log::debug!(id = self.0.responder.id, after:? = self.0.from.elapsed(); "client-gone: before its response");
             return;
--- a/src/net/upstream/open_response.rs
+++ b/src/net/upstream/open_response.rs
@@ -7,7 +7,7 @@
 
 use super::connection::Connection;
 use super::{Batch, BufferedStream, Fleet, within};
-use crate::engine::{Arrival, AttemptOutcome, Step};
+use crate::engine::{Arrival, AttemptOutcome, AttemptUpdate};
 use crate::front::{Dialect, Usage};
 use crate::net::codec::{self, Body};
 use crate::stream::End;
@@ -168,22 +168,22 @@
 }
 
 /// The step that a batch of a begun response makes.
-pub(super) fn arrived(open: &mut OpenResponse, batch: Batch) -> Step<Batch> {
+pub(super) fn arrived(open: &mut OpenResponse, batch: Batch) -> AttemptUpdate<Batch> {
     // Frees unused capacity, since a stream may have to wait for its reader for long.
     let buf = &mut open.connection.wire.buf;
     if buf.capacity() > 4 * buf.len() + (1 << 10) {
         buf.shrink_to_fit();
     }
-    let inward = open.connection.wire.buf.len() + open.text.len();
+    let replica_buffered = open.connection.wire.buf.len() + open.text.len();
     let arrival = Arrival {
         bytes: std::mem::take(&mut open.came) + std::mem::take(&mut open.early),
         events: batch.events,
-        inward,
-        amid: !open.text.is_empty() || open.body.is_amid(&open.connection.wire.buf),
-        last: open.last,
+        replica_buffered,
+        is_partial: !open.text.is_empty() || open.body.is_amid(&open.connection.wire.buf),
+        is_last: open.last,
     };
     if open.failed {
         open.keep = false;
     }
-    if batch.events > 0 { Step::Events(batch, arrival) } else { Step::Bytes(arrival) }
+    if batch.events > 0 { AttemptUpdate::Events(batch, arrival) } else { AttemptUpdate::Bytes(arrival) }
 }
--- a/src/net/upstream/running.rs
+++ b/src/net/upstream/running.rs
@@ -13,7 +13,7 @@
 use super::connection::{Connection, ConnectionCount};
 use super::open_response::{OpenResponse, arrived};
 use super::{Batch, BufferedStream, Fleet, within};
-use crate::engine::{AttemptRunner, Step};
+use crate::engine::{AttemptRunner, AttemptUpdate};
 use crate::front::{Dialect, ForwardedRequest};
 use crate::net::handover_message::StreamSnapshot;
 use crate::types::{ReplicaId, Verdict};
@@ -99,7 +99,7 @@
 }
 
 impl AttemptRunner<Batch> for Dispatch {
-    type Steps = Running;
+    type Updates = Running;
     fn start_attempt(&self, replica: ReplicaId, timeout: Duration, write_within: Duration) -> Running {
         let (fleet, forwarded) = (self.fleet.clone(), self.forwarded.clone());
         let begun = async move {
@@ -123,9 +123,9 @@
 }
 
 impl Stream for Running {
-    type Item = Step<Batch>;
+    type Item = AttemptUpdate<Batch>;
 
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Step<Batch>>> {
+    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<AttemptUpdate<Batch>>> {
         let this = &mut *self;
         let batch = match &mut this.stage {
             Stage::Ended => return Poll::Ready(None),
@@ -137,8 +137,8 @@
                 Err(refusal) => {
                     this.stage = Stage::Ended;
                     return Poll::Ready(Some(match refusal {
-                        Refusal::Attempt(outcome) => Step::Ended(outcome),
-                        Refusal::Request(rejection) => Step::Rejected(rejection),
+                        Refusal::Attempt(outcome) => AttemptUpdate::Ended(outcome),
+                        Refusal::Request(rejection) => AttemptUpdate::Rejected(rejection),
                     }));
                 }
             },
@@ -151,7 +151,7 @@
                 this.stage = Stage::Open(open);
                 step
             }
-            (Err(verdict), Stage::Open(open)) => Step::Ended(this.fleet.end(*open, verdict)),
+            (Err(verdict), Stage::Open(open)) => AttemptUpdate::Ended(this.fleet.end(*open, verdict)),
             // Only an open response has a batch or an end.
             _ => return Poll::Ready(None),
         }))
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -94,7 +94,7 @@
     warn_of_late_lists(&config.settings);
     let push = config.settings.has_pushed_list;
     let (engine, orders) = Engine::new(config.settings, config.seed, &limits).context(SettingsSnafu)?;
-    engine.name_streams(config.names.classes.clone(), config.names.tenants.clone());
+    engine.set_stream_labels(config.names.classes.clone(), config.names.tenants.clone());
     let names = Rc::new(RefCell::new(config.names));
     let fleet = Rc::new(Fleet::new(limits.clone(), load_report_reader(names.clone())));
     let discovery = Rc::new(Discovery::new(
@@ -140,7 +140,7 @@
 
     let reload = spawn_reloads(executor, discovery, sources, config.mgmt);
     wait_until_stopped(executor, signals, &reload, &parts.edge).await;
-    parts.engine.log_figures();
+    parts.engine.log_stream_statistics();
     context.omissions.log();
     log::info!("stopped: all is answered");
     Ok(())
@@ -264,7 +264,7 @@
     /// Starts the loops of the engine and of the lifecycle.
     fn spawn_loops(&self) {
         let engine = self.engine.clone();
-        self.executor.spawn(async move { engine.run_streams().await }).detach();
+        self.executor.spawn(async move { engine.maintain_streams().await }).detach();
         let engine = self.engine.clone();
         self.executor.spawn(async move { engine.run_timers().await }).detach();
         let lifecycle = self.lifecycle.clone();
--- a/src/stream/budget.rs
+++ b/src/stream/budget.rs
@@ -1,9 +1,9 @@
-//! The memory budget of all streams, and which of them is paused or evicted when it runs short.
+//! The memory budget of all streams, which pauses or evicts streams when it runs short.
 //!
 //! A stream may buffer at most as many bytes as are still free (the dynamic threshold of shared-memory switches), so
-//! the streams with the largest buffers pause first and no ranking is needed. A floor lets each stream pass one read
-//! at a time, so none stalls for good. Only if the floors alone exceed the budget is a stream evicted: the one that
-//! has been paused for longest, since its client is the least likely to come back.
+//! the streams with the largest buffers pause first and no ranking is needed. A minimum lets each stream pass one read
+//! at a time, so none stalls for good. Only if these minimums alone exceed the budget is a stream evicted: the one that
+//! has been paused for longest, since its client is the least likely to resume reading.
 //!
 //! A response that is assembled before it is sent can't be paused. Such responses may use half of the budget, so that
 //! streams keep the other half.
@@ -28,8 +28,8 @@
 #[derive(Debug)]
 pub struct Budget {
     limit: usize,
-    window: usize,
-    floor: usize,
+    max_buffer: usize,
+    min_buffer: usize,
     used: usize,
     peak: usize,
     next: u64,
@@ -37,11 +37,11 @@
 }
 
 impl Budget {
-    /// Creates a budget of `limit` bytes for streams with a window of `window` bytes, each of which may always buffer
-    /// `floor` bytes.
+    /// Creates a budget of `limit` bytes for streams that may each buffer up to `max_buffer` bytes and always
+    /// `min_buffer` bytes.
     #[must_use]
-    pub fn new(limit: usize, window: usize, floor: usize) -> Budget {
-        Budget { limit, window, floor, used: 0, peak: 0, next: 0, entries: BTreeMap::new() }
+    pub fn new(limit: usize, max_buffer: usize, min_buffer: usize) -> Budget {
+        Budget { limit, max_buffer, min_buffer, used: 0, peak: 0, next: 0, entries: BTreeMap::new() }
     }
 
     /// Changes the limit. Use above it shrinks as the streams learn their new allowances.
@@ -49,7 +49,8 @@
         self.limit = limit;
     }
 
-    /// A stream begins. One that is_assembled passes nothing on before its end, so it can't be paused.
+    /// Opens the account of a stream. One that is assembled before it is sent passes nothing on until its end, so it
+    /// can't be paused.
     pub fn open(&mut self, is_assembled: bool) -> Account {
         self.next += 1;
         self.entries.insert(Account(self.next), Entry { is_assembled, ..Entry::default() });
@@ -67,11 +68,11 @@
         self.used = self.used - entry.buffered_bytes + buffered_bytes;
         self.peak = self.peak.max(self.used);
         (entry.buffered_bytes, entry.paused_since) = (buffered_bytes, paused_since);
-        // Its reader resumed before the eviction was carried out.
+        // Cancels an eviction that was not carried out before the client resumed reading.
         entry.evicted &= paused_since.is_some() || entry.is_assembled && buffered_bytes > 0;
-        // A stream with too small an allowance updates again when its reader takes bytes; more would not help it
+        // A stream with too small an allowance updates again when its client reads; a larger one would not help it
         // before that. So no stream has to be woken when another one frees memory.
-        self.limit.saturating_sub(self.used).max(self.floor).min(self.window)
+        self.limit.saturating_sub(self.used).max(self.min_buffer).min(self.max_buffer)
     }
 
     /// Closes the account of a stream that has ended.
@@ -87,7 +88,7 @@
         self.used
     }
 
-    /// The largest number of bytes that were ever buffered.
+    /// The largest number of bytes that were buffered at once.
     #[must_use]
     pub fn peak(&self) -> usize {
         self.peak
@@ -95,7 +96,7 @@
 
     /// Number of open streams.
     #[must_use]
-    pub fn streams(&self) -> usize {
+    pub fn stream_count(&self) -> usize {
         self.entries.len()
     }
 
@@ -104,7 +105,7 @@
         if self.used <= self.limit {
             return None;
         }
-        // These are being evicted already.
+        // Streams that were picked but have not freed their memory yet.
         let evicting: usize = self.entries.values().filter(|e| e.evicted).map(|e| e.buffered_bytes).sum();
         if self.used - evicting <= self.limit {
             return None;
--- a/src/stream/mod.rs
+++ b/src/stream/mod.rs
@@ -1,8 +1,8 @@
-//! Streams that are forwarded: their state, their memory, how they end, and what their ends say about a replica.
+//! Forwarded streams: their state machine, memory budget, statistics, and the ejection of replicas that fail them.
 //!
-//! No I/O and no clock; times are handed in as nanoseconds of a monotonic clock. [`Relay`] is the state machine of one
-//! stream, [`Budget`] the memory that all of them share, [`StreamStatistics`] the record of how they ended, and
-//! [`OutlierEjection`] decides from bad ends whether a replica is used. The engine carries out their decisions, see
+//! No I/O and no clock: times are passed in as nanoseconds of a monotonic clock. [`Relay`] is the state machine of one
+//! stream, [`Budget`] the memory budget of all streams, [`StreamStatistics`] counts how they ended, and
+//! [`OutlierEjection`] ejects replicas whose streams fail. The engine carries out their decisions, see
 //! [`crate::engine::serve`].
 
 mod budget;
@@ -13,6 +13,6 @@
 
 pub use budget::{Account, Budget};
 pub use outcome::{Cause, Outcome, Side};
-pub use outlier_ejection::{Change, OutlierEjection};
-pub use relay::{Arrival, End, Leaving, Phase, Relay, RelayAction};
-pub use statistics::{Figures, StreamStatistics};
+pub use outlier_ejection::{EjectionChange, OutlierEjection};
+pub use relay::{Arrival, Disconnect, End, Phase, Relay, RelayAction};
+pub use statistics::{StreamStatistics, StreamSummary};
--- a/src/stream/outcome.rs
+++ b/src/stream/outcome.rs
@@ -61,7 +61,7 @@
         Cause::HandedOver,
     ];
 
-    /// Its name in the log and the figures.
+    /// The name in log lines and statistics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -97,8 +97,8 @@
     pub fn verdict(self) -> Verdict {
         match self {
             Cause::Complete => Verdict::Ok,
-            // A stalled connection counts as a broken one. `TimedOut` is for attempts without a first event: for a begun
-            // one the load balancer takes it for the client's deadline.
+            // A stalled connection counts as a broken one. `TimedOut` is for attempts without a first event: for a started
+            // stream, the load balancer would take it for the client's deadline.
             Cause::Stalled | Cause::Disconnected | Cause::Malformed => Verdict::Reset,
             Cause::Failed => Verdict::Error,
             Cause::ClientLeft
@@ -121,14 +121,14 @@
     pub bytes: u64,
     /// Events received from the replica.
     pub events: u64,
-    /// From the attempt's start to its first event.
-    pub first: Nanos,
-    /// The longest time between two arrivals while the gateway was reading.
+    /// Time from the start of the attempt to its first event.
+    pub time_to_first_event: Nanos,
+    /// The longest time without data while the replica was read.
     pub longest_gap: Nanos,
-    /// The longest time in which bytes were pending and the client took none.
+    /// The longest time in which bytes were queued and the client read none.
     pub longest_pause: Nanos,
-    /// From the first event to the end.
-    pub lasted: Nanos,
-    /// From the cause to the release or close of the replica's connection.
-    pub stop: Nanos,
+    /// Time from the first event to the end.
+    pub duration: Nanos,
+    /// Time from the end to the release or close of the replica's connection.
+    pub release_delay: Nanos,
 }
--- a/src/stream/outlier_ejection.rs
+++ b/src/stream/outlier_ejection.rs
@@ -1,7 +1,7 @@
 //! Outlier ejection: takes replicas out of use whose streams fail far more often than those of other replicas.
 //!
 //! The load balancer ejects a replica after consecutive failures. A replica that completes some streams and breaks
-//! others has no such run and would stay on the ring. This module counts ends within a sliding window and ejects a
+//! others has no such series and would stay on the ring. This module counts ends within a sliding window and ejects a
 //! replica whose failure rate is high and well above that of the others. A fault that all replicas share ejects none,
 //! and never more than a fraction of the fleet is ejected.
 
@@ -11,15 +11,15 @@
 use crate::limits::OutlierLimits;
 use crate::types::{Nanos, ReplicaId};
 
-/// Each ejection that follows soon doubles the time, up to this power of two.
+/// Limit of the exponent when the duration of repeated ejections is doubled.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// A change in the use of a replica.
+/// The start or end of an ejection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// It gets no new requests; its streams continue.
+pub enum EjectionChange {
+    /// The replica gets no new requests; its streams continue.
     Eject(ReplicaId),
-    /// It gets requests again.
+    /// The replica gets requests again.
     Readmit(ReplicaId),
 }
 
@@ -30,7 +30,7 @@
     is_failure: bool,
 }
 
-/// Ends of streams, counted.
+/// Numbers of ended streams.
 #[derive(Clone, Copy, Debug, Default)]
 struct EndCounts {
     failures: usize,
@@ -47,13 +47,13 @@
     }
 }
 
-/// What is known of one replica.
+/// The state of one replica.
 #[derive(Debug, Default)]
 struct Record {
     /// Ends within the window, oldest first.
     ends: VecDeque<StreamEnd>,
     ejected_until: Option<Nanos>,
-    /// Ejections in a row, each less than a window after the one before.
+    /// Number of successive ejections, each less than a window after the end of the previous one.
     ejection_count: u32,
     readmitted_at: Nanos,
 }
@@ -97,7 +97,7 @@
     }
 
     /// Records the end of a stream of `replica`. Returns the ejection that follows from it.
-    pub fn ended(&mut self, now: Nanos, replica: &ReplicaId, cause: Cause) -> Option<Change> {
+    pub fn record_end(&mut self, now: Nanos, replica: &ReplicaId, cause: Cause) -> Option<EjectionChange> {
         let is_failure = cause.side() == Side::Replica;
         // An end by the client or by this gateway says nothing about the replica.
         if !is_failure && cause != Cause::Complete {
@@ -130,7 +130,7 @@
         self.limits.window.as_nanos() as Nanos
     }
 
-    /// Whether a replica fails far more often than the others, and one more may be ejected.
+    /// Whether a replica fails far more often than the others, and one more replica may be ejected.
     fn is_outlier(&self, replica: &ReplicaId) -> bool {
         let limits = &self.limits;
         let own = self.records.get(replica).map_or_else(EndCounts::default, Record::counts);
@@ -144,7 +144,7 @@
             && ejected_count < max_ejected
     }
 
-    fn eject(&mut self, now: Nanos, replica: &ReplicaId) -> Option<Change> {
+    fn eject(&mut self, now: Nanos, replica: &ReplicaId) -> Option<EjectionChange> {
         let window = self.window();
         let record = self.records.get_mut(replica)?;
         if now.saturating_sub(record.readmitted_at) > window {
@@ -155,7 +155,7 @@
         let time = time.min(self.limits.max_ejection_time);
         record.ejection_count += 1;
         record.ejected_until = Some(now.saturating_add(time.as_nanos() as Nanos));
-        Some(Change::Eject(replica.clone()))
+        Some(EjectionChange::Eject(replica.clone()))
     }
 
     /// When the next ejection ends.
@@ -164,16 +164,16 @@
         self.records.values().filter_map(|record| record.ejected_until).min()
     }
 
-    /// Ends the ejections that are over, and returns them.
-    pub fn readmit(&mut self, now: Nanos) -> Vec<Change> {
+    /// Ends the ejections that are due, and returns the changes.
+    pub fn readmit(&mut self, now: Nanos) -> Vec<EjectionChange> {
         let mut readmitted = Vec::new();
         for (id, record) in &mut self.records {
             if record.ejected_until.is_some_and(|until| until <= now) {
-                // Its count of ejections stays: the next one is longer unless a window passes without any.
+                // Keeps the number of ejections, so that the next one is longer unless a window passes without any.
                 record.ejected_until = None;
                 record.readmitted_at = now;
                 record.ends.clear();
-                readmitted.push(Change::Readmit(id.clone()));
+                readmitted.push(EjectionChange::Readmit(id.clone()));
             }
         }
         readmitted
--- a/src/stream/statistics.rs
+++ b/src/stream/statistics.rs
@@ -8,10 +8,10 @@
 use super::outcome::{Cause, Outcome};
 use crate::types::Nanos;
 
-/// The largest recorded time, ten minutes, in microseconds; longer ones are recorded as this.
+/// The largest time that is recorded, ten minutes in microseconds. Longer times are recorded as this one.
 const MAX_TIME_US: u64 = 600_000_000;
 
-/// The class and cause of a set of streams. The order of the fields is that of the figures.
+/// The class and cause of a set of streams. Summaries are sorted in the order of the fields.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct StatisticsKey {
     class: usize,
@@ -23,26 +23,26 @@
     count: u64,
     bytes: u64,
     events: u64,
-    first: Histogram<u32>,
-    gap: Histogram<u32>,
-    pause: Histogram<u32>,
-    stop: Histogram<u32>,
-    lasted: Histogram<u32>,
+    time_to_first_event: Histogram<u32>,
+    longest_gap: Histogram<u32>,
+    longest_pause: Histogram<u32>,
+    release_delay: Histogram<u32>,
+    duration: Histogram<u32>,
 }
 
 impl CauseStatistics {
     fn new() -> Option<CauseStatistics> {
-        // Two significant digits: a figure is off by 1% at most.
+        // Two significant digits: the error is at most 1%.
         let new = || Histogram::new_with_max(MAX_TIME_US, 2).ok();
         Some(CauseStatistics {
             count: 0,
             bytes: 0,
             events: 0,
-            first: new()?,
-            gap: new()?,
-            pause: new()?,
-            stop: new()?,
-            lasted: new()?,
+            time_to_first_event: new()?,
+            longest_gap: new()?,
+            longest_pause: new()?,
+            release_delay: new()?,
+            duration: new()?,
         })
     }
 }
@@ -53,9 +53,9 @@
     by_cause: BTreeMap<StatisticsKey, CauseStatistics>,
 }
 
-/// The figures of one class and cause; quantiles are microseconds.
+/// Summary of the streams of one class and cause. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Figures {
+pub struct StreamSummary {
     /// The class's index.
     pub class: usize,
     /// The cause.
@@ -67,15 +67,15 @@
     /// Events of all streams.
     pub events: u64,
     /// Time to the first event: median, 99th percentile, maximum.
-    pub first: [u64; 3],
+    pub time_to_first_event: [u64; 3],
     /// Longest gap of each stream: median, 99th percentile, maximum.
-    pub gap: [u64; 3],
+    pub longest_gap: [u64; 3],
     /// Longest pause of each stream: median, 99th percentile, maximum.
-    pub pause: [u64; 3],
+    pub longest_pause: [u64; 3],
     /// Time until the replica's connection was released: median, 99th percentile, maximum.
-    pub stop: [u64; 3],
+    pub release_delay: [u64; 3],
     /// Time from the first event to the end: median, 99th percentile, maximum.
-    pub lasted: [u64; 3],
+    pub duration: [u64; 3],
 }
 
 impl StreamStatistics {
@@ -92,28 +92,28 @@
         statistics.count += 1;
         statistics.bytes += outcome.bytes;
         statistics.events += outcome.events;
-        statistics.first.saturating_record(micros(outcome.first));
-        statistics.gap.saturating_record(micros(outcome.longest_gap));
-        statistics.pause.saturating_record(micros(outcome.longest_pause));
-        statistics.stop.saturating_record(micros(outcome.stop));
-        statistics.lasted.saturating_record(micros(outcome.lasted));
+        statistics.time_to_first_event.saturating_record(micros(outcome.time_to_first_event));
+        statistics.longest_gap.saturating_record(micros(outcome.longest_gap));
+        statistics.longest_pause.saturating_record(micros(outcome.longest_pause));
+        statistics.release_delay.saturating_record(micros(outcome.release_delay));
+        statistics.duration.saturating_record(micros(outcome.duration));
     }
 
-    /// All figures, by class and cause.
+    /// The summaries of all streams, by class and cause.
     #[must_use]
-    pub fn figures(&self) -> Vec<Figures> {
-        let of = |h: &Histogram<u32>| [h.value_at_quantile(0.5), h.value_at_quantile(0.99), h.max()];
-        let statistics = |(key, s): (&StatisticsKey, &CauseStatistics)| Figures {
+    pub fn summaries(&self) -> Vec<StreamSummary> {
+        let quantiles = |h: &Histogram<u32>| [h.value_at_quantile(0.5), h.value_at_quantile(0.99), h.max()];
+        let statistics = |(key, s): (&StatisticsKey, &CauseStatistics)| StreamSummary {
             class: key.class,
             cause: key.cause,
             count: s.count,
             bytes: s.bytes,
             events: s.events,
-            first: of(&s.first),
-            gap: of(&s.gap),
-            pause: of(&s.pause),
-            stop: of(&s.stop),
-            lasted: of(&s.lasted),
+            time_to_first_event: quantiles(&s.time_to_first_event),
+            longest_gap: quantiles(&s.longest_gap),
+            longest_pause: quantiles(&s.longest_pause),
+            release_delay: quantiles(&s.release_delay),
+            duration: quantiles(&s.duration),
         };
         self.by_cause.iter().map(statistics).collect()
     }
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -14,15 +14,15 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 use tulipridge::engine::{
-    self, Arrival, AttemptOutcome, AttemptRunner, BegunStream, Client, Engine, FailureReason,
-    PlacementRequest, Rejection, ResponseSink, Step, StreamSuccessor, TokenCounts,
+    self, Arrival, AttemptOutcome, AttemptRunner, AttemptUpdate, Client, Engine, FailureReason,
+    PlacementRequest, Rejection, ResponseSink, StreamInfo, StreamSuccessor, TokenCounts,
 };
 use tulipridge::front::{Dialect, ForwardedRequest};
 use tulipridge::limits::Limits;
 use tulipridge::names::{ServiceEntry, State};
 use tulipridge::net::codec::{self, Body};
 use tulipridge::net::upstream::{Dispatch, Fleet};
-use tulipridge::stream::{Cause, Leaving};
+use tulipridge::stream::{Cause, Disconnect};
 use tulipridge::types::{self, *};
 
 fn check(seed: u64) -> QuickCheck {
@@ -60,14 +60,14 @@
 struct Seen {
     events: Cell<u32>,
     finals: RefCell<Vec<&'static str>>,
-    out: RefCell<Vec<Sender<Step<()>>>>,
+    out: RefCell<Vec<Sender<AttemptUpdate<()>>>>,
 }
 
 struct FakeRunner(Rc<Seen>);
 
 impl AttemptRunner<()> for FakeRunner {
-    type Steps = Pin<Box<Receiver<Step<()>>>>;
-    fn start_attempt(&self, _: ReplicaId, _: Duration, _: Duration) -> Self::Steps {
+    type Updates = Pin<Box<Receiver<AttemptUpdate<()>>>>;
+    fn start_attempt(&self, _: ReplicaId, _: Duration, _: Duration) -> Self::Updates {
         let (send, steps) = async_channel::unbounded();
         self.0.out.borrow_mut().push(send);
         Box::pin(steps)
@@ -78,7 +78,7 @@
 struct NoSuccessor;
 
 impl<S, A> StreamSuccessor<S, A> for NoSuccessor {
-    fn take(&self, _: &BegunStream, _: &mut S, _: &mut A) -> bool {
+    fn take_over(&self, _: &StreamInfo, _: &mut S, _: &mut A) -> bool {
         false
     }
 }
@@ -93,13 +93,13 @@
 
 impl Client<()> for FakeClient {
     type Sink = FakeClient;
-    async fn gone(&mut self) {
+    async fn wait_for_disconnect(&mut self) {
         while self.1.next().await.is_some() {}
     }
-    async fn has_left(&mut self) -> bool {
+    async fn is_disconnected(&mut self) -> bool {
         self.1.is_closed()
     }
-    async fn left(self) {}
+    async fn abandon(self) {}
     async fn shed(self, wait: Duration) {
         assert!(wait <= Duration::from_secs(2));
         self.record_answer("turned down");
@@ -117,8 +117,8 @@
 }
 
 impl ResponseSink<()> for FakeClient {
-    fn poll_gone(&mut self, cx: &mut Context<'_>) -> Poll<Leaving> {
-        self.1.as_mut().poll_next(cx).map(|_| Leaving::Ended)
+    fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<Disconnect> {
+        self.1.as_mut().poll_next(cx).map(|_| Disconnect::Closed)
     }
     fn is_assembled(&self) -> bool {
         false
@@ -129,20 +129,20 @@
     fn is_full(&self) -> bool {
         false
     }
-    fn put(&mut self, (): ()) -> usize {
+    fn queue(&mut self, (): ()) -> usize {
         self.0.events.set(self.0.events.get() + 1);
         1
     }
-    fn put_end(&mut self, _: Cause) -> usize {
+    fn queue_end(&mut self, _: Cause) -> usize {
         1
     }
-    fn poll_take(&mut self, _: &mut Context<'_>) -> Poll<Result<usize, Leaving>> {
+    fn poll_write(&mut self, _: &mut Context<'_>) -> Poll<Result<usize, Disconnect>> {
         Poll::Ready(Ok(1))
     }
     fn finish(self) {
         self.record_answer("served");
     }
-    fn break_off(self) {
+    fn abort(self) {
         // A client that left is told nothing more.
         if !self.1.is_closed() {
             self.record_answer("broken");
@@ -234,18 +234,18 @@
 }
 
 /// Lets a step happen: at the latest attempt, or at the client, which stays until `stay` is closed.
-fn deliver(step: Move, last: &Sender<Step<()>>, stay: &Sender<()>) {
+fn deliver(step: Move, last: &Sender<AttemptUpdate<()>>, stay: &Sender<()>) {
     match step {
         Move::Event => {
-            drop(last.try_send(Step::Events((), Arrival { events: 1, ..Arrival::default() })));
+            drop(last.try_send(AttemptUpdate::Events((), Arrival { events: 1, ..Arrival::default() })));
         }
-        Move::End(verdict) => drop(last.try_send(Step::Ended(AttemptOutcome::from(verdict)))),
+        Move::End(verdict) => drop(last.try_send(AttemptUpdate::Ended(AttemptOutcome::from(verdict)))),
         Move::Reject => {
-            drop(last.try_send(Step::Rejected(Rejection { status: 400, message: String::new() })));
+            drop(last.try_send(AttemptUpdate::Rejected(Rejection { status: 400, message: String::new() })));
         }
         Move::Leave => drop(stay.close()),
         Move::EndAndLeave(verdict) => {
-            let _ = last.try_send(Step::Ended(AttemptOutcome::from(verdict)));
+            let _ = last.try_send(AttemptUpdate::Ended(AttemptOutcome::from(verdict)));
             stay.close();
         }
     }
@@ -316,7 +316,7 @@
     let mut steps =
         dispatch(&fleet).start_attempt(ReplicaId::from("s-1"), Duration::from_secs(20), Duration::MAX);
     match async_io::block_on(steps.next()) {
-        Some(Step::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
+        Some(AttemptUpdate::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
         other => panic!("{other:?}"),
     }
 }
@@ -351,7 +351,7 @@
         assert!(future::poll_once(steps.next()).await.is_none(), "the connection is under way");
         learn(State::Draining);
         match steps.next().await {
-            Some(Step::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
+            Some(AttemptUpdate::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
             other => panic!("{other:?}"),
         }
     });
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -8,8 +8,8 @@
 
 use tulipridge::limits::{Limits, OutlierLimits, PaceLimit, StreamLimits};
 use tulipridge::stream::{
-    Arrival, Budget, Cause, Change, End, Leaving, Outcome, OutlierEjection, Phase, Relay, RelayAction,
-    Side, StreamStatistics,
+    Arrival, Budget, Cause, Disconnect, EjectionChange, End, Outcome, OutlierEjection, Phase, Relay,
+    RelayAction, Side, StreamStatistics,
 };
 use tulipridge::types::{Nanos, ReplicaId, Verdict};
 
@@ -89,22 +89,22 @@
 impl Model {
     /// Does one step with the relay, and with the model of it.
     fn apply(&mut self, relay: &mut Relay, step: Move, limits: &StreamLimits) {
-        let before = relay.reads();
+        let before = relay.wants_read();
         match step {
             Move::Come(bytes, whole) if before => {
                 let bytes = usize::from(bytes);
                 // All that lies at the server's side becomes whole with the next whole event.
                 let queued = if whole { self.inward + bytes } else { 0 };
                 self.inward = if whole { 0 } else { self.inward + bytes };
-                relay.queued(self.now, queued);
+                relay.record_queued(self.now, queued);
                 let arrival = Arrival {
                     bytes,
                     events: u64::from(whole),
-                    inward: self.inward,
-                    amid: !whole,
-                    last: false,
+                    replica_buffered: self.inward,
+                    is_partial: !whole,
+                    is_last: false,
                 };
-                relay.arrived(self.now, &arrival);
+                relay.record_arrival(self.now, &arrival);
                 if queued > 0 && self.waiting == 0 {
                     self.span = Some((self.now, 0));
                 }
@@ -113,7 +113,7 @@
             }
             Move::Take(bytes) if self.waiting > 0 => {
                 let bytes = usize::from(bytes).clamp(1, self.waiting);
-                relay.took(self.now, bytes);
+                relay.record_taken(self.now, bytes);
                 self.waiting -= bytes;
                 self.span = match self.span {
                     Some((from, taken)) if self.waiting > 0 => Some((from, taken + bytes)),
@@ -128,7 +128,7 @@
             }
             Move::Allow(bytes) => {
                 self.allowed = usize::from(bytes);
-                relay.allow(self.now, self.allowed);
+                relay.set_allowance(self.now, self.allowed);
             }
             Move::End(end) if self.replica_end.is_none() => {
                 relay.replica_ended(self.now, end);
@@ -137,13 +137,13 @@
             }
             Move::Stop(ms) => {
                 let at = self.now + Nanos::from(ms) * MS;
-                relay.stop_at(at);
+                relay.set_shutdown_deadline(at);
                 if self.stop_at.is_none_or(|was| at < was) {
                     self.stop_at = Some(at);
                     self.offer_at = Some(at.saturating_sub(nanos(limits.handover_lead_time)));
                 }
             }
-            Move::Leave => relay.left(self.now, Leaving::Ended),
+            Move::Leave => relay.client_left(self.now, Disconnect::Closed),
             Move::Cancel => relay.cancel(self.now),
             Move::Evict => relay.evict(self.now),
             _ => {}
@@ -186,7 +186,7 @@
         assert_eq!(relay.buffered_bytes(), self.waiting + self.inward);
         assert!(
             self.waiting == 0
-                || !relay.reads()
+                || !relay.wants_read()
                 || relay.buffered_bytes() < limits.high_watermark.min(self.allowed),
             "read while {} bytes are held of {}",
             relay.buffered_bytes(),
@@ -194,7 +194,7 @@
         );
         // Somebody is waited for, or nothing would ever happen again.
         assert!(relay.due().is_some_and(|due| due > self.now));
-        assert!(relay.reads() || self.waiting > 0);
+        assert!(relay.wants_read() || self.waiting > 0);
     }
 }
 
@@ -202,19 +202,19 @@
 fn check_handed_over(relay: &mut Relay, now: Nanos) {
     relay.handed_over(now);
     assert_eq!(relay.outcome().map(|o| o.cause), Some(Cause::HandedOver));
-    assert_eq!(relay.poll(now + MS), RelayAction::Cut, "nothing more is done for it here");
+    assert_eq!(relay.poll(now + MS), RelayAction::Abort, "nothing more is done for it here");
 }
 
 /// Whatever comes after the end changes nothing of it.
 fn check_ended(relay: &mut Relay, outcome: Outcome, model: &Model) {
     assert_eq!(outcome.bytes, model.came);
     assert_eq!(relay.phase(), Phase::Ended);
-    assert!(!relay.reads() && relay.due().is_none());
+    assert!(!relay.wants_read() && relay.due().is_none());
     // Whatever comes after the end changes nothing of it.
-    relay.arrived(model.now, &complete_events(7, 1));
-    relay.queued(model.now, 9);
+    relay.record_arrival(model.now, &complete_events(7, 1));
+    relay.record_queued(model.now, 9);
     relay.replica_ended(model.now, End::Disconnected);
-    relay.left(model.now + MS, Leaving::Reset);
+    relay.client_left(model.now + MS, Disconnect::Reset);
     relay.cancel(model.now + MS);
     assert_eq!(relay.outcome(), Some(outcome));
 }
@@ -231,7 +231,7 @@
         assert_eq!(is, expected, "after {step:?}");
         // It is offered for as long as its replica has more to say, and again a little later.
         let offered = is.is_none() && model.replica_end.is_none() && model.is_over(model.offer_at);
-        assert_eq!(action == RelayAction::Offer, offered);
+        assert_eq!(action == RelayAction::OfferHandover, offered);
         assert_eq!(action == RelayAction::Wait, is.is_none() && !offered);
         assert_eq!(action == RelayAction::Finish, is == Some(Cause::Complete));
         if offered && model.came.is_multiple_of(3) {
@@ -239,7 +239,7 @@
             return true;
         }
         if offered {
-            relay.refused(model.now);
+            relay.handover_refused(model.now);
             model.offer_at = Some(model.now + nanos(limits.handover_retry_interval));
             assert_eq!(relay.poll(model.now), RelayAction::Wait);
         }
@@ -265,16 +265,16 @@
 fn the_servers_stall_is_not_timed_while_the_reader_is_waited_for() {
     let limits = limits();
     let mut relay = Relay::new(0, 0, &limits);
-    relay.arrived(0, &complete_events(limits.high_watermark, 9));
-    relay.queued(0, limits.high_watermark);
-    assert!(!relay.reads());
+    relay.record_arrival(0, &complete_events(limits.high_watermark, 9));
+    relay.record_queued(0, limits.high_watermark);
+    assert!(!relay.wants_read());
     assert_eq!(relay.phase(), Phase::ReaderPaused);
     // Four seconds without a read are no fault of the server's, and not too much of the reader's.
-    relay.took(7_900 * MS, limits.high_watermark);
-    assert!(relay.reads());
+    relay.record_taken(7_900 * MS, limits.high_watermark);
+    assert!(relay.wants_read());
     assert_eq!(relay.poll(7_900 * MS), RelayAction::Wait);
     assert_eq!(relay.poll(7_900 * MS + nanos(limits.idle_timeout) - 1), RelayAction::Wait);
-    assert_eq!(relay.poll(7_900 * MS + nanos(limits.idle_timeout)), RelayAction::Cut);
+    assert_eq!(relay.poll(7_900 * MS + nanos(limits.idle_timeout)), RelayAction::Abort);
     let outcome = relay.outcome().expect("over");
     assert_eq!((outcome.cause, outcome.longest_pause), (Cause::Stalled, 7_900 * MS));
     assert_eq!(outcome.longest_gap, nanos(limits.idle_timeout));
@@ -285,13 +285,13 @@
     let limits = limits();
     let step = |every: Nanos, bytes: usize| {
         let mut relay = Relay::new(0, 0, &limits);
-        relay.arrived(0, &complete_events(limits.high_watermark, 1));
-        relay.queued(0, limits.high_watermark);
+        relay.record_arrival(0, &complete_events(limits.high_watermark, 1));
+        relay.record_queued(0, limits.high_watermark);
         relay.replica_ended(0, End::Complete);
         let mut now = 0;
-        while now < 60_000 * MS && relay.waiting() > 0 && relay.poll(now) == RelayAction::Wait {
+        while now < 60_000 * MS && relay.client_queued() > 0 && relay.poll(now) == RelayAction::Wait {
             now += every;
-            relay.took(now, bytes);
+            relay.record_taken(now, bytes);
             relay.poll(now);
         }
         (relay.outcome().map(|o| o.cause), now / MS)
@@ -309,11 +309,19 @@
     let mut limits = limits();
     let stall = |limits: &StreamLimits, amid: bool, last: bool, gap: Nanos| {
         let mut relay = Relay::new(0, 0, limits);
-        relay.arrived(gap, &complete_events(10, 1));
-        relay.arrived(gap, &Arrival { inward: usize::from(amid), amid, last, ..complete_events(10, 1) });
+        relay.record_arrival(gap, &complete_events(10, 1));
+        relay.record_arrival(
+            gap,
+            &Arrival {
+                replica_buffered: usize::from(amid),
+                is_partial: amid,
+                is_last: last,
+                ..complete_events(10, 1)
+            },
+        );
         let due = relay.due().expect("a limit");
         assert_eq!(relay.poll(due - 1), RelayAction::Wait);
-        assert_eq!(relay.poll(due), RelayAction::Cut);
+        assert_eq!(relay.poll(due), RelayAction::Abort);
         assert_eq!(relay.outcome().map(|o| o.cause), Some(Cause::Stalled));
         (due - gap) / MS
     };
@@ -367,7 +375,7 @@
             assert!(used <= limit || held.values().all(|(_, s)| s.is_none()));
         }
         accounts.iter().for_each(|a| budget.close(*a));
-        (budget.used(), budget.streams()) == (0, 0)
+        (budget.used(), budget.stream_count()) == (0, 0)
     }
     check(32).quickcheck(holds as fn(Vec<(u8, u16, bool)>) -> bool);
 }
@@ -411,11 +419,11 @@
         cause,
         bytes: 10,
         events: 2,
-        first: t,
+        time_to_first_event: t,
         longest_gap: t,
         longest_pause: 0,
-        lasted: t * 2,
-        stop: t,
+        duration: t * 2,
+        release_delay: t,
     }
 }
 
@@ -426,16 +434,20 @@
         statistics.record(0, &outcome(Cause::Complete, n * 1_000));
     }
     statistics.record(1, &outcome(Cause::Stalled, 5_000_000_000));
-    let figures = statistics.figures();
+    let figures = statistics.summaries();
     assert_eq!(figures.len(), 2);
     let (whole, stalled) = (&figures[0], &figures[1]);
     assert_eq!((whole.class, whole.cause, whole.count), (0, Cause::Complete, 100));
     assert_eq!((whole.bytes, whole.events), (1_000, 200));
     let near = |is: u64, due: u64| is.abs_diff(due) * 50 <= due;
-    assert!(near(whole.first[0], 50_000) && near(whole.first[1], 99_000) && near(whole.lasted[2], 200_000));
+    assert!(
+        near(whole.time_to_first_event[0], 50_000)
+            && near(whole.time_to_first_event[1], 99_000)
+            && near(whole.duration[2], 200_000)
+    );
     // What is beyond the longest time counts as the longest.
     assert_eq!((stalled.class, stalled.count), (1, 1));
-    assert!(near(stalled.first[2], 600_000_000));
+    assert!(near(stalled.time_to_first_event[2], 600_000_000));
 }
 
 fn id(n: usize) -> ReplicaId {
@@ -456,33 +468,33 @@
             now += 10 * MS;
             let bad = n == 3 && round % 2 == 0;
             let change =
-                outliers.ended(now, server, if bad { Cause::Disconnected } else { Cause::Complete });
+                outliers.record_end(now, server, if bad { Cause::Disconnected } else { Cause::Complete });
             assert!(change.is_none() || n == 3);
             rested = rested.or(change);
         }
     }
-    assert_eq!(rested, Some(Change::Eject(id(3))));
+    assert_eq!(rested, Some(EjectionChange::Eject(id(3))));
     assert!(outliers.is_ejected(&id(3)));
     let due = outliers.due().expect("an end");
     assert!(outliers.readmit(due - 1).is_empty());
-    assert_eq!(outliers.readmit(due), [Change::Readmit(id(3))]);
+    assert_eq!(outliers.readmit(due), [EjectionChange::Readmit(id(3))]);
     // Soon again: its next rest is twice as long.
     for _ in 0..3 {
-        outliers.ended(due + MS, &id(3), Cause::Stalled);
+        outliers.record_end(due + MS, &id(3), Cause::Stalled);
     }
     assert_eq!(outliers.due(), Some(due + MS + 2 * nanos(limits.ejection_time)));
     // Leavers and slow readers are nobody's fault here.
     let mut outliers = OutlierEjection::new(&limits);
     outliers.set_ready(&fleet);
     for n in 0..50 {
-        assert_eq!(outliers.ended(now + n, &id(1), Cause::ClientLeft), None);
-        assert_eq!(outliers.ended(now + n, &id(1), Cause::ReaderSlow), None);
+        assert_eq!(outliers.record_end(now + n, &id(1), Cause::ClientLeft), None);
+        assert_eq!(outliers.record_end(now + n, &id(1), Cause::ReaderSlow), None);
     }
     // All break alike.
     for round in 0..20 {
         for server in &fleet {
             let cause = if round % 2 == 0 { Cause::Complete } else { Cause::Stalled };
-            assert_eq!(outliers.ended(now + round, server, cause), None);
+            assert_eq!(outliers.record_end(now + round, server, cause), None);
         }
     }
 }
@@ -498,7 +510,7 @@
         for (n, bad, wait) in ends.into_iter().cycle().take(400) {
             now += Nanos::from(wait) * MS;
             outliers.readmit(now);
-            outliers.ended(
+            outliers.record_end(
                 now,
                 &id(usize::from(n) % 10),
                 if bad { Cause::Disconnected } else { Cause::Complete },
