--- a/src/engine/core.rs
+++ b/src/engine/core.rs
@@ -24,7 +24,8 @@
     SettingsError, TenantIndex, Verdict,
 };
 
-/// A monotonic clock that starts at Unix time, so that the load balancer can compare it with a replica's `started_ms`.
+/// A monotonic clock that starts at Unix time, so that the load balancer can compare it with a replica's
+/// `started_ms`.
 struct Clock {
     unix_start: Nanos,
     started_at: Instant,
@@ -80,7 +81,8 @@
 }
 
 impl Engine {
-    /// Creates an engine with a new load balancer. Returns it with the receiver of its actions for discovery and probes.
+    /// Creates an engine with a new load balancer. Returns it with the receiver of its actions for discovery and
+    /// probes.
     ///
     /// # Errors
     /// The error of the load balancer if it rejects the settings.
@@ -204,8 +206,8 @@
         }
     }
 
-    /// Records how late the thread runs, and logs a delay above the threshold. Loops that sleep for a known time call this; none
-    /// wakes more often for it, since wake-ups are the main cost of an idle gateway.
+    /// Records how late the thread runs, and logs a delay above the threshold. Loops that sleep for a known time call
+    /// this; none wakes more often for it, since wake-ups are the main cost of an idle gateway.
     pub(super) fn record_lag(&self, due: Nanos, now: Nanos) {
         let spell = self.core.borrow_mut().lag.ran(due, now, cpu_time);
         if let Some(LagSpell { due, late, span, cpu }) = spell {
@@ -264,7 +266,8 @@
         Some(admitted)
     }
 
-    /// Passes an event to the load balancer and carries out its actions. All calls of the load balancer go through here.
+    /// Passes an event to the load balancer and carries out its actions. All calls of the load balancer go through
+    /// here.
     fn handle_event(&self, event: Event) {
         let core = &mut *self.core.borrow_mut();
         let now = self.now();
@@ -385,8 +388,8 @@
         let timeout_slack = self.engine.timeout_slack.as_nanos() as Nanos;
         while let Some((number, attempt)) = self.in_flight.pop_first() {
             let elapsed = self.engine.now().saturating_sub(attempt.sent_at);
-            // A client often leaves at its deadline, when the attempt's timeout expires too. Whichever is noticed first, the
-            // replica has not responded within the timeout.
+            // A client often leaves at its deadline, when the attempt's timeout expires too. Whichever is noticed
+            // first, the replica has not responded within the timeout.
             let has_timed_out = elapsed.saturating_add(timeout_slack) >= attempt.timeout;
             let verdict = if has_timed_out { Verdict::TimedOut } else { Verdict::Cancelled };
             let (id, report) = (self.id, Vec::new());
--- a/src/engine/forwarding.rs
+++ b/src/engine/forwarding.rs
@@ -74,12 +74,12 @@
 }
 
 /// A started stream that is being forwarded to its client.
-pub(super) struct Forwarding<'a, S, A> {
+pub(super) struct Forwarding<'a, S, R> {
     engine: &'a Engine,
     info: &'a StreamInfo,
     replica_side: ReplicaSide<S>,
     relay: Relay,
-    sink: A,
+    sink: R,
     timer: StreamTimer,
     registration: StreamRegistration,
     hedges: BTreeMap<u32, Hedge>,
@@ -87,17 +87,17 @@
     bytes_since_yield: usize,
 }
 
-impl<'a, S, A> Forwarding<'a, S, A> {
+impl<'a, S, R> Forwarding<'a, S, R> {
     pub(super) fn new<E>(
         engine: &'a Engine,
         info: &'a StreamInfo,
         replica_side: ReplicaSide<S>,
         relay: Relay,
-        sink: A,
-    ) -> Forwarding<'a, S, A>
+        sink: R,
+    ) -> Forwarding<'a, S, R>
     where
         S: Stream<Item = AttemptUpdate<E>> + Unpin,
-        A: ResponseSink<E>,
+        R: ResponseSink<E>,
     {
         let (timer, registration) = (StreamTimer::new(), engine.register_stream(sink.is_assembled()));
         let hedges = BTreeMap::new();
@@ -115,10 +115,10 @@
     }
 
     /// Forwards the stream until it ends.
-    pub(super) async fn run<E>(mut self, successor: &impl StreamSuccessor<S, A>)
+    pub(super) async fn run<E>(mut self, successor: &impl StreamSuccessor<S, R>)
     where
         S: Stream<Item = AttemptUpdate<E>> + Unpin,
-        A: ResponseSink<E>,
+        R: ResponseSink<E>,
     {
         let action = loop {
             let now = self.engine.now();
@@ -156,9 +156,9 @@
         }
     }
 
-    /// Offers the stream to the successor process. A stream with hedged attempts is not offered: they belong to the load
-    /// balancer of this process.
-    fn offer(&mut self, now: Nanos, successor: &impl StreamSuccessor<S, A>) {
+    /// Offers the stream to the successor process. A stream with hedged attempts is not offered: they belong to the
+    /// load balancer of this process.
+    fn offer(&mut self, now: Nanos, successor: &impl StreamSuccessor<S, R>) {
         let number = self.replica_side.number;
         let is_taken = match &mut self.replica_side.attempts[..] {
             [own] if own.number == number => {
@@ -176,7 +176,7 @@
     fn poll_next<E>(&mut self, cx: &mut Context<'_>) -> Poll<RequestEvent<E>>
     where
         S: Stream<Item = AttemptUpdate<E>> + Unpin,
-        A: ResponseSink<E>,
+        R: ResponseSink<E>,
     {
         if self.registration.poll_notified(cx).is_ready() {
             return Poll::Ready(RequestEvent::TimerDue);
@@ -206,7 +206,7 @@
 
     fn apply<E>(&mut self, event: RequestEvent<E>)
     where
-        A: ResponseSink<E>,
+        R: ResponseSink<E>,
     {
         let own = self.replica_side.number;
         match event {
@@ -248,7 +248,7 @@
 
     fn end_attempt<E>(&mut self, number: u32, outcome: AttemptOutcome)
     where
-        A: ResponseSink<E>,
+        R: ResponseSink<E>,
     {
         self.replica_side.remove(number);
         let end: End = outcome.end;
@@ -258,7 +258,8 @@
             self.engine.record_hedged(self.info, &hedge.replica, &mut hedge.relay);
         }
         if number == self.replica_side.number {
-            // The replica's connection is released or closed already; the client reads the rest at no cost to the replica.
+            // The replica's connection is released or closed already; the client reads the rest at no cost to the
+            // replica.
             let now = self.engine.now();
             self.relay.record_queued(now, self.sink.queue_end(end.cause()));
             self.relay.replica_ended(now, end);
@@ -290,11 +291,11 @@
         }
     }
 
-    /// Ends both sides in this order: closes the connections of all attempts, reports to the load balancer, and ends the
-    /// response.
+    /// Ends both sides in this order: closes the connections of all attempts, reports to the load balancer, and ends
+    /// the response.
     fn close<E>(self, action: RelayAction)
     where
-        A: ResponseSink<E>,
+        R: ResponseSink<E>,
     {
         let Forwarding {
             engine, info, mut replica_side, mut relay, mut sink, registration, hedges, ..
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,8 +1,8 @@
 //! Requests, attempts and outcomes, independent of any wire protocol.
 //!
-//! [`Engine`] owns the load balancer, its clock and its timers. It passes events to the load balancer and each action to
-//! its request. [`serve`] runs a request from its admission to its one final response: until the first event, it carries
-//! out the load balancer's actions; from then on it forwards the response as a stream.
+//! [`Engine`] owns the load balancer, its clock and its timers. It passes events to the load balancer and each action
+//! to its request. [`serve`] runs a request from its admission to its one final response: until the first event, it
+//! carries out the load balancer's actions; from then on it forwards the response as a stream.
 
 mod core;
 mod forwarding;
--- a/src/engine/participants.rs
+++ b/src/engine/participants.rs
@@ -57,10 +57,10 @@
 }
 
 /// The successor process, if there is one.
-pub trait StreamSuccessor<S, A> {
+pub trait StreamSuccessor<S, R> {
     /// Offers a started stream with both its sides. Returns whether it was taken over; if so, both sides may only be
     /// dropped.
-    fn take_over(&self, info: &StreamInfo, updates: &mut S, sink: &mut A) -> bool;
+    fn take_over(&self, info: &StreamInfo, updates: &mut S, sink: &mut R) -> bool;
 }
 
 /// The client's side of a request. Each way to respond consumes the client, so that it gets just one response.
--- a/src/engine/request_lifecycle.rs
+++ b/src/engine/request_lifecycle.rs
@@ -157,8 +157,8 @@
     admitted: &mut AdmittedRequest,
     attempts: &mut [Attempt<S>],
 ) -> RequestEvent<E> {
-    // Polls the client's disconnect first, so that no attempt is started for a client that has left, which may have been
-    // long ago if this thread was not scheduled.
+    // Polls the client's disconnect first, so that no attempt is started for a client that has left, which may have
+    // been long ago if this thread was not scheduled.
     future::or(
         async {
             client.wait_for_disconnect().await;
@@ -174,14 +174,14 @@
 
 /// Continues a stream that another process started, with `queued_bytes` buffered for the client. The load balancer of
 /// this process does not know the stream.
-pub async fn resume_stream<E, S, A>(
+pub async fn resume_stream<E, S, R>(
     engine: &Engine,
     info: &StreamInfo,
-    (updates, sink, queued_bytes): (S, A, usize),
-    successor: &impl StreamSuccessor<S, A>,
+    (updates, sink, queued_bytes): (S, R, usize),
+    successor: &impl StreamSuccessor<S, R>,
 ) where
     S: Stream<Item = AttemptUpdate<E>> + Unpin,
-    A: ResponseSink<E>,
+    R: ResponseSink<E>,
 {
     let mut relay = Relay::new(engine.now(), info.time_to_first_event, &engine.limits);
     relay.record_queued(engine.now(), queued_bytes);
--- a/src/engine/streams.rs
+++ b/src/engine/streams.rs
@@ -38,9 +38,11 @@
         let name = |names: &[String], n: usize| names.get(n).cloned().unwrap_or_else(|| n.to_string());
         for summary in streams.statistics.summaries() {
             let of = |q: [u64; 3]| format!("{}/{}/{}", q[0], q[1], q[2]);
-            log::info!(class = name(&streams.class_names, summary.class), cause = summary.cause.name(), count = summary.count,
-                bytes = summary.bytes, events = summary.events, first_us = of(summary.time_to_first_event), gap_us = of(summary.longest_gap),
-                pause_us = of(summary.longest_pause), stop_us = of(summary.release_delay), lasted_us = of(summary.duration);
+            log::info!(class = name(&streams.class_names, summary.class), cause = summary.cause.name(),
+                count = summary.count, bytes = summary.bytes, events = summary.events,
+                first_us = of(summary.time_to_first_event), gap_us = of(summary.longest_gap),
+                pause_us = of(summary.longest_pause), stop_us = of(summary.release_delay),
+                lasted_us = of(summary.duration);
                 "stream-figures: since the start; median, 99th percentile and maximum");
         }
         log::info!(open = streams.budget.stream_count(), held = streams.budget.used(), most = streams.budget.peak();
@@ -68,7 +70,8 @@
                 log_at.get_or_insert(now.saturating_add(every.as_nanos() as Nanos));
             }
             Timer::after(self.limits.check_interval).await;
-            // The gateway sleeps this briefly even while it is idle, so the delay of this wake-up shows how late the thread runs.
+            // The gateway sleeps this briefly even while it is idle, so the delay of this wake-up shows how late the
+            // thread runs.
             self.record_lag(now.saturating_add(self.limits.check_interval.as_nanos() as Nanos), self.now());
         }
     }
@@ -198,8 +201,8 @@
     }
 }
 
-/// The timer of a stream. A deadline that moves to a later time doesn't reset the timer; the timer is set again when it
-/// fires early.
+/// The timer of a stream. A deadline that moves to a later time doesn't reset the timer; the timer is set again when
+/// it fires early.
 pub(super) struct StreamTimer {
     timer: Timer,
     fires_at: Nanos,
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -47,8 +47,8 @@
     pub fn new(sockets: usize, memory_mb: usize, connect: Duration, idle: Duration) -> Limits {
         let reserved = (sockets / 16).max(24);
         let edge_connections = (sockets.saturating_sub(reserved) * 8 / 15).max(8);
-        // A third of the memory is for the kernel's socket buffers. At most two buffers of a stream's two connections fill,
-        // and the kernel doubles the requested size.
+        // A third of the memory is for the kernel's socket buffers. At most two buffers of a stream's two connections
+        // fill, and the kernel doubles the requested size.
         let socket_buffer = ((memory_mb << 20) / 3 / edge_connections / 4).clamp(4 << 10, 64 << 10);
         let replica_connections = (sockets.saturating_sub(reserved) * 7 / 15).max(8);
         Limits {
@@ -156,8 +156,8 @@
     pub list_bytes: usize,
     /// A watch without a line for this time counts as broken; it is still read until a new one replaces it.
     pub watch_idle_timeout: Duration,
-    /// The same for an agent that pushes lists. It is shorter because calls to the local agent are cheap, and updates of the
-    /// agent count as delivered even if no watch is open.
+    /// The same for an agent that pushes lists. It is shorter because calls to the local agent are cheap, and updates
+    /// of the agent count as delivered even if no watch is open.
     pub agent_idle_timeout: Duration,
     /// After this time without a response, a second call to an agent is started in parallel.
     pub agent_hedge_delay: Duration,
@@ -233,8 +233,8 @@
             connections,
             // The copy of a request that is written to a replica exists only during the write.
             buffered_bytes: (memory_mb << 20) * 3 / 8,
-            // A client that has left can have no more data in flight than its kernel's socket buffer: 4 MB by default on
-            // Linux.
+            // A client that has left can have no more data in flight than its kernel's socket buffer: 4 MB by default
+            // on Linux.
             flood_bytes: 4 << 20,
             evict_silent_after: Duration::from_millis(200),
             evict_receiving_after: Duration::from_secs(1),
@@ -271,8 +271,8 @@
             connections,
             // Well below the replica's own idle timeout, so that no request is sent while the replica closes.
             idle_timeout: idle.mul_f64(0.6),
-            // A replica may send a second response some milliseconds after the first; on a connection in use again, it would
-            // be taken for the response to the next request.
+            // A replica may send a second response some milliseconds after the first; on a connection in use again,
+            // it would be taken for the response to the next request.
             reuse_delay: Duration::from_millis(20),
             sweep_interval: Duration::from_millis(250),
             drain_timeout: Duration::from_millis(50),
@@ -289,7 +289,8 @@
             watch_idle_timeout: Duration::from_nanos(crate::list_schedule::WATCH_IDLE_TIMEOUT),
             // The agent sends an empty line every 2 s.
             agent_idle_timeout: Duration::from_millis(2300),
-            // Together with the retry interval well below the time for which a drained replica may still get requests.
+            // Together with the retry interval well below the time for which a drained replica may still get
+            // requests.
             agent_hedge_delay: Duration::from_millis(100),
             agent_retry_interval: Duration::from_millis(50),
             response_timeout: Duration::from_millis(2500),
@@ -402,8 +403,8 @@
             low_watermark: high_watermark / 4,
             budget: (memory_mb << 20) / 8,
             min_buffer: 4 << 10,
-            // A replica may stop sending without closing its connection. The client must get an end of the stream within
-            // 5 s of the last event.
+            // A replica may stop sending without closing its connection. The client must get an end of the stream
+            // within 5 s of the last event.
             idle_timeout: Duration::from_secs(4),
             partial_event_timeout: Duration::from_millis(1500),
             last_chunk_timeout: Duration::from_millis(1500),
--- a/src/stream/budget.rs
+++ b/src/stream/budget.rs
@@ -1,9 +1,9 @@
 //! The memory budget of all streams, which pauses or evicts streams when it runs short.
 //!
 //! A stream may buffer at most as many bytes as are still free (the dynamic threshold of shared-memory switches), so
-//! the streams with the largest buffers pause first and no ranking is needed. A minimum lets each stream pass one read
-//! at a time, so none stalls for good. Only if these minimums alone exceed the budget is a stream evicted: the one that
-//! has been paused for longest, since its client is the least likely to resume reading.
+//! the streams with the largest buffers pause first and no ranking is needed. A minimum lets each stream pass one
+//! read at a time, so none stalls for good. Only if these minimums alone exceed the budget is a stream evicted: the
+//! one that has been paused for longest, since its client is the least likely to resume reading.
 //!
 //! A response that is assembled before it is sent can't be paused. Such responses may use half of the budget, so that
 //! streams keep the other half.
@@ -57,7 +57,8 @@
         Account(self.next)
     }
 
-    /// Records how many bytes a stream buffers and since when its reader is paused. Returns the bytes that it may buffer.
+    /// Records how many bytes a stream buffers and since when its reader is paused. Returns the bytes that it may
+    /// buffer.
     pub fn update(
         &mut self,
         account: Account,
--- a/src/stream/mod.rs
+++ b/src/stream/mod.rs
@@ -1,7 +1,7 @@
 //! Forwarded streams: their state machine, memory budget, statistics, and the ejection of replicas that fail them.
 //!
-//! No I/O and no clock: times are passed in as nanoseconds of a monotonic clock. [`Relay`] is the state machine of one
-//! stream, [`Budget`] the memory budget of all streams, [`StreamStatistics`] counts how they ended, and
+//! No I/O and no clock: times are passed in as nanoseconds of a monotonic clock. [`Relay`] is the state machine of
+//! one stream, [`Budget`] the memory budget of all streams, [`StreamStatistics`] counts how they ended, and
 //! [`OutlierEjection`] ejects replicas whose streams fail. The engine carries out their decisions, see
 //! [`crate::engine::serve`].
 
--- a/src/stream/outcome.rs
+++ b/src/stream/outcome.rs
@@ -97,8 +97,8 @@
     pub fn verdict(self) -> Verdict {
         match self {
             Cause::Complete => Verdict::Ok,
-            // A stalled connection counts as a broken one. `TimedOut` is for attempts without a first event: for a started
-            // stream, the load balancer would take it for the client's deadline.
+            // A stalled connection counts as a broken one. `TimedOut` is for attempts without a first event: for a
+            // started stream, the load balancer would take it for the client's deadline.
             Cause::Stalled | Cause::Disconnected | Cause::Malformed => Verdict::Reset,
             Cause::Failed => Verdict::Error,
             Cause::ClientLeft
--- a/src/stream/relay.rs
+++ b/src/stream/relay.rs
@@ -1,8 +1,8 @@
 //! The state machine of one forwarded stream, from its first event to its end.
 //!
 //! Bytes arrive from a replica, are buffered here and are read by a client. Three timers run, each only while it
-//! applies: the replica's idle timeout while the gateway reads, the reader's minimum rate while bytes are pending, and
-//! the shutdown deadline once the process is stopping.
+//! applies: the replica's idle timeout while the gateway reads, the reader's minimum rate while bytes are pending,
+//! and the shutdown deadline once the process is stopping.
 
 use super::outcome::{Cause, Outcome};
 use crate::limits::{PaceLimit, StreamLimits};
