--- a/src/engine/core.rs
+++ b/src/engine/core.rs
@@ -14,7 +14,7 @@
 use rustix::time::{ClockId, DynamicClockId, clock_gettime_dynamic};
 
 use super::interface::{AttemptOutcome, FleetAction, PlacementRequest, RequestAction, TokenCounts};
-use super::stream_table::Streams;
+use super::stream_table::StreamTable;
 use crate::LoadBalancer;
 use crate::limits::{Limits, StreamLimits};
 use crate::process::lag::{LagMonitor, LagSpell};
@@ -51,6 +51,7 @@
     timeout: Nanos,
 }
 
+/// The state of the engine that an event changes.
 struct Core {
     balancer: LoadBalancer,
     timers: BinaryHeap<Reverse<PendingTimer>>,
@@ -77,7 +78,7 @@
     timeout_slack: Duration,
     max_request_lifetime: Nanos,
     pub(super) limits: Rc<StreamLimits>,
-    pub(super) streams: Rc<RefCell<Streams>>,
+    pub(super) streams: Rc<RefCell<StreamTable>>,
 }
 
 impl Engine {
@@ -107,7 +108,7 @@
         let core = Rc::new(RefCell::new(core));
         let (timeout_slack, max_request_lifetime) =
             (limits.timeout_slack, limits.max_request_lifetime.as_nanos() as Nanos);
-        let streams = Rc::new(RefCell::new(Streams::new(limits)));
+        let streams = Rc::new(RefCell::new(StreamTable::new(limits)));
         let limits = Rc::new(limits.stream.clone());
         Ok((
             Engine {
--- a/src/engine/forwarding.rs
+++ b/src/engine/forwarding.rs
@@ -229,7 +229,7 @@
             RequestEvent::Update(number, AttemptUpdate::Ended(outcome)) => {
                 self.end_attempt(number, outcome);
             }
-            // A started stream can't be rejected any more. A rejected hedge says nothing about its replica.
+            // A started stream can't be rejected any more. A rejected hedge says nothing about the stream.
             RequestEvent::Update(number, AttemptUpdate::Rejected(..)) => {
                 let verdict = if number == own { Verdict::Error } else { Verdict::NotSent };
                 self.end_attempt(number, verdict.into());
@@ -312,7 +312,7 @@
             engine.record_stream_end(info, &info.replica, outcome);
         }
         for (number, mut hedge) in hedges {
-            // A hedge that has sent data counts as cancelled and not as timed out, (disconnect)ever long it ran.
+            // A hedge that has sent data counts as cancelled and not as timed out, however long it ran.
             replica_side.record_outcome(number, Verdict::Cancelled.into());
             hedge.relay.cancel(engine.now());
             engine.record_hedged(info, &hedge.replica, &mut hedge.relay);
--- a/src/engine/stream_table.rs
+++ b/src/engine/stream_table.rs
@@ -8,7 +8,7 @@
 use crate::types::{ListKind, Member, Nanos, Phase, ReplicaId};
 
 /// State shared by all forwarded streams.
-pub(super) struct Streams {
+pub(super) struct StreamTable {
     pub(super) budget: Budget,
     pub(super) statistics: StreamStatistics,
     pub(super) outliers: Option<OutlierEjection>,
@@ -21,10 +21,10 @@
     pub(super) tenant_names: Vec<String>,
 }
 
-impl Streams {
-    pub(super) fn new(limits: &Limits) -> Streams {
+impl StreamTable {
+    pub(super) fn new(limits: &Limits) -> StreamTable {
         let stream = &limits.stream;
-        Streams {
+        StreamTable {
             budget: Budget::new(stream.budget, stream.high_watermark, stream.min_buffer),
             statistics: StreamStatistics::default(),
             outliers: limits.outliers.as_ref().map(OutlierEjection::new),
