--- a/src/limits.rs
+++ b/src/limits.rs
@@ -109,7 +109,7 @@
     pub read_timeout: Duration,
     /// Timeout for writing a response that is not a stream.
     pub write_timeout: Duration,
-    /// Pause of a listener after an accept failed, such as for want of a descriptor.
+    /// Pause after a failed accept, and between checks whether request memory is free for more of a body.
     pub accept_pause: Duration,
 }
 
