--- a/examples/stream_bench.rs
+++ b/examples/stream_bench.rs
@@ -584,7 +584,7 @@
     ];
     for (name, pace) in limits {
         let mut rules = base.clone();
-        rules.pace = pace.map(|(factor, least)| PaceLimit { factor, least });
+        rules.pace = pace.map(|(factor, min_timeout)| PaceLimit { factor, min_timeout });
         let mut seed = 7u64;
         let mut random = |most: u64| {
             seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
@@ -604,11 +604,11 @@
                         _ => 15 + random(15),
                     };
                     now += gap * 1_000_000;
-                    if relay.poll(now) == RelayAction::Cut {
+                    if relay.poll(now) == RelayAction::Abort {
                         lost[n] += 1;
                         break;
                     }
-                    relay.arrived(now, &Arrival { bytes: 120, events: 1, ..Arrival::default() });
+                    relay.record_arrival(now, &Arrival { bytes: 120, events: 1, ..Arrival::default() });
                 }
                 if let (0, Some(due)) = (n, relay.due()) {
                     noticed.saturating_record((due - now) / 1_000_000);
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use socket2::SockRef;
 use support::*;
-use tulipridge::admission::pipelined::{Bounds, Disposition, PipelinedInput};
+use tulipridge::admission::pipelined::{Disposition, PipelinedInput, PipelinedLimits};
 
 /// Maximum time from a client's departure to the last byte of an attempt. The tests provoke attempts after
 /// at least three times this delay, so that a busy machine makes no difference.
@@ -716,7 +716,7 @@
 /// Keeps a prefix of the received bytes without a gap and within the bounds. A flood is reported once more
 /// bytes are dropped than a departed client can have left in the buffers, and not before.
 fn keeps_a_prefix_within_bounds(came: Vec<(u8, bool)>, cut: bool) {
-    let bounds = Bounds { least: 100, most: 400, flood: 1000 };
+    let bounds = PipelinedLimits { guaranteed_bytes: 100, max_bytes: 400, max_dropped_bytes: 1000 };
     let mut pipelined = PipelinedInput::new(bounds, cut);
     let (mut kept, mut dropped, mut gap) = (0, 0, cut);
     for (bytes, room) in came {
