--- a/crates/load-balancer/src/active_request.rs
+++ b/crates/load-balancer/src/active_request.rs
@@ -14,13 +14,13 @@
     MayHaveRun,
 }
 
-/// One attempt at a replica.
+/// An attempt at a replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) replica: ReplicaSlot,
     pub(crate) sent_at: Nanos,
     pub(crate) state: AttemptState,
-    /// Whether its first token has arrived.
+    /// Whether the attempt's first token has arrived.
     pub(crate) has_begun: bool,
 }
 
@@ -29,7 +29,7 @@
         Attempt { replica, sent_at, state: AttemptState::InFlight, has_begun: false }
     }
 
-    /// Whether it is in flight and has no first token.
+    /// Whether the attempt is in flight and has no first token.
     pub(crate) fn is_waiting(&self) -> bool {
         self.state == AttemptState::InFlight && !self.has_begun
     }
@@ -45,9 +45,9 @@
     pub(crate) target_at: Nanos,
     /// The client's deadline.
     pub(crate) deadline: Nanos,
-    /// The fraction of the fleet's size that owns its prefix.
+    /// The fraction of the fleet's size that owns the request's prefix.
     pub(crate) owner_fraction: f64,
-    /// Whether it may only be sent to replicas in slow start.
+    /// Whether the request may only be sent to replicas in slow start.
     pub(crate) slow_start_only: bool,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) is_answered: bool,
@@ -59,7 +59,7 @@
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::NeverRan)
     }
 
-    /// Whether it has neither a response nor a first token.
+    /// Whether the request has neither a response nor a first token.
     pub(crate) fn is_waiting(&self) -> bool {
         !self.is_answered && self.attempts.iter().all(|attempt| !attempt.has_begun)
     }
--- a/crates/load-balancer/src/balancer.rs
+++ b/crates/load-balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The load balancer's state machine. Its events and actions are defined in [`types`](crate::types).
+//! The load balancer's state machine. Its events and actions are in crates/load-balancer/src/types.rs.
 //!
 //! All gateways hash replica ids onto the same ring of virtual nodes. A request goes to the first replica
 //! clockwise from its key (its shared prefix, else its session) that is within its load bound: consistent
@@ -35,8 +35,7 @@
 /// Requests within [`TIME_CONSTANT_S`] that a gateway needs to estimate the share of a single prefix. With
 /// this many, a prefix with a twentieth of the requests has been seen five times.
 const MIN_REQUESTS_TO_COMPARE_PREFIXES: f64 = 100.0;
-/// A request is refused if its replica's oldest waiting request exceeds this fraction of the latency
-/// target.
+/// A request is refused if its replica's oldest wait exceeds this fraction of the latency target.
 const REFUSAL_LAG_FRACTION: f64 = 0.6;
 /// Interval at which parked requests are placed again.
 const PARKED_RETRY_INTERVAL: Nanos = 50 * MILLI;
@@ -54,7 +53,7 @@
     LatencyTarget(RequestId),
     /// Parked requests are placed again.
     Parked,
-    /// The list is to be requested, unless the generation has changed since the timer was set.
+    /// The list is due to be requested, unless the generation has changed since the timer was set.
     ListCall(u64),
 }
 
@@ -114,8 +113,8 @@
     rate: AdmissionRate,
     demand: Demand,
     tenants: TenantDemands,
-    /// This gateway's part of the quotas is too small to estimate the share of single prefixes. The result
-    /// is the same at all gateways, since it follows from the quotas alone.
+    /// Whether this gateway's part of the quotas is too small to estimate the share of single prefixes. The
+    /// result is the same at all gateways, since it follows from the quotas alone.
     has_few_requests: bool,
 }
 
@@ -231,8 +230,7 @@
             slow_start_only: active.slow_start_only,
         };
         match self.select(now, &criteria, &attempted) {
-            // Serving requests that will be late anyway would sustain an overload, so they are refused at
-            // once.
+            // Serving requests that will be late anyway would sustain an overload.
             Some(slot)
                 if !is_hedge && self.is_lagging(slot, REFUSAL_LAG_FRACTION, criteria.latency_target) =>
             {
--- a/crates/load-balancer/src/balancer/attempts.rs
+++ b/crates/load-balancer/src/balancer/attempts.rs
@@ -116,9 +116,9 @@
     /// attempt was sent. Such a replica only has a queue, and ejecting it would make other replicas prefill
     /// its sessions again and overload them.
     ///
-    /// The replica's zone is charged with a failed connection in any case, the replica itself only while
-    /// the fleet as a whole is healthy. Its failure then includes the responses that it would normally have
-    /// given since the last one.
+    /// In any case a failed connection is recorded for the replica's zone. A failure of the replica is
+    /// recorded only while the fleet as a whole is healthy; its weight includes the responses that the
+    /// replica would normally have given since its last one.
     fn record_slow_attempt(&mut self, now: Nanos, slot: ReplicaSlot, sent_at: Nanos) {
         let average = self.fleet.replicas[slot].average;
         if average.last_response_at >= sent_at {
@@ -149,8 +149,7 @@
         self.finish(id, Some(response), actions);
     }
 
-    /// Ends a request that has no response at its deadline, such as a parked one or one whose outcome was
-    /// lost.
+    /// Ends a request without a response at its deadline, such as a parked one or one with a lost outcome.
     pub(super) fn end_at_deadline(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let waiting = self.requests.active.get(&id).filter(|active| active.is_waiting());
         match waiting.map(|active| active.first_possible_run().is_none()) {
@@ -181,8 +180,8 @@
         }
     }
 
-    /// Records the first token of an attempt. The response comes from this attempt, so that other attempts
-    /// which still wait are cancelled.
+    /// Records the first token of an attempt. The response comes from this attempt, so the other attempts
+    /// that are still waiting are cancelled.
     pub(super) fn record_first_token(
         &mut self,
         now: Nanos,
--- a/crates/load-balancer/src/balancer/discovery.rs
+++ b/crates/load-balancer/src/balancer/discovery.rs
@@ -10,9 +10,9 @@
 use crate::slow_start::SlowStartBudget;
 use crate::types::{Action, ListKind, Member, Nanos, Phase, UnitsMeaning};
 
-/// Virtual nodes of the largest replica. The literature uses 100; with this number a replica of a quarter
-/// of the size still has about fifty, and each replica's part of the ring is within about a tenth of its
-/// size.
+/// Virtual nodes of the largest replica. The literature uses 100; with 256, a replica of a quarter of the
+/// size still has about fifty, since the largest size is rounded up to a power of two. Each replica's part
+/// of the ring is within about a tenth of its size.
 const MAX_VIRTUAL_NODES: f64 = 256.0;
 
 impl LoadBalancer {
@@ -48,8 +48,7 @@
         self.place_parked(now, actions);
     }
 
-    /// Sets the timer of the next list call if one is needed. Draws a random number for every kind of
-    /// list.
+    /// Sets the timer of the next list call if one is needed. Draws a random number for every kind of list.
     fn schedule_call(&mut self, now: Nanos, kind: ListKind, actions: &mut Vec<Action>) {
         self.list_calls.generation += u64::from(!matches!(kind, ListKind::Persisted | ListKind::Local));
         let jitter = self.random.next_unit();
@@ -98,8 +97,7 @@
         has_grown || has_changed
     }
 
-    /// The units of a replica times the speed of its machine kind. The list states the number of cores, not
-    /// their speed.
+    /// The units of a replica times the speed of its machine kind: the list states cores, not their speed.
     fn speed_weighted_units(&self, member: &Member) -> f64 {
         let speed = self.settings.speeds.get(usize::from(member.kind)).copied().unwrap_or(1.0);
         let has_units = self.settings.units != UnitsMeaning::None;
--- a/crates/load-balancer/src/balancer/outlier_ejection.rs
+++ b/crates/load-balancer/src/balancer/outlier_ejection.rs
@@ -1,7 +1,6 @@
 //! Outlier ejection of replicas, as in Envoy, and detection of unreachable zones.
 
-use super::LoadBalancer;
-use super::SECOND;
+use super::{LoadBalancer, SECOND};
 use crate::circuit_breaker::{CircuitBreaker, EjectionPolicy};
 use crate::replica_table::{ReplicaSlot, Zone};
 use crate::types::{Nanos, Phase, Verdict};
@@ -78,8 +77,7 @@
             Verdict::Error | Verdict::TimedOut | Verdict::NoConnection | Verdict::Reset => {
                 self.record_result(now, slot, 1.0);
             }
-            // A full replica is not a failed one, and attempts that were not sent or were cancelled are
-            // inconclusive.
+            // A full replica has not failed; attempts that were cancelled or not sent are inconclusive.
             Verdict::Full | Verdict::Cancelled | Verdict::NotSent => {
                 self.fleet.replicas[slot].breaker.abandon_trial();
             }
--- a/crates/load-balancer/src/balancer/selection.rs
+++ b/crates/load-balancer/src/balancer/selection.rs
@@ -12,14 +12,14 @@
 /// the excess over the mean is scaled by the square root of the group size: in a large group each gateway
 /// has few requests, and their counts are mostly noise.
 const BOUND_FACTOR: f64 = 1.25;
-/// A replica is skipped if its oldest waiting request exceeds this fraction of the latency target.
+/// A replica is skipped if its oldest wait exceeds this fraction of the latency target.
 const MAX_LAG_FRACTION: f64 = 0.5;
 
 impl LoadBalancer {
-    /// Selects a replica. Of the key's owners, the distinct replicas clockwise from the key that make up
-    /// `owner_fraction` of the fleet, it is the usable one that the session prefers. If no owner is usable
-    /// and within the bounds, it is the first such replica beyond them, else the one over a bound with the
-    /// least queued work.
+    /// Selects a replica. The owners of a key are the distinct replicas clockwise from it that make up
+    /// `owner_fraction` of the fleet. Of the usable owners within the bounds, the one that the session
+    /// prefers is selected; else the first such replica beyond the owners; else the replica over a bound
+    /// with the least queued work.
     pub(super) fn select(
         &mut self,
         now: Nanos,
@@ -41,8 +41,7 @@
                 break;
             }
         }
-        // Without reuse of the session's cache, the less loaded of the two preferred replicas is taken
-        // (power of two choices).
+        // Without cache reuse, the less loaded of the two preferred ones is taken (power of two choices).
         if let (true, Some(best), Some(second)) = (criteria.has_low_reuse, walk.best, walk.second) {
             let is_less_loaded = self.relative_load(second.slot) < self.relative_load(best.slot);
             return Some(if is_less_loaded { second.slot } else { best.slot });
@@ -71,10 +70,9 @@
         if is_excluded || !has_turn || !self.is_usable(now, slot, walk) {
             return;
         }
-        // Sessions are spread over the owners in proportion to their sizes by weighted rendezvous hashing,
-        // so that a session's preference is stable when other replicas come or go. A replica in slow start
-        // comes first, since an unused turn lapses; if no owner has a turn, one beyond the owners does as
-        // well.
+        // Weighted rendezvous hashing spreads sessions over the owners in proportion to their sizes, and a
+        // session's preference is stable when other replicas come or go. A replica in slow start comes
+        // first, since an unused turn lapses; so does one beyond the owners if no owner has a turn.
         let preference = if is_warming && (is_owner || walk.no_owner_has_turn) {
             f64::MAX
         } else if is_owner || walk.best.is_none() {
@@ -108,8 +106,7 @@
         replica.listed_load + f64::from(replica.in_flight) / replica.size
     }
 
-    /// Whether the oldest waiting request at a replica has waited for more than `fraction` of the latency
-    /// target.
+    /// Whether a replica's oldest waiting request has waited for over `fraction` of the latency target.
     pub(super) fn is_lagging(&self, slot: ReplicaSlot, fraction: f64, latency_target: Nanos) -> bool {
         self.fleet.replicas[slot].oldest_wait as f64 > fraction * latency_target as f64
     }
@@ -135,8 +132,7 @@
         BOUND_FACTOR * queued / self.fleet.replicas.ready.max(1) as f64 + 1.0
     }
 
-    /// Updates the wait of the oldest waiting request at each replica, a lower bound of the wait of a new
-    /// one.
+    /// Updates each replica's oldest wait, a lower bound of the wait of a new request.
     fn update_oldest_waits(&mut self, now: Nanos) {
         self.fleet.replicas.iter_mut().for_each(|replica| replica.oldest_wait = 0);
         let attempts = self.requests.active.values().flat_map(|active| &active.attempts);
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -12,18 +12,18 @@
 /// Time constant of the averages, in seconds. It spans several think times of a session, so that all
 /// classes are seen.
 pub const TIME_CONSTANT_S: f64 = 10.0;
-/// The owners of a prefix are this multiple of what its share of the demand would fill. An additional owner
-/// costs one prefill, while larger sets of owners even out the load where sets overlap.
+/// The owners of a prefix together have this multiple of the size that its share of the demand fills. An
+/// additional owner costs one prefill, while larger sets of owners even out the load where sets overlap.
 const OWNER_FACTOR: f64 = 3.0;
-/// Initial value of the mean share of the work that a request's own prefix has. This mean is the sum of the
-/// squared shares of all prefixes, a few hundredths for a Zipf distribution over tens to hundreds of
-/// prefixes.
+/// Initial value of [`ClassDemand::mean_prefix_share`]. That mean is the sum of the squared shares of all
+/// prefixes, a few hundredths for a Zipf distribution over tens to hundreds of prefixes.
 const INITIAL_PREFIX_SHARE: f64 = 1.0 / 16.0;
-/// Weight of the newest request in that mean; with one request per second it averages over about a minute.
+/// Weight of the newest request in the mean prefix share; with one request per second the mean covers about
+/// a minute.
 const PREFIX_SHARE_GAIN: f64 = 0.02;
 /// The owner fraction of a class is updated only if it is wrong by more than this factor.
 const OWNER_TOLERANCE: f64 = 3.0;
-/// Number of prefixes from which on those with little work are removed.
+/// Number of prefixes at which those with little work are removed.
 const MAX_PREFIXES: usize = 256;
 /// Weight of the newest response in the mean cached fractions.
 const CACHE_GAIN: f64 = 0.05;
@@ -188,9 +188,9 @@
     /// estimate the share of a prefix. Gateways with different estimates would send the turns of a session
     /// to different replicas, and each turn would be prefilled again.
     ///
-    /// It is the largest that the most popular prefix can need: no share exceeds the square root of the sum
-    /// of squared shares. It is rounded to a power of four and kept until it is clearly wrong, so that
-    /// nearly all gateways agree.
+    /// The result is the largest owner fraction that the most popular prefix can need: no share exceeds the
+    /// square root of the sum of squared shares. The fraction is rounded to a power of four and kept until
+    /// it is clearly wrong, so that nearly all gateways agree.
     fn class_owner_fraction(&mut self) -> f64 {
         let needed = self.mean_prefix_share.max(f64::MIN_POSITIVE).sqrt();
         if (needed / self.owner_fraction).max(self.owner_fraction / needed) > OWNER_TOLERANCE {
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -3,7 +3,8 @@
 //!
 //! [`LoadBalancer`] makes the decisions for one service at one gateway. It combines:
 //!
-//! - consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018; Envoy's `hash_balance_factor`),
+//! - consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2018; Envoy's
+//!   `hash_balance_factor`),
 //! - outlier ejection with a panic threshold (as in Envoy's outlier detection),
 //! - slow start of new replicas ([`slow_start`]; compare Envoy's slow start mode),
 //! - admission control by measured latency and by tenant quotas.
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -30,7 +30,7 @@
 pub struct SlowStartBudget {
     /// Turns accrued so far, if they are computed from this gateway's own work.
     accrued_turns: f64,
-    /// When they were last updated.
+    /// When `accrued_turns` was last updated.
     accrued_at: Nanos,
     /// The next turn that may be taken; all earlier ones have been taken or have lapsed.
     next_turn: i64,
@@ -49,11 +49,11 @@
 /// A replica in slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmingReplica {
-    /// Hash of its id: the same at all gateways.
+    /// Hash of the replica's id: the same at all gateways.
     pub hash: u64,
-    /// When its process started.
+    /// When the replica's process started.
     pub started: Nanos,
-    /// Its fraction of the fleet size that the quotas are based on.
+    /// The replica's fraction of the fleet size that the quotas are based on.
     pub size_fraction: f64,
 }
 
--- a/crates/load-balancer/src/types.rs
+++ b/crates/load-balancer/src/types.rs
@@ -306,19 +306,19 @@
 pub enum Verdict {
     /// The request was served.
     Ok,
-    /// The replica returned an error; it may have run.
+    /// The replica returned an error; the request may have run.
     Error,
-    /// The replica had no room and did not run it.
+    /// The replica had no room and did not run the request.
     Full,
-    /// No response in time; it may have run or still be running.
+    /// No response in time; the request may have run or still be running.
     TimedOut,
-    /// No connection was established: it never ran.
+    /// No connection was established: the request never ran.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled; the request may have run.
     Cancelled,
-    /// It was not sent.
+    /// The request was not sent.
     NotSent,
 }
 
--- a/crates/load-balancer/tests/reconfigure.rs
+++ b/crates/load-balancer/tests/reconfigure.rs
@@ -235,7 +235,7 @@
 #[case::fewer(2)]
 #[case::more(12)]
 #[case::many(300)]
-fn a_group_size_set_at_the_start_is_equivalent_to_one_in_the_settings(#[case] size: u32) {
+fn a_group_size_set_at_the_start_equals_one_in_the_settings(#[case] size: u32) {
     let resized = run(settings(4), 0, |balancer| balancer.set_group_size(size));
     assert_eq!(resized, run(settings(size), 0, |_| {}));
     assert_ne!(
