--- a/crates/load-balancer/src/admission_rate.rs
+++ b/crates/load-balancer/src/admission_rate.rs
@@ -47,7 +47,7 @@
     }
 
     /// Records a first token, or that a latency target passed without one. The step grows with the time
-    /// since the last record, so that the rate adapts as fast at a gateway with little traffic.
+    /// since the last record, so that the rate adapts equally fast with little traffic.
     pub(crate) fn record(&mut self, now: Nanos, is_in_time: bool) {
         let elapsed = now.saturating_sub(self.updated_at) as f64 / NANOS_PER_SECOND;
         let step = (elapsed / TIME_CONSTANT_S).clamp(MIN_STEP, MAX_STEP);
--- a/crates/load-balancer/src/balancer.rs
+++ b/crates/load-balancer/src/balancer.rs
@@ -35,7 +35,7 @@
 /// Requests within [`TIME_CONSTANT_S`] that a gateway needs to estimate the share of a single prefix. With
 /// this many, a prefix with a twentieth of the requests has been seen five times.
 const MIN_REQUESTS_TO_COMPARE_PREFIXES: f64 = 100.0;
-/// A request is refused if its replica's oldest wait exceeds this fraction of the latency target.
+/// A request is refused if the longest wait at its replica exceeds this fraction of the latency target.
 const REFUSAL_LAG_FRACTION: f64 = 0.6;
 /// Interval at which parked requests are placed again.
 const PARKED_RETRY_INTERVAL: Nanos = 50 * MILLI;
--- a/crates/load-balancer/src/balancer/selection.rs
+++ b/crates/load-balancer/src/balancer/selection.rs
@@ -12,7 +12,7 @@
 /// the excess over the mean is scaled by the square root of the group size: in a large group each gateway
 /// has few requests, and their counts are mostly noise.
 const BOUND_FACTOR: f64 = 1.25;
-/// A replica is skipped if its oldest wait exceeds this fraction of the latency target.
+/// A replica is skipped if the longest wait there exceeds this fraction of the latency target.
 const MAX_LAG_FRACTION: f64 = 0.5;
 
 impl LoadBalancer {
@@ -26,7 +26,7 @@
         criteria: &SelectionCriteria,
         attempted: &[ReplicaSlot],
     ) -> Option<ReplicaSlot> {
-        self.update_oldest_waits(now);
+        self.update_longest_waits(now);
         let mut walk = Walk::new(criteria, attempted, self.walk_bounds(now));
         let start = self.fleet.ring.start(criteria.key);
         self.fleet.replicas.begin_pass();
@@ -106,9 +106,9 @@
         replica.listed_load + f64::from(replica.in_flight) / replica.size
     }
 
-    /// Whether a replica's oldest waiting request has waited for over `fraction` of the latency target.
+    /// Whether the longest wait at a replica exceeds `fraction` of the latency target.
     pub(super) fn is_lagging(&self, slot: ReplicaSlot, fraction: f64, latency_target: Nanos) -> bool {
-        self.fleet.replicas[slot].oldest_wait as f64 > fraction * latency_target as f64
+        self.fleet.replicas[slot].longest_wait as f64 > fraction * latency_target as f64
     }
 
     /// Records a report of the work queued at each replica.
@@ -132,13 +132,13 @@
         BOUND_FACTOR * queued / self.fleet.replicas.ready.max(1) as f64 + 1.0
     }
 
-    /// Updates each replica's oldest wait, a lower bound of the wait of a new request.
-    fn update_oldest_waits(&mut self, now: Nanos) {
-        self.fleet.replicas.iter_mut().for_each(|replica| replica.oldest_wait = 0);
+    /// Updates the longest wait at each replica, a lower bound of the wait of a new request.
+    fn update_longest_waits(&mut self, now: Nanos) {
+        self.fleet.replicas.iter_mut().for_each(|replica| replica.longest_wait = 0);
         let attempts = self.requests.active.values().flat_map(|active| &active.attempts);
         for attempt in attempts.filter(|attempt| attempt.is_waiting()) {
-            let oldest_wait = &mut self.fleet.replicas[attempt.replica].oldest_wait;
-            *oldest_wait = (*oldest_wait).max(now.saturating_sub(attempt.sent_at));
+            let longest_wait = &mut self.fleet.replicas[attempt.replica].longest_wait;
+            *longest_wait = (*longest_wait).max(now.saturating_sub(attempt.sent_at));
         }
     }
 
--- a/crates/load-balancer/src/circuit_breaker.rs
+++ b/crates/load-balancer/src/circuit_breaker.rs
@@ -6,7 +6,7 @@
 const MAX_DOUBLINGS: u32 = 8;
 /// Minimum of the random factor applied to an ejection time.
 const MIN_JITTER: f64 = 0.75;
-/// Range of this factor, which keeps gateways from sending their trials at the same time.
+/// Range of the random factor, which keeps gateways from sending their trials at the same time.
 const JITTER_RANGE: f64 = 0.5;
 
 /// When a breaker opens and for how long. The fields are named as in Envoy's outlier detection.
--- a/crates/load-balancer/src/decaying_average.rs
+++ b/crates/load-balancer/src/decaying_average.rs
@@ -19,8 +19,8 @@
 
 impl OutcomeAverage {
     /// Records an outcome: `failures` is 0 for a success, else the weight of the failure. Returns the
-    /// failure rate, computed with one additional success. A first failure thus weighs much if attempts are
-    /// rare and little among many.
+    /// failure rate, computed with one additional success. A first failure thus gives a high rate if recent
+    /// attempts are few, and a low rate if they are many.
     pub fn record(&mut self, now: Nanos, failures: f64) -> f64 {
         let decay = decay_factor(now, self.updated_at, TIME_CONSTANT_S);
         let successes = f64::from(u8::from(failures == 0.0));
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -145,10 +145,10 @@
         self.mean_cost
     }
 
-    /// The fraction of the fleet's size that owns a request's prefix; 0 if it has none. Several owners are
-    /// needed since many gateways can overload a single one with a few requests each, which none of them
-    /// notices. Each gateway sees a sample of the same demand, so that their results are similar. With
-    /// `is_per_class`, all prefixes of a class have the same owner fraction.
+    /// The fraction of the fleet's size that owns a request's prefix; 0 if it has none. A popular prefix
+    /// needs several owners: many gateways can overload a single owner with a few requests each, and none
+    /// of them notices. Each gateway sees a sample of the same demand, so that their results are similar.
+    /// With `is_per_class`, all prefixes of a class have the same owner fraction.
     pub fn owner_fraction(&mut self, now: Nanos, request: &Request, cost: f64, is_per_class: bool) -> f64 {
         let Some(prefix) = request.prefix.filter(|prefix| *prefix != 0) else { return 0.0 };
         self.forget_idle_prefixes(now);
--- a/crates/load-balancer/src/list_schedule.rs
+++ b/crates/load-balancer/src/list_schedule.rs
@@ -13,7 +13,7 @@
 //! | step | bound |
 //! | --- | --- |
 //! | detection of an idle watch | [`WATCH_IDLE_TIMEOUT`]; 0 if a watch was reset or a call refused |
-//! | rest of this gateway's slot, in which it may already have called | the window divided by the group size |
+//! | rest of this gateway's slot, in which it may have called | the window divided by the group size |
 //! | wait for its next slot | the window, sized to fit into what the other steps leave |
 //! | connection, call, response and application of the list | [`FETCH_ALLOWANCE`] |
 //!
@@ -26,12 +26,13 @@
 //! skipped. The settings permit a gateway four times the maximum age of the list after a failed call, which
 //! bounds this wait and the wait after quick failures.
 //!
-//! If the service answered this gateway's last call before a client would have timed out, it keeps up with
-//! the group, all of which called in the same window. If calls then fail late, the service is down, and
-//! something in front of it holds calls until they time out. Calls continue as after an idle watch, so that
-//! the deadline is met when the service returns, but for at most [`OUTAGE_FAILURES`] in a row, since it may
-//! be overloaded after all. For a service that has not answered any call yet, the limit is
-//! [`UNKNOWN_FAILURES`], in the window that is used after quick failures.
+//! If the service answered this gateway's last call within [`MIN_SERVICE_TIMEOUT`], before a queued call
+//! would have failed, it keeps up with the group, since all gateways called in the same window. If later
+//! calls fail late, the service is down, and something in front of it holds calls until they time out.
+//! Calls continue as after an idle watch, so that the deadline is met when the service returns, but for at
+//! most [`OUTAGE_FAILURES`] in a row, since the service may be overloaded after all. For a service that has
+//! not answered any call yet, the limit is [`UNKNOWN_FAILURES`], in the window that is used after quick
+//! failures.
 
 use crate::types::{Nanos, Settings};
 
@@ -117,7 +118,7 @@
     service: ServiceState,
     /// The service asked not to be called before this time.
     not_before: Nanos,
-    /// Scheduled time of the last call, until it is answered.
+    /// Scheduled time of the last call; `None` once the service has answered.
     call_due: Option<Nanos>,
 }
 
@@ -161,8 +162,8 @@
 }
 
 impl Windows {
-    /// Windows for `group` gateways. A stated `rate_per_s` of the service determines them, however long
-    /// they become.
+    /// Windows for `group` gateways. If `rate_per_s`, the rate of the service, is stated, it
+    /// determines their lengths, without an upper limit.
     fn new(group: Nanos, max_age: Nanos, rate_per_s: Option<f64>) -> Windows {
         let age_bound = (max_age as f64 * FIRST_WINDOW_FRACTION) as Nanos;
         let slow = ASSUMED_SERVICE_TIME * group;
@@ -228,9 +229,9 @@
         self.max_age
     }
 
-    /// Creates the schedule of gateway `gateway_index` of `group_size`. `max_age` is the maximum age of its
-    /// list. `rate_per_s` is the rate of calls that the service can serve, if stated; it then determines
-    /// the windows, however long they become.
+    /// Creates the schedule of gateway `gateway_index` of `group_size`. `max_age` is the maximum age of the
+    /// gateway's list. `rate_per_s` is the rate of calls that the service can serve. If stated, it
+    /// determines the windows, however long they become.
     #[must_use]
     pub fn new(
         gateway_index: u32,
@@ -273,7 +274,7 @@
         window + window / Nanos::from(self.slot.group_size.max(1))
     }
 
-    /// Returns the wait of a gateway that has just started before its first call. `now` is on the clock
+    /// Returns the wait before the first call of a gateway that has just started. `now` is on the clock
     /// that all gateways share; `jitter` is a random number in 0..1.
     pub fn first_wait(&mut self, now: Nanos, jitter: f64) -> Nanos {
         let wait = self.time_to_slot(now, self.windows.first, jitter);
--- a/crates/load-balancer/src/queued_work.rs
+++ b/crates/load-balancer/src/queued_work.rs
@@ -8,7 +8,7 @@
 
 /// A report that is older than this is ignored.
 const REPORT_MAX_AGE: Nanos = 1_000_000_000;
-/// Maximum delay of a report. Work sent less than this before its arrival may not be included in it.
+/// Maximum delay of a report. Work sent less than this before the report arrives may be missing in it.
 const REPORT_DELAY: Nanos = 100_000_000;
 
 /// Work that this gateway has sent to a replica.
--- a/crates/load-balancer/src/replica_table.rs
+++ b/crates/load-balancer/src/replica_table.rs
@@ -40,10 +40,10 @@
     /// Load according to the list's live units; 0 if the units are not live.
     pub(crate) listed_load: f64,
     pub(crate) slow_start: SlowStartBudget,
-    /// Wait of the oldest request without a first token, as of the last walk.
-    pub(crate) oldest_wait: Nanos,
+    /// Longest wait for a first token among the requests in flight, as of the last walk.
+    pub(crate) longest_wait: Nanos,
     pub(crate) queued_work: QueuedWorkEstimate,
-    /// Number of the last pass in which it was visited.
+    /// Number of the last pass in which the replica was visited.
     visited_in: u64,
 }
 
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -19,8 +19,8 @@
 /// Fraction of the overload limit that may be open turns, in addition to the tolerance of twice its square
 /// root.
 const OPEN_TURN_FRACTION: f64 = 0.1;
-/// A gateway process takes no turn from before its start, or from this time after it: the previous process
-/// of the gateway may have taken them.
+/// A gateway process takes no turn that was due before its first list, or within this time after it: the
+/// gateway's previous process may have taken that turn.
 const RESTART_OVERLAP: Nanos = SECOND;
 /// Maximum excess work, in requests of mean work, that a gateway compensates for by skipping later turns.
 const MAX_DEBT_REQUESTS: f64 = 3.0;
@@ -130,7 +130,7 @@
         self.first_list_at.get_or_insert(now);
     }
 
-    /// The fraction of its capacity that a replica has at least, 1 once it is warm. All gateways compute
+    /// The minimum fraction of its capacity that a replica has; 1 once it is warm. All gateways compute
     /// the same value.
     #[must_use]
     pub fn capacity_fraction(&self, now: Nanos, started: Option<Nanos>) -> f64 {
--- a/crates/load-balancer/src/types.rs
+++ b/crates/load-balancer/src/types.rs
@@ -38,7 +38,7 @@
     Keyed {
         /// The replicas that share the deduplication.
         scope: Scope,
-        /// How long they deduplicate, counted from the first attempt that may have run.
+        /// How long these replicas deduplicate, counted from the first attempt that may have run.
         window: Nanos,
     },
     /// The request must not run twice.
@@ -106,7 +106,7 @@
 /// Parameters of slow start, and the maximum age of the list.
 #[derive(Clone, Debug, Default)]
 pub struct Safety {
-    /// Fraction of its capacity that a replica has at least at its start, above 0 and at most 1.
+    /// Minimum fraction of its capacity that a replica has at its start; above 0 and at most 1.
     pub initial_capacity: f64,
     /// Time from the start of a replica until it has its full capacity.
     pub slow_start_window: Nanos,
@@ -357,7 +357,7 @@
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Nanos,
     },
     /// An attempt has ended.
@@ -366,11 +366,11 @@
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         verdict: Verdict,
         /// Whether the request has ended; else the client still needs a response.
         ended: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Nanos,
         /// Number of prompt tokens that the replica had cached.
         cached_tokens: Option<u32>,
@@ -381,9 +381,9 @@
     Probed {
         /// The replica.
         replica: ReplicaId,
-        /// How it ended.
+        /// How the probe ended.
         verdict: Verdict,
-        /// Time since it was sent.
+        /// Time since the probe was sent.
         elapsed: Nanos,
         /// The replica's load.
         report: Vec<f64>,
@@ -406,11 +406,11 @@
     Send {
         /// The request.
         id: RequestId,
-        /// The replica to send it to.
+        /// The replica to send the request to.
         replica: ReplicaId,
         /// The timeout of the attempt.
         timeout: Nanos,
-        /// Time from now within which it must be written, since a connection may be established late.
+        /// Time from now within which the request must be written; the connection may be established late.
         write_within: Nanos,
     },
     /// Final response: refused; a retry is safe.
