--- a/crates/proxy/src/alarms.rs
+++ b/crates/proxy/src/alarms.rs
@@ -1,6 +1,6 @@
 //! Timeouts that share one reactor timer.
 //!
-//! A timer of the reactor costs system calls when it is set and a wake-up when it fires. Most timeouts of a proxy never
+//! A reactor timer costs system calls when it is set and a wake-up when it fires. Most timeouts of a proxy never
 //! fire, so they are entries of an ordered table, rounded up to ticks, and one task sleeps until the first of them.
 
 use std::cell::RefCell;
@@ -16,7 +16,7 @@
 /// The resolution: timeouts within the same tick fire together.
 const TICK: Duration = Duration::from_millis(10);
 
-/// When an entry is due, and its number among those of the same tick.
+/// The tick at which an entry is due, and a number that is unique to the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Key {
     tick: u64,
@@ -27,7 +27,7 @@
 struct Table {
     entries: BTreeMap<Key, Waker>,
     last_number: u64,
-    /// The tick that the driver sleeps until; none while no timeout is set.
+    /// The tick that the driver sleeps until; None while it sleeps without a limit.
     sleeps_until: Option<u64>,
     driver: Option<Waker>,
 }
@@ -46,7 +46,7 @@
 }
 
 impl Alarms {
-    /// A future that is ready at this time.
+    /// A future that is ready at the time `due`.
     #[must_use]
     pub fn at(&self, due: Instant) -> Alarm {
         let since_start = due.saturating_duration_since(self.start);
@@ -54,13 +54,13 @@
         Alarm { alarms: self.clone(), tick, number: None }
     }
 
-    /// A future that is ready once this time has passed.
+    /// A future that is ready after the duration `time`.
     #[must_use]
     pub fn after(&self, time: Duration) -> Alarm {
         self.at(Instant::now() + time)
     }
 
-    /// The output of a future if it is ready by this time; else none, and the future is dropped.
+    /// The output of `work` if it is ready by the time `due`. Otherwise None, and `work` is dropped.
     pub async fn by<T>(&self, due: Instant, work: impl Future<Output = T>) -> Option<T> {
         future::or(async { Some(work.await) }, async {
             self.at(due).await;
@@ -69,7 +69,7 @@
         .await
     }
 
-    /// Wakes the tasks whose timeouts are due, for the life of the process. One task must run this.
+    /// Wakes the tasks whose timeouts are due; never returns. Exactly one task must run this.
     pub async fn drive(&self) {
         loop {
             self.wake_due();
@@ -107,12 +107,12 @@
         due.into_values().for_each(Waker::wake);
     }
 
-    /// Ready once an entry is due before the one that the driver sleeps for.
-    async fn earlier_entry_added(&self, slept_for: Option<u64>) {
+    /// Ready once an entry is due before the tick `slept_until`, or at all if the driver sleeps without a limit.
+    async fn earlier_entry_added(&self, slept_until: Option<u64>) {
         future::poll_fn(|context| {
             let mut table = self.table.borrow_mut();
             let first = table.entries.first_key_value().map(|(key, _)| key.tick);
-            if first.is_some_and(|first| slept_for.is_none_or(|tick| first < tick)) {
+            if first.is_some_and(|first| slept_until.is_none_or(|tick| first < tick)) {
                 return Poll::Ready(());
             }
             table.driver = Some(context.waker().clone());
@@ -122,7 +122,7 @@
     }
 }
 
-/// One timeout; dropping it removes its entry from the table.
+/// A timeout: a future that is ready once its time has passed. Dropping it removes its entry from the table.
 pub struct Alarm {
     alarms: Alarms,
     tick: u64,
@@ -130,7 +130,8 @@
 }
 
 impl Alarm {
-    /// Ready once the timeout has passed. For use inside a poll function.
+    /// Ready once the timeout has passed. For use inside a poll function that polls other futures as well; unlike
+    /// [`Future::poll`], it needs no pin.
     pub fn poll_passed(&mut self, context: &mut Context<'_>) -> Poll<()> {
         Pin::new(self).poll(context)
     }
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,47 +1,47 @@
-//! Counters for the proxy's log.
+//! Counters of requests, attempts and connections, which are logged periodically.
 
 use std::cell::Cell;
 
-/// One counter.
+/// A count of events since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Adds one.
+    /// Adds 1.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The current value.
+    /// The count.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// All counters.
+/// All counters of the proxy. The keys in the log differ from some of the names here.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Requests that were read completely.
     pub requests: Counter,
-    /// Requests that were written to a replica for the first time.
+    /// First sends of a request to a replica.
     pub first_sends: Counter,
-    /// Requests that were written to a further replica.
+    /// Retries that were sent to a replica.
     pub retries: Counter,
-    /// Successes that were forwarded completely.
+    /// Successful responses that were forwarded completely.
     pub completed: Counter,
-    /// Requests refused with 503.
+    /// Requests that were refused with 503.
     pub refused: Counter,
-    /// Requests failed with 502 or 504.
+    /// Requests that failed: the client was sent 502, 504 or the error response of a replica.
     pub failed: Counter,
-    /// Requests denied with 401 or 404.
+    /// Requests that were denied with 401 or 404.
     pub denied: Counter,
-    /// Responses aborted after they had begun.
+    /// Responses that were aborted after they had begun.
     pub aborted: Counter,
     /// Clients that disconnected before their response was complete.
     pub client_disconnects: Counter,
-    /// Attempts cancelled because they had not begun when their weights expired.
+    /// Attempts that were cancelled because the response had not begun when the weights expired.
     pub weights_expired: Counter,
-    /// Connections to replicas that were attempted.
+    /// Attempts to open a connection to a replica.
     pub connects: Counter,
 }
 
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,16 +1,16 @@
-//! Handles one request, from when it was read completely to its final response.
+//! Handles a request from the time it was read completely up to its final response.
 //!
-//! [`handle_request`] admits a request by the newest configuration and has it placed. `Exchange::run` then executes the
-//! load balancer's actions one at a time:
+//! [`handle_request`] admits a request according to the newest configuration and places it. `Exchange::run` then
+//! executes the load balancer's actions one at a time:
 //!
-//! 1. `attempts` sends the request to the replica that an action names, if a send is still allowed;
+//! 1. `attempts` sends the request to the replica that the action specifies, if a send is still allowed;
 //! 2. `interruption` ends an attempt when the client disconnects, the deadline passes, the load balancer cancels it, or
 //!    the replica's weights expire;
-//! 3. the retry table ([`crate::replica::retry`]) decides what follows an attempt that failed;
-//! 4. `final_response` forwards a success as it arrives, or writes an error; a stream that breaks off may be resumed
-//!    by a further attempt.
+//! 3. the retry table ([`crate::replica::retry`]) determines the action after a failed attempt;
+//! 4. `final_response` forwards a successful response as it arrives, or writes an error. A stream that breaks off may
+//!    be resumed by a further attempt.
 //!
-//! `upstream_head` encodes the head that a replica is sent.
+//! `upstream_head` encodes the head of the request to a replica.
 
 mod attempts;
 mod final_response;
@@ -37,16 +37,17 @@
 use crate::replica::response::{ErrorResponse, UpstreamResponse};
 use crate::replica::retry::{self, FinalStatus};
 
-/// `Retry-After` while requests can't be admitted or placed.
+/// `Retry-After` of a request that can't be admitted or placed, or that fails.
 const RETRY_AFTER_DELAY: Duration = Duration::from_millis(500);
-/// `Retry-After` where the newest configuration handles the request differently, or another proxy can serve it.
+/// `Retry-After` of a request that the newest configuration handles differently, that another proxy can serve, or whose
+/// attempt was ended early.
 const RETRY_AFTER_MINIMUM: Duration = Duration::from_millis(50);
-/// A request for which no replica is available is abandoned after its latency target divided by this.
+/// A request for which no replica is available is abandoned after the latency target of its route divided by this.
 const PLACEMENT_TIMEOUT_DIVISOR: u32 = 5;
-/// A response that has begun is aborted this long after its deadline; its replica ends it before that.
+/// A response that has begun is aborted this long after the deadline of its request. Replicas end it before that.
 const DEADLINE_GRACE: Duration = Duration::from_secs(1);
 
-/// Serves a request: refuses it, or has it placed and writes its final response.
+/// Handles a request: refuses or denies it, or places it, and writes its final response.
 pub async fn handle_request(
     proxy: &Rc<Proxy>,
     client: Client<'_>,
@@ -82,7 +83,7 @@
     }
 }
 
-/// The deadline of a request: its client's, but no later than its route's.
+/// The deadline of a request: the earlier of the deadlines that the client and the route set.
 fn deadline(request: &DownstreamRequest, admitted: &AdmittedRequest) -> Instant {
     let limit = Duration::from_millis(admitted.route().time_limit_ms);
     request.started + request.time_left().map_or(limit, |left| left.min(limit))
@@ -96,23 +97,23 @@
     NoReplicaAvailable,
 }
 
-/// What a step of a request leads to.
+/// How handling of a request continues after a step.
 enum Step {
     /// Wait for the load balancer's next action.
     Continue,
-    /// The request ends with this response.
+    /// End the request with this response.
     Respond(FinalResponse),
-    /// The response of a replica has begun and is forwarded.
+    /// Forward the response of a replica, which has begun.
     Forward(Box<UpstreamResponse>),
 }
 
-/// The final response of a request of which nothing was forwarded yet.
+/// The final response of a request, unless a successful response was forwarded.
 enum FinalResponse {
-    /// Written by the proxy itself.
+    /// A response that the proxy itself generates.
     Local(LocalResponse),
-    /// A replica's error.
+    /// An error response of a replica.
     Upstream(Box<ErrorResponse>),
-    /// The client has disconnected and gets none.
+    /// None, since the client has disconnected.
     ClientDisconnected,
 }
 
@@ -126,11 +127,11 @@
     deadline: Instant,
     /// The number of times that the request was sent to a replica.
     sends: u32,
-    /// Whether any attempt so far may have run the request.
+    /// Whether the request has run, as far as the attempts so far show.
     execution: Execution,
-    /// A replica's error, which the client gets if no retry succeeds.
+    /// The last error response of a replica, which is forwarded to the client if no retry succeeds.
     last_error: Option<Box<ErrorResponse>>,
-    /// The response that was partly forwarded and is to be resumed by another replica.
+    /// The relay of a partly forwarded response that another replica is to resume.
     relay: Option<Relay>,
 }
 
@@ -213,7 +214,7 @@
         RequestKind::of(self.admitted.route())
     }
 
-    /// The final response of a request for which no further replica is tried.
+    /// The final response of a request for which no further attempt is made.
     fn abandoned_response(&self, retry_after: Duration) -> FinalResponse {
         FinalResponse::Local(self.local_response(true, retry_after))
     }
--- a/crates/proxy/src/exchange/attempts.rs
+++ b/crates/proxy/src/exchange/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a request: checks that a send is still allowed, sends the request to one replica, and applies the
+//! The attempts of a request: checks that a send is still allowed, sends the request to a replica, and applies the
 //! retry table to an attempt that failed.
 
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use crate::replica::retry::{self, RetryAction};
 
 impl Exchange<'_> {
-    /// Sends the request to a replica.
+    /// Executes the load balancer's decision to send the request to a replica as attempt number `attempt`.
     pub(super) async fn attempt(
         &mut self,
         client: &mut Client<'_>,
@@ -39,7 +39,8 @@
             Ok(Err(error)) => return self.handle_failure(&replica.id, error.outcome(), None),
             Err(interruption) => return self.interrupt(interruption),
         };
-        // While the connection was established, the replica may have begun to drain or the configuration may have changed.
+        // While the connection was being established, the replica may have begun to drain, or the configuration may
+        // have changed.
         if !self.is_still_admitted() {
             return Step::Respond(self.failed_response(RETRY_AFTER_MINIMUM));
         }
@@ -51,14 +52,14 @@
         self.send(client, replica, connection).await
     }
 
-    /// Whether the newest configuration still handles the request as when it was admitted.
+    /// Whether the newest configuration still handles the request as it was admitted.
     fn is_still_admitted(&self) -> bool {
         let newest = self.proxy.routing_for(&self.request.head);
         newest.is_some_and(|newest| self.admitted.is_equivalent_under(&newest, &self.request.head))
     }
 
-    /// Whether a send is allowed: the first one always is; a retry must be safe, and within the route's attempts and
-    /// the service's retry budget.
+    /// Whether a send is allowed. The first send always is. A retry must be safe, and within the maximum attempts of
+    /// the route and the retry budget of the service.
     pub(super) fn may_send(&self) -> bool {
         let is_in_budget = || {
             self.sends < self.admitted.route().max_attempts
@@ -67,7 +68,8 @@
         self.sends == 0 || retry::may_retry(self.kind(), self.execution) && is_in_budget()
     }
 
-    /// Counts a send that follows immediately, and takes its token from the retry budget; false if it is not allowed.
+    /// Counts a send that follows immediately. A retry takes a token from the retry budget. Returns false if the send
+    /// is not allowed.
     fn reserve_send(&mut self) -> bool {
         let service = self.admitted.service();
         if self.sends == 0 {
@@ -82,7 +84,7 @@
         true
     }
 
-    /// A connection to the replica: an idle one if there is one, else a new one.
+    /// Takes an idle connection to the replica from the pool, or opens a connection if there is none.
     async fn connect(
         &self,
         client: &mut Client<'_>,
@@ -95,7 +97,7 @@
         self.unless_interrupted(client, self.proxy.pool.connect(replica.address)).await
     }
 
-    /// Writes the request, and reads the response up to where forwarding may begin.
+    /// Writes the request, and reads the response up to the point where forwarding may begin.
     async fn send(
         &mut self,
         client: &mut Client<'_>,
--- a/crates/proxy/src/exchange/final_response.rs
+++ b/crates/proxy/src/exchange/final_response.rs
@@ -1,4 +1,4 @@
-//! The final response of a request: a replica's, forwarded as it arrives, or one that is written here.
+//! The final response of a request: a replica's response, or one that the proxy itself generates.
 
 use std::time::Instant;
 
@@ -14,8 +14,8 @@
 use crate::replica::retry::{self, RetryAction};
 
 impl Exchange<'_> {
-    /// Writes the final response of a request. If a part of a replica's response was forwarded already, all that is
-    /// left is to abort it.
+    /// Writes the final response of a request. If a part of a replica's response was already forwarded, aborts that
+    /// response instead.
     pub(super) async fn respond(mut self, client: Client<'_>, response: FinalResponse) -> Completion {
         let counters = &self.proxy.counters;
         if self.relay.is_some() {
@@ -63,7 +63,8 @@
         write_response(proxy, client, &bytes, persistence).await
     }
 
-    /// Forwards a success as it arrives. None if it broke off, and another attempt may resume or restart it.
+    /// Forwards a successful response as it arrives. None if the response broke off and a further attempt may resume or
+    /// restart it.
     pub(super) async fn forward(
         &mut self,
         client: &mut Client<'_>,
@@ -95,7 +96,7 @@
         Relay::new(response, may_resume, client.persistence(self.proxy), self.request.is_head_request())
     }
 
-    /// Applies the retry table to a success that broke off. None if another attempt may follow.
+    /// Applies the retry table to a successful response that broke off. None if a further attempt may follow.
     fn handle_broken_response(&mut self, client: &mut Client<'_>, mut relay: Relay) -> Option<Completion> {
         let outcome = if relay.has_begun() {
             AttemptOutcome::TruncatedResponse
--- a/crates/proxy/src/exchange/interruption.rs
+++ b/crates/proxy/src/exchange/interruption.rs
@@ -15,14 +15,14 @@
 pub(super) enum Interruption {
     /// Downstream: the client has disconnected.
     ClientDisconnected,
-    /// Internal: the load balancer decided on another action, or the deadline passed.
+    /// Internal: the load balancer decided on an action for the request, or the deadline passed.
     Action(RequestAction),
 }
 
 impl Exchange<'_> {
-    /// The result of `work`, unless the client disconnects, the load balancer decides otherwise, or the deadline
-    /// passes before. The load balancer does not watch the deadline once a response has begun, as when a stream is to
-    /// be resumed.
+    /// The result of `work`, unless the client disconnects, the load balancer decides on an action, or the deadline
+    /// passes first. The deadline is checked here because the load balancer does not enforce it once a response has
+    /// begun, as when a stream is to be resumed.
     pub(super) async fn unless_interrupted<T>(
         &self,
         client: &mut Client<'_>,
@@ -41,7 +41,8 @@
         future::or(async { Ok(work.await) }, interrupted).await
     }
 
-    /// The result of an attempt, unless no response has begun when requests queued on these weights are cancelled.
+    /// The result of an attempt, or [`AttemptOutcome::WeightsExpired`] if there is none by the time at which requests
+    /// queued on these weights are cancelled.
     pub(super) async fn unless_expired(
         &self,
         weights: Option<&ModelRevision>,
@@ -55,7 +56,7 @@
         future::or(attempt, expired).await
     }
 
-    /// Ends the attempt that is in flight.
+    /// Ends the attempt in flight.
     pub(super) fn interrupt(&mut self, interruption: Interruption) -> Step {
         match interruption {
             Interruption::ClientDisconnected => Step::Respond(FinalResponse::ClientDisconnected),
--- a/crates/proxy/src/exchange/upstream_head.rs
+++ b/crates/proxy/src/exchange/upstream_head.rs
@@ -8,19 +8,19 @@
 use crate::kv_cache::{CacheSalt, KvTransfer, PrefixChain, Target};
 use crate::replica::replicas::ReplicaEntry;
 
-/// Initial capacity: the size of most heads.
+/// Initial capacity of the buffer; most heads are not longer.
 const INITIAL_CAPACITY_BYTES: usize = 1024;
 
 /// The head of a request for one replica.
 pub(super) struct UpstreamHead {
     /// The encoded head.
     pub(super) bytes: Vec<u8>,
-    /// Tokens of the prompt that the replica has to prefill, as no KV cache covers them.
+    /// The number of prompt tokens that the replica has to prefill, since no KV cache covers them.
     pub(super) unread_tokens: u32,
 }
 
 impl Exchange<'_> {
-    /// The head for this replica.
+    /// Encodes the head for a replica.
     pub(super) fn head_for(&self, replica: &ReplicaEntry) -> UpstreamHead {
         let admitted = &self.admitted;
         let model = self.request.head.get("llm");
@@ -47,13 +47,13 @@
         UpstreamHead { bytes, unread_tokens }
     }
 
-    /// The priority, by the operator-set rank and by the number of tokens to prefill.
+    /// The priority of the request at the replica, from its operator-set rank and the number of tokens to prefill.
     fn priority(&self, unread_tokens: u32) -> u8 {
         self.proxy.urgency.borrow_mut().priority(self.admitted.rank(), unread_tokens)
     }
 
-    /// Plans where this replica fetches the KV cache of the prompt from, and where it saves it to: nowhere under a salt
-    /// that no other request has.
+    /// Plans where this replica fetches the KV cache of the prompt from, and where it saves the cache to. Nothing is
+    /// transferred under a salt that no other request uses.
     fn kv_transfer(&self, replica: &ReplicaEntry, salt: &CacheSalt) -> KvTransfer {
         let chain = PrefixChain::new(&self.prompt.prefix_segments, salt.as_str());
         if matches!(salt, CacheSalt::Unshared(_)) {
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -4,25 +4,26 @@
 
 use tulipridge_runtime::settings::TimeLimits;
 
-/// Time that an admitted request may take to reach a replica. It is subtracted from the time within which a withdrawal of
-/// a key must take effect.
+/// Time that an admitted request may take to reach a replica. It is subtracted from the time within which the
+/// withdrawal of a key must take effect.
 const SAFETY_MARGIN: Duration = Duration::from_millis(500);
-/// Maximum age where withdrawals have no strict limit.
+/// Maximum age of the configuration if the settings set no strict time limit for withdrawals of keys.
 const LENIENT_MAX_AGE: Duration = Duration::from_secs(10);
-/// Fraction of the time within which a withdrawal must take effect, after which a machine without a working path to the
-/// control plane admits no request with a key: another machine may know whether the key is still valid.
+/// Requests with a key are admitted up to this fraction of the time within which a withdrawal must take effect. After
+/// it, a machine without a working path to the control plane refuses them: another machine may know whether the key is
+/// still valid.
 const KEY_FRACTION: f64 = 0.6;
 
 /// Whether a request presents a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credentials {
-    /// It presents a key, known or not.
+    /// The request presents a key, whether or not it is known.
     Key,
-    /// It presents none.
+    /// The request presents no key.
     None,
 }
 
-/// The maximum ages of a configuration that admits requests.
+/// The maximum ages up to which a configuration may be used to admit requests, with and without a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessGate {
     max_age: Duration,
@@ -36,7 +37,7 @@
         FreshnessGate::new(limits.shut_tight, limits.withdraw())
     }
 
-    /// `shut_tight` says whether withdrawals of keys must take effect within `withdraw`.
+    /// A gate for these settings. `shut_tight` states that withdrawals of keys must take effect within `withdraw`.
     #[must_use]
     pub fn new(shut_tight: bool, withdraw: Duration) -> Self {
         let max_age = if shut_tight { withdraw.saturating_sub(SAFETY_MARGIN) } else { LENIENT_MAX_AGE };
@@ -44,7 +45,8 @@
         FreshnessGate { max_age, max_age_for_keys }
     }
 
-    /// Whether a configuration admits requests if it was last known to be the newest `age` ago; none means never.
+    /// Whether a configuration that was last known to be the newest `age` ago may be used to admit requests. `age` is
+    /// None if the configuration was never known to be the newest.
     #[must_use]
     pub fn is_open(&self, age: Option<Duration>, credentials: Credentials) -> bool {
         let max_age = match credentials {
--- a/crates/proxy/src/headers/mod.rs
+++ b/crates/proxy/src/headers/mod.rs
@@ -1,5 +1,5 @@
-//! Encodes message heads: requests to replicas ([`request`]), responses of replicas to clients
-//! ([`response`]), and responses of the proxy itself ([`local_response`]).
+//! Encodes message heads: of requests to replicas ([`request`]), of replicas' responses to clients
+//! ([`response`]), and of responses that the proxy itself generates ([`local_response`]).
 
 pub mod local_response;
 pub mod request;
@@ -30,9 +30,9 @@
 /// Whether the client's connection persists after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persistence {
-    /// It stays open for further requests, with this idle timeout.
+    /// The connection stays open for further requests, with this idle timeout.
     KeepAlive(Duration),
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
@@ -47,7 +47,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Names of headers that the `Connection` header nominates as hop-by-hop.
+/// Names of those headers of a message that its `Connection` header nominates as hop-by-hop.
 fn nominated_by_connection(head: &Head) -> Vec<String> {
     let lists = head.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("connection"));
     let options = lists.flat_map(|(_, list)| list.split(',')).map(str::trim);
@@ -59,7 +59,8 @@
     headers.map(|(name, _)| name.clone()).collect()
 }
 
-/// Whether a header's value has no control characters, which clients may interpret as a line end.
+/// Whether the value of a header has no control characters except tabs. Clients may interpret a control character as
+/// the end of a line.
 #[must_use]
 pub fn is_plain(value: &str) -> bool {
     !value.chars().any(|character| character.is_control() && character != '\t')
--- a/crates/proxy/src/kv_cache/mod.rs
+++ b/crates/proxy/src/kv_cache/mod.rs
@@ -31,8 +31,8 @@
 /// The replica that a request goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its address.
+    /// The address of the replica.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone number of the replica.
     pub zone: u16,
 }
--- a/crates/proxy/src/kv_cache/planner.rs
+++ b/crates/proxy/src/kv_cache/planner.rs
@@ -75,8 +75,9 @@
         }
     }
 
-    /// Where the chain is fetched from. None if no source has cached enough more of it than the target, which has cached
-    /// `cached` tokens: recomputing few tokens is as fast as fetching them.
+    /// The source that the chain is fetched from: the best source that the index lists, otherwise the replica that was
+    /// recently sent the chain. None if the target, which has cached `cached` tokens, lacks fewer than
+    /// [`MIN_CACHED_TOKENS`], or if there is no such source. Recomputing few tokens is as fast as fetching them.
     fn source(
         &self,
         now: Duration,
--- a/crates/proxy/src/kv_cache/prefix_chain.rs
+++ b/crates/proxy/src/kv_cache/prefix_chain.rs
@@ -6,20 +6,20 @@
 
 use crate::placement::prompt::PromptSegment;
 
-/// Sources cache whole blocks: a segment that lacks no more tokens than this is cached completely.
+/// Sources cache whole blocks, so a segment counts as completely cached if it lacks at most this many tokens.
 pub(super) const BLOCK_SLACK_TOKENS: u32 = 64;
 
 /// A segment of a prompt's prefix that other requests share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixSegment {
-    /// Its key in the index.
+    /// The key of the segment in the index.
     pub key: PrefixKey,
-    /// Its tokens.
+    /// The number of tokens in the segment.
     pub tokens: u32,
 }
 
-/// The shared segments of a prompt in their order, under one cache salt. Segments that are too short to be indexed are
-/// left out; they are prefilled with the next one.
+/// The shared segments of a prompt in order, under one cache salt. Segments that are too short to be indexed are left
+/// out and prefilled together with the next segment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PrefixChain(Vec<PrefixSegment>);
 
@@ -35,25 +35,26 @@
         PrefixChain(keyed.collect())
     }
 
-    /// Its segments.
+    /// The segments, in order.
     #[must_use]
     pub fn segments(&self) -> &[PrefixSegment] {
         &self.0
     }
 
-    /// Tokens of all its segments.
+    /// The number of tokens in all segments.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.0.iter().fold(0, |sum, segment| sum.saturating_add(segment.tokens))
     }
 
-    /// The key of the whole prefix: that of its last segment.
+    /// The key of the whole prefix, which is the key of the last segment. None for an empty chain.
     pub(super) fn key(&self) -> Option<u64> {
         self.0.last().map(|segment| segment.key.0)
     }
 }
 
-/// Tokens of a chain that a source has cached: a segment counts only if all before it are cached completely.
+/// The number of tokens of a chain that a source has cached. A segment counts only if all earlier segments are cached
+/// completely.
 #[must_use]
 pub fn cached_tokens(index: &Index, source: SocketAddrV4, chain: &PrefixChain) -> u32 {
     let mut sum: u32 = 0;
--- a/crates/proxy/src/kv_cache/salt.rs
+++ b/crates/proxy/src/kv_cache/salt.rs
@@ -1,18 +1,19 @@
-//! Cache salts: a replica finds cached KV blocks only under the salt that they were stored under.
+//! Cache salts. A replica reuses cached KV blocks only for requests with the salt that the blocks were cached under.
 
 use tulipridge_configuration::number::WeightsRevision;
 
-/// The cache salt of one send.
+/// The cache salt of one send of a request to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheSalt {
-    /// Shared by all requests that may use each other's cached prefixes.
+    /// Used by all requests that may reuse each other's cached prefixes.
     Shared(String),
-    /// Used by this send alone: it neither finds cached prefixes nor leaves any that another request finds.
+    /// Used by this send only, so that it neither reuses cached prefixes nor caches any that another request can reuse.
     Unshared(String),
 }
 
 impl CacheSalt {
-    /// The salt of requests to one revision of the weights: of all tenants that share, or of one isolated tenant.
+    /// The salt for one revision of the weights. An isolated tenant has a salt of its own; all other requests, with or
+    /// without a tenant, share one.
     #[must_use]
     pub fn shared(revision: WeightsRevision, isolated_tenant: Option<&str>) -> CacheSalt {
         CacheSalt::Shared(match isolated_tenant {
@@ -21,13 +22,13 @@
         })
     }
 
-    /// The salt of a send to a replica whose revision of the weights is unknown. `nonce` is a random number.
+    /// The salt for a replica whose revision of the weights is unknown. `nonce` is a random number.
     #[must_use]
     pub fn unshared(nonce: u128) -> CacheSalt {
         CacheSalt::Unshared(format!("u{nonce:032x}"))
     }
 
-    /// The value of the header.
+    /// The value of the `Cache-Salt` header.
     #[must_use]
     pub fn as_str(&self) -> &str {
         match self {
--- a/crates/proxy/src/kv_cache/source.rs
+++ b/crates/proxy/src/kv_cache/source.rs
@@ -14,40 +14,42 @@
 /// A source that has cached a prefix of a chain.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    /// Its address.
+    /// The address of the source.
     pub(super) address: SocketAddrV4,
-    /// Tokens of the chain that it has cached.
+    /// The number of tokens of the chain that the source has cached.
     pub(super) tokens: u32,
     preference: Preference,
 }
 
-/// The preference among sources that have cached equally much; the greatest wins. Fields are compared in order.
+/// The preference among sources that have cached about the same number of tokens. Fields are compared in order, and the
+/// greatest value is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
     /// Replicas are preferred to stores.
     is_replica: bool,
     /// Replicas in the zone of the target are preferred to others.
     is_same_zone: bool,
-    /// Spreads the load over equal sources.
+    /// Spreads the load over sources that are otherwise equal.
     tie_breaker: u64,
 }
 
 /// The search for a source of one request.
 pub(super) struct SourceSearch<'a, Zone> {
-    /// What is cached where.
+    /// The index of cached prefixes.
     pub(super) index: &'a Index,
     /// The stores of the configuration.
     pub(super) stores: &'a [SocketAddrV4],
     /// The replica that the request goes to.
     pub(super) target: Target,
-    /// The zone of a replica of the same service that is still listed at an address.
+    /// Returns the zone of the replica of the same service that is listed at an address, if there is one.
     pub(super) zone_of: &'a Zone,
-    /// The number of the request; varies the choice among equal sources.
+    /// The number of the request. Varies the choice among equally preferred sources from request to request.
     pub(super) request_number: u64,
 }
 
 impl<Zone: Fn(SocketAddr) -> Option<u16>> SourceSearch<'_, Zone> {
-    /// The source that has cached the most, among the sources of the last segment that any source has cached.
+    /// The best source. Searches the sources of the last segment first, and those of an earlier segment only if none of
+    /// them is usable.
     pub(super) fn best(&self, chain: &PrefixChain) -> Option<Candidate> {
         chain.segments().iter().rev().find_map(|segment| {
             let locations = self
@@ -67,7 +69,7 @@
         Some(Candidate { address, tokens: cached_tokens(self.index, address, chain), preference })
     }
 
-    /// None for an address that is neither a store nor a replica of the service.
+    /// The preference for a source. None if the address is neither a store nor a listed replica of the service.
     fn preference(&self, address: SocketAddrV4) -> Option<Preference> {
         let tie_breaker = tie_breaker(address, self.request_number);
         if self.stores.contains(&address) {
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,25 +1,27 @@
-//! The stages of a graceful shutdown. Decides only: the time is passed in.
+//! The stages of a graceful shutdown, as a state machine without I/O. The current time is passed in.
 
 use std::time::Duration;
 
-/// Time after SIGTERM for which connections and requests are accepted, since the platform may still route some here.
+/// Time after SIGTERM during which all connections and requests are still accepted, since the platform may still route
+/// some to this process.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2500);
-/// Connections and requests are accepted for at most the grace period divided by this.
+/// The time during which connections and requests are still accepted is at most the grace period divided by this.
 const ACCEPT_DIVISOR: u32 = 2;
 /// The process exits this long before the grace period ends, even with requests in flight.
 const END_MARGIN: Duration = Duration::from_millis(300);
 
-/// What the process accepts.
+/// A stage of the process, which determines the connections and requests that it accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It accepts connections and requests.
+    /// The process accepts connections and requests.
     Serving,
-    /// It reports itself as not ready, but accepts connections; each response is the last of its connection.
+    /// The process reports itself as not ready, but accepts connections and requests. Each response is the last one on
+    /// its connection.
     NotReady,
-    /// It accepts no connections and closes idle ones. Requests in flight are completed; a new one is accepted only if
-    /// it can't outlast the process.
+    /// The process accepts no connections and closes idle ones. Requests in flight are completed. A further request is
+    /// accepted only if its deadline is before the end of the process.
     Draining,
-    /// It exits.
+    /// The process exits, even with requests in flight.
     Terminated,
 }
 
@@ -29,7 +31,7 @@
     stop: Option<StopSignal>,
 }
 
-/// When SIGTERM came, and the time from then until the platform kills the process.
+/// The time at which SIGTERM was received, and the time from then until the platform kills the process.
 #[derive(Clone, Copy, Debug)]
 struct StopSignal {
     at: Duration,
@@ -58,12 +60,13 @@
 }
 
 impl Lifecycle {
-    /// Records SIGTERM: the platform kills the process after `grace_period`. A second one changes nothing.
+    /// Records that SIGTERM was received. The platform kills the process after `grace_period`. Further signals have no
+    /// effect.
     pub fn stop(&mut self, now: Duration, grace_period: Duration) {
         self.stop.get_or_insert(StopSignal { at: now, grace_period });
     }
 
-    /// The stage at a time.
+    /// The stage at the time `now`.
     #[must_use]
     pub fn stage(&self, now: Duration) -> Stage {
         let Some(stop) = self.stop else { return Stage::Serving };
@@ -71,13 +74,13 @@
         passed.next_back().map_or(Stage::NotReady, |start| start.stage)
     }
 
-    /// When the next stage begins; none before SIGTERM and after the last stage.
+    /// The time at which the next stage begins. None before SIGTERM and in the last stage.
     #[must_use]
     pub fn next_stage_at(&self, now: Duration) -> Option<Duration> {
         self.stop?.stages().into_iter().map(|start| start.at).find(|at| *at > now)
     }
 
-    /// Whether a request that was read now and ends by `deadline` is still accepted.
+    /// Whether a request that has just been read, and that ends by `deadline`, is still accepted.
     #[must_use]
     pub fn accepts_request(&self, now: Duration, deadline: Duration) -> bool {
         match self.stage(now) {
--- a/crates/proxy/src/notice.rs
+++ b/crates/proxy/src/notice.rs
@@ -1,55 +1,60 @@
-//! Wakes all tasks that wait for a change.
+//! A notification that wakes all waiting tasks, for tasks of one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// Notifies any number of tasks of one thread of changes. It carries no value and keeps no past changes.
+/// Notifies any number of tasks of one thread of a change. Carries no value. A task is notified only of changes after
+/// it began to wait.
 #[derive(Debug, Default)]
 pub struct Notice {
-    changes: Cell<u64>,
-    last_waiting: Cell<u64>,
-    waiting: RefCell<BTreeMap<u64, Waker>>,
+    change_count: Cell<u64>,
+    last_waiter_id: Cell<u64>,
+    waiters: RefCell<BTreeMap<u64, Waker>>,
 }
 
 impl Notice {
-    /// Wakes all waiting tasks.
+    /// Reports a change: wakes all waiting tasks.
     pub fn raise(&self) {
-        self.changes.set(self.changes.get() + 1);
-        let waiting = self.waiting.take();
-        waiting.into_values().for_each(Waker::wake);
+        self.change_count.set(self.change_count.get() + 1);
+        let waiters = self.waiters.take();
+        waiters.into_values().for_each(Waker::wake);
     }
 
-    /// Ready at the first change from now on.
+    /// A future that is ready at the first change after this call, even if it is polled only later.
     pub fn changed(&self) -> Changed<'_> {
-        self.last_waiting.set(self.last_waiting.get() + 1);
-        Changed { notice: self, number: self.last_waiting.get(), seen: self.changes.get() }
+        self.last_waiter_id.set(self.last_waiter_id.get() + 1);
+        Changed {
+            notice: self,
+            waiter_id: self.last_waiter_id.get(),
+            initial_change_count: self.change_count.get(),
+        }
     }
 }
 
-/// A wait for a change.
+/// The future that [`Notice::changed`] returns. Dropping it ends the wait.
 #[derive(Debug)]
 pub struct Changed<'notice> {
     notice: &'notice Notice,
-    number: u64,
-    seen: u64,
+    waiter_id: u64,
+    initial_change_count: u64,
 }
 
 impl Future for Changed<'_> {
     type Output = ();
 
     fn poll(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.notice.changes.get() != self.seen {
+        if self.notice.change_count.get() != self.initial_change_count {
             return Poll::Ready(());
         }
-        self.notice.waiting.borrow_mut().insert(self.number, context.waker().clone());
+        self.notice.waiters.borrow_mut().insert(self.waiter_id, context.waker().clone());
         Poll::Pending
     }
 }
 
 impl Drop for Changed<'_> {
     fn drop(&mut self) {
-        self.notice.waiting.borrow_mut().remove(&self.number);
+        self.notice.waiters.borrow_mut().remove(&self.waiter_id);
     }
 }
--- a/crates/proxy/src/replica/attempt.rs
+++ b/crates/proxy/src/replica/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: sends a request to a replica, and reads the response up to the point where forwarding may begin.
+//! Runs an attempt: sends a request to a replica, and reads the response up to the point where forwarding may begin.
 
 use std::rc::Rc;
 
--- a/crates/proxy/src/replica/outcome.rs
+++ b/crates/proxy/src/replica/outcome.rs
@@ -146,10 +146,10 @@
 /// Whether a request has run, as far as is known. After several attempts the greatest value applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Execution {
-    /// It has not run, and this attempt can no longer run it.
+    /// The request has not run, and this attempt can no longer run it.
     NotRun,
-    /// It may have run, or may still run.
+    /// The request may have run, or may still run.
     MayHaveRun,
-    /// It has run.
+    /// The request has run.
     HasRun,
 }
--- a/crates/proxy/src/replica/replicas.rs
+++ b/crates/proxy/src/replica/replicas.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// One incarnation of a replica.
+/// An entry of the replica list: an incarnation of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaEntry {
     /// The id, which is unique to this incarnation.
--- a/crates/proxy/src/updates.rs
+++ b/crates/proxy/src/updates.rs
@@ -1,4 +1,4 @@
-//! Applies changes from the control plane and the settings to the proxy.
+//! Applies updates from the control plane and from reloaded settings to the proxy.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,14 +18,15 @@
 use crate::proxy::Proxy;
 
 impl Proxy {
-    /// Applies the time limits of newer settings. Retry budgets start empty again if their allowance changes.
+    /// Applies the time limits of reloaded settings. If the retry allowance changes, all retry budgets start empty
+    /// again.
     pub fn set_time_limits(&self, limits: &TimeLimits) {
         self.configuration.set_gate(FreshnessGate::of(limits));
         self.weights_expiry.set_term(limits.revision_term());
         self.retry_budgets.set_allowance(RetryAllowance::of(limits));
     }
 
-    /// Applies a configuration.
+    /// Applies a new version of the configuration.
     pub fn set_configuration(&self, configuration: Arc<Configuration>) {
         log::info!(
             revision = configuration.revision.0, routes = configuration.routes.len(),
@@ -43,7 +44,7 @@
         self.configuration.set(configuration);
     }
 
-    /// Applies the list of replicas. `weights` says which revisions of their weights may still be used.
+    /// Applies a new replica list. `weights` determines which revisions of the weights may still be used.
     pub fn set_fleet<'a>(&self, rows: impl IntoIterator<Item = &'a Replica>, weights: &WeightsTable) {
         let changed_services = {
             let mut zones = self.zones.borrow_mut();
@@ -56,26 +57,27 @@
         self.weights_expiry.update(weights, clock::now());
     }
 
-    /// Applies how much work of all proxies is queued at replicas.
+    /// Applies a report of the work that all proxies together have queued at each replica.
     pub fn set_loads<'a>(&self, loads: impl IntoIterator<Item = (&'a Replica, u8)>) {
-        let mut by_service: BTreeMap<&str, Vec<ReplicaWork>> = BTreeMap::new();
+        let mut loads_by_service: BTreeMap<&str, Vec<ReplicaWork>> = BTreeMap::new();
         for (replica, work) in loads {
-            let load = ReplicaWork { replica: ReplicaId::from(replica.id.as_str()), work: work.into() };
-            by_service.entry(&replica.service).or_default().push(load);
+            let replica_work =
+                ReplicaWork { replica: ReplicaId::from(replica.id.as_str()), work: work.into() };
+            loads_by_service.entry(&replica.service).or_default().push(replica_work);
         }
         let mut placement = self.placement.borrow_mut();
-        by_service
+        loads_by_service
             .into_iter()
             .for_each(|(service, loads)| placement.set_loads(placed_request::now(), service, loads));
     }
 
-    /// Sets how many proxies share the fleet.
+    /// Sets the number of proxies that share the fleet.
     pub fn set_proxy_count(&self, proxy_count: u32) {
         self.placement.borrow_mut().set_group_size(proxy_count);
         self.retry_budgets.set_proxy_count(proxy_count);
     }
 
-    /// Sends a replica no more requests, since its address belongs to another one.
+    /// Stops sending requests to an incarnation of a replica whose address another incarnation has taken over.
     pub fn displace(&self, id: &ReplicaId) {
         let service = self.replicas.borrow_mut().displace(id);
         if let Some(service) = service {
