--- a/crates/proxy/src/placement/budget.rs
+++ b/crates/proxy/src/placement/budget.rs
@@ -2,9 +2,9 @@
 
 use tulipridge_runtime::settings::TimeLimits;
 
-/// Fraction of the ratio that is granted; the rest covers requests that clients count in another window.
+/// Fraction of the allowed ratio that is used. The rest is a margin for requests that clients count in another window.
 const GRANTED_RATIO_FRACTION: f64 = 0.9;
-/// Fraction of the spare retries of the fleet that the known proxies share; the other half is reserved for up to as
+/// Fraction of the spare retries of the fleet that the known proxies share. The other half is reserved for up to as
 /// many proxies that are not known yet.
 const GRANTED_SPARE_FRACTION: f64 = 0.5;
 
@@ -18,7 +18,7 @@
 }
 
 impl RetryAllowance {
-    /// The allowance of the settings.
+    /// The allowance that the settings specify.
     #[must_use]
     pub fn of(limits: &TimeLimits) -> RetryAllowance {
         RetryAllowance { ratio: limits.retry_ratio, spare: limits.spare_tries as f64 }
@@ -43,7 +43,7 @@
         RetryBudget { allowance, capacity: 0.0, tokens: 0.0 }
     }
 
-    /// Sets the capacity to the share of one of `proxy_count` proxies.
+    /// Sets the capacity to the share of the fleet's spare retries that one of `proxy_count` proxies has.
     pub fn set_proxy_count(&mut self, proxy_count: u32) {
         self.capacity = self.allowance.spare * GRANTED_SPARE_FRACTION / f64::from(proxy_count.max(1));
         self.tokens = self.tokens.min(self.capacity);
@@ -54,7 +54,7 @@
         self.tokens = (self.tokens + self.allowance.ratio * GRANTED_RATIO_FRACTION).min(self.capacity);
     }
 
-    /// Takes a token for a retry; false if there is none, and then the retry must not be sent.
+    /// Takes a token for a retry. Returns false if there is none, in which case the retry must not be sent.
     pub fn take_token(&mut self) -> bool {
         let has_token = self.tokens >= 1.0;
         if has_token {
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! Chooses the replica for each request: one load balancer per service, their timers, and the actions they decide for
-//! each request. The current time is passed in.
+//! Selects the replica for each request. Holds the load balancer of each service, the timers of the load balancers, and
+//! the actions that they decide for each request. The current time is passed in.
 
 pub mod budget;
 pub mod placed_request;
@@ -33,14 +33,14 @@
 /// Upper limit of the retry-after delay of a refused request, in nanoseconds.
 const MAX_RETRY_AFTER_NS: Nanos = 1_000_000_000;
 
-/// What the load balancer decides for one request.
+/// An action that the load balancer decides for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestAction {
-    /// Send it to a replica. Attempts are numbered from 0.
+    /// Send the request to a replica. Attempts are numbered from 0.
     Send {
-        /// The attempt's number.
+        /// The number of the attempt.
         attempt: u32,
-        /// The replica to send it to.
+        /// The replica to send the request to.
         replica: ReplicaId,
     },
     /// Cancel an attempt.
@@ -54,28 +54,28 @@
 /// A request that is to be sent to a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest {
-    /// Class of its route.
+    /// The request class of the route.
     pub class: ClassIndex,
-    /// Time until its deadline.
+    /// The time until the deadline of the request.
     pub expires_in: Duration,
-    /// Its prompt.
+    /// The prompt of the request.
     pub prompt: Prompt,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOutcome {
-    /// The attempt's number.
+    /// The number of the attempt.
     pub attempt: u32,
-    /// How it ended.
+    /// The verdict on the replica.
     pub verdict: Verdict,
-    /// Time since it began.
+    /// The time since the attempt began.
     pub elapsed: Duration,
     /// Whether the request ends with this attempt.
     pub ends_request: bool,
 }
 
-/// A request that is placed, until it has ended.
+/// A placed request that has not ended.
 struct ActiveRequest {
     service: ServiceIndex,
     actions: VecDeque<RequestAction>,
@@ -102,7 +102,7 @@
     requests: BTreeMap<RequestId, ActiveRequest>,
     last_id: u64,
     timers: TimerQueue,
-    /// An empty list, kept for its allocation.
+    /// A buffer for actions, which is empty between calls and kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Applies a configuration: each route is a request class, and each service has a load balancer. Load balancers of
-    /// removed services are kept for the requests that are still active.
+    /// Applies a configuration: each route is a request class, and each service with replicas has a load balancer. Load
+    /// balancers of removed services are kept for the requests that are still active.
     pub fn configure(&mut self, configuration: &Configuration) {
         for route in &configuration.routes {
             let class = route_class::class_of(route);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Sets how many proxies share the fleet; 0 counts as one.
+    /// Sets the number of proxies that share the fleet; 0 counts as 1.
     pub fn set_group_size(&mut self, proxy_count: u32) {
         let proxy_count = proxy_count.max(1);
         if proxy_count != self.group_size {
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Sets the work of all proxies that is queued at the replicas of a service.
+    /// Sets the work that all proxies together have queued at the replicas of a service.
     pub fn set_loads(&mut self, now: Nanos, service: &str, loads: Vec<ReplicaWork>) {
         if let Some(&service) = self.service_index.get(service) {
             self.handle_event(now, service, None, Event::Loads(loads));
@@ -207,7 +207,8 @@
         self.class_index.get(route).copied()
     }
 
-    /// Places a request. None if the service has no load balancer.
+    /// Places a request. None if the service has no load balancer: no configuration so far has listed it, or it was only
+    /// listed as a store and so never had replicas. Also None if its load balancer could not be created.
     pub fn place(&mut self, now: Nanos, service: &str, request: PlacementRequest) -> Option<RequestId> {
         let &service = self.service_index.get(service)?;
         self.last_id += 1;
@@ -257,8 +258,8 @@
         self.handle_request_event(now, id, event);
     }
 
-    /// Ends a request; the outcomes of all its attempts must be recorded before. Its timers are run early, which
-    /// saves their wake-ups.
+    /// Ends a request. The outcomes of all its attempts must have been recorded. Runs the timers of the request early,
+    /// to save their wake-ups.
     pub fn end_request(&mut self, now: Nanos, id: RequestId) {
         self.handle_request_event(now, id, Event::Expired(id));
         let Some(request) = self.requests.remove(&id) else { return };
@@ -269,7 +270,7 @@
         }
     }
 
-    /// The next action for a request, first in, first out.
+    /// The next action for a request, in the order in which the load balancer decided them.
     pub fn poll_action(&mut self, id: RequestId, context: &mut Context<'_>) -> Poll<RequestAction> {
         let Some(request) = self.requests.get_mut(&id) else { return Poll::Pending };
         if let Some(action) = request.actions.pop_front() {
@@ -282,7 +283,7 @@
         Poll::Pending
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due.
     #[must_use]
     pub fn next_timer(&self) -> Option<Nanos> {
         self.timers.next_due()
@@ -316,7 +317,8 @@
         }
     }
 
-    /// Passes an event to a load balancer and applies the resulting actions. `request` is the request it concerns.
+    /// Passes an event to a load balancer and applies the resulting actions. `request` is the request that the event
+    /// concerns. All calls of [`LoadBalancer::handle`] are made here.
     fn handle_event(
         &mut self,
         now: Nanos,
--- a/crates/proxy/src/placement/placed_request.rs
+++ b/crates/proxy/src/placement/placed_request.rs
@@ -1,4 +1,5 @@
-//! A placed request: receives actions from its load balancer and reports events to it. Also the timer task.
+//! A placed request, which receives actions from the load balancer and reports events to it; and the task that runs the
+//! load balancers' timers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,10 +12,10 @@
 
 use crate::placement::{AttemptOutcome, Placement, PlacementRequest, RequestAction};
 
-/// A request that is cancelled this shortly before its deadline counts as timed out.
+/// An attempt that is cancelled less than this before the deadline counts as timed out.
 const DEADLINE_SLACK: Duration = Duration::from_millis(50);
 
-/// The load balancers' clock.
+/// The current time on the clock that the load balancers use.
 #[must_use]
 pub fn now() -> Nanos {
     clock::now().as_nanos() as Nanos
@@ -28,8 +29,8 @@
     is_written: bool,
 }
 
-/// A placed request. Dropping it ends the request at the load balancer and cancels an attempt that is
-/// in flight.
+/// A placed request. Dropping it cancels the attempt in flight, if there is one, and ends the request at the load
+/// balancer.
 pub struct PlacedRequest {
     placement: Rc<RefCell<Placement>>,
     id: RequestId,
@@ -38,7 +39,8 @@
 }
 
 impl PlacedRequest {
-    /// Places a request that expires at `deadline`; none if its service has no load balancer.
+    /// Places a request that expires at `deadline`. None if the service is unknown or never had replicas, see
+    /// [`Placement::place`].
     pub fn place(
         placement: &Rc<RefCell<Placement>>,
         service: &str,
@@ -59,7 +61,8 @@
         self.in_flight = Some(InFlight { attempt, began_at: Instant::now(), is_written: false });
     }
 
-    /// Records that the attempt is being written: from now on it may run, and counts as `work` units at the replica.
+    /// Records that the attempt in flight is written to the replica now: the request may run from now on, and counts as
+    /// `work` units of work there.
     pub fn record_send(&mut self, replica: &ReplicaId, work: u32) {
         self.placement.borrow_mut().record_send(now(), self.id, replica, work);
         if let Some(attempt) = &mut self.in_flight {
@@ -67,26 +70,27 @@
         }
     }
 
-    /// Whether the attempt in flight may have run.
+    /// Whether the attempt in flight may have run the request.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.in_flight.is_some_and(|attempt| attempt.is_written)
     }
 
-    /// Records that the response to the attempt has begun.
+    /// Records that the response to the attempt in flight has begun.
     pub fn record_first_token(&mut self) {
         let Some(InFlight { attempt, began_at, .. }) = self.in_flight else { return };
         self.placement.borrow_mut().record_first_token(now(), self.id, attempt, began_at.elapsed());
     }
 
-    /// Ends the attempt, and with it the request if `ends_request`.
+    /// Ends the attempt in flight, if there is one. `ends_request` states that the request ends with it.
     pub fn end_attempt(&mut self, verdict: Verdict, ends_request: bool) {
         let Some(InFlight { attempt, began_at, .. }) = self.in_flight.take() else { return };
         let outcome = AttemptOutcome { attempt, verdict, elapsed: began_at.elapsed(), ends_request };
         self.placement.borrow_mut().record_outcome(now(), self.id, outcome);
     }
 
-    /// Ends the attempt as cancelled by the proxy.
+    /// Ends the attempt in flight, which the proxy cancels. The verdict depends on whether the attempt may have run and
+    /// on whether the deadline has passed.
     pub fn cancel_attempt(&mut self, ends_request: bool) {
         let has_timed_out = Instant::now() + DEADLINE_SLACK >= self.deadline;
         let verdict = match self.may_have_run() {
@@ -105,7 +109,7 @@
     }
 }
 
-/// Runs the load balancers' timers as they come due; never returns.
+/// Runs the timers of the load balancers when they are due; never returns.
 pub async fn run_timers(placement: Rc<RefCell<Placement>>, alarms: crate::alarms::Alarms) {
     loop {
         placement.borrow_mut().run_timers(now());
--- a/crates/proxy/src/placement/prompt.rs
+++ b/crates/proxy/src/placement/prompt.rs
@@ -1,4 +1,4 @@
-//! The prompt headers of a request, and the ring key that is derived from them.
+//! Parses the prompt headers of a request, from which the load balancer derives the ring key.
 
 use tulipridge_http1::codec::Head;
 use tulipridge_prefix_cache_index::prefix_hash;
@@ -6,37 +6,37 @@
 /// A segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Hash of its id.
+    /// The hash of the id of the segment.
     pub hash: u64,
-    /// Its tokens.
+    /// The number of tokens in the segment.
     pub tokens: u32,
 }
 
 impl PromptSegment {
-    /// The segment with this id.
+    /// A segment with this id.
     #[must_use]
     pub fn new(id: &str, tokens: u32) -> PromptSegment {
         PromptSegment { hash: prefix_hash(id), tokens }
     }
 }
 
-/// The prompt as the load balancer uses it.
+/// The properties of a prompt that the load balancer uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// Hash of the last segment that is shared with other requests.
     pub shared: Option<u64>,
     /// Hash of the last segment, which belongs to the request or to its session.
     pub session: Option<u64>,
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub tokens: u32,
-    /// Tokens of all segments but the last.
+    /// The number of tokens in all segments except the last.
     pub shared_tokens: u32,
-    /// Maximum tokens of the response.
+    /// The maximum number of tokens in the response.
     pub max_output_tokens: u32,
 }
 
 impl Prompt {
-    /// Tokens that no other request shares.
+    /// The number of tokens that are not shared with other requests.
     #[must_use]
     pub fn unshared_tokens(&self) -> u32 {
         self.tokens.saturating_sub(self.shared_tokens)
@@ -48,12 +48,12 @@
 pub struct PromptHeaders {
     /// The prompt as a whole.
     pub prompt: Prompt,
-    /// The segments that are shared with other requests, in order: all but the last.
+    /// The segments that are shared with other requests, in order: all except the last.
     pub prefix_segments: Vec<PromptSegment>,
 }
 
 impl PromptHeaders {
-    /// Parses `Prompt-Start` and `Token-Count`. Values that cannot be parsed count as absent.
+    /// Parses the headers `Prompt-Start` and `Token-Count`. Values that cannot be parsed count as absent.
     pub fn read(head: &Head) -> PromptHeaders {
         let mut segments: Vec<_> =
             head.get("prompt-start").map(|list| segments(list).collect()).unwrap_or_default();
--- a/crates/proxy/src/placement/queued_work.rs
+++ b/crates/proxy/src/placement/queued_work.rs
@@ -1,4 +1,4 @@
-//! The work that this proxy has sent to replicas and that they have not started.
+//! The work that this proxy has sent to replicas and to which no response has begun.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 /// Queued work by replica, in units of [`WORK_UNIT_TOKENS`].
 pub type WorkByReplica = BTreeMap<ReplicaId, u32>;
 
-/// Called with all queued work each time it has changed.
+/// A function that is called with all queued work after each change.
 type Listener = Box<dyn Fn(&WorkByReplica)>;
 
 /// The table of queued work, and the listener that is notified of changes.
@@ -27,26 +27,26 @@
     units: u32,
 }
 
-/// Work units of a request with `unread_tokens` to prefill: one per request, plus one for each whole unit of tokens.
+/// The work units of a request with `unread_tokens` to prefill: 1, plus 1 for each full [`WORK_UNIT_TOKENS`].
 #[must_use]
 pub fn work_units(unread_tokens: u32) -> u32 {
     1 + unread_tokens / WORK_UNIT_TOKENS
 }
 
 impl QueuedWorkTable {
-    /// Sets the function that is called at each change.
+    /// Sets the function that is called after each change.
     pub fn on_change(&self, listener: impl Fn(&WorkByReplica) + 'static) {
         *self.listener.borrow_mut() = Some(Box::new(listener));
     }
 
-    /// Counts work that is sent to a replica until the guard is dropped.
+    /// Adds work that is sent to a replica. It counts as queued until the guard is dropped.
     pub fn add(self: &Rc<Self>, replica: &ReplicaId, units: u32) -> QueuedWorkGuard {
         *self.queued.borrow_mut().entry(replica.clone()).or_default() += units;
         self.publish();
         QueuedWorkGuard { table: self.clone(), replica: replica.clone(), units }
     }
 
-    /// Notifies the listener of all queued work, also when the positions of replicas in the feed have changed.
+    /// Calls the listener with all queued work. Must also be called when the positions of replicas in the feed change.
     pub fn publish(&self) {
         if let Some(listener) = &*self.listener.borrow() {
             listener(&self.queued.borrow());
--- a/crates/proxy/src/placement/route_class.rs
+++ b/crates/proxy/src/placement/route_class.rs
@@ -7,22 +7,23 @@
 
 use crate::replica::outcome::RequestKind;
 
-/// Value of a late response, relative to one in time.
+/// Value of a late response, relative to a response in time.
 const LATE_VALUE: f64 = 0.3;
-/// A route without a target gets its time limit divided by this.
+/// The target of a route that specifies none is its time limit divided by this.
 const DEFAULT_TARGET_DIVISOR: u64 = 4;
-/// Clients abandon a stream after an idle time of at least this length ...
+/// Minimum client timeout: the idle time after which clients abandon a stream. The longest of this minimum and the two
+/// multiples below applies, up to the time limit of the route.
 const MIN_CLIENT_TIMEOUT_MS: u64 = 2_000;
-/// ... or of this multiple of the target ...
+/// Client timeout as a multiple of the route's target.
 const CLIENT_TIMEOUT_PER_TARGET: u64 = 4;
-/// ... or of this multiple of the longest gap in time, whichever is longest.
+/// Client timeout as a multiple of the route's target for gaps within a stream.
 const CLIENT_TIMEOUT_PER_GAP: u64 = 8;
-/// The first-token target, as a fraction of the client timeout: late responses have a part of their value, and those
-/// that arrive after the client has timed out have none.
+/// First-token target as a fraction of the client timeout. A late response still has a part of its value; one that
+/// arrives after the client has timed out has none.
 const TARGET_PER_CLIENT_TIMEOUT: f64 = 0.75;
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// Whether the requests of a route may run twice.
+/// The effect of the requests of a route: safe if they may run more than once.
 #[must_use]
 pub fn effect_of(route: &Route) -> Effect {
     if RequestKind::of(route).is_repeatable() { Effect::Safe } else { Effect::Unsafe }
@@ -43,7 +44,7 @@
     }
 }
 
-/// The time within which a response of a route has its full value.
+/// The time within which a response has its full value.
 #[must_use]
 pub fn latency_target(route: &Route) -> Duration {
     Duration::from_millis(target_ms(route))
@@ -53,7 +54,8 @@
     if route.target_ms > 0 { route.target_ms } else { route.time_limit_ms / DEFAULT_TARGET_DIVISOR }
 }
 
-/// The target for the time to first token that the load balancer uses.
+/// The target for the time to first token that the load balancer uses. For streams, it is derived from the client
+/// timeout if that gives a longer time than the target of the route.
 fn first_token_target_ms(route: &Route) -> u64 {
     let target = target_ms(route);
     if route.kind != RouteKind::Stream {
--- a/crates/proxy/src/placement/timers.rs
+++ b/crates/proxy/src/placement/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the load balancers, in the order in which they are due.
+//! The queue of the load balancers' timers, ordered by due time.
 
 use std::collections::BTreeMap;
 use std::task::{Context, Poll, Waker};
@@ -24,7 +24,7 @@
     pub(crate) request: Option<RequestId>,
 }
 
-/// Timers that have not run.
+/// The timers that have not run yet.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BTreeMap<TimerKey, Option<RequestId>>,
@@ -32,12 +32,12 @@
 }
 
 impl TimerQueue {
-    /// When the next timer is due.
+    /// The time at which the next timer is due.
     pub(crate) fn next_due(&self) -> Option<Nanos> {
         self.timers.first_key_value().map(|(key, _)| key.due)
     }
 
-    /// Adds a timer, and wakes the waiting task if it is due before all others.
+    /// Adds a timer. Wakes the waiting task if the timer is due before all others.
     pub(crate) fn insert(&mut self, key: TimerKey, request: Option<RequestId>) {
         let is_first = self.next_due().is_none_or(|first| key.due < first);
         self.timers.insert(key, request);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Removes a timer; false if it has already run.
+    /// Removes a timer. Returns false if the timer has already run.
     pub(crate) fn remove(&mut self, key: &TimerKey) -> bool {
         self.timers.remove(key).is_some()
     }
--- a/crates/proxy/src/placement/urgency.rs
+++ b/crates/proxy/src/placement/urgency.rs
@@ -1,15 +1,15 @@
 //! The priority of a request at its replica.
 //!
-//! A replica admits requests in order of priority, and prefills one prompt at a time. By rank alone, a short
-//! prompt would wait behind every long prompt of a higher rank. So a request with clearly more tokens to prefill
-//! than the mean is lowered by one rank or more: short prefills go ahead of those that delay others, and
-//! among requests of similar length the rank decides.
+//! A replica admits requests in order of priority, and prefills one prompt at a time. If the rank alone determined the
+//! priority, a short prompt would wait behind every long prompt of a higher rank. Therefore the priority of a request
+//! with considerably more tokens to prefill than the mean is lowered by 1 to 3 ranks: short prefills precede long ones
+//! that would delay others, and among requests of similar length the rank decides.
 
 use tulipridge_configuration::number::Rank;
 
 /// The lowest priority that replicas support.
 const LAST_PRIORITY: u8 = 9;
-/// Multiples of the mean prefill length above which a request is lowered by one rank, two ranks, and three ranks.
+/// Multiples of the mean prefill length above which the priority is lowered by 1, 2 and 3 ranks.
 const STEPS: [f64; 3] = [1.25, 3.0, 6.0];
 /// Weight of the newest request in the mean.
 const MEAN_GAIN: f64 = 0.02;
@@ -21,7 +21,7 @@
 }
 
 impl Urgency {
-    /// The priority, 0 first, of a request with this rank and `unread_tokens` to prefill.
+    /// The priority, 0 first, of a request with this rank and `unread_tokens` to prefill. Adds the request to the mean.
     pub fn priority(&mut self, rank: Rank, unread_tokens: u32) -> u8 {
         let unread = f64::from(unread_tokens);
         let mean = self.mean_tokens.unwrap_or(unread);
--- a/crates/proxy/src/replica/mod.rs
+++ b/crates/proxy/src/replica/mod.rs
@@ -6,7 +6,7 @@
 //! | [`pool`], [`connection`], [`connection_state`], [`permit`], [`connect_error`] | pooled connections and their reuse |
 //! | [`attempt`], [`response`], [`classify`] | sending a request to one replica and reading its response |
 //! | [`outcome`], [`request_kind`], [`retry`] | the outcome of an attempt, and the retry table |
-//! | [`weights_expiry`] | cancellation of requests that are still queued on a withdrawn revision of the weights |
+//! | [`weights_expiry`] | cancellation of requests queued on a withdrawn revision of the weights |
 
 pub mod attempt;
 pub mod classify;
