--- a/crates/proxy/src/active_configuration.rs
+++ b/crates/proxy/src/active_configuration.rs
@@ -12,10 +12,10 @@
 use crate::bounds::client_limits;
 use crate::freshness::{Credentials, FreshnessGate};
 
-/// Returns the time since the configuration was last known to be the newest; none if it never was.
+/// Returns the time since the configuration was last known to be the newest. None if it never was.
 pub type ConfigurationAge = Box<dyn Fn() -> Option<Duration>>;
 
-/// The newest configuration with what is derived from it.
+/// The newest configuration, with the lookup tables and limits that are derived from it.
 pub struct ActiveConfiguration {
     routing: RefCell<Option<Rc<Routing>>>,
     client_limits: RefCell<Rc<Http1Limits>>,
@@ -41,7 +41,7 @@
         *self.routing.borrow_mut() = Some(Routing::new(configuration));
     }
 
-    /// Sets the age up to which the configuration may be used.
+    /// Sets the maximum ages up to which the configuration may be used.
     pub fn set_gate(&self, gate: FreshnessGate) {
         self.gate.set(gate);
     }
--- a/crates/proxy/src/bounds.rs
+++ b/crates/proxy/src/bounds.rs
@@ -11,7 +11,7 @@
 
 /// File descriptors that the platform reserves for files outside the disk folder.
 const RESERVED_DESCRIPTORS: u64 = 200;
-/// File descriptors for the listeners, the feed, the reactor and the signals.
+/// File descriptors that the proxy needs for its listeners, the feed, the reactor and signals.
 const OWN_DESCRIPTORS: u64 = 100;
 /// Connections to replicas may take the remaining descriptors divided by this.
 const REPLICA_DIVISOR: u64 = 3;
@@ -40,7 +40,7 @@
 }
 
 impl ResourceLimits {
-    /// The limits for the number of file descriptors that the process may open.
+    /// The limits for a process that may open this many file descriptors.
     #[must_use]
     pub fn for_file_handles(file_handles: u64) -> Self {
         let free = file_handles.saturating_sub(RESERVED_DESCRIPTORS + OWN_DESCRIPTORS).max(3);
@@ -53,7 +53,7 @@
     }
 }
 
-/// The resources in use.
+/// The resources in use, with their limits.
 pub struct ResourceUsage {
     limits: ResourceLimits,
     open_clients: Cell<usize>,
@@ -86,7 +86,7 @@
         self.open_clients.get()
     }
 
-    /// Ready once the bodies in memory are within their limit.
+    /// Waits until the bodies in memory are within their limit.
     pub async fn body_capacity(&self) {
         while self.body_bytes.get() > self.limits.body_bytes {
             self.body_bytes_freed.changed().await;
--- a/crates/proxy/src/downstream/relay.rs
+++ b/crates/proxy/src/downstream/relay.rs
@@ -1,4 +1,4 @@
-//! Relays a replica's success to a client as it arrives.
+//! Relays a successful response of a replica to a client as it arrives.
 
 use std::future::poll_fn;
 use std::io::{self, Write};
@@ -62,7 +62,7 @@
         let events = (may_resume && is_stream && !is_head_request).then(EventTracker::default);
         let framing = match response.framing {
             _ if is_head_request || matches!(response.head.status(), 204 | 304) => Framing::None,
-            // Another replica that resumes the stream may send a rest of a different length.
+            // The remainder from another replica that resumes the stream may have a different length.
             _ if events.is_some() => Framing::Chunked,
             Body::Length(length) => Framing::Length(length),
             Body::Chunked(_) => Framing::Chunked,
@@ -108,8 +108,8 @@
         self.events.as_mut().is_some_and(EventTracker::discard_partial)
     }
 
-    /// Forwards a response, or the rest of one that another replica began, to its end. Ends with
-    /// [`RelayEnd::UpstreamBroken`] at `abort_at`.
+    /// Forwards a response, or the remainder of one that another replica began, to its end. Returns
+    /// [`RelayEnd::UpstreamBroken`] if the response is not complete by `abort_at`.
     pub async fn forward(
         &mut self,
         proxy: &Proxy,
--- a/crates/proxy/src/headers/request.rs
+++ b/crates/proxy/src/headers/request.rs
@@ -9,7 +9,7 @@
 use super::{HOP_BY_HOP, is_one_of, nominated_by_connection, write_line, write_number};
 use crate::kv_cache::KvTransfer;
 
-/// Headers of a client that are not forwarded: credentials, framing, and headers that only the proxy may set.
+/// Headers of clients that are not forwarded: credentials, framing, and headers that only the proxy may set.
 const NOT_FORWARDED: [&str; 11] = [
     "authorization",
     "cache-salt",
@@ -24,38 +24,38 @@
     "time-left-ms",
 ];
 
-/// The header with the id of the last event of a stream that the client, or the proxy, has received.
+/// The header with the id of the last event of a stream that was received, by the client or by the proxy.
 const LAST_EVENT_ID: &str = "last-event-id";
 
 /// The headers that the proxy adds to a request for one replica.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Additions<'a> {
-    /// Id of the target replica.
+    /// The id of the target replica.
     pub replica: &'a str,
-    /// Label of the tenant.
+    /// The label of the tenant.
     pub tenant: Option<&'a str>,
-    /// Time until the deadline of the request.
+    /// The time until the deadline of the request.
     pub time_left: Duration,
-    /// Priority, 0 first.
+    /// The priority, 0 first.
     pub priority: u8,
-    /// Revision that the replica's weights must have.
+    /// The revision that the replica's weights must have.
     pub revision: Option<WeightsRevision>,
-    /// Cache salt: prefixes are shared only between requests with the same salt.
+    /// The cache salt. Prefixes are shared only between requests with the same salt.
     pub salt: Option<&'a str>,
     /// Where the replica fetches KV cache from and saves it to.
     pub kv: KvTransfer,
-    /// The event after which a stream is resumed. If absent, the client's own header is forwarded.
+    /// The id of the event after which the stream is resumed. If None, the client's own header is forwarded.
     pub last_event_id: Option<&'a str>,
 }
 
-/// Writes the head of a client's request for a replica.
+/// Encodes the head of a request to a replica: the client's headers that are forwarded, and the proxy's additions.
 pub fn write_request_head(head: &Head, body_bytes: usize, additions: &Additions<'_>, out: &mut Vec<u8>) {
     let [method, target, _] = &head.start;
     write_line(out, &[method, " ", target, " HTTP/1.1"]);
     let nominated = nominated_by_connection(head);
     for (name, value) in &head.headers {
-        let resumed = additions.last_event_id.is_some() && name.eq_ignore_ascii_case(LAST_EVENT_ID);
-        if !resumed
+        let is_replaced = additions.last_event_id.is_some() && name.eq_ignore_ascii_case(LAST_EVENT_ID);
+        if !is_replaced
             && !is_one_of(name, &HOP_BY_HOP)
             && !is_one_of(name, &NOT_FORWARDED)
             && !nominated.contains(name)
--- a/crates/proxy/src/headers/response.rs
+++ b/crates/proxy/src/headers/response.rs
@@ -1,4 +1,4 @@
-//! Encodes the head of the response to a client, from the response of a replica.
+//! Encodes the head of the response to a client from the head of a replica's response.
 
 use tulipridge_http1::codec::{self, Head};
 
@@ -10,30 +10,34 @@
 /// 204 No Content: the response has no body and must not have a length.
 const NO_CONTENT: u16 = 204;
 
-/// How the end of a response body is marked.
+/// How the response body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length.
+    /// By `Content-Length`.
     Length(usize),
-    /// By the last chunk.
+    /// By `Transfer-Encoding: chunked`.
     Chunked,
-    /// By the end of the connection.
+    /// By the close of the connection.
     UntilClose,
     /// There is no body; the replica's `Content-Length` is forwarded.
     None,
 }
 
-/// Writes the head of a replica's response for the client. Headers with control characters in their values are left
-/// out: a line end in one would begin a header that the replica did not send.
+/// Encodes the head of a replica's response for the client. Headers with control characters in their values are left
+/// out: a client might read such a character as a line end, and the rest of the value as another header.
 pub fn write_response_head(head: &Head, framing: Framing, persistence: Persistence, out: &mut Vec<u8>) {
-    let stated = &head.start[2];
-    let reason = if is_plain(stated) { stated } else { codec::reason(head.status()) };
+    let replica_reason = &head.start[2];
+    let reason = if is_plain(replica_reason) { replica_reason } else { codec::reason(head.status()) };
     write_line(out, &["HTTP/1.1 ", &head.start[1], " ", reason]);
     let nominated = nominated_by_connection(head);
     let drops_length = framing != Framing::None || head.status() == NO_CONTENT;
     for (name, value) in &head.headers {
-        let length = drops_length && name.eq_ignore_ascii_case("content-length");
-        if !length && is_plain(value) && !is_one_of(name, &HOP_BY_HOP) && !nominated.contains(name) {
+        let is_dropped_length = drops_length && name.eq_ignore_ascii_case("content-length");
+        if !is_dropped_length
+            && is_plain(value)
+            && !is_one_of(name, &HOP_BY_HOP)
+            && !nominated.contains(name)
+        {
             write_line(out, &[name, ": ", value]);
         }
     }
--- a/crates/proxy/src/kv_cache/mod.rs
+++ b/crates/proxy/src/kv_cache/mod.rs
@@ -1,5 +1,5 @@
 //! KV cache transfers: the source from which a replica fetches the cache of a shared prompt prefix, and the store that
-//! it saves it to. The time is passed in.
+//! the replica saves the cache to. The current time is passed in.
 //!
 //! The index of the control plane lists which replica or store has cached which prefix segment. It lags by some hundred
 //! milliseconds, so the proxy also remembers which replica it sent a prefix to recently (`recent`). The index may be
@@ -24,7 +24,7 @@
     pub fetch: Option<SocketAddr>,
     /// The store to save the cache of the prefix to.
     pub save: Option<SocketAddr>,
-    /// Tokens of the prefix that neither the replica nor the source has cached.
+    /// The number of tokens of the prefix that neither the replica nor the source has cached.
     pub unread_tokens: u32,
 }
 
--- a/crates/proxy/src/kv_cache/planner.rs
+++ b/crates/proxy/src/kv_cache/planner.rs
@@ -12,14 +12,14 @@
 use super::source::SourceSearch;
 use super::{KvTransfer, Target};
 
-/// How long after a send a replica may have cached a prefix that the index does not list yet.
+/// Time after a send during which the replica may have cached a prefix that the index does not list yet.
 const RECENT_SEND_TTL: Duration = Duration::from_secs(1);
 
-/// Where a prefix may be fetched from.
+/// A source from which a prefix may be fetched.
 #[derive(Clone, Copy, Debug)]
 struct Source {
     address: SocketAddr,
-    /// Tokens of the chain that it has cached, according to the index.
+    /// The number of tokens of the chain that the source has cached, according to the index.
     tokens: u32,
 }
 
@@ -39,7 +39,7 @@
         self.index = index;
     }
 
-    /// Sets the stores of the newest configuration.
+    /// Sets the stores that the newest configuration lists.
     pub fn set_stores(&mut self, stores: Vec<SocketAddrV4>) {
         self.stores = stores;
     }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Tokens of the chain that a replica or a store has cached, according to the index.
+    /// The number of tokens of the chain that a replica or a store has cached, according to the index.
     fn cached_at(&self, address: SocketAddr, chain: &PrefixChain) -> u32 {
         match address {
             SocketAddr::V4(address) => cached_tokens(&self.index.borrow(), address, chain),
@@ -101,7 +101,8 @@
         may_serve.then(|| Source { address, tokens: self.cached_at(address, chain) })
     }
 
-    /// The replica that was recently sent the chain, unless it is known to be down.
+    /// The replica that the chain was recently sent to, unless the index shows it as down. An empty index provides no
+    /// sources, so then a send of any age counts as recent.
     fn recent_target(&self, now: Duration, chain: &PrefixChain) -> Option<SocketAddr> {
         let send = self.recent.get(chain.key()?)?;
         let index = self.index.borrow();
@@ -113,7 +114,8 @@
         (is_recent && !is_down).then_some(send.target)
     }
 
-    /// The store that the prefix belongs to, if it lacks the prefix and was not asked to save it recently.
+    /// The store that the key of the prefix maps to, if the store lacks the prefix and no replica was recently asked to
+    /// save it there.
     fn store_to_save(&self, now: Duration, key: u64, chain: &PrefixChain) -> Option<SocketAddrV4> {
         let index = self.index.borrow();
         let alive: Vec<SocketAddrV4> =
--- a/crates/proxy/src/kv_cache/recent.rs
+++ b/crates/proxy/src/kv_cache/recent.rs
@@ -1,4 +1,4 @@
-//! Remembers the prefixes that this proxy sent recently, since the index lags behind.
+//! Records the prefixes that this proxy sent recently, which the index may not list yet.
 
 use std::net::SocketAddr;
 use std::num::NonZeroUsize;
@@ -6,7 +6,7 @@
 
 use lru::LruCache;
 
-/// Maximum number of prefixes; beyond it, the least recently used one is evicted.
+/// Maximum number of recorded prefixes. Beyond it, the least recently used prefix is evicted.
 const MAX_PREFIXES: NonZeroUsize = NonZeroUsize::new(4096).expect("above 0");
 /// Minimum time between saves of a prefix, so that the index can list the previous save first.
 const SAVE_INTERVAL: Duration = Duration::from_secs(3);
@@ -14,11 +14,11 @@
 /// The last send of a prefix.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecentSend {
-    /// The replica that it was sent to.
+    /// The replica that the prefix was sent to.
     pub(super) target: SocketAddr,
-    /// When it was sent.
+    /// When the prefix was sent.
     pub(super) at: Duration,
-    /// When a replica was last asked to save it to a store.
+    /// When a replica was last asked to save the prefix to a store.
     saved_at: Option<Duration>,
 }
 
@@ -38,13 +38,13 @@
         self.0.peek(&key)
     }
 
-    /// Whether a prefix may be saved now, as no replica was asked to recently.
+    /// Whether a replica may be asked to save a prefix now: none was asked within [`SAVE_INTERVAL`].
     pub(super) fn may_save(&self, now: Duration, key: u64) -> bool {
         let saved_at = self.get(key).and_then(|send| send.saved_at);
         saved_at.is_none_or(|at| now.saturating_sub(at) >= SAVE_INTERVAL)
     }
 
-    /// Records that a prefix is sent to `target` now, and whether the replica is asked to save it.
+    /// Records that a prefix is sent to `target` now, and whether the replica is asked to save the prefix.
     pub(super) fn record(&mut self, now: Duration, key: u64, target: SocketAddr, is_saved: bool) {
         let saved_at = if is_saved { Some(now) } else { self.get(key).and_then(|send| send.saved_at) };
         self.0.put(key, RecentSend { target, at: now, saved_at });
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -207,7 +207,7 @@
         self.class_index.get(route).copied()
     }
 
-    /// Places a request. None if the service has no load balancer: no configuration so far has listed it, or it was only
+    /// Places a request. None if the service has no load balancer: no configuration has listed it yet, or it was only
     /// listed as a store and so never had replicas. Also None if its load balancer could not be created.
     pub fn place(&mut self, now: Nanos, service: &str, request: PlacementRequest) -> Option<RequestId> {
         let &service = self.service_index.get(service)?;
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the proxy share: configuration, replicas, load balancers, connection pool and budgets.
+//! The state that the tasks of the proxy share: configuration, replicas, load balancers, connection pool and budgets.
 //!
 //! [`crate::updates`] applies changes from the control plane and the settings.
 
@@ -31,11 +31,11 @@
 use crate::retry_budgets::RetryBudgets;
 use crate::shutdown::Shutdown;
 
-/// The state that all tasks of the process's one thread share: one field for each part that keeps state of its own.
+/// The state that all tasks of the process share. They run on a single thread.
 pub struct Proxy {
     /// Timers.
     pub alarms: Alarms,
-    /// Counters for the log.
+    /// Counters of requests, attempts and connections.
     pub counters: Counters,
     /// Connections to replicas.
     pub pool: ConnectionPool,
@@ -102,7 +102,7 @@
         self.configuration.caps()
     }
 
-    /// Whether the platform should send clients here.
+    /// Whether the platform should send clients to this process.
     pub fn is_ready(&self) -> bool {
         self.stage() == Stage::Serving
             && self.replicas.borrow().ready_count() > 0
@@ -119,7 +119,7 @@
         self.random.borrow_mut().u128(..)
     }
 
-    /// Ready once requests that have not begun on these weights are to be cancelled.
+    /// Waits until requests that have not started on these weights must be cancelled.
     pub async fn weights_expired(&self, weights: &ModelRevision) {
         self.weights_expiry.expired(&self.alarms, weights).await;
     }
@@ -144,7 +144,7 @@
         self.shutdown.accepts_request(time_left)
     }
 
-    /// Runs the stages of the process. Returns once it may end.
+    /// Runs the stages of a graceful shutdown. Returns once the process may end.
     pub async fn run_lifecycle(&self) {
         self.shutdown.run(&self.alarms, &self.usage).await;
     }
@@ -154,7 +154,7 @@
         ClientPermit::new(&self.usage)
     }
 
-    /// Counts the bytes of a body until it is dropped.
+    /// Counts the bytes of a request body until the counter is dropped.
     pub fn count_body_bytes(&self) -> BodyBytes {
         BodyBytes::new(&self.usage)
     }
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/ready.rs
@@ -11,14 +11,14 @@
 use crate::headers::{LocalResponse, Persistence};
 use crate::proxy::Proxy;
 
-/// The path of the check.
+/// The path of the readiness check.
 const READY_PATH: &str = "/ready";
 /// Idle timeout of a connection, and the timeout for a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Serves readiness checks for the life of the process.
+/// Serves readiness checks; never returns.
 pub async fn listen(proxy: Rc<Proxy>, executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>) {
     loop {
         match listener.accept().await {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Serves the checks of one connection. None once it has ended.
+/// Serves the checks on one connection. Returns None if the connection ends, fails or is idle for too long.
 async fn serve_checks(proxy: &Proxy, mut stream: BufferedStream) -> Option<()> {
     let limits = Http1Limits::default();
     loop {
--- a/crates/proxy/src/replica/classify.rs
+++ b/crates/proxy/src/replica/classify.rs
@@ -19,7 +19,7 @@
 
 impl ResponseClass {
     /// Classifies a response by its `Attempt-Id` header, status and other headers. `attempt_id` and `replica` are those
-    /// of the current attempt. The response to a request without an attempt id has none either.
+    /// of the current attempt. The response to a request without an attempt id has no attempt id either.
     #[must_use]
     pub fn of(head: &Head, attempt_id: Option<&str>, replica: &str) -> ResponseClass {
         if head.get("attempt-id").unwrap_or_default() != attempt_id.unwrap_or_default() {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Whether the body has a content coding. No request asks for one.
+/// Whether the body has a content coding, which no request asks for.
 fn is_encoded(head: &Head) -> bool {
     head.get("content-encoding").is_some_and(|coding| !coding.eq_ignore_ascii_case("identity"))
 }
--- a/crates/proxy/src/replica/permit.rs
+++ b/crates/proxy/src/replica/permit.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Counts one open connection until it is dropped.
+/// A permit for one open connection, which is counted until the permit is dropped.
 #[derive(Debug)]
 pub struct ConnectionPermit(OpenConnectionCount);
 
--- a/crates/proxy/src/replica/pool.rs
+++ b/crates/proxy/src/replica/pool.rs
@@ -19,7 +19,8 @@
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 /// Idle timeout of connections to a replica that announces none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// An idle connection is closed this long before the replica would close it, so that no request meets the close.
+/// An idle connection is closed this long before the replica would close it, so that no request is sent on a connection
+/// that the replica is closing.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 /// Maximum number of idle connections to one replica.
 const MAX_IDLE_PER_REPLICA: usize = 32;
@@ -28,7 +29,7 @@
 /// Idle time before the first TCP keepalive probe, and between further probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A pooled connection, and the time in which it may be reused.
+/// A pooled connection, and the period in which it may be reused.
 struct IdleConnection {
     connection: Connection,
     idle_since: Instant,
@@ -44,7 +45,7 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool. At most `max_open` connections are open at once, whether in use or idle. `limits` apply to each.
+    /// An empty pool. At most `max_open` connections are open at once, in use or idle. `limits` apply to each connection.
     #[must_use]
     pub fn new(max_open: usize, limits: Http1Limits) -> Self {
         ConnectionPool { idle: RefCell::default(), open: OpenConnectionCount::default(), max_open, limits }
@@ -137,8 +138,8 @@
     announced.map_or(DEFAULT_IDLE_TIMEOUT, |time| time.saturating_sub(IDLE_MARGIN))
 }
 
-/// Enables detection of a peer that has gone without closing the connection. Errors are ignored: the connection also
-/// works without the detection.
+/// Enables detection of a peer that has disappeared without closing the connection. Errors are ignored, since the
+/// connection also works without the detection.
 fn enable_dead_peer_detection(stream: &BufferedStream) {
     let descriptor = stream.fd();
     let socket = SockRef::from(&descriptor);
--- a/crates/proxy/src/replica/replicas.rs
+++ b/crates/proxy/src/replica/replicas.rs
@@ -37,24 +37,24 @@
     pub id: ReplicaId,
     /// The service that the replica belongs to.
     pub service: String,
-    /// The address on which it listens.
+    /// The address on which the replica listens.
     pub address: SocketAddr,
-    /// The number of its zone in the [`ZoneIndex`].
+    /// The number of the replica's zone in the [`ZoneIndex`].
     pub zone: u16,
-    /// `Ready` if it may receive requests, otherwise `Draining`.
+    /// `Ready` if the replica may receive requests, otherwise `Draining`.
     pub phase: Phase,
-    /// The models that it serves, with the revisions of their weights.
+    /// The models that the replica serves, with the revisions of their weights.
     pub models: Vec<ModelRevision>,
 }
 
 impl ReplicaEntry {
-    /// The revision of the weights that it has loaded for a model.
+    /// The revision of the weights that the replica has loaded for a model.
     #[must_use]
     pub fn revision(&self, model: &str) -> Option<WeightsRevision> {
         self.weights(model).map(|weights| weights.revision)
     }
 
-    /// The weights that it has loaded for a model.
+    /// The weights that the replica has loaded for a model.
     #[must_use]
     pub fn weights(&self, model: &str) -> Option<&ModelRevision> {
         self.models.iter().find(|weights| weights.model == model)
@@ -73,7 +73,7 @@
     }
 }
 
-/// All listed replicas by id.
+/// All listed replicas, by id and by address.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     entries: BTreeMap<ReplicaId, Rc<ReplicaEntry>>,
--- a/crates/proxy/src/replica/request_kind.rs
+++ b/crates/proxy/src/replica/request_kind.rs
@@ -5,11 +5,11 @@
 /// Whether a request is idempotent, and whether its response is a resumable stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestKind {
-    /// Idempotent: it may run any number of times.
+    /// Idempotent: the request may run any number of times.
     Safe,
-    /// Not idempotent: it may run at most once.
+    /// Not idempotent: the request may run at most once.
     Unsafe,
-    /// An event stream whose request may run at most once.
+    /// An event stream of a request that may run at most once.
     Stream,
     /// An event stream that another replica may restart, or resume after the last event.
     ResumableStream,
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -21,22 +21,22 @@
 use crate::proxy::Proxy;
 use crate::{downstream, ready};
 
-/// Time between closings of expired idle connections to replicas.
+/// Interval at which expired idle connections to replicas are closed.
 const EXPIRED_CONNECTIONS_INTERVAL: Duration = Duration::from_secs(5);
-/// Time between log lines with the counters.
+/// Interval at which the counters are logged.
 const COUNTERS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Maximum length of the accept queue. The default of the standard library is shorter; a client that finds the queue
-/// full retries only after seconds.
+/// Maximum length of the accept queue. The default of the standard library is shorter, and a client that finds the
+/// queue full retries only after seconds.
 const ACCEPT_BACKLOG: i32 = 1024;
 
 /// Why the process can't start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The settings name no address.
+    /// The settings lack an address.
     #[snafu(display("the settings have no listenOn.{field}"))]
     NoAddress {
-        /// The field.
+        /// The missing field of `listenOn`.
         field: &'static str,
     },
     /// The process can't listen on an address.
@@ -44,7 +44,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system reports.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The signal handlers can't be installed.
@@ -100,7 +100,7 @@
     bind(address).context(ListenSnafu { address })
 }
 
-/// Listens with [`ACCEPT_BACKLOG`].
+/// Binds a listener whose accept queue has the length [`ACCEPT_BACKLOG`].
 fn bind(address: SocketAddr) -> std::io::Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -155,7 +155,7 @@
     }
 }
 
-/// Closes expired connections and logs counters, for the life of the process.
+/// Closes expired connections and logs counters; never returns.
 async fn run_periodic_tasks(proxy: Rc<Proxy>) {
     let mut since_counters_log = Duration::ZERO;
     loop {
@@ -185,12 +185,13 @@
     }
 }
 
-/// Applies those newer settings that need no restart, and logs whether there are others. Returns the settings in force.
+/// Applies the changed settings that need no restart, and logs whether others changed as well. Returns the settings in
+/// force.
 pub fn reload(proxy: &Proxy, known: &Settings, newest: Settings) -> Settings {
     proxy.set_time_limits(&newest.time_limits);
     let applied = Settings {
         time_limits: newest.time_limits.clone(),
-        // Only the agent uses them.
+        // Not used by the proxy, only by the agent.
         seed_nodes: newest.seed_nodes.clone(),
         ..known.clone()
     };
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! Runs the stages of a graceful shutdown: what [`crate::lifecycle`] decides, with the clock and the tasks that wait.
+//! Runs the stages of a graceful shutdown: reads the clock, asks [`crate::lifecycle`] for the stage, and wakes the
+//! tasks that wait for a change.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use crate::lifecycle::{Lifecycle, Stage};
 use crate::notice::Notice;
 
-/// The stage of the process, and the notice of each change.
+/// The state of the shutdown, and the notification of each change of the stage.
 #[derive(Default)]
 pub struct Shutdown {
     lifecycle: RefCell<Lifecycle>,
@@ -30,7 +31,7 @@
         self.stage_changed.raise();
     }
 
-    /// The stage now.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.lifecycle.borrow().stage(clock::now())
     }
