--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// Whether a request presents a key, whether or not it is known.
+/// Whether a request presents a key, known or unknown.
 #[must_use]
 pub fn credentials(head: &Head) -> Credentials {
     if client_key(head).is_some() { Credentials::Key } else { Credentials::None }
--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -50,7 +50,7 @@
 
 impl Client<'_> {
     /// Ready once the client has disconnected. Bytes of pipelined requests that arrive meanwhile are buffered. Beyond
-    /// [`MAX_PIPELINED_BYTES`], nothing more is read, and a disconnect is not detected.
+    /// `MAX_PIPELINED_BYTES`, nothing more is read, and a disconnect is not detected.
     pub fn poll_disconnected(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
             if self.stream.buf.len() > MAX_PIPELINED_BYTES {
--- a/crates/proxy/src/exchange/final_response.rs
+++ b/crates/proxy/src/exchange/final_response.rs
@@ -1,4 +1,5 @@
-//! The final response of a request: a replica's response, or one that the proxy itself generates.
+//! The final response of a request: a replica's response, which is forwarded as it arrives, or a response that the
+//! proxy itself generates.
 
 use std::time::Instant;
 
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -17,7 +17,7 @@
 /// Whether a request presents a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credentials {
-    /// The request presents a key, whether or not it is known.
+    /// The request presents a key, known or unknown.
     Key,
     /// The request presents no key.
     None,
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -270,7 +270,7 @@
         }
     }
 
-    /// The next action for a request, in the order in which the load balancer decided them.
+    /// The next action for a request. Actions are returned in the order in which the load balancer decided them.
     pub fn poll_action(&mut self, id: RequestId, context: &mut Context<'_>) -> Poll<RequestAction> {
         let Some(request) = self.requests.get_mut(&id) else { return Poll::Pending };
         if let Some(action) = request.actions.pop_front() {
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -31,7 +31,8 @@
 use crate::retry_budgets::RetryBudgets;
 use crate::shutdown::Shutdown;
 
-/// The state that all tasks of the process share. They run on a single thread.
+/// The state that all tasks of the process share, with a field for each part that keeps state of its own. All tasks run
+/// on a single thread.
 pub struct Proxy {
     /// Timers.
     pub alarms: Alarms,
--- a/crates/proxy/src/replica/pool.rs
+++ b/crates/proxy/src/replica/pool.rs
@@ -45,7 +45,7 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool. At most `max_open` connections are open at once, in use or idle. `limits` apply to each connection.
+    /// An empty pool. At most `max_open` connections are open at once, in use or idle. `limits` apply to each of them.
     #[must_use]
     pub fn new(max_open: usize, limits: Http1Limits) -> Self {
         ConnectionPool { idle: RefCell::default(), open: OpenConnectionCount::default(), max_open, limits }
