--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -18,8 +18,8 @@
 /// Maximum time for which bytes are read and discarded after the last response. Also the timeout for writing the
 /// response to an invalid request.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The idle timeout that is announced to clients is shorter by this than the one that is applied, so that a client does
-/// not send a request while the connection is being closed.
+/// The idle timeout announced to clients is this much shorter than the applied idle timeout, so that a client does not
+/// send a request while the connection is being closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 /// Between requests, a larger read buffer is shrunk to this capacity.
 const MAX_IDLE_BUFFER_BYTES: usize = 1024;
--- a/crates/proxy/src/downstream/event_tracker.rs
+++ b/crates/proxy/src/downstream/event_tracker.rs
@@ -6,7 +6,7 @@
 /// resumed.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Splits a stream into complete events, and records the id of the last one that has an id.
+/// Splits a stream into complete events, and records the id of the last event that has an id.
 #[derive(Debug, Default)]
 pub struct EventTracker {
     /// Bytes of an incomplete event.
@@ -49,7 +49,7 @@
         out.append(&mut self.partial);
     }
 
-    /// The id of the last complete event that had one.
+    /// The id of the last complete event that has an id.
     #[must_use]
     pub fn last_id(&self) -> Option<&str> {
         Some(self.last_id.as_str()).filter(|id| !id.is_empty())
@@ -63,7 +63,7 @@
     }
 }
 
-/// The id of the last of these events that has one.
+/// The id of the last of these events that has an id.
 fn last_event_id(events: &[u8]) -> Option<&str> {
     let mut lines = events.split(|byte| *byte == b'\n').rev();
     let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/proxy/src/downstream/relay.rs
+++ b/crates/proxy/src/downstream/relay.rs
@@ -97,7 +97,7 @@
         self.framing == Framing::UntilClose
     }
 
-    /// The id of the last complete event that had one.
+    /// The id of the last complete event that has an id.
     pub fn last_event_id(&self) -> Option<&str> {
         self.events.as_ref().and_then(EventTracker::last_id)
     }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -34,7 +34,8 @@
         self.head.get("attempt-id")
     }
 
-    /// How long the client waits, counted from the first byte of the request, if it sends `Time-Left-Ms`.
+    /// The time that the client waits, counted from the first byte of the request. None without a valid `Time-Left-Ms`
+    /// header.
     #[must_use]
     pub fn time_left(&self) -> Option<Duration> {
         time_left(&self.head)
--- a/crates/proxy/src/kv_cache/planner.rs
+++ b/crates/proxy/src/kv_cache/planner.rs
@@ -101,8 +101,8 @@
         may_serve.then(|| Source { address, tokens: self.cached_at(address, chain) })
     }
 
-    /// The replica that the chain was recently sent to, unless the index shows it as down. An empty index provides no
-    /// sources, so then a send of any age counts as recent.
+    /// The replica that the chain was recently sent to, unless the index shows it as down. With an empty index, a send
+    /// of any age counts as recent.
     fn recent_target(&self, now: Duration, chain: &PrefixChain) -> Option<SocketAddr> {
         let send = self.recent.get(chain.key()?)?;
         let index = self.index.borrow();
