--- a/crates/proxy/tests/bodiless.rs
+++ b/crates/proxy/tests/bodiless.rs
@@ -1,9 +1,9 @@
-//! Answers that have no body whatever their head says: the connections on both sides go on behind them.
+//! Responses that have no body whatever their head states: the next response follows the head directly.
 
 mod support;
 
 use rstest::rstest;
-use support::{Bench, Part, SEAL, header, ok, post};
+use support::{Harness, SEAL, Step, header, ok, post};
 
 /// A response with this status whose head states a body.
 fn bodiless(status: &str, framing: &str) -> String {
@@ -22,35 +22,35 @@
     #[case] length: Option<&str>,
     #[values("Content-Length: 9", "Transfer-Encoding: chunked")] framing: &str,
 ) {
-    let bench = Bench::start(1);
-    bench.next(&[Part::Write(bodiless(status, framing))]);
-    bench.next(&[Part::Write(ok("two"))]);
-    let text = bench.run(async {
-        let mut client = bench.connect().await;
+    let harness = Harness::start(1);
+    harness.script_next_request(&[Step::Write(bodiless(status, framing))]);
+    harness.script_next_request(&[Step::Write(ok("two"))]);
+    let text = harness.run(async {
+        let mut client = harness.connect().await;
         client.send(&(post("/risky/", "t1").replace("POST", method) + &post("/risky/", "t2"))).await;
         client.wait_for("\r\n\r\ntwo").await;
         client.received()
     });
-    let (first, second) = text.split_once("\r\n\r\n").expect("two answers");
+    let (first, second) = text.split_once("\r\n\r\n").expect("two responses");
     assert!(first.starts_with(&format!("HTTP/1.1 {status}\r\n")), "{text}");
     assert_eq!(header(&text, "Attempt-Id").as_deref(), Some("t1"));
     let is_length_stated = framing.starts_with("Content-Length");
     assert_eq!(header(first, "Content-Length").as_deref(), length.filter(|_| is_length_stated));
-    assert_eq!(header(first, "Transfer-Encoding"), None, "the next byte is another answer's");
+    assert_eq!(header(first, "Transfer-Encoding"), None, "the next byte belongs to the next response");
     assert!(second.starts_with("HTTP/1.1 200 OK\r\n"), "{text}");
     assert_eq!(header(second, "Attempt-Id").as_deref(), Some("t2"));
-    assert_eq!(bench.arrivals(), 2);
+    assert_eq!(harness.arrivals(), 2);
 }
 
 #[test]
 fn nothing_follows_an_aborted_response() {
-    let bench = Bench::start(1);
-    bench.next(&[Part::Write(ok("whole").replace("whole", "who")), Part::Close]);
-    let text = bench.run(async {
-        let mut client = bench.connect().await;
+    let harness = Harness::start(1);
+    harness.script_next_request(&[Step::Write(ok("whole").replace("whole", "who")), Step::Close]);
+    let text = harness.run(async {
+        let mut client = harness.connect().await;
         client.send(&(post("/risky/", "t1") + &post("/risky/", "t2"))).await;
-        client.answer().await
+        client.read_response().await
     });
-    assert!(text.ends_with("who(cut)"), "{text}");
-    assert_eq!(bench.arrivals(), 1);
+    assert!(text.ends_with("who(truncated)"), "{text}");
+    assert_eq!(harness.arrivals(), 1);
 }
--- a/crates/proxy/tests/cache_salt.rs
+++ b/crates/proxy/tests/cache_salt.rs
@@ -1,4 +1,4 @@
-//! Which requests share cached prefixes: the salt that a replica is sent, and the transfers that go with it.
+//! Requests that may share cached prefixes: the cache salt sent to replicas, and the KV transfers of these requests.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 
-use support::{Bench, header, post_with};
+use support::{Harness, header, post_with};
 use tulipridge_configuration::number::WeightsRevision;
 use tulipridge_prefix_cache_index::{CacheUpdate, Index, Liveness};
 use tulipridge_protocol::feed::ModelRevision;
@@ -14,8 +14,8 @@
 const STORE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9);
 const PROMPT: &str = "Llm: m\r\nPrompt-Start: 5c1e07a2:800,e4402b7d:250\r\n";
 
-/// Lets the proxy save prefixes to a store.
-fn set_store(bench: &Bench) {
+/// Adds an empty cache store to which the proxy can save prefixes.
+fn set_store(harness: &Harness) {
     let mut index = Index::default();
     index.apply(&CacheUpdate {
         source: STORE,
@@ -26,22 +26,22 @@
         added: Vec::new(),
         removed: Vec::new(),
     });
-    let mut planner = bench.proxy.transfer_planner.borrow_mut();
+    let mut planner = harness.proxy.transfer_planner.borrow_mut();
     planner.set_index(Rc::new(RefCell::new(index)));
     planner.set_stores(vec![STORE]);
 }
 
-/// What the replica is sent when it lists these weights.
+/// Sends three requests to a replica that is listed with these models, and returns them as the replica received them.
 fn sent_requests(models: &[ModelRevision]) -> Vec<String> {
-    let bench = Bench::start(1);
-    set_store(&bench);
-    bench.set_fleet(|lines| lines[0].models = models.to_vec());
-    bench.run(async {
+    let harness = Harness::start(1);
+    set_store(&harness);
+    harness.set_fleet(|entries| entries[0].models = models.to_vec());
+    harness.run(async {
         for n in 0..3 {
-            bench.send_request(&post_with("/stream/", &format!("t{n}"), PROMPT)).await;
+            harness.send_request(&post_with("/stream/", &format!("t{n}"), PROMPT)).await;
         }
     });
-    bench.replicas[0].requests.borrow().clone()
+    harness.replicas[0].requests.borrow().clone()
 }
 
 #[test]
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_send_to_weights_of_an_unknown_revision_shares_no_cached_prefix() {
+fn requests_to_an_unknown_revision_share_no_cached_prefix() {
     let other = ModelRevision { model: "other".to_owned(), revision: WeightsRevision(4) };
     for models in [Vec::new(), vec![other]] {
         let sent = sent_requests(&models);
--- a/crates/proxy/tests/calls.rs
+++ b/crates/proxy/tests/calls.rs
@@ -1,5 +1,5 @@
-//! Every cell of the retry table, brought about with a real proxy and scripted replicas: each kind of request with each
-//! outcome of an attempt, once with a retry budget and once without.
+//! Produces every cell of the retry table with a real proxy and scripted replicas: each kind of request with each
+//! outcome of an attempt, with a retry budget and without one.
 
 mod support;
 
@@ -9,7 +9,10 @@
 
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
-use support::{Bench, LAST, Part, TestClient, answer, header, ok, post, post_long, status, stream_head};
+use support::{
+    Harness, LAST_CHUNK, Step, TestClient, header, ok, post, post_with_long_body, response, status,
+    stream_head,
+};
 use tulipridge_load_balancer::types::Verdict;
 use tulipridge_proxy::replica::outcome::{AttemptOutcome, Execution};
 use tulipridge_proxy::replica::request_kind::RequestKind;
@@ -17,27 +20,27 @@
     FinalStatus, RetryAction, RetryDecision, decide, final_status, may_retry,
 };
 
-/// Bytes of a head that no connection takes at once.
+/// Length in bytes of a head that exceeds the socket buffers of a connection.
 const LONG_HEAD: usize = 512 << 10;
-/// A term for the change to new weights of which little is left after a withdrawal.
+/// Time allowed for a change to new weights, short enough that little of it is left after a withdrawal.
 const REVISION_MS: u64 = 600;
 
-/// What can be seen of a request from outside.
+/// The externally visible result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Seen {
-    /// The status that the client got.
+struct Observation {
+    /// The status that the client received.
     status: String,
-    /// The response came to its end.
+    /// Whether the client received a complete response.
     is_complete: bool,
-    /// The response had `Retry-After`.
+    /// Whether the response has a `Retry-After` header.
     has_retry_after: bool,
-    /// Requests whose head a replica has read.
+    /// The number of request heads that replicas have read.
     arrivals: usize,
 }
 
-/// What was seen with a budget of repeated sends and without.
-type Pair = [Seen; 2];
-type Cells = BTreeMap<(RequestKind, AttemptOutcome), Pair>;
+/// The observations with a retry budget and without one.
+type ObservationPair = [Observation; 2];
+type Cells = BTreeMap<(RequestKind, AttemptOutcome), ObservationPair>;
 
 fn path(kind: RequestKind) -> &'static str {
     match kind {
@@ -48,68 +51,68 @@
     }
 }
 
-fn write(text: impl Into<String>) -> Part {
-    Part::Write(text.into())
+fn write(text: impl Into<String>) -> Step {
+    Step::Write(text.into())
 }
 
-/// How an event is brought about.
+/// How an outcome is produced.
 enum Scenario {
-    /// The replica does this for the request, which comes with a short body.
-    Script(Vec<Part>),
-    /// The same for a request with a long body.
-    LongBody(Vec<Part>),
-    /// The same for a request with a long head.
-    LongHead(Vec<Part>),
-    /// The first replica's address takes no connection.
-    DeadAddress(Unreachable),
-    /// The process may have one connection to a replica, and another request has it.
+    /// The replica performs these steps for a request with a short body.
+    Script(Vec<Step>),
+    /// The replica performs these steps for a request with a long body.
+    LongBody(Vec<Step>),
+    /// The replica performs these steps for a request with a long head.
+    LongHead(Vec<Step>),
+    /// No connection to the first replica can be established.
+    UnreachableReplica(Unreachable),
+    /// The process may have one connection to replicas, and another request uses it.
     NoDescriptor,
-    /// The replica is silent, and its weights are withdrawn.
-    Withdrawn,
+    /// The replica does not respond, and its weights are withdrawn.
+    WithdrawnWeights,
 }
 
 #[derive(Clone, Copy)]
 enum Unreachable {
     Refuses,
-    IsSilent,
+    IsUnresponsive,
 }
 
-fn scenario(event: AttemptOutcome) -> Scenario {
-    let script = |parts: &[Part]| Scenario::Script(parts.to_vec());
-    let replies = |line: &str, headers: &str| Scenario::Script(vec![write(answer(line, headers, "no"))]);
-    match event {
-        AttemptOutcome::ConnectRefused => Scenario::DeadAddress(Unreachable::Refuses),
-        AttemptOutcome::ConnectTimedOut => Scenario::DeadAddress(Unreachable::IsSilent),
+fn scenario(outcome: AttemptOutcome) -> Scenario {
+    let script = |steps: &[Step]| Scenario::Script(steps.to_vec());
+    let responds = |line: &str, headers: &str| Scenario::Script(vec![write(response(line, headers, "no"))]);
+    match outcome {
+        AttemptOutcome::ConnectRefused => Scenario::UnreachableReplica(Unreachable::Refuses),
+        AttemptOutcome::ConnectTimedOut => Scenario::UnreachableReplica(Unreachable::IsUnresponsive),
         AttemptOutcome::OutOfDescriptors => Scenario::NoDescriptor,
-        AttemptOutcome::BrokenInRequestHead => Scenario::LongHead(vec![Part::BeforeHead, Part::Reset]),
-        AttemptOutcome::BrokenInRequestBody => Scenario::LongBody(vec![Part::BeforeBody, Part::Reset]),
-        AttemptOutcome::BrokenBeforeResponse => script(&[Part::Reset]),
-        AttemptOutcome::BrokenInResponse => script(&[write(stream_head()), Part::Close]),
+        AttemptOutcome::BrokenInRequestHead => Scenario::LongHead(vec![Step::AwaitFirstByte, Step::Reset]),
+        AttemptOutcome::BrokenInRequestBody => Scenario::LongBody(vec![Step::AwaitHead, Step::Reset]),
+        AttemptOutcome::BrokenBeforeResponse => script(&[Step::Reset]),
+        AttemptOutcome::BrokenInResponse => script(&[write(stream_head()), Step::Close]),
         AttemptOutcome::TruncatedResponse => {
-            script(&[write(stream_head() + &support::event(1)), Part::Close])
+            script(&[write(stream_head() + &support::event(1)), Step::Close])
         }
-        AttemptOutcome::ResponseTimeout => script(&[Part::Wait]),
-        AttemptOutcome::WeightsExpired => Scenario::Withdrawn,
+        AttemptOutcome::ResponseTimeout => script(&[Step::Wait]),
+        AttemptOutcome::WeightsExpired => Scenario::WithdrawnWeights,
         AttemptOutcome::InvalidResponse => script(&[write("SSH-2.0-server\r\n\r\n")]),
         AttemptOutcome::OnlyStaleResponses => {
-            script(&[write(ok("late").replace("{id}", "t0")), Part::Close])
+            script(&[write(ok("late").replace("{id}", "t0")), Step::Close])
         }
         AttemptOutcome::Unsealed => script(&[write(ok("x").replace("Server-Seal", "Other-Seal"))]),
-        AttemptOutcome::Encoded => replies("200 OK", "Content-Encoding: gzip\r\n"),
-        AttemptOutcome::WrongReplica => replies("421 Misdirected Request", "Server-Id: i-9\r\n"),
-        AttemptOutcome::WrongRevision => replies("421 Misdirected Request", ""),
-        AttemptOutcome::NotRun => replies("503 Service Unavailable", "Not-Run: 1\r\n"),
-        AttemptOutcome::Rejected => replies("400 Bad Request", "Not-Run: 1\r\n"),
-        AttemptOutcome::UnconfirmedRefusal => replies("503 Service Unavailable", "Retry-After: 1\r\n"),
-        AttemptOutcome::ServerError => replies("500 Internal Server Error", ""),
-        AttemptOutcome::OtherError => replies("404 Not Found", ""),
+        AttemptOutcome::Encoded => responds("200 OK", "Content-Encoding: gzip\r\n"),
+        AttemptOutcome::WrongReplica => responds("421 Misdirected Request", "Server-Id: i-9\r\n"),
+        AttemptOutcome::WrongRevision => responds("421 Misdirected Request", ""),
+        AttemptOutcome::NotRun => responds("503 Service Unavailable", "Not-Run: 1\r\n"),
+        AttemptOutcome::Rejected => responds("400 Bad Request", "Not-Run: 1\r\n"),
+        AttemptOutcome::UnconfirmedRefusal => responds("503 Service Unavailable", "Retry-After: 1\r\n"),
+        AttemptOutcome::ServerError => responds("500 Internal Server Error", ""),
+        AttemptOutcome::OtherError => responds("404 Not Found", ""),
         AttemptOutcome::Success => script(&[write(ok("served"))]),
     }
 }
 
-/// The status of the replica's own response, where the outcome has one.
-fn replica_status(event: AttemptOutcome) -> &'static str {
-    match event {
+/// The status of the replica's own response, or `none` if the outcome has no response.
+fn replica_status(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Success | AttemptOutcome::TruncatedResponse | AttemptOutcome::BrokenInResponse => {
             "200"
         }
@@ -123,9 +126,9 @@
     }
 }
 
-/// Replicas that have read the request's head when the event has come about.
-fn arrivals(event: AttemptOutcome) -> usize {
-    match event {
+/// The number of replicas that have read the request's head when the outcome occurs.
+fn arrivals(outcome: AttemptOutcome) -> usize {
+    match outcome {
         AttemptOutcome::ConnectRefused
         | AttemptOutcome::ConnectTimedOut
         | AttemptOutcome::OutOfDescriptors
@@ -134,185 +137,200 @@
     }
 }
 
-/// Whether the request was counted as sent when the event has come about: only a further send needs a token.
-fn was_sent(event: AttemptOutcome) -> bool {
+/// Whether the attempt counts as sent when the outcome occurs. Only a send after that one takes a retry token.
+fn was_sent(outcome: AttemptOutcome) -> bool {
     !matches!(
-        event,
+        outcome,
         AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut | AttemptOutcome::OutOfDescriptors
     )
 }
 
-// ---- what the table says will be seen ---------------------------------------------------------------------
+// ---- predicted observations -------------------------------------------------------------------------------
 
-fn refused_or_failed(kind: RequestKind, event: AttemptOutcome, has_given_up: bool) -> Seen {
-    let is_late = event == AttemptOutcome::ResponseTimeout;
-    let answer = final_status(kind, event.execution(), is_late, has_given_up);
-    let status = match answer {
+fn final_observation(kind: RequestKind, outcome: AttemptOutcome, is_abandoned: bool) -> Observation {
+    let is_past_deadline = outcome == AttemptOutcome::ResponseTimeout;
+    let response = final_status(kind, outcome.execution(), is_past_deadline, is_abandoned);
+    let status = match response {
         FinalStatus::ServiceUnavailable => "503",
         FinalStatus::BadGateway => "502",
         FinalStatus::GatewayTimeout => "504",
     };
-    let has_retry_after = answer == FinalStatus::ServiceUnavailable;
-    Seen { status: status.to_owned(), is_complete: true, has_retry_after, arrivals: arrivals(event) }
+    let has_retry_after = response == FinalStatus::ServiceUnavailable;
+    Observation {
+        status: status.to_owned(),
+        is_complete: true,
+        has_retry_after,
+        arrivals: arrivals(outcome),
+    }
 }
 
-fn expected(kind: RequestKind, event: AttemptOutcome, decision: RetryDecision, has_budget: bool) -> Seen {
-    let arrivals = arrivals(event);
-    let replicas = |is_complete| Seen {
-        status: replica_status(event).to_owned(),
+fn expected_observation(
+    kind: RequestKind,
+    outcome: AttemptOutcome,
+    decision: RetryDecision,
+    has_budget: bool,
+) -> Observation {
+    let arrivals = arrivals(outcome);
+    let forwarded = |is_complete| Observation {
+        status: replica_status(outcome).to_owned(),
         is_complete,
         has_retry_after: false,
         arrivals,
     };
-    let served = Seen {
+    let served = Observation {
         status: "200".to_owned(),
         is_complete: true,
         has_retry_after: false,
         arrivals: arrivals + 1,
     };
-    let is_sent_again = has_budget || !was_sent(event);
+    let is_retried = has_budget || !was_sent(outcome);
     match decision.action {
-        // Nobody has a connection for it.
-        RetryAction::Retry if event == AttemptOutcome::OutOfDescriptors => {
-            refused_or_failed(kind, event, true)
+        // A retry finds no free connection either.
+        RetryAction::Retry if outcome == AttemptOutcome::OutOfDescriptors => {
+            final_observation(kind, outcome, true)
         }
-        RetryAction::Retry | RetryAction::RetryOrForward | RetryAction::Resume if is_sent_again => served,
-        RetryAction::Retry => refused_or_failed(kind, event, true),
-        RetryAction::RetryOrForward | RetryAction::Forward => replicas(true),
-        RetryAction::Resume | RetryAction::Abort => replicas(false),
-        RetryAction::Fail => refused_or_failed(kind, event, false),
+        RetryAction::Retry | RetryAction::RetryOrForward | RetryAction::Resume if is_retried => served,
+        RetryAction::Retry => final_observation(kind, outcome, true),
+        RetryAction::RetryOrForward | RetryAction::Forward => forwarded(true),
+        RetryAction::Resume | RetryAction::Abort => forwarded(false),
+        RetryAction::Fail => final_observation(kind, outcome, false),
     }
 }
 
-// ---- what is seen -----------------------------------------------------------------------------------------
+// ---- actual observations ----------------------------------------------------------------------------------
 
 fn request(kind: RequestKind, scenario: &Scenario) -> String {
     match scenario {
-        Scenario::LongBody(_) => post_long(path(kind), "t1"),
+        Scenario::LongBody(_) => post_with_long_body(path(kind), "t1"),
         Scenario::LongHead(_) => {
             let line = format!("X-Long: {}\r\n", "x".repeat(LONG_HEAD));
             support::post_with(path(kind), "t1", &line)
         }
-        Scenario::Withdrawn => support::post_with(path(kind), "t1", "Llm: m\r\n"),
+        Scenario::WithdrawnWeights => support::post_with(path(kind), "t1", "Llm: m\r\n"),
         _ => post(path(kind), "t1"),
     }
 }
 
-fn observe(kind: RequestKind, event: AttemptOutcome, has_budget: bool) -> Seen {
-    let scenario = scenario(event);
+fn observe(kind: RequestKind, outcome: AttemptOutcome, has_budget: bool) -> Observation {
+    let scenario = scenario(outcome);
     let (ratio, spare) = if has_budget { (2.0, 100) } else { (0.0, 0) };
-    let bench = match scenario {
-        Scenario::NoDescriptor => Bench::with_file_handles(2, 0),
-        Scenario::Withdrawn => Bench::with_revision_term(2, REVISION_MS, (ratio, spare)),
-        _ => Bench::with_budget(2, ratio, spare),
+    let harness = match scenario {
+        Scenario::NoDescriptor => Harness::with_file_handles(2, 0),
+        Scenario::WithdrawnWeights => Harness::with_revision_term(2, REVISION_MS, (ratio, spare)),
+        _ => Harness::with_budget(2, ratio, spare),
     };
     let mut request = request(kind, &scenario);
-    if event == AttemptOutcome::ResponseTimeout {
+    if outcome == AttemptOutcome::ResponseTimeout {
         request = request.replace("Time-Left-Ms: 6000", "Time-Left-Ms: 300");
     }
     let mut configuration = support::configuration();
     configuration.caps.head_bytes = 2 * LONG_HEAD as u64;
-    bench.proxy.set_configuration(configuration.into());
-    let answer = match &scenario {
-        Scenario::Script(parts) | Scenario::LongBody(parts) | Scenario::LongHead(parts) => {
-            bench.next(parts);
-            if event == AttemptOutcome::TruncatedResponse {
-                bench.next(&[write(stream_head() + &support::event(2) + LAST)]);
+    harness.proxy.set_configuration(configuration.into());
+    let response = match &scenario {
+        Scenario::Script(steps) | Scenario::LongBody(steps) | Scenario::LongHead(steps) => {
+            harness.script_next_request(steps);
+            if outcome == AttemptOutcome::TruncatedResponse {
+                harness.script_next_request(&[write(stream_head() + &support::event(2) + LAST_CHUNK)]);
             }
-            bench.run(bench.send_request(&request))
+            harness.run(harness.send_request(&request))
         }
-        Scenario::DeadAddress(kind) => request_to_dead_address(&bench, &request, *kind),
-        Scenario::NoDescriptor => request_without_descriptor(&bench, &request),
-        Scenario::Withdrawn => request_on_withdrawn_weights(&bench, &request),
+        Scenario::UnreachableReplica(kind) => request_to_unreachable_replica(&harness, &request, *kind),
+        Scenario::NoDescriptor => request_without_descriptor(&harness, &request),
+        Scenario::WithdrawnWeights => request_on_withdrawn_weights(&harness, &request),
     };
-    let held = if event == AttemptOutcome::OutOfDescriptors { 1 } else { 0 };
-    Seen {
-        status: status(&answer).to_owned(),
-        is_complete: !answer.ends_with("(cut)"),
-        has_retry_after: header(&answer, "Retry-After").is_some(),
-        arrivals: bench.arrivals() - held,
+    let other_requests = if outcome == AttemptOutcome::OutOfDescriptors { 1 } else { 0 };
+    Observation {
+        status: status(&response).to_owned(),
+        is_complete: !response.ends_with("(truncated)"),
+        has_retry_after: header(&response, "Retry-After").is_some(),
+        arrivals: harness.arrivals() - other_requests,
     }
 }
 
-/// Asks while the only replica known is at an address that takes no connection; the other one becomes known then.
-fn request_to_dead_address(bench: &Bench, request: &str, unreachable: Unreachable) -> String {
-    let silent = SilentAddress::new();
+/// Sends a request while the only listed replica is at an address to which no connection can be established. The other
+/// replica is listed once the proxy has begun to connect.
+fn request_to_unreachable_replica(harness: &Harness, request: &str, unreachable: Unreachable) -> String {
+    let silent = UnresponsiveAddress::new();
     let address = match unreachable {
         Unreachable::Refuses => "127.0.0.1:1".to_owned(),
-        Unreachable::IsSilent => silent.address.to_string(),
+        Unreachable::IsUnresponsive => silent.address.to_string(),
     };
-    bench.set_fleet(|lines| {
-        lines.truncate(1);
-        lines[0].address.clone_from(&address);
+    harness.set_fleet(|entries| {
+        entries.truncate(1);
+        entries[0].address.clone_from(&address);
     });
-    bench.run(async {
-        let mut client = bench.connect().await;
+    harness.run(async {
+        let mut client = harness.connect().await;
         client.send(request).await;
-        bench.until(|| bench.proxy.counters.connects.get() == 1).await;
-        bench.set_fleet(|lines| lines[0].address.clone_from(&address));
-        client.answer().await
+        harness.wait_until(|| harness.proxy.counters.connects.get() == 1).await;
+        harness.set_fleet(|entries| entries[0].address.clone_from(&address));
+        client.read_response().await
     })
 }
 
-fn request_without_descriptor(bench: &Bench, request: &str) -> String {
-    bench.next(&[Part::Wait]);
-    bench.run(async {
-        let mut holder: TestClient = bench.connect().await;
-        holder.send(&post("/risky/", "t0")).await;
-        bench.until(|| bench.arrivals() == 1).await;
-        bench.send_request(request).await
+fn request_without_descriptor(harness: &Harness, request: &str) -> String {
+    harness.script_next_request(&[Step::Wait]);
+    harness.run(async {
+        let mut other_client: TestClient = harness.connect().await;
+        other_client.send(&post("/risky/", "t0")).await;
+        harness.wait_until(|| harness.arrivals() == 1).await;
+        harness.send_request(request).await
     })
 }
 
-fn request_on_withdrawn_weights(bench: &Bench, request: &str) -> String {
-    bench.next(&[Part::Wait]);
-    bench.run(async {
-        let mut client = bench.connect().await;
+fn request_on_withdrawn_weights(harness: &Harness, request: &str) -> String {
+    harness.script_next_request(&[Step::Wait]);
+    harness.run(async {
+        let mut client = harness.connect().await;
         client.send(request).await;
-        bench.until(|| bench.arrivals() == 1).await;
-        bench.withdraw_at_busy(5);
-        client.answer().await
+        harness.wait_until(|| harness.arrivals() == 1).await;
+        harness.withdraw_weights_of_busy_replicas(5);
+        client.read_response().await
     })
 }
 
-/// An address that answers no attempt to connect, since its queue of connections is full.
-struct SilentAddress {
+/// An address that does not respond to connection attempts, since the listener's accept queue is full.
+struct UnresponsiveAddress {
     address: SocketAddr,
     _listener: Socket,
-    _waiting: Vec<Socket>,
+    _pending_connections: Vec<Socket>,
 }
 
-impl SilentAddress {
-    fn new() -> SilentAddress {
+impl UnresponsiveAddress {
+    fn new() -> UnresponsiveAddress {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
-        listener.listen(0).expect("it listens");
+        listener.listen(0).expect("a listening socket");
         let address =
             listener.local_addr().ok().and_then(|address| address.as_socket()).expect("an address");
         let connect = || {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-            socket.set_nonblocking(true).expect("a socket that does not block");
-            // It is on its way, or waits for ever.
+            socket.set_nonblocking(true).expect("a non-blocking socket");
+            // The connection is in progress and may never be established.
             let _ = socket.connect(&address.into());
             socket
         };
-        let waiting = (0..4).map(|_| connect()).collect();
+        let pending_connections = (0..4).map(|_| connect()).collect();
         std::thread::sleep(Duration::from_millis(20));
-        SilentAddress { address, _listener: listener, _waiting: waiting }
+        UnresponsiveAddress { address, _listener: listener, _pending_connections: pending_connections }
     }
 }
 
 fn observe_all(kind: RequestKind) -> Cells {
-    let pair = |event| [observe(kind, event, true), observe(kind, event, false)];
-    AttemptOutcome::ALL.into_iter().map(|event| ((kind, event), pair(event))).collect()
+    let pair = |outcome| [observe(kind, outcome, true), observe(kind, outcome, false)];
+    AttemptOutcome::ALL.into_iter().map(|outcome| ((kind, outcome), pair(outcome))).collect()
 }
 
-/// The cells in which something else was seen than the table says.
+/// The cells whose observations differ from those that the table predicts.
 fn mismatches(cells: &Cells, table: impl Fn(RequestKind, AttemptOutcome) -> RetryDecision) -> Vec<String> {
-    let check = |(&(kind, event), seen): (&(RequestKind, AttemptOutcome), &Pair)| {
-        let decision = table(kind, event);
-        let due = [expected(kind, event, decision, true), expected(kind, event, decision, false)];
-        (due != *seen).then(|| format!("{kind:?} {event:?}\n  due  {due:?}\n  seen {seen:?}"))
+    let check = |(&(kind, outcome), observed): (&(RequestKind, AttemptOutcome), &ObservationPair)| {
+        let decision = table(kind, outcome);
+        let expected = [
+            expected_observation(kind, outcome, decision, true),
+            expected_observation(kind, outcome, decision, false),
+        ];
+        (expected != *observed)
+            .then(|| format!("{kind:?} {outcome:?}\n  expected {expected:?}\n  observed {observed:?}"))
     };
     cells.iter().filter_map(check).collect()
 }
@@ -326,12 +344,17 @@
     RetryAction::Abort,
 ];
 
-/// Two decisions that nobody outside can tell apart for this event.
-fn look_alike(kind: RequestKind, event: AttemptOutcome, one: RetryAction, other: RetryAction) -> bool {
-    let seen = |action, has_budget| {
-        expected(kind, event, RetryDecision { action, ..decide(kind, event) }, has_budget)
+/// Whether two actions have the same observable result for this outcome.
+fn are_indistinguishable(
+    kind: RequestKind,
+    outcome: AttemptOutcome,
+    one: RetryAction,
+    other: RetryAction,
+) -> bool {
+    let observed = |action, has_budget| {
+        expected_observation(kind, outcome, RetryDecision { action, ..decide(kind, outcome) }, has_budget)
     };
-    seen(one, true) == seen(other, true) && seen(one, false) == seen(other, false)
+    observed(one, true) == observed(other, true) && observed(one, false) == observed(other, false)
 }
 
 #[rstest]
@@ -340,43 +363,51 @@
     kind: RequestKind,
 ) {
     let cells = observe_all(kind);
-    assert_eq!(cells.len(), AttemptOutcome::ALL.len(), "each cell is brought about");
+    assert_eq!(cells.len(), AttemptOutcome::ALL.len(), "each cell is produced");
     assert_eq!(mismatches(&cells, decide), Vec::<String>::new());
-    let mut seen_mutations = 0;
-    for event in AttemptOutcome::ALL {
-        let right = decide(kind, event);
-        for action in
-            ALL_ACTIONS.into_iter().filter(|action| !look_alike(kind, event, right.action, *action))
+    let mut detected_mutations = 0;
+    for outcome in AttemptOutcome::ALL {
+        let correct = decide(kind, outcome);
+        for action in ALL_ACTIONS
+            .into_iter()
+            .filter(|action| !are_indistinguishable(kind, outcome, correct.action, *action))
         {
-            let mutated =
-                |kind, at| if at == event { RetryDecision { action, ..right } } else { decide(kind, at) };
-            assert_eq!(mismatches(&cells, mutated).len(), 1, "{kind:?} {event:?} {action:?}");
-            seen_mutations += 1;
+            let mutated = |kind, at| {
+                if at == outcome { RetryDecision { action, ..correct } } else { decide(kind, at) }
+            };
+            assert_eq!(mismatches(&cells, mutated).len(), 1, "{kind:?} {outcome:?} {action:?}");
+            detected_mutations += 1;
         }
     }
-    println!("{kind:?}: {} cells, {seen_mutations} mutations seen", cells.len());
+    println!("{kind:?}: {} cells, {detected_mutations} mutations detected", cells.len());
 }
 
-// ---- what holds of the table itself -----------------------------------------------------------------------
+// ---- guarantees of the table ------------------------------------------------------------------------------
 
-/// What a cell of a table breaks.
-fn breach(kind: RequestKind, event: AttemptOutcome, decision: RetryDecision) -> Option<&'static str> {
+/// The guarantee of the protocol that a cell violates, if any.
+fn violated_guarantee(
+    kind: RequestKind,
+    outcome: AttemptOutcome,
+    decision: RetryDecision,
+) -> Option<&'static str> {
     let may_have_run = decision.execution != Execution::NotRun;
-    let is_sent_again =
+    let is_retried =
         matches!(decision.action, RetryAction::Retry | RetryAction::RetryOrForward | RetryAction::Resume);
-    let says_so = event.verdict();
-    let module_thinks_not_run = matches!(says_so, Verdict::Full | Verdict::NoConnection | Verdict::NotSent);
-    if is_sent_again && may_have_run && !kind.is_repeatable() {
-        return Some("what may have run and must not be repeated is sent again");
+    let verdict = outcome.verdict();
+    let balancer_assumes_not_run =
+        matches!(verdict, Verdict::Full | Verdict::NoConnection | Verdict::NotSent);
+    if is_retried && may_have_run && !kind.is_repeatable() {
+        return Some("a request that may have run and is not idempotent is retried");
     }
     if decision.action == RetryAction::Resume && kind != RequestKind::ResumableStream {
-        return Some("a stream that may not be resumed is");
+        return Some("a stream that must not be resumed is resumed");
     }
-    if module_thinks_not_run && may_have_run {
-        return Some("the decision module takes what may have run for what has not");
+    if balancer_assumes_not_run && may_have_run {
+        return Some("the load balancer treats a request that may have run as one that has not run");
     }
-    if decision.action == RetryAction::Forward && matches!(replica_status(event), "503" | "421" | "none") {
-        return Some("a promise or nothing is passed on");
+    if decision.action == RetryAction::Forward && matches!(replica_status(outcome), "503" | "421" | "none")
+    {
+        return Some("a refusal or no response is forwarded");
     }
     None
 }
@@ -384,8 +415,12 @@
 #[test]
 fn no_cell_breaks_a_guarantee_of_the_protocol() {
     for kind in RequestKind::ALL {
-        for event in AttemptOutcome::ALL {
-            assert_eq!(breach(kind, event, decide(kind, event)), None, "{kind:?} {event:?}");
+        for outcome in AttemptOutcome::ALL {
+            assert_eq!(
+                violated_guarantee(kind, outcome, decide(kind, outcome)),
+                None,
+                "{kind:?} {outcome:?}"
+            );
         }
     }
 }
@@ -398,21 +433,26 @@
 #[case(RequestKind::Unsafe, AttemptOutcome::UnconfirmedRefusal, RetryAction::Forward)]
 fn a_table_that_breaks_a_guarantee_is_detected(
     #[case] kind: RequestKind,
-    #[case] event: AttemptOutcome,
+    #[case] outcome: AttemptOutcome,
     #[case] action: RetryAction,
 ) {
-    assert!(breach(kind, event, RetryDecision { action, ..decide(kind, event) }).is_some());
+    assert!(violated_guarantee(kind, outcome, RetryDecision { action, ..decide(kind, outcome) }).is_some());
 }
 
 #[test]
 fn a_refusal_needs_a_request_that_has_not_run_or_is_idempotent() {
     for kind in RequestKind::ALL {
         for execution in [Execution::NotRun, Execution::MayHaveRun, Execution::HasRun] {
-            for [is_late, has_given_up] in [[false, false], [false, true], [true, false], [true, true]] {
-                let answer = final_status(kind, execution, is_late, has_given_up);
-                let may_promise = execution == Execution::NotRun || kind.is_repeatable();
-                assert!(answer != FinalStatus::ServiceUnavailable || may_promise, "{kind:?} {execution:?}");
-                assert_eq!(may_retry(kind, execution), may_promise);
+            for [is_past_deadline, is_abandoned] in
+                [[false, false], [false, true], [true, false], [true, true]]
+            {
+                let response = final_status(kind, execution, is_past_deadline, is_abandoned);
+                let may_refuse = execution == Execution::NotRun || kind.is_repeatable();
+                assert!(
+                    response != FinalStatus::ServiceUnavailable || may_refuse,
+                    "{kind:?} {execution:?}"
+                );
+                assert_eq!(may_retry(kind, execution), may_refuse);
             }
         }
     }
--- a/crates/proxy/tests/calls_page.rs
+++ b/crates/proxy/tests/calls_page.rs
@@ -1,4 +1,4 @@
-//! `docs/design/calls.md` has the same retry table and the same connection states as the code.
+//! Checks that `docs/design/calls.md` has the same retry table and the same connection states as the code.
 
 use tulipridge_proxy::replica::connection_state::ConnectionState;
 use tulipridge_proxy::replica::outcome::{AttemptOutcome, Execution};
@@ -46,7 +46,7 @@
     outcomes.chain(ConnectionState::ALL.into_iter().map(connection_row)).collect()
 }
 
-/// Rows that a page lacks, and rows of these tables that it has beyond them.
+/// Rows of the code that a page lacks, and table rows of the page that the code lacks.
 fn differences(page: &str) -> Vec<String> {
     let rows = rows();
     let is_row = |line: &&str| line.starts_with("| `");
--- a/crates/proxy/tests/connect_error.rs
+++ b/crates/proxy/tests/connect_error.rs
@@ -1,4 +1,4 @@
-//! Each failure to connect leads to its outcome, after which a retry is safe.
+//! Maps each connect error to an attempt outcome after which a retry is safe.
 
 use std::error::Error;
 use std::io;
--- a/crates/proxy/tests/connection_states.rs
+++ b/crates/proxy/tests/connection_states.rs
@@ -1,21 +1,21 @@
-//! Whether a connection is reused in each state that a complete response may leave it in.
+//! Reuse of a connection to a replica in each state that a complete response may leave it in.
 
 mod support;
 
 use rstest::rstest;
-use support::{Bench, Part, answer, ok, post, post_long, status};
+use support::{Harness, Step, ok, post, post_with_long_body, response, status};
 use tulipridge_proxy::replica::connection_state::ConnectionState;
 
-fn write(text: impl Into<String>) -> Part {
-    Part::Write(text.into())
+fn write(text: impl Into<String>) -> Step {
+    Step::Write(text.into())
 }
 
 fn without_id(message: &str) -> String {
     message.lines().filter(|line| !line.starts_with("Attempt-Id")).collect::<Vec<_>>().join("\r\n")
 }
 
-/// A request, and what its replica does, after which the connection is in this state.
-fn exchange(state: ConnectionState, path: &str) -> (String, Vec<Part>) {
+/// A request and the replica's steps that leave the connection in this state.
+fn exchange(state: ConnectionState, path: &str) -> (String, Vec<Step>) {
     let unframed = ok("").replace("Content-Length: 0\r\n", "");
     match state {
         ConnectionState::Clean => (post(path, "t1"), vec![write(ok("one"))]),
@@ -23,13 +23,14 @@
         ConnectionState::StaleResponse => {
             (post(path, "t1"), vec![write(ok("late").replace("{id}", "t0") + &ok("one"))])
         }
-        ConnectionState::RequestIncomplete => {
-            (post_long(path, "t1"), vec![Part::BeforeBody, write(ok("one")), Part::Wait, Part::ReadBody])
-        }
+        ConnectionState::RequestIncomplete => (
+            post_with_long_body(path, "t1"),
+            vec![Step::AwaitHead, write(ok("one")), Step::Wait, Step::ReadBody],
+        ),
         ConnectionState::ClosedByReplica => {
-            (post(path, "t1"), vec![write(answer("200 OK", "Connection: close\r\n", "one"))])
+            (post(path, "t1"), vec![write(response("200 OK", "Connection: close\r\n", "one"))])
         }
-        ConnectionState::DelimitedByClose => (post(path, "t1"), vec![write(unframed + "one"), Part::Close]),
+        ConnectionState::DelimitedByClose => (post(path, "t1"), vec![write(unframed + "one"), Step::Close]),
         ConnectionState::NoAttemptId => {
             (without_id(&post(path, "t1")), vec![write(without_id(&ok("one")))])
         }
@@ -37,18 +38,19 @@
     }
 }
 
-/// Connections that two requests in turn took, of which the first left this state. `None` if either went wrong.
+/// The number of connections used by two consecutive requests, the first of which leaves its connection in this state;
+/// `None` if either request failed.
 fn connections(state: ConnectionState, path: &str) -> Option<usize> {
-    let bench = Bench::start(1);
-    let (request, parts) = exchange(state, path);
-    bench.next(&parts);
-    let [first, second] = bench.run(async {
-        let first = bench.send_request(&request).await;
+    let harness = Harness::start(1);
+    let (request, steps) = exchange(state, path);
+    harness.script_next_request(&steps);
+    let [first, second] = harness.run(async {
+        let first = harness.send_request(&request).await;
         support::settle().await;
-        [first, bench.send_request(&post(path, "t2")).await]
+        [first, harness.send_request(&post(path, "t2")).await]
     });
-    let is_good = status(&first) == "200" && second.ends_with("served") && bench.arrivals() == 2;
-    is_good.then(|| bench.replicas[0].connections.get())
+    let is_ok = status(&first) == "200" && second.ends_with("served") && harness.arrivals() == 2;
+    is_ok.then(|| harness.replicas[0].connections.get())
 }
 
 fn agrees(is_reusable: bool, connections: usize) -> bool {
@@ -56,119 +58,123 @@
 }
 
 #[rstest]
-fn a_connection_is_used_again_only_if_no_byte_on_it_can_belong_to_another_request(
+fn a_connection_is_reused_only_if_its_state_allows_it(
     #[values("/harmless/", "/risky/", "/stream/", "/resumable/")] path: &str,
 ) {
     for state in ConnectionState::ALL {
         let connections =
             connections(state, path).unwrap_or_else(|| panic!("{state:?}: an exchange failed"));
         assert!(agrees(state.is_reusable(), connections), "{state:?}: {connections} connections");
-        // A table that said otherwise would be seen.
+        // The opposite entry would be detected.
         assert!(!agrees(!state.is_reusable(), connections), "{state:?}");
     }
 }
 
 #[test]
-fn a_stale_response_before_one_without_a_body_is_read_with_its_own_body() {
-    let bench = Bench::start(1);
+fn a_stale_response_before_a_head_response_keeps_its_own_body() {
+    let harness = Harness::start(1);
     let due = ok("").replace("Content-Length: 0", "Content-Length: 9");
-    bench.next(&[write(ok("HTTP/1.1 ").replace("{id}", "t0") + &due)]);
-    let answer = bench.run(async {
-        let mut client = bench.connect().await;
+    harness.script_next_request(&[write(ok("HTTP/1.1 ").replace("{id}", "t0") + &due)]);
+    let response = harness.run(async {
+        let mut client = harness.connect().await;
         client.send(&post("/risky/", "t1").replace("POST", "HEAD")).await;
         client.wait_for("Content-Length: 9").await;
-        bench.until(|| bench.proxy.counters.completed.get() == 1).await;
-        bench.arrivals()
+        harness.wait_until(|| harness.proxy.counters.completed.get() == 1).await;
+        harness.arrivals()
     });
-    assert_eq!(answer, 1);
+    assert_eq!(response, 1);
 }
 
-// ---- what comes while a connection lies idle --------------------------------------------------------------
+// ---- activity on an idle connection -----------------------------------------------------------------------
 
-/// What a replica does to a connection between two requests.
+/// What a replica does with an idle connection between two requests.
 #[derive(Clone, Copy, Debug)]
 enum WhileIdle {
     Nothing,
     Closes,
     Resets,
-    SendsNoise,
-    SendsLateAnswer,
+    SendsInvalidBytes,
+    SendsLateResponse,
 }
 
 const WHILE_IDLE: [WhileIdle; 5] = [
     WhileIdle::Nothing,
     WhileIdle::Closes,
     WhileIdle::Resets,
-    WhileIdle::SendsNoise,
-    WhileIdle::SendsLateAnswer,
+    WhileIdle::SendsInvalidBytes,
+    WhileIdle::SendsLateResponse,
 ];
 
-fn idle_parts(event: WhileIdle) -> Vec<Part> {
-    let mut parts = vec![write(ok("one")), Part::Wait];
+fn idle_parts(event: WhileIdle) -> Vec<Step> {
+    let mut steps = vec![write(ok("one")), Step::Wait];
     match event {
         WhileIdle::Nothing => {}
-        WhileIdle::Closes => parts.push(Part::Close),
-        WhileIdle::Resets => parts.push(Part::Reset),
-        WhileIdle::SendsNoise => parts.push(write("noise")),
-        WhileIdle::SendsLateAnswer => parts.push(write(ok("late"))),
+        WhileIdle::Closes => steps.push(Step::Close),
+        WhileIdle::Resets => steps.push(Step::Reset),
+        WhileIdle::SendsInvalidBytes => steps.push(write("noise")),
+        WhileIdle::SendsLateResponse => steps.push(write(ok("late"))),
     }
-    parts
+    steps
 }
 
 #[rstest]
-fn a_connection_that_did_not_lie_still_is_not_used_again(
+fn a_connection_with_activity_while_idle_is_not_reused(
     #[values("/harmless/", "/risky/", "/stream/", "/resumable/")] path: &str,
 ) {
     for event in WHILE_IDLE {
-        let bench = Bench::start(1);
-        bench.next(&idle_parts(event));
-        let answer = bench.run(async {
-            bench.send_request(&post(path, "t1")).await;
-            bench.release();
+        let harness = Harness::start(1);
+        harness.script_next_request(&idle_parts(event));
+        let response = harness.run(async {
+            harness.send_request(&post(path, "t1")).await;
+            harness.release();
             support::settle().await;
-            bench.send_request(&post(path, "t2")).await
+            harness.send_request(&post(path, "t2")).await
         });
-        assert!(answer.ends_with("served"), "{event:?}: {answer}");
+        assert!(response.ends_with("served"), "{event:?}: {response}");
         let is_used_again = matches!(event, WhileIdle::Nothing);
         let connections = if is_used_again { 1 } else { 2 };
-        assert_eq!((bench.replicas[0].connections.get(), bench.arrivals()), (connections, 2), "{event:?}");
+        assert_eq!(
+            (harness.replicas[0].connections.get(), harness.arrivals()),
+            (connections, 2),
+            "{event:?}"
+        );
     }
 }
 
-/// Nothing tells a connection that its replica has closed unread from one that it closed in the middle of its work.
-/// There is no other replica, so that what may be repeated is refused.
+/// A connection that the replica closed before it read the request looks the same as one that it closed while it
+/// processed the request. There is no other replica, so an idempotent request is refused.
 #[rstest]
 #[case("/risky/", "502")]
 #[case("/stream/", "502")]
 #[case("/harmless/", "503")]
 #[case("/resumable/", "503")]
-fn an_old_connection_that_ends_under_a_request_proves_nothing(
+fn a_reused_connection_that_closes_may_have_run_the_request(
     #[case] path: &str,
     #[case] expected: &str,
-    #[values(Part::Close, Part::Reset)] end: Part,
+    #[values(Step::Close, Step::Reset)] end: Step,
 ) {
-    let bench = Bench::start(1);
-    bench.next(&[write(ok("one"))]);
-    bench.next(&[end]);
-    let answer = bench.run(async {
-        bench.send_request(&post(path, "t1")).await;
+    let harness = Harness::start(1);
+    harness.script_next_request(&[write(ok("one"))]);
+    harness.script_next_request(&[end]);
+    let response = harness.run(async {
+        harness.send_request(&post(path, "t1")).await;
         support::settle().await;
-        bench.send_request(&post(path, "t2")).await
+        harness.send_request(&post(path, "t2")).await
     });
-    assert_eq!((status(&answer), bench.arrivals()), (expected, 2));
+    assert_eq!((status(&response), harness.arrivals()), (expected, 2));
 }
 
 #[test]
-fn a_connection_is_not_used_for_another_replica_at_the_same_address() {
-    let bench = Bench::start(1);
-    bench.run(async {
-        bench.send_request(&post("/risky/", "t1")).await;
+fn a_connection_is_not_reused_for_a_new_replica_id() {
+    let harness = Harness::start(1);
+    harness.run(async {
+        harness.send_request(&post("/risky/", "t1")).await;
         support::settle().await;
-        bench.set_fleet(|lines| lines[0].id = "i-9".to_owned());
-        bench.send_request(&post("/risky/", "t2")).await;
+        harness.set_fleet(|entries| entries[0].id = "i-9".to_owned());
+        harness.send_request(&post("/risky/", "t2")).await;
     });
-    assert_eq!((bench.replicas[0].connections.get(), bench.arrivals()), (2, 2));
-    let requests = bench.replicas[0].requests.borrow();
+    assert_eq!((harness.replicas[0].connections.get(), harness.arrivals()), (2, 2));
+    let requests = harness.replicas[0].requests.borrow();
     let meant: Vec<_> = requests.iter().map(|request| support::header(request, "Meant-Server")).collect();
     assert_eq!(meant, [Some("i-0".to_owned()), Some("i-9".to_owned())]);
 }
--- a/crates/proxy/tests/early_responses.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -1,19 +1,22 @@
-//! Answers that come while their request is still being written.
+//! Responses that arrive while their request is still being written.
 
 mod support;
 
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use support::{Bench, LAST, LONG_BODY, Part, answer, event, ok, post, post_long, status, stream_head};
+use support::{
+    Harness, LAST_CHUNK, LONG_BODY, Step, event, ok, post, post_with_long_body, response, status,
+    stream_head,
+};
 
-fn write(text: impl Into<String>) -> Part {
-    Part::Write(text.into())
+fn write(text: impl Into<String>) -> Step {
+    Step::Write(text.into())
 }
 
-/// The requests that came, by the length of their bodies; no body holds a byte of another message.
-fn body_lengths(bench: &Bench) -> Vec<usize> {
-    let requests = bench.replicas.iter().flat_map(|replica| replica.requests.borrow().clone());
+/// The body lengths of the requests received. Checks that no body contains bytes of another message.
+fn body_lengths(harness: &Harness) -> Vec<usize> {
+    let requests = harness.replicas.iter().flat_map(|replica| replica.requests.borrow().clone());
     let bodies = requests.map(|request| request.split_once("\r\n\r\n").expect("a head").1.to_owned());
     let check = |body: String| {
         assert!(body == "body" || body.bytes().all(|byte| byte == b'x'), "other bytes in a body");
@@ -24,61 +27,67 @@
 
 #[test]
 fn an_early_response_reaches_the_client_at_once() {
-    let bench = Bench::start(1);
-    bench.next(&[Part::BeforeBody, write(ok("early")), Part::Wait, Part::ReadBody]);
-    let answers = bench.run(async {
-        let first = bench.send_request(&post_long("/risky/", "t1")).await;
-        let second = bench.send_request(&post("/risky/", "t2")).await;
-        bench.release();
-        bench.until(|| bench.replicas[0].ended.get() == 1).await;
+    let harness = Harness::start(1);
+    harness.script_next_request(&[Step::AwaitHead, write(ok("early")), Step::Wait, Step::ReadBody]);
+    let responses = harness.run(async {
+        let first = harness.send_request(&post_with_long_body("/risky/", "t1")).await;
+        let second = harness.send_request(&post("/risky/", "t2")).await;
+        harness.release();
+        harness.wait_until(|| harness.replicas[0].closed_connections.get() == 1).await;
         [first, second]
     });
-    assert!(answers[0].ends_with("early") && answers[1].ends_with("served"), "{answers:?}");
-    // The rest of the first body is due on its connection, so the second request comes on another one.
-    assert_eq!(bench.replicas[0].connections.get(), 2);
-    let lengths = body_lengths(&bench);
+    assert!(responses[0].ends_with("early") && responses[1].ends_with("served"), "{responses:?}");
+    // The first connection still has to carry the rest of the first body, so the second request uses another one.
+    assert_eq!(harness.replicas[0].connections.get(), 2);
+    let lengths = body_lengths(&harness);
     assert!(lengths.contains(&4) && lengths.iter().all(|length| *length < LONG_BODY), "{lengths:?}");
 }
 
 #[test]
-fn the_rest_of_a_request_is_written_while_its_response_is_forwarded() {
-    let bench = Bench::start(1);
+fn a_request_body_is_written_while_its_response_is_forwarded() {
+    let harness = Harness::start(1);
     let early = stream_head() + &event(1);
-    bench.next(&[Part::BeforeBody, write(early), Part::Wait, Part::ReadBody, write(event(2) + LAST)]);
-    let answers = bench.run(async {
-        let mut client = bench.connect().await;
-        client.send(&post_long("/stream/", "t1")).await;
+    harness.script_next_request(&[
+        Step::AwaitHead,
+        write(early),
+        Step::Wait,
+        Step::ReadBody,
+        write(event(2) + LAST_CHUNK),
+    ]);
+    let responses = harness.run(async {
+        let mut client = harness.connect().await;
+        client.send(&post_with_long_body("/stream/", "t1")).await;
         client.wait_for("data: d1").await;
-        bench.release();
-        let first = client.answer().await;
+        harness.release();
+        let first = client.read_response().await;
         support::settle().await;
-        [first, bench.send_request(&post("/risky/", "t2")).await]
+        [first, harness.send_request(&post("/risky/", "t2")).await]
     });
-    assert!(answers[0].contains("d2") && answers[0].ends_with(LAST), "{}", answers[0]);
-    assert!(answers[1].ends_with("served"), "{}", answers[1]);
-    assert_eq!((bench.replicas[0].connections.get(), body_lengths(&bench)), (1, vec![LONG_BODY, 4]));
+    assert!(responses[0].contains("d2") && responses[0].ends_with(LAST_CHUNK), "{}", responses[0]);
+    assert!(responses[1].ends_with("served"), "{}", responses[1]);
+    assert_eq!((harness.replicas[0].connections.get(), body_lengths(&harness)), (1, vec![LONG_BODY, 4]));
 }
 
-/// What follows on such a connection would be read as the rest of the body.
+/// The replica would read later bytes on such a connection as the rest of the body.
 #[test]
-fn the_connection_of_a_request_that_was_not_written_completely_is_not_reused() {
-    let bench = Bench::start(1);
-    bench.next(&[Part::BeforeBody, write(answer("200 OK", "", "early")), Part::Wait]);
+fn a_connection_with_an_incomplete_request_is_not_reused() {
+    let harness = Harness::start(1);
+    harness.script_next_request(&[Step::AwaitHead, write(response("200 OK", "", "early")), Step::Wait]);
     let by = Instant::now() + Duration::from_secs(5);
-    let answers = bench.run(bench.proxy.alarms.by(by, async {
-        let first = bench.send_request(&post_long("/risky/", "t1")).await;
+    let responses = harness.run(harness.proxy.alarms.by(by, async {
+        let first = harness.send_request(&post_with_long_body("/risky/", "t1")).await;
         support::settle().await;
-        [first, bench.send_request(&post("/risky/", "t2")).await]
+        [first, harness.send_request(&post("/risky/", "t2")).await]
     }));
-    let answers = answers.expect("two responses in time");
-    assert!(answers[0].ends_with("early") && answers[1].ends_with("served"), "{answers:?}");
-    assert_eq!(bench.replicas[0].connections.get(), 2);
+    let responses = responses.expect("two responses in time");
+    assert!(responses[0].ends_with("early") && responses[1].ends_with("served"), "{responses:?}");
+    assert_eq!(harness.replicas[0].connections.get(), 2);
 }
 
 #[rstest]
 #[case::not_run("503 Service Unavailable", "Not-Run: 1\r\n", "200", 2)]
 #[case::failed("500 Internal Server Error", "", "500", 1)]
-#[case::too_long("413 Content Too Large", "", "413", 1)]
+#[case::too_large("413 Content Too Large", "", "413", 1)]
 #[case::sealed("200 OK", "", "200", 1)]
 fn an_early_response_counts_even_if_its_connection_is_reset(
     #[case] line: &str,
@@ -86,10 +95,10 @@
     #[case] expected: &str,
     #[case] arrivals: usize,
 ) {
-    let bench = Bench::start(2);
-    bench.next(&[Part::BeforeBody, write(answer(line, headers, "early")), Part::Reset]);
-    let answer = bench.run(bench.send_request(&post_long("/risky/", "t1")));
-    assert_eq!((status(&answer), bench.arrivals()), (expected, arrivals));
+    let harness = Harness::start(2);
+    harness.script_next_request(&[Step::AwaitHead, write(response(line, headers, "early")), Step::Reset]);
+    let response = harness.run(harness.send_request(&post_with_long_body("/risky/", "t1")));
+    assert_eq!((status(&response), harness.arrivals()), (expected, arrivals));
 }
 
 #[rstest]
@@ -101,10 +110,10 @@
     #[case] path: &str,
     #[case] expected: &str,
     #[case] arrivals: usize,
-    #[values(Part::Reset, Part::Close)] end: Part,
+    #[values(Step::Reset, Step::Close)] end: Step,
 ) {
-    let bench = Bench::start(2);
-    bench.next(&[Part::BeforeBody, end]);
-    let answer = bench.run(bench.send_request(&post_long(path, "t1")));
-    assert_eq!((status(&answer), bench.arrivals()), (expected, arrivals));
+    let harness = Harness::start(2);
+    harness.script_next_request(&[Step::AwaitHead, end]);
+    let response = harness.run(harness.send_request(&post_with_long_body(path, "t1")));
+    assert_eq!((status(&response), harness.arrivals()), (expected, arrivals));
 }
--- a/crates/proxy/tests/event_tracker.rs
+++ b/crates/proxy/tests/event_tracker.rs
@@ -1,9 +1,9 @@
-//! Complete events of a stream, and the id after which it can be resumed.
+//! Tracking of complete server-sent events, and of the id after which a stream can be resumed.
 
 use rstest::rstest;
 use tulipridge_proxy::downstream::event_tracker::EventTracker;
 
-/// Passes pieces; what came out, and the id behind which another replica may go on.
+/// Feeds `pieces` to a tracker. Returns its output and the id after which another replica may resume the stream.
 fn track(pieces: &[&str]) -> (String, Option<String>) {
     let (mut tracker, mut out) = (EventTracker::default(), Vec::new());
     for piece in pieces {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_stream_comes_out_alike_whatever_its_chunks() {
+fn chunk_boundaries_do_not_change_a_stream() {
     let text = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\n\n";
     for size in 1..text.len() {
         let pieces: Vec<_> = text.as_bytes().chunks(size).collect();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_not_buffered_for_ever() {
+fn an_unterminated_event_is_not_buffered_without_limit() {
     let long = "x".repeat(300 * 1024);
     let (out, id) = track(&["id: 1\n\n", &long, "more"]);
     assert_eq!(out.len(), 7 + long.len() + 4);
--- a/crates/proxy/tests/freshness.rs
+++ b/crates/proxy/tests/freshness.rs
@@ -29,15 +29,12 @@
     assert_eq!(gate.is_open(age, Credentials::None), is_open);
 }
 
-/// The age for keys is never longer than that for other requests.
+/// The maximum age for requests with keys is never longer than that for other requests.
 #[rstest]
 #[case(1_000, 500)]
 #[case(1_250, 750)]
 #[case(400, 0)]
-fn a_short_time_for_withdrawals_bounds_requests_with_keys_too(
-    #[case] withdraw_ms: u64,
-    #[case] max_age_ms: u64,
-) {
+fn a_short_withdrawal_time_limits_requests_with_keys(#[case] withdraw_ms: u64, #[case] max_age_ms: u64) {
     let gate = FreshnessGate::new(true, Duration::from_millis(withdraw_ms));
     let is_open = |age_ms| gate.is_open(Some(Duration::from_millis(age_ms)), Credentials::Key);
     assert!(is_open(max_age_ms) && !is_open(max_age_ms + 1));
--- a/crates/proxy/tests/headers.rs
+++ b/crates/proxy/tests/headers.rs
@@ -1,4 +1,4 @@
-//! Heads as they are passed on, in both directions.
+//! Message heads as they are forwarded, in both directions.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
 };
 
 #[test]
-fn a_request_keeps_what_concerns_the_replica() {
+fn a_request_keeps_end_to_end_headers() {
     let client = "POST /a/b?c=d%20e&f HTTP/1.1\n\
                   Host: shop.example\n\
                   ATTEMPT-ID: 9c41d07b\n\
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_request_loses_what_only_the_system_may_say() {
+fn a_request_loses_headers_reserved_for_the_proxy() {
     let client = "POST / HTTP/1.1\n\
                   Host: shop.example\n\
                   customer: somebody-else\n\
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_request_loses_what_concerns_one_connection() {
+fn a_request_loses_hop_by_hop_headers() {
     let client = "POST / HTTP/1.1\n\
                   Host: shop.example\n\
                   Connection: keep-alive, X-Hop\n\
@@ -113,7 +113,7 @@
     insta::assert_snapshot!(request(client, 0, &additions));
 }
 
-fn answer(framing: Framing, persistence: Persistence) -> String {
+fn response(framing: Framing, persistence: Persistence) -> String {
     let replica = "HTTP/1.1 200 Fine\n\
                    Attempt-Id: 9c41d07b\n\
                    Server-Seal: 3e1b.07\n\
@@ -131,17 +131,17 @@
 #[test]
 fn a_response_keeps_end_to_end_headers() {
     let idle = Persistence::KeepAlive(Duration::from_secs(14));
-    insta::assert_snapshot!(answer(Framing::Length(5), idle));
+    insta::assert_snapshot!(response(Framing::Length(5), idle));
 }
 
 #[test]
 fn a_chunked_response_has_no_length() {
-    insta::assert_snapshot!(answer(Framing::Chunked, Persistence::Close));
+    insta::assert_snapshot!(response(Framing::Chunked, Persistence::Close));
 }
 
 #[test]
 fn a_response_without_a_body_keeps_its_stated_length() {
-    insta::assert_snapshot!(answer(Framing::None, Persistence::Close));
+    insta::assert_snapshot!(response(Framing::None, Persistence::Close));
 }
 
 #[test]
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_refusal_says_how_long_to_stay_away() {
+fn a_refusal_states_retry_after() {
     let mut out = Vec::new();
     LocalResponse::refusal(Duration::from_millis(350)).write(Some("t1"), Persistence::Close, &mut out);
     insta::assert_snapshot!(text(out));
--- a/crates/proxy/tests/kv_cache.rs
+++ b/crates/proxy/tests/kv_cache.rs
@@ -1,4 +1,4 @@
-//! Where KV cache is fetched from and saved to.
+//! The choice of the replica or store from which KV cache is fetched, and of the store to which it is saved.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use tulipridge_proxy::placement::prompt::PromptSegment;
 
 const STORE: u8 = 200;
-const PARTS: [(&str, u32); 3] = [("a", 2_000), ("b", 100), ("c", 3_000)];
+const SEGMENTS: [(&str, u32); 3] = [("a", 2_000), ("b", 100), ("c", 3_000)];
 
 fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 80)
@@ -23,7 +23,7 @@
     Target { address: SocketAddr::V4(address(number)), zone: u16::from(number % 2) }
 }
 
-/// The zone of the replicas with these numbers.
+/// A lookup of the zones of the replicas with these numbers.
 fn zones(numbers: &[u8]) -> impl Fn(SocketAddr) -> Option<u16> {
     let zones: BTreeMap<SocketAddr, u16> =
         numbers.iter().map(|number| (SocketAddr::V4(address(*number)), u16::from(*number % 2))).collect();
@@ -35,19 +35,22 @@
 }
 
 fn chain(salt: &str) -> PrefixChain {
-    PrefixChain::new(&PARTS.map(|(id, tokens)| PromptSegment::new(id, tokens)), salt)
+    PrefixChain::new(&SEGMENTS.map(|(id, tokens)| PromptSegment::new(id, tokens)), salt)
 }
 
-fn keeps(number: u8, liveness: Liveness, parts: &[(&str, &str, u32)]) -> CacheUpdate {
+fn cache_update(number: u8, liveness: Liveness, segments: &[(&str, &str, u32)]) -> CacheUpdate {
     CacheUpdate {
         source: address(number),
         boot: 1,
         next_token: 1,
         liveness,
         replace: true,
-        added: parts
+        added: segments
             .iter()
-            .map(|(salt, part, tokens)| CachedPrefix { key: PrefixKey::new(salt, part), tokens: *tokens })
+            .map(|(salt, segment, tokens)| CachedPrefix {
+                key: PrefixKey::new(salt, segment),
+                tokens: *tokens,
+            })
             .collect(),
         removed: Vec::new(),
     }
@@ -71,65 +74,69 @@
     address.ip().octets()[3]
 }
 
-/// Salt, part, tokens.
-type Kept = (&'static str, &'static str, u32);
+/// The salt, segment id and token count of a cached segment.
+type CachedSegment = (&'static str, &'static str, u32);
 
-const COMPLETE: &[Kept] = &[("m1", "a", 2_000), ("m1", "c", 3_000)];
-const FIRST: &[Kept] = &[("m1", "a", 2_000)];
-const LAST: &[Kept] = &[("m1", "c", 3_000)];
+const COMPLETE: &[CachedSegment] = &[("m1", "a", 2_000), ("m1", "c", 3_000)];
+const FIRST_SEGMENT: &[CachedSegment] = &[("m1", "a", 2_000)];
+const LAST_SEGMENT: &[CachedSegment] = &[("m1", "c", 3_000)];
 
-// ---- what counts as cached --------------------------------------------------------------------------------
+// ---- cached tokens ----------------------------------------------------------------------------------------
 
 #[rstest]
-#[case::whole(COMPLETE, 5_000)]
+#[case::complete(COMPLETE, 5_000)]
 #[case::blocks(&[("m1", "a", 1_984), ("m1", "c", 2_992)], 4_976)]
-#[case::first(FIRST, 2_000)]
+#[case::first(FIRST_SEGMENT, 2_000)]
 #[case::part_of_the_first(&[("m1", "a", 512), ("m1", "c", 3_000)], 512)]
-#[case::last_alone(LAST, 0)]
+#[case::last_alone(LAST_SEGMENT, 0)]
 #[case::another_salt(&[("m2", "a", 2_000), ("m2", "c", 3_000)], 0)]
 fn a_segment_counts_only_if_all_before_it_are_cached(
-    #[case] parts: &[(&str, &str, u32)],
+    #[case] segments: &[(&str, &str, u32)],
     #[case] expected: u32,
 ) {
     let mut index = Index::default();
-    index.apply(&keeps(1, Liveness::Alive, parts));
+    index.apply(&cache_update(1, Liveness::Alive, segments));
     assert_eq!(cached_tokens(&index, address(1), &chain("m1")), expected);
 }
 
 // ---- fetches ----------------------------------------------------------------------------------------------
 
 #[rstest]
-#[case::target_keeps_all(&[(1, COMPLETE), (2, COMPLETE), (STORE, COMPLETE)], None)]
+#[case::target_has_all(&[(1, COMPLETE), (2, COMPLETE), (STORE, COMPLETE)], None)]
 #[case::same_zone_first(&[(2, COMPLETE), (3, COMPLETE), (4, COMPLETE), (STORE, COMPLETE)], Some(3))]
 #[case::replica_before_store(&[(2, COMPLETE), (STORE, COMPLETE)], Some(2))]
-#[case::who_keeps_more(&[(3, FIRST), (2, COMPLETE)], Some(2))]
-#[case::store_that_keeps_more(&[(3, FIRST), (STORE, COMPLETE)], Some(STORE))]
-#[case::no_more_than_the_target(&[(1, FIRST), (3, FIRST), (STORE, FIRST)], None)]
-#[case::end_without_beginning(&[(3, LAST), (STORE, FIRST)], Some(STORE))]
+#[case::replica_with_more_tokens(&[(3, FIRST_SEGMENT), (2, COMPLETE)], Some(2))]
+#[case::store_with_more_tokens(&[(3, FIRST_SEGMENT), (STORE, COMPLETE)], Some(STORE))]
+#[case::no_more_than_the_target(&[(1, FIRST_SEGMENT), (3, FIRST_SEGMENT), (STORE, FIRST_SEGMENT)], None)]
+#[case::last_segment_without_first(&[(3, LAST_SEGMENT), (STORE, FIRST_SEGMENT)], Some(STORE))]
 #[case::not_listed(&[(9, COMPLETE)], None)]
-#[case::nobody(&[], None)]
-fn the_source_that_keeps_the_most_is_fetched_from(
-    #[case] kept: &[(u8, &[Kept])],
+#[case::no_source(&[], None)]
+fn the_source_with_the_most_cached_tokens_is_used(
+    #[case] cached: &[(u8, &[CachedSegment])],
     #[case] expected: Option<u8>,
 ) {
     let updates: Vec<_> =
-        kept.iter().map(|(number, parts)| keeps(*number, Liveness::Alive, parts)).collect();
+        cached.iter().map(|(number, segments)| cache_update(*number, Liveness::Alive, segments)).collect();
     let mut planner = planner(&updates);
     let plan = planner.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2, 3, 4]));
     assert_eq!(fetch(plan), expected);
 }
 
 #[test]
-fn a_replica_that_was_just_sent_the_prefix_is_ahead_of_the_index() {
-    let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
+fn a_recent_target_is_a_source_before_the_index_lists_it() {
+    let mut planner = planner(&[cache_update(STORE, Liveness::Alive, &[])]);
     planner.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
     assert_eq!(fetch(planner.plan(ms(900), &chain("m1"), target(2), zones(&[1, 2]))), Some(1));
     assert_eq!(fetch(planner.plan(ms(950), &chain("m2"), target(1), zones(&[1, 2]))), None, "another salt");
-    assert_eq!(fetch(planner.plan(ms(2_000), &chain("m1"), target(1), zones(&[1, 2]))), None, "long ago");
+    assert_eq!(
+        fetch(planner.plan(ms(2_000), &chain("m1"), target(1), zones(&[1, 2]))),
+        None,
+        "the last target has expired"
+    );
 }
 
 #[test]
-fn without_an_index_the_last_target_is_the_source_and_no_store() {
+fn without_an_index_only_the_last_target_is_a_source() {
     let mut planner = planner(&[]);
     let first = planner.plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
     assert_eq!((first.fetch, first.save), (None, None));
@@ -139,20 +146,23 @@
 
 #[test]
 fn a_prompt_without_long_shared_segments_transfers_nothing() {
-    let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
+    let mut planner = planner(&[cache_update(STORE, Liveness::Alive, &[])]);
     let short = PrefixChain::new(&[PromptSegment::new("a", 255)], "m1");
     let plan = planner.plan(ms(0), &short, target(1), zones(&[1]));
     assert_eq!((plan.fetch, plan.save), (None, None));
 }
 
 #[rstest]
-#[case::nobody(&[], 5_000)]
-#[case::target(&[(1, FIRST)], 3_000)]
-#[case::source(&[(1, FIRST), (2, COMPLETE)], 0)]
-#[case::store(&[(STORE, FIRST)], 3_000)]
-fn what_neither_target_nor_source_keeps_is_unread(#[case] kept: &[(u8, &[Kept])], #[case] expected: u32) {
+#[case::no_source(&[], 5_000)]
+#[case::target(&[(1, FIRST_SEGMENT)], 3_000)]
+#[case::source(&[(1, FIRST_SEGMENT), (2, COMPLETE)], 0)]
+#[case::store(&[(STORE, FIRST_SEGMENT)], 3_000)]
+fn tokens_cached_by_neither_target_nor_source_are_unread(
+    #[case] cached: &[(u8, &[CachedSegment])],
+    #[case] expected: u32,
+) {
     let updates: Vec<_> =
-        kept.iter().map(|(number, parts)| keeps(*number, Liveness::Alive, parts)).collect();
+        cached.iter().map(|(number, segments)| cache_update(*number, Liveness::Alive, segments)).collect();
     let plan = planner(&updates).plan(ms(0), &chain("m1"), target(1), zones(&[1, 2]));
     assert_eq!(plan.unread_tokens, expected);
 }
@@ -174,22 +184,22 @@
 
 #[rstest]
 #[case::lacks_all(Liveness::Alive, &[], true)]
-#[case::lacks_the_last(Liveness::Alive, FIRST, true)]
-#[case::keeps_all(Liveness::Alive, COMPLETE, false)]
+#[case::lacks_the_last(Liveness::Alive, FIRST_SEGMENT, true)]
+#[case::has_all(Liveness::Alive, COMPLETE, false)]
 #[case::down(Liveness::Down, &[], false)]
-fn a_store_that_lacks_the_prefix_is_sent_it(
+fn a_prefix_is_saved_to_a_store_that_lacks_it(
     #[case] liveness: Liveness,
-    #[case] parts: &[(&str, &str, u32)],
+    #[case] segments: &[(&str, &str, u32)],
     #[case] expected: bool,
 ) {
-    let mut planner = planner(&[keeps(STORE, liveness, parts)]);
+    let mut planner = planner(&[cache_update(STORE, liveness, segments)]);
     let plan = planner.plan(ms(0), &chain("m1"), target(1), zones(&[1]));
     assert_eq!(plan.save.map(number), expected.then_some(STORE));
 }
 
 #[test]
 fn a_save_is_not_requested_again_at_once() {
-    let mut planner = planner(&[keeps(STORE, Liveness::Alive, &[])]);
+    let mut planner = planner(&[cache_update(STORE, Liveness::Alive, &[])]);
     let mut saves_at = |time| planner.plan(ms(time), &chain("m1"), target(1), zones(&[1])).save.is_some();
     assert_eq!([0, 10, 2_999, 3_000, 3_001].map(&mut saves_at), [true, false, false, true, false]);
 }
@@ -197,7 +207,7 @@
 // ---- property ---------------------------------------------------------------------------------------------
 
 fn pick<T: Copy>(random: &mut Rng, from: &[T]) -> T {
-    *random.choice(from).expect("something to pick from")
+    *random.choice(from).expect("a non-empty slice")
 }
 
 const NUMBERS: [u8; 7] = [1, 2, 3, 4, 5, 6, STORE];
@@ -207,14 +217,14 @@
 fn random_update(random: &mut Rng) -> CacheUpdate {
     let number = pick(random, &NUMBERS);
     let liveness = pick(random, &[Liveness::Alive, Liveness::Alive, Liveness::Alive, Liveness::Down]);
-    let parts: Vec<_> = (0..random.u8(..5))
+    let segments: Vec<_> = (0..random.u8(..5))
         .map(|_| (pick(random, &SALTS), pick(random, &["a", "c"]), 256 + random.u32(..3_000)))
         .collect();
-    CacheUpdate { replace: random.u8(..4) == 0, ..keeps(number, liveness, &parts) }
+    CacheUpdate { replace: random.u8(..4) == 0, ..cache_update(number, liveness, &segments) }
 }
 
-/// What a plan may name: neither the target, nor a source that is down or that was never sent or never kept a part
-/// under the request's salt.
+/// Checks that a plan names neither the target as a source, nor a source that is down, unlisted, or without a segment
+/// under the request's salt that it was sent or has cached.
 fn assert_allowed(plan: KvTransfer, index: &Index, target: u8, salt: &str, sent: &[(u8, &str)]) {
     if let Some(source) = fetch(plan) {
         let chain = chain(salt);
@@ -222,14 +232,14 @@
         let is_down = index.status(address(source)).is_some_and(|s| s.liveness != Liveness::Alive);
         assert_ne!(source, target);
         assert!(!is_down, "{source} is down");
-        assert!(is_kept || sent.contains(&(source, salt)), "{source} has nothing under {salt}");
+        assert!(is_kept || sent.contains(&(source, salt)), "{source} has no segment under {salt}");
         assert!(source == STORE || LISTED.contains(&source), "{source} is not listed");
     }
     assert!(plan.save.is_none_or(|store| number(store) == STORE && index.is_alive(address(STORE))));
 }
 
 #[rstest]
-fn no_plan_names_a_wrong_source(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn no_plan_names_an_invalid_source(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut random = Rng::with_seed(seed);
     let index = Rc::new(RefCell::new(Index::default()));
     let mut planner = TransferPlanner::default();
@@ -248,5 +258,5 @@
         fetches += usize::from(plan.fetch.is_some());
         sent.push((number, salt));
     }
-    assert!(fetches > 500, "{fetches} fetches tell little");
+    assert!(fetches > 500, "only {fetches} fetches were planned");
 }
--- a/crates/proxy/tests/limits.rs
+++ b/crates/proxy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Timeouts, and the limits that follow from the descriptors.
+//! Timeouts, and the connection limits derived from the number of file descriptors.
 
 use std::time::{Duration, Instant};
 
--- a/crates/proxy/tests/placement.rs
+++ b/crates/proxy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The load balancers as the proxy drives them, with the time handed in.
+//! The load balancers as the proxy drives them, on a simulated clock.
 
 mod support;
 
@@ -11,8 +11,8 @@
 use tulipridge_proxy::placement::prompt::Prompt;
 use tulipridge_proxy::placement::{self, AttemptOutcome, Placement, PlacementRequest, RequestAction};
 
-const SECOND: Nanos = 1_000_000_000;
-const START: Nanos = 5 * SECOND;
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+const START: Nanos = 5 * NANOS_PER_SECOND;
 
 fn member(id: &str, phase: Phase) -> Member {
     Member { id: ReplicaId::from(id), units: 1.0, zone: 0, kind: 0, cell: 0, phase, started: None }
@@ -39,20 +39,20 @@
     placement.place(START, "service", request).expect("a known service")
 }
 
-/// How the first attempt ended, at once.
+/// An outcome of the first attempt, with no time elapsed.
 fn outcome(verdict: Verdict, ends_request: bool) -> AttemptOutcome {
     AttemptOutcome { attempt: 0, verdict, elapsed: Duration::ZERO, ends_request }
 }
 
-fn next(placement: &mut Placement, id: RequestId) -> Option<RequestAction> {
+fn next_action(placement: &mut Placement, id: RequestId) -> Option<RequestAction> {
     match placement.poll_action(id, &mut Context::from_waker(Waker::noop())) {
-        Poll::Ready(order) => Some(order),
+        Poll::Ready(action) => Some(action),
         Poll::Pending => None,
     }
 }
 
-fn sent_to(order: Option<RequestAction>) -> (u32, ReplicaId) {
-    match order {
+fn expect_send(action: Option<RequestAction>) -> (u32, ReplicaId) {
+    match action {
         Some(RequestAction::Send { attempt, replica }) => (attempt, replica),
         other => panic!("no send: {other:?}"),
     }
@@ -67,63 +67,63 @@
 #[case::cancelled("stream", Verdict::Cancelled, false)]
 #[case::idempotent("harmless", Verdict::Reset, true)]
 #[case::resumable("resumable", Verdict::Reset, true)]
-fn a_further_attempt_is_another_replicas(
+fn a_retry_goes_to_another_replica(
     #[case] route: &str,
     #[case] verdict: Verdict,
-    #[case] is_repeated: bool,
+    #[case] is_retried: bool,
 ) {
     let mut placement = placement(&ready(2));
     let id = place(&mut placement, route, Prompt::default());
-    let (attempt, first) = sent_to(next(&mut placement, id));
+    let (attempt, first) = expect_send(next_action(&mut placement, id));
     assert_eq!(attempt, 0);
     placement.record_outcome(START, id, outcome(verdict, false));
-    let order = next(&mut placement, id);
-    if is_repeated {
-        let (attempt, second) = sent_to(order);
+    let action = next_action(&mut placement, id);
+    if is_retried {
+        let (attempt, second) = expect_send(action);
         assert_eq!(attempt, 1);
         assert_ne!(first, second);
     } else {
-        assert_eq!(order, Some(RequestAction::Fail));
+        assert_eq!(action, Some(RequestAction::Fail));
     }
 }
 
 #[rstest]
 #[case::may_have_run(None, RequestAction::Fail)]
 #[case::has_not_run(Some(Verdict::Full), RequestAction::Fail)]
-fn a_request_that_is_out_fails_at_its_deadline(
+fn a_request_in_flight_fails_at_its_deadline(
     #[case] first: Option<Verdict>,
     #[case] expected: RequestAction,
 ) {
     let mut placement = placement(&ready(2));
     let id = place(&mut placement, "risky", Prompt::default());
-    sent_to(next(&mut placement, id));
+    expect_send(next_action(&mut placement, id));
     if let Some(verdict) = first {
         placement.record_outcome(START, id, outcome(verdict, false));
-        sent_to(next(&mut placement, id));
+        expect_send(next_action(&mut placement, id));
     }
-    placement.run_timers(START + 6 * SECOND - 1);
-    assert_eq!(next(&mut placement, id), None);
-    placement.run_timers(START + 6 * SECOND);
-    assert_eq!(next(&mut placement, id), Some(expected));
+    placement.run_timers(START + 6 * NANOS_PER_SECOND - 1);
+    assert_eq!(next_action(&mut placement, id), None);
+    placement.run_timers(START + 6 * NANOS_PER_SECOND);
+    assert_eq!(next_action(&mut placement, id), Some(expected));
 }
 
 #[test]
 fn a_request_that_was_never_sent_is_refused_at_its_deadline() {
     let mut placement = placement(&[member("i-0", Phase::Draining)]);
     let id = place(&mut placement, "risky", Prompt::default());
-    assert_eq!(next(&mut placement, id), None);
-    placement.run_timers(START + 7 * SECOND);
-    assert!(matches!(next(&mut placement, id), Some(RequestAction::Refuse(_))));
+    assert_eq!(next_action(&mut placement, id), None);
+    placement.run_timers(START + 7 * NANOS_PER_SECOND);
+    assert!(matches!(next_action(&mut placement, id), Some(RequestAction::Refuse(_))));
 }
 
 #[test]
-fn a_begun_answer_outlasts_the_deadline() {
+fn a_started_response_outlasts_the_deadline() {
     let mut placement = placement(&ready(2));
     let id = place(&mut placement, "stream", Prompt::default());
-    sent_to(next(&mut placement, id));
+    expect_send(next_action(&mut placement, id));
     placement.record_first_token(START, id, 0, Duration::ZERO);
-    placement.run_timers(START + 7 * SECOND);
-    assert_eq!(next(&mut placement, id), None);
+    placement.run_timers(START + 7 * NANOS_PER_SECOND);
+    assert_eq!(next_action(&mut placement, id), None);
 }
 
 #[test]
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn requests_with_the_same_shared_part_meet() {
+fn requests_with_a_shared_prefix_go_to_few_replicas() {
     let mut placement = placement(&ready(10));
     let prompt = |shared, session| Prompt {
         shared: Some(shared),
@@ -146,12 +146,12 @@
         shared_tokens: 900,
         max_output_tokens: 80,
     };
-    // Others' requests make each subject a small part of all.
+    // Requests with other prefixes keep the share of each prefix small.
     let mut replicas = std::collections::BTreeSet::new();
     for n in 0..400 {
         let subject = n % 40;
         let id = place(&mut placement, "stream", prompt(subject, 1000 + n));
-        let (_, replica) = sent_to(next(&mut placement, id));
+        let (_, replica) = expect_send(next_action(&mut placement, id));
         placement.record_outcome(START, id, outcome(Verdict::Ok, true));
         placement.end_request(START, id);
         if subject == 3 && n > 200 {
@@ -168,7 +168,7 @@
     let mut configuration = support::configuration();
     configuration.routes.remove(0);
     let risky = configuration.routes.iter_mut().find(|route| route.label == "risky").expect("a route");
-    // What was risky may be repeated from now on.
+    // Requests of this route are idempotent from now on.
     risky.kind = tulipridge_configuration::RouteKind::Harmless;
     configuration.routes.push(support::route("new", "/new/", tulipridge_configuration::RouteKind::Risky));
     placement.configure(&configuration);
@@ -176,15 +176,15 @@
     assert_eq!(placement.class("harmless"), Some(ClassIndex(0)));
     assert_eq!(placement.class("new"), Some(ClassIndex(5)));
     let id = place(&mut placement, "risky", Prompt::default());
-    sent_to(next(&mut placement, id));
+    expect_send(next_action(&mut placement, id));
     placement.record_outcome(START, id, outcome(Verdict::Reset, false));
-    sent_to(next(&mut placement, id));
+    expect_send(next_action(&mut placement, id));
 }
 
 #[rstest]
 #[case::stated(400, 400)]
-#[case::a_part_of_the_time_limit(0, 2_000)]
-fn a_route_without_a_target_gets_one(#[case] stated_ms: u64, #[case] expected_ms: u64) {
+#[case::derived_from_the_time_limit(0, 2_000)]
+fn a_route_without_a_target_gets_a_latency_target(#[case] stated_ms: u64, #[case] expected_ms: u64) {
     let route = support::route("risky", "/risky/", tulipridge_configuration::RouteKind::Risky);
     let route = tulipridge_configuration::Route { target_ms: stated_ms, ..route };
     assert_eq!(placement::latency_target(&route), Duration::from_millis(expected_ms));
--- a/crates/proxy/tests/prompt_headers.rs
+++ b/crates/proxy/tests/prompt_headers.rs
@@ -1,4 +1,4 @@
-//! What the headers of a request say of its prompt.
+//! Parsing of the request headers that describe the prompt.
 
 mod support;
 
@@ -6,8 +6,8 @@
 use support::head;
 use tulipridge_proxy::placement::prompt::{Prompt, PromptHeaders, PromptSegment};
 
-fn prompt(parts: &str, count: &str) -> Prompt {
-    let headers = [("Prompt-Start", parts), ("Token-Count", count)];
+fn prompt(segments: &str, count: &str) -> Prompt {
+    let headers = [("Prompt-Start", segments), ("Token-Count", count)];
     PromptHeaders::read(&head(["POST", "/", "HTTP/1.1"], &headers)).prompt
 }
 
@@ -45,6 +45,6 @@
 #[case("a", "x", 0)]
 #[case("a:x,b:7", "", 7)]
 #[case(",,a:5,", "1", 5)]
-fn what_can_not_be_read_is_taken_as_absent(#[case] parts: &str, #[case] count: &str, #[case] tokens: u32) {
-    assert_eq!(prompt(parts, count).tokens, tokens);
+fn invalid_values_are_treated_as_absent(#[case] segments: &str, #[case] count: &str, #[case] tokens: u32) {
+    assert_eq!(prompt(segments, count).tokens, tokens);
 }
--- a/crates/proxy/tests/support/fixtures.rs
+++ b/crates/proxy/tests/support/fixtures.rs
@@ -1,11 +1,11 @@
-//! The configuration, settings and entries of the list that tests begin with.
+//! The default configuration, settings and replica list of the tests.
 
 use tulipridge_configuration::number::{Rank, Revision, WeightsRevision};
 use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, ServiceWeight, Tenant};
 use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase};
 use tulipridge_runtime::settings::Settings;
 
-use super::replica::StandIn;
+use super::replica::ScriptedReplica;
 
 pub(crate) const HOST: &str = "shop.example";
 pub(crate) const KEY: &str = "k1";
@@ -14,7 +14,7 @@
 pub(crate) fn settings() -> Settings {
     let text = "nodeName: edge-1\nipAddress: 127.0.0.1\narea: zone-a\nzones: {zone-a: here, zone-b: here}\n\
                 sparePorts: [7360, 7375]\n";
-    Settings::parse(text).expect("settings that can be used")
+    Settings::parse(text).expect("valid settings")
 }
 
 pub(crate) fn route(label: &str, path: &str, kind: RouteKind) -> Route {
@@ -67,11 +67,11 @@
     }
 }
 
-pub(crate) fn replica_line(stand_in: &StandIn) -> Replica {
+pub(crate) fn replica_entry(replica: &ScriptedReplica) -> Replica {
     Replica {
-        id: stand_in.id.clone(),
+        id: replica.id.clone(),
         service: "service".to_owned(),
-        address: stand_in.address.to_string(),
+        address: replica.address.to_string(),
         zone: "zone-a".to_owned(),
         capacity: 8,
         phase: ReplicaPhase::Ready,
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,19 +1,19 @@
-//! A proxy in the test's own process, with scripted replicas, over loopback.
+//! Runs a proxy in the test process, with scripted replicas, over loopback.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses its part")]
+#![allow(dead_code, unused_imports, reason = "each test file uses a subset")]
 
-mod bench;
 mod client;
 mod fixtures;
+mod harness;
 mod http;
 mod reading;
 mod replica;
 
-pub(crate) use bench::{Bench, settle};
 pub(crate) use client::TestClient;
-pub(crate) use fixtures::{HOST, KEY, SEAL, configuration, replica_line, route, settings};
+pub(crate) use fixtures::{HOST, KEY, SEAL, configuration, replica_entry, route, settings};
+pub(crate) use harness::{Harness, settle};
 pub(crate) use http::{
-    LAST, answer, chunk, event, head, header, ok, post, post_long, post_with, status, stream_head,
-    transcript,
+    LAST_CHUNK, chunk, event, head, header, normalized, ok, post, post_with, post_with_long_body, response,
+    status, stream_head,
 };
-pub(crate) use replica::{LONG_BODY, Part, Script, StandIn};
+pub(crate) use replica::{LONG_BODY, Script, ScriptedReplica, Step};
--- a/crates/proxy/tests/support/reading.rs
+++ b/crates/proxy/tests/support/reading.rs
@@ -1,4 +1,4 @@
-//! Reading messages from connections.
+//! Reads HTTP messages from connections.
 
 use std::net::{TcpListener, TcpStream};
 
@@ -19,7 +19,7 @@
     count
 }
 
-/// Reads a head, and leaves what follows it in the buffer.
+/// Reads a message head; bytes after it stay in the buffer.
 pub(super) async fn read_head(stream: &mut Async<TcpStream>, buffer: &mut Vec<u8>) -> Option<String> {
     loop {
         if let Some(end) = String::from_utf8_lossy(buffer).find("\r\n\r\n") {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads one message with its body as it came; none if the connection ends before its end.
+/// Reads one message with its encoded body; `None` if the connection ends before the message does.
 pub(super) async fn read_message(stream: &mut Async<TcpStream>, buffer: &mut Vec<u8>) -> Option<String> {
     loop {
         if let Some(end) = message_end(buffer) {
--- a/crates/proxy/tests/support/replica.rs
+++ b/crates/proxy/tests/support/replica.rs
@@ -1,4 +1,4 @@
-//! A replica that answers by a script.
+//! A replica that responds to requests as a script says.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,21 +13,21 @@
 use super::http::{header, ok};
 use super::reading::{listener, read_head, read_message, read_some};
 
-/// Bytes of a body that no connection takes at once.
+/// Length in bytes of a body that exceeds the socket buffers of a connection.
 pub(crate) const LONG_BODY: usize = 3 << 20;
 
-/// A part of what a replica does for one request.
+/// One step of a replica's handling of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Part {
-    /// As the first part: what follows is done once a byte has come, and nothing is read.
-    BeforeHead,
-    /// As the first part: what follows is done once the head has come.
-    BeforeBody,
-    /// Reads the body that was left where it was.
+pub(crate) enum Step {
+    /// Only as the first step: waits for the first byte of the request and reads nothing.
+    AwaitFirstByte,
+    /// Only as the first step: reads the head alone.
+    AwaitHead,
+    /// Reads the body that `AwaitHead` has left unread.
     ReadBody,
-    /// Writes this, with `{id}` as the request's `Attempt-Id`.
+    /// Writes the text, with `{id}` replaced by the request's `Attempt-Id`.
     Write(String),
-    /// Waits until the test lets it go on.
+    /// Waits for `Harness::release`.
     Wait,
     /// Closes the connection.
     Close,
@@ -35,41 +35,41 @@
     Reset,
 }
 
-/// What replicas do for the next requests, whichever of them these reach.
-pub(crate) type Script = Rc<RefCell<VecDeque<Vec<Part>>>>;
+/// The steps for the next requests, in the order in which these reach any replica.
+pub(crate) type Script = Rc<RefCell<VecDeque<Vec<Step>>>>;
 
-/// A replica that answers by script.
-pub(crate) struct StandIn {
+/// A replica that responds as its script says.
+pub(crate) struct ScriptedReplica {
     pub id: String,
     pub address: SocketAddr,
     script: Script,
-    /// Requests as they came.
+    /// The requests received, as text.
     pub requests: RefCell<Vec<String>>,
-    /// Connections that were made.
+    /// The number of connections accepted.
     pub connections: Cell<usize>,
-    /// Connections that the other side has ended.
-    pub ended: Cell<usize>,
-    gates: Rc<Cell<usize>>,
+    /// The number of accepted connections that are closed, by either side.
+    pub closed_connections: Cell<usize>,
+    permits: Rc<Cell<usize>>,
 }
 
-impl StandIn {
+impl ScriptedReplica {
     pub(crate) fn start(
         executor: &Rc<LocalExecutor<'static>>,
         id: &str,
         script: &Script,
-        gates: &Rc<Cell<usize>>,
-    ) -> Rc<StandIn> {
+        permits: &Rc<Cell<usize>>,
+    ) -> Rc<ScriptedReplica> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a free port");
-        let stand_in = Rc::new(StandIn {
+        let replica = Rc::new(ScriptedReplica {
             id: id.to_owned(),
             address: listener.get_ref().local_addr().expect("an address"),
             script: script.clone(),
             requests: RefCell::default(),
             connections: Cell::new(0),
-            ended: Cell::new(0),
-            gates: gates.clone(),
+            closed_connections: Cell::new(0),
+            permits: permits.clone(),
         });
-        let (served, spawner) = (stand_in.clone(), executor.clone());
+        let (served, spawner) = (replica.clone(), executor.clone());
         executor
             .spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
@@ -78,17 +78,17 @@
                     spawner
                         .spawn(async move {
                             served.serve(stream).await;
-                            served.ended.set(served.ended.get() + 1);
+                            served.closed_connections.set(served.closed_connections.get() + 1);
                         })
                         .detach();
                 }
             })
             .detach();
-        stand_in
+        replica
     }
 
-    /// Requests that came so far.
-    pub(crate) fn count(&self) -> usize {
+    /// The number of requests received so far.
+    pub(crate) fn request_count(&self) -> usize {
         self.requests.borrow().len()
     }
 
@@ -98,42 +98,42 @@
             if buffer.is_empty() && stream.peek(&mut [0]).await.ok()? == 0 {
                 return None;
             }
-            let first = self.script.borrow().front().and_then(|parts| parts.first().cloned());
+            let first = self.script.borrow().front().and_then(|steps| steps.first().cloned());
             let request = match first {
-                Some(Part::BeforeHead) => None,
-                Some(Part::BeforeBody) => Some(read_head(&mut stream, &mut buffer).await?),
+                Some(Step::AwaitFirstByte) => None,
+                Some(Step::AwaitHead) => Some(read_head(&mut stream, &mut buffer).await?),
                 _ => Some(read_message(&mut stream, &mut buffer).await?),
             };
-            let number = request.as_ref().map(|request| self.note(request));
+            let index = request.as_ref().map(|request| self.record_request(request));
             let request = request.unwrap_or_default();
-            let parts = self.script.borrow_mut().pop_front();
-            let parts = parts.unwrap_or_else(|| vec![Part::Write(ok("served"))]);
-            for part in parts {
-                if part == Part::ReadBody {
-                    self.read_body(number?, &mut stream, &mut buffer).await?;
+            let steps = self.script.borrow_mut().pop_front();
+            let steps = steps.unwrap_or_else(|| vec![Step::Write(ok("served"))]);
+            for step in steps {
+                if step == Step::ReadBody {
+                    self.read_body(index?, &mut stream, &mut buffer).await?;
                 } else {
-                    self.act(&part, &request, &mut stream).await?;
+                    self.perform(&step, &request, &mut stream).await?;
                 }
             }
         }
     }
 
-    /// Keeps a request; its number.
-    fn note(&self, request: &str) -> usize {
+    /// Records a request and returns its index.
+    fn record_request(&self, request: &str) -> usize {
         let mut requests = self.requests.borrow_mut();
         requests.push(request.to_owned());
         requests.len() - 1
     }
 
-    /// Does a part; none once the connection is over.
-    async fn act(&self, part: &Part, request: &str, stream: &mut Async<TcpStream>) -> Option<()> {
+    /// Performs a step; `None` if the connection is over.
+    async fn perform(&self, step: &Step, request: &str, stream: &mut Async<TcpStream>) -> Option<()> {
         let id = header(request, "Attempt-Id").unwrap_or_default();
-        match part {
-            Part::BeforeHead | Part::BeforeBody | Part::ReadBody => Some(()),
-            Part::Write(text) => stream.write_all(text.replace("{id}", &id).as_bytes()).await.ok(),
-            Part::Wait => self.wait(stream).await,
-            Part::Close => None,
-            Part::Reset => {
+        match step {
+            Step::AwaitFirstByte | Step::AwaitHead | Step::ReadBody => Some(()),
+            Step::Write(text) => stream.write_all(text.replace("{id}", &id).as_bytes()).await.ok(),
+            Step::Wait => self.wait(stream).await,
+            Step::Close => None,
+            Step::Reset => {
                 let socket = socket2::SockRef::from(stream.get_ref());
                 socket.set_linger(Some(Duration::ZERO)).ok()?;
                 None
@@ -141,33 +141,33 @@
         }
     }
 
-    /// Adds its body to a request, as far as it comes.
+    /// Appends the bytes of the body that arrive to the recorded request; `None` if the connection ends before the body.
     async fn read_body(
         &self,
-        number: usize,
+        index: usize,
         stream: &mut Async<TcpStream>,
         buffer: &mut Vec<u8>,
     ) -> Option<()> {
-        let length = header(&self.requests.borrow()[number], "Content-Length")?.parse().ok()?;
+        let length = header(&self.requests.borrow()[index], "Content-Length")?.parse().ok()?;
         let mut is_open = true;
         while is_open && buffer.len() < length {
             is_open = read_some(stream, buffer).await > 0;
         }
         let body: Vec<u8> = buffer.drain(..length.min(buffer.len())).collect();
-        self.requests.borrow_mut()[number].push_str(&String::from_utf8_lossy(&body));
+        self.requests.borrow_mut()[index].push_str(&String::from_utf8_lossy(&body));
         is_open.then_some(())
     }
 
-    /// Waits for the test's word; none once the other side has ended the connection.
+    /// Waits for `Harness::release`; `None` if the peer closes the connection first.
     async fn wait(&self, stream: &mut Async<TcpStream>) -> Option<()> {
-        while self.gates.get() == 0 {
+        while self.permits.get() == 0 {
             let peeked = future::poll_once(stream.peek(&mut [0])).await;
             if matches!(peeked, Some(Ok(0) | Err(_))) {
                 return None;
             }
             future::yield_now().await;
         }
-        self.gates.set(self.gates.get() - 1);
+        self.permits.set(self.permits.get() - 1);
         Some(())
     }
 }
--- a/crates/proxy/tests/urgency.rs
+++ b/crates/proxy/tests/urgency.rs
@@ -1,16 +1,16 @@
-//! The priorities of requests.
+//! The priorities of requests, from the rank and the length of the prompt.
 
 mod support;
 
 use rstest::rstest;
-use support::{Bench, header, post_with};
+use support::{Harness, header, post_with};
 use tulipridge_configuration::number::Rank;
 use tulipridge_proxy::placement::urgency::Urgency;
 
 const MEAN_TOKENS: u32 = 3_000;
 
-/// After many requests of one length.
-fn settled() -> Urgency {
+/// The state after many requests of the mean length.
+fn after_mean_requests() -> Urgency {
     let mut urgency = Urgency::default();
     for _ in 0..100 {
         urgency.priority(Rank(0), MEAN_TOKENS);
@@ -25,24 +25,29 @@
 #[case::longer(1, 10_000, 3)]
 #[case::longest(1, 53_000, 4)]
 #[case::least_urgent(9, 53_000, 9)]
-#[case::ranks_without_end(255, 0, 9)]
+#[case::maximum_rank(255, 0, 9)]
 fn long_prompts_are_less_urgent(#[case] rank: u8, #[case] unread: u32, #[case] expected: u8) {
-    assert_eq!(settled().priority(Rank(rank), unread), expected);
+    assert_eq!(after_mean_requests().priority(Rank(rank), unread), expected);
 }
 
 #[rstest]
-fn of_a_like_length_the_rank_decides(#[values(0, 3_000, 4_000, 15_000, 100_000)] unread: u32) {
-    assert!((0..6).all(|rank| settled().priority(Rank(rank), unread) < settled().priority(Rank(rank + 1), unread)));
+fn rank_decides_between_prompts_of_equal_length(#[values(0, 3_000, 4_000, 15_000, 100_000)] unread: u32) {
+    assert!((0..6).all(|rank| after_mean_requests().priority(Rank(rank), unread)
+        < after_mean_requests().priority(Rank(rank + 1), unread)));
 }
 
 #[test]
-fn a_short_question_does_not_wait_for_a_long_prompt_of_the_next_higher_rank() {
-    assert!(settled().priority(Rank(2), 1_100) < settled().priority(Rank(1), 17_000));
-    assert!(settled().priority(Rank(1), 1_100) < settled().priority(Rank(0), 17_000));
+fn a_short_prompt_precedes_a_long_one_of_the_next_higher_rank() {
+    assert!(
+        after_mean_requests().priority(Rank(2), 1_100) < after_mean_requests().priority(Rank(1), 17_000)
+    );
+    assert!(
+        after_mean_requests().priority(Rank(1), 1_100) < after_mean_requests().priority(Rank(0), 17_000)
+    );
 }
 
 #[test]
-fn the_first_request_sets_the_measure_and_the_mean_follows() {
+fn the_first_request_sets_the_mean_and_later_ones_move_it() {
     let mut urgency = Urgency::default();
     assert_eq!(urgency.priority(Rank(1), 17_000), 1);
     assert_eq!(urgency.priority(Rank(1), 17_000), 1);
@@ -54,15 +59,15 @@
 
 #[test]
 fn a_replica_is_sent_a_lower_priority_for_a_long_prompt() {
-    let bench = Bench::start(1);
+    let harness = Harness::start(1);
     let prompts = ["5c1e07a2:800,e4402b7d:250", "5c1e07a3:800,e4402b7e:250", "5c1e07a4:40000,e4402b7f:250"];
-    bench.run(async {
+    harness.run(async {
         for prompt in prompts {
             let headers = format!("Llm: m\r\nPrompt-Start: {prompt}\r\n");
-            bench.send_request(&post_with("/stream/", "t1", &headers)).await;
+            harness.send_request(&post_with("/stream/", "t1", &headers)).await;
         }
     });
-    let sent = bench.replicas[0].requests.borrow();
+    let sent = harness.replicas[0].requests.borrow();
     let priorities: Vec<_> = sent.iter().filter_map(|request| header(request, "Priority")).collect();
     assert_eq!(priorities, ["3", "3", "6"]);
 }
--- a/crates/proxy/tests/weights_expiry.rs
+++ b/crates/proxy/tests/weights_expiry.rs
@@ -1,97 +1,103 @@
-//! Requests that wait at a replica whose weights are withdrawn.
+//! Requests that wait at a replica whose weights are withdrawn, and the times at which they are cancelled.
 
 mod support;
 
 use std::time::Duration;
 
 use rstest::rstest;
-use support::{Bench, LAST, Part, event, ok, post_with, status, stream_head};
+use support::{Harness, LAST_CHUNK, Step, event, ok, post_with, status, stream_head};
 use tulipridge_configuration::number::WeightsRevision;
 use tulipridge_protocol::feed::{ModelRevision, ModelWeights, Position, WeightsTable};
 use tulipridge_protocol::number::{ChangeNumber, Epoch};
 use tulipridge_proxy::replica::weights_expiry::WeightsExpiry;
 use tulipridge_runtime::settings::RevisionTerm;
 
-/// The operator's term: a part of it is left after a withdrawal.
+/// The operator's time limit for a change to new weights. Some of it is left after a withdrawal.
 const REVISION_MS: u64 = 600;
-/// A budget that lets each request be repeated.
+/// Retry ratio and spare attempts that allow a retry of each request.
 const BUDGET: (f64, u64) = (2.0, 100);
 
 fn request(path: &str) -> String {
     post_with(path, "a1", "Llm: m\r\n").replace("Time-Left-Ms: 6000", "Time-Left-Ms: 3000")
 }
 
-/// What a client gets whose request waits at a replica when its weights are withdrawn, and how many replicas saw it.
-fn wait_on_withdrawn_weights(path: &str) -> (String, usize) {
-    let bench = Bench::with_revision_term(2, REVISION_MS, BUDGET);
-    bench.next(&[Part::Wait, Part::Write(ok("begun on withdrawn weights"))]);
-    bench.run(async {
-        let mut client = bench.connect().await;
+/// Withdraws the weights of the replica at which a request waits. Returns the response and the number of replicas that
+/// received the request.
+fn send_to_withdrawn_weights(path: &str) -> (String, usize) {
+    let harness = Harness::with_revision_term(2, REVISION_MS, BUDGET);
+    harness.script_next_request(&[Step::Wait, Step::Write(ok("begun on withdrawn weights"))]);
+    harness.run(async {
+        let mut client = harness.connect().await;
         client.send(&request(path)).await;
-        bench.until(|| bench.arrivals() == 1).await;
-        bench.withdraw_at_busy(5);
-        let answer = client.answer().await;
-        let ended = || bench.replicas.iter().map(|replica| replica.ended.get()).sum::<usize>();
-        bench.until(|| ended() == 1).await;
-        assert_eq!(bench.proxy.counters.weights_expired.get(), 1);
-        (answer, bench.arrivals())
+        harness.wait_until(|| harness.arrivals() == 1).await;
+        harness.withdraw_weights_of_busy_replicas(5);
+        let response = client.read_response().await;
+        let ended =
+            || harness.replicas.iter().map(|replica| replica.closed_connections.get()).sum::<usize>();
+        harness.wait_until(|| ended() == 1).await;
+        assert_eq!(harness.proxy.counters.weights_expired.get(), 1);
+        (response, harness.arrivals())
     })
 }
 
 #[test]
-fn a_resumable_request_that_waits_on_withdrawn_weights_is_sent_to_newer_ones() {
-    let (answer, arrivals) = wait_on_withdrawn_weights("/resumable/");
-    assert_eq!(status(&answer), "200", "{answer}");
-    assert!(answer.ends_with("served"), "{answer}");
+fn a_resumable_request_on_withdrawn_weights_is_retried() {
+    let (response, arrivals) = send_to_withdrawn_weights("/resumable/");
+    assert_eq!(status(&response), "200", "{response}");
+    assert!(response.ends_with("served"), "{response}");
     assert_eq!(arrivals, 2);
 }
 
 #[rstest]
 #[case("/stream/")]
 #[case("/risky/")]
-fn one_that_must_not_run_twice_fails_without_a_promise(#[case] path: &str) {
-    let (answer, arrivals) = wait_on_withdrawn_weights(path);
-    assert_eq!(status(&answer), "502", "{answer}");
+fn a_non_idempotent_request_on_withdrawn_weights_gets_502(#[case] path: &str) {
+    let (response, arrivals) = send_to_withdrawn_weights(path);
+    assert_eq!(status(&response), "502", "{response}");
     assert_eq!(arrivals, 1);
 }
 
 #[test]
-fn a_response_that_has_begun_continues_when_its_weights_are_withdrawn() {
-    let bench = Bench::with_revision_term(2, REVISION_MS, BUDGET);
-    bench.next(&[Part::Write(stream_head() + &event(1)), Part::Wait, Part::Write(event(2) + LAST)]);
-    let answer = bench.run(async {
-        let mut client = bench.connect().await;
+fn a_started_response_outlasts_the_withdrawal_of_its_weights() {
+    let harness = Harness::with_revision_term(2, REVISION_MS, BUDGET);
+    harness.script_next_request(&[
+        Step::Write(stream_head() + &event(1)),
+        Step::Wait,
+        Step::Write(event(2) + LAST_CHUNK),
+    ]);
+    let response = harness.run(async {
+        let mut client = harness.connect().await;
         client.send(&request("/stream/")).await;
-        bench.until(|| bench.arrivals() == 1).await;
-        // The first event has come before the update, and the rest comes after the term.
+        harness.wait_until(|| harness.arrivals() == 1).await;
+        // The first event arrives before the update, and the rest after the term.
         support::settle().await;
-        bench.withdraw_at_busy(5);
-        bench.proxy.weights_expired(&weights("m", 4)).await;
-        bench.release();
-        client.answer().await
+        harness.withdraw_weights_of_busy_replicas(5);
+        harness.proxy.weights_expired(&weights("m", 4)).await;
+        harness.release();
+        client.read_response().await
     });
-    assert!(answer.contains("d2") && !answer.ends_with("(cut)"), "{answer}");
+    assert!(response.contains("d2") && !response.ends_with("(truncated)"), "{response}");
 }
 
 #[test]
-fn a_request_of_another_model_waits_on() {
-    let bench = Bench::with_revision_term(2, REVISION_MS, BUDGET);
-    bench.next(&[Part::Wait, Part::Write(ok("another model"))]);
-    let answer = bench.run(async {
-        let mut client = bench.connect().await;
+fn a_request_for_another_model_is_not_cancelled() {
+    let harness = Harness::with_revision_term(2, REVISION_MS, BUDGET);
+    harness.script_next_request(&[Step::Wait, Step::Write(ok("another model"))]);
+    let response = harness.run(async {
+        let mut client = harness.connect().await;
         client.send(&request("/stream/").replace("Llm: m", "Llm: other")).await;
-        bench.until(|| bench.arrivals() == 1).await;
-        bench.withdraw_at_busy(5);
-        bench.proxy.weights_expired(&weights("m", 4)).await;
-        bench.release();
-        client.answer().await
+        harness.wait_until(|| harness.arrivals() == 1).await;
+        harness.withdraw_weights_of_busy_replicas(5);
+        harness.proxy.weights_expired(&weights("m", 4)).await;
+        harness.release();
+        client.read_response().await
     });
-    assert!(answer.ends_with("another model"), "{answer}");
+    assert!(response.ends_with("another model"), "{response}");
 }
 
-// ---- the limits alone -------------------------------------------------------------------------------------
+// ---- cancellation times -----------------------------------------------------------------------------------
 
-/// Requests are cancelled 11.28 s after the naming, 1.08 s after the withdrawal.
+/// With this term, requests are cancelled 11.28 s after the announcement, which is 1.08 s after the withdrawal.
 const TERM: RevisionTerm = RevisionTerm::new(Duration::from_secs(12));
 
 fn weights(model: &str, revision: u64) -> ModelRevision {
@@ -113,7 +119,7 @@
 }
 
 #[test]
-fn each_revision_has_the_limit_of_the_first_newer_one_that_expired_them() {
+fn the_first_newer_revision_sets_the_limit_of_expired_ones() {
     let mut expiry = WeightsExpiry::new(TERM);
     assert!(!expiry.update(&table(2, 0), ms(1_000)));
     assert!(!expiry.update(&table(4, 0), ms(1_500)));
@@ -129,17 +135,20 @@
 #[rstest]
 #[case::in_time(11_200, 12_280)]
 #[case::late(11_600, 12_280)]
-#[case::so_late_that_orders_need_the_time(12_100, 12_500)]
-#[case::soon_after_a_newer_gateway_started(1_000, 2_080)]
-fn what_is_left_of_the_term_is_reckoned_from_the_naming(#[case] told: u64, #[case] limit: u64) {
+#[case::too_late_for_the_cancellation_lead(12_100, 12_500)]
+#[case::gateway_started_during_the_rollout(1_000, 2_080)]
+fn the_remaining_term_is_counted_from_the_announcement(
+    #[case] withdrawn_at_ms: u64,
+    #[case] expected_ms: u64,
+) {
     let mut expiry = WeightsExpiry::new(TERM);
     expiry.update(&table(2, 0), ms(1_000));
-    expiry.update(&table(2, 2), ms(told));
-    assert_eq!(expiry.cancel_at(&weights("m", 1)), Some(ms(limit)));
+    expiry.update(&table(2, 2), ms(withdrawn_at_ms));
+    assert_eq!(expiry.cancel_at(&weights("m", 1)), Some(ms(expected_ms)));
 }
 
 #[test]
-fn a_limit_that_is_known_does_not_move() {
+fn a_known_limit_does_not_change() {
     let mut expiry = WeightsExpiry::new(TERM);
     expiry.update(&table(2, 2), ms(1_000));
     assert!(!expiry.update(&table(2, 2), ms(1_300)));
@@ -148,12 +157,12 @@
 }
 
 #[test]
-fn revisions_whose_limit_has_passed_stay_past_it() {
+fn revisions_past_their_limit_stay_past_it() {
     let mut expiry = WeightsExpiry::new(TERM);
     for (index, revision) in (2..=7).enumerate() {
         expiry.update(&table(7, revision), ms(2_000 * index as u64));
     }
-    // Ten seconds on, the limits of revisions up to 5 have passed.
+    // Ten seconds later, the limits of revisions up to 5 have passed.
     for revision in 1..=5 {
         let limit = expiry.cancel_at(&weights("m", revision)).expect("a limit");
         assert!(limit <= ms(10_000), "revision {revision} at {limit:?}");
