--- a/crates/proxy/tests/calls.rs
+++ b/crates/proxy/tests/calls.rs
@@ -250,10 +250,10 @@
 /// Sends a request while the only listed replica is at an address to which no connection can be established. The other
 /// replica is listed once the proxy has begun to connect.
 fn request_to_unreachable_replica(harness: &Harness, request: &str, unreachable: Unreachable) -> String {
-    let silent = UnresponsiveAddress::new();
+    let unresponsive = UnresponsiveAddress::new();
     let address = match unreachable {
         Unreachable::Refuses => "127.0.0.1:1".to_owned(),
-        Unreachable::IsUnresponsive => silent.address.to_string(),
+        Unreachable::IsUnresponsive => unresponsive.address.to_string(),
     };
     harness.set_fleet(|entries| {
         entries.truncate(1);
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -499,8 +499,8 @@
 fn idle_client_connections_are_closed_at_shutdown() {
     let harness = Harness::start(1);
     // Well before the idle timeout of client connections.
-    let by = Instant::now() + Duration::from_secs(3);
-    let end = harness.run(harness.proxy.alarms.by(by, async {
+    let timeout_at = Instant::now() + Duration::from_secs(3);
+    let end = harness.run(harness.proxy.alarms.by(timeout_at, async {
         let mut client = harness.connect().await;
         client.send(&post("/risky/", "t1")).await;
         assert_eq!(status(&client.read_response().await), "200");
--- a/crates/proxy/tests/connection_states.rs
+++ b/crates/proxy/tests/connection_states.rs
@@ -53,7 +53,7 @@
     is_ok.then(|| harness.replicas[0].connections.get())
 }
 
-fn agrees(is_reusable: bool, connections: usize) -> bool {
+fn is_consistent(is_reusable: bool, connections: usize) -> bool {
     connections == if is_reusable { 1 } else { 2 }
 }
 
@@ -64,9 +64,9 @@
     for state in ConnectionState::ALL {
         let connections =
             connections(state, path).unwrap_or_else(|| panic!("{state:?}: an exchange failed"));
-        assert!(agrees(state.is_reusable(), connections), "{state:?}: {connections} connections");
+        assert!(is_consistent(state.is_reusable(), connections), "{state:?}: {connections} connections");
         // The opposite entry would be detected.
-        assert!(!agrees(!state.is_reusable(), connections), "{state:?}");
+        assert!(!is_consistent(!state.is_reusable(), connections), "{state:?}");
     }
 }
 
@@ -105,7 +105,7 @@
     WhileIdle::SendsLateResponse,
 ];
 
-fn idle_parts(event: WhileIdle) -> Vec<Step> {
+fn idle_steps(event: WhileIdle) -> Vec<Step> {
     let mut steps = vec![write(ok("one")), Step::Wait];
     match event {
         WhileIdle::Nothing => {}
@@ -123,7 +123,7 @@
 ) {
     for event in WHILE_IDLE {
         let harness = Harness::start(1);
-        harness.script_next_request(&idle_parts(event));
+        harness.script_next_request(&idle_steps(event));
         let response = harness.run(async {
             harness.send_request(&post(path, "t1")).await;
             harness.release();
--- a/crates/proxy/tests/early_responses.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -73,8 +73,8 @@
 fn a_connection_with_an_incomplete_request_is_not_reused() {
     let harness = Harness::start(1);
     harness.script_next_request(&[Step::AwaitHead, write(response("200 OK", "", "early")), Step::Wait]);
-    let by = Instant::now() + Duration::from_secs(5);
-    let responses = harness.run(harness.proxy.alarms.by(by, async {
+    let timeout_at = Instant::now() + Duration::from_secs(5);
+    let responses = harness.run(harness.proxy.alarms.by(timeout_at, async {
         let first = harness.send_request(&post_with_long_body("/risky/", "t1")).await;
         support::settle().await;
         [first, harness.send_request(&post("/risky/", "t2")).await]
--- a/crates/proxy/tests/placement.rs
+++ b/crates/proxy/tests/placement.rs
@@ -149,12 +149,12 @@
     // Requests with other prefixes keep the share of each prefix small.
     let mut replicas = std::collections::BTreeSet::new();
     for n in 0..400 {
-        let subject = n % 40;
-        let id = place(&mut placement, "stream", prompt(subject, 1000 + n));
+        let prefix = n % 40;
+        let id = place(&mut placement, "stream", prompt(prefix, 1000 + n));
         let (_, replica) = expect_send(next_action(&mut placement, id));
         placement.record_outcome(START, id, outcome(Verdict::Ok, true));
         placement.end_request(START, id);
-        if subject == 3 && n > 200 {
+        if prefix == 3 && n > 200 {
             replicas.insert(replica);
         }
     }
--- a/crates/proxy/tests/prompt_headers.rs
+++ b/crates/proxy/tests/prompt_headers.rs
@@ -25,12 +25,12 @@
 
 #[test]
 fn the_key_is_the_last_shared_segment() {
-    let whole = prompt("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80");
-    assert_eq!((whole.tokens, whole.shared_tokens, whole.max_output_tokens), (1460, 1210, 80));
-    let same_subject = prompt("91bd3f06:410,ffff:10", "420,80");
-    assert_eq!(whole.shared, same_subject.shared);
-    assert_ne!(whole.session, same_subject.session);
-    assert_ne!(whole.shared, prompt("5c1e07a2:800,e4402b7d:250", "1050,80").shared);
+    let full = prompt("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80");
+    assert_eq!((full.tokens, full.shared_tokens, full.max_output_tokens), (1460, 1210, 80));
+    let same_prefix = prompt("91bd3f06:410,ffff:10", "420,80");
+    assert_eq!(full.shared, same_prefix.shared);
+    assert_ne!(full.session, same_prefix.session);
+    assert_ne!(full.shared, prompt("5c1e07a2:800,e4402b7d:250", "1050,80").shared);
 }
 
 #[test]
--- a/crates/proxy/tests/responses.rs
+++ b/crates/proxy/tests/responses.rs
@@ -123,8 +123,8 @@
     harness.script_next_request(&[write(stream_head() + &event(1)), Step::Close]);
     harness.script_next_request(&[Step::Wait]);
     let request = post("/resumable/", "t1").replace("Time-Left-Ms: 6000", "Time-Left-Ms: 500");
-    let by = Instant::now() + Duration::from_secs(9);
-    let response = harness.run(harness.proxy.alarms.by(by, harness.send_request(&request)));
+    let timeout_at = Instant::now() + Duration::from_secs(9);
+    let response = harness.run(harness.proxy.alarms.by(timeout_at, harness.send_request(&request)));
     let response = response.expect("a response before the timeout");
     assert!(response.contains("d1") && response.ends_with("(truncated)"), "{response}");
     assert_eq!(harness.arrivals(), 2);
@@ -132,7 +132,7 @@
 
 #[rstest]
 #[case::no_token(0.0, 0)]
-#[case::no_spare(2.0, 1)]
+#[case::no_spare_attempts(2.0, 1)]
 fn a_stream_without_a_retry_token_is_aborted(#[case] ratio: f64, #[case] spare: u64) {
     let harness = Harness::with_budget(2, ratio, spare);
     harness.script_next_request(&[write(stream_head() + &event(1)), Step::Close]);
@@ -285,8 +285,8 @@
 fn a_client_disconnect_ends_its_stream_at_the_replica() {
     let harness = Harness::start(1);
     harness.script_next_request(&[write(stream_head() + &event(1)), Step::Wait]);
-    let by = Instant::now() + Duration::from_secs(5);
-    let ended = harness.run(harness.proxy.alarms.by(by, async {
+    let timeout_at = Instant::now() + Duration::from_secs(5);
+    let ended = harness.run(harness.proxy.alarms.by(timeout_at, async {
         let mut client = harness.connect().await;
         client.send(&post("/stream/", "t1")).await;
         client.wait_for("data: d1").await;
--- a/crates/proxy/tests/retry_safety.rs
+++ b/crates/proxy/tests/retry_safety.rs
@@ -180,8 +180,8 @@
     let harness = Harness::start(1);
     harness.script_next_request(&[Step::Wait]);
     // Well before the request's deadline.
-    let by = Instant::now() + Duration::from_secs(3);
-    let ended = harness.run(harness.proxy.alarms.by(by, async {
+    let timeout_at = Instant::now() + Duration::from_secs(3);
+    let ended = harness.run(harness.proxy.alarms.by(timeout_at, async {
         let mut client = harness.connect().await;
         client.send(&post("/risky/", "t1")).await;
         harness.wait_until(|| harness.arrivals() == 1).await;
--- a/crates/proxy/tests/weights_expiry.rs
+++ b/crates/proxy/tests/weights_expiry.rs
@@ -1,4 +1,4 @@
-//! Requests that wait at a replica whose weights are withdrawn, and the times at which they are cancelled.
+//! Requests that wait at a replica whose weights are withdrawn, and the deadlines by which they are cancelled.
 
 mod support;
 
@@ -32,9 +32,9 @@
         harness.wait_until(|| harness.arrivals() == 1).await;
         harness.withdraw_weights_of_busy_replicas(5);
         let response = client.read_response().await;
-        let ended =
+        let closed_connections =
             || harness.replicas.iter().map(|replica| replica.closed_connections.get()).sum::<usize>();
-        harness.wait_until(|| ended() == 1).await;
+        harness.wait_until(|| closed_connections() == 1).await;
         assert_eq!(harness.proxy.counters.weights_expired.get(), 1);
         (response, harness.arrivals())
     })
@@ -95,7 +95,7 @@
     assert!(response.ends_with("another model"), "{response}");
 }
 
-// ---- cancellation times -----------------------------------------------------------------------------------
+// ---- cancellation deadlines -------------------------------------------------------------------------------
 
 /// With this term, requests are cancelled 11.28 s after the announcement, which is 1.08 s after the withdrawal.
 const TERM: RevisionTerm = RevisionTerm::new(Duration::from_secs(12));
@@ -104,14 +104,17 @@
     ModelRevision { model: model.to_owned(), revision: WeightsRevision(revision) }
 }
 
-fn table(named: u64, expired: u64) -> WeightsTable {
-    let line = ModelWeights {
+fn weights_table(named: u64, expired: u64) -> WeightsTable {
+    let model_weights = ModelWeights {
         model: "m".to_owned(),
         named: WeightsRevision(named),
         least: WeightsRevision(expired),
         expired: WeightsRevision(expired),
     };
-    WeightsTable { position: Position { epoch: Epoch(1), sequence: ChangeNumber(1) }, models: vec![line] }
+    WeightsTable {
+        position: Position { epoch: Epoch(1), sequence: ChangeNumber(1) },
+        models: vec![model_weights],
+    }
 }
 
 fn ms(count: u64) -> Duration {
@@ -119,13 +122,13 @@
 }
 
 #[test]
-fn the_first_newer_revision_sets_the_limit_of_expired_ones() {
+fn the_first_newer_revision_sets_the_cancellation_deadline() {
     let mut expiry = WeightsExpiry::new(TERM);
-    assert!(!expiry.update(&table(2, 0), ms(1_000)));
-    assert!(!expiry.update(&table(4, 0), ms(1_500)));
+    assert!(!expiry.update(&weights_table(2, 0), ms(1_000)));
+    assert!(!expiry.update(&weights_table(4, 0), ms(1_500)));
     assert_eq!(expiry.cancel_at(&weights("m", 1)), None);
-    assert!(expiry.update(&table(4, 2), ms(11_200)));
-    assert!(expiry.update(&table(4, 4), ms(11_700)));
+    assert!(expiry.update(&weights_table(4, 2), ms(11_200)));
+    assert!(expiry.update(&weights_table(4, 4), ms(11_700)));
     assert_eq!(expiry.cancel_at(&weights("m", 1)), Some(ms(12_280)));
     assert_eq!(expiry.cancel_at(&weights("m", 2)), Some(ms(12_780)));
     assert_eq!(expiry.cancel_at(&weights("m", 4)), None);
@@ -135,37 +138,37 @@
 #[rstest]
 #[case::in_time(11_200, 12_280)]
 #[case::late(11_600, 12_280)]
-#[case::too_late_for_the_cancellation_lead(12_100, 12_500)]
+#[case::too_late_for_the_usual_deadline(12_100, 12_500)]
 #[case::gateway_started_during_the_rollout(1_000, 2_080)]
 fn the_remaining_term_is_counted_from_the_announcement(
     #[case] withdrawn_at_ms: u64,
     #[case] expected_ms: u64,
 ) {
     let mut expiry = WeightsExpiry::new(TERM);
-    expiry.update(&table(2, 0), ms(1_000));
-    expiry.update(&table(2, 2), ms(withdrawn_at_ms));
+    expiry.update(&weights_table(2, 0), ms(1_000));
+    expiry.update(&weights_table(2, 2), ms(withdrawn_at_ms));
     assert_eq!(expiry.cancel_at(&weights("m", 1)), Some(ms(expected_ms)));
 }
 
 #[test]
-fn a_known_limit_does_not_change() {
+fn a_known_deadline_does_not_change() {
     let mut expiry = WeightsExpiry::new(TERM);
-    expiry.update(&table(2, 2), ms(1_000));
-    assert!(!expiry.update(&table(2, 2), ms(1_300)));
-    assert!(!expiry.update(&table(2, 1), ms(1_400)));
+    expiry.update(&weights_table(2, 2), ms(1_000));
+    assert!(!expiry.update(&weights_table(2, 2), ms(1_300)));
+    assert!(!expiry.update(&weights_table(2, 1), ms(1_400)));
     assert_eq!(expiry.cancel_at(&weights("m", 1)), Some(ms(2_080)));
 }
 
 #[test]
-fn revisions_past_their_limit_stay_past_it() {
+fn revisions_past_their_deadline_stay_past_it() {
     let mut expiry = WeightsExpiry::new(TERM);
     for (index, revision) in (2..=7).enumerate() {
-        expiry.update(&table(7, revision), ms(2_000 * index as u64));
+        expiry.update(&weights_table(7, revision), ms(2_000 * index as u64));
     }
-    // Ten seconds later, the limits of revisions up to 5 have passed.
+    // Ten seconds later, the deadlines of revisions up to 5 have passed.
     for revision in 1..=5 {
-        let limit = expiry.cancel_at(&weights("m", revision)).expect("a limit");
-        assert!(limit <= ms(10_000), "revision {revision} at {limit:?}");
+        let deadline = expiry.cancel_at(&weights("m", revision)).expect("a deadline");
+        assert!(deadline <= ms(10_000), "revision {revision} at {deadline:?}");
     }
     assert_eq!(expiry.cancel_at(&weights("m", 6)), Some(ms(11_080)));
 }
