--- a/crates/proxy/tests/prompt_headers.rs
+++ b/crates/proxy/tests/prompt_headers.rs
@@ -1,4 +1,4 @@
-//! What the headers of a request say of its prompt.
+//! Parsing of the request headers that describe the prompt.
 
 mod support;
 
@@ -6,8 +6,8 @@
 use support::head;
 use tulipridge_proxy::placement::prompt::{Prompt, PromptHeaders, PromptSegment};
 
-fn prompt(parts: &str, count: &str) -> Prompt {
-    let headers = [("Prompt-Start", parts), ("Token-Count", count)];
+fn prompt(segments: &str, count: &str) -> Prompt {
+    let headers = [("Prompt-Start", segments), ("Token-Count", count)];
     PromptHeaders::read(&head(["POST", "/", "HTTP/1.1"], &headers)).prompt
 }
 
@@ -25,12 +25,12 @@
 
 #[test]
 fn the_key_is_the_last_shared_segment() {
-    let whole = prompt("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80");
-    assert_eq!((whole.tokens, whole.shared_tokens, whole.max_output_tokens), (1460, 1210, 80));
-    let same_subject = prompt("91bd3f06:410,ffff:10", "420,80");
-    assert_eq!(whole.shared, same_subject.shared);
-    assert_ne!(whole.session, same_subject.session);
-    assert_ne!(whole.shared, prompt("5c1e07a2:800,e4402b7d:250", "1050,80").shared);
+    let full = prompt("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80");
+    assert_eq!((full.tokens, full.shared_tokens, full.max_output_tokens), (1460, 1210, 80));
+    let same_prefix = prompt("91bd3f06:410,ffff:10", "420,80");
+    assert_eq!(full.shared, same_prefix.shared);
+    assert_ne!(full.session, same_prefix.session);
+    assert_ne!(full.shared, prompt("5c1e07a2:800,e4402b7d:250", "1050,80").shared);
 }
 
 #[test]
@@ -45,6 +45,6 @@
 #[case("a", "x", 0)]
 #[case("a:x,b:7", "", 7)]
 #[case(",,a:5,", "1", 5)]
-fn what_can_not_be_read_is_taken_as_absent(#[case] parts: &str, #[case] count: &str, #[case] tokens: u32) {
-    assert_eq!(prompt(parts, count).tokens, tokens);
+fn invalid_values_are_treated_as_absent(#[case] segments: &str, #[case] count: &str, #[case] tokens: u32) {
+    assert_eq!(prompt(segments, count).tokens, tokens);
 }
