--- a/crates/control-plane/tests/linearizability.rs
+++ b/crates/control-plane/tests/linearizability.rs
@@ -1,261 +1,268 @@
-//! The checker of operators' histories itself: good histories are explained, bad ones are seen.
+//! Tests of the linearizability checker: it accepts linearizable histories and rejects all others.
 
 mod support;
 
 use rstest::rstest;
-use support::operator::call::{Answer, ConfigurationMethod, ConfigurationOrder, Content, WeightsOrder};
-use support::operator::linearizability::{KnownAnswer, Operation, is_linearizable};
+use support::operator::call::{ConfigurationChange, ConfigurationMethod, Content, Response, WeightsChange};
+use support::operator::linearizability::{KnownResponse, Operation, is_linearizable};
 use support::operator::register::{ConfigurationCall, ConfigurationRegister, WeightsRegister};
 
 type ConfigurationOperation = Operation<ConfigurationCall>;
 
-/// A call from one moment to another, with its answer.
-fn answered<C>(started_at: u64, at: u64, call: C, answer: Answer) -> Operation<C> {
-    Operation { call, started_at, end: Some(KnownAnswer { at, answer }) }
+/// A call with its start and end positions and its response.
+fn completed<C>(started_at: u64, at: u64, call: C, response: Response) -> Operation<C> {
+    Operation { call, started_at, end: Some(KnownResponse { at, response }) }
 }
 
-/// A call whose answer was lost.
+/// A call whose response was lost.
 fn lost<C>(started_at: u64, call: C) -> Operation<C> {
     Operation { call, started_at, end: None }
 }
 
-fn order(base: u64, revision: u64, mark: u64) -> ConfigurationOrder {
-    ConfigurationOrder { method: ConfigurationMethod::Put, base, revision, mark }
+fn change(base: u64, revision: u64, route_id: u64) -> ConfigurationChange {
+    ConfigurationChange { method: ConfigurationMethod::Put, base, revision, route_id }
 }
 
-fn put(base: u64, revision: u64, mark: u64) -> ConfigurationCall {
-    ConfigurationCall::Change(order(base, revision, mark))
+fn put(base: u64, revision: u64, route_id: u64) -> ConfigurationCall {
+    ConfigurationCall::Change(change(base, revision, route_id))
 }
 
-fn patch(base: u64, revision: u64, mark: u64) -> ConfigurationCall {
-    ConfigurationCall::Change(ConfigurationOrder {
+fn patch(base: u64, revision: u64, route_id: u64) -> ConfigurationCall {
+    ConfigurationCall::Change(ConfigurationChange {
         method: ConfigurationMethod::Patch,
-        ..order(base, revision, mark)
+        ..change(base, revision, route_id)
     })
 }
 
-fn content(revision: u64, marks: &[u64]) -> Answer {
-    Answer::Configuration(Some(Content { revision, marks: marks.to_vec() }))
+fn content(revision: u64, route_ids: &[u64]) -> Response {
+    Response::Configuration(Some(Content { revision, route_ids: route_ids.to_vec() }))
 }
 
-fn read(started_at: u64, at: u64, answer: Answer) -> ConfigurationOperation {
-    answered(started_at, at, ConfigurationCall::Read, answer)
+fn read(started_at: u64, at: u64, response: Response) -> ConfigurationOperation {
+    completed(started_at, at, ConfigurationCall::Read, response)
 }
 
-fn is_explained(operations: &[ConfigurationOperation]) -> bool {
+fn is_configuration_linearizable(operations: &[ConfigurationOperation]) -> bool {
     is_linearizable(&ConfigurationRegister::default(), operations)
 }
 
 #[rstest]
-#[case::nothing(vec![])]
-#[case::one_after_the_other(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, patch(3, 5, 2), Answer::Taken),
+#[case::no_operations(vec![])]
+#[case::sequential_changes(vec![
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, patch(3, 5, 2), Response::Accepted),
     read(5, 6, content(5, &[1, 2])),
 ])]
-#[case::repeat_after_a_lost_answer(vec![
+#[case::repeat_after_a_lost_response(vec![
     lost(1, put(0, 3, 1)),
-    answered(2, 3, put(0, 3, 1), Answer::Taken),
-    answered(4, 5, put(0, 3, 1), Answer::Taken),
+    completed(2, 3, put(0, 3, 1), Response::Accepted),
+    completed(4, 5, put(0, 3, 1), Response::Accepted),
 ])]
 #[case::repeat_after_another_change(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, put(3, 5, 2), Answer::Taken),
-    answered(5, 6, put(0, 3, 1), Answer::Taken),
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, put(3, 5, 2), Response::Accepted),
+    completed(5, 6, put(0, 3, 1), Response::Accepted),
 ])]
-#[case::lost_and_never_in_force(vec![
+#[case::lost_and_never_applied(vec![
     lost(1, put(0, 3, 1)),
-    answered(2, 3, put(0, 4, 2), Answer::Taken),
+    completed(2, 3, put(0, 4, 2), Response::Accepted),
     read(4, 5, content(4, &[2])),
 ])]
-#[case::lost_and_in_force_much_later(vec![
+#[case::lost_and_applied_much_later(vec![
     lost(1, put(0, 3, 1)),
-    read(2, 3, Answer::Configuration(None)),
+    read(2, 3, Response::Configuration(None)),
     read(4, 5, content(3, &[1])),
 ])]
-#[case::read_of_a_change_under_way(vec![
-    answered(1, 6, put(0, 3, 1), Answer::Taken),
+#[case::read_of_a_pending_change(vec![
+    completed(1, 6, put(0, 3, 1), Response::Accepted),
     read(2, 3, content(3, &[1])),
     read(4, 5, content(3, &[1])),
 ])]
-#[case::rivals_of_which_one_is_refused(vec![
-    answered(1, 5, put(0, 3, 1), Answer::Taken),
-    answered(2, 4, put(0, 3, 2), Answer::Stale { current: 3 }),
+#[case::concurrent_changes_with_one_rejected(vec![
+    completed(1, 5, put(0, 3, 1), Response::Accepted),
+    completed(2, 4, put(0, 3, 2), Response::Stale { current: 3 }),
 ])]
-#[case::refused_before_the_change_is_acknowledged(vec![
-    answered(1, 5, put(0, 4, 1), Answer::Taken),
-    answered(2, 3, put(3, 5, 2), Answer::Stale { current: 0 }),
+#[case::rejected_before_the_change_is_acknowledged(vec![
+    completed(1, 5, put(0, 4, 1), Response::Accepted),
+    completed(2, 3, put(3, 5, 2), Response::Stale { current: 0 }),
 ])]
-#[case::not_valid(vec![
-    answered(1, 2, put(0, 0, 1), Answer::Invalid),
-    answered(3, 4, patch(0, 2, 1), Answer::Invalid),
+#[case::invalid_changes(vec![
+    completed(1, 2, put(0, 0, 1), Response::Invalid),
+    completed(3, 4, patch(0, 2, 1), Response::Invalid),
 ])]
-fn good_histories_are_explained(#[case] operations: Vec<ConfigurationOperation>) {
-    assert!(is_explained(&operations));
+fn linearizable_histories_are_accepted(#[case] operations: Vec<ConfigurationOperation>) {
+    assert!(is_configuration_linearizable(&operations));
 }
 
 #[rstest]
 #[case::acknowledged_change_is_lost(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    read(3, 4, Answer::Configuration(None)),
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    read(3, 4, Response::Configuration(None)),
 ])]
 #[case::acknowledged_change_is_lost_after_a_later_one(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, put(3, 5, 2), Answer::Taken),
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, put(3, 5, 2), Response::Accepted),
     read(5, 6, content(3, &[1])),
 ])]
-#[case::refused_change_is_in_force(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, put(0, 5, 2), Answer::Stale { current: 3 }),
+#[case::rejected_change_is_applied(vec![
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, put(0, 5, 2), Response::Stale { current: 3 }),
     read(5, 6, content(5, &[2])),
 ])]
-#[case::invalid_change_is_in_force(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Invalid),
+#[case::invalid_change_is_applied(vec![
+    completed(1, 2, put(0, 3, 1), Response::Invalid),
     read(3, 4, content(3, &[1])),
 ])]
 #[case::two_changes_on_one_base(vec![
-    answered(1, 3, put(0, 3, 1), Answer::Taken),
-    answered(2, 4, put(0, 4, 2), Answer::Taken),
+    completed(1, 3, put(0, 3, 1), Response::Accepted),
+    completed(2, 4, put(0, 4, 2), Response::Accepted),
 ])]
 #[case::two_bodies_under_one_revision(vec![
-    answered(1, 3, put(0, 3, 1), Answer::Taken),
-    answered(2, 4, put(0, 3, 2), Answer::Taken),
+    completed(1, 3, put(0, 3, 1), Response::Accepted),
+    completed(2, 4, put(0, 3, 2), Response::Accepted),
 ])]
-#[case::same_number_with_another_body_taken_for_a_repeat(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, put(0, 3, 2), Answer::Taken),
+#[case::same_revision_with_another_body_treated_as_a_repeat(vec![
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, put(0, 3, 2), Response::Accepted),
 ])]
 #[case::read_of_another_body(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
     read(3, 4, content(3, &[2])),
 ])]
-#[case::read_of_a_part_of_a_change(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, patch(3, 5, 2), Answer::Taken),
+#[case::read_of_a_partial_change(vec![
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, patch(3, 5, 2), Response::Accepted),
     read(5, 6, content(5, &[2])),
 ])]
 #[case::reads_go_back_in_time(vec![
-    answered(1, 6, put(0, 3, 1), Answer::Taken),
+    completed(1, 6, put(0, 3, 1), Response::Accepted),
     read(2, 3, content(3, &[1])),
-    read(4, 5, Answer::Configuration(None)),
+    read(4, 5, Response::Configuration(None)),
 ])]
-#[case::read_before_the_change_was_asked_for(vec![
+#[case::read_before_the_change_was_requested(vec![
     read(1, 2, content(3, &[1])),
-    answered(3, 4, put(0, 3, 1), Answer::Taken),
+    completed(3, 4, put(0, 3, 1), Response::Accepted),
 ])]
-#[case::repeat_is_refused(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, put(0, 3, 1), Answer::Stale { current: 3 }),
+#[case::repeat_is_rejected(vec![
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, put(0, 3, 1), Response::Stale { current: 3 }),
 ])]
-#[case::repeat_after_a_lost_answer_is_refused(vec![
+#[case::repeat_after_a_lost_response_is_rejected(vec![
     lost(1, put(0, 3, 1)),
-    answered(2, 3, put(0, 3, 1), Answer::Stale { current: 3 }),
+    completed(2, 3, put(0, 3, 1), Response::Stale { current: 3 }),
 ])]
-#[case::repeat_is_taken_twice(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, put(3, 5, 2), Answer::Taken),
-    answered(5, 6, put(0, 3, 1), Answer::Taken),
+#[case::repeat_is_applied_twice(vec![
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, put(3, 5, 2), Response::Accepted),
+    completed(5, 6, put(0, 3, 1), Response::Accepted),
     read(7, 8, content(3, &[1])),
 ])]
-#[case::refusal_names_a_revision_that_was_never_in_force(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, put(0, 5, 2), Answer::Stale { current: 4 }),
+#[case::rejection_names_a_revision_never_applied(vec![
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, put(0, 5, 2), Response::Stale { current: 4 }),
 ])]
-#[case::refusal_of_a_change_on_the_revision_in_force(vec![
-    answered(1, 2, put(0, 3, 1), Answer::Taken),
-    answered(3, 4, put(3, 5, 2), Answer::Stale { current: 0 }),
+#[case::rejection_of_a_change_on_the_current_revision(vec![
+    completed(1, 2, put(0, 3, 1), Response::Accepted),
+    completed(3, 4, put(3, 5, 2), Response::Stale { current: 0 }),
 ])]
-#[case::two_lost_rivals_are_both_in_force(vec![
+#[case::two_lost_concurrent_changes_are_both_applied(vec![
     lost(1, put(0, 3, 1)),
     lost(2, put(0, 4, 2)),
     read(3, 4, content(3, &[1])),
     read(5, 6, content(4, &[2])),
 ])]
-#[case::change_that_was_never_asked_for(vec![
+#[case::change_that_was_never_requested(vec![
     read(1, 2, content(3, &[1])),
 ])]
-fn bad_histories_are_seen(#[case] operations: Vec<ConfigurationOperation>) {
-    assert!(!is_explained(&operations));
+fn non_linearizable_histories_are_rejected(#[case] operations: Vec<ConfigurationOperation>) {
+    assert!(!is_configuration_linearizable(&operations));
 }
 
-/// Changes one after the other, each on the last; the moments are spent up to the returned one.
+/// Sequential changes, each based on the previous one, and the first unused position of the history.
 fn chain(length: u64) -> (Vec<ConfigurationOperation>, u64) {
     let operations = (0..length).map(|base| {
-        let moment = 2 * base + 1;
-        answered(moment, moment + 1, put(base, base + 1, base), Answer::Taken)
+        let started_at = 2 * base + 1;
+        completed(started_at, started_at + 1, put(base, base + 1, base), Response::Accepted)
     });
     (operations.collect(), 2 * length + 1)
 }
 
-/// As many changes are known again as are remembered, and no more.
+/// A repeat is recognized only while its change is among the most recently remembered ones.
 #[test]
-fn repeats_are_known_as_far_back_as_they_are_remembered() {
+fn repeats_are_recognized_up_to_the_remembered_count() {
     const REMEMBERED: u64 = 40;
     let register = ConfigurationRegister::remembering(REMEMBERED as usize);
     let length = REMEMBERED + 1;
     let (mut operations, now) = chain(length);
-    operations.push(answered(now, now + 1, put(1, 2, 1), Answer::Taken));
-    operations.push(answered(now + 2, now + 3, put(0, 1, 0), Answer::Stale { current: length }));
+    operations.push(completed(now, now + 1, put(1, 2, 1), Response::Accepted));
+    operations.push(completed(now + 2, now + 3, put(0, 1, 0), Response::Stale { current: length }));
     assert!(is_linearizable(&register, &operations));
-    assert!(!is_explained(&operations), "a longer memory knows the first change again");
-    operations.push(answered(now + 4, now + 5, put(1, 2, 1), Answer::Stale { current: length }));
+    assert!(
+        !is_configuration_linearizable(&operations),
+        "a register that remembers more changes recognizes the first one"
+    );
+    operations.push(completed(now + 4, now + 5, put(1, 2, 1), Response::Stale { current: length }));
     assert!(!is_linearizable(&register, &operations));
 }
 
-/// A history of thousands of changes needs no deep stack.
+/// A history of thousands of changes must not recurse once per change.
 #[test]
-fn long_histories_are_explained() {
+fn long_histories_do_not_overflow_the_stack() {
     let (mut operations, now) = chain(2000);
     operations.push(read(now, now + 1, content(2000, &[1999])));
-    assert!(is_explained(&operations));
+    assert!(is_configuration_linearizable(&operations));
 }
 
-/// Rivals whose answers are all lost, on each of several revisions: any of them may have been in force.
+/// Several concurrent changes on each revision lose their responses, so that any of them may have been applied.
 #[test]
-fn lost_rivals_are_searched_in_time() {
+fn lost_concurrent_changes_stay_within_the_search_limit() {
     const REVISIONS: u64 = 8;
-    const RIVALS: u64 = 3;
-    let rivals =
-        (0..REVISIONS * RIVALS).map(|mark| lost(mark + 1, put(mark / RIVALS, mark / RIVALS + 1, mark)));
-    let mut operations: Vec<ConfigurationOperation> = rivals.collect();
-    operations.push(read(100, 101, content(REVISIONS, &[REVISIONS * RIVALS - 1])));
-    assert!(is_explained(&operations));
-    operations.push(read(102, 103, content(REVISIONS, &[REVISIONS * RIVALS - 2])));
-    assert!(!is_explained(&operations));
+    const CONCURRENT_CHANGES: u64 = 3;
+    let concurrent_changes = (0..REVISIONS * CONCURRENT_CHANGES).map(|route_id| {
+        lost(route_id + 1, put(route_id / CONCURRENT_CHANGES, route_id / CONCURRENT_CHANGES + 1, route_id))
+    });
+    let mut operations: Vec<ConfigurationOperation> = concurrent_changes.collect();
+    operations.push(read(100, 101, content(REVISIONS, &[REVISIONS * CONCURRENT_CHANGES - 1])));
+    assert!(is_configuration_linearizable(&operations));
+    operations.push(read(102, 103, content(REVISIONS, &[REVISIONS * CONCURRENT_CHANGES - 2])));
+    assert!(!is_configuration_linearizable(&operations));
 }
 
-fn name(revision: u64) -> WeightsOrder {
-    WeightsOrder { model: "large", revision }
+fn set_target_revision(revision: u64) -> WeightsChange {
+    WeightsChange { model: "large", revision }
 }
 
 #[rstest]
-#[case::rising(vec![
-    answered(1, 2, name(2), Answer::Taken),
-    answered(3, 4, name(5), Answer::Taken),
-    answered(5, 6, name(2), Answer::Taken),
-    answered(7, 8, name(3), Answer::OldWeights { newest: 5 }),
+#[case::increasing(vec![
+    completed(1, 2, set_target_revision(2), Response::Accepted),
+    completed(3, 4, set_target_revision(5), Response::Accepted),
+    completed(5, 6, set_target_revision(2), Response::Accepted),
+    completed(7, 8, set_target_revision(3), Response::OldWeights { newest: 5 }),
 ], true)]
-#[case::older_ones_are_taken(vec![
-    answered(1, 2, name(5), Answer::Taken),
-    answered(3, 4, name(2), Answer::Taken),
+#[case::older_revision_is_accepted(vec![
+    completed(1, 2, set_target_revision(5), Response::Accepted),
+    completed(3, 4, set_target_revision(2), Response::Accepted),
 ], false)]
-#[case::repeat_is_refused(vec![
-    answered(1, 2, name(2), Answer::Taken),
-    answered(3, 4, name(5), Answer::Taken),
-    answered(5, 6, name(2), Answer::OldWeights { newest: 5 }),
+#[case::repeat_is_rejected(vec![
+    completed(1, 2, set_target_revision(2), Response::Accepted),
+    completed(3, 4, set_target_revision(5), Response::Accepted),
+    completed(5, 6, set_target_revision(2), Response::OldWeights { newest: 5 }),
 ], false)]
-#[case::refused_before_newer_ones_are_asked_for(vec![
-    answered(1, 2, name(2), Answer::OldWeights { newest: 5 }),
-    answered(3, 4, name(5), Answer::Taken),
+#[case::rejected_before_the_newer_revision_is_requested(vec![
+    completed(1, 2, set_target_revision(2), Response::OldWeights { newest: 5 }),
+    completed(3, 4, set_target_revision(5), Response::Accepted),
 ], false)]
-#[case::refused_for_newer_ones_under_way(vec![
-    answered(1, 4, name(5), Answer::Taken),
-    answered(2, 3, name(2), Answer::OldWeights { newest: 5 }),
+#[case::rejected_for_a_pending_newer_revision(vec![
+    completed(1, 4, set_target_revision(5), Response::Accepted),
+    completed(2, 3, set_target_revision(2), Response::OldWeights { newest: 5 }),
 ], true)]
-#[case::refused_for_lost_ones(vec![
-    lost(1, name(5)),
-    answered(2, 3, name(2), Answer::OldWeights { newest: 5 }),
+#[case::rejected_for_a_lost_newer_revision(vec![
+    lost(1, set_target_revision(5)),
+    completed(2, 3, set_target_revision(2), Response::OldWeights { newest: 5 }),
 ], true)]
-fn weights_only_rise(#[case] operations: Vec<Operation<WeightsOrder>>, #[case] is_good: bool) {
-    assert_eq!(is_linearizable(&WeightsRegister::default(), &operations), is_good);
+fn target_revisions_never_decrease(
+    #[case] operations: Vec<Operation<WeightsChange>>,
+    #[case] expected: bool,
+) {
+    assert_eq!(is_linearizable(&WeightsRegister::default(), &operations), expected);
 }
--- a/crates/control-plane/tests/replication_directed.rs
+++ b/crates/control-plane/tests/replication_directed.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use rstest::rstest;
-use support::scenario::{assert_goes_on, started};
-use support::simulation::{Fault, MS, Network, SECOND, Shape, Simulation};
+use support::scenario::{assert_makes_progress, started};
+use support::simulation::{ClusterShape, Fault, MS, Network, SECOND, Simulation};
 use tulipridge_control_plane::replication::Input;
 use tulipridge_protocol::node::NodeId;
 
@@ -15,8 +15,11 @@
 
 #[test]
 fn first_start_has_a_primary_within_a_second() {
-    let mut simulation = Simulation::new(1, Shape { losses: 1, seeds: 3, machines: 4, fault: Fault::None });
-    let is_up = simulation.run_while_not(SECOND, |simulation| simulation.primary().is_some());
+    let mut simulation = Simulation::new(
+        1,
+        ClusterShape { tolerated_failures: 1, seeds: 3, machines: 4, fault: Fault::None },
+    );
+    let is_up = simulation.run_until_or_timeout(SECOND, |simulation| simulation.primary().is_some());
     assert!(is_up);
 }
 
@@ -26,7 +29,7 @@
     for _ in 0..6 {
         let primary = simulation.acknowledge_one();
         simulation.kill(primary, 1500 * MS);
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
         simulation.run_for(2 * SECOND);
     }
 }
@@ -57,7 +60,7 @@
                 simulation.cut_power(index, restart_after);
             }
         }
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
         simulation.run_for(8 * SECOND);
     }
 }
@@ -75,7 +78,7 @@
                 simulation.kill(index, restart_after);
             }
         }
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
     }
 }
 
@@ -87,7 +90,7 @@
     for index in 0..first {
         simulation.acknowledge_one();
         simulation.replace(index, 500 * MS);
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
         simulation.run_for(5 * SECOND);
     }
     let voters = voters_of(&simulation);
@@ -130,7 +133,7 @@
     let successor = simulation.primary().expect("the others have a primary");
     assert_ne!(successor, primary);
     simulation.heal();
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
     simulation.run_for(SECOND);
     assert_eq!(simulation.primary(), Some(successor), "the returned member disturbs nobody");
 }
@@ -143,7 +146,7 @@
     simulation.isolate(primary, false, true);
     simulation.run_for(4 * SECOND);
     assert_ne!(simulation.primary().expect("the others have a primary"), primary);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 #[test]
@@ -154,7 +157,7 @@
     simulation.propose(primary);
     simulation.run_for(2500 * MS);
     assert_ne!(simulation.primary().expect("there is another"), primary);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 #[test]
@@ -163,7 +166,7 @@
     let primary = simulation.acknowledge_one();
     let backup = simulation.data_replicas()[1];
     simulation.machines[backup].disk.stalled_until = simulation.now + 20 * SECOND;
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
     assert_eq!(simulation.primary(), Some(primary), "the primary stays");
 }
 
@@ -172,7 +175,7 @@
     let mut simulation = started(1, 3, 4, 3);
     let primary = simulation.acknowledge_one();
     simulation.input(primary, Input::Terminate);
-    let is_followed = simulation.run_while_not(600 * MS, |simulation| {
+    let is_followed = simulation.run_until_or_timeout(600 * MS, |simulation| {
         simulation.primary().is_some_and(|successor| successor != primary)
     });
     assert!(is_followed);
@@ -190,7 +193,7 @@
     assert_ne!(successor, primary);
     simulation.run_for(2 * SECOND);
     assert_eq!(simulation.primary(), Some(successor));
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// Machines whose share of a core is a quota run for 10 ms of each 100 ms, each with a phase of its own: first the
@@ -218,7 +221,7 @@
     }
     assert_eq!(simulation.primary(), Some(primary));
     assert_eq!(simulation.view_at(primary), Some(&view));
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// Two data replicas have disks that take 30 times as long, and changes go on.
@@ -242,7 +245,7 @@
         assert!(simulation.make_progress(2 * SECOND), "no change was acknowledged at {}", simulation.now);
         assert_eq!(simulation.checker.violation, None);
     }
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 #[test]
@@ -254,5 +257,5 @@
         assert_eq!(simulation.checker.violation, None);
     }
     simulation.heal();
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
--- a/crates/control-plane/tests/replication_faults.rs
+++ b/crates/control-plane/tests/replication_faults.rs
@@ -4,27 +4,27 @@
 
 use rstest::rstest;
 use support::checker::Violation;
-use support::history::{FaultPlan, Load, play, play_with};
-use support::operator::call::{Answer, Call, ConfigurationMethod, ConfigurationOrder};
-use support::operator::client::UnexplainedObject;
-use support::simulation::{Fault, MS, SECOND, Shape, Simulation};
+use support::history::{FaultPlan, Load, run_history, run_history_with};
+use support::operator::call::{Call, ConfigurationChange, ConfigurationMethod, Response};
+use support::operator::client::NonLinearizableObject;
+use support::simulation::{ClusterShape, Fault, MS, SECOND, Simulation};
 
 const HISTORIES: u64 = 300;
 
 /// Plays histories until one shows a violation other than missing progress.
-fn first_violation(shape: Shape, fault_plan: FaultPlan) -> Option<Violation> {
+fn first_violation(shape: ClusterShape, fault_plan: FaultPlan) -> Option<Violation> {
     (0..HISTORIES)
-        .filter_map(|seed| play(seed, shape, fault_plan).violation)
+        .filter_map(|seed| run_history(seed, shape, fault_plan).violation)
         .find(|violation| *violation != Violation::NoProgress)
 }
 
 /// Each broken promise shows.
 #[rstest]
 #[case::syncs_reported_early(Fault::EarlySync, FaultPlan::DisksStay)]
-#[case::clocks_far_apart(Fault::WildClocks, FaultPlan::DisksStay)]
+#[case::clocks_far_apart(Fault::ExcessiveDrift, FaultPlan::DisksStay)]
 #[case::backups_report_syncs_early(Fault::EarlyBackupSync, FaultPlan::DisksLost)]
 fn broken_promises_are_seen(#[case] fault: Fault, #[case] fault_plan: FaultPlan) {
-    let shape = Shape { losses: 1, seeds: 3, machines: 3, fault };
+    let shape = ClusterShape { tolerated_failures: 1, seeds: 3, machines: 3, fault };
     let violation = first_violation(shape, fault_plan);
     println!("{fault:?}: {violation:?}");
     assert!(violation.is_some(), "{fault:?} has to show");
@@ -33,7 +33,8 @@
 /// The first primary is cut off, the second loses power and the third member its disk; then the first is
 /// back.
 fn stale_primary_meets_a_lost_disk(fault: Fault) -> Option<Violation> {
-    let mut simulation = Simulation::new(1, Shape { losses: 1, seeds: 3, machines: 3, fault });
+    let mut simulation =
+        Simulation::new(1, ClusterShape { tolerated_failures: 1, seeds: 3, machines: 3, fault });
     let stale = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.isolate(stale, true, true);
@@ -54,13 +55,14 @@
 #[test]
 fn lost_disk_that_keeps_its_generation_is_seen() {
     assert_eq!(stale_primary_meets_a_lost_disk(Fault::None), None);
-    let violation = stale_primary_meets_a_lost_disk(Fault::KeptGeneration);
+    let violation = stale_primary_meets_a_lost_disk(Fault::ReusedGeneration);
     assert!(matches!(violation, Some(Violation::AcknowledgedLost { .. })), "{violation:?}");
 }
 
 /// The backup does not hear the primary, and the third member starts again and again.
 fn restarts_beside_a_partition(fault: Fault, seed: u64) -> Option<Violation> {
-    let mut simulation = Simulation::new(seed, Shape { losses: 1, seeds: 3, machines: 3, fault });
+    let mut simulation =
+        Simulation::new(seed, ClusterShape { tolerated_failures: 1, seeds: 3, machines: 3, fault });
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
     let backup = simulation.data_replicas()[1];
@@ -80,7 +82,7 @@
 #[test]
 fn forgotten_promises_are_seen() {
     let violations: Vec<Violation> =
-        (0..20).filter_map(|seed| restarts_beside_a_partition(Fault::ForgottenPromises, seed)).collect();
+        (0..20).filter_map(|seed| restarts_beside_a_partition(Fault::LostPromises, seed)).collect();
     assert!(!violations.is_empty());
     for seed in 0..20 {
         assert_eq!(restarts_beside_a_partition(Fault::None, seed), None);
@@ -90,72 +92,76 @@
 /// Plays histories of operators until one shows that their answers cannot be explained.
 #[rstest]
 #[case::lease_is_ignored(Fault::IgnoredLease)]
-#[case::repeats_are_forgotten(Fault::ForgottenRepeats)]
+#[case::repeats_are_forgotten(Fault::RefusedRepeats)]
 fn broken_promises_to_operators_are_seen(#[case] fault: Fault) {
-    let shape = Shape { losses: 1, seeds: 3, machines: 3, fault };
+    let shape = ClusterShape { tolerated_failures: 1, seeds: 3, machines: 3, fault };
     let violations = (0..HISTORIES)
-        .filter_map(|seed| play_with(seed, shape, FaultPlan::DisksStay, Load::Operators).violation);
-    let unexplained =
-        violations.enumerate().find(|(_, violation)| matches!(violation, Violation::Unexplained { .. }));
-    println!("{fault:?}: {unexplained:?}");
-    assert!(unexplained.is_some(), "{fault:?} has to show");
+        .filter_map(|seed| run_history_with(seed, shape, FaultPlan::DisksStay, Load::Operators).violation);
+    let non_linearizable = violations
+        .enumerate()
+        .find(|(_, violation)| matches!(violation, Violation::NotLinearizable { .. }));
+    println!("{fault:?}: {non_linearizable:?}");
+    assert!(non_linearizable.is_some(), "{fault:?} has to show");
 }
 
 /// A primary is cut off from the others, which take a change; then it is asked.
-fn cut_off_primary_is_asked(call: Call, fault: Fault) -> Option<UnexplainedObject> {
-    let mut simulation = Simulation::new(3, Shape { losses: 1, seeds: 3, machines: 3, fault });
+fn cut_off_primary_is_asked(call: Call, fault: Fault) -> Option<NonLinearizableObject> {
+    let mut simulation =
+        Simulation::new(3, ClusterShape { tolerated_failures: 1, seeds: 3, machines: 3, fault });
     let old = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.isolate(old, true, true);
-    let is_followed = simulation.run_while_not(6 * SECOND, |simulation| {
+    let is_followed = simulation.run_until_or_timeout(6 * SECOND, |simulation| {
         simulation.primary().is_some_and(|successor| successor != old)
     });
     assert!(is_followed);
     let successor = simulation.primary().expect("there is a successor");
-    let change = ConfigurationOrder { method: ConfigurationMethod::Put, base: 0, revision: 3, mark: 1 };
+    let change =
+        ConfigurationChange { method: ConfigurationMethod::Put, base: 0, revision: 3, route_id: 1 };
     let taken = simulation.submit(successor, Call::Configure(change));
     simulation.run_for(SECOND);
-    assert_eq!(simulation.operators.answer(taken), Some(&Answer::Taken));
+    assert_eq!(simulation.operators.response(taken), Some(&Response::Accepted));
     simulation.submit(old, call);
     simulation.run_for(SECOND);
-    simulation.operators.unexplained()
+    simulation.operators.non_linearizable()
 }
 
 #[rstest]
 #[case::read(Call::Read)]
-#[case::refused_with_412(Call::Configure(ConfigurationOrder {
+#[case::refused_with_412(Call::Configure(ConfigurationChange {
     method: ConfigurationMethod::Put,
     base: 3,
     revision: 5,
-    mark: 2,
+    route_id: 2,
 }))]
-#[case::refused_with_400(Call::Configure(ConfigurationOrder {
+#[case::refused_with_400(Call::Configure(ConfigurationChange {
     method: ConfigurationMethod::Put,
     base: 0,
     revision: 0,
-    mark: 2,
+    route_id: 2,
 }))]
 fn answers_after_the_lease_are_seen(#[case] call: Call) {
     assert_eq!(cut_off_primary_is_asked(call, Fault::None), None);
-    let unexplained = cut_off_primary_is_asked(call, Fault::IgnoredLease);
-    assert_eq!(unexplained, Some(UnexplainedObject::Configuration));
+    let non_linearizable = cut_off_primary_is_asked(call, Fault::IgnoredLease);
+    assert_eq!(non_linearizable, Some(NonLinearizableObject::Configuration));
 }
 
 #[test]
 fn snapshots_without_the_state_are_seen() {
-    let shape = Shape { losses: 1, seeds: 3, machines: 3, fault: Fault::EmptySnapshots };
+    let shape = ClusterShape { tolerated_failures: 1, seeds: 3, machines: 3, fault: Fault::EmptySnapshots };
     let violations = (0..HISTORIES)
-        .filter_map(|seed| play_with(seed, shape, FaultPlan::DisksStay, Load::Operators).violation);
+        .filter_map(|seed| run_history_with(seed, shape, FaultPlan::DisksStay, Load::Operators).violation);
     let seen = violations
         .into_iter()
-        .find(|violation| matches!(violation, Violation::StatesDiffer | Violation::Unexplained { .. }));
+        .find(|violation| matches!(violation, Violation::StatesDiffer | Violation::NotLinearizable { .. }));
     println!("{seen:?}");
     assert!(seen.is_some());
 }
 
 /// The primary is left with standbys only, and the other voters go on without it.
 fn primary_among_standbys(fault: Fault) -> Option<Violation> {
-    let mut simulation = Simulation::new(4, Shape { losses: 1, seeds: 3, machines: 5, fault });
+    let mut simulation =
+        Simulation::new(4, ClusterShape { tolerated_failures: 1, seeds: 3, machines: 5, fault });
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.run_for(3 * SECOND);
@@ -178,7 +184,7 @@
 /// Both data replicas leave for good, each when it is not needed any more, or at once.
 /// Whether the cluster goes on.
 fn both_data_replicas_leave(hands_over: bool, seed: u64) -> bool {
-    let shape = Shape { losses: 1, seeds: 3, machines: 5, fault: Fault::None };
+    let shape = ClusterShape { tolerated_failures: 1, seeds: 3, machines: 5, fault: Fault::None };
     let mut simulation = Simulation::new(seed, shape);
     simulation.acknowledge_one();
     simulation.end_first_boot();
@@ -187,7 +193,7 @@
         if hands_over {
             simulation.leave(replica);
             let has_left = |simulation: &Simulation| simulation.departure(replica).is_some();
-            assert!(simulation.run_while_not(8 * SECOND, has_left));
+            assert!(simulation.run_until_or_timeout(8 * SECOND, has_left));
         } else {
             simulation.terminate_for_good(replica, 0);
         }
--- a/crates/control-plane/tests/replication_histories.rs
+++ b/crates/control-plane/tests/replication_histories.rs
@@ -7,16 +7,16 @@
 mod support;
 
 use rstest::rstest;
-use support::history::{FaultPlan, Load, history_count, play, play_with};
-use support::simulation::{Fault, Shape};
+use support::history::{FaultPlan, Load, history_count, run_history, run_history_with};
+use support::simulation::{ClusterShape, Fault};
 
 /// Histories of each kind, if no other number is asked for.
 const USUAL_HISTORIES: u64 = 250;
 /// The same, of those with long histories.
 const USUAL_LONG_HISTORIES: u64 = 50;
 
-fn shape(losses: u32, seeds: usize, machines: usize) -> Shape {
-    Shape { losses, seeds, machines, fault: Fault::None }
+fn shape(losses: u32, seeds: usize, machines: usize) -> ClusterShape {
+    ClusterShape { tolerated_failures: losses, seeds, machines, fault: Fault::None }
 }
 
 /// Every history holds.
@@ -31,7 +31,7 @@
     let mut views = 0;
     let count = history_count(USUAL_HISTORIES);
     for seed in 0..count {
-        let outcome = play(seed, shape(losses, seeds, machines), fault_plan);
+        let outcome = run_history(seed, shape(losses, seeds, machines), fault_plan);
         assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {fault_plan:?}");
         acknowledged += outcome.acknowledged;
         views += outcome.views;
@@ -48,7 +48,7 @@
 ) {
     let (losses, seeds, machines) = sizes;
     for seed in 0..history_count(USUAL_LONG_HISTORIES) {
-        let outcome = play(seed, shape(losses, seeds, machines), fault_plan);
+        let outcome = run_history(seed, shape(losses, seeds, machines), fault_plan);
         assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {fault_plan:?}");
     }
 }
@@ -58,6 +58,6 @@
 #[case(1278, Load::Proposals)]
 #[case(372, Load::Operators)]
 fn a_leaving_member_stays_until_the_view_is_complete(#[case] seed: u64, #[case] load: Load) {
-    let outcome = play_with(seed, shape(1, 3, 4), FaultPlan::Replacement, load);
+    let outcome = run_history_with(seed, shape(1, 3, 4), FaultPlan::Replacement, load);
     assert_eq!(outcome.violation, None);
 }
--- a/crates/control-plane/tests/replication_leaving.rs
+++ b/crates/control-plane/tests/replication_leaving.rs
@@ -6,7 +6,7 @@
 
 use rstest::rstest;
 use support::history::PROGRESS_WITHIN;
-use support::scenario::{assert_goes_on, started};
+use support::scenario::{assert_makes_progress, started};
 use support::simulation::{MS, SECOND, Simulation};
 use tulipridge_control_plane::replication::{Departure, Input};
 use tulipridge_control_plane::server::departure::may_exit;
@@ -74,7 +74,7 @@
     let (_, left) = leave(&mut simulation, leaving);
     assert_ne!(left, Departure::StoresData);
     simulation.replace(leaving, 500 * MS);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// The successor of a primary that leaves loses its disk before it has become primary.
@@ -92,7 +92,7 @@
     let (waited, left) = leave(&mut simulation, primary);
     assert_ne!(left, Departure::StoresData, "after {waited:?}");
     simulation.replace(primary, 500 * MS);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// Views that may follow each other when two members leave and a third one comes back.
@@ -123,7 +123,7 @@
     assert!(views <= MOST_VIEWS, "{views} views follow each other");
     let successor = simulation.acknowledge_one();
     assert!(successor != primary && successor != backup);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// Any one member leaves for good; right after its process has ended another one loses its disk.
@@ -149,7 +149,7 @@
         for index in others.into_iter().take(losses as usize) {
             simulation.wipe(index, 30 * SECOND);
         }
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
     }
 }
 
@@ -174,7 +174,7 @@
         assert_ne!(left, Departure::StoresData, "machine {oldest}");
         simulation.machines[oldest].process = None;
         simulation.machines[oldest].removed = true;
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
     }
 }
 
@@ -207,7 +207,7 @@
         let (waited, left) = leave(&mut simulation, round % 4);
         assert_eq!(left, Departure::Free, "round {round} after {waited:?}");
         simulation.kill(round % 4, 300 * MS);
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
         simulation.run_for(SECOND);
     }
 }
--- a/crates/control-plane/tests/replication_operators.rs
+++ b/crates/control-plane/tests/replication_operators.rs
@@ -6,8 +6,8 @@
 mod support;
 
 use rstest::rstest;
-use support::history::{FaultPlan, Load, history_count, play_with};
-use support::simulation::{Fault, Shape};
+use support::history::{FaultPlan, Load, history_count, run_history_with};
+use support::simulation::{ClusterShape, Fault};
 
 /// Histories of each kind, if no other number is asked for.
 const USUAL_HISTORIES: u64 = 100;
@@ -20,14 +20,14 @@
     fault_plan: FaultPlan,
 ) {
     let (losses, seeds, machines) = sizes;
-    let mut answered = 0;
+    let mut completed = 0;
     let count = history_count(USUAL_HISTORIES);
     for seed in 0..count {
-        let shape = Shape { losses, seeds, machines, fault: Fault::None };
-        let outcome = play_with(seed, shape, fault_plan, Load::Operators);
+        let shape = ClusterShape { tolerated_failures: losses, seeds, machines, fault: Fault::None };
+        let outcome = run_history_with(seed, shape, fault_plan, Load::Operators);
         assert_eq!(outcome.violation, None, "history {seed} of {sizes:?} with {fault_plan:?}");
-        answered += outcome.answered;
+        completed += outcome.completed_calls;
     }
-    println!("{count} histories: {answered} answered calls");
-    assert!(answered as u64 > count, "the operators do something");
+    println!("{count} histories: {completed} completed calls");
+    assert!(completed as u64 > count, "the operators do something");
 }
--- a/crates/control-plane/tests/replication_repeats.rs
+++ b/crates/control-plane/tests/replication_repeats.rs
@@ -3,9 +3,9 @@
 mod support;
 
 use rstest::rstest;
-use support::operator::call::{Answer, Call, ConfigurationMethod, ConfigurationOrder, WeightsOrder};
-use support::operator::client::UnexplainedObject;
-use support::simulation::{Fault, MS, SECOND, Shape, Simulation};
+use support::operator::call::{Call, ConfigurationChange, ConfigurationMethod, Response, WeightsChange};
+use support::operator::client::NonLinearizableObject;
+use support::simulation::{ClusterShape, Fault, MS, SECOND, Simulation};
 
 /// Longer than a member waits for an agreement.
 const BACKUP_STALLS_FOR: u64 = 5500 * MS;
@@ -13,17 +13,23 @@
 const SENT_AGAIN_AFTER: u64 = 4900 * MS;
 
 fn first_configuration() -> Call {
-    Call::Configure(ConfigurationOrder { method: ConfigurationMethod::Put, base: 0, revision: 3, mark: 1 })
+    Call::Configure(ConfigurationChange {
+        method: ConfigurationMethod::Put,
+        base: 0,
+        revision: 3,
+        route_id: 1,
+    })
 }
 
 fn first_weights() -> Call {
-    Call::NameWeights(WeightsOrder { model: "large", revision: 3 })
+    Call::SetTargetRevision(WeightsChange { model: "large", revision: 3 })
 }
 
 /// Of three machines one is down, and the backup's disk hangs. A change is sent, and once more by an operator
 /// who has heard nothing; when the disk is back, both are agreed on.
-fn change_sent_twice_while_nothing_is_agreed(call: Call, fault: Fault) -> (Simulation, Option<Answer>) {
-    let mut simulation = Simulation::new(2, Shape { losses: 1, seeds: 3, machines: 3, fault });
+fn change_sent_twice_while_nothing_is_agreed(call: Call, fault: Fault) -> (Simulation, Option<Response>) {
+    let mut simulation =
+        Simulation::new(2, ClusterShape { tolerated_failures: 1, seeds: 3, machines: 3, fault });
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.run_for(SECOND);
@@ -35,7 +41,7 @@
     assert_eq!(simulation.primary(), Some(primary));
     let again = simulation.submit(primary, call);
     simulation.run_for(4 * SECOND);
-    let answer = simulation.operators.answer(again).cloned();
+    let answer = simulation.operators.response(again).cloned();
     (simulation, answer)
 }
 
@@ -44,16 +50,16 @@
 #[case::weights(first_weights())]
 fn change_that_waits_is_taken_once_and_known_when_it_is_sent_again(#[case] call: Call) {
     let (simulation, answer) = change_sent_twice_while_nothing_is_agreed(call, Fault::None);
-    assert_eq!(answer, Some(Answer::Taken));
-    assert_eq!(simulation.operators.unexplained(), None);
+    assert_eq!(answer, Some(Response::Accepted));
+    assert_eq!(simulation.operators.non_linearizable(), None);
 }
 
 /// What members did before they decided anew: the second proposal found the first one in its way.
 #[rstest]
-#[case::configuration(first_configuration(), UnexplainedObject::Configuration)]
-#[case::weights(first_weights(), UnexplainedObject::Weights("large"))]
-fn refusal_of_a_change_that_is_in_force_is_seen(#[case] call: Call, #[case] object: UnexplainedObject) {
+#[case::configuration(first_configuration(), NonLinearizableObject::Configuration)]
+#[case::weights(first_weights(), NonLinearizableObject::Weights("large"))]
+fn refusal_of_a_change_that_is_in_force_is_seen(#[case] call: Call, #[case] object: NonLinearizableObject) {
     let (simulation, answer) = change_sent_twice_while_nothing_is_agreed(call, Fault::SupersededRefused);
     println!("answered {answer:?}");
-    assert_eq!(simulation.operators.unexplained(), Some(object));
+    assert_eq!(simulation.operators.non_linearizable(), Some(object));
 }
--- a/crates/control-plane/tests/support/checker.rs
+++ b/crates/control-plane/tests/support/checker.rs
@@ -1,31 +1,31 @@
-//! What must hold at every moment of every history.
+//! Safety invariants that must hold throughout every history, and the violations found.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use tulipridge_protocol::node::NodeId;
 
-use super::operator::client::UnexplainedObject;
+use super::operator::client::NonLinearizableObject;
 
-/// Something that must not happen.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
-    /// Two members applied different commands under the same number.
+    /// Two members applied different commands at the same sequence number.
     Diverged { sequence: u64, first: u64, second: u64 },
-    /// A primary does not have what was acknowledged in an earlier epoch, or one with a lease what was
-    /// acknowledged at all.
+    /// A primary lacks a command acknowledged in an earlier epoch, or a primary with a valid lease lacks any
+    /// acknowledged command.
     AcknowledgedLost { node: NodeId, epoch: u64, sequence: u64 },
-    /// Two members hold a lease at the same time.
+    /// Two members hold a valid lease at the same time.
     TwoLeases { first: NodeId, second: NodeId },
-    /// Two members are primary of the same epoch.
+    /// Two members became primary in the same epoch.
     SharedEpoch { epoch: u64 },
     /// Members that applied the same commands have different states.
     StatesDiffer,
-    /// After a member left, no view without it came into force in time.
+    /// After a member left, no view without it was installed in time.
     ViewIncomplete,
-    /// No order of the operators' calls explains their answers.
-    Unexplained { object: UnexplainedObject },
-    /// After the faults a proposal was not acknowledged in time.
+    /// The history of operators' calls on an object is not linearizable.
+    NotLinearizable { object: NonLinearizableObject },
+    /// No proposal, or no final read of an operator, succeeded in time.
     NoProgress,
 }
 
@@ -35,14 +35,14 @@
     }
 }
 
-/// A command that its proposer was told to be committed.
+/// A command whose commit was acknowledged to its proposer.
 #[derive(Clone, Copy, Debug)]
 struct Acknowledgement {
     command: u64,
     epoch: u64,
 }
 
-/// Keeps what was acknowledged and who led.
+/// Tracks acknowledged commands and primaries.
 #[derive(Debug, Default)]
 pub(crate) struct Checker {
     committed: BTreeMap<u64, u64>,
@@ -53,12 +53,12 @@
 }
 
 impl Checker {
-    /// How many proposals were acknowledged.
+    /// The number of acknowledged proposals.
     pub(crate) fn acknowledged_count(&self) -> usize {
         self.acknowledged.len()
     }
 
-    /// How many views came into force.
+    /// The number of epochs in which a member became primary.
     pub(crate) fn primary_count(&self) -> usize {
         self.primaries.len()
     }
@@ -67,7 +67,7 @@
         self.violation.get_or_insert(violation);
     }
 
-    /// A member applied a command.
+    /// Records that a member applied a command.
     pub(crate) fn applied(&mut self, sequence: u64, command: u64) {
         let first = *self.committed.entry(sequence).or_insert(command);
         if first != command {
@@ -75,12 +75,12 @@
         }
     }
 
-    /// A proposer was told that its command is committed.
+    /// Records that a command's commit was acknowledged to its proposer.
     pub(crate) fn acknowledge(&mut self, sequence: u64, command: u64, epoch: u64) {
         self.acknowledged.insert(sequence, Acknowledgement { command, epoch });
     }
 
-    /// A member became primary with this state.
+    /// Records that a member became primary with this state.
     pub(crate) fn became_primary(&mut self, node: NodeId, epoch: u64, state: &[u64]) {
         let first = *self.primaries.entry(epoch).or_insert(node);
         if first != node {
@@ -95,8 +95,9 @@
         }
     }
 
-    /// A member with a running lease may answer from this state: all that was ever acknowledged is in it.
-    pub(crate) fn may_read(&mut self, node: NodeId, epoch: u64, state: &[u64]) {
+    /// Checks the state of a member with a valid lease, which may serve reads: it must hold the latest
+    /// acknowledged command.
+    pub(crate) fn check_lease_read(&mut self, node: NodeId, epoch: u64, state: &[u64]) {
         let Some((sequence, newest)) = self.acknowledged.last_key_value() else { return };
         if state.get(*sequence as usize - 1) != Some(&newest.command) {
             let sequence = *sequence;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// These members hold leases now.
+    /// Checks the members that hold valid leases now.
     pub(crate) fn leases(&mut self, lease_holders: &[NodeId]) {
         if let [first, second, ..] = lease_holders {
             self.report(Violation::TwoLeases { first: *first, second: *second });
--- a/crates/control-plane/tests/support/history/counted.rs
+++ b/crates/control-plane/tests/support/history/bounded_faults.rs
@@ -1,27 +1,27 @@
-//! Faults of no more than f machines at once, disks included.
+//! Faults of at most f machines at once, including loss of their disks.
 
 use fastrand::Rng;
 
-use super::{LOST_AFTER_RETURN, target};
+use super::{LOST_AFTER_RESTART, target};
 use crate::support::random::chance;
 use crate::support::simulation::{MS, Simulation};
 
-fn lost_count(simulation: &Simulation) -> usize {
+fn lost_machine_count(simulation: &Simulation) -> usize {
     simulation.machines.iter().filter(|machine| machine.lost_until > simulation.now).count()
 }
 
-/// A fault of one machine, if not too many are lost already.
-pub(super) fn inject_counted_fault(simulation: &mut Simulation, script: &mut Rng) {
-    let index = target(simulation, script);
-    let span = script.u64(50..2500) * MS;
+/// Injects a fault into one machine, unless f other machines already count as lost.
+pub(super) fn inject_fault(simulation: &mut Simulation, rng: &mut Rng) {
+    let index = target(simulation, rng);
+    let span = rng.u64(50..2500) * MS;
     let is_counted = simulation.machines[index].lost_until > simulation.now;
-    if lost_count(simulation) >= simulation.losses() && !is_counted {
-        simulation.run_for(script.u64(200..2000) * MS);
+    if lost_machine_count(simulation) >= simulation.tolerated_failures() && !is_counted {
+        simulation.run_for(rng.u64(200..2000) * MS);
         return;
     }
-    let lost_until = simulation.now + span + LOST_AFTER_RETURN;
+    let lost_until = simulation.now + span + LOST_AFTER_RESTART;
     simulation.machines[index].lost_until = lost_until;
-    match script.u64(0..10) {
+    match rng.u64(0..10) {
         0 | 1 => simulation.wipe(index, span),
         2 | 3 => {
             let replacement = simulation.replace(index, span);
@@ -29,23 +29,23 @@
         }
         4 => simulation.freeze(index, span),
         5 => simulation.kill(index, span),
-        6 => replace_as_planned(simulation, script, index),
+        6 => replace_gracefully(simulation, rng, index),
         7 => simulation.fill_disk(index, span),
         8 => simulation.machines[index].disk.slow_until = simulation.now + span,
         _ => {
-            simulation.isolate(index, chance(script, 700), true);
+            simulation.isolate(index, chance(rng, 700), true);
             simulation.run_for(span);
             simulation.cuts.clear();
-            simulation.machines[index].lost_until = simulation.now + LOST_AFTER_RETURN;
+            simulation.machines[index].lost_until = simulation.now + LOST_AFTER_RESTART;
         }
     }
 }
 
-/// Another machine starts first; then this one is asked to end.
-fn replace_as_planned(simulation: &mut Simulation, script: &mut Rng, index: usize) {
+/// Starts another machine first, then terminates this one.
+fn replace_gracefully(simulation: &mut Simulation, rng: &mut Rng, index: usize) {
     let generation = simulation.random.u64(..) | 1;
     simulation.add_machine(generation, simulation.now);
-    simulation.run_for(script.u64(0..2000) * MS);
+    simulation.run_for(rng.u64(0..2000) * MS);
     simulation.terminate_for_good(index, 0);
-    simulation.machines[index].lost_until = simulation.now + LOST_AFTER_RETURN;
+    simulation.machines[index].lost_until = simulation.now + LOST_AFTER_RESTART;
 }
--- a/crates/control-plane/tests/support/history/replacement.rs
+++ b/crates/control-plane/tests/support/history/replacement.rs
@@ -1,39 +1,39 @@
-//! Planned replacement without end: a new machine first, then the oldest one leaves.
+//! Repeated graceful replacement: a new machine starts first, then the oldest one leaves.
 
 use fastrand::Rng;
 use tulipridge_control_plane::replication::Departure;
 
-use super::{PROGRESS_WITHIN, living};
+use super::{PROGRESS_WITHIN, present_machines};
 use crate::support::checker::Violation;
 use crate::support::random::chance;
 use crate::support::simulation::{MS, SECOND, Simulation};
 
-/// A view without the machines that are gone has to be in force, and known, within this time.
+/// A view without the departed machines must be installed, and known to its voters, within this time.
 const COMPLETE_WITHIN: u64 = 12 * SECOND;
-/// Replacements after the last machine of the first boot has left.
-const MOST_FURTHER_REPLACEMENTS: usize = 4;
+/// Exclusive upper limit of the replacements that follow those of the initial machines.
+const MAX_FURTHER_REPLACEMENTS: usize = 4;
 
-/// Replaces machines until none of the first ones is left, and some more; `load` runs in between.
+/// Replaces all initial machines and then some more; `load` runs in between.
 pub(super) fn replace_all(
     simulation: &mut Simulation,
-    script: &mut Rng,
+    rng: &mut Rng,
     load: impl Fn(&mut Simulation, &mut Rng),
 ) {
-    let rounds = simulation.machines.len() + script.usize(..MOST_FURTHER_REPLACEMENTS);
+    let rounds = simulation.machines.len() + rng.usize(..MAX_FURTHER_REPLACEMENTS);
     await_complete_view(simulation);
     for _ in 0..rounds {
-        let leaving = replace_oldest(simulation, script);
-        let loses_while_leaving = chance(script, 300);
-        if loses_while_leaving {
-            simulation.run_for(script.u64(0..1500) * MS);
-            let losses = simulation.losses();
-            lose_others(simulation, script, losses);
+        let leaving = replace_oldest(simulation, rng);
+        let fails_during_departure = chance(rng, 300);
+        if fails_during_departure {
+            simulation.run_for(rng.u64(0..1500) * MS);
+            let losses = simulation.tolerated_failures();
+            fail_others(simulation, rng, losses);
         }
-        load(simulation, script);
+        load(simulation, rng);
         await_departure(simulation, leaving);
-        if !loses_while_leaving && chance(script, 500) {
-            let losses = simulation.losses();
-            lose_others(simulation, script, losses);
+        if !fails_during_departure && chance(rng, 500) {
+            let losses = simulation.tolerated_failures();
+            fail_others(simulation, rng, losses);
         }
         await_complete_view(simulation);
         if simulation.checker.violation.is_some() {
@@ -42,41 +42,42 @@
     }
 }
 
-fn replace_oldest(simulation: &mut Simulation, script: &mut Rng) -> usize {
-    let oldest = living(simulation)[0];
+fn replace_oldest(simulation: &mut Simulation, rng: &mut Rng) -> usize {
+    let oldest = present_machines(simulation)[0];
     let generation = simulation.random.u64(..) | 1;
-    simulation.add_machine(generation, simulation.now + script.u64(0..500) * MS);
-    simulation.run_for(script.u64(1000..4000) * MS);
+    simulation.add_machine(generation, simulation.now + rng.u64(0..500) * MS);
+    simulation.run_for(rng.u64(1000..4000) * MS);
     simulation.leave(oldest);
     oldest
 }
 
-/// Where its place was not taken in time, a view without it has to be in force before anything else is lost.
+/// Waits until a machine has left. If its place was not taken in time, a view without it must be installed before
+/// any further fault.
 fn await_departure(simulation: &mut Simulation, leaving: usize) {
-    simulation.run_while_not(COMPLETE_WITHIN, |simulation| simulation.departure(leaving).is_some());
+    simulation.run_until_or_timeout(COMPLETE_WITHIN, |simulation| simulation.departure(leaving).is_some());
     if simulation.departure(leaving) != Some(Departure::Free) {
         await_complete_view(simulation);
     }
 }
 
-/// Machines crash, lose power, or lose their disks; the primary is likely to be among them.
-fn lose_others(simulation: &mut Simulation, script: &mut Rng, count: usize) {
+/// Crashes machines, cuts their power or wipes their disks, with a preference for the primary.
+fn fail_others(simulation: &mut Simulation, rng: &mut Rng, count: usize) {
     let is_staying = |index: &usize| simulation.machines[*index].leaving.is_none();
-    let mut staying: Vec<usize> = living(simulation).into_iter().filter(is_staying).collect();
-    script.shuffle(&mut staying);
-    let primary = simulation.primary().filter(|_| chance(script, 500));
+    let mut staying: Vec<usize> = present_machines(simulation).into_iter().filter(is_staying).collect();
+    rng.shuffle(&mut staying);
+    let primary = simulation.primary().filter(|_| chance(rng, 500));
     staying.sort_by_key(|index| Some(*index) != primary);
     for index in staying.into_iter().take(count) {
-        lose(simulation, script, index);
+        fail(simulation, rng, index);
     }
     if !simulation.make_progress(PROGRESS_WITHIN) {
         simulation.checker.violation.get_or_insert(Violation::NoProgress);
     }
 }
 
-fn lose(simulation: &mut Simulation, script: &mut Rng, index: usize) {
-    let restart_after = script.u64(50..3000) * MS;
-    match script.u64(0..3) {
+fn fail(simulation: &mut Simulation, rng: &mut Rng, index: usize) {
+    let restart_after = rng.u64(50..3000) * MS;
+    match rng.u64(0..3) {
         0 => simulation.kill(index, restart_after),
         1 => simulation.cut_power(index, restart_after),
         _ => simulation.wipe(index, restart_after),
@@ -84,7 +85,7 @@
 }
 
 fn await_complete_view(simulation: &mut Simulation) {
-    let is_complete = simulation.run_while_not(COMPLETE_WITHIN, |simulation| {
+    let is_complete = simulation.run_until_or_timeout(COMPLETE_WITHIN, |simulation| {
         simulation.leaving_count() == 0 && simulation.is_view_complete()
     });
     if !is_complete {
--- a/crates/control-plane/tests/support/machine.rs
+++ b/crates/control-plane/tests/support/machine.rs
@@ -1,40 +1,40 @@
-//! A machine of the simulated cluster: its disk, its clock, and its process.
+//! A machine of the simulated cluster: its disk, clock and process.
 
 use tulipridge_control_plane::replication::{Input, Replication};
 use tulipridge_protocol::node::NodeId;
 
 use super::clock::Clock;
 use super::disk::Disk;
-use super::operator::desk::Desk;
 use super::operator::event::OperatorEvent;
+use super::operator::member::ChangeQueue;
 use super::payload::AppliedState;
 use super::simulation::Leaving;
 
 /// A running process.
 pub(crate) struct Process {
-    /// Tells this run from others.
+    /// Distinguishes this process from earlier ones on the same machine.
     pub incarnation: u64,
-    /// The state machine.
+    /// The replication protocol.
     pub replication: Replication,
-    /// What the applied commands led to.
+    /// The state after the applied commands.
     pub applied: AppliedState,
-    /// It was primary at some time.
+    /// Whether it has ever been primary.
     pub was_primary: bool,
-    /// Operators' changes that it works on.
-    pub desk: Desk,
-    /// When its next tick is on the way.
+    /// Queued changes of operators.
+    pub changes: ChangeQueue,
+    /// When its next tick is scheduled.
     pub wake_at: u64,
-    /// What came while it was frozen.
+    /// Inputs that arrived while it was frozen.
     pub backlog: Vec<Input>,
-    /// Calls and steps that were due while it was frozen.
-    pub delayed_calls: Vec<OperatorEvent>,
-    /// What the disk was last said to be.
+    /// Calls and steps that came due while it was frozen.
+    pub delayed_events: Vec<OperatorEvent>,
+    /// Whether the disk was last reported as healthy.
     pub reported_healthy: bool,
 }
 
-/// A machine.
+/// A simulated machine.
 pub(crate) struct Machine {
-    /// Its member on the present disk.
+    /// The id of its member; a wiped disk gets a new generation.
     pub node: NodeId,
     /// Its zone.
     pub zone: String,
@@ -42,27 +42,27 @@
     pub disk: Disk,
     /// Its clock.
     pub clock: Clock,
-    /// Its process, while one runs.
+    /// Its process; `None` while it is stopped.
     pub process: Option<Process>,
-    /// Does nothing before this time.
+    /// The machine is frozen until this time.
     pub frozen_until: u64,
-    /// Will not come back.
+    /// Whether the machine is permanently gone.
     pub removed: bool,
-    /// It leaves for good, or has left.
+    /// The state of its permanent departure, once that has begun.
     pub leaving: Option<Leaving>,
-    /// Counts as lost until then.
+    /// The machine counts as lost until this time.
     pub lost_until: u64,
-    /// Lives so far.
+    /// Number of processes started so far.
     pub incarnations: u64,
 }
 
 impl Machine {
-    /// Whether it runs and is not frozen.
+    /// Whether its process runs and is not frozen.
     pub(crate) fn is_running(&self, now: u64) -> bool {
         self.process.is_some() && self.frozen_until <= now
     }
 
-    /// Whether it holds a running lease by its own clock.
+    /// Whether it holds a valid lease by its own clock.
     pub(crate) fn lease_valid(&self, now: u64) -> bool {
         let local = self.clock.local(now);
         self.process.as_ref().is_some_and(|process| process.replication.is_primary(local))
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A simulated cluster in virtual time: network, disks, clocks, and a checker of what must always hold;
-//! and calls of an operator.
+//! A simulated cluster in virtual time: network, disks, clocks, simulated operators, and a checker of
+//! invariants; and builders of operators' calls.
 
-#![allow(dead_code, reason = "each test program uses a part of it")]
+#![allow(dead_code, reason = "each test binary uses only some of the modules")]
 
 pub(crate) mod checker;
 pub(crate) mod clock;
--- a/crates/control-plane/tests/support/operator/call.rs
+++ b/crates/control-plane/tests/support/operator/call.rs
@@ -1,90 +1,90 @@
-//! Calls of operators and their answers.
+//! Calls of operators and their responses.
 
 use tulipridge_configuration::Document;
 use tulipridge_control_plane::state::Change;
 
 use crate::support::state_calls;
 
-/// How a configuration is changed.
+/// HTTP method of a configuration change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum ConfigurationMethod {
-    /// The whole configuration is replaced.
+    /// Replaces the whole configuration.
     Put,
-    /// Named items are changed.
+    /// Changes only the listed items.
     Patch,
 }
 
-/// An order to change the configuration. Orders with another mark have another body.
+/// A change of the configuration. Changes with different route ids have different bodies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) struct ConfigurationOrder {
-    /// How it changes the configuration.
+pub(crate) struct ConfigurationChange {
+    /// Whether it replaces the configuration or changes items of it.
     pub method: ConfigurationMethod,
-    /// The revision that it builds on.
+    /// The revision that it is based on (`If-Match`).
     pub base: u64,
-    /// The revision that it leads to.
+    /// The revision that it creates.
     pub revision: u64,
-    /// Names the one route that it puts in place.
-    pub mark: u64,
+    /// Identifies the one route that it adds.
+    pub route_id: u64,
 }
 
-/// An order to name weights of a model.
+/// A change of a model's target revision of weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) struct WeightsOrder {
+pub(crate) struct WeightsChange {
     /// The model.
     pub model: &'static str,
     /// The revision of its weights.
     pub revision: u64,
 }
 
-/// What an operator asks.
+/// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Call {
     /// `PUT` or `PATCH /settings`.
-    Configure(ConfigurationOrder),
+    Configure(ConfigurationChange),
     /// `POST /version-put`.
-    NameWeights(WeightsOrder),
+    SetTargetRevision(WeightsChange),
     /// `GET /settings`.
     Read,
 }
 
-/// A configuration as far as the orders of the simulation differ.
+/// The parts of a configuration in which the simulated changes differ.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Content {
     /// Its revision.
     pub revision: u64,
-    /// The marks of its routes, sorted.
-    pub marks: Vec<u64>,
+    /// The ids of its routes, sorted.
+    pub route_ids: Vec<u64>,
 }
 
-/// What an operator is told.
+/// A response to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Answer {
-    /// 200: the change is in force.
-    Taken,
-    /// 412: another revision is in force.
+pub(crate) enum Response {
+    /// 200: the change is committed.
+    Accepted,
+    /// 412: the change is based on another revision.
     Stale {
-        /// The revision in force.
+        /// The current revision.
         current: u64,
     },
-    /// 400: the change is not valid.
+    /// 400: the change is invalid.
     Invalid,
-    /// 400: newer weights were named.
+    /// 400: the target revision of the weights is newer.
     OldWeights {
-        /// The newest revision.
+        /// The target revision.
         newest: u64,
     },
-    /// 200 or 404: the configuration in force.
+    /// 200 or 404: the current configuration.
     Configuration(Option<Content>),
-    /// 503: nothing was done.
+    /// 503: the member is not primary, and the call had no effect.
     NotPrimary,
-    /// 504: the change may come into force or not.
+    /// 504: the change may or may not be committed.
     Unknown,
 }
 
-impl ConfigurationOrder {
-    /// The change that a member decides on.
-    pub(crate) fn change(&self) -> Change {
-        let label = self.mark.to_string();
+impl ConfigurationChange {
+    /// The change as the replicated state receives it.
+    pub(crate) fn to_state_change(self) -> Change {
+        let label = self.route_id.to_string();
         let prefix = format!("/{label}/");
         match self.method {
             ConfigurationMethod::Put => {
@@ -97,20 +97,20 @@
     }
 }
 
-impl WeightsOrder {
-    /// The change that a member decides on.
-    pub(crate) fn change(&self) -> Change {
+impl WeightsChange {
+    /// The change as the replicated state receives it.
+    pub(crate) fn to_state_change(self) -> Change {
         state_calls::name(self.model, self.revision)
     }
 }
 
 impl Content {
-    /// The content of a document that was made by orders of the simulation.
+    /// The content of a document that only simulated changes have modified.
     pub(crate) fn of(document: &Document) -> Content {
         let routes = &document.configuration().routes;
-        let mut marks: Vec<u64> =
-            routes.iter().map(|route| route.label.parse().expect("labels are marks")).collect();
-        marks.sort_unstable();
-        Content { revision: document.revision().0, marks }
+        let mut route_ids: Vec<u64> =
+            routes.iter().map(|route| route.label.parse().expect("labels are route ids")).collect();
+        route_ids.sort_unstable();
+        Content { revision: document.revision().0, route_ids }
     }
 }
--- a/crates/control-plane/tests/support/operator/client.rs
+++ b/crates/control-plane/tests/support/operator/client.rs
@@ -1,29 +1,29 @@
-//! The operators: what they asked and what they were told.
+//! Simulated operators, and the history of their calls and responses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::call::{Answer, Call, WeightsOrder};
+use super::call::{Call, Response, WeightsChange};
 use super::event::OperatorEvent;
-use super::linearizability::{KnownAnswer, Operation, is_linearizable};
+use super::linearizability::{KnownResponse, Operation, is_linearizable};
 use super::register::{ConfigurationCall, ConfigurationRegister, WeightsRegister};
 use crate::support::random::chance;
 use crate::support::simulation::{Event, SECOND, Simulation};
 
-/// An operator waits so long for an answer.
-const PATIENCE: u64 = 2 * SECOND;
+/// An operator abandons a call after this time, in microseconds.
+const CALL_TIMEOUT: u64 = 2 * SECOND;
 
-/// Names a call of a history.
+/// Identifies a call in a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallId(usize);
 
 #[derive(Debug)]
 enum CallState {
     Open,
-    /// Its outcome is not known.
+    /// The outcome is unknown.
     Unknown,
-    /// It surely had no effect.
+    /// The call had no effect.
     Ineffective,
-    Answered(KnownAnswer),
+    Completed(KnownResponse),
 }
 
 #[derive(Debug)]
@@ -37,20 +37,20 @@
 #[derive(Debug, Default)]
 pub(crate) struct Operators {
     records: Vec<CallRecord>,
-    /// Starts and answers so far.
+    /// Number of starts and responses so far; positions in the history count from 1.
     moments: u64,
-    /// Requests and answers lost, in a thousand.
+    /// Requests and responses lost, per thousand.
     pub loss: u64,
-    /// The newest revision that they were told.
+    /// The newest revision that responses have named.
     pub revision: u64,
 }
 
-/// An object whose answers can't be explained.
+/// An object whose history is not linearizable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum UnexplainedObject {
+pub(crate) enum NonLinearizableObject {
     /// The configuration.
     Configuration,
-    /// The weights of a model.
+    /// The target revision of a model's weights.
     Weights(&'static str),
 }
 
@@ -66,103 +66,105 @@
         CallId(self.records.len() - 1)
     }
 
-    /// What was asked.
+    /// The call with this id.
     pub(crate) fn call(&self, call: CallId) -> Call {
         self.records[call.0].call
     }
 
-    /// An answer has come.
-    pub(crate) fn answered(&mut self, call: CallId, answer: Answer) {
+    /// Records a response; one that comes after the call was abandoned is ignored.
+    pub(crate) fn record_response(&mut self, call: CallId, response: Response) {
         if !matches!(self.records[call.0].state, CallState::Open) {
             return;
         }
         let at = self.next_moment();
-        self.learn_revision(call, &answer);
-        self.records[call.0].state = match answer {
-            Answer::NotPrimary => CallState::Ineffective,
-            Answer::Unknown => CallState::Unknown,
-            answer => CallState::Answered(KnownAnswer { at, answer }),
+        self.learn_revision(call, &response);
+        self.records[call.0].state = match response {
+            Response::NotPrimary => CallState::Ineffective,
+            Response::Unknown => CallState::Unknown,
+            response => CallState::Completed(KnownResponse { at, response }),
         };
     }
 
-    fn learn_revision(&mut self, call: CallId, answer: &Answer) {
-        match (self.records[call.0].call, answer) {
-            (Call::Configure(order), Answer::Taken) => self.revision = self.revision.max(order.revision),
-            (_, Answer::Stale { current }) => self.revision = *current,
-            (_, Answer::Configuration(Some(content))) => self.revision = content.revision,
+    fn learn_revision(&mut self, call: CallId, response: &Response) {
+        match (self.records[call.0].call, response) {
+            (Call::Configure(change), Response::Accepted) => {
+                self.revision = self.revision.max(change.revision);
+            }
+            (_, Response::Stale { current }) => self.revision = *current,
+            (_, Response::Configuration(Some(content))) => self.revision = content.revision,
             _ => {}
         }
     }
 
-    /// No answer has come in time.
-    pub(crate) fn give_up(&mut self, call: CallId) {
+    /// Records that a call timed out: its outcome is unknown.
+    pub(crate) fn abandon(&mut self, call: CallId) {
         let record = &mut self.records[call.0];
         if matches!(record.state, CallState::Open) {
             record.state = CallState::Unknown;
         }
     }
 
-    /// How many calls wait for their answers.
+    /// The number of calls without a response.
     pub(crate) fn open_count(&self) -> usize {
         self.records.iter().filter(|record| matches!(record.state, CallState::Open)).count()
     }
 
-    /// How many calls got an answer that says what became of them.
-    pub(crate) fn answered_count(&self) -> usize {
-        self.records.iter().filter(|record| matches!(record.state, CallState::Answered(_))).count()
+    /// The number of calls whose response states the outcome.
+    pub(crate) fn completed_count(&self) -> usize {
+        self.records.iter().filter(|record| matches!(record.state, CallState::Completed(_))).count()
     }
 
-    /// The answer to a call.
-    pub(crate) fn answer(&self, call: CallId) -> Option<&Answer> {
+    /// The response to a call, if it states the outcome.
+    pub(crate) fn response(&self, call: CallId) -> Option<&Response> {
         match &self.records[call.0].state {
-            CallState::Answered(end) => Some(&end.answer),
+            CallState::Completed(end) => Some(&end.response),
             _ => None,
         }
     }
 
-    /// All changes that were asked for, the newest first.
+    /// All requested changes, the newest first.
     pub(crate) fn changes(&self) -> impl Iterator<Item = Call> {
         self.records.iter().rev().map(|record| record.call).filter(|call| *call != Call::Read)
     }
 
-    /// The first object whose answers can't be explained by any order of the calls.
-    pub(crate) fn unexplained(&self) -> Option<UnexplainedObject> {
+    /// The first object whose history is not linearizable.
+    pub(crate) fn non_linearizable(&self) -> Option<NonLinearizableObject> {
         let configuration = self.operations(|call| match call {
-            Call::Configure(order) => Some(ConfigurationCall::Change(order)),
+            Call::Configure(change) => Some(ConfigurationCall::Change(change)),
             Call::Read => Some(ConfigurationCall::Read),
-            Call::NameWeights(_) => None,
+            Call::SetTargetRevision(_) => None,
         });
         if !is_linearizable(&ConfigurationRegister::default(), &configuration) {
-            return Some(UnexplainedObject::Configuration);
+            return Some(NonLinearizableObject::Configuration);
         }
         let weights = self.weights_operations().into_iter();
-        let mut unexplained =
+        let mut non_linearizable =
             weights.filter(|(_, operations)| !is_linearizable(&WeightsRegister::default(), operations));
-        unexplained.next().map(|(model, _)| UnexplainedObject::Weights(model))
+        non_linearizable.next().map(|(model, _)| NonLinearizableObject::Weights(model))
     }
 
-    fn weights_operations(&self) -> BTreeMap<&'static str, Vec<Operation<WeightsOrder>>> {
-        let order_of = |call| if let Call::NameWeights(order) = call { Some(order) } else { None };
+    fn weights_operations(&self) -> BTreeMap<&'static str, Vec<Operation<WeightsChange>>> {
+        let change_of = |call| if let Call::SetTargetRevision(change) = call { Some(change) } else { None };
         let models: BTreeSet<&'static str> = self
             .records
             .iter()
-            .filter_map(|record| order_of(record.call))
-            .map(|order| order.model)
+            .filter_map(|record| change_of(record.call))
+            .map(|change| change.model)
             .collect();
         let operations = |model| {
-            self.operations(|call| order_of(call).filter(|order: &WeightsOrder| order.model == model))
+            self.operations(|call| change_of(call).filter(|change: &WeightsChange| change.model == model))
         };
         models.into_iter().map(|model| (model, operations(model))).collect()
     }
 
-    /// The calls to one object that may have had an effect.
+    /// The operations on one object, without those known to have had no effect.
     fn operations<C>(&self, select: impl Fn(Call) -> Option<C>) -> Vec<Operation<C>> {
         let operation = |record: &CallRecord| {
             let call = select(record.call)?;
             let end = match &record.state {
                 CallState::Open | CallState::Unknown => None,
                 CallState::Ineffective => return None,
-                CallState::Answered(end) => Some(end.clone()),
+                CallState::Completed(end) => Some(end.clone()),
             };
             Some(Operation { call, started_at: record.started_at, end })
         };
@@ -174,7 +176,7 @@
     /// Sends a call to a member.
     pub(crate) fn submit(&mut self, index: usize, call: Call) -> CallId {
         let id = self.operators.begin(call);
-        self.schedule(self.now + PATIENCE, Event::Operator(OperatorEvent::GivenUp { call: id }));
+        self.schedule(self.now + CALL_TIMEOUT, Event::Operator(OperatorEvent::TimedOut { call: id }));
         if !chance(&mut self.random, self.operators.loss) {
             let delay = self.operator_delay();
             let request = OperatorEvent::Request { machine: index, call: id };
@@ -183,13 +185,13 @@
         id
     }
 
-    /// Sends an answer to the operator.
-    pub(super) fn answer(&mut self, call: CallId, answer: Answer) {
+    /// Sends a response to the operator.
+    pub(super) fn send_response(&mut self, call: CallId, response: Response) {
         if chance(&mut self.random, self.operators.loss) {
             return;
         }
         let delay = self.operator_delay();
-        self.schedule(self.now + delay, Event::Operator(OperatorEvent::Answered { call, answer }));
+        self.schedule(self.now + delay, Event::Operator(OperatorEvent::Response { call, response }));
     }
 
     fn operator_delay(&mut self) -> u64 {
--- a/crates/control-plane/tests/support/operator/event.rs
+++ b/crates/control-plane/tests/support/operator/event.rs
@@ -1,68 +1,68 @@
-//! What happens to calls of operators, in virtual time.
+//! Events of operators' calls, in virtual time.
 
 use tulipridge_control_plane::state::Decision;
 
-use super::call::{Answer, Content};
+use super::call::{Content, Response};
 use super::client::CallId;
 use crate::support::simulation::Simulation;
 
-/// Something that happens to a call.
+/// An event of a call.
 #[derive(Debug)]
 pub(crate) enum OperatorEvent {
-    /// It reaches a member.
+    /// The request reaches a member.
     Request { machine: usize, call: CallId },
-    /// A process goes on with its work.
-    Step { machine: usize, incarnation: u64, step: DeskStep },
-    /// The answer reaches the operator.
-    Answered { call: CallId, answer: Answer },
-    /// The operator waits no longer.
-    GivenUp { call: CallId },
+    /// A process runs the next step.
+    Step { machine: usize, incarnation: u64, step: MemberStep },
+    /// The response reaches the operator.
+    Response { call: CallId, response: Response },
+    /// The operator abandons the call.
+    TimedOut { call: CallId },
 }
 
-/// A step of a process's work on calls.
+/// A step in which a process handles calls.
 #[derive(Debug)]
-pub(crate) enum DeskStep {
-    /// The current change is decided on.
+pub(crate) enum MemberStep {
+    /// Validates the current change against the replicated state.
     Decide,
-    /// It was decided on.
+    /// The decision on the current change is available.
     Decided(Box<Decision>),
-    /// The members did not agree on a proposal in time.
-    AgreementTimeout { ticket: u64 },
-    /// The configuration is read.
+    /// A proposal was not committed before its timeout.
+    CommitTimeout { ticket: u64 },
+    /// Reads the configuration.
     Read { call: CallId },
-    /// It was read.
+    /// The configuration that was read is available.
     ReadDone { call: CallId, content: Option<Content> },
 }
 
 impl OperatorEvent {
-    /// The machine that has to run for it; none at the operators' side.
+    /// The machine that handles the event; `None` for events at the operator.
     fn machine(&self) -> Option<usize> {
         match self {
             OperatorEvent::Request { machine, .. } | OperatorEvent::Step { machine, .. } => Some(*machine),
-            OperatorEvent::Answered { .. } | OperatorEvent::GivenUp { .. } => None,
+            OperatorEvent::Response { .. } | OperatorEvent::TimedOut { .. } => None,
         }
     }
 }
 
 impl Simulation {
-    /// Lets something happen to a call, now or when the machine is thawed.
-    pub(crate) fn take_operator_event(&mut self, event: OperatorEvent) {
+    /// Handles an event now, or once a frozen machine resumes.
+    pub(crate) fn handle_operator_event(&mut self, event: OperatorEvent) {
         let now = self.now;
         let machine = event.machine().map(|index| &mut self.machines[index]);
         let frozen = machine.filter(|machine| machine.frozen_until > now);
         if let Some(process) = frozen.and_then(|machine| machine.process.as_mut()) {
-            process.delayed_calls.push(event);
+            process.delayed_events.push(event);
             return;
         }
         match event {
-            OperatorEvent::Request { machine, call } => self.take_request(machine, call),
+            OperatorEvent::Request { machine, call } => self.handle_request(machine, call),
             OperatorEvent::Step { machine, incarnation, step } => {
                 if self.is_incarnation(machine, incarnation) {
-                    self.take_step(machine, step);
+                    self.handle_step(machine, step);
                 }
             }
-            OperatorEvent::Answered { call, answer } => self.operators.answered(call, answer),
-            OperatorEvent::GivenUp { call } => self.operators.give_up(call),
+            OperatorEvent::Response { call, response } => self.operators.record_response(call, response),
+            OperatorEvent::TimedOut { call } => self.operators.abandon(call),
         }
     }
 }
--- a/crates/control-plane/tests/support/operator/register.rs
+++ b/crates/control-plane/tests/support/operator/register.rs
@@ -1,4 +1,4 @@
-//! What calls have to be answered if they come one after the other: the sequential specification.
+//! The sequential specification: responses to calls that do not overlap.
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
@@ -6,32 +6,32 @@
 use tulipridge_configuration::MAX_RECENT_REQUESTS;
 use tulipridge_configuration::configuration_state::NO_REVISION;
 
-use super::call::{Answer, ConfigurationMethod, ConfigurationOrder, Content, WeightsOrder};
+use super::call::{ConfigurationChange, ConfigurationMethod, Content, Response, WeightsChange};
 
-/// An object that answers calls one after the other.
+/// An object with a sequential specification.
 pub(crate) trait Register: Clone + Eq + Hash {
-    /// What is asked.
+    /// A call to the object.
     type Call: Copy;
 
-    /// The answer, and the object after it; none if it stays as it is.
-    fn answer(&self, call: Self::Call) -> (Answer, Option<Self>);
+    /// The response, and the object's next state; `None` if it does not change.
+    fn apply(&self, call: Self::Call) -> (Response, Option<Self>);
 }
 
 /// A call to the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConfigurationCall {
     /// `PUT` or `PATCH`.
-    Change(ConfigurationOrder),
+    Change(ConfigurationChange),
     /// `GET`.
     Read,
 }
 
-/// The configuration: a register with versions that knows orders which are repeated.
+/// The configuration: a versioned register that recognizes repeated changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ConfigurationRegister {
     content: Option<Content>,
-    taken: Vec<ConfigurationOrder>,
-    remembered_orders: usize,
+    accepted: Vec<ConfigurationChange>,
+    remembered_changes: usize,
 }
 
 impl Default for ConfigurationRegister {
@@ -41,84 +41,84 @@
 }
 
 impl ConfigurationRegister {
-    /// An empty register that knows so many of the last orders again.
-    pub(crate) fn remembering(remembered_orders: usize) -> Self {
-        ConfigurationRegister { content: None, taken: Vec::new(), remembered_orders }
+    /// An empty register that recognizes repeats of this many of the latest changes.
+    pub(crate) fn remembering(remembered_changes: usize) -> Self {
+        ConfigurationRegister { content: None, accepted: Vec::new(), remembered_changes }
     }
 
     fn revision(&self) -> u64 {
         self.content.as_ref().map_or(NO_REVISION.0, |content| content.revision)
     }
 
-    fn remembers(&self, order: &ConfigurationOrder) -> bool {
-        self.taken.iter().rev().take(self.remembered_orders).any(|taken| taken == order)
+    fn remembers(&self, change: &ConfigurationChange) -> bool {
+        self.accepted.iter().rev().take(self.remembered_changes).any(|accepted| accepted == change)
     }
 
-    /// The content after a valid order; none if the order is not valid.
-    fn next_content(&self, order: &ConfigurationOrder) -> Option<Content> {
-        let revision = order.revision;
+    /// The content after a valid change; `None` if the change is invalid.
+    fn next_content(&self, change: &ConfigurationChange) -> Option<Content> {
+        let revision = change.revision;
         if revision <= self.revision() {
             return None;
         }
-        match (order.method, &self.content) {
-            (ConfigurationMethod::Put, _) => Some(Content { revision, marks: vec![order.mark] }),
+        match (change.method, &self.content) {
+            (ConfigurationMethod::Put, _) => Some(Content { revision, route_ids: vec![change.route_id] }),
             (ConfigurationMethod::Patch, None) => None,
             (ConfigurationMethod::Patch, Some(content)) => {
-                let mut marks = content.marks.clone();
-                marks.push(order.mark);
-                marks.sort_unstable();
-                marks.dedup();
-                Some(Content { revision, marks })
+                let mut route_ids = content.route_ids.clone();
+                route_ids.push(change.route_id);
+                route_ids.sort_unstable();
+                route_ids.dedup();
+                Some(Content { revision, route_ids })
             }
         }
     }
 
-    fn answer_change(&self, order: ConfigurationOrder) -> (Answer, Option<Self>) {
-        if self.remembers(&order) {
-            return (Answer::Taken, None);
+    fn apply_change(&self, change: ConfigurationChange) -> (Response, Option<Self>) {
+        if self.remembers(&change) {
+            return (Response::Accepted, None);
         }
         let current = self.revision();
-        if order.base != current {
-            return (Answer::Stale { current }, None);
+        if change.base != current {
+            return (Response::Stale { current }, None);
         }
-        let Some(content) = self.next_content(&order) else { return (Answer::Invalid, None) };
-        let mut taken = self.taken.clone();
-        taken.push(order);
-        let next = ConfigurationRegister { content: Some(content), taken, ..*self };
-        (Answer::Taken, Some(next))
+        let Some(content) = self.next_content(&change) else { return (Response::Invalid, None) };
+        let mut accepted = self.accepted.clone();
+        accepted.push(change);
+        let next = ConfigurationRegister { content: Some(content), accepted, ..*self };
+        (Response::Accepted, Some(next))
     }
 }
 
 impl Register for ConfigurationRegister {
     type Call = ConfigurationCall;
 
-    fn answer(&self, call: ConfigurationCall) -> (Answer, Option<Self>) {
+    fn apply(&self, call: ConfigurationCall) -> (Response, Option<Self>) {
         match call {
-            ConfigurationCall::Change(order) => self.answer_change(order),
-            ConfigurationCall::Read => (Answer::Configuration(self.content.clone()), None),
+            ConfigurationCall::Change(change) => self.apply_change(change),
+            ConfigurationCall::Read => (Response::Configuration(self.content.clone()), None),
         }
     }
 }
 
-/// The weights of one model.
+/// The target revision of one model's weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct WeightsRegister {
-    named: BTreeSet<u64>,
+    accepted: BTreeSet<u64>,
 }
 
 impl Register for WeightsRegister {
-    type Call = WeightsOrder;
+    type Call = WeightsChange;
 
-    fn answer(&self, order: WeightsOrder) -> (Answer, Option<Self>) {
-        if self.named.contains(&order.revision) {
-            return (Answer::Taken, None);
+    fn apply(&self, change: WeightsChange) -> (Response, Option<Self>) {
+        if self.accepted.contains(&change.revision) {
+            return (Response::Accepted, None);
         }
-        match self.named.last() {
-            Some(newest) if *newest > order.revision => (Answer::OldWeights { newest: *newest }, None),
+        match self.accepted.last() {
+            Some(newest) if *newest > change.revision => (Response::OldWeights { newest: *newest }, None),
             _ => {
-                let mut named = self.named.clone();
-                named.insert(order.revision);
-                (Answer::Taken, Some(WeightsRegister { named }))
+                let mut accepted = self.accepted.clone();
+                accepted.insert(change.revision);
+                (Response::Accepted, Some(WeightsRegister { accepted }))
             }
         }
     }
--- a/crates/control-plane/tests/support/payload.rs
+++ b/crates/control-plane/tests/support/payload.rs
@@ -1,58 +1,58 @@
-//! What entries and snapshots of the simulated cluster hold: numbered commands for the agreed state.
+//! Log entries and snapshots of the simulated cluster: numbered commands for the replicated state.
 
 use std::sync::Arc;
 
 use tulipridge_control_plane::state::{Applied, State};
 
-/// Bytes of a number.
-const WORD: usize = size_of::<u64>();
+/// Size of an encoded number, in bytes.
+const NUMBER_BYTES: usize = size_of::<u64>();
 
-/// A command with the number by which the checkers know it.
+/// A command with a number that identifies it to the checker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NumberedCommand {
     /// Its number.
     pub number: u64,
-    /// The encoded command for the agreed state; empty if it changes nothing there.
+    /// The encoded command for the replicated state; empty if it changes nothing there.
     pub command: Arc<[u8]>,
 }
 
 impl NumberedCommand {
-    /// The entry's bytes.
+    /// Encodes a log entry.
     pub(crate) fn encode(&self) -> Arc<[u8]> {
         self.number.to_le_bytes().iter().chain(self.command.iter()).copied().collect()
     }
 
-    /// The command from an entry's bytes.
+    /// Decodes a log entry.
     pub(crate) fn decode(bytes: &[u8]) -> Self {
-        let (number, command) = bytes.split_at(WORD);
+        let (number, command) = bytes.split_at(NUMBER_BYTES);
         NumberedCommand { number: decode_number(number), command: command.into() }
     }
 }
 
-/// A member's state: the numbers of all commands so far, and the agreed state.
+/// A member's state: the numbers of all applied commands, and the replicated state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct AppliedState {
     /// Numbers of the applied commands, in order.
     pub numbers: Vec<u64>,
-    /// The agreed state.
+    /// The replicated state.
     pub state: State,
 }
 
 impl AppliedState {
-    /// Applies an encoded command; what it changed, if it concerns the agreed state.
+    /// Applies an encoded command; returns its effect, or `None` for an empty command.
     pub(crate) fn apply(&mut self, command: &[u8]) -> Option<Applied> {
         if command.is_empty() {
             return None;
         }
-        Some(self.state.apply(command).expect("an agreed command can be applied"))
+        Some(self.state.apply(command).expect("a committed command can be applied"))
     }
 
-    /// The same without the agreed state.
-    pub(crate) fn without_agreed_state(&self) -> AppliedState {
+    /// A copy with an empty replicated state.
+    pub(crate) fn without_replicated_state(&self) -> AppliedState {
         AppliedState { numbers: self.numbers.clone(), state: State::default() }
     }
 
-    /// The snapshot's bytes.
+    /// Encodes a snapshot.
     pub(crate) fn encode(&self) -> Arc<[u8]> {
         let count = self.numbers.len() as u64;
         let numbers = std::iter::once(&count).chain(&self.numbers);
@@ -61,15 +61,15 @@
         bytes.into()
     }
 
-    /// The state from a snapshot's bytes; the empty state from none.
+    /// Decodes a snapshot; no bytes decode to the empty state.
     pub(crate) fn decode(bytes: &[u8]) -> Self {
         if bytes.is_empty() {
             return AppliedState::default();
         }
-        let (count, rest) = bytes.split_at(WORD);
-        let (numbers, state) = rest.split_at(decode_number(count) as usize * WORD);
+        let (count, rest) = bytes.split_at(NUMBER_BYTES);
+        let (numbers, state) = rest.split_at(decode_number(count) as usize * NUMBER_BYTES);
         AppliedState {
-            numbers: numbers.chunks_exact(WORD).map(decode_number).collect(),
+            numbers: numbers.chunks_exact(NUMBER_BYTES).map(decode_number).collect(),
             state: State::restore(state).expect("a member's own snapshot can be read"),
         }
     }
--- a/crates/control-plane/tests/support/reference.rs
+++ b/crates/control-plane/tests/support/reference.rs
@@ -1,4 +1,4 @@
-//! A plain model of the agreed state: documents as JSON values, and lists of all that was taken.
+//! A reference model of the replicated state: documents as JSON values, and lists of all accepted changes.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -6,26 +6,26 @@
 use tulipridge_configuration::number::WeightsRevision;
 use tulipridge_control_plane::state::{Applied, Change, Decision};
 
-/// The label of the service that all routes lead to.
+/// The label of the service that all routes refer to.
 const SERVICE: &str = "chat";
 
-/// The answer to a change.
+/// The response to a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
-    /// It was taken before.
+    /// The change was accepted before.
     AlreadyAccepted,
-    /// It builds on another version than this one.
+    /// The change is not based on this current version.
     Stale(u64),
-    /// It leads to no valid configuration.
+    /// The change leads to an invalid configuration.
     Invalid,
-    /// The weights are older than these.
+    /// The weights are older than this target revision.
     OldWeights(u64),
-    /// It is to be agreed on.
+    /// The change is valid and may be proposed.
     Accept,
 }
 
 impl Answer {
-    /// The answer that a decision stands for.
+    /// The response that corresponds to a decision.
     pub(crate) fn of(decision: &Decision) -> Answer {
         match decision {
             Decision::AlreadyAccepted => Answer::AlreadyAccepted,
@@ -37,7 +37,7 @@
     }
 }
 
-/// What makes a call of configuration the same as another.
+/// The fields by which a repeated configuration call is recognized.
 #[derive(Clone, Debug, PartialEq)]
 struct ConfigurationCall {
     is_patch: bool,
@@ -45,26 +45,26 @@
     body: Value,
 }
 
-/// The model of the agreed state.
+/// The model of the replicated state.
 #[derive(Debug, Default)]
 pub(crate) struct Reference {
     document: Option<Value>,
-    taken: Vec<ConfigurationCall>,
+    accepted: Vec<ConfigurationCall>,
     weights: BTreeMap<String, Vec<u64>>,
 }
 
 impl Reference {
-    /// The configuration in force.
+    /// The current configuration.
     pub(crate) fn document(&self) -> Option<&Value> {
         self.document.as_ref()
     }
 
-    /// The version in force, 0 if there is none.
+    /// The current version; 0 if there is no configuration.
     pub(crate) fn revision(&self) -> u64 {
         self.document.as_ref().map_or(0, revision_of)
     }
 
-    /// The newest weights of each model.
+    /// The newest weights revision of each model.
     pub(crate) fn newest_weights(&self) -> BTreeMap<String, WeightsRevision> {
         let newest = |(model, revisions): (&String, &Vec<u64>)| {
             Some((model.clone(), WeightsRevision(*revisions.last()?)))
@@ -72,20 +72,20 @@
         self.weights.iter().filter_map(newest).collect()
     }
 
-    /// The answer to a change in the present state.
+    /// The response to a change in the current state.
     pub(crate) fn answer(&self, change: &Change) -> Answer {
         match change {
-            Change::SetTargetRevision { model, revision } => self.answer_weights(model, revision.0),
+            Change::SetTargetRevision { model, revision } => self.decide_weights(model, revision.0),
             Change::PutConfiguration { if_match, body } => {
-                self.answer_configuration(false, if_match.map(|base| base.0), body)
+                self.decide_configuration(false, if_match.map(|base| base.0), body)
             }
             Change::PatchConfiguration { if_match, body } => {
-                self.answer_configuration(true, if_match.map(|base| base.0), body)
+                self.decide_configuration(true, if_match.map(|base| base.0), body)
             }
         }
     }
 
-    /// What becomes of the command of a change that was accepted in some earlier state.
+    /// Applies a change that was accepted in an earlier state; returns its effect.
     pub(crate) fn apply(&mut self, change: &Change) -> Applied {
         match (self.answer(change), change) {
             (Answer::Accept, Change::SetTargetRevision { model, revision }) => {
@@ -96,7 +96,7 @@
             (Answer::Accept, _) => {
                 let call = call_of(change).expect("an accepted change is readable");
                 self.document = self.result(&call);
-                self.taken.push(call);
+                self.accepted.push(call);
                 Applied::Configuration
             }
             (Answer::AlreadyAccepted, _) => Applied::Configuration,
@@ -104,7 +104,7 @@
         }
     }
 
-    fn answer_weights(&self, model: &str, revision: u64) -> Answer {
+    fn decide_weights(&self, model: &str, revision: u64) -> Answer {
         let Some(revisions) = self.weights.get(model) else { return Answer::Accept };
         match revisions.last() {
             _ if revisions.contains(&revision) => Answer::AlreadyAccepted,
@@ -113,10 +113,10 @@
         }
     }
 
-    fn answer_configuration(&self, is_patch: bool, if_match: Option<u64>, body: &[u8]) -> Answer {
+    fn decide_configuration(&self, is_patch: bool, if_match: Option<u64>, body: &[u8]) -> Answer {
         let Ok(body) = serde_json::from_slice(body) else { return Answer::Invalid };
         let call = ConfigurationCall { is_patch, base: if_match.unwrap_or_default(), body };
-        if self.taken.contains(&call) {
+        if self.accepted.contains(&call) {
             return Answer::AlreadyAccepted;
         }
         if call.base != self.revision() {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The document to which a call leads; none if it changes one that isn't there.
+    /// The document that a call produces; `None` for a patch without a document.
     fn result(&self, call: &ConfigurationCall) -> Option<Value> {
         match call.is_patch {
             true => self.document.clone().map(|document| patched(document, &call.body)),
@@ -174,7 +174,7 @@
     document
 }
 
-/// Labels and prefixes are unique, and routes lead to a service that is there.
+/// Whether labels and prefixes are unique and the service of the routes exists.
 fn is_valid(document: &Value) -> bool {
     let routes = items(document, "routes");
     let has_service = items(document, "backends").iter().any(|service| service["label"] == SERVICE);
--- a/crates/control-plane/tests/support/simulation/departure.rs
+++ b/crates/control-plane/tests/support/simulation/departure.rs
@@ -1,4 +1,4 @@
-//! Members that leave for good: their processes end once they are not needed any more.
+//! Permanent departure of members: a process exits once it is no longer needed.
 
 use std::time::Duration;
 
@@ -7,40 +7,43 @@
 
 use super::{Event, MS, Simulation};
 
-/// A process that was told to stop is killed after this time.
-const LEEWAY: Duration = Duration::from_secs(8);
-/// How often a process looks whether it may end.
-const LOOK_EVERY: u64 = 50 * MS;
+/// A terminated process exits after this time even if it is still needed.
+const TERMINATION_GRACE: Duration = Duration::from_secs(8);
+/// Interval at which a leaving process checks whether it may exit.
+const DEPARTURE_CHECK_INTERVAL: u64 = 50 * MS;
 
-/// A machine that leaves for good.
+/// The permanent departure of a machine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Leaving {
-    /// When its process was told to stop.
+    /// When its process was terminated.
     pub since: u64,
-    /// What would have been missing when its process ended; none as long as it runs.
+    /// Whether the process was still needed when it exited; `None` while it runs.
     pub ended: Option<Departure>,
 }
 
 impl Simulation {
-    /// Tells a process to stop; it ends when it is not needed any more, and its machine does not come back.
+    /// Terminates a process, which exits once it is no longer needed; its machine does not return.
     pub(crate) fn leave(&mut self, index: usize) {
         self.machines[index].leaving = Some(Leaving { since: self.now, ended: None });
         self.input(index, Input::Terminate);
         match &self.machines[index].process {
             Some(process) => {
                 let incarnation = process.incarnation;
-                self.schedule(self.now + LOOK_EVERY, Event::DepartureCheck { machine: index, incarnation });
+                self.schedule(
+                    self.now + DEPARTURE_CHECK_INTERVAL,
+                    Event::DepartureCheck { machine: index, incarnation },
+                );
             }
-            None => self.end_departure(index, Departure::StoresData),
+            None => self.finish_departure(index, Departure::StoresData),
         }
     }
 
-    /// How a machine has left; none as long as it has not.
+    /// Whether a machine was still needed when it left; `None` if it has not left.
     pub(crate) fn departure(&self, index: usize) -> Option<Departure> {
         self.machines[index].leaving.and_then(|leaving| leaving.ended)
     }
 
-    /// Machines whose processes were told to stop for good, and have not ended.
+    /// The number of leaving machines whose processes still run.
     pub(crate) fn leaving_count(&self) -> usize {
         let is_leaving = |leaving: &Leaving| leaving.ended.is_none();
         self.machines
@@ -54,15 +57,18 @@
         let machine = &self.machines[index];
         let (Some(leaving), Some(process)) = (machine.leaving, &machine.process) else { return };
         let departure = process.replication.departure(machine.clock.local(self.now));
-        if may_exit(Duration::from_micros(self.now - leaving.since), LEEWAY, departure) {
-            self.end_departure(index, departure);
+        if may_exit(Duration::from_micros(self.now - leaving.since), TERMINATION_GRACE, departure) {
+            self.finish_departure(index, departure);
         } else {
             let incarnation = process.incarnation;
-            self.schedule(self.now + LOOK_EVERY, Event::DepartureCheck { machine: index, incarnation });
+            self.schedule(
+                self.now + DEPARTURE_CHECK_INTERVAL,
+                Event::DepartureCheck { machine: index, incarnation },
+            );
         }
     }
 
-    fn end_departure(&mut self, index: usize, departure: Departure) {
+    fn finish_departure(&mut self, index: usize, departure: Departure) {
         if let Some(leaving) = &mut self.machines[index].leaving {
             leaving.ended = Some(departure);
         }
--- a/crates/control-plane/tests/support/simulation/lifecycle.rs
+++ b/crates/control-plane/tests/support/simulation/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How machines come to be and how their processes start.
+//! Creation of machines and start of their processes.
 
 use std::net::Ipv4Addr;
 
@@ -10,12 +10,12 @@
 use crate::support::clock::Clock;
 use crate::support::disk::Disk;
 use crate::support::machine::{Machine, Process};
-use crate::support::operator::desk::Desk;
+use crate::support::operator::member::ChangeQueue;
 use crate::support::payload::AppliedState;
 use crate::support::random::pick;
 
 impl Simulation {
-    /// Adds a machine that starts at a time; its index.
+    /// Adds a machine that starts at a time; returns its index.
     pub(crate) fn add_machine(&mut self, generation: u64, at: u64) -> usize {
         let index = self.machines.len();
         let address = Ipv4Addr::new(10, 1 + (index % 3) as u8, 0, 10 + index as u8);
@@ -38,7 +38,7 @@
 
     fn new_clock(&mut self) -> Clock {
         let rate = match self.shape.fault {
-            Fault::WildClocks => self.random.u64(300_000..3_000_000),
+            Fault::ExcessiveDrift => self.random.u64(300_000..3_000_000),
             _ => self.random.u64(980_000..1_020_001),
         };
         Clock { offset: self.random.u64(0..1000 * SECOND), rate }
@@ -51,7 +51,7 @@
         if machine.process.is_some() || machine.removed {
             return;
         }
-        if self.shape.fault == Fault::ForgottenPromises {
+        if self.shape.fault == Fault::LostPromises {
             machine.disk.state.promised = Epoch(0);
             machine.disk.state.view = None;
         }
@@ -60,7 +60,7 @@
             node: machine.node,
             zone: machine.zone.clone(),
             seeds,
-            tolerated_failures: self.shape.losses,
+            tolerated_failures: self.shape.tolerated_failures,
             first_boot: self.first_boot,
             seed,
         };
@@ -74,17 +74,17 @@
             replication,
             applied: AppliedState::default(),
             was_primary: false,
-            desk: Desk::default(),
+            changes: ChangeQueue::default(),
             wake_at: 0,
             backlog: Vec::new(),
-            delayed_calls: Vec::new(),
+            delayed_events: Vec::new(),
             reported_healthy: true,
         });
         let known = self.others(index);
         self.input(index, Input::Known(known));
     }
 
-    /// Some addresses of other machines, as the views of processes tell them.
+    /// Random addresses of other machines, as the peer-sampling views of processes would supply them.
     fn others(&mut self, index: usize) -> Vec<NodeId> {
         let present: Vec<NodeId> = self
             .machines
@@ -99,7 +99,7 @@
         (0..4).map(|_| pick(&mut self.random, &present)).collect()
     }
 
-    /// Seeds as the operator's list stands: the first machines at the first boot, any that are there later.
+    /// The configured seeds: the first machines during the first boot, any present machines later.
     fn seeds(&mut self) -> Vec<NodeId> {
         let mut indices: Vec<usize> = (0..self.shape.seeds).collect();
         if !self.first_boot {
@@ -113,7 +113,7 @@
             .collect()
     }
 
-    /// The first boot is over: disks formatted from now on have random generations.
+    /// Ends the first boot: disks formatted from now on get random generations.
     pub(crate) fn end_first_boot(&mut self) {
         self.first_boot = false;
     }
--- a/crates/control-plane/tests/support/simulation/mod.rs
+++ b/crates/control-plane/tests/support/simulation/mod.rs
@@ -1,12 +1,12 @@
 //! The simulated cluster: virtual time and its events.
 
+mod cluster_shape;
 mod departure;
 mod lifecycle;
 mod machine_faults;
 mod network;
 mod outputs;
 mod proposals;
-mod shape;
 mod views;
 
 use std::cmp::Reverse;
@@ -16,9 +16,9 @@
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::replication::Envelope;
 
+pub(crate) use cluster_shape::{ClusterShape, Fault};
 pub(crate) use departure::Leaving;
 pub(crate) use network::Network;
-pub(crate) use shape::{Fault, Shape};
 use tulipridge_control_plane::replication::{Input, WriteTicket};
 
 use super::checker::Checker;
@@ -30,22 +30,22 @@
 pub(crate) const MS: u64 = 1000;
 /// Microseconds in a second.
 pub(crate) const SECOND: u64 = 1_000_000;
-/// Applied commands between compactions.
-const FEWEST_BETWEEN_COMPACTIONS: usize = 2;
-const MOST_BETWEEN_COMPACTIONS: usize = 16;
-/// A write that waits longer makes the disk unhealthy.
-const DISK_BOUND: u64 = SECOND;
+/// Number of applied commands between compactions.
+const MIN_COMPACTION_INTERVAL: usize = 2;
+const MAX_COMPACTION_INTERVAL: usize = 16;
+/// A disk with a write that has been pending for longer is reported as unhealthy.
+const UNHEALTHY_DISK_WAIT: u64 = SECOND;
 
-/// What becomes of a machine whose process has ended.
+/// What happens to a machine after its process exits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AfterEnd {
-    /// The process starts again after a delay.
+pub(crate) enum AfterExit {
+    /// The process restarts after a delay.
     Restart { after: u64 },
-    /// The machine does not come back.
+    /// The machine does not return.
     Removal,
 }
 
-/// Something that happens at a time.
+/// A scheduled event.
 #[derive(Debug)]
 pub(crate) enum Event {
     Arrival { machine: usize, envelope: Envelope },
@@ -53,48 +53,48 @@
     Synced { machine: usize, incarnation: u64 },
     Thaw { machine: usize },
     Start { machine: usize },
-    End { machine: usize, incarnation: u64, then: AfterEnd },
+    Exit { machine: usize, incarnation: u64, then: AfterExit },
     DepartureCheck { machine: usize, incarnation: u64 },
     Operator(OperatorEvent),
 }
 
-/// A cluster.
+/// A simulated cluster.
 pub(crate) struct Simulation {
     /// True time in microseconds.
     pub now: u64,
-    /// What all randomness comes from.
+    /// The source of all randomness in the cluster.
     pub random: Rng,
-    /// All machines ever.
+    /// All machines, including removed ones.
     pub machines: Vec<Machine>,
-    /// What must hold.
+    /// The invariants.
     pub checker: Checker,
     /// The network.
     pub network: Network,
-    /// Directions that are cut, from and to.
+    /// Directed links that are cut: sender and receiver.
     pub cuts: BTreeSet<(usize, usize)>,
     /// Calls of the operators.
     pub operators: Operators,
-    /// Applied commands between compactions.
-    compact_every: usize,
-    pub(in crate::support) shape: Shape,
+    /// Number of applied commands between compactions.
+    compaction_interval: usize,
+    pub(in crate::support) shape: ClusterShape,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     next_event: u64,
     pub(in crate::support) next_command: u64,
-    /// Tickets that were acknowledged.
+    /// Tickets of acknowledged proposals.
     pub done: BTreeSet<u64>,
     first_boot: bool,
 }
 
 impl Simulation {
-    /// A cluster whose machines start within 0.3 s, in any order.
-    pub(crate) fn new(seed: u64, shape: Shape) -> Self {
+    /// Creates a cluster whose machines start within 0.3 s, in random order.
+    pub(crate) fn new(seed: u64, shape: ClusterShape) -> Self {
         let mut random = Rng::with_seed(seed);
-        let compact_every = random.usize(FEWEST_BETWEEN_COMPACTIONS..=MOST_BETWEEN_COMPACTIONS);
+        let compaction_interval = random.usize(MIN_COMPACTION_INTERVAL..=MAX_COMPACTION_INTERVAL);
         let mut simulation = Simulation {
             now: 0,
             random,
-            compact_every,
+            compaction_interval,
             machines: Vec::new(),
             checker: Checker::default(),
             network: Network::default(),
@@ -115,19 +115,19 @@
         simulation
     }
 
-    /// The number of losses withstood.
-    pub(crate) fn losses(&self) -> usize {
-        self.shape.losses as usize
+    /// The number of failures that the cluster tolerates (f).
+    pub(crate) fn tolerated_failures(&self) -> usize {
+        self.shape.tolerated_failures as usize
     }
 
-    /// Lets something happen at a time, or now if that is over.
+    /// Schedules an event, or runs it next if its time has passed.
     pub(crate) fn schedule(&mut self, at: u64, event: Event) {
         self.next_event += 1;
         self.events.insert(self.next_event, event);
         self.queue.push(Reverse((at.max(self.now), self.next_event)));
     }
 
-    /// Lets time pass.
+    /// Runs the simulation until a time or the first violation.
     pub(crate) fn run_until(&mut self, until: u64) {
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at > until || self.checker.violation.is_some() {
@@ -136,20 +136,20 @@
             self.queue.pop();
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.take(event);
+                self.handle_event(event);
             }
             self.check_leases();
         }
         self.now = self.now.max(until);
     }
 
-    /// Lets a span pass.
+    /// Runs the simulation for a span.
     pub(crate) fn run_for(&mut self, span: u64) {
         self.run_until(self.now + span);
     }
 
-    /// Lets time pass until something holds; whether it did within the span.
-    pub(crate) fn run_while_not(&mut self, span: u64, mut holds: impl FnMut(&Self) -> bool) -> bool {
+    /// Runs the simulation until a condition holds; returns whether it did within the span.
+    pub(crate) fn run_until_or_timeout(&mut self, span: u64, mut holds: impl FnMut(&Self) -> bool) -> bool {
         let until = self.now + span;
         while self.now < until {
             if holds(self) {
@@ -175,11 +175,11 @@
         let reader = self.machines.iter().find(|machine| machine.lease_valid(now));
         let process = reader.and_then(|machine| machine.process.as_ref().zip(Some(machine.node)));
         if let Some((process, node)) = process {
-            self.checker.may_read(node, process.replication.epoch().0, &process.applied.numbers);
+            self.checker.check_lease_read(node, process.replication.epoch().0, &process.applied.numbers);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrival { machine, envelope } => self.input(machine, Input::Message(envelope)),
             Event::Wake { machine, incarnation } => {
@@ -194,9 +194,9 @@
             }
             Event::Thaw { machine } => self.thaw(machine),
             Event::Start { machine } => self.start(machine),
-            Event::End { machine, incarnation, then } => {
+            Event::Exit { machine, incarnation, then } => {
                 if self.is_incarnation(machine, incarnation) {
-                    self.end(machine, then);
+                    self.handle_exit(machine, then);
                 }
             }
             Event::DepartureCheck { machine, incarnation } => {
@@ -204,11 +204,11 @@
                     self.check_departure(machine);
                 }
             }
-            Event::Operator(event) => self.take_operator_event(event),
+            Event::Operator(event) => self.handle_operator_event(event),
         }
     }
 
-    /// Whether this run of a process goes on.
+    /// Whether this incarnation of a process is still running.
     pub(crate) fn is_incarnation(&self, machine: usize, incarnation: u64) -> bool {
         self.machines[machine].process.as_ref().is_some_and(|process| process.incarnation == incarnation)
     }
--- a/crates/control-plane/tests/support/simulation/network.rs
+++ b/crates/control-plane/tests/support/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The network: loss, delay, duplication, cut links.
+//! The network: loss, delay, duplication and cut links.
 
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::replication::{Envelope, ReplicationMessage};
@@ -6,16 +6,16 @@
 use super::{Event, Fault, MS, SECOND, Simulation};
 use crate::support::random::chance;
 
-/// How bad the network is.
+/// The quality of the network.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Network {
-    /// Messages lost, in a thousand.
+    /// Messages lost, per thousand.
     pub loss: u64,
-    /// Messages that come twice, in a thousand.
+    /// Messages delivered twice, per thousand.
     pub duplication: u64,
-    /// Messages that come up to three seconds late, in a thousand.
+    /// Messages delayed by up to three more seconds, per thousand.
     pub lateness: u64,
-    /// Longest usual delay in microseconds.
+    /// Upper limit of the normal delay, in microseconds.
     pub delay: u64,
 }
 
@@ -29,13 +29,13 @@
     pub(super) fn transmit(&mut self, from: usize, envelope: Envelope) {
         let found = self.machines.iter().position(|machine| machine.node.ip == envelope.to.ip);
         let Some(to) = found else { return };
-        let envelope = self.in_the_name_of_a_voter(from, to, envelope);
+        let envelope = self.forge_voter_ack(from, to, envelope);
         let network = self.network;
         if chance(&mut self.random, network.loss) {
             return;
         }
-        let replicas = if chance(&mut self.random, network.duplication) { 2 } else { 1 };
-        for _ in 0..replicas {
+        let copies = if chance(&mut self.random, network.duplication) { 2 } else { 1 };
+        for _ in 0..copies {
             let mut delay = self.random.u64(200..network.delay.max(300));
             if chance(&mut self.random, network.lateness) {
                 delay += self.random.u64(0..3 * SECOND);
@@ -46,8 +46,8 @@
         }
     }
 
-    /// A standby that breaks its promise answers heartbeats in the name of a voter that is cut off.
-    fn in_the_name_of_a_voter(&self, from: usize, to: usize, envelope: Envelope) -> Envelope {
+    /// Under `StandbyVotes`, a standby acknowledges heartbeats as a voter that is cut off.
+    fn forge_voter_ack(&self, from: usize, to: usize, envelope: Envelope) -> Envelope {
         let is_heartbeat_ack = matches!(envelope.message, ReplicationMessage::HeartbeatAck { .. });
         if self.shape.fault != Fault::StandbyVotes || !is_heartbeat_ack {
             return envelope;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Cuts all links of a machine, in the directions asked for.
+    /// Cuts all links of a machine in the given directions.
     pub(crate) fn isolate(&mut self, index: usize, incoming: bool, outgoing: bool) {
         for other in 0..self.machines.len() {
             if other != index && incoming {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Cuts the cluster in two.
+    /// Partitions the cluster in two.
     pub(crate) fn split(&mut self, side: &[usize]) {
         for left in 0..self.machines.len() {
             for right in 0..self.machines.len() {
--- a/crates/control-plane/tests/support/simulation/outputs.rs
+++ b/crates/control-plane/tests/support/simulation/outputs.rs
@@ -1,15 +1,15 @@
-//! Inputs of a process, and what it asks for in return.
+//! Inputs of a process, and processing of its outputs.
 
 use tulipridge_control_plane::change::ProposalOutcome;
 use tulipridge_control_plane::replication::{FailureReason, Input, Output, ProposalTicket, Role};
 use tulipridge_control_plane::state::Applied;
 use tulipridge_protocol::number::SequenceNumber;
 
-use super::{DISK_BOUND, Event, Fault, MS, Simulation};
+use super::{Event, Fault, MS, Simulation, UNHEALTHY_DISK_WAIT};
 use crate::support::payload::{AppliedState, NumberedCommand};
 
 impl Simulation {
-    /// Hands an input to a process, now or when it is thawed.
+    /// Passes an input to a process now, or once a frozen machine resumes.
     pub(crate) fn input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let machine = &mut self.machines[index];
@@ -20,22 +20,23 @@
             return;
         }
         let local = machine.clock.local(now);
-        let healthy = !machine.disk.waits_longer_than(now, DISK_BOUND) && !machine.disk.refuses(now);
+        let healthy =
+            !machine.disk.waits_longer_than(now, UNHEALTHY_DISK_WAIT) && !machine.disk.is_retrying(now);
         let mut out = Vec::new();
         if healthy != process.reported_healthy {
             process.reported_healthy = healthy;
             process.replication.handle(local, Input::DiskHealthy(healthy), &mut out);
         }
         process.replication.handle(local, input, &mut out);
-        self.carry_out(index, out);
-        self.plan_wake(index);
+        self.process_outputs(index, out);
+        self.schedule_wake(index);
     }
 
-    fn plan_wake(&mut self, index: usize) {
+    fn schedule_wake(&mut self, index: usize) {
         let now = self.now;
         let machine = &mut self.machines[index];
         let Some(process) = &mut machine.process else { return };
-        let due = machine.clock.when(process.replication.next_deadline()).max(now + MS / 10);
+        let due = machine.clock.true_time_at(process.replication.next_deadline()).max(now + MS / 10);
         if process.wake_at <= now || due < process.wake_at {
             process.wake_at = due;
             let incarnation = process.incarnation;
@@ -43,7 +44,7 @@
         }
     }
 
-    fn carry_out(&mut self, index: usize, outputs: Vec<Output>) {
+    fn process_outputs(&mut self, index: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send(envelope) => self.transmit(index, envelope),
@@ -65,7 +66,7 @@
                 Output::Restore { sequence, snapshot } => self.restore(index, sequence.0, &snapshot),
                 Output::RoleChanged(Role::Primary { epoch }) => self.became_primary(index, epoch.0),
                 Output::ProposalFailed { proposal, reason } => {
-                    self.end_proposal(index, proposal.0, failed_end(reason));
+                    self.finish_proposal(index, proposal.0, failure_outcome(reason));
                 }
                 Output::RoleChanged(_) => {}
             }
@@ -109,14 +110,18 @@
         self.done.insert(ticket.0);
         self.checker.acknowledge(sequence.0, command.number, epoch.0);
         if let Some(applied) = applied {
-            self.end_proposal(index, ticket.0, ProposalOutcome::Applied(applied));
+            self.finish_proposal(index, ticket.0, ProposalOutcome::Applied(applied));
         }
     }
 
     fn restore(&mut self, index: usize, sequence: u64, snapshot: &[u8]) {
         let Some(process) = &mut self.machines[index].process else { return };
         process.applied = AppliedState::decode(snapshot);
-        assert_eq!(process.applied.numbers.len() as u64, sequence, "the snapshot holds what it says");
+        assert_eq!(
+            process.applied.numbers.len() as u64,
+            sequence,
+            "the snapshot holds all commands up to its sequence number"
+        );
     }
 
     fn became_primary(&mut self, index: usize, epoch: u64) {
@@ -130,9 +135,9 @@
         let local = self.machines[index].clock.local(self.now);
         let Some(process) = &mut self.machines[index].process else { return };
         let length = process.applied.numbers.len();
-        if length > 0 && length.checked_rem(self.compact_every) == Some(0) {
+        if length > 0 && length.checked_rem(self.compaction_interval) == Some(0) {
             let snapshot = match self.shape.fault {
-                Fault::EmptySnapshots => process.applied.without_agreed_state().encode(),
+                Fault::EmptySnapshots => process.applied.without_replicated_state().encode(),
                 _ => process.applied.encode(),
             };
             let input = Input::Compact { sequence: SequenceNumber(length as u64), snapshot };
@@ -145,14 +150,14 @@
                     let incarnation = self.machines[index].incarnations;
                     self.schedule(due, Event::Synced { machine: index, incarnation });
                 } else {
-                    self.carry_out(index, vec![output]);
+                    self.process_outputs(index, vec![output]);
                 }
             }
         }
     }
 }
 
-fn failed_end(reason: FailureReason) -> ProposalOutcome {
+fn failure_outcome(reason: FailureReason) -> ProposalOutcome {
     match reason {
         FailureReason::NotReplicated => ProposalOutcome::NotReplicated,
         FailureReason::OutcomeUnknown => ProposalOutcome::Unknown,
--- a/crates/control-plane/tests/support/simulation/proposals.rs
+++ b/crates/control-plane/tests/support/simulation/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals of commands, and waiting for them.
+//! Proposals of commands, and waiting for their acknowledgement.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use crate::support::payload::NumberedCommand;
 
 impl Simulation {
-    /// Proposes a command that does not concern the agreed state; its ticket.
+    /// Proposes a command that leaves the replicated state unchanged; returns its ticket.
     pub(crate) fn propose(&mut self, index: usize) -> u64 {
         self.propose_command(index, Arc::default())
     }
 
-    /// Proposes a command at a machine; its ticket, which is its number too.
+    /// Proposes a command at a machine; returns its ticket, which equals its number.
     pub(crate) fn propose_command(&mut self, index: usize, command: Arc<[u8]>) -> u64 {
         let number = self.next_command;
         self.next_command += 1;
@@ -22,7 +22,7 @@
         number
     }
 
-    /// Proposes again and again until something is acknowledged; whether it was within the span.
+    /// Proposes commands until one is acknowledged; returns whether that happened within the span.
     pub(crate) fn make_progress(&mut self, span: u64) -> bool {
         let until = self.now + span;
         let before = self.done.len();
@@ -38,18 +38,19 @@
         false
     }
 
-    /// Proposes at the primary and waits for the acknowledgement; the machine that gave it.
+    /// Proposes a command at the primary and waits for the acknowledgement; returns the primary.
     pub(crate) fn acknowledge_one(&mut self) -> usize {
         for _ in 0..400 {
             if let Some(primary) = self.primary() {
                 let ticket = self.propose(primary);
-                let is_done = self.run_while_not(500 * MS, |simulation| simulation.done.contains(&ticket));
+                let is_done =
+                    self.run_until_or_timeout(500 * MS, |simulation| simulation.done.contains(&ticket));
                 if is_done {
                     return primary;
                 }
             }
             self.run_for(20 * MS);
         }
-        panic!("nothing was acknowledged: {:?}", self.checker.violation);
+        panic!("no proposal was acknowledged: {:?}", self.checker.violation);
     }
 }
--- a/crates/control-plane/tests/support_model/member.rs
+++ b/crates/control-plane/tests/support_model/member.rs
@@ -83,7 +83,7 @@
         if let Some(paused_until) = self.paused_until {
             return Some(paused_until.max(now));
         }
-        let due = self.clock.when(process.replication.next_deadline());
+        let due = self.clock.true_time_at(process.replication.next_deadline());
         Some(due.max(process.ticked_at + SHORTEST_WAIT).max(now))
     }
 }
