--- a/crates/control-plane/tests/linearizability.rs
+++ b/crates/control-plane/tests/linearizability.rs
@@ -213,7 +213,7 @@
     assert!(is_configuration_linearizable(&operations));
 }
 
-/// Several concurrent changes on each revision lose their responses, so that any of them may have been applied.
+/// Concurrent changes of each revision lose their responses, so that any of them may have been applied.
 #[test]
 fn lost_concurrent_changes_stay_within_the_search_limit() {
     const REVISIONS: u64 = 8;
--- a/crates/control-plane/tests/support/checker.rs
+++ b/crates/control-plane/tests/support/checker.rs
@@ -12,8 +12,8 @@
 pub(crate) enum Violation {
     /// Two members applied different commands at the same sequence number.
     Diverged { sequence: u64, first: u64, second: u64 },
-    /// A primary lacks a command acknowledged in an earlier epoch, or a primary with a valid lease lacks any
-    /// acknowledged command.
+    /// A primary lacks a command acknowledged in an earlier epoch, or a member with a valid lease lacks an
+    /// acknowledged command of any epoch.
     AcknowledgedLost { node: NodeId, epoch: u64, sequence: u64 },
     /// Two members hold a valid lease at the same time.
     TwoLeases { first: NodeId, second: NodeId },
--- a/crates/control-plane/tests/support/history/bounded_faults.rs
+++ b/crates/control-plane/tests/support/history/bounded_faults.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 
-use super::{LOST_AFTER_RESTART, target};
+use super::{LOST_AFTER_RECOVERY, target};
 use crate::support::random::chance;
 use crate::support::simulation::{MS, Simulation};
 
@@ -19,7 +19,7 @@
         simulation.run_for(rng.u64(200..2000) * MS);
         return;
     }
-    let lost_until = simulation.now + span + LOST_AFTER_RESTART;
+    let lost_until = simulation.now + span + LOST_AFTER_RECOVERY;
     simulation.machines[index].lost_until = lost_until;
     match rng.u64(0..10) {
         0 | 1 => simulation.wipe(index, span),
@@ -36,7 +36,7 @@
             simulation.isolate(index, chance(rng, 700), true);
             simulation.run_for(span);
             simulation.cuts.clear();
-            simulation.machines[index].lost_until = simulation.now + LOST_AFTER_RESTART;
+            simulation.machines[index].lost_until = simulation.now + LOST_AFTER_RECOVERY;
         }
     }
 }
@@ -47,5 +47,5 @@
     simulation.add_machine(generation, simulation.now);
     simulation.run_for(rng.u64(0..2000) * MS);
     simulation.terminate_for_good(index, 0);
-    simulation.machines[index].lost_until = simulation.now + LOST_AFTER_RESTART;
+    simulation.machines[index].lost_until = simulation.now + LOST_AFTER_RECOVERY;
 }
--- a/crates/control-plane/tests/support/history/final_fault.rs
+++ b/crates/control-plane/tests/support/history/final_fault.rs
@@ -35,6 +35,6 @@
 fn await_acknowledgement(simulation: &mut Simulation) {
     if let Some(primary) = simulation.primary() {
         let ticket = simulation.propose(primary);
-        simulation.run_until_or_timeout(SECOND, |simulation| simulation.done.contains(&ticket));
+        simulation.run_until_or_timeout(SECOND, |simulation| simulation.acknowledged.contains(&ticket));
     }
 }
--- a/crates/control-plane/tests/support/history/mod.rs
+++ b/crates/control-plane/tests/support/history/mod.rs
@@ -14,13 +14,13 @@
 
 /// After the faults end, a proposal must be acknowledged within this time.
 pub(crate) const PROGRESS_WITHIN: u64 = 6 * SECOND;
-/// A machine counts as lost for this time after its restart.
-const LOST_AFTER_RESTART: u64 = 4 * SECOND;
+/// A machine counts as lost for this time after it has recovered.
+const LOST_AFTER_RECOVERY: u64 = 4 * SECOND;
 /// Rounds of a `ManyChanges` history, and the changes of each round.
 const MANY_CHANGES_ROUNDS: u64 = 10;
 const MANY_CHANGES_PER_ROUND: u64 = 40;
 /// Upper limit of the loss of requests and responses between operators and members.
-const MAX_RESPONSE_LOSS_PER_THOUSAND: u64 = 200;
+const MAX_CALL_LOSS_PER_THOUSAND: u64 = 200;
 
 /// The faults of a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
     simulation.run_until(if is_early { rng.u64(300..1000) * MS } else { 3 * SECOND });
     simulation.end_first_boot();
     simulation.network = network(rng, fault_plan);
-    simulation.operators.loss = rng.u64(0..MAX_RESPONSE_LOSS_PER_THOUSAND);
+    simulation.operators.loss = rng.u64(0..MAX_CALL_LOSS_PER_THOUSAND);
     match fault_plan {
         FaultPlan::Replacement => {
             replacement::replace_all(&mut simulation, rng, |simulation, rng| {
@@ -188,8 +188,8 @@
     simulation.run_until_or_timeout(4 * SECOND, is_up);
     let is_live = simulation.make_progress(PROGRESS_WITHIN);
     simulation.run_for(500 * MS);
-    let is_read_answered = load == Load::Proposals || send_final_calls(&mut simulation);
-    if !(is_live && is_read_answered) {
+    let is_final_read_complete = load == Load::Proposals || send_final_calls(&mut simulation);
+    if !(is_live && is_final_read_complete) {
         simulation.checker.violation.get_or_insert(Violation::NoProgress);
     }
     if !simulation.states_agree() {
--- a/crates/control-plane/tests/support/history/replacement.rs
+++ b/crates/control-plane/tests/support/history/replacement.rs
@@ -51,8 +51,8 @@
     oldest
 }
 
-/// Waits until a machine has left. If its place was not taken in time, a view without it must be installed before
-/// any further fault.
+/// Waits until a machine has left. If its place was not taken in time, waits for a view without it before any
+/// further fault.
 fn await_departure(simulation: &mut Simulation, leaving: usize) {
     simulation.run_until_or_timeout(COMPLETE_WITHIN, |simulation| simulation.departure(leaving).is_some());
     if simulation.departure(leaving) != Some(Departure::Free) {
--- a/crates/control-plane/tests/support/operator/linearizability.rs
+++ b/crates/control-plane/tests/support/operator/linearizability.rs
@@ -83,8 +83,8 @@
         ends.filter_map(|(operation, _)| operation.end.as_ref()).map(|end| end.at).min()
     }
 
-    /// Linearizes calls that have the expected response and leave the register unchanged, which never rules out a
-    /// linearization of the others.
+    /// Linearizes calls that have the expected response and leave the register unchanged: this never rules out
+    /// a linearization of the others.
     fn complete_calls_without_effect(&self, done: &mut [bool], register: &R) {
         while let Some(horizon) = self.horizon(done) {
             let mut has_progressed = false;
--- a/crates/control-plane/tests/support/simulation/cluster_shape.rs
+++ b/crates/control-plane/tests/support/simulation/cluster_shape.rs
@@ -1,6 +1,6 @@
 //! Size of a simulated cluster, and faults that its members have on purpose.
 
-/// Injected faults of the members themselves, which prove that the checker detects them.
+/// Injected faults of the members themselves, to verify that the checker detects them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Fault {
     /// No fault.
@@ -24,8 +24,8 @@
     IgnoredLease,
     /// A repeat of an accepted change is rejected as stale.
     RefusedRepeats,
-    /// A proposal that had no effect because another one was applied before it is rejected as stale, although the
-    /// other one may have been the same change.
+    /// A proposal that another one overtook and that changed nothing is rejected as stale, although the other
+    /// one may have been the same change.
     SupersededRefused,
 }
 
--- a/crates/control-plane/tests/support/simulation/departure.rs
+++ b/crates/control-plane/tests/support/simulation/departure.rs
@@ -17,7 +17,7 @@
 pub(crate) struct Leaving {
     /// When its process was terminated.
     pub since: u64,
-    /// Whether the process was still needed when it exited; `None` while it runs.
+    /// What still depended on the process when it exited; `None` while it runs.
     pub ended: Option<Departure>,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether a machine was still needed when it left; `None` if it has not left.
+    /// What still depended on a machine when it left; `None` if it has not left.
     pub(crate) fn departure(&self, index: usize) -> Option<Departure> {
         self.machines[index].leaving.and_then(|leaving| leaving.ended)
     }
--- a/crates/control-plane/tests/support/simulation/mod.rs
+++ b/crates/control-plane/tests/support/simulation/mod.rs
@@ -82,7 +82,7 @@
     next_event: u64,
     pub(in crate::support) next_command: u64,
     /// Tickets of acknowledged proposals.
-    pub done: BTreeSet<u64>,
+    pub acknowledged: BTreeSet<u64>,
     first_boot: bool,
 }
 
@@ -105,7 +105,7 @@
             events: BTreeMap::new(),
             next_event: 0,
             next_command: 1,
-            done: BTreeSet::new(),
+            acknowledged: BTreeSet::new(),
             first_boot: true,
         };
         for _ in 0..shape.machines {
--- a/crates/control-plane/tests/support/simulation/outputs.rs
+++ b/crates/control-plane/tests/support/simulation/outputs.rs
@@ -107,7 +107,7 @@
         }
         let Some(ticket) = proposal else { return };
         assert_eq!(ticket, ProposalTicket(command.number), "the proposal's own command is applied");
-        self.done.insert(ticket.0);
+        self.acknowledged.insert(ticket.0);
         self.checker.acknowledge(sequence.0, command.number, epoch.0);
         if let Some(applied) = applied {
             self.finish_proposal(index, ticket.0, ProposalOutcome::Applied(applied));
--- a/crates/control-plane/tests/support/simulation/proposals.rs
+++ b/crates/control-plane/tests/support/simulation/proposals.rs
@@ -25,13 +25,13 @@
     /// Proposes commands until one is acknowledged; returns whether that happened within the span.
     pub(crate) fn make_progress(&mut self, span: u64) -> bool {
         let until = self.now + span;
-        let before = self.done.len();
+        let before = self.acknowledged.len();
         while self.now < until && self.checker.violation.is_none() {
             if let Some(primary) = self.primary() {
                 self.propose(primary);
             }
             self.run_for(50 * MS);
-            if self.done.len() > before {
+            if self.acknowledged.len() > before {
                 return true;
             }
         }
@@ -43,8 +43,8 @@
         for _ in 0..400 {
             if let Some(primary) = self.primary() {
                 let ticket = self.propose(primary);
-                let is_done =
-                    self.run_until_or_timeout(500 * MS, |simulation| simulation.done.contains(&ticket));
+                let is_done = self
+                    .run_until_or_timeout(500 * MS, |simulation| simulation.acknowledged.contains(&ticket));
                 if is_done {
                     return primary;
                 }
