--- a/crates/control-plane/tests/replication_directed.rs
+++ b/crates/control-plane/tests/replication_directed.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use rstest::rstest;
-use support::scenario::{assert_goes_on, started};
-use support::simulation::{Fault, MS, Network, SECOND, Shape, Simulation};
+use support::scenario::{assert_makes_progress, started};
+use support::simulation::{ClusterShape, Fault, MS, Network, SECOND, Simulation};
 use tulipridge_control_plane::replication::Input;
 use tulipridge_protocol::node::NodeId;
 
@@ -15,8 +15,11 @@
 
 #[test]
 fn first_start_elects_a_primary_within_a_second() {
-    let mut simulation = Simulation::new(1, Shape { losses: 1, seeds: 3, machines: 4, fault: Fault::None });
-    let is_elected = simulation.run_while_not(SECOND, |simulation| simulation.primary().is_some());
+    let mut simulation = Simulation::new(
+        1,
+        ClusterShape { tolerated_failures: 1, seeds: 3, machines: 4, fault: Fault::None },
+    );
+    let is_elected = simulation.run_until_or_timeout(SECOND, |simulation| simulation.primary().is_some());
     assert!(is_elected);
 }
 
@@ -26,7 +29,7 @@
     for _ in 0..6 {
         let primary = simulation.acknowledge_one();
         simulation.kill(primary, 1500 * MS);
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
         simulation.run_for(2 * SECOND);
     }
 }
@@ -39,16 +42,16 @@
 #[case(3, 7, 7)]
 #[case(3, 5, 10)]
 fn disks_lost_while_all_others_lose_power(
-    #[case] losses: u32,
+    #[case] tolerated_failures: u32,
     #[case] seeds: usize,
     #[case] machines: usize,
     #[values(0, 1, 2, 3, 4, 5, 6, 7)] seed: u64,
 ) {
-    let mut simulation = started(losses, seeds, machines, seed);
+    let mut simulation = started(tolerated_failures, seeds, machines, seed);
     for _ in 0..3 {
         let primary = simulation.acknowledge_one();
         let mut lost = vec![primary];
-        lost.extend((0..machines).filter(|index| *index != primary).take(losses as usize - 1));
+        lost.extend((0..machines).filter(|index| *index != primary).take(tolerated_failures as usize - 1));
         for index in 0..machines {
             let restart_after = simulation.random.u64(50..1000) * MS;
             if lost.contains(&index) {
@@ -57,7 +60,7 @@
                 simulation.cut_power(index, restart_after);
             }
         }
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
         simulation.run_for(8 * SECOND);
     }
 }
@@ -78,26 +81,26 @@
                 simulation.kill(index, restart_after);
             }
         }
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
     }
 }
 
 /// Replaces all of the first machines, one after the other.
 #[rstest]
 fn all_members_replaced_one_after_the_other(
-    #[values(1, 2, 3)] losses: u32,
+    #[values(1, 2, 3)] tolerated_failures: u32,
     #[values(0, 1, 2, 3)] seed: u64,
 ) {
-    let mut simulation = started(losses, 3, 4 + 2 * losses as usize, seed);
+    let mut simulation = started(tolerated_failures, 3, 4 + 2 * tolerated_failures as usize, seed);
     let first = simulation.machines.len();
     for index in 0..first {
         simulation.acknowledge_one();
         simulation.replace(index, 500 * MS);
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
         simulation.run_for(5 * SECOND);
     }
     let voters = voters_of(&simulation);
-    assert_eq!(voters.len(), 2 * losses as usize + 1);
+    assert_eq!(voters.len(), 2 * tolerated_failures as usize + 1);
     assert!(voters.iter().all(|voter| simulation.machines[first..].iter().any(|new| new.node == *voter)));
 }
 
@@ -136,7 +139,7 @@
     let successor = simulation.primary().expect("the others have a primary");
     assert_ne!(successor, primary);
     simulation.heal();
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
     simulation.run_for(SECOND);
     assert_eq!(simulation.primary(), Some(successor), "the returned member causes no view change");
 }
@@ -149,7 +152,7 @@
     simulation.isolate(primary, false, true);
     simulation.run_for(4 * SECOND);
     assert_ne!(simulation.primary().expect("the others have a primary"), primary);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 #[test]
@@ -160,7 +163,7 @@
     simulation.propose(primary);
     simulation.run_for(2500 * MS);
     assert_ne!(simulation.primary().expect("there is another primary"), primary);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 #[test]
@@ -169,7 +172,7 @@
     let primary = simulation.acknowledge_one();
     let backup = simulation.data_replicas()[1];
     simulation.machines[backup].disk.stalled_until = simulation.now + 20 * SECOND;
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
     assert_eq!(simulation.primary(), Some(primary), "the primary remains");
 }
 
@@ -178,7 +181,7 @@
     let mut simulation = started(1, 3, 4, 3);
     let primary = simulation.acknowledge_one();
     simulation.input(primary, Input::Terminate);
-    let is_succeeded = simulation.run_while_not(600 * MS, |simulation| {
+    let is_succeeded = simulation.run_until_or_timeout(600 * MS, |simulation| {
         simulation.primary().is_some_and(|successor| successor != primary)
     });
     assert!(is_succeeded);
@@ -196,7 +199,7 @@
     assert_ne!(successor, primary);
     simulation.run_for(2 * SECOND);
     assert_eq!(simulation.primary(), Some(successor));
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// Machines with a CPU quota run for 10 ms of each 100 ms, each with a phase of its own: first the primary alone,
@@ -221,7 +224,7 @@
     }
     assert_eq!(simulation.primary(), Some(primary));
     assert_eq!(simulation.view_at(primary), Some(&view));
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// Changes are acknowledged while the disks of two data replicas take 30 times as long.
@@ -230,12 +233,12 @@
 #[case(2, 5, 5)]
 #[case(3, 7, 7)]
 fn changes_are_acknowledged_with_two_slow_disks(
-    #[case] losses: u32,
+    #[case] tolerated_failures: u32,
     #[case] seeds: usize,
     #[case] machines: usize,
     #[values(0, 1, 2, 3)] seed: u64,
 ) {
-    let mut simulation = started(losses, seeds, machines, seed);
+    let mut simulation = started(tolerated_failures, seeds, machines, seed);
     simulation.acknowledge_one();
     let until = simulation.now + 20 * SECOND;
     for machine in simulation.data_replicas().into_iter().take(2) {
@@ -245,7 +248,7 @@
         assert!(simulation.make_progress(2 * SECOND), "no change was acknowledged at {}", simulation.now);
         assert_eq!(simulation.checker.violation, None);
     }
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 #[test]
@@ -257,5 +260,5 @@
         assert_eq!(simulation.checker.violation, None);
     }
     simulation.heal();
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
--- a/crates/control-plane/tests/replication_histories.rs
+++ b/crates/control-plane/tests/replication_histories.rs
@@ -7,16 +7,16 @@
 mod support;
 
 use rstest::rstest;
-use support::history::{FaultPlan, Load, history_count, play, play_with};
-use support::simulation::{Fault, Shape};
+use support::history::{FaultPlan, Load, history_count, run_history, run_history_with};
+use support::simulation::{ClusterShape, Fault};
 
 /// Default number of histories of each kind.
 const DEFAULT_HISTORIES: u64 = 250;
 /// Default number of long histories of each kind.
 const DEFAULT_LONG_HISTORIES: u64 = 50;
 
-fn shape(losses: u32, seeds: usize, machines: usize) -> Shape {
-    Shape { losses, seeds, machines, fault: Fault::None }
+fn shape(tolerated_failures: u32, seeds: usize, machines: usize) -> ClusterShape {
+    ClusterShape { tolerated_failures, seeds, machines, fault: Fault::None }
 }
 
 /// No history violates an invariant.
@@ -26,12 +26,12 @@
     sizes: (u32, usize, usize),
     #[values(FaultPlan::DisksStay, FaultPlan::DisksLost)] fault_plan: FaultPlan,
 ) {
-    let (losses, seeds, machines) = sizes;
+    let (tolerated_failures, seeds, machines) = sizes;
     let mut acknowledged = 0;
     let mut views = 0;
     let count = history_count(DEFAULT_HISTORIES);
     for seed in 0..count {
-        let outcome = play(seed, shape(losses, seeds, machines), fault_plan);
+        let outcome = run_history(seed, shape(tolerated_failures, seeds, machines), fault_plan);
         assert_eq!(outcome.violation, None, "seed {seed}, sizes {sizes:?}, {fault_plan:?}");
         acknowledged += outcome.acknowledged;
         views += outcome.views;
@@ -49,9 +49,9 @@
     #[values((1, 3, 4), (2, 5, 5), (2, 5, 8), (3, 7, 9))] sizes: (u32, usize, usize),
     #[values(FaultPlan::Replacement, FaultPlan::ManyChanges)] fault_plan: FaultPlan,
 ) {
-    let (losses, seeds, machines) = sizes;
+    let (tolerated_failures, seeds, machines) = sizes;
     for seed in 0..history_count(DEFAULT_LONG_HISTORIES) {
-        let outcome = play(seed, shape(losses, seeds, machines), fault_plan);
+        let outcome = run_history(seed, shape(tolerated_failures, seeds, machines), fault_plan);
         assert_eq!(outcome.violation, None, "seed {seed}, sizes {sizes:?}, {fault_plan:?}");
     }
 }
@@ -61,6 +61,6 @@
 #[case(1278, Load::Proposals)]
 #[case(372, Load::Operators)]
 fn a_departing_member_stays_until_the_view_is_complete(#[case] seed: u64, #[case] load: Load) {
-    let outcome = play_with(seed, shape(1, 3, 4), FaultPlan::Replacement, load);
+    let outcome = run_history_with(seed, shape(1, 3, 4), FaultPlan::Replacement, load);
     assert_eq!(outcome.violation, None);
 }
--- a/crates/control-plane/tests/replication_leaving.rs
+++ b/crates/control-plane/tests/replication_leaving.rs
@@ -6,7 +6,7 @@
 
 use rstest::rstest;
 use support::history::PROGRESS_WITHIN;
-use support::scenario::{assert_goes_on, started};
+use support::scenario::{assert_makes_progress, started};
 use support::simulation::{MS, SECOND, Simulation};
 use tulipridge_control_plane::replication::{Departure, Input};
 use tulipridge_control_plane::server::departure::may_exit;
@@ -74,7 +74,7 @@
     let (_, departure) = depart(&mut simulation, departing);
     assert_ne!(departure, Departure::StoresData);
     simulation.replace(departing, 500 * MS);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// The successor of a departing primary loses its disk before it has become primary.
@@ -92,7 +92,7 @@
     let (waited, departure) = depart(&mut simulation, primary);
     assert_ne!(departure, Departure::StoresData, "after {waited:?}");
     simulation.replace(primary, 500 * MS);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// Maximum number of view changes when two members depart and a third one returns.
@@ -123,7 +123,7 @@
     assert!(views <= MAX_VIEWS, "{views} view changes");
     let successor = simulation.acknowledge_one();
     assert!(successor != primary && successor != backup);
-    assert_goes_on(&mut simulation);
+    assert_makes_progress(&mut simulation);
 }
 
 /// Any one member departs for good; right after its process has ended, as many others as tolerated lose their disks.
@@ -132,13 +132,13 @@
 #[case(2, 5, 6)]
 #[case(2, 3, 8)]
 fn losses_right_after_a_departure_are_tolerated(
-    #[case] losses: u32,
+    #[case] tolerated_failures: u32,
     #[case] seeds: usize,
     #[case] machines: usize,
     #[values(0, 1, 2)] seed: u64,
 ) {
     for departing in 0..machines {
-        let mut simulation = started(losses, seeds, machines, seed);
+        let mut simulation = started(tolerated_failures, seeds, machines, seed);
         simulation.acknowledge_one();
         let (_, departure) = depart(&mut simulation, departing);
         assert_eq!(departure, Departure::Free, "machine {departing}");
@@ -146,10 +146,10 @@
         let mut others: Vec<usize> = (0..machines).filter(|index| *index != departing).collect();
         let primary = simulation.primary();
         others.sort_by_key(|index| Some(*index) != primary);
-        for index in others.into_iter().take(losses as usize) {
+        for index in others.into_iter().take(tolerated_failures as usize) {
             simulation.wipe(index, 30 * SECOND);
         }
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
     }
 }
 
@@ -159,12 +159,12 @@
 #[case::one_loss(1, 3, 4)]
 #[case::two_losses(2, 5, 5)]
 fn planned_replacement_continues_without_the_first_seeds(
-    #[case] losses: u32,
+    #[case] tolerated_failures: u32,
     #[case] seeds: usize,
     #[case] machines: usize,
     #[values(0, 1, 2)] seed: u64,
 ) {
-    let mut simulation = started(losses, seeds, machines, seed);
+    let mut simulation = started(tolerated_failures, seeds, machines, seed);
     for oldest in 0..3 * machines {
         simulation.acknowledge_one();
         let generation = simulation.random.u64(..) | 1;
@@ -174,7 +174,7 @@
         assert_ne!(departure, Departure::StoresData, "machine {oldest}");
         simulation.machines[oldest].process = None;
         simulation.machines[oldest].removed = true;
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
     }
 }
 
@@ -184,12 +184,12 @@
 #[case::no_loss_tolerated(0, 1, 1, Departure::Free)]
 #[case::others_are_down(1, 3, 3, Departure::StoresData)]
 fn departure_of_the_last_running_member(
-    #[case] losses: u32,
+    #[case] tolerated_failures: u32,
     #[case] seeds: usize,
     #[case] machines: usize,
     #[case] expected: Departure,
 ) {
-    let mut simulation = started(losses, seeds, machines, 1);
+    let mut simulation = started(tolerated_failures, seeds, machines, 1);
     let primary = simulation.acknowledge_one();
     for index in (0..machines).filter(|index| *index != primary) {
         simulation.kill(index, 60 * SECOND);
@@ -207,7 +207,7 @@
         let (waited, departure) = depart(&mut simulation, round % 4);
         assert_eq!(departure, Departure::Free, "round {round} after {waited:?}");
         simulation.kill(round % 4, 300 * MS);
-        assert_goes_on(&mut simulation);
+        assert_makes_progress(&mut simulation);
         simulation.run_for(SECOND);
     }
 }
--- a/crates/control-plane/tests/replication_operators.rs
+++ b/crates/control-plane/tests/replication_operators.rs
@@ -6,8 +6,8 @@
 mod support;
 
 use rstest::rstest;
-use support::history::{FaultPlan, Load, history_count, play_with};
-use support::simulation::{Fault, Shape};
+use support::history::{FaultPlan, Load, history_count, run_history_with};
+use support::simulation::{ClusterShape, Fault};
 
 /// Default number of histories of each kind.
 const DEFAULT_HISTORIES: u64 = 100;
@@ -18,14 +18,14 @@
     #[values(FaultPlan::DisksStay, FaultPlan::DisksLost, FaultPlan::Replacement, FaultPlan::ManyChanges)]
     fault_plan: FaultPlan,
 ) {
-    let (losses, seeds, machines) = sizes;
+    let (tolerated_failures, seeds, machines) = sizes;
     let mut responses = 0;
     let count = history_count(DEFAULT_HISTORIES);
     for seed in 0..count {
-        let shape = Shape { losses, seeds, machines, fault: Fault::None };
-        let outcome = play_with(seed, shape, fault_plan, Load::Operators);
+        let shape = ClusterShape { tolerated_failures, seeds, machines, fault: Fault::None };
+        let outcome = run_history_with(seed, shape, fault_plan, Load::Operators);
         assert_eq!(outcome.violation, None, "seed {seed}, sizes {sizes:?}, {fault_plan:?}");
-        responses += outcome.answered;
+        responses += outcome.completed_calls;
     }
     println!("{count} histories: {responses} responses");
     assert!(responses as u64 > count, "operators receive responses");
--- a/crates/control-plane/tests/replication_repeats.rs
+++ b/crates/control-plane/tests/replication_repeats.rs
@@ -3,9 +3,9 @@
 mod support;
 
 use rstest::rstest;
-use support::operator::call::{Answer, Call, ConfigurationMethod, ConfigurationOrder, WeightsOrder};
-use support::operator::client::UnexplainedObject;
-use support::simulation::{Fault, MS, SECOND, Shape, Simulation};
+use support::operator::call::{Call, ConfigurationChange, ConfigurationMethod, Response, WeightsChange};
+use support::operator::client::NonLinearizableObject;
+use support::simulation::{ClusterShape, Fault, MS, SECOND, Simulation};
 
 /// Microseconds; longer than a member waits for a proposal to be committed.
 const BACKUP_STALL_US: u64 = 5500 * MS;
@@ -13,17 +13,23 @@
 const RETRY_AFTER_US: u64 = 4900 * MS;
 
 fn configuration_change() -> Call {
-    Call::Configure(ConfigurationOrder { method: ConfigurationMethod::Put, base: 0, revision: 3, mark: 1 })
+    Call::Configure(ConfigurationChange {
+        method: ConfigurationMethod::Put,
+        base: 0,
+        revision: 3,
+        route_id: 1,
+    })
 }
 
 fn weights_change() -> Call {
-    Call::NameWeights(WeightsOrder { model: "large", revision: 3 })
+    Call::SetTargetRevision(WeightsChange { model: "large", revision: 3 })
 }
 
 /// Of three machines one is down, and the backup's disk hangs. A change is sent, and retried by an operator that has
 /// received no response; when the disk recovers, both proposals are committed.
-fn retry_while_the_first_attempt_is_pending(call: Call, fault: Fault) -> (Simulation, Option<Answer>) {
-    let mut simulation = Simulation::new(2, Shape { losses: 1, seeds: 3, machines: 3, fault });
+fn retry_while_the_first_attempt_is_pending(call: Call, fault: Fault) -> (Simulation, Option<Response>) {
+    let mut simulation =
+        Simulation::new(2, ClusterShape { tolerated_failures: 1, seeds: 3, machines: 3, fault });
     let primary = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.run_for(SECOND);
@@ -35,7 +41,7 @@
     assert_eq!(simulation.primary(), Some(primary));
     let retry = simulation.submit(primary, call);
     simulation.run_for(4 * SECOND);
-    let response = simulation.operators.answer(retry).cloned();
+    let response = simulation.operators.response(retry).cloned();
     (simulation, response)
 }
 
@@ -44,17 +50,17 @@
 #[case::weights(weights_change())]
 fn a_pending_change_is_applied_once_and_its_retry_is_recognized(#[case] call: Call) {
     let (simulation, response) = retry_while_the_first_attempt_is_pending(call, Fault::None);
-    assert_eq!(response, Some(Answer::Taken));
-    assert_eq!(simulation.operators.unexplained(), None);
+    assert_eq!(response, Some(Response::Accepted));
+    assert_eq!(simulation.operators.non_linearizable(), None);
 }
 
 /// A member must decide again on a superseded proposal: if it refuses it although the change is in effect, the
 /// checker detects it.
 #[rstest]
-#[case::configuration(configuration_change(), UnexplainedObject::Configuration)]
-#[case::weights(weights_change(), UnexplainedObject::Weights("large"))]
-fn a_refusal_of_a_change_in_effect_is_detected(#[case] call: Call, #[case] object: UnexplainedObject) {
+#[case::configuration(configuration_change(), NonLinearizableObject::Configuration)]
+#[case::weights(weights_change(), NonLinearizableObject::Weights("large"))]
+fn a_refusal_of_a_change_in_effect_is_detected(#[case] call: Call, #[case] object: NonLinearizableObject) {
     let (simulation, response) = retry_while_the_first_attempt_is_pending(call, Fault::SupersededRefused);
     println!("response {response:?}");
-    assert_eq!(simulation.operators.unexplained(), Some(object));
+    assert_eq!(simulation.operators.non_linearizable(), Some(object));
 }
