--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent as a composition of its tasks.
+//! Composes the agent from its tasks.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,15 +17,15 @@
 use crate::proxy_feed::ProxyFeed;
 use crate::relay_follower::RelayFollower;
 
-/// Earlier configurations that are kept as bases of deltas; the one proxy is rarely behind.
-const REMEMBERED_CONFIGURATIONS: usize = 2;
-/// Gateways that an agent serves: the proxy beside it.
-const GATEWAYS: u32 = 1;
+/// Maximum number of earlier configurations kept as bases for deltas. The single proxy rarely falls behind.
+const MAX_EARLIER_CONFIGURATIONS: usize = 2;
+/// Number of gateways that an agent serves: only the proxy on the same machine.
+const GATEWAYS_SERVED: u32 = 1;
 
-/// Why an agent can't run.
+/// An error that prevents the agent from running.
 #[derive(Debug, Snafu)]
 pub enum AgentError {
-    /// The process's signals can't be received.
+    /// The signal handler could not be installed.
     #[snafu(transparent)]
     Signals {
         /// The error of the signal handler.
@@ -33,7 +33,7 @@
     },
 }
 
-/// The agent of one machine.
+/// The agent that runs on one machine.
 pub struct Agent {
     settings: Settings,
     subscriber: Rc<Subscriber>,
@@ -43,10 +43,10 @@
 }
 
 impl Agent {
-    /// An agent that does nothing before it is started.
+    /// Creates an agent; its tasks run after [`Agent::start`].
     #[must_use]
     pub fn new(settings: Settings) -> Rc<Self> {
-        let store = Rc::new(RefCell::new(FeedStore::remembering(REMEMBERED_CONFIGURATIONS)));
+        let store = Rc::new(RefCell::new(FeedStore::remembering(MAX_EARLIER_CONFIGURATIONS)));
         let subscriber = subscriber(&settings, &store);
         let proxy_feed = ProxyFeed::new(&store, &subscriber);
         let discovery = Rc::new(Discovery::new(store));
@@ -55,15 +55,15 @@
         Rc::new(Agent { settings, subscriber, discovery, relay_follower, proxy_feed })
     }
 
-    /// Starts the agent's tasks.
+    /// Spawns the agent's tasks on `executor`.
     pub fn start(self: &Rc<Self>, executor: &'static LocalExecutor<'static>) {
         executor.spawn(Rc::clone(&self.relay_follower).follow()).detach();
-        executor.spawn(Rc::clone(&self.relay_follower).review()).detach();
+        executor.spawn(Rc::clone(&self.relay_follower).check_for_better_relay()).detach();
         executor.spawn(Rc::clone(self).exchange_views()).detach();
         executor.spawn(Rc::clone(self).serve_proxy(executor)).detach();
     }
 
-    /// Handles the process's signals until the agent may end.
+    /// Reloads the settings on each reload signal. On a stop signal, waits until the agent may exit.
     pub async fn run_until_stopped(&self, mut signals: SignalStream) {
         while signals.next().await == ProcessSignal::Reload {
             self.reload(Settings::load());
@@ -72,9 +72,9 @@
         self.proxy_feed.drain(self.settings.time_limits.leeway()).await;
     }
 
-    /// Applies the settings that may change while the agent runs: the seeds.
-    pub fn reload(&self, outcome: Result<Settings, SettingsError>) {
-        let settings = match outcome {
+    /// Applies the reloadable settings, which are the seeds. On an error the previous settings stay in use.
+    pub fn reload(&self, result: Result<Settings, SettingsError>) {
+        let settings = match result {
             Ok(settings) => settings,
             Err(error) => {
                 log::error!(error:% = error; "the settings stay as they were");
@@ -87,13 +87,13 @@
         self.relay_follower.set_seeds(seeds);
     }
 
-    /// How long ago the agent's state was known to be the newest; none while that is not known.
+    /// The time since the agent's state was last known to be the newest; `None` while that is unknown.
     #[must_use]
-    pub fn age(&self) -> Option<Duration> {
+    pub fn state_age(&self) -> Option<Duration> {
         self.subscriber.age(clock::now())
     }
 
-    /// The relay to which a connection is open.
+    /// The address of the connected relay.
     #[must_use]
     pub fn relay(&self) -> Option<SocketAddr> {
         self.relay_follower.relay()
@@ -108,12 +108,12 @@
     }
 }
 
-/// Runs the agent until the platform ends it.
+/// Runs the agent until a stop signal arrives and the shutdown is complete.
 ///
 /// # Errors
-/// [`AgentError::Signals`] if signals can't be received.
+/// Returns [`AgentError::Signals`] if the signal handler can't be installed.
 pub fn run(settings: Settings) -> Result<(), AgentError> {
-    // One executor on one thread, which lives as long as the program.
+    // The single-threaded executor is leaked because its tasks borrow it for the lifetime of the process.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::default());
     let signals = SignalStream::new()?;
     let agent = Agent::new(settings);
@@ -130,6 +130,6 @@
     };
     let tolerance = StalenessTolerance::SEVERAL_PUBLISHERS;
     let subscriber = Subscriber::with_tolerance(identity, Rc::clone(store), tolerance);
-    subscriber.set_gateways(GATEWAYS);
+    subscriber.set_gateways(GATEWAYS_SERVED);
     subscriber
 }
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery of the control plane's members.
+//! Discovers the members of the control plane.
 
 use std::cell::RefCell;
 use std::net::Ipv4Addr;
@@ -13,20 +13,20 @@
 
 use crate::bind::bind_with_retry;
 
-/// The members of the control plane that the feed and the partial view name.
+/// Discovers control-plane members from the feed and from the exchanged partial views.
 pub(crate) struct Discovery {
     store: Rc<RefCell<FeedStore>>,
-    /// The exchange of partial views; none before its port is bound.
+    /// The exchange of partial views; `None` until its port is bound.
     exchange: RefCell<Option<Rc<Exchange>>>,
 }
 
 impl Discovery {
-    /// Knows only the members that `store` names before [`Discovery::exchange_views`] runs.
+    /// Creates a discovery that knows only the members in `store` until [`Discovery::exchange_views`] runs.
     pub(crate) fn new(store: Rc<RefCell<FeedStore>>) -> Self {
         Discovery { store, exchange: RefCell::new(None) }
     }
 
-    /// The known members. A member may occur twice; the feed's entry comes last.
+    /// The known members. If a member occurs in both sources, the entry from the feed comes last and takes precedence.
     pub(crate) fn members(&self) -> Vec<ControlNode> {
         let mut members =
             self.exchange.borrow().as_ref().map(|exchange| exchange.control_nodes()).unwrap_or_default();
@@ -41,10 +41,10 @@
         }
     }
 
-    /// Exchanges partial views for ever.
+    /// Exchanges partial views; never returns.
     pub(crate) async fn exchange_views(&self, settings: &Settings) {
         let address = settings.peer_sampling_socket(settings.ip_address);
-        // A process that starts again is another incarnation.
+        // A restarted process is a new incarnation, so it gets a new random generation.
         let id = NodeId::new(settings.ip_address, Generation(fastrand::u64(1..)));
         let own_entry = Entry { id, role: Role::Agent, zone: settings.area.clone(), age: 0 };
         let exchange = bind_with_retry(address, || {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,11 +1,11 @@
-//! The agent beside each proxy: keeps the connection to the control plane.
+//! The agent that runs beside each proxy and maintains the connection to the control plane.
 //!
 //! It subscribes to the feed of a relay, a member of the control plane that serves agents, and publishes the same
-//! state to the proxy on the loopback interface. It finds relays by the seeds of its settings, by the partial views
-//! that it exchanges, and by the members that the feed itself names. It stores nothing on disk.
+//! state to the proxy on the loopback interface. It discovers relays from the seeds in its settings, from the partial
+//! views that it exchanges, and from the members that the feed lists. It stores nothing on disk.
 //!
-//! [`agent::Agent`] starts the tasks: one follows a relay, one reviews the choice, one exchanges partial views, and one
-//! serves the proxy. [`relay_selection`] and [`shutdown`] decide without I/O and without a clock.
+//! [`agent::Agent`] starts four tasks: they follow a relay, check for a better relay, exchange partial views, and serve
+//! the proxy. [`relay_selection`] and [`shutdown`] do no I/O and read no clock.
 
 pub mod agent;
 mod bind;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -6,7 +6,7 @@
 use tulipridge_runtime::command_line;
 use tulipridge_runtime::settings::Settings;
 
-const DESCRIPTION: &str = "The agent beside each proxy: keeps the link to the control plane";
+const DESCRIPTION: &str = "The agent beside each proxy: maintains the connection to the control plane";
 
 fn main() -> ExitCode {
     command_line::start("tulipridge-agent", DESCRIPTION, env!("CARGO_PKG_VERSION"), run)
--- a/crates/agent/src/proxy_feed.rs
+++ b/crates/agent/src/proxy_feed.rs
@@ -1,4 +1,4 @@
-//! The feed that the agent publishes to the proxy beside it.
+//! Publishes the feed to the proxy on the same machine.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
@@ -14,32 +14,33 @@
 use crate::bind::bind_with_retry;
 use crate::shutdown::Shutdown;
 
-/// Time between checks whether the proxy is still connected, while the agent shuts down.
+/// Interval of the checks during shutdown whether the proxy is still connected.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A publisher of what the subscriber receives, with the subscriber's freshness.
+/// Publishes the state that the subscriber receives, with the age that the subscriber reports.
 pub(crate) struct ProxyFeed {
     publisher: Rc<Publisher>,
 }
 
 impl ProxyFeed {
-    /// Publishes `store`, and forwards the queued work that the proxy reports to the relay.
+    /// Creates the feed of `store`, and forwards the queued work that the proxy reports to the relay.
     pub(crate) fn new(store: &Rc<RefCell<FeedStore>>, subscriber: &Rc<Subscriber>) -> Self {
         let publisher = publish(store, subscriber);
         forward_queued_work(&publisher, subscriber);
         ProxyFeed { publisher }
     }
 
-    /// Serves the proxy for ever.
+    /// Serves the proxy; never returns.
     pub(crate) async fn serve(&self, address: SocketAddr, executor: &LocalExecutor<'static>) {
         let listener = bind_with_retry(address, || Async::<TcpListener>::bind(address)).await;
         Rc::clone(&self.publisher).serve(listener, executor).await;
     }
 
-    /// Waits until the agent may end: it is killed after `leeway`, and stays until then while the proxy needs it.
+    /// Waits until the agent may exit: when the proxy has disconnected, or shortly before the platform kills the
+    /// agent, `leeway` after the stop signal.
     pub(crate) async fn drain(&self, leeway: Duration) {
         let mut shutdown = Shutdown::new(clock::now(), leeway);
-        while !shutdown.is_over(clock::now(), self.is_proxy_connected()) {
+        while !shutdown.should_exit(clock::now(), self.is_proxy_connected()) {
             Timer::after(SHUTDOWN_POLL_INTERVAL).await;
         }
     }
@@ -50,18 +51,18 @@
 }
 
 fn publish(store: &Rc<RefCell<FeedStore>>, subscriber: &Rc<Subscriber>) -> Rc<Publisher> {
-    let source = Rc::clone(subscriber);
-    let publisher = Publisher::new(Rc::clone(store), Rc::new(move || source.age(clock::now())));
-    let notified = Rc::clone(&publisher);
-    subscriber.on_change(Box::new(move |_| notified.notify()));
+    let age_source = Rc::clone(subscriber);
+    let publisher = Publisher::new(Rc::clone(store), Rc::new(move || age_source.age(clock::now())));
+    let notified_publisher = Rc::clone(&publisher);
+    subscriber.on_change(Box::new(move |_| notified_publisher.notify()));
     publisher
 }
 
 fn forward_queued_work(publisher: &Rc<Publisher>, subscriber: &Rc<Subscriber>) {
-    // Weak, since the publisher owns the listener.
-    let (source, subscriber) = (Rc::downgrade(publisher), Rc::clone(subscriber));
+    // The publisher owns the callback, so a strong reference to it would be a cycle.
+    let (weak_publisher, subscriber) = (Rc::downgrade(publisher), Rc::clone(subscriber));
     publisher.on_queued_work(move || {
-        if let Some(publisher) = source.upgrade() {
+        if let Some(publisher) = weak_publisher.upgrade() {
             subscriber.set_queued_work(publisher.queued_work());
         }
     });
--- a/crates/agent/src/relay_follower.rs
+++ b/crates/agent/src/relay_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the relay that [`RelaySelector`] selects.
+//! Subscribes to the relay that [`RelaySelector`] selects.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,21 +13,21 @@
 use crate::discovery::Discovery;
 use crate::relay_selection::RelaySelector;
 
-/// Time between checks whether a better relay is known.
-const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of the checks for a better relay.
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Keeps the subscriber connected to the best relay that is known.
+/// Keeps the subscriber connected to the best known relay.
 pub(crate) struct RelayFollower {
     settings: Settings,
     discovery: Rc<Discovery>,
     subscriber: Rc<Subscriber>,
     selector: RefCell<RelaySelector>,
-    /// [`Subscriber::fresh_as_of`] when the relay was selected.
+    /// The value of [`Subscriber::fresh_as_of`] when the relay was selected.
     fresh_at_selection: Cell<Option<Duration>>,
 }
 
 impl RelayFollower {
-    /// Follows nobody before [`RelayFollower::follow`] runs.
+    /// Creates a follower that connects to no relay until [`RelayFollower::follow`] runs.
     pub(crate) fn new(
         settings: Settings,
         discovery: Rc<Discovery>,
@@ -44,26 +44,26 @@
         })
     }
 
-    /// The relay to which a connection is open.
+    /// The address of the connected relay.
     pub(crate) fn relay(&self) -> Option<SocketAddr> {
         self.subscriber.connected_to()
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seeds from which relays are selected.
     pub(crate) fn set_seeds(&self, seeds: Vec<Ipv4Addr>) {
         self.selector.borrow_mut().set_seeds(seeds);
     }
 
-    /// Follows one relay after the other, for ever.
+    /// Connects to a relay, and to the next one each time a connection ends; never returns.
     pub(crate) async fn follow(self: Rc<Self>) {
         let subscriber = Rc::clone(&self.subscriber);
         subscriber.run(move |context| self.select(&context)).await;
     }
 
-    /// Changes to a better relay once one is known, for ever.
-    pub(crate) async fn review(self: Rc<Self>) {
+    /// Periodically checks for a better relay and switches to it; never returns.
+    pub(crate) async fn check_for_better_relay(self: Rc<Self>) {
         loop {
-            Timer::after(REVIEW_INTERVAL).await;
+            Timer::after(RELAY_CHECK_INTERVAL).await;
             let Some(current) = self.relay().and_then(ipv4) else { continue };
             if self.selector.borrow().prefers_another(current, &self.discovery.members(), clock::now()) {
                 self.subscriber.reselect();
--- a/crates/agent/src/relay_selection.rs
+++ b/crates/agent/src/relay_selection.rs
@@ -1,4 +1,4 @@
-//! Selection of the agent's relay: the member of the control plane whose feed it follows. No I/O and no clock.
+//! Selects the agent's relay, the control-plane member whose feed the agent subscribes to. No I/O and no clock.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,17 +8,17 @@
 use tulipridge_protocol::feed::ControlNode;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time for which a member that has failed once ranks after those that have not.
+/// Penalty after a first failure: the time for which the member ranks after members without a penalty.
 const INITIAL_PENALTY: Duration = Duration::from_secs(5);
-/// Longest penalty; it doubles with each failure in a row.
+/// Maximum penalty. The penalty doubles with each consecutive failure.
 const MAX_PENALTY: Duration = Duration::from_secs(20);
-/// Least time with a relay before a better one is preferred to it.
+/// Minimum time after the selection of a relay before the agent switches to a better one.
 const MIN_RELAY_TIME: Duration = Duration::from_secs(3);
 
-/// Doublings after which the penalty is far above its maximum, so that the factor can't overflow.
+/// Maximum number of doublings, so that the factor can't overflow. The penalty reaches its maximum well before.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// The failures of a member.
+/// The failure history of a member.
 #[derive(Clone, Copy, Debug)]
 struct Failures {
     last: Duration,
@@ -32,17 +32,18 @@
     }
 }
 
-/// A candidate for the agent's relay.
+/// A member that may become the agent's relay.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     member: Ipv4Addr,
-    /// Whether it is known to be in the agent's zone.
+    /// Whether the member is known to be in the agent's zone.
     is_local: bool,
 }
 
-/// Selects relays: members of the agent's zone first, then others, each in the order of a rendezvous hash (highest
-/// random weight, Thaler and Ravishankar 1998) of the agent's machine. So agents spread over the members near them,
-/// and a member that goes moves only its own agents. A member that has failed ranks last during its penalty.
+/// Selects relays: members of the agent's zone first, then others, each group in the order of a rendezvous hash
+/// (highest random weight, Thaler and Ravishankar 1998) of the agent's machine and the member. This spreads agents over
+/// the nearest members, and the departure of a member moves only its own agents. A member that has failed ranks last
+/// during its penalty.
 #[derive(Clone, Debug)]
 pub struct RelaySelector {
     machine: String,
@@ -53,37 +54,37 @@
 }
 
 impl RelaySelector {
-    /// The selector of the agent on `machine` in `zone`, with `seeds` whose zones are unknown.
+    /// Creates the selector for the agent on `machine` in `zone`. The zones of `seeds` are unknown.
     #[must_use]
     pub fn new(machine: String, zone: String, seeds: Vec<Ipv4Addr>) -> Self {
         RelaySelector { machine, zone, seeds, failures: BTreeMap::new(), selected_at: None }
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seeds from which relays are selected.
     pub fn set_seeds(&mut self, seeds: Vec<Ipv4Addr>) {
         self.seeds = seeds;
     }
 
-    /// The relay to connect to among the seeds and the `known` members; none if there are neither.
+    /// Selects the relay to connect to among the seeds and the `known` members; `None` if there are neither.
     pub fn select(&mut self, known: &[ControlNode], now: Duration) -> Option<Ipv4Addr> {
         self.selected_at = Some(now);
         self.best(known, now)
     }
 
-    /// Records that the connection to a member could not be made, or has failed. `was_fresh` says that the member had
-    /// replied with fresh state on it; its earlier failures don't count then.
+    /// Records that connecting to a member failed, or that the connection was lost. If the member had sent fresh state
+    /// on this connection (`was_fresh`), its earlier failures don't count.
     pub fn record_failure(&mut self, member: Ipv4Addr, was_fresh: bool, now: Duration) {
         let earlier = self.failures.get(&member).map_or(0, |failures| failures.consecutive);
         let consecutive = if was_fresh { 1 } else { earlier.saturating_add(1) };
         self.failures.insert(member, Failures { last: now, consecutive });
     }
 
-    /// Whether to leave `current`, which works, for a better relay.
+    /// Whether to switch from `current`, a working relay, to a better one.
     #[must_use]
     pub fn prefers_another(&self, current: Ipv4Addr, known: &[ControlNode], now: Duration) -> bool {
-        let may_change = self.selected_at.is_none_or(|since| now.saturating_sub(since) >= MIN_RELAY_TIME);
+        let may_switch = self.selected_at.is_none_or(|since| now.saturating_sub(since) >= MIN_RELAY_TIME);
         let Some(best) = self.best(known, now) else { return false };
-        may_change && best != current && !self.is_penalised(best, now)
+        may_switch && best != current && !self.is_penalised(best, now)
     }
 
     fn best(&self, known: &[ControlNode], now: Duration) -> Option<Ipv4Addr> {
@@ -96,7 +97,7 @@
         self.candidates(known).min_by_key(rank).map(|candidate| candidate.member)
     }
 
-    /// Each candidate once, in the order of addresses.
+    /// Each candidate once, sorted by address.
     fn candidates(&self, known: &[ControlNode]) -> impl Iterator<Item = Candidate> {
         let mut is_local: BTreeMap<_, _> = self.seeds.iter().map(|seed| (*seed, false)).collect();
         for node in known {
@@ -109,7 +110,7 @@
         self.failures.get(&member).is_some_and(|failures| failures.penalty_ends_at() > now)
     }
 
-    /// The rendezvous hash of the agent's machine and a member.
+    /// The rendezvous hash of the agent's machine and `member`.
     fn weight(&self, member: Ipv4Addr) -> u64 {
         let mut key = self.machine.as_bytes().to_vec();
         key.extend_from_slice(&member.octets());
--- a/crates/agent/src/shutdown.rs
+++ b/crates/agent/src/shutdown.rs
@@ -1,14 +1,14 @@
-//! When an agent that received a stop signal may end. No I/O and no clock.
+//! Decides when the agent may exit after a stop signal. No I/O and no clock.
 
 use std::time::Duration;
 
-/// Time before SIGKILL at which the agent ends in any case.
+/// Time before the expected SIGKILL at which the agent exits even if the proxy is still connected.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// Time without a proxy after which the agent ends; a proxy that lost its connection reconnects within it.
+/// Time without a connected proxy after which the agent exits. A proxy that lost its connection reconnects sooner.
 const RECONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The shutdown of an agent. It serves the proxy until the proxy has ended, because the proxy replies to requests
-/// while it drains only as long as its state is fresh.
+/// The graceful shutdown of an agent. The agent serves the proxy until the proxy has exited, because a draining proxy
+/// responds to requests only as long as its state is fresh.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
     deadline: Duration,
@@ -16,15 +16,16 @@
 }
 
 impl Shutdown {
-    /// The agent received the stop signal at `now` and is killed after `leeway`.
+    /// Begins the shutdown of an agent that received the stop signal at `now` and is killed `leeway` later.
     #[must_use]
     pub fn new(now: Duration, leeway: Duration) -> Self {
         let deadline = now.saturating_add(leeway.saturating_sub(KILL_MARGIN));
         Shutdown { deadline, proxy_last_seen: now }
     }
 
-    /// Whether to end at `now`. To be called regularly, with whether a proxy is connected.
-    pub fn is_over(&mut self, now: Duration, is_proxy_connected: bool) -> bool {
+    /// Whether the agent should exit at `now`. Must be called at short intervals, as each call records whether a proxy
+    /// is connected.
+    pub fn should_exit(&mut self, now: Duration, is_proxy_connected: bool) -> bool {
         if is_proxy_connected {
             self.proxy_last_seen = now;
         }
--- a/crates/agent/tests/exchange.rs
+++ b/crates/agent/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! An agent between a relay and a proxy, on the loopback interface.
+//! Tests an agent between a relay and a proxy, on the loopback interface.
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -22,27 +22,30 @@
 const MACHINE: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 1);
 const SEED: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 2);
 const RELAY: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 3);
-const GUARD: Duration = Duration::from_secs(20);
-const FRESH: Duration = Duration::from_secs(1);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_FRESH_AGE: Duration = Duration::from_secs(1);
 
-/// Settings with four ports in a row that are free.
+/// Settings with a range of four spare ports in which the ports of the feeds are free.
 fn settings() -> Settings {
-    let first = (20_000..30_000).step_by(16).find(|first| are_free(*first)).expect("free ports");
+    let first_port =
+        (20_000..30_000).step_by(16).find(|first_port| are_ports_free(*first_port)).expect("free ports");
     let text = format!(
         "{{nodeName: edge, ipAddress: {MACHINE}, area: a, \
-         sparePorts: [{first}, {}], seedNodes: ['{SEED}:80']}}",
-        first + 3
+         sparePorts: [{first_port}, {}], seedNodes: ['{SEED}:80']}}",
+        first_port + 3
     );
-    Settings::parse(&text).expect("good settings")
+    Settings::parse(&text).expect("valid settings")
 }
 
-fn are_free(first: u16) -> bool {
-    let free = |ip: Ipv4Addr, port: u16| TcpListener::bind((ip, port)).is_ok();
-    free(SEED, first + 1) && free(RELAY, first + 1) && free(Ipv4Addr::LOCALHOST, first + 3)
+fn are_ports_free(first_port: u16) -> bool {
+    let is_free = |ip: Ipv4Addr, port: u16| TcpListener::bind((ip, port)).is_ok();
+    is_free(SEED, first_port + 1)
+        && is_free(RELAY, first_port + 1)
+        && is_free(Ipv4Addr::LOCALHOST, first_port + 3)
 }
 
-/// A control member that is always fresh.
-fn member(configuration: u64) -> (Rc<RefCell<FeedStore>>, Rc<Publisher>) {
+/// A control-plane member whose state is always fresh.
+fn publishing_member(configuration: u64) -> (Rc<RefCell<FeedStore>>, Rc<Publisher>) {
     let mut store = FeedStore::new();
     store.set_configuration(revision(configuration));
     store.set_group(Group {
@@ -63,44 +66,46 @@
     executor.spawn(async move { publisher.serve(listener, executor).await }).detach();
 }
 
-/// Lets the executor run until `condition` holds.
-async fn until(what: &str, condition: impl Fn() -> bool) {
-    let holds = async {
+/// Yields to the executor until `condition` holds; panics with `what` after [`TEST_TIMEOUT`].
+async fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let condition_holds = async {
         while !condition() {
             future::yield_now().await;
         }
     };
-    within(GUARD, holds).await.expect(what);
+    within(TEST_TIMEOUT, condition_holds).await.expect(what);
 }
 
 #[test]
-fn state_reaches_the_proxy_through_the_agent_which_moves_to_its_zone() {
+fn the_agent_forwards_state_and_moves_to_a_relay_in_its_zone() {
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::default());
     async_io::block_on(executor.run(async {
         let settings = settings();
         let agent = Agent::new(settings.clone());
         agent.start(executor);
 
-        // The proxy, and the agent's seed, start after the agent.
+        // The proxy and the seed start after the agent.
         let received = Rc::new(RefCell::new(FeedStore::new()));
         let identity = Identity { name: "edge".into(), zone: "a".into(), role: SubscriberRole::Proxy };
         let proxy = Subscriber::new(identity, Rc::clone(&received));
         let loopback = settings.loopback_feed();
         executor.spawn(Rc::clone(&proxy).run(move |_| Some(loopback))).detach();
-        let (_, seed) = member(4);
+        let (_, seed) = publishing_member(4);
         serve(&seed, settings.feed_socket(SEED), executor);
-        let is_fresh = |age: Option<Duration>| age.is_some_and(|age| age < FRESH);
-        let has = |revision| received.borrow().known_positions().configuration == revision;
-        until("the seed's state", || has(Revision(4)) && is_fresh(proxy.age(clock::now()))).await;
+        let is_fresh = |age: Option<Duration>| age.is_some_and(|age| age < MAX_FRESH_AGE);
+        let has_revision = |revision| received.borrow().known_positions().configuration == revision;
+        wait_until("the seed's state", || has_revision(Revision(4)) && is_fresh(proxy.age(clock::now())))
+            .await;
         assert_eq!(seed.gateways(), 1);
 
-        // The feed names a member in the agent's zone.
-        let (store, relay) = member(4);
+        // The feed lists a member in the agent's zone, so the agent switches to it.
+        let (store, relay) = publishing_member(4);
         serve(&relay, settings.feed_socket(RELAY), executor);
-        until("the relay", || agent.relay() == Some(settings.feed_socket(RELAY))).await;
+        wait_until("the relay", || agent.relay() == Some(settings.feed_socket(RELAY))).await;
         store.borrow_mut().set_configuration(revision(9));
         relay.notify();
-        until("the relay's state", || has(Revision(9)) && is_fresh(proxy.age(clock::now()))).await;
+        wait_until("the relay's state", || has_revision(Revision(9)) && is_fresh(proxy.age(clock::now())))
+            .await;
         assert_eq!(received.borrow().group().gateways, 3);
     }));
 }
--- a/crates/agent/tests/relay_selection.rs
+++ b/crates/agent/tests/relay_selection.rs
@@ -1,4 +1,4 @@
-//! The selection of a relay.
+//! Tests the selection of a relay.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -26,18 +26,18 @@
     RelaySelector::new("edge-a-1".into(), "a".into(), seeds)
 }
 
-/// The selector of one of many agents in zone `a`.
+/// The selector of the agent `number` in zone `a`.
 fn selector_of_agent(number: u32) -> RelaySelector {
     RelaySelector::new(format!("edge-a-{number}"), "a".into(), Vec::new())
 }
 
 #[test]
-fn nobody_is_selected_where_nobody_is_known() {
+fn no_relay_is_selected_where_no_member_is_known() {
     assert_eq!(selector(&[]).select(&[], at(0)), None);
 }
 
 #[test]
-fn seeds_are_selected_in_turn_while_nobody_else_is_known() {
+fn seeds_are_selected_in_turn_while_no_member_is_known() {
     let mut selector = selector(&[1, 2, 3]);
     let mut attempted = Vec::new();
     for step in 0..6 {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn members_of_the_own_zone_come_first_then_others() {
+fn members_of_the_same_zone_rank_before_others() {
     let known = [node(4, "b"), node(5, "a"), node(6, "a"), node(7, "c")];
     let mut selector = selector(&[1]);
     let mut order = Vec::new();
@@ -59,8 +59,8 @@
         selector.record_failure(relay, false, at(step));
         order.push(relay);
     }
-    let near: BTreeSet<_> = order[..2].iter().copied().collect();
-    assert_eq!(near, BTreeSet::from([address(5), address(6)]));
+    let same_zone: BTreeSet<_> = order[..2].iter().copied().collect();
+    assert_eq!(same_zone, BTreeSet::from([address(5), address(6)]));
     assert_eq!(order.iter().collect::<BTreeSet<_>>().len(), 5);
 }
 
@@ -76,10 +76,10 @@
     assert_eq!(selector(&[3]).select(&known, at(0)), selector(&[9]).select(&reversed, at(0)));
 }
 
-/// No member carries more than twice its part, in the agents' own zone and where that has no member.
+/// No member serves more than twice its fair share of agents, whether or not the agents' zone has members.
 #[rstest]
-#[case::few_of_the_own_zone("a", 4)]
-#[case::many_of_another_zone("elsewhere", 20)]
+#[case::few_in_the_same_zone("a", 4)]
+#[case::many_in_another_zone("elsewhere", 20)]
 fn agents_spread_over_the_nearest_members(#[case] zone: &str, #[case] members: u8) {
     const AGENTS: u32 = 200;
     let mut known: Vec<_> = (1..=members).map(|last| node(last, zone)).collect();
@@ -97,15 +97,15 @@
 }
 
 #[test]
-fn a_member_that_goes_moves_no_agent_but_its_own() {
+fn the_departure_of_a_member_moves_only_its_own_agents() {
     let known: Vec<_> = (1..=20).map(|last| node(last, "elsewhere")).collect();
-    let gone = address(7);
-    let left: Vec<_> = known.iter().filter(|node| node.id.address() != gone).cloned().collect();
+    let departed = address(7);
+    let remaining: Vec<_> = known.iter().filter(|node| node.id.address() != departed).cloned().collect();
     for number in 0..200 {
         let mut selector = selector_of_agent(number);
         let before = selector.select(&known, at(0));
-        let after = selector.select(&left, at(0));
-        assert!(before == after || before == Some(gone));
+        let after = selector.select(&remaining, at(0));
+        assert!(before == after || before == Some(departed));
     }
 }
 
@@ -114,17 +114,17 @@
 #[case::over(1, 6, true)]
 #[case::second_failure(2, 9, false)]
 #[case::second_failure_over(2, 11, true)]
-#[case::longest(20, 19, false)]
-#[case::longest_over(20, 21, true)]
+#[case::maximum(20, 19, false)]
+#[case::maximum_over(20, 21, true)]
 fn a_member_that_failed_ranks_last_during_its_penalty(
     #[case] failures: u32,
-    #[case] later: u64,
-    #[case] chosen: bool,
+    #[case] after_s: u64,
+    #[case] expected: bool,
 ) {
     let known = [node(5, "a"), node(6, "b")];
     let mut selector = selector(&[]);
     (0..failures).for_each(|_| selector.record_failure(address(5), false, at(100)));
-    assert_eq!(selector.select(&known, at(100 + later)) == Some(address(5)), chosen);
+    assert_eq!(selector.select(&known, at(100 + after_s)) == Some(address(5)), expected);
 }
 
 #[test]
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_better_relay_is_preferred_after_a_minimum_time_and_not_while_it_fails() {
+fn a_better_relay_is_preferred_unless_too_early_or_penalised() {
     let known = [node(5, "a"), node(6, "b")];
     let mut selector = selector(&[6]);
     assert_eq!(selector.select(&[], at(10)), Some(address(6)));
