--- a/crates/peer-sampling/src/lib.rs
+++ b/crates/peer-sampling/src/lib.rs
@@ -1,7 +1,8 @@
-//! Peer sampling: partial views of which processes exist, shuffled between neighbors.
+//! Peer sampling: each process keeps a partial view of the processes that exist, and shuffles entries with its
+//! neighbors.
 //!
-//! [`view::View`] is the logic (a variant of the Cyclon protocol), without I/O and without a clock; it
-//! counts time in ticks. [`socket::Exchange`] runs it over datagrams.
+//! [`view::View`] is the protocol logic, a variant of Cyclon, without I/O and without a clock; time is counted in
+//! ticks. [`socket::Exchange`] runs it over UDP.
 
 pub mod datagram;
 mod entry_table;
@@ -9,4 +10,4 @@
 pub mod view;
 
 pub use socket::Exchange;
-pub use view::{Request, View};
+pub use view::{OutgoingOffer, View};
--- a/crates/peer-sampling/src/socket.rs
+++ b/crates/peer-sampling/src/socket.rs
@@ -1,4 +1,4 @@
-//! The exchange of a view with other processes over UDP.
+//! Exchange of partial views with other processes over UDP.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -16,25 +16,25 @@
 
 /// Mean time between ticks.
 pub const TICK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between ticks while nobody is known.
+/// Mean time between ticks while the view is empty.
 const BOOTSTRAP_TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// A tick comes earlier or later by up to this fraction of its interval.
-const JITTER: f64 = 0.1;
-/// Delay after the socket has failed.
+/// Maximum deviation of the time between ticks from its mean, as a fraction of the mean.
+const JITTER_FRACTION: f64 = 0.1;
+/// Delay before the next receive after a socket error.
 const ERROR_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Counters of datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Datagrams that were received and well-formed.
+    /// Well-formed datagrams received.
     pub received: u64,
-    /// Datagrams that were malformed or too long, and were dropped.
+    /// Received datagrams that were dropped as malformed, too long, or not from an IPv4 address.
     pub malformed: u64,
-    /// Datagrams that could not be sent.
+    /// Datagrams that could not be encoded or sent.
     pub unsent: u64,
 }
 
-/// A view and the socket over which it is exchanged. All processes use the same port.
+/// A partial view and the UDP socket over which it is exchanged. All processes use the same port.
 #[derive(Debug)]
 pub struct Exchange {
     socket: Async<UdpSocket>,
@@ -45,11 +45,11 @@
 }
 
 impl Exchange {
-    /// Binds the socket; `seed` is that of the ticks' jitter.
+    /// Binds the socket. `random_seed` initializes the generator of the jitter.
     ///
     /// # Errors
     /// The error of the operating system if the address can't be bound.
-    pub fn bind(address: SocketAddr, view: View, seed: u64) -> io::Result<Self> {
+    pub fn bind(address: SocketAddr, view: View, random_seed: u64) -> io::Result<Self> {
         let socket = Async::<UdpSocket>::bind(address)?;
         let port = socket.get_ref().local_addr()?.port();
         Ok(Exchange {
@@ -57,54 +57,54 @@
             port,
             view: RefCell::new(view),
             counts: Cell::default(),
-            random: RefCell::new(Rng::with_seed(seed)),
+            random: RefCell::new(Rng::with_seed(random_seed)),
         })
     }
 
-    /// Receives and sends datagrams for ever.
+    /// Runs forever: starts a shuffle at each tick and handles received datagrams.
     pub async fn run(&self) {
-        future::or(self.receive(), self.tick()).await;
+        future::or(self.receive(), self.start_shuffles()).await;
     }
 
-    /// The processes that are known.
+    /// The entries of the known processes.
     pub fn entries(&self) -> Vec<Entry> {
         self.view.borrow().entries().to_vec()
     }
 
-    /// The members of the control plane that are known.
+    /// The known members of the control plane.
     pub fn control_nodes(&self) -> Vec<ControlNode> {
         self.view.borrow().control_nodes()
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&self, seeds: Vec<Ipv4Addr>) {
         self.view.borrow_mut().set_seeds(seeds);
     }
 
-    /// Counters of datagrams since the start.
+    /// Counters of datagrams since the socket was bound.
     pub fn counts(&self) -> DatagramCounts {
         self.counts.get()
     }
 
-    async fn tick(&self) {
+    async fn start_shuffles(&self) {
         loop {
-            let request = self.view.borrow_mut().tick();
-            if let Some(request) = request {
-                self.send(request.to, &request.message).await;
+            let offer = self.view.borrow_mut().tick();
+            if let Some(offer) = offer {
+                self.send(offer.to, &offer.message).await;
             }
-            Timer::after(self.until_next_tick()).await;
+            Timer::after(self.next_tick_delay()).await;
         }
     }
 
-    fn until_next_tick(&self) -> Duration {
+    fn next_tick_delay(&self) -> Duration {
         let mean =
             if self.view.borrow().entries().is_empty() { BOOTSTRAP_TICK_INTERVAL } else { TICK_INTERVAL };
-        let offset = 2.0 * self.random.borrow_mut().f64() - 1.0;
-        mean.mul_f64(1.0 + JITTER * offset)
+        let deviation = 2.0 * self.random.borrow_mut().f64() - 1.0;
+        mean.mul_f64(1.0 + JITTER_FRACTION * deviation)
     }
 
     async fn receive(&self) {
-        // One byte more than is allowed makes a datagram that is too long visible.
+        // One byte more than the maximum, so that a longer datagram is detected instead of truncated to a valid size.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
@@ -123,9 +123,9 @@
             return;
         };
         self.count(|counts| counts.received += 1);
-        let reply = self.view.borrow_mut().handle(ip, message);
-        if let Some(reply) = reply {
-            self.send(ip, &reply).await;
+        let response = self.view.borrow_mut().handle(ip, message);
+        if let Some(response) = response {
+            self.send(ip, &response).await;
         }
     }
 
--- a/crates/peer-sampling/tests/network.rs
+++ b/crates/peer-sampling/tests/network.rs
@@ -1,18 +1,18 @@
-//! Views in a simulated network in virtual time.
+//! Views in a simulated network that runs in virtual time.
 
 mod simulation;
 
 use rstest::rstest;
 use simulation::{Network, Size, TICK_MS};
 use tulipridge_peer_sampling::datagram::MAX_DATAGRAM_BYTES;
-use tulipridge_peer_sampling::view::{CAPACITY, MAX_AGE};
+use tulipridge_peer_sampling::view::{CAPACITY, MAX_AGE_TICKS};
 use tulipridge_protocol::peer_sampling::Role;
 
-/// Ticks after which views are well mixed.
+/// Ticks after which the entries are well mixed.
 const MIXING_TICKS: u64 = 60;
-/// Ticks within which a dead process is in no view: the age at which an entry is dropped, and a tenth more for
-/// the jitter of the ticks, and one for the tick under way.
-const EXPIRY_TICKS: u64 = MAX_AGE as u64 * 11 / 10 + 2;
+/// Ticks after which no view contains a dead process: the maximum age of an entry, a tenth more for the jitter of the
+/// ticks, one for the tick in progress, and one by which an entry has to exceed the maximum age.
+const EXPIRY_TICKS: u64 = MAX_AGE_TICKS as u64 * 11 / 10 + 2;
 
 const SMALL: Size = Size { control: 4, agents: 9 };
 const LARGE: Size = Size { control: 21, agents: 420 };
@@ -22,7 +22,7 @@
 #[case::small_with_losses(SMALL, 0.05)]
 #[case::large(LARGE, 0.0)]
 #[case::large_with_losses(LARGE, 0.05)]
-fn a_network_is_connected_and_everyone_knows_the_control_plane(
+fn a_network_is_connected_and_knows_the_control_plane(
     #[case] size: Size,
     #[case] loss: f64,
     #[values(1, 2, 3)] seed: u64,
@@ -33,8 +33,8 @@
     for _ in 0..20 {
         network.run(1);
         assert!(network.is_connected());
-        let without = network.processes_without_control();
-        assert!(without * 20 <= size.total(), "{without} know no control member");
+        let without = network.processes_without_control_member();
+        assert!(without * 20 <= size.total(), "{without} processes know no control-plane member");
     }
 }
 
@@ -53,14 +53,14 @@
     network.run(MIXING_TICKS);
     let agents = network.in_degrees(Role::Agent);
     let mean = agents.iter().sum::<usize>() as f64 / agents.len() as f64;
-    let most = *agents.iter().max().expect("agents") as f64;
+    let max = *agents.iter().max().expect("agents") as f64;
     let unknown = agents.iter().filter(|degree| **degree == 0).count();
-    assert!(most <= 2.5 * mean, "{most} of a mean of {mean}");
-    assert_eq!(unknown, 0, "agents that nobody knows");
+    assert!(max <= 2.5 * mean, "in-degree {max}, mean {mean}");
+    assert_eq!(unknown, 0, "agents that are in no view");
     let control = network.in_degrees(Role::Control);
     let mean = control.iter().sum::<usize>() as f64 / control.len() as f64;
-    let most = *control.iter().max().expect("control members") as f64;
-    assert!(most <= 2.5 * mean, "{most} of a mean of {mean}");
+    let max = *control.iter().max().expect("control-plane members") as f64;
+    assert!(max <= 2.5 * mean, "in-degree {max}, mean {mean}");
 }
 
 #[rstest]
@@ -100,9 +100,9 @@
     network.start_all();
     network.run(MIXING_TICKS);
     for _ in 0..40 {
-        let gone = network.kill_random(4);
+        let killed = network.kill_random(4);
         network.run(2);
-        gone.iter().for_each(|index| network.start(*index));
+        killed.iter().for_each(|index| network.start(*index));
     }
     network.run(20);
     assert!(network.is_connected());
@@ -130,8 +130,8 @@
     seeds.iter().for_each(|index| network.kill(*index));
     network.run(2 * MIXING_TICKS);
     assert!(network.is_connected());
-    let without = network.processes_without_control();
-    assert!(without * 10 <= LARGE.total(), "{without} know no control member");
+    let without = network.processes_without_control_member();
+    assert!(without * 10 <= LARGE.total(), "{without} processes know no control-plane member");
 }
 
 #[rstest]
@@ -155,15 +155,15 @@
         network.run(MIXING_TICKS);
         network.measure_traffic();
         network.run(MIXING_TICKS);
-        let a_tick = network.datagrams as f64 / (size.total() as u64 * MIXING_TICKS) as f64;
-        (network.longest_datagram, a_tick)
+        let per_tick = network.datagram_count as f64 / (size.total() as u64 * MIXING_TICKS) as f64;
+        (network.longest_datagram_bytes, per_tick)
     });
-    for (longest, a_tick) in measured {
+    for (longest, per_tick) in measured {
         assert!(longest <= MAX_DATAGRAM_BYTES / 2, "{longest} bytes");
-        assert!(a_tick <= 2.3, "{a_tick} datagrams a tick");
+        assert!(per_tick <= 2.3, "{per_tick} datagrams per process and tick");
     }
     let [(small, _), (large, _)] = measured;
-    assert!(large <= small + small / 4, "{small} bytes with few, {large} with many");
+    assert!(large <= small + small / 4, "{small} bytes in the small system, {large} in the large one");
 }
 
 #[test]
--- a/crates/peer-sampling/tests/simulation/mod.rs
+++ b/crates/peer-sampling/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A network of views in virtual time: ticks with jitter, datagrams with delay and losses.
+//! A simulated network of views in virtual time: ticks have jitter, and datagrams are delayed or lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -9,13 +9,16 @@
 use tulipridge_protocol::node::{Generation, NodeId};
 use tulipridge_protocol::peer_sampling::{Entry, Role, Shuffle};
 
-/// Virtual time between ticks.
+/// Mean virtual time between ticks.
 pub(crate) const TICK_MS: u64 = 1000;
-const MAX_DELAY_MS: u64 = 80;
+const MAX_DATAGRAM_DELAY_MS: u64 = 80;
+const MAX_START_DELAY_MS: u64 = 300;
+/// The processes with the lowest indices are the seeds.
 const SEEDS: usize = 3;
 const ZONES: usize = 4;
+const HOSTS_PER_SUBNET: usize = 200;
 
-/// How many processes there are.
+/// The number of processes of each role.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Size {
     pub control: usize,
@@ -36,17 +39,17 @@
 pub(crate) struct Network {
     size: Size,
     loss: f64,
-    now: u64,
+    now_ms: u64,
     random: Rng,
-    /// By their time, and in the order in which they were scheduled.
+    /// Keyed by time in ms, then by the order in which the events were scheduled.
     events: BTreeMap<(u64, u64), Event>,
-    scheduled: u64,
+    scheduled_count: u64,
     generations: Vec<u64>,
     views: Vec<Option<View>>,
     is_partitioned: bool,
-    measures: bool,
-    pub datagrams: u64,
-    pub longest_datagram: usize,
+    is_measuring_traffic: bool,
+    pub datagram_count: u64,
+    pub longest_datagram_bytes: usize,
 }
 
 impl Network {
@@ -54,45 +57,46 @@
         Network {
             size,
             loss,
-            now: 0,
+            now_ms: 0,
             random: Rng::with_seed(seed),
             events: BTreeMap::new(),
-            scheduled: 0,
+            scheduled_count: 0,
             generations: vec![0; size.total()],
             views: vec![None; size.total()],
             is_partitioned: false,
-            measures: false,
-            datagrams: 0,
-            longest_datagram: 0,
+            is_measuring_traffic: false,
+            datagram_count: 0,
+            longest_datagram_bytes: 0,
         }
     }
 
     pub(crate) fn now_ms(&self) -> u64 {
-        self.now
+        self.now_ms
     }
 
     pub(crate) fn start_all(&mut self) {
         (0..self.size.total()).for_each(|index| self.start(index));
     }
 
-    /// Starts a process anew, with an empty view.
+    /// Starts or restarts a process, with an empty view and another generation.
     pub(crate) fn start(&mut self, index: usize) {
         self.generations[index] = self.random.u64(1..);
         let generation = self.generations[index];
         let role = if index < self.size.control { Role::Control } else { Role::Agent };
         let zone = format!("zone-{}", index % ZONES);
-        let me = Entry { id: NodeId::new(address(index), Generation(generation)), role, zone, age: 0 };
+        let own_entry =
+            Entry { id: NodeId::new(address(index), Generation(generation)), role, zone, age: 0 };
         let seeds = (0..SEEDS).map(address).collect();
-        self.views[index] = Some(View::new(me, seeds, self.random.u64(..)));
-        let start = self.random.u64(..300);
-        self.schedule(start, Event::Tick { index, generation });
+        self.views[index] = Some(View::new(own_entry, seeds, self.random.u64(..)));
+        let delay = self.random.u64(..MAX_START_DELAY_MS);
+        self.schedule(delay, Event::Tick { index, generation });
     }
 
     pub(crate) fn kill(&mut self, index: usize) {
         self.views[index] = None;
     }
 
-    /// Kills some processes that are no seeds.
+    /// Kills up to `count` random live processes other than seeds, and returns their indices.
     pub(crate) fn kill_random(&mut self, count: usize) -> Vec<usize> {
         let mut live: Vec<usize> = self.live().into_iter().filter(|index| *index >= SEEDS).collect();
         self.random.shuffle(&mut live);
@@ -105,7 +109,7 @@
         (0..self.size.total()).partition(|index| *index < SEEDS)
     }
 
-    /// Nothing passes between processes with an even number and those with an odd one.
+    /// Drops all datagrams between processes with an even index and those with an odd one.
     pub(crate) fn partition_in_halves(&mut self) {
         self.is_partitioned = true;
     }
@@ -114,45 +118,45 @@
         self.is_partitioned = false;
     }
 
-    /// Counts and measures datagrams from now on.
+    /// Starts to count datagrams and to record the size of the longest one.
     pub(crate) fn measure_traffic(&mut self) {
-        self.measures = true;
+        self.is_measuring_traffic = true;
     }
 
-    /// Runs for so many ticks.
+    /// Advances virtual time by a number of ticks.
     pub(crate) fn run(&mut self, ticks: u64) {
-        let end = self.now + ticks * TICK_MS;
+        let end = self.now_ms + ticks * TICK_MS;
         while let Some(next) = self.events.first_entry().filter(|next| next.key().0 <= end) {
             let ((at, _), event) = next.remove_entry();
-            self.now = at;
+            self.now_ms = at;
             match event {
                 Event::Tick { index, generation } => self.tick(index, generation),
                 Event::Datagram { from, to, message } => self.deliver(from, to, message),
             }
         }
-        self.now = end;
+        self.now_ms = end;
     }
 
-    /// Whether all live processes are reached from the first one, where an entry counts in both directions.
+    /// Whether the graph of live processes is connected, with entries as undirected edges.
     pub(crate) fn is_connected(&self) -> bool {
         let live = self.live();
-        let mut neighbours = vec![Vec::new(); self.size.total()];
+        let mut neighbors = vec![Vec::new(); self.size.total()];
         for &index in &live {
             for known in self.known_live(index) {
-                neighbours[index].push(known);
-                neighbours[known].push(index);
+                neighbors[index].push(known);
+                neighbors[known].push(index);
             }
         }
         let mut reached = BTreeSet::from([live[0]]);
-        let mut front = vec![live[0]];
-        while let Some(index) = front.pop() {
-            let fresh = neighbours[index].iter().filter(|next| reached.insert(**next));
-            front.extend(fresh);
+        let mut frontier = vec![live[0]];
+        while let Some(index) = frontier.pop() {
+            let newly_reached = neighbors[index].iter().filter(|next| reached.insert(**next));
+            frontier.extend(newly_reached);
         }
         reached.len() == live.len()
     }
 
-    pub(crate) fn processes_without_control(&self) -> usize {
+    pub(crate) fn processes_without_control_member(&self) -> usize {
         self.views.iter().flatten().filter(|view| view.control_nodes().is_empty()).count()
     }
 
@@ -160,7 +164,7 @@
         self.views.iter().flatten().map(|view| view.entries().len())
     }
 
-    /// In how many views each live process of a role is.
+    /// For each live process of a role, the number of views of live processes that contain it.
     pub(crate) fn in_degrees(&self, role: Role) -> Vec<usize> {
         let mut degrees = vec![0; self.size.total()];
         for index in self.live() {
@@ -171,13 +175,13 @@
         self.live().into_iter().filter(of_role).map(|index| degrees[index]).collect()
     }
 
-    /// Entries of these processes in the views of live ones.
+    /// The number of entries of these processes in the views of live ones.
     pub(crate) fn entries_of(&self, indices: &[usize]) -> usize {
         let entries = self.views.iter().flatten().flat_map(View::entries);
         entries.filter(|entry| indices.contains(&index_of(entry))).count()
     }
 
-    /// Entries in the views of live processes that tell of a process before its restart.
+    /// The number of entries in the views of live processes that are from before a restart of their process.
     pub(crate) fn entries_of_earlier_generations(&self) -> usize {
         let entries = self.views.iter().flatten().flat_map(View::entries);
         entries.filter(|entry| entry.id.generation != Generation(self.generations[index_of(entry)])).count()
@@ -197,8 +201,8 @@
             return;
         }
         let Some(view) = self.views[index].as_mut() else { return };
-        if let Some(request) = view.tick() {
-            self.send(index, index_at(request.to), request.message);
+        if let Some(offer) = view.tick() {
+            self.send(index, index_at(offer.to), offer.message);
         }
         let jitter = self.random.u64(..=TICK_MS / 5);
         self.schedule(TICK_MS * 9 / 10 + jitter, Event::Tick { index, generation });
@@ -206,39 +210,39 @@
 
     fn deliver(&mut self, from: usize, to: usize, message: Shuffle) {
         let Some(view) = self.views[to].as_mut() else { return };
-        if let Some(reply) = view.handle(address(from), message) {
-            self.send(to, from, reply);
+        if let Some(response) = view.handle(address(from), message) {
+            self.send(to, from, response);
         }
     }
 
     fn send(&mut self, from: usize, to: usize, message: Shuffle) {
-        if self.measures {
-            let bytes = datagram::encode(&message).expect("a short message");
+        if self.is_measuring_traffic {
+            let bytes = datagram::encode(&message).expect("a message that fits into a datagram");
             assert_eq!(datagram::decode(&bytes), Some(message.clone()));
-            self.datagrams += 1;
-            self.longest_datagram = self.longest_datagram.max(bytes.len());
+            self.datagram_count += 1;
+            self.longest_datagram_bytes = self.longest_datagram_bytes.max(bytes.len());
         }
         let is_blocked = self.is_partitioned && from % 2 != to % 2;
         if is_blocked || self.random.f64() < self.loss {
             return;
         }
-        let delay = self.random.u64(1..=MAX_DELAY_MS);
+        let delay = self.random.u64(1..=MAX_DATAGRAM_DELAY_MS);
         self.schedule(delay, Event::Datagram { from, to, message });
     }
 
     fn schedule(&mut self, after_ms: u64, event: Event) {
-        self.scheduled += 1;
-        self.events.insert((self.now + after_ms, self.scheduled), event);
+        self.scheduled_count += 1;
+        self.events.insert((self.now_ms + after_ms, self.scheduled_count), event);
     }
 }
 
 fn address(index: usize) -> Ipv4Addr {
-    Ipv4Addr::new(10, 1, (index / 200) as u8, (index % 200 + 1) as u8)
+    Ipv4Addr::new(10, 1, (index / HOSTS_PER_SUBNET) as u8, (index % HOSTS_PER_SUBNET + 1) as u8)
 }
 
 fn index_at(address: Ipv4Addr) -> usize {
     let [_, _, high, low] = address.octets();
-    usize::from(high) * 200 + usize::from(low) - 1
+    usize::from(high) * HOSTS_PER_SUBNET + usize::from(low) - 1
 }
 
 fn index_of(entry: &Entry) -> usize {
--- a/crates/peer-sampling/tests/view.rs
+++ b/crates/peer-sampling/tests/view.rs
@@ -1,19 +1,19 @@
-//! Single steps of a view.
+//! Single steps of the shuffle protocol at one view.
 
 use std::net::Ipv4Addr;
 
 use rstest::rstest;
 use tulipridge_peer_sampling::View;
-use tulipridge_peer_sampling::view::{CAPACITY, MAX_AGE, RESERVED_CONTROL_SLOTS};
+use tulipridge_peer_sampling::view::{CAPACITY, MAX_AGE_TICKS, RESERVED_CONTROL_SLOTS};
 use tulipridge_protocol::node::{Generation, NodeId};
 use tulipridge_protocol::peer_sampling::{Entry, Role, Shuffle};
 
-fn entry(last: u8, role: Role) -> Entry {
-    Entry { id: NodeId::new(address(last), Generation(1)), role, zone: "a".into(), age: 0 }
+fn entry(host: u8, role: Role) -> Entry {
+    Entry { id: NodeId::new(address(host), Generation(1)), role, zone: "a".into(), age: 0 }
 }
 
-fn address(last: u8) -> Ipv4Addr {
-    Ipv4Addr::new(10, 0, 0, last)
+fn address(host: u8) -> Ipv4Addr {
+    Ipv4Addr::new(10, 0, 0, host)
 }
 
 fn view(seeds: &[u8]) -> View {
@@ -28,38 +28,38 @@
 fn an_empty_view_contacts_a_seed_at_each_tick() {
     let mut view = view(&[2, 1]);
     for _ in 0..5 {
-        assert_eq!(view.tick().expect("a request").to, address(2));
+        assert_eq!(view.tick().expect("an offer").to, address(2));
     }
 }
 
 #[test]
-fn no_request_is_sent_where_nobody_is_known() {
+fn no_offer_is_sent_without_an_entry_or_a_seed() {
     assert_eq!(view(&[1]).tick(), None);
 }
 
 #[test]
-fn without_a_control_member_seeds_and_others_take_turns() {
+fn seeds_and_others_alternate_without_a_control_plane_member() {
     let mut view = view(&[2]);
     offer(&mut view, entry(3, Role::Agent));
     offer(&mut view, entry(4, Role::Agent));
-    let contacted: Vec<_> = (0..4).map(|_| view.tick().expect("a request").to).collect();
+    let contacted: Vec<_> = (0..4).map(|_| view.tick().expect("an offer").to).collect();
     assert_eq!(contacted[0], address(2));
     assert_ne!(contacted[1], address(2));
     assert_eq!(contacted[2], address(2));
 }
 
 #[test]
-fn an_entry_without_a_reply_is_removed() {
+fn an_unresponsive_process_is_removed() {
     let mut view = view(&[]);
     offer(&mut view, entry(3, Role::Agent));
-    assert_eq!(view.tick().expect("a request").to, address(3));
+    assert_eq!(view.tick().expect("an offer").to, address(3));
     assert_eq!(view.entries().len(), 1);
     assert_eq!(view.tick(), None);
     assert!(view.entries().is_empty());
 }
 
 #[test]
-fn an_entry_that_replies_stays_while_there_is_a_free_slot() {
+fn a_responsive_process_stays_while_there_is_a_free_slot() {
     let mut view = view(&[]);
     offer(&mut view, entry(3, Role::Control));
     view.tick();
@@ -89,29 +89,29 @@
 #[test]
 fn entries_of_the_own_machine_and_old_ones_are_ignored() {
     let mut view = view(&[]);
-    let entries = vec![entry(1, Role::Control), Entry { age: MAX_AGE + 1, ..entry(5, Role::Agent) }];
+    let entries = vec![entry(1, Role::Control), Entry { age: MAX_AGE_TICKS + 1, ..entry(5, Role::Agent) }];
     view.handle(address(3), Shuffle::Offer { from: entry(3, Role::Agent), entries });
     assert_eq!(view.entries(), [entry(3, Role::Agent)]);
 }
 
 #[test]
-fn a_message_for_another_machine_and_a_reply_to_nothing_are_ignored() {
+fn forged_senders_and_unsolicited_responses_are_ignored() {
     let mut view = view(&[]);
     let offer = Shuffle::Offer { from: entry(3, Role::Agent), entries: Vec::new() };
     assert_eq!(view.handle(address(4), offer), None);
-    let reply = Shuffle::Reply { from: entry(3, Role::Agent), entries: vec![entry(5, Role::Agent)] };
-    assert_eq!(view.handle(address(3), reply), None);
+    let response = Shuffle::Reply { from: entry(3, Role::Agent), entries: vec![entry(5, Role::Agent)] };
+    assert_eq!(view.handle(address(3), response), None);
     assert!(view.entries().is_empty());
 }
 
 #[test]
 fn control_members_keep_their_slots_among_many_agents() {
     let mut view = view(&[]);
-    for last in 10..10 + RESERVED_CONTROL_SLOTS as u8 {
-        offer(&mut view, entry(last, Role::Control));
+    for host in 10..10 + RESERVED_CONTROL_SLOTS as u8 {
+        offer(&mut view, entry(host, Role::Control));
     }
-    for last in 100..200 {
-        offer(&mut view, entry(last, Role::Agent));
+    for host in 100..200 {
+        offer(&mut view, entry(host, Role::Agent));
     }
     assert_eq!(view.control_nodes().len(), RESERVED_CONTROL_SLOTS);
     assert_eq!(view.entries().len(), CAPACITY);
