--- a/crates/peer-sampling/tests/socket.rs
+++ b/crates/peer-sampling/tests/socket.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn two_processes_find_each_other_and_malformed_datagrams_are_dropped() {
+fn processes_find_each_other_despite_malformed_datagrams() {
     let executor = LocalExecutor::new();
     async_io::block_on(executor.run(async {
         let port = free_port();
