--- a/crates/prefix-cache-index/src/cache_entry.rs
+++ b/crates/prefix-cache-index/src/cache_entry.rs
@@ -1,14 +1,14 @@
-//! The name of an entry of the index.
+//! The identity of an index entry.
 
 use std::net::SocketAddrV4;
 
 use crate::prefix::PrefixKey;
 
-/// Names one entry of the index: a segment at a source.
+/// Identifies one index entry: a segment cached at a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CacheEntry {
-    /// The source.
+    /// The source that has the segment cached.
     pub source: SocketAddrV4,
-    /// The segment.
+    /// The key of the cached segment.
     pub key: PrefixKey,
 }
--- a/crates/prefix-cache-index/src/cache_listing.rs
+++ b/crates/prefix-cache-index/src/cache_listing.rs
@@ -1,4 +1,4 @@
-//! How far a source was followed, and all that it has cached at such a position.
+//! Positions in a source's event stream, and full listings of what it has cached at a position.
 
 use crate::prefix::CachedPrefix;
 
@@ -7,11 +7,11 @@
 pub struct Cursor {
     /// The source's boot number, which changes with each restart.
     pub boot: u64,
-    /// The token from which its events continue.
+    /// The token at which the source's next event page starts.
     pub next_token: u64,
 }
 
-/// A full listing of what a source has cached.
+/// A full listing of the segments that a source has cached.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheListing {
     /// The position at which the listing was taken.
--- a/crates/prefix-cache-index/src/cache_update.rs
+++ b/crates/prefix-cache-index/src/cache_update.rs
@@ -1,4 +1,4 @@
-//! A change of what one source has cached, as it is delivered to subscribers.
+//! A change to what one source has cached, in the form that is sent to subscribers.
 
 use std::net::SocketAddrV4;
 
@@ -7,38 +7,38 @@
 use crate::cache_listing::{CacheListing, Cursor};
 use crate::prefix::{CachedPrefix, PrefixKey};
 
-/// Whether a source may be fetched from.
+/// Whether cached segments may be fetched from a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Liveness {
-    /// It answers.
+    /// The source responds.
     Alive,
-    /// It does not answer. Its entries are retained, in case it comes back.
+    /// The source does not respond. Its entries are retained in case it recovers.
     Down,
-    /// It is not followed any more, and its entries are dropped.
+    /// The source is no longer followed, and its entries are removed.
     Gone,
 }
 
-/// What has changed at one source. The order and types of the fields are the wire form.
+/// A change at one source. The order and types of the fields define the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CacheUpdate {
     /// The source's address.
     pub source: SocketAddrV4,
     /// The source's boot number, which changes with each restart.
     pub boot: u64,
-    /// The token from which the source's events continue.
+    /// The token at which the source's next event page starts.
     pub next_token: u64,
-    /// Whether the source may be fetched from.
+    /// Whether cached segments may be fetched from the source.
     pub liveness: Liveness,
-    /// The update replaces all earlier entries of the source.
+    /// Whether the update replaces all earlier entries of the source.
     pub replace: bool,
-    /// Segments that are cached now.
+    /// Segments that are now cached, or cached with a different number of tokens.
     pub added: Vec<CachedPrefix>,
-    /// Segments that are not cached any more.
+    /// Segments that are no longer cached.
     pub removed: Vec<PrefixKey>,
 }
 
 impl CacheUpdate {
-    /// A source that is not followed any more.
+    /// An update that removes a source that is no longer followed.
     #[must_use]
     pub fn gone(source: SocketAddrV4) -> CacheUpdate {
         let cursor = Cursor { boot: 0, next_token: 0 };
@@ -59,17 +59,17 @@
         }
     }
 
-    /// A resync: a full listing replaces all earlier entries of a source. The source answered, so it is alive.
+    /// A resync: a full listing replaces all earlier entries of a source. The source responded, so it is alive.
     #[must_use]
     pub fn resync(source: SocketAddrV4, listing: CacheListing) -> CacheUpdate {
         CacheUpdate {
             replace: true,
-            added: listing.prefixes.into_iter().filter(CachedPrefix::is_indexed).collect(),
+            added: listing.prefixes.into_iter().filter(CachedPrefix::is_indexable).collect(),
             ..CacheUpdate::status(source, listing.cursor, Liveness::Alive)
         }
     }
 
-    /// How far the source was followed.
+    /// The position in the source's event stream after the update.
     #[must_use]
     pub fn cursor(&self) -> Cursor {
         Cursor { boot: self.boot, next_token: self.next_token }
--- a/crates/prefix-cache-index/src/change_log.rs
+++ b/crates/prefix-cache-index/src/change_log.rs
@@ -1,4 +1,4 @@
-//! A bounded log of the latest changes of an index.
+//! A bounded log of the latest changes to an index.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -7,9 +7,9 @@
 use crate::cache_update::CacheUpdate;
 use crate::prefix::PrefixKey;
 
-/// Steps that are remembered.
+/// Steps that the log retains.
 const MAX_STEPS: usize = 128;
-/// Changed sources and segments in all remembered steps together.
+/// Changed sources and segments in all retained steps together.
 const MAX_LOGGED_CHANGES: usize = 32_768;
 
 /// The sources, and their segments, that may differ from an earlier state of an index.
@@ -31,18 +31,18 @@
         segments.extend(update.removed.iter().copied());
     }
 
-    /// Adds one entry, as one that was evicted.
+    /// Adds one entry, for example an evicted one.
     pub fn add_entry(&mut self, entry: CacheEntry) {
         self.segments.entry(entry.source).or_default().insert(entry.key);
     }
 
-    /// Sources whose entries were replaced altogether.
+    /// Sources all of whose entries were replaced.
     #[must_use]
     pub fn replaced_sources(&self) -> &BTreeSet<SocketAddrV4> {
         &self.replaced
     }
 
-    /// Sources of which some segments have changed, or their status alone.
+    /// Sources with the segments that have changed; the set is empty where only the status has changed.
     pub fn changed_segments(&self) -> impl Iterator<Item = (SocketAddrV4, &BTreeSet<PrefixKey>)> {
         self.segments.iter().map(|(source, segments)| (*source, segments))
     }
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct ChangeLog<P> {
     steps: VecDeque<Step<P>>,
-    /// Sum of the steps' counts.
+    /// Changed sources and segments in all steps together.
     change_count: usize,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl<P: PartialEq> ChangeLog<P> {
-    /// Appends the step that led on from `base`; the oldest steps beyond the log's capacity are dropped.
+    /// Appends the step that starts at `base`, and drops the oldest steps beyond the log's capacity.
     pub fn record(&mut self, base: P, changed: ChangedKeys) {
         self.change_count += changed.count();
         self.steps.push_back(Step { base, changed });
@@ -90,16 +90,16 @@
         }
     }
 
-    /// Drops all steps, as where those up to the newest state are not known.
+    /// Drops all steps, for use where the steps up to the newest state are unknown.
     pub fn clear(&mut self) {
         *self = ChangeLog::default();
     }
 
-    /// What may have changed since `base`, or `None` if the log does not reach back to it.
+    /// The keys that may have changed since `base`, or `None` if the log does not reach back to it.
     pub fn since(&self, base: &P) -> Option<ChangedKeys> {
-        let first = self.steps.iter().rposition(|step| step.base == *base)?;
+        let start = self.steps.iter().rposition(|step| step.base == *base)?;
         let mut changed = ChangedKeys::default();
-        self.steps.range(first..).for_each(|step| changed.merge(&step.changed));
+        self.steps.range(start..).for_each(|step| changed.merge(&step.changed));
         Some(changed)
     }
 }
--- a/crates/prefix-cache-index/src/event_page.rs
+++ b/crates/prefix-cache-index/src/event_page.rs
@@ -1,4 +1,4 @@
-//! Event pages and full listings of a source, and what a page means for the index.
+//! Event pages of a source, and the index update that results from a page.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -12,9 +12,9 @@
 pub struct EventPage {
     /// The position after the page.
     pub cursor: Cursor,
-    /// Events between the requested position and this page are lost.
+    /// Whether events between the requested position and this page are lost.
     pub gap: bool,
-    /// Each event's segment, with the tokens that are cached of it after the event.
+    /// Each event's segment, with the number of its tokens that are cached after the event.
     pub events: Vec<CachedPrefix>,
 }
 
@@ -25,14 +25,14 @@
     Unchanged,
     /// Entries of the source have changed.
     Update(CacheUpdate),
-    /// The source has restarted: its entries are void, and its events are read from the first one.
+    /// The source has restarted: its entries are invalid, and its events are read again from the first one.
     Restarted(CacheUpdate),
-    /// Events are lost. The update has the entries of this page alone; only a full listing has the others.
+    /// Events are lost. The update has only the entries of this page; the others need a full listing.
     Gap(CacheUpdate),
 }
 
 impl PollOutcome {
-    /// The outcome of a page that was requested at `cursor`; a source without a cursor was not followed before.
+    /// The outcome of a page that was requested at `cursor`, which is `None` if the source was not followed before.
     ///
     /// A source that returns a page is alive.
     #[must_use]
@@ -56,13 +56,13 @@
     CacheUpdate { replace: true, ..CacheUpdate::status(source, cursor, Liveness::Alive) }
 }
 
-/// The update that applies a page; the newest event of each segment counts.
+/// The update that applies a page; only the newest event of each segment is used.
 fn page_update(source: SocketAddrV4, page: &EventPage, replace: bool) -> CacheUpdate {
     let newest: BTreeMap<PrefixKey, u32> =
         page.events.iter().map(|event| (event.key, event.tokens)).collect();
     let newest = newest.into_iter().map(|(key, tokens)| CachedPrefix { key, tokens });
-    let (added, removed): (Vec<_>, Vec<_>) = newest.partition(CachedPrefix::is_indexed);
-    // Where earlier entries are void there is nothing to remove.
+    let (added, removed): (Vec<_>, Vec<_>) = newest.partition(CachedPrefix::is_indexable);
+    // A replacement discards all earlier entries, so there is nothing left to remove.
     let removed = if replace { Vec::new() } else { removed };
     CacheUpdate {
         replace,
--- a/crates/prefix-cache-index/src/index/mod.rs
+++ b/crates/prefix-cache-index/src/index/mod.rs
@@ -15,22 +15,22 @@
 /// The status of a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceStatus {
-    /// How far its events were followed.
+    /// The position up to which the source's events were applied.
     pub cursor: Cursor,
-    /// Whether it may be fetched from.
+    /// Whether cached segments may be fetched from the source.
     pub liveness: Liveness,
 }
 
 /// A source that has cached a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheLocation {
-    /// The source.
+    /// The source that has the segment cached.
     pub source: SocketAddrV4,
-    /// Tokens of the segment that it has cached.
+    /// Tokens of the segment that the source has cached.
     pub tokens: u32,
 }
 
-/// Which source has cached which prefix segment.
+/// An index of which source has cached which prefix segment.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     sources: BTreeMap<SocketAddrV4, SourceStatus>,
@@ -46,7 +46,7 @@
         self.sources.get(&source).copied()
     }
 
-    /// Whether a source may be fetched from.
+    /// Whether cached segments may be fetched from a source.
     #[must_use]
     pub fn is_alive(&self, source: SocketAddrV4) -> bool {
         self.sources.get(&source).is_some_and(|status| status.liveness == Liveness::Alive)
@@ -63,7 +63,7 @@
         self.sources.is_empty()
     }
 
-    /// Entries: pairs of a segment and a source that has cached it.
+    /// The number of entries; an entry is a pair of a segment and a source that has cached it.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entry_count
@@ -97,7 +97,7 @@
         update.added.iter().for_each(|prefix| self.insert(source, *prefix));
     }
 
-    /// Evicts the oldest entries beyond `max_entries`, and returns them.
+    /// Evicts the oldest entries until at most `max_entries` are left, and returns the evicted ones.
     pub fn evict_oldest(&mut self, max_entries: usize) -> Vec<CacheEntry> {
         let mut evicted = Vec::new();
         while self.entry_count > max_entries {
@@ -110,14 +110,14 @@
         evicted
     }
 
-    /// All entries, as updates for a subscriber without any.
+    /// All entries, as updates for a subscriber that has none.
     #[must_use]
     pub fn snapshot(&self) -> Vec<CacheUpdate> {
-        let all = self.sources.keys().copied().collect();
-        self.full_updates(&all)
+        let sources = self.sources.keys().copied().collect();
+        self.full_updates(&sources)
     }
 
-    /// The updates for a subscriber that has missed the changes `changed`.
+    /// The updates for a subscriber that has missed changes to the keys in `changed`.
     #[must_use]
     pub fn updates(&self, changed: &ChangedKeys) -> Vec<CacheUpdate> {
         let replaced = changed.replaced_sources();
@@ -135,7 +135,7 @@
         self.cached_tokens(entry.source, entry.key) > 0
     }
 
-    /// The present state of some segments of a source.
+    /// An update with the current state of some segments of a source.
     fn partial_update(&self, source: SocketAddrV4, keys: &BTreeSet<PrefixKey>) -> CacheUpdate {
         let mut update = self.status_update(source);
         for key in keys {
@@ -149,7 +149,7 @@
 
     /// Updates that replace all entries of these sources.
     fn full_updates(&self, sources: &BTreeSet<SocketAddrV4>) -> Vec<CacheUpdate> {
-        // The scan below visits every entry, so it is skipped where it would find nothing.
+        // The scan below visits every entry, so it is skipped if no source is to be replaced.
         if sources.is_empty() {
             return Vec::new();
         }
--- a/crates/prefix-cache-index/src/prefix.rs
+++ b/crates/prefix-cache-index/src/prefix.rs
@@ -1,4 +1,4 @@
-//! Keys of prefix segments, and how much of a segment is cached.
+//! Keys of prefix segments, and the number of cached tokens of a segment.
 
 use musli::de::Decoder;
 use musli::en::Encoder;
@@ -7,13 +7,13 @@
 
 use crate::MIN_CACHED_TOKENS;
 
-/// The XXH3 hash of a prefix segment's id, the same on all machines.
+/// The XXH3 hash of a prefix segment's id, which is the same on all machines.
 #[must_use]
 pub fn prefix_hash(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
-/// The XXH3 hash of a cache salt and a prefix segment's id, the same on all machines.
+/// The XXH3 hash of a cache salt and a prefix segment's id, which is the same on all machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[musli(transparent)]
 pub struct PrefixKey(pub u64);
@@ -32,25 +32,25 @@
     }
 }
 
-/// A prefix segment and how much of it a source has cached.
+/// A prefix segment, and the number of its tokens that a source has cached.
 ///
 /// On the wire it is the pair `(key, tokens)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CachedPrefix {
-    /// The segment.
+    /// The key of the segment.
     pub key: PrefixKey,
-    /// Tokens that are cached, counted from the segment's first one.
+    /// Cached tokens, counted from the start of the segment.
     pub tokens: u32,
 }
 
 impl CachedPrefix {
     /// Whether enough tokens are cached for the segment to be indexed.
-    pub(crate) fn is_indexed(&self) -> bool {
+    pub(crate) fn is_indexable(&self) -> bool {
         self.tokens >= MIN_CACHED_TOKENS
     }
 }
 
-// A derived implementation would tag the fields, which the wire form of earlier versions does not.
+// A derived implementation would tag the fields, but the wire format of earlier versions has no tags.
 impl<M> Encode<M> for CachedPrefix
 where
     PrefixKey: Encode<M>,
--- a/crates/prefix-cache-index/tests/index.rs
+++ b/crates/prefix-cache-index/tests/index.rs
@@ -1,5 +1,6 @@
-//! The index against a model: whatever sources do, and whether their events arrive late, twice or never, the index has
-//! what was applied to it, a subscriber has what its publisher has, and salts are kept apart.
+//! Tests of the index, of event pages and of the change log. Randomized tests compare the index with simulated sources:
+//! although sources restart, and events arrive late, twice or never, the index converges to what the sources have
+//! cached, a subscriber has the same entries as its publisher, and entries of one salt are not found under another.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -27,7 +28,7 @@
     CacheEntry { source: address(source), key: key(segment) }
 }
 
-/// Address and cached tokens of each location of a segment, in order.
+/// The address and cached tokens of each location of a segment, sorted.
 fn locations(index: &Index, key: PrefixKey) -> Vec<(SocketAddrV4, u32)> {
     let mut locations: Vec<_> =
         index.locations(key).map(|location| (location.source, location.tokens)).collect();
@@ -51,7 +52,7 @@
 
 #[test]
 fn keys_are_the_same_on_all_machines() {
-    assert_eq!(prefix_hash(""), 0x2D06_8005_38D3_94C2, "the published value of XXH3 for nothing");
+    assert_eq!(prefix_hash(""), 0x2D06_8005_38D3_94C2, "the published XXH3 value of an empty input");
     assert_eq!(prefix_hash("5c1e07a2"), 0xBA82_743B_1896_2CE7);
     assert_eq!(PrefixKey::new("m1", "5c1e07a2"), PrefixKey(0xD25F_B8CA_0C46_FF19));
     assert_eq!(PrefixKey::salted("m1", prefix_hash("5c1e07a2")), PrefixKey::new("m1", "5c1e07a2"));
@@ -66,13 +67,13 @@
     assert_eq!(keys.len(), salts.len() * segments.len());
 }
 
-// ---- wire form --------------------------------------------------------------------------------------------
+// ---- wire format ------------------------------------------------------------------------------------------
 
 #[test]
 fn a_cached_prefix_has_the_bytes_of_a_pair() {
     let prefix = CachedPrefix { key: PrefixKey(0xD25F_B8CA_0C46_FF19), tokens: 800 };
-    let bytes = musli::wire::to_vec(&vec![prefix]).expect("it can be encoded");
-    let pair = musli::wire::to_vec(&vec![(prefix.key.0, prefix.tokens)]).expect("it can be encoded");
+    let bytes = musli::wire::to_vec(&vec![prefix]).expect("a cached prefix can be encoded");
+    let pair = musli::wire::to_vec(&vec![(prefix.key.0, prefix.tokens)]).expect("a pair can be encoded");
     assert_eq!(bytes, pair);
     let decoded: Vec<CachedPrefix> = musli::wire::from_slice(&pair).expect("a pair can be decoded");
     assert_eq!(decoded, [prefix]);
@@ -89,7 +90,7 @@
     };
     let cursor = Some(Cursor { boot: 7, next_token: 0 });
     let PollOutcome::Update(update) = PollOutcome::of_page(address(1), cursor, &page) else {
-        panic!("an update")
+        panic!("the outcome is not an update")
     };
     assert!(!update.replace);
     assert_eq!(update.added, [cached(1, 512)]);
@@ -103,7 +104,7 @@
     let cursor = Cursor { boot: 1, next_token: 1 };
     let page = EventPage { cursor, gap: false, events: vec![cached(1, tokens)] };
     let PollOutcome::Update(update) = PollOutcome::of_page(address(1), None, &page) else {
-        panic!("an update")
+        panic!("the outcome is not an update")
     };
     assert_eq!(!update.added.is_empty(), indexed);
     let listing = CacheListing { cursor, prefixes: vec![cached(1, tokens)] };
@@ -123,7 +124,7 @@
     let page =
         EventPage { cursor: Cursor { boot: 8, next_token: 2 }, gap: false, events: vec![cached(1, 800)] };
     let PollOutcome::Restarted(update) = PollOutcome::of_page(address(1), cursor, &page) else {
-        panic!("a restart")
+        panic!("the outcome is not a restart")
     };
     assert!(update.replace && update.added.is_empty());
     assert_eq!((update.boot, update.next_token), (8, 0));
@@ -134,7 +135,9 @@
     let cursor = Some(Cursor { boot: 7, next_token: 4 });
     let page =
         EventPage { cursor: Cursor { boot: 7, next_token: 90 }, gap: true, events: vec![cached(1, 800)] };
-    let PollOutcome::Gap(update) = PollOutcome::of_page(address(1), cursor, &page) else { panic!("a gap") };
+    let PollOutcome::Gap(update) = PollOutcome::of_page(address(1), cursor, &page) else {
+        panic!("the outcome is not a gap")
+    };
     assert!(update.replace);
     assert_eq!((update.added, update.next_token), (vec![cached(1, 800)], 90));
 }
@@ -184,22 +187,22 @@
     assert_eq!(index.evict_oldest(7), []);
 }
 
-// ---- random histories -------------------------------------------------------------------------------------
+// ---- randomized tests -------------------------------------------------------------------------------------
 
 const SOURCES: u8 = 4;
 const SEGMENTS: u64 = 40;
 
-/// The true state of a source: what it has cached, and the events that it has published.
+/// A simulated source: what it has cached, and the events that it has published.
 #[derive(Clone, Default)]
-struct TrueSource {
+struct SimulatedSource {
     boot: u64,
     cached: BTreeMap<PrefixKey, u32>,
     events: Vec<CachedPrefix>,
-    /// Events before this one are lost.
+    /// The index of the first event that is not lost.
     first_retained: usize,
 }
 
-impl TrueSource {
+impl SimulatedSource {
     fn change(&mut self, random: &mut Rng) {
         let key = key(random.u64(..SEGMENTS));
         let tokens = if random.u8(..3) == 0 { 0 } else { MIN_CACHED_TOKENS + random.u32(..4_000) };
@@ -211,7 +214,7 @@
     }
 
     fn restart(&mut self) {
-        *self = TrueSource { boot: self.boot + 1, ..TrueSource::default() };
+        *self = SimulatedSource { boot: self.boot + 1, ..SimulatedSource::default() };
     }
 
     fn end(&self) -> Cursor {
@@ -234,7 +237,7 @@
     }
 }
 
-/// Follows the sources, and logs the steps that lead subscribers to the same state.
+/// Applies the events of the sources to an index, and logs the changes for subscribers.
 #[derive(Clone, Default)]
 struct Publisher {
     index: Index,
@@ -251,16 +254,16 @@
         self.position += 1;
     }
 
-    fn poll(&mut self, source: SocketAddrV4, truth: &TrueSource) {
+    fn poll(&mut self, source: SocketAddrV4, simulated: &SimulatedSource) {
         let cursor = self.index.status(source).map(|status| status.cursor);
-        let page = truth.page(cursor.map_or(0, |cursor| cursor.next_token));
+        let page = simulated.page(cursor.map_or(0, |cursor| cursor.next_token));
         match PollOutcome::of_page(source, cursor, &page) {
             PollOutcome::Unchanged => {}
             PollOutcome::Update(update) => self.apply(&update),
-            PollOutcome::Gap(_) => self.apply(&CacheUpdate::resync(source, truth.listing())),
+            PollOutcome::Gap(_) => self.apply(&CacheUpdate::resync(source, simulated.listing())),
             PollOutcome::Restarted(update) => {
                 self.apply(&update);
-                self.poll(source, truth);
+                self.poll(source, simulated);
             }
         }
     }
@@ -290,30 +293,30 @@
 #[rstest]
 fn a_subscriber_converges_to_what_the_sources_have_cached(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut random = Rng::with_seed(seed);
-    let mut truths = vec![TrueSource::default(); usize::from(SOURCES)];
+    let mut sources = vec![SimulatedSource::default(); usize::from(SOURCES)];
     let (mut publisher, mut subscriber) = (Publisher::default(), Subscriber::default());
     for _ in 0..4_000 {
         let number = random.u8(..SOURCES);
-        let truth = &mut truths[usize::from(number)];
+        let source = &mut sources[usize::from(number)];
         match random.u8(..100) {
-            0 => truth.restart(),
-            1 => truth.first_retained = truth.events.len(),
+            0 => source.restart(),
+            1 => source.first_retained = source.events.len(),
             2 => publisher.apply(&CacheUpdate::gone(address(number))),
-            3..20 => publisher.poll(address(number), truth),
+            3..20 => publisher.poll(address(number), source),
             20..30 => subscriber.catch_up(&publisher),
-            _ => truth.change(&mut random),
+            _ => source.change(&mut random),
         }
         assert!(publisher.index.len() <= usize::from(SOURCES) * SEGMENTS as usize);
     }
-    for (number, truth) in truths.iter().enumerate() {
-        publisher.poll(address(number as u8), truth);
+    for (number, source) in sources.iter().enumerate() {
+        publisher.poll(address(number as u8), source);
     }
     subscriber.catch_up(&publisher);
     assert_eq!(subscriber.index.snapshot(), publisher.index.snapshot());
     assert_eq!(subscriber.index.len(), publisher.index.len());
-    for (number, truth) in truths.iter().enumerate() {
+    for (number, source) in sources.iter().enumerate() {
         for segment in 0..SEGMENTS {
-            let cached = truth.cached.get(&key(segment)).copied().unwrap_or(0);
+            let cached = source.cached.get(&key(segment)).copied().unwrap_or(0);
             assert_eq!(subscriber.index.cached_tokens(address(number as u8), key(segment)), cached);
             let other = PrefixKey::new("m2", &format!("{segment:x}"));
             assert_eq!(subscriber.index.cached_tokens(address(number as u8), other), 0, "another salt");
@@ -324,16 +327,16 @@
 #[rstest]
 fn a_successor_continues_from_its_replica_of_the_index(#[values(1, 2, 3, 4)] seed: u64) {
     let mut random = Rng::with_seed(seed);
-    let mut truth = TrueSource::default();
+    let mut source = SimulatedSource::default();
     let (mut publisher, mut replica) = (Publisher::default(), Subscriber::default());
     for _ in 0..200 {
-        truth.change(&mut random);
-        publisher.poll(address(1), &truth);
+        source.change(&mut random);
+        publisher.poll(address(1), &source);
         if random.u8(..4) == 0 {
             replica.catch_up(&publisher);
         }
     }
     let mut successor = Publisher { index: replica.index, ..Publisher::default() };
-    successor.poll(address(1), &truth);
+    successor.poll(address(1), &source);
     assert_eq!(successor.index.snapshot(), publisher.index.snapshot());
 }
