--- a/crates/write-ahead-log/src/directory.rs
+++ b/crates/write-ahead-log/src/directory.rs
@@ -1,4 +1,4 @@
-//! The operations on files that a log needs, so that tests can stand in for the file system.
+//! The file operations that a log needs, as traits that tests implement in memory.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
@@ -9,78 +9,78 @@
 
 /// An open file.
 pub trait DirectoryFile: fmt::Debug {
-    /// Writes all bytes from an offset on.
+    /// Writes all bytes at an offset.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Sets the length in bytes.
+    /// Truncates or extends the file to a length in bytes.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
-    /// Returns when all that was written is durable.
+    /// Syncs the content to disk: all earlier writes are durable on return.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn sync(&mut self) -> io::Result<()>;
 }
 
 /// A directory of files.
 pub trait Directory {
-    /// Its open files.
+    /// The type of an open file.
     type File: DirectoryFile;
 
-    /// The names of all files.
+    /// Lists the names of all files.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// A file's length in bytes.
+    /// The length of a file in bytes.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn length(&self, name: &str) -> io::Result<u64>;
-    /// A file's content.
+    /// Reads the content of a file.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Creates an empty file; one of that name is emptied.
+    /// Creates an empty file, or truncates an existing one.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn create_file(&self, name: &str) -> io::Result<Self::File>;
     /// Opens a file for writing.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn open_file(&self, name: &str) -> io::Result<Self::File>;
-    /// Renames a file, in the place of another one of the new name.
+    /// Renames a file and replaces any existing file of the new name.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Returns when renames and removals are durable.
+    /// Syncs the directory to disk: all earlier creations, renames and removals are durable on return.
     ///
     /// # Errors
     ///
-    /// If the file system refuses.
+    /// If the I/O operation fails.
     fn sync(&self) -> io::Result<()>;
 }
 
@@ -91,11 +91,11 @@
 }
 
 impl FileSystemDirectory {
-    /// Creates the directory if it is not there.
+    /// Creates the directory if it does not exist.
     ///
     /// # Errors
     ///
-    /// If it is not there and can't be created.
+    /// If the directory does not exist and can't be created.
     pub fn create(path: &Path) -> Result<Self, WriteAheadLogError> {
         fs::create_dir_all(path).during(Operation::Create, &path.to_string_lossy())?;
         Ok(FileSystemDirectory { path: path.to_owned() })
--- a/crates/write-ahead-log/src/error.rs
+++ b/crates/write-ahead-log/src/error.rs
@@ -5,7 +5,7 @@
 
 use snafu::Snafu;
 
-/// An operation on the file system that can fail.
+/// A file system operation that can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// A file or directory is created.
@@ -24,7 +24,7 @@
     Truncate,
     /// The content of a file is made durable.
     Sync,
-    /// The names in the directory of a file are made durable.
+    /// The directory entry of a file is made durable.
     SyncDirectory,
     /// A file is renamed.
     Rename,
@@ -47,31 +47,31 @@
     }
 }
 
-/// Why the log could not be opened, or a write did not succeed.
+/// The reason why opening the log or writing to it failed.
 #[derive(Debug, Snafu)]
 pub enum WriteAheadLogError {
-    /// The file system refused an operation.
+    /// A file system operation failed.
     #[snafu(display("cannot {operation} {file}"))]
     Io {
         /// The operation.
         operation: Operation,
         /// The file.
         file: String,
-        /// The error of the file system.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// A file with a name of the log is not one of its files.
+    /// A file has the name of a log file but another magic number.
     #[snafu(display("{file} is not a file of a log"))]
     Foreign {
         /// The file.
         file: String,
     },
-    /// A file is of another version of the format.
-    #[snafu(display("{file} has the unknown version {version}"))]
+    /// A file has an unknown format version.
+    #[snafu(display("{file} has the unknown format version {version}"))]
     UnknownVersion {
         /// The file.
         file: String,
-        /// Its version.
+        /// The version in the header.
         version: u32,
     },
     /// A file is corrupt in a way that an interrupted write does not explain.
@@ -79,26 +79,26 @@
     Corrupt {
         /// The file.
         file: String,
-        /// The offset of the first byte that can't be read.
+        /// The offset of the first byte that can't be decoded.
         offset: u64,
     },
-    /// A file that has to be there is not.
+    /// A required file does not exist.
     #[snafu(display("{file} is missing"))]
     Missing {
         /// The file.
         file: String,
     },
-    /// A record or snapshot is too long for the format, which has 32 bits for a length.
-    #[snafu(display("{length} bytes are too many for one write"))]
+    /// A record, a frame or a snapshot exceeds the 32-bit length field of the format.
+    #[snafu(display("{length} bytes exceed the 32-bit length field of the log format"))]
     TooLong {
-        /// Its length in bytes.
+        /// The length in bytes.
         length: usize,
     },
 }
 
-/// Adds the operation and the file to an error of the file system.
+/// Adds the operation and the file name to an I/O error.
 pub(crate) trait IoContext<T> {
-    /// Says which operation on which file has failed.
+    /// Converts an I/O error of `operation` on `file`.
     fn during(self, operation: Operation, file: &str) -> Result<T, WriteAheadLogError>;
 }
 
--- a/crates/write-ahead-log/src/format.rs
+++ b/crates/write-ahead-log/src/format.rs
@@ -1,8 +1,8 @@
-//! The format of the files.
+//! The file format.
 //!
-//! Each file starts with a header: a magic number and a version. A segment then holds frames, one for each append: a
-//! marker, the length of the payload, its checksum (CRC-32 of length and payload), and the payload, which is records
-//! with their lengths. A snapshot holds one frame whose payload is the snapshot itself. All numbers are
+//! Each file starts with a header: a magic number and a version. A segment then holds one frame per append: a
+//! marker, the length of the payload, its checksum (CRC-32 of length and payload), and the payload, a sequence of
+//! length-prefixed records. A snapshot holds one frame whose payload is the snapshot itself. All numbers are
 //! little-endian.
 
 use super::error::WriteAheadLogError;
@@ -11,19 +11,19 @@
 const SEGMENT_MAGIC: [u8; 4] = *b"TLOG";
 const SNAPSHOT_MAGIC: [u8; 4] = *b"TSNP";
 const FRAME_MARKER: [u8; 4] = [0xf5, 0x4c, 0x42, 0xfa];
-/// Bytes of an encoded number.
-const NUMBER_BYTES: usize = 4;
-const FRAME_HEADER_BYTES: usize = FRAME_MARKER.len() + 2 * NUMBER_BYTES;
-/// The fewest digits of a number in a file's name.
+/// Bytes of an encoded `u32`.
+const U32_BYTES: usize = 4;
+const FRAME_HEADER_BYTES: usize = FRAME_MARKER.len() + 2 * U32_BYTES;
+/// Minimum digits of the number in a file name, which is padded with zeros.
 const MIN_NAME_DIGITS: usize = 6;
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// Bytes of a file's header.
-pub(crate) const HEADER_BYTES: usize = SEGMENT_MAGIC.len() + NUMBER_BYTES;
+/// Bytes of a file header.
+pub(crate) const HEADER_BYTES: usize = SEGMENT_MAGIC.len() + U32_BYTES;
 /// The offset of the first frame of a file.
 pub(crate) const FIRST_FRAME_OFFSET: u64 = HEADER_BYTES as u64;
 
-/// The number of a segment. A snapshot has the number of the first segment that it does not stand for.
+/// The number of a segment. A snapshot has the number of the first segment that it does not replace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SegmentNumber(u64);
 
@@ -61,30 +61,30 @@
         }
     }
 
-    /// The name of the file of this kind with a number.
+    /// The name of the file of this kind with the given number.
     pub(crate) fn file_name(self, number: SegmentNumber) -> String {
         format!("{}{:0MIN_NAME_DIGITS$}", self.name_prefix(), number.0)
     }
 
-    /// The number in the name of a file of this kind; none if the name is not of this kind.
-    pub(crate) fn number_in(self, name: &str) -> Option<SegmentNumber> {
+    /// Parses the number from the name of a file of this kind; `None` for any other name.
+    pub(crate) fn parse_file_name(self, name: &str) -> Option<SegmentNumber> {
         let digits = name.strip_prefix(self.name_prefix())?;
         let is_number = digits.len() >= MIN_NAME_DIGITS && digits.bytes().all(|byte| byte.is_ascii_digit());
         if is_number { digits.parse().ok().map(SegmentNumber) } else { None }
     }
 
-    /// A file's header.
+    /// Encodes the file header.
     pub(crate) fn encode_header(self) -> Vec<u8> {
         let mut header = self.magic().to_vec();
         header.extend(VERSION.to_le_bytes());
         header
     }
 
-    /// Checks the header of the file `name`, as far as it is there.
+    /// Checks the header of the file `name`, or the part of it that is present.
     ///
     /// # Errors
     ///
-    /// If the magic number is another one, or the version is unknown.
+    /// If the magic number does not match, or the version is unknown.
     pub(crate) fn check_header(
         self,
         name: &str,
@@ -95,7 +95,7 @@
         if content[..length] != expected[..length] {
             return Err(WriteAheadLogError::Foreign { file: name.to_owned() });
         }
-        match decode_number(content, expected.len()) {
+        match decode_u32(content, expected.len()) {
             Some(VERSION) => Ok(HeaderExtent::Complete),
             Some(version) => Err(WriteAheadLogError::UnknownVersion { file: name.to_owned(), version }),
             None => Ok(HeaderExtent::Truncated),
@@ -103,37 +103,37 @@
     }
 }
 
-/// How much of a file's header is there.
+/// How much of a file header is present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeaderExtent {
-    /// All of it.
+    /// The full header.
     Complete,
-    /// The file ends before its header does.
+    /// The file ends within the header.
     Truncated,
 }
 
-/// The name of a file until it is complete.
+/// The name that a file has until it is complete and synced.
 pub(crate) fn temporary_name(name: &str) -> String {
     format!("{name}{TEMPORARY_SUFFIX}")
 }
 
-/// The number in the name of a segment or a snapshot.
-pub(crate) fn number_in_name(name: &str) -> Option<SegmentNumber> {
-    FileKind::Segment.number_in(name).or_else(|| FileKind::Snapshot.number_in(name))
+/// Parses the number from the name of a segment or a snapshot.
+pub(crate) fn parse_file_name(name: &str) -> Option<SegmentNumber> {
+    FileKind::Segment.parse_file_name(name).or_else(|| FileKind::Snapshot.parse_file_name(name))
 }
 
-/// Whether a file is one of the log's that was not complete when its process ended.
+/// Whether a name is that of a temporary file, left behind when a process ended before the rename.
 pub(crate) fn is_temporary_name(name: &str) -> bool {
-    name.strip_suffix(TEMPORARY_SUFFIX).is_some_and(|name| number_in_name(name).is_some())
+    name.strip_suffix(TEMPORARY_SUFFIX).is_some_and(|name| parse_file_name(name).is_some())
 }
 
-/// Whether a file belongs to the log by its name, complete or not.
-pub(crate) fn is_log_name(name: &str) -> bool {
-    number_in_name(name).is_some() || is_temporary_name(name)
+/// Whether a name is that of a segment, a snapshot or a temporary file.
+pub(crate) fn is_log_file_name(name: &str) -> bool {
+    parse_file_name(name).is_some() || is_temporary_name(name)
 }
 
-fn decode_number(content: &[u8], offset: usize) -> Option<u32> {
-    let bytes = content.get(offset..offset.checked_add(NUMBER_BYTES)?)?;
+fn decode_u32(content: &[u8], offset: usize) -> Option<u32> {
+    let bytes = content.get(offset..offset.checked_add(U32_BYTES)?)?;
     Some(u32::from_le_bytes(bytes.try_into().ok()?))
 }
 
@@ -158,13 +158,13 @@
     Ok(frame)
 }
 
-/// The frame of an append.
+/// Encodes the records of one append as a frame.
 ///
 /// # Errors
 ///
-/// If a record, or all of them together, are too long.
+/// If a record or the whole payload is too long.
 pub(crate) fn encode_records(records: &[&[u8]]) -> Result<Vec<u8>, WriteAheadLogError> {
-    let capacity = records.iter().map(|record| NUMBER_BYTES + record.len()).sum();
+    let capacity = records.iter().map(|record| U32_BYTES + record.len()).sum();
     let mut payload = Vec::with_capacity(capacity);
     for record in records {
         payload.extend(checked_length(record.len())?.to_le_bytes());
@@ -173,7 +173,7 @@
     encode_frame(&payload)
 }
 
-/// The content of a snapshot's file.
+/// Encodes the content of a snapshot file.
 ///
 /// # Errors
 ///
@@ -187,18 +187,18 @@
 /// A frame with a valid checksum.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Frame<'a> {
-    /// What was written.
+    /// The encoded records, or the bytes of the snapshot.
     pub(crate) payload: &'a [u8],
-    /// The offset after the frame in its file.
+    /// The offset in the file at which the frame ends.
     pub(crate) end: usize,
 }
 
-/// The frame at an offset; none if it is incomplete or its checksum is another one.
+/// Decodes the frame at an offset; `None` if the frame is incomplete or its marker or checksum does not match.
 pub(crate) fn decode_frame(content: &[u8], offset: usize) -> Option<Frame<'_>> {
     let length_offset = offset.checked_add(FRAME_MARKER.len())?;
     let marker = content.get(offset..length_offset)?;
-    let length = decode_number(content, length_offset)?;
-    let expected_checksum = decode_number(content, length_offset + NUMBER_BYTES)?;
+    let length = decode_u32(content, length_offset)?;
+    let expected_checksum = decode_u32(content, length_offset + U32_BYTES)?;
     let start = offset + FRAME_HEADER_BYTES;
     let end = start.checked_add(usize::try_from(length).ok()?)?;
     let payload = content.get(start..end)?;
@@ -206,7 +206,7 @@
     is_valid.then_some(Frame { payload, end })
 }
 
-/// Whether a valid frame starts anywhere after an offset.
+/// Whether a valid frame starts at any position after an offset.
 pub(crate) fn has_frame_after(content: &[u8], offset: usize) -> bool {
     let starts = offset + 1..content.len();
     starts
@@ -215,13 +215,13 @@
         .any(|start| decode_frame(content, start).is_some())
 }
 
-/// The records in the payload of a frame; none if their lengths do not fit.
+/// Decodes the records in the payload of a frame; `None` if a length prefix exceeds the payload.
 pub(crate) fn decode_records(payload: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     let mut offset = 0;
     while offset < payload.len() {
-        let length = usize::try_from(decode_number(payload, offset)?).ok()?;
-        let start = offset + NUMBER_BYTES;
+        let length = usize::try_from(decode_u32(payload, offset)?).ok()?;
+        let start = offset + U32_BYTES;
         offset = start.checked_add(length)?;
         records.push(payload.get(start..offset)?.to_vec());
     }
--- a/crates/write-ahead-log/src/lib.rs
+++ b/crates/write-ahead-log/src/lib.rs
@@ -1,12 +1,12 @@
-//! A write-ahead log in segments with checksums, and snapshots beside it.
+//! A segmented write-ahead log with checksums and snapshots.
 //!
 //! A directory holds segments (`log-000001`, …) and at most a few snapshots. The snapshot `snapshot-000007`
-//! stands for all records before `log-000007`. Recovery reads the newest valid snapshot and the records of the
+//! replaces all records before `log-000007`. Recovery reads the newest valid snapshot and the records of the
 //! segments from its number on. A write that is incomplete at the end of the last segment (a torn tail) is truncated;
-//! any other damage is refused and left as it is. All that was recovered is durable when the open log is handed out,
-//! also where the process before was killed between a write and its sync.
+//! any other corruption is an error and changes no file. All recovered data is durable when the log is handed out,
+//! even if the previous process was killed between a write and its sync.
 //!
-//! All calls block on the disk.
+//! All calls block on disk I/O.
 //!
 //! ```
 //! use tulipridge_write_ahead_log::{OpenedLog, WriteAheadLog};
--- a/crates/write-ahead-log/src/recovery.rs
+++ b/crates/write-ahead-log/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: what is read from a directory when a log is opened. It writes nothing.
+//! Recovery: reads the content of a directory when a log is opened. No file is changed.
 
 use super::directory::Directory;
 use super::error::{IoContext, Operation, WriteAheadLogError};
@@ -6,7 +6,7 @@
 use super::segment::{self, SegmentStage};
 use super::snapshot::{self, SnapshotContent};
 
-/// What was read on open.
+/// The content recovered when a log is opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The newest snapshot.
@@ -15,41 +15,42 @@
     pub records: Vec<Vec<u8>>,
 }
 
-/// What a directory holds.
+/// The content of a directory.
 #[derive(Debug)]
 pub(crate) struct DirectoryContent {
-    /// Snapshot and records.
+    /// The snapshot and the records after it.
     pub(crate) recovered: Recovered,
     /// The number of the snapshot, if there is one.
     pub(crate) snapshot_number: Option<SegmentNumber>,
     /// The segment to append to.
     pub(crate) active_segment: SegmentNumber,
-    /// The length in bytes up to which that segment is complete; none if it has to be created.
+    /// Bytes up to the end of the last complete frame of that segment; `None` if the segment must be created.
     pub(crate) active_length: Option<u64>,
 }
 
 /// Reads the newest valid snapshot and the records after it.
 ///
-/// A corrupt snapshot is passed over while an older one is there, and with it the segments that it needs.
+/// A corrupt snapshot is skipped if an older one exists. Recovery then also needs the segments after the older one.
 ///
 /// # Errors
 ///
-/// If a file can't be read, is not of this format, or is corrupt in a way that an interrupted write does not explain.
+/// If a file can't be read, has another format, or is corrupt in a way that an interrupted write does not explain.
 pub(crate) fn recover<D: Directory>(directory: &D) -> Result<DirectoryContent, WriteAheadLogError> {
     let names = directory.list().during(Operation::List, "the directory")?;
-    let segments = numbers_of(FileKind::Segment, &names);
-    let snapshot = read_newest_snapshot(directory, &numbers_of(FileKind::Snapshot, &names))?;
+    let segments = sorted_numbers(FileKind::Segment, &names);
+    let snapshot = read_newest_snapshot(directory, &sorted_numbers(FileKind::Snapshot, &names))?;
     read_segments(directory, &segments, snapshot)
 }
 
-fn numbers_of(kind: FileKind, names: &[String]) -> Vec<SegmentNumber> {
-    let mut numbers: Vec<SegmentNumber> = names.iter().filter_map(|name| kind.number_in(name)).collect();
+fn sorted_numbers(kind: FileKind, names: &[String]) -> Vec<SegmentNumber> {
+    let mut numbers: Vec<SegmentNumber> =
+        names.iter().filter_map(|name| kind.parse_file_name(name)).collect();
     numbers.sort_unstable();
     numbers
 }
 
-/// Reads the newest valid snapshot; none if there is no snapshot. If none of several is valid, the error is that of
-/// the newest one.
+/// Reads the newest valid snapshot; `None` if no snapshot exists. If all snapshots are corrupt, the error is that of
+/// the newest.
 fn read_newest_snapshot<D: Directory>(
     directory: &D,
     numbers: &[SegmentNumber],
@@ -76,11 +77,11 @@
     let snapshot_number = snapshot.as_ref().map(|snapshot| snapshot.number);
     let first = snapshot_number.unwrap_or(SegmentNumber::FIRST);
     let needed: Vec<SegmentNumber> = segments.iter().copied().filter(|number| *number >= first).collect();
-    check_contiguous(&needed, first)?;
+    check_no_gap(&needed, first)?;
     if needed.is_empty() && snapshot.is_some() {
-        return Err(missing(first));
+        return Err(missing_segment(first));
     }
-    let used = without_empty_tail(directory, &needed)?;
+    let used = trim_empty_segments(directory, &needed)?;
     let mut content = DirectoryContent {
         recovered: Recovered { snapshot: snapshot.map(|snapshot| snapshot.bytes), records: Vec::new() },
         snapshot_number,
@@ -98,23 +99,23 @@
     Ok(content)
 }
 
-fn check_contiguous(numbers: &[SegmentNumber], first: SegmentNumber) -> Result<(), WriteAheadLogError> {
+fn check_no_gap(numbers: &[SegmentNumber], first: SegmentNumber) -> Result<(), WriteAheadLogError> {
     let mut expected = first;
     for number in numbers {
         if *number != expected {
-            return Err(missing(expected));
+            return Err(missing_segment(expected));
         }
         expected = expected.next();
     }
     Ok(())
 }
 
-fn missing(segment: SegmentNumber) -> WriteAheadLogError {
+fn missing_segment(segment: SegmentNumber) -> WriteAheadLogError {
     WriteAheadLogError::Missing { file: FileKind::Segment.file_name(segment) }
 }
 
-/// The segments without those at the end that hold no record yet: a process may have ended while it created one.
-fn without_empty_tail<'a, D: Directory>(
+/// Drops empty segments at the end: a process may have ended while it created a segment.
+fn trim_empty_segments<'a, D: Directory>(
     directory: &D,
     mut numbers: &'a [SegmentNumber],
 ) -> Result<&'a [SegmentNumber], WriteAheadLogError> {
--- a/crates/write-ahead-log/src/retention.rs
+++ b/crates/write-ahead-log/src/retention.rs
@@ -1,10 +1,10 @@
-//! Which files of a log are kept.
+//! Removal of obsolete files and disk usage.
 
 use super::directory::Directory;
 use super::format::{self, SegmentNumber};
 
-/// Removes segments and snapshots before a number, and temporary files. What can't be removed stays until the next
-/// call: it is not read as long as a newer snapshot is there.
+/// Removes segments and snapshots before a number, and temporary files. If a removal fails, the next call tries it
+/// again; until then recovery ignores the file as long as a newer valid snapshot exists.
 pub(crate) fn remove_obsolete_files<D: Directory>(directory: &D, first_kept: SegmentNumber) {
     let names = directory.list().unwrap_or_default();
     for name in names.iter().filter(|name| is_obsolete(name, first_kept)) {
@@ -18,13 +18,13 @@
 }
 
 fn is_obsolete(name: &str, first_kept: SegmentNumber) -> bool {
-    let is_outdated = format::number_in_name(name).is_some_and(|number| number < first_kept);
+    let is_outdated = format::parse_file_name(name).is_some_and(|number| number < first_kept);
     is_outdated || format::is_temporary_name(name)
 }
 
-/// Bytes in all files of the log but one; files that can't be measured don't count.
+/// Total bytes of all files of the log except one; files whose length can't be read are not counted.
 pub(crate) fn bytes_except<D: Directory>(directory: &D, excluded: &str) -> u64 {
     let names = directory.list().unwrap_or_default();
-    let others = names.iter().filter(|name| format::is_log_name(name) && **name != excluded);
+    let others = names.iter().filter(|name| format::is_log_file_name(name) && **name != excluded);
     others.filter_map(|name| directory.length(name).ok()).sum()
 }
--- a/crates/write-ahead-log/src/segment.rs
+++ b/crates/write-ahead-log/src/segment.rs
@@ -1,4 +1,4 @@
-//! Segments: files that records are appended to.
+//! Segments: the files that records are appended to.
 
 use super::directory::{Directory, DirectoryFile};
 use super::error::{IoContext, Operation, WriteAheadLogError};
@@ -9,14 +9,14 @@
 pub(crate) struct Segment<F: DirectoryFile> {
     file: F,
     number: SegmentNumber,
-    /// Length in bytes up to which the segment is complete and durable.
+    /// Bytes of the complete and durable prefix.
     length: u64,
-    /// A failed append may have left bytes after that length.
+    /// Set while a failed append may have left bytes after `length`.
     may_have_torn_tail: bool,
 }
 
 impl<F: DirectoryFile> Segment<F> {
-    /// Creates a segment without records, which is durable on return.
+    /// Creates an empty segment, which is durable on return.
     pub(crate) fn create<D: Directory<File = F>>(
         directory: &D,
         number: SegmentNumber,
@@ -29,8 +29,8 @@
         Ok(Segment { file, number, length: FIRST_FRAME_OFFSET, may_have_torn_tail: false })
     }
 
-    /// Opens a segment that is complete up to `length` for more records, and truncates what follows. What it holds
-    /// is durable on return: the process that wrote it may have been killed before it had synced it.
+    /// Opens a segment for appends and truncates it to `length`, the end of its last complete frame. The content is
+    /// synced because the process that wrote it may have been killed before its own sync.
     pub(crate) fn reopen<D: Directory<File = F>>(
         directory: &D,
         number: SegmentNumber,
@@ -51,12 +51,12 @@
         self.number
     }
 
-    /// Its name in the directory.
+    /// The file name of the segment.
     pub(crate) fn name(&self) -> String {
         FileKind::Segment.file_name(self.number)
     }
 
-    /// Length in bytes up to which it is complete and durable.
+    /// Bytes of the complete and durable prefix.
     pub(crate) fn length(&self) -> u64 {
         self.length
     }
@@ -65,8 +65,8 @@
         self.length > FIRST_FRAME_OFFSET
     }
 
-    /// Appends a frame, which is durable on return. After an error it does not count, though it may be found by a
-    /// later recovery unless the torn tail is truncated first.
+    /// Appends a frame, which is durable on return. After an error the frame is not part of the segment, but a later
+    /// recovery may read it unless the torn tail is truncated first.
     pub(crate) fn append(&mut self, frame: &[u8]) -> Result<(), WriteAheadLogError> {
         let name = self.name();
         self.may_have_torn_tail = true;
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Truncates what a failed append may have left.
+    /// Truncates any bytes that a failed append left behind.
     pub(crate) fn truncate_torn_tail(&mut self) -> Result<(), WriteAheadLogError> {
         if !self.may_have_torn_tail {
             return Ok(());
@@ -90,25 +90,25 @@
     }
 }
 
-/// Whether a segment may still be written to.
+/// Whether a segment accepts further appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SegmentStage {
-    /// It is followed by another one, so all of it has to be there.
+    /// Followed by another segment, so every frame must be complete.
     Closed,
-    /// It is the last one: a write at its end may have been interrupted.
+    /// The last segment: a write at its end may have been interrupted.
     Active,
 }
 
-/// What a segment holds.
+/// The content of a segment.
 #[derive(Debug)]
 pub(crate) struct SegmentContent {
     /// The records, oldest first.
     pub(crate) records: Vec<Vec<u8>>,
-    /// Length in bytes up to which the segment is complete.
+    /// Bytes up to the end of the last complete frame.
     pub(crate) length: u64,
 }
 
-/// Reads a segment. Only at the end of the active one may an incomplete frame stand, which is left out.
+/// Reads a segment. An incomplete frame is allowed only at the end of the active segment, and is ignored.
 pub(crate) fn read_segment<D: Directory>(
     directory: &D,
     number: SegmentNumber,
@@ -134,7 +134,7 @@
     Ok(SegmentContent { records, length: offset as u64 })
 }
 
-/// Whether a segment has a header at most, which is checked as far as it is there.
+/// Whether a segment has no bytes after its header. The part of the header that is present is checked.
 pub(crate) fn is_segment_empty<D: Directory>(
     directory: &D,
     number: SegmentNumber,
--- a/crates/write-ahead-log/src/snapshot.rs
+++ b/crates/write-ahead-log/src/snapshot.rs
@@ -1,20 +1,20 @@
-//! Snapshots: files that stand for all records before a segment.
+//! Snapshots: files that replace all records before a segment.
 
 use super::directory::{Directory, DirectoryFile};
 use super::error::{IoContext, Operation, WriteAheadLogError};
 use super::format::{self, FIRST_FRAME_OFFSET, FileKind, HEADER_BYTES, HeaderExtent, SegmentNumber};
 
-/// A snapshot that was read.
+/// The content of a snapshot.
 #[derive(Debug)]
 pub(crate) struct SnapshotContent {
-    /// The first segment that it does not stand for.
+    /// The first segment that the snapshot does not replace.
     pub(crate) number: SegmentNumber,
-    /// The bytes that were given to it.
+    /// The bytes passed by the caller of `WriteAheadLog::snapshot`.
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Writes a snapshot from the content of its file. It is durable on return, and incomplete under no circumstances: the
-/// file gets its name once all of it is durable.
+/// Writes a snapshot file with the given content, durable on return. A crash never leaves an incomplete snapshot: the
+/// content is synced under a temporary name before the rename.
 pub(crate) fn write_snapshot<D: Directory>(
     directory: &D,
     number: SegmentNumber,
@@ -24,7 +24,7 @@
     let temporary = format::temporary_name(&name);
     let written = write_file(directory, &temporary, content);
     if written.is_err() {
-        // What can't be removed is overwritten by the next snapshot, or removed after it.
+        // If the removal fails, the file is overwritten by the next snapshot or removed after it.
         let _ = directory.remove(&temporary);
     }
     written?;
@@ -54,8 +54,8 @@
     }
 }
 
-/// Makes the name of a snapshot durable: the process that wrote it may have been killed right after renaming it,
-/// and the segments before it must not be removed while that may still be lost.
+/// Makes the name of a snapshot durable. The process that wrote it may have been killed right after the rename,
+/// and the segments before it must not be removed while a power loss can still undo the rename.
 pub(crate) fn make_snapshot_durable<D: Directory>(
     directory: &D,
     number: SegmentNumber,
--- a/crates/write-ahead-log/src/write_ahead_log.rs
+++ b/crates/write-ahead-log/src/write_ahead_log.rs
@@ -1,4 +1,4 @@
-//! The open log: appends, snapshots and the change of segments.
+//! The open log: appends, snapshots and segment rotation.
 
 use std::path::Path;
 
@@ -10,15 +10,15 @@
 use super::segment::Segment;
 use super::snapshot;
 
-/// A segment of this length is closed before the next append.
+/// Segment length from which the next append starts a new segment.
 pub const SEGMENT_LENGTH_BYTES: u64 = 4 * 1024 * 1024;
 
-/// A log that was opened.
+/// The result of opening a log.
 #[derive(Debug)]
 pub struct OpenedLog<D: Directory = FileSystemDirectory> {
     /// The log, ready for appends.
     pub log: WriteAheadLog<D>,
-    /// What was in it, which is durable.
+    /// The recovered content, which is durable.
     pub recovered: Recovered,
 }
 
@@ -27,12 +27,12 @@
 pub struct WriteAheadLog<D: Directory = FileSystemDirectory> {
     directory: D,
     active: Segment<D::File>,
-    /// Bytes in all files but the active segment.
+    /// Total bytes of all files except the active segment.
     other_bytes: u64,
 }
 
 impl WriteAheadLog {
-    /// Opens the log in a directory of the file system, which is created if it is not there.
+    /// Opens the log in a directory of the file system, and creates the directory if it does not exist.
     ///
     /// # Errors
     ///
@@ -43,12 +43,12 @@
 }
 
 impl<D: Directory> WriteAheadLog<D> {
-    /// Opens the log in a directory: recovers what is in it, makes that durable and truncates a torn tail.
+    /// Opens the log in a directory: recovers its content, makes that durable and truncates a torn tail.
     ///
     /// # Errors
     ///
-    /// If a file can't be read or written, is not of this format, or is corrupt in a way that an interrupted write
-    /// does not explain. Corrupt files are left as they are.
+    /// If a file can't be read or written, has another format, or is corrupt in a way that an interrupted write
+    /// does not explain. Corrupt files are left unchanged.
     pub fn open_in(directory: D) -> Result<OpenedLog<D>, WriteAheadLogError> {
         let content = recovery::recover(&directory)?;
         let active = match content.active_length {
@@ -64,12 +64,12 @@
         Ok(OpenedLog { log, recovered: content.recovered })
     }
 
-    /// Appends records, which are durable on return.
+    /// Appends records as one frame. The records are durable on return.
     ///
     /// # Errors
     ///
-    /// If the file system refuses, or the records are too long. None of them counts as appended then, though some may
-    /// be found on the next open; the caller may retry.
+    /// If an I/O operation fails, or the records are too long. None of the records counts as appended then, although
+    /// the next open may recover them; the caller may retry.
     pub fn append(&mut self, records: &[&[u8]]) -> Result<(), WriteAheadLogError> {
         if records.is_empty() {
             return Ok(());
@@ -77,21 +77,21 @@
         let frame = format::encode_records(records)?;
         self.active.truncate_torn_tail()?;
         if self.active.length() >= SEGMENT_LENGTH_BYTES {
-            self.start_segment()?;
+            self.rotate_segment()?;
         }
         self.active.append(&frame)
     }
 
-    /// Replaces all records so far by a snapshot, which is durable on return.
+    /// Replaces all records so far by a snapshot. The snapshot is durable on return.
     ///
     /// # Errors
     ///
-    /// If the file system refuses, or the snapshot is too long. The records still count then.
+    /// If an I/O operation fails, or the snapshot is too long. The records remain in the log then.
     pub fn snapshot(&mut self, bytes: &[u8]) -> Result<(), WriteAheadLogError> {
         let content = format::encode_snapshot(bytes)?;
         self.active.truncate_torn_tail()?;
         if self.active.has_records() {
-            self.start_segment()?;
+            self.rotate_segment()?;
         }
         let number = self.active.number();
         let result = snapshot::write_snapshot(&self.directory, number, &content);
@@ -102,12 +102,12 @@
         result
     }
 
-    /// Bytes in all files of the log.
+    /// Total bytes of all files of the log.
     pub fn bytes_used(&self) -> u64 {
         self.other_bytes + self.active.length()
     }
 
-    fn start_segment(&mut self) -> Result<(), WriteAheadLogError> {
+    fn rotate_segment(&mut self) -> Result<(), WriteAheadLogError> {
         self.active = Segment::create(&self.directory, self.active.number().next())?;
         self.update_other_bytes();
         Ok(())
--- a/crates/write-ahead-log/tests/stored_files.rs
+++ b/crates/write-ahead-log/tests/stored_files.rs
@@ -1,6 +1,6 @@
-//! Files of the log, against those that an earlier version wrote (`tests/data/README.md`).
+//! Compatibility with log files that an earlier version wrote (`tests/data/README.md`).
 //!
-//! Types and functions may be renamed here and in the sources, the bytes stay.
+//! Types and functions may be renamed here and in the sources; the stored bytes must not change.
 
 #[path = "../../../tests/support/stored_data.rs"]
 mod stored_data;
@@ -47,7 +47,7 @@
     let directory = scratch_directory("stored-log-appended");
     copy_stored_directory(WITH_SNAPSHOT, &directory);
     let mut log = WriteAheadLog::open(&directory).expect("a stored log").log;
-    log.append(&[b"fifth"]).expect("there is room");
+    log.append(&[b"fifth"]).expect("the write succeeds");
     drop(log);
     let recovered = WriteAheadLog::open(&directory).expect("a stored log with one more record").recovered;
     assert_eq!(recovered.records.last(), Some(&b"fifth".to_vec()));
@@ -62,14 +62,14 @@
 
 fn write_segment(directory: &Path) {
     let mut log = WriteAheadLog::open(directory).expect("an empty directory").log;
-    log.append(&[b"first"]).expect("there is room");
-    log.append(&[b"second", &[0, 255, 10], b""]).expect("there is room");
+    log.append(&[b"first"]).expect("the write succeeds");
+    log.append(&[b"second", &[0, 255, 10], b""]).expect("the write succeeds");
 }
 
 fn write_snapshot(directory: &Path) {
     let mut log = WriteAheadLog::open(directory).expect("an empty directory").log;
-    log.append(&[b"first", b"second"]).expect("there is room");
-    log.snapshot(b"the state after two records").expect("there is room");
-    log.append(&[b"third"]).expect("there is room");
-    log.append(&[b"fourth"]).expect("there is room");
+    log.append(&[b"first", b"second"]).expect("the write succeeds");
+    log.snapshot(b"the state after two records").expect("the write succeeds");
+    log.append(&[b"third"]).expect("the write succeeds");
+    log.append(&[b"fourth"]).expect("the write succeeds");
 }
--- a/crates/write-ahead-log/tests/support/mod.rs
+++ b/crates/write-ahead-log/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A directory in memory that can be full, can crash, and forgets on a loss of power what was not synced.
+//! An in-memory directory that simulates full disks, crashes, and power losses that discard unsynced data.
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
@@ -9,14 +9,14 @@
 
 use tulipridge_write_ahead_log::{Directory, DirectoryFile};
 
-/// What is on a disk.
+/// File contents by name.
 pub(crate) type Files = BTreeMap<String, Vec<u8>>;
 
 #[derive(Debug, Default)]
 struct Disk {
     files: Files,
     synced: Files,
-    /// Names that a sync of the directory has made durable; a file without one is lost with the power.
+    /// Names that a directory sync has made durable; a power loss removes all other files.
     durable_names: BTreeSet<String>,
     operations_left: Option<u64>,
     operations_to_failure: Option<u64>,
@@ -27,7 +27,7 @@
 }
 
 impl Disk {
-    /// What is synced under a name that is durable.
+    /// The synced content of files whose names are durable.
     fn durable_files(&self) -> Files {
         let synced = self.synced.iter().filter(|(name, _)| self.durable_names.contains(*name));
         synced.map(|(name, content)| (name.clone(), content.clone())).collect()
@@ -37,7 +37,7 @@
         self.files.values().map(|content| content.len() as u64).sum()
     }
 
-    /// How many of the bytes that are to be written at the end of a file fit into the capacity.
+    /// How many of the bytes of a write at the end of a file fit into the capacity.
     fn writable_bytes(&self, file: &str, offset: u64, wanted: usize) -> usize {
         let Some(capacity) = self.capacity else { return wanted };
         let length = self.files.get(file).map_or(0, |content| content.len() as u64);
@@ -45,15 +45,15 @@
         wanted.min(capacity.saturating_sub(others + offset) as usize)
     }
 
-    fn step(&mut self) -> io::Result<()> {
+    fn begin_operation(&mut self) -> io::Result<()> {
         if let Some(operations) = self.operations_to_failure {
             self.operations_to_failure = operations.checked_sub(1);
             if operations == 0 {
-                return Err(io::Error::other("failed"));
+                return Err(io::Error::other("injected failure"));
             }
         }
         match &mut self.operations_left {
-            Some(0) => Err(io::Error::other("crashed")),
+            Some(0) => Err(io::Error::other("simulated crash")),
             Some(left) => {
                 *left -= 1;
                 Ok(())
@@ -63,13 +63,13 @@
     }
 }
 
-/// The directory.
+/// An in-memory directory. Clones share one disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemoryDirectory {
     disk: Rc<RefCell<Disk>>,
 }
 
-/// An open file of it.
+/// An open file of a [`MemoryDirectory`].
 #[derive(Debug)]
 pub(crate) struct MemoryFile {
     disk: Rc<RefCell<Disk>>,
@@ -86,32 +86,32 @@
         directory
     }
 
-    /// After so many changes every operation fails.
+    /// Makes every operation fail after this many further changes and syncs; reads always succeed.
     pub(crate) fn crash_after(&self, operations: u64) {
         self.disk.borrow_mut().operations_left = Some(operations);
     }
 
-    /// Whether fewer changes were made since than a crash was to come after.
+    /// Whether fewer changes and syncs were made than [`MemoryDirectory::crash_after`] allows.
     pub(crate) fn has_operations_left(&self) -> bool {
         self.disk.borrow().operations_left.is_some_and(|left| left > 0)
     }
 
-    /// After so many changes one operation fails.
+    /// Makes one operation fail after this many further changes and syncs.
     pub(crate) fn fail_once_after(&self, operations: u64) {
         self.disk.borrow_mut().operations_to_failure = Some(operations);
     }
 
-    /// Writes fail when so many bytes more have been written.
+    /// Limits the bytes of all further writes; removals do not free any. `None` removes the limit.
     pub(crate) fn limit_bytes(&self, bytes: Option<u64>) {
         self.disk.borrow_mut().bytes_left = bytes;
     }
 
-    /// Writes fail when all files together would take more than so many bytes. What is removed frees space.
+    /// Limits the total bytes of all files; removals free space. `None` removes the limit.
     pub(crate) fn set_capacity(&self, bytes: Option<u64>) {
         self.disk.borrow_mut().capacity = bytes;
     }
 
-    /// Bytes in all files.
+    /// Total bytes of all files.
     pub(crate) fn bytes(&self) -> u64 {
         self.disk.borrow().bytes()
     }
@@ -121,12 +121,12 @@
         self.disk.borrow().most_bytes
     }
 
-    /// What a process finds that starts after a crash.
+    /// The files after a crash of the process: all writes are kept, synced or not.
     pub(crate) fn files(&self) -> Files {
         self.disk.borrow().files.clone()
     }
 
-    /// What is found after a loss of power that takes all that was not synced.
+    /// The files after a power loss that discards all unsynced changes, removals included.
     pub(crate) fn synced_files(&self) -> Files {
         let disk = self.disk.borrow();
         let mut files = disk.durable_files();
@@ -136,7 +136,7 @@
         files
     }
 
-    /// The same where removals last though they were not synced.
+    /// The files after a power loss that discards unsynced changes except removals.
     pub(crate) fn synced_files_without_removed(&self) -> Files {
         let disk = self.disk.borrow();
         let mut files = disk.durable_files();
@@ -164,7 +164,7 @@
     }
 
     fn create_file(&self, name: &str) -> io::Result<MemoryFile> {
-        self.disk.borrow_mut().step()?;
+        self.disk.borrow_mut().begin_operation()?;
         self.disk.borrow_mut().files.insert(name.to_owned(), Vec::new());
         self.open_file(name)
     }
@@ -175,7 +175,7 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut disk = self.disk.borrow_mut();
-        disk.step()?;
+        disk.begin_operation()?;
         let content = disk.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
         disk.files.insert(to.to_owned(), content);
         Ok(())
@@ -183,7 +183,7 @@
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut disk = self.disk.borrow_mut();
-        disk.step()?;
+        disk.begin_operation()?;
         disk.files.remove(name).ok_or(io::ErrorKind::NotFound)?;
         if let Some(content) = disk.synced.get(name).cloned() {
             disk.removed.push((name.to_owned(), content));
@@ -193,18 +193,19 @@
 
     fn sync(&self) -> io::Result<()> {
         let mut disk = self.disk.borrow_mut();
-        disk.step()?;
+        disk.begin_operation()?;
         disk.removed.clear();
         let names: Vec<String> = disk.files.keys().cloned().collect();
         disk.durable_names = names.iter().cloned().collect();
-        let gone: Vec<String> = disk.synced.keys().filter(|name| !names.contains(name)).cloned().collect();
-        let mut contents: Vec<Vec<u8>> = Vec::new();
-        for name in gone {
-            contents.extend(disk.synced.remove(&name));
+        let removed_names: Vec<String> =
+            disk.synced.keys().filter(|name| !names.contains(name)).cloned().collect();
+        let mut removed_contents: Vec<Vec<u8>> = Vec::new();
+        for name in removed_names {
+            removed_contents.extend(disk.synced.remove(&name));
         }
         for name in names {
             let content = disk.files[&name].clone();
-            if !disk.synced.contains_key(&name) && contents.contains(&content) {
+            if !disk.synced.contains_key(&name) && removed_contents.contains(&content) {
                 disk.synced.insert(name, content);
             }
         }
@@ -215,30 +216,30 @@
 impl DirectoryFile for MemoryFile {
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut disk = self.disk.borrow_mut();
-        disk.step()?;
-        let allowed = disk.bytes_left.map_or(bytes.len(), |left| bytes.len().min(left as usize));
-        let allowed = allowed.min(disk.writable_bytes(&self.name, offset, bytes.len()));
+        disk.begin_operation()?;
+        let writable = disk.bytes_left.map_or(bytes.len(), |left| bytes.len().min(left as usize));
+        let writable = writable.min(disk.writable_bytes(&self.name, offset, bytes.len()));
         if let Some(left) = &mut disk.bytes_left {
-            *left -= allowed as u64;
+            *left -= writable as u64;
         }
         let content = disk.files.entry(self.name.clone()).or_default();
         content.truncate(offset as usize);
         content.resize(offset as usize, 0);
-        content.extend(&bytes[..allowed]);
+        content.extend(&bytes[..writable]);
         disk.most_bytes = disk.most_bytes.max(disk.bytes());
-        if allowed < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        if writable < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
     fn set_length(&mut self, length: u64) -> io::Result<()> {
         let mut disk = self.disk.borrow_mut();
-        disk.step()?;
+        disk.begin_operation()?;
         disk.files.entry(self.name.clone()).or_default().resize(length as usize, 0);
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut disk = self.disk.borrow_mut();
-        disk.step()?;
+        disk.begin_operation()?;
         let content = disk.files.get(&self.name).cloned().unwrap_or_default();
         disk.synced.insert(self.name.clone(), content);
         Ok(())
