--- a/crates/http1/src/buffered_stream.rs
+++ b/crates/http1/src/buffered_stream.rs
@@ -13,27 +13,28 @@
 
 use crate::Http1Limits;
 
-/// `EINPROGRESS` of Linux: a non-blocking connect has started.
-const CONNECT_IN_PROGRESS: i32 = 115;
+/// `EINPROGRESS` on Linux: a non-blocking connect is in progress.
+const EINPROGRESS: i32 = 115;
 
 thread_local! {
-    /// Where reads go first, so that no connection reserves memory for bytes that have not arrived.
-    static SCRATCH: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
+    /// Read buffer shared by all connections of a thread, so that no connection reserves memory for bytes that have not
+    /// arrived.
+    static READ_SCRATCH: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
 }
 
 /// A connection with a read buffer.
 pub struct BufferedStream {
     stream: Async<TcpStream>,
-    /// Bytes that were read and not yet consumed.
+    /// Bytes that have been read but not consumed.
     pub buf: Vec<u8>,
-    /// The last read found no more bytes: the next one waits for readiness first.
-    awaits_readable: bool,
-    /// The last write could not write more: the next one waits for readiness first.
-    awaits_writable: bool,
-    /// Bytes that arrived were dropped: what is in `buf` is all that may still be consumed.
+    /// Whether the next read waits for readiness first, since the last one emptied the receive buffer of the kernel.
+    waits_until_readable: bool,
+    /// Whether the next write waits for readiness first, since the last one filled the send buffer of the kernel.
+    waits_until_writable: bool,
+    /// Whether received bytes were dropped. Only the content of `buf` may still be consumed then.
     pub is_truncated: bool,
-    /// Whether dropping the stream resets the connection (RST). Guards against a peer that only writes: where the kernel
-    /// has dropped the last bytes, such a peer learns of a plain close only when it retransmits them, 200 ms later.
+    /// Whether dropping the stream resets the connection (RST). A peer that only writes, and whose last bytes the
+    /// kernel has dropped, would notice a regular close only when it retransmits them, 200 ms later.
     pub reset_on_drop: bool,
 }
 
@@ -45,22 +46,20 @@
     }
 }
 
-/// Limits the socket buffers of a connection. Guards against a peer for whose connection the kernel would allocate
-/// megabytes, which no budget of this process counts. It must be called before the connection is established, since a
-/// window that was advertised is not withdrawn. Failures are ignored: the connection works without the limit.
+/// Limits the socket buffers of a connection. Without a limit, the kernel may allocate megabytes for a connection,
+/// which no memory budget of this process includes. Call this before the connection is established, since a receive
+/// window that has been advertised is not reduced. Errors are ignored: the connection works without the limit.
 pub fn limit_socket_buffers(socket: &SockRef<'_>, limits: &Http1Limits) {
     let _ = socket.set_recv_buffer_size(limits.socket_buffer);
     let _ = socket.set_send_buffer_size(limits.socket_buffer);
 }
 
-async fn establish(addr: SocketAddr, limits: &Http1Limits) -> io::Result<Async<TcpStream>> {
+async fn connect_socket(addr: SocketAddr, limits: &Http1Limits) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     limit_socket_buffers(&SockRef::from(&socket), limits);
     socket.set_nonblocking(true)?;
     match socket.connect(&addr.into()) {
-        Err(e)
-            if e.raw_os_error() != Some(CONNECT_IN_PROGRESS) && e.kind() != io::ErrorKind::WouldBlock =>
-        {
+        Err(e) if e.raw_os_error() != Some(EINPROGRESS) && e.kind() != io::ErrorKind::WouldBlock => {
             return Err(e);
         }
         _ => {}
@@ -81,17 +80,17 @@
         BufferedStream {
             stream,
             buf: Vec::new(),
-            awaits_readable: false,
-            awaits_writable: false,
+            waits_until_readable: false,
+            waits_until_writable: false,
             is_truncated: false,
             reset_on_drop: false,
         }
     }
 
-    /// A connection that another process of this gateway has handed over, with its read buffer.
+    /// Wraps a connection taken over from another process of this gateway, with the content of its read buffer.
     ///
     /// # Errors
-    /// The error of the operating system if the descriptor can't be registered.
+    /// The error of the operating system if the descriptor cannot be registered with the reactor.
     pub fn handed(descriptor: OwnedFd, buf: Vec<u8>) -> io::Result<BufferedStream> {
         let mut stream = BufferedStream::new(Async::new(TcpStream::from(descriptor))?);
         stream.buf = buf;
@@ -101,13 +100,14 @@
     /// Connects within [`Http1Limits::connect_timeout`].
     ///
     /// # Errors
-    /// The error of the operating system, or one of the kind `TimedOut`.
+    /// The error of the operating system, or `TimedOut`.
     pub async fn connect(addr: SocketAddr, limits: &Http1Limits) -> io::Result<BufferedStream> {
-        Ok(BufferedStream::new(within(limits.connect_timeout, establish(addr, limits)).await??))
+        Ok(BufferedStream::new(within(limits.connect_timeout, connect_socket(addr, limits)).await??))
     }
 
-    /// Reads into `buf` once there is something to read; 0 means that the peer has closed its side. Dropping the future
-    /// loses no bytes.
+    /// Waits for bytes and appends them to `buf`. Returns their number; 0 means that the peer has closed its sending
+    /// side.
+    /// Dropping the future loses no bytes.
     ///
     /// # Errors
     /// The error of the operating system.
@@ -118,11 +118,11 @@
     /// The poll function of [`BufferedStream::fill`].
     pub fn poll_fill(&mut self, cx: &mut Context<'_>, limits: &Http1Limits) -> Poll<io::Result<usize>> {
         loop {
-            if self.awaits_readable {
+            if self.waits_until_readable {
                 ready!(self.stream.poll_readable(cx))?;
-                self.awaits_readable = false;
+                self.waits_until_readable = false;
             }
-            let read = SCRATCH.with_borrow_mut(|scratch| {
+            let read = READ_SCRATCH.with_borrow_mut(|scratch| {
                 scratch.resize(limits.read_bytes, 0);
                 let count = self.stream.get_ref().read(scratch)?;
                 self.buf.extend_from_slice(&scratch[..count]);
@@ -130,25 +130,25 @@
             });
             match read {
                 Ok(count) => {
-                    // A short read means that there was no more: a further read would only return WouldBlock.
-                    self.awaits_readable = count > 0 && count < limits.read_bytes;
+                    // After a short read the receive buffer is empty: another read would only return `WouldBlock`.
+                    self.waits_until_readable = count > 0 && count < limits.read_bytes;
                     return Poll::Ready(Ok(count));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.awaits_readable = true,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.waits_until_readable = true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
     }
 
-    /// Reads more bytes that may be consumed; whether there were any.
+    /// Reads more bytes that may be consumed. Returns whether there were any.
     pub async fn more(&mut self, limits: &Http1Limits) -> bool {
         !self.is_truncated && self.fill(limits).await.is_ok_and(|n| n > 0)
     }
 
     /// Makes the next read call the kernel without waiting for readiness.
     pub fn recheck_readiness(&mut self) {
-        self.awaits_readable = false;
+        self.waits_until_readable = false;
     }
 
     /// Writes all bytes.
@@ -163,26 +163,26 @@
         Ok(())
     }
 
-    /// Writes all bytes of two slices, one after the other and without concatenating them first.
+    /// Writes all bytes of two slices in order, without concatenating them first.
     ///
     /// # Errors
     /// The error of the operating system.
     pub async fn write_both(&mut self, mut first: &[u8], mut second: &[u8]) -> io::Result<()> {
         while !first.is_empty() {
             let count = future::poll_fn(|cx| self.poll_write_both(cx, first, second)).await?;
-            let of_first = count.min(first.len());
-            first = &first[of_first..];
-            second = &second[count - of_first..];
+            let written_of_first = count.min(first.len());
+            first = &first[written_of_first..];
+            second = &second[count - written_of_first..];
         }
         self.write(second).await
     }
 
-    /// Writes some of the bytes once the connection accepts some.
+    /// Writes some of the bytes once the connection is writable.
     pub fn poll_write(&mut self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_write_by(cx, bytes.len(), |mut stream| stream.write(bytes))
+        self.poll_write_with(cx, bytes.len(), |mut stream| stream.write(bytes))
     }
 
-    /// Writes some bytes of two slices, one after the other, once the connection accepts some.
+    /// Writes some bytes of two slices, in order, once the connection is writable.
     pub fn poll_write_both(
         &mut self,
         cx: &mut Context<'_>,
@@ -190,70 +190,70 @@
         second: &[u8],
     ) -> Poll<io::Result<usize>> {
         let slices = [IoSlice::new(first), IoSlice::new(second)];
-        self.poll_write_by(cx, first.len() + second.len(), |mut stream| stream.write_vectored(&slices))
+        self.poll_write_with(cx, first.len() + second.len(), |mut stream| stream.write_vectored(&slices))
     }
 
-    fn poll_write_by(
+    fn poll_write_with(
         &mut self,
         cx: &mut Context<'_>,
         length: usize,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
-            if self.awaits_writable {
+            if self.waits_until_writable {
                 ready!(self.stream.poll_writable(cx))?;
-                self.awaits_writable = false;
+                self.waits_until_writable = false;
             }
             match write(self.stream.get_ref()) {
                 Ok(0) => return Poll::Ready(Err(io::ErrorKind::WriteZero.into())),
                 Ok(count) => {
-                    self.awaits_writable = count < length;
+                    self.waits_until_writable = count < length;
                     return Poll::Ready(Ok(count));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.awaits_writable = true,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.waits_until_writable = true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
     }
 
-    /// The remote address.
+    /// The address of the peer.
     ///
     /// # Errors
-    /// The error of the operating system, as when the connection is reset.
+    /// The error of the operating system, for example when the connection has been reset.
     pub fn peer(&self) -> io::Result<SocketAddr> {
         self.stream.get_ref().peer_addr()
     }
 
-    /// The descriptor of the connection, to be handed over.
+    /// The file descriptor of the connection, for a handover.
     #[must_use]
     pub fn fd(&self) -> BorrowedFd<'_> {
         self.stream.get_ref().as_fd()
     }
 
-    /// Writes what the connection accepts without waiting, before it is closed. Errors are ignored.
+    /// Writes as many bytes as the connection accepts without waiting, before it is closed. Errors are ignored.
     pub fn write_now(&self, bytes: &[u8]) {
         let _ = self.stream.get_ref().write(bytes);
     }
 
-    /// Closes the sending side and discards what is still received, until the peer closes its side, nothing has been
-    /// received for [`Http1Limits::linger_quiet`], or the `longest` time is over.
+    /// Closes the sending side and discards received bytes until the peer closes its sending side, nothing has been
+    /// received for [`Http1Limits::linger_quiet`], or the time limit is reached.
     ///
     /// # Errors
-    /// The error of the operating system, or one of the kind `TimedOut`.
-    pub async fn linger(&mut self, longest: Duration, limits: &Http1Limits) -> io::Result<()> {
+    /// The error of the operating system, or `TimedOut`.
+    pub async fn linger(&mut self, time_limit: Duration, limits: &Http1Limits) -> io::Result<()> {
         self.stream.get_ref().shutdown(Shutdown::Write)?;
         self.buf = Vec::new();
-        let drain = async {
+        let discard_received = async {
             while within(limits.linger_quiet, self.fill(limits)).await?? > 0 {
                 self.buf.clear();
             }
             Ok(())
         };
-        within(longest, drain).await?
+        within(time_limit, discard_received).await?
     }
 
-    /// Whether nothing has been received on an idle connection: neither bytes nor its end.
+    /// Whether an idle connection has received neither bytes nor the end of the stream.
     #[must_use]
     pub fn is_quiet(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
@@ -261,14 +261,14 @@
     }
 }
 
-/// The output of a future within a time.
+/// Awaits a future with a time limit.
 ///
 /// # Errors
-/// One of the kind `TimedOut` after it.
-pub async fn within<T>(time: Duration, future: impl Future<Output = T>) -> io::Result<T> {
-    let late = async {
-        Timer::after(time).await;
+/// `TimedOut` if the future does not complete within the limit.
+pub async fn within<T>(time_limit: Duration, future: impl Future<Output = T>) -> io::Result<T> {
+    let timeout = async {
+        Timer::after(time_limit).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(async { Ok(future.await) }, late).await
+    future::or(async { Ok(future.await) }, timeout).await
 }
--- a/crates/http1/src/codec.rs
+++ b/crates/http1/src/codec.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 and server-sent events, parsed as bytes arrive, each within a limit.
+//! Incremental parsers of HTTP/1.1 and server-sent events, with limits.
 //!
-//! Parsers remove what they can from the front of a buffer and leave the rest, so a message may arrive in any
-//! fragments and the next one may follow in the same read.
+//! Parsers consume complete elements at the front of a buffer and leave the rest, so a message may arrive in any
+//! fragments, and one read may contain the start of the next message.
 
 mod body;
 mod error;
@@ -17,7 +17,7 @@
 pub use sse::{SseBlock, block_ends, sse_batch, sse_blocks};
 pub use status::reason;
 
-/// The offset of the first `needle` in `haystack`.
+/// The offset of the first occurrence of `needle` in `haystack`.
 #[must_use]
 pub fn find(haystack: &[u8], needle: &[u8]) -> Option<usize> {
     memmem::find(haystack, needle)
--- a/crates/http1/src/codec/body.rs
+++ b/crates/http1/src/codec/body.rs
@@ -1,4 +1,4 @@
-//! Bodies and how they are framed (RFC 9112, sections 6 and 7).
+//! Framing of message bodies (RFC 9112, sections 6 and 7).
 
 use std::str;
 
@@ -8,61 +8,61 @@
 use super::error::ParseError;
 use crate::Http1Limits;
 
-/// The end of a line.
+/// The line terminator.
 const CRLF: &[u8] = b"\r\n";
-/// Most digits of a chunk's size.
-const MAX_SIZE_DIGITS: usize = 8;
+/// Maximum number of hexadecimal digits of a chunk size.
+const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
-/// The rest of a body that is still to be received.
+/// The framing state of a body: how the part that has not been received yet is delimited.
 ///
-/// It may be handed to another process, so the names of variants must stay.
+/// The state may be sent to another process during a handover, so the names of the variants must not change.
 #[derive(Deserialize, Serialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// So many bytes.
+    /// Delimited by its length, of which this many bytes remain.
     Length(usize),
-    /// Chunks, up to the last one.
+    /// Chunked transfer coding.
     Chunked(Chunk),
-    /// All until the connection ends.
+    /// Delimited by the end of the connection.
     UntilClose,
 }
 
-/// The part of a chunked body to which the next byte belongs.
+/// The element of a chunked body to which the next byte belongs. The names of the variants are part of a handover too.
 #[derive(Deserialize, Serialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Chunk {
-    /// A chunk's size line.
+    /// The size line of a chunk.
     Size,
     /// The data of a chunk of this size.
     Data(usize),
-    /// The data of a chunk too long to be buffered, of which so many bytes are missing.
+    /// The data of a chunk too large to be buffered, of which this many bytes remain.
     Long(usize),
-    /// The trailers, of which so many have come.
+    /// The trailer section, of which this many lines have been consumed.
     Trailer(usize),
-    /// The next message.
+    /// The body is complete; the next byte belongs to the next message.
     Over,
 }
 
-/// What one step of a parser has achieved.
+/// The result of one step of the body parser.
 enum Progress {
-    /// A part of the body was consumed; the next may follow.
+    /// An element was consumed and more of the body follows.
     Advanced,
-    /// The next part is not there yet.
+    /// More bytes are needed.
     NeedsBytes,
     /// The body is complete.
     Complete,
 }
 
-/// The bytes that were received, and how many of them are consumed.
-struct Input<'a> {
+/// Received bytes and the number of them that have been consumed.
+struct BodyInput<'a> {
     bytes: &'a [u8],
     consumed: usize,
 }
 
-impl<'a> Input<'a> {
+impl<'a> BodyInput<'a> {
     fn rest(&self) -> &'a [u8] {
         &self.bytes[self.consumed..]
     }
 
-    /// Moves up to `count` bytes to `out`; how many there were.
+    /// Appends up to `count` bytes to `out` and consumes them. Returns their number.
     fn move_to(&mut self, out: &mut Vec<u8>, count: usize) -> usize {
         let moved = count.min(self.rest().len());
         out.extend_from_slice(&self.rest()[..moved]);
@@ -72,10 +72,10 @@
 }
 
 impl Body {
-    /// Moves what has come of the body from the front of `buf` to `out`; true once the body is complete.
+    /// Moves the received part of the body from the front of `buf` to `out`. Returns true once the body is complete.
     ///
     /// # Errors
-    /// Status 400, 413 or 431 if the framing of chunks is invalid or over a limit. What came before is moved.
+    /// Status 400, 413 or 431 if the chunked framing is invalid or exceeds a limit. Data before the error are moved.
     pub fn take(
         &mut self,
         buf: &mut Vec<u8>,
@@ -86,8 +86,8 @@
             std::mem::swap(buf, out);
             return Ok(false);
         }
-        // Many chunks in one read cost one move of the rest.
-        let mut input = Input { bytes: buf, consumed: 0 };
+        // The remaining bytes are moved to the front once per call rather than once per chunk.
+        let mut input = BodyInput { bytes: buf, consumed: 0 };
         let is_complete = self.take_from(&mut input, out, limits);
         let consumed = input.consumed;
         buf.drain(..consumed);
@@ -96,14 +96,14 @@
 
     fn take_from(
         &mut self,
-        input: &mut Input<'_>,
+        input: &mut BodyInput<'_>,
         out: &mut Vec<u8>,
         limits: &Http1Limits,
     ) -> Result<bool, ParseError> {
         loop {
             let progress = match self {
                 Body::Length(left) => take_length(left, input, out),
-                Body::UntilClose => take_rest(input, out),
+                Body::UntilClose => take_until_close(input, out),
                 Body::Chunked(chunk) => chunk.take(input, out, limits)?,
             };
             match progress {
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Whether a part of the body has begun whose rest must follow soon. `buf` has what is not consumed yet.
+    /// Whether an element of the body has been received partially, so that its rest must follow soon. `buf` contains
+    /// the bytes not consumed yet.
     #[must_use]
     pub fn is_amid(&self, buf: &[u8]) -> bool {
         !buf.is_empty()
@@ -122,12 +123,12 @@
     }
 }
 
-fn take_length(left: &mut usize, input: &mut Input<'_>, out: &mut Vec<u8>) -> Progress {
+fn take_length(left: &mut usize, input: &mut BodyInput<'_>, out: &mut Vec<u8>) -> Progress {
     *left -= input.move_to(out, *left);
     if *left == 0 { Progress::Complete } else { Progress::NeedsBytes }
 }
 
-fn take_rest(input: &mut Input<'_>, out: &mut Vec<u8>) -> Progress {
+fn take_until_close(input: &mut BodyInput<'_>, out: &mut Vec<u8>) -> Progress {
     input.move_to(out, usize::MAX);
     Progress::NeedsBytes
 }
@@ -135,25 +136,27 @@
 impl Chunk {
     fn take(
         &mut self,
-        input: &mut Input<'_>,
+        input: &mut BodyInput<'_>,
         out: &mut Vec<u8>,
         limits: &Http1Limits,
     ) -> Result<Progress, ParseError> {
         match *self {
             Chunk::Size => self.take_size_line(input, limits),
-            Chunk::Data(size) if size <= limits.chunk_hold => self.take_complete_data(size, input, out),
-            Chunk::Data(left) | Chunk::Long(left) => self.take_partial_data(left, input, out),
+            Chunk::Data(size) if size <= limits.buffered_chunk_bytes => {
+                self.take_buffered_data(size, input, out)
+            }
+            Chunk::Data(left) | Chunk::Long(left) => self.take_unbuffered_data(left, input, out),
             Chunk::Trailer(count) => self.take_trailer_line(count, input, limits),
             Chunk::Over => Ok(Progress::Complete),
         }
     }
 
-    /// Takes a chunk's data with the line end after it. Guards against forwarding the data of a corrupt chunk: it is
-    /// taken as a unit, once its end has shown that its size was right.
-    fn take_complete_data(
+    /// Consumes the data of a chunk and the line terminator after them. The data are moved only when the terminator has
+    /// confirmed the size, so that the data of a corrupt chunk are not forwarded.
+    fn take_buffered_data(
         &mut self,
         size: usize,
-        input: &mut Input<'_>,
+        input: &mut BodyInput<'_>,
         out: &mut Vec<u8>,
     ) -> Result<Progress, ParseError> {
         let rest = input.rest();
@@ -169,11 +172,11 @@
         Ok(Progress::Advanced)
     }
 
-    /// Takes what has come of a long chunk's data. Guards against buffering a chunk of any size.
-    fn take_partial_data(
+    /// Moves the received part of the data of a large chunk, so that memory use does not depend on the size of a chunk.
+    fn take_unbuffered_data(
         &mut self,
         left: usize,
-        input: &mut Input<'_>,
+        input: &mut BodyInput<'_>,
         out: &mut Vec<u8>,
     ) -> Result<Progress, ParseError> {
         let left = left - input.move_to(out, left);
@@ -195,15 +198,15 @@
 
     fn take_size_line(
         &mut self,
-        input: &mut Input<'_>,
+        input: &mut BodyInput<'_>,
         limits: &Http1Limits,
     ) -> Result<Progress, ParseError> {
         let rest = input.rest();
-        let end = line_end(rest, limits);
-        check_size_prefix(&rest[..end.unwrap_or(rest.len())])?;
+        let end = line_length(rest, limits);
+        validate_size_prefix(&rest[..end.unwrap_or(rest.len())])?;
         let Some(end) = end else { return incomplete_line(rest, limits) };
         input.consumed += end + CRLF.len();
-        *self = match chunk_size(&rest[..end], limits)? {
+        *self = match parse_chunk_size(&rest[..end], limits)? {
             0 => Chunk::Trailer(0),
             size => Chunk::Data(size),
         };
@@ -213,11 +216,11 @@
     fn take_trailer_line(
         &mut self,
         count: usize,
-        input: &mut Input<'_>,
+        input: &mut BodyInput<'_>,
         limits: &Http1Limits,
     ) -> Result<Progress, ParseError> {
         let rest = input.rest();
-        let Some(end) = line_end(rest, limits) else { return incomplete_line(rest, limits) };
+        let Some(end) = line_length(rest, limits) else { return incomplete_line(rest, limits) };
         input.consumed += end + CRLF.len();
         *self = match end {
             0 => Chunk::Over,
@@ -228,8 +231,9 @@
     }
 }
 
-/// The length of the line at the front of `rest`; none if it has not ended within the limit.
-fn line_end(rest: &[u8], limits: &Http1Limits) -> Option<usize> {
+/// The length of the line at the front of `rest`, without its terminator; none if there is no terminator within the
+/// limit.
+fn line_length(rest: &[u8], limits: &Http1Limits) -> Option<usize> {
     memmem::find(&rest[..rest.len().min(limits.line_bytes)], CRLF)
 }
 
@@ -240,23 +244,24 @@
     Ok(Progress::NeedsBytes)
 }
 
-/// Guards against waiting for the end of what is no size, or of an endless size.
-fn check_size_prefix(line: &[u8]) -> Result<(), ParseError> {
+/// Rejects an invalid or too long size before its line is complete, so that the parser does not wait for the rest.
+fn validate_size_prefix(line: &[u8]) -> Result<(), ParseError> {
     let digits = line.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
     let is_terminated = matches!(line.get(digits), None | Some(b';' | b' ' | b'\t' | b'\r'));
-    if !is_terminated || digits > MAX_SIZE_DIGITS {
+    if !is_terminated || digits > MAX_CHUNK_SIZE_DIGITS {
         return Err(ParseError::BadChunkSize);
     }
     Ok(())
 }
 
-fn chunk_size(line: &[u8], limits: &Http1Limits) -> Result<usize, ParseError> {
+fn parse_chunk_size(line: &[u8], limits: &Http1Limits) -> Result<usize, ParseError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii_end();
-    let is_hex =
-        !digits.is_empty() && digits.len() <= MAX_SIZE_DIGITS && digits.iter().all(u8::is_ascii_hexdigit);
+    let is_hex = !digits.is_empty()
+        && digits.len() <= MAX_CHUNK_SIZE_DIGITS
+        && digits.iter().all(u8::is_ascii_hexdigit);
     let digits = str::from_utf8(digits).ok().filter(|_| is_hex);
     match digits.and_then(|digits| usize::from_str_radix(digits, 16).ok()) {
-        // Guards against an endless chunk: nobody sends one that is larger than a complete request.
+        // Guards against a chunk of unbounded size. No peer sends a chunk larger than a complete request.
         Some(size) if size > limits.body_bytes => Err(ParseError::ChunkTooLarge),
         Some(size) => Ok(size),
         None => Err(ParseError::BadChunkSize),
@@ -272,5 +277,5 @@
     out
 }
 
-/// The last chunk, without trailers.
+/// The last chunk, without a trailer section.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/http1/src/codec/error.rs
+++ b/crates/http1/src/codec/error.rs
@@ -1,62 +1,62 @@
-//! Why bytes can't be read as a message.
+//! Errors of parsing a message.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why bytes can't be read as a message. Each fault has the status of the response to it: for a request that of the
-/// response to its client, for a response of a server 502 unless it is a fault that a request can have too.
+/// Why bytes are not a valid message. Each error has the status code of the response to send: for a request, the
+/// response to its client; for a response of a replica, 502 unless requests can have the same error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParseError {
-    /// A chunk has more bytes than its size says.
+    /// The data of a chunk are longer than its size.
     ChunkTooLong,
-    /// There are more trailers than the limits allow.
+    /// The number of trailers exceeds the limit.
     TooManyTrailers,
-    /// A line of a chunked body is longer than any that has a meaning.
+    /// A line of the chunked framing exceeds the length limit.
     LineTooLong,
-    /// The size of a chunk is no hexadecimal number.
+    /// The size of a chunk is not a hexadecimal number, or has too many digits.
     BadChunkSize,
-    /// A chunk is larger than the limit of a body.
+    /// A chunk exceeds the size limit of a request body.
     ChunkTooLarge,
-    /// An event of a stream is larger than the limits allow.
+    /// An event of a stream exceeds the size limit.
     EventTooLarge,
-    /// A head has a content length and a transfer coding.
+    /// A head has both a `Content-Length` and a `Transfer-Encoding` header.
     LengthAndTransferCoding,
     /// The transfer coding is not `chunked`.
     UnknownTransferCoding,
-    /// The content length is no number, or there are several.
+    /// The content length is not a number, or there are several `Content-Length` headers.
     BadContentLength,
-    /// A body is larger than the limits allow.
+    /// A body exceeds the size limit.
     BodyTooLarge,
-    /// The first line is no request line.
+    /// The first line is not a valid request line.
     BadRequestLine,
-    /// The version is neither HTTP/1.1 nor HTTP/1.0.
+    /// The version is not supported: neither HTTP/1.1 nor, for a `GET` request, HTTP/1.0.
     UnsupportedVersion,
-    /// A request has no host, or several.
+    /// An HTTP/1.1 request does not have exactly one `Host` header.
     BadHost,
-    /// The first line of a response is no status line.
+    /// A response does not begin with a status line.
     NoStatusLine,
-    /// The status is no number of three digits.
+    /// The version of the status line is not HTTP/1.x, or the status code is not a number of three digits from 100.
     BadStatusLine,
-    /// A head is larger than the limits allow.
+    /// A head exceeds the size limit.
     HeadTooLarge,
-    /// A head has bytes that are not UTF-8.
+    /// A head is not valid UTF-8.
     HeadNotUtf8,
-    /// A line of a head ends without a carriage return.
+    /// A line of a head ends with a line feed that no carriage return precedes.
     BareLineFeed,
-    /// A head has a control character.
+    /// A head contains a control character.
     ControlCharacter,
-    /// A head has no start line.
+    /// The start line of a head is empty or has only one part.
     NoStartLine,
     /// A header has no colon.
     HeaderWithoutColon,
-    /// The name of a header is no token.
+    /// The name of a header is not a token.
     BadHeaderName,
-    /// There are more headers than the limits allow.
+    /// The number of headers exceeds the limit.
     TooManyHeaders,
 }
 
 impl ParseError {
-    /// The status of the response.
+    /// The status code of the error response.
     #[must_use]
     pub const fn status(self) -> u16 {
         match self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The fault in words, for clients and logs.
+    /// A description of the error for clients and logs.
     #[must_use]
     pub const fn message(self) -> &'static str {
         match self {
--- a/crates/http1/src/codec/head.rs
+++ b/crates/http1/src/codec/head.rs
@@ -8,33 +8,33 @@
 use super::error::ParseError;
 use crate::Http1Limits;
 
-/// The end of a head.
+/// The terminator of a head: the end of its last line and an empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A message's start line and headers.
+/// The start line and headers of a message.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Head {
     /// The three parts of the start line.
     pub start: [String; 3],
-    /// The headers in their order: names and values.
+    /// The names and values of the headers, in the order received.
     pub headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The value of the first header of that name.
+    /// The value of the first header with this name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.values(name).next()
     }
 
-    /// Whether a header of that name lists this token.
+    /// Whether a header with this name lists the token, ignoring case.
     #[must_use]
     pub fn lists(&self, name: &str, token: &str) -> bool {
-        let mut listed = self.values(name).flat_map(|value| value.split(','));
-        listed.any(|listed| listed.trim().eq_ignore_ascii_case(token))
+        let mut tokens = self.values(name).flat_map(|value| value.split(','));
+        tokens.any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 
-    /// The status of a response; 0 if it is no number.
+    /// The status code of a response; 0 if it is not a number.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.start[1].parse().unwrap_or(0)
@@ -47,24 +47,24 @@
             && (version != "HTTP/1.0" || self.lists("connection", "keep-alive"))
     }
 
-    /// How the body of a request is framed. Guards against request smuggling: whatever two readers could take for
-    /// different lengths is refused.
+    /// The framing of the body of a request. Ambiguous framing is rejected, since two readers that derive different
+    /// lengths from it make request smuggling possible.
     ///
     /// # Errors
-    /// Status 400, 413 or 501 if the framing is ambiguous, too long or unknown.
+    /// Status 400, 413 or 501 if the framing is ambiguous or invalid, exceeds a limit or is not supported.
     pub fn request_body(&self, limits: &Http1Limits) -> Result<Body, ParseError> {
         Ok(self.body(limits.body_bytes)?.unwrap_or(Body::Length(0)))
     }
 
-    /// How the body of a response is framed.
+    /// The framing of the body of a response.
     ///
     /// # Errors
-    /// Status 400, 413 or 501 if the framing is ambiguous, too long or unknown.
+    /// Status 400, 413 or 501 if the framing is ambiguous or invalid, exceeds a limit or is not supported.
     pub fn response_body(&self) -> Result<Body, ParseError> {
         if matches!(self.status(), 100..=199 | 204 | 304) {
             return Ok(Body::Length(0));
         }
-        // A response may be longer than a request: it is forwarded as it comes.
+        // The length of a response is not limited, since its body is forwarded as it arrives.
         Ok(self.body(usize::MAX)?.unwrap_or(Body::UntilClose))
     }
 
@@ -83,9 +83,9 @@
         }
     }
 
-    /// The values of all headers of that name.
+    /// The values of all headers with this name.
     fn values(&self, name: &str) -> impl Iterator<Item = &str> {
-        let headers = self.headers.iter().filter(move |(own, _)| own.eq_ignore_ascii_case(name));
+        let headers = self.headers.iter().filter(move |(header, _)| header.eq_ignore_ascii_case(name));
         headers.map(|(_, value)| value.as_str())
     }
 }
@@ -100,12 +100,12 @@
     }
 }
 
-/// Removes a request's head from the front of `buf`; none while it is not complete.
+/// Removes the head of a request from the front of `buf`; none while it is incomplete.
 ///
 /// # Errors
-/// Status 400, 431 or 505 if it is malformed, over a limit or of another version.
+/// Status 400, 431 or 505 if the head is malformed, exceeds a limit or has an unsupported version.
 pub fn request_head(buf: &mut Vec<u8>, limits: &Http1Limits) -> Result<Option<Head>, ParseError> {
-    let Some(head) = head(buf, Strictness::PlainText, limits)? else { return Ok(None) };
+    let Some(head) = take_head(buf, HeadBytes::Text, limits)? else { return Ok(None) };
     let [method, target, version] = &head.start;
     if !method.bytes().all(is_token) || !(target.starts_with('/') || target == "*") || target.contains(' ')
     {
@@ -113,7 +113,7 @@
     }
     match version.as_str() {
         "HTTP/1.1" => {}
-        // Guards against a chunked stream to a client that can't read one; health checks may be old.
+        // HTTP/1.0 clients cannot read a chunked stream, but old health checks send `GET` requests of this version.
         "HTTP/1.0" if method == "GET" => {}
         other if other.starts_with("HTTP/") => return Err(ParseError::UnsupportedVersion),
         _ => return Err(ParseError::BadRequestLine),
@@ -124,17 +124,17 @@
     Ok(Some(head))
 }
 
-/// Removes a response's head from the front of `buf`; none while it is not complete. A header's value may be garbage,
-/// which alone does not invalidate a response.
+/// Removes the head of a response from the front of `buf`; none while it is incomplete. A response remains valid when
+/// the value of a header contains control characters or invalid UTF-8.
 ///
 /// # Errors
-/// Status 400, 431 or 502 if it is malformed or over a limit.
+/// Status 400, 431 or 502 if the head is malformed or exceeds a limit.
 pub fn response_head(buf: &mut Vec<u8>, limits: &Http1Limits) -> Result<Option<Head>, ParseError> {
-    // Guards against waiting for the end of what can't become a head: noise need not have one.
+    // Rejects other data at once instead of waiting for the end of a head, which it may never contain.
     if buf.iter().zip(b"HTTP/1.").any(|(received, expected)| received != expected) {
         return Err(ParseError::NoStatusLine);
     }
-    let Some(head) = head(buf, Strictness::AnyBytes, limits)? else { return Ok(None) };
+    let Some(head) = take_head(buf, HeadBytes::Any, limits)? else { return Ok(None) };
     let [version, status, _] = &head.start;
     if !version.starts_with("HTTP/1.") || status.len() != 3 || head.status() < 100 {
         return Err(ParseError::BadStatusLine);
@@ -142,23 +142,23 @@
     Ok(Some(head))
 }
 
-/// Which characters a head may contain.
+/// The bytes that a head may contain.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Strictness {
-    /// UTF-8 without control characters.
-    PlainText,
-    /// Any bytes; what is not UTF-8 is replaced.
-    AnyBytes,
+enum HeadBytes {
+    /// UTF-8 without control characters other than tabs.
+    Text,
+    /// Any bytes; invalid UTF-8 is replaced.
+    Any,
 }
 
-fn head(
+fn take_head(
     buf: &mut Vec<u8>,
-    strictness: Strictness,
+    allowed_bytes: HeadBytes,
     limits: &Http1Limits,
 ) -> Result<Option<Head>, ParseError> {
-    drop_blank_lines(buf);
+    remove_leading_empty_lines(buf);
     let Some(end) = memmem::find(buf, HEAD_END) else {
-        check_incomplete(buf, limits)?;
+        validate_incomplete_head(buf, limits)?;
         return Ok(None);
     };
     if end > limits.head_bytes {
@@ -166,23 +166,24 @@
     }
     let bytes: Vec<u8> = buf.drain(..end + HEAD_END.len()).take(end).collect();
     let text = String::from_utf8_lossy(&bytes);
-    if strictness == Strictness::PlainText {
+    if allowed_bytes == HeadBytes::Text {
         if matches!(text, Cow::Owned(_)) {
             return Err(ParseError::HeadNotUtf8);
         }
-        check_control_characters(&text)?;
+        reject_control_characters(&text)?;
     }
-    parse(&text, limits).map(Some)
+    parse_head(&text, limits).map(Some)
 }
 
-/// Empty lines before a message are allowed.
-fn drop_blank_lines(buf: &mut Vec<u8>) {
-    let blank_bytes = buf.chunks(2).take_while(|pair| *pair == b"\r\n").count() * 2;
-    buf.drain(..blank_bytes);
+/// Removes the empty lines that may precede a message.
+fn remove_leading_empty_lines(buf: &mut Vec<u8>) {
+    let empty_line_bytes = buf.chunks(2).take_while(|pair| *pair == b"\r\n").count() * 2;
+    buf.drain(..empty_line_bytes);
 }
 
-/// Guards against a peer that never ends its head, and against line ends of another kind.
-fn check_incomplete(buf: &[u8], limits: &Http1Limits) -> Result<(), ParseError> {
+/// Rejects an incomplete head that exceeds the size limit, or whose lines end with a line feed alone, since its end
+/// would never be found.
+fn validate_incomplete_head(buf: &[u8], limits: &Http1Limits) -> Result<(), ParseError> {
     if buf.len() > limits.head_bytes {
         return Err(ParseError::HeadTooLarge);
     }
@@ -194,7 +195,7 @@
     Ok(())
 }
 
-fn check_control_characters(text: &str) -> Result<(), ParseError> {
+fn reject_control_characters(text: &str) -> Result<(), ParseError> {
     let is_forbidden = |character: char| character.is_control() && character != '\t';
     if text.replace("\r\n", "").chars().any(is_forbidden) {
         return Err(ParseError::ControlCharacter);
@@ -202,7 +203,7 @@
     Ok(())
 }
 
-fn parse(text: &str, limits: &Http1Limits) -> Result<Head, ParseError> {
+fn parse_head(text: &str, limits: &Http1Limits) -> Result<Head, ParseError> {
     let mut lines = text.split("\r\n");
     let mut parts = lines.next().unwrap_or_default().splitn(3, ' ');
     let mut part = || parts.next().unwrap_or_default().to_owned();
--- a/crates/http1/src/codec/sse.rs
+++ b/crates/http1/src/codec/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events: blocks of lines that end with an empty line.
+//! Server-sent events: blocks of lines, each terminated by an empty line.
 
 use std::str;
 
@@ -7,10 +7,10 @@
 use super::error::ParseError;
 use crate::Http1Limits;
 
-/// Most bytes of the end of a block that may have come without the rest of it.
-const MAX_SPLIT_END: usize = 2;
+/// A block ends with up to 3 bytes (`\n\r\n`), of which all but the last may have arrived before the rest.
+const MAX_PARTIAL_BLOCK_END_BYTES: usize = 2;
 
-/// A block of a stream of server-sent events (an event or comments), with the empty line that ends it.
+/// A block of a stream of server-sent events (an event or comments), including the empty line that terminates it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SseBlock<'a>(pub &'a [u8]);
 
@@ -26,37 +26,38 @@
         })
     }
 
-    /// The event's name, empty if it has none.
+    /// The name of the event; empty if it has none.
     #[must_use]
     pub fn name(self) -> &'a str {
         self.field("event").last().unwrap_or_default()
     }
 
-    /// The event's data, its lines joined by line feeds.
+    /// The data of the event, with its lines joined by line feeds.
     #[must_use]
     pub fn data(self) -> String {
         self.field("data").collect::<Vec<_>>().join("\n")
     }
 
-    /// The comments, without the colon and the surrounding blanks.
+    /// The comments, without the leading colon and surrounding whitespace.
     pub fn comments(self) -> impl Iterator<Item = &'a str> {
         self.lines().filter_map(|l| str::from_utf8(l.strip_prefix(b":")?).ok()).map(str::trim)
     }
 
-    /// Whether it has nothing but comments.
+    /// Whether the block contains only comments.
     #[must_use]
     pub fn is_comment(self) -> bool {
         self.lines().all(|l| l.starts_with(b":"))
     }
 
-    /// Whether it has nothing but line ends.
+    /// Whether the block contains only line terminators.
     #[must_use]
     pub fn is_blank(self) -> bool {
         self.0.iter().all(|b| matches!(b, b'\r' | b'\n'))
     }
 }
 
-/// The offsets after each block in `bytes`, which begin with one. No block ends before `from`.
+/// The end offset of each complete block in `bytes`, which must start at the beginning of a block. The search for line
+/// feeds starts at offset `from`, before which no block ends.
 #[must_use]
 pub fn block_ends(bytes: &[u8], from: usize) -> impl DoubleEndedIterator<Item = usize> {
     memchr_iter(b'\n', &bytes[from..]).filter_map(move |at| match &bytes[from + at + 1..] {
@@ -66,41 +67,40 @@
     })
 }
 
-/// The complete blocks in `bytes`, which begin with one.
+/// The complete blocks in `bytes`, which must start at the beginning of a block.
 pub fn sse_blocks(bytes: &[u8]) -> impl Iterator<Item = SseBlock<'_>> {
     let mut start = 0;
     block_ends(bytes, 0).map(move |end| SseBlock(&bytes[std::mem::replace(&mut start, end)..end]))
 }
 
-/// Removes all complete blocks from the front of `text`; empty if there are none. `scanned` is the offset up to which
-/// earlier calls have searched, and starts at 0.
+/// Removes all complete blocks from the front of `text` and returns them; empty if there are none. `scanned` is the
+/// offset up to which earlier calls have searched; its initial value is 0.
 ///
 /// # Errors
-/// Status 502 for an event over [`Http1Limits::event_bytes`], once the complete ones before it are taken.
+/// Status 502 for an event larger than [`Http1Limits::event_bytes`], after the complete events before it were returned.
 pub fn sse_batch(
     text: &mut Vec<u8>,
     scanned: &mut usize,
     limits: &Http1Limits,
 ) -> Result<Vec<u8>, ParseError> {
     let mut start = 0;
-    let mut is_too_large = false;
+    let mut exceeds_limit = false;
     for end in block_ends(text, *scanned) {
-        // Guards against an endless event; the complete ones before it are good.
+        // Bounds the memory for an event that never ends. The complete events before it are valid and returned first.
         if end - start > limits.event_bytes {
-            is_too_large = true;
+            exceeds_limit = true;
             break;
         }
         start = end;
     }
-    if start == 0 && (is_too_large || text.len() > limits.event_bytes) {
+    if start == 0 && (exceeds_limit || text.len() > limits.event_bytes) {
         return Err(ParseError::EventTooLarge);
     }
     if start == 0 {
-        *scanned = text.len().saturating_sub(MAX_SPLIT_END);
+        *scanned = text.len().saturating_sub(MAX_PARTIAL_BLOCK_END_BYTES);
         return Ok(Vec::new());
     }
     let rest = text.split_off(start);
-    // The end of a block may be split: it has up to three bytes.
-    *scanned = if is_too_large { 0 } else { rest.len().saturating_sub(MAX_SPLIT_END) };
+    *scanned = if exceeds_limit { 0 } else { rest.len().saturating_sub(MAX_PARTIAL_BLOCK_END_BYTES) };
     Ok(std::mem::replace(text, rest))
 }
--- a/crates/http1/src/codec/status.rs
+++ b/crates/http1/src/codec/status.rs
@@ -1,6 +1,6 @@
-//! Reason phrases.
+//! Reason phrases of status codes.
 
-/// The reason phrase of a status that this system sends; "Status" for others.
+/// The reason phrase of a status code that this system sends; "Status" for any other code.
 #[must_use]
 pub fn reason(status: u16) -> &'static str {
     match status {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 and server-sent events over connections that don't block, each within its limits.
+//! HTTP/1.1 and server-sent events over non-blocking connections, with resource limits.
 //!
-//! [`BufferedStream`] is a connection with a read buffer, [`codec`] has the parsers, and [`Http1Limits`] the limits that
-//! both observe.
+//! [`BufferedStream`] is a connection with a read buffer, [`codec`] contains the parsers, and [`Http1Limits`] the
+//! limits that both enforce.
 
 mod buffered_stream;
 pub mod codec;
--- a/crates/http1/src/limits.rs
+++ b/crates/http1/src/limits.rs
@@ -1,29 +1,32 @@
-//! The limits of connections and parsers.
+//! Resource limits and timeouts of connections and parsers.
 
 use std::time::Duration;
 
-/// The resources that a connection may use, and its timeouts. Nothing else in this package states a limit.
+/// Resource limits and timeouts of a connection. All limits of this package are defined here, except the maximum
+/// number of digits of a chunk size.
 #[derive(Clone, Debug)]
 pub struct Http1Limits {
-    /// Bytes of a message's head.
+    /// Maximum size of the head of a message, in bytes.
     pub head_bytes: usize,
-    /// Header lines of a message.
+    /// Maximum number of header lines, and of trailer lines, of a message.
     pub headers: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, and of one chunk of a request or response, in bytes.
     pub body_bytes: usize,
-    /// Bytes of one event of a stream, of its framing lines, and of a refusal's body that is read to its end.
+    /// Maximum size in bytes of one event of a stream including its framing lines, and of the body of an error response
+    /// that is read completely.
     pub event_bytes: usize,
-    /// Bytes of a line that frames a chunk.
+    /// Maximum length of a chunk size line or trailer line, in bytes.
     pub line_bytes: usize,
-    /// Longest chunk that is buffered until it is complete; the data of a longer one are forwarded as they come.
-    pub chunk_hold: usize,
-    /// Bytes read from a socket at once.
+    /// Maximum size of a chunk that is buffered until it is complete, in bytes. The data of a larger chunk are
+    /// forwarded as they arrive.
+    pub buffered_chunk_bytes: usize,
+    /// Maximum number of bytes of one read from a socket.
     pub read_bytes: usize,
-    /// The size requested for each socket buffer in the kernel, which may use twice as much.
+    /// Size requested for each socket buffer, in bytes. The kernel may use twice as much.
     pub socket_buffer: usize,
-    /// Longest time for a connection to be established.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Duration,
-    /// A connection that has sent its last response is closed once nothing has been received for this time.
+    /// After the last response, a connection is closed once nothing has been received for this time.
     pub linger_quiet: Duration,
 }
 
@@ -36,11 +39,11 @@
             body_bytes: 256 << 10,
             event_bytes,
             line_bytes: 256,
-            chunk_hold: event_bytes,
+            buffered_chunk_bytes: event_bytes,
             read_bytes: 16 << 10,
             socket_buffer: 64 << 10,
             connect_timeout: Duration::from_millis(150),
-            // A stream that is ended by a shutdown still closes before the process is killed.
+            // Short enough that a stream ended by a shutdown is closed before the process is killed.
             linger_quiet: Duration::from_millis(100),
         }
     }
--- a/crates/http1/src/request_error.rs
+++ b/crates/http1/src/request_error.rs
@@ -1,23 +1,24 @@
-//! Why no request could be read from a client's connection.
+//! Errors of reading a request from a client connection.
 
 use std::error::Error;
 use std::fmt;
 
 use crate::codec::ParseError;
 
-/// Why what a client sent is answered without being sent to a replica. None of it has run, so a retry is safe.
+/// Why a request gets an error response without being sent to a replica. No replica has processed it, so a retry is
+/// safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The bytes are no request, or exceed a limit.
+    /// The bytes are not a valid request or exceed a limit.
     Malformed(ParseError),
-    /// The request did not arrive in time.
+    /// The request did not arrive completely before its deadline.
     TooSlow,
-    /// The client went on sending while it waited for its response.
+    /// The client sent more bytes while it waited for its response than are buffered.
     PipelinedTooMuch,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The status code of the error response.
     #[must_use]
     pub const fn status(self) -> u16 {
         match self {
--- a/crates/http1/tests/body.rs
+++ b/crates/http1/tests/body.rs
@@ -1,13 +1,19 @@
-//! Framing of bodies, whatever the fragments in which they arrive.
+//! Framing of message bodies that arrive in arbitrary fragments.
 
 use tulipridge_http1::Http1Limits;
 use tulipridge_http1::codec::{Body, Chunk, LAST_CHUNK, ParseError, chunk};
 
 fn limits() -> Http1Limits {
-    Http1Limits { body_bytes: 256, line_bytes: 32, chunk_hold: 16, headers: 2, ..Http1Limits::default() }
+    Http1Limits {
+        body_bytes: 256,
+        line_bytes: 32,
+        buffered_chunk_bytes: 16,
+        headers: 2,
+        ..Http1Limits::default()
+    }
 }
 
-/// A chunked body that arrives in fragments of so many bytes.
+/// Parses a chunked body that arrives in fragments of `fragment_bytes`.
 fn take_in_fragments(message: &[u8], fragment_bytes: usize) -> Result<(bool, Vec<u8>), ParseError> {
     let mut body = Body::Chunked(Chunk::Size);
     let (mut buffer, mut out) = (Vec::new(), Vec::new());
@@ -20,18 +26,18 @@
 }
 
 fn status_of(message: &[u8]) -> u16 {
-    take_in_fragments(message, message.len()).expect_err("it is refused").status()
+    take_in_fragments(message, message.len()).expect_err("the framing is rejected").status()
 }
 
 #[test]
-fn a_chunked_body_is_the_same_in_any_fragments() {
-    // One chunk that is buffered until it is complete, and one that is too long for that.
-    let short = b"hello".as_slice();
-    let long = [b'x'; 40].as_slice();
-    let message = [&chunk(short)[..], &chunk(long), b"0\r\nname: value\r\n\r\n"].concat();
+fn fragmentation_does_not_change_a_chunked_body() {
+    // The first chunk is buffered until it is complete; the second is too large for that.
+    let small = b"hello".as_slice();
+    let large = [b'x'; 40].as_slice();
+    let message = [&chunk(small)[..], &chunk(large), b"0\r\nname: value\r\n\r\n"].concat();
     for fragment_bytes in 1..=message.len() {
         let taken = take_in_fragments(&message, fragment_bytes);
-        assert_eq!(taken, Ok((true, [short, long].concat())), "in fragments of {fragment_bytes} bytes");
+        assert_eq!(taken, Ok((true, [small, large].concat())), "in fragments of {fragment_bytes} bytes");
     }
 }
 
@@ -45,19 +51,19 @@
 }
 
 #[test]
-fn a_short_chunk_is_not_forwarded_before_it_is_complete() {
+fn a_small_chunk_is_not_forwarded_before_it_is_complete() {
     assert_eq!(take_in_fragments(b"5\r\nhello", 3), Ok((false, Vec::new())));
 }
 
 #[test]
-fn a_long_chunk_is_forwarded_as_it_arrives() {
+fn a_large_chunk_is_forwarded_as_it_arrives() {
     assert_eq!(take_in_fragments(b"20\r\nabc", 1), Ok((false, b"abc".to_vec())));
 }
 
 #[test]
-fn invalid_framing_is_refused() {
-    assert_eq!(status_of(b"x\r\n"), 400, "no size");
-    assert_eq!(status_of(b"123456789"), 400, "an endless size");
+fn invalid_framing_is_rejected() {
+    assert_eq!(status_of(b"x\r\n"), 400, "a size that is not a number");
+    assert_eq!(status_of(b"123456789"), 400, "a size with too many digits");
     assert_eq!(status_of(b"3\r\nabcd\r\n"), 400, "a chunk longer than its size");
     assert_eq!(status_of(b"101\r\n"), 413, "a chunk over the limit");
     assert_eq!(status_of(&[b"5;".as_slice(), &[b'x'; 40]].concat()), 400, "a line over the limit");
