--- a/crates/http1/src/buffered_stream.rs
+++ b/crates/http1/src/buffered_stream.rs
@@ -106,8 +106,7 @@
     }
 
     /// Waits for bytes and appends them to `buf`. Returns their number; 0 means that the peer has closed its sending
-    /// side.
-    /// Dropping the future loses no bytes.
+    /// side. Dropping the future loses no bytes.
     ///
     /// # Errors
     /// The error of the operating system.
