--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -1,13 +1,13 @@
-//! The feed: state from the control plane's primary to the relays of each zone, from a relay to the agents of its
-//! zone, and from an agent to the proxy beside it. A relay is a member of the control plane that serves agents. Each
-//! hop speaks the same protocol, which resembles the incremental (delta) variant of xDS.
+//! The feed propagates state from the control plane's primary to the relays of each zone, from a relay to the agents of
+//! its zone, and from an agent to the proxy on the same machine. A relay is a member of the control plane that serves
+//! agents. Each hop uses the same protocol, which resembles the incremental (delta) variant of xDS.
 //!
-//! A subscriber connects and states the positions that it knows. The publisher sends what is missing (snapshots, or
-//! deltas from these positions) and from then on each change, in order, on the same connection. A subscriber pings;
-//! the pong says how long ago the publisher's state was known to be the newest, so that each hop can compute its own
-//! freshness from the moment it sent the ping, by its own monotonic clock alone.
+//! A subscriber connects and sends the positions that it has. The publisher sends what is missing (snapshots, or deltas
+//! from these positions) and after that each change, in order, on the same connection. A subscriber sends pings; the
+//! pong says how long ago the publisher's state was known to be the newest. Each hop computes its own freshness from
+//! the time at which it sent the ping, and so needs no clock but its own monotonic one.
 //!
-//! The encoding numbers fields and variants by their order: names may change, order and types may not.
+//! Fields and variants are encoded by position: names may change, order and types may not.
 
 use std::sync::Arc;
 
@@ -35,12 +35,12 @@
         /// Gateways (agents) that this subscriber serves, itself included if it is one.
         gateways: u32,
     },
-    /// The work queued at replicas by the gateways that this subscriber serves. It is sent only to publishers that
-    /// have sent a table of loads, since earlier versions don't know this message.
+    /// The work queued at replicas by the gateways that this subscriber serves. Sent only to publishers that have
+    /// sent a table of loads, since earlier versions can't decode this message.
     QueuedWork(QueuedWork),
 }
 
-/// Work that gateways have sent to replicas and that these have not started.
+/// Work that gateways have sent to replicas and that the replicas have not started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct QueuedWork {
     /// The position of the table of replicas that the entries refer to.
@@ -50,25 +50,25 @@
     pub entries: Vec<QueuedWorkEntry>,
 }
 
-/// Who subscribes, and from which positions it resumes.
+/// A subscriber, and the positions from which it resumes.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Subscribe {
     /// The subscriber's machine name.
     pub name: String,
-    /// Its zone.
+    /// The subscriber's zone.
     pub zone: String,
-    /// What it is.
+    /// The kind of process that subscribes.
     pub role: SubscriberRole,
-    /// The positions that it knows already.
+    /// The positions that the subscriber already has.
     pub known: KnownPositions,
 }
 
-/// What a subscriber is.
+/// The kind of process that subscribes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum SubscriberRole {
     /// A member of the control plane that serves agents.
     Relay,
-    /// An agent beside a proxy.
+    /// An agent, on the machine of a proxy.
     Agent,
     /// A proxy.
     Proxy,
@@ -85,13 +85,13 @@
     pub weights: Position,
     /// Position of the prefix-cache index.
     pub cache_index: Position,
-    /// Position of the table of loads; none from programs that do not know of it, which are not sent it.
+    /// Position of the table of loads; `None` from earlier versions without this table, to which it is not sent.
     #[musli(default)]
     pub loads: Option<Position>,
 }
 
 /// The version of a table: the epoch of the primary that wrote it, and the number of its change in that epoch.
-/// Positions only rise; a subscriber ignores an update whose position is not above the one that it knows.
+/// Positions only rise; a subscriber ignores an update whose position is not above the one that it has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Position {
     /// The primary's epoch.
@@ -107,23 +107,23 @@
     Configuration(ConfigurationUpdate),
     /// The table of replicas, as a snapshot or a delta.
     Fleet(FleetUpdate),
-    /// The table of weights, always as a snapshot: it has only one entry a model.
+    /// The table of weights, always as a snapshot: it has only one entry per model.
     Weights(WeightsTable),
     /// The prefix-cache index, as a snapshot or a delta.
     CacheIndex(CacheIndexUpdate),
     /// How many gateways there are, and the members of the control plane.
     Group(Group),
-    /// The reply to a ping.
+    /// The response to a ping.
     Pong {
         /// The ping's id.
         id: u64,
-        /// How long before this reply, in milliseconds, the publisher's state was known to be the newest;
-        /// none while that is not known.
+        /// How long before this response, in milliseconds, the publisher's state was last known to be the newest;
+        /// `None` while that is unknown.
         age_ms: Option<u32>,
         /// Revision of the configuration that the publisher has.
         revision: Revision,
     },
-    /// The table of loads, always as a snapshot: most of its entries change from one to the next.
+    /// The table of loads, always as a snapshot: most entries change from one snapshot to the next.
     Loads(LoadTable),
 }
 
@@ -132,7 +132,7 @@
 pub enum ConfigurationUpdate {
     /// The complete configuration.
     Snapshot(Arc<Configuration>),
-    /// The difference from the one that the subscriber has.
+    /// The difference from the configuration that the subscriber has.
     Changes(ConfigurationChanges),
 }
 
@@ -141,9 +141,9 @@
 pub enum FleetUpdate {
     /// The complete table.
     Snapshot {
-        /// Its position.
+        /// The table's position.
         position: Position,
-        /// Its entries.
+        /// The table's entries.
         replicas: Vec<Replica>,
     },
     /// The difference from the table at `base`.
@@ -162,43 +162,43 @@
 /// An update of the prefix-cache index.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct CacheIndexUpdate {
-    /// The position from which the changes apply; none in a snapshot.
+    /// The position from which the changes apply; `None` in a snapshot.
     pub base: Option<Position>,
     /// The position after them.
     pub position: Position,
-    /// The changes, at most one a source.
+    /// The changes, at most one per source.
     pub updates: Vec<CacheUpdate>,
 }
 
 /// A replica as the control plane knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Replica {
-    /// The id of this incarnation, which `Meant-Server` carries.
+    /// The id of this incarnation, sent in the `Meant-Server` header.
     pub id: String,
-    /// The service that it belongs to.
+    /// The service that the replica belongs to.
     pub service: String,
     /// `IP:PORT`.
     pub address: String,
-    /// Its zone.
+    /// The replica's zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that the replica runs concurrently.
     pub capacity: u32,
-    /// Whether it may be sent requests.
+    /// Whether the replica may be sent requests.
     pub phase: ReplicaPhase,
-    /// Time for which it is still slow after its start, in milliseconds, when the entry was written.
+    /// Remaining time of slow start, in milliseconds, when the entry was written.
     pub warm_left_ms: u32,
-    /// The models that it serves and the revision of their weights.
+    /// The models that the replica serves and the revisions of their weights.
     pub models: Vec<ModelRevision>,
 }
 
 /// Whether a replica may be sent requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ReplicaPhase {
-    /// It may.
+    /// The replica may be sent requests.
     Ready,
-    /// It is about to load weights or loads them; nothing new is sent.
+    /// The replica loads weights or is about to; no new requests are sent.
     Loading,
-    /// It is draining; nothing new is sent.
+    /// The replica is draining; no new requests are sent.
     Draining,
 }
 
@@ -211,10 +211,10 @@
     pub revision: WeightsRevision,
 }
 
-/// The weights that the operator named, and which revisions must not be used any more.
+/// The target revision of each model's weights, and which revisions must no longer be used.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WeightsTable {
-    /// Its position.
+    /// The table's position.
     pub position: Position,
     /// An entry for each model.
     pub models: Vec<ModelWeights>,
@@ -225,36 +225,36 @@
 pub struct ModelWeights {
     /// The model's name.
     pub model: String,
-    /// The newest revision that the operator named.
+    /// The target revision: the newest that the operator named.
     pub named: WeightsRevision,
     /// Requests may be sent to replicas of this revision or newer, and to no others.
     pub least: WeightsRevision,
-    /// The operator's deadline for older revisions than this one is about to end: requests queued on them must not
-    /// start any more. 0 in messages of programs that do not know of it.
+    /// The operator's deadline for revisions older than this one is about to pass: requests queued on them must not
+    /// start any more. 0 in messages of earlier versions, which lack this field.
     #[musli(default)]
     pub expired: WeightsRevision,
 }
 
 /// How much work is queued at each replica by all gateways together, in units of [`WORK_UNIT_TOKENS`] of prompt; at
-/// least one unit a request.
+/// least one unit per request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LoadTable {
-    /// Its position.
+    /// The position of this table.
     pub position: Position,
-    /// The position of the table of replicas that its entries refer to.
+    /// The position of the table of replicas that the entries refer to.
     pub fleet: Position,
-    /// The units queued at each replica, in the order of their ids; 255 stands for that or more.
+    /// The units queued at each replica, in the order of the replicas' ids; 255 stands for 255 or more.
     #[musli(bytes)]
     pub queued_units: Vec<u8>,
 }
 
-/// Tokens of a prompt in a unit of queued work.
+/// Prompt tokens per unit of queued work.
 pub const WORK_UNIT_TOKENS: u32 = 1024;
 
 /// The gateways and the members of the control plane.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Group {
-    /// Gateways that the control plane has received pings of lately.
+    /// Number of gateways whose pings the control plane has received recently.
     pub gateways: u32,
     /// Members of the control plane, voters and standbys.
     pub control: Vec<ControlNode>,
@@ -263,8 +263,8 @@
 /// A member of the control plane, as agents need to know it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ControlNode {
-    /// The member.
+    /// The member's id.
     pub id: NodeId,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
 }
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -5,38 +5,39 @@
 use musli::{Decode, Encode};
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Bytes of the length before each message.
+/// Size of the length prefix.
 const LENGTH_BYTES: usize = 4;
-/// Longest message that is accepted: a complete configuration of the largest size that an operator may send.
+/// Size limit of a message, sufficient for a complete configuration of the largest size that an operator may send.
 pub const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
-/// Why a message can't be sent or received.
+/// An error while encoding or decoding a message.
 #[derive(Debug, Snafu)]
 pub enum FrameError {
-    /// A message is longer than any that this system sends.
-    #[snafu(display("a message of {length} bytes is over the bound of {MAX_MESSAGE_BYTES}"))]
+    /// A message exceeds [`MAX_MESSAGE_BYTES`].
+    #[snafu(display("message of {length} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes"))]
     TooLong {
-        /// The length that was stated.
+        /// The length of the message in bytes, as its prefix states it or as it was encoded.
         length: usize,
     },
     /// A message can't be decoded.
-    #[snafu(display("a message can't be decoded: {source}"))]
+    #[snafu(display("message cannot be decoded: {source}"))]
     Malformed {
         /// The decoder's error.
         source: musli::wire::Error,
     },
     /// A message can't be encoded.
-    #[snafu(display("a message can't be encoded: {source}"))]
+    #[snafu(display("message cannot be encoded: {source}"))]
     Unencodable {
         /// The encoder's error.
         source: musli::wire::Error,
     },
 }
 
-/// Appends a message in its frame.
+/// Encodes a message and appends it to `out` with its length prefix.
 ///
 /// # Errors
-/// [`FrameError::Unencodable`], or [`FrameError::TooLong`] for a message over [`MAX_MESSAGE_BYTES`]; `out` is unchanged then.
+/// [`FrameError::Unencodable`], or [`FrameError::TooLong`] for a message over [`MAX_MESSAGE_BYTES`]; `out` is unchanged
+/// then.
 pub fn append<T: Encode<Binary>>(message: &T, out: &mut Vec<u8>) -> Result<(), FrameError> {
     let encoded = encode(message)?;
     let length = encoded.len();
@@ -46,7 +47,7 @@
     Ok(())
 }
 
-/// Encodes a message without a frame, as for a datagram.
+/// Encodes a message without a length prefix, as for a datagram.
 ///
 /// # Errors
 /// [`FrameError::Unencodable`].
@@ -54,7 +55,7 @@
     musli::wire::to_vec(message).context(UnencodableSnafu)
 }
 
-/// Decodes a message that was received without a frame.
+/// Decodes a message without a length prefix.
 ///
 /// # Errors
 /// [`FrameError::Malformed`].
@@ -62,10 +63,10 @@
     musli::wire::from_slice(bytes).context(MalformedSnafu)
 }
 
-/// Removes the next complete message from the front of `buffer`; none while more bytes are needed.
+/// Removes the next complete message from the front of `buffer`; `None` while more bytes are needed.
 ///
 /// # Errors
-/// [`FrameError::TooLong`] as soon as the stated length is over [`MAX_MESSAGE_BYTES`], and [`FrameError::Malformed`].
+/// [`FrameError::TooLong`] as soon as the length prefix exceeds [`MAX_MESSAGE_BYTES`], and [`FrameError::Malformed`].
 pub fn take<T: for<'de> Decode<'de, Binary, Global>>(
     buffer: &mut Vec<u8>,
 ) -> Result<Option<T>, FrameError> {
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! Typed messages between the processes of the system, encoded with musli and framed by their length.
+//! Typed messages between the processes of the system, encoded with musli and framed by a length prefix.
 //!
 //! Three protocols share the framing: [`feed`] carries state from the control plane towards the data plane,
-//! [`replication`] replicates the state among the control plane's members, and [`peer_sampling`] exchanges partial views of
-//! which processes exist.
+//! [`replication`] replicates the state among the members of the control plane, and [`peer_sampling`] exchanges partial
+//! views of the running processes.
 
 pub mod feed;
 pub mod frame;
--- a/crates/protocol/src/node.rs
+++ b/crates/protocol/src/node.rs
@@ -7,26 +7,25 @@
 use tulipridge_configuration::numbers;
 
 numbers! {
-    /// Tells incarnations of a process on one machine apart: of a member by its disk, of an agent by its start.
+    /// Distinguishes incarnations of a process on one machine: a member's by its disk, an agent's by its start.
     Generation(u64);
 }
 
 impl Generation {
-    /// That of a disk which was formatted at the first start of the complete system.
+    /// The generation of a disk that was formatted at the first start of the complete system.
     pub const FIRST: Generation = Generation(0);
 }
 
 /// The id of a process: its machine's address and a generation.
 ///
 /// The generation of a member of the control plane is that of its disk. A disk that was formatted at the first start
-/// of the complete system has generation 0. One that was formatted
-/// later has a random generation, so a machine whose disk was lost is a different member
-/// from the one before. The generation of an agent is drawn at random at each start.
+/// of the complete system has generation 0. A disk that was formatted later has a random generation, so a machine
+/// whose disk was lost becomes a different member. The generation of an agent is drawn at random at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct NodeId {
     /// The machine's IPv4 address as a number.
     pub ip: u32,
-    /// Tells incarnations of the process on one machine apart.
+    /// Distinguishes incarnations of the process on one machine.
     pub generation: Generation,
 }
 
--- a/crates/protocol/src/number.rs
+++ b/crates/protocol/src/number.rs
@@ -1,12 +1,14 @@
-//! The numbers by which members of the control plane and subscribers order what they know.
+//! Numbers that order the state of the control plane's members and of subscribers.
 
 use tulipridge_configuration::{counted, numbers};
 
 numbers! {
-    /// An epoch of the control plane, under which at most one member is primary. In the upper 32 bits a counter and 8 bits
-    /// of the proposer's generation, in the lower its address, so that no two proposers share one. 0 is below all.
+    /// An epoch of the control plane, under which at most one member is primary. The upper 32 bits are a counter and 8
+    /// bits of the proposer's generation, the lower 32 bits its address, so that no two proposers share an epoch. 0 is
+    /// below all epochs.
     Epoch(u64);
-    /// The number of an entry of the replicated log, from 1, without gaps. 0 stands for the state before the first entry.
+    /// The number of an entry of the replicated log, from 1, without gaps. 0 stands for the state before the first
+    /// entry.
     SequenceNumber(u64);
     /// The number of a change of a published table within one epoch, from 1, without gaps.
     ChangeNumber(u64);
--- a/crates/protocol/src/peer_sampling.rs
+++ b/crates/protocol/src/peer_sampling.rs
@@ -1,46 +1,46 @@
-//! Datagrams of peer sampling: each process has a partial view of the others, and shuffles entries with one of them at
-//! a time. The protocol is a variant of Cyclon (Voulgaris, Gavidia and van Steen 2005).
+//! Datagrams of peer sampling: each process has a partial view of the others, and exchanges entries with one of them
+//! at a time. The protocol is a variant of Cyclon (Voulgaris, Gavidia and van Steen 2005).
 
 use musli::{Decode, Encode};
 
 use crate::node::NodeId;
 
-/// A datagram of the shuffle.
+/// A datagram of a shuffle, the exchange of entries between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Shuffle {
-    /// The request of a shuffle: offers entries in exchange for as many.
+    /// The request of a shuffle: offers entries in exchange for the same number.
     Offer {
         /// The sender's own entry.
         from: Entry,
-        /// Some entries of its view.
+        /// Entries of the sender's view.
         entries: Vec<Entry>,
     },
-    /// The reply to an offer.
+    /// The response to an offer.
     Reply {
         /// The sender's own entry.
         from: Entry,
-        /// Some entries of its view.
+        /// Entries of the sender's view.
         entries: Vec<Entry>,
     },
 }
 
-/// A process as it stands in the views of others.
+/// An entry of a view, which describes a process.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Entry {
-    /// The machine, and the incarnation of the process (a control member: the generation of its disk).
+    /// The machine, and the incarnation of the process (for a member of the control plane, the generation of its disk).
     pub id: NodeId,
     /// The role of the process.
     pub role: Role,
-    /// Its zone.
+    /// The zone of the process.
     pub zone: String,
-    /// Ticks since the process itself sent this entry; the lowest age is the freshest.
+    /// Ticks since the process itself sent this entry; the entry with the lowest age is the freshest.
     pub age: u32,
 }
 
 /// The role of a process that takes part in the shuffle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Role {
-    /// An agent beside a proxy.
+    /// An agent, on the machine of a proxy.
     Agent,
     /// A member of the control plane.
     Control,
--- a/crates/protocol/src/queued_work_entries.rs
+++ b/crates/protocol/src/queued_work_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of queued work. They are encoded as pairs as earlier versions wrote them: `#[musli(with = ...)]`.
+//! Entries of queued work, encoded as pairs for compatibility with earlier versions. Used as `#[musli(with = ...)]`.
 
 use musli::{Decoder, Encoder};
 
@@ -7,14 +7,14 @@
 pub struct QueuedWorkEntry {
     /// The replica's index in the table of replicas in the order of ids.
     pub replica_index: u32,
-    /// How much is queued, in units of [`WORK_UNIT_TOKENS`](crate::feed::WORK_UNIT_TOKENS).
+    /// The amount of queued work, in units of [`WORK_UNIT_TOKENS`](crate::feed::WORK_UNIT_TOKENS).
     pub units: u32,
 }
 
-/// Writes each entry as a pair of index and units.
+/// Encodes each entry as a pair of index and units.
 ///
 /// # Errors
-/// Those of the encoder.
+/// Errors of the encoder.
 pub(crate) fn encode<E: Encoder>(entries: &[QueuedWorkEntry], encoder: E) -> Result<(), E::Error>
 where
     Vec<(u32, u32)>: musli::Encode<E::Mode>,
@@ -23,10 +23,10 @@
     encoder.encode(pairs)
 }
 
-/// Reads what [`encode`] wrote.
+/// Decodes entries that [`encode`] wrote.
 ///
 /// # Errors
-/// Those of the decoder.
+/// Errors of the decoder.
 pub(crate) fn decode<'de, D: Decoder<'de>>(decoder: D) -> Result<Vec<QueuedWorkEntry>, D::Error>
 where
     Vec<(u32, u32)>: musli::Decode<'de, D::Mode, D::Allocator>,
--- a/crates/protocol/src/replication.rs
+++ b/crates/protocol/src/replication.rs
@@ -1,6 +1,6 @@
-//! Agreement among the members of the control plane: who is primary, who stores the data, and its replication.
+//! Consensus among the members of the control plane on the primary and the data replicas, and replication of the data.
 //!
-//! `docs/design/control.md` ("Control state") says what each message guarantees.
+//! `docs/design/control.md` ("Control state") specifies what each message guarantees.
 
 use std::sync::Arc;
 
@@ -14,20 +14,21 @@
 pub struct Envelope {
     /// The sender.
     pub from: NodeId,
-    /// The receiver; another generation on the same machine ignores the message.
+    /// The receiver; a member of another generation on the same machine ignores the message.
     pub to: NodeId,
     /// The message.
     pub message: ReplicationMessage,
 }
 
-/// Who votes and who stores the data, under an epoch that no two proposers share.
+/// The voters and the data replicas, under an epoch that no two proposers share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct View {
-    /// The epoch: in the upper 32 bits a counter and 8 bits of the proposer's generation, in the lower its address.
+    /// The epoch: the upper 32 bits are a counter and 8 bits of the proposer's generation, the lower its address.
     pub epoch: Epoch,
     /// Members that vote.
     pub voters: Vec<NodeId>,
-    /// Voters of the view that this one was made from: a majority of them is needed beside one of `voters`.
+    /// The voters being replaced by a change of voters, else empty; while set, a quorum is a majority of these and a
+    /// majority of `voters`.
     pub previous_voters: Vec<NodeId>,
     /// Members that store the data; the first is the primary, the others are its backups.
     pub data_replicas: Vec<NodeId>,
@@ -36,27 +37,27 @@
 /// One change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Entry {
-    /// Its sequence number, from 1, without gaps.
+    /// The entry's sequence number, from 1, without gaps.
     pub sequence: SequenceNumber,
     /// The encoded command.
     #[musli(with = crate::shared_bytes)]
     pub command: Arc<[u8]>,
 }
 
-/// Identifies the data that a proposer sends in chunks. The same data has the same id under each epoch.
+/// Identifies the data that a proposer sends in chunks. The same data has the same id in every epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct TransferId {
-    /// The entry up to which its snapshot goes.
+    /// The last entry that the snapshot contains.
     pub snapshot_sequence: SequenceNumber,
-    /// Its newest entry.
+    /// The newest entry of the data.
     pub sequence: SequenceNumber,
-    /// Its length in bytes.
+    /// The length of the data in bytes.
     pub length: u64,
-    /// Its checksum (XXH3, 64 bits).
+    /// The checksum of the data (XXH3, 64 bits).
     pub checksum: u64,
 }
 
-/// What members send to each other.
+/// A message between members, without sender and receiver.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ReplicationMessage {
     /// Paxos phase 1: a data replica proposes a new view under this epoch.
@@ -64,7 +65,7 @@
         /// The proposed epoch.
         epoch: Epoch,
     },
-    /// The sender takes part in no lower epoch any more. Durable before it is sent.
+    /// The sender no longer takes part in any lower epoch. The promise is durable before it is sent.
     Promise {
         /// The epoch that was promised.
         epoch: Epoch,
@@ -87,34 +88,34 @@
         data_epoch: Epoch,
         /// The data that the chunk belongs to.
         transfer: TransferId,
-        /// Where the chunk begins, in bytes.
+        /// The offset of the chunk in the data, in bytes.
         offset: u64,
         /// The chunk.
         #[musli(with = crate::shared_bytes)]
         bytes: Arc<[u8]>,
     },
-    /// How much of the data the sender has received without gaps. None of it need be on its disk.
+    /// The length of the data that the sender has received without gaps. The data may not be on the sender's disk yet.
     SyncProgress {
         /// The epoch of the sync.
         epoch: Epoch,
-        /// The data.
+        /// The data that is received.
         transfer: TransferId,
-        /// Bytes from the start.
+        /// Bytes received from the start of the data.
         received: u64,
     },
-    /// The sync is on the sender's disk.
+    /// All data of the sync is on the sender's disk.
     Synced {
         /// The epoch of the sync.
         epoch: Epoch,
-        /// The newest entry that it brought.
+        /// The newest entry of the data.
         sequence: SequenceNumber,
     },
-    /// Paxos phase 2: has the receiver record a view.
+    /// Paxos phase 2: asks the receiver to record a view durably.
     Install {
         /// The view.
         view: View,
     },
-    /// The view is on the sender's disk.
+    /// The view is recorded on the sender's disk.
     Installed {
         /// The view's epoch.
         epoch: Epoch,
@@ -133,16 +134,16 @@
         /// The entry's sequence number.
         sequence: SequenceNumber,
     },
-    /// The primary is alive. Grants nothing by itself; the acknowledgement renews its lease.
+    /// The primary is alive. Grants nothing by itself; acknowledgements renew the primary's lease.
     Heartbeat {
         /// The primary's view, so that standbys learn it.
         view: View,
-        /// Returned in the acknowledgement; the primary counts its lease from the moment it sent this.
+        /// Returned in the acknowledgement; the primary counts its lease from the time at which it sent the heartbeat.
         token: u64,
         /// The newest entry that all data replicas have.
         committed: SequenceNumber,
     },
-    /// The sender votes for nobody else while a lease grant runs.
+    /// Grants the primary a lease: the sender votes for no other member while the grant runs.
     HeartbeatAck {
         /// The view's epoch.
         epoch: Epoch,
@@ -150,21 +151,21 @@
         token: u64,
         /// The sender's zone.
         zone: String,
-        /// The sender's disk answers within its bound.
+        /// The sender's disk responds within its time limit.
         disk_healthy: bool,
-        /// The sender's process ends soon: its seats in the view are to be given to others.
+        /// The sender is about to depart: its roles in the view are to be given to other members.
         leaving: bool,
     },
     /// The primary gives up its lease; the named backup may campaign at once.
     Release {
         /// The primary's epoch.
         epoch: Epoch,
-        /// The data replica that should follow.
+        /// The data replica that should become primary.
         successor: NodeId,
     },
-    /// The sender runs and is in no view that it knows to be in force.
+    /// The sender is running and is not in any view that it knows to be in force.
     Join {
-        /// Its zone.
+        /// The sender's zone.
         zone: String,
     },
 }
--- a/crates/protocol/tests/feed_encoding.rs
+++ b/crates/protocol/tests/feed_encoding.rs
@@ -1,4 +1,4 @@
-//! The bytes of the feed, against types that are written as earlier versions had them.
+//! The encoding of feed messages, compared with types and bytes of earlier versions.
 
 use musli::mode::Binary;
 use musli::{Decode, Encode, wire};
@@ -8,11 +8,11 @@
 };
 use tulipridge_protocol::number::{ChangeNumber, Epoch};
 
-/// Queued work as it was sent before its entries had a type of their own.
+/// [`QueuedWork`] as earlier versions declared it, before its entries had a type of their own.
 #[derive(Debug, PartialEq, Encode, Decode)]
 struct TupleQueuedWork {
     fleet: Position,
-    lines: Vec<(u32, u32)>,
+    entries: Vec<(u32, u32)>,
 }
 
 const ENTRIES: [(u32, u32); 4] = [(0, 1), (1, 300), (127, 128), (u32::MAX, u32::MAX)];
@@ -29,15 +29,16 @@
 fn queued_work_is_encoded_as_pairs_of_index_and_units() {
     let pairs = TupleQueuedWork {
         fleet: Position { epoch: Epoch(7), sequence: ChangeNumber(300) },
-        lines: ENTRIES.to_vec(),
+        entries: ENTRIES.to_vec(),
     };
-    let bytes = wire::to_vec(&pairs).expect("it is encoded");
-    assert_eq!(wire::to_vec(&queued_work()).expect("it is encoded"), bytes);
-    assert_eq!(wire::from_slice::<QueuedWork>(&bytes).expect("it is decoded"), queued_work());
-    assert_eq!(wire::from_slice::<TupleQueuedWork>(&bytes).expect("it is decoded"), pairs);
+    let bytes = wire::to_vec(&pairs).expect("the message is encodable");
+    assert_eq!(wire::to_vec(&queued_work()).expect("the message is encodable"), bytes);
+    assert_eq!(wire::from_slice::<QueuedWork>(&bytes).expect("the message is decodable"), queued_work());
+    assert_eq!(wire::from_slice::<TupleQueuedWork>(&bytes).expect("the message is decodable"), pairs);
 }
 
-/// The bytes were written by the version before fields and variants were renamed.
+/// Guards against a change of the encoding when fields and variants are renamed: the bytes are those of the version
+/// before such a rename.
 #[test]
 fn messages_keep_the_bytes_of_earlier_versions() {
     let position = Position { epoch: Epoch(7), sequence: ChangeNumber(300) };
@@ -77,5 +78,5 @@
 }
 
 fn assert_encoded<T: Encode<Binary>>(message: &T, expected: &[u8]) {
-    assert_eq!(wire::to_vec(message).expect("it is encoded"), expected);
+    assert_eq!(wire::to_vec(message).expect("the message is encodable"), expected);
 }
--- a/crates/protocol/tests/frame.rs
+++ b/crates/protocol/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Messages and their frames.
+//! Framing of messages: encoding, decoding and the size limit.
 
 use std::net::Ipv4Addr;
 
@@ -56,7 +56,7 @@
 fn framed(messages: &[Envelope]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for message in messages {
-        frame::append(message, &mut bytes).expect("a message that can be sent");
+        frame::append(message, &mut bytes).expect("the message is encodable");
     }
     bytes
 }
@@ -67,15 +67,15 @@
 #[case::sync(sync())]
 #[case::sync_progress(sync_progress())]
 #[case::join(ReplicationMessage::Join { zone: "zone-ä".to_owned() })]
-fn a_message_is_read_as_it_was_written(#[case] message: ReplicationMessage) {
+fn messages_are_unchanged_by_encoding_and_decoding(#[case] message: ReplicationMessage) {
     let sent = envelope(message);
     let mut bytes = framed(std::slice::from_ref(&sent));
-    assert_eq!(frame::take(&mut bytes).expect("a whole message"), Some(sent));
+    assert_eq!(frame::take(&mut bytes).expect("the frame is valid"), Some(sent));
     assert!(bytes.is_empty());
 }
 
 #[test]
-fn messages_are_read_in_order_whatever_the_fragments_in_which_they_arrive() {
+fn messages_are_read_in_order_from_fragments_of_any_size() {
     let sent = [envelope(append(1)), envelope(install()), envelope(append(2))];
     let bytes = framed(&sent);
     for fragment_bytes in 1..bytes.len() {
@@ -83,7 +83,7 @@
         let mut taken: Vec<Envelope> = Vec::new();
         for chunk in bytes.chunks(fragment_bytes) {
             buffer.extend_from_slice(chunk);
-            while let Some(message) = frame::take(&mut buffer).expect("good frames") {
+            while let Some(message) = frame::take(&mut buffer).expect("the frames are valid") {
                 taken.push(message);
             }
         }
@@ -92,7 +92,7 @@
     }
 }
 
-/// The stated length is judged before the message has come in.
+/// The length prefix is checked before the message has arrived, so that an oversized message is not buffered.
 #[test]
 fn a_message_over_the_limit_is_refused_by_its_length() {
     let length = MAX_MESSAGE_BYTES as u32 + 1;
@@ -115,8 +115,8 @@
 
 #[rstest]
 #[case::empty(&[])]
-#[case::noise(&[0xff; 20])]
-fn bytes_that_are_no_message_are_malformed(#[case] message: &[u8]) {
+#[case::all_bits_set(&[0xff; 20])]
+fn undecodable_bytes_are_malformed(#[case] message: &[u8]) {
     let mut bytes = (message.len() as u32).to_le_bytes().to_vec();
     bytes.extend_from_slice(message);
     assert!(matches!(frame::take::<Envelope>(&mut bytes), Err(FrameError::Malformed { .. })));
--- a/crates/protocol/tests/stored_messages.rs
+++ b/crates/protocol/tests/stored_messages.rs
@@ -1,7 +1,7 @@
-//! Messages between the programs, against the bytes that an earlier version sent (`tests/data/README.md`).
+//! Messages between the programs, compared with the bytes that an earlier version sent (`tests/data/README.md`).
 //!
-//! A message is encoded by position: types, fields and variants may be renamed here and in the sources, the bytes
-//! stay. Neighbouring fields of one type have different values, so that an exchange of two of them is found.
+//! Messages are encoded by position: types, fields and variants may be renamed here and in the sources, but the bytes
+//! stay. Neighbouring fields of one type have different values, so that the tests detect two swapped fields.
 
 #[path = "support/configurations.rs"]
 mod configurations;
@@ -138,7 +138,7 @@
 fn other_messages_to_a_subscriber() -> Vec<Case<ToSubscriber>> {
     let updates =
         || vec![cache_update(Liveness::Alive), cache_update(Liveness::Down), cache_update(Liveness::Gone)];
-    let cache_table = |base| {
+    let cache_index = |base| {
         ToSubscriber::CacheIndex(CacheIndexUpdate { base, position: position(45, 55), updates: updates() })
     };
     let control = vec![
@@ -151,8 +151,8 @@
         queued_units: vec![0, 1, 127, 128, 255],
     };
     vec![
-        Case::new("cache-table", cache_table(None)),
-        Case::new("cache-table-changes", cache_table(Some(position(44, 54)))),
+        Case::new("cache-table", cache_index(None)),
+        Case::new("cache-table-changes", cache_index(Some(position(44, 54)))),
         Case::new("group", ToSubscriber::Group(Group { gateways: 441, control })),
         Case::new("pong", ToSubscriber::Pong { id: 300, age_ms: Some(25), revision: Revision(70_001) }),
         Case::new(
@@ -270,25 +270,25 @@
     check_stored(
         "peer-sampling.txt",
         &cases,
-        |message| frame::encode(message).expect("it is encoded"),
-        |stored| frame::decode(stored).expect("it is read"),
+        |message| frame::encode(message).expect("the message is encodable"),
+        |stored| frame::decode(stored).expect("the message is decodable"),
     );
 }
 
-/// Checks messages in their frames.
+/// Compares framed messages with the stored bytes.
 fn check_framed<T>(file: &str, cases: &[Case<T>])
 where
     T: Debug + PartialEq + Encode<Binary> + for<'de> Decode<'de, Binary, Global>,
 {
     let encode = |message: &T| {
         let mut framed = Vec::new();
-        frame::append(message, &mut framed).expect("it is encoded");
+        frame::append(message, &mut framed).expect("the message is encodable");
         framed
     };
     let decode = |stored: &[u8]| {
         let mut buffer = stored.to_vec();
-        let message = frame::take(&mut buffer).expect("it is read").expect("it is complete");
-        assert!(buffer.is_empty(), "bytes are left after a message");
+        let message = frame::take(&mut buffer).expect("the frame is valid").expect("the frame is complete");
+        assert!(buffer.is_empty(), "bytes remain after the message");
         message
     };
     check_stored(file, cases, encode, decode);
--- a/crates/protocol/tests/support/configurations.rs
+++ b/crates/protocol/tests/support/configurations.rs
@@ -1,4 +1,4 @@
-//! Configurations with another value in each field.
+//! Configurations and changes for tests of the encoding.
 
 use tulipridge_configuration::number::{Rank, Revision};
 use tulipridge_configuration::{
@@ -6,7 +6,7 @@
     Tenant,
 };
 
-/// A configuration in which each field has a value of its own.
+/// A configuration whose values reveal swapped neighbouring fields.
 pub(crate) fn configuration() -> Configuration {
     Configuration {
         revision: Revision(70_001),
@@ -18,7 +18,7 @@
     }
 }
 
-/// A change in which each field has a value of its own.
+/// A change with every part, whose values reveal swapped neighbouring fields.
 pub(crate) fn changes() -> ConfigurationChanges {
     ConfigurationChanges {
         base: Revision(70_001),
@@ -34,7 +34,7 @@
     }
 }
 
-/// A change with nothing in it that may be missing.
+/// A change with empty lists and without `caps`.
 pub(crate) fn empty_changes() -> ConfigurationChanges {
     ConfigurationChanges {
         base: Revision(11),
--- a/crates/protocol/tests/upgrade.rs
+++ b/crates/protocol/tests/upgrade.rs
@@ -1,10 +1,10 @@
-//! Programs of two versions beside each other, as while machines are replaced one after the other.
+//! Compatibility between programs of two versions, which run side by side during a rolling upgrade.
 
 use musli::{Decode, Encode, wire};
 use tulipridge_configuration::number::WeightsRevision;
 use tulipridge_protocol::feed::ModelWeights;
 
-/// The line of the table of weights before it said which revisions have expired.
+/// [`ModelWeights`] as earlier versions declared it, without `expired`.
 #[derive(Debug, PartialEq, Encode, Decode)]
 struct EarlierModelWeights {
     model: String,
@@ -13,12 +13,12 @@
 }
 
 #[test]
-fn an_earlier_line_is_read_without_what_it_lacks() {
+fn a_field_missing_from_an_earlier_version_is_zero() {
     let earlier = EarlierModelWeights { model: "m".to_owned(), named: 3, least: 2 };
-    let bytes = wire::to_vec(&earlier).expect("it is encoded");
-    let line: ModelWeights = wire::from_slice(&bytes).expect("it is read");
+    let bytes = wire::to_vec(&earlier).expect("the entry is encodable");
+    let decoded: ModelWeights = wire::from_slice(&bytes).expect("the entry is decodable");
     assert_eq!(
-        line,
+        decoded,
         ModelWeights {
             model: "m".to_owned(),
             named: WeightsRevision(3),
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn an_earlier_program_passes_over_what_it_does_not_know() {
-    let line = ModelWeights {
+fn an_earlier_version_ignores_an_unknown_field() {
+    let current = ModelWeights {
         model: "m".to_owned(),
         named: WeightsRevision(3),
         least: WeightsRevision(2),
         expired: WeightsRevision(1),
     };
-    let bytes = wire::to_vec(&line).expect("it is encoded");
-    let earlier: EarlierModelWeights = wire::from_slice(&bytes).expect("it is read");
+    let bytes = wire::to_vec(&current).expect("the entry is encodable");
+    let earlier: EarlierModelWeights = wire::from_slice(&bytes).expect("the entry is decodable");
     assert_eq!(earlier, EarlierModelWeights { model: "m".to_owned(), named: 3, least: 2 });
 }
