--- a/crates/protocol/src/replication.rs
+++ b/crates/protocol/src/replication.rs
@@ -143,7 +143,7 @@
         /// The newest entry that all data replicas have.
         committed: SequenceNumber,
     },
-    /// Grants the primary a lease: the sender votes for no other member while the grant runs.
+    /// Acknowledges a heartbeat. A voter thereby grants a lease, and votes for no other member while the grant runs.
     HeartbeatAck {
         /// The view's epoch.
         epoch: Epoch,
