--- a/crates/control-plane/src/accept.rs
+++ b/crates/control-plane/src/accept.rs
@@ -18,7 +18,7 @@
         match listener.accept().await {
             Ok((stream, _)) => serve(stream),
             Err(error) => {
-                log::warn!(callers:% = callers, error:% = error; "a connection can't be accepted");
+                log::warn!(callers:% = callers, error:% = error; "failed to accept a connection");
                 Timer::after(ACCEPT_BACKOFF).await;
             }
         }
--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -166,7 +166,7 @@
                 self.logged_entries.clear();
             }
             if self.logged_entries.insert(entry.clone()) {
-                log::warn!(entry:% = entry; "an entry of the list of replicas can't be read and is left out");
+                log::warn!(entry:% = entry; "a malformed entry of the replica list is ignored");
             }
         }
     }
@@ -174,9 +174,9 @@
     fn log_health_change(&mut self, error: Option<&PollError>) {
         match error {
             Some(error) if !self.is_failing => {
-                log::warn!(error:% = error; "the list of replicas can't be read");
+                log::warn!(error:% = error; "failed to fetch the replica list");
             }
-            None if self.is_failing => log::info!("the list of replicas can be read again"),
+            None if self.is_failing => log::info!("the replica list is available again"),
             _ => {}
         }
         self.is_failing = error.is_some();
--- a/crates/control-plane/src/disk/writer.rs
+++ b/crates/control-plane/src/disk/writer.rs
@@ -47,7 +47,7 @@
         let mut has_failed = false;
         while let Err(error) = self.log.append(&records) {
             if !has_failed {
-                log::warn!(error:% = display_with_source(&error); "the disk refuses a write");
+                log::warn!(error:% = display_with_source(&error); "a disk write failed");
             }
             has_failed = true;
             self.report(DiskEvent::WriteFailed { error });
@@ -56,13 +56,13 @@
             }
         }
         if has_failed {
-            log::info!("the disk takes writes again");
+            log::info!("disk writes succeed again");
         }
     }
 
     fn compact_if_due(&mut self) {
         if let Compaction::Failed { error, is_repeated: false } = self.log.compact_if_due() {
-            log::warn!(error:% = display_with_source(&error); "the log can't be made shorter");
+            log::warn!(error:% = display_with_source(&error); "log compaction failed");
         }
     }
 
--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -172,7 +172,7 @@
         self.cursor = Some(update.cursor());
         let has_recovered = self.liveness.replace(Liveness::Alive) != Some(Liveness::Alive);
         if has_recovered {
-            log::info!(source:% = self.source; "a source of KV cache answers");
+            log::info!(source:% = self.source; "a KV cache source is reachable again");
         }
         let urgency = if has_recovered { Urgency::Immediate } else { Urgency::Batched };
         self.outbox.push(update, urgency);
@@ -190,7 +190,7 @@
         if was_down {
             return;
         }
-        log::warn!(source:% = self.source, error:% = error; "a source of KV cache does not answer");
+        log::warn!(source:% = self.source, error:% = error; "a KV cache source is unreachable");
         if let Some(cursor) = self.cursor {
             self.outbox.push(CacheUpdate::status(self.source, cursor, Liveness::Down), Urgency::Immediate);
         }
--- a/crates/control-plane/src/links/outgoing.rs
+++ b/crates/control-plane/src/links/outgoing.rs
@@ -35,7 +35,7 @@
                 }
             }
             Err(error) => {
-                log::debug!(member:% = address, error:% = error; "a member can't be reached");
+                log::debug!(member:% = address, error:% = error; "failed to connect to a member");
                 Timer::after(backoff).await;
                 backoff = (backoff * 2).min(MAX_BACKOFF);
             }
@@ -80,7 +80,7 @@
 
 fn append(envelope: &Envelope, batch: &mut Vec<u8>) {
     if let Err(error) = frame::append(envelope, batch) {
-        log::error!(member:% = envelope.to, error:% = error; "a message can't be sent");
+        log::error!(member:% = envelope.to, error:% = error; "failed to send a message");
     }
 }
 
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -12,7 +12,7 @@
         match tulipridge_control_plane::server::run(settings) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
-                log::error!(error:% = error; "the control plane can't go on");
+                log::error!(error:% = error; "the control plane failed");
                 ExitCode::FAILURE
             }
         }
--- a/crates/control-plane/src/member/events.rs
+++ b/crates/control-plane/src/member/events.rs
@@ -52,7 +52,7 @@
     pub(super) fn check_disk_health(&self) {
         let change = self.disk_health.borrow_mut().health_change(clock::now());
         if let Some(healthy) = change {
-            log::warn!(healthy = healthy; "the disk's health has changed");
+            log::warn!(healthy = healthy; "disk health changed");
             self.step(Input::DiskHealthy(healthy));
         }
     }
--- a/crates/control-plane/src/member/outputs.rs
+++ b/crates/control-plane/src/member/outputs.rs
@@ -63,7 +63,7 @@
     }
 
     fn change_role(&self, role: Role) {
-        log::info!(role:? = role; "the member's role has changed");
+        log::info!(role:? = role; "member role changed");
         self.update_leadership(|leadership| leadership.role_changed(role));
         if let Role::Primary { epoch } = role {
             self.state_machine.catch_up(epoch);
--- a/crates/control-plane/src/server/departure.rs
+++ b/crates/control-plane/src/server/departure.rs
@@ -40,7 +40,7 @@
         let departure = member.departure();
         let waited = clock::now().saturating_sub(started);
         if may_exit(waited, termination_grace_period, departure) {
-            log::info!(departure:? = departure, waited_ms = waited.as_millis() as u64; "the member leaves");
+            log::info!(departure:? = departure, waited_ms = waited.as_millis() as u64; "the member exits");
             return;
         }
         Timer::after(CHECK_INTERVAL).await;
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -58,7 +58,7 @@
 
 async fn wait_for_stop(mut signals: SignalStream) {
     while signals.next().await != ProcessSignal::Stop {
-        log::info!("a change of the settings takes effect at the next start");
+        log::info!("changed settings take effect at the next start");
     }
 }
 
--- a/crates/control-plane/tests/disk_log.rs
+++ b/crates/control-plane/tests/disk_log.rs
@@ -73,9 +73,6 @@
     while events.recv_blocking().is_ok() {}
 
     let lines = LINES.lock().expect("no holder has panicked").clone();
-    assert_eq!(
-        lines,
-        ["the log can't be made shorter", "the disk refuses a write", "the disk takes writes again"]
-    );
+    assert_eq!(lines, ["log compaction failed", "a disk write failed", "disk writes succeed again"]);
     std::fs::remove_dir_all(&folder).expect("the folder exists");
 }
