--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -37,7 +37,7 @@
 
 /// The operations of the control plane that the API is built on.
 pub trait ControlPlane: 'static {
-    /// Whether this member serves the operator, and if not, which member does.
+    /// Whether this member serves the operator; otherwise, which member does, if that is known.
     fn standing(&self) -> Standing;
     /// Decides on a change and commits it. Returns once the change is on the disks of all data replicas.
     fn change(&self, change: Change) -> impl Future<Output = ChangeOutcome>;
@@ -50,9 +50,9 @@
 /// Whether a member serves the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It is the primary, within its lease.
+    /// The member is the primary, within its lease.
     Primary {
-        /// Identifies its uninterrupted time as primary.
+        /// Identifies the member's uninterrupted time as primary.
         tenure: Tenure,
     },
     /// Another member is the primary, according to a recent heartbeat.
@@ -67,9 +67,9 @@
 /// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is committed, by this request or an earlier one.
+    /// The change is committed, by this request or an earlier one.
     Committed,
-    /// It builds on a revision of the configuration other than the current one.
+    /// The change builds on a revision of the configuration other than the current one.
     Stale {
         /// The current revision.
         current: Revision,
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -18,11 +18,11 @@
 /// The outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// It was committed and applied.
+    /// The command was committed and applied.
     Applied(Applied),
-    /// It was never replicated and won't take effect.
+    /// The command was never replicated and won't take effect.
     NotReplicated,
-    /// It may or may not take effect.
+    /// The command may or may not take effect.
     Unknown,
 }
 
--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -19,7 +19,7 @@
 
 /// Maximum time, in milliseconds, for which a source may delay its response while it has no events.
 const LONG_POLL_WAIT_MS: &str = "1000";
-/// The same for a source that is not known to be alive, which should respond at once.
+/// Maximum delay, in milliseconds, for a source that is not known to be alive: it should respond at once.
 const NO_WAIT_MS: &str = "0";
 /// Timeout for the complete response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -210,8 +210,8 @@
         parse_listing(&response.body).context(ParseSnafu)
     }
 
-    /// Calls the source. The source may have closed a pooled connection in the meantime, so a call whose connection
-    /// breaks is retried once on a new one. A call that timed out is not retried.
+    /// Calls the source. The source may have closed the pooled connection since the last call, so a call whose
+    /// connection breaks is retried once on a new one. A call that timed out is not retried.
     async fn call(&mut self, call: Call<'_>) -> Result<Response, PollError> {
         let outcome = match self.client.call(call, RESPONSE_TIMEOUT).await {
             Err(CallError::Broken { source, .. }) if source.kind() != io::ErrorKind::TimedOut => {
--- a/crates/control-plane/src/index/mod.rs
+++ b/crates/control-plane/src/index/mod.rs
@@ -1,7 +1,7 @@
 //! Follows the cache events of stores and replicas while this member is primary, and delivers updates of the
 //! prefix-cache index.
 //!
-//! This is a singleton role: only the primary within its lease polls the sources.
+//! Following the sources is a singleton role: only the primary within its lease polls them.
 
 mod follower;
 mod outbox;
--- a/crates/control-plane/src/member/leadership.rs
+++ b/crates/control-plane/src/member/leadership.rs
@@ -35,7 +35,7 @@
         self.tenure
     }
 
-    /// The epoch in which this member is ready to act as primary. The epoch may have ended meanwhile.
+    /// The epoch in which this member became ready to act as primary. It may have ended since then.
     pub(super) fn ready_epoch(&self) -> Option<Epoch> {
         self.ready_epoch
     }
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! One member of the control plane. It passes messages, completed writes and the time to the replication protocol and
+//! A member of the control plane: passes messages, completed writes and the time to the replication protocol and
 //! executes its outputs on the disk, the links and the state machine.
 
 mod authority;
@@ -46,7 +46,7 @@
     pub state_machine: StateMachine,
 }
 
-/// One member of the control plane.
+/// A member of the control plane.
 pub struct Member {
     replication: RefCell<Replication>,
     links: Rc<Links>,
--- a/crates/control-plane/src/operator_view.rs
+++ b/crates/control-plane/src/operator_view.rs
@@ -48,7 +48,7 @@
     pub async fn run(self: Rc<Self>) {
         while let Ok(QueuedChange { change, outcome_sender }) = self.queue.recv().await {
             let outcome = change::carry_out(&*self.member, change).await;
-            // Sending fails if the caller has closed its connection in the meantime.
+            // Sending fails if the caller has closed its connection.
             let _ = outcome_sender.try_send(outcome);
         }
     }
--- a/crates/control-plane/src/replication/departure.rs
+++ b/crates/control-plane/src/replication/departure.rs
@@ -1,4 +1,4 @@
-//! Departure of a member: what the group still needs from it before its process may end.
+//! Departure of a member: what the group still needs from the member before its process may end.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 /// What the group would lose if the process of a leaving member ended now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
-    /// It stores data that the newest view relies on.
+    /// The member stores data that the newest view relies on.
     StoresData,
-    /// It votes on the newest view, which is not known to be in force: without its vote, it may be impossible to
-    /// install any further view.
+    /// The member votes on the newest view, which is not known to be in force: without this vote, it may be
+    /// impossible to install any further view.
     CompletesView,
-    /// It stores no data, but still counts as a voter.
+    /// The member stores no data, but still counts as a voter.
     Votes,
-    /// Nothing.
+    /// The group would lose nothing.
     Free,
 }
 
@@ -32,8 +32,8 @@
 
     /// What the group still needs from this member.
     ///
-    /// A view is recorded only after all its data replicas have its data on disk. A member that is no data replica of
-    /// the newest recorded view therefore stores nothing that is not stored elsewhere.
+    /// A view is recorded only after all its data replicas have its data on disk. All data of a member that is not a
+    /// data replica of the newest recorded view is therefore also stored elsewhere.
     #[must_use]
     pub fn departure(&self, now: Duration) -> Departure {
         if self.leadership.is_some() {
--- a/crates/control-plane/src/replication/durable.rs
+++ b/crates/control-plane/src/replication/durable.rs
@@ -33,7 +33,7 @@
     pub sequence: SequenceNumber,
 }
 
-/// One change of the durable state.
+/// A change to the durable state.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum DurableRecord {
     /// An epoch was promised.
--- a/crates/control-plane/src/replication/machine.rs
+++ b/crates/control-plane/src/replication/machine.rs
@@ -29,7 +29,7 @@
 use super::view_change::ViewChange;
 use super::vote::VoteState;
 
-/// One member of the replication group.
+/// A member of the replication group.
 #[derive(Clone, Debug)]
 pub struct Replication {
     pub(super) settings: ReplicationSettings,
@@ -122,7 +122,7 @@
         self.peers.primary_heard_within(now, KNOWN_PRIMARY_MAX_AGE)
     }
 
-    /// Another member to redirect callers to: it was the primary when it sent its last heartbeat, which is recent.
+    /// Another member to redirect callers to: the sender of the last heartbeat from a primary, if that is recent.
     #[must_use]
     pub fn redirect_target(&self, now: Duration) -> Option<NodeId> {
         self.peers.primary_heard_within(now, REDIRECT_MAX_AGE)
@@ -186,7 +186,7 @@
         self.votes.set_promised_to(proposer);
     }
 
-    /// Refuses a request and tells its sender the promised epoch.
+    /// Refuses a request. The refusal contains the promised epoch.
     pub(super) fn refuse(&mut self, to: NodeId, epoch: Epoch) {
         let promised = self.storage.promised();
         self.outbox.send(to, ReplicationMessage::Refuse { epoch, promised });
--- a/crates/control-plane/src/replication/settings.rs
+++ b/crates/control-plane/src/replication/settings.rs
@@ -7,9 +7,9 @@
 /// The identity of this member and the number of failures that the group tolerates.
 #[derive(Clone, Debug)]
 pub struct ReplicationSettings {
-    /// This member.
+    /// The identity of this member.
     pub node: NodeId,
-    /// Its zone.
+    /// The zone of this member.
     pub zone: String,
     /// The seed members, with generation 0. They form the first view at the first boot.
     pub seeds: Vec<NodeId>,
@@ -24,8 +24,8 @@
 impl ReplicationSettings {
     /// The initial view of a seed member at the first boot; `None` for other members and later boots.
     ///
-    /// It is written together with the generation, in one record. Otherwise a disk of generation 0 without it could
-    /// create another first view later, from other seeds.
+    /// The view is written together with the generation, in one record. Otherwise a disk of generation 0 without a
+    /// view could create another first view later, from other seeds.
     #[must_use]
     pub fn first_view(&self) -> Option<View> {
         if !self.first_boot || self.node.generation != Generation(0) || !self.seeds.contains(&self.node) {
--- a/crates/control-plane/src/rollout/announcements.rs
+++ b/crates/control-plane/src/rollout/announcements.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Advances the time to `now`. `has_primary` tells whether a primary is known.
+    /// Advances the time to `now`. `has_primary` states whether a primary is known.
     pub fn advance(&mut self, now: Duration, has_primary: bool) {
         if has_primary {
             self.last_primary = now;
--- a/crates/control-plane/src/server/departure.rs
+++ b/crates/control-plane/src/server/departure.rs
@@ -1,4 +1,4 @@
-//! Departure of a member: when a process that was told to stop exits.
+//! Departure of a member: when its process exits after a stop signal.
 
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 /// Interval of the checks whether others still need the member.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Returns whether the process may exit, `waited` after it was told to stop, if it will be killed after
-/// `termination_grace_period`. Reads no clock.
+/// Returns whether the process may exit `waited` after its stop signal, if it will be killed
+/// `termination_grace_period` after that signal. Reads no clock.
 #[must_use]
 pub fn may_exit(waited: Duration, termination_grace_period: Duration, departure: Departure) -> bool {
     if waited >= termination_grace_period.saturating_sub(KILL_MARGIN) {
--- a/crates/control-plane/src/singleton.rs
+++ b/crates/control-plane/src/singleton.rs
@@ -1,6 +1,6 @@
-//! The singleton lease: the right to perform the singleton roles, which only one member may perform at a time. These
-//! are polling the platform's list of replicas, following cache events, and commanding replicas to load weights. The
-//! primary holds it while it is within its lease.
+//! The singleton lease: the right to perform the singleton roles, which only one member may perform at a time. The
+//! roles are polling the platform's replica list, following cache events, and commanding replicas to load weights. The
+//! primary holds the singleton lease while its lease as primary is valid.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
     pub tenure: Tenure,
 }
 
-/// Tells whether this member holds the singleton lease.
+/// Provides the singleton lease of this member and whether any primary is known.
 pub trait LeaseStatus {
     /// The lease, or `None` while this member is not primary, is not within its lease, or has not yet applied
     /// everything that was committed before its current epoch.
@@ -34,7 +34,7 @@
 pub struct SingletonContext {
     /// Runs the roles' calls.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Tells whether this member holds the lease.
+    /// The status of the singleton lease at this member.
     pub lease_status: Rc<dyn LeaseStatus>,
     /// The table of replicas.
     pub table: Rc<RefCell<FleetTable>>,
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -1,6 +1,7 @@
 //! The replicated state: the operator's configuration and the target revision of each model's weights.
 //!
-//! It does no I/O and reads no clock: the same commands in the same order lead to the same state on every member.
+//! [`State`] does no I/O and reads no clock: the same commands in the same order lead to the same state on every
+//! member.
 
 mod command;
 mod weights;
@@ -26,14 +27,14 @@
 pub enum Change {
     /// Replaces the configuration.
     PutConfiguration {
-        /// The revision that it builds on, as given by the operator.
+        /// The revision that the change builds on, as given by the operator.
         if_match: Option<Revision>,
         /// The configuration document.
         body: Vec<u8>,
     },
     /// Changes some items of the configuration.
     PatchConfiguration {
-        /// The revision that it builds on, as given by the operator.
+        /// The revision that the change builds on, as given by the operator.
         if_match: Option<Revision>,
         /// The changed items.
         body: Vec<u8>,
@@ -52,14 +53,14 @@
 pub enum Decision {
     /// The same change was accepted before.
     AlreadyAccepted,
-    /// It builds on a revision of the configuration other than the current one.
+    /// The change builds on a revision of the configuration other than the current one.
     Stale {
         /// The current revision.
         current: Revision,
     },
     /// The configuration is invalid.
     InvalidConfiguration {
-        /// What is wrong with it.
+        /// What is wrong with the configuration.
         findings: ValidationErrors,
     },
     /// The revision of the weights is older than the target revision and isn't known to have been a target before.
@@ -67,18 +68,18 @@
         /// The target revision.
         newest: WeightsRevision,
     },
-    /// It is accepted and takes effect once its command is committed.
+    /// The change is accepted and takes effect once its command is committed.
     Accept(Box<Accepted>),
 }
 
 /// The effect of an applied command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Its configuration is in force, through this command or an earlier one for the same request.
+    /// The command's configuration is in force, through this command or an earlier one for the same request.
     Configuration,
-    /// Its target revision is set, through this command or an earlier one for the same request.
+    /// The command's target revision is set, through this command or an earlier one for the same request.
     Weights,
-    /// None: the command built on a state that was no longer current.
+    /// The command has no effect: it was based on a state that was no longer current.
     Superseded,
 }
 
@@ -103,7 +104,7 @@
     /// This member's state differs from that of the member that decided on the change.
     #[snafu(display("this member's state has diverged: {source}"))]
     Diverged {
-        /// How they differ.
+        /// How the states differ.
         source: ApplyError,
     },
 }
--- a/crates/control-plane/src/state/weights.rs
+++ b/crates/control-plane/src/state/weights.rs
@@ -16,14 +16,14 @@
 /// The decision on a request for a target revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightsDecision {
-    /// This revision is the target or was one before.
+    /// The requested revision is the target or was a target before.
     AlreadySet,
-    /// The revision is older than the target and isn't known to have been a target before.
+    /// The requested revision is older than the target and isn't known to have been a target before.
     Outdated {
         /// The target revision.
         newest: WeightsRevision,
     },
-    /// The revision is newer than the target.
+    /// The requested revision is newer than the target, or the model has no target.
     Accept,
 }
 
