--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Service discovery: polls the platform's paged list of replicas while this member is primary.
+//! Service discovery: polls the platform's paged replica list while this member is primary.
 //!
 //! Discovery is a singleton role: the platform's rate limit applies to all members together, so only the primary
 //! within its lease polls. A list is used only if all of its pages were fetched in one poll.
@@ -30,8 +30,8 @@
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Maximum size of a page.
 const MAX_PAGE_BYTES: usize = 8 << 20;
-/// Maximum number of malformed entries that are remembered as logged. When it is reached, they are forgotten and
-/// logged again.
+/// Maximum number of malformed entries that are remembered so that each is logged only once. When it is reached, all
+/// are forgotten and may be logged again.
 const MAX_LOGGED_ENTRIES: usize = 256;
 
 /// Why a poll of the list failed.
@@ -43,7 +43,7 @@
     Parse { source: PageError },
     #[snafu(display("the platform responded with status {status}"))]
     Status { status: u16 },
-    #[snafu(display("the lease was lost while the list was read"))]
+    #[snafu(display("the lease was lost while the replica list was fetched"))]
     LeaseLost,
 }
 
@@ -107,7 +107,7 @@
     }
 
     async fn poll(&mut self, lease: SingletonLease) -> PollOutcome {
-        let result = self.read_list(lease).await;
+        let result = self.fetch_list(lease).await;
         self.log_health_change(result.as_ref().err());
         match result {
             Ok(replicas) => self.publish(lease, replicas),
@@ -123,7 +123,7 @@
     }
 
     /// Fetches all pages of the list.
-    async fn read_list(&mut self, lease: SingletonLease) -> Result<Vec<Replica>, PollError> {
+    async fn fetch_list(&mut self, lease: SingletonLease) -> Result<Vec<Replica>, PollError> {
         let mut replicas = Vec::new();
         let mut token = None;
         loop {
--- a/crates/control-plane/src/discovery/page.rs
+++ b/crates/control-plane/src/discovery/page.rs
@@ -1,4 +1,4 @@
-//! Pages of the platform's list of replicas: their request targets and their parsing.
+//! Pages of the platform's replica list: their request targets and their parsing.
 
 use std::net::SocketAddrV4;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Snafu)]
 pub enum PageError {
     /// The page is truncated, or does not conform to the platform's interface.
-    #[snafu(display("malformed page of the list of replicas: {source}"))]
+    #[snafu(display("malformed page of the replica list: {source}"))]
     Malformed {
         /// The parser's error.
         source: serde_json::Error,
--- a/crates/control-plane/src/discovery/schedule.rs
+++ b/crates/control-plane/src/discovery/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules the polls of the list of replicas: interval, rate limit and backoff.
+//! Schedules the polls of the replica list: interval, rate limit and backoff.
 
 use std::time::Duration;
 
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use crate::tenure::Tenure;
 
-/// The last complete list of replicas, and the corrections to it.
+/// The last complete replica list, and the corrections to it.
 #[derive(Debug, Default)]
 pub struct FleetTable {
     /// The tenure in which the list was fetched; none before the first list.
--- a/crates/control-plane/src/replication/append.rs
+++ b/crates/control-plane/src/replication/append.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Fails proposals that were queued for too long by a view change. Their commands were never replicated, so the
-    /// owner learns the definite outcome before its own timeout, which would leave the outcome unknown.
+    /// Fails proposals that have waited too long for the end of a view change. Their commands were never replicated, so
+    /// the owner receives a definite failure. The owner's own timeout is longer and would leave the outcome unknown.
     pub(super) fn expire_queued_proposals(&mut self, now: Duration) {
         let Some(leadership) = &mut self.leadership else { return };
         while let Some(failure) = leadership.proposals.expire_next(now) {
--- a/crates/control-plane/src/replication/campaign.rs
+++ b/crates/control-plane/src/replication/campaign.rs
@@ -115,7 +115,7 @@
         self.choose_members_if_promised(now);
     }
 
-    /// Handles a refusal: the member has promised this epoch or a higher one, or may not promise yet.
+    /// Handles a refusal: its sender has promised this epoch or a higher one, or may not promise yet.
     pub(super) fn on_refuse(&mut self, now: Duration, from: NodeId, epoch: Epoch, promised: Epoch) {
         self.votes.observe_epoch(promised);
         let is_preempted = promised >= epoch;
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Forces a view change if a member has promised an epoch above that of the view led here: only a new view
-    /// includes it again.
+    /// Forces a view change if another member has promised an epoch above that of the view that this member leads: the
+    /// other member takes part only in a newer view.
     fn force_view_change_if_preempted(&mut self, epoch: Epoch, promised: Epoch) {
         let own_promise = self.storage.promised();
         let Some(leadership) = &mut self.leadership else { return };
--- a/crates/control-plane/src/replication/heartbeat.rs
+++ b/crates/control-plane/src/replication/heartbeat.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Acknowledges a heartbeat. A voter does so only once the view is durable, because the grant must not outlive
-    /// its knowledge of the view.
+    /// Acknowledges a heartbeat. A voter does so only once the view is durable: after a restart, the voter must still
+    /// know the view while its grant is valid.
     fn acknowledge_heartbeat(&mut self, to: NodeId, view: &View, token: u64) {
         let message = ReplicationMessage::HeartbeatAck {
             epoch: view.epoch,
--- a/crates/control-plane/src/replication/leadership.rs
+++ b/crates/control-plane/src/replication/leadership.rs
@@ -32,7 +32,7 @@
     /// Proposals of the owner without an outcome.
     pub(super) proposals: Proposals,
     heartbeat_at: Duration,
-    /// Some member has promised a higher epoch and takes part only in a new view.
+    /// Whether some member has promised a higher epoch, and so takes part only in a new view.
     is_view_change_forced: bool,
     view_change_allowed_at: Duration,
 }
--- a/crates/control-plane/src/replication/progress.rs
+++ b/crates/control-plane/src/replication/progress.rs
@@ -13,7 +13,7 @@
 struct ReplicaProgress {
     /// The newest entry that the replica has on disk, with all before it.
     stored: SequenceNumber,
-    /// When the replica last stored an entry, or when it last went from having none to having one to store.
+    /// When the replica last stored an entry or last began to lag, whichever is later.
     advanced_at: Duration,
     /// When the missing entries are resent.
     resend_at: Duration,
--- a/crates/control-plane/src/replication/reconfigure.rs
+++ b/crates/control-plane/src/replication/reconfigure.rs
@@ -11,8 +11,8 @@
 use super::view_selection::{Candidate, ViewMembers, ViewSelection};
 
 impl Replication {
-    /// Starts a view change if the members in force differ from the wanted ones, a data replica has stalled, or a
-    /// member has promised a higher epoch.
+    /// Starts a view change if the primary would select other members than those in force, a data replica has stalled,
+    /// or a member has promised a higher epoch.
     pub(super) fn reconfigure_if_needed(&mut self, now: Duration) {
         let is_pending = self.is_view_change_pending();
         let Some(leadership) = &self.leadership else { return };
@@ -61,8 +61,8 @@
         members.or_else(|| self.choose_with_stalled(now, base, candidates))
     }
 
-    /// The last resort: also selects stalled backups and ones with an unhealthy disk, which are brought up to date
-    /// again.
+    /// As a last resort, also selects stalled backups and backups with an unhealthy disk. All of these are brought up
+    /// to date again.
     fn choose_with_stalled(
         &self,
         now: Duration,
@@ -114,7 +114,7 @@
         candidates
     }
 
-    /// Members that recently requested to join and are no voters.
+    /// Members that recently requested to join and are not voters.
     fn standby_candidates(&self, now: Duration, base: &View) -> impl Iterator<Item = Candidate> {
         let is_standby = move |node| !base.voters.contains(&node);
         self.peers
--- a/crates/control-plane/src/replication/step.rs
+++ b/crates/control-plane/src/replication/step.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Handles a message from another member. Drops one for another generation of this member, except a request to
-    /// join, whose sender may know the address only.
+    /// Handles a message from another member. A message to another generation of this member is dropped, unless it is a
+    /// request to join, whose sender may know only the address.
     fn receive(&mut self, now: Duration, envelope: Envelope) {
         let node = self.settings.node;
         let is_join = matches!(envelope.message, ReplicationMessage::Join { .. });
--- a/crates/control-plane/src/replication/sync.rs
+++ b/crates/control-plane/src/replication/sync.rs
@@ -4,10 +4,10 @@
 //! when it is complete. `Synced` is sent once the data is durable. Any progress restarts the stall timeout of the view
 //! change, so that it succeeds over a slow link or disk and is abandoned if one makes no progress.
 //!
-//! A previous data replica is first queried whether it has all the data, unless the data fits into one chunk.
+//! A previous data replica is first asked whether it has all the data, unless the data fits into one chunk.
 //! A receiver whose data has the epoch and the newest entry of the proposer only records the new epoch. Within an
-//! epoch, the log grows only by entries of the one primary, starting from the one state to which that epoch's
-//! proposer has brought all replicas. Equal positions therefore mean equal logs.
+//! epoch, all replicas start from the state to which the epoch's proposer has brought them, and their logs grow only by
+//! entries of the one primary. Equal positions therefore mean equal logs.
 
 use std::time::Duration;
 
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Replaces the log and the snapshot. The owner restores its state unless the new log continues it.
+    /// Replaces the log and the snapshot. The owner restores its state unless the new log continues that state.
     fn replace_data(&mut self, epoch: Epoch, data: TransferData) {
         let TransferData { snapshot_sequence, snapshot, entries } = data;
         self.record(DurableRecord::Reset { epoch, snapshot_sequence, snapshot, entries });
--- a/crates/control-plane/src/replication/sync_phase.rs
+++ b/crates/control-plane/src/replication/sync_phase.rs
@@ -42,8 +42,8 @@
 }
 
 impl SyncPhase {
-    /// Starts transfers of `data` to `replicas`. Those among `previous_replicas` are queried first, since they may
-    /// have all of it, unless the data fits into one chunk.
+    /// Starts transfers of `data` to `replicas`. If the data is longer than one chunk, those among `previous_replicas`
+    /// are first asked whether they already have all of it.
     pub(super) fn new<'a>(
         data_epoch: Epoch,
         data: EncodedData,
--- a/crates/control-plane/src/replication/transfer.rs
+++ b/crates/control-plane/src/replication/transfer.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug)]
 pub struct OutgoingTransfer {
     length: u64,
-    /// Whether the receiver has yet to be queried for what it has.
+    /// Whether the receiver still has to be asked how much it has.
     is_queried_first: bool,
     /// Bytes that the receiver has received.
     received: u64,
@@ -173,8 +173,8 @@
         offsets
     }
 
-    /// The offsets of chunks that have to be resent. A receiver that has all data is queried again whether it is
-    /// durable.
+    /// The offsets of chunks that have to be resent. A receiver that has received all data is asked again whether the
+    /// data is durable.
     pub fn resend_if_due(&mut self, now: Duration) -> Vec<u64> {
         if now < self.resend_at {
             return Vec::new();
--- a/crates/control-plane/src/replication/view_change.rs
+++ b/crates/control-plane/src/replication/view_change.rs
@@ -119,7 +119,7 @@
         view.epoch > self.base.epoch && view.epoch != self.epoch
     }
 
-    /// Records a promise from `voter`, whose newest view is `recorded`; returns whether it is its first promise.
+    /// Records a promise from `voter`, whose newest view is `recorded`; returns whether it is the first one from `voter`.
     pub(super) fn record_promise(&mut self, voter: NodeId, recorded: &View) -> bool {
         if recorded.epoch == self.base.epoch && !recorded.voters.is_empty() {
             self.record_base_recorded(voter, recorded);
@@ -129,8 +129,8 @@
 
     /// Records that a member that has promised has recorded the base.
     ///
-    /// Once majorities of both the base's voters and its previous voters have, no other view derived from the
-    /// previous voters can come into force: they refuse lower epochs, and return the base to proposers of
+    /// Once majorities of the base's voters and of its previous voters have done so, no other view derived from the
+    /// previous voters can come into force: these members refuse lower epochs, and return the base to proposers of
     /// higher ones. The previous voters are then no longer needed.
     fn record_base_recorded(&mut self, member: NodeId, recorded: &View) {
         self.base_recorded.insert(member);
--- a/crates/control-plane/src/replication/view_selection.rs
+++ b/crates/control-plane/src/replication/view_selection.rs
@@ -51,7 +51,8 @@
 impl ViewSelection<'_> {
     /// The members of the next view; `None` if there are too few data replicas.
     ///
-    /// Voters are replaced only if the base is known to be in force, because its quorum must cover all that voted on it.
+    /// Voters are replaced only if the base is known to be in force: until then, a quorum must also cover the previous
+    /// voters of the base, and a view has only one set of previous voters.
     pub(super) fn choose(&self, replace_voters: bool) -> Option<ViewMembers> {
         let mut voters = self.base.voters.clone();
         if replace_voters && is_view_complete(self.base) {
--- a/crates/control-plane/src/replication/vote.rs
+++ b/crates/control-plane/src/replication/vote.rs
@@ -24,7 +24,7 @@
     /// The proposer that holds the newest promise of this process.
     promised_to: Option<NodeId>,
     grant: Option<LeaseGrant>,
-    /// The highest epoch whose primary has released its lease. Earlier ones count as released too.
+    /// The highest epoch whose primary has released its lease. Lower epochs count as released too.
     released_epoch: Epoch,
     /// Grants from before the start of this process may be valid until this time.
     no_promise_before: Duration,
--- a/crates/control-plane/src/rollout/announcements.rs
+++ b/crates/control-plane/src/rollout/announcements.rs
@@ -11,12 +11,12 @@
 
 /// A target that is first seen within this time after the start may have been announced before it.
 const CATCH_UP_TIME: Duration = Duration::from_secs(2);
-/// Assumed age of such a target when it is first seen.
+/// Assumed age, when it is first seen, of a target that is first seen within [`CATCH_UP_TIME`].
 const ASSUMED_AGE: Duration = Duration::from_secs(5);
 /// Maximum time without a primary that counts towards the ages. Elections are shorter, and the operator's deadlines
 /// continue during them.
 const MAX_COUNTED_TIME_WITHOUT_PRIMARY: Duration = Duration::from_secs(1);
-/// Maximum number of revisions that are kept of each model.
+/// Maximum number of recorded revisions of each model.
 const MAX_REVISIONS: usize = 64;
 
 /// The times at which target revisions were announced.
@@ -25,7 +25,7 @@
 /// and a new primary that counted all of it would withdraw the weights of every replica at once.
 #[derive(Debug)]
 pub struct AnnouncementTimes {
-    /// The time that has counted so far; ages are differences of this time.
+    /// The total counted time. The time since an announcement was first seen is the difference of two of its values.
     counted_time: Duration,
     last_advance: Duration,
     /// When a primary was known last.
@@ -36,7 +36,7 @@
 /// When a target was first seen.
 #[derive(Clone, Copy, Debug)]
 struct FirstSeen {
-    /// In counted time.
+    /// The value of the counted time when the target was first seen.
     at: Duration,
     /// The assumed age of the announcement at that time.
     age: Duration,
--- a/crates/control-plane/src/rollout/controller.rs
+++ b/crates/control-plane/src/rollout/controller.rs
@@ -93,8 +93,8 @@
         })
     }
 
-    /// Records the announced targets. This is also done while another member is primary, as this one may become
-    /// primary.
+    /// Records the announced targets. Targets are also recorded while another member is primary, because this member
+    /// may become primary.
     fn record_announcements(&mut self) {
         self.announcements.advance(clock::now(), self.context.lease_status.knows_primary());
         for (model, revision) in self.output.named() {
@@ -147,7 +147,7 @@
         let now = clock::now();
         let Some(TenureState { lease, planner, .. }) = &mut self.tenure else { return };
         match event {
-            Event::Named => announce_all(planner, &self.announcements, now),
+            Event::TargetsAnnounced => announce_all(planner, &self.announcements, now),
             Event::Listed => {
                 if let Some(replicas) = self.context.table.borrow().listed(lease.tenure) {
                     planner.set_replicas(replicas, now);
@@ -216,8 +216,8 @@
     }
 }
 
-/// Logs each model of which further revisions are withdrawn compared to `before`, and the replicas that still have
-/// them.
+/// Logs each model whose oldest revision in use has risen since `before`, and the replicas whose weights are older
+/// than that revision.
 fn log_withdrawals(planner: &Planner, before: &[ModelWeights]) {
     let least_before: BTreeMap<&str, WeightsRevision> =
         before.iter().map(|weights| (weights.model.as_str(), weights.least)).collect();
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -26,8 +26,8 @@
 #[derive(Debug)]
 pub enum Event {
     /// The operator may have announced new targets.
-    Named,
-    /// Service discovery has fetched a complete list of replicas.
+    TargetsAnnounced,
+    /// Service discovery has fetched a complete replica list.
     Listed,
     /// The call of a load command has ended.
     CommandFinished {
--- a/crates/control-plane/src/rollout/planner/fleet_view.rs
+++ b/crates/control-plane/src/rollout/planner/fleet_view.rs
@@ -13,13 +13,12 @@
     replicas: BTreeMap<String, Replica>,
     /// Revisions that replicas were observed to have, by replica id. The list may not show them yet.
     observed: BTreeMap<String, Vec<ModelRevision>>,
-    /// Work that gateways have queued at replicas, by replica id, in units of which each request counts as at least
-    /// one.
+    /// Work that gateways have queued at replicas, by replica id. Each request counts as at least one unit.
     queued_work: BTreeMap<String, u32>,
 }
 
 impl FleetView {
-    /// Replaces the list of replicas.
+    /// Replaces the replica list.
     pub(super) fn set_replicas<'a>(&mut self, replicas: impl Iterator<Item = &'a Replica>) {
         self.replicas = replicas.map(|replica| (replica.id.clone(), replica.clone())).collect();
         self.observed.retain(|id, _| self.replicas.contains_key(id));
--- a/crates/control-plane/src/rollout/planner/load_time.rs
+++ b/crates/control-plane/src/rollout/planner/load_time.rs
@@ -25,8 +25,8 @@
         self.estimate = Some(known + (measured - known).mul_f64(LONGER_TIME_WEIGHT));
     }
 
-    /// The current estimate. Before the first measurement it is at least the longest of the durations `in_progress`,
-    /// which are those of the unfinished loads so far.
+    /// The current estimate. Before the first measurement, it is at least the longest of the durations `in_progress` of
+    /// the loads that have not finished.
     pub(super) fn get(&self, in_progress: impl Iterator<Item = Duration>) -> Duration {
         self.estimate.unwrap_or_else(|| in_progress.fold(INITIAL_LOAD_TIME, Duration::max))
     }
--- a/crates/control-plane/src/rollout/planner/mod.rs
+++ b/crates/control-plane/src/rollout/planner/mod.rs
@@ -26,11 +26,11 @@
 use super::replica_client::ReplicaEndpoint;
 use crate::fleet::Corrections;
 
-/// Time between marking a replica as loading and sending the load command, in which the gateways learn to send it no
-/// more requests.
+/// Time between marking a replica as loading and sending the load command. In this time, the gateways are informed and
+/// stop sending requests to the replica.
 const DRAIN_PROPAGATION_TIME: Duration = Duration::from_millis(200);
-/// Maximum time that the command is delayed after the start of a load while requests are queued at the replica: the
-/// command rejects them.
+/// Maximum delay of the load command after the start of a load. The command is delayed while requests are queued at
+/// the replica, because it rejects them.
 const MAX_QUEUE_DRAIN_TIME: Duration = Duration::from_secs(1);
 /// Interval at which a replica's queue is checked before the load command.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -47,7 +47,7 @@
 /// Time limits from the settings of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerSettings {
-    /// The operator's term for a new revision: after it no request may start on older weights.
+    /// The operator's term for a new revision, after which no request may start on older weights.
     pub revision_term: RevisionTerm,
     /// The lease term. A new primary sends no commands for this time, because the lease of an earlier one may still
     /// be valid.
@@ -77,14 +77,14 @@
     settings: PlannerSettings,
     /// No load command is sent before this time.
     commands_from: Duration,
-    /// A replica has refused this primary's fencing token.
+    /// Whether a replica has refused this primary's fencing token.
     is_fenced: bool,
     /// The target of each model. Every model in `loads` has one.
     targets: BTreeMap<String, Target>,
     fleet: FleetView,
     /// Loads in progress, by replica id.
     loads: BTreeMap<String, Load>,
-    /// Replicas that refused a command, and when each may be sent the next one.
+    /// The earliest time of the next command to each replica that refused one, by replica id.
     backoffs: BTreeMap<String, Duration>,
     load_time: LoadTimeEstimate,
 }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The target of the first model, by name, of which a listed replica has older weights.
+    /// The first model, by name, of which a listed replica has older weights than the target, with the target revision.
     fn lacking_target(&self, id: &str) -> Option<ModelRevision> {
         let mut targets = self.targets.iter();
         let (model, target) =
@@ -139,7 +139,7 @@
         self.targets.entry(announcement.model.to_owned()).or_default().announce(deadline)
     }
 
-    /// Replaces the list of replicas. Loads of replicas that are no longer listed are dropped, and loads whose
+    /// Replaces the replica list. Loads of replicas that are no longer listed are dropped, and loads whose
     /// weights the list shows are finished.
     pub fn set_replicas<'a>(&mut self, replicas: impl Iterator<Item = &'a Replica>, now: Duration) {
         self.fleet.set_replicas(replicas);
@@ -240,8 +240,8 @@
         due.iter().filter_map(|id| self.advance_load(id, now)).collect()
     }
 
-    /// Withdraws the older revisions of each model whose withdrawal deadline has passed or whose replicas have all
-    /// loaded.
+    /// Withdraws the revisions of each model that are older than one whose withdrawal deadline has passed, or older than
+    /// the target if all replicas have loaded it.
     fn withdraw(&mut self, now: Duration) {
         for (model, target) in &mut self.targets {
             let is_rollout_complete = self.fleet.is_rollout_complete(model, target.desired);
@@ -329,7 +329,7 @@
         self.fleet.with_older_weights(model, revision).map(|replica| replica.id.clone()).collect()
     }
 
-    /// The corrections to the discovered list of replicas that the delivered table contains.
+    /// The corrections to the discovered replica list that the delivered table contains.
     #[must_use]
     pub fn corrections(&self) -> Corrections {
         let loading = self.loads.keys().cloned().collect();
@@ -343,8 +343,8 @@
     }
 }
 
-/// Whether the command of a load may wait for the replica's queue to empty. It does not wait if the replica's weights
-/// are withdrawn.
+/// Whether the command of a load may be delayed until the replica's queue is empty: not if all revisions older than
+/// the one to load are withdrawn.
 fn may_wait_for_queue(load: &Load, target: &Target, now: Duration) -> bool {
     now < load.started_at + MAX_QUEUE_DRAIN_TIME && load.weights.revision > target.minimum
 }
--- a/crates/control-plane/src/rollout/planner/selection.rs
+++ b/crates/control-plane/src/rollout/planner/selection.rs
@@ -10,7 +10,7 @@
 use super::load::Load;
 use super::target::{Deadline, Target};
 
-/// Minimum number of replicas of a model that load concurrently, unless this is more than half of them.
+/// Minimum number of replicas of a model that load concurrently, but no more than half of them.
 const MIN_CONCURRENT_LOADS: usize = 3;
 
 /// The inputs of the selection for one model.
--- a/crates/control-plane/src/rollout/planner/target.rs
+++ b/crates/control-plane/src/rollout/planner/target.rs
@@ -8,12 +8,12 @@
 
 use super::super::announcements::Announcement;
 
-/// The target revision of a model, and its older revisions that are withdrawn.
+/// The target revision of a model, and which of its older revisions are withdrawn.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Target {
     /// The newest announced revision.
     pub(super) desired: WeightsRevision,
-    /// The oldest revision to whose replicas requests may be sent; older ones are withdrawn.
+    /// The oldest revision that is not withdrawn: only replicas with this revision or a newer one may be sent requests.
     pub(super) minimum: WeightsRevision,
     /// The newest revision whose withdrawal deadline has passed: requests queued on older weights must not start.
     pub(super) expired: WeightsRevision,
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -131,7 +131,7 @@
             if let Some(configuration) = &published.configuration {
                 delivery.set_configuration(configuration.clone());
             }
-            let _ = events.try_send(Event::Named);
+            let _ = events.try_send(Event::TargetsAnnounced);
         }));
     }
 }
