--- a/crates/control-plane/src/replication/view_change.rs
+++ b/crates/control-plane/src/replication/view_change.rs
@@ -119,7 +119,7 @@
         view.epoch > self.base.epoch && view.epoch != self.epoch
     }
 
-    /// Records a promise from `voter`, whose newest view is `recorded`; returns whether it is the first one from `voter`.
+    /// Records a promise from `voter`, whose newest view is `recorded`; returns whether it is the first from that voter.
     pub(super) fn record_promise(&mut self, voter: NodeId, recorded: &View) -> bool {
         if recorded.epoch == self.base.epoch && !recorded.voters.is_empty() {
             self.record_base_recorded(voter, recorded);
--- a/crates/control-plane/src/replication/voter.rs
+++ b/crates/control-plane/src/replication/voter.rs
@@ -25,7 +25,8 @@
         self.outbox.send_when_durable(from, ReplicationMessage::Promise { epoch, view });
     }
 
-    /// Ends this member's own view change and leadership in favour of another proposer, which holds its promise.
+    /// Ends this member's own view change and leadership in favour of another proposer, which holds this member's
+    /// promise.
     pub(super) fn yield_to_proposer(&mut self, now: Duration, proposer: NodeId, epoch: Epoch) {
         if proposer == self.settings.node {
             return;
--- a/crates/control-plane/src/rollout/controller.rs
+++ b/crates/control-plane/src/rollout/controller.rs
@@ -216,8 +216,8 @@
     }
 }
 
-/// Logs each model whose oldest revision in use has risen since `before`, and the replicas whose weights are older
-/// than that revision.
+/// Logs each model of which more revisions are withdrawn than in `before`, and the replicas that still have withdrawn
+/// weights of the model.
 fn log_withdrawals(planner: &Planner, before: &[ModelWeights]) {
     let least_before: BTreeMap<&str, WeightsRevision> =
         before.iter().map(|weights| (weights.model.as_str(), weights.least)).collect();
--- a/crates/control-plane/src/rollout/planner/mod.rs
+++ b/crates/control-plane/src/rollout/planner/mod.rs
@@ -30,7 +30,7 @@
 /// stop sending requests to the replica.
 const DRAIN_PROPAGATION_TIME: Duration = Duration::from_millis(200);
 /// Maximum delay of the load command after the start of a load. The command is delayed while requests are queued at
-/// the replica, because it rejects them.
+/// the replica, because the command rejects them.
 const MAX_QUEUE_DRAIN_TIME: Duration = Duration::from_secs(1);
 /// Interval at which a replica's queue is checked before the load command.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The first model, by name, of which a listed replica has older weights than the target, with the target revision.
+    /// The target of the first model, by name, of which the listed replica `id` has older weights than the target.
     fn lacking_target(&self, id: &str) -> Option<ModelRevision> {
         let mut targets = self.targets.iter();
         let (model, target) =
@@ -240,8 +240,8 @@
         due.iter().filter_map(|id| self.advance_load(id, now)).collect()
     }
 
-    /// Withdraws the revisions of each model that are older than one whose withdrawal deadline has passed, or older than
-    /// the target if all replicas have loaded it.
+    /// Withdraws the revisions of each model that are older than one whose withdrawal deadline has passed, and those
+    /// older than the target if all replicas have loaded it.
     fn withdraw(&mut self, now: Duration) {
         for (model, target) in &mut self.targets {
             let is_rollout_complete = self.fleet.is_rollout_complete(model, target.desired);
