--- a/crates/control-plane/src/replication/view_change.rs
+++ b/crates/control-plane/src/replication/view_change.rs
@@ -119,7 +119,8 @@
         view.epoch > self.base.epoch && view.epoch != self.epoch
     }
 
-    /// Records a promise from `voter`, whose newest view is `recorded`; returns whether it is the first from that voter.
+    /// Records a promise from `voter`, whose newest view is `recorded`. Returns whether it is the first promise of this
+    /// voter.
     pub(super) fn record_promise(&mut self, voter: NodeId, recorded: &View) -> bool {
         if recorded.epoch == self.base.epoch && !recorded.voters.is_empty() {
             self.record_base_recorded(voter, recorded);
