--- a/crates/runtime/src/command_line.rs
+++ b/crates/runtime/src/command_line.rs
@@ -10,22 +10,22 @@
 use crate::logging;
 use crate::settings::{Settings, SettingsError};
 
-/// Columns of help texts.
+/// Width of help texts.
 const HELP_COLUMNS: usize = 100;
 
 /// A command of the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Runs the program with the settings that the environment names.
+    /// Runs the program with the settings file that [`crate::settings::PATH_VARIABLE`] names.
     Run,
-    /// Validates a settings file and prints its faults.
+    /// Validates a settings file and prints the findings.
     Check {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
     },
 }
 
-/// The parser of the command line.
+/// Returns the parser of the command line.
 #[must_use]
 pub fn parser(description: &'static str, version: &'static str) -> OptionParser<Command> {
     let run = pure(Command::Run).to_options().descr("Runs the program (the default)").command("run");
@@ -46,8 +46,8 @@
 ) -> ExitCode {
     clock::now();
     match parser(description, version).run_inner(Args::current_args()) {
-        Ok(Command::Run) => start_run(program, run),
-        Ok(Command::Check { file }) => check(&Settings::read(&file)),
+        Ok(Command::Run) => run_with_settings(program, run),
+        Ok(Command::Check { file }) => print_findings(&Settings::read(&file)),
         Err(failure) => {
             failure.print_message(HELP_COLUMNS);
             ExitCode::from(failure.exit_code() as u8)
@@ -55,7 +55,7 @@
     }
 }
 
-fn start_run(program: &'static str, run: impl FnOnce(Settings) -> ExitCode) -> ExitCode {
+fn run_with_settings(program: &'static str, run: impl FnOnce(Settings) -> ExitCode) -> ExitCode {
     match Settings::load() {
         Ok(settings) => {
             logging::init(program, &settings.node_name);
@@ -69,9 +69,9 @@
     }
 }
 
-/// Prints the faults of settings; the exit code is a failure if there are any.
-fn check(outcome: &Result<Settings, SettingsError>) -> ExitCode {
-    match outcome {
+/// Prints the findings of a validation; the exit code is a failure if there are any.
+fn print_findings(result: &Result<Settings, SettingsError>) -> ExitCode {
+    match result {
         Ok(settings) => {
             println!("{}: the settings can be used", settings.node_name);
             return ExitCode::SUCCESS;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every process of the system needs at its start: its settings, its command line, logs as JSON lines,
-//! signals and a monotonic clock.
+//! Parts that all programs of the system share: the settings file, the command line, logs as JSON lines, signals and a
+//! monotonic clock.
 
 pub mod clock;
 pub mod command_line;
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -1,8 +1,7 @@
 //! Logs as JSON lines on standard error.
 //!
 //! Each line has the level, the time since the process started, the program, the machine, the message and
-//! the record's key-values. The level is taken from `RUST_LOG`; where it is absent, `info` and above are
-//! written.
+//! the record's key-values. `RUST_LOG` sets the minimum level; the default is `info`.
 
 use std::io::Write;
 
@@ -14,10 +13,10 @@
 
 use crate::clock;
 
-/// Level where the environment names none.
+/// Minimum level if `RUST_LOG` is not set.
 const DEFAULT_LEVEL: &str = "info";
 
-/// Starts logging; a second call changes nothing.
+/// Installs the logger; further calls have no effect.
 pub fn init(program: &'static str, node: &str) {
     let node = node.to_owned();
     let _ = Builder::from_env(Env::default().default_filter_or(DEFAULT_LEVEL))
@@ -29,7 +28,7 @@
     writeln!(out, "{}", line(program, node, clock::now().as_millis() as u64, record))
 }
 
-/// A record as one line of JSON, without its line break.
+/// Formats a record as one line of JSON, without the line break.
 #[must_use]
 pub fn line(program: &str, node: &str, at_ms: u64, record: &Record<'_>) -> String {
     let mut fields = Map::new();
@@ -38,22 +37,22 @@
     fields.insert("program".into(), program.into());
     fields.insert("node".into(), node.into());
     fields.insert("message".into(), record.args().to_string().into());
-    // The visitor itself never fails, and a source that does has nothing more to say.
-    let _ = record.key_values().visit(&mut KeyValues(&mut fields));
+    // The visitor never returns an error; if a source fails, its remaining key-values are left out.
+    let _ = record.key_values().visit(&mut KeyValueVisitor(&mut fields));
     serde_json::Value::Object(fields).to_string()
 }
 
-/// Adds a record's key-values to the line; fields of the line itself are kept.
-struct KeyValues<'fields>(&'fields mut Map<String, serde_json::Value>);
+/// Adds a record's key-values to the line; a key-value never replaces a field of the line itself.
+struct KeyValueVisitor<'fields>(&'fields mut Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for KeyValues<'_> {
+impl<'kvs> VisitSource<'kvs> for KeyValueVisitor<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        self.0.entry(key.as_str()).or_insert_with(|| json(&value));
+        self.0.entry(key.as_str()).or_insert_with(|| to_json(&value));
         Ok(())
     }
 }
 
-fn json(value: &Value<'_>) -> serde_json::Value {
+fn to_json(value: &Value<'_>) -> serde_json::Value {
     if let Some(number) = value.to_u64() {
         return number.into();
     }
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file of a process.
 //!
-//! Fields that are not known are ignored, and optional ones that are absent or null take their defaults.
+//! Unknown fields are ignored; optional fields that are absent or null take their defaults.
 
 mod deserialize;
 mod error;
@@ -24,26 +24,27 @@
 pub use sections::{Caps, CloudApi, ListenOn, PortRange, Role, Withstand};
 pub use time_limits::TimeLimits;
 
-/// The variable that holds the path of the settings file.
+/// The environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "TULIPRIDGE_SETTINGS";
 
-/// Offsets from the first spare port. All processes of the system use the same.
+// Offsets of the internal ports from the first of `sparePorts`. All processes of the system have to use the same.
 const CONTROL_PORT_OFFSET: u16 = 0;
 const FEED_PORT_OFFSET: u16 = 1;
 const PEER_SAMPLING_PORT_OFFSET: u16 = 2;
 const LOOPBACK_FEED_PORT_OFFSET: u16 = 3;
 
-/// The settings of a process: the top level of the settings file, hence the many fields. The platform fixes their names.
+/// The settings of a process: the top level of the settings file, hence the many fields. The platform defines the names
+/// of the fields.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Settings {
     /// Name of the machine.
     pub node_name: String,
-    /// Name of the deployment's job.
+    /// Name of the job in the deployment.
     pub job: String,
     /// Class of the machine.
     pub machine_type: String,
-    /// What the machine serves to callers from outside.
+    /// The parties outside the system that the machine serves.
     pub handles_role: Vec<Role>,
     /// Address of the machine.
     pub ip_address: Ipv4Addr,
@@ -53,9 +54,9 @@
     pub site: String,
     /// Region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// Addresses for what the role serves.
+    /// Listen addresses, which depend on the role.
     pub listen_on: ListenOn,
-    /// Ports that are free for traffic inside the system.
+    /// Ports for traffic inside the system.
     pub spare_ports: PortRange,
     /// Addresses of some members of the control plane, from which a process finds the others.
     pub seed_nodes: Vec<SocketAddr>,
@@ -63,9 +64,9 @@
     pub first_boot: bool,
     /// Whether the loss of this machine counts against `withstand`.
     pub loss_counts: bool,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub caps: Caps,
-    /// Folder on the machine's disk; none on machines without one.
+    /// Data directory on the machine's disk; `None` on machines without a disk.
     pub data_folder: Option<PathBuf>,
     /// How replicas are discovered.
     pub finder: String,
@@ -80,7 +81,7 @@
     pub withstand: Withstand,
     /// Durations and ratios of the rules.
     pub time_limits: TimeLimits,
-    /// The platform's list of replicas.
+    /// The platform's list service, which names the replicas.
     pub cloud_api: Option<CloudApi>,
 }
 
@@ -135,7 +136,7 @@
     /// Parses settings and validates them.
     ///
     /// # Errors
-    /// [`SettingsError::NotYaml`], or [`SettingsError::Invalid`] with all faults that were found.
+    /// [`SettingsError::NotYaml`], or [`SettingsError::Invalid`] with all findings.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let document: Value = serde_norway::from_str(text).context(NotYamlSnafu)?;
         let document = validation::without_nulls(document);
@@ -143,7 +144,7 @@
             let findings = vec![Finding::new("the document", "must be a mapping of fields")];
             return InvalidSnafu { findings }.fail();
         };
-        let mut findings = validation::missing(fields);
+        let mut findings = validation::missing_fields(fields);
         let settings = match serde_path_to_error::deserialize::<_, Settings>(document) {
             Ok(settings) => settings,
             Err(error) => {
@@ -151,10 +152,10 @@
                 return InvalidSnafu { findings }.fail();
             }
         };
-        // The default of a missing field may be out of range, which is no second fault.
-        let mut unusable = validation::out_of_range(&settings);
-        unusable.retain(|finding| findings.iter().all(|missing| missing.field != finding.field));
-        findings.append(&mut unusable);
+        // The default of a missing field may be out of range; such a field is reported once, as missing.
+        let mut out_of_range = validation::out_of_range_values(&settings);
+        out_of_range.retain(|finding| findings.iter().all(|missing| missing.field != finding.field));
+        findings.append(&mut out_of_range);
         ensure!(findings.is_empty(), InvalidSnafu { findings });
         Ok(settings)
     }
--- a/crates/runtime/src/settings/error.rs
+++ b/crates/runtime/src/settings/error.rs
@@ -1,16 +1,16 @@
-//! Why settings can't be used.
+//! Errors of reading and validating the settings.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// One fault of a settings file.
+/// A fault that the validation of a settings file found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// The field, as a path from the document's root.
     pub field: String,
-    /// What is wrong with it.
+    /// Description of the fault.
     pub problem: String,
 }
 
@@ -26,20 +26,20 @@
     }
 }
 
-/// Why settings can't be used.
+/// An error of reading or validating the settings.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum SettingsError {
-    /// The variable that names the file is not set.
-    #[snafu(display("the variable {variable} does not name a settings file"))]
+    /// The environment variable that names the settings file is not set.
+    #[snafu(display("the environment variable {variable}, which names the settings file, is not set"))]
     NoPath {
-        /// The variable.
+        /// Name of the environment variable.
         variable: &'static str,
     },
     /// The file can't be read.
     #[snafu(display("{}: {source}", path.display()))]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The error of the operating system.
         source: std::io::Error,
@@ -51,13 +51,13 @@
         source: serde_norway::Error,
     },
     /// Fields are missing, of the wrong type or out of range.
-    #[snafu(display("{}", join(findings)))]
+    #[snafu(display("{}", join_findings(findings)))]
     Invalid {
-        /// All faults that were found.
+        /// The findings, at least one.
         findings: Vec<Finding>,
     },
 }
 
-fn join(findings: &[Finding]) -> String {
+fn join_findings(findings: &[Finding]) -> String {
     findings.iter().map(Finding::to_string).collect::<Vec<_>>().join("; ")
 }
--- a/crates/runtime/src/settings/sections.rs
+++ b/crates/runtime/src/settings/sections.rs
@@ -6,7 +6,7 @@
 
 use super::deserialize::{rounded_integer, string_entries};
 
-/// The ports that are free for traffic inside the system, both ends included.
+/// The ports for traffic inside the system, an inclusive range.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(from = "(u16, u16)")]
 pub struct PortRange {
@@ -22,7 +22,7 @@
     }
 }
 
-/// What a machine serves to callers from outside the system.
+/// The parties outside the system that a machine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Role {
@@ -35,25 +35,25 @@
     Unknown,
 }
 
-/// Addresses for what the role serves.
+/// Listen addresses, which depend on the role.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ListenOn {
     /// For clients.
     pub front_door: Option<SocketAddr>,
-    /// For checks of readiness.
+    /// For readiness checks.
     pub ready_check: Option<SocketAddr>,
     /// For replicas and the operator.
     pub control_port: Option<SocketAddr>,
 }
 
-/// The resources that the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Caps {
     /// Fraction of a CPU core.
     pub cpu_part: f64,
-    /// How many times as fast as the reference the core is.
+    /// Speed of the core, as a multiple of the reference core.
     pub core_count: f64,
     /// Memory, in MB.
     #[serde(deserialize_with = "rounded_integer")]
@@ -85,11 +85,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Withstand {
-    /// Machines whose loss counts.
+    /// Lost machines, of those whose loss counts.
     pub machine_losses: u32,
-    /// Zones.
+    /// Lost zones.
     pub zones: u32,
-    /// Regions.
+    /// Lost regions.
     pub region_losses: u32,
 }
 
@@ -99,24 +99,24 @@
     }
 }
 
-/// The platform's list of replicas.
+/// The platform's list service, which names the replicas.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct CloudApi {
-    /// The address of its API.
+    /// Address of the API.
     pub address: SocketAddr,
-    /// Calls a second that it accepts from all processes of the system together.
-    #[serde(default = "default_list_rate")]
+    /// Requests per second that the list service accepts from all processes of the system together.
+    #[serde(default = "default_rate_per_s")]
     pub rate_per_s: f64,
-    /// What else the platform does for the system.
+    /// Further tasks that the platform does for the system.
     #[serde(default, deserialize_with = "string_entries")]
     pub tasks: Vec<String>,
-    /// How far the list lags behind, in milliseconds.
+    /// Delay until a change of the replicas appears in the list, in milliseconds.
     #[serde(default, deserialize_with = "rounded_integer")]
     pub delay_ms: u64,
 }
 
-/// Calls a second to the platform's list if the settings give none.
-fn default_list_rate() -> f64 {
+/// Rate limit of the list service if the settings have none, in requests per second.
+fn default_rate_per_s() -> f64 {
     1.0
 }
--- a/crates/runtime/src/settings/time_limits.rs
+++ b/crates/runtime/src/settings/time_limits.rs
@@ -7,13 +7,10 @@
 use super::RevisionTerm;
 use super::deserialize::rounded_integer;
 
-/// Durations and ratios of the rules: `_s` in seconds, `_ms` in milliseconds.
+/// Durations and ratios of the rules; `_s` stands for seconds, `_ms` for milliseconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-#[expect(
-    missing_docs,
-    reason = "the fields have the names of the rules that define them, hence also their number"
-)]
+#[expect(missing_docs, reason = "the rules define the fields, their names and hence their number")]
 pub struct TimeLimits {
     pub seed_delay_s: f64,
     pub recycle_after_s: f64,
@@ -106,7 +103,7 @@
         Duration::from_millis(self.lease_term_ms)
     }
 
-    /// Time within which replicas change to new weights.
+    /// Time that the operator allows for a rollout of model weights.
     #[must_use]
     pub fn revision_term(&self) -> RevisionTerm {
         RevisionTerm::new(Duration::from_millis(self.revision_ms))
--- a/crates/runtime/src/settings/validation.rs
+++ b/crates/runtime/src/settings/validation.rs
@@ -12,8 +12,8 @@
 /// Ports that the system uses, from the first of `sparePorts` on.
 const PORTS_USED: u16 = LOOPBACK_FEED_PORT_OFFSET + 1;
 
-/// Required fields that are absent.
-pub(super) fn missing(document: &Mapping) -> Vec<Finding> {
+/// Returns a finding for each required field that is absent.
+pub(super) fn missing_fields(document: &Mapping) -> Vec<Finding> {
     REQUIRED_FIELDS
         .iter()
         .filter(|name| !document.contains_key(**name))
@@ -32,17 +32,17 @@
     }
 }
 
-/// Values that have the right type but can't be used.
-pub(super) fn out_of_range(settings: &Settings) -> Vec<Finding> {
+/// Returns a finding for each value that has the right type but is out of range.
+pub(super) fn out_of_range_values(settings: &Settings) -> Vec<Finding> {
     let mut findings = Vec::new();
-    names(settings, &mut findings);
-    ports(settings, &mut findings);
-    caps(settings, &mut findings);
-    time_limits(settings, &mut findings);
+    check_names(settings, &mut findings);
+    check_ports(settings, &mut findings);
+    check_caps(settings, &mut findings);
+    check_time_limits(settings, &mut findings);
     findings
 }
 
-fn names(settings: &Settings, findings: &mut Vec<Finding>) {
+fn check_names(settings: &Settings, findings: &mut Vec<Finding>) {
     if settings.node_name.is_empty() {
         findings.push(Finding::new("nodeName", "must not be empty"));
     }
@@ -54,7 +54,7 @@
     }
 }
 
-fn ports(settings: &Settings, findings: &mut Vec<Finding>) {
+fn check_ports(settings: &Settings, findings: &mut Vec<Finding>) {
     let PortRange { first, last } = settings.spare_ports;
     if first == 0 || last < first || last - first < PORTS_USED - 1 {
         let problem = format!("{first} to {last} must give {PORTS_USED} ports above 0");
@@ -84,23 +84,23 @@
     }
 }
 
-fn caps(settings: &Settings, findings: &mut Vec<Finding>) {
+fn check_caps(settings: &Settings, findings: &mut Vec<Finding>) {
     let caps = &settings.caps;
-    positive("caps.cpuPart", caps.cpu_part, findings);
-    positive("caps.coreCount", caps.core_count, findings);
-    positive("caps.ramMb", caps.ram_mb as f64, findings);
-    positive("caps.fileHandles", caps.file_handles as f64, findings);
-    positive("caps.bandwidthMbps", caps.bandwidth_mbps, findings);
+    check_positive("caps.cpuPart", caps.cpu_part, findings);
+    check_positive("caps.coreCount", caps.core_count, findings);
+    check_positive("caps.ramMb", caps.ram_mb as f64, findings);
+    check_positive("caps.fileHandles", caps.file_handles as f64, findings);
+    check_positive("caps.bandwidthMbps", caps.bandwidth_mbps, findings);
     if let Some(cloud) = &settings.cloud_api {
-        positive("cloudApi.ratePerS", cloud.rate_per_s, findings);
+        check_positive("cloudApi.ratePerS", cloud.rate_per_s, findings);
     }
 }
 
-fn time_limits(settings: &Settings, findings: &mut Vec<Finding>) {
+fn check_time_limits(settings: &Settings, findings: &mut Vec<Finding>) {
     let limits = &settings.time_limits;
-    positive("timeLimits.leewayS", limits.leeway_s, findings);
-    positive("timeLimits.withdrawMs", limits.withdraw_ms as f64, findings);
-    positive("timeLimits.retryWindowS", limits.retry_window_s, findings);
+    check_positive("timeLimits.leewayS", limits.leeway_s, findings);
+    check_positive("timeLimits.withdrawMs", limits.withdraw_ms as f64, findings);
+    check_positive("timeLimits.retryWindowS", limits.retry_window_s, findings);
     let not_negative = [
         ("timeLimits.seedDelayS", limits.seed_delay_s),
         ("timeLimits.recycleAfterS", limits.recycle_after_s),
@@ -116,7 +116,7 @@
     }
 }
 
-fn positive(field: &str, value: f64, findings: &mut Vec<Finding>) {
+fn check_positive(field: &str, value: f64, findings: &mut Vec<Finding>) {
     if !value.is_finite() || value <= 0.0 {
         findings.push(Finding::new(field, format!("{value} must be above 0")));
     }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,26 +1,26 @@
-//! The signals that the platform sends to a process.
+//! The signals by which the platform stops a process or has it reload its settings.
 
 use async_signal::Signals;
 use futures_lite::StreamExt;
 use snafu::{ResultExt, Snafu};
 
-/// The signals can't be received.
+/// The signal handlers can't be registered.
 #[derive(Debug, Snafu)]
-#[snafu(display("signals can't be awaited: {source}"))]
+#[snafu(display("signal handlers can't be registered: {source}"))]
 pub struct SignalError {
     source: std::io::Error,
 }
 
-/// A signal by its meaning.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// SIGTERM or SIGINT: drain and end.
+    /// SIGTERM or SIGINT: drain, then exit.
     Stop,
     /// SIGHUP: the settings file has changed.
     Reload,
 }
 
-/// The signals of the platform, in their order.
+/// The signals that the process received, in the order of their arrival.
 #[derive(Debug)]
 pub struct SignalStream {
     signals: Signals,
--- a/crates/runtime/tests/command_line.rs
+++ b/crates/runtime/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of the programs.
+//! Parsing of the command line.
 
 use std::path::PathBuf;
 
@@ -9,7 +9,7 @@
 #[case::nothing(&[], Command::Run)]
 #[case::run(&["run"], Command::Run)]
 #[case::check(&["check", "a.yaml"], Command::Check { file: PathBuf::from("a.yaml") })]
-fn commands_are_read(#[case] words: &[&str], #[case] expected: Command) {
+fn commands_are_parsed(#[case] words: &[&str], #[case] expected: Command) {
     assert_eq!(parser("A program", "1.2.3").run_inner(words).expect("a command"), expected);
 }
 
@@ -21,8 +21,8 @@
 }
 
 #[rstest]
-#[case::unknown(&["walk"])]
+#[case::unknown(&["unknown"])]
 #[case::no_file(&["check"])]
-fn what_is_not_a_command_is_refused(#[case] words: &[&str]) {
+fn invalid_commands_are_rejected(#[case] words: &[&str]) {
     assert!(parser("A program", "1.2.3").run_inner(words).is_err());
 }
--- a/crates/runtime/tests/logging.rs
+++ b/crates/runtime/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines.
+//! Format of log lines.
 
 use insta::assert_snapshot;
 use log::{Level, Record};
--- a/crates/runtime/tests/revision_term.rs
+++ b/crates/runtime/tests/revision_term.rs
@@ -1,4 +1,4 @@
-//! How the operator's term for the change to new weights is divided.
+//! Deadlines of the steps of a rollout of model weights.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 ) {
     let length = Duration::from_millis(length_ms);
     let term = RevisionTerm::new(length);
-    let called_off = term.cancel_at(None, term.withdrawal());
+    let cancelled_at = term.cancel_at(None, term.withdrawal());
     assert!(term.load_by() < term.withdrawal());
-    assert!(term.withdrawal() < called_off);
-    assert!(called_off < length);
-    // Orders and calling off have as long as a short term allows.
+    assert!(term.withdrawal() < cancelled_at);
+    assert!(cancelled_at < length);
+    // Load commands and the cancellation get their minimum time, or less only if the term is too short for it.
     let reserve = length - term.withdrawal();
     assert!(reserve >= Duration::from_millis(1_500).min(length / 3));
-    assert!(length - called_off >= Duration::from_millis(700).min(reserve / 2));
+    assert!(length - cancelled_at >= Duration::from_millis(700).min(reserve / 2));
 }
 
 #[test]
-fn no_term_is_divided_into_nothing() {
+fn withdrawal_and_cancellation_of_a_zero_term_are_due_at_once() {
     let term = RevisionTerm::new(Duration::ZERO);
     assert_eq!(term.withdrawal(), Duration::ZERO);
     assert_eq!(term.cancel_at(None, Duration::ZERO), Duration::ZERO);
--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Reading and checking settings.
+//! Parsing and validation of settings.
 
 use std::net::Ipv4Addr;
 
@@ -19,13 +19,13 @@
 
 #[test]
 fn every_field_is_read() {
-    let settings = Settings::parse(EDGE).expect("good settings");
+    let settings = Settings::parse(EDGE).expect("valid settings");
     insta::assert_debug_snapshot!(settings);
 }
 
 #[test]
 fn ports_follow_from_the_first_spare_port() {
-    let settings = Settings::parse(EDGE).expect("good settings");
+    let settings = Settings::parse(EDGE).expect("valid settings");
     let ip = settings.ip_address;
     let sockets = [
         settings.control_socket(ip),
@@ -46,7 +46,7 @@
                 timeLimits: {withdrawMs: null, leewayS: 2.5, contactMs: 10.0, other: true}\n\
                 withstand: null\nhandlesRole: [edge, other]\n\
                 cloudApi: {address: '10.0.0.2:80', tasks: [a, {}]}";
-    let settings = Settings::parse(text).expect("good settings");
+    let settings = Settings::parse(text).expect("valid settings");
     assert_eq!(settings.time_limits.withdraw_ms, 5000);
     assert_eq!(settings.time_limits.leeway_s, 2.5);
     assert_eq!(settings.time_limits.contact_ms, 10);
@@ -93,10 +93,10 @@
 #[case::limit("emptyMs: 3000", "emptyMs: soon")]
 #[case::seed("- \"10.2.0.2:8683\"", "- elsewhere")]
 #[case::list("sparePorts:\n  - 7000", "sparePorts:\n  - -1")]
-fn a_value_of_the_wrong_type_is_named(#[case] good: &str, #[case] bad: &str) {
-    let text = EDGE.replace(good, bad);
+fn a_value_of_the_wrong_type_is_named(#[case] valid: &str, #[case] invalid: &str) {
+    let text = EDGE.replace(valid, invalid);
     assert_ne!(text, EDGE, "the case changes the text");
-    let name = bad.split([':', '-']).next().unwrap_or_default().trim().to_owned();
+    let name = invalid.split([':', '-']).next().unwrap_or_default().trim().to_owned();
     insta::with_settings!({ snapshot_suffix => if name.is_empty() { "seed".into() } else { name } }, {
         insta::assert_snapshot!(findings(&text));
     });
@@ -106,6 +106,6 @@
 #[case::not_yaml("a: [")]
 #[case::not_a_mapping("- a")]
 #[case::empty("")]
-fn a_text_without_settings_is_refused(#[case] text: &str) {
+fn a_text_without_settings_is_rejected(#[case] text: &str) {
     assert!(Settings::parse(text).is_err());
 }
