--- a/crates/proxy/tests/retry_safety.rs
+++ b/crates/proxy/tests/retry_safety.rs
@@ -131,7 +131,7 @@
 }
 
 #[rstest]
-fn an_unsafe_request_held_past_its_deadline_gets_504(#[values("/risky/", "/stream/")] path: &str) {
+fn an_unsafe_request_pending_past_its_deadline_gets_504(#[values("/risky/", "/stream/")] path: &str) {
     let harness = Harness::start(1);
     harness.script_next_request(&[Step::Wait]);
     let request = post(path, "t1").replace("Time-Left-Ms: 6000", "Time-Left-Ms: 300");
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 use std::fs;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use source_files::sources_below;
 
@@ -38,6 +38,45 @@
     "fellow",
 ];
 
+/// Phrases that tell how a value was found. The commit message or docs/CAPACITY.md says that, not the constant.
+const TUNING_PHRASES: [&str; 9] = [
+    "was measured",
+    "were measured",
+    "was chosen",
+    "were chosen",
+    "was tuned",
+    "were tuned",
+    "was tried",
+    "were tried",
+    "trial and error",
+];
+
+/// The longest name of a test, in characters.
+const MAX_TEST_NAME_LENGTH: usize = 60;
+
+/// Folders and files whose tests have names of at most [`MAX_TEST_NAME_LENGTH`] characters. `docs/ROADMAP.md` lists the others.
+const TESTS_WITH_SHORT_NAMES: [&str; 19] = [
+    "crates/agent/tests",
+    "crates/control-plane/tests",
+    "crates/http1/tests",
+    "crates/load-balancer/tests",
+    "crates/peer-sampling/tests",
+    "crates/prefix-cache-index/tests",
+    "crates/protocol/tests",
+    "crates/proxy/tests",
+    "crates/runtime/tests",
+    "crates/write-ahead-log/tests",
+    "tests/cold.rs",
+    "tests/documentation.rs",
+    "tests/gone.rs",
+    "tests/lag.rs",
+    "tests/list_propagation.rs",
+    "tests/lists.rs",
+    "tests/module.rs",
+    "tests/pace.rs",
+    "tests/units",
+];
+
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
@@ -127,7 +166,7 @@
 }
 
 #[test]
-fn every_path_in_the_readme_the_glossary_and_the_developers_page_exists() {
+fn paths_in_the_readme_glossary_and_developers_page_exist() {
     for page in ["README.md", "docs/glossary.md", "DEVELOPERS.md"] {
         assert_paths_exist(page);
     }
@@ -142,8 +181,8 @@
     }
 }
 
-#[test]
-fn no_item_or_file_of_a_package_has_a_withdrawn_name() {
+/// The sources, tests, benchmarks and examples of all packages.
+fn all_sources() -> Vec<PathBuf> {
     let mut packages = vec![root().to_owned()];
     for entry in fs::read_dir(root().join("crates")).expect("the packages") {
         packages.push(entry.expect("an entry").path());
@@ -157,6 +196,85 @@
             .for_each(|folder| sources_below(folder, &mut sources));
     }
     assert!(sources.len() > 400, "only {} files found", sources.len());
+    sources
+}
+
+/// The comments that stand directly above constants, each joined into one line.
+fn comments_of_constants(text: &str) -> Vec<String> {
+    let mut comments = Vec::new();
+    let mut comment = String::new();
+    for line in text.lines().map(str::trim) {
+        if let Some(text) = line.strip_prefix("//") {
+            comment.push(' ');
+            comment.push_str(text.trim_start_matches('/').trim());
+            continue;
+        }
+        let is_constant = line.split_whitespace().any(|word| word == "const" || word == "static");
+        if is_constant && !line.contains("fn ") && !comment.is_empty() {
+            comments.push(std::mem::take(&mut comment));
+        }
+        if !line.starts_with("#[") {
+            comment.clear();
+        }
+    }
+    comments
+}
+
+/// The names of a file's test functions.
+fn test_names(text: &str) -> Vec<&str> {
+    let mut names = Vec::new();
+    let mut is_test = false;
+    for line in text.lines().map(str::trim) {
+        is_test |= line.starts_with("#[test]") || line.starts_with("#[rstest]");
+        if let Some(name) = declared_name(line).filter(|_| is_test && line.contains("fn ")) {
+            names.push(name);
+            is_test = false;
+        }
+    }
+    names
+}
+
+#[test]
+fn no_comment_of_a_constant_tells_how_its_value_was_found() {
+    let mut found = Vec::new();
+    for source in all_sources() {
+        for comment in comments_of_constants(&read(&source)) {
+            if TUNING_PHRASES.iter().any(|phrase| comment.contains(phrase)) {
+                found.push(format!("{}:{comment}", source.display()));
+            }
+        }
+    }
+    assert!(found.is_empty(), "{found:#?}");
+}
+
+#[test]
+fn test_names_are_short() {
+    let mut sources = Vec::new();
+    for path in TESTS_WITH_SHORT_NAMES.map(|path| root().join(path)) {
+        if path.is_dir() { sources_below(&path, &mut sources) } else { sources.push(path) }
+    }
+    let (mut count, mut long) = (0, Vec::new());
+    for source in &sources {
+        let text = read(source);
+        let names = test_names(&text);
+        count += names.len();
+        long.extend(names.into_iter().filter(|name| name.len() > MAX_TEST_NAME_LENGTH).map(str::to_owned));
+    }
+    assert!(count > 400, "only {count} tests found");
+    assert!(long.is_empty(), "{long:#?}");
+}
+
+#[test]
+fn constants_and_tests_are_found_in_a_source() {
+    let text = "/// 7 s was chosen\n#[allow(dead_code)]\nconst LIMIT: u32 = 7;\n/// was measured\nconst fn f() {}\n";
+    assert_eq!(comments_of_constants(text), [" 7 s was chosen"]);
+    let text = "#[rstest]\n#[case::one(1)]\nfn first(#[case] number: u32) {}\nfn helper() {}\n#[test]\nfn second() {}";
+    assert_eq!(test_names(text), ["first", "second"]);
+}
+
+#[test]
+fn no_item_or_file_of_a_package_has_a_withdrawn_name() {
+    let sources = all_sources();
     let mut withdrawn = BTreeSet::new();
     for source in &sources {
         let stem = source.file_stem().and_then(|stem| stem.to_str()).expect("a name in UTF-8");
