--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -21,25 +21,25 @@
 use crate::names::{Listing, Names, State};
 use crate::types::{ListKind, Member, Phase, ReplicaId};
 
-/// Follows the list as the load balancer requests, and passes updates to it and to the fleet.
+/// Fetches and watches the replica list as the load balancer requests, and passes updates to it and to the fleet.
 pub struct Discovery {
     addr: Cell<SocketAddr>,
     engine: Engine,
     fleet: Rc<Fleet>,
     names: Rc<RefCell<Names>>,
     limits: Rc<Limits>,
-    /// Lists are pushed by an agent on this machine.
+    /// The list comes from the agent on this machine rather than from the list service.
     push: bool,
     version: Cell<u64>,
     has_list: Cell<bool>,
     /// The last call failed, which was logged.
     failing: Cell<bool>,
-    /// The current watch exceeded its idle timeout, which the load balancer knows.
+    /// The current watch exceeded its idle timeout, and the load balancer was told of the failure.
     idle: Cell<bool>,
 }
 
 impl Discovery {
-    /// Starts without a list.
+    /// Creates a client that has no list yet.
     pub fn new(
         addr: SocketAddr,
         engine: Engine,
@@ -54,24 +54,25 @@
     }
 
     /// Applies the list of an earlier process, which may be outdated.
-    pub fn persisted(&self, known: &Listing) {
-        self.take(known.clone(), ListKind::Persisted);
+    pub fn apply_persisted(&self, known: &Listing) {
+        self.apply(known.clone(), ListKind::Persisted);
     }
 
     /// Watches discovery at another address. The list and its version stay in force.
-    pub fn move_to(&self, addr: SocketAddr) {
+    pub fn set_address(&self, addr: SocketAddr) {
         if self.addr.replace(addr) != addr {
-            log::info!(discovery:% = addr, version = self.version.get(); "discovery-moved: it is watched there now");
+            log::info!(discovery:% = addr, version = self.version.get(); "discovery-moved: reopening the watch at the new address");
             self.engine.restart_list_watch();
         }
     }
 
-    /// Whether discovery has responded at least once.
+    /// Whether a list was received from discovery since the start.
     pub fn has_list(&self) -> bool {
         self.has_list.get()
     }
 
-    /// Carries out the load balancer's actions until the channel closes. Where the list is pushed, it watches by itself.
+    /// Carries out the load balancer's actions until the channel closes. With an agent, the watch is opened and reopened
+    /// without such an action.
     pub async fn run(self: Rc<Self>, ex: &'static LocalExecutor<'static>, actions: Receiver<FleetAction>) {
         let mut watch: Option<Task<()>> = None;
         let start = || {
@@ -83,8 +84,8 @@
                     if !this.push {
                         return;
                     }
-                    // An update of the agent counts as delivered even if no watch is open, so a watch that has
-                    // lasted is reopened at once, and a failed one at a steady rate.
+                    // The agent counts an update as delivered even if no watch is open. So a watch that lasted
+                    // longer than the retry interval is reopened at once, and a failed one after that interval.
                     Timer::after(this.limits.discovery.agent_retry_interval.saturating_sub(from.elapsed()))
                         .await;
                 }
@@ -115,54 +116,54 @@
         drop(watch);
     }
 
-    /// One watch, up to its end, which is reported to the load balancer as a failure; it decides when to call again. Calls
-    /// to an agent cost nothing, and their rate is limited here.
+    /// Runs one watch to its end and reports the end to the load balancer as a failure; the load balancer schedules the
+    /// next call. Calls to the agent stay on this machine, so only `agent_retry_interval` limits their rate.
     async fn watch(&self) {
         self.idle.set(false);
         let path = format!("/catalog/members?stream=1&index={}", self.version.get());
         let from = Instant::now();
         let ended =
             if self.push { self.watch_agent(&path).await } else { self.call(&path, true, &|| true).await };
-        let why = ended.err().map_or("it ended".to_owned(), |e| e.to_string());
-        // Repeated failures of an agent are logged at debug.
+        let why = ended.err().map_or("the response ended".to_owned(), |e| e.to_string());
+        // Repeated failures of the agent are logged at debug level.
         let level = if self.push && self.failing.replace(true) { Level::Debug } else { Level::Info };
         let after_ms = from.elapsed().as_millis() as u64;
         log::log!(level, version = self.version.get(), after_ms = after_ms; "watch-ended: {why}");
-        // The failure of an idle watch was reported before, and the next call is scheduled.
+        // An idle watch was already reported as failed, and the next call is scheduled.
         if !self.push && !self.idle.get() {
             self.engine.update_list(ListKind::Failed, Vec::new());
         }
     }
 
-    /// A watch at an agent. A call that was made while discovery was down may never get a response, though what the agent
-    /// has counts as delivered once discovery is back. So as long as the call has no response, further ones are made beside
-    /// it, one after the other; the first one with a response becomes the watch.
+    /// Watches the list at the agent. A call that was made while discovery was down may never get a response, although
+    /// the agent counts its list as delivered once discovery is back. So further calls are made, one at a time, while
+    /// the first call waits for its response; the first call with a response becomes the watch.
     async fn watch_agent(&self, path: &str) -> io::Result<()> {
-        let begun = Cell::new(None);
-        let claim = |who: u8| {
-            begun.set(begun.get().or(Some(who)));
-            begun.get() == Some(who)
+        let claimed_by = Cell::new(None);
+        let claim = |caller: u8| {
+            claimed_by.set(claimed_by.get().or(Some(caller)));
+            claimed_by.get() == Some(caller)
         };
-        let patient = async {
+        let first_call = async {
             let end = self.call(path, true, &|| claim(0)).await;
-            if begun.get() == Some(1) {
+            if claimed_by.get() == Some(1) {
                 future::pending::<()>().await;
             }
             end
         };
-        let beside = async {
+        let further_calls = async {
             Timer::after(self.limits.discovery.agent_hedge_delay).await;
-            while begun.get().is_none() {
-                let late = async {
+            while claimed_by.get().is_none() {
+                let call_timeout = async {
                     Timer::after(self.limits.discovery.agent_hedge_delay).await;
-                    if begun.get() == Some(1) {
+                    if claimed_by.get() == Some(1) {
                         future::pending::<()>().await;
                     }
                     Err(io::ErrorKind::TimedOut.into())
                 };
                 let from = Instant::now();
-                let end = future::or(self.call(path, true, &|| claim(1)), late).await;
-                if begun.get() == Some(1) {
+                let end = future::or(self.call(path, true, &|| claim(1)), call_timeout).await;
+                if claimed_by.get() == Some(1) {
                     return end;
                 }
                 Timer::after(self.limits.discovery.agent_retry_interval.saturating_sub(from.elapsed()))
@@ -170,7 +171,7 @@
             }
             future::pending().await
         };
-        future::or(patient, beside).await
+        future::or(first_call, further_calls).await
     }
 
     async fn fetch(self: Rc<Self>) {
@@ -180,11 +181,12 @@
         }
     }
 
-    /// A call, up to the end of its response; `claim` tells at the first element whether the response is still needed.
+    /// Makes a call and reads its response to the end. `claim` is asked at the first element whether the response is
+    /// still needed.
     async fn call(&self, path: &str, watch: bool, claim: &dyn Fn() -> bool) -> io::Result<()> {
         let from = Instant::now();
         let (wire, head) = self.open(path).await?;
-        self.follow(wire, head, watch, from, claim).await
+        self.read_response(wire, head, watch, from, claim).await
     }
 
     /// Sends a call and reads the head of its response.
@@ -193,7 +195,7 @@
         let mut wire = BufferedStream::connect(self.addr.get(), &limits.wire).await?;
         let request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.addr.get());
         wire.write(request.as_bytes()).await?;
-        let begun = within(limits.discovery.response_timeout, async {
+        let response_head = within(limits.discovery.response_timeout, async {
             loop {
                 match codec::response_head(&mut wire.buf, &limits.wire) {
                     Ok(Some(head)) => return Ok(head),
@@ -203,12 +205,12 @@
                 }
             }
         });
-        let head = begun.await??;
+        let head = response_head.await??;
         Ok((wire, head))
     }
 
-    /// Reads the response to a call that was made at `from`, up to its end.
-    async fn follow(
+    /// Reads the response to a call that was made at `from` to its end.
+    async fn read_response(
         &self,
         mut wire: BufferedStream,
         head: Head,
@@ -223,7 +225,7 @@
             limits.discovery.watch_idle_timeout
         };
         if head.status() != 200 {
-            if let Some(wait) = head.get("retry-after").and_then(seconds) {
+            if let Some(wait) = head.get("retry-after").and_then(parse_seconds) {
                 self.engine.defer_list_calls(wait);
             }
             return Err(io::Error::other(format!("status {}", head.status())));
@@ -241,27 +243,31 @@
                     Ok(Some(Element::BlankLine)) if !watch => continue,
                     Ok(Some(element)) => element,
                     Ok(None) => break,
-                    Err(NotAnObject) => return Err(io::Error::other("something other than an object")),
+                    Err(NotAnObject) => {
+                        return Err(io::Error::other(
+                            "the response contains something other than JSON objects",
+                        ));
+                    }
                 };
                 if first && !claim() {
-                    return Err(io::Error::other("another call was answered first"));
+                    return Err(io::Error::other("another call received its response first"));
                 }
                 match element {
-                    Element::Object(object) => self.object(&object, &mut first)?,
-                    Element::BlankLine => self.no_change(&mut first),
+                    Element::Object(object) => self.apply_object(&object, &mut first)?,
+                    Element::BlankLine => self.apply_no_change(&mut first),
                 }
             }
-            // Bounds the memory for an object without end.
+            // Bounds the memory for an unterminated object.
             if text.len() > limits.discovery.list_bytes {
-                return Err(io::Error::other("an object too long"));
+                return Err(io::Error::other("an object exceeds the size limit"));
             }
             if !ended {
-                // A watch sends a line at least every 2 s, otherwise discovery is unreachable. The first element is due
-                // in the same time after the call, whenever the head arrived.
+                // Discovery sends a line on a watch at least every 2 s; without one it counts as unreachable. The first
+                // element is due within the same time after the call, whenever the head arrived.
                 let spent = if first { from.elapsed() } else { Duration::ZERO };
                 let patience = idle_timeout.saturating_sub(spent);
                 let filled = match within(patience, wire.fill(&limits.wire)).await {
-                    Err(_) if watch && !first && !self.push => self.listen_on(&mut wire).await,
+                    Err(_) if watch && !first && !self.push => self.wait_for_late_line(&mut wire).await,
                     filled => filled?,
                 };
                 ended = filled? == 0;
@@ -271,52 +277,52 @@
             }
             if ended {
                 return match (first, objects.is_amid()) {
-                    (_, true) => Err(io::Error::other("an object cut short")),
-                    (true, _) => Err(io::Error::other("an empty answer")),
+                    (_, true) => Err(io::Error::other("the response ended within an object")),
+                    (true, _) => Err(io::Error::other("the response is empty")),
                     _ => Ok(()),
                 };
             }
         }
     }
 
-    /// A watch exceeded its idle timeout: the next one is scheduled, and its start ends this one. If a line was only late,
-    /// no call is needed.
-    async fn listen_on(&self, wire: &mut BufferedStream) -> io::Result<usize> {
-        log::info!(version = self.version.get(); "watch-idle: it is reopened unless a line arrives before");
+    /// Continues a watch that exceeded its idle timeout. The next watch is scheduled, and its start ends this one; a late
+    /// line that arrives before makes that call unnecessary.
+    async fn wait_for_late_line(&self, wire: &mut BufferedStream) -> io::Result<usize> {
+        log::info!(version = self.version.get(); "watch-idle: no line within the idle timeout; reopening the watch unless a line arrives first");
         self.idle.set(true);
         self.engine.update_list(ListKind::Failed, Vec::new());
         let count = wire.fill(&self.limits.wire).await?;
         if count > 0 {
             self.idle.set(false);
-            self.no_change(&mut true);
+            self.apply_no_change(&mut true);
         }
         Ok(count)
     }
 
-    /// An empty line of a watch is a keep-alive; as the first element of a response it also means: no change.
-    fn no_change(&self, first: &mut bool) {
+    /// Handles an empty line of a watch, which is a keep-alive; as the first element it also means that nothing changed.
+    fn apply_no_change(&self, first: &mut bool) {
         if std::mem::replace(first, false) {
-            self.take(Listing { version: self.version.get(), ..Listing::default() }, ListKind::Changes);
+            self.apply(Listing { version: self.version.get(), ..Listing::default() }, ListKind::Changes);
         }
     }
 
-    /// An object of a response.
-    fn object(&self, object: &[u8], first: &mut bool) -> io::Result<()> {
+    /// Applies an object of a response.
+    fn apply_object(&self, object: &[u8], first: &mut bool) -> io::Result<()> {
         let listing: Listing = serde_json::from_slice(object).map_err(io::Error::other)?;
         if !listing.full && listing.version < self.version.get() {
-            // Changes up to a version that is known already.
-            log::warn!(version = listing.version, held = self.version.get(); "old-changes: nothing new in them");
-            self.no_change(first);
+            // These changes lead to a version that is already known.
+            log::warn!(version = listing.version, held = self.version.get(); "old-changes: ignoring changes up to an already known version");
+            self.apply_no_change(first);
             return Ok(());
         }
         *first = false;
         let kind = if listing.full { ListKind::Complete } else { ListKind::Changes };
-        self.take(listing, kind);
+        self.apply(listing, kind);
         Ok(())
     }
 
-    /// Passes a list to the fleet first, so that it has the endpoints for the load balancer's actions.
-    fn take(&self, mut listing: Listing, kind: ListKind) {
+    /// Applies a list. The fleet comes first, so that it has the endpoints when the load balancer acts on the list.
+    fn apply(&self, mut listing: Listing, kind: ListKind) {
         for (replica, problem) in listing.correct(self.engine.now() as f64 / 1e6) {
             log::warn!(version = listing.version, replica = replica; "bad-entry: {problem}");
         }
@@ -326,11 +332,11 @@
         let mut members: Vec<Member> = Vec::with_capacity(listing.servers.len());
         for entry in &listing.servers {
             let mut names = self.names.borrow_mut();
-            let gone = self.fleet.learn(entry, names.dialect(&entry.kind));
+            let gone = self.fleet.apply_entry(entry, names.dialect(&entry.kind));
             members.push(names.member(entry));
             for id in gone {
                 if entry.state != State::Gone {
-                    log::info!(replica = &*id.0, addr = entry.addr; "address-taken: its id is gone with it");
+                    log::info!(replica = &*id.0, addr = entry.addr; "address-taken: a replica that started later has this address; removing the older id");
                 }
                 match members.iter_mut().find(|m| m.id == id) {
                     Some(member) => member.phase = Phase::Gone,
@@ -338,20 +344,20 @@
                 }
             }
             if kind == ListKind::Changes && entry.state != State::Ready {
-                log::info!(version = listing.version, replica = entry.id, state:? = entry.state; "list-change: nothing new goes there");
+                log::info!(version = listing.version, replica = entry.id, state:? = entry.state; "list-change: sending no new requests to this replica");
             }
         }
         if kind != ListKind::Changes {
             let ids: Vec<ReplicaId> = members.iter().map(|m| m.id.clone()).collect();
-            self.fleet.keep_only(&ids);
-            log::info!(version = listing.version, kind:? = kind, replicas = ids.len(); "list: complete");
+            self.fleet.retain_only(&ids);
+            log::info!(version = listing.version, kind:? = kind, replicas = ids.len(); "list: applied a complete list");
         }
         self.engine.update_list(kind, members);
     }
 }
 
-/// What `Retry-After` says in whole or decimal seconds; a date is not read.
-fn seconds(text: &str) -> Option<Duration> {
+/// Parses a `Retry-After` value in whole or decimal seconds; dates are not supported.
+fn parse_seconds(text: &str) -> Option<Duration> {
     let seconds = text.parse::<f64>().ok().filter(|s| s.is_finite() && *s >= 0.0)?;
     Duration::try_from_secs_f64(seconds).ok()
 }
--- a/src/net/edge/connection.rs
+++ b/src/net/edge/connection.rs
@@ -84,7 +84,7 @@
                 let back = Rc::new(RefCell::new(None));
                 let headers = std::mem::take(&mut accepted.headers);
                 let responder = Responder { dialect, id, safe: accepted.safe, headers };
-                let placed = self.lifecycle.takes_requests();
+                let placed = self.lifecycle.admits_requests();
                 let charge = self.charge(&mut accepted, placed);
                 let forwarded = Rc::new(ForwardedRequest::from_accepted(
                     &self.context,
@@ -113,7 +113,7 @@
                 engine::serve(&self.engine, &accepted.placement, &dispatch, client, &*self).await;
                 return back.take();
             }
-            Call::Health if self.lifecycle.wants_clients() => {
+            Call::Health if self.lifecycle.is_in_rotation() => {
                 Responder::new(dialect, &id).text(200, "ready")
             }
             Call::Health => Responder::new(dialect, &id).text(503, "not ready"),
--- a/src/net/edge/exchange.rs
+++ b/src/net/edge/exchange.rs
@@ -67,7 +67,7 @@
             };
             // Guards against crowding out requests that are on their way in: half of their memory stays theirs.
             let has_memory = edge.buffered_bytes.get() + came
-                <= edge.fleet.overlap.part(edge.limits.edge.buffered_bytes) / 2;
+                <= edge.fleet.overlap.share(edge.limits.edge.buffered_bytes) / 2;
             match input.received(had, came, has_memory) {
                 Disposition::Keep => counted.grow_to(wire.buf.len()),
                 Disposition::Drop => wire.buf.truncate(had),
--- a/src/net/edge/handover.rs
+++ b/src/net/edge/handover.rs
@@ -35,7 +35,7 @@
         let out = std::mem::take(&mut snapshot.buffers.to_client);
         let wire = BufferedStream::handed(client, std::mem::take(&mut snapshot.buffers.from_client))?;
         let from = wire.peer()?;
-        let updates = Running::unpack(self.fleet.clone(), &mut snapshot, replica)?;
+        let updates = Running::from_snapshot(self.fleet.clone(), &mut snapshot, replica)?;
         let (responder, waiting) = (Responder::new(Dialect::Platform, &snapshot.name), out.len());
         let encoder =
             ResponseEncoder::resumed(responder.clone(), self.context.omissions.clone(), &self.limits);
@@ -80,7 +80,7 @@
 
 impl engine::StreamSuccessor<Running, RespondingClient> for Edge {
     fn take_over(&self, info: &StreamInfo, updates: &mut Running, sink: &mut RespondingClient) -> bool {
-        if !self.followers.has_follower() {
+        if !self.successors.has_successor() {
             return false;
         }
         let mut snapshot = StreamSnapshot {
@@ -90,12 +90,12 @@
             first: info.time_to_first_event,
             ..StreamSnapshot::default()
         };
-        let sent = match (sink.pack(&mut snapshot), updates.pack(&mut snapshot)) {
-            (Some(client), Some(replica)) => self.followers.send(&snapshot, [client, replica]),
+        let sent = match (sink.write_snapshot(&mut snapshot), updates.write_snapshot(&mut snapshot)) {
+            (Some(client), Some(replica)) => self.successors.send(&snapshot, [client, replica]),
             _ => Err(io::Error::other("its state can't be handed over")),
         };
         match &sent {
-            Ok(()) => updates.given_away(),
+            Ok(()) => updates.mark_handed_over(),
             Err(e) => log::debug!(id = format!("{:016x}", info.id); "not-handed-over: {e}"),
         }
         sent.is_ok()
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -20,16 +20,16 @@
 use rustix::io::Errno;
 use tulipridge_http1::Http1Limits;
 
-use super::followers::Followers;
 use super::lifecycle_monitor::LifecycleMonitor;
 use super::slot_pool::SlotPool;
+use super::successors::Successors;
 use super::upstream::Fleet;
 use super::{BufferedStream, within};
 use crate::admission::connection_slots::SlotTimeouts;
 use crate::engine::Engine;
 use crate::front::{Dialect, FrontContext};
 use crate::limits::Limits;
-use crate::process::overlap::{ConnectionCounts, Overlap, Report};
+use crate::process::overlap::{ConnectionCounts, ConnectionReport, Overlap};
 
 /// What all edge connections share.
 pub struct Edge {
@@ -41,7 +41,7 @@
     messages_wire: Http1Limits,
     lifecycle: Rc<LifecycleMonitor>,
     /// Where streams that outlast this process go, if they may.
-    followers: Rc<Followers>,
+    successors: Rc<Successors>,
     slots: Rc<SlotPool>,
     buffered_bytes: Cell<usize>,
     /// Listeners that are open.
@@ -56,7 +56,7 @@
         context: Rc<FrontContext>,
         limits: Rc<Limits>,
         lifecycle: Rc<LifecycleMonitor>,
-        followers: Rc<Followers>,
+        successors: Rc<Successors>,
     ) -> Edge {
         let timeouts = SlotTimeouts {
             silent: limits.edge.evict_silent_after,
@@ -74,7 +74,7 @@
             limits,
             messages_wire,
             lifecycle,
-            followers,
+            successors,
             slots,
             buffered_bytes: Cell::new(0),
             listeners: Cell::new(0),
@@ -117,7 +117,7 @@
             future::or(next, self.lifecycle.closed()).await;
         }
         // Guards against a reset of what the system has accepted by now: it is told that this process takes no more.
-        while self.lifecycle.empties_queue()
+        while self.lifecycle.owns_accept_queue()
             && self.open() < self.connection_limit()
             && let Some(Ok(taken)) = future::poll_once(listener.accept()).await
         {
@@ -132,7 +132,7 @@
     pub async fn stop(&self) {
         self.lifecycle.stop();
         self.engine.shut_down_streams(self.limits.stream.shutdown_timeout);
-        while !self.lifecycle.over(self.open()) || self.listeners.get() > 0 {
+        while !self.lifecycle.is_finished(self.open()) || self.listeners.get() > 0 {
             // Looks again by itself: the listeners wait for the same word, and only one of all hears it.
             let word = future::or(self.slots.freed(), self.lifecycle.changed());
             let _ = within(self.limits.edge.slot_check_interval, word).await;
@@ -142,7 +142,7 @@
     /// Takes fewer connections from now on, since there are fewer descriptors than the configuration says.
     fn run_out(&self) {
         let overlap = &self.fleet.overlap;
-        if overlap.ran_out(self.report().open, self.limits.reserved_descriptors) {
+        if overlap.reduce_limits(self.report().open, self.limits.reserved_descriptors) {
             let ConnectionCounts { edge, replicas } = overlap.limits();
             log::warn!(edge = edge, replicas = replicas; "descriptors-short: raise this process's limit to what limits.sockets says; until then it holds fewer connections");
         }
@@ -154,16 +154,16 @@
     }
 
     /// What this process holds, for the one that follows.
-    pub fn report(&self) -> Report {
+    pub fn report(&self) -> ConnectionReport {
         let open = ConnectionCounts { edge: self.open(), replicas: self.fleet.open() };
-        Report { open, stopping: self.lifecycle.is_stopping() }
+        ConnectionReport { open, stopping: self.lifecycle.is_stopping() }
     }
 
     /// Notes what has become of another process, and what of the memory is this one's since then.
     pub fn overlap(&self, change: impl FnOnce(&Overlap)) {
         let overlap = &self.fleet.overlap;
         change(overlap);
-        self.engine.set_stream_budget(overlap.part(self.limits.stream.budget));
+        self.engine.set_stream_budget(overlap.share(self.limits.stream.budget));
     }
 
     /// Edge connections that are open.
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -80,7 +80,7 @@
                 return Ok(None);
             }
             let closing = async {
-                future::or(self.lifecycle.rest_over(silent_since), slot.evicted()).await;
+                future::or(self.lifecycle.idle_expired(silent_since), slot.evicted()).await;
                 Ok(0)
             };
             // Guards against a crowd that holds slots and says nothing at all.
@@ -141,7 +141,7 @@
                 return Ok(Some(IncomingRequest { head, body, bytes }));
             }
             // Guards against running out of memory: what does not fit waits in its socket.
-            while self.buffered_bytes.get() > self.fleet.overlap.part(self.limits.edge.buffered_bytes) {
+            while self.buffered_bytes.get() > self.fleet.overlap.share(self.limits.edge.buffered_bytes) {
                 Timer::after(self.limits.edge.accept_pause).await;
             }
             if !wire.more(wire_limits).await {
--- a/src/net/edge/responding_client.rs
+++ b/src/net/edge/responding_client.rs
@@ -34,7 +34,7 @@
     }
 
     /// Adds the client's state to a snapshot, and returns its connection; `None` if it has state that can't be handed over.
-    pub(super) fn pack(&self, snapshot: &mut StreamSnapshot) -> Option<BorrowedFd<'_>> {
+    pub(super) fn write_snapshot(&self, snapshot: &mut StreamSnapshot) -> Option<BorrowedFd<'_>> {
         if !self.encoder.is_plain() || self.exchange.charge.grant.is_some() {
             return None;
         }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,9 +1,10 @@
-//! The line between this process and the one that follows it, where the platform keeps the listener of both.
+//! Handover between this process and its successor, where the platform keeps the listener for both.
 //!
-//! Both see one folder. The one that serves listens there on a Unix socket, whose name says the form of what goes over
-//! it; a newcomer connects before it accepts anything. Over that line the older one says what it holds, and when it
-//! stops it writes each stream that would outlast it there, as one message with the connections of both its sides.
-//! Where nobody listens, or in another form, each is alone and streams stay where they are.
+//! Both use the same folder. The serving process listens there on a Unix socket, whose name contains the version of the
+//! message format; a newer process connects before it accepts anything. The older process reports its open connections
+//! over that socket. When it stops, it sends each stream that would outlast it there, as one message together with the
+//! connections to the stream's client and replica. If nobody listens, or only with another format version, the processes
+//! run independently and streams stay where they are.
 
 use std::fs;
 use std::io::{self, IoSliceMut};
@@ -13,13 +14,13 @@
 use std::rc::Rc;
 
 use super::edge::Edge;
-use super::followers::Followers;
 use super::handover_message::{FORMAT_VERSION, StreamSnapshot};
 use super::lifecycle_monitor::LifecycleMonitor;
+use super::successors::Successors;
 use super::within;
 use crate::limits::Limits;
 use crate::process::background::run_in_background;
-use crate::process::overlap::{Overlap, Report};
+use crate::process::overlap::{ConnectionReport, Overlap};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -29,54 +30,55 @@
     socket_with,
 };
 
-/// Where this gateway's processes meet, and the lines to those that follow.
+/// The socket at which this gateway's processes meet, and the connections to newer processes.
 pub struct Handover {
-    /// None where there is never another process.
+    /// None if there is never another process.
     path: Option<PathBuf>,
     limits: Rc<Limits>,
-    followers: Rc<Followers>,
+    successors: Rc<Successors>,
 }
 
 impl Handover {
-    /// For the gateway of that name, in that folder.
+    /// Creates the handover of the gateway `name`, with its socket in `folder`; `streams` allows streams to be handed
+    /// over.
     #[must_use]
     pub fn new(folder: &Path, name: &str, streams: bool, limits: Rc<Limits>) -> Handover {
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
         let name: String = name.chars().map(plain).collect();
         let path = Some(folder.join(format!("tulipridge-{name}.{FORMAT_VERSION}")));
-        Handover { path, limits: limits.clone(), followers: Rc::new(Followers::new(streams, limits)) }
+        Handover { path, limits: limits.clone(), successors: Rc::new(Successors::new(streams, limits)) }
     }
 
-    /// For a process beside which there is never another.
+    /// Creates a handover that does nothing, for a process that never runs beside another one.
     #[must_use]
-    pub fn never(limits: Rc<Limits>) -> Handover {
-        Handover { path: None, limits: limits.clone(), followers: Rc::new(Followers::new(false, limits)) }
+    pub fn disabled(limits: Rc<Limits>) -> Handover {
+        Handover { path: None, limits: limits.clone(), successors: Rc::new(Successors::new(false, limits)) }
     }
 
-    /// The newer processes that streams may go to.
+    /// The newer processes, to which streams may be handed over.
     #[must_use]
-    pub fn followers(&self) -> Rc<Followers> {
-        self.followers.clone()
+    pub fn successors(&self) -> Rc<Successors> {
+        self.successors.clone()
     }
 
-    /// Joins the older process, if there is one: from then on it is known what that one holds.
-    pub fn join(&self, ex: &'static LocalExecutor<'static>, edge: &Rc<Edge>) {
+    /// Connects to the older process, if there is one, to receive its reports and streams.
+    pub fn connect_to_older(&self, ex: &'static LocalExecutor<'static>, edge: &Rc<Edge>) {
         let Some(path) = &self.path else { return };
-        let line = socket().and_then(|line| {
-            connect(&line, &SocketAddrUnix::new(path)?)?;
-            Async::new(line)
+        let socket = socket().and_then(|socket| {
+            connect(&socket, &SocketAddrUnix::new(path)?)?;
+            Async::new(socket)
         });
-        match line {
-            Ok(line) => {
-                // Until it says what it holds, its half is reckoned with.
-                edge.overlap(|overlap| overlap.older_reported(Report::default()));
-                ex.spawn(follow(ex, line, edge.clone(), self.limits.clone())).detach();
+        match socket {
+            Ok(socket) => {
+                // Until its first report, the older process is assumed to use its half.
+                edge.overlap(|overlap| overlap.older_reported(ConnectionReport::default()));
+                ex.spawn(receive_from_older(ex, socket, edge.clone(), self.limits.clone())).detach();
             }
-            Err(e) => log::debug!(path:? = path; "alone: no older process: {e}"),
+            Err(e) => log::debug!(path:? = path; "alone: no older process is running: {e}"),
         }
     }
 
-    /// Takes newcomers for as long as this process takes clients.
+    /// Accepts connections of newer processes for as long as this process accepts clients.
     pub async fn listen(
         self: Rc<Self>,
         ex: &'static LocalExecutor<'static>,
@@ -88,18 +90,20 @@
             return;
         }
         let at = path.clone();
-        // Names in a folder are a disk's matter.
+        // Binding and renaming access the disk.
         let listener = match run_in_background(move || bind_over(&at)).await {
             Ok(Ok(listener)) => listener,
             Ok(Err(e)) | Err(e) => {
-                log::warn!(path:? = path; "handover-off: a process that follows is not known: {e}");
+                log::warn!(path:? = path; "handover-off: newer processes can't connect: {e}");
                 return;
             }
         };
         let accepting = async {
             loop {
                 match accept_with(listener.get_ref(), SocketFlags::CLOEXEC).map(Async::new) {
-                    Ok(Ok(line)) => ex.spawn(self.clone().accompany(Rc::new(line), edge.clone())).detach(),
+                    Ok(Ok(socket)) => {
+                        ex.spawn(self.clone().serve_newer(Rc::new(socket), edge.clone())).detach()
+                    }
                     Ok(Err(e)) => log::warn!("handover-accept-failed: {e}"),
                     Err(e) if e == rustix::io::Errno::AGAIN => drop(listener.readable().await),
                     Err(e) => {
@@ -109,112 +113,114 @@
                 }
             }
         };
-        // The file stays: it may be the newcomer's by now, and where nobody listens it does no harm.
+        // The file is not removed: it may be the newer process's by now, and without a listener it is harmless.
         future::or(accepting, lifecycle.closed()).await;
     }
 
-    /// Tells a newer process what is held here, until it is gone.
-    async fn accompany(self: Rc<Self>, line: Rc<Async<OwnedFd>>, edge: Rc<Edge>) {
-        log::info!("newcomer: a newer process is up; it gets half of the places");
-        edge.overlap(Overlap::newer_came);
-        self.followers.add(line.clone());
-        let mut said = None;
+    /// Sends reports to a newer process until that process ends.
+    async fn serve_newer(self: Rc<Self>, socket: Rc<Async<OwnedFd>>, edge: Rc<Edge>) {
+        log::info!("newcomer: a newer process started; it gets half of the connections");
+        edge.overlap(Overlap::newer_started);
+        self.successors.add(socket.clone());
+        let mut last_report = None;
         loop {
             let report = edge.report();
-            if said != Some(report) {
+            if last_report != Some(report) {
                 let encoded = serde_json::to_vec(&report).unwrap_or_default();
-                if send(line.get_ref(), &encoded, SendFlags::NOSIGNAL | SendFlags::DONTWAIT).is_ok() {
-                    said = Some(report);
+                if send(socket.get_ref(), &encoded, SendFlags::NOSIGNAL | SendFlags::DONTWAIT).is_ok() {
+                    last_report = Some(report);
                 }
             }
-            // It says nothing: what can be read is its end.
-            if within(self.limits.lifecycle.report_interval, line.readable()).await.is_ok() {
+            // A newer process sends nothing, so a readable socket means that it ended.
+            if within(self.limits.lifecycle.report_interval, socket.readable()).await.is_ok() {
                 break;
             }
         }
-        self.followers.remove(&line);
-        edge.overlap(Overlap::newer_left);
-        log::info!("newcomer-left: this process has all places again");
+        self.successors.remove(&socket);
+        edge.overlap(Overlap::newer_exited);
+        log::info!("newcomer-left: the newer process ended; this process may use its share again");
     }
 }
 
-/// Listens at a path, which is taken over at once from one that still listens or from one that was killed.
+/// Listens at a path. The rename replaces the socket of a process that still listens or was killed, without a gap.
 fn bind_over(path: &Path) -> io::Result<Async<OwnedFd>> {
-    let own = path.with_extension(std::process::id().to_string());
-    let _ = fs::remove_file(&own);
+    let temporary = path.with_extension(std::process::id().to_string());
+    let _ = fs::remove_file(&temporary);
     let socket = socket()?;
-    bind(&socket, &SocketAddrUnix::new(&own)?)?;
+    bind(&socket, &SocketAddrUnix::new(&temporary)?)?;
     listen(&socket, 16)?;
-    fs::rename(&own, path)?;
+    fs::rename(&temporary, path)?;
     Async::new(socket)
 }
 
-/// A socket that keeps messages apart.
+/// Creates a socket that preserves message boundaries.
 fn socket() -> io::Result<OwnedFd> {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     Ok(socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-/// Hears the older process to its end: what it holds, and the streams that it hands over.
-async fn follow(
+/// Receives the reports and the streams of the older process until it ends.
+async fn receive_from_older(
     ex: &'static LocalExecutor<'static>,
-    line: Async<OwnedFd>,
+    socket: Async<OwnedFd>,
     edge: Rc<Edge>,
     limits: Rc<Limits>,
 ) {
-    let mut taken = 0;
+    let mut resumed = 0;
     loop {
-        match message(line.get_ref(), &limits) {
+        match receive_message(socket.get_ref(), &limits) {
             Ok(Message::End) => break,
-            Ok(Message::Holds(report)) => edge.overlap(|overlap| overlap.older_reported(report)),
-            Ok(Message::Stream(snapshot, sides)) => {
+            Ok(Message::Report(report)) => edge.overlap(|overlap| overlap.older_reported(report)),
+            Ok(Message::Stream(snapshot, connections)) => {
                 let id = snapshot.id;
-                match edge.clone().adopt(ex, *snapshot, sides) {
-                    Ok(()) => taken += 1,
+                match edge.clone().adopt(ex, *snapshot, connections) {
+                    Ok(()) => resumed += 1,
                     Err(e) => log::warn!(id = format!("{id:016x}"); "handover-failed: {e}"),
                 }
                 future::yield_now().await;
             }
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => drop(line.readable().await),
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => drop(socket.readable().await),
             Err(e) => {
-                log::warn!("handover-failed: what came is no message: {e}");
+                log::warn!("handover-failed: receiving a message failed: {e}");
                 break;
             }
         }
     }
-    edge.overlap(Overlap::older_left);
-    log::info!(streams = taken; "handover: the older process is gone; so many of its streams went on here");
+    edge.overlap(Overlap::older_exited);
+    log::info!(streams = resumed; "handover: the older process ended; its streams were resumed here");
 }
 
-/// What an older process says.
+/// A message from an older process.
 enum Message {
-    Holds(Report),
+    Report(ConnectionReport),
     Stream(Box<StreamSnapshot>, [OwnedFd; 2]),
     End,
 }
 
-/// The next message.
-fn message(line: &OwnedFd, limits: &Limits) -> io::Result<Message> {
+/// Receives the next message.
+fn receive_message(socket: &OwnedFd, limits: &Limits) -> io::Result<Message> {
     let mut bytes = vec![0; limits.lifecycle.handover_bytes];
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
-    let mut rights = RecvAncillaryBuffer::new(&mut space);
+    let mut control_buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
+    let mut rights = RecvAncillaryBuffer::new(&mut control_buffer);
     let flags = RecvFlags::CMSG_CLOEXEC | RecvFlags::DONTWAIT;
-    let came = recvmsg(line, &mut [IoSliceMut::new(&mut bytes)], &mut rights, flags)?;
-    let sides = rights.drain().flat_map(|message| match message {
-        RecvAncillaryMessage::ScmRights(sides) => sides.collect(),
+    let received = recvmsg(socket, &mut [IoSliceMut::new(&mut bytes)], &mut rights, flags)?;
+    let connections = rights.drain().flat_map(|message| match message {
+        RecvAncillaryMessage::ScmRights(connections) => connections.collect(),
         _ => Vec::new(),
     });
-    let sides: Vec<OwnedFd> = sides.collect();
-    if came.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC) {
-        return Err(io::Error::other("a message that is too long"));
+    let connections: Vec<OwnedFd> = connections.collect();
+    if received.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC) {
+        return Err(io::Error::other("the message is too long"));
     }
-    let bytes = &bytes[..came.bytes];
-    match sides.len() {
+    let bytes = &bytes[..received.bytes];
+    match connections.len() {
         0 if bytes.is_empty() => Ok(Message::End),
-        0 => Ok(Message::Holds(serde_json::from_slice(bytes)?)),
+        0 => Ok(Message::Report(serde_json::from_slice(bytes)?)),
         _ => {
-            let sides = sides.try_into().map_err(|_| io::Error::other("not two connections"))?;
-            Ok(Message::Stream(Box::new(StreamSnapshot::read(bytes)?), sides))
+            let connections = connections
+                .try_into()
+                .map_err(|_| io::Error::other("the message does not have exactly two connections"))?;
+            Ok(Message::Stream(Box::new(StreamSnapshot::read(bytes)?), connections))
         }
     }
 }
--- a/src/net/lifecycle_monitor.rs
+++ b/src/net/lifecycle_monitor.rs
@@ -1,4 +1,4 @@
-//! The lifecycle with a clock, and a notification to those who wait for it to change.
+//! Runs the lifecycle against the clock and notifies tasks that wait for a change.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,22 +9,22 @@
 use super::within;
 use crate::engine::Engine;
 use crate::limits::Limits;
-use crate::process::lifecycle::{Lifecycle, State, Stopping};
+use crate::process::lifecycle::{AlreadyStopping, Lifecycle, State};
 use crate::types::Nanos;
 
-/// Monitors the lifecycle of this process; all parts ask it.
+/// The lifecycle of this process, shared by all its tasks.
 pub struct LifecycleMonitor {
     engine: Engine,
     limits: Rc<Limits>,
     life: RefCell<Lifecycle>,
-    /// Whether there is what to serve with.
+    /// Whether the process has what it needs to serve requests.
     ready: Box<dyn Fn() -> bool>,
-    /// Nothing is ever sent here: it closes, and gives way to another, at each change.
+    /// Carries no messages: at each change the channel is closed and replaced.
     change_notice: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
 impl LifecycleMonitor {
-    /// A process that starts; `shared` says that its listener is another process's too.
+    /// Creates the monitor of a starting process; `shared` tells whether another process uses the same listener.
     #[must_use]
     pub fn new(
         engine: Engine,
@@ -51,7 +51,7 @@
             (had, got, life.state())
         };
         if had != state {
-            log::info!(from:? = had, to:? = state; "state: clients are taken as this state has it");
+            log::info!(from:? = had, to:? = state; "state: lifecycle state changed");
             self.notify_waiters();
         }
         got
@@ -62,74 +62,74 @@
         old.close();
     }
 
-    /// Returns at the next change.
+    /// Waits for the next change.
     pub async fn changed(&self) {
         let change_notice = self.change_notice.borrow().1.clone();
         let _ = change_notice.recv().await;
     }
 
-    /// Clients shall go elsewhere.
+    /// Drains the process, so that clients use other gateways.
     ///
     /// # Errors
     ///
-    /// `Stopping` if the process is on its way to its end.
-    pub fn drain(&self) -> Result<(), Stopping> {
+    /// [`AlreadyStopping`] if the process is shutting down.
+    pub fn drain(&self) -> Result<(), AlreadyStopping> {
         self.change(Lifecycle::drain)
     }
 
-    /// Clients may come again.
+    /// Ends a drain.
     ///
     /// # Errors
     ///
-    /// `Stopping` if the process is on its way to its end.
-    pub fn undrain(&self) -> Result<(), Stopping> {
+    /// [`AlreadyStopping`] if the process is shutting down.
+    pub fn undrain(&self) -> Result<(), AlreadyStopping> {
         self.change(Lifecycle::undrain)
     }
 
-    /// The process shall end.
+    /// Starts the graceful shutdown.
     pub fn stop(&self) {
         self.change(Lifecycle::stop);
     }
 
-    /// Whether clients should be sent here.
-    pub fn wants_clients(&self) -> bool {
-        self.look();
-        self.life.borrow().wants_clients() && (self.ready)()
+    /// Whether load balancers should send clients to this process.
+    pub fn is_in_rotation(&self) -> bool {
+        self.check_ready();
+        self.life.borrow().is_in_rotation() && (self.ready)()
     }
 
-    /// Whether this process can serve, drained or not.
+    /// Whether the process can serve requests, drained or not.
     pub fn can_serve(&self) -> bool {
-        self.look();
+        self.check_ready();
         self.life.borrow().can_serve() && (self.ready)()
     }
 
-    /// Whether it takes nothing new and ends.
+    /// Whether the process is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.life.borrow().state() == State::Stopping
     }
 
-    /// Whether a connection may carry another request.
+    /// Whether a connection may carry another request after the current one.
     pub fn keeps_connections(&self) -> bool {
         self.life.borrow().keeps_connections()
     }
 
-    /// Whether what waits to be accepted is this process's alone.
-    pub fn empties_queue(&self) -> bool {
-        self.life.borrow().empties_queue()
+    /// Whether the accept queue belongs to this process alone.
+    pub fn owns_accept_queue(&self) -> bool {
+        self.life.borrow().owns_accept_queue()
     }
 
-    /// Whether a request that has come whole is placed; else it is shed.
-    pub fn takes_requests(&self) -> bool {
-        self.life.borrow().takes_requests(self.engine.now())
+    /// Whether a completely received request is sent to a replica; otherwise it is shed.
+    pub fn admits_requests(&self) -> bool {
+        self.life.borrow().admits_requests(self.engine.now())
     }
 
-    fn look(&self) {
+    fn check_ready(&self) {
         if self.life.borrow().state() == State::Starting && (self.ready)() {
-            self.change(Lifecycle::able);
+            self.change(Lifecycle::set_ready);
         }
     }
 
-    /// Returns once connections are accepted, or never will be again: whether they are.
+    /// Waits until connections are accepted or the process is stopping; returns whether they are accepted.
     pub async fn accepting(&self) -> bool {
         loop {
             let (accepts, state) = {
@@ -143,17 +143,17 @@
         }
     }
 
-    /// Returns once connections are no longer accepted.
+    /// Waits until connections are no longer accepted.
     pub async fn closed(&self) {
         while self.life.borrow().accepts(self.engine.now()) {
             self.changed().await;
         }
     }
 
-    /// Returns once a connection at rest has to close; `silent_since` is when it opened, if nothing came on it yet.
-    pub async fn rest_over(&self, silent_since: Option<Nanos>) {
+    /// Waits until an idle connection has to close; `silent_since` is when it opened, if nothing was received on it yet.
+    pub async fn idle_expired(&self, silent_since: Option<Nanos>) {
         loop {
-            let until = self.life.borrow().idle_until(silent_since);
+            let until = self.life.borrow().idle_deadline(silent_since);
             let now = self.engine.now();
             match until {
                 Some(until) if until <= now => return,
@@ -166,21 +166,21 @@
         }
     }
 
-    /// Whether all is done, with so many connections open.
-    pub fn over(&self, open: usize) -> bool {
-        self.life.borrow().over(self.engine.now(), open)
+    /// Whether the shutdown is complete, with `open` connections left.
+    pub fn is_finished(&self, open: usize) -> bool {
+        self.life.borrow().is_finished(self.engine.now(), open)
     }
 
-    /// Notices what only time brings, up to the end.
+    /// Runs for the life of the process and notifies waiting tasks of changes that come with time alone.
     pub async fn run(&self) {
         loop {
-            self.look();
+            self.check_ready();
             let now = self.engine.now();
-            let due = self.life.borrow().due(now);
+            let due = self.life.borrow().next_change(now);
             let state = self.life.borrow().state();
             let wait = match due {
                 Some(due) => Some(Duration::from_nanos(due.saturating_sub(now))),
-                // What it serves with comes from elsewhere, without a word to here.
+                // Readiness changes elsewhere without a notification, so it is polled.
                 None => (state == State::Starting).then_some(self.limits.lifecycle.start_check_interval),
             };
             match wait {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,7 @@
-//! The network, a module for each peer.
+//! Network I/O: clients, replicas, discovery, the management address, store peers and other processes of the gateway.
 
 pub mod discovery;
 pub mod edge;
-pub mod followers;
 pub mod handover;
 pub mod handover_message;
 pub mod lifecycle_monitor;
@@ -11,6 +10,7 @@
 pub mod object_splitter;
 pub mod peers;
 pub mod slot_pool;
+pub mod successors;
 pub mod upstream;
 
 pub use tulipridge_http1::{BufferedStream, codec, limit_socket_buffers, within};
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -18,7 +18,7 @@
 
 /// Why an attempt has no response to forward.
 pub(super) enum Refusal {
-    /// The attempt ended.
+    /// The attempt failed.
     Attempt(AttemptOutcome),
     /// The request itself is invalid.
     Request(Rejection),
@@ -31,7 +31,7 @@
 }
 
 impl Fleet {
-    /// One attempt up to its first event, or to its end if it has none.
+    /// Sends an attempt and reads the head of its response.
     pub(super) async fn begin(
         &self,
         replica: &ReplicaId,
@@ -43,17 +43,17 @@
         let Some(Endpoint { addr, dialect }) = self.endpoint(replica) else {
             return Err(Verdict::NotSent.into());
         };
-        // No replica had this dialect when the request came, or it would have been refused then.
+        // A body that is invalid in this dialect would have been rejected on arrival if a replica had the dialect then.
         let (request, content) =
             forwarded.bytes(dialect, timeout).map_err(|error| Refusal::Request(invalid_body(&error)))?;
         let mut connection = self.connect_in_time(replica, addr, from, write_within).await?;
-        // A reset drops what the system still holds of a request that is given up.
+        // A reset discards the part of an abandoned request that is still in the send buffer.
         connection.wire.reset_on_drop = true;
-        // Until its last byte is written the request can't have run.
+        // A request that was not written completely can't have run.
         connection.wire.write_both(&request, content).await.map_err(|_| Verdict::NoConnection)?;
         drop(request);
         let reset = |e: io::Error| {
-            log::debug!(replica = &*replica.0, after:? = from.elapsed(); "reset: {e}");
+            log::debug!(replica = &*replica.0, after:? = from.elapsed(); "reset: the attempt ended before a response head: {e}");
             Verdict::Reset
         };
         let head = read_head(&mut connection.wire, &self.limits).await.map_err(reset)?;
@@ -61,11 +61,11 @@
         let body = head.response_body().map_err(|_| Verdict::Error)?;
         let stream = head.get("content-type").is_some_and(|t| t.starts_with("text/event-stream"));
         if head.status() != 200 || !stream {
-            let verdict = unserved_verdict(&head, dialect);
-            log::debug!(replica = &*replica.0, status = head.status(), verdict:? = verdict; "unusable-response: it is no stream with status 200");
-            let content = self.finish_unserved(replica, addr, connection, &head, body).await;
+            let verdict = unusable_verdict(&head, dialect);
+            log::debug!(replica = &*replica.0, status = head.status(), verdict:? = verdict; "unusable-response: expected an event stream with status 200");
+            let content = self.drain_unusable(replica, addr, connection, &head, body).await;
             return Err(match head.status() {
-                // The request is invalid, not the replica, so it is not retried on the others.
+                // The fault is in the request and not in the replica, so the request is not retried elsewhere.
                 status @ (400..=407 | 409..=420 | 422..=424 | 426..=428 | 431..=499) => {
                     Refusal::Request(Rejection {
                         status,
@@ -76,8 +76,8 @@
             });
         }
         let keep = head.keeps_alive(&head.start[0]) && body != Body::UntilClose;
-        // What came together with the head is of the stream already.
-        let early = connection.wire.buf.len();
+        // Bytes that arrived together with the head belong to the stream.
+        let received_early = connection.wire.buf.len();
         Ok(OpenResponse {
             replica: replica.clone(),
             addr,
@@ -89,15 +89,15 @@
             failed: false,
             text: Vec::new(),
             scanned: 0,
-            came: 0,
-            early,
+            received: 0,
+            received_early,
             last: false,
             usage: None,
             report,
         })
     }
 
-    /// A connection to a replica on which an attempt that started at `from` may still be sent.
+    /// Returns a connection on which an attempt that started at `from` may still be sent.
     async fn connect_in_time(
         &self,
         replica: &ReplicaId,
@@ -106,24 +106,24 @@
         write_within: Duration,
     ) -> Result<Connection, Verdict> {
         let connection = self.connection(replica, addr).await.map_err(|error| {
-            log::debug!(replica = &*replica.0, after:? = from.elapsed(); "no-connection: {error}");
+            log::debug!(replica = &*replica.0, after:? = from.elapsed(); "no-connection: connecting to the replica failed: {error}");
             connect_verdict(&error)
         })?;
         // The replica may have begun to drain while the connection was established.
         if self.endpoint(replica).is_none_or(|now| now.addr != addr) {
-            log::info!(replica = &*replica.0; "drained-while-connecting: nothing was sent");
+            log::info!(replica = &*replica.0; "drained-while-connecting: the replica is no longer ready at this address; the attempt was not sent");
             return Err(Verdict::NotSent);
         }
-        // Repeats are deduplicated within a window only, so that a late one could run a second time.
+        // Further attempts are deduplicated only within a window; after that the request could run a second time.
         if from.elapsed() >= write_within {
-            log::info!(replica = &*replica.0; "window-over: a repeat whose connection came up too late was not sent");
+            log::info!(replica = &*replica.0; "window-over: the deduplication window passed while connecting; the attempt was not sent");
             return Err(Verdict::NotSent);
         }
         Ok(connection)
     }
 
     /// Reads the rest of an unusable response if it arrives soon, to keep its connection.
-    async fn finish_unserved(
+    async fn drain_unusable(
         &self,
         replica: &ReplicaId,
         addr: SocketAddr,
@@ -155,9 +155,9 @@
     Rejection { status: 400, message: error.to_string() }
 }
 
-/// What a failure to connect says of the replica.
+/// The verdict on a replica after a failure to connect.
 fn connect_verdict(error: &io::Error) -> Verdict {
-    // Guards against blaming a replica, and its zone, for a want of descriptors here.
+    // A lack of descriptors in this process must not count against the replica or its zone.
     match Errno::from_io_error(error) {
         _ if error.kind() == io::ErrorKind::QuotaExceeded => Verdict::NotSent,
         // No descriptor is free in the system or in this process.
@@ -166,21 +166,22 @@
     }
 }
 
-/// What the head of an unusable response says of the replica.
-fn unserved_verdict(head: &Head, dialect: Dialect) -> Verdict {
+/// The verdict on a replica after an unusable response.
+fn unusable_verdict(head: &Head, dialect: Dialect) -> Verdict {
     match (head.status(), dialect) {
         (503 | 504, _) if head.get("x-not-run") == Some("1") => Verdict::Full,
-        // The messages API rejects with these statuses, without having run anything.
+        // The messages API sheds requests with these statuses without having run them.
         (429 | 529, Dialect::Messages) => Verdict::Full,
         _ => Verdict::Error,
     }
 }
 
-/// A replica's message about an invalid request, in either dialect's form.
+/// Extracts a replica's message about an invalid request, in the form of either dialect.
 fn rejection_message(content: &[u8], limits: &Limits) -> String {
-    let usual = "a replica rejected the request";
+    let default = "a replica rejected the request";
     let value: serde_json::Value = serde_json::from_slice(content).unwrap_or_default();
     let error = &value["error"];
-    let said = error["message"].as_str().or(error.as_str()).or(value["message"].as_str()).unwrap_or(usual);
-    said.chars().take(limits.messages.error_message_bytes / 4).filter(|c| !c.is_control()).collect()
+    let message =
+        error["message"].as_str().or(error.as_str()).or(value["message"].as_str()).unwrap_or(default);
+    message.chars().take(limits.messages.error_message_bytes / 4).filter(|c| !c.is_control()).collect()
 }
--- a/src/net/upstream/batch.rs
+++ b/src/net/upstream/batch.rs
@@ -1,16 +1,16 @@
-//! Events on their way from a replica to a client.
+//! Events that are forwarded from a replica to a client.
 
 use crate::front::{Dialect, Usage};
 
-/// Whole events that came together, and the dialect that they are in.
+/// Complete events that arrived together, and their dialect.
 #[derive(Debug)]
 pub struct Batch {
-    /// The dialect.
+    /// The dialect of the events.
     pub dialect: Dialect,
-    /// Their bytes.
+    /// The encoded events.
     pub bytes: Vec<u8>,
-    /// How many they are.
+    /// The number of events.
     pub events: u64,
-    /// Tokens that were told of so far.
+    /// The token usage stated so far.
     pub usage: Option<Usage>,
 }
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,11 +1,11 @@
-//! Connections to replicas, and how many are open.
+//! Connections to replicas, and the count of open ones.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use crate::net::BufferedStream;
 
-/// A connection's place in the count of open ones.
+/// Counts a connection as open until it is dropped.
 pub(super) struct ConnectionCount(Rc<Cell<usize>>);
 
 impl ConnectionCount {
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas: where they are, the pool of connections to each, and attempts on these.
+//! Replicas: their addresses, the pool of connections to each, and the attempts on these connections.
 
 mod attempt;
 mod batch;
@@ -27,7 +27,7 @@
 use crate::process::overlap::{ConnectionCounts, Overlap};
 use crate::types::ReplicaId;
 
-/// A replica as the list has it, with the connections to it that are idle.
+/// A replica in the replica list, with its idle connections.
 struct ListedReplica {
     addr: Option<SocketAddr>,
     is_ready: bool,
@@ -36,36 +36,36 @@
     idle: Vec<IdleConnection>,
 }
 
-/// A connection that waits for its next request.
+/// An idle connection in the pool.
 struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
-/// Where a replica that takes requests is reached, and how it is spoken to.
+/// The address and the dialect of a ready replica.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Endpoint {
     addr: SocketAddr,
     dialect: Dialect,
 }
 
-/// Reads a load report, in the order of the settings.
+/// Parses a load report; returns its values in the order of the settings.
 pub type LoadReportReader = Box<dyn Fn(&str) -> Vec<f64>>;
 
-/// All replicas that the list names, with the connections to them.
+/// All replicas in the list, with the connections to them.
 pub struct Fleet {
     replicas: RefCell<BTreeMap<ReplicaId, ListedReplica>>,
     open: Rc<Cell<usize>>,
-    /// The dialects that are spoken, until the list changes.
+    /// The cached dialects of the ready replicas; cleared when the list changes.
     dialects: Cell<Option<ReplicaDialects>>,
     limits: Rc<Limits>,
-    /// What of the limits on connections is this process's.
+    /// This process's share of the connection limits.
     pub overlap: Overlap,
     read_load: LoadReportReader,
 }
 
 impl Fleet {
-    /// An empty fleet; `read_load` reads a load report.
+    /// Creates an empty fleet; `read_load` parses load reports.
     #[must_use]
     pub fn new(limits: Rc<Limits>, read_load: LoadReportReader) -> Fleet {
         let all = ConnectionCounts { edge: limits.edge.connections, replicas: limits.replicas.connections };
@@ -79,15 +79,14 @@
         }
     }
 
-    /// Brings the replicas in step with a service entry. Returns those that are gone by what it says: itself, or
-    /// another whose address it has.
-    pub fn learn(&self, entry: &ServiceEntry, dialect: Dialect) -> Vec<ReplicaId> {
+    /// Applies a service entry. Returns the replicas that it removes: its own, or others that have its address.
+    pub fn apply_entry(&self, entry: &ServiceEntry, dialect: Dialect) -> Vec<ReplicaId> {
         self.dialects.set(None);
         let mut replicas = self.replicas.borrow_mut();
         let id = ReplicaId::from(entry.id.as_str());
         let addr = entry.addr.parse().ok();
-        // Guards against the old id of an address under which a new replica runs: what is sent to the one
-        // would reach the other, cold and unknown as that is. The later start is right.
+        // If two ids have one address, the one that started later is valid. Requests for the older id would reach the
+        // new replica, which has a cold cache and is unknown to the load balancer under that id.
         let rivals = replicas
             .iter()
             .filter(|(other, listed)| **other != id && listed.addr == addr && addr.is_some());
@@ -107,7 +106,7 @@
             idle: Vec::new(),
         });
         if replica.addr != addr || replica.started != entry.started_ms {
-            // These lead to a process that is no more.
+            // These connections lead to a process that no longer runs.
             replica.idle.clear();
         }
         (replica.addr, replica.dialect, replica.started) = (addr, dialect, entry.started_ms);
@@ -115,18 +114,18 @@
         displaced
     }
 
-    /// Forgets all replicas but these.
-    pub fn keep_only(&self, ids: &[ReplicaId]) {
+    /// Removes all replicas except these.
+    pub fn retain_only(&self, ids: &[ReplicaId]) {
         self.dialects.set(None);
         self.replicas.borrow_mut().retain(|id, _| ids.contains(id));
     }
 
-    /// Whether any replica takes requests.
+    /// Whether any replica is ready.
     pub fn any_ready(&self) -> bool {
         self.replicas.borrow().values().any(|listed| listed.is_ready)
     }
 
-    /// The dialects that ready replicas speak.
+    /// The dialects of the ready replicas.
     pub fn dialects(&self) -> ReplicaDialects {
         if let Some(dialects) = self.dialects.get() {
             return dialects;
@@ -142,7 +141,7 @@
         dialects
     }
 
-    /// Closes connections that were idle for long or that the other side has closed, for ever.
+    /// Runs for the life of the process and closes connections that exceeded the idle timeout or that the replica closed.
     pub async fn sweep(&self) {
         loop {
             Timer::after(self.limits.replicas.sweep_interval).await;
@@ -152,21 +151,22 @@
                         && idle.connection.wire.is_quiet()
                 });
             }
-            // Where another process has come, its part is given up as far as it lies idle.
-            while self.open.get() > self.overlap.limits().replicas && self.drop_idle() {}
+            // Another process of the gateway may have started; idle connections beyond the lower limit are closed.
+            while self.open.get() > self.overlap.limits().replicas && self.close_oldest_idle() {}
         }
     }
 
-    /// An idle connection that is still good, the one used last first: the others may then grow old. One whose
-    /// response has only just ended is passed over: what may come behind that would be taken for the next one's.
-    fn idle(&self, replica: &ReplicaId) -> Option<Connection> {
+    /// Takes a usable idle connection, the most recently used one first, so that the others can reach the idle timeout.
+    /// A connection whose response has only just ended is skipped: data that the replica sends after that response would
+    /// be read as the next one.
+    fn take_idle(&self, replica: &ReplicaId) -> Option<Connection> {
         let mut replicas = self.replicas.borrow_mut();
         let idle = &mut replicas.get_mut(replica)?.idle;
         while let Some(last) =
             idle.iter().rposition(|idle| idle.since.elapsed() >= self.limits.replicas.reuse_delay)
         {
             let IdleConnection { connection, since } = idle.remove(last);
-            // Guards against a request written into a connection that has ended or is about to.
+            // The replica may have closed the connection, or be about to close it for idleness.
             if since.elapsed() < self.limits.replicas.idle_timeout && connection.wire.is_quiet() {
                 return Some(connection);
             }
@@ -183,31 +183,31 @@
         }
     }
 
-    /// Connections to replicas that are open.
+    /// The number of open connections to replicas.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Closes the connection that has been idle longest, if there is one.
-    fn drop_idle(&self) -> bool {
+    /// Closes the connection that has been idle longest; returns whether there was one.
+    fn close_oldest_idle(&self) -> bool {
         let mut replicas = self.replicas.borrow_mut();
         let oldest =
             replicas.values_mut().filter(|p| !p.idle.is_empty()).min_by_key(|listed| listed.idle[0].since);
         oldest.map(|replica| drop(replica.idle.remove(0))).is_some()
     }
 
-    /// A connection to a replica: an idle one, else a new one.
+    /// Returns a connection to a replica, an idle one if possible.
     async fn connection(&self, replica: &ReplicaId, addr: SocketAddr) -> io::Result<Connection> {
-        match self.idle(replica) {
+        match self.take_idle(replica) {
             Some(connection) => Ok(connection),
             None => self.connect(addr).await,
         }
     }
 
     async fn connect(&self, addr: SocketAddr) -> io::Result<Connection> {
-        // Guards against running out of descriptors.
+        // The limit keeps the process from running out of descriptors.
         while self.open.get() >= self.overlap.limits().replicas {
-            if !self.drop_idle() {
+            if !self.close_oldest_idle() {
                 return Err(io::ErrorKind::QuotaExceeded.into());
             }
         }
@@ -215,7 +215,7 @@
         Ok(Connection { wire: BufferedStream::connect(addr, &self.limits.wire).await?, _count })
     }
 
-    /// Where a replica is reached; none if it takes no requests.
+    /// The endpoint of a replica; `None` if it is not ready.
     fn endpoint(&self, replica: &ReplicaId) -> Option<Endpoint> {
         let replicas = self.replicas.borrow();
         let listed = replicas.get(replica).filter(|listed| listed.is_ready)?;
--- a/src/net/upstream/open_response.rs
+++ b/src/net/upstream/open_response.rs
@@ -1,4 +1,4 @@
-//! A begun response of a replica: its events as they arrive, and its end.
+//! A response of a replica whose head has arrived: its events as they arrive, and its end.
 
 use std::net::SocketAddr;
 use std::task::{Context, Poll, ready};
@@ -13,7 +13,7 @@
 use crate::stream::End;
 use crate::types::{ReplicaId, Verdict};
 
-/// A begun response.
+/// A response whose head has arrived.
 pub(super) struct OpenResponse {
     pub(super) replica: ReplicaId,
     pub(super) addr: SocketAddr,
@@ -25,14 +25,14 @@
     pub(super) malformed: bool,
     /// An event reported that the stream failed.
     pub(super) failed: bool,
-    /// Data that is no complete event yet.
+    /// Data of an incomplete event.
     pub(super) text: Vec<u8>,
-    /// How far it was searched for the end of an event.
+    /// The length of the part of `text` that was searched for the end of an event.
     pub(super) scanned: usize,
-    /// Bytes received since the last step.
-    pub(super) came: usize,
-    /// Bytes received before the first step.
-    pub(super) early: usize,
+    /// Bytes received since the last update.
+    pub(super) received: usize,
+    /// Bytes received before the first update.
+    pub(super) received_early: usize,
     /// The dialect's last event has arrived.
     pub(super) last: bool,
     /// The token usage stated so far.
@@ -45,14 +45,16 @@
     pub(super) async fn first(&self, open: &mut OpenResponse) -> Result<Batch, Verdict> {
         loop {
             let amid = !open.text.is_empty() || open.body.is_amid(&open.connection.wire.buf);
-            // The time is limited for a head without events and for an incomplete first event.
+            // One limit applies to the wait for the first event, another once the event or its framing has arrived in part.
             let limit = if amid {
                 self.limits.replicas.partial_head_timeout
             } else {
                 self.limits.replicas.first_event_timeout
             };
             match within(limit, self.next(open)).await {
-                Ok(Ok(batch)) if batch.events == 0 => open.early += std::mem::take(&mut open.came),
+                Ok(Ok(batch)) if batch.events == 0 => {
+                    open.received_early += std::mem::take(&mut open.received)
+                }
                 Ok(next) => return next,
                 Err(_) if amid => return Err(Verdict::Reset),
                 Err(_) => return Err(Verdict::TimedOut),
@@ -60,13 +62,13 @@
         }
     }
 
-    /// The next data of a begun response: all complete events that arrived together, or none if there is no complete one.
+    /// Reads the next data of a response: all complete events that arrived together, or none if there is no complete one.
     /// It has no time limit; the owner of the stream applies its own.
     async fn next(&self, open: &mut OpenResponse) -> Result<Batch, Verdict> {
         future::poll_fn(|cx| self.poll_batch(open, cx)).await
     }
 
-    /// The same as a poll.
+    /// The poll function of `next`.
     pub(super) fn poll_batch(
         &self,
         open: &mut OpenResponse,
@@ -101,23 +103,23 @@
                 Ok(_) => {}
                 // Data before the error is valid and is forwarded first.
                 Err(bad) => {
-                    log::debug!(replica = &*open.replica.0; "malformed-response: {bad}");
+                    log::debug!(replica = &*open.replica.0; "malformed-response: the framing of the body is invalid: {bad}");
                     open.malformed = true;
                     continue;
                 }
             }
-            if open.came > 0 {
+            if open.received > 0 {
                 break Ok(Batch { dialect: open.dialect, bytes: Vec::new(), events: 0, usage: None });
             }
             match ready!(open.connection.wire.poll_fill(cx, &self.limits.wire)) {
                 Ok(0) | Err(_) => break Err(Verdict::Reset),
-                Ok(count) => open.came += count,
+                Ok(count) => open.received += count,
             }
         })
     }
 
-    /// Removes blank blocks and reads what concerns the gateway: load reports, token usage, errors. Returns the number of
-    /// events to forward.
+    /// Removes blank blocks and reads the load reports, the token usage and the errors. Returns the number of events to
+    /// forward.
     fn filter_events(&self, open: &mut OpenResponse, batch: &mut Vec<u8>) -> u64 {
         let (mut events, mut blank, mut end) = (0, false, batch.len());
         let mut at = 0;
@@ -153,7 +155,7 @@
         events
     }
 
-    /// Ends a begun response; its connection may serve again.
+    /// Ends a response and returns its connection to the pool if it can be reused.
     pub(super) fn end(&self, open: OpenResponse, verdict: Verdict) -> AttemptOutcome {
         let OpenResponse { replica, addr, mut connection, keep, usage, report, malformed, .. } = open;
         let cached_tokens =
@@ -167,16 +169,16 @@
     }
 }
 
-/// The step that a batch of a begun response makes.
-pub(super) fn arrived(open: &mut OpenResponse, batch: Batch) -> AttemptUpdate<Batch> {
-    // Frees unused capacity, since a stream may have to wait for its reader for long.
+/// Converts a batch of a response to an update of its attempt.
+pub(super) fn attempt_update(open: &mut OpenResponse, batch: Batch) -> AttemptUpdate<Batch> {
+    // Frees unused capacity, since a stream may wait for a slow client for a long time.
     let buf = &mut open.connection.wire.buf;
     if buf.capacity() > 4 * buf.len() + (1 << 10) {
         buf.shrink_to_fit();
     }
     let replica_buffered = open.connection.wire.buf.len() + open.text.len();
     let arrival = Arrival {
-        bytes: std::mem::take(&mut open.came) + std::mem::take(&mut open.early),
+        bytes: std::mem::take(&mut open.received) + std::mem::take(&mut open.received_early),
         events: batch.events,
         replica_buffered,
         is_partial: !open.text.is_empty() || open.body.is_amid(&open.connection.wire.buf),
--- a/src/net/upstream/probe.rs
+++ b/src/net/upstream/probe.rs
@@ -7,7 +7,7 @@
 use crate::types::{ReplicaId, Verdict};
 
 impl Fleet {
-    /// Probes a replica: its verdict and load.
+    /// Probes a replica; returns the verdict and the load report.
     pub async fn probe(&self, replica: &ReplicaId) -> AttemptOutcome {
         let Some(Endpoint { addr, .. }) = self.endpoint(replica) else {
             return Verdict::NoConnection.into();
@@ -43,7 +43,7 @@
             .unwrap_or_else(|_| Verdict::TimedOut.into())
     }
 
-    /// The load report in a response's head.
+    /// Parses the load report in the head of a response.
     pub(super) fn load(&self, head: &Head) -> Vec<f64> {
         head.get("x-load").map_or(Vec::new(), |text| (self.read_load)(text))
     }
--- a/src/net/upstream/response_head.rs
+++ b/src/net/upstream/response_head.rs
@@ -1,4 +1,4 @@
-//! Reading the head of a replica's response.
+//! Reads the head of a replica's response.
 
 use std::io;
 
@@ -6,7 +6,7 @@
 use crate::limits::Limits;
 use crate::net::codec::{self, Head};
 
-/// The head of the final response, past interim ones.
+/// Reads the head of the final response and skips interim ones.
 pub(super) async fn read_head(wire: &mut BufferedStream, limits: &Limits) -> io::Result<Head> {
     let mut interim = 0;
     loop {
@@ -14,7 +14,7 @@
             Ok(Some(head)) if (100..200).contains(&head.status()) => {
                 interim += 1;
                 if interim > limits.replicas.interim_heads {
-                    return Err(io::Error::other("interim answers without end"));
+                    return Err(io::Error::other("too many interim responses"));
                 }
                 continue;
             }
@@ -22,7 +22,7 @@
             Ok(None) => {}
             Err(bad) => return Err(io::Error::other(bad.message())),
         }
-        // Guards against waiting until the deadline for a head that has begun and does not end.
+        // A head that has arrived in part must end within its own limit, which is shorter than the deadline.
         let begun = !wire.buf.is_empty();
         let fill = wire.fill(&limits.wire);
         if (if begun { within(limits.replicas.partial_head_timeout, fill).await? } else { fill.await })?
--- a/src/net/upstream/running.rs
+++ b/src/net/upstream/running.rs
@@ -1,4 +1,4 @@
-//! Running attempts, as the engine polls them.
+//! Running attempts, which the engine polls.
 
 use std::io;
 use std::os::fd::{BorrowedFd, OwnedFd};
@@ -11,14 +11,14 @@
 
 use super::attempt::Refusal;
 use super::connection::{Connection, ConnectionCount};
-use super::open_response::{OpenResponse, arrived};
+use super::open_response::{OpenResponse, attempt_update};
 use super::{Batch, BufferedStream, Fleet, within};
 use crate::engine::{AttemptRunner, AttemptUpdate};
 use crate::front::{Dialect, ForwardedRequest};
 use crate::net::handover_message::StreamSnapshot;
 use crate::types::{ReplicaId, Verdict};
 
-/// A request with the fleet that its attempts go to.
+/// A request, and the fleet that its attempts are sent to.
 pub struct Dispatch {
     /// The fleet.
     pub fleet: Rc<Fleet>,
@@ -26,7 +26,7 @@
     pub forwarded: Rc<ForwardedRequest>,
 }
 
-/// The start of an attempt, up to its first events.
+/// An attempt up to its first events.
 type Opening = Pin<Box<dyn Future<Output = Result<(Box<OpenResponse>, Batch), Refusal>>>>;
 
 /// The state of an attempt.
@@ -43,8 +43,9 @@
 }
 
 impl Running {
-    /// Adds its state to a snapshot, and returns its connection; `None` if it has no event yet or has failed.
-    pub fn pack(&self, snapshot: &mut StreamSnapshot) -> Option<BorrowedFd<'_>> {
+    /// Writes the state of the attempt into a snapshot and returns its connection; `None` if the attempt has no event yet
+    /// or has failed.
+    pub fn write_snapshot(&self, snapshot: &mut StreamSnapshot) -> Option<BorrowedFd<'_>> {
         let Stage::Open(open) = &self.stage else { return None };
         if open.malformed || open.failed {
             return None;
@@ -60,8 +61,8 @@
         Some(open.connection.wire.fd())
     }
 
-    /// Records that another process owns its connection now, so that it is not reset here.
-    pub fn given_away(&mut self) {
+    /// Records that another process now owns the connection, so that it is not reset here.
+    pub fn mark_handed_over(&mut self) {
         if let Stage::Open(open) = &mut self.stage {
             open.connection.wire.reset_on_drop = false;
         }
@@ -72,10 +73,14 @@
     /// # Errors
     ///
     /// If the socket can't be registered, or the snapshot names no replica.
-    pub fn unpack(fleet: Rc<Fleet>, snapshot: &mut StreamSnapshot, side: OwnedFd) -> io::Result<Running> {
+    pub fn from_snapshot(
+        fleet: Rc<Fleet>,
+        snapshot: &mut StreamSnapshot,
+        connection: OwnedFd,
+    ) -> io::Result<Running> {
         let missing = || io::Error::other("the snapshot names no replica");
         let from_replica = std::mem::take(&mut snapshot.buffers.from_replica);
-        let mut wire = BufferedStream::handed(side, from_replica)?;
+        let mut wire = BufferedStream::handed(connection, from_replica)?;
         wire.reset_on_drop = true;
         let open = OpenResponse {
             replica: ReplicaId::from(snapshot.replica.as_str()),
@@ -88,8 +93,8 @@
             failed: false,
             text: std::mem::take(&mut snapshot.buffers.partial_event),
             scanned: 0,
-            came: 0,
-            early: 0,
+            received: 0,
+            received_early: 0,
             last: snapshot.last,
             usage: snapshot.usage,
             report: Vec::new(),
@@ -111,7 +116,7 @@
                         Err(Refusal::Attempt(fleet.end(*open, Verdict::Error)))
                     }
                     Ok(batch) => Ok((open, batch)),
-                    // So is a stream without an event.
+                    // A stream without an event is a failed attempt too.
                     Err(Verdict::Ok) => Err(Verdict::Error.into()),
                     Err(verdict) => Err(Refusal::Attempt(fleet.end(*open, verdict))),
                 }
@@ -147,9 +152,9 @@
         };
         Poll::Ready(Some(match (batch, std::mem::replace(&mut this.stage, Stage::Ended)) {
             (Ok(batch), Stage::Open(mut open)) => {
-                let step = arrived(&mut open, batch);
+                let update = attempt_update(&mut open, batch);
                 this.stage = Stage::Open(open);
-                step
+                update
             }
             (Err(verdict), Stage::Open(open)) => AttemptUpdate::Ended(this.fleet.end(*open, verdict)),
             // Only an open response has a batch or an end.
--- a/src/process/lag.rs
+++ b/src/process/lag.rs
@@ -1,69 +1,74 @@
-//! Whether the one thread stands still, and whose doing it is: the program's own, by a long loop, or that of others,
-//! who did not let it run or made it wait in a system call.
+//! Detects when the serving thread runs late, and whether the program itself is the cause, with a long loop, or the
+//! system, which did not schedule the thread or blocked it in a system call.
 //!
-//! No I/O and no clock: both clocks are handed in, in nanoseconds, that of the wall and that of the thread's own
-//! processor time.
+//! No I/O and no clock: the caller passes in the wall-clock time and the thread's CPU time, both in nanoseconds.
 
 use crate::limits::Limits;
 use crate::types::Nanos;
 
-/// A spell in which the thread ran late, as it was first seen.
+/// The first late run of an episode in which the thread runs late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LagSpell {
+pub struct LagEpisode {
     /// When it should have run.
     pub due: Nanos,
     /// How much later it did.
     pub late: Nanos,
-    /// The time since the last look before it was due, which is what `cpu` is of.
+    /// The time since the previous check, over which `cpu` was measured.
     pub span: Nanos,
-    /// The processor time that the thread had meanwhile.
+    /// The thread's CPU time over the span.
     pub cpu: Nanos,
 }
 
-/// Compares when the thread should have run with when it did.
+/// Compares when the thread was due to run with when it ran.
 #[derive(Clone, Debug)]
 pub struct LagMonitor {
-    most: Nanos,
-    calm: Nanos,
-    again: Nanos,
-    /// The last look: the wall's clock and the thread's.
-    seen: (Nanos, Nanos),
-    /// When it last ran late, while that spell lasts.
-    spell: Option<Nanos>,
+    threshold: Nanos,
+    recovery_time: Nanos,
+    check_interval: Nanos,
+    /// The wall-clock time and the thread's CPU time at the last check.
+    last_check: (Nanos, Nanos),
+    /// When the thread last ran late; once `recovery_time` has passed since then, the next late run starts an episode.
+    last_late: Option<Nanos>,
 }
 
 impl LagMonitor {
-    /// A watch that begins now.
+    /// Creates a monitor whose first span begins now.
     #[must_use]
     pub fn new(now: Nanos, cpu: Nanos, limits: &Limits) -> LagMonitor {
         let nanos = |span: std::time::Duration| span.as_nanos() as Nanos;
         LagMonitor {
-            most: nanos(limits.lag.threshold),
-            calm: nanos(limits.lag.recovery_time),
-            again: nanos(limits.lag.cpu_check_interval),
-            seen: (now, cpu),
-            spell: None,
+            threshold: nanos(limits.lag.threshold),
+            recovery_time: nanos(limits.lag.recovery_time),
+            check_interval: nanos(limits.lag.cpu_check_interval),
+            last_check: (now, cpu),
+            last_late: None,
         }
     }
 
-    /// It runs, having been due then. Returns what there is to tell: the first of each spell. The thread's clock is
-    /// asked only where it is needed, since that is a system call.
-    pub fn ran(&mut self, due: Nanos, now: Nanos, cpu: impl FnOnce() -> Nanos) -> Option<LagSpell> {
+    /// Records that the thread, due at `due`, runs at `now`. Returns the late run that starts an episode. `cpu` is called
+    /// only when it is needed, since it makes a system call.
+    pub fn record_run(
+        &mut self,
+        due: Nanos,
+        now: Nanos,
+        cpu: impl FnOnce() -> Nanos,
+    ) -> Option<LagEpisode> {
         let late = now.saturating_sub(due);
-        let over = late > self.most;
-        if !over && now.saturating_sub(self.seen.0) < self.again {
+        let is_late = late > self.threshold;
+        if !is_late && now.saturating_sub(self.last_check.0) < self.check_interval {
             return None;
         }
-        let before = std::mem::replace(&mut self.seen, (now, cpu()));
-        let fresh = self.spell.is_none_or(|last| now.saturating_sub(last) >= self.calm);
-        if over {
-            self.spell = Some(now);
+        let previous = std::mem::replace(&mut self.last_check, (now, cpu()));
+        let is_new_episode =
+            self.last_late.is_none_or(|last| now.saturating_sub(last) >= self.recovery_time);
+        if is_late {
+            self.last_late = Some(now);
         }
-        (over && fresh).then(|| LagSpell {
+        (is_late && is_new_episode).then(|| LagEpisode {
             due,
             late,
-            span: now.saturating_sub(before.0),
-            cpu: self.seen.1.saturating_sub(before.1),
+            span: now.saturating_sub(previous.0),
+            cpu: self.last_check.1.saturating_sub(previous.1),
         })
     }
 }
--- a/src/process/lifecycle.rs
+++ b/src/process/lifecycle.rs
@@ -1,90 +1,90 @@
-//! Where the gateway is between its start and its end, and what that means for connections.
+//! The lifecycle of a gateway process, and what each state means for its connections.
 //!
-//! No I/O and no clock: times are handed in as nanoseconds of one clock that never runs backwards.
+//! No I/O and no clock: times are passed in as nanoseconds of one monotonic clock.
 
 use crate::types::Nanos;
 
-/// Where the gateway is.
+/// The state of a gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It can't serve yet.
+    /// It can't serve requests yet.
     Starting,
-    /// It serves.
+    /// It serves requests.
     Serving,
-    /// It was told to do without clients until it is told otherwise.
+    /// An operator drained it; it serves again once the drain is ended.
     Drained,
-    /// It completes its open requests and ends.
+    /// It completes its open requests and then exits.
     Stopping,
 }
 
-/// Why an order can't be carried out.
+/// The process is shutting down, so it can be neither drained nor undrained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stopping;
+pub struct AlreadyStopping;
 
-/// The life of one gateway's process.
+/// The lifecycle of one gateway process.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     state: State,
     since: Nanos,
-    /// Another process accepts from the same queue.
+    /// Another process accepts from the same listener queue.
     shared: bool,
-    /// It was told to drain while it could not serve yet.
+    /// A drain was requested while it could not serve requests yet.
     drained: bool,
     grace: Nanos,
 }
 
 impl Lifecycle {
-    /// A process that starts. `shared` says that its listener is another process's too; once it is drained or
-    /// stops, requests are still taken on connections at rest for the `grace`.
+    /// Creates the lifecycle of a starting process. `shared` tells whether another process uses the same listener. After
+    /// a drain or a stop, requests on idle connections are still accepted for the `grace` period.
     #[must_use]
     pub fn new(now: Nanos, shared: bool, grace: Nanos) -> Lifecycle {
         Lifecycle { state: State::Starting, since: now, shared, drained: false, grace }
     }
 
-    /// Where it is.
+    /// The current state.
     #[must_use]
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// It can serve from now on.
-    pub fn able(&mut self, now: Nanos) {
+    /// Records that the process can serve requests from now on.
+    pub fn set_ready(&mut self, now: Nanos) {
         if self.state == State::Starting {
             self.enter(now, if self.drained { State::Drained } else { State::Serving });
         }
     }
 
-    /// Clients shall go elsewhere.
+    /// Drains the process, so that clients use other gateways.
     ///
     /// # Errors
     ///
-    /// `Stopping` if the process is on its way to its end.
-    pub fn drain(&mut self, now: Nanos) -> Result<(), Stopping> {
+    /// [`AlreadyStopping`] if the process is shutting down.
+    pub fn drain(&mut self, now: Nanos) -> Result<(), AlreadyStopping> {
         match self.state {
             State::Starting => self.drained = true,
             State::Serving => self.enter(now, State::Drained),
             State::Drained => {}
-            State::Stopping => return Err(Stopping),
+            State::Stopping => return Err(AlreadyStopping),
         }
         Ok(())
     }
 
-    /// Clients may come again.
+    /// Ends a drain.
     ///
     /// # Errors
     ///
-    /// `Stopping` if the process is on its way to its end.
-    pub fn undrain(&mut self, now: Nanos) -> Result<(), Stopping> {
+    /// [`AlreadyStopping`] if the process is shutting down.
+    pub fn undrain(&mut self, now: Nanos) -> Result<(), AlreadyStopping> {
         match self.state {
             State::Starting => self.drained = false,
             State::Serving => {}
             State::Drained => self.enter(now, State::Serving),
-            State::Stopping => return Err(Stopping),
+            State::Stopping => return Err(AlreadyStopping),
         }
         Ok(())
     }
 
-    /// It shall end.
+    /// Starts the graceful shutdown.
     pub fn stop(&mut self, now: Nanos) {
         if self.state != State::Stopping {
             self.enter(now, State::Stopping);
@@ -95,13 +95,13 @@
         (self.state, self.since) = (state, now);
     }
 
-    /// Whether clients should be sent here.
+    /// Whether load balancers should send clients to this process.
     #[must_use]
-    pub fn wants_clients(&self) -> bool {
+    pub fn is_in_rotation(&self) -> bool {
         self.state == State::Serving
     }
 
-    /// Whether the process can serve, drained or not.
+    /// Whether the process can serve requests, drained or not.
     #[must_use]
     pub fn can_serve(&self) -> bool {
         matches!(self.state, State::Serving | State::Drained)
@@ -113,56 +113,56 @@
         matches!(self.state, State::Starting | State::Serving)
     }
 
-    /// Whether connections are accepted. From a shared queue a process takes only what it can serve, and a
-    /// stopping one nothing: what waits there is the other's.
+    /// Whether connections are accepted. From a shared queue, a process accepts only what it can serve, and a stopping
+    /// process accepts nothing, since the other process serves the queue.
     #[must_use]
     pub fn accepts(&self, now: Nanos) -> bool {
         match self.state {
             State::Starting => !self.shared,
             State::Serving | State::Drained => true,
-            State::Stopping => !self.shared && now < self.graced(),
+            State::Stopping => !self.shared && now < self.grace_end(),
         }
     }
 
-    /// Whether what waits to be accepted is this process's alone.
+    /// Whether the accept queue belongs to this process alone.
     #[must_use]
-    pub fn empties_queue(&self) -> bool {
+    pub fn owns_accept_queue(&self) -> bool {
         !self.shared
     }
 
-    /// Whether a request that has come whole is placed. Guards against a process that is killed over a request: it is
-    /// given the longest deadline from the end of the grace on, and what came after that would outlast it. Where
-    /// another process has its listener, nobody is in a hurry.
+    /// Whether a completely received request is sent to a replica. A stopping process is killed one longest deadline after
+    /// the end of the grace period, so a request that arrives later could still be running then. With a shared listener
+    /// the shutdown has no such time limit.
     #[must_use]
-    pub fn takes_requests(&self, now: Nanos) -> bool {
-        self.state != State::Stopping || self.shared || now < self.graced()
+    pub fn admits_requests(&self, now: Nanos) -> bool {
+        self.state != State::Stopping || self.shared || now < self.grace_end()
     }
 
-    /// When a connection at rest closes, if it has to: after the grace, which for one that opened later and has
-    /// carried nothing yet counts from then.
+    /// When an idle connection has to close, if at all: after the grace period, which counts from the opening of a
+    /// connection that opened later and has received nothing yet.
     #[must_use]
-    pub fn idle_until(&self, silent_since: Option<Nanos>) -> Option<Nanos> {
+    pub fn idle_deadline(&self, silent_since: Option<Nanos>) -> Option<Nanos> {
         match self.state {
             State::Starting | State::Serving => None,
             State::Drained | State::Stopping => {
-                Some(self.graced().max(silent_since.unwrap_or(0).saturating_add(self.grace)))
+                Some(self.grace_end().max(silent_since.unwrap_or(0).saturating_add(self.grace)))
             }
         }
     }
 
-    /// Whether all is done, with so many connections open.
+    /// Whether the shutdown is complete, with `open` connections left.
     #[must_use]
-    pub fn over(&self, now: Nanos, open: usize) -> bool {
-        self.state == State::Stopping && now >= self.graced() && open == 0
+    pub fn is_finished(&self, now: Nanos, open: usize) -> bool {
+        self.state == State::Stopping && now >= self.grace_end() && open == 0
     }
 
-    /// When a response above changes with time alone.
+    /// When one of the conditions above next changes with time alone.
     #[must_use]
-    pub fn due(&self, now: Nanos) -> Option<Nanos> {
-        (self.state == State::Stopping && now < self.graced()).then(|| self.graced())
+    pub fn next_change(&self, now: Nanos) -> Option<Nanos> {
+        (self.state == State::Stopping && now < self.grace_end()).then(|| self.grace_end())
     }
 
-    fn graced(&self) -> Nanos {
+    fn grace_end(&self) -> Nanos {
         self.since.saturating_add(self.grace)
     }
 }
--- a/src/process/overlap.rs
+++ b/src/process/overlap.rs
@@ -1,5 +1,5 @@
-//! Connection limits while two processes of this gateway are up: together they use no more than one alone. No I/O and no
-//! clock.
+//! Connection limits while two processes of this gateway run: together they open no more connections than one alone. No
+//! I/O and no clock.
 
 use std::cell::Cell;
 
@@ -8,16 +8,16 @@
 /// Numbers of connections, or limits of these numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionCounts {
-    /// Of clients.
+    /// Client connections.
     pub edge: usize,
-    /// Of replicas.
+    /// Connections to replicas.
     #[serde(rename = "servers")]
     pub replicas: usize,
 }
 
 /// What the older process reports to the newer one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct ConnectionReport {
     /// Its open connections.
     #[serde(rename = "holds")]
     pub open: ConnectionCounts,
@@ -25,59 +25,59 @@
     pub stopping: bool,
 }
 
-/// The other process.
+/// The other processes of this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Other {
+enum OtherProcess {
     /// Number of newer processes.
     Newer(usize),
     /// An older process, by its last report.
-    Older(Report),
+    Older(ConnectionReport),
 }
 
 /// The limits of this process.
 #[derive(Debug)]
 pub struct Overlap {
     all: Cell<ConnectionCounts>,
-    other: Cell<Option<Other>>,
+    other: Cell<Option<OtherProcess>>,
 }
 
-/// A newer process may open so many of each kind however little is left: descriptors are reserved for them.
+/// The connections of each kind that a newer process may always open; descriptors are reserved for them.
 const MIN_CONNECTIONS: usize = 4;
 
 impl Overlap {
-    /// A single process, which may use all connections of the gateway.
+    /// Creates the limits of a single process, which may use all connections of the gateway.
     #[must_use]
     pub fn new(all: ConnectionCounts) -> Overlap {
         Overlap { all: Cell::new(all), other: Cell::new(None) }
     }
 
     /// Records the start of a newer process.
-    pub fn newer_came(&self) {
+    pub fn newer_started(&self) {
         let others = match self.other.get() {
-            Some(Other::Newer(count)) => count + 1,
-            // An older process is ignored from now on: it is about to end.
+            Some(OtherProcess::Newer(count)) => count + 1,
+            // The reports of an older process are ignored from now on, since it is about to exit.
             _ => 1,
         };
-        self.other.set(Some(Other::Newer(others)));
+        self.other.set(Some(OtherProcess::Newer(others)));
     }
 
     /// Records the end of a newer process.
-    pub fn newer_left(&self) {
-        if let Some(Other::Newer(count)) = self.other.get() {
-            self.other.set((count > 1).then_some(Other::Newer(count - 1)));
+    pub fn newer_exited(&self) {
+        if let Some(OtherProcess::Newer(count)) = self.other.get() {
+            self.other.set((count > 1).then_some(OtherProcess::Newer(count - 1)));
         }
     }
 
-    /// The older process has said what it open.
-    pub fn older_reported(&self, report: Report) {
-        if !matches!(self.other.get(), Some(Other::Newer(_))) {
-            self.other.set(Some(Other::Older(report)));
+    /// Records a report of the older process.
+    pub fn older_reported(&self, report: ConnectionReport) {
+        if !matches!(self.other.get(), Some(OtherProcess::Newer(_))) {
+            self.other.set(Some(OtherProcess::Older(report)));
         }
     }
 
     /// Records the end of the older process.
-    pub fn older_left(&self) {
-        if matches!(self.other.get(), Some(Other::Older(_))) {
+    pub fn older_exited(&self) {
+        if matches!(self.other.get(), Some(OtherProcess::Older(_))) {
             self.other.set(None);
         }
     }
@@ -85,7 +85,7 @@
     /// Lowers the limits because no descriptor was left with `open` connections. From now on `own` descriptors, at most
     /// half of those open, are reserved, and the limits divide the rest in the same ratio as before. Returns whether they
     /// became lower.
-    pub fn ran_out(&self, open: ConnectionCounts, own: usize) -> bool {
+    pub fn reduce_limits(&self, open: ConnectionCounts, own: usize) -> bool {
         let all = open.edge + open.replicas;
         let left = all - own.min(all / 2);
         let all = self.all.get();
@@ -97,8 +97,8 @@
         self.all.replace(fewer) != fewer
     }
 
-    /// The part of `bytes` that this process may use.
-    pub fn part(&self, bytes: usize) -> usize {
+    /// The share of `bytes` that this process may use.
+    pub fn share(&self, bytes: usize) -> usize {
         if self.other.get().is_some() { bytes / 2 } else { bytes }
     }
 
@@ -108,8 +108,8 @@
         let half = ConnectionCounts { edge: edge / 2, replicas: replicas / 2 };
         match self.other.get() {
             None => self.all.get(),
-            Some(Other::Newer(_)) => half,
-            Some(Other::Older(Report { open, stopping })) => {
+            Some(OtherProcess::Newer(_)) => half,
+            Some(OtherProcess::Older(ConnectionReport { open, stopping })) => {
                 // An older process that still accepts may reach its half before its next report.
                 let left = |limit: usize, open: usize, half: usize| {
                     limit.saturating_sub(if stopping { open } else { open.max(half) }).max(MIN_CONNECTIONS)
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -105,7 +105,7 @@
         limits.clone(),
         push,
     ));
-    discovery.persisted(&config.known);
+    discovery.apply_persisted(&config.known);
     let context = Rc::new(FrontContext::new(names.clone(), limits.clone(), config.messages));
     let is_shared = inherited.is_some();
     let readiness = readiness(&fleet, &discovery, &limits);
@@ -113,7 +113,7 @@
     // Without a listener that the platform keeps, no process ever serves beside this one.
     let handover = Rc::new(match is_shared {
         true => Handover::new(&env::temp_dir(), &config.name, config.own.handover, limits.clone()),
-        false => Handover::never(limits.clone()),
+        false => Handover::disabled(limits.clone()),
     });
     let edge = Rc::new(Edge::new(
         engine.clone(),
@@ -121,9 +121,9 @@
         context.clone(),
         limits.clone(),
         lifecycle.clone(),
-        handover.followers(),
+        handover.successors(),
     ));
-    handover.join(executor, &edge);
+    handover.connect_to_older(executor, &edge);
     executor.spawn(handover.listen(executor, edge.clone(), lifecycle.clone())).detach();
 
     let parts = Parts { executor, engine, edge, lifecycle, names, limits };
@@ -307,7 +307,7 @@
     if config.mgmt != mgmt && env::var_os("EDGE_MGMT").is_none() {
         log::warn!(told:? = config.mgmt, kept:? = mgmt; "mgmt-kept: a second address counts from the next start");
     }
-    discovery.move_to(config.discovery);
+    discovery.set_address(config.discovery);
 }
 
 /// Handles signals until the first that stops the gateway, and then until all requests have their responses.
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tulipridge::admission::connection_slots::{ConnectionSlots, ConnectionState, SlotTimeouts};
 use tulipridge::process::lifecycle::{Lifecycle, State};
-use tulipridge::process::overlap::{ConnectionCounts, Overlap, Report};
+use tulipridge::process::overlap::{ConnectionCounts, ConnectionReport, Overlap};
 
 const GRACE: u64 = 700;
 
@@ -39,7 +39,7 @@
     for order in orders {
         let done = match order {
             Order::Able => {
-                life.able(now);
+                life.set_ready(now);
                 able = true;
                 Ok(())
             }
@@ -64,17 +64,17 @@
         let goes = stopped.is_some() || able && drained;
         left = if goes { stopped.or(left).or(Some(now)) } else { None };
         let over = stopped.is_some_and(|at| now >= at + GRACE);
-        assert_eq!(life.wants_clients(), able && !drained && stopped.is_none());
+        assert_eq!(life.is_in_rotation(), able && !drained && stopped.is_none());
         assert_eq!(life.can_serve(), able && stopped.is_none());
         assert_eq!(life.keeps_connections(), !goes);
         let accepts = if shared { able && stopped.is_none() } else { !over };
-        assert_eq!(life.takes_requests(now), shared || !over);
+        assert_eq!(life.admits_requests(now), shared || !over);
         assert_eq!(life.accepts(now), accepts, "{:?} after {order:?}", life.state());
-        assert_eq!(life.idle_until(None), left.map(|at| at + GRACE));
+        assert_eq!(life.idle_deadline(None), left.map(|at| at + GRACE));
         // One that connects now is heard for as long, even if the grace is over.
-        assert_eq!(life.idle_until(Some(now)), left.map(|_| now + GRACE));
-        assert_eq!((life.over(now, 0), life.over(now, 1)), (over, false));
-        assert_eq!(life.due(now), stopped.filter(|_| !over).map(|at| at + GRACE));
+        assert_eq!(life.idle_deadline(Some(now)), left.map(|_| now + GRACE));
+        assert_eq!((life.is_finished(now, 0), life.is_finished(now, 1)), (over, false));
+        assert_eq!(life.next_change(now), stopped.filter(|_| !over).map(|at| at + GRACE));
         assert_eq!(life.state() == State::Stopping, stopped.is_some());
     }
 }
@@ -190,11 +190,11 @@
     };
     let mut new = ConnectionCounts::default();
     assert_eq!(older.limits(), whole);
-    older.newer_came();
-    assert_eq!((older.part(100), newer.part(100)), (50, 100), "the newcomer knows nothing yet");
+    older.newer_started();
+    assert_eq!((older.share(100), newer.share(100)), (50, 100), "the newcomer knows nothing yet");
     for (n, (is_old, edge, replicas)) in steps.into_iter().enumerate() {
         let stopping = n >= usize::from(stops) % 32;
-        newer.older_reported(Report { open: old, stopping });
+        newer.older_reported(ConnectionReport { open: old, stopping });
         let to = |held: usize, by: i8, most: usize| match by {
             // What is over the part already may only become less.
             0.. => (held + by as usize).min(most.max(held)),
@@ -211,10 +211,10 @@
         assert!(old.edge + new.edge <= whole.edge + 4, "{old:?} {new:?} of {whole:?}");
         assert!(old.replicas + new.replicas <= whole.replicas + 4, "{old:?} {new:?} of {whole:?}");
     }
-    older.newer_left();
-    newer.older_left();
+    older.newer_exited();
+    newer.older_exited();
     assert_eq!((older.limits(), newer.limits()), (whole, whole));
-    assert_eq!((older.part(100), newer.part(100)), (100, 100));
+    assert_eq!((older.share(100), newer.share(100)), (100, 100));
 }
 
 #[test]
@@ -231,7 +231,7 @@
     for (edge, replicas) in spells {
         let before = overlap.limits();
         let open = ConnectionCounts { edge: usize::from(edge), replicas: usize::from(replicas) };
-        let fewer = overlap.ran_out(open, own);
+        let fewer = overlap.reduce_limits(open, own);
         let (after, all) = (overlap.limits(), open.edge + open.replicas);
         assert_eq!(fewer, after != before);
         assert!(
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -299,7 +299,7 @@
     let fleet = Fleet::new(Rc::new(limits()), Box::new(|_| Vec::new()));
     let learn = |id: &str, started_ms| {
         let entry = entry(id, "127.0.0.1:9", State::Ready, started_ms);
-        fleet.learn(&entry, Dialect::Platform).iter().map(|id| id.0.to_string()).collect::<Vec<_>>()
+        fleet.apply_entry(&entry, Dialect::Platform).iter().map(|id| id.0.to_string()).collect::<Vec<_>>()
     };
     assert!(learn("old", 0.0).is_empty());
     assert_eq!(learn("new", 5.0), ["old"]);
@@ -312,7 +312,7 @@
     let mut limits_without_connections = limits();
     limits_without_connections.replicas.connections = 0;
     let fleet = Rc::new(Fleet::new(Rc::new(limits_without_connections), Box::new(|_| Vec::new())));
-    fleet.learn(&entry("s-1", "127.0.0.1:9", State::Ready, 0.0), Dialect::Platform);
+    fleet.apply_entry(&entry("s-1", "127.0.0.1:9", State::Ready, 0.0), Dialect::Platform);
     let mut steps =
         dispatch(&fleet).start_attempt(ReplicaId::from("s-1"), Duration::from_secs(20), Duration::MAX);
     match async_io::block_on(steps.next()) {
@@ -342,7 +342,7 @@
     let learn = |state| {
         let addr = listener.local_addr().expect("an address").to_string();
         let entry = entry("s-1", &addr, state, 0.0);
-        fleet.learn(&entry, Dialect::Platform);
+        fleet.apply_entry(&entry, Dialect::Platform);
     };
     learn(State::Ready);
     let mut steps =
--- a/tests/stored_handover.rs
+++ b/tests/stored_handover.rs
@@ -17,7 +17,7 @@
 use tulipridge::front::Usage;
 use tulipridge::net::codec::{Body, Chunk};
 use tulipridge::net::handover_message::{FORMAT_VERSION, StreamBuffers, StreamSnapshot};
-use tulipridge::process::overlap::{ConnectionCounts, Report};
+use tulipridge::process::overlap::{ConnectionCounts, ConnectionReport};
 use tulipridge::store::{Digest, Entries, Entry, Stamp};
 
 #[test]
@@ -48,7 +48,8 @@
 
 #[test]
 fn reports_of_kept_connections_keep_their_bytes() {
-    let report = |stopping| Report { open: ConnectionCounts { edge: 21, replicas: 22 }, stopping };
+    let report =
+        |stopping| ConnectionReport { open: ConnectionCounts { edge: 21, replicas: 22 }, stopping };
     let cases = [Case::new("serving", report(false)), Case::new("stopping", report(true))];
     check_json("handover-reports.txt", &cases);
 }
