--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -228,7 +228,7 @@
             if let Some(wait) = head.get("retry-after").and_then(parse_seconds) {
                 self.engine.defer_list_calls(wait);
             }
-            return Err(io::Error::other(format!("status {}", head.status())));
+            return Err(io::Error::other(format!("unexpected status {}", head.status())));
         }
         let mut body = head.response_body().map_err(|bad| io::Error::other(bad.message()))?;
         let (mut text, mut objects) = (Vec::new(), ObjectSplitter::default());
@@ -243,14 +243,10 @@
                     Ok(Some(Element::BlankLine)) if !watch => continue,
                     Ok(Some(element)) => element,
                     Ok(None) => break,
-                    Err(NotAnObject) => {
-                        return Err(io::Error::other(
-                            "the response contains something other than JSON objects",
-                        ));
-                    }
+                    Err(NotAnObject) => return Err(io::Error::other("expected a JSON object")),
                 };
                 if first && !claim() {
-                    return Err(io::Error::other("another call received its response first"));
+                    return Err(io::Error::other("another call was faster"));
                 }
                 match element {
                     Element::Object(object) => self.apply_object(&object, &mut first)?,
@@ -265,8 +261,8 @@
                 // Discovery sends a line on a watch at least every 2 s; without one it counts as unreachable. The first
                 // element is due within the same time after the call, whenever the head arrived.
                 let spent = if first { from.elapsed() } else { Duration::ZERO };
-                let patience = idle_timeout.saturating_sub(spent);
-                let filled = match within(patience, wire.fill(&limits.wire)).await {
+                let timeout = idle_timeout.saturating_sub(spent);
+                let filled = match within(timeout, wire.fill(&limits.wire)).await {
                     Err(_) if watch && !first && !self.push => self.wait_for_late_line(&mut wire).await,
                     filled => filled?,
                 };
--- a/src/net/edge/after_response.rs
+++ b/src/net/edge/after_response.rs
@@ -6,6 +6,6 @@
 pub(super) enum AfterResponse {
     /// It may carry another request.
     KeepAlive(BufferedStream),
-    /// It has had its last response, which may still be in flight.
+    /// The last response was written and may still be in flight.
     Close(BufferedStream),
 }
--- a/src/net/edge/buffered_bytes.rs
+++ b/src/net/edge/buffered_bytes.rs
@@ -1,23 +1,23 @@
-//! The memory that requests of all connections take while they are read.
+//! The memory that the requests of all connections use while they are read.
 
 use std::rc::Rc;
 
 use super::Edge;
 
-/// Bytes of a request that are counted until it is dropped.
+/// A count of a request's buffered bytes, which is released when this is dropped.
 pub(super) struct BufferedBytes {
     edge: Rc<Edge>,
     count: usize,
 }
 
 impl BufferedBytes {
-    /// Nothing was read yet.
+    /// Creates a count of zero bytes.
     pub(super) fn none(edge: Rc<Edge>) -> BufferedBytes {
         BufferedBytes { edge, count: 0 }
     }
 
-    /// So many were read.
-    pub(super) fn grow_to(&mut self, count: usize) {
+    /// Sets the count of the request's buffered bytes.
+    pub(super) fn set_count(&mut self, count: usize) {
         let total = &self.edge.buffered_bytes;
         total.set(total.get() - self.count + count);
         self.count = count;
@@ -26,6 +26,6 @@
 
 impl Drop for BufferedBytes {
     fn drop(&mut self) {
-        self.grow_to(0);
+        self.set_count(0);
     }
 }
--- a/src/net/edge/charge.rs
+++ b/src/net/edge/charge.rs
@@ -1,4 +1,4 @@
-//! Charging a request to its tenant.
+//! The charge of a request to its tenant's quota.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 use crate::admission::quota::Grant;
 use crate::net::upstream::Batch;
 
-/// What a request is charged to its tenant when it ends.
+/// The token counts that a request's tenant is charged for when the request ends.
 pub(super) struct Charge {
     pub(super) edge: Rc<Edge>,
     pub(super) grant: Option<Grant>,
@@ -16,8 +16,8 @@
     pub(super) output: u64,
     /// Events of the response; each counts as a token until the response is complete.
     pub(super) events: u64,
-    /// Whether a replica may have run it.
-    pub(super) ran: bool,
+    /// Whether a replica may have run the request.
+    pub(super) may_have_run: bool,
 }
 
 impl Charge {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The response is complete, so the usage that it has stated counts.
+    /// Records that the response is complete, so that its stated usage replaces the count of events.
     pub(super) fn complete(&mut self) {
         if self.output > 0 {
             self.events = 0;
@@ -40,7 +40,7 @@
 impl Drop for Charge {
     fn drop(&mut self) {
         if let Some(grant) = self.grant.take() {
-            let needed = self.ran.then_some((self.prompt, self.output.max(self.events)));
+            let needed = self.may_have_run.then_some((self.prompt, self.output.max(self.events)));
             self.edge.context.messages.reconcile(self.edge.engine.now(), grant, needed);
         }
     }
--- a/src/net/edge/connection.rs
+++ b/src/net/edge/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: one exchange after the other until it ends.
+//! A client connection, which carries one exchange after the other until it ends.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Closes a connection after its last response. Data that still arrives is read and dropped for a while, unless the slot
-    /// is needed sooner, since a reset could overtake the response.
+    /// Closes a connection after its last response. Data that still arrives is read and dropped for a limited time, or until
+    /// the slot is needed, since unread data would cause a reset, which could overtake the response.
     pub(super) async fn close(&self, mut wire: BufferedStream, mut slot: Slot) {
         slot.set_state(ConnectionState::Closing);
         let longest = match self.lifecycle.is_stopping() {
@@ -56,7 +56,7 @@
         let _ = future::or(wire.linger(longest, &self.limits.wire), left).await;
     }
 
-    /// One request and its response. Returns the connection unless it has ended.
+    /// Reads one request and sends its response. Returns the connection unless it has ended.
     async fn exchange(
         self: Rc<Self>,
         mut wire: BufferedStream,
@@ -76,7 +76,7 @@
         slot.set_state(ConnectionState::Serving);
         let crowded = self.slots.is_crowded(self.connection_limit());
         let keep = head.keeps_alive(&head.start[2]) && !crowded && self.lifecycle.keeps_connections();
-        let id = self.name(dialect, &mut head);
+        let id = self.resolve_request_id(dialect, &mut head);
         let now = self.engine.now();
         let call = self.context.call(now, dialect, &head, &body, &id, self.fleet.dialects());
         let response = match call {
@@ -84,8 +84,8 @@
                 let back = Rc::new(RefCell::new(None));
                 let headers = std::mem::take(&mut accepted.headers);
                 let responder = Responder { dialect, id, safe: accepted.safe, headers };
-                let placed = self.lifecycle.admits_requests();
-                let charge = self.charge(&mut accepted, placed);
+                let may_run = self.lifecycle.admits_requests();
+                let charge = self.charge(&mut accepted, may_run);
                 let forwarded = Rc::new(ForwardedRequest::from_accepted(
                     &self.context,
                     dialect,
@@ -105,7 +105,7 @@
                     from: Instant::now(),
                     charge,
                 });
-                if !placed {
+                if !may_run {
                     engine::Client::shed(client, Duration::ZERO).await;
                     return back.take();
                 }
@@ -118,7 +118,7 @@
             }
             Call::Health => Responder::new(dialect, &id).text(503, "not ready"),
             Call::Respond(response) => {
-                log::debug!(id = id, client:% = from, status = response.status; "answered: by the front alone");
+                log::debug!(id = id, client:% = from, status = response.status; "answered: the front responded without a replica");
                 response
             }
         };
@@ -140,15 +140,15 @@
         matches!(written, Ok(Ok(()))).then_some(AfterResponse::Close(wire))
     }
 
-    /// The charge of an accepted request; `ran` tells whether it will be placed.
-    fn charge(self: &Rc<Self>, accepted: &mut AcceptedRequest, ran: bool) -> Charge {
+    /// Creates the charge of an accepted request; `may_run` tells whether it will be sent to a replica.
+    fn charge(self: &Rc<Self>, accepted: &mut AcceptedRequest, may_run: bool) -> Charge {
         Charge {
             edge: self.clone(),
             grant: accepted.grant.take(),
             prompt: accepted.prompt,
             output: 0,
             events: 0,
-            ran,
+            may_have_run: may_run,
         }
     }
 
--- a/src/net/edge/exchange.rs
+++ b/src/net/edge/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange on a client's connection, before and during its response.
+//! One exchange on a client connection, before and during its response.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,18 +13,18 @@
 use crate::front::{Responder, Response};
 use crate::stream::Disconnect;
 
-/// What a client has sent behind its open request.
+/// Data that a client has sent behind its open request.
 pub(super) struct Pipelined {
     pub(super) input: PipelinedInput,
-    /// The bytes of it that are accounted for.
+    /// Counts these bytes as buffered.
     pub(super) counted: BufferedBytes,
 }
 
-/// An exchange that has not ended.
+/// An exchange in progress.
 pub(super) struct Exchange {
     pub(super) edge: Rc<Edge>,
     pub(super) wire: BufferedStream,
-    /// What the client sends behind its request.
+    /// Data that the client sends behind its request.
     pub(super) pipelined: Pipelined,
     pub(super) responder: Responder,
     pub(super) keep: bool,
@@ -47,34 +47,34 @@
         }
     }
 
-    /// Gives the connection back, which may carry another request or not.
+    /// Returns the connection; `keep` tells whether it may carry another request.
     pub(super) fn give_back(self, keep: bool) {
         *self.back.borrow_mut() =
             Some(if keep { AfterResponse::KeepAlive(self.wire) } else { AfterResponse::Close(self.wire) });
     }
 
-    /// Ready once the client has left. What comes behind its request is read to its end, since the client's own end
-    /// comes behind that; it waits in the buffer, up to its bound. A half-close counts as leaving: until something is
-    /// written, nobody can tell it from a close.
+    /// Ready once the client has disconnected. Data behind the request is read to its end and buffered up to a limit, since
+    /// the end of the connection arrives behind that data. A half-close counts as a disconnect: until something is
+    /// written, it can't be told from a close.
     pub(super) fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<Disconnect> {
         let Exchange { edge, wire, pipelined: Pipelined { input, counted }, .. } = self;
         loop {
             let had = wire.buf.len();
-            let came = match ready!(wire.poll_fill(cx, &edge.limits.wire)) {
+            let received = match ready!(wire.poll_fill(cx, &edge.limits.wire)) {
                 Ok(0) => return Poll::Ready(Disconnect::Closed),
                 Err(_) => return Poll::Ready(Disconnect::Reset),
                 Ok(count) => count,
             };
-            // Guards against crowding out requests that are on their way in: half of their memory stays theirs.
-            let has_memory = edge.buffered_bytes.get() + came
+            // Pipelined data may use half of the memory for requests; the other half stays for requests that are being read.
+            let has_memory = edge.buffered_bytes.get() + received
                 <= edge.fleet.overlap.share(edge.limits.edge.buffered_bytes) / 2;
-            match input.received(had, came, has_memory) {
-                Disposition::Keep => counted.grow_to(wire.buf.len()),
+            match input.received(had, received, has_memory) {
+                Disposition::Keep => counted.set_count(wire.buf.len()),
                 Disposition::Drop => wire.buf.truncate(had),
                 Disposition::Flood => return Poll::Ready(Disconnect::Reset),
             }
             wire.is_truncated = input.is_truncated();
-            // Its end may have come with these bytes.
+            // The end of the connection may have arrived with these bytes.
             wire.recheck_readiness();
         }
     }
--- a/src/net/edge/handover.rs
+++ b/src/net/edge/handover.rs
@@ -1,4 +1,4 @@
-//! Takes over and hands over started streams between processes of the gateway.
+//! Hands streams over between processes of the gateway.
 
 use std::cell::RefCell;
 use std::io;
@@ -21,12 +21,12 @@
 use crate::types::ReplicaId;
 
 impl Edge {
-    /// Continues a stream that another process of this gateway began.
+    /// Continues a stream that another process of this gateway started.
     ///
     /// # Errors
     ///
     /// If a socket can't be registered or has no peer, or the snapshot lacks what the stream needs to go on.
-    pub fn adopt(
+    pub fn resume_handed_over(
         self: Rc<Self>,
         ex: &'static LocalExecutor<'static>,
         mut snapshot: StreamSnapshot,
@@ -36,7 +36,7 @@
         let wire = BufferedStream::handed(client, std::mem::take(&mut snapshot.buffers.from_client))?;
         let from = wire.peer()?;
         let updates = Running::from_snapshot(self.fleet.clone(), &mut snapshot, replica)?;
-        let (responder, waiting) = (Responder::new(Dialect::Platform, &snapshot.name), out.len());
+        let (responder, queued_bytes) = (Responder::new(Dialect::Platform, &snapshot.name), out.len());
         let encoder =
             ResponseEncoder::resumed(responder.clone(), self.context.omissions.clone(), &self.limits);
         let back = Rc::new(RefCell::new(None));
@@ -50,7 +50,14 @@
             is_message: false,
             back: back.clone(),
             from: Instant::now(),
-            charge: Charge { edge: self.clone(), grant: None, prompt: 0, output: 0, events: 0, ran: true },
+            charge: Charge {
+                edge: self.clone(),
+                grant: None,
+                prompt: 0,
+                output: 0,
+                events: 0,
+                may_have_run: true,
+            },
         };
         let sink = RespondingClient { exchange, encoder, out, written: 0 };
         let info = StreamInfo {
@@ -63,7 +70,7 @@
         let mut slot = self.slots.acquire();
         slot.set_state(ConnectionState::Serving);
         ex.spawn(async move {
-            engine::resume_stream(&self.engine, &info, (updates, sink, waiting), &*self).await;
+            engine::resume_stream(&self.engine, &info, (updates, sink, queued_bytes), &*self).await;
             match back.take() {
                 Some(AfterResponse::KeepAlive(wire)) => {
                     slot.set_state(ConnectionState::Idle);
@@ -92,11 +99,13 @@
         };
         let sent = match (sink.write_snapshot(&mut snapshot), updates.write_snapshot(&mut snapshot)) {
             (Some(client), Some(replica)) => self.successors.send(&snapshot, [client, replica]),
-            _ => Err(io::Error::other("its state can't be handed over")),
+            _ => Err(io::Error::other("the state of the stream can't be handed over")),
         };
         match &sent {
             Ok(()) => updates.mark_handed_over(),
-            Err(e) => log::debug!(id = format!("{:016x}", info.id); "not-handed-over: {e}"),
+            Err(e) => {
+                log::debug!(id = format!("{:016x}", info.id); "not-handed-over: the stream stays in this process: {e}");
+            }
         }
         sent.is_ok()
     }
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -1,4 +1,4 @@
-//! Edge connections: the listeners, and the clients' side of each request.
+//! Client connections: the listeners, and the client side of each request.
 
 mod after_response;
 mod buffered_bytes;
@@ -31,25 +31,25 @@
 use crate::limits::Limits;
 use crate::process::overlap::{ConnectionCounts, ConnectionReport, Overlap};
 
-/// What all edge connections share.
+/// The state that all client connections share.
 pub struct Edge {
     engine: Engine,
     fleet: Rc<Fleet>,
     context: Rc<FrontContext>,
     limits: Rc<Limits>,
-    /// A connection's limits, with the bounds of the messages front's bodies.
+    /// The HTTP limits of the messages front, which has its own limit on bodies.
     messages_wire: Http1Limits,
     lifecycle: Rc<LifecycleMonitor>,
-    /// Where streams that outlast this process go, if they may.
+    /// The processes to which streams that outlast this one may be handed over.
     successors: Rc<Successors>,
     slots: Rc<SlotPool>,
     buffered_bytes: Cell<usize>,
-    /// Listeners that are open.
+    /// The number of open listeners.
     listeners: Cell<usize>,
 }
 
 impl Edge {
-    /// Without connections yet.
+    /// Creates the shared state, without connections yet.
     pub fn new(
         engine: Engine,
         fleet: Rc<Fleet>,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes connections for as long as the lifecycle has them accepted, then returns with the listener closed.
+    /// Accepts connections for as long as the lifecycle allows, then closes the listener and returns.
     pub async fn listen(
         self: Rc<Self>,
         ex: &'static LocalExecutor<'static>,
@@ -89,26 +89,25 @@
         dialect: Dialect,
     ) {
         self.listeners.set(self.listeners.get() + 1);
-        let take = |(stream, from)| {
+        let accept = |(stream, from)| {
             let (wire, slot) = (BufferedStream::new(stream), self.slots.acquire());
             ex.spawn(self.clone().connection(wire, from, dialect, slot)).detach();
         };
         while self.lifecycle.accepting().await {
             let next = async {
-                // Guards against a crowd that connects and says nothing, or asks once and stays, while others
-                // wait to be accepted.
+                // Silent and idle connections must not hold all slots while other clients wait to be accepted.
                 if self.open() >= self.connection_limit() {
                     return self.slots.evict_and_wait(self.limits.edge.slot_check_interval).await;
                 }
                 match listener.accept().await {
-                    Ok(taken) => take(taken),
+                    Ok(accepted) => accept(accepted),
                     Err(e) => {
-                        // Guards against dying, or spinning, when no descriptor is free.
+                        // Without a free descriptor, the loop goes on after a pause, and neither ends nor spins.
                         log::warn!("accept-failed: {e}");
-                        // None is free in this process. Guards against accepting, and failing, on and on,
-                        // while discovery, replicas and operators find none either.
+                        // No descriptor is free in this process. Lower limits leave some for discovery, replicas
+                        // and operators; otherwise accepting would fail again and again, and so would these.
                         if Errno::from_io_error(&e) == Some(Errno::MFILE) {
-                            self.run_out();
+                            self.lower_connection_limits();
                         }
                         Timer::after(self.limits.edge.accept_pause).await;
                     }
@@ -116,57 +115,58 @@
             };
             future::or(next, self.lifecycle.closed()).await;
         }
-        // Guards against a reset of what the system has accepted by now: it is told that this process takes no more.
+        // Closing the listener resets connections in its queue. So these are accepted first, and told that this process
+        // serves no more requests.
         while self.lifecycle.owns_accept_queue()
             && self.open() < self.connection_limit()
-            && let Some(Ok(taken)) = future::poll_once(listener.accept()).await
+            && let Some(Ok(accepted)) = future::poll_once(listener.accept()).await
         {
-            take(taken);
+            accept(accepted);
         }
         self.listeners.set(self.listeners.get() - 1);
     }
 
-    /// Stops: requests are still taken for the grace, on the connections that clients have too, since another
-    /// gateway may not be there to take them; then listeners and idle edge connections close, and
-    /// open requests get their responses.
+    /// Shuts down gracefully. Requests are still accepted for the grace period, also on open connections, since no other
+    /// gateway may be available yet. Then listeners and idle client connections close, and open requests get their
+    /// responses.
     pub async fn stop(&self) {
         self.lifecycle.stop();
         self.engine.shut_down_streams(self.limits.stream.shutdown_timeout);
         while !self.lifecycle.is_finished(self.open()) || self.listeners.get() > 0 {
-            // Looks again by itself: the listeners wait for the same word, and only one of all hears it.
-            let word = future::or(self.slots.freed(), self.lifecycle.changed());
-            let _ = within(self.limits.edge.slot_check_interval, word).await;
+            // Polls as well: the listeners wait for the same notification, which wakes only one waiting task.
+            let notification = future::or(self.slots.freed(), self.lifecycle.changed());
+            let _ = within(self.limits.edge.slot_check_interval, notification).await;
         }
     }
 
-    /// Takes fewer connections from now on, since there are fewer descriptors than the configuration says.
-    fn run_out(&self) {
+    /// Lowers the connection limits after a lack of descriptors: fewer are available than the configuration requires.
+    fn lower_connection_limits(&self) {
         let overlap = &self.fleet.overlap;
         if overlap.reduce_limits(self.report().open, self.limits.reserved_descriptors) {
             let ConnectionCounts { edge, replicas } = overlap.limits();
-            log::warn!(edge = edge, replicas = replicas; "descriptors-short: raise this process's limit to what limits.sockets says; until then it holds fewer connections");
+            log::warn!(edge = edge, replicas = replicas; "descriptors-short: lowered the connection limits; raise the descriptor limit of this process to limits.sockets");
         }
     }
 
-    /// ConnectionCounts of this process.
+    /// The limit on client connections of this process.
     fn connection_limit(&self) -> usize {
         self.fleet.overlap.limits().edge
     }
 
-    /// What this process holds, for the one that follows.
+    /// The open connections of this process, for its successor.
     pub fn report(&self) -> ConnectionReport {
         let open = ConnectionCounts { edge: self.open(), replicas: self.fleet.open() };
         ConnectionReport { open, stopping: self.lifecycle.is_stopping() }
     }
 
-    /// Notes what has become of another process, and what of the memory is this one's since then.
+    /// Records a change of another process, and adjusts this process's share of the stream memory.
     pub fn overlap(&self, change: impl FnOnce(&Overlap)) {
         let overlap = &self.fleet.overlap;
         change(overlap);
         self.engine.set_stream_budget(overlap.share(self.limits.stream.budget));
     }
 
-    /// Edge connections that are open.
+    /// The number of open client connections.
     pub fn open(&self) -> usize {
         self.slots.in_use()
     }
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -1,4 +1,4 @@
-//! Reading a client's request, within its bounds of time and memory.
+//! Reads a client's request within limits of time and memory.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::net::slot_pool::Slot;
 use tulipridge_http1::RequestError;
 
-/// A request that has arrived whole.
+/// A request that was received completely.
 pub(super) struct IncomingRequest {
     pub(super) head: Head,
     pub(super) body: Vec<u8>,
@@ -26,15 +26,15 @@
 }
 
 impl Edge {
-    /// A request's id as its client is told it, and as replicas are: of the messages front every request gets
-    /// one, and an id of another form is known by its hash, so that its second use is noticed here too.
-    pub(super) fn name(&self, dialect: Dialect, head: &mut Head) -> String {
+    /// Determines the request's id, which the client and the replicas are told. Every request of the messages front gets
+    /// one. A client's id of another form is replaced by its hash, so that its second use is detected here too.
+    pub(super) fn resolve_request_id(&self, dialect: Dialect, head: &mut Head) -> String {
         let given = head.get("x-request-id").map(crate::front::platform::key);
         if dialect == Dialect::Platform {
             return head.get("x-request-id").unwrap_or_default().to_owned();
         }
         let number = given.unwrap_or_else(|| self.engine.generate_id());
-        // Two of them are left for the front to refuse.
+        // A request with two ids is left for the front to reject.
         if head.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("x-request-id")).count() > 1 {
             return request_id(number);
         }
@@ -43,7 +43,7 @@
         request_id(number)
     }
 
-    /// How what comes behind a request on this connection is taken.
+    /// Creates the state for data that a client sends behind its request.
     pub(super) fn pipelined(self: &Rc<Self>, dialect: Dialect, wire: &BufferedStream) -> Pipelined {
         let wire_limits = self.wire_limits(dialect);
         let largest = wire_limits.head_bytes + wire_limits.body_bytes;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A connection's limits, with the bounds of that front's bodies.
+    /// The HTTP limits of a front.
     fn wire_limits(&self, dialect: Dialect) -> &Http1Limits {
         match dialect {
             Dialect::Platform => &self.limits.wire,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Reads the next request whole. `None`: the connection ended, was idle for too long, or shall close.
+    /// Reads the next request completely. `None`: the connection ended, exceeded its idle timeout, or has to close.
     pub(super) async fn request(
         self: &Rc<Self>,
         wire: &mut BufferedStream,
@@ -83,17 +83,18 @@
                 future::or(self.lifecycle.idle_expired(silent_since), slot.evicted()).await;
                 Ok(0)
             };
-            // Guards against a crowd that holds slots and says nothing at all.
-            let patience =
+            // A connection that has sent nothing yet has a time limit of its own, so that it can't hold a slot for long.
+            let timeout =
                 if silent_since.is_some() { limits.edge.read_timeout } else { limits.edge.idle_timeout };
-            let idle = async { within(patience, wire.fill(wire_limits)).await.unwrap_or(Ok(0)) };
-            // What has come is read before the close is heeded, also if nobody has said so here yet: a request that
-            // crosses a close costs its client another connection.
+            let idle = async { within(timeout, wire.fill(wire_limits)).await.unwrap_or(Ok(0)) };
+            // Data that has arrived is read before the connection closes, also if its readiness was not reported yet: a
+            // request that crosses a close costs its client another connection.
             if !future::or(idle, closing).await.is_ok_and(|n| n > 0) && wire.is_quiet() {
                 return Ok(None);
             }
         }
-        // The first request's time began with the connection: one that trickles in has no more than a silent one.
+        // The time for the first request counts from the opening of the connection, so that a request that arrives slowly
+        // has no more time than a silent connection.
         let spent = silent_since.map_or(0, |since| self.engine.now().saturating_sub(since));
         slot.set_state(ConnectionState::Receiving);
         let receiving = self.receive(wire, wire_limits, slot);
@@ -102,11 +103,11 @@
             slot.evicted().await;
             Ok(late())
         };
-        let patience = limits.edge.read_timeout.saturating_sub(Duration::from_nanos(spent));
-        future::or(within(patience, receiving), left).await.unwrap_or_else(|_| late())
+        let timeout = limits.edge.read_timeout.saturating_sub(Duration::from_nanos(spent));
+        future::or(within(timeout, receiving), left).await.unwrap_or_else(|_| late())
     }
 
-    /// Reads a request of which something may have come. `None`: the connection ended before the request did.
+    /// Reads a request that may have arrived in part. `None`: the connection ended before the request did.
     async fn receive(
         self: &Rc<Self>,
         wire: &mut BufferedStream,
@@ -136,11 +137,11 @@
             if body.len() > wire_limits.body_bytes {
                 return Err(ParseError::BodyTooLarge.into());
             }
-            bytes.grow_to(body.len());
+            bytes.set_count(body.len());
             if is_complete {
                 return Ok(Some(IncomingRequest { head, body, bytes }));
             }
-            // Guards against running out of memory: what does not fit waits in its socket.
+            // Bounds the memory of all requests that are being read: beyond it, data waits in the sockets.
             while self.buffered_bytes.get() > self.fleet.overlap.share(self.limits.edge.buffered_bytes) {
                 Timer::after(self.limits.edge.accept_pause).await;
             }
@@ -152,7 +153,7 @@
     }
 }
 
-/// A request's id as clients of the messages front are told it; its digits are those in the log.
+/// Formats a request's id for clients of the messages front, with the same digits as in the log.
 pub(super) fn request_id(number: u64) -> String {
     format!("req_{number:016x}")
 }
--- a/src/net/edge/responding_client.rs
+++ b/src/net/edge/responding_client.rs
@@ -1,4 +1,4 @@
-//! A client that receives its response.
+//! A client that is receiving its response.
 
 use std::os::fd::BorrowedFd;
 use std::task::{Context, Poll, ready};
@@ -13,7 +13,7 @@
 /// Upper bound of the bytes that frame a batch of events.
 const FRAMING_BYTES: usize = 256;
 
-/// A client that receives its response.
+/// A client that is receiving its response.
 pub(super) struct RespondingClient {
     pub(super) exchange: Exchange,
     pub(super) encoder: ResponseEncoder,
@@ -23,7 +23,7 @@
 }
 
 impl RespondingClient {
-    /// Queues what `add` appends; returns the number of bytes.
+    /// Queues the bytes that `add` appends; returns their number.
     fn add(&mut self, add: impl FnOnce(&mut ResponseEncoder, &mut Vec<u8>)) -> usize {
         if self.written > 0 {
             self.out.drain(..std::mem::take(&mut self.written));
@@ -33,7 +33,8 @@
         self.out.len() - length_before
     }
 
-    /// Adds the client's state to a snapshot, and returns its connection; `None` if it has state that can't be handed over.
+    /// Writes the client's state into a snapshot and returns its connection; `None` if it has state that can't be handed
+    /// over.
     pub(super) fn write_snapshot(&self, snapshot: &mut StreamSnapshot) -> Option<BorrowedFd<'_>> {
         if !self.encoder.is_plain() || self.exchange.charge.grant.is_some() {
             return None;
@@ -51,7 +52,7 @@
         Some(self.exchange.wire.fd())
     }
 
-    fn taken(&mut self, bytes: usize) {
+    fn record_written(&mut self, bytes: usize) {
         self.written += bytes;
         if self.written == self.out.len() {
             self.written = 0;
@@ -82,7 +83,7 @@
     fn queue(&mut self, batch: Batch) -> usize {
         self.exchange.charge.record(&batch);
         if !self.encoder.is_message() {
-            // Reserves no more than the events need, since the queue of a paused reader lives long.
+            // Reserves no more than the events need, since the queue of a slow client may exist for a long time.
             self.out.reserve_exact(batch.bytes.len() + FRAMING_BYTES);
         }
         let keep = self.exchange.keep;
@@ -98,10 +99,10 @@
     }
 
     fn poll_write(&mut self, cx: &mut Context<'_>) -> Poll<Result<usize, Disconnect>> {
-        let taken = ready!(self.exchange.wire.poll_write(cx, &self.out[self.written..]));
-        Poll::Ready(match taken {
+        let written = ready!(self.exchange.wire.poll_write(cx, &self.out[self.written..]));
+        Poll::Ready(match written {
             Ok(count) => {
-                self.taken(count);
+                self.record_written(count);
                 Ok(count)
             }
             Err(_) => Err(Disconnect::Reset),
@@ -109,7 +110,7 @@
     }
 
     fn finish(self) {
-        // A connection that was announced as kept alive is closed by the lifecycle, like idle ones.
+        // A connection that was announced as kept alive stays open; the lifecycle closes it like other idle ones.
         let keep = self.exchange.keep;
         self.exchange.give_back(keep);
     }
--- a/src/net/edge/waiting_client.rs
+++ b/src/net/edge/waiting_client.rs
@@ -1,4 +1,4 @@
-//! A client that waits for its response.
+//! A client that is waiting for its response.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::net::upstream::Batch;
 use tulipridge_http1::RequestError;
 
-/// A client that waits for its response. Each way to respond consumes it, so that it gets just one.
+/// A client that is waiting for its response. Each way to respond consumes it, so that it gets exactly one response.
 pub(super) struct WaitingClient(pub(super) Exchange);
 
 impl engine::Client<Batch> for WaitingClient {
@@ -28,7 +28,7 @@
 
     async fn abandon(mut self) {
         if !self.0.pipelined.input.is_flood() {
-            log::debug!(id = self.0.responder.id, after:? = self.0.from.elapsed(); "client-gone: before its response");
+            log::debug!(id = self.0.responder.id, after:? = self.0.from.elapsed(); "client-gone: the client disconnected before its response");
             return;
         }
         let error = RequestError::PipelinedTooMuch;
@@ -39,23 +39,23 @@
     }
 
     async fn shed(mut self, wait: Duration) {
-        log::debug!(id = self.0.responder.id, after:? = self.0.from.elapsed(), wait:? = wait; "request-shed: by the module, or for want of time");
-        self.0.charge.ran = false;
+        log::debug!(id = self.0.responder.id, after:? = self.0.from.elapsed(), wait:? = wait; "request-shed: shed by the load balancer, or too little time left");
+        self.0.charge.may_have_run = false;
         let response = self.0.responder.shed(wait);
         self.0.respond(response).await;
     }
 
     async fn reject(mut self, Rejection { status, message }: Rejection) {
         log::info!(id = self.0.responder.id, status = status; "rejected: {message}");
-        self.0.charge.ran = false;
+        self.0.charge.may_have_run = false;
         let response = self.0.responder.bad(status, &message);
         self.0.respond(response).await;
     }
 
     async fn fail(mut self, why: FailureReason) {
-        log::debug!(id = self.0.responder.id, after:? = self.0.from.elapsed(), why:? = why; "failed: by the module");
+        log::debug!(id = self.0.responder.id, after:? = self.0.from.elapsed(), why:? = why; "failed: the load balancer ended the request without a response");
         if why == FailureReason::Refused {
-            self.0.charge.ran = false;
+            self.0.charge.may_have_run = false;
         }
         let response = self.0.responder.failed(why);
         self.0.respond(response).await;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -102,7 +102,7 @@
             loop {
                 match accept_with(listener.get_ref(), SocketFlags::CLOEXEC).map(Async::new) {
                     Ok(Ok(socket)) => {
-                        ex.spawn(self.clone().serve_newer(Rc::new(socket), edge.clone())).detach()
+                        ex.spawn(self.clone().serve_newer(Rc::new(socket), edge.clone())).detach();
                     }
                     Ok(Err(e)) => log::warn!("handover-accept-failed: {e}"),
                     Err(e) if e == rustix::io::Errno::AGAIN => drop(listener.readable().await),
@@ -173,7 +173,7 @@
             Ok(Message::Report(report)) => edge.overlap(|overlap| overlap.older_reported(report)),
             Ok(Message::Stream(snapshot, connections)) => {
                 let id = snapshot.id;
-                match edge.clone().adopt(ex, *snapshot, connections) {
+                match edge.clone().resume_handed_over(ex, *snapshot, connections) {
                     Ok(()) => resumed += 1,
                     Err(e) => log::warn!(id = format!("{id:016x}"); "handover-failed: {e}"),
                 }
--- a/src/net/handover_message.rs
+++ b/src/net/handover_message.rs
@@ -1,4 +1,4 @@
-//! The message that hands a begun stream over to another process of this gateway; its connections are sent beside it.
+//! The message that hands a stream over to another process of this gateway; the stream's connections are sent with it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,54 +9,54 @@
 use crate::front::Usage;
 use crate::types::Nanos;
 
-/// The version of the format; processes with different versions hand nothing over.
+/// The version of the format; processes with different versions don't hand streams over.
 pub const FORMAT_VERSION: u32 = 1;
-/// Bytes of the lengths before a snapshot's parts, four bytes each: its description and four buffers.
-const LENGTHS: usize = 5 * 4;
+/// Bytes of the length fields, four bytes for each part of a snapshot: its description and four buffers.
+const LENGTHS_BYTES: usize = 5 * 4;
 
-/// The buffered bytes of a begun stream.
+/// The buffered bytes of a stream.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StreamBuffers {
-    /// Encoded, to be written to the client.
+    /// Encoded bytes that were not written to the client yet.
     pub to_client: Vec<u8>,
-    /// Received from the client and not parsed.
+    /// Bytes received from the client and not parsed yet.
     pub from_client: Vec<u8>,
-    /// Received from the replica and not decoded.
+    /// Bytes received from the replica and not decoded yet.
     pub from_replica: Vec<u8>,
-    /// Decoded from the replica's body, but not a complete event yet.
+    /// Bytes decoded from the replica's body that are no complete event yet.
     pub partial_event: Vec<u8>,
 }
 
-/// A begun stream without its connections.
+/// The state of a stream without its connections.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StreamSnapshot {
-    /// The request's id, as the load balancer knew it.
+    /// The request's id in the load balancer.
     pub id: u64,
-    /// The request's id as its client knows it.
+    /// The request's id as the client was told it.
     pub name: String,
-    /// The request's class, for the record.
+    /// The request's class, for the record of its end.
     pub class: usize,
-    /// The request's tenant, for the record.
+    /// The request's tenant, for the record of its end.
     pub tenant: Option<usize>,
-    /// Time to its first event.
+    /// The time to the first event.
     pub first: Nanos,
-    /// The client's connection can be reused afterwards.
+    /// The client's connection may carry another request afterwards.
     pub keep_client: bool,
-    /// Its replica.
+    /// The id of the replica.
     #[serde(rename = "server")]
     pub replica: String,
     /// The replica's address.
     pub addr: Option<SocketAddr>,
     /// The state of the response body's framing.
     pub body: Option<Body>,
-    /// The replica's connection can be reused afterwards.
+    /// The replica's connection may carry another request afterwards.
     #[serde(rename = "keep_server")]
     pub keep_replica: bool,
-    /// Its last event has arrived.
+    /// The last event of the stream has arrived.
     pub last: bool,
     /// The token usage stated so far.
     pub usage: Option<Usage>,
-    /// The bytes that it has buffered.
+    /// The buffered bytes.
     #[serde(skip)]
     pub buffers: StreamBuffers,
 }
@@ -86,17 +86,22 @@
     ///
     /// If the lengths don't add up to those of `bytes`, or the description isn't a snapshot.
     pub fn read(bytes: &[u8]) -> io::Result<StreamSnapshot> {
-        let wrong = || io::Error::new(io::ErrorKind::InvalidData, "lengths that don't fit");
-        let (lengths, mut rest) = bytes.split_at_checked(LENGTHS).ok_or_else(wrong)?;
+        let mismatch = || {
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                "the length fields don't match the length of the message",
+            )
+        };
+        let (lengths, mut rest) = bytes.split_at_checked(LENGTHS_BYTES).ok_or_else(mismatch)?;
         let mut parts = Vec::with_capacity(5);
         for length in lengths.chunks_exact(4) {
             let length = u32::from_be_bytes([length[0], length[1], length[2], length[3]]) as usize;
-            let (part, after) = rest.split_at_checked(length).ok_or_else(wrong)?;
+            let (part, after) = rest.split_at_checked(length).ok_or_else(mismatch)?;
             parts.push(part);
             rest = after;
         }
         if !rest.is_empty() {
-            return Err(wrong());
+            return Err(mismatch());
         }
         let mut snapshot: StreamSnapshot = serde_json::from_slice(parts[0])?;
         let StreamBuffers { to_client, from_client, from_replica, partial_event } = &mut snapshot.buffers;
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,8 +1,8 @@
-//! Where listeners come from: bound at an address, or inherited from the platform.
+//! Opens listeners: bound at an address, or inherited from the platform.
 //!
-//! The platform names an inherited descriptor in `EDGE_INHERITED_FD`. The library that adopts it knows it by the
-//! names of socket activation; as a running program can't well change its own environment, it puts itself in its
-//! own place once, with these names set. The process stays the same one.
+//! The platform passes the number of an inherited descriptor in `EDGE_INHERITED_FD`. The library that adopts it reads the
+//! variables of socket activation. Changing the environment of a running program isn't safe, so the program executes
+//! itself once more with these variables set; the process id stays the same.
 
 use std::env;
 use std::io;
@@ -18,20 +18,20 @@
 use super::limit_socket_buffers;
 use crate::limits::Limits;
 
-/// The variable by which the platform names an inherited listener.
+/// The environment variable with the descriptor number of an inherited listener.
 const INHERITED_LISTENER_VARIABLE: &str = "EDGE_INHERITED_FD";
 
 /// Why there is no listener.
 #[derive(Debug, Snafu)]
 pub enum ListenError {
-    /// An inherited listener can't be taken over.
+    /// An inherited listener can't be adopted.
     #[snafu(display("the inherited listener: {source}"))]
     Inherited {
         /// The error of the operating system.
         source: io::Error,
     },
     /// More than one listener is inherited.
-    #[snafu(display("the inherited listener: there are {count} of them, and one port for them"))]
+    #[snafu(display("the inherited listener: expected one, got {count}"))]
     SeveralInherited {
         /// Their number.
         count: usize,
@@ -39,21 +39,21 @@
     /// The inherited socket does not listen.
     #[snafu(display("the inherited listener: the socket does not listen"))]
     NoListener,
-    /// The platform's variable names no descriptor.
-    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: '{given}' is no descriptor's number above 2"))]
+    /// The variable contains no valid descriptor number.
+    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: '{given}' is not a descriptor number above 2"))]
     BadDescriptor {
-        /// What it says.
+        /// The value of the variable.
         given: String,
     },
-    /// The program's own file is not known, by which it would start over.
-    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: the program's own file: {source}"))]
-    NoProgramFile {
+    /// The path of the executable can't be determined, so the program can't execute itself.
+    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: finding the executable: {source}"))]
+    NoExecutable {
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The program could not start over.
-    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: starting over with it: {source}"))]
-    StartOver {
+    /// The program could not execute itself.
+    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: executing the program again: {source}"))]
+    Execute {
         /// The error of the operating system.
         source: io::Error,
     },
@@ -70,20 +70,20 @@
     OtherAddress {
         /// The address to listen at.
         address: SocketAddr,
-        /// Where the inherited one is.
+        /// The address of the inherited listener.
         inherited: SocketAddr,
     },
 }
 
-/// The listener that this process has inherited, if it has one. If the platform names one and the library does not
-/// know it yet, the program starts over. To be called before anything else runs, as the environment changes.
+/// Returns the inherited listener of this process, if it has one. If `EDGE_INHERITED_FD` is set, the program executes
+/// itself again with the variables of socket activation. Must be called before anything else runs.
 ///
 /// # Errors
 ///
-/// What is wrong with the inherited listener, or why the program could not start over with it.
+/// If the inherited listener is unusable, or the program can't execute itself.
 pub fn inherited() -> Result<Option<TcpListener>, ListenError> {
     if let Ok(descriptor) = env::var(INHERITED_LISTENER_VARIABLE) {
-        return Err(start_over(&descriptor));
+        return Err(execute_again(&descriptor));
     }
     let mut all = ListenFd::from_env();
     if all.len() > 1 {
@@ -95,15 +95,15 @@
     Ok(Some(listener))
 }
 
-/// Puts the program in its own place, with the names that the library knows; returns only with what is wrong.
-fn start_over(descriptor: &str) -> ListenError {
-    // The standard three can't be listeners: what they say would go to clients.
+/// Executes the program again with the variables of socket activation; returns only if that fails.
+fn execute_again(descriptor: &str) -> ListenError {
+    // The three standard streams can't be listeners: their output would go to clients.
     if !descriptor.parse::<i32>().is_ok_and(|number| number > 2) {
         return BadDescriptorSnafu { given: descriptor }.build();
     }
     let program = match env::current_exe() {
         Ok(program) => program,
-        Err(error) => return NoProgramFileSnafu.into_error(error),
+        Err(error) => return NoExecutableSnafu.into_error(error),
     };
     let mut args = env::args_os();
     let mut command = Command::new(program);
@@ -112,14 +112,14 @@
     }
     command.args(args).env_remove(INHERITED_LISTENER_VARIABLE).env_remove("LISTEN_PID");
     command.env("LISTEN_FDS", "1").env("LISTEN_FDS_FIRST_FD", descriptor);
-    StartOverSnafu.into_error(command.exec())
+    ExecuteSnafu.into_error(command.exec())
 }
 
-/// A listener ready to accept, bound here if none was inherited; `port` says in the log what it is for.
+/// Opens a listener that is ready to accept, and binds it if none was inherited; `port` is its purpose in the log.
 ///
 /// # Errors
 ///
-/// What can't be bound or set up, with its address; also an inherited listener that is at another address.
+/// If the address can't be bound or set up, or the inherited listener has another address.
 pub fn open(
     addr: SocketAddr,
     inherited: Option<TcpListener>,
@@ -128,7 +128,7 @@
 ) -> Result<Async<TcpListener>, ListenError> {
     let is_inherited = inherited.is_some();
     let listener = inherited.map_or_else(|| TcpListener::bind(addr), Ok).and_then(|listener| {
-        // Connections have their buffers from their listener.
+        // Connections inherit the buffer sizes of their listener.
         limit_socket_buffers(&SockRef::from(&listener), &limits.wire);
         Async::new(listener)
     });
@@ -138,6 +138,6 @@
     if is_inherited && (at.port() != addr.port() && addr.port() != 0 || at.ip() != addr.ip() && !any) {
         return OtherAddressSnafu { address: addr, inherited: at }.fail();
     }
-    log::info!(addr:% = at, port = port, inherited = is_inherited; "listening: ready to accept");
+    log::info!(addr:% = at, port = port, inherited = is_inherited; "listening: ready to accept connections");
     Ok(listener)
 }
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -1,7 +1,7 @@
-//! The second address: whether this process can serve, and orders to drain and to take clients again.
+//! The management address: whether this process can serve requests, and calls that start and end a drain.
 //!
-//! One call for each connection. Callers have slots of their own, so that no crowd of clients keeps a call out; and
-//! among callers the one that needs its slot least gives it up, so that no crowd of callers does.
+//! Each connection carries one call. Callers have their own connection slots, so that client connections can't block a
+//! call. When all of these are in use, a slot that is least needed is evicted, so that other callers can't block one.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 use crate::front::Response;
 use crate::limits::Limits;
 
-/// What all callers share.
+/// The state that all management connections share.
 pub struct Mgmt {
     lifecycle: Rc<LifecycleMonitor>,
     limits: Rc<Limits>,
@@ -27,7 +27,7 @@
 }
 
 impl Mgmt {
-    /// No callers yet.
+    /// Creates the state, without connections yet.
     pub fn new(engine: Engine, lifecycle: Rc<LifecycleMonitor>, limits: Rc<Limits>) -> Mgmt {
         let timeouts = SlotTimeouts {
             silent: limits.management.evict_silent_after,
@@ -38,7 +38,7 @@
         Mgmt { lifecycle, limits, slots: Rc::new(SlotPool::new(engine, timeouts)) }
     }
 
-    /// Takes calls for as long as the program lives.
+    /// Accepts calls for the life of the process.
     pub async fn listen(self: Rc<Self>, ex: &'static LocalExecutor<'static>, listener: Async<TcpListener>) {
         loop {
             if self.slots.in_use() >= self.limits.management.connections {
@@ -49,8 +49,8 @@
                 Ok((stream, from)) => {
                     let (this, slot) = (self.clone(), self.slots.acquire());
                     ex.spawn(async move {
-                        let left = slot.evicted();
-                        future::or(this.call(stream, from, slot), left).await;
+                        let evicted = slot.evicted();
+                        future::or(this.call(stream, from, slot), evicted).await;
                     })
                     .detach();
                 }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// One call, answered within its time, whatever has come of it.
+    /// Reads one call and responds to it, also if the call is invalid or incomplete at its time limit.
     async fn call(&self, stream: Async<TcpStream>, from: SocketAddr, mut slot: Slot) {
         let mut wire = BufferedStream::new(stream);
         let head = within(self.limits.management.read_timeout, self.head(&mut wire, &mut slot)).await;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A call's head; a body says nothing here. `None`: the caller left.
+    /// Reads the head of a call; the body is not used. `None`: the caller disconnected.
     async fn head(&self, wire: &mut BufferedStream, slot: &mut Slot) -> Result<Option<Head>, ParseError> {
         loop {
             if let Some(head) = codec::request_head(&mut wire.buf, &self.limits.wire)? {
@@ -98,18 +98,18 @@
     fn respond(&self, head: &Head, from: SocketAddr) -> Response {
         let [method, target, _] = &head.start;
         let path = target.split('?').next().unwrap_or_default();
-        let (wanted, order): (&str, fn(&Mgmt) -> Response) = match path {
+        let (expected_method, handler): (&str, fn(&Mgmt) -> Response) = match path {
             "/ready" => ("GET", Mgmt::ready),
             "/drain" => ("POST", Mgmt::drain),
             "/undrain" => ("POST", Mgmt::undrain),
             _ => return Response::text(404, "no such call: GET /ready, POST /drain, POST /undrain"),
         };
-        if method != wanted {
-            return Response::text(405, "not that method").with("Allow", wanted);
+        if method != expected_method {
+            return Response::text(405, "not that method").with("Allow", expected_method);
         }
-        let response = order(self);
-        if wanted == "POST" {
-            log::info!(call = path, client:% = from, status = response.status; "mgmt-call: an order");
+        let response = handler(self);
+        if expected_method == "POST" {
+            log::info!(call = path, client:% = from, status = response.status; "mgmt-call: handled a management call");
         }
         response
     }
--- a/src/net/object_splitter.rs
+++ b/src/net/object_splitter.rs
@@ -61,7 +61,7 @@
             }
         }
         if self.depth == 0 {
-            // Whitespace between objects is dropped.
+            // Discards whitespace between objects.
             text.clear();
             self.position = 0;
         }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,6 +1,6 @@
-//! The store's peers: exchanges with each of them, and the port for peers and operators.
+//! Peers of the store: exchanges with each of them, and the port for peers and operators.
 //!
-//! Both speak lines of JSON. A peer sends `{"digest":{...}}`; the response is `{"news":{...},"digest":{...}}`, and
+//! Both use lines of JSON. A peer sends `{"digest":{...}}`; the response is `{"news":{...},"digest":{...}}`, and
 //! the peer sends its own newer entries back. An operator sends `{"get":"key"}`, `{"under":"prefix"}` or
 //! `{"set":"key","value":...}`.
 
@@ -36,7 +36,7 @@
     store: Rc<Store>,
     limits: Rc<Limits>,
 ) {
-    let (slots, free) = async_channel::bounded(limits.store.peers);
+    let (slots, used_slots) = async_channel::bounded(limits.store.peers);
     loop {
         // A slot is taken for each connection and released at its end.
         if slots.send(()).await.is_err() {
@@ -44,18 +44,18 @@
         }
         match listener.accept().await {
             Ok((stream, from)) => {
-                let (store, limits, free) = (store.clone(), limits.clone(), free.clone());
+                let (store, limits, used_slots) = (store.clone(), limits.clone(), used_slots.clone());
                 let conversation = async move {
                     if let Err(e) = respond(BufferedStream::new(stream), &store, &limits).await {
                         log::info!(peer:% = from; "store-connection-ended: {e}");
                     }
-                    let _ = free.recv().await;
+                    let _ = used_slots.recv().await;
                 };
                 ex.spawn(conversation).detach();
             }
             Err(e) => {
                 log::warn!("store-accept-failed: {e}");
-                let _ = free.recv().await;
+                let _ = used_slots.recv().await;
                 Timer::after(limits.edge.accept_pause).await;
             }
         }
@@ -69,7 +69,7 @@
                 json!({"news": store.newer_than(&digest), "digest": store.digest()})
             }
             Message::News { news } | Message::DigestResponse { news, .. } => {
-                take(store, news);
+                merge_all(store, news);
                 continue;
             }
             Message::Get { get } => json!({"value": store.get(&get)}),
@@ -83,7 +83,7 @@
 
 /// Exchanges entries with a peer at regular intervals. A lost peer is reconnected at the same interval.
 pub async fn exchange(peer: SocketAddr, store: Rc<Store>, limits: Rc<Limits>) {
-    let mut reached = true;
+    let mut is_reachable = true;
     loop {
         let outcome = async {
             let mut wire = BufferedStream::connect(peer, &limits.wire).await?;
@@ -91,13 +91,13 @@
                 write(&mut wire, &json!({"digest": store.digest()}), &limits).await?;
                 let line = within(limits.discovery.response_timeout, read(&mut wire, &limits)).await??;
                 let Some(Message::DigestResponse { news, digest }) = line else {
-                    return Err(io::Error::other("no response to a digest"));
+                    return Err(io::Error::other("expected a response to the digest"));
                 };
-                if !reached {
-                    reached = true;
-                    log::info!(peer:% = peer; "store-peer-back: exchanges go on");
+                if !is_reachable {
+                    is_reachable = true;
+                    log::info!(peer:% = peer; "store-peer-back: the exchanges with the peer continue");
                 }
-                take(&store, news);
+                merge_all(&store, news);
                 let ours = store.newer_than(&digest);
                 if !ours.is_empty() {
                     write(&mut wire, &json!({"news": ours}), &limits).await?;
@@ -106,15 +106,15 @@
             }
         };
         let ended: io::Result<()> = outcome.await;
-        if let (Err(e), true) = (ended, reached) {
-            reached = false;
+        if let (Err(e), true) = (ended, is_reachable) {
+            is_reachable = false;
             log::warn!(peer:% = peer; "store-peer-lost: {e}");
         }
         Timer::after(limits.store.peer_interval).await;
     }
 }
 
-fn take(store: &Store, news: Entries) {
+fn merge_all(store: &Store, news: Entries) {
     for (key, entry) in news {
         store.merge(&key, entry);
     }
@@ -124,7 +124,7 @@
     within(limits.edge.write_timeout, wire.write(format!("{value}\n").as_bytes())).await?
 }
 
-/// The next message; `None` at the end. An invalid or too long line ends the connection.
+/// Reads the next message; `None` at the end of the connection. An invalid or too long line is an error.
 async fn read(wire: &mut BufferedStream, limits: &Limits) -> io::Result<Option<Message>> {
     loop {
         if let Some(end) = wire.buf.iter().position(|b| *b == b'\n') {
@@ -132,7 +132,7 @@
             return Ok(Some(serde_json::from_slice(&line).map_err(io::Error::other)?));
         }
         if wire.buf.len() > limits.store.line_bytes {
-            return Err(io::Error::other("a line too long"));
+            return Err(io::Error::other("a line exceeds the size limit"));
         }
         if wire.fill(&limits.wire).await? == 0 {
             return Ok(None);
--- a/src/net/slot_pool.rs
+++ b/src/net/slot_pool.rs
@@ -1,5 +1,5 @@
-//! A pool of connection slots: the rule of [`crate::admission::connection_slots`] with a clock, and the way to
-//! evict a connection.
+//! A pool of connection slots: applies the rules of [`crate::admission::connection_slots`] against the clock, and notifies
+//! evicted connections.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,25 +14,25 @@
 use crate::engine::Engine;
 use crate::types::Nanos;
 
-/// All slots of one kind.
+/// The slots of one kind of connection.
 pub struct SlotPool {
     engine: Engine,
     slots: RefCell<ConnectionSlots>,
-    /// How each is asked to leave: by closing this.
+    /// The eviction channel of each slot; closing it evicts the connection.
     eviction: RefCell<BTreeMap<u64, Sender<()>>>,
-    /// A slot has become free.
+    /// Notifies one waiting task that a slot has become used_slots.
     freed: (Sender<()>, Receiver<()>),
 }
 
 impl SlotPool {
-    /// With no slot in use.
+    /// Creates a pool with no slot in use.
     #[must_use]
     pub fn new(engine: Engine, timeouts: SlotTimeouts) -> SlotPool {
         let (slots, freed) = (RefCell::new(ConnectionSlots::new(timeouts)), async_channel::bounded(1));
         SlotPool { engine, slots, eviction: RefCell::default(), freed }
     }
 
-    /// Slots that are in use.
+    /// The number of slots in use.
     pub fn in_use(&self) -> usize {
         self.slots.borrow().in_use()
     }
@@ -42,68 +42,68 @@
         self.slots.borrow().is_crowded(capacity)
     }
 
-    /// Asks the one that needs its slot least to give it up, if one has to, and waits until a slot is free or
-    /// it is time to look again.
-    pub async fn evict_and_wait(&self, look: Duration) {
+    /// Evicts the connection that needs its slot least, if one may be evicted, and waits until a slot is free, at most for
+    /// `check_interval`.
+    pub async fn evict_and_wait(&self, check_interval: Duration) {
         let evicted = self.slots.borrow_mut().evict(self.engine.now());
         if let Some(number) = evicted
             && let Some(eviction) = self.eviction.borrow().get(&number)
         {
             eviction.close();
         }
-        let _ = within(look, self.freed()).await;
+        let _ = within(check_interval, self.freed()).await;
     }
 
-    /// Returns once a slot has become free. Only one of all that wait hears of it.
+    /// Waits until a slot becomes used_slots. Only one waiting task is notified.
     pub async fn freed(&self) {
         let _ = self.freed.1.recv().await;
     }
 
-    /// Takes a slot, which is silent at first.
+    /// Acquires a slot, in the silent state.
     pub fn acquire(self: &Rc<Self>) -> Slot {
         let number = self.slots.borrow_mut().acquire(self.engine.now());
-        Slot { pool: self.clone(), number, eviction: self.expect_eviction(number) }
+        Slot { pool: self.clone(), number, eviction: self.eviction_channel(number) }
     }
 
-    /// What one at this slot hears when it is asked to leave.
-    fn expect_eviction(&self, number: u64) -> Receiver<()> {
+    /// Creates the eviction channel of a slot.
+    fn eviction_channel(&self, number: u64) -> Receiver<()> {
         let (send, eviction) = async_channel::bounded(1);
         self.eviction.borrow_mut().insert(number, send);
         eviction
     }
 }
 
-/// A slot, given back when it is dropped.
+/// A slot, which is released when it is dropped.
 pub struct Slot {
     pool: Rc<SlotPool>,
     number: u64,
-    /// Nothing is ever sent here: it closes once the connection shall give up its slot.
+    /// Carries no messages: it is closed when the connection is evicted.
     eviction: Receiver<()>,
 }
 
 impl Slot {
-    /// Since when nothing has come on it, if that is so.
+    /// When the connection opened, if nothing was received on it yet.
     #[must_use]
     pub fn silent_since(&self) -> Option<Nanos> {
         let slot = self.pool.slots.borrow().get(self.number);
         slot.filter(|(state, _)| *state == ConnectionState::Silent).map(|(_, since)| since)
     }
 
-    /// Notes what it is doing now.
+    /// Sets the state of the connection.
     pub fn set_state(&mut self, state: ConnectionState) {
         let before = self.pool.slots.borrow_mut().set_state(self.pool.engine.now(), self.number, state);
-        // One that was asked to leave in the moment in which its request came has stayed after all.
+        // An evicted connection whose request arrived at the same moment stays open, so it needs a new channel.
         if before == Some(ConnectionState::Evicted) {
-            self.eviction = self.pool.expect_eviction(self.number);
+            self.eviction = self.pool.eviction_channel(self.number);
         }
     }
 
-    /// More of a request has come.
+    /// Records that more of a request has arrived.
     pub fn progress(&self) {
         self.pool.slots.borrow_mut().progress(self.pool.engine.now(), self.number);
     }
 
-    /// Returns once it shall leave.
+    /// Waits until the connection is evicted.
     pub fn evicted(&self) -> impl Future<Output = ()> + use<> {
         let eviction = self.eviction.clone();
         async move {
--- a/src/net/upstream/open_response.rs
+++ b/src/net/upstream/open_response.rs
@@ -53,7 +53,7 @@
             };
             match within(limit, self.next(open)).await {
                 Ok(Ok(batch)) if batch.events == 0 => {
-                    open.received_early += std::mem::take(&mut open.received)
+                    open.received_early += std::mem::take(&mut open.received);
                 }
                 Ok(next) => return next,
                 Err(_) if amid => return Err(Verdict::Reset),
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -392,8 +392,8 @@
     let connected = TcpListener::bind("127.0.0.1:0").expect("a port");
     let connected = TcpStream::connect(connected.local_addr().expect("an address")).expect("a connection");
     for (told, stdin, word) in [
-        ("four", Stdio::null(), "'four' is no descriptor's number"),
-        ("1", Stdio::null(), "'1' is no descriptor's number"),
+        ("four", Stdio::null(), "'four' is not a descriptor number"),
+        ("1", Stdio::null(), "'1' is not a descriptor number"),
         ("4", Stdio::null(), "not a socket"),
         ("4", Stdio::from(OwnedFd::from(connected)), "does not listen"),
     ] {
