--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -76,7 +76,8 @@
 }
 
 /// Returns the inherited listener of this process, if it has one. If `EDGE_INHERITED_FD` is set, the program executes
-/// itself again with the variables of socket activation. Must be called before anything else runs.
+/// itself again with the variables of socket activation. Must be called before anything else runs, since it changes the
+/// environment.
 ///
 /// # Errors
 ///
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -1,7 +1,8 @@
 //! The management address: whether this process can serve requests, and calls that start and end a drain.
 //!
 //! Each connection carries one call. Callers have their own connection slots, so that client connections can't block a
-//! call. When all of these are in use, a slot that is least needed is evicted, so that other callers can't block one.
+//! call. When all of these slots are in use, the connection that needs its slot least is evicted, so that other
+//! callers can't block one.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
--- a/src/net/slot_pool.rs
+++ b/src/net/slot_pool.rs
@@ -20,7 +20,7 @@
     slots: RefCell<ConnectionSlots>,
     /// The eviction channel of each slot; closing it evicts the connection.
     eviction: RefCell<BTreeMap<u64, Sender<()>>>,
-    /// Notifies one waiting task that a slot has become used_slots.
+    /// Notifies one waiting task that a slot has become free.
     freed: (Sender<()>, Receiver<()>),
 }
 
@@ -54,7 +54,7 @@
         let _ = within(check_interval, self.freed()).await;
     }
 
-    /// Waits until a slot becomes used_slots. Only one waiting task is notified.
+    /// Waits until a slot becomes free. Only one waiting task is notified.
     pub async fn freed(&self) {
         let _ = self.freed.1.recv().await;
     }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -122,7 +122,7 @@
         Ok(connection)
     }
 
-    /// Reads the rest of an unusable response if it arrives soon, to keep its connection.
+    /// Reads the rest of an unusable response within the drain timeout, so that its connection can be reused.
     async fn drain_unusable(
         &self,
         replica: &ReplicaId,
