--- a/src/net/lifecycle_monitor.rs
+++ b/src/net/lifecycle_monitor.rs
@@ -44,17 +44,17 @@
     }
 
     fn change<T>(&self, change: impl FnOnce(&mut Lifecycle, Nanos) -> T) -> T {
-        let (had, got, state) = {
+        let (previous, result, state) = {
             let mut life = self.life.borrow_mut();
-            let had = life.state();
-            let got = change(&mut life, self.engine.now());
-            (had, got, life.state())
+            let previous = life.state();
+            let result = change(&mut life, self.engine.now());
+            (previous, result, life.state())
         };
-        if had != state {
-            log::info!(from:? = had, to:? = state; "state: lifecycle state changed");
+        if previous != state {
+            log::info!(from:? = previous, to:? = state; "state: lifecycle state changed");
             self.notify_waiters();
         }
-        got
+        result
     }
 
     fn notify_waiters(&self) {
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -17,35 +17,36 @@
 use crate::types::{ReplicaId, Verdict};
 
 /// Why an attempt has no response to forward.
-pub(super) enum Refusal {
+pub(super) enum AttemptFailure {
     /// The attempt failed.
     Attempt(AttemptOutcome),
     /// The request itself is invalid.
     Request(Rejection),
 }
 
-impl From<Verdict> for Refusal {
-    fn from(verdict: Verdict) -> Refusal {
-        Refusal::Attempt(verdict.into())
+impl From<Verdict> for AttemptFailure {
+    fn from(verdict: Verdict) -> AttemptFailure {
+        AttemptFailure::Attempt(verdict.into())
     }
 }
 
 impl Fleet {
     /// Sends an attempt and reads the head of its response.
-    pub(super) async fn begin(
+    pub(super) async fn send_attempt(
         &self,
         replica: &ReplicaId,
         forwarded: &ForwardedRequest,
         timeout: Duration,
         write_within: Duration,
-    ) -> Result<OpenResponse, Refusal> {
+    ) -> Result<OpenResponse, AttemptFailure> {
         let from = Instant::now();
         let Some(Endpoint { addr, dialect }) = self.endpoint(replica) else {
             return Err(Verdict::NotSent.into());
         };
         // A body that is invalid in this dialect would have been rejected on arrival if a replica had the dialect then.
-        let (request, content) =
-            forwarded.bytes(dialect, timeout).map_err(|error| Refusal::Request(invalid_body(&error)))?;
+        let (request, content) = forwarded
+            .bytes(dialect, timeout)
+            .map_err(|error| AttemptFailure::Request(invalid_body(&error)))?;
         let mut connection = self.connect_in_time(replica, addr, from, write_within).await?;
         // A reset discards the part of an abandoned request that is still in the send buffer.
         connection.wire.reset_on_drop = true;
@@ -67,12 +68,12 @@
             return Err(match head.status() {
                 // The fault is in the request and not in the replica, so the request is not retried elsewhere.
                 status @ (400..=407 | 409..=420 | 422..=424 | 426..=428 | 431..=499) => {
-                    Refusal::Request(Rejection {
+                    AttemptFailure::Request(Rejection {
                         status,
                         message: rejection_message(&content, &self.limits),
                     })
                 }
-                _ => Refusal::Attempt(AttemptOutcome { load_report: report, ..verdict.into() }),
+                _ => AttemptFailure::Attempt(AttemptOutcome { load_report: report, ..verdict.into() }),
             });
         }
         let keep = head.keeps_alive(&head.start[0]) && body != Body::UntilClose;
@@ -109,7 +110,7 @@
             log::debug!(replica = &*replica.0, after:? = from.elapsed(); "no-connection: connecting to the replica failed: {error}");
             connect_verdict(&error)
         })?;
-        // The replica may have begun to drain while the connection was established.
+        // The replica may have started to drain while the connection was established.
         if self.endpoint(replica).is_none_or(|now| now.addr != addr) {
             log::info!(replica = &*replica.0; "drained-while-connecting: the replica is no longer ready at this address; the attempt was not sent");
             return Err(Verdict::NotSent);
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -87,15 +87,17 @@
         let addr = entry.addr.parse().ok();
         // If two ids have one address, the one that started later is valid. Requests for the older id would reach the
         // new replica, which has a cold cache and is unknown to the load balancer under that id.
-        let rivals = replicas
+        let same_address = replicas
             .iter()
             .filter(|(other, listed)| **other != id && listed.addr == addr && addr.is_some());
-        let rivals: Vec<_> = rivals.map(|(other, listed)| (other.clone(), listed.started)).collect();
-        if entry.state == State::Gone || rivals.iter().any(|(_, started)| *started > entry.started_ms) {
+        let same_address: Vec<_> =
+            same_address.map(|(other, listed)| (other.clone(), listed.started)).collect();
+        if entry.state == State::Gone || same_address.iter().any(|(_, started)| *started > entry.started_ms)
+        {
             replicas.remove(&id);
             return vec![id];
         }
-        let older = rivals.into_iter().filter(|(_, started)| *started < entry.started_ms);
+        let older = same_address.into_iter().filter(|(_, started)| *started < entry.started_ms);
         let displaced: Vec<ReplicaId> = older.map(|(other, _)| other).collect();
         displaced.iter().for_each(|other| drop(replicas.remove(other)));
         let replica = replicas.entry(id).or_insert_with(|| ListedReplica {
--- a/src/net/upstream/response_head.rs
+++ b/src/net/upstream/response_head.rs
@@ -23,10 +23,13 @@
             Err(bad) => return Err(io::Error::other(bad.message())),
         }
         // A head that has arrived in part must end within its own limit, which is shorter than the deadline.
-        let begun = !wire.buf.is_empty();
+        let is_partial = !wire.buf.is_empty();
         let fill = wire.fill(&limits.wire);
-        if (if begun { within(limits.replicas.partial_head_timeout, fill).await? } else { fill.await })?
-            == 0
+        if (if is_partial {
+            within(limits.replicas.partial_head_timeout, fill).await?
+        } else {
+            fill.await
+        })? == 0
         {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
--- a/src/net/upstream/running.rs
+++ b/src/net/upstream/running.rs
@@ -9,7 +9,7 @@
 
 use futures_lite::Stream;
 
-use super::attempt::Refusal;
+use super::attempt::AttemptFailure;
 use super::connection::{Connection, ConnectionCount};
 use super::open_response::{OpenResponse, attempt_update};
 use super::{Batch, BufferedStream, Fleet, within};
@@ -27,7 +27,7 @@
 }
 
 /// An attempt up to its first events.
-type Opening = Pin<Box<dyn Future<Output = Result<(Box<OpenResponse>, Batch), Refusal>>>>;
+type Opening = Pin<Box<dyn Future<Output = Result<(Box<OpenResponse>, Batch), AttemptFailure>>>>;
 
 /// The state of an attempt.
 enum Stage {
@@ -107,23 +107,24 @@
     type Updates = Running;
     fn start_attempt(&self, replica: ReplicaId, timeout: Duration, write_within: Duration) -> Running {
         let (fleet, forwarded) = (self.fleet.clone(), self.forwarded.clone());
-        let begun = async move {
-            let begun = async {
-                let mut open = Box::new(fleet.begin(&replica, &forwarded, timeout, write_within).await?);
+        let opening = async move {
+            let opening = async {
+                let mut open =
+                    Box::new(fleet.send_attempt(&replica, &forwarded, timeout, write_within).await?);
                 match fleet.first(&mut open).await {
                     // A stream that begins with an error is a failed attempt.
                     Ok(batch) if open.failed && batch.events == 1 => {
-                        Err(Refusal::Attempt(fleet.end(*open, Verdict::Error)))
+                        Err(AttemptFailure::Attempt(fleet.end(*open, Verdict::Error)))
                     }
                     Ok(batch) => Ok((open, batch)),
                     // A stream without an event is a failed attempt too.
                     Err(Verdict::Ok) => Err(Verdict::Error.into()),
-                    Err(verdict) => Err(Refusal::Attempt(fleet.end(*open, verdict))),
+                    Err(verdict) => Err(AttemptFailure::Attempt(fleet.end(*open, verdict))),
                 }
             };
-            within(timeout, begun).await.unwrap_or_else(|_| Err(Verdict::TimedOut.into()))
+            within(timeout, opening).await.unwrap_or_else(|_| Err(Verdict::TimedOut.into()))
         };
-        Running { fleet: self.fleet.clone(), stage: Stage::Opening(Box::pin(begun)) }
+        Running { fleet: self.fleet.clone(), stage: Stage::Opening(Box::pin(opening)) }
     }
 }
 
@@ -134,16 +135,16 @@
         let this = &mut *self;
         let batch = match &mut this.stage {
             Stage::Ended => return Poll::Ready(None),
-            Stage::Opening(begun) => match ready!(begun.as_mut().poll(cx)) {
+            Stage::Opening(opening) => match ready!(opening.as_mut().poll(cx)) {
                 Ok((open, batch)) => {
                     this.stage = Stage::Open(open);
                     Ok(batch)
                 }
-                Err(refusal) => {
+                Err(failure) => {
                     this.stage = Stage::Ended;
-                    return Poll::Ready(Some(match refusal {
-                        Refusal::Attempt(outcome) => AttemptUpdate::Ended(outcome),
-                        Refusal::Request(rejection) => AttemptUpdate::Rejected(rejection),
+                    return Poll::Ready(Some(match failure {
+                        AttemptFailure::Attempt(outcome) => AttemptUpdate::Ended(outcome),
+                        AttemptFailure::Request(rejection) => AttemptUpdate::Rejected(rejection),
                     }));
                 }
             },
