--- a/crates/runtime/tests/settings.rs
+++ b/crates/runtime/tests/settings.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn required_fields_are_enough_and_unknown_and_null_ones_are_ignored() {
+fn required_fields_suffice_and_unknown_or_null_are_ignored() {
     let text = "nodeName: a\nipAddress: 10.0.0.1\narea: a\nsparePorts: [7000, 7003]\nnew: {x: [1]}\n\
                 timeLimits: {withdrawMs: null, leewayS: 2.5, contactMs: 10.0, other: true}\n\
                 withstand: null\nhandlesRole: [edge, other]\n\
--- a/crates/write-ahead-log/tests/stored_files.rs
+++ b/crates/write-ahead-log/tests/stored_files.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_snapshot_and_records_after_it_are_written_to_the_stored_bytes() {
+fn a_snapshot_and_records_are_written_to_the_stored_bytes() {
     let directory = scratch_directory("stored-log-snapshot-written");
     write_snapshot(&directory);
     check_stored_directory(WITH_SNAPSHOT, &directory);
