--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used.
+//! Errors of reading the configuration.
 
 use std::io;
 
@@ -6,11 +6,11 @@
 
 use crate::settings::SettingsError;
 
-/// Why the files of a gateway can't be used.
+/// An error of reading the files of a gateway.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ConfigError {
-    /// Nothing names the platform's file.
+    /// Neither the command line nor the environment names the platform's file.
     #[snafu(display(
         "no configuration: name the platform's JSON with --config FILE or EDGE_CONFIG, or try \
         'tulipridge demo', which needs none"
@@ -32,40 +32,40 @@
         /// The parser's error, with line and column.
         source: serde_json::Error,
     },
-    /// The platform's file is JSON, but no object.
+    /// The platform's file is JSON, but not an object.
     #[snafu(display("{path}: not an object"))]
     NotAnObject {
         /// The file.
         path: String,
     },
-    /// A value in the platform's file can't be used.
+    /// A value in the platform's file is missing or invalid.
     #[snafu(display("{path}: {source}"))]
     InvalidValue {
         /// The file.
         path: String,
-        /// The value, and what is wrong with it.
+        /// The key of the value, and the problem.
         source: ValueError,
     },
-    /// The program's own settings can't be used.
+    /// The program's own settings are invalid.
     #[snafu(context(false), display("{source}"))]
     Settings {
-        /// The file, and what is wrong with it.
+        /// The file, the key and the problem.
         source: SettingsError,
     },
-    /// No thread could be started to read the files.
-    #[snafu(display("no thread to read the files: {source}"))]
+    /// The thread that reads the files could not be started.
+    #[snafu(display("cannot start a thread to read the files: {source}"))]
     NoThread {
         /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// A value that is missing or can't be used.
+/// A missing or invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)), display("{key}: {problem}"))]
 pub struct ValueError {
-    /// Its path in the file.
+    /// The path of the value in the file.
     pub key: String,
-    /// What is wrong with it, or what is allowed.
+    /// The problem, or the values that are allowed.
     pub problem: String,
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -31,57 +31,57 @@
 /// The configuration of a gateway.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The name of the gateway.
     pub name: String,
-    /// Where the platform's clients connect.
+    /// The address for the platform's clients.
     pub listen: SocketAddr,
-    /// Where operators' calls come, if the platform says so.
+    /// The address for operators' calls, if the platform sets one.
     pub mgmt: Option<SocketAddr>,
-    /// Where discovery listens.
+    /// The address of the list service.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// Descriptors it may hold.
+    /// The maximum number of open file descriptors.
     pub sockets: usize,
-    /// Memory that it may use, in MB.
+    /// The memory limit, in MB.
     pub memory_mb: usize,
-    /// Its last list.
+    /// The last known replica list.
     pub known: Listing,
     /// The load balancer's settings.
     pub settings: Settings,
-    /// The names that go with them.
+    /// The names that the load balancer's settings use.
     pub names: Names,
-    /// Time for a connection to a replica to come up.
+    /// The connect timeout for replicas.
     pub connect: Nanos,
     /// Time after which a replica closes an idle connection.
     pub conn_idle: Nanos,
-    /// The messages front's part of the program's own settings, with its names made out.
+    /// The messages front's part of the program's own settings, with tenant names resolved.
     pub messages: Setup,
     /// The program's own settings.
     pub own: settings::Settings,
 }
 
-/// Where settings are read when nobody says where.
-const USUAL_SETTINGS: &str = "deploy/tulipridge.hcl";
+/// The settings file that is read if neither the command line nor the environment names one.
+const DEFAULT_SETTINGS_PATH: &str = "deploy/tulipridge.hcl";
 
-/// The files that a gateway is told in; what is absent is looked up in the environment.
+/// The paths of the configuration files; a missing path is looked up in the environment.
 #[derive(Clone, Debug, Default)]
 pub struct Sources {
-    /// The platform's JSON; else what `EDGE_CONFIG` names.
+    /// The platform's JSON; by default the file that `EDGE_CONFIG` names.
     pub config: Option<String>,
-    /// The program's own settings; else what `TULIPRIDGE_SETTINGS` names, else `deploy/tulipridge.hcl` if it is
-    /// there.
+    /// The program's own settings; by default the file that `TULIPRIDGE_SETTINGS` names, else
+    /// `deploy/tulipridge.hcl` if it exists.
     pub settings: Option<String>,
 }
 
 impl Sources {
-    /// The settings' path, if anybody said one or the usual one is there.
+    /// The path of the settings file, if one is named or the default file exists.
     fn settings(&self) -> Option<String> {
         let path = self.settings.clone().or_else(|| env::var("TULIPRIDGE_SETTINGS").ok());
-        path.or_else(|| Path::new(USUAL_SETTINGS).exists().then(|| USUAL_SETTINGS.to_owned()))
+        path.or_else(|| Path::new(DEFAULT_SETTINGS_PATH).exists().then(|| DEFAULT_SETTINGS_PATH.to_owned()))
     }
 
-    /// The platform's JSON, if anybody said where it is.
+    /// The path of the platform's JSON, if one is named.
     #[must_use]
     pub fn config(&self) -> Option<String> {
         self.config.clone().or_else(|| env::var("EDGE_CONFIG").ok())
@@ -89,16 +89,16 @@
 }
 
 impl Config {
-    /// Reads both files. The environment's name and addresses go before the first one's.
+    /// Reads both files. The name and addresses in the environment take precedence over those in the platform's JSON.
     ///
     /// # Errors
-    /// What can't be read or makes no sense, with its path.
+    /// If a file can't be read or is invalid.
     pub fn load(sources: &Sources) -> Result<Config, ConfigError> {
         Config::read(sources, true)
     }
 
-    /// Reads both again while the program runs. What the environment said was for the start: it can't have
-    /// changed since, and would hide an address that has.
+    /// Reads both files again while the program runs. The files take precedence over the environment, which can't
+    /// change while the program runs and would hide a changed address.
     ///
     /// # Errors
     /// As for [`Config::load`].
@@ -110,7 +110,7 @@
         let path = sources.config().context(NoFileSnafu)?;
         let text = fs::read_to_string(&path).context(UnreadableSnafu { path: &path })?;
         let mut config: Value = serde_json::from_str(&text).context(NotJsonSnafu { path: &path })?;
-        // Guards against a file of another shape, which has no keys to set.
+        // Setting a key of a value that is not an object would panic.
         if !config.is_object() {
             return NotAnObjectSnafu { path }.fail();
         }
@@ -131,7 +131,7 @@
         Config::new(&config, own).context(InvalidValueSnafu { path })
     }
 
-    /// What this machine and these settings allow.
+    /// The limits that follow from the size of the machine and the settings.
     #[must_use]
     pub fn limits(&self) -> crate::limits::Limits {
         let span = std::time::Duration::from_nanos;
@@ -141,15 +141,15 @@
         limits
     }
 
-    /// Makes sense of the platform's JSON.
+    /// Parses the platform's JSON.
     ///
     /// # Errors
-    /// What is missing or makes no sense, with its key.
+    /// If a value is missing or invalid.
     pub fn new(config: &Value, own: settings::Settings) -> Result<Config, ValueError> {
         let at = |key: &str| JsonTree { value: &config[key], path: key.to_owned() };
         let addr = |key: &str| {
-            let text = at(key).text()?;
-            text.parse().ok().context(ValueSnafu { key, problem: "no address with a port" })
+            let text = at(key).string()?;
+            text.parse().ok().context(ValueSnafu { key, problem: "not an address with a port" })
         };
         let tree = at("settings");
         let (mut settings, mut names) = balancer_settings(&tree)?;
@@ -159,24 +159,24 @@
             settings.speeds.resize(settings.speeds.len().max(kind + 1), 1.0);
             settings.speeds[kind] = *speed;
         }
-        // The settings name classes and tenants that only the platform's file knows.
+        // Classes and tenants named in the settings are defined in the platform's file.
         let class = |key: &str, name: &String| {
-            let problem = format!("no class is called '{name}'");
+            let problem = format!("there is no class named '{name}'");
             names.class(name).context(ValueSnafu { key: format!("settings' messages.{key}"), problem })
         };
         let models = own.messages.classes.iter();
         let models = models.map(|(m, c)| Ok((m.clone(), class(&format!("classes.{m}"), c)?)));
         let models = models.collect::<Result<_, ValueError>>()?;
-        let usual_class = own.messages.class.as_ref().map_or(Ok(0), |name| class("class", name))?;
+        let default_class = own.messages.class.as_ref().map_or(Ok(0), |name| class("class", name))?;
         let tenant = |name: &String| {
-            let problem = format!("no tenant is called '{name}'");
+            let problem = format!("there is no tenant named '{name}'");
             names.tenant(name).context(ValueSnafu { key: "settings' messages.tenant", problem })
         };
         names.usual_tenant = own.messages.tenant.as_ref().map(tenant).transpose()?;
-        (names.models, names.usual_class) = (models, usual_class);
+        (names.models, names.usual_class) = (models, default_class);
         let messages = messages_setup(&own.messages, &names)?;
         names.dialects = own.dialects.clone();
-        let seed = at("seed").text().unwrap_or_default();
+        let seed = at("seed").string().unwrap_or_default();
         let known = match &config["known"] {
             Value::Null => Listing::default(),
             known => match Listing::deserialize(known) {
@@ -185,18 +185,18 @@
             },
         };
         Ok(Config {
-            name: at("name").text()?,
+            name: at("name").string()?,
             listen: addr("listen")?,
             mgmt: if config["mgmt"].is_null() { None } else { Some(addr("mgmt")?) },
             discovery: addr("discovery")?,
             seed: u64::from_str_radix(&seed, 16)
                 .ok()
-                .context(ValueSnafu { key: "seed", problem: "not hex digits" })?,
-            sockets: at("limits").at("sockets").number(1024.0)? as usize,
-            memory_mb: at("limits").at("memory_mb").number(192.0)? as usize,
+                .context(ValueSnafu { key: "seed", problem: "not a hexadecimal number of 64 bits" })?,
+            sockets: at("limits").at("sockets").number_or(1024.0)? as usize,
+            memory_mb: at("limits").at("memory_mb").number_or(192.0)? as usize,
             known,
-            connect: tree.at("policy-limits").at("connect-timeout-ns").nanos(150_000_000)?,
-            conn_idle: tree.at("policy-limits").at("conn-idle-ns").nanos(5_000_000_000)?,
+            connect: tree.at("policy-limits").at("connect-timeout-ns").nanos_or(150_000_000)?,
+            conn_idle: tree.at("policy-limits").at("conn-idle-ns").nanos_or(5_000_000_000)?,
             settings,
             names,
             messages,
@@ -205,10 +205,10 @@
     }
 }
 
-/// Makes out the names of tenants that the messages front's settings use.
+/// Resolves the tenant names in the messages front's settings.
 fn messages_setup(own: &settings::Messages, names: &Names) -> Result<Setup, ValueError> {
     let tenant = |place: &str, name: &str| {
-        let problem = format!("no tenant is called '{name}'");
+        let problem = format!("there is no tenant named '{name}'");
         names.tenant(name).context(ValueSnafu { key: format!("settings' messages.{place}"), problem })
     };
     let mut keys = Vec::new();
@@ -232,19 +232,20 @@
         (id.clone(), model)
     };
     let mut models: BTreeMap<String, Model> = own.models.iter().map(model).collect();
-    // A model that has a class is one to be told of, too.
+    // Models with a class are listed to clients, too.
     for id in own.classes.keys() {
         models.entry(id.clone()).or_insert_with(|| model((id, &settings::Model::default())).1);
     }
     Ok(Setup { keys: Keys::new(keys), models, only_listed: own.only_listed, rates })
 }
 
-/// Brings what may change while the program runs in step with the store: `config/log-level` (a level's name)
-/// and `config/models/NAME` (a class's name, for the messages front). What makes no sense is passed over, and
-/// what is taken away goes back to what the file said.
+/// Applies the settings that the store may change while the program runs: `config/log-level` (a level's name)
+/// and `config/models/NAME` (a class's name, for the messages front). Invalid values are ignored, and removed
+/// ones fall back to the file's.
 pub fn follow(store: &Store, names: &mut Names, file: &settings::Messages, level: LevelFilter) {
-    let wanted = store.get("config/log-level").and_then(|v| v.as_str().and_then(|l| l.parse().ok()));
-    log::set_max_level(wanted.unwrap_or(level));
+    let level_in_store =
+        store.get("config/log-level").and_then(|v| v.as_str().and_then(|l| l.parse().ok()));
+    log::set_max_level(level_in_store.unwrap_or(level));
     let mut models = file.classes.clone();
     for (key, class) in store.under("config/models/") {
         if let (Some(model), Some(class)) = (key.strip_prefix("config/models/"), class.as_str()) {
@@ -257,27 +258,30 @@
 /// The load balancer's settings, and the names that the platform's JSON uses in them.
 fn balancer_settings(tree: &JsonTree<'_>) -> Result<(Settings, Names), ValueError> {
     let mut names = Names {
-        zones: tree.at("localities").texts()?,
-        kinds: tree.at("shapes").texts()?,
-        load_metrics: tree.at("report").at("fields").texts()?,
+        zones: tree.at("localities").strings()?,
+        kinds: tree.at("shapes").strings()?,
+        load_metrics: tree.at("report").at("fields").strings()?,
         ..Names::default()
     };
     let classes = classes(tree, &mut names)?;
     let tenants = tenants(tree, &mut names)?;
-    let zone = tree.at("zone").text_or("")?;
+    let zone = tree.at("zone").string_or("")?;
     let policy = tree.at("policy-limits");
-    let max_retry_after =
-        if policy.at("retry-after").flag()? { policy.at("max-retry-after-ns").nanos(0)? } else { 0 };
+    let max_retry_after = if policy.at("retry-after").bool_or_false()? {
+        policy.at("max-retry-after-ns").nanos_or(0)?
+    } else {
+        0
+    };
     let settings = Settings {
         has_prefix_transfer: false,
-        group_size: tree.at("group-size").number(1.0)? as u32,
-        gateway_index: tree.at("me").number(0.0)? as u32,
+        group_size: tree.at("group-size").number_or(1.0)? as u32,
+        gateway_index: tree.at("me").number_or(0.0)? as u32,
         zone: (!zone.is_empty()).then(|| number_of(&mut names.zones, &zone)),
         has_pushed_list: has_pushed_list(tree)?,
-        tick: tree.at("granularity-ns").nanos(0)?,
+        tick: tree.at("granularity-ns").nanos_or(0)?,
         classes,
         tenants,
-        over_share_value: tree.at("over-share-worth").number(1.0)?,
+        over_share_value: tree.at("over-share-worth").number_or(1.0)?,
         limits: limits(&policy, max_retry_after)?,
         safety: safety(&tree.at("safety"))?,
         units: units_meaning(tree)?,
@@ -290,91 +294,92 @@
 
 fn classes(tree: &JsonTree<'_>, names: &mut Names) -> Result<Vec<Class>, ValueError> {
     let family = tree.at("family-info");
-    let per_token = family.at("aim-us-per-1000-prompt-tokens").each();
-    let inter_token = family.at("token-aim-ns").each();
+    let per_token = family.at("aim-us-per-1000-prompt-tokens").items();
+    let inter_token = family.at("token-aim-ns").items();
     let mut classes = Vec::new();
-    for (index, lane) in tree.at("lanes").each().iter().enumerate() {
-        names.classes.push(lane.at("name").text()?);
-        let effect = effect(lane)?;
+    for (index, class) in tree.at("lanes").items().iter().enumerate() {
+        names.classes.push(class.at("name").string()?);
+        let effect = effect(class)?;
         names.safe.push(effect == Effect::Safe);
-        let of_class = |list: &[JsonTree<'_>]| list.get(index).map_or(Ok(0), |target| target.nanos(0));
-        let deadline = lane.at("deadline-ns").nanos(0)?;
+        let target_of_class =
+            |list: &[JsonTree<'_>]| list.get(index).map_or(Ok(0), |target| target.nanos_or(0));
+        let deadline = class.at("deadline-ns").nanos_or(0)?;
         names.deadlines.push(deadline);
         classes.push(Class {
-            latency_target: lane.at("promise-ns").nanos(0)?,
-            // Microseconds for a thousand tokens are nanoseconds for one.
-            latency_target_per_token: of_class(&per_token)?,
-            inter_token_target: of_class(&inter_token)?,
+            latency_target: class.at("promise-ns").nanos_or(0)?,
+            // Microseconds per 1000 tokens equal nanoseconds per token.
+            latency_target_per_token: target_of_class(&per_token)?,
+            inter_token_target: target_of_class(&inter_token)?,
             deadline,
             effect,
-            value: lane.at("points").number(1.0)?,
-            late_value: lane.at("late-worth").number(0.0)?,
-            stream: lane.at("stream").flag()?,
+            value: class.at("points").number_or(1.0)?,
+            late_value: class.at("late-worth").number_or(0.0)?,
+            stream: class.at("stream").bool_or_false()?,
         });
     }
     Ok(classes)
 }
 
-fn effect(lane: &JsonTree<'_>) -> Result<Effect, ValueError> {
-    let scope = match lane.at("key-scope").text_or("all")?.as_str() {
+fn effect(class: &JsonTree<'_>) -> Result<Effect, ValueError> {
+    let scope = match class.at("key-scope").string_or("all")?.as_str() {
         "all" => Scope::All,
         "zone" => Scope::Zone,
         "cell" => Scope::Cell,
-        _ => return lane.at("key-scope").fault("no known group"),
+        _ => return class.at("key-scope").error("unknown key scope"),
     };
-    match lane.at("effect").text()?.as_str() {
+    match class.at("effect").string()?.as_str() {
         "retryable" => Ok(Effect::Safe),
-        "dedup" => Ok(Effect::Keyed { scope, window: lane.at("key-ttl-ns").nanos(0)? }),
+        "dedup" => Ok(Effect::Keyed { scope, window: class.at("key-ttl-ns").nanos_or(0)? }),
         "fragile" => Ok(Effect::Unsafe),
-        _ => lane.at("effect").fault("no known effect"),
+        _ => class.at("effect").error("unknown effect"),
     }
 }
 
 fn tenants(tree: &JsonTree<'_>, names: &mut Names) -> Result<Vec<Tenant>, ValueError> {
     let mut tenants = Vec::new();
-    for account in tree.at("accounts").each() {
-        names.tenants.push(account.at("name").text()?);
+    for account in tree.at("accounts").items() {
+        names.tenants.push(account.at("name").string()?);
         let quota = account.at("quota-per-s");
-        let quota_per_s = if quota.value.is_null() { None } else { Some(quota.number(0.0)?) };
-        tenants.push(Tenant { share: account.at("share").number(0.0)?, quota_per_s });
+        let quota_per_s = if quota.value.is_null() { None } else { Some(quota.number_or(0.0)?) };
+        tenants.push(Tenant { share: account.at("share").number_or(0.0)?, quota_per_s });
     }
     Ok(tenants)
 }
 
 fn has_pushed_list(tree: &JsonTree<'_>) -> Result<bool, ValueError> {
-    match tree.at("discovery").text_or("push")?.as_str() {
+    match tree.at("discovery").string_or("push")?.as_str() {
         "push" => Ok(true),
         "ask" => Ok(false),
-        _ => tree.at("discovery").fault("no known way"),
+        _ => tree.at("discovery").error("unknown discovery mode"),
     }
 }
 
 fn limits(policy: &JsonTree<'_>, max_retry_after: Nanos) -> Result<Limits, ValueError> {
     Ok(Limits {
-        max_attempts: policy.at("send-cap").number(1.0)? as u32,
-        hedging: policy.at("second-copies").flag()?,
-        cancellation: policy.at("cancel").flag()?,
-        probes: policy.at("probes").flag()?,
-        peer_messages: policy.at("may-tell").flag()?,
+        max_attempts: policy.at("send-cap").number_or(1.0)? as u32,
+        hedging: policy.at("second-copies").bool_or_false()?,
+        cancellation: policy.at("cancel").bool_or_false()?,
+        probes: policy.at("probes").bool_or_false()?,
+        peer_messages: policy.at("may-tell").bool_or_false()?,
         max_retry_after,
     })
 }
 
 fn safety(tree: &JsonTree<'_>) -> Result<Safety, ValueError> {
     Ok(Safety {
-        initial_capacity: tree.at("cold-from").number(1.0)?,
-        slow_start_window: tree.at("ramp-time-ns").nanos(0)?,
-        overload_factor: tree.at("overload-factor").number(1.0)?,
-        overload_window: tree.at("fall-ns").nanos(0)?,
-        max_list_age: tree.at("ask-within-ns").nanos(10_000_000_000)?,
+        initial_capacity: tree.at("cold-from").number_or(1.0)?,
+        slow_start_window: tree.at("ramp-time-ns").nanos_or(0)?,
+        overload_factor: tree.at("overload-factor").number_or(1.0)?,
+        overload_window: tree.at("fall-ns").nanos_or(0)?,
+        max_list_age: tree.at("ask-within-ns").nanos_or(10_000_000_000)?,
     })
 }
 
 fn units_meaning(tree: &JsonTree<'_>) -> Result<UnitsMeaning, ValueError> {
-    match tree.at("weight-source").text_or("silent")?.as_str() {
+    match tree.at("weight-source").string_or("silent")?.as_str() {
         "nominal" | "rough" => Ok(UnitsMeaning::Size),
         "live" => Ok(UnitsMeaning::Live),
         "silent" => Ok(UnitsMeaning::None),
-        _ => tree.at("weight-source").fault("not known"),
+        _ => tree.at("weight-source").error("unknown weight source"),
     }
 }
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! What single values do not show: ranges, and values that must go together.
+//! Validation of ranges, and of values that depend on each other.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 /// The longest timeout of a stream.
 const HOUR: Duration = Duration::from_secs(3600);
-/// The longest interval between actions of the program's own.
+/// The longest interval between periodic actions of the program.
 const DAY: Duration = Duration::from_secs(24 * 3600);
 
 impl Settings {
-    /// What each value alone does not show: ranges, and values that must go together.
+    /// Checks ranges, and values that depend on each other.
     pub(super) fn check(&self) -> Result<(), InvalidSetting> {
         self.check_streams()?;
         for (kind, speed) in &self.speeds {
@@ -36,19 +36,19 @@
     }
 
     fn check_messages(&self) -> Result<(), InvalidSetting> {
-        let m = &self.messages;
+        let messages = &self.messages;
         let invalid = |key: String, problem: &str| Err(InvalidSetting::new(key, problem));
         let mut hashes = BTreeMap::new();
-        for (name, key) in &m.keys {
-            let place = format!("messages.keys.{name}.sha256");
+        for (name, key) in &messages.keys {
+            let path = format!("messages.keys.{name}.sha256");
             let Some(hash) = api_keys::hash_of(&key.sha256) else {
-                return invalid(place, "not 64 hex digits; 'tulipridge key' makes a key and its hash");
+                return invalid(path, "not 64 hex digits; 'tulipridge key' makes a key and its hash");
             };
             if let Some(other) = hashes.insert(hash, name) {
-                return invalid(place, &format!("the hash of '{other}' too"));
+                return invalid(path, &format!("the same hash as that of '{other}'"));
             }
         }
-        for (tenant, rates) in &m.limits {
+        for (tenant, rates) in &messages.limits {
             for (name, rate) in [
                 ("requests", rates.requests),
                 ("input_tokens", rates.input_tokens),
@@ -59,7 +59,7 @@
                 }
             }
         }
-        for (id, model) in &m.models {
+        for (id, model) in &messages.models {
             if let Some(created) = model.created.as_deref()
                 && humantime::parse_rfc3339(created).is_err()
             {
@@ -69,7 +69,7 @@
                 );
             }
         }
-        if m.only_listed && m.models.is_empty() {
+        if messages.only_listed && messages.models.is_empty() {
             return invalid("messages.only_listed".to_owned(), "no model is listed under messages.models");
         }
         Ok(())
@@ -86,14 +86,14 @@
     }
 
     fn check_sizes(&self) -> Result<(), InvalidSetting> {
-        let s = &self.streams;
+        let streams = &self.streams;
         check_size("messages.body", self.messages.body, 1 << 10, 32 << 20)?;
         check_size("messages.whole_answer", self.messages.whole_answer, 4 << 10, 16 << 20)?;
-        check_size("streams.window", s.window, 4 << 10, 4 << 20)?;
-        check_size("streams.budget", s.budget, 64 << 10, 64 << 30)?;
-        check_size("streams.socket_buffer", s.socket_buffer, 4 << 10, 4 << 20)?;
-        check_size("streams.reader_floor", s.reader_floor, 1, 16 << 20)?;
-        if let (Some(window), Some(budget)) = (s.window, s.budget)
+        check_size("streams.window", streams.window, 4 << 10, 4 << 20)?;
+        check_size("streams.budget", streams.budget, 64 << 10, 64 << 30)?;
+        check_size("streams.socket_buffer", streams.socket_buffer, 4 << 10, 4 << 20)?;
+        check_size("streams.reader_floor", streams.reader_floor, 1, 16 << 20)?;
+        if let (Some(window), Some(budget)) = (streams.window, streams.budget)
             && window > budget
         {
             return Err(InvalidSetting::new(
@@ -105,31 +105,31 @@
     }
 
     fn check_durations(&self) -> Result<(), InvalidSetting> {
-        let s = &self.streams;
-        let shortest = Duration::from_millis(100);
-        check_duration("streams.opening", s.opening, shortest, HOUR)?;
-        check_duration("streams.silence", s.silence, shortest, HOUR)?;
-        check_duration("streams.stall", s.stall, shortest, HOUR)?;
-        check_duration("streams.tail", s.tail, shortest, HOUR)?;
-        check_duration("streams.pace_least", s.pace_least, shortest, HOUR)?;
-        check_duration("streams.reader_span", s.reader_span, shortest, HOUR)?;
-        check_duration("streams.linger", s.linger, Duration::ZERO, HOUR)?;
-        check_duration("streams.stop_within", s.stop_within, Duration::ZERO, DAY)?;
-        check_duration("streams.figures_every", s.figures_every, Duration::from_secs(1), DAY)
+        let streams = &self.streams;
+        let min_timeout = Duration::from_millis(100);
+        check_duration("streams.opening", streams.opening, min_timeout, HOUR)?;
+        check_duration("streams.silence", streams.silence, min_timeout, HOUR)?;
+        check_duration("streams.stall", streams.stall, min_timeout, HOUR)?;
+        check_duration("streams.tail", streams.tail, min_timeout, HOUR)?;
+        check_duration("streams.pace_least", streams.pace_least, min_timeout, HOUR)?;
+        check_duration("streams.reader_span", streams.reader_span, min_timeout, HOUR)?;
+        check_duration("streams.linger", streams.linger, Duration::ZERO, HOUR)?;
+        check_duration("streams.stop_within", streams.stop_within, Duration::ZERO, DAY)?;
+        check_duration("streams.figures_every", streams.figures_every, Duration::from_secs(1), DAY)
     }
 
     fn check_pace(&self) -> Result<(), InvalidSetting> {
-        let s = &self.streams;
-        match s.pace_factor {
+        let streams = &self.streams;
+        match streams.pace_factor {
             Some(factor) if !(1.0..=1000.0).contains(&factor) => Err(InvalidSetting::new(
                 "streams.pace_factor",
                 format!("{factor} is not between 1 and 1000"),
             )),
-            Some(_) if s.pace_least.is_none() => {
-                Err(InvalidSetting::new("streams.pace_factor", "needs streams.pace_least beside it"))
+            Some(_) if streams.pace_least.is_none() => {
+                Err(InvalidSetting::new("streams.pace_factor", "requires streams.pace_least"))
             }
-            None if s.pace_least.is_some() => {
-                Err(InvalidSetting::new("streams.pace_least", "needs streams.pace_factor beside it"))
+            None if streams.pace_least.is_some() => {
+                Err(InvalidSetting::new("streams.pace_least", "requires streams.pace_factor"))
             }
             _ => Ok(()),
         }
@@ -139,7 +139,7 @@
         if let Some(addr) = self.messages.listen.filter(|a| a.port() != 0)
             && self.store.listen == Some(addr)
         {
-            return Err(InvalidSetting::new("store.listen", format!("{addr} is messages.listen already")));
+            return Err(InvalidSetting::new("store.listen", format!("{addr} is also messages.listen")));
         }
         Ok(())
     }
@@ -174,13 +174,13 @@
 fn check_size(
     key: &'static str,
     given: Option<ByteSize>,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<(), InvalidSetting> {
     match given {
-        Some(ByteSize(bytes)) if bytes < least || bytes > most => {
-            let (given, least, most) = (ByteSize(bytes), ByteSize(least), ByteSize(most));
-            Err(InvalidSetting::new(key, format!("{given} is not between {least} and {most}")))
+        Some(ByteSize(bytes)) if bytes < min || bytes > max => {
+            let (given, min, max) = (ByteSize(bytes), ByteSize(min), ByteSize(max));
+            Err(InvalidSetting::new(key, format!("{given} is not between {min} and {max}")))
         }
         _ => Ok(()),
     }
@@ -190,15 +190,20 @@
 fn check_duration(
     key: &'static str,
     given: Option<Duration>,
-    least: Duration,
-    most: Duration,
+    min: Duration,
+    max: Duration,
 ) -> Result<(), InvalidSetting> {
     match given {
-        Some(duration) if duration < least || duration > most => {
-            let shown = humantime::format_duration;
+        Some(duration) if duration < min || duration > max => {
+            let format_duration = humantime::format_duration;
             Err(InvalidSetting::new(
                 key,
-                format!("{} is not between {} and {}", shown(duration), shown(least), shown(most)),
+                format!(
+                    "{} is not between {} and {}",
+                    format_duration(duration),
+                    format_duration(min),
+                    format_duration(max)
+                ),
             ))
         }
         _ => Ok(()),
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,17 +1,17 @@
-//! Why settings can't be used.
+//! Errors of reading a settings file.
 
 use std::fmt;
 
-/// Why a settings file can't be used: the first fault of it.
+/// The first error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     /// The file.
     pub file: String,
-    /// Where the key stands, if that is known.
+    /// The position of the key, if it is known.
     pub position: Option<FilePosition>,
-    /// The key, with those it lies in; empty for the file as such.
+    /// The dotted path of the key; empty for an error of the file itself.
     pub key: String,
-    /// What is wrong with it, or what is allowed.
+    /// The problem, or the values that are allowed.
     pub problem: String,
 }
 
@@ -24,17 +24,17 @@
     pub column: usize,
 }
 
-/// A value that is out of its range, or does not go with another one.
+/// A value that is out of its range or inconsistent with another value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// The key, with those it lies in.
+    /// The dotted path of the key.
     pub key: String,
-    /// What is wrong with it, or what is allowed.
+    /// The problem, or the values that are allowed.
     pub problem: String,
 }
 
 impl InvalidSetting {
-    /// For the value at `key`.
+    /// Creates the error for the value at `key`.
     #[must_use]
     pub fn new(key: impl Into<String>, problem: impl Into<String>) -> InvalidSetting {
         InvalidSetting { key: key.into(), problem: problem.into() }
--- a/src/settings/hcl_file.rs
+++ b/src/settings/hcl_file.rs
@@ -1,4 +1,4 @@
-//! HCL files of any form, read with the position of each fault.
+//! Deserializes HCL files and reports the position of errors.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,11 @@
 
 use super::error::{FilePosition, InvalidSetting, SettingsError};
 
-/// Reads HCL of any form; `path` is for errors, and `check` finds what single values don't show.
+/// Parses HCL into any type. Error messages name `path`; `check` validates ranges and values that depend on each other.
 ///
 /// # Errors
 ///
-/// The first `SettingsError`: no HCL, a key given twice, not of the form of `T`, or what `check` finds.
+/// The first `SettingsError`: invalid HCL, a duplicate key, a value that doesn't fit `T`, or an error of `check`.
 pub fn parse_hcl<T: DeserializeOwned>(
     path: &str,
     text: &str,
@@ -21,12 +21,12 @@
     parse_hcl_over(&[(path, text)], check)
 }
 
-/// The same for files of which each says what differs from those before it: what it has in blocks goes into theirs,
-/// anything else takes the place of theirs, and `null` takes theirs away.
+/// Parses HCL files of which each overrides those before it: blocks are merged, other values are replaced, and `null`
+/// removes a key.
 ///
 /// # Errors
 ///
-/// The first `SettingsError`, at its place in the last file that has the key: as for `parse_hcl`.
+/// As for [`parse_hcl`], with the position in the last file that has the key.
 pub fn parse_hcl_over<T: DeserializeOwned>(
     files: &[(&str, &str)],
     check: impl FnOnce(&T) -> Result<(), InvalidSetting>,
@@ -39,43 +39,43 @@
             key: String::new(),
             problem: e.message().to_owned(),
         })?;
-        let fault = |key: &str, problem: String| {
+        let error_at = |key: &str, problem: String| {
             let position = locate(text, &body, key).map(|found| found.position);
             SettingsError { file: (*path).to_owned(), position, key: key.to_owned(), problem }
         };
-        // Guards against a key or block that is there twice, of which one would be passed over.
-        let named = |s: &Structure| match s {
+        // Rejects a duplicate key or block; otherwise one of the two would be silently ignored.
+        let name_of = |s: &Structure| match s {
             Structure::Attribute(a) => a.key.as_str().to_owned(),
             Structure::Block(b) => b.ident.as_str().to_owned(),
         };
         let mut seen = BTreeSet::new();
-        if let Some(twice) = body.iter().map(named).find(|name| !seen.insert(name.clone())) {
-            return Err(fault(&twice, "given twice".to_owned()));
+        if let Some(duplicate) = body.iter().map(name_of).find(|name| !seen.insert(name.clone())) {
+            return Err(error_at(&duplicate, "given twice".to_owned()));
         }
-        merge(&mut merged, hcl::from_str(text).map_err(|e| fault("", e.to_string()))?);
+        merge(&mut merged, hcl::from_str(text).map_err(|e| error_at("", e.to_string()))?);
         bodies.push((path, text, body));
     }
-    // A key's fault is where the key stands, in the last file that has most of it.
-    let fault = |key: &str, problem: String| {
+    // Errors point to the deepest existing part of the key, in the last file that has that part.
+    let error_at = |key: &str, problem: String| {
         let located = bodies.iter().map(|(path, text, body)| (path, locate(text, body, key)));
         let found = located.max_by_key(|(_, found)| found.map_or(0, |found| found.depth));
         let file = found.map_or(String::new(), |(path, _)| (**path).to_owned());
         let position = found.and_then(|(_, found)| found).map(|found| found.position);
         SettingsError { file, position, key: key.to_owned(), problem }
     };
-    let shown = merged.clone();
+    let input = merged.clone();
     let read: T = serde_path_to_error::deserialize(merged).map_err(|e| {
         let key = e.path().to_string();
         let key = key.trim_start_matches('.');
-        let given = find(&shown, key).filter(|v| !v.is_object() && !v.is_array());
+        let given = value_at(&input, key).filter(|v| !v.is_object() && !v.is_array());
         let given = given.map_or(String::new(), |v| format!(" (given: {v})"));
-        fault(key, format!("{}{given}", e.inner()))
+        error_at(key, format!("{}{given}", e.inner()))
     })?;
-    check(&read).map_err(|InvalidSetting { key, problem }| fault(&key, problem))?;
+    check(&read).map_err(|InvalidSetting { key, problem }| error_at(&key, problem))?;
     Ok(read)
 }
 
-/// Puts what `over` says into `under`.
+/// Merges `over` into `under`; `null` in `over` removes a key.
 fn merge(under: &mut serde_json::Value, over: serde_json::Value) {
     match (under, over) {
         (serde_json::Value::Object(under), serde_json::Value::Object(over)) => {
@@ -91,38 +91,38 @@
     }
 }
 
-/// The value at a key of dotted parts.
-fn find<'a>(value: &'a serde_json::Value, key: &str) -> Option<&'a serde_json::Value> {
+/// The value at a dotted path.
+fn value_at<'a>(value: &'a serde_json::Value, key: &str) -> Option<&'a serde_json::Value> {
     key.split('.').try_fold(value, |value, part| value.get(part))
 }
 
-/// Where a key stands in a text.
+/// The location of a key in a text.
 #[derive(Clone, Copy)]
 struct KeyLocation {
-    /// How many parts of the key are there.
+    /// The number of parts of the key that exist.
     depth: usize,
-    /// The position of the deepest of them.
+    /// The position of the deepest existing part.
     position: FilePosition,
 }
 
-/// Finds a key: the deepest part of it that is there, since what is missing has no position.
+/// Locates the deepest part of a key that exists, since a missing part has no position.
 fn locate(text: &str, body: &Body, key: &str) -> Option<KeyLocation> {
     let mut parts = key.split('.');
     let mut part = parts.next()?;
     let mut body = body;
     let (mut at, mut depth) = (None, 0);
     loop {
-        let here = body.iter().find(|s| match s {
+        let structure = body.iter().find(|s| match s {
             Structure::Attribute(a) => a.key.as_str() == part,
             Structure::Block(b) => b.ident.as_str() == part,
         });
-        at = match here {
+        at = match structure {
             Some(Structure::Attribute(a)) => a.key.span().or(at),
             Some(Structure::Block(b)) => b.ident.span().or(at),
             None => at,
         };
-        depth += usize::from(here.is_some());
-        match (here, parts.next()) {
+        depth += usize::from(structure.is_some());
+        match (structure, parts.next()) {
             (Some(Structure::Block(b)), Some(next)) => (body, part) = (&b.body, next),
             _ => break,
         }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! The program's own settings, in HCL: `deploy/tulipridge.hcl`, or the file that the command line or
-//! `TULIPRIDGE_SETTINGS` names. On the platform all that listens is off.
+//! `TULIPRIDGE_SETTINGS` names. On the platform, all listeners in these settings are off.
 //!
-//! Unknown keys are refused, and each fault names its key, its value and its place in the file.
+//! Unknown keys are rejected; an error names the key, its value and its position in the file.
 
 mod check;
 mod error;
@@ -28,9 +28,9 @@
 pub struct Settings {
     /// The messages front.
     pub messages: Messages,
-    /// Dialects of replicas by their kind; the platform's where nothing is said.
+    /// Dialects of replicas by their kind; the platform's by default.
     pub dialects: BTreeMap<String, Dialect>,
-    /// Speeds of replicas by their kind, beside one another; 1 where nothing is said.
+    /// Relative speeds of replicas by their kind; 1 by default.
     pub speeds: BTreeMap<String, f64>,
     /// The list service.
     pub list: List,
@@ -38,168 +38,168 @@
     pub store: Store,
     /// The log.
     pub syslog: Syslog,
-    /// Streams that are passed on.
+    /// Relayed streams.
     pub streams: Streams,
-    /// Rests of replicas that spoil streams; off without it.
+    /// Ejection of replicas that fail streams; off if absent.
     pub rest: Option<Rest>,
-    /// Begun streams go on in the process that follows this one on an inherited listener.
+    /// Whether started streams continue in the next process, which inherits the listener.
     pub handover: bool,
 }
 
-/// The messages front's part.
+/// Settings of the messages front.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Messages {
-    /// Where it listens; off if absent.
+    /// The listen address; off if absent.
     pub listen: Option<SocketAddr>,
     /// Classes by model.
     pub classes: BTreeMap<String, String>,
-    /// The class of other models; else the platform settings' first.
+    /// The class of other models; by default the first of the platform's.
     pub class: Option<String>,
-    /// The tenant of requests that name none.
+    /// The tenant of requests that name no tenant.
     pub tenant: Option<String>,
-    /// Clients' keys by their names; without any, nobody is asked for one.
+    /// API keys of clients by name; if there are none, requests need no key.
     pub keys: BTreeMap<String, Key>,
-    /// What tenants may have in a minute.
+    /// Rate limits per minute, by tenant.
     pub limits: BTreeMap<String, Rates>,
-    /// The models that clients are told of, by their ids.
+    /// The models listed to clients, by id.
     pub models: BTreeMap<String, Model>,
-    /// Only these models may be asked for.
+    /// Whether requests may name only the listed models.
     pub only_listed: bool,
-    /// Bytes of a request's body.
+    /// The maximum size of a request body.
     pub body: Option<ByteSize>,
-    /// Bytes of a response that is assembled before it is sent.
+    /// The maximum size of a response that is assembled before it is sent.
     pub whole_answer: Option<ByteSize>,
 }
 
-/// A client's key.
+/// The API key of a client.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
     /// The SHA-256 of the key, in hex digits.
     pub sha256: String,
-    /// The tenant whose it is; else that of requests that name none.
+    /// The tenant of the key; by default the tenant of requests that name no tenant.
     pub tenant: Option<String>,
-    /// The models that it is for; all if none is named.
+    /// The models that the key gives access to; all if empty.
     #[serde(default)]
     pub models: Vec<String>,
 }
 
-/// What a tenant may have in a minute; what is absent is not limited.
+/// Rate limits of a tenant, per minute; an absent rate is unlimited.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rates {
     /// Requests.
     pub requests: Option<u64>,
-    /// Tokens of prompts, those found kept apart.
+    /// Prompt tokens, without those read from the prefix cache.
     pub input_tokens: Option<u64>,
-    /// Tokens of responses.
+    /// Response tokens.
     pub output_tokens: Option<u64>,
 }
 
-/// A model that clients are told of.
+/// A model listed to clients.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Model {
-    /// What people call it; else its id.
+    /// The display name; by default the id.
     pub name: Option<String>,
-    /// Its making, RFC 3339; else long ago.
+    /// The creation time in RFC 3339 format; by default 1970-01-01T00:00:00Z.
     pub created: Option<String>,
-    /// Tokens of a prompt at the most.
+    /// Maximum number of prompt tokens.
     pub input_tokens: Option<u64>,
     /// Maximum number of output tokens.
     pub output_tokens: Option<u64>,
 }
 
-/// The list service's part.
+/// Settings of the list service.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct List {
-    /// Calls that it can answer in a second, for all gateways together; 60 ms each where nobody says.
+    /// Calls that the list service can handle per second, from all gateways together; by default 60 ms per gateway are assumed.
     pub calls_per_s: Option<f64>,
 }
 
-/// The store's part.
+/// Settings of the replicated store.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Store {
-    /// Where peers connect; off if absent.
+    /// The listen address for peers; off if absent.
     pub listen: Option<SocketAddr>,
     /// The peers.
     pub peers: Vec<SocketAddr>,
 }
 
-/// The log's part.
+/// Settings of the log.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Syslog {
-    /// A collector that takes RFC 5424 over TCP; standard error if absent.
+    /// The address of a collector for RFC 5424 over TCP; standard error if absent.
     pub tcp: Option<SocketAddr>,
 }
 
-/// What streams may hold and wait for; what is absent stays as the machine's size gives it.
+/// Buffer sizes and timeouts of streams; absent values follow from the size of the machine.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Streams {
-    /// Bytes that a stream holds before it is no longer read.
+    /// Buffered bytes at which reading from a stream pauses.
     pub window: Option<ByteSize>,
-    /// Bytes that all streams together hold before they are cut.
+    /// Buffered bytes of all streams together at which streams are cut.
     pub budget: Option<ByteSize>,
-    /// The size asked for of each of the system's buffers for a connection.
+    /// The size requested for each socket buffer of a connection.
     pub socket_buffer: Option<ByteSize>,
-    /// Time between the head of a response and its first event.
+    /// The timeout between the head of a response and its first event.
     #[serde(with = "humantime_serde")]
     pub opening: Option<Duration>,
-    /// Silence between two events before a stream counts as stalled.
+    /// The timeout between two events, after which a stream counts as stalled.
     #[serde(with = "humantime_serde")]
     pub silence: Option<Duration>,
-    /// The same amid a chunk or an event.
+    /// The timeout within a chunk or an event.
     #[serde(with = "humantime_serde")]
     pub stall: Option<Duration>,
-    /// The same after the last event, for the last chunk.
+    /// The timeout after the last event, for the last chunk.
     #[serde(with = "humantime_serde")]
     pub tail: Option<Duration>,
-    /// Limits silence to so many times the longest that a stream came back from.
+    /// Limits the idle timeout to this multiple of the longest pause after which a stream continued.
     pub pace_factor: Option<f64>,
-    /// The least that `pace_factor` comes to.
+    /// The lower bound of the timeout that `pace_factor` gives.
     #[serde(with = "humantime_serde")]
     pub pace_least: Option<Duration>,
-    /// The span over which a reader's progress is looked at.
+    /// The interval over which the progress of a reader is checked.
     #[serde(with = "humantime_serde")]
     pub reader_span: Option<Duration>,
-    /// Bytes that a reader takes in that span at the least, while bytes wait for it.
+    /// The minimum number of bytes that a reader takes in that interval while bytes are waiting for it.
     pub reader_floor: Option<ByteSize>,
-    /// Time for a client to take what waits after its stream broke.
+    /// The time a client has to read buffered bytes after its stream failed.
     #[serde(with = "humantime_serde")]
     pub linger: Option<Duration>,
-    /// Time after SIGTERM at which streams are cut.
+    /// The time after SIGTERM at which streams are cut.
     #[serde(with = "humantime_serde")]
     pub stop_within: Option<Duration>,
-    /// Pause between two snapshots of the figures in the log.
+    /// The interval between two snapshots of the statistics in the log.
     #[serde(with = "humantime_serde")]
     pub figures_every: Option<Duration>,
 }
 
-/// When a replica rests.
+/// Outlier ejection of replicas.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rest {
-    /// The span over which ends are counted.
+    /// The window over which the ends of streams are counted.
     #[serde(with = "humantime_serde")]
     pub span: Option<Duration>,
-    /// Failed ends in a span before a rest.
+    /// The minimum number of failures in a window before an ejection.
     pub faults: Option<usize>,
-    /// The share of bad ends before a rest, 0 to 1.
+    /// The minimum share of failures before an ejection, 0 to 1.
     pub share: Option<f64>,
-    /// How many times the others' share it must be.
+    /// The minimum ratio of this share to that of the other replicas.
     pub above: Option<f64>,
-    /// The first rest.
+    /// The duration of the first ejection.
     #[serde(with = "humantime_serde")]
     pub first: Option<Duration>,
-    /// The longest rest.
+    /// The longest ejection.
     #[serde(with = "humantime_serde")]
     pub longest: Option<Duration>,
-    /// The part of the fleet that rests at most, 0 to 1.
+    /// The maximum share of replicas that are ejected at a time, 0 to 1.
     pub most_resting: Option<f64>,
 }
 
@@ -208,31 +208,31 @@
     ///
     /// # Errors
     ///
-    /// The first [`SettingsError`] of the file: unreadable, no HCL, an unknown key, or a value out of its range.
+    /// The first [`SettingsError`] of the file: unreadable, invalid HCL, an unknown key, or a value out of its range.
     pub fn load(path: &str) -> Result<Settings, SettingsError> {
-        let fault = |problem: String| {
+        let file_error = |problem: String| {
             let file = path.to_owned();
             SettingsError { file, position: None, key: String::new(), problem }
         };
         if Path::new(path).extension().is_some_and(|e| e == "json") {
-            return Err(fault(
-                "settings are HCL now, not JSON: see deploy/tulipridge.hcl for the form".into(),
+            return Err(file_error(
+                "JSON settings are not supported; see deploy/tulipridge.hcl for the HCL format".into(),
             ));
         }
-        let text = fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
+        let text = fs::read_to_string(path).map_err(|e| file_error(e.to_string()))?;
         Settings::parse(path, &text)
     }
 
-    /// Reads a file's text; `path` is for the faults.
+    /// Parses the text of a file; error messages name `path`.
     ///
     /// # Errors
     ///
-    /// The first [`SettingsError`] of the text: no HCL, an unknown key, or a value out of its range.
+    /// The first [`SettingsError`] of the text: invalid HCL, an unknown key, or a value out of its range.
     pub fn parse(path: &str, text: &str) -> Result<Settings, SettingsError> {
         parse_hcl(path, text, Settings::check)
     }
 
-    /// Puts what is set here in place of what the machine's size gave.
+    /// Overrides the limits that follow from the size of the machine.
     pub fn apply(&self, limits: &mut Limits) {
         let s = &self.streams;
         limits.replicas.first_event_timeout = s.opening.unwrap_or(limits.replicas.first_event_timeout);
--- a/src/syslog/mod.rs
+++ b/src/syslog/mod.rs
@@ -18,7 +18,7 @@
 use log::{Level, LevelFilter, Record};
 
 use crate::limits::Limits;
-use queue::Gauge;
+use queue::DrainStatus;
 use tulipridge_http1::within;
 
 pub use queue::Lines;
@@ -30,7 +30,7 @@
 const FACILITY: u8 = 3;
 
 /// The log of the running process.
-pub struct Log(Gauge);
+pub struct Log(DrainStatus);
 
 /// Initializes the log. With a collector it also returns the lines to be sent to it; otherwise a thread writes them to
 /// standard error.
@@ -40,29 +40,29 @@
 /// If the thread that writes to standard error can't be started.
 pub fn start(host: &str, collector: bool, limits: &Limits) -> io::Result<(Log, Option<Lines>)> {
     let mut builder = env_logger::Builder::new();
-    let wanted = std::env::var("RUST_LOG").unwrap_or_else(|_| "info".to_owned());
-    let level = LevelFilter::from_str(&wanted);
+    let directives = std::env::var("RUST_LOG").unwrap_or_else(|_| "info".to_owned());
+    let level = LevelFilter::from_str(&directives);
     match level {
         // A plain level is only a maximum, so that it can be changed while the process runs.
         Ok(_) => builder.filter_level(LevelFilter::Warn).filter_module("tulipridge", LevelFilter::Trace),
-        Err(_) => builder.parse_filters(&wanted),
+        Err(_) => builder.parse_filters(&directives),
     };
     let host = header_field(host, 255);
     let sink = if collector { "collector" } else { "stderr" };
-    let (intake, lines, gauge) = queue::queue(limits.log.lines, limits.log.bytes, {
+    let (writer, lines, drain_status) = queue::queue(limits.log.lines, limits.log.bytes, {
         let host = host.clone();
-        move |lost| lost_lines_notice(&host, sink, lost)
+        move |dropped| dropped_lines_notice(&host, sink, dropped)
     });
-    builder.target(env_logger::Target::Pipe(Box::new(intake)));
+    builder.target(env_logger::Target::Pipe(Box::new(writer)));
     builder.format(move |buf, record| {
         let time = buf.timestamp_micros().to_string();
         writeln!(buf, "{}", line(&time, &host, std::process::id(), record))
     });
-    let feed = if collector {
+    let collector_lines = if collector {
         Some(lines)
     } else {
-        sinks::to_stderr(lines, limits)?;
-        panics::to_log(gauge.clone(), limits.log.drain_timeout);
+        sinks::start_stderr_writer(lines, limits)?;
+        panics::install_hook(drain_status.clone(), limits.log.drain_timeout);
         None
     };
     // Only a second start in one process fails, which then keeps the log of the first.
@@ -70,7 +70,7 @@
     if let Ok(level) = level {
         log::set_max_level(level);
     }
-    Ok((Log(gauge), feed))
+    Ok((Log(drain_status), collector_lines))
 }
 
 impl Log {
@@ -86,10 +86,10 @@
 }
 
 /// The line that reports dropped lines.
-fn lost_lines_notice(host: &str, sink: &str, lost: u64) -> Vec<u8> {
+fn dropped_lines_notice(host: &str, sink: &str, dropped: u64) -> Vec<u8> {
     let time = humantime::format_rfc3339_micros(SystemTime::now()).to_string();
-    let lost = lost.to_string();
-    let pairs = [("lines", lost.as_str()), ("way", sink)];
+    let dropped = dropped.to_string();
+    let pairs = [("lines", dropped.as_str()), ("way", sink)];
     let text = format_args!("log-lost: the sink was full or slow; no request waited for it");
     let record = Record::builder().level(Level::Warn).args(text).key_values(&pairs).build();
     line(&time, host, std::process::id(), &record).into_bytes()
@@ -107,7 +107,7 @@
     let text = record.args().to_string();
     let (id, text) = text.split_once(": ").unwrap_or((text.as_str(), ""));
     let id = header_field(id, 32);
-    let mut data = Data(String::new());
+    let mut data = StructuredData(String::new());
     // Values that can't be formatted are left out of the line.
     let _ = record.key_values().visit(&mut data);
     let data = if data.0.is_empty() { "-".to_owned() } else { format!("[{SD_ID}{}]", data.0) };
@@ -127,10 +127,10 @@
     if text.is_empty() { "-".to_owned() } else { text }
 }
 
-/// The structured data's parameters.
-struct Data(String);
+/// Formats key-value pairs as the parameters of structured data.
+struct StructuredData(String);
 
-impl<'kvs> VisitSource<'kvs> for Data {
+impl<'kvs> VisitSource<'kvs> for StructuredData {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), kv::Error> {
         let allowed = |c: &char| c.is_ascii_graphic() && !matches!(c, '=' | ']' | '"');
         let name: String = key.as_str().chars().filter(allowed).take(32).collect();
--- a/src/syslog/panics.rs
+++ b/src/syslog/panics.rs
@@ -5,11 +5,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::queue::Gauge;
+use super::queue::DrainStatus;
 
 /// Installs a panic hook that writes a log line and waits up to `timeout` for it to be written. The default hook writes
 /// to standard error itself: with a full pipe there, the panicking thread would block instead of ending the process.
-pub(super) fn to_log(gauge: Gauge, timeout: Duration) {
+pub(super) fn install_hook(drain_status: DrainStatus, timeout: Duration) {
     let default_hook = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
         // Where the log's level leaves errors out, the default hook reports the panic.
@@ -27,8 +27,8 @@
             BacktraceStatus::Captured => log::error!(at = at, trace:% = trace; "panicked: {message}"),
             _ => log::error!(at = at; "panicked: {message}"),
         }
-        let from = Instant::now();
-        while !gauge.is_drained() && from.elapsed() < timeout {
+        let start = Instant::now();
+        while !drain_status.is_drained() && start.elapsed() < timeout {
             thread::sleep(Duration::from_millis(1));
         }
     }));
--- a/src/syslog/queue.rs
+++ b/src/syslog/queue.rs
@@ -8,25 +8,25 @@
 use async_channel::{Receiver, Sender};
 
 /// Formats the line that reports a number of dropped lines.
-type Notice = Arc<dyn Fn(u64) -> Vec<u8> + Send + Sync>;
+type NoticeFormatter = Arc<dyn Fn(u64) -> Vec<u8> + Send + Sync>;
 
 /// Counters that both ends share.
 #[derive(Default)]
 struct Counters {
     /// Dropped lines that are not reported yet.
-    lost: AtomicU64,
+    dropped: AtomicU64,
     /// Queued bytes.
     bytes: AtomicUsize,
     /// Lines that were accepted and not written yet.
     unwritten: AtomicUsize,
 }
 
-/// The writing end; env_logger writes to it, and serializes its writers.
-pub(super) struct Intake {
+/// The writing end. env_logger writes to it, and serializes its writers.
+pub(super) struct QueueWriter {
     queue: Sender<Vec<u8>>,
     counters: Arc<Counters>,
     max_bytes: usize,
-    notice: Notice,
+    format_notice: NoticeFormatter,
     line: Vec<u8>,
 }
 
@@ -34,65 +34,66 @@
 pub struct Lines {
     queue: Receiver<Vec<u8>>,
     counters: Arc<Counters>,
-    notice: Notice,
-    is_taken: bool,
+    format_notice: NoticeFormatter,
+    is_unconfirmed: bool,
 }
 
-/// Tells whether all lines are written.
+/// Reports whether all lines are written.
 #[derive(Clone)]
-pub(super) struct Gauge(Arc<Counters>);
+pub(super) struct DrainStatus(Arc<Counters>);
 
 /// Creates a queue of at most `lines` lines and `bytes` bytes.
 pub(super) fn queue(
     lines: usize,
     bytes: usize,
-    notice: impl Fn(u64) -> Vec<u8> + Send + Sync + 'static,
-) -> (Intake, Lines, Gauge) {
-    let (to, from) = async_channel::bounded(lines);
-    let (counters, notice): (Arc<Counters>, Notice) = (Arc::default(), Arc::new(notice));
-    let intake = Intake {
-        queue: to,
+    format_notice: impl Fn(u64) -> Vec<u8> + Send + Sync + 'static,
+) -> (QueueWriter, Lines, DrainStatus) {
+    let (sender, receiver) = async_channel::bounded(lines);
+    let (counters, format_notice): (Arc<Counters>, NoticeFormatter) =
+        (Arc::default(), Arc::new(format_notice));
+    let writer = QueueWriter {
+        queue: sender,
         counters: counters.clone(),
         max_bytes: bytes,
-        notice: notice.clone(),
+        format_notice: format_notice.clone(),
         line: Vec::new(),
     };
-    let lines = Lines { queue: from, counters: counters.clone(), notice, is_taken: false };
-    (intake, lines, Gauge(counters))
+    let lines = Lines { queue: receiver, counters: counters.clone(), format_notice, is_unconfirmed: false };
+    (writer, lines, DrainStatus(counters))
 }
 
-impl Intake {
+impl QueueWriter {
     /// Queues a line, or drops it.
-    pub(super) fn put(&self, line: Vec<u8>) {
-        let lost = self.counters.lost.swap(0, SeqCst);
+    pub(super) fn enqueue(&self, line: Vec<u8>) {
+        let dropped = self.counters.dropped.swap(0, SeqCst);
         // A queue that was full accepts lines again once half of it is free, or it would hold mostly reports.
-        if lost > 0 && !(self.half_free() && self.push((self.notice)(lost))) {
-            self.counters.lost.fetch_add(lost + 1, SeqCst);
-        } else if !self.push(line) {
-            self.counters.lost.fetch_add(1, SeqCst);
+        if dropped > 0 && !(self.is_half_free() && self.try_push((self.format_notice)(dropped))) {
+            self.counters.dropped.fetch_add(dropped + 1, SeqCst);
+        } else if !self.try_push(line) {
+            self.counters.dropped.fetch_add(1, SeqCst);
         }
     }
 
-    fn half_free(&self) -> bool {
+    fn is_half_free(&self) -> bool {
         let full = self.queue.capacity().is_some_and(|capacity| self.queue.len() > capacity / 2);
         !full && self.counters.bytes.load(SeqCst) <= self.max_bytes / 2
     }
 
-    fn push(&self, line: Vec<u8>) -> bool {
+    fn try_push(&self, line: Vec<u8>) -> bool {
         let size = line.len();
         // Counted before the reading end can take it.
-        let waiting = self.counters.bytes.fetch_add(size, SeqCst);
+        let queued_bytes = self.counters.bytes.fetch_add(size, SeqCst);
         self.counters.unwritten.fetch_add(1, SeqCst);
-        let taken = waiting + size <= self.max_bytes && self.queue.try_send(line).is_ok();
-        if !taken {
+        let is_accepted = queued_bytes + size <= self.max_bytes && self.queue.try_send(line).is_ok();
+        if !is_accepted {
             self.counters.bytes.fetch_sub(size, SeqCst);
             self.counters.unwritten.fetch_sub(1, SeqCst);
         }
-        taken
+        is_accepted
     }
 }
 
-impl Write for Intake {
+impl Write for QueueWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(bytes);
         Ok(bytes.len())
@@ -101,7 +102,7 @@
     fn flush(&mut self) -> io::Result<()> {
         let line = std::mem::take(&mut self.line);
         if !line.trim_ascii().is_empty() {
-            self.put(line.trim_ascii().to_vec());
+            self.enqueue(line.trim_ascii().to_vec());
         }
         Ok(())
     }
@@ -110,7 +111,7 @@
 impl Lines {
     /// The next line; `None` once all writers are gone.
     pub async fn next(&mut self) -> Option<Vec<u8>> {
-        if std::mem::take(&mut self.is_taken) {
+        if std::mem::take(&mut self.is_unconfirmed) {
             self.counters.unwritten.fetch_sub(1, SeqCst);
         }
         let line = match self.pending_notice() {
@@ -123,7 +124,7 @@
                 Err(_) => self.pending_notice(),
             },
         };
-        self.is_taken = line.is_some();
+        self.is_unconfirmed = line.is_some();
         line
     }
 
@@ -132,19 +133,19 @@
         if !self.queue.is_empty() {
             return None;
         }
-        match self.counters.lost.swap(0, SeqCst) {
+        match self.counters.dropped.swap(0, SeqCst) {
             0 => None,
-            lost => {
+            dropped => {
                 self.counters.unwritten.fetch_add(1, SeqCst);
-                Some((self.notice)(lost))
+                Some((self.format_notice)(dropped))
             }
         }
     }
 }
 
-impl Gauge {
+impl DrainStatus {
     /// Whether no line is queued, being written, or dropped without a report.
     pub(super) fn is_drained(&self) -> bool {
-        self.0.unwritten.load(SeqCst) == 0 && self.0.lost.load(SeqCst) == 0
+        self.0.unwritten.load(SeqCst) == 0 && self.0.dropped.load(SeqCst) == 0
     }
 }
--- a/src/syslog/sinks.rs
+++ b/src/syslog/sinks.rs
@@ -1,4 +1,4 @@
-//! The two sinks of the log: standard error, by a thread of its own, and a collector, on the serving thread.
+//! The two sinks of the log: standard error, by a thread of its own, and a collector, by a task on the serving thread.
 
 use std::io::{self, ErrorKind, Write};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 
 /// Starts the thread that writes to standard error, so that a full pipe or a slow disk blocks this thread alone. The
 /// descriptor's flags are not changed, since other processes may share it.
-pub(super) fn to_stderr(mut lines: Lines, limits: &Limits) -> io::Result<()> {
+pub(super) fn start_stderr_writer(mut lines: Lines, limits: &Limits) -> io::Result<()> {
     let (short_pause, long_pause) = (limits.edge.accept_pause, limits.store.peer_interval);
     let write = move || {
         while let Some(mut line) = future::block_on(lines.next()) {
@@ -45,18 +45,18 @@
 
 /// Sends lines to the collector for as long as there are any; reconnects, and sends a line again that was not written.
 pub async fn to_collector(collector: SocketAddr, mut lines: Lines, limits: &Limits) {
-    let mut wire: Option<BufferedStream> = None;
+    let mut connection: Option<BufferedStream> = None;
     while let Some(line) = lines.next().await {
         loop {
-            if wire.as_ref().is_none_or(|w| !w.is_quiet()) {
-                wire = BufferedStream::connect(collector, &limits.wire).await.ok();
+            if connection.as_ref().is_none_or(|c| !c.is_quiet()) {
+                connection = BufferedStream::connect(collector, &limits.wire).await.ok();
             }
-            if let Some(open) = &mut wire
+            if let Some(open) = &mut connection
                 && let Ok(Ok(())) = within(limits.edge.write_timeout, open.write(&framed(&line))).await
             {
                 break;
             }
-            wire = None;
+            connection = None;
             Timer::after(limits.store.peer_interval).await;
         }
     }
