--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -207,15 +207,15 @@
 
 /// Resolves the tenant names in the messages front's settings.
 fn messages_setup(own: &settings::Messages, names: &Names) -> Result<Setup, ValueError> {
-    let tenant = |place: &str, name: &str| {
+    let tenant = |path: &str, name: &str| {
         let problem = format!("there is no tenant named '{name}'");
-        names.tenant(name).context(ValueSnafu { key: format!("settings' messages.{place}"), problem })
+        names.tenant(name).context(ValueSnafu { key: format!("settings' messages.{path}"), problem })
     };
     let mut keys = Vec::new();
     for (name, key) in &own.keys {
-        let of = key.tenant.as_ref().map(|t| tenant(&format!("keys.{name}.tenant"), t)).transpose()?;
+        let owner = key.tenant.as_ref().map(|t| tenant(&format!("keys.{name}.tenant"), t)).transpose()?;
         let hash = api_keys::hash_of(&key.sha256).unwrap_or_default();
-        keys.push(api_keys::Key { name: name.clone(), hash, tenant: of, models: key.models.clone() });
+        keys.push(api_keys::Key { name: name.clone(), hash, tenant: owner, models: key.models.clone() });
     }
     let mut rates = vec![Rates::default(); names.tenants.len()];
     for (name, limits) in &own.limits {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -115,7 +115,8 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct List {
-    /// Calls that the list service can handle per second, from all gateways together; by default 60 ms per gateway are assumed.
+    /// Calls that the list service can handle per second, from all gateways together; by default, a call is assumed
+    /// to take 60 ms.
     pub calls_per_s: Option<f64>,
 }
 
@@ -240,27 +241,28 @@
         m.body_bytes = self.messages.body.map_or(m.body_bytes, |b| b.0 as usize);
         m.assembled_bytes = self.messages.whole_answer.map_or(m.assembled_bytes, |b| b.0 as usize);
         let l = &mut limits.stream;
-        let set = |to: &mut usize, from: Option<ByteSize>| *to = from.map_or(*to, |b| b.0 as usize);
-        let time = |to: &mut Duration, from: Option<Duration>| *to = from.unwrap_or(*to);
-        set(&mut l.high_watermark, s.window);
+        let set_bytes =
+            |limit: &mut usize, value: Option<ByteSize>| *limit = value.map_or(*limit, |b| b.0 as usize);
+        let set_duration = |limit: &mut Duration, value: Option<Duration>| *limit = value.unwrap_or(*limit);
+        set_bytes(&mut l.high_watermark, s.window);
         l.low_watermark = l.high_watermark / 4;
-        set(&mut l.budget, s.budget);
-        set(&mut limits.wire.socket_buffer, s.socket_buffer);
-        set(&mut l.reader_min_bytes, s.reader_floor);
-        time(&mut l.idle_timeout, s.silence);
-        time(&mut l.partial_event_timeout, s.stall);
-        time(&mut l.last_chunk_timeout, s.tail);
-        time(&mut l.reader_interval, s.reader_span);
-        time(&mut l.linger, s.linger);
-        time(&mut l.shutdown_timeout, s.stop_within);
+        set_bytes(&mut l.budget, s.budget);
+        set_bytes(&mut limits.wire.socket_buffer, s.socket_buffer);
+        set_bytes(&mut l.reader_min_bytes, s.reader_floor);
+        set_duration(&mut l.idle_timeout, s.silence);
+        set_duration(&mut l.partial_event_timeout, s.stall);
+        set_duration(&mut l.last_chunk_timeout, s.tail);
+        set_duration(&mut l.reader_interval, s.reader_span);
+        set_duration(&mut l.linger, s.linger);
+        set_duration(&mut l.shutdown_timeout, s.stop_within);
         let pace = s.pace_factor.zip(s.pace_least);
         l.pace = pace.map(|(factor, min_timeout)| PaceLimit { factor, min_timeout }).or(l.pace);
         l.statistics_interval = s.figures_every.or(l.statistics_interval);
         if let Some(r) = &self.rest {
             let mut outliers = OutlierLimits::default();
-            time(&mut outliers.window, r.span);
-            time(&mut outliers.ejection_time, r.first);
-            time(&mut outliers.max_ejection_time, r.longest);
+            set_duration(&mut outliers.window, r.span);
+            set_duration(&mut outliers.ejection_time, r.first);
+            set_duration(&mut outliers.max_ejection_time, r.longest);
             outliers.min_failures = r.faults.unwrap_or(outliers.min_failures);
             outliers.min_failure_rate = r.share.unwrap_or(outliers.min_failure_rate);
             outliers.ratio_to_others = r.above.unwrap_or(outliers.ratio_to_others);
--- a/src/syslog/panics.rs
+++ b/src/syslog/panics.rs
@@ -12,7 +12,7 @@
 pub(super) fn install_hook(drain_status: DrainStatus, timeout: Duration) {
     let default_hook = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
-        // Where the log's level leaves errors out, the default hook reports the panic.
+        // If the log level excludes errors, the default hook reports the panic.
         if !log::log_enabled!(log::Level::Error) {
             return default_hook(info);
         }
@@ -21,7 +21,7 @@
         let message = message.or_else(|| payload.downcast_ref::<String>().map(String::as_str));
         let message = message.unwrap_or("without a message");
         let at = info.location().map(ToString::to_string).unwrap_or_default();
-        // Captured if the environment asks for it.
+        // Captured only if the environment enables backtraces.
         let trace = Backtrace::capture();
         match trace.status() {
             BacktraceStatus::Captured => log::error!(at = at, trace:% = trace; "panicked: {message}"),
