--- a/crates/control-plane/tests/replication_faults.rs
+++ b/crates/control-plane/tests/replication_faults.rs
@@ -44,7 +44,10 @@
     simulation.wipe(third, SECOND / 2);
     simulation.heal();
     simulation.run_for(9 * SECOND);
-    assert!(fault != Fault::None || simulation.primary().is_none(), "the stale member has no majority");
+    assert!(
+        fault != Fault::None || simulation.primary().is_none(),
+        "the stale member must not become primary without a majority"
+    );
     simulation.run_for(8 * SECOND);
     let makes_progress = simulation.make_progress(SECOND);
     assert!(makes_progress || simulation.checker.violation.is_some());
@@ -96,11 +99,11 @@
     let shape = ClusterShape { tolerated_failures: 1, seeds: 3, machines: 3, fault };
     let violations = (0..MAX_HISTORIES)
         .filter_map(|seed| run_history_with(seed, shape, FaultPlan::DisksStay, Load::Operators).violation);
-    let unexplained = violations
+    let non_linearizable = violations
         .enumerate()
         .find(|(_, violation)| matches!(violation, Violation::NotLinearizable { .. }));
-    println!("{fault:?}: {unexplained:?}");
-    assert!(unexplained.is_some(), "{fault:?} is not detected");
+    println!("{fault:?}: {non_linearizable:?}");
+    assert!(non_linearizable.is_some(), "{fault:?} is not detected");
 }
 
 /// A primary is isolated, the others accept a change, and then the primary receives a call.
@@ -110,10 +113,10 @@
     let old = simulation.acknowledge_one();
     simulation.end_first_boot();
     simulation.isolate(old, true, true);
-    let is_succeeded = simulation.run_until_or_timeout(6 * SECOND, |simulation| {
+    let has_successor = simulation.run_until_or_timeout(6 * SECOND, |simulation| {
         simulation.primary().is_some_and(|successor| successor != old)
     });
-    assert!(is_succeeded);
+    assert!(has_successor);
     let successor = simulation.primary().expect("there is a successor");
     let change =
         ConfigurationChange { method: ConfigurationMethod::Put, base: 0, revision: 3, route_id: 1 };
@@ -141,8 +144,8 @@
 }))]
 fn responses_after_the_lease_are_detected(#[case] call: Call) {
     assert_eq!(call_to_an_isolated_primary(call, Fault::None), None);
-    let unexplained = call_to_an_isolated_primary(call, Fault::IgnoredLease);
-    assert_eq!(unexplained, Some(NonLinearizableObject::Configuration));
+    let non_linearizable = call_to_an_isolated_primary(call, Fault::IgnoredLease);
+    assert_eq!(non_linearizable, Some(NonLinearizableObject::Configuration));
 }
 
 #[test]
--- a/crates/control-plane/tests/replication_sync_member.rs
+++ b/crates/control-plane/tests/replication_sync_member.rs
@@ -1,11 +1,11 @@
-//! Handling of the chunks of a sync by a single member.
+//! How a single member handles the chunks of the data that a sync transfers.
 
 use std::time::Duration;
+
+use tulipridge_control_plane::replication::transfer::{CHUNK_BYTES, Chunk, EncodedData};
 use tulipridge_control_plane::replication::{
     DurableRecord, DurableState, Input, LogPosition, Output, Replication, ReplicationSettings, WriteTicket,
 };
-
-use tulipridge_control_plane::replication::transfer::{CHUNK_BYTES, Chunk, EncodedData};
 use tulipridge_protocol::node::{Generation, NodeId};
 use tulipridge_protocol::number::{Epoch, SequenceNumber};
 use tulipridge_protocol::replication::{Entry, Envelope, ReplicationMessage, TransferId};
@@ -13,7 +13,7 @@
 const START: Duration = Duration::from_secs(1);
 const MEMBER: NodeId = NodeId { ip: 2, generation: Generation(0) };
 const PROPOSER: NodeId = NodeId { ip: 1, generation: Generation(0) };
-/// The epoch of the proposer's data, and the epochs of its attempts.
+/// The epoch of the data of the proposer, and the epochs of the view changes that it attempts.
 const DATA_EPOCH: u64 = 1 << 40;
 const FIRST_EPOCH: u64 = 2 << 40;
 const SECOND_EPOCH: u64 = 3 << 40;
@@ -34,7 +34,7 @@
 struct Member(Replication);
 
 impl Member {
-    fn with(durable: DurableState) -> Member {
+    fn start(durable: DurableState) -> Member {
         let settings = ReplicationSettings {
             node: MEMBER,
             zone: "a".to_owned(),
@@ -48,7 +48,7 @@
         Member(replication)
     }
 
-    fn input(&mut self, input: Input) -> Vec<Output> {
+    fn handle(&mut self, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         self.0.handle(START, input, &mut out);
         out
@@ -63,7 +63,7 @@
             offset,
             bytes,
         };
-        self.input(Input::Message(Envelope { from: PROPOSER, to: MEMBER, message }))
+        self.handle(Input::Message(Envelope { from: PROPOSER, to: MEMBER, message }))
     }
 }
 
@@ -103,7 +103,7 @@
 #[test]
 fn a_partial_transfer_changes_no_data() {
     let old = data(1 << 39, 1);
-    let mut member = Member::with(old);
+    let mut member = Member::start(old);
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let chunks = chunks(&encoded);
     let out = member.sync(FIRST_EPOCH, chunks[0].clone());
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_complete_transfer_is_confirmed_once_it_is_durable() {
-    let mut member = Member::with(DurableState::default());
+    let mut member = Member::start(DurableState::default());
     let proposer = data(DATA_EPOCH, 2);
     let encoded = EncodedData::of(&proposer);
     let mut out = Vec::new();
@@ -132,9 +132,9 @@
     assert_eq!(records(&out), [reset]);
     assert_eq!(responses(&out), [progress(FIRST_EPOCH, encoded.id(), encoded.id().length)]);
     let ticket = last_ticket(&out);
-    // A query before the data is durable is not confirmed yet.
+    // A chunk that arrives before the data is durable is not confirmed yet.
     assert_eq!(responses(&member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length))), []);
-    let out = member.input(Input::Persisted { ticket: WriteTicket(ticket) });
+    let out = member.handle(Input::Persisted { ticket: WriteTicket(ticket) });
     let synced = ReplicationMessage::Synced { epoch: Epoch(FIRST_EPOCH), sequence: SequenceNumber(5) };
     assert_eq!(responses(&out), [synced.clone(), synced.clone()]);
     let repeated = member.sync(FIRST_EPOCH, encoded.chunk(0));
@@ -143,7 +143,7 @@
 
 #[test]
 fn a_data_replica_at_the_same_position_records_only_the_epoch() {
-    let mut member = Member::with(data(DATA_EPOCH, 2));
+    let mut member = Member::start(data(DATA_EPOCH, 2));
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
     assert_eq!(
@@ -151,7 +151,7 @@
         [DurableRecord::Promised(Epoch(FIRST_EPOCH)), DurableRecord::DataEpoch(Epoch(FIRST_EPOCH))]
     );
     assert_eq!(responses(&out), []);
-    let out = member.input(Input::Persisted { ticket: WriteTicket(last_ticket(&out)) });
+    let out = member.handle(Input::Persisted { ticket: WriteTicket(last_ticket(&out)) });
     assert_eq!(
         responses(&out),
         [ReplicationMessage::Synced { epoch: Epoch(FIRST_EPOCH), sequence: SequenceNumber(5) }]
@@ -161,7 +161,7 @@
 /// The same number of entries from another epoch may be different entries.
 #[test]
 fn a_data_replica_at_another_epoch_needs_the_data() {
-    let mut member = Member::with(data(DATA_EPOCH - 1, 1));
+    let mut member = Member::start(data(DATA_EPOCH - 1, 1));
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
     assert_eq!(records(&out), [DurableRecord::Promised(Epoch(FIRST_EPOCH))]);
@@ -174,7 +174,7 @@
     let mut behind = data(DATA_EPOCH, 2);
     behind.entries.pop();
     behind.data.sequence = SequenceNumber(4);
-    let mut member = Member::with(behind);
+    let mut member = Member::start(behind);
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let out = member.sync(FIRST_EPOCH, encoded.chunk(encoded.id().length));
     assert_eq!(responses(&out), [progress(FIRST_EPOCH, encoded.id(), 0)]);
@@ -182,7 +182,7 @@
 
 #[test]
 fn a_higher_epoch_with_the_same_data_resumes() {
-    let mut member = Member::with(DurableState::default());
+    let mut member = Member::start(DurableState::default());
     let encoded = EncodedData::of(&data(DATA_EPOCH, 2));
     let chunks = chunks(&encoded);
     member.sync(FIRST_EPOCH, chunks[0].clone());
@@ -200,7 +200,7 @@
 
 #[test]
 fn a_chunk_of_other_data_restarts_the_transfer() {
-    let mut member = Member::with(DurableState::default());
+    let mut member = Member::start(DurableState::default());
     let first = EncodedData::of(&data(DATA_EPOCH, 2));
     let second = EncodedData::of(&data(DATA_EPOCH, 3));
     member.sync(FIRST_EPOCH, first.chunk(0));
--- a/crates/control-plane/tests/rollout_exchange.rs
+++ b/crates/control-plane/tests/rollout_exchange.rs
@@ -1,4 +1,5 @@
-//! A rollout of weights over loopback: the calls that a replica receives, and the deliveries to proxies.
+//! A rollout of model weights over loopback connections: the calls that a replica receives, and the deliveries to
+//! proxies.
 
 mod rollout_stand_ins;
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// Accepts a connection with one call, and responds to it.
+/// Accepts a connection, reads one call and responds to it. Returns the call.
 async fn respond(listener: &Async<TcpListener>, status: &str, body: &str) -> String {
     let (mut stream, _) = listener.accept().await.expect("a call arrives");
     let call = read_call(&mut stream).await;
@@ -71,7 +72,7 @@
     let loaded = async {
         let command = respond(&listener, "202 Accepted", "").await;
         let phase = table.borrow().replicas(LEASE.tenure).expect("the table has a list")[0].phase;
-        assert_eq!(phase, ReplicaPhase::Loading, "it receives no requests while it loads");
+        assert_eq!(phase, ReplicaPhase::Loading, "a replica receives no requests while it loads");
         let loading = r#"{"llms":[{"label":"m","revision":1}],"loaded":true}"#;
         let report = respond(&listener, "200 OK", loading).await;
         let loaded_report = r#"{"llms":[{"label":"m","revision":2}],"loaded":false}"#;
@@ -81,11 +82,11 @@
         }
         format!("{command}\n\n{report}")
     };
-    let working = async {
+    let rollout_run = async {
         rollout.run().await;
         String::new()
     };
-    let run = executor.run(future::or(loaded, working));
+    let run = executor.run(future::or(loaded, rollout_run));
     let calls = async_io::block_on(within(TEST_TIMEOUT, run)).expect("the load ends in time");
     let calls = calls.replace(&address.to_string(), "ADDRESS");
     assert_snapshot!(calls.trim_end(), @r#"
@@ -107,7 +108,7 @@
         WeightsRevision(2),
         "the new revision is delivered before the list shows it"
     );
-    assert_eq!(output.corrections.get(), 2, "one when it begins to load, one when it has loaded");
+    assert_eq!(output.corrections.get(), 2, "one when the replica begins to load, one when it has loaded");
 }
 
 #[test]
@@ -152,8 +153,8 @@
     let context =
         SingletonContext { executor: executor.clone(), lease_status: Rc::new(PrimaryStatus), table };
     let output = Rc::new(Output::default());
-    // With the assumed age, the deadline is near; if the age were counted from now, the withdrawal would come after
-    // 4 s.
+    // With the assumed age, the deadline is near; if the age were counted from the start, the withdrawal would come
+    // after 4 s.
     let term = RevisionTerm::new(Duration::from_secs(6));
     let settings = PlannerSettings { revision_term: term, lease_term: Duration::ZERO };
     let (rollout, _events) = Rollout::new("middle-1".to_owned(), settings, context, output.clone());
@@ -163,5 +164,6 @@
         }
     };
     let run = executor.run(future::or(withdrawn, rollout.run()));
-    async_io::block_on(within(Duration::from_secs(2), run)).expect("the age is not counted from now");
+    async_io::block_on(within(Duration::from_secs(2), run))
+        .expect("the age of the target is counted from the start");
 }
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -6,31 +6,31 @@
 use crate::decaying_average::decay_factor;
 use crate::types::{ClassIndex, Nanos, Request};
 
-/// Cost of a response in prompt tokens: decoding occupies a slot about as long as the prefill of this
-/// number of tokens.
+/// Cost of decoding a response, in prompt tokens: decoding occupies a replica for about as long as the prefill
+/// of this number of tokens.
 pub const RESPONSE_COST_TOKENS: f64 = 1000.0;
-/// Time constant of the averages, in seconds. It spans several think times of a session, so that all
-/// classes are seen.
+/// Time constant of the averages, in seconds. It covers several pauses between the turns of a session, so that
+/// all classes are seen.
 pub const TIME_CONSTANT_S: f64 = 10.0;
-/// The owners of a prefix together have this multiple of the size that its share of the demand fills. An
+/// Capacity of all owners of a prefix, as a multiple of the capacity that its share of the demand needs. An
 /// additional owner costs one prefill, while larger sets of owners even out the load where sets overlap.
 const OWNER_FACTOR: f64 = 3.0;
-/// Initial value of [`ClassDemand::mean_prefix_share`]. That mean is the sum of the squared shares of all
-/// prefixes, a few hundredths for a Zipf distribution over tens to hundreds of prefixes.
+/// Initial value of [`ClassDemand::mean_prefix_share`]. Its expected value is the sum of the squared shares of
+/// all prefixes, a few hundredths for a Zipf distribution over tens to hundreds of prefixes.
 const INITIAL_PREFIX_SHARE: f64 = 1.0 / 16.0;
 /// Weight of the newest request in the mean prefix share; with one request per second the mean covers about
 /// a minute.
 const PREFIX_SHARE_GAIN: f64 = 0.02;
-/// The owner fraction of a class is updated only if it is wrong by more than this factor.
+/// The owner fraction of a class is updated only if it differs from the needed one by more than this factor.
 const OWNER_TOLERANCE: f64 = 3.0;
-/// Number of prefixes at which those with little work are removed.
+/// Number of recorded prefixes from which those with at most [`RESPONSE_COST_TOKENS`] of work are removed.
 const MAX_PREFIXES: usize = 256;
 /// Weight of the newest response in the mean cached fractions.
 const CACHE_GAIN: f64 = 0.05;
 /// Weight of the newest request in the mean cost.
 const COST_GAIN: f64 = 0.05;
 
-/// Work in prompt tokens, which decays exponentially with [`TIME_CONSTANT_S`].
+/// The observed demand. Work is measured in prompt tokens and decays exponentially with [`TIME_CONSTANT_S`].
 #[derive(Clone, Debug)]
 pub struct Demand {
     offered: f64,
@@ -41,7 +41,7 @@
     mean_cost: f64,
 }
 
-/// The work of one prefix.
+/// The offered work of one prefix.
 #[derive(Clone, Copy, Debug)]
 struct PrefixDemand {
     work: f64,
@@ -53,7 +53,7 @@
 struct ClassDemand {
     /// The mean share of the work that a request's own prefix has.
     mean_prefix_share: f64,
-    /// The owner fraction that follows from this mean.
+    /// The fraction of the fleet that owns each prefix of the class, see [`ClassDemand::class_owner_fraction`].
     owner_fraction: f64,
     /// The mean cached fraction of a prompt.
     cached: f64,
@@ -104,7 +104,7 @@
         self.served += cost;
     }
 
-    /// Served or offered work per second.
+    /// Served work in prompt tokens per second if `is_served`, and offered work otherwise.
     pub fn work_per_s(&mut self, now: Nanos, is_served: bool) -> f64 {
         self.decay(now);
         if is_served { self.served / TIME_CONSTANT_S } else { self.offered / TIME_CONSTANT_S }
@@ -123,7 +123,7 @@
         self.classes[class.0].cached_by_session
     }
 
-    /// Records the cached tokens of a prompt. Returns the work that the request took.
+    /// Records the cached tokens of a prompt. Returns the cost of the request without them.
     pub fn record_cached(&mut self, request: &Request, cached_tokens: u32) -> f64 {
         let class = &mut self.classes[request.class.0];
         let prompt = f64::from(request.prompt_tokens.max(1));
@@ -134,7 +134,7 @@
         f64::from(request.prompt_tokens.saturating_sub(cached_tokens)) + RESPONSE_COST_TOKENS
     }
 
-    /// Adds a request to the mean of full costs.
+    /// Adds the [`full_cost`] of a request to the mean cost.
     pub fn record_cost(&mut self, request: &Request) {
         self.mean_cost += COST_GAIN * (full_cost(request) - self.mean_cost);
     }
@@ -145,13 +145,13 @@
         self.mean_cost
     }
 
-    /// The fraction of the fleet's size that owns a request's prefix; 0 if it has none. A popular prefix
-    /// needs several owners: many gateways can overload a single owner with a few requests each, and none
-    /// of them notices. Each gateway sees a sample of the same demand, so that their results are similar.
+    /// The fraction of the fleet that owns the prefix of a request; 0 if the request has none. A popular prefix
+    /// needs several owners: many gateways can overload a single owner with a few requests each, and no
+    /// gateway notices. Each gateway sees a sample of the same demand, so that their results are similar.
     /// With `is_per_class`, all prefixes of a class have the same owner fraction.
     pub fn owner_fraction(&mut self, now: Nanos, request: &Request, cost: f64, is_per_class: bool) -> f64 {
         let Some(prefix) = request.prefix.filter(|prefix| *prefix != 0) else { return 0.0 };
-        self.forget_idle_prefixes(now);
+        self.remove_idle_prefixes(now);
         let offered = self.offered.max(cost);
         let demand = self.prefixes.entry(prefix).or_insert(PrefixDemand { work: 0.0, updated_at: now });
         demand.work *= decay_factor(now, demand.updated_at, TIME_CONSTANT_S);
@@ -168,7 +168,7 @@
         OWNER_FACTOR * cheapness * demand.work / offered
     }
 
-    fn forget_idle_prefixes(&mut self, now: Nanos) {
+    fn remove_idle_prefixes(&mut self, now: Nanos) {
         if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.retain(|_, demand| {
                 demand.work * decay_factor(now, demand.updated_at, TIME_CONSTANT_S) > RESPONSE_COST_TOKENS
@@ -190,7 +190,7 @@
     ///
     /// The result is the largest owner fraction that the most popular prefix can need: no share exceeds the
     /// square root of the sum of squared shares. The fraction is rounded to a power of four and kept until
-    /// it is clearly wrong, so that nearly all gateways agree.
+    /// it is wrong by more than [`OWNER_TOLERANCE`], so that nearly all gateways agree.
     fn class_owner_fraction(&mut self) -> f64 {
         let needed = self.mean_prefix_share.max(f64::MIN_POSITIVE).sqrt();
         if (needed / self.owner_fraction).max(self.owner_fraction / needed) > OWNER_TOLERANCE {
@@ -200,7 +200,7 @@
     }
 }
 
-/// The cost of a request at a replica that has none of it cached.
+/// The cost, in prompt tokens, of a request at a replica that has none of its prompt cached.
 #[must_use]
 pub fn full_cost(request: &Request) -> f64 {
     f64::from(request.prompt_tokens) + RESPONSE_COST_TOKENS
--- a/crates/load-balancer/src/queued_work.rs
+++ b/crates/load-balancer/src/queued_work.rs
@@ -1,14 +1,15 @@
-//! An estimate of the work queued at each replica, from the last report for all gateways and the work that
-//! this gateway has sent since.
+//! An estimate of the work queued at each replica: the work of all gateways according to the last report,
+//! plus the work that this gateway has sent since. Both are in the unit that the caller chooses.
 //!
-//! A report is some tens of milliseconds old. Work that this gateway has sent in the meantime is added;
-//! that of other gateways is not known.
+//! A report is some tens of milliseconds old when it arrives. Work that this gateway has sent in the meantime
+//! is added; that of other gateways is not known.
 
 use crate::types::Nanos;
 
-/// A report that is older than this is ignored.
+/// A report is used for this long after its arrival.
 const REPORT_MAX_AGE: Nanos = 1_000_000_000;
-/// Maximum delay of a report. Work sent less than this before the report arrives may be missing in it.
+/// The longest time from the measurement of a report to its arrival. Work sent less than this before the
+/// arrival may be missing in the report.
 const REPORT_DELAY: Nanos = 100_000_000;
 
 /// Work that this gateway has sent to a replica.
@@ -34,19 +35,19 @@
         self.sent.retain(|sent| now.saturating_sub(sent.sent_at) < REPORT_DELAY);
     }
 
-    /// Records work that this gateway sends.
+    /// Records work that this gateway sends to the replica.
     pub fn record_sent(&mut self, now: Nanos, work: f64) {
         self.sent.push(SentWork { sent_at: now, work });
     }
 
-    /// The work that is ahead of a new request.
+    /// The estimated work that the replica completes before it begins a new request.
     #[must_use]
     pub fn queued(&self) -> f64 {
         self.reported + self.sent.iter().map(|sent| sent.work).sum::<f64>()
     }
 }
 
-/// Whether the last report is recent enough to be used.
+/// The arrival time of the last report, which determines whether reports are recent enough to be used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportFreshness(Option<Nanos>);
 
@@ -56,7 +57,7 @@
         self.0 = Some(now);
     }
 
-    /// Whether the last report arrived at most a second ago; false if there is none.
+    /// Whether the last report arrived at most one second ago; false if there is none.
     #[must_use]
     pub fn is_fresh(&self, now: Nanos) -> bool {
         self.0.is_some_and(|reported_at| now.saturating_sub(reported_at) <= REPORT_MAX_AGE)
--- a/crates/load-balancer/src/random.rs
+++ b/crates/load-balancer/src/random.rs
@@ -2,8 +2,8 @@
 
 use md5::{Digest, Md5};
 
-/// The increment of SplitMix64: 2^64 divided by the golden ratio, an odd number without a regular bit
-/// pattern.
+/// The increment of SplitMix64: 2^64 divided by the golden ratio, rounded to an odd number. It has no regular
+/// bit pattern.
 pub(crate) const GOLDEN_GAMMA: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// A SplitMix64 generator. It is not cryptographically secure.
@@ -34,7 +34,7 @@
     ((bits >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// The first 64 bits of the MD5 hash of the concatenated `parts`.
+/// The first 64 bits of the MD5 hash of the concatenated `parts`, read as a big-endian number.
 pub(crate) fn md5_prefix(parts: &[&[u8]]) -> u64 {
     let digest = parts.iter().fold(Md5::new(), Md5::chain_update).finalize();
     digest.iter().take(8).fold(0, |prefix, byte| prefix << 8 | u64::from(*byte))
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,9 +1,9 @@
-//! Handles a request from the time it was read completely up to its final response.
+//! Handles a request that has been read completely, up to its final response.
 //!
 //! [`handle_request`] admits a request according to the newest configuration and places it. `Exchange::run` then
 //! executes the load balancer's actions one at a time:
 //!
-//! 1. `attempts` sends the request to the replica that the action specifies, if a send is still allowed;
+//! 1. `attempts` sends the request to the replica that the action specifies, if a further attempt is still allowed;
 //! 2. `interruption` ends an attempt when the client disconnects, the deadline passes, the load balancer cancels it, or
 //!    the replica's weights expire;
 //! 3. the retry table ([`crate::replica::retry`]) determines the action after a failed attempt;
@@ -38,16 +38,17 @@
 use crate::replica::retry::{self, FinalStatus};
 
 /// `Retry-After` of a request that can't be admitted or placed, or that fails.
-const RETRY_AFTER_DELAY: Duration = Duration::from_millis(500);
+const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(500);
 /// `Retry-After` of a request that the newest configuration handles differently, that another proxy can serve, or whose
 /// attempt was ended early.
-const RETRY_AFTER_MINIMUM: Duration = Duration::from_millis(50);
-/// A request for which no replica is available is abandoned after the latency target of its route divided by this.
+const RETRY_AFTER_SHORT: Duration = Duration::from_millis(50);
+/// The time after which a request without an available replica is abandoned is the latency target of its route divided
+/// by this.
 const PLACEMENT_TIMEOUT_DIVISOR: u32 = 5;
 /// A response that has begun is aborted this long after the deadline of its request. Replicas end it before that.
 const DEADLINE_GRACE: Duration = Duration::from_secs(1);
 
-/// Handles a request: refuses or denies it, or places it, and writes its final response.
+/// Admits a request and places it, or rejects it, and writes its final response.
 pub async fn handle_request(
     proxy: &Rc<Proxy>,
     client: Client<'_>,
@@ -56,7 +57,7 @@
     proxy.counters.requests.increment();
     let Some(routing) = proxy.routing_for(&request.head) else {
         proxy.counters.refused.increment();
-        return write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_DELAY))
+        return write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_DEFAULT))
             .await;
     };
     let admitted = match routing.admit(&request.head, proxy.random_fraction()) {
@@ -71,14 +72,14 @@
     let deadline = deadline(request, &admitted);
     if !proxy.accepts_request(deadline.saturating_duration_since(Instant::now())) {
         proxy.counters.refused.increment();
-        return write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_MINIMUM))
+        return write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_SHORT))
             .await;
     }
     match Exchange::place(proxy, request, admitted, deadline) {
         Some(exchange) => exchange.run(client).await,
         None => {
             proxy.counters.refused.increment();
-            write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_DELAY)).await
+            write_local_response(proxy, client, request, LocalResponse::refusal(RETRY_AFTER_DEFAULT)).await
         }
     }
 }
@@ -97,7 +98,7 @@
     NoReplicaAvailable,
 }
 
-/// How handling of a request continues after a step.
+/// How the handling of a request continues.
 enum Step {
     /// Wait for the load balancer's next action.
     Continue,
@@ -168,7 +169,9 @@
         loop {
             let step = match self.next_event(&mut client).await {
                 WaitEvent::ClientDisconnected => Step::Respond(FinalResponse::ClientDisconnected),
-                WaitEvent::NoReplicaAvailable => Step::Respond(self.abandoned_response(RETRY_AFTER_DELAY)),
+                WaitEvent::NoReplicaAvailable => {
+                    Step::Respond(self.abandoned_response(RETRY_AFTER_DEFAULT))
+                }
                 WaitEvent::Action(action) => self.execute(&mut client, action).await,
             };
             let completion = match step {
@@ -185,8 +188,8 @@
     /// Waits for the next action while no attempt is in flight, up to the placement timeout.
     async fn next_event(&self, client: &mut Client<'_>) -> WaitEvent {
         let timeout = placement::latency_target(self.admitted.route()) / PLACEMENT_TIMEOUT_DIVISOR;
-        let from = if self.sends == 0 { self.request.started } else { Instant::now() };
-        let mut placement_timeout = self.proxy.alarms.at(from + timeout);
+        let wait_started = if self.sends == 0 { self.request.started } else { Instant::now() };
+        let mut placement_timeout = self.proxy.alarms.at(wait_started + timeout);
         future::poll_fn(|context| {
             if let Poll::Ready(action) = self.placed.poll_action(context) {
                 return Poll::Ready(WaitEvent::Action(action));
@@ -202,10 +205,10 @@
     async fn execute(&mut self, client: &mut Client<'_>, action: RequestAction) -> Step {
         match action {
             RequestAction::Send { attempt, replica } => self.attempt(client, attempt, &replica).await,
-            // No attempt is in flight.
+            // No attempt is in flight that could be cancelled.
             RequestAction::Cancel(_) => Step::Continue,
-            RequestAction::Refuse(wait) => Step::Respond(self.abandoned_response(wait)),
-            RequestAction::Fail => Step::Respond(self.failed_response(RETRY_AFTER_DELAY)),
+            RequestAction::Refuse(retry_after) => Step::Respond(self.abandoned_response(retry_after)),
+            RequestAction::Fail => Step::Respond(self.failed_response(RETRY_AFTER_DEFAULT)),
         }
     }
 
@@ -214,12 +217,12 @@
         RequestKind::of(self.admitted.route())
     }
 
-    /// The final response of a request for which no further attempt is made.
+    /// The final response of a request that is abandoned: no replica was available, or the load balancer refused it.
     fn abandoned_response(&self, retry_after: Duration) -> FinalResponse {
         FinalResponse::Local(self.local_response(true, retry_after))
     }
 
-    /// The final response of a request that has failed.
+    /// The final response of a request that has failed or is no longer admitted.
     fn failed_response(&self, retry_after: Duration) -> FinalResponse {
         FinalResponse::Local(self.local_response(false, retry_after))
     }
--- a/crates/proxy/src/exchange/attempts.rs
+++ b/crates/proxy/src/exchange/attempts.rs
@@ -6,7 +6,7 @@
 use tulipridge_load_balancer::types::{ReplicaId, Verdict};
 
 use super::interruption::Interruption;
-use super::{Exchange, FinalResponse, RETRY_AFTER_DELAY, RETRY_AFTER_MINIMUM, Step};
+use super::{Exchange, FinalResponse, RETRY_AFTER_DEFAULT, RETRY_AFTER_SHORT, Step};
 use crate::downstream::client::Client;
 use crate::placement::queued_work;
 use crate::replica::attempt::{self, AttemptResult, UpstreamRequest};
@@ -27,7 +27,7 @@
     ) -> Step {
         self.placed.begin_attempt(attempt);
         if !self.is_still_admitted() {
-            return Step::Respond(self.failed_response(RETRY_AFTER_MINIMUM));
+            return Step::Respond(self.failed_response(RETRY_AFTER_SHORT));
         }
         let replica = self.proxy.replicas.borrow().ready(replica).cloned();
         let Some(replica) = replica.filter(|_| self.may_send()) else {
@@ -42,7 +42,7 @@
         // While the connection was being established, the replica may have begun to drain, or the configuration may
         // have changed.
         if !self.is_still_admitted() {
-            return Step::Respond(self.failed_response(RETRY_AFTER_MINIMUM));
+            return Step::Respond(self.failed_response(RETRY_AFTER_SHORT));
         }
         let is_ready = self.proxy.replicas.borrow().ready(&replica.id).is_some();
         if !is_ready || !self.reserve_send() {
@@ -157,7 +157,7 @@
             Some(error) if is_retried => self.last_error = Some(error),
             Some(error) => return Step::Respond(FinalResponse::Upstream(error)),
             None if is_retried => {}
-            None => return Step::Respond(self.failed_response(RETRY_AFTER_DELAY)),
+            None => return Step::Respond(self.failed_response(RETRY_AFTER_DEFAULT)),
         }
         Step::Continue
     }
--- a/crates/proxy/src/exchange/interruption.rs
+++ b/crates/proxy/src/exchange/interruption.rs
@@ -5,7 +5,7 @@
 use futures_lite::future;
 use tulipridge_protocol::feed::ModelRevision;
 
-use super::{Exchange, FinalResponse, RETRY_AFTER_MINIMUM, Step};
+use super::{Exchange, FinalResponse, RETRY_AFTER_SHORT, Step};
 use crate::downstream::client::Client;
 use crate::placement::RequestAction;
 use crate::replica::attempt::AttemptResult;
@@ -75,7 +75,7 @@
             }
             RequestAction::Fail => {
                 self.placed.cancel_attempt(true);
-                Step::Respond(self.failed_response(RETRY_AFTER_MINIMUM))
+                Step::Respond(self.failed_response(RETRY_AFTER_SHORT))
             }
             RequestAction::Refuse(wait) => {
                 self.placed.cancel_attempt(true);
--- a/crates/proxy/src/notice.rs
+++ b/crates/proxy/src/notice.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// Notifies any number of tasks of one thread of a change. Carries no value. A task is notified only of changes after
+/// Notifies any number of tasks of one thread of a change, without a value. A task is notified only of changes after
 /// it began to wait.
 #[derive(Debug, Default)]
 pub struct Notice {
@@ -15,7 +15,7 @@
 }
 
 impl Notice {
-    /// Reports a change: wakes all waiting tasks.
+    /// Wakes all waiting tasks.
     pub fn raise(&self) {
         self.change_count.set(self.change_count.get() + 1);
         let waiters = self.waiters.take();
--- a/crates/proxy/src/updates.rs
+++ b/crates/proxy/src/updates.rs
@@ -18,8 +18,7 @@
 use crate::proxy::Proxy;
 
 impl Proxy {
-    /// Applies the time limits of reloaded settings. If the retry allowance changes, all retry budgets start empty
-    /// again.
+    /// Applies the time limits of reloaded settings. If the retry allowance changes, all retry budgets are emptied.
     pub fn set_time_limits(&self, limits: &TimeLimits) {
         self.configuration.set_gate(FreshnessGate::of(limits));
         self.weights_expiry.set_term(limits.revision_term());
@@ -44,11 +43,11 @@
         self.configuration.set(configuration);
     }
 
-    /// Applies a new replica list. `weights` determines which revisions of the weights may still be used.
-    pub fn set_fleet<'a>(&self, rows: impl IntoIterator<Item = &'a Replica>, weights: &WeightsTable) {
+    /// Applies a new replica list. `weights` states which revisions of the model weights may still be used.
+    pub fn set_fleet<'a>(&self, listed: impl IntoIterator<Item = &'a Replica>, weights: &WeightsTable) {
         let changed_services = {
             let mut zones = self.zones.borrow_mut();
-            self.replicas.borrow_mut().update(rows, weights, &mut zones)
+            self.replicas.borrow_mut().update(listed, weights, &mut zones)
         };
         let replicas = self.replicas.borrow();
         self.pool.retain_replicas(|id| replicas.ready(id).is_some());
@@ -77,7 +76,7 @@
         self.retry_budgets.set_proxy_count(proxy_count);
     }
 
-    /// Stops sending requests to an incarnation of a replica whose address another incarnation has taken over.
+    /// Stops sending requests to an incarnation whose address another incarnation has taken over.
     pub fn displace(&self, id: &ReplicaId) {
         let service = self.replicas.borrow_mut().displace(id);
         if let Some(service) = service {
--- a/crates/proxy/tests/headers.rs
+++ b/crates/proxy/tests/headers.rs
@@ -1,4 +1,4 @@
-//! Message heads as they are forwarded, in both directions.
+//! Which headers of requests and responses the proxy forwards, drops and adds.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     text(out)
 }
 
-const PLAIN: Additions<'_> = Additions {
+const BASE_ADDITIONS: Additions<'_> = Additions {
     replica: "i-1",
     tenant: None,
     time_left: Duration::from_millis(5500),
@@ -62,7 +62,7 @@
         priority: 3,
         revision: Some(WeightsRevision(4)),
         salt: Some("m4-t-acme"),
-        ..PLAIN
+        ..BASE_ADDITIONS
     };
     insta::assert_snapshot!(request(client, 17, &additions));
 }
@@ -81,7 +81,7 @@
                   Expect: 100-continue\n\
                   AUTHORIZATION: Token secret\n\
                   Content-Length: 1";
-    insta::assert_snapshot!(request(client, 1, &PLAIN));
+    insta::assert_snapshot!(request(client, 1, &BASE_ADDITIONS));
 }
 
 #[test]
@@ -98,18 +98,18 @@
                   Upgrade: h2c\n\
                   x-hop: dropped\n\
                   X-Kept: yes";
-    insta::assert_snapshot!(request(client, 0, &PLAIN));
+    insta::assert_snapshot!(request(client, 0, &BASE_ADDITIONS));
 }
 
 #[test]
 fn a_request_without_a_body_gets_no_length() {
-    insta::assert_snapshot!(request("GET /a HTTP/1.1\nHost: shop.example", 0, &PLAIN));
+    insta::assert_snapshot!(request("GET /a HTTP/1.1\nHost: shop.example", 0, &BASE_ADDITIONS));
 }
 
 #[test]
 fn a_resumed_request_names_the_last_forwarded_event() {
     let client = "POST / HTTP/1.1\nHost: shop.example\nLast-Event-Id: 7\nContent-Length: 0";
-    let additions = Additions { last_event_id: Some("31"), ..PLAIN };
+    let additions = Additions { last_event_id: Some("31"), ..BASE_ADDITIONS };
     insta::assert_snapshot!(request(client, 0, &additions));
 }
 
@@ -130,8 +130,8 @@
 
 #[test]
 fn a_response_keeps_end_to_end_headers() {
-    let idle = Persistence::KeepAlive(Duration::from_secs(14));
-    insta::assert_snapshot!(response(Framing::Length(5), idle));
+    let keep_alive = Persistence::KeepAlive(Duration::from_secs(14));
+    insta::assert_snapshot!(response(Framing::Length(5), keep_alive));
 }
 
 #[test]
--- a/crates/proxy/tests/response_class.rs
+++ b/crates/proxy/tests/response_class.rs
@@ -1,4 +1,4 @@
-//! Responses are classified by their head.
+//! Classification of responses by status and headers, and by the attempt id that they state.
 
 mod support;
 
@@ -35,9 +35,9 @@
     #[case] expected: ResponseClass,
 ) {
     let status = status.to_string();
-    let mut all = vec![("Attempt-Id", "t1")];
-    all.extend_from_slice(headers);
-    let head = head(["HTTP/1.1", &status, ""], &all);
+    let mut all_headers = vec![("Attempt-Id", "t1")];
+    all_headers.extend_from_slice(headers);
+    let head = head(["HTTP/1.1", &status, ""], &all_headers);
     assert_eq!(ResponseClass::of(&head, Some("t1"), "i-1"), expected);
     assert_eq!(ResponseClass::of(&head, Some("t2"), "i-1"), ResponseClass::Stale);
     assert_eq!(ResponseClass::of(&head, None, "i-1"), ResponseClass::Stale);
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Complete exchanges through the proxy.
+//! A request and its response pass through the whole proxy.
 
 mod support;
 
--- a/crates/write-ahead-log/src/retention.rs
+++ b/crates/write-ahead-log/src/retention.rs
@@ -1,10 +1,10 @@
-//! Removal of obsolete files and disk usage.
+//! Removes obsolete files and measures the disk usage of the log.
 
 use super::directory::Directory;
 use super::format::{self, SegmentNumber};
 
-/// Removes segments and snapshots before a number, and temporary files. If a removal fails, the next call tries it
-/// again; until then recovery ignores the file as long as a newer valid snapshot exists.
+/// Removes segments and snapshots with a number below `first_kept`, and temporary files. If a removal fails, the next
+/// call tries it again; until then recovery ignores the file as long as a newer valid snapshot exists.
 pub(crate) fn remove_obsolete_files<D: Directory>(directory: &D, first_kept: SegmentNumber) {
     let names = directory.list().unwrap_or_default();
     for name in names.iter().filter(|name| is_obsolete(name, first_kept)) {
@@ -18,8 +18,8 @@
 }
 
 fn is_obsolete(name: &str, first_kept: SegmentNumber) -> bool {
-    let is_outdated = format::parse_file_name(name).is_some_and(|number| number < first_kept);
-    is_outdated || format::is_temporary_name(name)
+    let precedes_first_kept = format::parse_file_name(name).is_some_and(|number| number < first_kept);
+    precedes_first_kept || format::is_temporary_name(name)
 }
 
 /// Total bytes of all files of the log except one; files whose length can't be read are not counted.
--- a/crates/write-ahead-log/src/write_ahead_log.rs
+++ b/crates/write-ahead-log/src/write_ahead_log.rs
@@ -10,7 +10,7 @@
 use super::segment::Segment;
 use super::snapshot;
 
-/// Segment length from which the next append starts a new segment.
+/// If the active segment has at least this length, the next append goes to a new segment.
 pub const SEGMENT_LENGTH_BYTES: u64 = 4 * 1024 * 1024;
 
 /// The result of opening a log.
@@ -22,7 +22,7 @@
     pub recovered: Recovered,
 }
 
-/// An open log. At most one may be open on a directory at a time.
+/// An open log. A directory may have only one open log at a time.
 #[derive(Debug)]
 pub struct WriteAheadLog<D: Directory = FileSystemDirectory> {
     directory: D,
@@ -43,7 +43,7 @@
 }
 
 impl<D: Directory> WriteAheadLog<D> {
-    /// Opens the log in a directory: recovers its content, makes that durable and truncates a torn tail.
+    /// Opens the log in a directory: recovers its content, makes it durable and truncates a torn tail.
     ///
     /// # Errors
     ///
@@ -82,7 +82,7 @@
         self.active.append(&frame)
     }
 
-    /// Replaces all records so far by a snapshot. The snapshot is durable on return.
+    /// Replaces all records appended so far by a snapshot. The snapshot is durable on return.
     ///
     /// # Errors
     ///
--- a/src/engine/forwarding.rs
+++ b/src/engine/forwarding.rs
@@ -29,7 +29,8 @@
 }
 
 impl<S> ReplicaSide<S> {
-    /// Records the first event. Returns the time that it took.
+    /// Records the first event of the forwarded attempt. Returns the time since the start of the attempt, or 0 if it is
+    /// not in flight.
     pub(super) fn record_first_event(&mut self) -> Nanos {
         let number = self.number;
         self.admitted.as_mut().map_or(0, |admitted| admitted.record_first_event(number))
@@ -37,11 +38,11 @@
 
     /// The replica of the forwarded attempt.
     pub(super) fn replica(&self) -> Option<ReplicaId> {
-        let own = self.attempts.iter().find(|attempt| attempt.number == self.number);
-        own.map(|attempt| attempt.replica.clone())
+        let forwarded = self.attempts.iter().find(|attempt| attempt.number == self.number);
+        forwarded.map(|attempt| attempt.replica.clone())
     }
 
-    /// Records the outcome of an attempt. The request ends with the forwarded attempt.
+    /// Records the outcome of an attempt; that of the forwarded attempt ends the request.
     fn record_outcome(&mut self, number: u32, outcome: AttemptOutcome) {
         if let Some(admitted) = &mut self.admitted {
             admitted.record_outcome(number, outcome, number == self.number);
@@ -53,21 +54,21 @@
     }
 }
 
-/// An event of a request.
+/// What the handling of a request reacts to.
 pub(super) enum RequestEvent<E> {
     /// The client has disconnected.
-    ClientLeft(Disconnect),
-    /// The load balancer requires an action.
+    ClientDisconnected(Disconnect),
+    /// The load balancer has decided on an action.
     Action(RequestAction),
     /// An attempt has yielded an update.
     Update(u32, AttemptUpdate<E>),
-    /// The client has taken bytes.
+    /// This number of bytes was written to the client.
     BytesTaken(usize),
     /// A timer is due, or the stream was notified of an eviction or the shutdown.
     TimerDue,
 }
 
-/// A hedged attempt beside the forwarded one. Its data is dropped, but its end is recorded.
+/// A hedged attempt that runs beside the forwarded one. Its data is dropped, and its outcome is recorded.
 struct Hedge {
     replica: ReplicaId,
     relay: Relay,
@@ -126,7 +127,7 @@
             match self.relay.poll(now) {
                 RelayAction::Wait => {}
                 RelayAction::OfferHandover => {
-                    self.offer(now, successor);
+                    self.offer_handover(now, successor);
                     continue;
                 }
                 action => break action,
@@ -136,8 +137,8 @@
                 self.bytes_since_yield = 0;
                 future::yield_now().await;
             }
-            let event = future::poll_fn(|cx| self.poll_next(cx)).await;
-            self.apply(event);
+            let event = future::poll_fn(|cx| self.poll_event(cx)).await;
+            self.apply_event(event);
         };
         self.close(action);
     }
@@ -158,11 +159,11 @@
 
     /// Offers the stream to the successor process. A stream with hedged attempts is not offered: they belong to the
     /// load balancer of this process.
-    fn offer(&mut self, now: Nanos, successor: &impl StreamSuccessor<S, R>) {
+    fn offer_handover(&mut self, now: Nanos, successor: &impl StreamSuccessor<S, R>) {
         let number = self.replica_side.number;
         let is_taken = match &mut self.replica_side.attempts[..] {
-            [own] if own.number == number => {
-                successor.take_over(self.info, &mut own.updates, &mut self.sink)
+            [attempt] if attempt.number == number => {
+                successor.take_over(self.info, &mut attempt.updates, &mut self.sink)
             }
             _ => false,
         };
@@ -173,7 +174,7 @@
         }
     }
 
-    fn poll_next<E>(&mut self, cx: &mut Context<'_>) -> Poll<RequestEvent<E>>
+    fn poll_event<E>(&mut self, cx: &mut Context<'_>) -> Poll<RequestEvent<E>>
     where
         S: Stream<Item = AttemptUpdate<E>> + Unpin,
         R: ResponseSink<E>,
@@ -187,12 +188,14 @@
             return Poll::Ready(RequestEvent::Action(action));
         }
         if let Poll::Ready(disconnect) = self.sink.poll_disconnect(cx) {
-            return Poll::Ready(RequestEvent::ClientLeft(disconnect));
+            return Poll::Ready(RequestEvent::ClientDisconnected(disconnect));
         }
         if self.relay.client_queued() > 0
             && let Poll::Ready(taken) = self.sink.poll_write(cx)
         {
-            return Poll::Ready(taken.map_or_else(RequestEvent::ClientLeft, RequestEvent::BytesTaken));
+            return Poll::Ready(
+                taken.map_or_else(RequestEvent::ClientDisconnected, RequestEvent::BytesTaken),
+            );
         }
         for attempt in &mut self.replica_side.attempts {
             if (attempt.number != self.replica_side.number || self.relay.wants_read())
@@ -204,24 +207,28 @@
         self.timer.poll(cx, self.engine, self.relay.due()).map(|()| RequestEvent::TimerDue)
     }
 
-    fn apply<E>(&mut self, event: RequestEvent<E>)
+    fn apply_event<E>(&mut self, event: RequestEvent<E>)
     where
         R: ResponseSink<E>,
     {
-        let own = self.replica_side.number;
+        let forwarded_number = self.replica_side.number;
         match event {
-            RequestEvent::ClientLeft(disconnect) => {
+            RequestEvent::ClientDisconnected(disconnect) => {
                 self.relay.client_left(self.engine.now(), disconnect);
             }
             RequestEvent::BytesTaken(bytes) => {
                 self.bytes_since_yield += bytes;
                 self.relay.record_taken(self.engine.now(), bytes);
             }
-            RequestEvent::Update(number, AttemptUpdate::Events(events, arrival)) if number == own => {
+            RequestEvent::Update(number, AttemptUpdate::Events(events, arrival))
+                if number == forwarded_number =>
+            {
                 self.bytes_since_yield += arrival.bytes;
                 forward_arrival(self.engine, &mut self.relay, &mut self.sink, arrival, events);
             }
-            RequestEvent::Update(number, AttemptUpdate::Bytes(mut arrival)) if number == own => {
+            RequestEvent::Update(number, AttemptUpdate::Bytes(mut arrival))
+                if number == forwarded_number =>
+            {
                 self.bytes_since_yield += arrival.bytes;
                 arrival.replica_buffered += self.sink.buffered_bytes();
                 record_arrival(self.engine, &mut self.relay, &arrival);
@@ -229,9 +236,10 @@
             RequestEvent::Update(number, AttemptUpdate::Ended(outcome)) => {
                 self.end_attempt(number, outcome);
             }
-            // A started stream can't be rejected any more. A rejected hedge says nothing about the stream.
+            // A started stream can no longer be rejected, so that this is an error. A rejected hedged attempt has no
+            // effect on the forwarded one.
             RequestEvent::Update(number, AttemptUpdate::Rejected(..)) => {
-                let verdict = if number == own { Verdict::Error } else { Verdict::NotSent };
+                let verdict = if number == forwarded_number { Verdict::Error } else { Verdict::NotSent };
                 self.end_attempt(number, verdict.into());
             }
             RequestEvent::Update(
@@ -241,7 +249,7 @@
                 self.record_hedge(number, arrival);
             }
             RequestEvent::Action(RequestAction::CancelAttempt(number)) => self.cancel(number),
-            // No other action concerns a started stream.
+            // No other action applies to a started stream.
             RequestEvent::Action(_) | RequestEvent::TimerDue => {}
         }
     }
@@ -291,8 +299,8 @@
         }
     }
 
-    /// Ends both sides in this order: closes the connections of all attempts, reports to the load balancer, and ends
-    /// the response.
+    /// Closes the connections of all attempts, then reports their outcomes to the load balancer, then ends the response
+    /// to the client.
     fn close<E>(self, action: RelayAction)
     where
         R: ResponseSink<E>,
@@ -300,11 +308,11 @@
         let Forwarding {
             engine, info, mut replica_side, mut relay, mut sink, registration, hedges, ..
         } = self;
-        let own = replica_side.number;
-        let is_in_flight = replica_side.attempts.iter().any(|attempt| attempt.number == own);
+        let forwarded_number = replica_side.number;
+        let is_in_flight = replica_side.attempts.iter().any(|attempt| attempt.number == forwarded_number);
         replica_side.attempts.clear();
         if let (true, Some(outcome)) = (is_in_flight, relay.outcome()) {
-            replica_side.record_outcome(own, outcome.cause.verdict().into());
+            replica_side.record_outcome(forwarded_number, outcome.cause.verdict().into());
         }
         relay.connection_released(engine.now());
         let outcome = relay.outcome();
@@ -312,7 +320,7 @@
             engine.record_stream_end(info, &info.replica, outcome);
         }
         for (number, mut hedge) in hedges {
-            // A hedge that has sent data counts as cancelled and not as timed out, however long it ran.
+            // A hedged attempt that has sent data counts as cancelled and not as timed out, however long it ran.
             replica_side.record_outcome(number, Verdict::Cancelled.into());
             hedge.relay.cancel(engine.now());
             engine.record_hedged(info, &hedge.replica, &mut hedge.relay);
--- a/src/engine/request_lifecycle.rs
+++ b/src/engine/request_lifecycle.rs
@@ -108,7 +108,7 @@
             RequestEvent::Update(_, AttemptUpdate::Bytes(_))
             | RequestEvent::BytesTaken(_)
             | RequestEvent::TimerDue => {}
-            RequestEvent::ClientLeft(_) => {
+            RequestEvent::ClientDisconnected(_) => {
                 drop((attempts, admitted));
                 return client.abandon().await;
             }
@@ -162,7 +162,7 @@
     future::or(
         async {
             client.wait_for_disconnect().await;
-            RequestEvent::ClientLeft(Disconnect::Closed)
+            RequestEvent::ClientDisconnected(Disconnect::Closed)
         },
         future::or(async { RequestEvent::Action(admitted.next_action().await) }, async {
             let (number, update) = next_update(attempts).await;
--- a/src/engine/stream_table.rs
+++ b/src/engine/stream_table.rs
@@ -12,7 +12,7 @@
     pub(super) budget: Budget,
     pub(super) statistics: StreamStatistics,
     pub(super) outliers: Option<OutlierEjection>,
-    /// The list as it was received, without the changes by ejections.
+    /// The replica list as received: ejected replicas are not marked as draining in it.
     members: BTreeMap<ReplicaId, Member>,
     pub(super) wakers: BTreeMap<Account, Waker>,
     pub(super) evicted: BTreeSet<Account>,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Records an update of the list, and marks ejected replicas in it as draining.
+    /// Records an update of the replica list, and marks ejected replicas in the update as draining.
     pub(super) fn record_list(&mut self, kind: ListKind, members: &mut [Member]) {
         let Some(outliers) = &mut self.outliers else { return };
         if matches!(kind, ListKind::Complete | ListKind::Persisted) {
@@ -49,7 +49,11 @@
                 _ => drop(self.members.insert(member.id.clone(), member.clone())),
             }
         }
-        let ready = self.members.values().filter(|m| m.phase == Phase::Ready).map(|m| m.id.clone());
+        let ready = self
+            .members
+            .values()
+            .filter(|member| member.phase == Phase::Ready)
+            .map(|member| member.id.clone());
         outliers.set_ready(&ready.collect::<Vec<_>>());
         for member in members.iter_mut() {
             if member.phase == Phase::Ready && outliers.is_ejected(&member.id) {
@@ -58,7 +62,7 @@
         }
     }
 
-    /// The list entry of a replica after an ejection or its end.
+    /// The list entry of a replica after its ejection or readmission; `None` if it is not listed.
     pub(super) fn changed_member(&mut self, change: &EjectionChange) -> Option<Member> {
         let (id, phase) = match change {
             EjectionChange::Eject(id) => (id, Phase::Draining),
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,5 +1,5 @@
-//! Validation of replica lists of a large fleet and of load reports with invalid values, and speeds by
-//! kind.
+//! Validation of replica lists and load reports that have invalid values, and the assignment of speeds to
+//! kinds of replicas.
 
 use serde_json::json;
 
@@ -9,7 +9,7 @@
 
 const NOW: f64 = 1.8e12;
 
-/// A list of sixty valid entries, with `overrides` of single fields.
+/// A list of sixty valid entries in which `overrides` replaces fields: index of the entry, field, value.
 fn listing(overrides: &[(usize, &str, serde_json::Value)]) -> Listing {
     let entry = |n| json!({"id": format!("s-{n}"), "addr": format!("10.1.0.{n}:8080"), "state": "ready", "weight": 4.0, "started_ms": 0});
     let mut servers: Vec<_> = (0..60).map(entry).collect();
@@ -37,8 +37,8 @@
     ];
     let mut list = listing(&overrides);
     let faults = list.correct(NOW);
-    let named: Vec<&str> = faults.iter().map(|(server, _)| &**server).collect();
-    assert_eq!(named, ["s-0", "s-1", "s-2", "s-3", "s-4"]);
+    let faulty_ids: Vec<&str> = faults.iter().map(|(server, _)| &**server).collect();
+    assert_eq!(faulty_ids, ["s-0", "s-1", "s-2", "s-3", "s-4"]);
     assert!(list.servers[..3].iter().all(|s| s.weight == 1.0));
     assert!(list.servers[3..5].iter().all(|s| s.started_ms == NOW));
     assert!(list.servers[5..].iter().all(|s| s.weight == 4.0 && s.started_ms == 0.0));
@@ -53,7 +53,7 @@
         let mut list =
             listing(&[(8, "id", json!("s-40")), (8, "state", json!(first)), (40, "state", json!(second))]);
         assert_eq!(list.correct(NOW).len(), 1);
-        let left: Vec<State> = list.servers.iter().filter(|s| s.id == "s-40").map(|s| s.state).collect();
+        let states: Vec<State> = list.servers.iter().filter(|s| s.id == "s-40").map(|s| s.state).collect();
         let expected = if [first, second].contains(&"gone") {
             State::Gone
         } else if first == second {
@@ -61,7 +61,7 @@
         } else {
             State::Draining
         };
-        assert_eq!(left, [expected]);
+        assert_eq!(states, [expected]);
     }
 }
 
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,4 +1,4 @@
-//! The load balancer on its own: its rules, the properties of the ring, and regression tests.
+//! Tests of the load balancer without I/O: placement, retries, the ring, and regressions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -63,8 +63,8 @@
     (0..count).map(member).collect()
 }
 
-/// A gateway with a clock. Checks that each request is completed once, and that no attempt is sent after
-/// that.
+/// A load balancer with a simulated clock. Checks that each request is completed once, and that no attempt is
+/// sent after its completion.
 struct TestGateway {
     balancer: LoadBalancer,
     now: Nanos,
@@ -77,7 +77,7 @@
     /// Tenant of the next requests.
     tenant: Option<usize>,
     /// Cached prompt tokens that each response reports. If this exceeds the length of the shared prefix, it
-    /// pays to keep a session at its replica.
+    /// saves prefill to keep a session at its replica.
     cached_tokens: u32,
 }
 
@@ -163,7 +163,7 @@
         })
     }
 
-    /// Sends one request, whose response is immediate. Returns the replica that got it.
+    /// Places one request and, if it is sent, completes it at once. Returns its replica.
     fn serve(&mut self, session: u64, prefix: Option<u64>) -> Option<String> {
         let (id, actions) = self.request(session, prefix);
         let sent = destination(&actions);
@@ -332,7 +332,7 @@
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (random >> 33) % below
     };
-    let (mut homes, mut later, mut stayed, mut counts) = (BTreeMap::new(), 0, 0, BTreeMap::new());
+    let (mut last_replicas, mut later, mut stayed, mut counts) = (BTreeMap::new(), 0, 0, BTreeMap::new());
     for _ in 0..6000 {
         // The prefix is determined by the session; prefixes with low numbers are more frequent.
         let session = draw(800);
@@ -340,7 +340,7 @@
         let gateway = &mut gateways[draw(100) as usize];
         let Some(to) = gateway.serve(session, Some(prefix)) else { continue };
         *counts.entry(to.clone()).or_insert(0) += 1;
-        if let Some(home) = homes.insert(session, to.clone()) {
+        if let Some(home) = last_replicas.insert(session, to.clone()) {
             (later, stayed) = (later + 1, stayed + u32::from(home == to));
         }
         gateways.iter_mut().for_each(|g| g.now += 16 * MILLI);
@@ -355,7 +355,7 @@
     // Regression (a class of single turns with a short latency target): keeping sessions at their replica
     // gained nothing, and the uneven load missed the latency target.
     let mut gateway = TestGateway::new(settings(Effect::Safe), &members(10));
-    let fills = |gateway: &mut TestGateway| {
+    let max_per_replica = |gateway: &mut TestGateway| {
         let ids: Vec<_> = (0..40).map(|s| gateway.request(s, None)).collect();
         let mut counts = BTreeMap::new();
         for (_, actions) in &ids {
@@ -366,13 +366,16 @@
         }
         counts.into_values().max().expect("forty were sent")
     };
-    let sticky = fills(&mut gateway);
+    let with_cache_hits = max_per_replica(&mut gateway);
     gateway.cached_tokens = 0;
     for session in 0..100 {
         gateway.serve(session, None);
     }
-    let loose = fills(&mut gateway);
-    assert!(loose < sticky, "{loose} at the busiest replica, {sticky} where sessions stay");
+    let without_cache_hits = max_per_replica(&mut gateway);
+    assert!(
+        without_cache_hits < with_cache_hits,
+        "{without_cache_hits} at the busiest replica, {with_cache_hits} where sessions stay"
+    );
 }
 
 #[test]
@@ -442,9 +445,10 @@
 
 /// A group of a hundred gateways that start with `list`.
 fn gateways(settings: &Settings, list: &[Member]) -> Vec<TestGateway> {
-    let start = |me| {
-        let settings = Settings { group_size: 100, gateway_index: me, ..settings.clone() };
-        let balancer = LoadBalancer::new(settings.clone(), u64::from(me) * 977).expect("good settings");
+    let start = |gateway_index| {
+        let settings = Settings { group_size: 100, gateway_index, ..settings.clone() };
+        let balancer =
+            LoadBalancer::new(settings.clone(), u64::from(gateway_index) * 977).expect("good settings");
         let mut gateway = TestGateway { balancer, ..TestGateway::new(settings, &[]) };
         gateway.timers.clear();
         gateway.list(ListKind::Persisted, list);
@@ -775,11 +779,11 @@
     // Regression: the number of missing responses needed for an ejection must not grow with the number of
     // earlier responses, which is large here.
     let (mut gateway, home) = responsive_replicas(4);
-    let mut unanswered = 0;
+    let mut missing_responses = 0;
     while destination(&gateway.request(1, None).1).as_ref() == Some(&home) {
-        unanswered += 1;
+        missing_responses += 1;
         gateway.advance(250 * MILLI);
-        assert!(unanswered < 14, "still gets requests after {unanswered} without a response");
+        assert!(missing_responses < 14, "still gets requests after {missing_responses} without a response");
         (100..104).for_each(|session| drop(gateway.serve(session, None).filter(|at| *at != home)));
     }
 }
@@ -829,12 +833,12 @@
     for member in &mut list[20..] {
         member.zone = 1;
     }
-    let far = |name: &str| list[20..].iter().any(|m| &*m.id.0 == name);
+    let is_in_second_zone = |name: &str| list[20..].iter().any(|m| &*m.id.0 == name);
     let mut gateway = TestGateway::new(settings(Effect::Safe), &list);
     let mut failures = 0;
     for session in 0..200 {
         let (id, mut actions) = gateway.request(session, None);
-        while destination(&actions).is_some_and(|s| far(&s)) {
+        while destination(&actions).is_some_and(|s| is_in_second_zone(&s)) {
             failures += 1;
             actions = gateway.outcome(id, Verdict::NoConnection);
         }
@@ -843,7 +847,8 @@
     assert!((3..=4).contains(&failures), "{failures}");
     gateway.advance(5 * SECOND);
     // A trial that succeeds makes the zone available again.
-    let reached: usize = (0..200).filter(|s| gateway.serve(*s, None).is_some_and(|s| far(&s))).count();
+    let reached: usize =
+        (0..200).filter(|s| gateway.serve(*s, None).is_some_and(|s| is_in_second_zone(&s))).count();
     assert!(reached > 50, "{reached}");
 }
 
@@ -854,11 +859,11 @@
     for verdict in [Verdict::Cancelled, Verdict::NotSent, Verdict::TimedOut, Verdict::Reset] {
         let mut list = members(40);
         list[20..].iter_mut().for_each(|member| member.zone = 1);
-        let far = |name: &str| list[20..].iter().any(|m| &*m.id.0 == name);
+        let is_in_second_zone = |name: &str| list[20..].iter().any(|m| &*m.id.0 == name);
         let mut gateway = TestGateway::new(settings(Effect::Safe), &list);
         for session in 0..200 {
             let (id, mut actions) = gateway.request(session, None);
-            while destination(&actions).is_some_and(|s| far(&s)) {
+            while destination(&actions).is_some_and(|s| is_in_second_zone(&s)) {
                 actions = gateway.outcome(id, Verdict::NoConnection);
             }
             gateway.outcome(id, Verdict::Ok);
@@ -866,12 +871,13 @@
         gateway.advance(5 * SECOND);
         let (id, _) = (0..200)
             .map(|s| gateway.request(s, None))
-            .find(|(_, a)| far(&destination(a).expect("sent")))
+            .find(|(_, a)| is_in_second_zone(&destination(a).expect("sent")))
             .expect("a trial");
         gateway.handle(Event::Expired(id));
         gateway.outcome(id, verdict);
         gateway.advance(5 * SECOND);
-        let reached: usize = (0..200).filter(|s| gateway.serve(*s, None).is_some_and(|s| far(&s))).count();
+        let reached: usize =
+            (0..200).filter(|s| gateway.serve(*s, None).is_some_and(|s| is_in_second_zone(&s))).count();
         assert!(reached > 50, "{reached} after {verdict:?}");
     }
 }
@@ -914,7 +920,7 @@
     let (_, actions) = gateway.request(1, None);
     assert!(destination(&actions).is_none() && is_refused(&actions), "{actions:?}");
     gateway.handle(Event::FirstToken { id, attempt: 0, elapsed: 0 });
-    assert!(destination(&gateway.request(2, None).1).is_some(), "admitted once the queue moves");
+    assert!(destination(&gateway.request(2, None).1).is_some(), "admitted after the replica has responded");
 }
 
 #[test]
@@ -935,9 +941,9 @@
 /// start, and the mean number sent to a warm replica.
 fn cold_and_warm(units: UnitsMeaning, cold_units: f64, group: u32) -> (f64, f64) {
     let (mut cold, mut warm) = (0.0, 0.0);
-    for me in 0..group {
-        let settings = Settings { group_size: group, gateway_index: me, units, ..settings(Effect::Safe) };
-        let balancer = LoadBalancer::new(settings, u64::from(me)).expect("good settings");
+    for gateway_index in 0..group {
+        let settings = Settings { group_size: group, gateway_index, units, ..settings(Effect::Safe) };
+        let balancer = LoadBalancer::new(settings, u64::from(gateway_index)).expect("good settings");
         let mut list = members(10);
         let mut gateway = TestGateway { balancer, ..TestGateway::new(self::settings(Effect::Safe), &[]) };
         gateway.list(ListKind::Persisted, &list);
@@ -1175,8 +1181,8 @@
     let (waiting, actions) = gateway.request(1, None);
     let first = destination(&actions).expect("sent");
     for n in 4..200 {
-        let leaves = Member { phase: Phase::Gone, ..member(n - 4) };
-        gateway.list(ListKind::Changes, &[member(n), leaves]);
+        let departed = Member { phase: Phase::Gone, ..member(n - 4) };
+        gateway.list(ListKind::Changes, &[member(n), departed]);
         let sent = gateway.serve(n as u64, None).expect("served");
         assert!((n - 3..=n).any(|ready| member(ready).id.0.to_string() == sent));
     }
