--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -6,8 +6,8 @@
 use crate::decaying_average::decay_factor;
 use crate::types::{ClassIndex, Nanos, Request};
 
-/// Cost of decoding a response, in prompt tokens: decoding occupies a replica for about as long as the prefill
-/// of this number of tokens.
+/// Cost of decoding a response, in prompt tokens: decoding occupies a concurrency slot of the replica for
+/// about as long as the prefill of this number of tokens.
 pub const RESPONSE_COST_TOKENS: f64 = 1000.0;
 /// Time constant of the averages, in seconds. It covers several pauses between the turns of a session, so that
 /// all classes are seen.
--- a/crates/load-balancer/src/queued_work.rs
+++ b/crates/load-balancer/src/queued_work.rs
@@ -40,7 +40,7 @@
         self.sent.push(SentWork { sent_at: now, work });
     }
 
-    /// The estimated work that the replica completes before it begins a new request.
+    /// The estimated work that is queued ahead of a new request.
     #[must_use]
     pub fn queued(&self) -> f64 {
         self.reported + self.sent.iter().map(|sent| sent.work).sum::<f64>()
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -68,7 +68,7 @@
 struct TestGateway {
     balancer: LoadBalancer,
     now: Nanos,
-    next: u64,
+    last_request_id: u64,
     attempts: BTreeMap<u64, u32>,
     completed: BTreeSet<u64>,
     timers: Vec<(Nanos, u64)>,
@@ -87,7 +87,7 @@
         let mut gateway = TestGateway {
             balancer,
             now: 100 * SECOND,
-            next: 0,
+            last_request_id: 0,
             attempts: BTreeMap::new(),
             completed: BTreeSet::new(),
             timers: vec![],
@@ -123,8 +123,8 @@
     }
 
     fn request(&mut self, session: u64, prefix: Option<u64>) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId(self.next);
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
         let request = Request {
             id,
             expires_in: 5 * SECOND,
@@ -573,18 +573,21 @@
     for (n, member) in list.iter_mut().enumerate() {
         (member.zone, member.cell) = (n as u16 % 2, n as u64 % 4);
     }
-    let place = |name: &str| list.iter().position(|m| &*m.id.0 == name).expect("listed");
+    let index_of = |name: &str| list.iter().position(|m| &*m.id.0 == name).expect("listed");
     for scope in [Scope::Zone, Scope::Cell] {
         let mut gateway = TestGateway::new(settings(Effect::Keyed { scope, window: SECOND }), &list);
         for session in 0..50 {
             let (id, actions) = gateway.request(session, None);
-            let first = place(&destination(&actions).expect("sent"));
+            let first = index_of(&destination(&actions).expect("sent"));
             gateway.now += 400 * MILLI;
             let actions = gateway.outcome(id, Verdict::Reset);
             if let Some(second) = destination(&actions) {
-                let second = place(&second);
-                let rest = |a: &Action| matches!(a, Action::Send { write_within, .. } if *write_within == 600 * MILLI);
-                assert!(actions.iter().any(rest), "not the rest of the window: {actions:?}");
+                let second = index_of(&second);
+                let is_send_within_rest = |a: &Action| matches!(a, Action::Send { write_within, .. } if *write_within == 600 * MILLI);
+                assert!(
+                    actions.iter().any(is_send_within_rest),
+                    "not limited to the rest of the window: {actions:?}"
+                );
                 assert_eq!(list[first].zone, list[second].zone);
                 assert!(scope == Scope::Zone || list[first].cell == list[second].cell);
                 gateway.now += SECOND;
@@ -733,9 +736,9 @@
         gateway.advance(125 * MILLI);
         there
     };
-    let met =
+    let requests_to_failing =
         (0..80).filter(|n| request_to_home(&mut gateway, [Verdict::Error, Verdict::Ok][n % 2])).count();
-    assert!(met < 60, "{met} of 80 requests met the failing replica");
+    assert!(requests_to_failing < 60, "{requests_to_failing} of 80 requests went to the failing replica");
     assert!(!request_to_home(&mut gateway, Verdict::Ok), "ejected");
     // Successful trials are repeated until they outweigh the failures.
     let mut trials = 0;
