--- a/crates/fault-injection/tests/demo.rs
+++ b/crates/fault-injection/tests/demo.rs
@@ -50,6 +50,17 @@
     }
 }
 
+/// Free ports for a demo, and a listener at the one with this offset. A port that was just probed can be in use for a
+/// moment longer: a process that another test starts keeps a copy of the probing socket until its `exec`.
+fn occupied_port(offset: u16) -> (PortBlock, TcpListener) {
+    loop {
+        let reservation = free_ports();
+        if let Ok(listener) = TcpListener::bind((Ipv4Addr::LOCALHOST, reservation.first + offset)) {
+            return (reservation, listener);
+        }
+    }
+}
+
 impl Demo {
     fn start() -> Demo {
         let reservation = free_ports();
@@ -185,9 +196,8 @@
 #[case::of_a_proxy(1)]
 #[case::of_the_control_plane(12)]
 fn a_port_that_is_in_use_is_named_before_anything_starts(#[case] offset: u16) {
-    let reservation = free_ports();
-    let port = reservation.first + offset;
-    let _listener = TcpListener::bind((Ipv4Addr::LOCALHOST, port)).expect("it was free");
+    let (reservation, listener) = occupied_port(offset);
+    let port = listener.local_addr().expect("an address").port();
     let mut child = command(reservation.first)
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
