--- a/crates/fault-injection/src/address.rs
+++ b/crates/fault-injection/src/address.rs
@@ -41,7 +41,7 @@
                 return Ok(AddressBlock { octets, _reservation: reservation });
             }
         }
-        none_free("addresses")
+        no_free_block("addresses")
     }
 
     /// The address of the block with this last octet.
@@ -67,9 +67,9 @@
     ///
     /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if none is found.
     pub fn reserve() -> Result<PortBlock> {
-        let blocks = (LAST_PORT - FIRST_PORT) / PORTS_PER_MACHINE;
+        let block_count = (LAST_PORT - FIRST_PORT) / PORTS_PER_MACHINE;
         for _ in 0..RESERVATION_ATTEMPTS {
-            let first = FIRST_PORT + PORTS_PER_MACHINE * fastrand::u16(..blocks);
+            let first = FIRST_PORT + PORTS_PER_MACHINE * fastrand::u16(..block_count);
             let reserved = TcpListener::bind((Ipv4Addr::LOCALHOST, first + RESERVATION_OFFSET));
             if let Ok(reservation) = reserved
                 && (first..first + RESERVATION_OFFSET).all(is_free)
@@ -77,7 +77,7 @@
                 return Ok(PortBlock { first, _reservation: reservation });
             }
         }
-        none_free("ports")
+        no_free_block("ports")
     }
 }
 
@@ -86,6 +86,7 @@
     TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok()
 }
 
-fn none_free<T>(what: &str) -> Result<T> {
-    TimedOutSnafu { what: format!("free {what} on loopback"), limit: std::time::Duration::ZERO }.fail()
+fn no_free_block<T>(kind: &str) -> Result<T> {
+    TimedOutSnafu { condition: format!("free {kind} on loopback"), timeout: std::time::Duration::ZERO }
+        .fail()
 }
--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -218,11 +218,11 @@
     }
 
     fn read_more(&mut self, deadline: Option<Instant>) -> Result<usize, CallError> {
-        let left = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
-        if left.is_some_and(|left| left.is_zero()) {
+        let remaining = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
+        if remaining.is_some_and(|remaining| remaining.is_zero()) {
             return Err(io::Error::from(io::ErrorKind::TimedOut)).context(BrokenSnafu);
         }
-        self.stream.set_read_timeout(left).context(BrokenSnafu)?;
+        self.stream.set_read_timeout(remaining).context(BrokenSnafu)?;
         let mut chunk = vec![0; READ_BYTES];
         let count = self.stream.read(&mut chunk).context(BrokenSnafu)?;
         self.buffer.extend_from_slice(&chunk[..count]);
--- a/crates/fault-injection/src/command_line.rs
+++ b/crates/fault-injection/src/command_line.rs
@@ -24,13 +24,13 @@
     /// Recovery from network partitions.
     PartitionRecovery { seconds: u64, count: usize },
     /// Bytes and syncs of a change.
-    ChangeCost { note_bytes: Vec<usize>, changes: u64 },
+    ChangeCost { padding_bytes: Vec<usize>, changes: u64 },
     /// Machines whose share of a core is a quota.
     CpuQuota { seconds: u64, targets: Vec<QuotaTarget> },
     /// The demo.
     Demo { ports: DemoPorts },
     /// Mutation testing.
-    Mutations { clone: PathBuf, only: Vec<String> },
+    Mutations { clone_folder: PathBuf, id_prefixes: Vec<String> },
 }
 
 /// The parser of the command line.
@@ -39,25 +39,35 @@
     let takeover = takeover();
     let propagate = propagate();
     let catch_up = catch_up();
-    let heal = heal();
-    let cost = cost();
+    let partition_recovery = partition_recovery();
+    let change_cost = change_cost();
     let demo = demo();
-    let quota = quota();
+    let cpu_quota = cpu_quota();
     let mutations = mutations();
-    construct!([demo, kills, takeover, propagate, catch_up, heal, cost, quota, mutations])
-        .to_options()
-        .descr("Injects faults into the real programs of tulipridge on loopback")
+    construct!([
+        demo,
+        kills,
+        takeover,
+        propagate,
+        catch_up,
+        partition_recovery,
+        change_cost,
+        cpu_quota,
+        mutations
+    ])
+    .to_options()
+    .descr("Injects faults into the real programs of tulipridge on loopback")
 }
 
 fn kills() -> impl Parser<Command> {
-    let count = count(1_000);
+    let count = run_count(1_000);
     let deployments = long("deployments")
         .help("Deployments that run beside each other")
         .argument::<u64>("N")
         .guard(|count| *count > 0, "must be above 0")
         .fallback(4);
     let parser = construct!(Command::Kills { count, deployments });
-    command(parser, "kills", "Kills members while operators send changes; fails if one is lost")
+    subcommand(parser, "kills", "Kills members while operators send changes; fails if one is lost")
 }
 
 fn takeover() -> impl Parser<Command> {
@@ -65,40 +75,40 @@
         .help("kill, power, cut, freeze or term")
         .argument::<String>("CAUSE")
         .parse(|text| parse_fault(&text));
-    let count = count(50);
+    let count = run_count(50);
     let parser = construct!(Command::Takeover { fault, count });
-    command(parser, "takeover", "From a fault of the primary until a change is acknowledged")
+    subcommand(parser, "takeover", "From a fault of the primary until a change is acknowledged")
 }
 
 fn propagate() -> impl Parser<Command> {
-    let count = count(200);
+    let count = run_count(200);
     let parser = construct!(Command::Propagate { count });
-    command(parser, "propagate", "From an acknowledgement until a change is in force at the last proxy")
+    subcommand(parser, "propagate", "From an acknowledgement until a change is in force at the last proxy")
 }
 
 fn catch_up() -> impl Parser<Command> {
-    let changes = numbers("changes", "10,100,1000", "Numbers of changes that a member misses");
-    let count = count(10);
+    let changes = number_list("changes", "10,100,1000", "Numbers of changes that a member misses");
+    let count = run_count(10);
     let parser = construct!(Command::CatchUp { changes, count });
-    command(
+    subcommand(
         parser,
         "catch-up",
         "From the start of a member that was away until the control plane has converged",
     )
 }
 
-fn heal() -> impl Parser<Command> {
+fn partition_recovery() -> impl Parser<Command> {
     let seconds = long("seconds").help("Length of a partition").argument::<u64>("S").fallback(20);
-    let count = count(5);
+    let count = run_count(5);
     let parser = construct!(Command::PartitionRecovery { seconds, count });
-    command(parser, "heal", "From the end of a partition until member and proxy are current")
+    subcommand(parser, "heal", "From the end of a partition until member and proxy are current")
 }
 
-fn cost() -> impl Parser<Command> {
-    let note_bytes = numbers("notes", "0,10000,50000", "Bytes by which the document is made longer");
+fn change_cost() -> impl Parser<Command> {
+    let padding_bytes = number_list("notes", "0,10000,50000", "Bytes by which the document is made longer");
     let changes = long("changes").help("Changes").argument::<u64>("N").fallback(50);
-    let parser = construct!(Command::ChangeCost { note_bytes, changes });
-    command(parser, "cost", "Bytes and syncs of a change")
+    let parser = construct!(Command::ChangeCost { padding_bytes, changes });
+    subcommand(parser, "cost", "Bytes and syncs of a change")
 }
 
 fn demo() -> impl Parser<Command> {
@@ -108,10 +118,10 @@
         .parse(|first| DemoPorts::from_first(first).ok_or("it leaves no room for the other ports"))
         .fallback(DemoPorts::default());
     let parser = construct!(Command::Demo { ports });
-    command(parser, "demo", "Runs the complete system until Ctrl-C and says what to try")
+    subcommand(parser, "demo", "Runs the complete system until Ctrl-C and says what to try")
 }
 
-fn quota() -> impl Parser<Command> {
+fn cpu_quota() -> impl Parser<Command> {
     let seconds =
         long("seconds").help("Time for each group of machines").argument::<u64>("S").fallback(120);
     let targets = long("target")
@@ -121,19 +131,20 @@
         .many()
         .map(|targets| if targets.is_empty() { QuotaTarget::ALL.to_vec() } else { targets });
     let parser = construct!(Command::CpuQuota { seconds, targets });
-    command(parser, "quota", "Machines that stand still for 90 ms ten times a second")
+    subcommand(parser, "quota", "Machines that stand still for 90 ms ten times a second")
 }
 
 fn mutations() -> impl Parser<Command> {
-    let clone = long("clone")
+    let clone_folder = long("clone")
         .help("Clone of the repository whose sources are changed and restored")
         .argument::<PathBuf>("DIR");
-    let only = long("only").help("Only mutations whose id begins so").argument::<String>("ID").many();
-    let parser = construct!(Command::Mutations { clone, only });
-    command(parser, "mutations", "Takes mechanisms out of the sources; fails if no test notices")
+    let id_prefixes =
+        long("only").help("Only mutations whose id begins so").argument::<String>("ID").many();
+    let parser = construct!(Command::Mutations { clone_folder, id_prefixes });
+    subcommand(parser, "mutations", "Takes mechanisms out of the sources; fails if no test notices")
 }
 
-fn command(
+fn subcommand(
     parser: impl Parser<Command> + 'static,
     name: &'static str,
     description: &'static str,
@@ -141,7 +152,7 @@
     parser.to_options().descr(description).command(name)
 }
 
-fn count<T>(default: T) -> impl Parser<T>
+fn run_count<T>(default: T) -> impl Parser<T>
 where
     T: Clone + Debug + std::str::FromStr + 'static,
     T::Err: std::fmt::Display,
@@ -149,7 +160,7 @@
     long("count").help("Runs").argument::<T>("N").fallback(default)
 }
 
-fn numbers<T>(name: &'static str, default: &'static str, help: &'static str) -> impl Parser<Vec<T>>
+fn number_list<T>(name: &'static str, default: &'static str, help: &'static str) -> impl Parser<Vec<T>>
 where
     T: std::str::FromStr + 'static,
     T::Err: std::fmt::Display,
--- a/crates/fault-injection/src/demo/mod.rs
+++ b/crates/fault-injection/src/demo/mod.rs
@@ -7,18 +7,18 @@
 
 mod configuration;
 mod instructions;
+mod monitor;
 mod ports;
 mod prefix_cache;
 mod replica;
-mod watch;
 
 use std::thread;
 use std::time::Duration;
 
+use self::monitor::Monitor;
 pub use self::ports::DemoPorts;
 pub use self::prefix_cache::{PrefixCache, PromptSegment, parse_prompt};
 use self::replica::DemoReplica;
-use self::watch::Watch;
 use crate::client::{Request, call};
 use crate::deployment::{Deployment, Topology};
 use crate::error::Result;
@@ -30,9 +30,9 @@
 /// Replicas.
 const REPLICAS: u8 = 3;
 /// Timeout for the first configuration to be acknowledged.
-const CHANGE_LIMIT: Duration = Duration::from_secs(30);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout for the first configuration to be in force everywhere.
-const READY_LIMIT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of a request that tries whether a proxy serves.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval at which the state is observed.
@@ -54,12 +54,12 @@
     }
     let relays = listeners.connect(&deployment);
     deployment.add_relays(relays);
-    deployment.operator().apply(&configuration::first(), CHANGE_LIMIT)?;
-    wait_until("all proxies serve", READY_LIMIT, || (0..TOPOLOGY.edges).all(|edge| serves(ports, edge)))?;
+    deployment.operator().apply(&configuration::first(), CHANGE_TIMEOUT)?;
+    wait_until("all proxies serve", READY_TIMEOUT, || (0..TOPOLOGY.edges).all(|edge| serves(ports, edge)))?;
     print!("{}", instructions::text(&deployment, ports));
-    let mut watch = Watch::start();
+    let mut monitor = Monitor::start();
     while !stop.is_requested() {
-        watch.observe(&mut deployment)?;
+        monitor.observe(&mut deployment)?;
         thread::sleep(OBSERVATION_INTERVAL);
     }
     drop(deployment);
--- a/crates/fault-injection/src/demo/watch.rs
+++ b/crates/fault-injection/src/demo/monitor.rs
@@ -19,7 +19,7 @@
 
 /// What is printed when it changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Observation {
+struct DeploymentState {
     primary: Option<Primary>,
     configuration: Option<u64>,
     replicas: Option<usize>,
@@ -35,15 +35,15 @@
 
 /// Observes a deployment.
 #[derive(Debug)]
-pub(super) struct Watch {
-    began: Instant,
-    last: Observation,
+pub(super) struct Monitor {
+    started_at: Instant,
+    last: DeploymentState,
     restarts: Vec<(Program, Instant)>,
 }
 
-impl Watch {
-    pub(super) fn start() -> Watch {
-        Watch { began: Instant::now(), last: Observation::default(), restarts: Vec::new() }
+impl Monitor {
+    pub(super) fn start() -> Monitor {
+        Monitor { started_at: Instant::now(), last: DeploymentState::default(), restarts: Vec::new() }
     }
 
     /// Prints what has changed since the last call, and restarts what ended a while ago.
@@ -62,11 +62,11 @@
             let (name, pid) = (program.name(deployment), program.pid(deployment).unwrap_or(0));
             self.log(&format!("{name} is started again, process {pid}"));
         }
-        self.print_changes(&Observation::of(deployment), deployment);
+        self.print_changes(&DeploymentState::of(deployment), deployment);
         Ok(())
     }
 
-    fn print_changes(&mut self, now: &Observation, deployment: &Deployment) {
+    fn print_changes(&mut self, now: &DeploymentState, deployment: &Deployment) {
         let last = std::mem::replace(&mut self.last, now.clone());
         if now.primary != last.primary {
             match &now.primary {
@@ -91,20 +91,20 @@
     }
 
     fn log(&self, line: &str) {
-        println!("{:8.1} s  {line}", self.began.elapsed().as_secs_f64());
+        println!("{:8.1} s  {line}", self.started_at.elapsed().as_secs_f64());
     }
 }
 
-impl Observation {
+impl DeploymentState {
     /// What can be observed now. Without a primary, configuration and replicas are unknown.
-    fn of(deployment: &Deployment) -> Observation {
+    fn of(deployment: &Deployment) -> DeploymentState {
         let primary = deployment.primary().and_then(|index| Some((index, deployment.status(index)?)));
         let ready_proxies = (0..deployment.edges.len()).map(|edge| deployment.is_ready(edge)).collect();
         let Some((index, status)) = primary else {
-            return Observation { ready_proxies, ..Observation::default() };
+            return DeploymentState { ready_proxies, ..DeploymentState::default() };
         };
         let name = deployment.members[index].machine.name.clone();
-        Observation {
+        DeploymentState {
             primary: Some(Primary { name, epoch: status.epoch }),
             configuration: Some(status.configuration),
             replicas: Some(status.replicas),
--- a/crates/fault-injection/src/demo/ports.rs
+++ b/crates/fault-injection/src/demo/ports.rs
@@ -10,7 +10,7 @@
 use crate::error::{IoSnafu, PortInUseSnafu, Result};
 use crate::machine::{Machine, Port};
 use crate::network::Direction;
-use crate::relay::{Route, TcpRelay};
+use crate::relay::{RelayRoute, TcpRelay};
 
 /// From the first port of the proxies to the first of the control plane.
 const CONTROL_PLANE_OFFSET: u16 = 10;
@@ -84,7 +84,7 @@
     pub(super) fn connect(self, deployment: &Deployment) -> Vec<TcpRelay> {
         let relay = |listener, listen, machine: &Machine, port| {
             let direction = Direction { from: deployment.operator_machine.id, to: machine.id };
-            let route = Route { direction, listen, target: machine.socket(port) };
+            let route = RelayRoute { direction, listen, target: machine.socket(port) };
             TcpRelay::serve(&deployment.network, listener, route)
         };
         let ports = self.ports;
--- a/crates/fault-injection/src/deployment/faults.rs
+++ b/crates/fault-injection/src/deployment/faults.rs
@@ -3,7 +3,7 @@
 use std::process::ExitStatus;
 use std::time::Duration;
 
-use super::system::{Deployment, TERMINATION_LIMIT};
+use super::system::{Deployment, TERMINATION_TIMEOUT};
 use crate::disk;
 use crate::error::Result;
 use crate::machine::MachineId;
@@ -18,7 +18,7 @@
     /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the disk can't be wiped or the program can't be started.
     pub fn replace_disk(&mut self, index: usize) -> Result<()> {
         self.members[index].process.kill();
-        disk::wipe(&self.members[index].folder)?;
+        disk::wipe(&self.members[index].data_folder)?;
         self.start_member(index)
     }
 
@@ -28,12 +28,12 @@
     ///
     /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it does not exit in time.
     pub fn terminate_member(&mut self, index: usize) -> Result<ExitStatus> {
-        self.members[index].process.terminate(TERMINATION_LIMIT)
+        self.members[index].process.terminate(TERMINATION_TIMEOUT)
     }
 
     /// All machines but `machine`.
     #[must_use]
-    pub fn others(&self, machine: MachineId) -> Vec<MachineId> {
+    pub fn other_machines(&self, machine: MachineId) -> Vec<MachineId> {
         let members = self.members.iter().map(|member| member.machine.id);
         let edges = self.edges.iter().map(|edge| edge.machine.id);
         let stand_ins = [self.operator_machine.id, self.platform_machine.id];
@@ -43,8 +43,11 @@
     /// Sets all links from and to a member, except those of the operator.
     pub fn partition_member(&self, index: usize, state: LinkState) {
         let id = self.members[index].machine.id;
-        let others: Vec<MachineId> =
-            self.others(id).into_iter().filter(|other| *other != self.operator_machine.id).collect();
+        let others: Vec<MachineId> = self
+            .other_machines(id)
+            .into_iter()
+            .filter(|other| *other != self.operator_machine.id)
+            .collect();
         self.network.set_between(id, &others, state);
     }
 
@@ -56,9 +59,9 @@
     /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the log can't be truncated.
     pub fn lose_power(&mut self, index: usize, grace: Duration) -> Result<Option<disk::DroppedTail>> {
         let id = self.members[index].machine.id;
-        let others = self.others(id);
+        let others = self.other_machines(id);
         self.network.set_outgoing(id, &others, LinkState::Stalled);
-        let folder = self.members[index].folder.clone();
+        let folder = self.members[index].data_folder.clone();
         let acknowledged = disk::FileLengths::of(&folder);
         // Whether it writes at all depends on what it receives meanwhile.
         let _ = wait_until("a write", grace, || disk::FileLengths::of(&folder) != acknowledged);
--- a/crates/fault-injection/src/deployment/machines.rs
+++ b/crates/fault-injection/src/deployment/machines.rs
@@ -15,7 +15,7 @@
     /// The program.
     pub process: Process,
     /// The folder of its log.
-    pub folder: PathBuf,
+    pub data_folder: PathBuf,
     pub(super) has_booted: bool,
 }
 
@@ -33,8 +33,8 @@
 impl Member {
     pub(super) fn new(machine: Machine, programs: &Programs, folder: &Path) -> Member {
         let process = new_process(&programs.member, &machine, "member", folder);
-        let folder = folder.join(format!("{}.data", machine.name));
-        Member { machine, process, folder, has_booted: false }
+        let data_folder = folder.join(format!("{}.data", machine.name));
+        Member { machine, process, data_folder, has_booted: false }
     }
 }
 
--- a/crates/fault-injection/src/deployment/mod.rs
+++ b/crates/fault-injection/src/deployment/mod.rs
@@ -6,14 +6,14 @@
 mod faults;
 mod machines;
 mod observe;
+mod relays;
 mod settings;
 mod settings_file;
 mod system;
 mod topology;
-mod wiring;
 
 pub use self::machines::{Edge, Member};
 pub use self::observe::ClientRequest;
 pub(crate) use self::system::ZONE;
-pub use self::system::{CONVERGENCE_LIMIT, Deployment};
+pub use self::system::{CONVERGENCE_TIMEOUT, Deployment};
 pub use self::topology::Topology;
--- a/crates/fault-injection/src/deployment/observe.rs
+++ b/crates/fault-injection/src/deployment/observe.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::system::{CONVERGENCE_LIMIT, Deployment};
+use super::system::{CONVERGENCE_TIMEOUT, Deployment};
 use crate::client::{CallError, Message, Request, call};
 use crate::error::Result;
 use crate::machine::Port;
@@ -75,7 +75,7 @@
     ///
     /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if there is none in time.
     pub fn wait_for_primary(&self) -> Result<usize> {
-        wait_for("a member with the lease", CONVERGENCE_LIMIT, || self.primary())
+        wait_for("a member with the lease", CONVERGENCE_TIMEOUT, || self.primary())
     }
 
     /// Waits for a backup: a member of the replication group that is not the primary.
@@ -84,7 +84,7 @@
     ///
     /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if there is none in time.
     pub fn wait_for_backup(&self) -> Result<usize> {
-        wait_for("a backup", CONVERGENCE_LIMIT, || {
+        wait_for("a backup", CONVERGENCE_TIMEOUT, || {
             let is_backup =
                 |index: &usize| self.status(*index).is_some_and(|status| status.role == "backup");
             (0..self.members.len()).find(is_backup)
@@ -97,7 +97,7 @@
     ///
     /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if that is not so in time.
     pub fn wait_until_converged(&self) -> Result<()> {
-        wait_until("the deployment has converged", CONVERGENCE_LIMIT, || {
+        wait_until("the deployment has converged", CONVERGENCE_TIMEOUT, || {
             self.is_control_plane_converged() && self.are_proxies_ready()
         })
         .inspect_err(|_| eprintln!("{}", self.describe()))
--- a/crates/fault-injection/src/deployment/settings.rs
+++ b/crates/fault-injection/src/deployment/settings.rs
@@ -1,7 +1,7 @@
 //! The contents of the programs' settings files.
 
 use super::settings_file;
-use super::system::{Deployment, LIST_RATE, ZONE};
+use super::system::{Deployment, LIST_REQUESTS_PER_S, ZONE};
 use crate::error::Result;
 use crate::machine::{Machine, Port};
 
@@ -18,10 +18,10 @@
         let platform = member.machine.socket_toward(&self.platform_machine, Port::Api);
         format!(
             "{}listenOn: {{controlPort: '{}'}}\nfirstBoot: {is_first_boot}\ndataFolder: '{}'\n\
-             cloudApi: {{address: '{platform}', ratePerS: {LIST_RATE}}}\n",
+             cloudApi: {{address: '{platform}', ratePerS: {LIST_REQUESTS_PER_S}}}\n",
             self.common_settings(&member.machine),
             member.machine.socket(Port::Api),
-            member.folder.display(),
+            member.data_folder.display(),
         )
     }
 
--- a/crates/fault-injection/src/deployment/system.rs
+++ b/crates/fault-injection/src/deployment/system.rs
@@ -27,11 +27,11 @@
 /// The last octet of the address of the first replica.
 const FIRST_REPLICA_HOST: u8 = 200;
 /// Requests per second that members may send to the platform's list.
-pub(super) const LIST_RATE: u32 = 20;
+pub(super) const LIST_REQUESTS_PER_S: u32 = 20;
 /// Timeout for a deployment to converge, after its start or a fault.
-pub const CONVERGENCE_LIMIT: Duration = Duration::from_secs(30);
+pub const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout for a program to exit after SIGTERM.
-pub(super) const TERMINATION_LIMIT: Duration = Duration::from_secs(9);
+pub(super) const TERMINATION_TIMEOUT: Duration = Duration::from_secs(9);
 
 /// A running system. All its programs are killed when it is dropped.
 #[derive(Debug)]
@@ -113,7 +113,7 @@
             folder,
             addresses,
         };
-        deployment.connect()?;
+        deployment.start_relays()?;
         Ok(deployment)
     }
 
--- a/crates/fault-injection/src/disk.rs
+++ b/crates/fault-injection/src/disk.rs
@@ -37,9 +37,9 @@
     /// The file.
     pub file: String,
     /// Bytes that were appended since the folder was measured.
-    pub unacknowledged: u64,
+    pub unacknowledged_bytes: u64,
     /// How many of them were dropped, from the end.
-    pub bytes: u64,
+    pub dropped_bytes: u64,
 }
 
 /// Simulates what a loss of power leaves of a stopped member's log on a disk that keeps synced data: drops a random
@@ -53,17 +53,17 @@
 ///
 /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the file can't be truncated.
 pub fn drop_unacknowledged_tail(folder: &Path, acknowledged: &FileLengths) -> Result<Option<DroppedTail>> {
-    let found = FileLengths::of(folder);
-    if !found.0.keys().eq(acknowledged.0.keys()) {
+    let current = FileLengths::of(folder);
+    if !current.0.keys().eq(acknowledged.0.keys()) {
         return Ok(None);
     }
-    let grown = found.0.iter().find(|(name, length)| **length > acknowledged.0[*name]);
-    let Some((name, length)) = grown else { return Ok(None) };
+    let longer = current.0.iter().find(|(name, length)| **length > acknowledged.0[*name]);
+    let Some((name, length)) = longer else { return Ok(None) };
     let acknowledged = acknowledged.0[name];
     let remaining = fastrand::u64(acknowledged..*length);
     truncate(&folder.join(name), remaining)?;
-    let unacknowledged = length - acknowledged;
-    Ok(Some(DroppedTail { file: name.clone(), unacknowledged, bytes: length - remaining }))
+    let unacknowledged_bytes = length - acknowledged;
+    Ok(Some(DroppedTail { file: name.clone(), unacknowledged_bytes, dropped_bytes: length - remaining }))
 }
 
 /// Truncates all files to earlier lengths, acknowledged data included, as no sound disk does.
@@ -109,7 +109,7 @@
     /// Bytes in all segments, headers included.
     pub bytes: u64,
     /// Frames in all segments: one for each append.
-    pub frames: u64,
+    pub frame_count: u64,
 }
 
 /// Measures all segments of a log; unreadable ones count as empty.
@@ -120,7 +120,7 @@
     let contents = segments.filter_map(|name| fs::read(folder.join(name)).ok());
     contents.fold(LogSize::default(), |size, content| LogSize {
         bytes: size.bytes + content.len() as u64,
-        frames: size.frames + count_frames(&content),
+        frame_count: size.frame_count + count_frames(&content),
     })
 }
 
--- a/crates/fault-injection/src/error.rs
+++ b/crates/fault-injection/src/error.rs
@@ -31,18 +31,18 @@
         reason: String,
     },
     /// A condition was not met in time.
-    #[snafu(display("timed out after {limit:?} waiting for: {what}"))]
+    #[snafu(display("timed out after {timeout:?} waiting for: {condition}"))]
     TimedOut {
         /// The condition.
-        what: String,
+        condition: String,
         /// The timeout.
-        limit: Duration,
+        timeout: Duration,
     },
     /// The control plane sent a response that the interface does not allow here.
-    #[snafu(display("unexpected response to {call}: {status} {body}"))]
+    #[snafu(display("unexpected response to {request}: {status} {body}"))]
     UnexpectedResponse {
         /// The request.
-        call: String,
+        request: String,
         /// The status of the response; 0 if `body` describes a decoded one.
         status: u16,
         /// The body of the response.
--- a/crates/fault-injection/src/kill_test/mod.rs
+++ b/crates/fault-injection/src/kill_test/mod.rs
@@ -30,13 +30,13 @@
 /// Timeout of an attempt; short, so that an operator does not wait for a dead member.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Timeout for the decision on a change. Kills may follow closely on each other.
-const DECISION_LIMIT: Duration = Duration::from_secs(60);
+const DECISION_TIMEOUT: Duration = Duration::from_secs(60);
 /// A member is killed once its log has grown by a random number of bytes up to this.
 const MAX_LOG_GROWTH_BYTES: u64 = 100_000;
 /// A member is killed after this time even if its log has not grown so far.
-const WATCH_LIMIT: Duration = Duration::from_millis(300);
+const LOG_GROWTH_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which the length of the log is polled.
-const WATCH_INTERVAL: Duration = Duration::from_micros(200);
+const LOG_POLL_INTERVAL: Duration = Duration::from_micros(200);
 /// How long a member whose power is lost may go on writing while isolated.
 const POWER_GRACE: Duration = Duration::from_millis(100);
 /// Maximum downtime of a killed member.
@@ -70,9 +70,9 @@
 }
 
 fn test_deployment(count: u64) -> Result<KillReport> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut deployment = Deployment::start(Topology { edges: 0, ..Topology::default() })?;
-    deployment.operator().apply(&Change::first(PADDING_BYTES), DECISION_LIMIT)?;
+    deployment.operator().apply(&Change::first(PADDING_BYTES), DECISION_TIMEOUT)?;
     let outcomes = ChangeOutcomes::default();
     let stop = AtomicBool::new(false);
     let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
@@ -93,7 +93,7 @@
         check_configuration(&operator, &outcomes, &mut report)?;
     }
     outcomes.add_to(&mut report);
-    report.seconds = began.elapsed().as_secs_f64();
+    report.seconds = started_at.elapsed().as_secs_f64();
     Ok(report)
 }
 
@@ -105,9 +105,9 @@
     report: &mut KillReport,
 ) -> Result<()> {
     while report.kills < count && report.is_clean() {
-        let is_amid_recovery = fastrand::u8(..ROUNDS_PER_EARLY_ROUND) == 0;
-        if is_amid_recovery {
-            report.kills_amid_recovery += 1;
+        let is_early_round = fastrand::u8(..ROUNDS_PER_EARLY_ROUND) == 0;
+        if is_early_round {
+            report.early_rounds += 1;
         } else {
             deployment.wait_until_converged()?;
             check_configuration(operator, outcomes, report)?;
@@ -125,9 +125,9 @@
 }
 
 fn kill_and_restart(deployment: &mut Deployment, victims: &[usize], report: &mut KillReport) -> Result<()> {
-    report.all_killed += u64::from(victims.len() > 1);
+    report.total_outage_rounds += u64::from(victims.len() > 1);
     if let Some(first) = victims.first() {
-        wait_for_log_growth(&deployment.members[*first].folder);
+        wait_for_log_growth(&deployment.members[*first].data_folder);
     }
     for victim in victims {
         kill(deployment, *victim, report)?;
@@ -138,10 +138,10 @@
 
 /// Waits until a log has grown by a random number of bytes, so that the kill comes at any point of a write.
 fn wait_for_log_growth(folder: &Path) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let goal = FileLengths::of(folder).total() + fastrand::u64(1..MAX_LOG_GROWTH_BYTES);
-    while began.elapsed() < WATCH_LIMIT && FileLengths::of(folder).total() < goal {
-        thread::sleep(WATCH_INTERVAL);
+    while started_at.elapsed() < LOG_GROWTH_TIMEOUT && FileLengths::of(folder).total() < goal {
+        thread::sleep(LOG_POLL_INTERVAL);
     }
 }
 
@@ -155,7 +155,7 @@
     report.power_losses += 1;
     if let Some(tail) = deployment.lose_power(victim, POWER_GRACE)? {
         report.tails_dropped += 1;
-        report.bytes_dropped += tail.bytes;
+        report.bytes_dropped += tail.dropped_bytes;
     }
     Ok(())
 }
@@ -171,7 +171,7 @@
         let label = format!("operator-{number}-{}", counter % ROUTES);
         outcomes.state().sent.insert(label.clone(), marker);
         let change = Change::upsert_route(base, &label, marker);
-        match operator.decide(&change, DECISION_LIMIT) {
+        match operator.send_until_decided(&change, DECISION_TIMEOUT) {
             Ok(decision) => {
                 outcomes.record(&label, marker, &change, &decision);
                 base = match decision.response {
@@ -192,7 +192,7 @@
     report: &mut KillReport,
 ) -> Result<()> {
     let acknowledged = outcomes.state().acknowledged.clone();
-    let configuration = operator.configuration(DECISION_LIMIT)?;
+    let configuration = operator.configuration(DECISION_TIMEOUT)?;
     report.checks += 1;
     let state = outcomes.state();
     for (label, marker) in &acknowledged {
--- a/crates/fault-injection/src/kill_test/report.rs
+++ b/crates/fault-injection/src/kill_test/report.rs
@@ -13,11 +13,13 @@
     /// Kills with a simulated loss of power.
     pub power_losses: u64,
     /// Rounds in which all members were killed.
-    pub all_killed: u64,
+    #[serde(rename = "allKilled")]
+    pub total_outage_rounds: u64,
     /// Kills of the primary.
     pub primaries_killed: u64,
     /// Rounds that began before the control plane had converged again.
-    pub kills_amid_recovery: u64,
+    #[serde(rename = "killsAmidRecovery")]
+    pub early_rounds: u64,
     /// Disks that lost the tail of the log.
     pub tails_dropped: u64,
     /// Bytes that were lost with these tails.
@@ -62,9 +64,9 @@
     fn add_assign(&mut self, other: KillReport) {
         self.kills += other.kills;
         self.power_losses += other.power_losses;
-        self.all_killed += other.all_killed;
+        self.total_outage_rounds += other.total_outage_rounds;
         self.primaries_killed += other.primaries_killed;
-        self.kills_amid_recovery += other.kills_amid_recovery;
+        self.early_rounds += other.early_rounds;
         self.tails_dropped += other.tails_dropped;
         self.bytes_dropped += other.bytes_dropped;
         self.changes_acknowledged += other.changes_acknowledged;
--- a/crates/fault-injection/src/measurement/catch_up.rs
+++ b/crates/fault-injection/src/measurement/catch_up.rs
@@ -4,15 +4,15 @@
 
 use serde::Serialize;
 
-use super::setup::{CHANGE_LIMIT, start};
-use crate::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
+use super::setup::{CHANGE_TIMEOUT, start};
+use crate::deployment::{CONVERGENCE_TIMEOUT, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
 use crate::error::Result;
 use crate::operator::Change;
 use crate::wait::wait_until;
 
 /// Labels that the changes use in turn.
-const LABELS: u64 = 50;
+const ROUTE_LABEL_COUNT: u64 = 50;
 
 /// The measurement for one number of missed changes.
 #[derive(Clone, Debug, Serialize)]
@@ -38,14 +38,14 @@
     let mut converged = Vec::new();
     let mut revision = 1;
     for _ in 0..count {
-        let away = deployment.wait_for_backup()?;
-        deployment.members[away].process.kill();
+        let stopped_member = deployment.wait_for_backup()?;
+        deployment.members[stopped_member].process.kill();
         revision = apply_changes(&deployment, revision, missed_changes)?;
-        let began = Instant::now();
-        deployment.start_member(away)?;
-        current.push(wait_until_current(&deployment, away, revision, began)?);
+        let started_at = Instant::now();
+        deployment.start_member(stopped_member)?;
+        current.push(wait_until_current(&deployment, stopped_member, revision, started_at)?);
         deployment.wait_until_converged()?;
-        converged.push(began.elapsed());
+        converged.push(started_at.elapsed());
     }
     Ok(CatchUpReport {
         missed_changes,
@@ -58,23 +58,23 @@
 fn apply_changes(deployment: &Deployment, mut revision: u64, count: u64) -> Result<u64> {
     let operator = deployment.operator();
     for _ in 0..count {
-        let label = format!("r-{}", revision % LABELS);
-        revision = operator.apply(&Change::upsert_route(revision, &label, revision), CHANGE_LIMIT)?;
+        let label = format!("r-{}", revision % ROUTE_LABEL_COUNT);
+        revision = operator.apply(&Change::upsert_route(revision, &label, revision), CHANGE_TIMEOUT)?;
     }
     Ok(revision)
 }
 
-/// Waits until a member publishes `revision` as fresh, and returns the time since `began`.
+/// Waits until a member publishes `revision` as fresh, and returns the time since `started_at`.
 fn wait_until_current(
     deployment: &Deployment,
     member: usize,
     revision: u64,
-    began: Instant,
+    started_at: Instant,
 ) -> Result<Duration> {
     let is_current = || {
         let status = deployment.status(member);
         status.is_some_and(|status| status.is_fresh() && status.configuration == revision)
     };
-    wait_until("the member is current", CONVERGENCE_LIMIT, is_current)?;
-    Ok(began.elapsed())
+    wait_until("the member is current", CONVERGENCE_TIMEOUT, is_current)?;
+    Ok(started_at.elapsed())
 }
--- a/crates/fault-injection/src/measurement/change_cost.rs
+++ b/crates/fault-injection/src/measurement/change_cost.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::setup::{CHANGE_LIMIT, start};
+use super::setup::{CHANGE_TIMEOUT, start};
 use crate::deployment::{Deployment, Topology};
 use crate::disk;
 use crate::error::Result;
@@ -60,10 +60,10 @@
 impl Counters {
     fn of(deployment: &Deployment, index: usize) -> Counters {
         let member = &deployment.members[index];
-        let log = disk::log_size(&member.folder);
+        let log = disk::log_size(&member.data_folder);
         let io = member.process.pid().and_then(|pid| fs::read_to_string(format!("/proc/{pid}/io")).ok());
         let disk_bytes = io.as_deref().and_then(parse_written_bytes).unwrap_or(0);
-        Counters { log_bytes: log.bytes, appends: log.frames, disk_bytes }
+        Counters { log_bytes: log.bytes, appends: log.frame_count, disk_bytes }
     }
 }
 
@@ -71,34 +71,34 @@
     io.lines().find_map(|line| line.strip_prefix("write_bytes: "))?.parse().ok()
 }
 
-/// Measures `changes` to a document with a note of `note_bytes`. They must fit into one segment of the log.
+/// Measures `changes` to a document with a note of `padding_bytes`. They must fit into one segment of the log.
 ///
 /// # Errors
 ///
 /// Any [`HarnessError`](crate::error::HarnessError) of the deployment or of a change.
-pub fn measure_change_cost(note_bytes: usize, changes: u64) -> Result<ChangeCostReport> {
+pub fn measure_change_cost(padding_bytes: usize, changes: u64) -> Result<ChangeCostReport> {
     let deployment = start(Topology { edges: 0, ..Topology::default() })?;
     let operator = deployment.operator();
-    replace_configuration(&operator, note_bytes)?;
+    replace_configuration(&operator, padding_bytes)?;
     let group = [deployment.wait_for_primary()?, deployment.wait_for_backup()?];
     let before = group.map(|index| Counters::of(&deployment, index));
     let mut request_bytes = 0;
     for base in 2..2 + changes {
         let change = Change::upsert_route(base, "base", base);
         request_bytes = change.body.len();
-        operator.apply(&change, CHANGE_LIMIT)?;
+        operator.apply(&change, CHANGE_TIMEOUT)?;
     }
     let after = group.map(|index| Counters::of(&deployment, index));
     let costs = before.iter().zip(&after);
     let members = costs.map(|(before, after)| MemberCost::between(*before, *after, changes)).collect();
-    let document_bytes = operator.configuration(CHANGE_LIMIT)?.to_string().len();
+    let document_bytes = operator.configuration(CHANGE_TIMEOUT)?.to_string().len();
     Ok(ChangeCostReport { document_bytes, request_bytes, changes, members })
 }
 
 /// Replaces the first configuration by one with a note, as revision 2.
-fn replace_configuration(operator: &Operator, note_bytes: usize) -> Result<u64> {
-    let first = Change::first(note_bytes);
+fn replace_configuration(operator: &Operator, padding_bytes: usize) -> Result<u64> {
+    let first = Change::first(padding_bytes);
     let body = String::from_utf8_lossy(&first.body).replace("\"revision\":1", "\"revision\":2");
     let second = Change { if_match: 1, revision: 2, body: body.into_bytes(), ..first };
-    operator.apply(&second, CHANGE_LIMIT)
+    operator.apply(&second, CHANGE_TIMEOUT)
 }
--- a/crates/fault-injection/src/measurement/cpu_quota.rs
+++ b/crates/fault-injection/src/measurement/cpu_quota.rs
@@ -9,16 +9,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::setup::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
+use super::setup::{ATTEMPT_TIMEOUT, CHANGE_TIMEOUT, start};
 use crate::deployment::{ClientRequest, Deployment, Topology};
 use crate::error::Result;
-use crate::operator::{Change, path};
+use crate::operator::{Change, route_path};
 use crate::process::{Process, Signal};
 
 /// The period of the quota.
 const PERIOD: Duration = Duration::from_millis(100);
 /// Time of each period in which a machine stands still.
-const STANDSTILL: Duration = Duration::from_millis(90);
+const PAUSE_PER_PERIOD: Duration = Duration::from_millis(90);
 /// Time from one request of a client to the next.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 /// Time from one change of the operator to the next.
@@ -70,16 +70,18 @@
     /// The longest time for which a change took.
     pub longest_change_ms: u64,
     /// Requests of clients that succeeded.
-    pub served: u64,
+    #[serde(rename = "served")]
+    pub served_requests: u64,
     /// Requests of clients that did not.
-    pub not_served: u64,
+    #[serde(rename = "notServed")]
+    pub failed_requests: u64,
 }
 
 impl CpuQuotaReport {
     /// Whether no view changed and all clients were served.
     #[must_use]
     pub fn is_clean(&self) -> bool {
-        self.view_changes == 0 && self.not_served == 0 && self.changes > 0
+        self.view_changes == 0 && self.failed_requests == 0 && self.changes > 0
     }
 }
 
@@ -91,7 +93,7 @@
 pub fn measure_cpu_quota(duration: Duration, targets: &[QuotaTarget]) -> Result<Vec<CpuQuotaReport>> {
     let deployment = start(Topology::default())?;
     let mut revision = 1;
-    deployment.operator().apply(&Change::upsert_route(revision, ROUTE, 0), CHANGE_LIMIT)?;
+    deployment.operator().apply(&Change::upsert_route(revision, ROUTE, 0), CHANGE_TIMEOUT)?;
     revision += 1;
     deployment.wait_until_converged()?;
     let mut reports = Vec::new();
@@ -111,15 +113,15 @@
 ) -> Result<CpuQuotaReport> {
     let processes = processes_of(deployment, target)?;
     let epoch_before = epoch_counter(deployment)?;
-    let is_over = AtomicBool::new(false);
-    let mut traffic = Traffic::default();
+    let is_finished = AtomicBool::new(false);
+    let mut traffic = TrafficCounts::default();
     let outcome = thread::scope(|scope| {
         for (index, process) in processes.iter().enumerate() {
-            let is_over = &is_over;
-            scope.spawn(move || apply_quota(process, index, is_over));
+            let is_finished = &is_finished;
+            scope.spawn(move || apply_quota(process, index, is_finished));
         }
         let outcome = traffic.run(deployment, duration, revision);
-        is_over.store(true, Ordering::Relaxed);
+        is_finished.store(true, Ordering::Relaxed);
         outcome
     });
     outcome?;
@@ -129,8 +131,8 @@
         view_changes: epoch_counter(deployment)? - epoch_before,
         changes: traffic.changes,
         longest_change_ms: traffic.longest_change.as_millis() as u64,
-        served: traffic.served,
-        not_served: traffic.not_served,
+        served_requests: traffic.served_requests,
+        failed_requests: traffic.failed_requests,
     })
 }
 
@@ -149,14 +151,14 @@
     })
 }
 
-/// Stops and continues a process until `is_over`. Each one has a phase of its own, as machines' periods differ.
-fn apply_quota(process: &Process, index: usize, is_over: &AtomicBool) {
+/// Stops and continues a process until `is_finished`. Each one has a phase of its own, as machines' periods differ.
+fn apply_quota(process: &Process, index: usize, is_finished: &AtomicBool) {
     thread::sleep(PERIOD / 7 * index as u32);
-    while !is_over.load(Ordering::Relaxed) {
+    while !is_finished.load(Ordering::Relaxed) {
         let _ = process.signal(Signal::STOP);
-        thread::sleep(STANDSTILL);
+        thread::sleep(PAUSE_PER_PERIOD);
         let _ = process.signal(Signal::CONT);
-        thread::sleep(PERIOD.saturating_sub(STANDSTILL));
+        thread::sleep(PERIOD.saturating_sub(PAUSE_PER_PERIOD));
     }
 }
 
@@ -169,18 +171,18 @@
 
 /// What clients and the operator saw.
 #[derive(Debug, Default)]
-struct Traffic {
+struct TrafficCounts {
     changes: u64,
     longest_change: Duration,
-    served: u64,
-    not_served: u64,
+    served_requests: u64,
+    failed_requests: u64,
 }
 
-impl Traffic {
+impl TrafficCounts {
     fn run(&mut self, deployment: &Deployment, duration: Duration, revision: &mut u64) -> Result<()> {
-        let began = Instant::now();
-        let mut next_change = began;
-        while began.elapsed() < duration {
+        let started_at = Instant::now();
+        let mut next_change = started_at;
+        while started_at.elapsed() < duration {
             if Instant::now() >= next_change {
                 next_change += CHANGE_INTERVAL;
                 self.change(deployment, *revision)?;
@@ -196,21 +198,21 @@
 
     fn change(&mut self, deployment: &Deployment, base: u64) -> Result<()> {
         let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT * 10);
-        let began = Instant::now();
-        operator.apply(&Change::upsert_route(base, ROUTE, base), CHANGE_LIMIT)?;
+        let started_at = Instant::now();
+        operator.apply(&Change::upsert_route(base, ROUTE, base), CHANGE_TIMEOUT)?;
         self.changes += 1;
-        self.longest_change = self.longest_change.max(began.elapsed());
+        self.longest_change = self.longest_change.max(started_at.elapsed());
         Ok(())
     }
 
     fn request(&mut self, deployment: &Deployment, edge: usize) {
-        let path = path(ROUTE);
+        let path = route_path(ROUTE);
         let request = ClientRequest { path: &path, attempt_id: "q", body: "", timeout: REQUEST_TIMEOUT };
         let is_served =
             deployment.send_request(edge, &request).is_ok_and(|response| response.status() == 200);
         match is_served {
-            true => self.served += 1,
-            false => self.not_served += 1,
+            true => self.served_requests += 1,
+            false => self.failed_requests += 1,
         }
     }
 }
--- a/crates/fault-injection/src/measurement/partition_recovery.rs
+++ b/crates/fault-injection/src/measurement/partition_recovery.rs
@@ -4,14 +4,14 @@
 
 use serde::Serialize;
 
-use super::setup::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
+use super::setup::{ATTEMPT_TIMEOUT, CHANGE_TIMEOUT, start};
 use crate::consistency::consistency_violation;
-use crate::deployment::{CONVERGENCE_LIMIT, ClientRequest, Deployment, Topology};
+use crate::deployment::{CONVERGENCE_TIMEOUT, ClientRequest, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
 use crate::error::Result;
 use crate::machine::MachineId;
 use crate::network::LinkState;
-use crate::operator::{Change, path};
+use crate::operator::{Change, route_path};
 use crate::wait::wait_until;
 
 /// The measurement of partitions.
@@ -85,18 +85,18 @@
 ) -> Result<u64> {
     let routes = Routes { removed: format!("withdrawn-{run}"), added: format!("added-{run}") };
     let operator = deployment.operator();
-    operator.apply(&Change::upsert_route(revision, &routes.removed, 1), CHANGE_LIMIT)?;
-    wait_until("the route is served", CONVERGENCE_LIMIT, || serves(deployment, &routes.removed))?;
+    operator.apply(&Change::upsert_route(revision, &routes.removed, 1), CHANGE_TIMEOUT)?;
+    wait_until("the route is served", CONVERGENCE_TIMEOUT, || serves(deployment, &routes.removed))?;
     let primary = deployment.wait_for_primary()?;
     set_partition_state(deployment, primary, LinkState::Stalled);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let others = deployment.operator_for(|index| index != primary).with_attempt_timeout(ATTEMPT_TIMEOUT);
-    others.apply(&Change::remove_route(revision + 1, &routes.removed), CHANGE_LIMIT)?;
+    others.apply(&Change::remove_route(revision + 1, &routes.removed), CHANGE_TIMEOUT)?;
     let removed_at = Instant::now();
     let in_force = Change::upsert_route(revision + 2, &routes.added, 1);
-    others.apply(&in_force, CHANGE_LIMIT)?;
+    others.apply(&in_force, CHANGE_TIMEOUT)?;
     let operator = operator.with_attempt_timeout(ATTEMPT_TIMEOUT);
-    while began.elapsed() < partition {
+    while started_at.elapsed() < partition {
         let member = deployment.operator_socket(primary);
         results.consistency_violations.extend(consistency_violation(&operator, member, &in_force));
         // The time of the request counts, not that of the response.
@@ -118,18 +118,18 @@
     added_route: &str,
     results: &mut Results,
 ) -> Result<()> {
-    let healed = Instant::now();
+    let healed_at = Instant::now();
     let is_member_current = || {
         let status = deployment.status(member);
         status.is_some_and(|status| status.is_fresh() && status.configuration >= in_force.revision)
     };
     let (mut member_current, mut proxy_current) = (None, None);
-    wait_until("member and proxy are current", CONVERGENCE_LIMIT, || {
+    wait_until("member and proxy are current", CONVERGENCE_TIMEOUT, || {
         if member_current.is_none() && is_member_current() {
-            member_current = Some(healed.elapsed());
+            member_current = Some(healed_at.elapsed());
         }
         if proxy_current.is_none() && serves(deployment, added_route) {
-            proxy_current = Some(healed.elapsed());
+            proxy_current = Some(healed_at.elapsed());
         }
         member_current.is_some() && proxy_current.is_some()
     })?;
@@ -141,15 +141,16 @@
 /// Sets all links between the member and the edge machine on one side and the others; the operator reaches all.
 fn set_partition_state(deployment: &Deployment, member: usize, state: LinkState) {
     let side = [deployment.members[member].machine.id, deployment.edges[0].machine.id];
-    let is_outside = |id: &MachineId| !side.contains(id) && *id != deployment.operator_machine.id;
+    let is_on_other_side = |id: &MachineId| !side.contains(id) && *id != deployment.operator_machine.id;
     for machine in side {
-        let outside: Vec<MachineId> = deployment.others(machine).into_iter().filter(is_outside).collect();
-        deployment.network.set_between(machine, &outside, state);
+        let other_side: Vec<MachineId> =
+            deployment.other_machines(machine).into_iter().filter(is_on_other_side).collect();
+        deployment.network.set_between(machine, &other_side, state);
     }
 }
 
 fn serves(deployment: &Deployment, label: &str) -> bool {
-    let path = path(label);
+    let path = route_path(label);
     let request = ClientRequest { path: &path, attempt_id: "h", body: "", timeout: REQUEST_TIMEOUT };
     deployment.send_request(0, &request).is_ok_and(|response| response.status() == 200)
 }
--- a/crates/fault-injection/src/measurement/propagation.rs
+++ b/crates/fault-injection/src/measurement/propagation.rs
@@ -5,16 +5,16 @@
 
 use serde::Serialize;
 
-use super::setup::{CHANGE_LIMIT, start};
+use super::setup::{CHANGE_TIMEOUT, start};
 use crate::deployment::{ClientRequest, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
 use crate::error::{Result, TimedOutSnafu};
-use crate::operator::{Change, Operator, path};
+use crate::operator::{Change, Operator, route_path};
 
 /// Edge machines.
 const EDGES: usize = 4;
 /// Timeout for a change to be in force.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The measurement of propagation.
 #[derive(Clone, Debug, Serialize)]
@@ -66,7 +66,7 @@
         let proxies: Vec<_> =
             (0..EDGES).map(|edge| scope.spawn(move || served_at(deployment, edge, label))).collect();
         let sent = Instant::now();
-        operator.apply(&Change::upsert_route(base, label, base), CHANGE_LIMIT)?;
+        operator.apply(&Change::upsert_route(base, label, base), CHANGE_TIMEOUT)?;
         let acknowledged = Instant::now();
         let mut in_force = acknowledged;
         for proxy in proxies {
@@ -79,13 +79,13 @@
 
 /// Polls a proxy until it serves a route, and returns the time of the first such response.
 fn served_at(deployment: &Deployment, edge: usize, label: &str) -> Result<Instant> {
-    let began = Instant::now();
-    let path = path(label);
+    let started_at = Instant::now();
+    let path = route_path(label);
     let request = ClientRequest { path: &path, attempt_id: "p", body: "", timeout: Duration::from_secs(1) };
-    while began.elapsed() < IN_FORCE_LIMIT {
+    while started_at.elapsed() < IN_FORCE_TIMEOUT {
         if deployment.send_request(edge, &request).is_ok_and(|response| response.status() == 200) {
             return Ok(Instant::now());
         }
     }
-    TimedOutSnafu { what: format!("the proxy serves {label}"), limit: IN_FORCE_LIMIT }.fail()
+    TimedOutSnafu { condition: format!("the proxy serves {label}"), timeout: IN_FORCE_TIMEOUT }.fail()
 }
--- a/crates/fault-injection/src/measurement/setup.rs
+++ b/crates/fault-injection/src/measurement/setup.rs
@@ -7,14 +7,14 @@
 use crate::operator::Change;
 
 /// Timeout for the decision on a change.
-pub(super) const CHANGE_LIMIT: Duration = Duration::from_secs(30);
+pub(super) const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long an operator waits for a member before it tries another one.
 pub(super) const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Starts a deployment and applies its first configuration.
 pub(super) fn start(topology: Topology) -> Result<Deployment> {
     let deployment = Deployment::start(topology)?;
-    deployment.operator().apply(&Change::first(0), CHANGE_LIMIT)?;
+    deployment.operator().apply(&Change::first(0), CHANGE_TIMEOUT)?;
     deployment.wait_until_converged()?;
     Ok(deployment)
 }
--- a/crates/fault-injection/src/measurement/takeover.rs
+++ b/crates/fault-injection/src/measurement/takeover.rs
@@ -5,8 +5,8 @@
 
 use serde::Serialize;
 
-use super::setup::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
-use crate::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
+use super::setup::{ATTEMPT_TIMEOUT, CHANGE_TIMEOUT, start};
+use crate::deployment::{CONVERGENCE_TIMEOUT, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
 use crate::error::Result;
 use crate::network::LinkState;
@@ -56,16 +56,16 @@
 pub fn measure_takeover(fault: FaultKind, count: usize) -> Result<TakeoverReport> {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() })?;
     let mut acknowledged = Vec::new();
-    let mut leased = Vec::new();
+    let mut lease_seen = Vec::new();
     for base in 1..=count as u64 {
         let run = run_takeover(&mut deployment, fault, base)?;
         acknowledged.push(run.change_acknowledged);
-        leased.push(run.lease_seen);
+        lease_seen.push(run.lease_seen);
     }
     Ok(TakeoverReport {
         fault,
         change_acknowledged: DurationSummary::of(acknowledged),
-        lease_seen: DurationSummary::of(leased),
+        lease_seen: DurationSummary::of(lease_seen),
     })
 }
 
@@ -81,19 +81,19 @@
     let operator = deployment.operator_for(|index| index != primary).with_attempt_timeout(ATTEMPT_TIMEOUT);
     // The fault comes at a random phase of the heartbeats.
     thread::sleep(Duration::from_millis(fastrand::u64(..200)));
-    let began = Instant::now();
+    let started_at = Instant::now();
     inject_fault(deployment, fault, primary)?;
     let times = thread::scope(|scope| {
         let change = scope.spawn(|| {
             let change = Change::upsert_route(base, "marked", base);
-            operator.apply(&change, CHANGE_LIMIT).map(|_| began.elapsed())
+            operator.apply(&change, CHANGE_TIMEOUT).map(|_| started_at.elapsed())
         });
         let is_leased = || {
             let others = (0..deployment.members.len()).filter(|index| *index != primary);
             others.into_iter().any(|index| deployment.status(index).is_some_and(|status| status.lease))
         };
-        wait_until("another member holds the lease", CONVERGENCE_LIMIT, is_leased)?;
-        let lease_seen = began.elapsed();
+        wait_until("another member holds the lease", CONVERGENCE_TIMEOUT, is_leased)?;
+        let lease_seen = started_at.elapsed();
         let change_acknowledged = change.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))?;
         Ok(TakeoverTimes { change_acknowledged, lease_seen })
     })?;
@@ -124,7 +124,7 @@
         }
         FaultKind::Freeze => deployment.members[index].process.signal(Signal::CONT),
         FaultKind::Terminate => {
-            deployment.members[index].process.wait_for_exit(CONVERGENCE_LIMIT)?;
+            deployment.members[index].process.wait_for_exit(CONVERGENCE_TIMEOUT)?;
             deployment.start_member(index)
         }
     }
--- a/crates/fault-injection/src/mutation/list.rs
+++ b/crates/fault-injection/src/mutation/list.rs
@@ -38,7 +38,7 @@
 
 /// Why a list of mutations can't be used.
 #[derive(Debug, Snafu)]
-pub enum ListError {
+pub enum MutationListError {
     /// The file can't be read.
     #[snafu(display("{}: {source}", path.display()))]
     Unreadable {
@@ -109,7 +109,7 @@
 ///
 /// # Errors
 /// If the file can't be read or is not TOML, or an entry lacks a key.
-pub fn read_list(path: &Path) -> Result<Vec<Mutation>, ListError> {
+pub fn read_list(path: &Path) -> Result<Vec<Mutation>, MutationListError> {
     let text = fs::read_to_string(path).context(UnreadableSnafu { path })?;
     let document: DocumentMut = text.parse().context(SyntaxSnafu { path })?;
     let entries = document.get(ENTRIES).and_then(|entries| entries.as_array_of_tables());
@@ -117,7 +117,7 @@
     entries.iter().enumerate().map(|(index, entry)| read_entry(index, entry)).collect()
 }
 
-fn read_entry(index: usize, entry: &Table) -> Result<Mutation, ListError> {
+fn read_entry(index: usize, entry: &Table) -> Result<Mutation, MutationListError> {
     let text = |key: &'static str| {
         let value = entry.get(key).and_then(|value| value.as_str());
         value.map(str::to_owned).context(MissingKeySnafu { index, key })
@@ -131,7 +131,7 @@
     })
 }
 
-fn read_test(index: usize, test: String) -> Result<TestId, ListError> {
+fn read_test(index: usize, test: String) -> Result<TestId, MutationListError> {
     let words: Vec<&str> = test.split(' ').collect();
     let [package, target, function] = words[..] else { return InvalidTestSnafu { index, test }.fail() };
     Ok(TestId { package: package.to_owned(), target: target.to_owned(), function: function.to_owned() })
--- a/crates/fault-injection/src/mutation/mod.rs
+++ b/crates/fault-injection/src/mutation/mod.rs
@@ -7,5 +7,5 @@
 mod list;
 mod run;
 
-pub use list::{ListError, Mutation, TestId, read_list};
+pub use list::{Mutation, MutationListError, TestId, read_list};
 pub use run::{MutationOutcome, MutationResult, run};
--- a/crates/fault-injection/src/mutation/run.rs
+++ b/crates/fault-injection/src/mutation/run.rs
@@ -12,9 +12,9 @@
 use crate::error::{BuildSnafu, IoSnafu, Result};
 
 /// What libtest prints if a test of the binary failed.
-const FAILED: &str = "test result: FAILED";
+const FAILED_MARKER: &str = "test result: FAILED";
 /// What libtest prints if a test of the binary was run and none failed.
-const PASSED: &str = " passed; 0 failed";
+const PASSED_MARKER: &str = " passed; 0 failed";
 
 /// What a test showed of a mutation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -58,24 +58,24 @@
 
 fn run_one(clone: &Path, mutation: &Mutation) -> Result<MutationResult> {
     let path = clone.join(&mutation.file);
-    let action = |verb: &str| format!("{verb} {}", path.display());
-    let original = fs::read_to_string(&path).context(IoSnafu { action: action("read") })?;
+    let describe = |verb: &str| format!("{verb} {}", path.display());
+    let original = fs::read_to_string(&path).context(IoSnafu { action: describe("read") })?;
     let count = original.matches(&mutation.find).count();
     let reason = || format!("{}: its text stands {count} times in {}", mutation.id, path.display());
     ensure!(count == 1, BuildSnafu { reason: reason() });
     let mutated = original.replacen(&mutation.find, &mutation.replace, 1);
-    fs::write(&path, mutated).context(IoSnafu { action: action("write") })?;
-    let started = Instant::now();
+    fs::write(&path, mutated).context(IoSnafu { action: describe("write") })?;
+    let started_at = Instant::now();
     let output = run_test(clone, mutation);
-    fs::write(&path, original).context(IoSnafu { action: action("restore") })?;
+    fs::write(&path, original).context(IoSnafu { action: describe("restore") })?;
     let output = output?;
     let outcome = outcome_of(&output);
     Ok(MutationResult {
         id: mutation.id.clone(),
         test: mutation.test.function.clone(),
         outcome,
-        seconds: started.elapsed().as_secs_f64(),
-        output: (outcome == MutationOutcome::Invalid).then(|| end_of(&output.stderr)),
+        seconds: started_at.elapsed().as_secs_f64(),
+        output: (outcome == MutationOutcome::Invalid).then(|| last_lines(&output.stderr)),
     })
 }
 
@@ -91,18 +91,18 @@
 
 fn outcome_of(output: &Output) -> MutationOutcome {
     let text = String::from_utf8_lossy(&output.stdout);
-    let is_run = text.contains(PASSED) && !text.contains("ok. 0 passed");
+    let is_run = text.contains(PASSED_MARKER) && !text.contains("ok. 0 passed");
     match output.status.success() {
         true if is_run => MutationOutcome::Undetected,
-        false if text.contains(FAILED) => MutationOutcome::Detected,
+        false if text.contains(FAILED_MARKER) => MutationOutcome::Detected,
         _ => MutationOutcome::Invalid,
     }
 }
 
 /// The last lines of an output.
-fn end_of(bytes: &[u8]) -> String {
-    const LINES: usize = 12;
+fn last_lines(bytes: &[u8]) -> String {
+    const LINE_COUNT: usize = 12;
     let text = String::from_utf8_lossy(bytes);
     let lines: Vec<&str> = text.lines().collect();
-    lines[lines.len().saturating_sub(LINES)..].join("\n")
+    lines[lines.len().saturating_sub(LINE_COUNT)..].join("\n")
 }
--- a/crates/fault-injection/src/network.rs
+++ b/crates/fault-injection/src/network.rs
@@ -48,7 +48,7 @@
     state: LinkState,
     scheduled: Option<ScheduledChange>,
     /// The number of resets: a connection that was established before the last one is reset.
-    resets: u64,
+    reset_count: u64,
     /// Bytes that were forwarded.
     forwarded_bytes: u64,
 }
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ScheduledChange {
     /// Bytes that are forwarded before the change.
-    bytes_left: u64,
+    remaining_bytes: u64,
     state: LinkState,
 }
 
@@ -72,8 +72,8 @@
     fn forward(&mut self, bytes: usize) -> usize {
         let count = match &mut self.scheduled {
             Some(scheduled) => {
-                let count = scheduled.bytes_left.min(bytes as u64);
-                scheduled.bytes_left -= count;
+                let count = scheduled.remaining_bytes.min(bytes as u64);
+                scheduled.remaining_bytes -= count;
                 count
             }
             None => bytes as u64,
@@ -89,7 +89,7 @@
         link.state = state;
         link.scheduled = None;
         if state == LinkState::Reset {
-            link.resets += 1;
+            link.reset_count += 1;
         }
     }
 }
@@ -135,7 +135,7 @@
 
     /// Sets the state of one direction once `bytes` more were forwarded.
     pub fn set_after(&self, direction: Direction, bytes: u64, state: LinkState) {
-        let scheduled = ScheduledChange { bytes_left: bytes, state };
+        let scheduled = ScheduledChange { remaining_bytes: bytes, state };
         self.state().links.entry(direction).or_default().scheduled = Some(scheduled);
     }
 
@@ -162,21 +162,22 @@
     }
 
     /// The number of resets of a direction.
-    pub(crate) fn resets(&self, direction: Direction) -> u64 {
-        self.state().links.get(&direction).map_or(0, |link| link.resets)
+    pub(crate) fn reset_count(&self, direction: Direction) -> u64 {
+        self.state().links.get(&direction).map_or(0, |link| link.reset_count)
     }
 
-    /// Blocks until some of `bytes` may be forwarded on a connection that was established after `resets` resets.
-    pub(crate) fn permit(&self, direction: Direction, resets: u64, bytes: usize) -> Permission {
+    /// Blocks until some of `bytes` may be forwarded on a connection that was established after `reset_count` resets.
+    pub(crate) fn permit(&self, direction: Direction, reset_count: u64, bytes: usize) -> Permission {
         let mut state = self.state();
         loop {
             let is_closed = state.is_closed;
             let link = state.links.entry(direction).or_default();
-            if is_closed || link.resets != resets || link.state == LinkState::Reset {
+            if is_closed || link.reset_count != reset_count || link.state == LinkState::Reset {
                 return Permission::Reset;
             }
             if link.state == LinkState::Open {
-                let Some(scheduled) = link.scheduled.filter(|scheduled| scheduled.bytes_left == 0) else {
+                let Some(scheduled) = link.scheduled.filter(|scheduled| scheduled.remaining_bytes == 0)
+                else {
                     return Permission::Forward(link.forward(bytes));
                 };
                 state.set(direction, scheduled.state);
@@ -187,19 +188,19 @@
         }
     }
 
-    /// Blocks until one of the directions has been reset since `resets` was read, `done` holds, or the network is closed.
+    /// Blocks until one of the directions has been reset since `reset_counts` was read, `is_done` returns true, or the network is closed.
     pub(crate) fn wait_for_reset(
         &self,
         directions: [Direction; 2],
-        resets: [u64; 2],
-        done: impl Fn() -> bool,
+        reset_counts: [u64; 2],
+        is_done: impl Fn() -> bool,
     ) {
         let mut state = self.state();
         let is_unchanged = |state: &NetworkState, index: usize| {
             let link = state.links.get(&directions[index]).copied().unwrap_or_default();
-            link.resets == resets[index]
+            link.reset_count == reset_counts[index]
         };
-        while !state.is_closed && !done() && is_unchanged(&state, 0) && is_unchanged(&state, 1) {
+        while !state.is_closed && !is_done() && is_unchanged(&state, 0) && is_unchanged(&state, 1) {
             state = self.shared.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
     }
--- a/crates/fault-injection/src/operator.rs
+++ b/crates/fault-injection/src/operator.rs
@@ -56,7 +56,7 @@
 
     /// Adds or replaces a route of a `sort` of the settings, such as `risky`.
     #[must_use]
-    pub fn upsert_route_with_sort(if_match: u64, label: &str, sort: &str) -> Change {
+    pub fn upsert_route_of_kind(if_match: u64, label: &str, sort: &str) -> Change {
         let mut route = route(label, 0);
         route["sort"] = sort.into();
         Change::upsert(if_match, route)
@@ -82,14 +82,14 @@
 
 fn route(label: &str, marker: u64) -> Value {
     json!({
-        "label": label, "hostname": HOST, "pathStart": path(label), "sort": "harmless",
+        "label": label, "hostname": HOST, "pathStart": route_path(label), "sort": "harmless",
         "timeLimitMs": 4_000, "tries": 2, "public": true, "backend": SERVICE, "mark": marker,
     })
 }
 
 /// The path prefix of a route.
 #[must_use]
-pub fn path(label: &str) -> String {
+pub fn route_path(label: &str) -> String {
     format!("/{label}/")
 }
 
@@ -156,8 +156,8 @@
         let headers = [("If-Match", if_match.as_str())];
         let request =
             Request { method: change.method, target: "/settings", headers: &headers, body: &change.body };
-        match self.follow(member, &request) {
-            Ok(response) => read_response(&response),
+        match self.send_following_redirects(member, &request) {
+            Ok(response) => parse_response(&response),
             Err(error) => ChangeResponse::Undecided { reason: error.to_string() },
         }
     }
@@ -166,21 +166,21 @@
     ///
     /// # Errors
     ///
-    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it is undecided after `limit`.
-    pub fn send(&self, change: &Change, limit: Duration) -> Result<ChangeResponse> {
-        Ok(self.decide(change, limit)?.response)
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it is undecided after `timeout`.
+    pub fn send(&self, change: &Change, timeout: Duration) -> Result<ChangeResponse> {
+        Ok(self.send_until_decided(change, timeout)?.response)
     }
 
     /// Like [`Operator::send`], with the number of undecided attempts.
     ///
     /// # Errors
     ///
-    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it is undecided after `limit`.
-    pub fn decide(&self, change: &Change, limit: Duration) -> Result<Decision> {
-        let began = Instant::now();
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it is undecided after `timeout`.
+    pub fn send_until_decided(&self, change: &Change, timeout: Duration) -> Result<Decision> {
+        let started_at = Instant::now();
         let mut undecided_attempts = 0;
         let mut reason = String::new();
-        while began.elapsed() < limit {
+        while started_at.elapsed() < timeout {
             for member in &self.members {
                 match self.send_once(*member, change) {
                     ChangeResponse::Undecided { reason: newest } => reason = newest,
@@ -190,21 +190,24 @@
             }
             std::thread::sleep(RETRY_BACKOFF);
         }
-        TimedOutSnafu { what: format!("a decision on revision {}: {reason}", change.revision), limit }
-            .fail()
+        TimedOutSnafu {
+            condition: format!("a decision on revision {}: {reason}", change.revision),
+            timeout,
+        }
+        .fail()
     }
 
     /// Sends a change that must be applied, and returns its revision.
     ///
     /// # Errors
     ///
-    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it is undecided after `limit`;
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it is undecided after `timeout`;
     /// [`HarnessError::UnexpectedResponse`](crate::error::HarnessError::UnexpectedResponse) if it is rejected.
-    pub fn apply(&self, change: &Change, limit: Duration) -> Result<u64> {
-        match self.send(change, limit)? {
+    pub fn apply(&self, change: &Change, timeout: Duration) -> Result<u64> {
+        match self.send(change, timeout)? {
             ChangeResponse::Applied => Ok(change.revision),
             other => UnexpectedResponseSnafu {
-                call: format!("a change to revision {}", change.revision),
+                request: format!("a change to revision {}", change.revision),
                 status: 0u16,
                 body: format!("{other:?}"),
             }
@@ -219,17 +222,17 @@
         let body = json!({"llm": model, "revision": revision}).to_string();
         let target = "/version-put";
         let request = Request { method: "POST", target, headers: &[], body: body.as_bytes() };
-        self.follow(member, &request).ok().map(|response| response.status())
+        self.send_following_redirects(member, &request).ok().map(|response| response.status())
     }
 
     /// The newest configuration, from the first member that responds.
     ///
     /// # Errors
     ///
-    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if no member has responded after `limit`.
-    pub fn configuration(&self, limit: Duration) -> Result<Value> {
-        let began = Instant::now();
-        while began.elapsed() < limit {
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if no member has responded after `timeout`.
+    pub fn configuration(&self, timeout: Duration) -> Result<Value> {
+        let started_at = Instant::now();
+        while started_at.elapsed() < timeout {
             for member in &self.members {
                 if let Some(document) = self.configuration_from(*member) {
                     return Ok(document);
@@ -237,17 +240,21 @@
             }
             std::thread::sleep(RETRY_BACKOFF);
         }
-        TimedOutSnafu { what: "a response to GET /settings", limit }.fail()
+        TimedOutSnafu { condition: "a response to GET /settings", timeout }.fail()
     }
 
     /// The newest configuration, from one member or wherever that redirects the request; `None` without such a response.
     #[must_use]
     pub fn configuration_from(&self, member: SocketAddr) -> Option<Value> {
-        let response = self.follow(member, &Request::get("/settings")).ok()?;
+        let response = self.send_following_redirects(member, &Request::get("/settings")).ok()?;
         (response.status() == 200).then(|| serde_json::from_slice(&response.body).ok()).flatten()
     }
 
-    fn follow(&self, member: SocketAddr, request: &Request<'_>) -> Result<Message, CallError> {
+    fn send_following_redirects(
+        &self,
+        member: SocketAddr,
+        request: &Request<'_>,
+    ) -> Result<Message, CallError> {
         let mut address = member;
         let mut response = call(address, request, self.attempt_timeout)?;
         for _ in 0..MAX_REDIRECTS {
@@ -268,7 +275,7 @@
     rest.split('/').next()?.parse().ok()
 }
 
-fn read_response(response: &Message) -> ChangeResponse {
+fn parse_response(response: &Message) -> ChangeResponse {
     match response.status() {
         200 => ChangeResponse::Applied,
         412 => match serde_json::from_slice::<StaleBody>(&response.body) {
--- a/crates/fault-injection/src/platform.rs
+++ b/crates/fault-injection/src/platform.rs
@@ -13,7 +13,7 @@
 /// A list service. Its threads run until the process ends.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
-    servers: Arc<Mutex<Vec<Value>>>,
+    replicas: Arc<Mutex<Vec<Value>>>,
 }
 
 impl Platform {
@@ -26,8 +26,8 @@
         let platform = Platform::default();
         let listener = TcpListener::bind(address)
             .with_context(|_| IoSnafu { action: format!("listen at {address}") })?;
-        let served = platform.clone();
-        serve_connections(listener, move |connection| served.serve(connection));
+        let service = platform.clone();
+        serve_connections(listener, move |connection| service.serve(connection));
         Ok(platform)
     }
 
@@ -40,18 +40,18 @@
     pub fn add_with_models(&self, id: &str, address: SocketAddr, zone: &str, models: &[&str]) {
         let models: Vec<Value> =
             models.iter().map(|model| json!({"label": model, "revision": 1, "addons": []})).collect();
-        let server = json!({
+        let replica = json!({
             "ident": id, "backend": SERVICE, "address": address.to_string(), "area": zone,
             "capacity": 64, "phase": "ready", "warmLeftMs": 0, "llms": models,
         });
-        self.servers.lock().unwrap_or_else(PoisonError::into_inner).push(server);
+        self.replicas.lock().unwrap_or_else(PoisonError::into_inner).push(replica);
     }
 
     /// Sends the list in response to each request.
     fn serve(&self, mut connection: Connection) {
         while connection.read_request().is_ok() {
-            let servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner).clone();
-            let body = json!({"servers": servers, "nextToken": null}).to_string();
+            let replicas = self.replicas.lock().unwrap_or_else(PoisonError::into_inner).clone();
+            let body = json!({"servers": replicas, "nextToken": null}).to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             if connection.write((head + &body).as_bytes()).is_err() {
                 return;
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -90,21 +90,22 @@
     /// # Errors
     ///
     /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the signal can't be sent;
-    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it runs after `limit`.
-    pub fn terminate(&mut self, limit: Duration) -> Result<ExitStatus> {
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it runs after `timeout`.
+    pub fn terminate(&mut self, timeout: Duration) -> Result<ExitStatus> {
         self.signal(Signal::TERM)?;
-        self.wait_for_exit(limit)
+        self.wait_for_exit(timeout)
     }
 
     /// Waits for its exit.
     ///
     /// # Errors
     ///
-    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it runs after `limit`, or was not running.
-    pub fn wait_for_exit(&mut self, limit: Duration) -> Result<ExitStatus> {
-        let what = format!("the exit of {}", self.binary.display());
-        let child = self.child.as_mut().with_context(|| TimedOutSnafu { what: what.clone(), limit })?;
-        let status = wait_for(&what, limit, || child.try_wait().ok().flatten())?;
+    /// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it runs after `timeout`, or was not running.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Result<ExitStatus> {
+        let condition = format!("the exit of {}", self.binary.display());
+        let child =
+            self.child.as_mut().with_context(|| TimedOutSnafu { condition: condition.clone(), timeout })?;
+        let status = wait_for(&condition, timeout, || child.try_wait().ok().flatten())?;
         self.child = None;
         Ok(status)
     }
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -24,7 +24,7 @@
 
 /// Where a relay listens and where it forwards to.
 #[derive(Clone, Copy, Debug)]
-pub struct Route {
+pub struct RelayRoute {
     /// From the machine that connects to the one that accepts.
     pub direction: Direction,
     /// The address at which the relay listens.
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// [`HarnessError::Io`](crate::error::HarnessError::Io) if the address can't be bound.
-    pub fn start(network: &Network, route: Route) -> Result<TcpRelay> {
+    pub fn start(network: &Network, route: RelayRoute) -> Result<TcpRelay> {
         let action = || format!("relay at {}", route.listen);
         let listener = TcpListener::bind(route.listen).with_context(|_| IoSnafu { action: action() })?;
         Ok(TcpRelay::serve(network, listener, route))
@@ -53,9 +53,9 @@
 
     /// Starts to relay the connections of a listener, which is bound to `route.listen`.
     #[must_use]
-    pub fn serve(network: &Network, listener: TcpListener, route: Route) -> TcpRelay {
+    pub fn serve(network: &Network, listener: TcpListener, route: RelayRoute) -> TcpRelay {
         let network = network.clone();
-        spawn(move || accept_all(&network, &listener, route));
+        spawn_thread(move || accept_all(&network, &listener, route));
         TcpRelay { listen: route.listen }
     }
 
@@ -65,33 +65,43 @@
     }
 }
 
-fn accept_all(network: &Network, listener: &TcpListener, route: Route) {
+fn accept_all(network: &Network, listener: &TcpListener, route: RelayRoute) {
     while let Ok((stream, _)) = listener.accept() {
         if network.is_closed() {
             return;
         }
         let network = network.clone();
-        spawn(move || relay_connection(&network, stream, route));
+        spawn_thread(move || relay_connection(&network, stream, route));
     }
 }
 
-fn relay_connection(network: &Network, downstream: TcpStream, route: Route) {
+fn relay_connection(network: &Network, downstream: TcpStream, route: RelayRoute) {
     let directions = [route.direction, route.direction.reversed()];
-    let resets = directions.map(|direction| network.resets(direction));
+    let reset_counts = directions.map(|direction| network.reset_count(direction));
     // A connection is established once both directions are open.
-    let is_open = |index: usize| network.permit(directions[index], resets[index], 0) != Permission::Reset;
+    let is_open =
+        |index: usize| network.permit(directions[index], reset_counts[index], 0) != Permission::Reset;
     if !(is_open(0) && is_open(1)) {
         return reset(&downstream);
     }
     let Ok(upstream) = TcpStream::connect(route.target) else { return reset(&downstream) };
     let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
     let pair = Arc::new(ConnectionPair { downstream, upstream, is_finished: AtomicBool::new(false) });
-    abort_on_reset(network.clone(), Arc::clone(&pair), directions, resets);
+    abort_on_reset(network.clone(), Arc::clone(&pair), directions, reset_counts);
     let forward = {
         let (network, pair) = (network.clone(), Arc::clone(&pair));
-        spawn(move || pump(&network, directions[0], resets[0], &pair, &pair.downstream, &pair.upstream))
+        spawn_thread(move || {
+            forward_stream(
+                &network,
+                directions[0],
+                reset_counts[0],
+                &pair,
+                &pair.downstream,
+                &pair.upstream,
+            );
+        })
     };
-    pump(network, directions[1], resets[1], &pair, &pair.upstream, &pair.downstream);
+    forward_stream(network, directions[1], reset_counts[1], &pair, &pair.upstream, &pair.downstream);
     if let Some(forward) = forward {
         let _ = forward.join();
     }
@@ -104,10 +114,10 @@
     network: Network,
     pair: Arc<ConnectionPair>,
     directions: [Direction; 2],
-    resets: [u64; 2],
+    reset_counts: [u64; 2],
 ) {
-    spawn(move || {
-        network.wait_for_reset(directions, resets, || pair.is_finished.load(Ordering::Relaxed));
+    spawn_thread(move || {
+        network.wait_for_reset(directions, reset_counts, || pair.is_finished.load(Ordering::Relaxed));
         if !pair.is_finished.load(Ordering::Relaxed) {
             pair.abort();
         }
@@ -139,13 +149,13 @@
 }
 
 /// Forwards one direction of a connection until its end, or aborts the connection.
-fn pump(
+fn forward_stream(
     network: &Network,
     direction: Direction,
-    resets: u64,
+    reset_count: u64,
     pair: &ConnectionPair,
     mut source: &TcpStream,
-    sink: &TcpStream,
+    destination: &TcpStream,
 ) {
     let mut buffer = vec![0; READ_BYTES];
     loop {
@@ -155,11 +165,11 @@
             Err(_) => return pair.abort(),
         };
         // The end of the stream is stalled like a byte.
-        if forward_bytes(network, direction, resets, sink, &buffer[..count]).is_none() {
+        if forward_bytes(network, direction, reset_count, destination, &buffer[..count]).is_none() {
             return pair.abort();
         }
         if count == 0 {
-            let _ = sink.shutdown(Shutdown::Write);
+            let _ = destination.shutdown(Shutdown::Write);
             return;
         }
     }
@@ -169,15 +179,15 @@
 fn forward_bytes(
     network: &Network,
     direction: Direction,
-    resets: u64,
-    mut sink: &TcpStream,
+    reset_count: u64,
+    mut destination: &TcpStream,
     mut bytes: &[u8],
 ) -> Option<()> {
     loop {
-        match network.permit(direction, resets, bytes.len()) {
+        match network.permit(direction, reset_count, bytes.len()) {
             Permission::Reset => return None,
             Permission::Forward(count) => {
-                sink.write_all(&bytes[..count]).ok()?;
+                destination.write_all(&bytes[..count]).ok()?;
                 bytes = &bytes[count..];
             }
         }
@@ -193,25 +203,25 @@
 /// # Errors
 ///
 /// [`HarnessError::Io`](crate::error::HarnessError::Io) if a socket can't be bound or configured.
-pub fn relay_datagrams(network: &Network, route: Route, sender: Ipv4Addr) -> Result<()> {
+pub fn relay_datagrams(network: &Network, route: RelayRoute, sender: Ipv4Addr) -> Result<()> {
     let action = || format!("relay datagrams at {}", route.listen);
     let socket = UdpSocket::bind(route.listen).with_context(|_| IoSnafu { action: action() })?;
-    let onward = UdpSocket::bind((sender, 0)).with_context(|_| IoSnafu { action: action() })?;
+    let outgoing = UdpSocket::bind((sender, 0)).with_context(|_| IoSnafu { action: action() })?;
     socket.set_read_timeout(Some(CLOSE_CHECK_INTERVAL)).with_context(|_| IoSnafu { action: action() })?;
     let network = network.clone();
-    spawn(move || {
+    spawn_thread(move || {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         while !network.is_closed() {
             if let Ok((count, _)) = socket.recv_from(&mut buffer)
                 && network.link_state(route.direction) == LinkState::Open
             {
-                let _ = onward.send_to(&buffer[..count], route.target);
+                let _ = outgoing.send_to(&buffer[..count], route.target);
             }
         }
     });
     Ok(())
 }
 
-fn spawn(work: impl FnOnce() + Send + 'static) -> Option<thread::JoinHandle<()>> {
+fn spawn_thread(work: impl FnOnce() + Send + 'static) -> Option<thread::JoinHandle<()>> {
     thread::Builder::new().stack_size(STACK_BYTES).spawn(work).ok()
 }
--- a/crates/fault-injection/src/wait.rs
+++ b/crates/fault-injection/src/wait.rs
@@ -8,19 +8,19 @@
 /// Time between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Polls until `poll` returns a value; `what` describes it in errors.
+/// Polls until `poll` returns a value; `condition` describes it in errors.
 ///
 /// # Errors
 ///
-/// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if there is none after `limit`.
-pub fn wait_for<T>(what: &str, limit: Duration, mut poll: impl FnMut() -> Option<T>) -> Result<T> {
-    let began = Instant::now();
+/// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if there is none after `timeout`.
+pub fn wait_for<T>(condition: &str, timeout: Duration, mut poll: impl FnMut() -> Option<T>) -> Result<T> {
+    let started_at = Instant::now();
     loop {
         if let Some(value) = poll() {
             return Ok(value);
         }
-        if began.elapsed() >= limit {
-            return TimedOutSnafu { what, limit }.fail();
+        if started_at.elapsed() >= timeout {
+            return TimedOutSnafu { condition, timeout }.fail();
         }
         thread::sleep(POLL_INTERVAL);
     }
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it does not after `limit`.
-pub fn wait_until(what: &str, limit: Duration, mut condition: impl FnMut() -> bool) -> Result<()> {
-    wait_for(what, limit, || condition().then_some(()))
+/// [`HarnessError::TimedOut`](crate::error::HarnessError::TimedOut) if it does not after `timeout`.
+pub fn wait_until(condition: &str, timeout: Duration, mut is_met: impl FnMut() -> bool) -> Result<()> {
+    wait_for(condition, timeout, || is_met().then_some(()))
 }
--- a/crates/fault-injection/tests/catch_up.rs
+++ b/crates/fault-injection/tests/catch_up.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use support::{CHANGE_LIMIT, start, wait_for_route};
-use tulipridge_fault_injection::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
+use tulipridge_fault_injection::deployment::{CONVERGENCE_TIMEOUT, Deployment, Topology};
 use tulipridge_fault_injection::operator::{Change, revision_of};
 use tulipridge_fault_injection::wait::wait_until;
 
@@ -49,7 +49,7 @@
         let status = deployment.status(away);
         status.is_some_and(|status| status.configuration == revision && status.is_fresh())
     };
-    wait_until("the member is current", CONVERGENCE_LIMIT, is_current).expect("it catches up");
+    wait_until("the member is current", CONVERGENCE_TIMEOUT, is_current).expect("it catches up");
     wait_for_route(&deployment, 0, &format!("r-{}", (revision - 1) % 20));
 }
 
@@ -66,7 +66,7 @@
     deployment.start_member(away).expect("it restarts");
     let voter = (0..3).find(|index| *index != away).expect("another member");
     let is_up = || deployment.status(away).is_some();
-    wait_until("the member responds", CONVERGENCE_LIMIT, is_up).expect("it is back");
+    wait_until("the member responds", CONVERGENCE_TIMEOUT, is_up).expect("it is back");
     deployment.start_member(voter).expect("it restarts");
     for index in (0..3).filter(|index| ![away, voter].contains(index)) {
         deployment.start_member(index).expect("it restarts");
--- a/crates/fault-injection/tests/edge_machine.rs
+++ b/crates/fault-injection/tests/edge_machine.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use support::{CHANGE_LIMIT, request_status, start, wait_for_route};
-use tulipridge_fault_injection::deployment::{CONVERGENCE_LIMIT, ClientRequest, Deployment, Topology};
-use tulipridge_fault_injection::operator::{Change, path};
+use tulipridge_fault_injection::deployment::{CONVERGENCE_TIMEOUT, ClientRequest, Deployment, Topology};
+use tulipridge_fault_injection::operator::{Change, route_path};
 use tulipridge_fault_injection::process::Signal;
 use tulipridge_fault_injection::wait::wait_until;
 
@@ -66,7 +66,7 @@
         start(Topology { members: 1, seeds: 1, tolerated_losses: 0, ..Topology::default() });
     deployment.edges[0].proxy.signal(Signal::TERM).expect("it is signalled");
     deployment.edges[0].agent.signal(Signal::TERM).expect("it is signalled");
-    wait_until("the proxy is not ready", CONVERGENCE_LIMIT, || !deployment.is_ready(0)).expect("at once");
+    wait_until("the proxy is not ready", CONVERGENCE_TIMEOUT, || !deployment.is_ready(0)).expect("at once");
     assert_eq!(request_status(&deployment, 0, "base").expect("a late client is served"), 200);
     let edge = &mut deployment.edges[0];
     let proxy = edge.proxy.wait_for_exit(LEEWAY).expect("the proxy exits");
@@ -86,7 +86,7 @@
         while !change.is_finished() {
             let id = format!("t-{number}");
             let request = ClientRequest {
-                path: &path("base"),
+                path: &route_path("base"),
                 attempt_id: &id,
                 body: "",
                 timeout: Duration::from_secs(1),
--- a/crates/fault-injection/tests/harness.rs
+++ b/crates/fault-injection/tests/harness.rs
@@ -9,7 +9,7 @@
 use tulipridge_fault_injection::disk::{FileLengths, drop_unacknowledged_tail};
 use tulipridge_fault_injection::machine::MachineId;
 use tulipridge_fault_injection::network::{Direction, LinkState, Network};
-use tulipridge_fault_injection::relay::{Route, TcpRelay};
+use tulipridge_fault_injection::relay::{RelayRoute, TcpRelay};
 
 const SENDER: MachineId = MachineId(0);
 const RECEIVER: MachineId = MachineId(1);
@@ -29,7 +29,7 @@
     let target = listener.local_addr().expect("an address");
     let addresses = AddressBlock::reserve().expect("addresses of our own");
     let listen = SocketAddr::from((addresses.address(RELAY_HOST), RELAY_PORT));
-    TcpRelay::start(network, Route { direction: DIRECTION, listen, target }).expect("a relay");
+    TcpRelay::start(network, RelayRoute { direction: DIRECTION, listen, target }).expect("a relay");
     let sender = TcpStream::connect(listen).expect("a connection");
     let (receiver, _) = listener.accept().expect("a connection");
     receiver.set_read_timeout(Some(LIMIT)).expect("a timeout");
@@ -98,8 +98,11 @@
             .expect("it is truncated")
             .expect("some is dropped");
         let left = std::fs::read(&log).expect("it is read");
-        assert!(left.starts_with(b"acknowledged") && dropped.bytes > 0, "{dropped:?}");
-        assert_eq!(left.len() as u64 + dropped.bytes, b"acknowledged, not acknowledged".len() as u64);
+        assert!(left.starts_with(b"acknowledged") && dropped.dropped_bytes > 0, "{dropped:?}");
+        assert_eq!(
+            left.len() as u64 + dropped.dropped_bytes,
+            b"acknowledged, not acknowledged".len() as u64
+        );
     }
 }
 
--- a/crates/fault-injection/tests/kills.rs
+++ b/crates/fault-injection/tests/kills.rs
@@ -25,11 +25,11 @@
     deployment.operator().apply(&Change::upsert_route(1, "marked", 1), CHANGE_LIMIT).expect("a change");
     deployment.wait_until_converged().expect("the change is in force");
     let before: Vec<FileLengths> =
-        deployment.members.iter().map(|member| FileLengths::of(&member.folder)).collect();
+        deployment.members.iter().map(|member| FileLengths::of(&member.data_folder)).collect();
     deployment.operator().apply(&Change::upsert_route(2, "marked", 2), CHANGE_LIMIT).expect("a change");
     for (member, before) in deployment.members.iter_mut().zip(&before) {
         member.process.kill();
-        truncate_files(&member.folder, before).expect("the log is truncated");
+        truncate_files(&member.data_folder, before).expect("the log is truncated");
     }
     for index in 0..3 {
         deployment.start_member(index).expect("it restarts");
--- a/crates/fault-injection/tests/partitions.rs
+++ b/crates/fault-injection/tests/partitions.rs
@@ -80,7 +80,8 @@
     let old = deployment.wait_for_primary().expect("a primary");
     let id = deployment.members[old].machine.id;
     let operator = deployment.operator_machine.id;
-    let others: Vec<_> = deployment.others(id).into_iter().filter(|other| *other != operator).collect();
+    let others: Vec<_> =
+        deployment.other_machines(id).into_iter().filter(|other| *other != operator).collect();
     let set = |state| match is_outgoing {
         true => deployment.network.set_outgoing(id, &others, state),
         false => deployment.network.set_incoming(id, &others, state),
@@ -137,7 +138,7 @@
     operator.apply(&Change::upsert_route(1, "withdrawn", 1), CHANGE_LIMIT).expect("a change");
     wait_for_route(&deployment, 0, "withdrawn");
     let edge = deployment.edges[0].machine.id;
-    let others = deployment.others(edge);
+    let others = deployment.other_machines(edge);
     deployment.network.set_between(edge, &others, LinkState::Stalled);
     operator.apply(&Change::remove_route(2, "withdrawn"), CHANGE_LIMIT).expect("a change");
     let acknowledged = Instant::now();
--- a/crates/fault-injection/tests/replacement.rs
+++ b/crates/fault-injection/tests/replacement.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use support::{CHANGE_LIMIT, start, wait_for_route};
-use tulipridge_fault_injection::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
+use tulipridge_fault_injection::deployment::{CONVERGENCE_TIMEOUT, Deployment, Topology};
 use tulipridge_fault_injection::disk;
 use tulipridge_fault_injection::operator::{Change, ChangeResponse, marker_of, revision_of};
 use tulipridge_fault_injection::wait::{wait_for, wait_until};
@@ -17,7 +17,7 @@
 /// Kills a member and wipes its disk.
 fn lose_with_disk(deployment: &mut Deployment, index: usize) {
     deployment.members[index].process.kill();
-    disk::wipe(&deployment.members[index].folder).expect("the disk is emptied");
+    disk::wipe(&deployment.members[index].data_folder).expect("the disk is emptied");
 }
 
 fn apply(deployment: &Deployment, base: u64) {
@@ -38,7 +38,7 @@
     deployment.start_member(3).expect("it starts");
     lose_with_disk(&mut deployment, backup);
     apply(&deployment, 2);
-    wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+    wait_until("the control plane has converged", CONVERGENCE_TIMEOUT, || {
         deployment.is_control_plane_converged()
     })
     .expect("the backup is replaced");
@@ -56,14 +56,14 @@
         apply(&deployment, base);
         let backup = deployment.wait_for_backup().expect("a backup");
         deployment.replace_disk(backup).expect("it restarts empty");
-        wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+        wait_until("the control plane has converged", CONVERGENCE_TIMEOUT, || {
             deployment.is_control_plane_converged()
         })
         .expect("the member is a member again");
         let primary = deployment.wait_for_primary().expect("a primary");
         deployment.replace_disk(primary).expect("it restarts empty");
         assert_mark(&deployment, base);
-        wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+        wait_until("the control plane has converged", CONVERGENCE_TIMEOUT, || {
             deployment.is_control_plane_converged()
         })
         .expect("the member is a member again");
@@ -84,7 +84,7 @@
     assert_mark(&deployment, 1);
     apply(&deployment, 2);
     deployment.start_member(primary).expect("it restarts with its disk");
-    wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+    wait_until("the control plane has converged", CONVERGENCE_TIMEOUT, || {
         deployment.is_control_plane_converged()
     })
     .expect("all are back");
@@ -108,7 +108,7 @@
         let status = deployment.terminate_member(index).expect("it exits");
         assert!(status.success(), "{status}");
         deployment.start_member(index).expect("it restarts");
-        wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+        wait_until("the control plane has converged", CONVERGENCE_TIMEOUT, || {
             deployment.is_control_plane_converged()
         })
         .expect("it is a member again");
@@ -127,10 +127,10 @@
         deployment.start_member(new).expect("it starts");
         let is_known =
             || deployment.status(new).filter(tulipridge_fault_injection::status::Status::is_fresh);
-        wait_for("the new member follows the primary", CONVERGENCE_LIMIT, is_known)
+        wait_for("the new member follows the primary", CONVERGENCE_TIMEOUT, is_known)
             .expect("it becomes a member");
         lose_with_disk(&mut deployment, old);
-        wait_until("the control plane has converged", CONVERGENCE_LIMIT, || {
+        wait_until("the control plane has converged", CONVERGENCE_TIMEOUT, || {
             deployment.is_control_plane_converged()
         })
         .expect("the machine is replaced");
--- a/crates/fault-injection/tests/responses.rs
+++ b/crates/fault-injection/tests/responses.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use support::{CHANGE_LIMIT, start, wait_for_route};
 use tulipridge_fault_injection::deployment::{ClientRequest, Deployment, Topology};
-use tulipridge_fault_injection::operator::{Change, path};
+use tulipridge_fault_injection::operator::{Change, route_path};
 use tulipridge_fault_injection::replica::ReplicaBehaviour;
 
 /// Concurrent clients.
@@ -25,7 +25,7 @@
 
 fn start_with_two_replicas(sort: &str) -> Deployment {
     let deployment = start(Topology { members: 1, seeds: 1, replicas: 2, tolerated_losses: 0, edges: 1 });
-    let change = Change::upsert_route_with_sort(1, "echo", sort);
+    let change = Change::upsert_route_of_kind(1, "echo", sort);
     deployment.operator().apply(&change, CHANGE_LIMIT).expect("a route");
     wait_for_route(&deployment, 0, "echo");
     deployment
@@ -48,7 +48,7 @@
     let send_requests = |client: usize| {
         for number in 0..REQUESTS {
             let id = format!("c{client}-{number}");
-            let path = format!("{}{id}", path("echo"));
+            let path = format!("{}{id}", route_path("echo"));
             let body = format!("body of {id}");
             let request = ClientRequest { path: &path, attempt_id: &id, body: &body, timeout: TIMEOUT };
             let response = deployment.send_request(0, &request).expect("a response");
@@ -73,7 +73,8 @@
     // Fills the retry budget, so that it is not an empty budget that prevents a retry.
     for number in 0..CLIENTS {
         let id = format!("calm-{number}");
-        let request = ClientRequest { path: &path("echo"), attempt_id: &id, body: "", timeout: TIMEOUT };
+        let request =
+            ClientRequest { path: &route_path("echo"), attempt_id: &id, body: "", timeout: TIMEOUT };
         assert_eq!(deployment.send_request(0, &request).expect("a response").status(), 200);
     }
     deployment.replicas.iter().for_each(|replica| replica.set_behaviour(behaviour));
@@ -82,7 +83,8 @@
             let deployment = &deployment;
             scope.spawn(move || {
                 let id = format!("faulty-{number}");
-                let request = ClientRequest { path: &path("echo"), attempt_id: &id, body: "", timeout };
+                let request =
+                    ClientRequest { path: &route_path("echo"), attempt_id: &id, body: "", timeout };
                 if let Ok(response) = deployment.send_request(0, &request) {
                     assert!(response.status() >= 500, "{}", response.status());
                 }
@@ -104,11 +106,13 @@
     let deployment = start_with_two_replicas("harmless");
     for number in 0..CLIENTS {
         let id = format!("calm-{number}");
-        let request = ClientRequest { path: &path("echo"), attempt_id: &id, body: "", timeout: TIMEOUT };
+        let request =
+            ClientRequest { path: &route_path("echo"), attempt_id: &id, body: "", timeout: TIMEOUT };
         assert_eq!(deployment.send_request(0, &request).expect("a response").status(), 200);
     }
     deployment.replicas.iter().for_each(|replica| replica.set_behaviour(ReplicaBehaviour::Reset));
-    let request = ClientRequest { path: &path("echo"), attempt_id: "faulty", body: "", timeout: TIMEOUT };
+    let request =
+        ClientRequest { path: &route_path("echo"), attempt_id: "faulty", body: "", timeout: TIMEOUT };
     let _ = deployment.send_request(0, &request);
     assert_eq!(deliveries_by_attempt(&deployment).get("faulty"), Some(&2));
 }
--- a/crates/fault-injection/tests/support/mod.rs
+++ b/crates/fault-injection/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 use tulipridge_fault_injection::client::CallError;
 use tulipridge_fault_injection::deployment::{ClientRequest, Deployment, Topology};
-use tulipridge_fault_injection::operator::{Change, path};
+use tulipridge_fault_injection::operator::{Change, route_path};
 use tulipridge_fault_injection::wait::wait_until;
 
 /// Timeout for a change to be acknowledged, a takeover included.
@@ -23,7 +23,7 @@
 /// The status of a proxy's response to a request on a route.
 #[allow(dead_code, reason = "not all tests send requests to proxies")]
 pub(crate) fn request_status(deployment: &Deployment, edge: usize, label: &str) -> Result<u16, CallError> {
-    let path = path(label);
+    let path = route_path(label);
     let timeout = Duration::from_secs(1);
     let request = ClientRequest { path: &path, attempt_id: "a-1", body: "", timeout };
     deployment.send_request(edge, &request).map(|response| response.status())
