--- a/crates/fault-injection/src/command_line.rs
+++ b/crates/fault-injection/src/command_line.rs
@@ -60,55 +60,73 @@
 }
 
 fn kills() -> impl Parser<Command> {
-    let count = run_count(1_000);
+    let count = count_option(1_000, "Minimum number of kills");
     let deployments = long("deployments")
-        .help("Deployments that run beside each other")
+        .help("Number of concurrent deployments")
         .argument::<u64>("N")
         .guard(|count| *count > 0, "must be above 0")
         .fallback(4);
     let parser = construct!(Command::Kills { count, deployments });
-    subcommand(parser, "kills", "Kills members while operators send changes; fails if one is lost")
+    subcommand(
+        parser,
+        "kills",
+        "Kills members while operators send changes; fails after a violation, such as a lost change",
+    )
 }
 
 fn takeover() -> impl Parser<Command> {
     let fault = long("cause")
-        .help("kill, power, cut, freeze or term")
+        .help("Fault of the primary: kill, power, cut, freeze or term")
         .argument::<String>("CAUSE")
         .parse(|text| parse_fault(&text));
-    let count = run_count(50);
+    let count = count_option(50, "Number of faults");
     let parser = construct!(Command::Takeover { fault, count });
-    subcommand(parser, "takeover", "From a fault of the primary until a change is acknowledged")
+    subcommand(
+        parser,
+        "takeover",
+        "Measures the time from a fault of the primary until a change is acknowledged",
+    )
 }
 
 fn propagate() -> impl Parser<Command> {
-    let count = run_count(200);
+    let count = count_option(200, "Number of changes");
     let parser = construct!(Command::Propagate { count });
-    subcommand(parser, "propagate", "From an acknowledgement until a change is in force at the last proxy")
+    subcommand(
+        parser,
+        "propagate",
+        "Measures the time from the acknowledgement of a change until all proxies apply it",
+    )
 }
 
 fn catch_up() -> impl Parser<Command> {
     let changes = number_list("changes", "10,100,1000", "Numbers of changes that a member misses");
-    let count = run_count(10);
+    let count = count_option(10, "Number of runs for each number of changes");
     let parser = construct!(Command::CatchUp { changes, count });
     subcommand(
         parser,
         "catch-up",
-        "From the start of a member that was away until the control plane has converged",
+        "Measures the time from the start of a member that missed changes until the control plane converges",
     )
 }
 
 fn partition_recovery() -> impl Parser<Command> {
-    let seconds = long("seconds").help("Length of a partition").argument::<u64>("S").fallback(20);
-    let count = run_count(5);
+    let seconds =
+        long("seconds").help("Duration of a partition in seconds").argument::<u64>("S").fallback(20);
+    let count = count_option(5, "Number of partitions");
     let parser = construct!(Command::PartitionRecovery { seconds, count });
-    subcommand(parser, "heal", "From the end of a partition until member and proxy are current")
+    subcommand(
+        parser,
+        "heal",
+        "Measures the time from the end of a partition until member and proxy are current",
+    )
 }
 
 fn change_cost() -> impl Parser<Command> {
-    let padding_bytes = number_list("notes", "0,10000,50000", "Bytes by which the document is made longer");
-    let changes = long("changes").help("Changes").argument::<u64>("N").fallback(50);
+    let padding_bytes =
+        number_list("notes", "0,10000,50000", "Sizes in bytes of the note that pads the document");
+    let changes = long("changes").help("Number of changes for each size").argument::<u64>("N").fallback(50);
     let parser = construct!(Command::ChangeCost { padding_bytes, changes });
-    subcommand(parser, "cost", "Bytes and syncs of a change")
+    subcommand(parser, "cost", "Measures bytes and syncs of a change at the disks")
 }
 
 fn demo() -> impl Parser<Command> {
@@ -122,16 +140,18 @@
 }
 
 fn cpu_quota() -> impl Parser<Command> {
-    let seconds =
-        long("seconds").help("Time for each group of machines").argument::<u64>("S").fallback(120);
+    let seconds = long("seconds")
+        .help("Duration for each group of machines in seconds")
+        .argument::<u64>("S")
+        .fallback(120);
     let targets = long("target")
-        .help("primary, replication-group, control-plane, edge or all; each in turn if none is given")
+        .help("Machines with a quota: primary, replication-group, control-plane, edge or all (default: each in turn)")
         .argument::<String>("GROUP")
         .parse(|name| parse_quota_target(&name))
         .many()
         .map(|targets| if targets.is_empty() { QuotaTarget::ALL.to_vec() } else { targets });
     let parser = construct!(Command::CpuQuota { seconds, targets });
-    subcommand(parser, "quota", "Machines that stand still for 90 ms ten times a second")
+    subcommand(parser, "quota", "Stops programs for 90 ms in each 100 ms, as a CPU quota does")
 }
 
 fn mutations() -> impl Parser<Command> {
@@ -139,9 +159,13 @@
         .help("Clone of the repository whose sources are changed and restored")
         .argument::<PathBuf>("DIR");
     let id_prefixes =
-        long("only").help("Only mutations whose id begins so").argument::<String>("ID").many();
+        long("only").help("Runs only mutations whose id begins with ID").argument::<String>("ID").many();
     let parser = construct!(Command::Mutations { clone_folder, id_prefixes });
-    subcommand(parser, "mutations", "Takes mechanisms out of the sources; fails if no test notices")
+    subcommand(
+        parser,
+        "mutations",
+        "Removes mechanisms from the sources one at a time; fails unless a test detects each",
+    )
 }
 
 fn subcommand(
@@ -152,12 +176,12 @@
     parser.to_options().descr(description).command(name)
 }
 
-fn run_count<T>(default: T) -> impl Parser<T>
+fn count_option<T>(default: T, help: &'static str) -> impl Parser<T>
 where
     T: Clone + Debug + std::str::FromStr + 'static,
     T::Err: std::fmt::Display,
 {
-    long("count").help("Runs").argument::<T>("N").fallback(default)
+    long("count").help(help).argument::<T>("N").fallback(default)
 }
 
 fn number_list<T>(name: &'static str, default: &'static str, help: &'static str) -> impl Parser<Vec<T>>
@@ -174,10 +198,10 @@
 #[derive(Debug, Snafu)]
 enum FaultNameError {
     /// The harness can't control the speed of a disk.
-    #[snafu(display("a disk can't be made slow from outside on loopback"))]
+    #[snafu(display("a slow disk can't be simulated on loopback"))]
     SlowDisk,
     /// The word is not the name of a fault.
-    #[snafu(display("{name} is no fault"))]
+    #[snafu(display("unknown fault '{name}'"))]
     Unknown { name: String },
 }
 
--- a/crates/fault-injection/src/consistency.rs
+++ b/crates/fault-injection/src/consistency.rs
@@ -17,14 +17,17 @@
     if let Some(revision) = document.map(|document| revision_of(&document))
         && revision < in_force.revision
     {
-        return Some(format!("it serves revision {revision} while {} is in force", in_force.revision));
+        return Some(format!(
+            "the member serves revision {revision} while {} is in force",
+            in_force.revision
+        ));
     }
     let repeated = operator.send_once(member, in_force);
     if !matches!(repeated, ChangeResponse::Undecided { .. } | ChangeResponse::Applied) {
-        return Some(format!("it replies {repeated:?} to the change in force"));
+        return Some(format!("the member responds {repeated:?} to the change in force"));
     }
     let conflicting = Change::upsert_route(in_force.if_match, CONFLICTING_ROUTE, 1);
     let response = operator.send_once(member, &conflicting);
     (response == ChangeResponse::Applied)
-        .then(|| "it acknowledges a change that conflicts with the one in force".to_owned())
+        .then(|| "the member acknowledges a change that conflicts with the change in force".to_owned())
 }
--- a/crates/fault-injection/src/kill_test/change_outcomes.rs
+++ b/crates/fault-injection/src/kill_test/change_outcomes.rs
@@ -42,7 +42,9 @@
         match &decision.response {
             ChangeResponse::Applied => state.record_acknowledged(label, marker, change.revision),
             ChangeResponse::Stale { .. } => state.record_rejected(marker, decision.undecided_attempts),
-            other => state.failures.push(format!("marker {marker} of {label}: {other:?}")),
+            other => {
+                state.failures.push(format!("{label}: unexpected response to marker {marker}: {other:?}"));
+            }
         }
     }
 
@@ -62,7 +64,7 @@
         self.acknowledged_count += 1;
         self.acknowledged.insert(label.to_owned(), marker);
         if !self.revisions.insert(revision) {
-            self.failures.push(format!("revision {revision} was acknowledged to two changes"));
+            self.failures.push(format!("revision {revision} was acknowledged for two changes"));
         }
     }
 
--- a/crates/fault-injection/src/kill_test/mod.rs
+++ b/crates/fault-injection/src/kill_test/mod.rs
@@ -202,8 +202,9 @@
         let found = marker_of(&configuration, label);
         if found.is_none_or(|found| found < *marker) {
             report.acknowledged_lost += 1;
-            report
-                .add_violation(format!("{label}: marker {marker} was acknowledged, {found:?} is in force"));
+            report.add_violation(format!(
+                "{label}: marker {marker} was acknowledged, but {found:?} is in force"
+            ));
         }
     }
     check_sent(&configuration, &state, report);
@@ -216,11 +217,11 @@
         let Some(found) = marker_of(configuration, label) else { continue };
         if state.rejected.contains(&found) {
             report.rejected_in_force += 1;
-            report.add_violation(format!("{label}: marker {found} was rejected and is in force"));
+            report.add_violation(format!("{label}: marker {found} was rejected, but is in force"));
         }
         if found > *newest {
             report.other_violations += 1;
-            report.add_violation(format!("{label}: marker {found} was never sent"));
+            report.add_violation(format!("{label}: marker {found} was never sent, but is in force"));
         }
     }
 }
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -54,7 +54,7 @@
 fn print_json(report: impl Serialize) {
     match serde_json::to_string(&report) {
         Ok(text) => println!("{text}"),
-        Err(error) => eprintln!("the report can't be encoded: {error}"),
+        Err(error) => eprintln!("report can't be encoded as JSON: {error}"),
     }
 }
 
--- a/crates/fault-injection/src/mutation/list.rs
+++ b/crates/fault-injection/src/mutation/list.rs
@@ -56,13 +56,13 @@
         source: TomlError,
     },
     /// The file has no entries.
-    #[snafu(display("no [[{ENTRIES}]] in {}", path.display()))]
+    #[snafu(display("no [[{ENTRIES}]] table in {}", path.display()))]
     Empty {
         /// The path of the list.
         path: PathBuf,
     },
     /// A key of an entry is missing or its value is not a string.
-    #[snafu(display("entry {index}: '{key}' must be a text"))]
+    #[snafu(display("entry {index}: '{key}' must be a string"))]
     MissingKey {
         /// The index of the entry, from 0.
         index: usize,
@@ -70,7 +70,7 @@
         key: &'static str,
     },
     /// The test of an entry is not written as package, file and function.
-    #[snafu(display("entry {index}: '{test}' must be PACKAGE FILE FUNCTION"))]
+    #[snafu(display("entry {index}: test '{test}' must have the form PACKAGE FILE FUNCTION"))]
     InvalidTest {
         /// The index of the entry, from 0.
         index: usize,
--- a/crates/fault-injection/src/mutation/run.rs
+++ b/crates/fault-injection/src/mutation/run.rs
@@ -61,7 +61,13 @@
     let describe = |verb: &str| format!("{verb} {}", path.display());
     let original = fs::read_to_string(&path).context(IoSnafu { action: describe("read") })?;
     let count = original.matches(&mutation.find).count();
-    let reason = || format!("{}: its text stands {count} times in {}", mutation.id, path.display());
+    let reason = || {
+        format!(
+            "{}: the text to replace occurs {count} times instead of once in {}",
+            mutation.id,
+            path.display()
+        )
+    };
     ensure!(count == 1, BuildSnafu { reason: reason() });
     let mutated = original.replacen(&mutation.find, &mutation.replace, 1);
     fs::write(&path, mutated).context(IoSnafu { action: describe("write") })?;
