--- a/crates/fault-injection/src/address.rs
+++ b/crates/fault-injection/src/address.rs
@@ -12,7 +12,7 @@
 /// Offset of the reservation's port in a block of ports.
 const RESERVATION_OFFSET: u16 = PORTS_PER_MACHINE - 1;
 /// Port of the listener that reserves a block of addresses.
-const NETWORK_RESERVATION_PORT: u16 = 19_999;
+const ADDRESS_RESERVATION_PORT: u16 = 19_999;
 /// First port of the range that is divided into blocks, which is below the ephemeral ports.
 const FIRST_PORT: u16 = 20_000;
 /// End of this range, exclusive.
@@ -28,7 +28,7 @@
 }
 
 impl AddressBlock {
-    /// Reserves a free block.
+    /// Picks random blocks until one is free, and reserves it.
     ///
     /// # Errors
     ///
@@ -37,7 +37,7 @@
         for _ in 0..RESERVATION_ATTEMPTS {
             let octets = [127, fastrand::u8(1..=254), fastrand::u8(1..=254)];
             let address = Ipv4Addr::new(octets[0], octets[1], octets[2], 1);
-            if let Ok(reservation) = TcpListener::bind((address, NETWORK_RESERVATION_PORT)) {
+            if let Ok(reservation) = TcpListener::bind((address, ADDRESS_RESERVATION_PORT)) {
                 return Ok(AddressBlock { octets, _reservation: reservation });
             }
         }
@@ -55,13 +55,13 @@
 /// Consecutive ports that were free on 127.0.0.1, reserved until this value is dropped.
 #[derive(Debug)]
 pub struct PortBlock {
-    /// The first port.
+    /// The lowest port of the block.
     pub first: u16,
     _reservation: TcpListener,
 }
 
 impl PortBlock {
-    /// Reserves a free block.
+    /// Picks random blocks until all ports of one are free for TCP and UDP, and reserves it.
     ///
     /// # Errors
     ///
--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -34,7 +34,7 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The received bytes are not HTTP.
+    /// The received bytes are no valid HTTP message.
     #[snafu(display("not HTTP: {reason}"))]
     Malformed {
         /// The parser's error.
@@ -45,21 +45,21 @@
     Closed,
 }
 
-/// A request.
+/// A request that can be encoded.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The method.
+    /// The method, such as `GET`.
     pub method: &'a str,
     /// The request target: path and query.
     pub target: &'a str,
     /// The headers; `Content-Length`, and `Host` if it is missing, are added.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The body.
+    /// The body; empty for a request without a body.
     pub body: &'a [u8],
 }
 
 impl<'a> Request<'a> {
-    /// A GET request.
+    /// A GET request without headers or a body.
     #[must_use]
     pub fn get(target: &'a str) -> Request<'a> {
         Request { method: "GET", target, headers: &[], body: &[] }
@@ -90,7 +90,7 @@
 }
 
 impl Message {
-    /// The status of a response.
+    /// The status code of a response; meaningless for a request.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.head.status()
--- a/crates/fault-injection/src/demo/configuration.rs
+++ b/crates/fault-injection/src/demo/configuration.rs
@@ -11,7 +11,7 @@
 pub(super) const CHAT_PATH: &str = "/chat/";
 /// The path prefix of the route that the instructions add.
 pub(super) const ADDED_PATH: &str = "/docs/";
-/// Target for the time from one token of a stream to the next, in milliseconds: one token per second.
+/// Target for the time from one token of a stream to the next, in milliseconds; equals one token per second.
 const GAP_TARGET_MS: u64 = 1_000;
 
 /// The first configuration: one route for streams, and the service behind it.
--- a/crates/fault-injection/src/demo/mod.rs
+++ b/crates/fault-injection/src/demo/mod.rs
@@ -55,7 +55,9 @@
     let relays = listeners.start_relays(&deployment);
     deployment.add_relays(relays);
     deployment.operator().apply(&configuration::first(), CHANGE_TIMEOUT)?;
-    wait_until("all proxies serve", READY_TIMEOUT, || (0..TOPOLOGY.edges).all(|edge| serves(ports, edge)))?;
+    wait_until("all proxies serve", READY_TIMEOUT, || {
+        (0..TOPOLOGY.edges).all(|edge| is_serving(ports, edge))
+    })?;
     print!("{}", instructions::text(&deployment, ports));
     let mut monitor = Monitor::start();
     while !stop.is_requested() {
@@ -68,7 +70,7 @@
 }
 
 /// Whether a proxy has a configuration and replicas: a request on the first route has status 200.
-fn serves(ports: DemoPorts, edge: usize) -> bool {
+fn is_serving(ports: DemoPorts, edge: usize) -> bool {
     let headers = [("Host", configuration::HOST), ("Attempt-Id", "start"), ("Token-Count", "0,0")];
     let request =
         Request { method: "POST", target: configuration::CHAT_PATH, headers: &headers, body: b"" };
--- a/crates/fault-injection/src/demo/monitor.rs
+++ b/crates/fault-injection/src/demo/monitor.rs
@@ -37,14 +37,18 @@
 #[derive(Debug)]
 pub(super) struct Monitor {
     started_at: Instant,
-    last: DeploymentState,
+    last_state: DeploymentState,
     /// Programs that have ended, with the times of their restarts.
-    restarts: Vec<(Program, Instant)>,
+    pending_restarts: Vec<(Program, Instant)>,
 }
 
 impl Monitor {
     pub(super) fn start() -> Monitor {
-        Monitor { started_at: Instant::now(), last: DeploymentState::default(), restarts: Vec::new() }
+        Monitor {
+            started_at: Instant::now(),
+            last_state: DeploymentState::default(),
+            pending_restarts: Vec::new(),
+        }
     }
 
     /// Prints the changes since the last call, and restarts the programs whose restart is due.
@@ -52,11 +56,11 @@
         for (program, status) in take_exits(deployment) {
             let (name, delay) = (program.name(deployment), RESTART_DELAY.as_secs());
             self.log(&format!("{name} has ended ({status}), it is started again in {delay} s"));
-            self.restarts.push((program, Instant::now() + RESTART_DELAY));
+            self.pending_restarts.push((program, Instant::now() + RESTART_DELAY));
         }
         let now = Instant::now();
-        let (due, waiting) = self.restarts.drain(..).partition(|(_, at)| *at <= now);
-        self.restarts = waiting;
+        let (due, waiting) = self.pending_restarts.drain(..).partition(|(_, at)| *at <= now);
+        self.pending_restarts = waiting;
         let due: Vec<(Program, Instant)> = due;
         for (program, _) in due {
             program.start(deployment)?;
@@ -68,7 +72,7 @@
     }
 
     fn print_changes(&mut self, now: &DeploymentState, deployment: &Deployment) {
-        let last = std::mem::replace(&mut self.last, now.clone());
+        let last = std::mem::replace(&mut self.last_state, now.clone());
         if now.primary != last.primary {
             match &now.primary {
                 Some(Primary { name, epoch }) => {
--- a/crates/fault-injection/src/deployment/machines.rs
+++ b/crates/fault-injection/src/deployment/machines.rs
@@ -12,7 +12,7 @@
 pub struct Member {
     /// The machine that runs the program.
     pub machine: Machine,
-    /// The program.
+    /// The member's process.
     pub process: Process,
     /// The folder of the write-ahead log.
     pub data_folder: PathBuf,
@@ -25,9 +25,9 @@
 pub struct Edge {
     /// The machine that runs both programs.
     pub machine: Machine,
-    /// The agent.
+    /// The agent's process.
     pub agent: Process,
-    /// The proxy.
+    /// The proxy's process.
     pub proxy: Process,
 }
 
--- a/crates/fault-injection/src/deployment/observe.rs
+++ b/crates/fault-injection/src/deployment/observe.rs
@@ -66,7 +66,7 @@
     /// The index of the member whose status shows the lease; `None` if there is none.
     #[must_use]
     pub fn primary(&self) -> Option<usize> {
-        (0..self.members.len()).find(|index| self.status(*index).is_some_and(|status| status.lease))
+        (0..self.members.len()).find(|index| self.status(*index).is_some_and(|status| status.has_lease))
     }
 
     /// Waits for a member with the lease and returns its index.
@@ -121,7 +121,7 @@
     pub fn is_control_plane_converged(&self) -> bool {
         let running: Vec<usize> = (0..self.members.len()).filter(|index| self.is_running(*index)).collect();
         let statuses: Vec<Status> = running.iter().filter_map(|index| self.status(*index)).collect();
-        let Some(primary) = statuses.iter().find(|status| status.lease) else { return false };
+        let Some(primary) = statuses.iter().find(|status| status.has_lease) else { return false };
         let nodes: Vec<&String> = statuses.iter().map(|status| &status.node).collect();
         let losses = self.topology.tolerated_losses as usize;
         statuses.len() == running.len()
--- a/crates/fault-injection/src/deployment/topology.rs
+++ b/crates/fault-injection/src/deployment/topology.rs
@@ -7,7 +7,7 @@
     pub members: usize,
     /// Seeds: the first members, which are started with the deployment.
     pub seeds: usize,
-    /// Edge machines.
+    /// Edge machines, each with an agent and a proxy.
     pub edges: usize,
     /// Stand-in replicas in the platform's list.
     pub replicas: usize,
--- a/crates/fault-injection/src/disk.rs
+++ b/crates/fault-injection/src/disk.rs
@@ -104,7 +104,7 @@
 /// Position of the payload's length, little-endian, in a frame's header.
 const FRAME_LENGTH_RANGE: std::ops::Range<usize> = 4..8;
 
-/// The size of a log.
+/// Bytes and frames of a write-ahead log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogSize {
     /// Bytes in all segments, headers included.
--- a/crates/fault-injection/src/duration_summary.rs
+++ b/crates/fault-injection/src/duration_summary.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct DurationSummary {
-    /// The number of runs.
+    /// Number of measured runs.
     #[serde(rename = "plays")]
     pub runs: usize,
     /// The median in milliseconds.
--- a/crates/fault-injection/src/error.rs
+++ b/crates/fault-injection/src/error.rs
@@ -33,9 +33,9 @@
     /// A condition was not met in time.
     #[snafu(display("timed out after {timeout:?} waiting for: {condition}"))]
     TimedOut {
-        /// The condition.
+        /// A description of the condition.
         condition: String,
-        /// The timeout.
+        /// The time for which the condition was polled; 0 if the number of attempts was limited instead.
         timeout: Duration,
     },
     /// A control-plane member sent a response that the operator's API does not allow here.
--- a/crates/fault-injection/src/kill_test/mod.rs
+++ b/crates/fault-injection/src/kill_test/mod.rs
@@ -141,15 +141,15 @@
 /// Waits until a log has grown by a random number of bytes, so that the kill interrupts a write at any byte.
 fn wait_for_log_growth(folder: &Path) {
     let started_at = Instant::now();
-    let goal = FileLengths::of(folder).total() + fastrand::u64(1..MAX_LOG_GROWTH_BYTES);
-    while started_at.elapsed() < LOG_GROWTH_TIMEOUT && FileLengths::of(folder).total() < goal {
+    let target_bytes = FileLengths::of(folder).total() + fastrand::u64(1..MAX_LOG_GROWTH_BYTES);
+    while started_at.elapsed() < LOG_GROWTH_TIMEOUT && FileLengths::of(folder).total() < target_bytes {
         thread::sleep(LOG_POLL_INTERVAL);
     }
 }
 
 fn kill(deployment: &mut Deployment, victim: usize, report: &mut KillReport) -> Result<()> {
     report.kills += 1;
-    report.primaries_killed += u64::from(deployment.status(victim).is_some_and(|status| status.lease));
+    report.primaries_killed += u64::from(deployment.status(victim).is_some_and(|status| status.has_lease));
     if fastrand::bool() {
         deployment.members[victim].process.kill();
         return Ok(());
--- a/crates/fault-injection/src/machine.rs
+++ b/crates/fault-injection/src/machine.rs
@@ -16,11 +16,11 @@
 pub enum Port {
     /// Connections between members of the control plane.
     Control = 0,
-    /// A member's subscription server.
+    /// The subscription server of a member.
     Subscription = 1,
     /// Peer sampling, over UDP.
     PeerSampling = 2,
-    /// An agent's subscription server, on 127.0.0.1.
+    /// The subscription server of an agent, on 127.0.0.1.
     LocalSubscription = 3,
     /// The operator's API of a member, or the platform's list.
     Api = 4,
@@ -54,7 +54,7 @@
         Ok(Machine { id, name, address, ports: PortBlock::reserve()? })
     }
 
-    /// The number of a port of this machine.
+    /// The port number of this machine for a purpose.
     #[must_use]
     pub fn port(&self, port: Port) -> u16 {
         self.ports.first + port as u16
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -113,13 +113,14 @@
     let is_selected =
         |id: &str| id_prefixes.is_empty() || id_prefixes.iter().any(|prefix| id.starts_with(prefix));
     let selected: Vec<_> = list.into_iter().filter(|mutation| is_selected(&mutation.id)).collect();
-    let undetected = Cell::new(0);
+    let undetected_count = Cell::new(0);
     let result = mutation::run(clone_folder, &selected, |result| {
-        undetected.set(undetected.get() + u32::from(result.outcome != MutationOutcome::Detected));
+        undetected_count
+            .set(undetected_count.get() + u32::from(result.outcome != MutationOutcome::Detected));
         print_json(result);
     });
     match result {
-        Ok(()) if undetected.get() == 0 => ExitCode::SUCCESS,
+        Ok(()) if undetected_count.get() == 0 => ExitCode::SUCCESS,
         Ok(()) => ExitCode::FAILURE,
         Err(error) => exit_code(Err(error)),
     }
--- a/crates/fault-injection/src/measurement/cpu_quota.rs
+++ b/crates/fault-injection/src/measurement/cpu_quota.rs
@@ -15,7 +15,7 @@
 use crate::operator::{Change, route_path};
 use crate::process::{Process, Signal};
 
-/// The period of the quota.
+/// Length of a period, at whose start the quota is renewed.
 const PERIOD: Duration = Duration::from_millis(100);
 /// Part of each period in which the processes are stopped.
 const PAUSE_PER_PERIOD: Duration = Duration::from_millis(90);
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum QuotaTarget {
-    /// The primary.
+    /// The member with the lease.
     Primary,
     /// The primary and all backups.
     ReplicationGroup,
@@ -40,7 +40,7 @@
     ControlPlane,
     /// The first edge machine: its agent and its proxy.
     Edge,
-    /// All machines.
+    /// All control-plane and edge machines.
     All,
 }
 
@@ -162,7 +162,7 @@
     }
 }
 
-/// The counter in the upper half of the newest epoch.
+/// The counter in the upper 24 bits of the newest epoch.
 fn epoch_counter(deployment: &Deployment) -> Result<u64> {
     const COUNTER_SHIFT: u32 = 40;
     let primary = deployment.wait_for_primary()?;
--- a/crates/fault-injection/src/measurement/partition_recovery.rs
+++ b/crates/fault-injection/src/measurement/partition_recovery.rs
@@ -35,7 +35,7 @@
     pub proxy_current: DurationSummary,
 }
 
-/// `withdrawMs` of the settings.
+/// The value of the setting `withdrawMs`, the time after which no proxy may serve a removed route.
 const WITHDRAWAL_TERM: Duration = Duration::from_secs(5);
 /// Timeout of a client's request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
@@ -47,7 +47,7 @@
 /// Any [`HarnessError`](crate::error::HarnessError) of the deployment or of a change.
 pub fn measure_partition_recovery(partition: Duration, count: usize) -> Result<PartitionRecoveryReport> {
     let deployment = start(Topology::default())?;
-    let mut results = Results::default();
+    let mut results = PartitionResults::default();
     let mut revision = 1;
     for run in 0..count {
         revision = run_partition(&deployment, partition, run, revision, &mut results)?;
@@ -62,9 +62,9 @@
     })
 }
 
-/// The results of all runs.
+/// Measured times and violations of all runs.
 #[derive(Default)]
-struct Results {
+struct PartitionResults {
     consistency_violations: Vec<String>,
     late_responses: usize,
     member_current: Vec<Duration>,
@@ -72,7 +72,7 @@
 }
 
 /// The two routes of a run, which are removed and added during the partition.
-struct Routes {
+struct RunRoutes {
     removed: String,
     added: String,
 }
@@ -83,12 +83,14 @@
     partition: Duration,
     run: usize,
     revision: u64,
-    results: &mut Results,
+    results: &mut PartitionResults,
 ) -> Result<u64> {
-    let routes = Routes { removed: format!("withdrawn-{run}"), added: format!("added-{run}") };
+    let routes = RunRoutes { removed: format!("withdrawn-{run}"), added: format!("added-{run}") };
     let operator = deployment.operator();
     operator.apply(&Change::upsert_route(revision, &routes.removed, 1), CHANGE_TIMEOUT)?;
-    wait_until("the route is served", CONVERGENCE_TIMEOUT, || serves(deployment, &routes.removed))?;
+    wait_until("the route is served", CONVERGENCE_TIMEOUT, || {
+        is_route_served(deployment, &routes.removed)
+    })?;
     let primary = deployment.wait_for_primary()?;
     set_partition_state(deployment, primary, LinkState::Stalled);
     let started_at = Instant::now();
@@ -103,7 +105,7 @@
         results.consistency_violations.extend(consistency_violation(&operator, member, &in_force));
         // The time of the request decides whether a response is late, not the time of the response.
         let is_late = removed_at.elapsed() > WITHDRAWAL_TERM;
-        if serves(deployment, &routes.removed) && is_late {
+        if is_route_served(deployment, &routes.removed) && is_late {
             results.late_responses += 1;
         }
     }
@@ -118,7 +120,7 @@
     member: usize,
     in_force: &Change,
     added_route: &str,
-    results: &mut Results,
+    results: &mut PartitionResults,
 ) -> Result<()> {
     let healed_at = Instant::now();
     let is_member_current = || {
@@ -130,7 +132,7 @@
         if member_current.is_none() && is_member_current() {
             member_current = Some(healed_at.elapsed());
         }
-        if proxy_current.is_none() && serves(deployment, added_route) {
+        if proxy_current.is_none() && is_route_served(deployment, added_route) {
             proxy_current = Some(healed_at.elapsed());
         }
         member_current.is_some() && proxy_current.is_some()
@@ -152,7 +154,7 @@
     }
 }
 
-fn serves(deployment: &Deployment, label: &str) -> bool {
+fn is_route_served(deployment: &Deployment, label: &str) -> bool {
     let path = route_path(label);
     let request = ClientRequest { path: &path, attempt_id: "h", body: "", timeout: REQUEST_TIMEOUT };
     deployment.send_request(0, &request).is_ok_and(|response| response.status() == 200)
--- a/crates/fault-injection/src/measurement/takeover.rs
+++ b/crates/fault-injection/src/measurement/takeover.rs
@@ -90,7 +90,7 @@
         });
         let is_leased = || {
             let others = (0..deployment.members.len()).filter(|index| *index != primary);
-            others.into_iter().any(|index| deployment.status(index).is_some_and(|status| status.lease))
+            others.into_iter().any(|index| deployment.status(index).is_some_and(|status| status.has_lease))
         };
         wait_until("another member holds the lease", CONVERGENCE_TIMEOUT, is_leased)?;
         let lease_seen = started_at.elapsed();
--- a/crates/fault-injection/src/mutation/list.rs
+++ b/crates/fault-injection/src/mutation/list.rs
@@ -25,14 +25,14 @@
     pub test: TestId,
 }
 
-/// A test function.
+/// The location of a test function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TestId {
     /// The package: the name of its folder in `crates`, or `tulipridge` for the gateway.
     pub package: String,
     /// The file in the folder `tests`, without its extension.
     pub target: String,
-    /// The name of the function.
+    /// The function, without the names of its cases.
     pub function: String,
 }
 
@@ -66,7 +66,7 @@
     MissingKey {
         /// The index of the entry, from 0.
         index: usize,
-        /// The key.
+        /// The name of the key.
         key: &'static str,
     },
     /// The test of an entry is not written as package, file and function.
--- a/crates/fault-injection/src/network.rs
+++ b/crates/fault-injection/src/network.rs
@@ -20,9 +20,9 @@
 /// One direction of the link between two machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Direction {
-    /// The sender.
+    /// The machine that sends.
     pub from: MachineId,
-    /// The receiver.
+    /// The machine that receives.
     pub to: MachineId,
 }
 
--- a/crates/fault-injection/src/operator.rs
+++ b/crates/fault-injection/src/operator.rs
@@ -25,7 +25,7 @@
 /// A request that changes the configuration, idempotent because a retry has the same revision and body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// `PUT` or `PATCH`.
+    /// The method, `PUT` or `PATCH`.
     pub method: &'static str,
     /// The base revision, sent as `If-Match`.
     pub if_match: u64,
@@ -62,7 +62,7 @@
         Change::upsert(if_match, route)
     }
 
-    /// Removes a route.
+    /// Removes the route `label`.
     #[must_use]
     pub fn remove_route(if_match: u64, label: &str) -> Change {
         let revision = if_match + 1;
@@ -93,14 +93,14 @@
     format!("/{label}/")
 }
 
-/// The response to a change.
+/// The decoded response to a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeResponse {
     /// The change was applied, by this attempt or by an earlier attempt (200).
     Applied,
     /// The base revision is not the current revision (412).
     Stale {
-        /// The current revision.
+        /// The revision in force, from the response.
         current: u64,
     },
     /// The change is rejected for another reason (400).
@@ -110,7 +110,7 @@
     },
     /// The change may be applied or not: no response, 503, 504 or another unexpected status.
     Undecided {
-        /// The error, or the response.
+        /// The error of the connection, or the response's status and body.
         reason: String,
     },
 }
@@ -143,7 +143,7 @@
         Operator { members, attempt_timeout: ATTEMPT_TIMEOUT }
     }
 
-    /// Sets the timeout of an attempt.
+    /// Replaces the timeout of an attempt.
     #[must_use]
     pub fn with_attempt_timeout(self, attempt_timeout: Duration) -> Operator {
         Operator { attempt_timeout, ..self }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -32,7 +32,7 @@
         Process { binary, settings, log, child: None }
     }
 
-    /// Starts the program.
+    /// Spawns the process with the settings file, and appends its standard error to the log.
     ///
     /// # Errors
     ///
--- a/crates/fault-injection/src/programs.rs
+++ b/crates/fault-injection/src/programs.rs
@@ -18,11 +18,11 @@
 /// Paths of the programs' executables.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The control-plane member.
+    /// The executable of a control-plane member.
     pub member: PathBuf,
-    /// The agent.
+    /// The executable of the agent.
     pub agent: PathBuf,
-    /// The proxy.
+    /// The executable of the proxy.
     pub proxy: PathBuf,
 }
 
--- a/crates/fault-injection/src/status.rs
+++ b/crates/fault-injection/src/status.rs
@@ -23,12 +23,13 @@
     /// The member's role, such as `backup`.
     pub role: String,
     /// Whether the member is the primary with a valid lease.
-    pub lease: bool,
+    #[serde(rename = "lease")]
+    pub has_lease: bool,
     /// The epoch of the member's newest view.
     pub epoch: u64,
-    /// The members that vote.
+    /// The ids of the voters.
     pub voters: Vec<String>,
-    /// The members that store the replicated data, the primary first.
+    /// The ids of the members that store the replicated data, the primary first.
     #[serde(rename = "holders")]
     pub replication_group: Vec<String>,
     /// The id of the primary, if the member has received a recent heartbeat.
--- a/crates/fault-injection/tests/partitions.rs
+++ b/crates/fault-injection/tests/partitions.rs
@@ -64,7 +64,7 @@
     while began.elapsed() < PARTITION_DURATION {
         assert_no_consistency_violation(&short_timeout_operator, &deployment, old, &change);
         let status = deployment.status(old).expect("it responds");
-        assert!(!status.lease, "two members hold the lease");
+        assert!(!status.has_lease, "two members hold the lease");
         assert!(!status.is_fresh() || status.configuration >= change.revision, "{status:?}");
     }
     wait_for_route(&deployment, 0, "second");
