--- a/crates/fault-injection/src/command_line.rs
+++ b/crates/fault-injection/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: one subcommand for each scenario.
+//! The command line, with one subcommand for each scenario.
 
 use std::fmt::Debug;
 use std::path::PathBuf;
@@ -10,27 +10,27 @@
 use tulipridge_fault_injection::demo::DemoPorts;
 use tulipridge_fault_injection::measurement::{FaultKind, QuotaTarget};
 
-/// The scenario to run.
+/// The scenario to run, with its options.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
-    /// Kills of members while operators send changes.
+    /// Kill members while operators send changes.
     Kills { count: u64, deployments: u64 },
-    /// Takeovers after a fault of the primary.
+    /// Measure takeovers after a fault of the primary.
     Takeover { fault: FaultKind, count: usize },
-    /// Propagation of changes to proxies.
+    /// Measure the propagation of changes to proxies.
     Propagate { count: usize },
-    /// Members that missed changes.
+    /// Measure the recovery of members that missed changes.
     CatchUp { changes: Vec<u64>, count: usize },
-    /// Recovery from network partitions.
+    /// Measure the recovery from network partitions.
     PartitionRecovery { seconds: u64, count: usize },
-    /// Bytes and syncs of a change.
-    ChangeCost { note_bytes: Vec<usize>, changes: u64 },
-    /// Machines whose share of a core is a quota.
+    /// Measure bytes and syncs of a change.
+    ChangeCost { padding_bytes: Vec<usize>, changes: u64 },
+    /// Count view changes and failed requests under a CPU quota.
     CpuQuota { seconds: u64, targets: Vec<QuotaTarget> },
-    /// The demo.
+    /// Run the demo.
     Demo { ports: DemoPorts },
-    /// Mutation testing.
-    Mutations { clone: PathBuf, only: Vec<String> },
+    /// Run the mutations.
+    Mutations { clone_folder: PathBuf, id_prefixes: Vec<String> },
 }
 
 /// The parser of the command line.
@@ -39,66 +39,94 @@
     let takeover = takeover();
     let propagate = propagate();
     let catch_up = catch_up();
-    let heal = heal();
-    let cost = cost();
+    let partition_recovery = partition_recovery();
+    let change_cost = change_cost();
     let demo = demo();
-    let quota = quota();
+    let cpu_quota = cpu_quota();
     let mutations = mutations();
-    construct!([demo, kills, takeover, propagate, catch_up, heal, cost, quota, mutations])
-        .to_options()
-        .descr("Injects faults into the real programs of tulipridge on loopback")
+    construct!([
+        demo,
+        kills,
+        takeover,
+        propagate,
+        catch_up,
+        partition_recovery,
+        change_cost,
+        cpu_quota,
+        mutations
+    ])
+    .to_options()
+    .descr("Injects faults into the real programs of tulipridge on loopback")
 }
 
 fn kills() -> impl Parser<Command> {
-    let count = count(1_000);
+    let count = count_option(1_000, "Minimum number of kills");
     let deployments = long("deployments")
-        .help("Deployments that run beside each other")
+        .help("Number of concurrent deployments")
         .argument::<u64>("N")
         .guard(|count| *count > 0, "must be above 0")
         .fallback(4);
     let parser = construct!(Command::Kills { count, deployments });
-    command(parser, "kills", "Kills members while operators send changes; fails if one is lost")
+    subcommand(
+        parser,
+        "kills",
+        "Kills members while operators send changes; fails after a violation, such as a lost change",
+    )
 }
 
 fn takeover() -> impl Parser<Command> {
     let fault = long("cause")
-        .help("kill, power, cut, freeze or term")
+        .help("Fault of the primary: kill, power, cut, freeze or term")
         .argument::<String>("CAUSE")
         .parse(|text| parse_fault(&text));
-    let count = count(50);
+    let count = count_option(50, "Number of faults");
     let parser = construct!(Command::Takeover { fault, count });
-    command(parser, "takeover", "From a fault of the primary until a change is acknowledged")
+    subcommand(
+        parser,
+        "takeover",
+        "Measures the time from a fault of the primary until a change is acknowledged",
+    )
 }
 
 fn propagate() -> impl Parser<Command> {
-    let count = count(200);
+    let count = count_option(200, "Number of changes");
     let parser = construct!(Command::Propagate { count });
-    command(parser, "propagate", "From an acknowledgement until a change is in force at the last proxy")
+    subcommand(
+        parser,
+        "propagate",
+        "Measures the time from the acknowledgement of a change until all proxies apply it",
+    )
 }
 
 fn catch_up() -> impl Parser<Command> {
-    let changes = numbers("changes", "10,100,1000", "Numbers of changes that a member misses");
-    let count = count(10);
+    let changes = number_list("changes", "10,100,1000", "Numbers of changes that a member misses");
+    let count = count_option(10, "Number of runs for each number of changes");
     let parser = construct!(Command::CatchUp { changes, count });
-    command(
+    subcommand(
         parser,
         "catch-up",
-        "From the start of a member that was away until the control plane has converged",
+        "Measures the time from the start of a member that missed changes until the control plane converges",
     )
 }
 
-fn heal() -> impl Parser<Command> {
-    let seconds = long("seconds").help("Length of a partition").argument::<u64>("S").fallback(20);
-    let count = count(5);
+fn partition_recovery() -> impl Parser<Command> {
+    let seconds =
+        long("seconds").help("Duration of a partition in seconds").argument::<u64>("S").fallback(20);
+    let count = count_option(5, "Number of partitions");
     let parser = construct!(Command::PartitionRecovery { seconds, count });
-    command(parser, "heal", "From the end of a partition until member and proxy are current")
+    subcommand(
+        parser,
+        "heal",
+        "Measures the time from the end of a partition until member and proxy are current",
+    )
 }
 
-fn cost() -> impl Parser<Command> {
-    let note_bytes = numbers("notes", "0,10000,50000", "Bytes by which the document is made longer");
-    let changes = long("changes").help("Changes").argument::<u64>("N").fallback(50);
-    let parser = construct!(Command::ChangeCost { note_bytes, changes });
-    command(parser, "cost", "Bytes and syncs of a change")
+fn change_cost() -> impl Parser<Command> {
+    let padding_bytes =
+        number_list("notes", "0,10000,50000", "Sizes in bytes of the note that pads the document");
+    let changes = long("changes").help("Number of changes for each size").argument::<u64>("N").fallback(50);
+    let parser = construct!(Command::ChangeCost { padding_bytes, changes });
+    subcommand(parser, "cost", "Measures bytes and syncs of a change at the disks")
 }
 
 fn demo() -> impl Parser<Command> {
@@ -108,32 +136,39 @@
         .parse(|first| DemoPorts::from_first(first).ok_or("it leaves no room for the other ports"))
         .fallback(DemoPorts::default());
     let parser = construct!(Command::Demo { ports });
-    command(parser, "demo", "Runs the complete system until Ctrl-C and says what to try")
+    subcommand(parser, "demo", "Runs the complete system until Ctrl-C and says what to try")
 }
 
-fn quota() -> impl Parser<Command> {
-    let seconds =
-        long("seconds").help("Time for each group of machines").argument::<u64>("S").fallback(120);
+fn cpu_quota() -> impl Parser<Command> {
+    let seconds = long("seconds")
+        .help("Duration for each group of machines in seconds")
+        .argument::<u64>("S")
+        .fallback(120);
     let targets = long("target")
-        .help("primary, replication-group, control-plane, edge or all; each in turn if none is given")
+        .help("Machines with a quota: primary, replication-group, control-plane, edge or all (default: each in turn)")
         .argument::<String>("GROUP")
         .parse(|name| parse_quota_target(&name))
         .many()
         .map(|targets| if targets.is_empty() { QuotaTarget::ALL.to_vec() } else { targets });
     let parser = construct!(Command::CpuQuota { seconds, targets });
-    command(parser, "quota", "Machines that stand still for 90 ms ten times a second")
+    subcommand(parser, "quota", "Stops programs for 90 ms in each 100 ms, as a CPU quota does")
 }
 
 fn mutations() -> impl Parser<Command> {
-    let clone = long("clone")
+    let clone_folder = long("clone")
         .help("Clone of the repository whose sources are changed and restored")
         .argument::<PathBuf>("DIR");
-    let only = long("only").help("Only mutations whose id begins so").argument::<String>("ID").many();
-    let parser = construct!(Command::Mutations { clone, only });
-    command(parser, "mutations", "Takes mechanisms out of the sources; fails if no test notices")
+    let id_prefixes =
+        long("only").help("Runs only mutations whose id begins with ID").argument::<String>("ID").many();
+    let parser = construct!(Command::Mutations { clone_folder, id_prefixes });
+    subcommand(
+        parser,
+        "mutations",
+        "Removes mechanisms from the sources one at a time; fails unless a test detects each",
+    )
 }
 
-fn command(
+fn subcommand(
     parser: impl Parser<Command> + 'static,
     name: &'static str,
     description: &'static str,
@@ -141,15 +176,15 @@
     parser.to_options().descr(description).command(name)
 }
 
-fn count<T>(default: T) -> impl Parser<T>
+fn count_option<T>(default: T, help: &'static str) -> impl Parser<T>
 where
     T: Clone + Debug + std::str::FromStr + 'static,
     T::Err: std::fmt::Display,
 {
-    long("count").help("Runs").argument::<T>("N").fallback(default)
+    long("count").help(help).argument::<T>("N").fallback(default)
 }
 
-fn numbers<T>(name: &'static str, default: &'static str, help: &'static str) -> impl Parser<Vec<T>>
+fn number_list<T>(name: &'static str, default: &'static str, help: &'static str) -> impl Parser<Vec<T>>
 where
     T: std::str::FromStr + 'static,
     T::Err: std::fmt::Display,
@@ -159,14 +194,14 @@
     })
 }
 
-/// Why a word names no fault that can be injected.
+/// The reason why a word is no fault that can be injected.
 #[derive(Debug, Snafu)]
 enum FaultNameError {
-    /// The disk's speed is not in the hands of the harness.
-    #[snafu(display("a disk can't be made slow from outside on loopback"))]
+    /// The harness can't control the speed of a disk.
+    #[snafu(display("a slow disk can't be simulated on loopback"))]
     SlowDisk,
-    /// It is not one of the faults.
-    #[snafu(display("{name} is no fault"))]
+    /// The word is not the name of a fault.
+    #[snafu(display("unknown fault '{name}'"))]
     Unknown { name: String },
 }
 
--- a/crates/fault-injection/src/demo/watch.rs
+++ b/crates/fault-injection/src/demo/monitor.rs
@@ -1,4 +1,4 @@
-//! Observes the deployment of the demo, prints what changes, and restarts programs that have ended.
+//! Observes the deployment of the demo, prints changes of its state, and restarts programs that have ended.
 
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
@@ -6,10 +6,10 @@
 use crate::deployment::Deployment;
 use crate::error::Result;
 
-/// Time from the end of a program to its restart.
+/// Time from the detected end of a program to its restart.
 const RESTART_DELAY: Duration = Duration::from_secs(3);
 
-/// A program of the deployment.
+/// A program of the deployment, with the index of its member or edge machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Program {
     Member(usize),
@@ -17,57 +17,62 @@
     Proxy(usize),
 }
 
-/// What is printed when it changes.
+/// The observed state, whose changes are printed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Observation {
+struct DeploymentState {
     primary: Option<Primary>,
     configuration: Option<u64>,
     replicas: Option<usize>,
     ready_proxies: Vec<bool>,
 }
 
-/// The member that holds the lease.
+/// The member whose status shows the lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Primary {
     name: String,
     epoch: u64,
 }
 
-/// Observes a deployment.
+/// Prints changes of a deployment's state, and restarts its programs.
 #[derive(Debug)]
-pub(super) struct Watch {
-    began: Instant,
-    last: Observation,
-    restarts: Vec<(Program, Instant)>,
+pub(super) struct Monitor {
+    started_at: Instant,
+    last_state: DeploymentState,
+    /// Programs that have ended, with the times of their restarts.
+    pending_restarts: Vec<(Program, Instant)>,
 }
 
-impl Watch {
-    pub(super) fn start() -> Watch {
-        Watch { began: Instant::now(), last: Observation::default(), restarts: Vec::new() }
+impl Monitor {
+    pub(super) fn start() -> Monitor {
+        Monitor {
+            started_at: Instant::now(),
+            last_state: DeploymentState::default(),
+            pending_restarts: Vec::new(),
+        }
     }
 
-    /// Prints what has changed since the last call, and restarts what ended a while ago.
+    /// Prints the changes since the last call, and restarts the programs whose restart is due.
     pub(super) fn observe(&mut self, deployment: &mut Deployment) -> Result<()> {
         for (program, status) in take_exits(deployment) {
             let (name, delay) = (program.name(deployment), RESTART_DELAY.as_secs());
             self.log(&format!("{name} has ended ({status}), it is started again in {delay} s"));
-            self.restarts.push((program, Instant::now() + RESTART_DELAY));
+            self.pending_restarts.push((program, Instant::now() + RESTART_DELAY));
         }
         let now = Instant::now();
-        let (due, waiting) = self.restarts.drain(..).partition(|(_, at)| *at <= now);
-        self.restarts = waiting;
+        let (due, waiting) = self.pending_restarts.drain(..).partition(|(_, at)| *at <= now);
+        self.pending_restarts = waiting;
         let due: Vec<(Program, Instant)> = due;
         for (program, _) in due {
             program.start(deployment)?;
             let (name, pid) = (program.name(deployment), program.pid(deployment).unwrap_or(0));
             self.log(&format!("{name} is started again, process {pid}"));
         }
-        self.print_changes(&Observation::of(deployment), deployment);
+        self.print_changes(&DeploymentState::of(deployment), deployment);
         Ok(())
     }
 
-    fn print_changes(&mut self, now: &Observation, deployment: &Deployment) {
-        let last = std::mem::replace(&mut self.last, now.clone());
+    fn print_changes(&mut self, now: &DeploymentState, deployment: &Deployment) {
+        let last = std::mem::replace(&mut self.last_state, now.clone());
         if now.primary != last.primary {
             match &now.primary {
                 Some(Primary { name, epoch }) => {
@@ -91,20 +96,20 @@
     }
 
     fn log(&self, line: &str) {
-        println!("{:8.1} s  {line}", self.began.elapsed().as_secs_f64());
+        println!("{:8.1} s  {line}", self.started_at.elapsed().as_secs_f64());
     }
 }
 
-impl Observation {
-    /// What can be observed now. Without a primary, configuration and replicas are unknown.
-    fn of(deployment: &Deployment) -> Observation {
+impl DeploymentState {
+    /// The current state. Without a primary, the configuration and the replicas are unknown.
+    fn of(deployment: &Deployment) -> DeploymentState {
         let primary = deployment.primary().and_then(|index| Some((index, deployment.status(index)?)));
         let ready_proxies = (0..deployment.edges.len()).map(|edge| deployment.is_ready(edge)).collect();
         let Some((index, status)) = primary else {
-            return Observation { ready_proxies, ..Observation::default() };
+            return DeploymentState { ready_proxies, ..DeploymentState::default() };
         };
         let name = deployment.members[index].machine.name.clone();
-        Observation {
+        DeploymentState {
             primary: Some(Primary { name, epoch: status.epoch }),
             configuration: Some(status.configuration),
             replicas: Some(status.replicas),
@@ -113,7 +118,7 @@
     }
 }
 
-/// The programs that have ended since the last call.
+/// The programs that have ended since the last call, with their exit statuses.
 fn take_exits(deployment: &mut Deployment) -> Vec<(Program, ExitStatus)> {
     let members = deployment.members.iter_mut().enumerate();
     let members =
--- a/crates/fault-injection/src/deployment/machines.rs
+++ b/crates/fault-injection/src/deployment/machines.rs
@@ -10,31 +10,32 @@
 /// A control-plane member and its disk.
 #[derive(Debug)]
 pub struct Member {
-    /// Its machine.
+    /// The machine that runs the program.
     pub machine: Machine,
-    /// The program.
+    /// The member's process.
     pub process: Process,
-    /// The folder of its log.
-    pub folder: PathBuf,
+    /// The folder of the write-ahead log.
+    pub data_folder: PathBuf,
+    /// Whether the program was started before.
     pub(super) has_booted: bool,
 }
 
-/// An edge machine.
+/// An edge machine and its two programs.
 #[derive(Debug)]
 pub struct Edge {
-    /// Its machine.
+    /// The machine that runs both programs.
     pub machine: Machine,
-    /// The agent.
+    /// The agent's process.
     pub agent: Process,
-    /// The proxy.
+    /// The proxy's process.
     pub proxy: Process,
 }
 
 impl Member {
     pub(super) fn new(machine: Machine, programs: &Programs, folder: &Path) -> Member {
         let process = new_process(&programs.member, &machine, "member", folder);
-        let folder = folder.join(format!("{}.data", machine.name));
-        Member { machine, process, folder, has_booted: false }
+        let data_folder = folder.join(format!("{}.data", machine.name));
+        Member { machine, process, data_folder, has_booted: false }
     }
 }
 
--- a/crates/fault-injection/src/deployment/settings.rs
+++ b/crates/fault-injection/src/deployment/settings.rs
@@ -1,7 +1,7 @@
 //! The contents of the programs' settings files.
 
 use super::settings_file;
-use super::system::{Deployment, LIST_RATE, ZONE};
+use super::system::{Deployment, LIST_REQUESTS_PER_S, ZONE};
 use crate::error::Result;
 use crate::machine::{Machine, Port};
 
@@ -12,20 +12,20 @@
         format!("[{}]", seeds.join(", "))
     }
 
-    /// The settings of a member.
+    /// The contents of a member's settings file.
     pub(super) fn member_settings(&self, index: usize, is_first_boot: bool) -> String {
         let member = &self.members[index];
         let platform = member.machine.socket_toward(&self.platform_machine, Port::Api);
         format!(
             "{}listenOn: {{controlPort: '{}'}}\nfirstBoot: {is_first_boot}\ndataFolder: '{}'\n\
-             cloudApi: {{address: '{platform}', ratePerS: {LIST_RATE}}}\n",
+             cloudApi: {{address: '{platform}', ratePerS: {LIST_REQUESTS_PER_S}}}\n",
             self.common_settings(&member.machine),
             member.machine.socket(Port::Api),
-            member.folder.display(),
+            member.data_folder.display(),
         )
     }
 
-    /// Writes the settings that agent and proxy of an edge machine share.
+    /// Writes the settings file that the agent and the proxy of an edge machine share.
     pub(super) fn write_edge_settings(&self, index: usize) -> Result<()> {
         let machine = &self.edges[index].machine;
         let text = format!(
--- a/crates/fault-injection/src/kill_test/mod.rs
+++ b/crates/fault-injection/src/kill_test/mod.rs
@@ -1,4 +1,5 @@
-//! Kills members while operators send changes: no acknowledged change may be lost, and no rejected one may be in force.
+//! Kills members while operators send changes. No acknowledged change may be lost, and no rejected change may be in
+//! force.
 
 mod change_outcomes;
 mod report;
@@ -19,36 +20,37 @@
 use crate::error::Result;
 use crate::operator::{Change, ChangeResponse, Operator, marker_of};
 
-/// Operators that send at the same time.
+/// Number of operators that send changes concurrently.
 const OPERATORS: usize = 2;
-/// Routes of each operator, whose markers it sets in turn.
+/// Number of routes of each operator, whose markers are set in turn.
 const ROUTES: u64 = 4;
-/// Bytes of padding that makes the document long enough for the log to be compacted now and then.
+/// Padding of the document in bytes, long enough that the log is compacted occasionally.
 const PADDING_BYTES: usize = 20_000;
-/// Time between two changes of an operator.
+/// Time from a decision to the operator's next change.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(10);
-/// Timeout of an attempt; short, so that an operator does not wait for a dead member.
+/// Timeout of an attempt, short because a killed member does not respond.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Timeout for the decision on a change. Kills may follow closely on each other.
-const DECISION_LIMIT: Duration = Duration::from_secs(60);
-/// A member is killed once its log has grown by a random number of bytes up to this.
+/// Timeout for the decision on a change, long because several kills may delay it.
+const DECISION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Limit of the random number of bytes by which a member's log grows before the member is killed.
 const MAX_LOG_GROWTH_BYTES: u64 = 100_000;
-/// A member is killed after this time even if its log has not grown so far.
-const WATCH_LIMIT: Duration = Duration::from_millis(300);
-/// Interval at which the length of the log is polled.
-const WATCH_INTERVAL: Duration = Duration::from_micros(200);
-/// How long a member whose power is lost may go on writing while isolated.
+/// Time after which a member is killed even if its log has not grown by that number of bytes.
+const LOG_GROWTH_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time from one poll of the log's length to the next.
+const LOG_POLL_INTERVAL: Duration = Duration::from_micros(200);
+/// Maximum time in which an isolated member may write before its power is lost.
 const POWER_GRACE: Duration = Duration::from_millis(100);
-/// Maximum downtime of a killed member.
+/// Maximum downtime of a killed member in milliseconds.
 const MAX_DOWNTIME_MS: u64 = 1_000;
-/// One round in so many begins before the control plane has converged again.
+/// Rounds per early round on average; an early round begins before the control plane has converged again.
 const ROUNDS_PER_EARLY_ROUND: u8 = 4;
-/// One round in so many kills all members.
+/// Rounds per round in which all members are killed, on average.
 const ROUNDS_PER_TOTAL_OUTAGE: u8 = 10;
-/// Members of the control plane.
+/// Number of control-plane members.
 const MEMBERS: usize = 3;
 
-/// Kills members at least `count` times, divided among `deployments` that run concurrently.
+/// Kills members at least `count` times, divided among `deployments` concurrent deployments. Errors of the harness are
+/// reported as violations.
 #[must_use]
 pub fn run_kill_test(count: u64, deployments: u64) -> KillReport {
     let kills_per_deployment = count.div_ceil(deployments);
@@ -70,9 +72,9 @@
 }
 
 fn test_deployment(count: u64) -> Result<KillReport> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut deployment = Deployment::start(Topology { edges: 0, ..Topology::default() })?;
-    deployment.operator().apply(&Change::first(PADDING_BYTES), DECISION_LIMIT)?;
+    deployment.operator().apply(&Change::first(PADDING_BYTES), DECISION_TIMEOUT)?;
     let outcomes = ChangeOutcomes::default();
     let stop = AtomicBool::new(false);
     let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
@@ -93,7 +95,7 @@
         check_configuration(&operator, &outcomes, &mut report)?;
     }
     outcomes.add_to(&mut report);
-    report.seconds = began.elapsed().as_secs_f64();
+    report.seconds = started_at.elapsed().as_secs_f64();
     Ok(report)
 }
 
@@ -105,9 +107,9 @@
     report: &mut KillReport,
 ) -> Result<()> {
     while report.kills < count && report.is_clean() {
-        let is_amid_recovery = fastrand::u8(..ROUNDS_PER_EARLY_ROUND) == 0;
-        if is_amid_recovery {
-            report.kills_amid_recovery += 1;
+        let is_early_round = fastrand::u8(..ROUNDS_PER_EARLY_ROUND) == 0;
+        if is_early_round {
+            report.early_rounds += 1;
         } else {
             deployment.wait_until_converged()?;
             check_configuration(operator, outcomes, report)?;
@@ -125,9 +127,9 @@
 }
 
 fn kill_and_restart(deployment: &mut Deployment, victims: &[usize], report: &mut KillReport) -> Result<()> {
-    report.all_killed += u64::from(victims.len() > 1);
+    report.total_outage_rounds += u64::from(victims.len() > 1);
     if let Some(first) = victims.first() {
-        wait_for_log_growth(&deployment.members[*first].folder);
+        wait_for_log_growth(&deployment.members[*first].data_folder);
     }
     for victim in victims {
         kill(deployment, *victim, report)?;
@@ -136,18 +138,18 @@
     victims.iter().try_for_each(|victim| deployment.start_member(*victim))
 }
 
-/// Waits until a log has grown by a random number of bytes, so that the kill comes at any point of a write.
+/// Waits until a log has grown by a random number of bytes, so that the kill interrupts a write at any byte.
 fn wait_for_log_growth(folder: &Path) {
-    let began = Instant::now();
-    let goal = FileLengths::of(folder).total() + fastrand::u64(1..MAX_LOG_GROWTH_BYTES);
-    while began.elapsed() < WATCH_LIMIT && FileLengths::of(folder).total() < goal {
-        thread::sleep(WATCH_INTERVAL);
+    let started_at = Instant::now();
+    let target_bytes = FileLengths::of(folder).total() + fastrand::u64(1..MAX_LOG_GROWTH_BYTES);
+    while started_at.elapsed() < LOG_GROWTH_TIMEOUT && FileLengths::of(folder).total() < target_bytes {
+        thread::sleep(LOG_POLL_INTERVAL);
     }
 }
 
 fn kill(deployment: &mut Deployment, victim: usize, report: &mut KillReport) -> Result<()> {
     report.kills += 1;
-    report.primaries_killed += u64::from(deployment.status(victim).is_some_and(|status| status.lease));
+    report.primaries_killed += u64::from(deployment.status(victim).is_some_and(|status| status.has_lease));
     if fastrand::bool() {
         deployment.members[victim].process.kill();
         return Ok(());
@@ -155,12 +157,13 @@
     report.power_losses += 1;
     if let Some(tail) = deployment.lose_power(victim, POWER_GRACE)? {
         report.tails_dropped += 1;
-        report.bytes_dropped += tail.bytes;
+        report.bytes_dropped += tail.dropped_bytes;
     }
     Ok(())
 }
 
-/// Sends changes, each based on the newest revision that this operator knows, until `stop` is set.
+/// Sends changes, each based on the newest revision that the operator has received, until `stop` is set or a change is
+/// not decided in time.
 fn send_changes(number: usize, operator: &Operator, outcomes: &ChangeOutcomes, stop: &AtomicBool) {
     let mut base = 1;
     for counter in 1.. {
@@ -171,7 +174,7 @@
         let label = format!("operator-{number}-{}", counter % ROUTES);
         outcomes.state().sent.insert(label.clone(), marker);
         let change = Change::upsert_route(base, &label, marker);
-        match operator.decide(&change, DECISION_LIMIT) {
+        match operator.send_until_decided(&change, DECISION_TIMEOUT) {
             Ok(decision) => {
                 outcomes.record(&label, marker, &change, &decision);
                 base = match decision.response {
@@ -185,39 +188,40 @@
     }
 }
 
-/// Compares the configuration with the outcomes that were recorded before it was requested.
+/// Compares the configuration with the changes that were acknowledged before the request for it.
 fn check_configuration(
     operator: &Operator,
     outcomes: &ChangeOutcomes,
     report: &mut KillReport,
 ) -> Result<()> {
     let acknowledged = outcomes.state().acknowledged.clone();
-    let configuration = operator.configuration(DECISION_LIMIT)?;
+    let configuration = operator.configuration(DECISION_TIMEOUT)?;
     report.checks += 1;
     let state = outcomes.state();
     for (label, marker) in &acknowledged {
         let found = marker_of(&configuration, label);
         if found.is_none_or(|found| found < *marker) {
             report.acknowledged_lost += 1;
-            report
-                .add_violation(format!("{label}: marker {marker} was acknowledged, {found:?} is in force"));
+            report.add_violation(format!(
+                "{label}: marker {marker} was acknowledged, but {found:?} is in force"
+            ));
         }
     }
     check_sent(&configuration, &state, report);
     Ok(())
 }
 
-/// Checks that each marker in force was sent and not rejected.
+/// Checks that no marker in force was rejected or never sent.
 fn check_sent(configuration: &Value, state: &ChangeOutcomesState, report: &mut KillReport) {
     for (label, newest) in &state.sent {
         let Some(found) = marker_of(configuration, label) else { continue };
         if state.rejected.contains(&found) {
             report.rejected_in_force += 1;
-            report.add_violation(format!("{label}: marker {found} was rejected and is in force"));
+            report.add_violation(format!("{label}: marker {found} was rejected, but is in force"));
         }
         if found > *newest {
             report.other_violations += 1;
-            report.add_violation(format!("{label}: marker {found} was never sent"));
+            report.add_violation(format!("{label}: marker {found} was never sent, but is in force"));
         }
     }
 }
--- a/crates/fault-injection/src/measurement/change_cost.rs
+++ b/crates/fault-injection/src/measurement/change_cost.rs
@@ -1,27 +1,27 @@
-//! What a change costs the disks of the replication group.
+//! Bytes and syncs that a change causes at the disks of the replication group.
 
 use std::fs;
 
 use serde::Serialize;
 
-use super::setup::{CHANGE_LIMIT, start};
+use super::setup::{CHANGE_TIMEOUT, start};
 use crate::deployment::{Deployment, Topology};
 use crate::disk;
 use crate::error::Result;
 use crate::operator::{Change, Operator};
 
-/// The costs of a change for one size of the document.
+/// The measured cost of a change for one size of the document.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ChangeCostReport {
-    /// Bytes of the document.
+    /// Size of the configuration document in bytes.
     pub document_bytes: usize,
-    /// Bytes of the operator's request.
+    /// Size of the operator's last request body in bytes.
     #[serde(rename = "callBytes")]
     pub request_bytes: usize,
     /// The number of changes.
     pub changes: u64,
-    /// The cost at each member of the replication group, the primary first.
+    /// The mean cost at each member of the replication group, the primary first.
     #[serde(rename = "holders")]
     pub members: Vec<MemberCost>,
 }
@@ -32,9 +32,9 @@
 pub struct MemberCost {
     /// Bytes appended to the log.
     pub log_bytes: f64,
-    /// Appends to the log; each one is synced once.
+    /// Appends to the log; each is synced once.
     pub appends: f64,
-    /// Bytes that the system has written to the disk, from `/proc/PID/io`.
+    /// Bytes that the operating system has written to the disk, from `/proc/PID/io`; 0 if it can't be read.
     pub disk_bytes: f64,
 }
 
@@ -60,10 +60,10 @@
 impl Counters {
     fn of(deployment: &Deployment, index: usize) -> Counters {
         let member = &deployment.members[index];
-        let log = disk::log_size(&member.folder);
+        let log = disk::log_size(&member.data_folder);
         let io = member.process.pid().and_then(|pid| fs::read_to_string(format!("/proc/{pid}/io")).ok());
         let disk_bytes = io.as_deref().and_then(parse_written_bytes).unwrap_or(0);
-        Counters { log_bytes: log.bytes, appends: log.frames, disk_bytes }
+        Counters { log_bytes: log.bytes, appends: log.frame_count, disk_bytes }
     }
 }
 
@@ -71,34 +71,35 @@
     io.lines().find_map(|line| line.strip_prefix("write_bytes: "))?.parse().ok()
 }
 
-/// Measures `changes` to a document with a note of `note_bytes`. They must fit into one segment of the log.
+/// Measures the cost of `changes` changes to a document with a note of `padding_bytes` bytes. All changes must fit into
+/// one segment of the log.
 ///
 /// # Errors
 ///
 /// Any [`HarnessError`](crate::error::HarnessError) of the deployment or of a change.
-pub fn measure_change_cost(note_bytes: usize, changes: u64) -> Result<ChangeCostReport> {
+pub fn measure_change_cost(padding_bytes: usize, changes: u64) -> Result<ChangeCostReport> {
     let deployment = start(Topology { edges: 0, ..Topology::default() })?;
     let operator = deployment.operator();
-    replace_configuration(&operator, note_bytes)?;
+    replace_configuration(&operator, padding_bytes)?;
     let group = [deployment.wait_for_primary()?, deployment.wait_for_backup()?];
     let before = group.map(|index| Counters::of(&deployment, index));
     let mut request_bytes = 0;
     for base in 2..2 + changes {
         let change = Change::upsert_route(base, "base", base);
         request_bytes = change.body.len();
-        operator.apply(&change, CHANGE_LIMIT)?;
+        operator.apply(&change, CHANGE_TIMEOUT)?;
     }
     let after = group.map(|index| Counters::of(&deployment, index));
     let costs = before.iter().zip(&after);
     let members = costs.map(|(before, after)| MemberCost::between(*before, *after, changes)).collect();
-    let document_bytes = operator.configuration(CHANGE_LIMIT)?.to_string().len();
+    let document_bytes = operator.configuration(CHANGE_TIMEOUT)?.to_string().len();
     Ok(ChangeCostReport { document_bytes, request_bytes, changes, members })
 }
 
-/// Replaces the first configuration by one with a note, as revision 2.
-fn replace_configuration(operator: &Operator, note_bytes: usize) -> Result<u64> {
-    let first = Change::first(note_bytes);
+/// Replaces the first configuration by a configuration with a note, as revision 2.
+fn replace_configuration(operator: &Operator, padding_bytes: usize) -> Result<u64> {
+    let first = Change::first(padding_bytes);
     let body = String::from_utf8_lossy(&first.body).replace("\"revision\":1", "\"revision\":2");
     let second = Change { if_match: 1, revision: 2, body: body.into_bytes(), ..first };
-    operator.apply(&second, CHANGE_LIMIT)
+    operator.apply(&second, CHANGE_TIMEOUT)
 }
--- a/crates/fault-injection/src/measurement/takeover.rs
+++ b/crates/fault-injection/src/measurement/takeover.rs
@@ -5,8 +5,8 @@
 
 use serde::Serialize;
 
-use super::setup::{ATTEMPT_TIMEOUT, CHANGE_LIMIT, start};
-use crate::deployment::{CONVERGENCE_LIMIT, Deployment, Topology};
+use super::setup::{ATTEMPT_TIMEOUT, CHANGE_TIMEOUT, start};
+use crate::deployment::{CONVERGENCE_TIMEOUT, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
 use crate::error::Result;
 use crate::network::LinkState;
@@ -14,41 +14,41 @@
 use crate::process::Signal;
 use crate::wait::wait_until;
 
-/// How long a member whose power is lost may go on writing while isolated.
+/// Maximum time in which an isolated member may write before its power is lost.
 const POWER_GRACE: Duration = Duration::from_millis(50);
 
 /// A fault of the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FaultKind {
-    /// SIGKILL.
+    /// The process is killed by SIGKILL.
     Kill,
-    /// Its machine is isolated, loses power and data that nobody has acknowledged.
+    /// The machine is isolated, and loses power and a random part of the unacknowledged data.
     Power,
-    /// All its links are stalled, except those of the operator.
+    /// All links of the machine are stalled, except the links of the operator.
     #[serde(rename = "cut")]
     Partition,
-    /// SIGSTOP.
+    /// The process is stopped by SIGSTOP.
     Freeze,
-    /// SIGTERM.
+    /// The process is terminated by SIGTERM.
     #[serde(rename = "term")]
     Terminate,
 }
 
-/// The measurement of takeovers.
+/// Measured durations of takeovers after one kind of fault.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct TakeoverReport {
     /// The fault of the primary.
     #[serde(rename = "cause")]
     pub fault: FaultKind,
-    /// From the fault until the next change was acknowledged.
+    /// Time from the fault until the acknowledgement of the next change.
     pub change_acknowledged: DurationSummary,
-    /// From the fault until the status of another member showed the lease.
+    /// Time from the fault until the status of another member shows the lease.
     pub lease_seen: DurationSummary,
 }
 
-/// Injects `count` faults, one after the other, each into the primary at that time.
+/// Injects `count` faults one after the other, each at the current primary.
 ///
 /// # Errors
 ///
@@ -56,20 +56,20 @@
 pub fn measure_takeover(fault: FaultKind, count: usize) -> Result<TakeoverReport> {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() })?;
     let mut acknowledged = Vec::new();
-    let mut leased = Vec::new();
+    let mut lease_seen = Vec::new();
     for base in 1..=count as u64 {
         let run = run_takeover(&mut deployment, fault, base)?;
         acknowledged.push(run.change_acknowledged);
-        leased.push(run.lease_seen);
+        lease_seen.push(run.lease_seen);
     }
     Ok(TakeoverReport {
         fault,
         change_acknowledged: DurationSummary::of(acknowledged),
-        lease_seen: DurationSummary::of(leased),
+        lease_seen: DurationSummary::of(lease_seen),
     })
 }
 
-/// The times of one takeover since the fault.
+/// Durations of one takeover, both from the fault on.
 struct TakeoverTimes {
     change_acknowledged: Duration,
     lease_seen: Duration,
@@ -77,23 +77,23 @@
 
 fn run_takeover(deployment: &mut Deployment, fault: FaultKind, base: u64) -> Result<TakeoverTimes> {
     let primary = deployment.wait_for_primary()?;
-    // The operator sends to the other members, so that no attempt is lost on the faulty one.
+    // The operator sends to the other members only, so that no attempt times out at the faulty member.
     let operator = deployment.operator_for(|index| index != primary).with_attempt_timeout(ATTEMPT_TIMEOUT);
-    // The fault comes at a random phase of the heartbeats.
+    // A random delay puts the fault at any phase of the heartbeats.
     thread::sleep(Duration::from_millis(fastrand::u64(..200)));
-    let began = Instant::now();
+    let started_at = Instant::now();
     inject_fault(deployment, fault, primary)?;
     let times = thread::scope(|scope| {
         let change = scope.spawn(|| {
             let change = Change::upsert_route(base, "marked", base);
-            operator.apply(&change, CHANGE_LIMIT).map(|_| began.elapsed())
+            operator.apply(&change, CHANGE_TIMEOUT).map(|_| started_at.elapsed())
         });
         let is_leased = || {
             let others = (0..deployment.members.len()).filter(|index| *index != primary);
-            others.into_iter().any(|index| deployment.status(index).is_some_and(|status| status.lease))
+            others.into_iter().any(|index| deployment.status(index).is_some_and(|status| status.has_lease))
         };
-        wait_until("another member holds the lease", CONVERGENCE_LIMIT, is_leased)?;
-        let lease_seen = began.elapsed();
+        wait_until("another member holds the lease", CONVERGENCE_TIMEOUT, is_leased)?;
+        let lease_seen = started_at.elapsed();
         let change_acknowledged = change.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))?;
         Ok(TakeoverTimes { change_acknowledged, lease_seen })
     })?;
@@ -124,7 +124,7 @@
         }
         FaultKind::Freeze => deployment.members[index].process.signal(Signal::CONT),
         FaultKind::Terminate => {
-            deployment.members[index].process.wait_for_exit(CONVERGENCE_LIMIT)?;
+            deployment.members[index].process.wait_for_exit(CONVERGENCE_TIMEOUT)?;
             deployment.start_member(index)
         }
     }
--- a/crates/fault-injection/src/mutation/list.rs
+++ b/crates/fault-injection/src/mutation/list.rs
@@ -7,80 +7,80 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use toml_edit::{DocumentMut, Table, TomlError};
 
-/// The table of the file that has one entry for each mutation.
+/// The name of the file's array of tables, with one table for each mutation.
 const ENTRIES: &str = "mutation";
 
-/// A change of the sources that takes a mechanism out.
+/// A change of the sources that removes a mechanism.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mutation {
-    /// Its name, which is unique.
+    /// The mutation's unique name.
     pub id: String,
     /// The source file, relative to the repository.
     pub file: PathBuf,
-    /// The text that is replaced; it stands in the file once.
+    /// The text that is replaced, which must occur in the file exactly once.
     pub find: String,
-    /// What replaces it.
+    /// The text that replaces `find`.
     pub replace: String,
-    /// The test that must fail then.
+    /// The test that must fail with the mutation.
     pub test: TestId,
 }
 
-/// A test function.
+/// The location of a test function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TestId {
-    /// The package, as its folder below `crates` is called; the gateway's is `tulipridge`.
+    /// The package: the name of its folder in `crates`, or `tulipridge` for the gateway.
     pub package: String,
-    /// The file below `tests`, without its extension.
+    /// The file in the folder `tests`, without its extension.
     pub target: String,
-    /// The name of the function.
+    /// The function, without the names of its cases.
     pub function: String,
 }
 
-/// Why a list of mutations can't be used.
+/// The reason why a list of mutations is invalid.
 #[derive(Debug, Snafu)]
-pub enum ListError {
+pub enum MutationListError {
     /// The file can't be read.
     #[snafu(display("{}: {source}", path.display()))]
     Unreadable {
-        /// The file.
+        /// The path of the list.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The file is not TOML.
     #[snafu(display("{}: {source}", path.display()))]
     Syntax {
-        /// The file.
+        /// The path of the list.
         path: PathBuf,
         /// The parser's error.
         source: TomlError,
     },
     /// The file has no entries.
-    #[snafu(display("no [[{ENTRIES}]] in {}", path.display()))]
+    #[snafu(display("no [[{ENTRIES}]] table in {}", path.display()))]
     Empty {
-        /// The file.
+        /// The path of the list.
         path: PathBuf,
     },
-    /// A key of an entry is missing or not a text.
-    #[snafu(display("entry {index}: '{key}' must be a text"))]
+    /// A key of an entry is missing or its value is not a string.
+    #[snafu(display("entry {index}: '{key}' must be a string"))]
     MissingKey {
         /// The index of the entry, from 0.
         index: usize,
-        /// The key.
+        /// The name of the key.
         key: &'static str,
     },
-    /// A test is not named as package, file and function.
-    #[snafu(display("entry {index}: '{test}' must be PACKAGE FILE FUNCTION"))]
+    /// The test of an entry is not written as package, file and function.
+    #[snafu(display("entry {index}: test '{test}' must have the form PACKAGE FILE FUNCTION"))]
     InvalidTest {
         /// The index of the entry, from 0.
         index: usize,
-        /// The text.
+        /// The invalid value.
         test: String,
     },
 }
 
 impl TestId {
-    /// The folder of the package, relative to the repository.
+    /// The path of the package's folder, relative to the repository.
     #[must_use]
     pub fn package_folder(&self) -> PathBuf {
         match self.package.as_str() {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The name of the package for cargo.
+    /// The name of the package in its manifest.
     #[must_use]
     pub fn package_name(&self) -> String {
         match self.package.as_str() {
@@ -105,11 +105,11 @@
     }
 }
 
-/// Reads a list.
+/// Reads a list of mutations.
 ///
 /// # Errors
-/// If the file can't be read or is not TOML, or an entry lacks a key.
-pub fn read_list(path: &Path) -> Result<Vec<Mutation>, ListError> {
+/// If the file can't be read, is not TOML or has no entries, or if an entry lacks a key or has an invalid test.
+pub fn read_list(path: &Path) -> Result<Vec<Mutation>, MutationListError> {
     let text = fs::read_to_string(path).context(UnreadableSnafu { path })?;
     let document: DocumentMut = text.parse().context(SyntaxSnafu { path })?;
     let entries = document.get(ENTRIES).and_then(|entries| entries.as_array_of_tables());
@@ -117,7 +117,7 @@
     entries.iter().enumerate().map(|(index, entry)| read_entry(index, entry)).collect()
 }
 
-fn read_entry(index: usize, entry: &Table) -> Result<Mutation, ListError> {
+fn read_entry(index: usize, entry: &Table) -> Result<Mutation, MutationListError> {
     let text = |key: &'static str| {
         let value = entry.get(key).and_then(|value| value.as_str());
         value.map(str::to_owned).context(MissingKeySnafu { index, key })
@@ -131,7 +131,7 @@
     })
 }
 
-fn read_test(index: usize, test: String) -> Result<TestId, ListError> {
+fn read_test(index: usize, test: String) -> Result<TestId, MutationListError> {
     let words: Vec<&str> = test.split(' ').collect();
     let [package, target, function] = words[..] else { return InvalidTestSnafu { index, test }.fail() };
     Ok(TestId { package: package.to_owned(), target: target.to_owned(), function: function.to_owned() })
--- a/crates/fault-injection/src/mutation/run.rs
+++ b/crates/fault-injection/src/mutation/run.rs
@@ -11,18 +11,18 @@
 use super::list::Mutation;
 use crate::error::{BuildSnafu, IoSnafu, Result};
 
-/// What libtest prints if a test of the binary failed.
-const FAILED: &str = "test result: FAILED";
-/// What libtest prints if a test of the binary was run and none failed.
-const PASSED: &str = " passed; 0 failed";
+/// Part of libtest's output if a test of the binary failed.
+const FAILED_MARKER: &str = "test result: FAILED";
+/// Part of libtest's output if no test of the binary failed.
+const PASSED_MARKER: &str = " passed; 0 failed";
 
-/// What a test showed of a mutation.
+/// The outcome of a mutation's test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MutationOutcome {
-    /// The test failed: it guards the mechanism.
+    /// The test failed, so it detects that the mechanism is missing.
     Detected,
-    /// The test passed although the mechanism was taken out.
+    /// The test passed although the mechanism was removed.
     Undetected,
     /// The mutated sources can't be built, or no test was run.
     Invalid,
@@ -31,24 +31,24 @@
 /// The result of one mutation.
 #[derive(Clone, Debug, Serialize)]
 pub struct MutationResult {
-    /// The mutation.
+    /// The mutation's name.
     pub id: String,
-    /// The function of the test.
+    /// The name of the test function.
     pub test: String,
-    /// What it showed.
+    /// The outcome of the test.
     pub outcome: MutationOutcome,
-    /// Time for building and running it, in seconds.
+    /// Time for building and running the test, in seconds.
     pub seconds: f64,
-    /// The end of cargo's output, if the outcome is invalid.
+    /// The last lines of cargo's standard error if the outcome is invalid.
     pub output: Option<String>,
 }
 
-/// Runs mutations in `clone`, a clone of the repository of which nothing else is made use, and hands each result to
-/// `report`. Every source file is restored afterwards.
+/// Runs mutations in `clone`, a clone of the repository that is used for nothing else, and passes each result to
+/// `report`. Each source file is restored after its mutation.
 ///
 /// # Errors
-/// If a file can't be read or written, if its text stands there another number of times than once, or if cargo can't
-/// be started.
+/// If a file can't be read or written, if the text of a mutation does not occur in its file exactly once, or if cargo
+/// can't be started.
 pub fn run(clone: &Path, mutations: &[Mutation], report: impl Fn(&MutationResult)) -> Result<()> {
     for mutation in mutations {
         report(&run_one(clone, mutation)?);
@@ -58,30 +58,36 @@
 
 fn run_one(clone: &Path, mutation: &Mutation) -> Result<MutationResult> {
     let path = clone.join(&mutation.file);
-    let action = |verb: &str| format!("{verb} {}", path.display());
-    let original = fs::read_to_string(&path).context(IoSnafu { action: action("read") })?;
+    let describe = |verb: &str| format!("{verb} {}", path.display());
+    let original = fs::read_to_string(&path).context(IoSnafu { action: describe("read") })?;
     let count = original.matches(&mutation.find).count();
-    let reason = || format!("{}: its text stands {count} times in {}", mutation.id, path.display());
+    let reason = || {
+        format!(
+            "{}: the text to replace occurs {count} times instead of once in {}",
+            mutation.id,
+            path.display()
+        )
+    };
     ensure!(count == 1, BuildSnafu { reason: reason() });
     let mutated = original.replacen(&mutation.find, &mutation.replace, 1);
-    fs::write(&path, mutated).context(IoSnafu { action: action("write") })?;
-    let started = Instant::now();
+    fs::write(&path, mutated).context(IoSnafu { action: describe("write") })?;
+    let started_at = Instant::now();
     let output = run_test(clone, mutation);
-    fs::write(&path, original).context(IoSnafu { action: action("restore") })?;
+    fs::write(&path, original).context(IoSnafu { action: describe("restore") })?;
     let output = output?;
     let outcome = outcome_of(&output);
     Ok(MutationResult {
         id: mutation.id.clone(),
         test: mutation.test.function.clone(),
         outcome,
-        seconds: started.elapsed().as_secs_f64(),
-        output: (outcome == MutationOutcome::Invalid).then(|| end_of(&output.stderr)),
+        seconds: started_at.elapsed().as_secs_f64(),
+        output: (outcome == MutationOutcome::Invalid).then(|| last_lines(&output.stderr)),
     })
 }
 
 fn run_test(clone: &Path, mutation: &Mutation) -> Result<Output> {
     let test = &mutation.test;
-    // A function with cases is a module whose tests have its name as a prefix, so the name is a filter.
+    // The name is a filter: a function with cases is a module, and its tests have the name as a prefix.
     Command::new("cargo")
         .args(["test", "--locked", "-p", &test.package_name(), "--test", &test.target, &test.function])
         .current_dir(clone)
@@ -91,18 +97,18 @@
 
 fn outcome_of(output: &Output) -> MutationOutcome {
     let text = String::from_utf8_lossy(&output.stdout);
-    let is_run = text.contains(PASSED) && !text.contains("ok. 0 passed");
+    let is_run = text.contains(PASSED_MARKER) && !text.contains("ok. 0 passed");
     match output.status.success() {
         true if is_run => MutationOutcome::Undetected,
-        false if text.contains(FAILED) => MutationOutcome::Detected,
+        false if text.contains(FAILED_MARKER) => MutationOutcome::Detected,
         _ => MutationOutcome::Invalid,
     }
 }
 
-/// The last lines of an output.
-fn end_of(bytes: &[u8]) -> String {
-    const LINES: usize = 12;
+/// The last lines of an output, as text.
+fn last_lines(bytes: &[u8]) -> String {
+    const LINE_COUNT: usize = 12;
     let text = String::from_utf8_lossy(bytes);
     let lines: Vec<&str> = text.lines().collect();
-    lines[lines.len().saturating_sub(LINES)..].join("\n")
+    lines[lines.len().saturating_sub(LINE_COUNT)..].join("\n")
 }
