--- a/src/front/translate/mod.rs
+++ b/src/front/translate/mod.rs
@@ -84,7 +84,7 @@
         if let Some(count) = names.get_mut(name) {
             *count += 1;
         } else if names.len() < self.max_names {
-            log::warn!(name = name; "event-omitted: it has no counterpart in the client's dialect");
+            log::warn!(name = name; "event-omitted: the event has no counterpart in the client's dialect; others of this name are only counted");
             names.insert(name.to_owned(), 1);
         } else {
             // Bounds the memory if a replica sends an unlimited number of names.
@@ -103,7 +103,7 @@
     /// Logs all counts.
     pub fn log(&self) {
         for (name, count) in self.counts() {
-            log::info!(name = name, count = count; "events-omitted: since the start");
+            log::info!(name = name, count = count; "events-omitted: number of omitted events of this name since the start");
         }
     }
 }
