--- a/crates/agent/tests/exchange.rs
+++ b/crates/agent/tests/exchange.rs
@@ -13,7 +13,7 @@
 use tulipridge_configuration::Configuration;
 use tulipridge_configuration::number::Revision;
 use tulipridge_http1::within;
-use tulipridge_protocol::feed::{ControlNode, Group, SubscriberRole};
+use tulipridge_protocol::feed::{ClusterMembership, ControlNode, SubscriberRole};
 use tulipridge_protocol::node::{Generation, NodeId};
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::Settings;
@@ -48,7 +48,7 @@
 fn publishing_member(configuration: u64) -> (Rc<RefCell<FeedStore>>, Rc<Publisher>) {
     let mut store = FeedStore::new();
     store.set_configuration(revision(configuration));
-    store.set_group(Group {
+    store.set_group(ClusterMembership {
         gateways: 3,
         control: vec![ControlNode { id: NodeId::new(RELAY, Generation(0)), zone: "a".into() }],
     });
--- a/crates/control-plane/src/delivery.rs
+++ b/crates/control-plane/src/delivery.rs
@@ -15,7 +15,7 @@
 use tulipridge_configuration::Configuration;
 use tulipridge_configuration::number::Revision;
 use tulipridge_prefix_cache_index::{CacheUpdate, SourceStatus};
-use tulipridge_protocol::feed::{ControlNode, Group, ModelWeights, Replica, SubscriberRole};
+use tulipridge_protocol::feed::{ClusterMembership, ControlNode, ModelWeights, Replica, SubscriberRole};
 use tulipridge_protocol::number::Epoch;
 use tulipridge_runtime::clock;
 use tulipridge_subscription::{FeedStore, Identity, Publisher, Subscriber};
@@ -154,7 +154,7 @@
 
     /// Delivers the group: the members of the control plane and the number of gateways. Only the primary calls this.
     pub fn set_group(&self, control: Vec<ControlNode>) {
-        let group = Group { gateways: self.publisher.gateways(), control };
+        let group = ClusterMembership { gateways: self.publisher.gateways(), control };
         let has_changed = self.store.borrow_mut().set_group(group);
         self.notify_if_changed(has_changed);
     }
--- a/crates/control-plane/src/operator_view.rs
+++ b/crates/control-plane/src/operator_view.rs
@@ -106,7 +106,7 @@
 
 impl OperatorView {
     fn named_weights(&self) -> BTreeMap<String, WeightsRevision> {
-        self.delivery.weights().into_iter().map(|weights| (weights.model, weights.named)).collect()
+        self.delivery.weights().into_iter().map(|weights| (weights.model, weights.target)).collect()
     }
 
     /// The node that has each singleton role: this member if it holds the lease, otherwise the primary, if it is
--- a/crates/control-plane/src/rollout/controller.rs
+++ b/crates/control-plane/src/rollout/controller.rs
@@ -101,7 +101,7 @@
             self.announcements.record(&model, revision);
         }
         for weights in self.output.delivered() {
-            self.announcements.record(&weights.model, weights.named);
+            self.announcements.record(&weights.model, weights.target);
         }
     }
 
@@ -219,14 +219,14 @@
 /// Logs each model of which more revisions are withdrawn than in `before`, and the replicas that still have withdrawn
 /// weights of the model.
 fn log_withdrawals(planner: &Planner, before: &[ModelWeights]) {
-    let least_before: BTreeMap<&str, WeightsRevision> =
-        before.iter().map(|weights| (weights.model.as_str(), weights.least)).collect();
+    let minimum_before: BTreeMap<&str, WeightsRevision> =
+        before.iter().map(|weights| (weights.model.as_str(), weights.minimum)).collect();
     for weights in planner.weights() {
-        let previous_least = least_before.get(weights.model.as_str()).copied().unwrap_or_default();
-        if weights.least > previous_least {
-            let outdated = planner.outdated_replicas(&weights.model, weights.least);
+        let previous_minimum = minimum_before.get(weights.model.as_str()).copied().unwrap_or_default();
+        if weights.minimum > previous_minimum {
+            let outdated = planner.outdated_replicas(&weights.model, weights.minimum);
             log::info!(
-                model:% = weights.model, least = weights.least.0, named = weights.named.0,
+                model:% = weights.model, least = weights.minimum.0, named = weights.target.0,
                 outdated = outdated.len(), replicas:% = outdated.join(" ");
                 "older weights are withdrawn"
             );
--- a/crates/control-plane/src/rollout/planner/target.rs
+++ b/crates/control-plane/src/rollout/planner/target.rs
@@ -59,9 +59,9 @@
 
     /// Adopts the target that an earlier primary delivered: revisions that it withdrew remain withdrawn.
     pub(super) fn inherit(&mut self, delivered: &ModelWeights) {
-        self.desired = self.desired.max(delivered.named);
-        self.expire(delivered.expired);
-        self.withdraw_below(delivered.least);
+        self.desired = self.desired.max(delivered.target);
+        self.expire(delivered.expired_below);
+        self.withdraw_below(delivered.minimum);
     }
 
     /// Expires and withdraws all revisions below the newest one whose withdrawal deadline has passed.
@@ -92,9 +92,9 @@
     pub(super) fn to_model_weights(&self, model: &str) -> ModelWeights {
         ModelWeights {
             model: model.to_owned(),
-            named: self.desired,
-            least: self.minimum,
-            expired: self.expired,
+            target: self.desired,
+            minimum: self.minimum,
+            expired_below: self.expired,
         }
     }
 }
--- a/crates/control-plane/tests/rollout.rs
+++ b/crates/control-plane/tests/rollout.rs
@@ -154,9 +154,9 @@
         simulation.weights(),
         ModelWeights {
             model: "m".to_owned(),
-            named: WeightsRevision(2),
-            least: WeightsRevision(2),
-            expired: WeightsRevision(0)
+            target: WeightsRevision(2),
+            minimum: WeightsRevision(2),
+            expired_below: WeightsRevision(0)
         }
     );
     assert!(simulation.loading_replicas().is_empty());
@@ -208,9 +208,9 @@
     let mut simulation = Simulation::new(NO_LEASE, &fleet(1, 1));
     simulation.planner.inherit(&[ModelWeights {
         model: "m".to_owned(),
-        named: WeightsRevision(2),
-        least: WeightsRevision(2),
-        expired: WeightsRevision(0),
+        target: WeightsRevision(2),
+        minimum: WeightsRevision(2),
+        expired_below: WeightsRevision(0),
     }]);
     simulation.planner.set_queued_work([("i-01".to_owned(), 5)].into());
     simulation.run_until(START + ms(300));
@@ -288,9 +288,9 @@
         simulation.planner.announce(announced(2, ms(5_000)), START);
     }
     simulation.run_until(START + after - STEP);
-    assert_eq!(simulation.weights().least, WeightsRevision(0));
+    assert_eq!(simulation.weights().minimum, WeightsRevision(0));
     simulation.run_until(START + after + STEP * 2);
-    assert_eq!(simulation.weights().least, WeightsRevision(2));
+    assert_eq!(simulation.weights().minimum, WeightsRevision(2));
 }
 
 #[test]
@@ -305,9 +305,9 @@
         simulation.weights(),
         ModelWeights {
             model: "m".to_owned(),
-            named: WeightsRevision(3),
-            least: WeightsRevision(3),
-            expired: WeightsRevision(3)
+            target: WeightsRevision(3),
+            minimum: WeightsRevision(3),
+            expired_below: WeightsRevision(3)
         }
     );
 }
@@ -319,9 +319,9 @@
     simulation.planner.announce(announced(2, Duration::ZERO), START);
     simulation.planner.announce(announced(3, Duration::ZERO), START + ms(2_000));
     simulation.run_until(START + TERM.mul_f64(0.85) + STEP * 2);
-    assert_eq!(simulation.weights().least, WeightsRevision(2));
+    assert_eq!(simulation.weights().minimum, WeightsRevision(2));
     simulation.run_until(START + TERM.mul_f64(0.85) + ms(2_000) + STEP * 2);
-    assert_eq!(simulation.weights().least, WeightsRevision(3));
+    assert_eq!(simulation.weights().minimum, WeightsRevision(3));
 }
 
 #[test]
@@ -329,12 +329,12 @@
     let mut simulation = Simulation::new(LEASE_TERM, &fleet(6, 1));
     simulation.planner.inherit(&[ModelWeights {
         model: "m".to_owned(),
-        named: WeightsRevision(2),
-        least: WeightsRevision(2),
-        expired: WeightsRevision(0),
+        target: WeightsRevision(2),
+        minimum: WeightsRevision(2),
+        expired_below: WeightsRevision(0),
     }]);
     simulation.planner.announce(announced(2, Duration::ZERO), START);
-    assert_eq!(simulation.weights().least, WeightsRevision(2));
+    assert_eq!(simulation.weights().minimum, WeightsRevision(2));
 }
 
 /// A planner for a single replica, which was just sent its command, and the time of the command.
@@ -475,7 +475,7 @@
     planner.set_replicas(fleet(1, 2).iter(), at + ms(1_000));
     assert!(planner.corrections().loading.is_empty());
     planner.step(at + ms(1_000));
-    assert_eq!(planner.weights()[0].least, WeightsRevision(2));
+    assert_eq!(planner.weights()[0].minimum, WeightsRevision(2));
 }
 
 #[test]
@@ -524,7 +524,7 @@
     simulation.planner.announce(announced(3, Duration::ZERO), START + ms(3_000));
     let withdrawn = TERM.mul_f64(0.85);
     simulation.run_until(START + withdrawn + ms(500));
-    assert_eq!(simulation.weights().least, WeightsRevision(2));
+    assert_eq!(simulation.weights().minimum, WeightsRevision(2));
     assert_eq!(simulation.commands.len(), 18);
 }
 
@@ -540,14 +540,14 @@
         simulation.weights(),
         ModelWeights {
             model: "m".to_owned(),
-            named: WeightsRevision(2),
-            least: WeightsRevision(2),
-            expired: WeightsRevision(0)
+            target: WeightsRevision(2),
+            minimum: WeightsRevision(2),
+            expired_below: WeightsRevision(0)
         }
     );
     assert_eq!(simulation.commanded(), ["i-02"]);
     simulation.run_until(START + TERM.mul_f64(0.85) + ms(500));
-    assert_eq!(simulation.weights().expired, WeightsRevision(2));
+    assert_eq!(simulation.weights().expired_below, WeightsRevision(2));
     assert_eq!(simulation.commanded(), ["i-02", "i-01"]);
 }
 
@@ -572,19 +572,19 @@
     simulation.load_time = TERM * 2;
     simulation.planner.inherit(&[ModelWeights {
         model: "m".to_owned(),
-        named: WeightsRevision(3),
-        least: WeightsRevision(0),
-        expired: WeightsRevision(0),
+        target: WeightsRevision(3),
+        minimum: WeightsRevision(0),
+        expired_below: WeightsRevision(0),
     }]);
     simulation.planner.announce(announced(2, ms(9_000)), START);
     simulation.planner.announce(announced(3, ms(4_000)), START);
     let withdrawal = TERM.mul_f64(0.85);
     simulation.run_until(START + withdrawal - ms(9_000) + STEP * 2);
-    assert_eq!(simulation.weights().expired, WeightsRevision(2));
+    assert_eq!(simulation.weights().expired_below, WeightsRevision(2));
     simulation.run_until(START + withdrawal - ms(4_000) - STEP);
-    assert_eq!(simulation.weights().expired, WeightsRevision(2));
+    assert_eq!(simulation.weights().expired_below, WeightsRevision(2));
     simulation.run_until(START + withdrawal - ms(4_000) + STEP * 2);
-    assert_eq!(simulation.weights().expired, WeightsRevision(3));
+    assert_eq!(simulation.weights().expired_below, WeightsRevision(3));
 }
 
 #[test]
@@ -598,9 +598,9 @@
         simulation.weights(),
         ModelWeights {
             model: "m".to_owned(),
-            named: WeightsRevision(2),
-            least: WeightsRevision(2),
-            expired: WeightsRevision(2)
+            target: WeightsRevision(2),
+            minimum: WeightsRevision(2),
+            expired_below: WeightsRevision(2)
         }
     );
 }
@@ -615,7 +615,7 @@
     simulation.planner.announce(Announcement { model: "n", ..announced(7, ms(3_000)) }, START);
     let expired = |simulation: &Simulation| {
         let weights = simulation.planner.weights().into_iter();
-        weights.map(|weights| (weights.model, weights.expired)).collect::<Vec<_>>()
+        weights.map(|weights| (weights.model, weights.expired_below)).collect::<Vec<_>>()
     };
     let withdrawal = TERM.mul_f64(0.85);
     simulation.run_until(START + withdrawal - ms(3_000) + STEP * 2);
--- a/crates/control-plane/tests/rollout_exchange.rs
+++ b/crates/control-plane/tests/rollout_exchange.rs
@@ -77,7 +77,7 @@
         let report = respond(&listener, "200 OK", loading).await;
         let loaded_report = r#"{"llms":[{"label":"m","revision":2}],"loaded":false}"#;
         respond(&listener, "200 OK", loaded_report).await;
-        while output.weights.borrow().iter().all(|weights| weights.least < WeightsRevision(2)) {
+        while output.weights.borrow().iter().all(|weights| weights.minimum < WeightsRevision(2)) {
             future::yield_now().await;
         }
         format!("{command}\n\n{report}")
@@ -159,7 +159,7 @@
     let settings = PlannerSettings { revision_term: term, lease_term: Duration::ZERO };
     let (rollout, _events) = Rollout::new("middle-1".to_owned(), settings, context, output.clone());
     let withdrawn = async {
-        while output.weights.borrow().iter().all(|weights| weights.expired < WeightsRevision(2)) {
+        while output.weights.borrow().iter().all(|weights| weights.expired_below < WeightsRevision(2)) {
             future::yield_now().await;
         }
     };
--- a/crates/control-plane/tests/rollout_random.rs
+++ b/crates/control-plane/tests/rollout_random.rs
@@ -204,9 +204,9 @@
         self.vacant_until = self.now + self.millis(0..700);
         let delivered = ModelWeights {
             model: MODEL.to_owned(),
-            named: WeightsRevision(self.newest()),
-            least: WeightsRevision(self.table.least),
-            expired: WeightsRevision(self.table.expired),
+            target: WeightsRevision(self.newest()),
+            minimum: WeightsRevision(self.table.least),
+            expired_below: WeightsRevision(self.table.expired),
         };
         self.planner = planner(self.vacant_until, LEASE_TERM);
         self.planner.inherit(&[delivered]);
@@ -234,7 +234,8 @@
             self.perform(action);
         }
         let weights = self.planner.weights().pop();
-        let (least, expired) = weights.map_or((0, 0), |weights| (weights.least.0, weights.expired.0));
+        let (least, expired) =
+            weights.map_or((0, 0), |weights| (weights.minimum.0, weights.expired_below.0));
         let loading = self.planner.corrections().loading.into_iter().collect();
         let table = Table { least, expired, loading };
         self.in_flight.push_back(Delivery { due_at: self.now + self.delivery_delay, table });
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -111,8 +111,8 @@
     Weights(WeightsTable),
     /// The prefix-cache index, as a snapshot or a delta.
     CacheIndex(CacheIndexUpdate),
-    /// How many gateways there are, and the members of the control plane.
-    Group(Group),
+    /// The number of gateways and the members of the control plane.
+    ClusterMembership(ClusterMembership),
     /// The response to a ping.
     Pong {
         /// The ping's id.
@@ -225,14 +225,14 @@
 pub struct ModelWeights {
     /// The model's name.
     pub model: String,
-    /// The target revision: the newest that the operator named.
-    pub named: WeightsRevision,
-    /// Requests may be sent to replicas of this revision or newer, and to no others.
-    pub least: WeightsRevision,
-    /// The operator's deadline for revisions older than this one is about to pass: requests queued on them must not
+    /// The target revision: the newest that the operator announced.
+    pub target: WeightsRevision,
+    /// The oldest revision that may still be used: requests are sent only to replicas of this revision or newer.
+    pub minimum: WeightsRevision,
+    /// The operator's deadline for revisions below this one is about to pass: requests queued on them must not
     /// start any more. 0 in messages of earlier versions, which lack this field.
     #[musli(default)]
-    pub expired: WeightsRevision,
+    pub expired_below: WeightsRevision,
 }
 
 /// How much work is queued at each replica by all gateways together, in units of [`WORK_UNIT_TOKENS`] of prompt; at
@@ -253,7 +253,7 @@
 
 /// The gateways and the members of the control plane.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Group {
+pub struct ClusterMembership {
     /// Number of gateways whose pings the control plane has received recently.
     pub gateways: u32,
     /// Members of the control plane, voters and standbys.
--- a/crates/protocol/tests/stored_messages.rs
+++ b/crates/protocol/tests/stored_messages.rs
@@ -20,9 +20,9 @@
 use tulipridge_configuration::number::{Revision, WeightsRevision};
 use tulipridge_prefix_cache_index::{CachedPrefix, Liveness, PrefixKey};
 use tulipridge_protocol::feed::{
-    CacheIndexUpdate, CacheUpdate, ConfigurationUpdate, ControlNode, FleetUpdate, Group, KnownPositions,
-    LoadTable, ModelRevision, ModelWeights, Position, QueuedWork, QueuedWorkEntry, Replica, ReplicaPhase,
-    Subscribe, SubscriberRole, ToPublisher, ToSubscriber, WeightsTable,
+    CacheIndexUpdate, CacheUpdate, ClusterMembership, ConfigurationUpdate, ControlNode, FleetUpdate,
+    KnownPositions, LoadTable, ModelRevision, ModelWeights, Position, QueuedWork, QueuedWorkEntry, Replica,
+    ReplicaPhase, Subscribe, SubscriberRole, ToPublisher, ToSubscriber, WeightsTable,
 };
 use tulipridge_protocol::frame;
 use tulipridge_protocol::node::{Generation, NodeId};
@@ -84,7 +84,7 @@
             | ToSubscriber::Fleet(FleetUpdate::Snapshot { .. } | FleetUpdate::Changes { .. })
             | ToSubscriber::Weights(_)
             | ToSubscriber::CacheIndex(_)
-            | ToSubscriber::Group(_)
+            | ToSubscriber::ClusterMembership(_)
             | ToSubscriber::Pong { .. }
             | ToSubscriber::Loads(_) => {}
         }
@@ -100,9 +100,9 @@
         position: position(43, 53),
         models: vec![ModelWeights {
             model: "model-a".to_owned(),
-            named: WeightsRevision(9),
-            least: WeightsRevision(8),
-            expired: WeightsRevision(7),
+            target: WeightsRevision(9),
+            minimum: WeightsRevision(8),
+            expired_below: WeightsRevision(7),
         }],
     };
     vec![
@@ -153,7 +153,7 @@
     vec![
         Case::new("cache-table", cache_index(None)),
         Case::new("cache-table-changes", cache_index(Some(position(44, 54)))),
-        Case::new("group", ToSubscriber::Group(Group { gateways: 441, control })),
+        Case::new("group", ToSubscriber::ClusterMembership(ClusterMembership { gateways: 441, control })),
         Case::new("pong", ToSubscriber::Pong { id: 300, age_ms: Some(25), revision: Revision(70_001) }),
         Case::new(
             "pong-without-age",
--- a/crates/protocol/tests/upgrade.rs
+++ b/crates/protocol/tests/upgrade.rs
@@ -4,7 +4,7 @@
 use tulipridge_configuration::number::WeightsRevision;
 use tulipridge_protocol::feed::ModelWeights;
 
-/// [`ModelWeights`] as earlier versions declared it, without `expired`.
+/// [`ModelWeights`] as earlier versions declared it, without `expired_below`.
 #[derive(Debug, PartialEq, Encode, Decode)]
 struct EarlierModelWeights {
     model: String,
@@ -21,9 +21,9 @@
         decoded,
         ModelWeights {
             model: "m".to_owned(),
-            named: WeightsRevision(3),
-            least: WeightsRevision(2),
-            expired: WeightsRevision(0)
+            target: WeightsRevision(3),
+            minimum: WeightsRevision(2),
+            expired_below: WeightsRevision(0)
         }
     );
 }
@@ -32,9 +32,9 @@
 fn an_earlier_version_ignores_an_unknown_field() {
     let current = ModelWeights {
         model: "m".to_owned(),
-        named: WeightsRevision(3),
-        least: WeightsRevision(2),
-        expired: WeightsRevision(1),
+        target: WeightsRevision(3),
+        minimum: WeightsRevision(2),
+        expired_below: WeightsRevision(1),
     };
     let bytes = wire::to_vec(&current).expect("the entry is encodable");
     let earlier: EarlierModelWeights = wire::from_slice(&bytes).expect("the entry is decodable");
--- a/crates/proxy/src/replica/replicas.rs
+++ b/crates/proxy/src/replica/replicas.rs
@@ -134,7 +134,7 @@
 
     fn phase(&self, id: &ReplicaId, row: &Replica, weights: &WeightsTable) -> Phase {
         let outdated = |loaded: &ModelRevision| {
-            weights.models.iter().any(|row| row.model == loaded.model && loaded.revision < row.least)
+            weights.models.iter().any(|row| row.model == loaded.model && loaded.revision < row.minimum)
         };
         let is_ready = row.phase == ReplicaPhase::Ready
             && !self.displaced.contains(id)
--- a/crates/proxy/src/replica/weights_expiry.rs
+++ b/crates/proxy/src/replica/weights_expiry.rs
@@ -57,8 +57,8 @@
         let mut has_new_deadline = false;
         for row in &table.models {
             let model = self.models.entry(row.model.clone()).or_default();
-            model.record_target(row.named, now);
-            has_new_deadline |= model.add_deadline(row.expired, self.term, now);
+            model.record_target(row.target, now);
+            has_new_deadline |= model.add_deadline(row.expired_below, self.term, now);
         }
         has_new_deadline
     }
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -402,9 +402,9 @@
         position: Position { epoch: Epoch(1), sequence: ChangeNumber(least) },
         models: vec![ModelWeights {
             model: "m".to_owned(),
-            named: WeightsRevision(5),
-            least: WeightsRevision(least),
-            expired: WeightsRevision(0),
+            target: WeightsRevision(5),
+            minimum: WeightsRevision(least),
+            expired_below: WeightsRevision(0),
         }],
     };
     harness.run(async {
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -126,9 +126,9 @@
         let entries: Vec<Replica> = self.replicas.iter().map(entry).collect();
         let model_weights = ModelWeights {
             model: "m".to_owned(),
-            named: WeightsRevision(least),
-            least: WeightsRevision(least),
-            expired: WeightsRevision(least),
+            target: WeightsRevision(least),
+            minimum: WeightsRevision(least),
+            expired_below: WeightsRevision(least),
         };
         let weights = WeightsTable {
             position: Position { epoch: Epoch(1), sequence: ChangeNumber(1) },
--- a/crates/proxy/tests/weights_expiry.rs
+++ b/crates/proxy/tests/weights_expiry.rs
@@ -107,9 +107,9 @@
 fn weights_table(named: u64, expired: u64) -> WeightsTable {
     let model_weights = ModelWeights {
         model: "m".to_owned(),
-        named: WeightsRevision(named),
-        least: WeightsRevision(expired),
-        expired: WeightsRevision(expired),
+        target: WeightsRevision(named),
+        minimum: WeightsRevision(expired),
+        expired_below: WeightsRevision(expired),
     };
     WeightsTable {
         position: Position { epoch: Epoch(1), sequence: ChangeNumber(1) },
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -19,8 +19,8 @@
 use tulipridge_configuration::Configuration;
 use tulipridge_prefix_cache_index::Index;
 use tulipridge_protocol::feed::{
-    CacheUpdate, Group, KnownPositions, LoadTable, ModelWeights, Position, QueuedWork, QueuedWorkEntry,
-    Replica, ToSubscriber, WeightsTable,
+    CacheUpdate, ClusterMembership, KnownPositions, LoadTable, ModelWeights, Position, QueuedWork,
+    QueuedWorkEntry, Replica, ToSubscriber, WeightsTable,
 };
 use tulipridge_protocol::number::Epoch;
 
@@ -44,7 +44,7 @@
     weights: WeightsTable,
     cache_index: CacheIndexTable,
     loads: LoadTable,
-    group: Group,
+    group: ClusterMembership,
     group_version: u64,
 }
 
@@ -98,7 +98,7 @@
     }
 
     /// Sets the gateways and members of the control plane; whether they differ from before.
-    pub fn set_group(&mut self, group: Group) -> bool {
+    pub fn set_group(&mut self, group: ClusterMembership) -> bool {
         if self.group_version > 0 && self.group == group {
             return false;
         }
@@ -122,7 +122,7 @@
                 changes.weights = snapshot_tables::replace_if_newer(&mut self.weights, table);
             }
             ToSubscriber::CacheIndex(update) => changes.cache_index = self.cache_index.apply(update)?,
-            ToSubscriber::Group(group) => changes.group = self.set_group(group),
+            ToSubscriber::ClusterMembership(group) => changes.group = self.set_group(group),
             ToSubscriber::Loads(table) => {
                 changes.loads = snapshot_tables::replace_if_newer(&mut self.loads, table);
             }
@@ -182,7 +182,7 @@
     }
 
     /// The gateways and members of the control plane; empty while they are not known.
-    pub fn group(&self) -> &Group {
+    pub fn group(&self) -> &ClusterMembership {
         &self.group
     }
 
@@ -227,7 +227,7 @@
             messages.push(ToSubscriber::Loads(self.loads.clone()));
         }
         if self.group_version > sent.group {
-            messages.push(ToSubscriber::Group(self.group.clone()));
+            messages.push(ToSubscriber::ClusterMembership(self.group.clone()));
         }
         messages
     }
--- a/crates/subscription/tests/common/mod.rs
+++ b/crates/subscription/tests/common/mod.rs
@@ -8,7 +8,9 @@
 
 use tulipridge_configuration::number::{Revision, WeightsRevision};
 use tulipridge_configuration::{Configuration, Service, Tenant};
-use tulipridge_protocol::feed::{ControlNode, Group, ModelRevision, ModelWeights, Replica, ReplicaPhase};
+use tulipridge_protocol::feed::{
+    ClusterMembership, ControlNode, ModelRevision, ModelWeights, Replica, ReplicaPhase,
+};
 use tulipridge_protocol::node::{Generation, NodeId};
 
 /// A configuration whose content follows from `content`.
@@ -57,15 +59,15 @@
 pub(crate) fn weights(named: u64) -> Vec<ModelWeights> {
     vec![ModelWeights {
         model: "large".to_owned(),
-        named: WeightsRevision(named),
-        least: WeightsRevision(named / 2),
-        expired: WeightsRevision(named / 2),
+        target: WeightsRevision(named),
+        minimum: WeightsRevision(named / 2),
+        expired_below: WeightsRevision(named / 2),
     }]
 }
 
 /// A group of so many gateways.
-pub(crate) fn group(gateways: u32) -> Group {
+pub(crate) fn group(gateways: u32) -> ClusterMembership {
     let member =
         ControlNode { id: NodeId::new(Ipv4Addr::new(10, 0, 0, 9), Generation(0)), zone: "east".to_owned() };
-    Group { gateways, control: vec![member] }
+    ClusterMembership { gateways, control: vec![member] }
 }
--- a/crates/subscription/tests/store.rs
+++ b/crates/subscription/tests/store.rs
@@ -203,11 +203,14 @@
     assert_eq!(publisher.updates_for(&KnownPositions::default()), vec![]);
     assert!(publisher.set_group(group(3)));
     assert!(!publisher.set_group(group(3)));
-    assert_eq!(publisher.updates_for(&KnownPositions::default()), vec![ToSubscriber::Group(group(3))]);
+    assert_eq!(
+        publisher.updates_for(&KnownPositions::default()),
+        vec![ToSubscriber::ClusterMembership(group(3))]
+    );
     let sent = publisher.newest_positions();
     assert_eq!(publisher.updates_since(&sent), vec![]);
     assert!(publisher.set_group(group(4)));
-    assert_eq!(publisher.updates_since(&sent), vec![ToSubscriber::Group(group(4))]);
+    assert_eq!(publisher.updates_since(&sent), vec![ToSubscriber::ClusterMembership(group(4))]);
 }
 
 /// The update of the configuration for a subscriber that knows revision `base`.
