--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -30,15 +30,15 @@
 use crate::state::Change;
 use crate::tenure::Tenure;
 
-/// Interval at which the standing is polled while no primary is known.
-const STANDING_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the primary status is polled while no primary is known.
+const PRIMARY_STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Value of `Retry-After`, in seconds, while no primary is known.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
 /// The operations of the control plane that the API is built on.
 pub trait ControlPlane: 'static {
     /// Whether this member serves the operator; otherwise, which member does, if that is known.
-    fn standing(&self) -> Standing;
+    fn primary_status(&self) -> PrimaryStatus;
     /// Decides on a change and commits it. Returns once the change is on the disks of all data replicas.
     fn change(&self, change: Change) -> impl Future<Output = ChangeOutcome>;
     /// The current configuration document as the operator sent it; `None` before the first one.
@@ -49,7 +49,7 @@
 
 /// Whether a member serves the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum PrimaryStatus {
     /// The member is the primary, within its lease.
     Primary {
         /// Identifies the member's uninterrupted time as primary.
@@ -148,23 +148,23 @@
         if route.access == Access::Any {
             return (route.handler)(self.control.clone(), request).await;
         }
-        match self.known_standing().await {
-            Standing::Primary { .. } => (route.handler)(self.control.clone(), request).await,
-            Standing::Follower { primary } => self.redirect(primary, &request.target),
-            Standing::Unknown => no_primary(),
+        match self.known_primary_status().await {
+            PrimaryStatus::Primary { .. } => (route.handler)(self.control.clone(), request).await,
+            PrimaryStatus::Follower { primary } => self.redirect(primary, &request.target),
+            PrimaryStatus::Unknown => no_primary(),
         }
     }
 
-    /// Waits until a primary is known or `primary_timeout` has passed, and returns the member's standing. Waiting is
+    /// Waits until a primary is known or `primary_timeout` has passed, and returns the primary status. Waiting is
     /// cheaper for clients than a 503, after which they back off.
-    async fn known_standing(&self) -> Standing {
+    async fn known_primary_status(&self) -> PrimaryStatus {
         let known = async {
-            while self.control.standing() == Standing::Unknown {
-                Timer::after(STANDING_POLL_INTERVAL).await;
+            while self.control.primary_status() == PrimaryStatus::Unknown {
+                Timer::after(PRIMARY_STATUS_POLL_INTERVAL).await;
             }
         };
         let _ = within(self.limits.primary_timeout, known).await;
-        self.control.standing()
+        self.control.primary_status()
     }
 
     fn redirect(&self, primary: Ipv4Addr, target: &str) -> Response {
--- a/crates/control-plane/src/api/settings.rs
+++ b/crates/control-plane/src/api/settings.rs
@@ -7,7 +7,8 @@
 use tulipridge_configuration::number::Revision;
 
 use super::{
-    Access, ControlPlane, Request, Response, ResponseFuture, Route, Standing, change_response, no_primary,
+    Access, ControlPlane, PrimaryStatus, Request, Response, ResponseFuture, Route, change_response,
+    no_primary,
 };
 use crate::state::Change;
 
@@ -48,10 +49,11 @@
 
 fn handle_get<C: ControlPlane>(control: Rc<C>, _: Request) -> ResponseFuture {
     Box::pin(async move {
-        let standing = control.standing();
+        let status = control.primary_status();
         let document = control.document().await;
         // Another primary may have committed a newer document while this one was read.
-        let is_current = control.standing() == standing && matches!(standing, Standing::Primary { .. });
+        let is_current =
+            control.primary_status() == status && matches!(status, PrimaryStatus::Primary { .. });
         if !is_current {
             return no_primary();
         }
--- a/crates/control-plane/src/member/authority.rs
+++ b/crates/control-plane/src/member/authority.rs
@@ -9,7 +9,7 @@
 use super::Member;
 use super::proposals::OpenedProposal;
 use crate::change::{ChangeAuthority, ProposalOutcome};
-use crate::delivery::Authority;
+use crate::member_feed::PrimaryTracker;
 use crate::replication::Input;
 use crate::singleton::{LeaseStatus, SingletonLease};
 use crate::state::{Change, Decision};
@@ -53,7 +53,7 @@
     }
 }
 
-impl Authority for Member {
+impl PrimaryTracker for Member {
     fn confirms_freshness(&self) -> bool {
         self.acting_epoch().is_some()
     }
--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -100,12 +100,12 @@
 
     /// Passes possible addresses of members to the replication protocol.
     pub fn on_discovered(&self, members: Vec<NodeId>) {
-        self.step(Input::Known(members));
+        self.step(Input::KnownNodes(members));
     }
 
     /// Releases the lease, if this member holds it, so that a successor can take over at once.
     pub fn terminate(&self) {
-        self.step(Input::Terminate);
+        self.step(Input::Shutdown);
     }
 
     /// What the other members still need from this member, whose process is about to exit.
--- a/crates/control-plane/src/delivery.rs
+++ b/crates/control-plane/src/member_feed.rs
@@ -24,7 +24,7 @@
 use crate::tenure::Tenure;
 
 /// The member's knowledge of who is primary.
-pub trait Authority {
+pub trait PrimaryTracker {
     /// Whether this member is the primary within its lease and has applied everything committed before its current
     /// epoch.
     fn confirms_freshness(&self) -> bool;
@@ -33,8 +33,8 @@
 }
 
 /// The feed of a member: the state, the publisher that serves it, and the subscription to the primary's feed.
-pub struct Delivery {
-    authority: Rc<dyn Authority>,
+pub struct MemberFeed {
+    primary_tracker: Rc<dyn PrimaryTracker>,
     feed_port: u16,
     store: Rc<RefCell<FeedStore>>,
     publisher: Rc<Publisher>,
@@ -43,13 +43,19 @@
     selected_feed: Cell<Option<SocketAddr>>,
 }
 
-impl Delivery {
+impl MemberFeed {
     /// Creates the feed of the member `name` in `zone`. All members serve their feeds at the same port, `feed_port`.
-    pub fn new(name: String, zone: String, feed_port: u16, authority: Rc<dyn Authority>) -> Rc<Delivery> {
+    pub fn new(
+        name: String,
+        zone: String,
+        feed_port: u16,
+        primary_tracker: Rc<dyn PrimaryTracker>,
+    ) -> Rc<MemberFeed> {
         let store = Rc::new(RefCell::new(FeedStore::new()));
         let identity = Identity { name, zone, role: SubscriberRole::Relay };
         let subscriber = Subscriber::new(identity, store.clone());
-        let publisher = Publisher::new(store.clone(), state_age(authority.clone(), subscriber.clone()));
+        let publisher =
+            Publisher::new(store.clone(), state_age(primary_tracker.clone(), subscriber.clone()));
         let notified_publisher = publisher.clone();
         subscriber.on_change(Box::new(move |_| notified_publisher.notify()));
         // The publisher owns this callback, so a strong reference would be a cycle and leak the publisher.
@@ -61,7 +67,7 @@
             }
         });
         let selected_feed = Cell::new(None);
-        Rc::new(Delivery { authority, feed_port, store, publisher, subscriber, selected_feed })
+        Rc::new(MemberFeed { primary_tracker, feed_port, store, publisher, subscriber, selected_feed })
     }
 
     /// Serves subscribers on `listener`; does not return.
@@ -71,8 +77,8 @@
 
     /// Subscribes to the primary's feed while the primary is another member; does not return.
     pub async fn follow(self: Rc<Self>) {
-        let delivery = self.clone();
-        self.subscriber.clone().run(move |_| delivery.select_feed()).await;
+        let member_feed = self.clone();
+        self.subscriber.clone().run(move |_| member_feed.select_feed()).await;
     }
 
     fn select_feed(&self) -> Option<SocketAddr> {
@@ -82,7 +88,7 @@
     }
 
     fn primary_feed(&self) -> Option<SocketAddr> {
-        self.authority.primary().map(|ip| SocketAddr::from((ip, self.feed_port)))
+        self.primary_tracker.primary().map(|ip| SocketAddr::from((ip, self.feed_port)))
     }
 
     /// Reports the number of gateways served here to the primary, and selects another feed if the primary has
@@ -92,7 +98,7 @@
         let feed = self.primary_feed();
         // While no primary is known, the subscription to the last one is kept, because its messages contain the age
         // of the state.
-        let knows_primary = feed.is_some() || self.authority.confirms_freshness();
+        let knows_primary = feed.is_some() || self.primary_tracker.confirms_freshness();
         if knows_primary && feed != self.selected_feed.get() {
             self.subscriber.reselect();
         }
@@ -136,7 +142,7 @@
 
     /// The work queued at each replica, by replica id, as last delivered. The unit is
     /// [`WORK_UNIT_TOKENS`](tulipridge_protocol::feed::WORK_UNIT_TOKENS); each request counts as at least one.
-    pub fn waiting(&self) -> BTreeMap<String, u32> {
+    pub fn queued_work(&self) -> BTreeMap<String, u32> {
         let store = self.store.borrow();
         let loads = store.loads().into_iter().flatten();
         loads.map(|(replica, waiting)| (replica.id.clone(), waiting.into())).collect()
@@ -211,13 +217,16 @@
 
     /// The time since the delivered state was last known to be the newest, or `None` if it never was.
     pub fn age(&self) -> Option<Duration> {
-        state_age(self.authority.clone(), self.subscriber.clone())()
+        state_age(self.primary_tracker.clone(), self.subscriber.clone())()
     }
 }
 
-fn state_age(authority: Rc<dyn Authority>, subscriber: Rc<Subscriber>) -> Rc<dyn Fn() -> Option<Duration>> {
+fn state_age(
+    primary_tracker: Rc<dyn PrimaryTracker>,
+    subscriber: Rc<Subscriber>,
+) -> Rc<dyn Fn() -> Option<Duration>> {
     Rc::new(move || {
-        if authority.confirms_freshness() {
+        if primary_tracker.confirms_freshness() {
             return Some(Duration::ZERO);
         }
         subscriber.age(clock::now())
--- a/crates/control-plane/src/operator_view.rs
+++ b/crates/control-plane/src/operator_service.rs
@@ -9,10 +9,10 @@
 use tulipridge_protocol::node::NodeId;
 use tulipridge_protocol::replication::View;
 
-use crate::api::{ChangeOutcome, ControlPlane, Standing, Status};
+use crate::api::{ChangeOutcome, ControlPlane, PrimaryStatus, Status};
 use crate::change::{self, ChangeAuthority};
-use crate::delivery::Delivery;
 use crate::member::Member;
+use crate::member_feed::MemberFeed;
 use crate::replication::Role;
 use crate::singleton::LeaseStatus;
 use crate::state::Change;
@@ -28,20 +28,25 @@
 
 /// The operator's interface to a member. Changes are carried out one at a time, each based on the result of the
 /// previous one.
-pub struct OperatorView {
+pub struct OperatorService {
     name: String,
     node: NodeId,
     member: Rc<Member>,
-    delivery: Rc<Delivery>,
+    member_feed: Rc<MemberFeed>,
     sender: Sender<QueuedChange>,
     queue: Receiver<QueuedChange>,
 }
 
-impl OperatorView {
+impl OperatorService {
     /// Creates the operator's interface to this member.
-    pub fn new(name: String, node: NodeId, member: Rc<Member>, delivery: Rc<Delivery>) -> Rc<OperatorView> {
+    pub fn new(
+        name: String,
+        node: NodeId,
+        member: Rc<Member>,
+        member_feed: Rc<MemberFeed>,
+    ) -> Rc<OperatorService> {
         let (sender, queue) = async_channel::unbounded();
-        Rc::new(OperatorView { name, node, member, delivery, sender, queue })
+        Rc::new(OperatorService { name, node, member, member_feed, sender, queue })
     }
 
     /// Carries out queued changes; does not return.
@@ -54,14 +59,14 @@
     }
 }
 
-impl ControlPlane for OperatorView {
-    fn standing(&self) -> Standing {
+impl ControlPlane for OperatorService {
+    fn primary_status(&self) -> PrimaryStatus {
         if let Some(tenure) = self.member.tenure() {
-            return Standing::Primary { tenure };
+            return PrimaryStatus::Primary { tenure };
         }
         match self.member.redirect_target() {
-            Some(primary) => Standing::Follower { primary: primary.address() },
-            None => Standing::Unknown,
+            Some(primary) => PrimaryStatus::Follower { primary: primary.address() },
+            None => PrimaryStatus::Unknown,
         }
     }
 
@@ -91,22 +96,22 @@
             voters: names(&electorate(&view)),
             holders: names(&view.data_replicas),
             primary: self.member.known_primary().map(|node| node.to_string()),
-            configuration: self.delivery.configuration_revision(),
-            weights: self.named_weights(),
-            replicas: self.delivery.replica_count(),
-            replica_weights: self.delivery.replica_weights(),
-            cache_index: self.delivery.index_size(),
+            configuration: self.member_feed.configuration_revision(),
+            weights: self.target_revisions(),
+            replicas: self.member_feed.replica_count(),
+            replica_weights: self.member_feed.replica_weights(),
+            cache_index: self.member_feed.index_size(),
             singleton_roles: self.singleton_roles(),
-            age_ms: self.delivery.age().map(|age| age.as_millis() as u64),
-            subscribers: self.delivery.subscriber_count(),
-            gateways: self.delivery.gateway_count(),
+            age_ms: self.member_feed.age().map(|age| age.as_millis() as u64),
+            subscribers: self.member_feed.subscriber_count(),
+            gateways: self.member_feed.gateway_count(),
         }
     }
 }
 
-impl OperatorView {
-    fn named_weights(&self) -> BTreeMap<String, WeightsRevision> {
-        self.delivery.weights().into_iter().map(|weights| (weights.model, weights.target)).collect()
+impl OperatorService {
+    fn target_revisions(&self) -> BTreeMap<String, WeightsRevision> {
+        self.member_feed.weights().into_iter().map(|weights| (weights.model, weights.target)).collect()
     }
 
     /// The node that has each singleton role: this member if it holds the lease, otherwise the primary, if it is
--- a/crates/control-plane/src/replication/departure.rs
+++ b/crates/control-plane/src/replication/departure.rs
@@ -1,5 +1,6 @@
 //! Departure of a member: what the group still needs from the member before its process may end.
 
+use std::fmt;
 use std::time::Duration;
 
 use super::machine::Replication;
@@ -13,11 +14,23 @@
     StoresData,
     /// The member votes on the newest view, which is not known to be in force: without this vote, it may be
     /// impossible to install any further view.
-    CompletesView,
+    NeededToCompleteView,
     /// The member stores no data, but still counts as a voter.
     Votes,
-    /// The group would lose nothing.
-    Free,
+    /// The process may end: the group would lose nothing.
+    Safe,
+}
+
+/// The name in the log, which operators look for.
+impl fmt::Display for Departure {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Departure::StoresData => "StoresData",
+            Departure::NeededToCompleteView => "CompletesView",
+            Departure::Votes => "Votes",
+            Departure::Safe => "Free",
+        })
+    }
 }
 
 impl Replication {
@@ -38,15 +51,15 @@
     pub fn departure(&self, now: Duration) -> Departure {
         if self.leadership.is_some() {
             let is_only_member = self.settings.tolerated_failures == 0 && self.live_members(now).len() == 1;
-            return if is_only_member { Departure::Free } else { Departure::StoresData };
+            return if is_only_member { Departure::Safe } else { Departure::StoresData };
         }
         let node = self.settings.node;
         match self.storage.view() {
             Some(view) if view.data_replicas.contains(&node) => Departure::StoresData,
-            Some(view) if !electorate(view).contains(&node) => Departure::Free,
+            Some(view) if !electorate(view).contains(&node) => Departure::Safe,
             Some(view) if is_view_complete(view) => Departure::Votes,
-            Some(_) => Departure::CompletesView,
-            None => Departure::Free,
+            Some(_) => Departure::NeededToCompleteView,
+            None => Departure::Safe,
         }
     }
 }
--- a/crates/control-plane/src/replication/interface.rs
+++ b/crates/control-plane/src/replication/interface.rs
@@ -38,9 +38,9 @@
     /// Whether the disk completes writes in time.
     DiskHealthy(bool),
     /// Addresses at which other members may be running. Their generations are ignored.
-    Known(Vec<NodeId>),
-    /// The process is about to shut down.
-    Terminate,
+    KnownNodes(Vec<NodeId>),
+    /// The process received the signal to shut down.
+    Shutdown,
 }
 
 /// An action that the owner carries out. Actions are carried out in order.
--- a/crates/control-plane/src/replication/step.rs
+++ b/crates/control-plane/src/replication/step.rs
@@ -31,8 +31,8 @@
             Input::Propose { ticket, command } => self.propose(now, ticket, command),
             Input::Compact { sequence, snapshot } => self.compact(sequence, snapshot),
             Input::DiskHealthy(is_healthy) => self.storage.set_healthy(is_healthy),
-            Input::Known(nodes) => self.discovery.set_known(nodes),
-            Input::Terminate => self.start_leaving(now),
+            Input::KnownNodes(nodes) => self.discovery.set_known(nodes),
+            Input::Shutdown => self.start_leaving(now),
         }
         self.process_pending(now);
         self.run_timers(now);
--- a/crates/control-plane/src/rollout/controller.rs
+++ b/crates/control-plane/src/rollout/controller.rs
@@ -97,10 +97,10 @@
     /// may become primary.
     fn record_announcements(&mut self) {
         self.announcements.advance(clock::now(), self.context.lease_status.knows_primary());
-        for (model, revision) in self.output.named() {
+        for (model, revision) in self.output.target_revisions() {
             self.announcements.record(&model, revision);
         }
-        for weights in self.output.delivered() {
+        for weights in self.output.delivered_weights() {
             self.announcements.record(&weights.model, weights.target);
         }
     }
@@ -136,7 +136,7 @@
 
     fn new_planner(&self, now: Duration) -> Planner {
         let mut planner = Planner::new(self.settings, now);
-        planner.inherit(&self.output.delivered());
+        planner.inherit(&self.output.delivered_weights());
         for announcement in self.announcements.announcements() {
             planner.announce(announcement, now);
         }
@@ -165,7 +165,7 @@
         let Some(lease) = self.context.lease_status.singleton_lease() else { return };
         let Some(tenure) = self.tenure.as_mut().filter(|tenure| tenure.lease == lease) else { return };
         let before = tenure.planner.weights();
-        tenure.planner.set_queued_work(self.output.waiting());
+        tenure.planner.set_queued_work(self.output.queued_work());
         let actions = tenure.planner.step(clock::now());
         log_withdrawals(&tenure.planner, &before);
         self.output.weights(lease.epoch, tenure.planner.weights());
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -52,10 +52,10 @@
     /// Delivers the table of replicas after its corrections have changed.
     fn fleet_corrected(&self);
     /// The newest target revision of each model that the operator announced.
-    fn named(&self) -> BTreeMap<String, WeightsRevision>;
+    fn target_revisions(&self) -> BTreeMap<String, WeightsRevision>;
     /// The table of weights that was last delivered, by this or an earlier primary.
-    fn delivered(&self) -> Vec<ModelWeights>;
+    fn delivered_weights(&self) -> Vec<ModelWeights>;
     /// The work that gateways have queued at each replica, by replica id. The unit is
     /// [`WORK_UNIT_TOKENS`](tulipridge_protocol::feed::WORK_UNIT_TOKENS); each request counts as at least one.
-    fn waiting(&self) -> BTreeMap<String, u32>;
+    fn queued_work(&self) -> BTreeMap<String, u32>;
 }
--- a/crates/control-plane/src/server/build.rs
+++ b/crates/control-plane/src/server/build.rs
@@ -16,10 +16,10 @@
 use super::start::StartedMember;
 use super::{Server, SingletonRoles};
 use crate::api::{Api, ApiLimits};
-use crate::delivery::Delivery;
 use crate::discovery::Discovery;
 use crate::index::CacheFollowers;
-use crate::operator_view::OperatorView;
+use crate::member_feed::MemberFeed;
+use crate::operator_service::OperatorService;
 use crate::rollout::{Event, PlannerSettings, Rollout};
 use crate::singleton::SingletonContext;
 
@@ -35,15 +35,15 @@
     ) -> Result<Server, ServerError> {
         let listeners = Listeners::bind(settings)?;
         let started = StartedMember::start(settings, &executor)?;
-        let delivery = delivery(settings, &started);
-        let operator = operator_view(settings, &started, &delivery);
+        let member_feed = member_feed(settings, &started);
+        let operator = operator_service(settings, &started, &member_feed);
         let api = api(settings, &operator);
-        let singleton_roles = SingletonRoles::build(settings, &executor, &started, &delivery);
+        let singleton_roles = SingletonRoles::build(settings, &executor, &started, &member_feed);
         let peer_sampling = Rc::new(peer_sampling(settings, started.node)?);
         Ok(Server {
             executor,
             started,
-            delivery,
+            member_feed,
             operator,
             api,
             singleton_roles,
@@ -54,20 +54,25 @@
     }
 }
 
-fn delivery(settings: &Settings, started: &StartedMember) -> Rc<Delivery> {
+fn member_feed(settings: &Settings, started: &StartedMember) -> Rc<MemberFeed> {
     let feed_port = settings.spare_ports.first + 1;
-    Delivery::new(settings.node_name.clone(), settings.area.clone(), feed_port, started.member.clone())
+    MemberFeed::new(settings.node_name.clone(), settings.area.clone(), feed_port, started.member.clone())
 }
 
-fn operator_view(
+fn operator_service(
     settings: &Settings,
     started: &StartedMember,
-    delivery: &Rc<Delivery>,
-) -> Rc<OperatorView> {
-    OperatorView::new(settings.node_name.clone(), started.node, started.member.clone(), delivery.clone())
+    member_feed: &Rc<MemberFeed>,
+) -> Rc<OperatorService> {
+    OperatorService::new(
+        settings.node_name.clone(),
+        started.node,
+        started.member.clone(),
+        member_feed.clone(),
+    )
 }
 
-fn api(settings: &Settings, operator: &Rc<OperatorView>) -> Rc<Api<OperatorView>> {
+fn api(settings: &Settings, operator: &Rc<OperatorService>) -> Rc<Api<OperatorService>> {
     let port = settings.listen_on.control_port.map_or(0, |address| address.port());
     Rc::new(Api::new(operator.clone(), port, ApiLimits::default()))
 }
@@ -77,7 +82,7 @@
         settings: &Settings,
         executor: &Rc<LocalExecutor<'static>>,
         started: &StartedMember,
-        delivery: &Rc<Delivery>,
+        member_feed: &Rc<MemberFeed>,
     ) -> SingletonRoles {
         let context = SingletonContext {
             executor: executor.clone(),
@@ -86,7 +91,7 @@
         };
         let outputs = Rc::new(SingletonOutputs {
             member: started.member.clone(),
-            delivery: delivery.clone(),
+            member_feed: member_feed.clone(),
             table: context.table.clone(),
         });
         let (rollout, rollout_events) = Rollout::new(
--- a/crates/control-plane/src/server/departure.rs
+++ b/crates/control-plane/src/server/departure.rs
@@ -26,9 +26,9 @@
         return true;
     }
     match departure {
-        Departure::Free => waited >= STOP_GRACE,
+        Departure::Safe => waited >= STOP_GRACE,
         Departure::Votes => waited >= VOTE_GRACE,
-        Departure::StoresData | Departure::CompletesView => false,
+        Departure::StoresData | Departure::NeededToCompleteView => false,
     }
 }
 
@@ -40,7 +40,7 @@
         let departure = member.departure();
         let waited = clock::now().saturating_sub(started);
         if may_exit(waited, termination_grace_period, departure) {
-            log::info!(departure:? = departure, waited_ms = waited.as_millis() as u64; "the member exits");
+            log::info!(departure:% = departure, waited_ms = waited.as_millis() as u64; "the member exits");
             return;
         }
         Timer::after(CHECK_INTERVAL).await;
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -23,11 +23,11 @@
 use tulipridge_runtime::signals::{ProcessSignal, SignalStream};
 
 use crate::api::Api;
-use crate::delivery::Delivery;
 use crate::discovery::Discovery;
 use crate::index::CacheFollowers;
 use crate::member::Member;
-use crate::operator_view::OperatorView;
+use crate::member_feed::MemberFeed;
+use crate::operator_service::OperatorService;
 use crate::rollout::{Event, Rollout};
 
 pub use error::ServerError;
@@ -66,9 +66,9 @@
 struct Server {
     executor: Rc<LocalExecutor<'static>>,
     started: StartedMember,
-    delivery: Rc<Delivery>,
-    operator: Rc<OperatorView>,
-    api: Rc<Api<OperatorView>>,
+    member_feed: Rc<MemberFeed>,
+    operator: Rc<OperatorService>,
+    api: Rc<Api<OperatorService>>,
     singleton_roles: SingletonRoles,
     peer_sampling: Rc<Exchange>,
     listeners: Listeners,
@@ -86,8 +86,8 @@
 
 impl Server {
     async fn run(self, stop: impl Future<Output = ()>) -> Result<(), ServerError> {
-        self.publish_to_delivery();
-        let Server { executor, started, delivery, .. } = self;
+        self.publish_to_member_feed();
+        let Server { executor, started, member_feed, .. } = self;
         let StartedMember { member, links, disk_events, state_machine_events, .. } = started;
         let SingletonRoles { discovery, cache_followers, rollout, .. } = self.singleton_roles;
         let receiver = member.clone();
@@ -95,16 +95,16 @@
         let mut tasks = vec![
             executor.spawn(links.serve(self.listeners.control, on_message)),
             executor.spawn(member.clone().run()),
-            executor.spawn(serve_feed(delivery.clone(), self.listeners.feed, executor.clone())),
-            executor.spawn(delivery.clone().follow()),
-            executor.spawn(periodic::review_delivery(member.clone(), delivery.clone())),
+            executor.spawn(serve_feed(member_feed.clone(), self.listeners.feed, executor.clone())),
+            executor.spawn(member_feed.clone().follow()),
+            executor.spawn(periodic::review_member_feed(member.clone(), member_feed.clone())),
             executor.spawn(exchange_views(self.peer_sampling.clone())),
             executor.spawn(periodic::update_discovered_members(self.peer_sampling, member.clone())),
             executor.spawn(self.operator.run()),
             executor.spawn(serve_api(self.api, self.listeners.operator, executor.clone())),
             executor.spawn(rollout.run()),
             executor.spawn(cache_followers.run()),
-            executor.spawn(periodic::deliver_loads(member.clone(), delivery)),
+            executor.spawn(periodic::deliver_loads(member.clone(), member_feed)),
         ];
         tasks.extend(discovery.map(|discovery| executor.spawn(discovery.run())));
         let state_machine_failure = async {
@@ -124,12 +124,12 @@
         end
     }
 
-    /// Passes the published state to the delivery and the rollout whenever it changes.
-    fn publish_to_delivery(&self) {
-        let (delivery, events) = (self.delivery.clone(), self.singleton_roles.rollout_events.clone());
+    /// Passes the published state to the member feed and the rollout whenever it changes.
+    fn publish_to_member_feed(&self) {
+        let (member_feed, events) = (self.member_feed.clone(), self.singleton_roles.rollout_events.clone());
         self.started.member.on_published(Box::new(move |published| {
             if let Some(configuration) = &published.configuration {
-                delivery.set_configuration(configuration.clone());
+                member_feed.set_configuration(configuration.clone());
             }
             let _ = events.try_send(Event::TargetsAnnounced);
         }));
@@ -147,15 +147,15 @@
 }
 
 async fn serve_feed(
-    delivery: Rc<Delivery>,
+    member_feed: Rc<MemberFeed>,
     listener: Async<TcpListener>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
-    delivery.serve(listener, &executor).await;
+    member_feed.serve(listener, &executor).await;
 }
 
 async fn serve_api(
-    api: Rc<Api<OperatorView>>,
+    api: Rc<Api<OperatorService>>,
     listener: Async<TcpListener>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
--- a/crates/control-plane/src/server/periodic.rs
+++ b/crates/control-plane/src/server/periodic.rs
@@ -7,11 +7,11 @@
 use tulipridge_peer_sampling::Exchange;
 use tulipridge_protocol::node::NodeId;
 
-use crate::delivery::Delivery;
 use crate::member::Member;
+use crate::member_feed::MemberFeed;
 use crate::singleton::LeaseStatus;
 
-/// Interval at which the delivery is updated for the current primary and the live members.
+/// Interval at which the member feed is updated for the current primary and the live members.
 const DELIVERY_REVIEW_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval at which the load of replicas is delivered if it has changed.
 const LOADS_INTERVAL: Duration = Duration::from_millis(50);
@@ -33,22 +33,22 @@
     }
 }
 
-/// Updates the delivery for the current primary and the live members.
-pub(super) async fn review_delivery(member: Rc<Member>, delivery: Rc<Delivery>) {
+/// Updates the member feed for the current primary and the live members.
+pub(super) async fn review_member_feed(member: Rc<Member>, member_feed: Rc<MemberFeed>) {
     loop {
-        delivery.review();
+        member_feed.review();
         if member.singleton_lease().is_some() {
-            delivery.set_group(member.live_members());
+            member_feed.set_group(member.live_members());
         }
         Timer::after(DELIVERY_REVIEW_INTERVAL).await;
     }
 }
 
 /// Delivers the load of replicas, which is their waiting work, while this member has the singleton lease.
-pub(super) async fn deliver_loads(member: Rc<Member>, delivery: Rc<Delivery>) {
+pub(super) async fn deliver_loads(member: Rc<Member>, member_feed: Rc<MemberFeed>) {
     loop {
         if let Some(lease) = member.singleton_lease() {
-            delivery.deliver_loads(lease.epoch);
+            member_feed.deliver_loads(lease.epoch);
         }
         Timer::after(LOADS_INTERVAL).await;
     }
--- a/crates/control-plane/src/server/singleton_outputs.rs
+++ b/crates/control-plane/src/server/singleton_outputs.rs
@@ -12,17 +12,17 @@
 use tulipridge_protocol::feed::ModelWeights;
 use tulipridge_protocol::number::Epoch;
 
-use crate::delivery::Delivery;
 use crate::fleet::FleetTable;
 use crate::index::IndexOutput;
 use crate::member::Member;
+use crate::member_feed::MemberFeed;
 use crate::rollout::RolloutOutput;
 use crate::singleton::{LeaseStatus, SingletonLease};
 
 /// Delivers the results of the singleton roles.
 pub(super) struct SingletonOutputs {
     pub(super) member: Rc<Member>,
-    pub(super) delivery: Rc<Delivery>,
+    pub(super) member_feed: Rc<MemberFeed>,
     pub(super) table: Rc<RefCell<FleetTable>>,
 }
 
@@ -31,7 +31,7 @@
     /// inherits what the previous primary's table contains beyond the list.
     pub(super) fn deliver_list(&self) {
         let Some(lease) = self.member.singleton_lease() else { return };
-        if let Some(delivered) = self.delivery.inherited_fleet(lease.tenure) {
+        if let Some(delivered) = self.member_feed.inherited_fleet(lease.tenure) {
             self.table.borrow_mut().inherit(&delivered);
         }
         self.deliver_fleet(lease);
@@ -40,14 +40,14 @@
     /// Delivers the current table of replicas.
     fn deliver_fleet(&self, lease: SingletonLease) {
         if let Some(replicas) = self.table.borrow().replicas(lease.tenure) {
-            self.delivery.set_fleet(lease.epoch, replicas);
+            self.member_feed.set_fleet(lease.epoch, replicas);
         }
     }
 }
 
 impl RolloutOutput for SingletonOutputs {
     fn weights(&self, epoch: Epoch, lines: Vec<ModelWeights>) {
-        self.delivery.set_weights(epoch, lines);
+        self.member_feed.set_weights(epoch, lines);
     }
 
     fn fleet_corrected(&self) {
@@ -56,16 +56,16 @@
         }
     }
 
-    fn named(&self) -> BTreeMap<String, WeightsRevision> {
+    fn target_revisions(&self) -> BTreeMap<String, WeightsRevision> {
         self.member.published().weights
     }
 
-    fn delivered(&self) -> Vec<ModelWeights> {
-        self.delivery.weights()
+    fn delivered_weights(&self) -> Vec<ModelWeights> {
+        self.member_feed.weights()
     }
 
-    fn waiting(&self) -> BTreeMap<String, u32> {
-        self.delivery.waiting()
+    fn queued_work(&self) -> BTreeMap<String, u32> {
+        self.member_feed.queued_work()
     }
 }
 
@@ -75,14 +75,14 @@
     }
 
     fn status(&self, source: SocketAddrV4) -> Option<SourceStatus> {
-        self.delivery.source_status(source)
+        self.member_feed.source_status(source)
     }
 
     fn known_sources(&self) -> Vec<SocketAddrV4> {
-        self.delivery.known_sources()
+        self.member_feed.known_sources()
     }
 
     fn deliver(&self, epoch: Epoch, updates: &[CacheUpdate]) {
-        self.delivery.update_cache_index(epoch, updates);
+        self.member_feed.update_cache_index(epoch, updates);
     }
 }
--- a/crates/control-plane/tests/api.rs
+++ b/crates/control-plane/tests/api.rs
@@ -14,36 +14,36 @@
 use rstest::rstest;
 use tulipridge_configuration::number::{Revision, WeightsRevision};
 use tulipridge_control_plane::api::{
-    Api, ApiLimits, ChangeOutcome, ControlPlane, IndexSize, ReplicaWeights, Standing, Status,
+    Api, ApiLimits, ChangeOutcome, ControlPlane, IndexSize, PrimaryStatus, ReplicaWeights, Status,
 };
 use tulipridge_control_plane::state::Change;
 use tulipridge_control_plane::tenure::Tenure;
 use tulipridge_protocol::number::Epoch;
 
-const PRIMARY: Standing = Standing::Primary { tenure: Tenure(Epoch(5)) };
-const FOLLOWER: Standing = Standing::Follower { primary: Ipv4Addr::new(10, 0, 0, 7) };
+const PRIMARY: PrimaryStatus = PrimaryStatus::Primary { tenure: Tenure(Epoch(5)) };
+const FOLLOWER: PrimaryStatus = PrimaryStatus::Follower { primary: Ipv4Addr::new(10, 0, 0, 7) };
 const OPERATOR_PORT: u16 = 8683;
 
 /// A control plane with scripted results.
 #[derive(Default)]
 struct ScriptedControlPlane {
-    standing: Cell<Option<Standing>>,
+    primary_status: Cell<Option<PrimaryStatus>>,
     outcomes: RefCell<VecDeque<ChangeOutcome>>,
     changes: RefCell<Vec<Change>>,
     document: Option<Arc<[u8]>>,
-    /// The standing after this many queries for it.
-    standing_after_queries: Option<(u32, Standing)>,
-    standing_queries: Cell<u32>,
-    /// The standing after the document was read, if it changes during the read.
-    standing_after_document: Option<Standing>,
+    /// The primary status after this many queries for it.
+    primary_status_after_queries: Option<(u32, PrimaryStatus)>,
+    primary_status_queries: Cell<u32>,
+    /// The primary status after the document was read, if it changes during the read.
+    primary_status_after_document: Option<PrimaryStatus>,
 }
 
 impl ControlPlane for ScriptedControlPlane {
-    fn standing(&self) -> Standing {
-        self.standing_queries.set(self.standing_queries.get() + 1);
-        match self.standing_after_queries {
-            Some((count, standing)) if self.standing_queries.get() > count => standing,
-            _ => self.standing.get().unwrap_or(PRIMARY),
+    fn primary_status(&self) -> PrimaryStatus {
+        self.primary_status_queries.set(self.primary_status_queries.get() + 1);
+        match self.primary_status_after_queries {
+            Some((count, primary_status)) if self.primary_status_queries.get() > count => primary_status,
+            _ => self.primary_status.get().unwrap_or(PRIMARY),
         }
     }
 
@@ -53,8 +53,8 @@
     }
 
     async fn document(&self) -> Option<Arc<[u8]>> {
-        if self.standing_after_document.is_some() {
-            self.standing.set(self.standing_after_document);
+        if self.primary_status_after_document.is_some() {
+            self.primary_status.set(self.primary_status_after_document);
         }
         self.document.clone()
     }
@@ -111,8 +111,11 @@
     })
 }
 
-fn at(standing: Standing) -> Rc<ScriptedControlPlane> {
-    Rc::new(ScriptedControlPlane { standing: Cell::new(Some(standing)), ..ScriptedControlPlane::default() })
+fn at(primary_status: PrimaryStatus) -> Rc<ScriptedControlPlane> {
+    Rc::new(ScriptedControlPlane {
+        primary_status: Cell::new(Some(primary_status)),
+        ..ScriptedControlPlane::default()
+    })
 }
 
 const PUT: &str = "PUT /settings HTTP/1.1
@@ -223,7 +226,7 @@
 #[case::change(PUT)]
 #[case::read(GET)]
 fn without_a_primary_the_caller_is_asked_to_retry(#[case] sent: &str) {
-    let response = exchange(&at(Standing::Unknown), sent);
+    let response = exchange(&at(PrimaryStatus::Unknown), sent);
     assert!(response.starts_with("HTTP/1.1 503 Service Unavailable\nRetry-After: 0.2\n"), "{response}");
 }
 
@@ -235,10 +238,12 @@
     "HTTP/1.1 307 Temporary Redirect\nLocation: http://10.0.0.7:8683/settings\n"
 )]
 #[case::this_member(PRIMARY, "HTTP/1.1 404 Not Found\n")]
-fn a_call_waits_for_the_next_primary(#[case] next: Standing, #[case] expected: &str) {
-    let control =
-        ScriptedControlPlane { standing_after_queries: Some((3, next)), ..ScriptedControlPlane::default() };
-    control.standing.set(Some(Standing::Unknown));
+fn a_call_waits_for_the_next_primary(#[case] next: PrimaryStatus, #[case] expected: &str) {
+    let control = ScriptedControlPlane {
+        primary_status_after_queries: Some((3, next)),
+        ..ScriptedControlPlane::default()
+    };
+    control.primary_status.set(Some(PrimaryStatus::Unknown));
     let limits = ApiLimits { primary_timeout: Duration::from_secs(5), ..ApiLimits::default() };
     let response = exchange_within(&Rc::new(control), limits, GET.replace('\n', "\r\n").as_bytes());
     assert!(response.starts_with(expected), "{response}");
@@ -266,14 +271,14 @@
 
 #[rstest]
 #[case::another_primary(FOLLOWER)]
-#[case::no_lease(Standing::Unknown)]
-#[case::another_tenure(Standing::Primary { tenure: Tenure(Epoch(9)) })]
-fn a_document_that_may_be_old_is_not_returned(#[case] standing: Standing) {
+#[case::no_lease(PrimaryStatus::Unknown)]
+#[case::another_tenure(PrimaryStatus::Primary { tenure: Tenure(Epoch(9)) })]
+fn a_document_that_may_be_old_is_not_returned(#[case] primary_status: PrimaryStatus) {
     let document = Some(br#"{"revision":7}"#.as_slice().into());
-    let standing_after_document = Some(standing);
+    let primary_status_after_document = Some(primary_status);
     let control = Rc::new(ScriptedControlPlane {
         document,
-        standing_after_document,
+        primary_status_after_document,
         ..ScriptedControlPlane::default()
     });
     let response = exchange(&control, GET);
--- a/crates/control-plane/tests/delivery.rs
+++ b/crates/control-plane/tests/member_feed.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use tulipridge_control_plane::delivery::{Authority, Delivery};
+use tulipridge_control_plane::member_feed::{MemberFeed, PrimaryTracker};
 use tulipridge_control_plane::tenure::Tenure;
 use tulipridge_protocol::feed::{Replica, ReplicaPhase};
 use tulipridge_protocol::number::Epoch;
@@ -13,7 +13,7 @@
 /// A member that knows no primary.
 struct NoPrimary;
 
-impl Authority for NoPrimary {
+impl PrimaryTracker for NoPrimary {
     fn confirms_freshness(&self) -> bool {
         false
     }
@@ -38,11 +38,11 @@
 
 #[test]
 fn a_fleet_is_inherited_until_one_is_delivered_in_the_tenure() {
-    let delivery = Delivery::new("middle-1".to_owned(), "a".to_owned(), FEED_PORT, Rc::new(NoPrimary));
-    assert_eq!(delivery.inherited_fleet(Tenure(Epoch(1))), Some(Vec::new()));
-    delivery.set_fleet(Epoch(7), vec![loading()]);
-    assert_eq!(delivery.inherited_fleet(Tenure(Epoch(8))), Some(vec![loading()]));
-    delivery.set_fleet(Epoch(9), vec![loading()]);
-    assert_eq!(delivery.inherited_fleet(Tenure(Epoch(8))), None, "a later epoch of the same tenure");
-    assert_eq!(delivery.inherited_fleet(Tenure(Epoch(10))), Some(vec![loading()]));
+    let member_feed = MemberFeed::new("middle-1".to_owned(), "a".to_owned(), FEED_PORT, Rc::new(NoPrimary));
+    assert_eq!(member_feed.inherited_fleet(Tenure(Epoch(1))), Some(Vec::new()));
+    member_feed.set_fleet(Epoch(7), vec![loading()]);
+    assert_eq!(member_feed.inherited_fleet(Tenure(Epoch(8))), Some(vec![loading()]));
+    member_feed.set_fleet(Epoch(9), vec![loading()]);
+    assert_eq!(member_feed.inherited_fleet(Tenure(Epoch(8))), None, "a later epoch of the same tenure");
+    assert_eq!(member_feed.inherited_fleet(Tenure(Epoch(10))), Some(vec![loading()]));
 }
--- a/crates/control-plane/tests/replication_directed.rs
+++ b/crates/control-plane/tests/replication_directed.rs
@@ -180,7 +180,7 @@
 fn terminated_primary_is_succeeded_within_600_ms() {
     let mut simulation = started(1, 3, 4, 3);
     let primary = simulation.acknowledge_one();
-    simulation.input(primary, Input::Terminate);
+    simulation.input(primary, Input::Shutdown);
     let is_succeeded = simulation.run_until_or_timeout(600 * MS, |simulation| {
         simulation.primary().is_some_and(|successor| successor != primary)
     });
--- a/crates/control-plane/tests/replication_leaving.rs
+++ b/crates/control-plane/tests/replication_leaving.rs
@@ -24,7 +24,7 @@
 /// state at the end.
 fn depart(simulation: &mut Simulation, index: usize) -> (Duration, Departure) {
     let since = simulation.now;
-    simulation.input(index, Input::Terminate);
+    simulation.input(index, Input::Shutdown);
     loop {
         let waited = Duration::from_micros(simulation.now - since);
         let departure = departure_state(simulation, index);
@@ -44,8 +44,8 @@
 }
 
 #[rstest]
-#[case::free(1_199, Departure::Free, false)]
-#[case::free_after_the_stop_grace(1_200, Departure::Free, true)]
+#[case::free(1_199, Departure::Safe, false)]
+#[case::free_after_the_stop_grace(1_200, Departure::Safe, true)]
 #[case::voter(2_499, Departure::Votes, false)]
 #[case::voter_after_the_vote_grace(2_500, Departure::Votes, true)]
 #[case::data_replica(7_499, Departure::StoresData, false)]
@@ -86,7 +86,7 @@
     let mut simulation = started(1, 3, 4, seed);
     let primary = simulation.acknowledge_one();
     let backup = data_replica(&simulation, 1);
-    simulation.input(primary, Input::Terminate);
+    simulation.input(primary, Input::Shutdown);
     simulation.run_for(after_ms * MS);
     simulation.wipe(backup, 400 * MS);
     let (waited, departure) = depart(&mut simulation, primary);
@@ -114,8 +114,8 @@
     let backup = data_replica(&simulation, 1);
     let views_before = view_round(&simulation, primary);
     simulation.isolate(3 - primary - backup, true, true);
-    simulation.input(backup, Input::Terminate);
-    simulation.input(primary, Input::Terminate);
+    simulation.input(backup, Input::Shutdown);
+    simulation.input(primary, Input::Shutdown);
     simulation.run_for(500 * MS);
     simulation.heal();
     simulation.run_for(SECOND);
@@ -141,7 +141,7 @@
         let mut simulation = started(tolerated_failures, seeds, machines, seed);
         simulation.acknowledge_one();
         let (_, departure) = depart(&mut simulation, departing);
-        assert_eq!(departure, Departure::Free, "machine {departing}");
+        assert_eq!(departure, Departure::Safe, "machine {departing}");
         simulation.replace(departing, 30 * SECOND);
         let mut others: Vec<usize> = (0..machines).filter(|index| *index != departing).collect();
         let primary = simulation.primary();
@@ -181,7 +181,7 @@
 /// Without another machine nothing can be handed over: the process stays until it is killed, unless no loss has to be
 /// tolerated.
 #[rstest]
-#[case::no_loss_tolerated(0, 1, 1, Departure::Free)]
+#[case::no_loss_tolerated(0, 1, 1, Departure::Safe)]
 #[case::others_are_down(1, 3, 3, Departure::StoresData)]
 fn departure_of_the_last_running_member(
     #[case] tolerated_failures: u32,
@@ -205,7 +205,7 @@
     for round in 0..12 {
         simulation.acknowledge_one();
         let (waited, departure) = depart(&mut simulation, round % 4);
-        assert_eq!(departure, Departure::Free, "round {round} after {waited:?}");
+        assert_eq!(departure, Departure::Safe, "round {round} after {waited:?}");
         simulation.kill(round % 4, 300 * MS);
         assert_makes_progress(&mut simulation);
         simulation.run_for(SECOND);
@@ -219,7 +219,7 @@
     let primary = simulation.acknowledge_one();
     let backup = data_replica(&simulation, 1);
     simulation.wipe(backup, 400 * MS);
-    simulation.input(primary, Input::Terminate);
+    simulation.input(primary, Input::Shutdown);
     simulation.run_for(30 * MS);
     assert_eq!(departure_state(&simulation, primary), Departure::StoresData);
     simulation.replace(primary, 500 * MS);
--- a/crates/control-plane/tests/replication_settling.rs
+++ b/crates/control-plane/tests/replication_settling.rs
@@ -39,9 +39,9 @@
 
 #[rstest]
 #[case::voter(&[1, 2, 3], &[], Departure::Votes)]
-#[case::replaced(&[2, 3, 4], &[], Departure::Free)]
-#[case::replaced_in_an_incomplete_view(&[2, 3, 4], &[1, 2, 3], Departure::CompletesView)]
-#[case::voter_of_an_incomplete_view(&[1, 3, 4], &[1, 2, 3], Departure::CompletesView)]
+#[case::replaced(&[2, 3, 4], &[], Departure::Safe)]
+#[case::replaced_in_an_incomplete_view(&[2, 3, 4], &[1, 2, 3], Departure::NeededToCompleteView)]
+#[case::voter_of_an_incomplete_view(&[1, 3, 4], &[1, 2, 3], Departure::NeededToCompleteView)]
 fn a_vote_that_may_complete_the_view_is_required(
     #[case] voters: &[u8],
     #[case] previous_voters: &[u8],
@@ -55,5 +55,8 @@
 #[case::just_before_the_kill_margin(7_499, false)]
 #[case::at_the_kill_margin(7_500, true)]
 fn a_process_waits_until_the_view_is_complete(#[case] waited_ms: u64, #[case] expected: bool) {
-    assert_eq!(may_exit(Duration::from_millis(waited_ms), LEEWAY, Departure::CompletesView), expected);
+    assert_eq!(
+        may_exit(Duration::from_millis(waited_ms), LEEWAY, Departure::NeededToCompleteView),
+        expected
+    );
 }
--- a/crates/control-plane/tests/replication_sync.rs
+++ b/crates/control-plane/tests/replication_sync.rs
@@ -1,11 +1,13 @@
 //! Synchronization of members over slow links, with slow disks, and after many changes.
 
-mod rated_cluster;
+mod bandwidth_limited_cluster;
 mod support;
 
 use std::time::Duration;
 
-use rated_cluster::{CONFIGURATION_BYTES, Cluster, DiskSpeed, End, FAST_LINK, Interceptor, SLOW_LINK};
+use bandwidth_limited_cluster::{
+    CONFIGURATION_BYTES, Cluster, DiskSpeed, End, FAST_LINK, Interceptor, SLOW_LINK,
+};
 use rstest::rstest;
 use support::checker::Violation;
 use tulipridge_control_plane::replication::transfer::{Chunk, EncodedData};
--- a/crates/control-plane/tests/rollout_stand_ins/mod.rs
+++ b/crates/control-plane/tests/rollout_stand_ins/mod.rs
@@ -43,15 +43,15 @@
         self.corrections.set(self.corrections.get() + 1);
     }
 
-    fn named(&self) -> BTreeMap<String, WeightsRevision> {
+    fn target_revisions(&self) -> BTreeMap<String, WeightsRevision> {
         BTreeMap::from([("m".to_owned(), WeightsRevision(2))])
     }
 
-    fn delivered(&self) -> Vec<ModelWeights> {
+    fn delivered_weights(&self) -> Vec<ModelWeights> {
         Vec::new()
     }
 
-    fn waiting(&self) -> BTreeMap<String, u32> {
+    fn queued_work(&self) -> BTreeMap<String, u32> {
         BTreeMap::new()
     }
 }
--- a/crates/control-plane/tests/state_random.rs
+++ b/crates/control-plane/tests/state_random.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use serde_json::Value;
 use support::random::{chance, pick};
-use support::reference::{Answer, Reference};
+use support::reference::{ChangeResponse, Reference};
 use support::state_calls::{name, patch, patch_route, put_routes, restored, route};
 use tulipridge_control_plane::state::{Accepted, Applied, Change, Decision, State};
 
@@ -38,7 +38,7 @@
 /// The decisions and outcomes of a history, so that a history which covers too little is detected.
 #[derive(Default)]
 struct Outcomes {
-    answers: Vec<Answer>,
+    responses: Vec<ChangeResponse>,
     applied: Vec<Applied>,
 }
 
@@ -73,9 +73,9 @@
         let decision = self.deciding.decide(&change);
         assert_eq!(self.following.decide(&change), decision);
         assert_eq!(self.restoring.decide(&change), decision);
-        let answer = Answer::of(&decision);
-        assert_eq!(answer, self.reference.answer(&change), "{change:?}");
-        self.outcomes.answers.push(answer);
+        let response = ChangeResponse::of(&decision);
+        assert_eq!(response, self.reference.response(&change), "{change:?}");
+        self.outcomes.responses.push(response);
         if let Decision::Accept(accepted) = decision {
             self.pending.push_back((change.clone(), *accepted));
         }
@@ -84,7 +84,7 @@
 
     fn apply_next(&mut self) {
         let Some((change, accepted)) = self.pending.pop_front() else { return };
-        let takes_effect = self.reference.answer(&change) == Answer::Accept;
+        let takes_effect = self.reference.response(&change) == ChangeResponse::Accept;
         let expected = self.reference.apply(&change);
         self.outcomes.applied.push(expected);
         let command = accepted.command.clone();
@@ -210,11 +210,14 @@
 impl Outcomes {
     /// Checks that each kind of decision and of outcome has occurred.
     fn check(&self, seed: u64) {
-        let has_answer = |is_kind: fn(&Answer) -> bool| self.answers.iter().any(is_kind);
-        assert!(has_answer(|answer| matches!(answer, Answer::Accept)), "seed {seed}");
-        assert!(has_answer(|answer| matches!(answer, Answer::AlreadyAccepted)), "seed {seed}");
-        assert!(has_answer(|answer| matches!(answer, Answer::Stale(_))), "seed {seed}");
-        assert!(has_answer(|answer| matches!(answer, Answer::Invalid)), "seed {seed}");
+        let has_response = |is_kind: fn(&ChangeResponse) -> bool| self.responses.iter().any(is_kind);
+        assert!(has_response(|response| matches!(response, ChangeResponse::Accept)), "seed {seed}");
+        assert!(
+            has_response(|response| matches!(response, ChangeResponse::AlreadyAccepted)),
+            "seed {seed}"
+        );
+        assert!(has_response(|response| matches!(response, ChangeResponse::Stale(_))), "seed {seed}");
+        assert!(has_response(|response| matches!(response, ChangeResponse::Invalid)), "seed {seed}");
         for applied in [Applied::Configuration, Applied::Weights, Applied::Superseded] {
             assert!(self.applied.contains(&applied), "seed {seed}: {applied:?}");
         }
--- a/crates/control-plane/tests/support/history/replacement.rs
+++ b/crates/control-plane/tests/support/history/replacement.rs
@@ -55,7 +55,7 @@
 /// further fault.
 fn await_departure(simulation: &mut Simulation, leaving: usize) {
     simulation.run_until_or_timeout(COMPLETE_WITHIN, |simulation| simulation.departure(leaving).is_some());
-    if simulation.departure(leaving) != Some(Departure::Free) {
+    if simulation.departure(leaving) != Some(Departure::Safe) {
         await_complete_view(simulation);
     }
 }
--- a/crates/control-plane/tests/support/reference.rs
+++ b/crates/control-plane/tests/support/reference.rs
@@ -11,7 +11,7 @@
 
 /// The response to a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Answer {
+pub(crate) enum ChangeResponse {
     /// The change was accepted before.
     AlreadyAccepted,
     /// The change is not based on this current version.
@@ -24,15 +24,15 @@
     Accept,
 }
 
-impl Answer {
+impl ChangeResponse {
     /// The response that corresponds to a decision.
-    pub(crate) fn of(decision: &Decision) -> Answer {
+    pub(crate) fn of(decision: &Decision) -> ChangeResponse {
         match decision {
-            Decision::AlreadyAccepted => Answer::AlreadyAccepted,
-            Decision::Stale { current } => Answer::Stale(current.0),
-            Decision::InvalidConfiguration { .. } => Answer::Invalid,
-            Decision::OldWeights { newest } => Answer::OldWeights(newest.0),
-            Decision::Accept(_) => Answer::Accept,
+            Decision::AlreadyAccepted => ChangeResponse::AlreadyAccepted,
+            Decision::Stale { current } => ChangeResponse::Stale(current.0),
+            Decision::InvalidConfiguration { .. } => ChangeResponse::Invalid,
+            Decision::OldWeights { newest } => ChangeResponse::OldWeights(newest.0),
+            Decision::Accept(_) => ChangeResponse::Accept,
         }
     }
 }
@@ -73,7 +73,7 @@
     }
 
     /// The response to a change in the current state.
-    pub(crate) fn answer(&self, change: &Change) -> Answer {
+    pub(crate) fn response(&self, change: &Change) -> ChangeResponse {
         match change {
             Change::SetTargetRevision { model, revision } => self.decide_weights(model, revision.0),
             Change::PutConfiguration { if_match, body } => {
@@ -87,46 +87,48 @@
 
     /// Applies a change that was accepted in an earlier state; returns its effect.
     pub(crate) fn apply(&mut self, change: &Change) -> Applied {
-        match (self.answer(change), change) {
-            (Answer::Accept, Change::SetTargetRevision { model, revision }) => {
+        match (self.response(change), change) {
+            (ChangeResponse::Accept, Change::SetTargetRevision { model, revision }) => {
                 self.weights.entry(model.clone()).or_default().push(revision.0);
                 Applied::Weights
             }
-            (Answer::AlreadyAccepted, Change::SetTargetRevision { .. }) => Applied::Weights,
-            (Answer::Accept, _) => {
+            (ChangeResponse::AlreadyAccepted, Change::SetTargetRevision { .. }) => Applied::Weights,
+            (ChangeResponse::Accept, _) => {
                 let call = call_of(change).expect("an accepted change is readable");
                 self.document = self.result(&call);
                 self.accepted.push(call);
                 Applied::Configuration
             }
-            (Answer::AlreadyAccepted, _) => Applied::Configuration,
-            (Answer::Stale(_) | Answer::OldWeights(_) | Answer::Invalid, _) => Applied::Superseded,
+            (ChangeResponse::AlreadyAccepted, _) => Applied::Configuration,
+            (ChangeResponse::Stale(_) | ChangeResponse::OldWeights(_) | ChangeResponse::Invalid, _) => {
+                Applied::Superseded
+            }
         }
     }
 
-    fn decide_weights(&self, model: &str, revision: u64) -> Answer {
-        let Some(revisions) = self.weights.get(model) else { return Answer::Accept };
+    fn decide_weights(&self, model: &str, revision: u64) -> ChangeResponse {
+        let Some(revisions) = self.weights.get(model) else { return ChangeResponse::Accept };
         match revisions.last() {
-            _ if revisions.contains(&revision) => Answer::AlreadyAccepted,
-            Some(newest) if *newest > revision => Answer::OldWeights(*newest),
-            _ => Answer::Accept,
+            _ if revisions.contains(&revision) => ChangeResponse::AlreadyAccepted,
+            Some(newest) if *newest > revision => ChangeResponse::OldWeights(*newest),
+            _ => ChangeResponse::Accept,
         }
     }
 
-    fn decide_configuration(&self, is_patch: bool, if_match: Option<u64>, body: &[u8]) -> Answer {
-        let Ok(body) = serde_json::from_slice(body) else { return Answer::Invalid };
+    fn decide_configuration(&self, is_patch: bool, if_match: Option<u64>, body: &[u8]) -> ChangeResponse {
+        let Ok(body) = serde_json::from_slice(body) else { return ChangeResponse::Invalid };
         let call = ConfigurationCall { is_patch, base: if_match.unwrap_or_default(), body };
         if self.accepted.contains(&call) {
-            return Answer::AlreadyAccepted;
+            return ChangeResponse::AlreadyAccepted;
         }
         if call.base != self.revision() {
-            return Answer::Stale(self.revision());
+            return ChangeResponse::Stale(self.revision());
         }
         match self.result(&call) {
             Some(document) if revision_of(&document) > self.revision() && is_valid(&document) => {
-                Answer::Accept
+                ChangeResponse::Accept
             }
-            _ => Answer::Invalid,
+            _ => ChangeResponse::Invalid,
         }
     }
 
--- a/crates/control-plane/tests/support/simulation/departure.rs
+++ b/crates/control-plane/tests/support/simulation/departure.rs
@@ -25,7 +25,7 @@
     /// Terminates a process, which exits once it is no longer needed; its machine does not return.
     pub(crate) fn leave(&mut self, index: usize) {
         self.machines[index].leaving = Some(Leaving { since: self.now, ended: None });
-        self.input(index, Input::Terminate);
+        self.input(index, Input::Shutdown);
         match &self.machines[index].process {
             Some(process) => {
                 let incarnation = process.incarnation;
--- a/crates/control-plane/tests/support/simulation/lifecycle.rs
+++ b/crates/control-plane/tests/support/simulation/lifecycle.rs
@@ -81,7 +81,7 @@
             reported_healthy: true,
         });
         let known = self.others(index);
-        self.input(index, Input::Known(known));
+        self.input(index, Input::KnownNodes(known));
     }
 
     /// Random addresses of other machines, as the peer-sampling views of processes would supply them.
--- a/crates/control-plane/tests/support/simulation/machine_faults.rs
+++ b/crates/control-plane/tests/support/simulation/machine_faults.rs
@@ -28,7 +28,7 @@
     }
 
     fn request_stop(&mut self, index: usize, ends_after: u64, then: AfterExit) {
-        self.input(index, Input::Terminate);
+        self.input(index, Input::Shutdown);
         match &self.machines[index].process {
             Some(process) => {
                 let incarnation = process.incarnation;
--- a/crates/control-plane/tests/support_model/actions.rs
+++ b/crates/control-plane/tests/support_model/actions.rs
@@ -38,8 +38,8 @@
     Propose(usize),
     /// Submits an earlier request again.
     Repeat { member: usize, request: RequestId },
-    /// Asks a process to terminate.
-    Terminate(usize),
+    /// Sends the shutdown signal to a process.
+    Shutdown(usize),
 }
 
 /// The order of events that take no time.
@@ -80,8 +80,8 @@
     pub proposals: u8,
     /// [`Action::Repeat`].
     pub repeats: u8,
-    /// [`Action::Terminate`].
-    pub terminations: u8,
+    /// [`Action::Shutdown`].
+    pub shutdowns: u8,
 }
 
 impl Budget {
@@ -100,7 +100,7 @@
             heals: total,
             proposals: total,
             repeats: total,
-            terminations: total,
+            shutdowns: total,
         }
     }
 
@@ -122,7 +122,7 @@
             Action::Heal => Some(&mut self.heals),
             Action::Propose(_) => Some(&mut self.proposals),
             Action::Repeat { .. } => Some(&mut self.repeats),
-            Action::Terminate(_) => Some(&mut self.terminations),
+            Action::Shutdown(_) => Some(&mut self.shutdowns),
         }
     }
 
@@ -274,7 +274,7 @@
     }
     if machine.is_running() {
         actions.extend(bounds.pauses.iter().map(|span| Action::Pause { member, span: *span }));
-        actions.push(Action::Terminate(member));
+        actions.push(Action::Shutdown(member));
     }
     actions
 }
--- a/crates/control-plane/tests/support_model/cluster.rs
+++ b/crates/control-plane/tests/support_model/cluster.rs
@@ -208,7 +208,7 @@
             Action::Heal => self.cut_links.clear(),
             Action::Propose(member) => self.propose(member),
             Action::Repeat { member, request } => self.submit(member, request),
-            Action::Terminate(member) => self.input(member, Input::Terminate),
+            Action::Shutdown(member) => self.input(member, Input::Shutdown),
         }
         self.sort_network();
         self.check();
--- a/crates/control-plane/tests/support_model/fault_cases.rs
+++ b/crates/control-plane/tests/support_model/fault_cases.rs
@@ -35,7 +35,7 @@
     heals: 0,
     proposals: 0,
     repeats: 0,
-    terminations: 0,
+    shutdowns: 0,
 };
 /// One crash during the default schedule.
 pub(crate) const ONE_CRASH: Budget = Budget { total: 1, crashes: 1, ..NO_DEVIATIONS };
--- a/crates/control-plane/tests/support_model/incarnations.rs
+++ b/crates/control-plane/tests/support_model/incarnations.rs
@@ -85,6 +85,6 @@
         machine.restart_at = None;
         machine.process =
             Some(Process { replication, state: State::default(), sequence: 0, ticked_at: now });
-        self.input(member, Input::Known(known));
+        self.input(member, Input::KnownNodes(known));
     }
 }
--- a/crates/control-plane/tests/support_model/initial_states.rs
+++ b/crates/control-plane/tests/support_model/initial_states.rs
@@ -85,7 +85,7 @@
 pub(crate) fn terminating_primary(setup: Setup) -> Cluster {
     let mut cluster = steady(setup);
     let primary = cluster.primary().expect("there is a primary");
-    cluster.input(primary, Input::Terminate);
+    cluster.input(primary, Input::Shutdown);
     cluster
 }
 
