--- a/crates/load-balancer/src/balancer.rs
+++ b/crates/load-balancer/src/balancer.rs
@@ -26,7 +26,7 @@
 use crate::slow_start::SlowStart;
 use crate::tenant_demand::TenantDemands;
 use crate::types::{
-    Action, Class, Event, Limits, Nanos, ReplicaWork, RequestId, Safety, Settings, SettingsError,
+    Action, Class, Event, Limits, Nanos, ReplicaWork, RequestId, Settings, SettingsError, SlowStartSettings,
 };
 use request_key::ring_key;
 
@@ -177,7 +177,7 @@
         match event {
             Event::List { kind, members } => self.apply_list(now, kind, &members, actions),
             Event::Request(request) => self.admit(now, request, actions),
-            Event::Expired(id) => self.handle_client_left(id, actions),
+            Event::ClientDisconnected(id) => self.handle_client_left(id, actions),
             Event::FirstToken { id, attempt, .. } => self.record_first_token(now, id, attempt, actions),
             Event::Outcome { .. } => self.record_outcome(now, event, actions),
             Event::Timer(token) => self.run_timer(now, token, actions),
@@ -259,7 +259,7 @@
 }
 
 fn validate(settings: &Settings) -> Result<(), SettingsError> {
-    let Safety { initial_capacity, overload_factor, .. } = settings.safety;
+    let SlowStartSettings { initial_capacity, overload_factor, .. } = settings.slow_start;
     let is_valid_capacity = initial_capacity > 0.0 && initial_capacity <= 1.0 && !overload_factor.is_nan();
     match settings {
         Settings { classes, .. } if classes.is_empty() => Err(SettingsError::NoClasses),
--- a/crates/load-balancer/src/balancer/discovery.rs
+++ b/crates/load-balancer/src/balancer/discovery.rs
@@ -91,7 +91,7 @@
             (replica.zone, replica.kind, replica.cell) = (member.zone, member.kind, member.cell);
         }
         // Live units are the size divided by (1 + load per size), so this is 1 + load per size.
-        let is_live = self.settings.units == UnitsMeaning::Live;
+        let is_live = self.settings.units_meaning == UnitsMeaning::Live;
         replica.listed_load = if is_live { replica.size / units } else { 0.0 };
         replica.phase = member.phase;
         has_grown || has_changed
@@ -100,7 +100,7 @@
     /// The units of a replica times the speed of its machine kind: the list states cores, not their speed.
     fn speed_weighted_units(&self, member: &Member) -> f64 {
         let speed = self.settings.speeds.get(usize::from(member.kind)).copied().unwrap_or(1.0);
-        let has_units = self.settings.units != UnitsMeaning::None;
+        let has_units = self.settings.units_meaning != UnitsMeaning::None;
         speed * if has_units { member.units.max(f64::MIN_POSITIVE) } else { 1.0 }
     }
 
--- a/crates/load-balancer/src/list_schedule.rs
+++ b/crates/load-balancer/src/list_schedule.rs
@@ -206,7 +206,7 @@
     /// Creates the schedule of a gateway with these settings.
     #[must_use]
     pub fn from_settings(settings: &Settings) -> ListSchedule {
-        let max_age = settings.safety.max_list_age.max(MIN_LIST_AGE);
+        let max_age = settings.slow_start.max_list_age.max(MIN_LIST_AGE);
         ListSchedule::new(settings.gateway_index, settings.group_size, max_age, settings.list_calls_per_s)
     }
 
--- a/crates/load-balancer/src/slow_start.rs
+++ b/crates/load-balancer/src/slow_start.rs
@@ -86,12 +86,12 @@
     /// Creates the limits of a gateway with these settings.
     #[must_use]
     pub fn new(settings: &Settings) -> SlowStart {
-        let (safety, group_size) = (&settings.safety, settings.group_size.max(1));
+        let (parameters, group_size) = (&settings.slow_start, settings.group_size.max(1));
         SlowStart {
-            initial_capacity: safety.initial_capacity,
-            window: safety.slow_start_window,
-            overload_factor: safety.overload_factor,
-            overload_window_s: safety.overload_window as f64 / SECOND as f64,
+            initial_capacity: parameters.initial_capacity,
+            window: parameters.slow_start_window,
+            overload_factor: parameters.overload_factor,
+            overload_window_s: parameters.overload_window as f64 / SECOND as f64,
             quota_per_s: settings.quota_per_s(),
             gateway_index: settings.gateway_index % group_size,
             group_size,
--- a/crates/load-balancer/src/types.rs
+++ b/crates/load-balancer/src/types.rs
@@ -105,15 +105,15 @@
 
 /// Parameters of slow start, and the maximum age of the list.
 #[derive(Clone, Debug, Default)]
-pub struct Safety {
+pub struct SlowStartSettings {
     /// Minimum fraction of its capacity that a replica has at its start; above 0 and at most 1.
     pub initial_capacity: f64,
     /// Time from the start of a replica until it has its full capacity.
     pub slow_start_window: Nanos,
     /// A warming replica fails if it gets more work than this multiple of its current capacity within
-    /// [`Safety::overload_window`].
+    /// [`SlowStartSettings::overload_window`].
     pub overload_factor: f64,
-    /// The time over which the work for [`Safety::overload_factor`] is measured.
+    /// The time over which the work for [`SlowStartSettings::overload_factor`] is measured.
     pub overload_window: Nanos,
     /// Maximum age of the list at a gateway that requests it.
     pub max_list_age: Nanos,
@@ -179,9 +179,9 @@
     /// What the deployment permits.
     pub limits: Limits,
     /// Parameters of slow start, and the maximum age of the list.
-    pub safety: Safety,
+    pub slow_start: SlowStartSettings,
     /// The meaning of the list's units.
-    pub units: UnitsMeaning,
+    pub units_meaning: UnitsMeaning,
     /// Relative speed of a unit of each machine kind, indexed by [`Member::kind`]; 1 for kinds beyond its
     /// end.
     pub speeds: Vec<f64>,
@@ -210,7 +210,7 @@
     EmptyGroup,
     /// [`Limits::max_attempts`] is 0.
     NoAttempts,
-    /// [`Safety::initial_capacity`] is not above 0 and at most 1, or [`Safety::overload_factor`] is NaN.
+    /// [`SlowStartSettings::initial_capacity`] is not above 0 and at most 1, or the overload factor is NaN.
     InvalidInitialCapacity,
 }
 
@@ -246,7 +246,7 @@
 pub struct Member {
     /// The replica.
     pub id: ReplicaId,
-    /// Units of the replica, relative to those of others; [`Settings::units`] states the meaning.
+    /// Units of the replica, relative to those of others; [`Settings::units_meaning`] states the meaning.
     pub units: f64,
     /// Zone, as an index.
     pub zone: u16,
@@ -349,8 +349,8 @@
     ListServiceBusy(Nanos),
     /// A new request.
     Request(Request),
-    /// The client has disconnected.
-    Expired(RequestId),
+    /// The client has closed its connection before the request ended.
+    ClientDisconnected(RequestId),
     /// The response to an attempt has begun.
     FirstToken {
         /// The request.
--- a/crates/load-balancer/tests/decisions.rs
+++ b/crates/load-balancer/tests/decisions.rs
@@ -102,14 +102,14 @@
             max_retry_after: 2 * SECOND,
             ..Limits::default()
         },
-        safety: Safety {
+        slow_start: SlowStartSettings {
             initial_capacity: 0.2,
             slow_start_window: 20 * SECOND,
             overload_factor: 2.5,
             overload_window: 2 * SECOND,
             max_list_age: 10 * SECOND,
         },
-        units: UnitsMeaning::Size,
+        units_meaning: UnitsMeaning::Size,
         speeds: vec![1.0, 1.7],
         ..Settings::default()
     }
@@ -292,7 +292,7 @@
             8..12 => self.report_loads(),
             12 => {
                 let id = RequestId(self.random.below(number));
-                self.handle(Event::Expired(id));
+                self.handle(Event::ClientDisconnected(id));
             }
             _ => {}
         }
@@ -318,8 +318,8 @@
 #[case::small_group(settings(4), 2, 0x8C66_F36B_D343_1D3D)]
 #[case::large_group(settings(120), 3, 0xCC23_D895_2D14_2156)]
 #[case::prefix_transfer(Settings { has_prefix_transfer: true, has_pushed_list: true, ..settings(12) }, 4, 0x6C8D_FE74_574C_5085)]
-#[case::live_units(Settings { units: UnitsMeaning::Live, ..settings(6) }, 5, 0xFDD0_F978_59BF_B38A)]
-#[case::no_quotas(Settings { tenants: Vec::new(), units: UnitsMeaning::None, ..settings(3) }, 6, 0x23CB_9336_3438_4D21)]
+#[case::live_units(Settings { units_meaning: UnitsMeaning::Live, ..settings(6) }, 5, 0xFDD0_F978_59BF_B38A)]
+#[case::no_quotas(Settings { tenants: Vec::new(), units_meaning: UnitsMeaning::None, ..settings(3) }, 6, 0x23CB_9336_3438_4D21)]
 #[case::hedging(Settings { limits: Limits { hedging: true, ..settings(4).limits }, ..settings(4) }, 7, 0xD7AB_4268_BC5F_0838)]
 fn decisions_match_the_recorded_digests(
     #[case] settings: Settings,
--- a/crates/load-balancer/tests/queued_work.rs
+++ b/crates/load-balancer/tests/queued_work.rs
@@ -7,7 +7,7 @@
 use tulipridge_load_balancer::queued_work::{QueuedWorkEstimate, ReportFreshness};
 use tulipridge_load_balancer::types::{
     Action, Class, ClassIndex, Effect, Event, Limits, ListKind, Member, Nanos, Phase, ReplicaId,
-    ReplicaWork, Request, RequestId, Safety, Settings, Verdict,
+    ReplicaWork, Request, RequestId, Settings, SlowStartSettings, Verdict,
 };
 
 const MILLI: Nanos = 1_000_000;
@@ -39,7 +39,11 @@
         has_prefix_transfer: true,
         classes: vec![class],
         limits: Limits { max_attempts: 3, cancellation: true, ..Limits::default() },
-        safety: Safety { initial_capacity: 1.0, overload_factor: 1.0, ..Safety::default() },
+        slow_start: SlowStartSettings {
+            initial_capacity: 1.0,
+            overload_factor: 1.0,
+            ..SlowStartSettings::default()
+        },
         ..Settings::default()
     };
     let mut balancer = LoadBalancer::new(settings, 7).expect("valid settings");
--- a/crates/load-balancer/tests/reconfigure.rs
+++ b/crates/load-balancer/tests/reconfigure.rs
@@ -39,7 +39,7 @@
             max_retry_after: SECOND,
             ..Limits::default()
         },
-        safety: Safety {
+        slow_start: SlowStartSettings {
             initial_capacity: 0.2,
             slow_start_window: 20 * SECOND,
             overload_factor: 2.5,
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -19,7 +19,7 @@
 use tulipridge_load_balancer::LoadBalancer;
 use tulipridge_load_balancer::types::{
     Action, Class, ClassIndex, Event, Limits, ListKind, Member, Nanos, ReplicaId, ReplicaWork, Request,
-    RequestId, Safety, Settings, Verdict,
+    RequestId, Settings, SlowStartSettings, Verdict,
 };
 
 use crate::placement::prompt::Prompt;
@@ -173,7 +173,11 @@
                 max_retry_after: MAX_RETRY_AFTER_NS,
                 ..Limits::default()
             },
-            safety: Safety { initial_capacity: 1.0, overload_factor: 1.0, ..Safety::default() },
+            slow_start: SlowStartSettings {
+                initial_capacity: 1.0,
+                overload_factor: 1.0,
+                ..SlowStartSettings::default()
+            },
             ..Settings::default()
         }
     }
@@ -261,7 +265,7 @@
     /// Ends a request. The outcomes of all its attempts must have been recorded. Runs the timers of the request early,
     /// to save their wake-ups.
     pub fn end_request(&mut self, now: Nanos, id: RequestId) {
-        self.handle_request_event(now, id, Event::Expired(id));
+        self.handle_request_event(now, id, Event::ClientDisconnected(id));
         let Some(request) = self.requests.remove(&id) else { return };
         for key in request.timers {
             if self.timers.remove(&key) {
--- a/crates/simulator/src/experiment/module_settings.rs
+++ b/crates/simulator/src/experiment/module_settings.rs
@@ -41,14 +41,14 @@
                 peer_messages: false,
                 max_retry_after: 2_000_000_000,
             },
-            safety: types::Safety {
+            slow_start: types::SlowStartSettings {
                 initial_capacity: self.replicas.slow_start_capacity,
                 slow_start_window: nanos(self.replicas.slow_start_duration),
                 overload_factor: self.replicas.overload_factor,
                 overload_window: nanos(self.replicas.overload_window),
                 max_list_age: 10_000_000_000,
             },
-            units: types::UnitsMeaning::Size,
+            units_meaning: types::UnitsMeaning::Size,
             list_calls_per_s: self.list_service.advertises_rate.then_some(self.list_service.calls_per_s),
             speeds: self.replicas.kinds.values().map(|k| k.speed).collect(),
             load_metrics: match self.replicas.load_reports {
--- a/crates/simulator/src/fleet/clients.rs
+++ b/crates/simulator/src/fleet/clients.rs
@@ -207,7 +207,7 @@
         }
         request.is_answered = true;
         let (client, process) = (request.client, request.process);
-        self.notify_process(process, Event::Expired(RequestId(number)));
+        self.notify_process(process, Event::ClientDisconnected(RequestId(number)));
         self.retry_client(client, RequestOutcome::Failed, 0);
         self.clean_up_request(number);
     }
--- a/crates/simulator/src/policy/baseline.rs
+++ b/crates/simulator/src/policy/baseline.rs
@@ -89,7 +89,7 @@
         match event {
             Event::List { kind, members } => self.update_list(now, kind, &members, actions),
             Event::Request(request) => self.accept_request(now, request, actions),
-            Event::Expired(id) => self.remove_request(id, actions),
+            Event::ClientDisconnected(id) => self.remove_request(id, actions),
             Event::Outcome { id, attempt, verdict, ended, .. } => {
                 let is_failure = matches!(
                     verdict,
--- a/src/bin/tulipridge-simhost/host.rs
+++ b/src/bin/tulipridge-simhost/host.rs
@@ -144,7 +144,7 @@
                     None => return Ok(()),
                 }
             }
-            "EXPIRED" => Event::Expired(parts.request()?),
+            "EXPIRED" => Event::ClientDisconnected(parts.request()?),
             "RETURNED" => outcome_event(&mut parts)?,
             "HEAD_RECEIVED" => first_token_event(&mut parts)?,
             "HEALTH_RESULT" => probe_event(&mut parts)?,
--- a/src/bin/tulipridge-simhost/parse.rs
+++ b/src/bin/tulipridge-simhost/parse.rs
@@ -7,8 +7,8 @@
 use snafu::Snafu;
 use tulipridge::names::load_metric_named;
 use tulipridge::types::{
-    Class, Effect, Limits, Member, Nanos, Phase, ReplicaId, RequestId, Safety, Scope, Settings, Tenant,
-    UnitsMeaning, Verdict,
+    Class, Effect, Limits, Member, Nanos, Phase, ReplicaId, RequestId, Scope, Settings, SlowStartSettings,
+    Tenant, UnitsMeaning, Verdict,
 };
 
 /// A field of a line that can't be used.
@@ -216,7 +216,7 @@
         speeds: Vec::new(),
         list_calls_per_s: None,
         limits: limits(pairs)?,
-        safety: safety(pairs)?,
+        slow_start: slow_start(pairs)?,
         group_size: integer("group-size", pairs.must("group-size")?)?,
         gateway_index: pairs.nanos("me", 0)? as u32,
         zone,
@@ -225,7 +225,7 @@
         classes,
         tenants,
         over_share_value: pairs.number("over-share-worth", 1.0)?,
-        units: units_meaning(pairs)?,
+        units_meaning: units_meaning(pairs)?,
         load_metrics: pairs.list("report.fields").iter().map(|name| load_metric_named(name)).collect(),
     };
     Ok((settings, names))
@@ -299,8 +299,8 @@
     })
 }
 
-fn safety(pairs: &Pairs<'_>) -> Result<Safety, FieldError> {
-    Ok(Safety {
+fn slow_start(pairs: &Pairs<'_>) -> Result<SlowStartSettings, FieldError> {
+    Ok(SlowStartSettings {
         initial_capacity: pairs.number("safety.cold-from", 1.0)?,
         slow_start_window: pairs.nanos("safety.ramp-time-ns", 0)?,
         overload_factor: pairs.number("safety.overload-factor", 1.0)?,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -24,7 +24,9 @@
 use crate::names::{Listing, Names, load_metric_named, number_of};
 use crate::settings;
 use crate::store::Store;
-use crate::types::{Class, Effect, Limits, Nanos, Safety, Scope, Settings, Tenant, UnitsMeaning};
+use crate::types::{
+    Class, Effect, Limits, Nanos, Scope, Settings, SlowStartSettings, Tenant, UnitsMeaning,
+};
 
 pub use self::error::{ConfigError, ValueError};
 
@@ -283,8 +285,8 @@
         tenants,
         over_share_value: tree.at("over-share-worth").number_or(1.0)?,
         limits: limits(&policy, max_retry_after)?,
-        safety: safety(&tree.at("safety"))?,
-        units: units_meaning(tree)?,
+        slow_start: slow_start(&tree.at("safety"))?,
+        units_meaning: units_meaning(tree)?,
         load_metrics: names.load_metrics.iter().map(|name| load_metric_named(name)).collect(),
         speeds: Vec::new(),
         list_calls_per_s: None,
@@ -365,8 +367,8 @@
     })
 }
 
-fn safety(tree: &JsonTree<'_>) -> Result<Safety, ValueError> {
-    Ok(Safety {
+fn slow_start(tree: &JsonTree<'_>) -> Result<SlowStartSettings, ValueError> {
+    Ok(SlowStartSettings {
         initial_capacity: tree.at("cold-from").number_or(1.0)?,
         slow_start_window: tree.at("ramp-time-ns").nanos_or(0)?,
         overload_factor: tree.at("overload-factor").number_or(1.0)?,
--- a/src/engine/core.rs
+++ b/src/engine/core.rs
@@ -385,7 +385,7 @@
 
 impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        self.engine.handle_event(Event::Expired(self.id));
+        self.engine.handle_event(Event::ClientDisconnected(self.id));
         let timeout_slack = self.engine.timeout_slack.as_nanos() as Nanos;
         while let Some((number, attempt)) = self.in_flight.pop_first() {
             let elapsed = self.engine.now().saturating_sub(attempt.sent_at);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -199,7 +199,7 @@
                 peer_messages: false,
                 max_retry_after: SECOND,
             },
-            safety: Safety {
+            slow_start: SlowStartSettings {
                 initial_capacity: case.initial_capacity,
                 slow_start_window: case.slow_start_window,
                 overload_factor: case.overload_factor,
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -36,7 +36,7 @@
             peer_messages: false,
             max_retry_after: SECOND,
         },
-        safety: Safety {
+        slow_start: SlowStartSettings {
             initial_capacity: 0.2,
             slow_start_window: 20 * SECOND,
             overload_factor: 2.5,
@@ -214,8 +214,8 @@
     assert!(LoadBalancer::new(Settings { group_size: 0, ..good.clone() }, 1).is_err());
     let limits = Limits { max_attempts: 0, ..good.limits.clone() };
     assert!(LoadBalancer::new(Settings { limits, ..good.clone() }, 1).is_err());
-    let safety = Safety { initial_capacity: 0.0, ..good.safety.clone() };
-    assert!(LoadBalancer::new(Settings { safety, ..good.clone() }, 1).is_err());
+    let slow_start = SlowStartSettings { initial_capacity: 0.0, ..good.slow_start.clone() };
+    assert!(LoadBalancer::new(Settings { slow_start, ..good.clone() }, 1).is_err());
     assert!(LoadBalancer::new(good, 1).is_ok());
 }
 
@@ -268,7 +268,7 @@
     for large in &mut list[..5] {
         (large.kind, large.units) = (1, units);
     }
-    let settings = Settings { units: UnitsMeaning::Size, speeds, ..settings(Effect::Safe) };
+    let settings = Settings { units_meaning: UnitsMeaning::Size, speeds, ..settings(Effect::Safe) };
     let mut gateway = TestGateway::new(settings, &list);
     let mut counts = BTreeMap::new();
     for session in 0..20_000 {
@@ -513,7 +513,7 @@
     let mut gateway = TestGateway::new(settings(Effect::Safe), &members(3));
     let id = RequestId(77);
     let (elapsed, report, cached_tokens) = (1, vec![], None);
-    assert!(gateway.handle(Event::Expired(id)).is_empty());
+    assert!(gateway.handle(Event::ClientDisconnected(id)).is_empty());
     assert!(gateway.handle(Event::FirstToken { id, attempt: 3, elapsed }).is_empty());
     let verdict = Verdict::Ok;
     let outcome =
@@ -528,7 +528,7 @@
 fn a_departed_client_cancels_its_attempt_and_prevents_retries() {
     let mut gateway = TestGateway::new(settings(Effect::Safe), &members(3));
     let (id, _) = gateway.request(1, None);
-    let actions = gateway.handle(Event::Expired(id));
+    let actions = gateway.handle(Event::ClientDisconnected(id));
     assert_eq!(actions, [Action::Cancel { id, attempt: 0 }]);
     gateway.completed.insert(id.0);
     assert!(gateway.outcome(id, Verdict::Reset).is_empty());
@@ -876,7 +876,7 @@
             .map(|s| gateway.request(s, None))
             .find(|(_, a)| is_in_second_zone(&destination(a).expect("sent")))
             .expect("a trial");
-        gateway.handle(Event::Expired(id));
+        gateway.handle(Event::ClientDisconnected(id));
         gateway.outcome(id, verdict);
         gateway.advance(5 * SECOND);
         let reached: usize =
@@ -942,10 +942,11 @@
 
 /// Requests that the gateways of a group together send to a replica in the first seconds after its cold
 /// start, and the mean number sent to a warm replica.
-fn cold_and_warm(units: UnitsMeaning, cold_units: f64, group: u32) -> (f64, f64) {
+fn cold_and_warm(units_meaning: UnitsMeaning, cold_units: f64, group: u32) -> (f64, f64) {
     let (mut cold, mut warm) = (0.0, 0.0);
     for gateway_index in 0..group {
-        let settings = Settings { group_size: group, gateway_index, units, ..settings(Effect::Safe) };
+        let settings =
+            Settings { group_size: group, gateway_index, units_meaning, ..settings(Effect::Safe) };
         let balancer = LoadBalancer::new(settings, u64::from(gateway_index)).expect("good settings");
         let mut list = members(10);
         let mut gateway = TestGateway { balancer, ..TestGateway::new(self::settings(Effect::Safe), &[]) };
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -171,7 +171,7 @@
             max_retry_after: 2 * second,
             ..Default::default()
         },
-        safety: Safety { initial_capacity: 1.0, overload_factor: 2.5, ..Default::default() },
+        slow_start: SlowStartSettings { initial_capacity: 1.0, overload_factor: 2.5, ..Default::default() },
         ..Settings::default()
     }
 }
