--- a/crates/proxy/src/bounds.rs
+++ b/crates/proxy/src/bounds.rs
@@ -7,7 +7,7 @@
 use tulipridge_configuration::Caps;
 use tulipridge_http1::Http1Limits;
 
-use crate::notice::Notice;
+use crate::notify::Notify;
 
 /// File descriptors that the platform reserves for files outside the disk folder.
 const RESERVED_DESCRIPTORS: u64 = 200;
@@ -59,8 +59,8 @@
     open_clients: Cell<usize>,
     body_bytes: Cell<usize>,
     /// Raised when a client's connection is closed.
-    pub client_closed: Notice,
-    body_bytes_freed: Notice,
+    pub client_closed: Notify,
+    body_bytes_freed: Notify,
 }
 
 impl ResourceUsage {
@@ -71,8 +71,8 @@
             limits,
             open_clients: Cell::new(0),
             body_bytes: Cell::new(0),
-            client_closed: Notice::default(),
-            body_bytes_freed: Notice::default(),
+            client_closed: Notify::default(),
+            body_bytes_freed: Notify::default(),
         }
     }
 
@@ -109,7 +109,7 @@
     fn drop(&mut self) {
         let usage = &self.0;
         usage.open_clients.set(usage.open_clients.get() - 1);
-        usage.client_closed.raise();
+        usage.client_closed.notify_all();
     }
 }
 
@@ -136,7 +136,7 @@
 impl Drop for BodyBytes {
     fn drop(&mut self) {
         self.set(0);
-        self.usage.body_bytes_freed.raise();
+        self.usage.body_bytes_freed.notify_all();
     }
 }
 
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -63,7 +63,7 @@
     log::debug!(status = error.status(); "a request can't be read: {error}");
     let mut bytes = Vec::new();
     LocalResponse::plain(error.status()).write(None, Persistence::Close, &mut bytes);
-    if proxy.alarms.by(Instant::now() + LINGER_TIMEOUT, stream.write(&bytes)).await.is_some() {
+    if proxy.timers.by(Instant::now() + LINGER_TIMEOUT, stream.write(&bytes)).await.is_some() {
         lingering_close(stream, limits).await;
     }
 }
@@ -71,7 +71,7 @@
 /// Waits for the first bytes of a request on an idle connection. Returns false if the connection has ended, its idle
 /// timeout has passed, or the process drains and nothing has been received.
 async fn wait_for_bytes(proxy: &Proxy, stream: &mut BufferedStream, limits: &Http1Limits) -> bool {
-    let mut idle_timeout = proxy.alarms.after(Duration::from_millis(proxy.caps().idle_ms));
+    let mut idle_timeout = proxy.timers.sleep(Duration::from_millis(proxy.caps().idle_ms));
     loop {
         if proxy.stage() >= Stage::Draining && stream.is_quiet() {
             return false;
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -36,7 +36,7 @@
         Ok((stream, _)) => spawn_connection(proxy, executor, stream),
         Err(error) => {
             log::warn!(error:% = error; "a connection can't be accepted");
-            proxy.alarms.after(ACCEPT_BACKOFF).await;
+            proxy.timers.sleep(ACCEPT_BACKOFF).await;
         }
     }
 }
--- a/crates/proxy/src/downstream/relay.rs
+++ b/crates/proxy/src/downstream/relay.rs
@@ -7,12 +7,12 @@
 
 use tulipridge_http1::codec::{Body, LAST_CHUNK};
 
-use crate::alarms::Alarm;
 use crate::downstream::client::Client;
 use crate::downstream::event_tracker::EventTracker;
 use crate::headers::{self, Framing, Persistence};
 use crate::proxy::Proxy;
 use crate::replica::response::UpstreamResponse;
+use crate::timer_queue::Sleep;
 
 /// How the relay of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -117,11 +117,11 @@
         mut response: UpstreamResponse,
         abort_at: Instant,
     ) -> RelayEnd {
-        let mut timeout = proxy.alarms.at(abort_at);
+        let mut timeout = proxy.timers.sleep_until(abort_at);
         loop {
             self.fill_outbound(&mut response);
             if !self.outbound.is_empty() {
-                match proxy.alarms.by(abort_at, client.stream.write(&self.outbound)).await {
+                match proxy.timers.by(abort_at, client.stream.write(&self.outbound)).await {
                     Some(Ok(())) => self.outbound.clear(),
                     Some(Err(_)) => return RelayEnd::ClientDisconnected,
                     None => return RelayEnd::UpstreamBroken,
@@ -194,7 +194,7 @@
     proxy: &Proxy,
     client: &mut Client<'_>,
     response: &mut UpstreamResponse,
-    timeout: &mut Alarm,
+    timeout: &mut Sleep,
     context: &mut Context<'_>,
 ) -> Poll<ReadOutcome> {
     if let Poll::Ready(read) = response.connection.poll_fill(context, proxy.pool.limits()) {
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -189,7 +189,7 @@
     async fn next_event(&self, client: &mut Client<'_>) -> WaitEvent {
         let timeout = placement::latency_target(self.admitted.route()) / PLACEMENT_TIMEOUT_DIVISOR;
         let wait_started = if self.sends == 0 { self.request.started } else { Instant::now() };
-        let mut placement_timeout = self.proxy.alarms.at(wait_started + timeout);
+        let mut placement_timeout = self.proxy.timers.sleep_until(wait_started + timeout);
         future::poll_fn(|context| {
             if let Poll::Ready(action) = self.placed.poll_action(context) {
                 return Poll::Ready(WaitEvent::Action(action));
--- a/crates/proxy/src/exchange/interruption.rs
+++ b/crates/proxy/src/exchange/interruption.rs
@@ -28,7 +28,7 @@
         client: &mut Client<'_>,
         work: impl Future<Output = T>,
     ) -> Result<T, Interruption> {
-        let mut deadline = self.proxy.alarms.at(self.deadline);
+        let mut deadline = self.proxy.timers.sleep_until(self.deadline);
         let interrupted = future::poll_fn(|context| {
             if let Poll::Ready(action) = self.placed.poll_action(context) {
                 return Poll::Ready(Err(Interruption::Action(action)));
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -18,7 +18,6 @@
 
 pub mod active_configuration;
 pub mod admission;
-pub mod alarms;
 pub mod bounds;
 pub mod counters;
 pub mod downstream;
@@ -27,7 +26,7 @@
 pub mod headers;
 pub mod kv_cache;
 pub mod lifecycle;
-pub mod notice;
+pub mod notify;
 pub mod placement;
 pub mod proxy;
 pub mod ready;
@@ -35,4 +34,5 @@
 pub mod retry_budgets;
 pub mod run;
 pub mod shutdown;
+pub mod timer_queue;
 pub mod updates;
--- a/crates/proxy/src/notice.rs
+++ b/crates/proxy/src/notify.rs
@@ -8,15 +8,15 @@
 /// Notifies any number of tasks of one thread of a change, without a value. A task is notified only of changes after
 /// it began to wait.
 #[derive(Debug, Default)]
-pub struct Notice {
+pub struct Notify {
     change_count: Cell<u64>,
     last_waiter_id: Cell<u64>,
     waiters: RefCell<BTreeMap<u64, Waker>>,
 }
 
-impl Notice {
+impl Notify {
     /// Wakes all waiting tasks.
-    pub fn raise(&self) {
+    pub fn notify_all(&self) {
         self.change_count.set(self.change_count.get() + 1);
         let waiters = self.waiters.take();
         waiters.into_values().for_each(Waker::wake);
@@ -26,17 +26,17 @@
     pub fn changed(&self) -> Changed<'_> {
         self.last_waiter_id.set(self.last_waiter_id.get() + 1);
         Changed {
-            notice: self,
+            notify: self,
             waiter_id: self.last_waiter_id.get(),
             initial_change_count: self.change_count.get(),
         }
     }
 }
 
-/// The future that [`Notice::changed`] returns. Dropping it ends the wait.
+/// The future that [`Notify::changed`] returns. Dropping it ends the wait.
 #[derive(Debug)]
-pub struct Changed<'notice> {
-    notice: &'notice Notice,
+pub struct Changed<'notify> {
+    notify: &'notify Notify,
     waiter_id: u64,
     initial_change_count: u64,
 }
@@ -45,16 +45,16 @@
     type Output = ();
 
     fn poll(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.notice.change_count.get() != self.initial_change_count {
+        if self.notify.change_count.get() != self.initial_change_count {
             return Poll::Ready(());
         }
-        self.notice.waiters.borrow_mut().insert(self.waiter_id, context.waker().clone());
+        self.notify.waiters.borrow_mut().insert(self.waiter_id, context.waker().clone());
         Poll::Pending
     }
 }
 
 impl Drop for Changed<'_> {
     fn drop(&mut self) {
-        self.notice.waiters.borrow_mut().remove(&self.waiter_id);
+        self.notify.waiters.borrow_mut().remove(&self.waiter_id);
     }
 }
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::placement::prompt::Prompt;
 use crate::placement::service_index::ServiceIndex;
-use crate::placement::timers::{DueTimer, TimerKey, TimerQueue};
+use crate::placement::timers::{DueTimer, PendingTimers, TimerKey};
 
 pub use crate::placement::route_class::{effect_of, latency_target};
 
@@ -64,7 +64,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptOutcome {
+pub struct AttemptReport {
     /// The number of the attempt.
     pub attempt: u32,
     /// The verdict on the replica.
@@ -101,7 +101,7 @@
     seed: u64,
     requests: BTreeMap<RequestId, ActiveRequest>,
     last_id: u64,
-    timers: TimerQueue,
+    timers: PendingTimers,
     /// A buffer for actions, which is empty between calls and kept to reuse its allocation.
     actions: Vec<Action>,
 }
@@ -120,7 +120,7 @@
             seed,
             requests: BTreeMap::new(),
             last_id: 0,
-            timers: TimerQueue::default(),
+            timers: PendingTimers::default(),
             actions: Vec::new(),
         }
     }
@@ -248,8 +248,8 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn record_outcome(&mut self, now: Nanos, id: RequestId, outcome: AttemptOutcome) {
-        let AttemptOutcome { attempt, verdict, elapsed, ends_request } = outcome;
+    pub fn record_outcome(&mut self, now: Nanos, id: RequestId, report: AttemptReport) {
+        let AttemptReport { attempt, verdict, elapsed, ends_request } = report;
         let event = Event::Outcome {
             id,
             attempt,
--- a/crates/proxy/src/placement/placed_request.rs
+++ b/crates/proxy/src/placement/placed_request.rs
@@ -10,7 +10,8 @@
 use tulipridge_load_balancer::types::{Nanos, ReplicaId, RequestId, Verdict};
 use tulipridge_runtime::clock;
 
-use crate::placement::{AttemptOutcome, Placement, PlacementRequest, RequestAction};
+use crate::placement::{AttemptReport, Placement, PlacementRequest, RequestAction};
+use crate::timer_queue::TimerQueue;
 
 /// An attempt that is cancelled less than this before the deadline counts as timed out.
 const DEADLINE_SLACK: Duration = Duration::from_millis(50);
@@ -85,8 +86,8 @@
     /// Ends the attempt in flight, if there is one. `ends_request` states that the request ends with it.
     pub fn end_attempt(&mut self, verdict: Verdict, ends_request: bool) {
         let Some(InFlight { attempt, began_at, .. }) = self.in_flight.take() else { return };
-        let outcome = AttemptOutcome { attempt, verdict, elapsed: began_at.elapsed(), ends_request };
-        self.placement.borrow_mut().record_outcome(now(), self.id, outcome);
+        let report = AttemptReport { attempt, verdict, elapsed: began_at.elapsed(), ends_request };
+        self.placement.borrow_mut().record_outcome(now(), self.id, report);
     }
 
     /// Ends the attempt in flight, which the proxy cancels. The verdict depends on whether the attempt may have run and
@@ -110,13 +111,13 @@
 }
 
 /// Runs the timers of the load balancers when they are due; never returns.
-pub async fn run_timers(placement: Rc<RefCell<Placement>>, alarms: crate::alarms::Alarms) {
+pub async fn run_timers(placement: Rc<RefCell<Placement>>, timers: TimerQueue) {
     loop {
         placement.borrow_mut().run_timers(now());
         let next = placement.borrow().next_timer();
         let due = async {
             match next {
-                Some(due) => alarms.after(Duration::from_nanos(due.saturating_sub(now()))).await,
+                Some(due) => timers.sleep(Duration::from_nanos(due.saturating_sub(now()))).await,
                 None => future::pending().await,
             }
         };
--- a/crates/proxy/src/placement/route_class.rs
+++ b/crates/proxy/src/placement/route_class.rs
@@ -26,7 +26,7 @@
 /// The effect of the requests of a route: safe if they may run more than once.
 #[must_use]
 pub fn effect_of(route: &Route) -> Effect {
-    if RequestKind::of(route).is_repeatable() { Effect::Safe } else { Effect::Unsafe }
+    if RequestKind::of(route).is_idempotent() { Effect::Safe } else { Effect::Unsafe }
 }
 
 /// The request class of a route.
--- a/crates/proxy/src/placement/timers.rs
+++ b/crates/proxy/src/placement/timers.rs
@@ -26,12 +26,12 @@
 
 /// The timers that have not run yet.
 #[derive(Default)]
-pub(crate) struct TimerQueue {
+pub(crate) struct PendingTimers {
     timers: BTreeMap<TimerKey, Option<RequestId>>,
     waker: Option<Waker>,
 }
 
-impl TimerQueue {
+impl PendingTimers {
     /// The time at which the next timer is due.
     pub(crate) fn next_due(&self) -> Option<Nanos> {
         self.timers.first_key_value().map(|(key, _)| key.due)
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -14,13 +14,12 @@
 
 use crate::active_configuration::{ActiveConfiguration, ConfigurationAge};
 use crate::admission::{self, Routing};
-use crate::alarms::Alarms;
 use crate::bounds::{BodyBytes, ClientPermit, ResourceLimits, ResourceUsage, replica_limits};
 use crate::counters::Counters;
 use crate::freshness::FreshnessGate;
 use crate::kv_cache::TransferPlanner;
 use crate::lifecycle::Stage;
-use crate::notice::Notice;
+use crate::notify::Notify;
 use crate::placement::Placement;
 use crate::placement::budget::RetryAllowance;
 use crate::placement::queued_work::QueuedWorkTable;
@@ -30,12 +29,13 @@
 use crate::replica::weights_expiry::{WeightsExpiry, WeightsExpiryWatch};
 use crate::retry_budgets::RetryBudgets;
 use crate::shutdown::Shutdown;
+use crate::timer_queue::TimerQueue;
 
 /// The state that all tasks of the process share, with a field for each part that keeps state of its own. All tasks run
 /// on a single thread.
 pub struct Proxy {
     /// Timers.
-    pub alarms: Alarms,
+    pub timers: TimerQueue,
     /// Counters of requests, attempts and connections.
     pub counters: Counters,
     /// Connections to replicas.
@@ -70,7 +70,7 @@
         let mut zones = ZoneIndex::new(settings.zones.keys().cloned());
         let zone = zones.number(&settings.area);
         Rc::new(Proxy {
-            alarms: Alarms::default(),
+            timers: TimerQueue::default(),
             counters: Counters::default(),
             pool: ConnectionPool::new(resource_limits.replicas, replica_limits()),
             placement: Rc::new(RefCell::new(Placement::new(zone, seed))),
@@ -122,7 +122,7 @@
 
     /// Waits until requests that have not started on these weights must be cancelled.
     pub async fn weights_expired(&self, weights: &ModelRevision) {
-        self.weights_expiry.expired(&self.alarms, weights).await;
+        self.weights_expiry.expired(&self.timers, weights).await;
     }
 
     /// Begins a graceful shutdown, as on SIGTERM; the platform kills the process after `grace_period`.
@@ -136,7 +136,7 @@
     }
 
     /// Raised at each change of the stage.
-    pub fn stage_changed(&self) -> &Notice {
+    pub fn stage_changed(&self) -> &Notify {
         self.shutdown.stage_changed()
     }
 
@@ -147,7 +147,7 @@
 
     /// Runs the stages of a graceful shutdown. Returns once the process may end.
     pub async fn run_lifecycle(&self) {
-        self.shutdown.run(&self.alarms, &self.usage).await;
+        self.shutdown.run(&self.timers, &self.usage).await;
     }
 
     /// Counts a client's connection until the permit is dropped.
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/ready.rs
@@ -30,7 +30,7 @@
             }
             Err(error) => {
                 log::warn!(error:% = error; "failed to accept a connection of the readiness check");
-                proxy.alarms.after(ACCEPT_BACKOFF).await;
+                proxy.timers.sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
@@ -45,7 +45,7 @@
                 break head;
             }
             let read_deadline = std::time::Instant::now() + IDLE_TIMEOUT;
-            if !proxy.alarms.by(read_deadline, stream.more(&limits)).await? {
+            if !proxy.timers.by(read_deadline, stream.more(&limits)).await? {
                 return None;
             }
         };
--- a/crates/proxy/src/replica/request_kind.rs
+++ b/crates/proxy/src/replica/request_kind.rs
@@ -33,7 +33,7 @@
 
     /// Whether such a request may run more than once.
     #[must_use]
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_idempotent(self) -> bool {
         matches!(self, RequestKind::Safe | RequestKind::ResumableStream)
     }
 }
--- a/crates/proxy/src/replica/retry.rs
+++ b/crates/proxy/src/replica/retry.rs
@@ -45,7 +45,7 @@
         AttemptOutcome::Success | AttemptOutcome::Rejected | AttemptOutcome::OtherError => {
             RetryAction::Forward
         }
-        AttemptOutcome::ServerError if kind.is_repeatable() => RetryAction::RetryOrForward,
+        AttemptOutcome::ServerError if kind.is_idempotent() => RetryAction::RetryOrForward,
         AttemptOutcome::ServerError => RetryAction::Forward,
         AttemptOutcome::TruncatedResponse if kind == RequestKind::ResumableStream => RetryAction::Resume,
         AttemptOutcome::TruncatedResponse => RetryAction::Abort,
@@ -60,7 +60,7 @@
 /// Whether a retry is safe: the request has not run, or is idempotent.
 #[must_use]
 pub fn may_retry(kind: RequestKind, execution: Execution) -> bool {
-    execution == Execution::NotRun || kind.is_repeatable()
+    execution == Execution::NotRun || kind.is_idempotent()
 }
 
 /// The status of the proxy's own response to a request for which it has no replica's response.
@@ -86,7 +86,7 @@
 ) -> FinalStatus {
     match execution {
         Execution::NotRun => FinalStatus::ServiceUnavailable,
-        _ if is_abandoned && kind.is_repeatable() => FinalStatus::ServiceUnavailable,
+        _ if is_abandoned && kind.is_idempotent() => FinalStatus::ServiceUnavailable,
         _ if is_past_deadline => FinalStatus::GatewayTimeout,
         _ => FinalStatus::BadGateway,
     }
--- a/crates/proxy/src/replica/weights_expiry.rs
+++ b/crates/proxy/src/replica/weights_expiry.rs
@@ -14,8 +14,8 @@
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::RevisionTerm;
 
-use crate::alarms::Alarms;
-use crate::notice::Notice;
+use crate::notify::Notify;
+use crate::timer_queue::TimerQueue;
 
 /// The cancellation deadlines of all models. Callers pass the current time in.
 #[derive(Debug)]
@@ -101,14 +101,14 @@
 /// A [`WeightsExpiry`] that tasks can wait on.
 pub struct WeightsExpiryWatch {
     expiry: RefCell<WeightsExpiry>,
-    changed: Notice,
+    changed: Notify,
 }
 
 impl WeightsExpiryWatch {
     /// Wraps these deadlines.
     #[must_use]
     pub fn new(expiry: WeightsExpiry) -> WeightsExpiryWatch {
-        WeightsExpiryWatch { expiry: RefCell::new(expiry), changed: Notice::default() }
+        WeightsExpiryWatch { expiry: RefCell::new(expiry), changed: Notify::default() }
     }
 
     /// Sets the term for deadlines that are added from now on. Existing deadlines stay.
@@ -119,17 +119,17 @@
     /// Applies the newest weights table, and wakes waiting tasks if a deadline was added.
     pub fn update(&self, table: &WeightsTable, now: Duration) {
         if self.expiry.borrow_mut().update(table, now) {
-            self.changed.raise();
+            self.changed.notify_all();
         }
     }
 
     /// Waits until requests that have not started on these weights must be cancelled.
-    pub async fn expired(&self, alarms: &Alarms, weights: &ModelRevision) {
+    pub async fn expired(&self, timers: &TimerQueue, weights: &ModelRevision) {
         loop {
             let changed = self.changed.changed();
             let cancel_at = self.expiry.borrow().cancel_at(weights);
             match cancel_at {
-                Some(at) => return alarms.after(at.saturating_sub(clock::now())).await,
+                Some(at) => return timers.sleep(at.saturating_sub(clock::now())).await,
                 None => changed.await,
             }
         }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -83,9 +83,9 @@
 
     let publisher = settings.loopback_feed();
     executor.spawn(async move { subscriber.run(|_| Some(publisher)).await }).detach();
-    let alarms = proxy.alarms.clone();
-    executor.spawn(async move { alarms.drive().await }).detach();
-    executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
+    let timers = proxy.timers.clone();
+    executor.spawn(async move { timers.drive().await }).detach();
+    executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.timers.clone())).detach();
     executor.spawn(run_periodic_tasks(proxy.clone())).detach();
     executor.spawn(ready::listen(proxy.clone(), executor.clone(), ready_listener)).detach();
     executor.spawn(downstream::listener::listen(proxy.clone(), executor.clone(), client_listener)).detach();
@@ -159,7 +159,7 @@
 async fn run_periodic_tasks(proxy: Rc<Proxy>) {
     let mut since_counters_log = Duration::ZERO;
     loop {
-        proxy.alarms.after(EXPIRED_CONNECTIONS_INTERVAL).await;
+        proxy.timers.sleep(EXPIRED_CONNECTIONS_INTERVAL).await;
         proxy.pool.close_expired();
         since_counters_log += EXPIRED_CONNECTIONS_INTERVAL;
         if since_counters_log >= COUNTERS_LOG_INTERVAL {
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -7,28 +7,28 @@
 use futures_lite::future;
 use tulipridge_runtime::clock;
 
-use crate::alarms::Alarms;
 use crate::bounds::ResourceUsage;
 use crate::lifecycle::{Lifecycle, Stage};
-use crate::notice::Notice;
+use crate::notify::Notify;
+use crate::timer_queue::TimerQueue;
 
 /// The state of the shutdown, and the notification of each change of the stage.
 #[derive(Default)]
 pub struct Shutdown {
     lifecycle: RefCell<Lifecycle>,
-    stage_changed: Notice,
+    stage_changed: Notify,
 }
 
 impl Shutdown {
     /// Raised at each change of the stage.
-    pub fn stage_changed(&self) -> &Notice {
+    pub fn stage_changed(&self) -> &Notify {
         &self.stage_changed
     }
 
     /// Begins a graceful shutdown, as on SIGTERM; the platform kills the process after `grace_period`.
     pub fn begin(&self, grace_period: Duration) {
         self.lifecycle.borrow_mut().stop(clock::now(), grace_period);
-        self.stage_changed.raise();
+        self.stage_changed.notify_all();
     }
 
     /// The current stage.
@@ -42,8 +42,8 @@
         self.lifecycle.borrow().accepts_request(now, now + time_left)
     }
 
-    /// Raises the notice at each change of the stage. Returns once the process may end.
-    pub async fn run(&self, alarms: &Alarms, usage: &ResourceUsage) {
+    /// Notifies the waiting tasks at each change of the stage. Returns once the process may end.
+    pub async fn run(&self, timers: &TimerQueue, usage: &ResourceUsage) {
         loop {
             let now = clock::now();
             if self.lifecycle.borrow().may_end(now, usage.open_clients()) {
@@ -52,7 +52,7 @@
             let next = self.lifecycle.borrow().next_stage_at(now);
             let change = async {
                 match next {
-                    Some(at) => alarms.after(at.saturating_sub(now)).await,
+                    Some(at) => timers.sleep(at.saturating_sub(now)).await,
                     None => self.stage_changed.changed().await,
                 }
             };
@@ -64,7 +64,7 @@
             };
             future::or(change, client_closed).await;
             if next.is_some_and(|at| clock::now() >= at) {
-                self.stage_changed.raise();
+                self.stage_changed.notify_all();
             }
         }
     }
--- a/crates/proxy/src/alarms.rs
+++ b/crates/proxy/src/timer_queue.rs
@@ -34,36 +34,36 @@
 
 /// The table of timeouts; clones share it.
 #[derive(Clone)]
-pub struct Alarms {
+pub struct TimerQueue {
     start: Instant,
     table: Rc<RefCell<Table>>,
 }
 
-impl Default for Alarms {
+impl Default for TimerQueue {
     fn default() -> Self {
-        Alarms { start: Instant::now(), table: Rc::default() }
+        TimerQueue { start: Instant::now(), table: Rc::default() }
     }
 }
 
-impl Alarms {
+impl TimerQueue {
     /// A future that is ready at the time `due`.
     #[must_use]
-    pub fn at(&self, due: Instant) -> Alarm {
+    pub fn sleep_until(&self, due: Instant) -> Sleep {
         let since_start = due.saturating_duration_since(self.start);
         let tick = since_start.as_nanos().div_ceil(TICK.as_nanos()) as u64;
-        Alarm { alarms: self.clone(), tick, number: None }
+        Sleep { timers: self.clone(), tick, number: None }
     }
 
     /// A future that is ready after the duration `time`.
     #[must_use]
-    pub fn after(&self, time: Duration) -> Alarm {
-        self.at(Instant::now() + time)
+    pub fn sleep(&self, time: Duration) -> Sleep {
+        self.sleep_until(Instant::now() + time)
     }
 
     /// The output of `work` if it is ready by the time `due`. Otherwise None, and `work` is dropped.
     pub async fn by<T>(&self, due: Instant, work: impl Future<Output = T>) -> Option<T> {
         future::or(async { Some(work.await) }, async {
-            self.at(due).await;
+            self.sleep_until(due).await;
             None
         })
         .await
@@ -123,13 +123,13 @@
 }
 
 /// A timeout: a future that is ready once its time has passed. Dropping it removes its entry from the table.
-pub struct Alarm {
-    alarms: Alarms,
+pub struct Sleep {
+    timers: TimerQueue,
     tick: u64,
     number: Option<u64>,
 }
 
-impl Alarm {
+impl Sleep {
     /// Ready once the timeout has passed. For use inside a poll function that polls other futures as well; unlike
     /// [`Future::poll`], it needs no pin.
     pub fn poll_passed(&mut self, context: &mut Context<'_>) -> Poll<()> {
@@ -138,21 +138,21 @@
 
     fn remove(&mut self) {
         if let Some(number) = self.number.take() {
-            self.alarms.table.borrow_mut().entries.remove(&Key { tick: self.tick, number });
+            self.timers.table.borrow_mut().entries.remove(&Key { tick: self.tick, number });
         }
     }
 }
 
-impl Future for Alarm {
+impl Future for Sleep {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.alarms.current_tick() >= self.tick {
+        if self.timers.current_tick() >= self.tick {
             self.remove();
             return Poll::Ready(());
         }
         let this = &mut *self;
-        let mut table = this.alarms.table.borrow_mut();
+        let mut table = this.timers.table.borrow_mut();
         let number = *this.number.get_or_insert_with(|| {
             table.last_number += 1;
             table.last_number
@@ -171,7 +171,7 @@
     }
 }
 
-impl Drop for Alarm {
+impl Drop for Sleep {
     fn drop(&mut self) {
         self.remove();
     }
--- a/crates/proxy/tests/calls.rs
+++ b/crates/proxy/tests/calls.rs
@@ -396,7 +396,7 @@
     let verdict = outcome.verdict();
     let balancer_assumes_not_run =
         matches!(verdict, Verdict::Full | Verdict::NoConnection | Verdict::NotSent);
-    if is_retried && may_have_run && !kind.is_repeatable() {
+    if is_retried && may_have_run && !kind.is_idempotent() {
         return Some("a request that may have run and is not idempotent is retried");
     }
     if decision.action == RetryAction::Resume && kind != RequestKind::ResumableStream {
@@ -447,7 +447,7 @@
                 [[false, false], [false, true], [true, false], [true, true]]
             {
                 let response = final_status(kind, execution, is_past_deadline, is_abandoned);
-                let may_refuse = execution == Execution::NotRun || kind.is_repeatable();
+                let may_refuse = execution == Execution::NotRun || kind.is_idempotent();
                 assert!(
                     response != FinalStatus::ServiceUnavailable || may_refuse,
                     "{kind:?} {execution:?}"
--- a/crates/proxy/tests/limits.rs
+++ b/crates/proxy/tests/limits.rs
@@ -2,16 +2,16 @@
 
 use std::time::{Duration, Instant};
 
-use tulipridge_proxy::alarms::Alarms;
 use tulipridge_proxy::bounds::ResourceLimits;
+use tulipridge_proxy::timer_queue::TimerQueue;
 
 #[test]
 fn a_timeout_ends_only_futures_that_are_too_slow() {
     let past = Instant::now();
-    let alarms = Alarms::default();
+    let timers = TimerQueue::default();
     futures_lite::future::block_on(async {
-        assert_eq!(alarms.by(past, std::future::pending::<()>()).await, None);
-        assert_eq!(alarms.by(past + Duration::from_secs(9), async { 1 }).await, Some(1));
+        assert_eq!(timers.by(past, std::future::pending::<()>()).await, None);
+        assert_eq!(timers.by(past + Duration::from_secs(9), async { 1 }).await, Some(1));
     });
 }
 
--- a/crates/proxy/tests/placement.rs
+++ b/crates/proxy/tests/placement.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use tulipridge_load_balancer::types::{ClassIndex, Member, Nanos, Phase, ReplicaId, RequestId, Verdict};
 use tulipridge_proxy::placement::prompt::Prompt;
-use tulipridge_proxy::placement::{self, AttemptOutcome, Placement, PlacementRequest, RequestAction};
+use tulipridge_proxy::placement::{self, AttemptReport, Placement, PlacementRequest, RequestAction};
 
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 const START: Nanos = 5 * NANOS_PER_SECOND;
@@ -40,8 +40,8 @@
 }
 
 /// An outcome of the first attempt, with no time elapsed.
-fn outcome(verdict: Verdict, ends_request: bool) -> AttemptOutcome {
-    AttemptOutcome { attempt: 0, verdict, elapsed: Duration::ZERO, ends_request }
+fn outcome(verdict: Verdict, ends_request: bool) -> AttemptReport {
+    AttemptReport { attempt: 0, verdict, elapsed: Duration::ZERO, ends_request }
 }
 
 fn next_action(placement: &mut Placement, id: RequestId) -> Option<RequestAction> {
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -92,9 +92,9 @@
             script,
             permits,
         };
-        let alarms = proxy.alarms.clone();
-        executor.spawn(async move { alarms.drive().await }).detach();
-        executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
+        let timers = proxy.timers.clone();
+        executor.spawn(async move { timers.drive().await }).detach();
+        executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.timers.clone())).detach();
         executor
             .spawn(downstream::listener::listen(proxy.clone(), executor.clone(), client_listener))
             .detach();
