--- a/crates/control-plane/src/http_client.rs
+++ b/crates/control-plane/src/http_client.rs
@@ -118,7 +118,7 @@
 
     /// Returns the idle connection if it is still usable, else opens a new one.
     async fn connection(&mut self) -> io::Result<BufferedStream> {
-        match self.idle_connection.take().filter(BufferedStream::is_quiet) {
+        match self.idle_connection.take().filter(BufferedStream::is_idle) {
             Some(stream) => Ok(stream),
             None => BufferedStream::connect(self.address, &self.limits).await,
         }
--- a/crates/http1/src/buffered_stream.rs
+++ b/crates/http1/src/buffered_stream.rs
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     /// The error of the operating system if the descriptor cannot be registered with the reactor.
-    pub fn handed(descriptor: OwnedFd, buf: Vec<u8>) -> io::Result<BufferedStream> {
+    pub fn from_handover(descriptor: OwnedFd, buf: Vec<u8>) -> io::Result<BufferedStream> {
         let mut stream = BufferedStream::new(Async::new(TcpStream::from(descriptor))?);
         stream.buf = buf;
         Ok(stream)
@@ -141,7 +141,7 @@
     }
 
     /// Reads more bytes that may be consumed. Returns whether there were any.
-    pub async fn more(&mut self, limits: &Http1Limits) -> bool {
+    pub async fn read_more(&mut self, limits: &Http1Limits) -> bool {
         !self.is_truncated && self.fill(limits).await.is_ok_and(|n| n > 0)
     }
 
@@ -252,9 +252,9 @@
         within(time_limit, discard_received).await?
     }
 
-    /// Whether an idle connection has received neither bytes nor the end of the stream.
+    /// Whether the connection is open and has no unread bytes, neither in the buffer nor in the socket.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
         self.buf.is_empty() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
--- a/crates/http1/src/codec/body.rs
+++ b/crates/http1/src/codec/body.rs
@@ -26,7 +26,8 @@
     UntilClose,
 }
 
-/// The element of a chunked body to which the next byte belongs. The names of the variants are part of a handover too.
+/// The element of a chunked body to which the next byte belongs. The serialized names of the variants are part
+/// of a handover too.
 #[derive(Deserialize, Serialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Chunk {
     /// The size line of a chunk.
@@ -34,11 +35,13 @@
     /// The data of a chunk of this size.
     Data(usize),
     /// The data of a chunk too large to be buffered, of which this many bytes remain.
-    Long(usize),
+    #[serde(rename = "Long")]
+    Unbuffered(usize),
     /// The trailer section, of which this many lines have been consumed.
     Trailer(usize),
     /// The body is complete; the next byte belongs to the next message.
-    Over,
+    #[serde(rename = "Over")]
+    Complete,
 }
 
 /// The result of one step of the body parser.
@@ -119,7 +122,7 @@
     #[must_use]
     pub fn is_amid(&self, buf: &[u8]) -> bool {
         !buf.is_empty()
-            || matches!(self, Body::Chunked(Chunk::Data(_) | Chunk::Long(_) | Chunk::Trailer(_)))
+            || matches!(self, Body::Chunked(Chunk::Data(_) | Chunk::Unbuffered(_) | Chunk::Trailer(_)))
     }
 }
 
@@ -145,9 +148,9 @@
             Chunk::Data(size) if size <= limits.buffered_chunk_bytes => {
                 self.take_buffered_data(size, input, out)
             }
-            Chunk::Data(left) | Chunk::Long(left) => self.take_unbuffered_data(left, input, out),
+            Chunk::Data(left) | Chunk::Unbuffered(left) => self.take_unbuffered_data(left, input, out),
             Chunk::Trailer(count) => self.take_trailer_line(count, input, limits),
-            Chunk::Over => Ok(Progress::Complete),
+            Chunk::Complete => Ok(Progress::Complete),
         }
     }
 
@@ -180,7 +183,7 @@
         out: &mut Vec<u8>,
     ) -> Result<Progress, ParseError> {
         let left = left - input.move_to(out, left);
-        *self = Chunk::Long(left);
+        *self = Chunk::Unbuffered(left);
         let rest = input.rest();
         if left > 0 || rest.len() < CRLF.len() {
             if rest.first().is_some_and(|byte| *byte != b'\r') {
@@ -223,7 +226,7 @@
         let Some(end) = line_length(rest, limits) else { return incomplete_line(rest, limits) };
         input.consumed += end + CRLF.len();
         *self = match end {
-            0 => Chunk::Over,
+            0 => Chunk::Complete,
             _ if count == limits.headers => return Err(ParseError::TooManyTrailers),
             _ => Chunk::Trailer(count + 1),
         };
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -73,7 +73,7 @@
 async fn wait_for_bytes(proxy: &Proxy, stream: &mut BufferedStream, limits: &Http1Limits) -> bool {
     let mut idle_timeout = proxy.timers.sleep(Duration::from_millis(proxy.caps().idle_ms));
     loop {
-        if proxy.stage() >= Stage::Draining && stream.is_quiet() {
+        if proxy.stage() >= Stage::Draining && stream.is_idle() {
             return false;
         }
         let mut stage_changed = proxy.stage_changed().changed();
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -88,7 +88,7 @@
         if let Some(head) = codec::request_head(&mut stream.buf, limits)? {
             return Ok(Some(head));
         }
-        if !stream.more(limits).await {
+        if !stream.read_more(limits).await {
             return Ok(None);
         }
     }
@@ -122,7 +122,7 @@
             return Ok(Some(body));
         }
         proxy.usage.body_capacity().await;
-        if !stream.more(limits).await {
+        if !stream.read_more(limits).await {
             return Ok(None);
         }
     }
--- a/crates/proxy/src/replica/pool.rs
+++ b/crates/proxy/src/replica/pool.rs
@@ -64,7 +64,7 @@
         let connections = idle.get_mut(replica)?;
         while let Some(index) = connections.iter().rposition(|idle| now >= idle.idle_since + REUSE_DELAY) {
             let IdleConnection { mut connection, expires_at, .. } = connections.remove(index);
-            if now < expires_at && connection.stream.is_quiet() {
+            if now < expires_at && connection.stream.is_idle() {
                 connection.stream.reset_on_drop = true;
                 return Some(connection);
             }
@@ -115,7 +115,7 @@
     pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(|idle| now < idle.expires_at && idle.connection.stream.is_quiet());
+            connections.retain(|idle| now < idle.expires_at && idle.connection.stream.is_idle());
             !connections.is_empty()
         });
     }
--- a/src/net/edge/handover.rs
+++ b/src/net/edge/handover.rs
@@ -33,7 +33,8 @@
         [client, replica]: [OwnedFd; 2],
     ) -> io::Result<()> {
         let out = std::mem::take(&mut snapshot.buffers.to_client);
-        let wire = BufferedStream::handed(client, std::mem::take(&mut snapshot.buffers.from_client))?;
+        let wire =
+            BufferedStream::from_handover(client, std::mem::take(&mut snapshot.buffers.from_client))?;
         let from = wire.peer()?;
         let updates = Running::from_snapshot(self.fleet.clone(), &mut snapshot, replica)?;
         let (responder, queued_bytes) = (Responder::new(Dialect::Platform, &snapshot.name), out.len());
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -89,7 +89,7 @@
             let idle = async { within(timeout, wire.fill(wire_limits)).await.unwrap_or(Ok(0)) };
             // Data that has arrived is read before the connection closes, also if its readiness was not reported yet: a
             // request that crosses a close costs its client another connection.
-            if !future::or(idle, closing).await.is_ok_and(|n| n > 0) && wire.is_quiet() {
+            if !future::or(idle, closing).await.is_ok_and(|n| n > 0) && wire.is_idle() {
                 return Ok(None);
             }
         }
@@ -118,7 +118,7 @@
             if let Some(head) = codec::request_head(&mut wire.buf, wire_limits)? {
                 break head;
             }
-            if !wire.more(wire_limits).await {
+            if !wire.read_more(wire_limits).await {
                 return Ok(None);
             }
             slot.progress();
@@ -145,7 +145,7 @@
             while self.buffered_bytes.get() > self.fleet.overlap.share(self.limits.edge.buffered_bytes) {
                 Timer::after(self.limits.edge.accept_pause).await;
             }
-            if !wire.more(wire_limits).await {
+            if !wire.read_more(wire_limits).await {
                 return Ok(None);
             }
             slot.progress();
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -150,7 +150,7 @@
             for replica in self.replicas.borrow_mut().values_mut() {
                 replica.idle.retain(|idle| {
                     idle.since.elapsed() < self.limits.replicas.idle_timeout
-                        && idle.connection.wire.is_quiet()
+                        && idle.connection.wire.is_idle()
                 });
             }
             // Another process of the gateway may have started; idle connections beyond the lower limit are closed.
@@ -169,7 +169,7 @@
         {
             let IdleConnection { connection, since } = idle.remove(last);
             // The replica may have closed the connection, or be about to close it for idleness.
-            if since.elapsed() < self.limits.replicas.idle_timeout && connection.wire.is_quiet() {
+            if since.elapsed() < self.limits.replicas.idle_timeout && connection.wire.is_idle() {
                 return Some(connection);
             }
         }
@@ -179,7 +179,7 @@
     fn give_back(&self, replica: &ReplicaId, addr: SocketAddr, connection: Connection) {
         let mut replicas = self.replicas.borrow_mut();
         if let Some(listed) = replicas.get_mut(replica).filter(|listed| listed.addr == Some(addr))
-            && connection.wire.is_quiet()
+            && connection.wire.is_idle()
         {
             listed.idle.push(IdleConnection { connection, since: Instant::now() });
         }
--- a/src/net/upstream/running.rs
+++ b/src/net/upstream/running.rs
@@ -80,7 +80,7 @@
     ) -> io::Result<Running> {
         let missing = || io::Error::other("the snapshot names no replica");
         let from_replica = std::mem::take(&mut snapshot.buffers.from_replica);
-        let mut wire = BufferedStream::handed(connection, from_replica)?;
+        let mut wire = BufferedStream::from_handover(connection, from_replica)?;
         wire.reset_on_drop = true;
         let open = OpenResponse {
             replica: ReplicaId::from(snapshot.replica.as_str()),
--- a/src/syslog/sinks.rs
+++ b/src/syslog/sinks.rs
@@ -48,7 +48,7 @@
     let mut connection: Option<BufferedStream> = None;
     while let Some(line) = lines.next().await {
         loop {
-            if connection.as_ref().is_none_or(|c| !c.is_quiet()) {
+            if connection.as_ref().is_none_or(|c| !c.is_idle()) {
                 connection = BufferedStream::connect(collector, &limits.wire).await.ok();
             }
             if let Some(open) = &mut connection
--- a/tests/instant.rs
+++ b/tests/instant.rs
@@ -260,7 +260,7 @@
     async_io::block_on(async {
         let wires = [
             BufferedStream::new(Async::new(accepted).expect("watched")),
-            BufferedStream::handed(handed.into(), Vec::new()).expect("watched"),
+            BufferedStream::from_handover(handed.into(), Vec::new()).expect("watched"),
             BufferedStream::connect(addr, &limits.wire).await.expect("it accepts"),
         ];
         for wire in wires {
--- a/tests/stored_handover.rs
+++ b/tests/stored_handover.rs
@@ -35,9 +35,9 @@
         Case::new("length", with_body(Some(Body::Length(61)))),
         Case::new("chunk-size", chunked(Chunk::Size)),
         Case::new("chunk-data", chunked(Chunk::Data(62))),
-        Case::new("chunk-long", chunked(Chunk::Long(63))),
+        Case::new("chunk-long", chunked(Chunk::Unbuffered(63))),
         Case::new("chunk-trailer", chunked(Chunk::Trailer(64))),
-        Case::new("chunk-over", chunked(Chunk::Over)),
+        Case::new("chunk-over", chunked(Chunk::Complete)),
         Case::new("ipv6", StreamSnapshot { addr: "[fd00::1]:8080".parse().ok(), ..stream() }),
         Case::new("kept-client-only", StreamSnapshot { keep_replica: false, last: false, ..stream() }),
     ];
