--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -174,8 +174,8 @@
             let problem = format!("there is no tenant named '{name}'");
             names.tenant(name).context(ValueSnafu { key: "settings' messages.tenant", problem })
         };
-        names.usual_tenant = own.messages.tenant.as_ref().map(tenant).transpose()?;
-        (names.models, names.usual_class) = (models, default_class);
+        names.default_tenant = own.messages.tenant.as_ref().map(tenant).transpose()?;
+        (names.models, names.default_class) = (models, default_class);
         let messages = messages_setup(&own.messages, &names)?;
         names.dialects = own.dialects.clone();
         let seed = at("seed").string().unwrap_or_default();
--- a/src/front/messages/accept.rs
+++ b/src/front/messages/accept.rs
@@ -107,7 +107,7 @@
     placement.id = u64::from_str_radix(incoming.id.trim_start_matches("req_"), 16).ok();
     if head.get("x-class").is_none() {
         let model = body.model.as_deref().unwrap_or_default();
-        placement.class = names.models.get(model).copied().unwrap_or(names.usual_class);
+        placement.class = names.models.get(model).copied().unwrap_or(names.default_class);
         if head.get("x-deadline-ms").is_none() {
             placement.expires_in = names.deadlines[placement.class];
         }
@@ -126,11 +126,11 @@
 ) -> Result<Option<usize>, ApiError> {
     if let Some(key) = key
         && requested.is_some()
-        && requested != key.tenant.or(names.usual_tenant)
+        && requested != key.tenant.or(names.default_tenant)
     {
         return Err(ApiError::new(403, format!("x-tenant: the key '{}' is another tenant's", key.name)));
     }
-    Ok(key.and_then(|key| key.tenant).or(requested).or(names.usual_tenant))
+    Ok(key.and_then(|key| key.tenant).or(requested).or(names.default_tenant))
 }
 
 /// Charges the request to its tenant, with the prompt's length by the body, since the header is the client's.
--- a/src/names.rs
+++ b/src/names.rs
@@ -129,10 +129,10 @@
     pub safe: Vec<bool>,
     /// Classes by model, for the messages front.
     pub models: BTreeMap<String, usize>,
-    /// The class of other models.
-    pub usual_class: usize,
-    /// The tenant of requests that name none on the messages front.
-    pub usual_tenant: Option<usize>,
+    /// The class of models that `models` does not contain.
+    pub default_class: usize,
+    /// The tenant of requests on the messages front that name none; `None` if they have none.
+    pub default_tenant: Option<usize>,
     /// Dialects of replicas by their kind.
     pub dialects: BTreeMap<String, Dialect>,
 }
--- a/src/net/edge/buffered_bytes.rs
+++ b/src/net/edge/buffered_bytes.rs
@@ -2,17 +2,17 @@
 
 use std::rc::Rc;
 
-use super::Edge;
+use super::EdgeServer;
 
 /// A count of a request's buffered bytes, which is released when this is dropped.
 pub(super) struct BufferedBytes {
-    edge: Rc<Edge>,
+    edge: Rc<EdgeServer>,
     count: usize,
 }
 
 impl BufferedBytes {
     /// Creates a count of zero bytes.
-    pub(super) fn none(edge: Rc<Edge>) -> BufferedBytes {
+    pub(super) fn none(edge: Rc<EdgeServer>) -> BufferedBytes {
         BufferedBytes { edge, count: 0 }
     }
 
--- a/src/net/edge/charge.rs
+++ b/src/net/edge/charge.rs
@@ -2,13 +2,13 @@
 
 use std::rc::Rc;
 
-use super::Edge;
+use super::EdgeServer;
 use crate::admission::quota::Grant;
 use crate::net::upstream::Batch;
 
 /// The token counts that a request's tenant is charged for when the request ends.
 pub(super) struct Charge {
-    pub(super) edge: Rc<Edge>,
+    pub(super) edge: Rc<EdgeServer>,
     pub(super) grant: Option<Grant>,
     /// Prompt tokens that were not cached.
     pub(super) prompt: u64,
--- a/src/net/edge/connection.rs
+++ b/src/net/edge/connection.rs
@@ -12,7 +12,7 @@
 use super::exchange::Exchange;
 use super::request::{IncomingRequest, request_id};
 use super::waiting_client::WaitingClient;
-use super::{BufferedStream, Edge, within};
+use super::{BufferedStream, EdgeServer, within};
 use crate::admission::connection_slots::ConnectionState;
 use crate::engine;
 use crate::front::{AcceptedRequest, Call, Dialect, ForwardedRequest, Responder, Response};
@@ -20,7 +20,7 @@
 use crate::net::upstream::Dispatch;
 use tulipridge_http1::RequestError;
 
-impl Edge {
+impl EdgeServer {
     /// Serves a connection until it ends.
     pub(super) async fn connection(
         self: Rc<Self>,
--- a/src/net/edge/exchange.rs
+++ b/src/net/edge/exchange.rs
@@ -8,7 +8,7 @@
 use super::after_response::AfterResponse;
 use super::buffered_bytes::BufferedBytes;
 use super::charge::Charge;
-use super::{BufferedStream, Edge, within};
+use super::{BufferedStream, EdgeServer, within};
 use crate::admission::pipelined::{Disposition, PipelinedInput};
 use crate::front::{Responder, Response};
 use crate::stream::Disconnect;
@@ -22,7 +22,7 @@
 
 /// An exchange in progress.
 pub(super) struct Exchange {
-    pub(super) edge: Rc<Edge>,
+    pub(super) edge: Rc<EdgeServer>,
     pub(super) wire: BufferedStream,
     /// Data that the client sends behind its request.
     pub(super) pipelined: Pipelined,
--- a/src/net/edge/handover.rs
+++ b/src/net/edge/handover.rs
@@ -12,7 +12,7 @@
 use super::charge::Charge;
 use super::exchange::Exchange;
 use super::responding_client::RespondingClient;
-use super::{BufferedStream, Edge};
+use super::{BufferedStream, EdgeServer};
 use crate::admission::connection_slots::ConnectionState;
 use crate::engine::{self, StreamInfo};
 use crate::front::{Dialect, Responder, ResponseEncoder};
@@ -20,7 +20,7 @@
 use crate::net::upstream::Running;
 use crate::types::ReplicaId;
 
-impl Edge {
+impl EdgeServer {
     /// Continues a stream that another process of this gateway started.
     ///
     /// # Errors
@@ -86,7 +86,7 @@
     }
 }
 
-impl engine::StreamSuccessor<Running, RespondingClient> for Edge {
+impl engine::StreamSuccessor<Running, RespondingClient> for EdgeServer {
     fn take_over(&self, info: &StreamInfo, updates: &mut Running, sink: &mut RespondingClient) -> bool {
         if !self.successors.has_successor() {
             return false;
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -32,7 +32,7 @@
 use crate::process::overlap::{ConnectionCounts, ConnectionReport, Overlap};
 
 /// The state that all client connections share.
-pub struct Edge {
+pub struct EdgeServer {
     engine: Engine,
     fleet: Rc<Fleet>,
     context: Rc<FrontContext>,
@@ -48,7 +48,7 @@
     listeners: Cell<usize>,
 }
 
-impl Edge {
+impl EdgeServer {
     /// Creates the shared state, without connections yet.
     pub fn new(
         engine: Engine,
@@ -57,7 +57,7 @@
         limits: Rc<Limits>,
         lifecycle: Rc<LifecycleMonitor>,
         successors: Rc<Successors>,
-    ) -> Edge {
+    ) -> EdgeServer {
         let timeouts = SlotTimeouts {
             silent: limits.edge.evict_silent_after,
             receiving: limits.edge.evict_receiving_after,
@@ -67,7 +67,7 @@
         let slots = Rc::new(SlotPool::new(engine.clone(), timeouts));
         let body_bytes = limits.messages.body_bytes;
         let messages_wire = Http1Limits { body_bytes, ..limits.wire.clone() };
-        Edge {
+        EdgeServer {
             engine,
             fleet,
             context,
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -9,7 +9,7 @@
 
 use super::buffered_bytes::BufferedBytes;
 use super::exchange::Pipelined;
-use super::{BufferedStream, Edge, within};
+use super::{BufferedStream, EdgeServer, within};
 use crate::admission::connection_slots::ConnectionState;
 use crate::admission::pipelined::{PipelinedInput, PipelinedLimits};
 use crate::front::Dialect;
@@ -25,7 +25,7 @@
     pub(super) bytes: BufferedBytes,
 }
 
-impl Edge {
+impl EdgeServer {
     /// Determines the request's id, which the client and the replicas are told. Every request of the messages front gets
     /// one. A client's id of another form is replaced by its hash, so that its second use is detected here too.
     pub(super) fn resolve_request_id(&self, dialect: Dialect, head: &mut Head) -> String {
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use super::edge::Edge;
+use super::edge::EdgeServer;
 use super::handover_message::{FORMAT_VERSION, StreamSnapshot};
 use super::lifecycle_monitor::LifecycleMonitor;
 use super::successors::Successors;
@@ -62,7 +62,7 @@
     }
 
     /// Connects to the older process, if there is one, to receive its reports and streams.
-    pub fn connect_to_older(&self, ex: &'static LocalExecutor<'static>, edge: &Rc<Edge>) {
+    pub fn connect_to_older(&self, ex: &'static LocalExecutor<'static>, edge: &Rc<EdgeServer>) {
         let Some(path) = &self.path else { return };
         let socket = socket().and_then(|socket| {
             connect(&socket, &SocketAddrUnix::new(path)?)?;
@@ -82,7 +82,7 @@
     pub async fn listen(
         self: Rc<Self>,
         ex: &'static LocalExecutor<'static>,
-        edge: Rc<Edge>,
+        edge: Rc<EdgeServer>,
         lifecycle: Rc<LifecycleMonitor>,
     ) {
         let Some(path) = &self.path else { return };
@@ -118,7 +118,7 @@
     }
 
     /// Sends reports to a newer process until that process ends.
-    async fn serve_newer(self: Rc<Self>, socket: Rc<Async<OwnedFd>>, edge: Rc<Edge>) {
+    async fn serve_newer(self: Rc<Self>, socket: Rc<Async<OwnedFd>>, edge: Rc<EdgeServer>) {
         log::info!("newcomer: a newer process started; it gets half of the connections");
         edge.overlap(Overlap::newer_started);
         self.successors.add(socket.clone());
@@ -163,7 +163,7 @@
 async fn receive_from_older(
     ex: &'static LocalExecutor<'static>,
     socket: Async<OwnedFd>,
-    edge: Rc<Edge>,
+    edge: Rc<EdgeServer>,
     limits: Rc<Limits>,
 ) {
     let mut resumed = 0;
--- a/src/net/mgmt.rs
+++ b/src/net/management.rs
@@ -21,22 +21,22 @@
 use crate::limits::Limits;
 
 /// The state that all management connections share.
-pub struct Mgmt {
+pub struct ManagementServer {
     lifecycle: Rc<LifecycleMonitor>,
     limits: Rc<Limits>,
     slots: Rc<SlotPool>,
 }
 
-impl Mgmt {
+impl ManagementServer {
     /// Creates the state, without connections yet.
-    pub fn new(engine: Engine, lifecycle: Rc<LifecycleMonitor>, limits: Rc<Limits>) -> Mgmt {
+    pub fn new(engine: Engine, lifecycle: Rc<LifecycleMonitor>, limits: Rc<Limits>) -> ManagementServer {
         let timeouts = SlotTimeouts {
             silent: limits.management.evict_silent_after,
             receiving: limits.management.evict_receiving_after,
             idle: limits.management.evict_silent_after,
             closing: limits.edge.evict_closing_after,
         };
-        Mgmt { lifecycle, limits, slots: Rc::new(SlotPool::new(engine, timeouts)) }
+        ManagementServer { lifecycle, limits, slots: Rc::new(SlotPool::new(engine, timeouts)) }
     }
 
     /// Accepts calls for the life of the process.
@@ -99,10 +99,10 @@
     fn respond(&self, head: &Head, from: SocketAddr) -> Response {
         let [method, target, _] = &head.start;
         let path = target.split('?').next().unwrap_or_default();
-        let (expected_method, handler): (&str, fn(&Mgmt) -> Response) = match path {
-            "/ready" => ("GET", Mgmt::ready),
-            "/drain" => ("POST", Mgmt::drain),
-            "/undrain" => ("POST", Mgmt::undrain),
+        let (expected_method, handler): (&str, fn(&ManagementServer) -> Response) = match path {
+            "/ready" => ("GET", ManagementServer::ready),
+            "/drain" => ("POST", ManagementServer::drain),
+            "/undrain" => ("POST", ManagementServer::undrain),
             _ => return Response::text(404, "no such call: GET /ready, POST /drain, POST /undrain"),
         };
         if method != expected_method {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -6,7 +6,7 @@
 pub mod handover_message;
 pub mod lifecycle_monitor;
 pub mod listen;
-pub mod mgmt;
+pub mod management;
 pub mod object_splitter;
 pub mod peers;
 pub mod slot_pool;
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -22,11 +22,11 @@
 use tulipridge::list_schedule::{ListSchedule, PROPAGATION_DEADLINE};
 use tulipridge::names::Names;
 use tulipridge::net::discovery::Discovery;
-use tulipridge::net::edge::Edge;
+use tulipridge::net::edge::EdgeServer;
 use tulipridge::net::handover::Handover;
 use tulipridge::net::lifecycle_monitor::LifecycleMonitor;
 use tulipridge::net::listen::{self, ListenError};
-use tulipridge::net::mgmt::Mgmt;
+use tulipridge::net::management::ManagementServer;
 use tulipridge::net::peers;
 use tulipridge::net::upstream::{Fleet, LoadReportReader};
 use tulipridge::process::background::run_in_background;
@@ -115,7 +115,7 @@
         true => Handover::new(&env::temp_dir(), &config.name, config.own.handover, limits.clone()),
         false => Handover::disabled(limits.clone()),
     });
-    let edge = Rc::new(Edge::new(
+    let edge = Rc::new(EdgeServer::new(
         engine.clone(),
         fleet.clone(),
         context.clone(),
@@ -182,7 +182,7 @@
 struct Parts {
     executor: Executor,
     engine: Engine,
-    edge: Rc<Edge>,
+    edge: Rc<EdgeServer>,
     lifecycle: Rc<LifecycleMonitor>,
     names: Rc<RefCell<Names>>,
     limits: Rc<Limits>,
@@ -200,8 +200,12 @@
 
     /// Listens at the second address, for operators.
     fn listen_to_operators(&self, address: SocketAddr) -> Result<(), StartError> {
-        let mgmt = Rc::new(Mgmt::new(self.engine.clone(), self.lifecycle.clone(), self.limits.clone()));
-        self.executor.spawn(mgmt.listen(self.executor, self.bind(address, None, "Mgmt")?)).detach();
+        let management = Rc::new(ManagementServer::new(
+            self.engine.clone(),
+            self.lifecycle.clone(),
+            self.limits.clone(),
+        ));
+        self.executor.spawn(management.listen(self.executor, self.bind(address, None, "Mgmt")?)).detach();
         Ok(())
     }
 
@@ -315,7 +319,7 @@
     executor: Executor,
     mut signals: Signals,
     reload: &Sender<()>,
-    edge: &Rc<Edge>,
+    edge: &Rc<EdgeServer>,
 ) {
     // Guards against a SIGHUP that ends the program, also one that comes while it stops.
     let mut is_stopping = false;
@@ -340,7 +344,7 @@
 }
 
 /// Stops taking clients, and reports when the last one has its response.
-fn spawn_stop(executor: Executor, edge: Rc<Edge>, done: Sender<()>) {
+fn spawn_stop(executor: Executor, edge: Rc<EdgeServer>, done: Sender<()>) {
     executor
         .spawn(async move {
             edge.stop().await;
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -6,7 +6,7 @@
 use bytesize::ByteSize;
 
 use super::error::InvalidSetting;
-use super::{Rest, Settings};
+use super::{OutlierEjection, Settings};
 use crate::api_keys;
 
 /// The longest timeout of a stream.
@@ -79,8 +79,8 @@
         self.check_sizes()?;
         self.check_durations()?;
         self.check_pace()?;
-        if let Some(rest) = &self.rest {
-            rest.check()?;
+        if let Some(outlier_ejection) = &self.outlier_ejection {
+            outlier_ejection.check()?;
         }
         self.check_listeners()
     }
@@ -145,7 +145,7 @@
     }
 }
 
-impl Rest {
+impl OutlierEjection {
     fn check(&self) -> Result<(), InvalidSetting> {
         check_duration("rest.span", self.span, Duration::from_secs(1), DAY)?;
         check_duration("rest.first", self.first, Duration::from_millis(100), DAY)?;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -41,7 +41,8 @@
     /// Relayed streams.
     pub streams: Streams,
     /// Ejection of replicas that fail streams; off if absent.
-    pub rest: Option<Rest>,
+    #[serde(rename = "rest")]
+    pub outlier_ejection: Option<OutlierEjection>,
     /// Whether started streams continue in the next process, which inherits the listener.
     pub handover: bool,
 }
@@ -184,7 +185,7 @@
 /// Outlier ejection of replicas.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Rest {
+pub struct OutlierEjection {
     /// The window over which the ends of streams are counted.
     #[serde(with = "humantime_serde")]
     pub span: Option<Duration>,
@@ -258,7 +259,7 @@
         let pace = s.pace_factor.zip(s.pace_least);
         l.pace = pace.map(|(factor, min_timeout)| PaceLimit { factor, min_timeout }).or(l.pace);
         l.statistics_interval = s.figures_every.or(l.statistics_interval);
-        if let Some(r) = &self.rest {
+        if let Some(r) = &self.outlier_ejection {
             let mut outliers = OutlierLimits::default();
             set_duration(&mut outliers.window, r.span);
             set_duration(&mut outliers.ejection_time, r.first);
--- a/tests/units/messages_order.rs
+++ b/tests/units/messages_order.rs
@@ -23,7 +23,7 @@
         tenants: vec!["a".into(), "b".into()],
         deadlines: vec![5 * SECOND, 20 * SECOND],
         safe: vec![true, false],
-        usual_tenant: Some(0),
+        default_tenant: Some(0),
         ..Names::default()
     };
     names.models.insert("map-bulk".into(), 1);
