--- a/crates/control-plane/src/rollout/controller.rs
+++ b/crates/control-plane/src/rollout/controller.rs
@@ -97,11 +97,11 @@
     /// may become primary.
     fn record_announcements(&mut self) {
         self.announcements.advance(clock::now(), self.context.lease_status.knows_primary());
-        for (model, revision) in self.output.named() {
+        for (model, revision) in self.output.target_revisions() {
             self.announcements.record(&model, revision);
         }
-        for weights in self.output.delivered() {
-            self.announcements.record(&weights.model, weights.named);
+        for weights in self.output.delivered_weights() {
+            self.announcements.record(&weights.model, weights.target);
         }
     }
 
@@ -136,7 +136,7 @@
 
     fn new_planner(&self, now: Duration) -> Planner {
         let mut planner = Planner::new(self.settings, now);
-        planner.inherit(&self.output.delivered());
+        planner.inherit(&self.output.delivered_weights());
         for announcement in self.announcements.announcements() {
             planner.announce(announcement, now);
         }
@@ -165,7 +165,7 @@
         let Some(lease) = self.context.lease_status.singleton_lease() else { return };
         let Some(tenure) = self.tenure.as_mut().filter(|tenure| tenure.lease == lease) else { return };
         let before = tenure.planner.weights();
-        tenure.planner.set_queued_work(self.output.waiting());
+        tenure.planner.set_queued_work(self.output.queued_work());
         let actions = tenure.planner.step(clock::now());
         log_withdrawals(&tenure.planner, &before);
         self.output.weights(lease.epoch, tenure.planner.weights());
@@ -219,14 +219,14 @@
 /// Logs each model of which more revisions are withdrawn than in `before`, and the replicas that still have withdrawn
 /// weights of the model.
 fn log_withdrawals(planner: &Planner, before: &[ModelWeights]) {
-    let least_before: BTreeMap<&str, WeightsRevision> =
-        before.iter().map(|weights| (weights.model.as_str(), weights.least)).collect();
+    let minimum_before: BTreeMap<&str, WeightsRevision> =
+        before.iter().map(|weights| (weights.model.as_str(), weights.minimum)).collect();
     for weights in planner.weights() {
-        let previous_least = least_before.get(weights.model.as_str()).copied().unwrap_or_default();
-        if weights.least > previous_least {
-            let outdated = planner.outdated_replicas(&weights.model, weights.least);
+        let previous_minimum = minimum_before.get(weights.model.as_str()).copied().unwrap_or_default();
+        if weights.minimum > previous_minimum {
+            let outdated = planner.outdated_replicas(&weights.model, weights.minimum);
             log::info!(
-                model:% = weights.model, least = weights.least.0, named = weights.named.0,
+                model:% = weights.model, least = weights.minimum.0, named = weights.target.0,
                 outdated = outdated.len(), replicas:% = outdated.join(" ");
                 "older weights are withdrawn"
             );
--- a/crates/proxy/src/placement/mod.rs
+++ b/crates/proxy/src/placement/mod.rs
@@ -19,12 +19,12 @@
 use tulipridge_load_balancer::LoadBalancer;
 use tulipridge_load_balancer::types::{
     Action, Class, ClassIndex, Event, Limits, ListKind, Member, Nanos, ReplicaId, ReplicaWork, Request,
-    RequestId, Safety, Settings, Verdict,
+    RequestId, Settings, SlowStartSettings, Verdict,
 };
 
 use crate::placement::prompt::Prompt;
 use crate::placement::service_index::ServiceIndex;
-use crate::placement::timers::{DueTimer, TimerKey, TimerQueue};
+use crate::placement::timers::{DueTimer, PendingTimers, TimerKey};
 
 pub use crate::placement::route_class::{effect_of, latency_target};
 
@@ -64,7 +64,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptOutcome {
+pub struct AttemptReport {
     /// The number of the attempt.
     pub attempt: u32,
     /// The verdict on the replica.
@@ -101,7 +101,7 @@
     seed: u64,
     requests: BTreeMap<RequestId, ActiveRequest>,
     last_id: u64,
-    timers: TimerQueue,
+    timers: PendingTimers,
     /// A buffer for actions, which is empty between calls and kept to reuse its allocation.
     actions: Vec<Action>,
 }
@@ -120,7 +120,7 @@
             seed,
             requests: BTreeMap::new(),
             last_id: 0,
-            timers: TimerQueue::default(),
+            timers: PendingTimers::default(),
             actions: Vec::new(),
         }
     }
@@ -173,7 +173,11 @@
                 max_retry_after: MAX_RETRY_AFTER_NS,
                 ..Limits::default()
             },
-            safety: Safety { initial_capacity: 1.0, overload_factor: 1.0, ..Safety::default() },
+            slow_start: SlowStartSettings {
+                initial_capacity: 1.0,
+                overload_factor: 1.0,
+                ..SlowStartSettings::default()
+            },
             ..Settings::default()
         }
     }
@@ -244,8 +248,8 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn record_outcome(&mut self, now: Nanos, id: RequestId, outcome: AttemptOutcome) {
-        let AttemptOutcome { attempt, verdict, elapsed, ends_request } = outcome;
+    pub fn record_outcome(&mut self, now: Nanos, id: RequestId, report: AttemptReport) {
+        let AttemptReport { attempt, verdict, elapsed, ends_request } = report;
         let event = Event::Outcome {
             id,
             attempt,
@@ -261,7 +265,7 @@
     /// Ends a request. The outcomes of all its attempts must have been recorded. Runs the timers of the request early,
     /// to save their wake-ups.
     pub fn end_request(&mut self, now: Nanos, id: RequestId) {
-        self.handle_request_event(now, id, Event::Expired(id));
+        self.handle_request_event(now, id, Event::ClientDisconnected(id));
         let Some(request) = self.requests.remove(&id) else { return };
         for key in request.timers {
             if self.timers.remove(&key) {
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -92,9 +92,9 @@
             script,
             permits,
         };
-        let alarms = proxy.alarms.clone();
-        executor.spawn(async move { alarms.drive().await }).detach();
-        executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.alarms.clone())).detach();
+        let timers = proxy.timers.clone();
+        executor.spawn(async move { timers.drive().await }).detach();
+        executor.spawn(placed_request::run_timers(proxy.placement.clone(), proxy.timers.clone())).detach();
         executor
             .spawn(downstream::listener::listen(proxy.clone(), executor.clone(), client_listener))
             .detach();
@@ -126,9 +126,9 @@
         let entries: Vec<Replica> = self.replicas.iter().map(entry).collect();
         let model_weights = ModelWeights {
             model: "m".to_owned(),
-            named: WeightsRevision(least),
-            least: WeightsRevision(least),
-            expired: WeightsRevision(least),
+            target: WeightsRevision(least),
+            minimum: WeightsRevision(least),
+            expired_below: WeightsRevision(least),
         };
         let weights = WeightsTable {
             position: Position { epoch: Epoch(1), sequence: ChangeNumber(1) },
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -9,7 +9,7 @@
 
 use super::buffered_bytes::BufferedBytes;
 use super::exchange::Pipelined;
-use super::{BufferedStream, Edge, within};
+use super::{BufferedStream, EdgeServer, within};
 use crate::admission::connection_slots::ConnectionState;
 use crate::admission::pipelined::{PipelinedInput, PipelinedLimits};
 use crate::front::Dialect;
@@ -25,7 +25,7 @@
     pub(super) bytes: BufferedBytes,
 }
 
-impl Edge {
+impl EdgeServer {
     /// Determines the request's id, which the client and the replicas are told. Every request of the messages front gets
     /// one. A client's id of another form is replaced by its hash, so that its second use is detected here too.
     pub(super) fn resolve_request_id(&self, dialect: Dialect, head: &mut Head) -> String {
@@ -89,7 +89,7 @@
             let idle = async { within(timeout, wire.fill(wire_limits)).await.unwrap_or(Ok(0)) };
             // Data that has arrived is read before the connection closes, also if its readiness was not reported yet: a
             // request that crosses a close costs its client another connection.
-            if !future::or(idle, closing).await.is_ok_and(|n| n > 0) && wire.is_quiet() {
+            if !future::or(idle, closing).await.is_ok_and(|n| n > 0) && wire.is_idle() {
                 return Ok(None);
             }
         }
@@ -118,7 +118,7 @@
             if let Some(head) = codec::request_head(&mut wire.buf, wire_limits)? {
                 break head;
             }
-            if !wire.more(wire_limits).await {
+            if !wire.read_more(wire_limits).await {
                 return Ok(None);
             }
             slot.progress();
@@ -145,7 +145,7 @@
             while self.buffered_bytes.get() > self.fleet.overlap.share(self.limits.edge.buffered_bytes) {
                 Timer::after(self.limits.edge.accept_pause).await;
             }
-            if !wire.more(wire_limits).await {
+            if !wire.read_more(wire_limits).await {
                 return Ok(None);
             }
             slot.progress();
