--- a/crates/configuration/src/configuration_state.rs
+++ b/crates/configuration/src/configuration_state.rs
@@ -1,6 +1,6 @@
-//! The configuration in force and the recent requests that led to it; decides on the operator's next request.
+//! State machine of the configuration: decides on the operator's requests and applies entries of the replicated log.
 //!
-//! A decision changes nothing. The caller makes an accepted change durable and then applies it.
+//! A decision leaves the state unchanged: the caller makes an accepted change durable and then applies it.
 
 use std::borrow::Cow;
 
@@ -16,94 +16,94 @@
 use crate::request_digest::{RequestDigest, RequestKind};
 use crate::validation_error::{ValidationErrorKind, ValidationErrors};
 
-/// The base revision of the first configuration.
+/// The revision on which the first configuration builds.
 pub const NO_REVISION: Revision = Revision(0);
 
-/// The format of a snapshot.
+/// Identifier at the start of each snapshot.
 const SNAPSHOT_FORMAT: Format = Format(*b"CFS2");
 
-/// The response to an operator's request.
+/// Decision on an operator's request. The numbers of the variants are HTTP statuses of the response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// The same request was accepted before: it is acknowledged again (200).
+    /// The same request was accepted earlier and is acknowledged again (200).
     AlreadyAccepted,
     /// The request builds on another revision than the current one (412).
     Stale {
-        /// The current revision; [`NO_REVISION`] if there is none.
+        /// The current revision; [`NO_REVISION`] before the first configuration.
         current: Revision,
     },
     /// The configuration or the patch is invalid (400).
     Invalid(ValidationErrors),
-    /// The change is to be made durable and applied, and acknowledged after that (200).
+    /// The change is acknowledged after it has been made durable and applied (200).
     Accept(Box<AcceptedChange>),
 }
 
-/// An accepted change.
+/// A change that was accepted but not yet applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedChange {
-    /// The new configuration.
+    /// The resulting configuration.
     pub document: Document,
-    /// Its entry in the replicated log.
+    /// The change as it is stored in the replicated log.
     pub entry: ChangeEntry,
 }
 
-/// The effect of an entry.
+/// Effect of a log entry on the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryOutcome {
-    /// Its document is in force now.
+    /// The document of the entry is in force.
     Applied,
-    /// None: an earlier entry of the same request has taken effect.
+    /// No effect: an earlier entry of the same request was applied.
     Repeated,
-    /// None: the configuration on which it builds was replaced by another request.
+    /// No effect: another request replaced the configuration on which the entry builds.
     Superseded,
 }
 
-/// The configuration in force, and the requests that were accepted lately.
+/// The configuration in force, and the digests of recently accepted requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationState {
     document: Option<Document>,
     recent_requests: RecentRequests,
 }
 
-/// Why a snapshot can't be restored.
+/// Reason why a snapshot can't be restored.
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
-    /// The bytes are not a snapshot of this format.
+    /// The bytes are not an intact snapshot of this format.
     #[snafu(display("cannot decode a configuration's state: {source}"))]
     Encoding {
-        /// What is wrong with them.
+        /// Error of the decoder.
         source: EncodingError,
     },
-    /// The configuration in them is invalid.
+    /// The configuration in the snapshot is invalid.
     #[snafu(display("the decoded configuration is invalid: {source}"))]
     InvalidDocument {
-        /// What is wrong with it.
+        /// Errors of the configuration.
         source: ValidationErrors,
     },
-    /// The recent requests in them are not complete digests.
+    /// The last digest of a recent request is incomplete.
     #[snafu(display("the digests of recent requests are truncated"))]
     TruncatedRequests,
 }
 
 impl ConfigurationState {
-    /// The configuration in force, if there is one.
+    /// The configuration in force; `None` before the first one.
     #[must_use]
     pub fn document(&self) -> Option<&Document> {
         self.document.as_ref()
     }
 
-    /// The revision in force; [`NO_REVISION`] if there is none.
+    /// The revision in force; [`NO_REVISION`] before the first configuration.
     pub fn revision(&self) -> Revision {
         self.document.as_ref().map_or(NO_REVISION, Document::revision)
     }
 
-    /// Decides on a complete configuration. Without `If-Match`, only a first configuration is accepted.
+    /// Decides on a complete configuration. Without `If-Match`, only the first configuration is accepted.
     #[must_use]
     pub fn decide_put(&self, if_match: Option<Revision>, body: &[u8]) -> Decision {
         self.decide(RequestKind::Put, if_match, body)
     }
 
-    /// Decides on a patch.
+    /// Decides on a patch, which needs a configuration to apply to.
     #[must_use]
     pub fn decide_patch(&self, if_match: Option<Revision>, body: &[u8]) -> Decision {
         self.decide(RequestKind::Patch, if_match, body)
@@ -113,8 +113,8 @@
     ///
     /// # Errors
     ///
-    /// [`ApplyError`] if this state has diverged from the members' agreed one; it is left as it was, but must not be used
-    /// any further.
+    /// [`ApplyError`] if this state has diverged from that of the member which accepted the change. The state is
+    /// unchanged then, but must no longer be used.
     pub fn apply_entry(&mut self, entry: &ChangeEntry) -> Result<EntryOutcome, ApplyError> {
         let outcome = self.outcome(entry);
         if outcome == EntryOutcome::Applied {
@@ -124,11 +124,11 @@
         Ok(outcome)
     }
 
-    /// Applies a change that this state itself has accepted: its document needn't be computed again.
+    /// Applies a change that this state accepted, without computing its document a second time.
     ///
     /// # Errors
     ///
-    /// [`ApplyError::OtherBase`] if the document in force has the base's revision, but another content.
+    /// [`ApplyError::OtherBase`] if the document in force has the revision of the base, but different content.
     pub fn apply_accepted(&mut self, change: AcceptedChange) -> Result<EntryOutcome, ApplyError> {
         let outcome = self.outcome(&change.entry);
         if outcome == EntryOutcome::Applied {
@@ -138,7 +138,7 @@
         Ok(outcome)
     }
 
-    /// The encoded state.
+    /// Encodes the state; [`ConfigurationState::from_snapshot`] restores it.
     pub fn to_snapshot(&self) -> Vec<u8> {
         let document = Cow::Borrowed(self.document.as_ref().map_or(&[][..], Document::text));
         encoding::encode(
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// [`SnapshotError`] if the bytes are of another format or damaged, or if their configuration is invalid.
+    /// [`SnapshotError`] if the bytes have another format or are damaged, or if the configuration in them is invalid.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let snapshot: Snapshot<'_> = encoding::decode(SNAPSHOT_FORMAT, bytes).context(EncodingSnafu)?;
         let document = match snapshot.document.as_ref() {
@@ -209,7 +209,7 @@
         AcceptedChange { document, entry }
     }
 
-    /// The effect that an entry has here, if its result is the accepted one.
+    /// The effect of an entry on this state, provided that applying it gives the accepted result.
     fn outcome(&self, entry: &ChangeEntry) -> EntryOutcome {
         if self.recent_requests.contains(&entry.request()) {
             return EntryOutcome::Repeated;
@@ -226,10 +226,10 @@
     }
 }
 
-/// The encoded form of a state.
+/// Layout of an encoded state.
 #[derive(Encode, Decode)]
 struct Snapshot<'a> {
-    /// The document in force; empty if there is none.
+    /// JSON of the document in force; empty before the first configuration.
     #[musli(bytes)]
     document: Cow<'a, [u8]>,
     /// Digests of the recent requests, oldest first.
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -1,7 +1,7 @@
-//! The difference between two texts as copies from the old one and insertions.
+//! Byte-wise deltas between two texts: ranges copied from the old text, and inserted text.
 //!
 //! The texts are compared chunk by chunk, a chunk being the text between two braces. Unchanged items of a JSON list are
-//! found wherever they moved; white space and the order of fields are preserved.
+//! found at any position. White space and the order of fields are preserved.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -9,11 +9,11 @@
 use musli::{Decode, Encode};
 use snafu::{OptionExt, Snafu};
 
-/// Bytes of the shortest chunk that is searched for in the old text. Shorter ones are copied only where they continue a
-/// longer copy: a step of its own would take about as many bytes as the chunk.
+/// Minimum length in bytes of a chunk that is searched for in the old text. A shorter chunk is copied only if it
+/// continues a longer copy: as a separate step it would take about as many bytes as its text.
 const MIN_SEARCHED_CHUNK: usize = 32;
 
-/// The most encoded bytes of a step beside the text that it inserts.
+/// Maximum encoded size of a step without its inserted text, in bytes.
 const MAX_STEP_OVERHEAD: usize = 24;
 
 /// Steps that build a new text from an old one, byte for byte.
@@ -22,16 +22,16 @@
     steps: Vec<Step>,
 }
 
-/// The next bytes of the new text.
+/// A step, which appends to the new text.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 enum Step {
-    /// A range of bytes of the old text.
+    /// Appends a range of bytes of the old text.
     Copy { start: usize, end: usize },
-    /// New text.
+    /// Appends text that is stored in the step.
     Insert(#[musli(bytes)] Vec<u8>),
 }
 
-/// A delta copies a range that is not in the old text.
+/// A step copies a range that extends beyond the end of the base text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("bytes {start} to {end} are not in the base of {length} bytes"))]
 pub struct DeltaError {
@@ -41,7 +41,7 @@
 }
 
 impl Delta {
-    /// The steps from `old` to `new`.
+    /// Computes the steps that turn `old` into `new`.
     #[must_use]
     pub fn between(old: &[u8], new: &[u8]) -> Delta {
         let mut builder = DeltaBuilder { old, offsets: offsets_of_chunks(old), delta: Delta::default() };
@@ -51,11 +51,11 @@
         builder.delta
     }
 
-    /// The new text.
+    /// Builds the new text from `old`.
     ///
     /// # Errors
     ///
-    /// [`DeltaError`] if `old` is shorter than the text from which the delta was made.
+    /// [`DeltaError`] if `old` is shorter than the ranges that the delta copies from it.
     pub fn apply(&self, old: &[u8]) -> Result<Vec<u8>, DeltaError> {
         let mut new = Vec::new();
         for step in &self.steps {
@@ -67,7 +67,7 @@
         Ok(new)
     }
 
-    /// An upper bound of the encoded length in bytes.
+    /// An upper bound of the encoded length, in bytes.
     pub fn max_encoded_length(&self) -> usize {
         self.steps.iter().map(Step::max_encoded_length).sum()
     }
@@ -106,7 +106,8 @@
         }
     }
 
-    /// Extends the last copy by the chunk if it follows there in the old text; returns whether it did.
+    /// Extends the last step by `chunk` if that step is a copy and `chunk` follows it in the old text. Returns whether
+    /// it was extended.
     fn continue_copy(&mut self, chunk: &[u8]) -> bool {
         let Some(Step::Copy { end, .. }) = self.delta.steps.last_mut() else { return false };
         let continues = self.old[*end..].starts_with(chunk);
@@ -117,7 +118,7 @@
     }
 }
 
-/// The first offset of each chunk that is long enough for the search.
+/// Maps each chunk of at least [`MIN_SEARCHED_CHUNK`] bytes to its first offset.
 fn offsets_of_chunks(text: &[u8]) -> HashMap<&[u8], usize> {
     let mut offsets = HashMap::new();
     for chunk in chunks(text).filter(|chunk| chunk.len() >= MIN_SEARCHED_CHUNK) {
@@ -126,7 +127,7 @@
     offsets
 }
 
-/// The ranges of the chunks: one begins at each opening brace, and one after each closing brace.
+/// Splits a text into chunks, before each opening brace and after each closing brace. Returns their byte ranges.
 fn chunks(text: &[u8]) -> impl Iterator<Item = Range<usize>> {
     let mut start = 0;
     std::iter::from_fn(move || {
--- a/crates/configuration/src/difference.rs
+++ b/crates/configuration/src/difference.rs
@@ -1,4 +1,4 @@
-//! The difference between two configurations, item by item, and its application.
+//! Differences between two configurations, computed and applied item by item.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,32 +7,32 @@
 use crate::model::{Caps, Configuration, Labelled, Route, Service, Tenant};
 use crate::number::Revision;
 
-/// The changes between two revisions. Items are identified by their labels.
+/// Changes from one revision to another. Items are identified by their labels.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ConfigurationChanges {
     /// The revision to which the changes apply.
     pub base: Revision,
-    /// The revision that results.
+    /// The revision after the changes.
     pub revision: Revision,
-    /// Routes that were added or replaced.
+    /// Added and replaced routes.
     pub routes: Vec<Route>,
-    /// Routes that were removed.
+    /// Labels of the removed routes.
     pub removed_routes: Vec<String>,
-    /// Services that were added or replaced.
+    /// Added and replaced services.
     pub services: Vec<Service>,
-    /// Services that were removed.
+    /// Labels of the removed services.
     pub removed_services: Vec<String>,
-    /// Tenants that were added or replaced.
+    /// Added and replaced tenants.
     pub tenants: Vec<Tenant>,
-    /// Tenants that were removed.
+    /// Labels of the removed tenants.
     pub removed_tenants: Vec<String>,
-    /// The limits on clients, if they changed.
+    /// The new limits on clients; `None` if they are unchanged.
     pub caps: Option<Caps>,
-    /// Whether requests need a key, if that changed.
+    /// The new value of [`Configuration::requires_key`]; `None` if it is unchanged.
     pub requires_key: Option<bool>,
 }
 
-/// The changes from `old` to `new`.
+/// Computes the changes from `old` to `new`.
 #[must_use]
 pub fn difference(old: &Configuration, new: &Configuration) -> ConfigurationChanges {
     let routes = list_changes(&old.routes, &new.routes);
@@ -52,7 +52,7 @@
     }
 }
 
-/// Applies changes to `old`. Items that stay keep their order, new ones follow them.
+/// Applies changes to `old`. Remaining items keep their order; added items follow them.
 ///
 /// The caller must check that `old` has the revision to which the changes apply (`changes.base`).
 #[must_use]
@@ -67,11 +67,11 @@
     }
 }
 
-/// The changes of one list.
+/// Changes of one list of items.
 struct ListChanges<T> {
-    /// Items of the new list that are not in the old one, or differ there.
+    /// Items of the new list that are missing or different in the old one.
     changed: Vec<T>,
-    /// Labels that are in the old list only.
+    /// Labels that occur only in the old list.
     removed: Vec<String>,
 }
 
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The operator's complete configuration as it was sent, with its typed form.
+//! The complete configuration as the operator sent it, together with its typed form.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,8 +11,7 @@
 use crate::parse::parse_configuration;
 use crate::validation_error::ValidationErrors;
 
-/// A configuration that was parsed and validated. Its bytes are preserved as they were sent, including fields that the
-/// system doesn't know.
+/// A valid configuration. Its JSON is preserved byte for byte, including fields that the system does not know.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
     bytes: Arc<[u8]>,
@@ -20,10 +19,10 @@
     configuration: Arc<Configuration>,
 }
 
-/// Identifies a document by its revision and a digest (XXH3, 128 bits) of its bytes. The default stands for no document.
+/// Identifies a document by its revision and a digest (XXH3, 128 bits) of its bytes. The default means no document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct DocumentVersion {
-    /// The operator's version number.
+    /// The revision that the operator gave the document.
     pub revision: Revision,
     #[musli(bytes)]
     digest: [u8; 16],
@@ -34,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// All that is wrong with it, each with its path.
+    /// All errors of the document, each with its path.
     pub fn parse(bytes: &[u8]) -> Result<Document, ValidationErrors> {
         let configuration = Arc::new(parse_configuration(bytes)?);
         let digest = xxh3_128(bytes).to_le_bytes();
@@ -53,19 +52,19 @@
         &self.bytes
     }
 
-    /// The operator's version number.
+    /// The revision that the operator gave the document.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.configuration.revision
     }
 
-    /// The document's revision and digest.
+    /// The identifier of the document: its revision and digest.
     #[must_use]
     pub fn version(&self) -> DocumentVersion {
         DocumentVersion { revision: self.revision(), digest: self.digest }
     }
 
-    /// The typed form.
+    /// The typed form of the document.
     #[must_use]
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -1,7 +1,7 @@
-//! The binary form of values that are stored or sent between members.
+//! Binary encoding of values that are stored or sent between members.
 //!
-//! The bytes begin with an identifier of their format and a checksum of all that follows, so that bytes of another
-//! format, damaged ones and truncated ones give a typed error instead of a wrong value.
+//! Encoded bytes start with an identifier of their format and a checksum of the payload. Bytes of another format, and
+//! damaged or truncated bytes, give a typed error instead of a wrong value.
 
 use musli::mode::Binary;
 use musli::{Decode, Encode};
@@ -16,46 +16,46 @@
 const CHECKSUM_LENGTH: usize = 8;
 const HEADER_LENGTH: usize = FORMAT_LENGTH + CHECKSUM_LENGTH;
 
-/// Why bytes can't be decoded.
+/// Reason why bytes can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum EncodingError {
-    /// The bytes are of another format.
+    /// The bytes have another format.
     #[snafu(display("the bytes are not of the format {expected:?}"))]
     UnknownFormat {
-        /// The format that was expected.
+        /// The expected format.
         expected: Format,
     },
     /// The bytes are truncated or damaged.
     #[snafu(display("the checksum of the bytes is wrong"))]
     WrongChecksum,
-    /// The checksum is right, but the bytes are not a value of this type.
+    /// The checksum matches, but the payload is not a value of the requested type.
     #[snafu(display("the bytes can't be decoded: {source}"))]
     Malformed {
-        /// The decoder's error.
+        /// Error of the decoder.
         source: musli::wire::Error,
     },
 }
 
-/// Encodes a value with the header of its format.
+/// Encodes a value, preceded by its format and checksum.
 ///
 /// # Panics
 ///
-/// If the value's `Encode` fails by itself; derived ones don't.
+/// If the value's `Encode` implementation returns an error; derived implementations don't.
 pub fn encode<T: Encode<Binary>>(format: Format, value: &T) -> Vec<u8> {
     let mut bytes = format.0.to_vec();
     bytes.extend([0; CHECKSUM_LENGTH]);
-    // Encoding into memory has no way to fail for values of plain fields.
+    // Writing to memory can't fail, so only a manual implementation of `Encode` can return an error.
     musli::wire::encode(&mut bytes, value).expect("a value of plain fields can be encoded");
     let checksum = xxh3_64(&bytes[HEADER_LENGTH..]).to_le_bytes();
     bytes[FORMAT_LENGTH..HEADER_LENGTH].copy_from_slice(&checksum);
     bytes
 }
 
-/// Decodes a value from the bytes of [`encode`].
+/// Decodes a value that [`encode`] has encoded.
 ///
 /// # Errors
 ///
-/// [`EncodingError`] if the bytes are of another format, truncated or damaged.
+/// [`EncodingError`] if the bytes have another format, or are truncated or damaged.
 pub fn decode<'de, T>(format: Format, bytes: &'de [u8]) -> Result<T, EncodingError>
 where
     T: Decode<'de, Binary, musli::alloc::Global>,
--- a/crates/configuration/src/entry.rs
+++ b/crates/configuration/src/entry.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration as the replicated log stores it: small where the change is small.
+//! A change of the configuration as the replicated log stores it. A small change gives a small entry.
 
 use musli::{Decode, Encode};
 use snafu::{ResultExt, Snafu, ensure};
@@ -9,7 +9,7 @@
 use crate::request_digest::RequestDigest;
 use crate::validation_error::{ValidationErrorKind, ValidationErrors};
 
-/// An accepted change, with the documents before and after it.
+/// An accepted change. It identifies the documents before and after the change, so that a member detects divergence.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ChangeEntry {
     base: DocumentVersion,
@@ -18,22 +18,22 @@
     content: ChangeContent,
 }
 
-/// How the resulting document follows from the base.
+/// The data from which the resulting document is computed.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub(crate) enum ChangeContent {
-    /// The resulting document itself.
+    /// The JSON of the resulting document.
     Document(#[musli(bytes)] Vec<u8>),
-    /// The difference between its text and that of the base.
+    /// The difference between the texts of the base and the resulting document.
     Delta(Delta),
-    /// The operator's patch, as it was sent.
+    /// The JSON of the operator's patch, as it was sent.
     Patch(#[musli(bytes)] Vec<u8>),
 }
 
-/// Why an entry can't be applied: this member's state has diverged from that of the member which accepted the change. The
-/// state must not be used any further.
+/// Reason why an entry can't be applied. In each case this member's state has diverged from that of the member which
+/// accepted the change, and must no longer be used.
 #[derive(Debug, Snafu)]
 pub enum ApplyError {
-    /// The document in force has the base's revision, but another content.
+    /// The document in force has the revision of the base, but different content.
     #[snafu(display("the entry builds on {expected}, but {found} is in force"))]
     OtherBase {
         /// The document on which the entry builds.
@@ -41,7 +41,7 @@
         /// The document in force.
         found: DocumentVersion,
     },
-    /// The resulting document is another one than at the member which accepted the change.
+    /// The resulting document differs from that of the member which accepted the change.
     #[snafu(display("the entry has led to {found} instead of {expected}"))]
     OtherResult {
         /// The document that was accepted.
@@ -52,13 +52,13 @@
     /// The resulting document is invalid.
     #[snafu(display("the entry has led to an invalid configuration: {source}"))]
     InvalidResult {
-        /// What is wrong with it.
+        /// Errors of the document.
         source: ValidationErrors,
     },
-    /// The entry copies text that the base doesn't have.
+    /// The delta of the entry copies text from beyond the end of the base.
     #[snafu(display("the entry doesn't fit its base: {source}"))]
     UnfitDelta {
-        /// The range that is missing.
+        /// The range that the base lacks.
         source: DeltaError,
     },
 }
@@ -85,7 +85,7 @@
         self.result
     }
 
-    /// The digest of the operator's request.
+    /// The digest of the operator's request, by which a retry is recognised.
     #[must_use]
     pub fn request(&self) -> RequestDigest {
         self.request
@@ -95,18 +95,18 @@
     ///
     /// # Errors
     ///
-    /// [`ApplyError::OtherBase`] if it is another one.
+    /// [`ApplyError::OtherBase`] if `base` is a different document.
     pub(crate) fn check_base(&self, base: Option<&Document>) -> Result<(), ApplyError> {
         let found = version_of(base);
         ensure!(found == self.base, OtherBaseSnafu { expected: self.base, found });
         Ok(())
     }
 
-    /// The resulting document, checked to be the one that was accepted.
+    /// Computes the resulting document and checks that it is the one that was accepted.
     ///
     /// # Errors
     ///
-    /// [`ApplyError`] if `base` is another document than the change's base, or if another document results.
+    /// [`ApplyError`] if `base` is not the change's base, or if a different document results.
     pub(crate) fn apply(&self, base: Option<&Document>) -> Result<Document, ApplyError> {
         self.check_base(base)?;
         let document = self.content.apply(base)?;
@@ -117,7 +117,7 @@
 }
 
 impl ChangeContent {
-    /// The smaller form of a complete document: its difference to the base, or itself.
+    /// The smaller form of a complete document: the delta from the base, or the document.
     pub(crate) fn of_document(base: Option<&Document>, document: &Document) -> Self {
         let text = document.text();
         let delta = base.map(|base| Delta::between(base.text(), text));
@@ -139,11 +139,11 @@
     }
 }
 
-/// The document that results from an operator's patch.
+/// Applies an operator's patch to `base`.
 ///
 /// # Errors
 ///
-/// What is wrong with the patch or with the resulting document, or that there is no base.
+/// The errors of the patch or of the resulting document, or [`ValidationErrorKind::NothingToPatch`] without a base.
 pub(crate) fn patched_document(base: Option<&Document>, body: &[u8]) -> Result<Document, ValidationErrors> {
     let Some(base) = base else {
         return Err(ValidationErrors::one("", ValidationErrorKind::NothingToPatch));
--- a/crates/configuration/src/fields.rs
+++ b/crates/configuration/src/fields.rs
@@ -1,6 +1,6 @@
-//! Names of the top-level fields of the operator's JSON, and of each item's label.
+//! Names of the top-level JSON fields of the operator's configuration, and of the label of each item.
 
-/// The operator's version number.
+/// The revision that the operator gives the document.
 pub(crate) const REVISION: &str = "revision";
 /// The list of routes.
 pub(crate) const ROUTES: &str = "routes";
@@ -10,5 +10,5 @@
 pub(crate) const TENANTS: &str = "customers";
 /// The limits on clients.
 pub(crate) const CAPS: &str = "caps";
-/// The name of an item, unique in its list.
+/// The label of an item, unique in its list.
 pub(crate) const LABEL: &str = "label";
--- a/crates/configuration/src/json/mod.rs
+++ b/crates/configuration/src/json/mod.rs
@@ -1,5 +1,5 @@
-//! The JSON form of a configuration, with the operator's field names. Each field may be missing here; the parser knows
-//! which are required.
+//! Serde types for the JSON form of a configuration, with the operator's field names. All fields are optional here; the
+//! parser checks that required ones are present.
 
 mod scalars;
 mod type_errors;
@@ -11,7 +11,7 @@
 
 use crate::validation_error::ValidationErrors;
 
-/// A complete document.
+/// The top-level object of a configuration.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub(crate) struct JsonDocument {
@@ -65,7 +65,7 @@
     pub max_calls: Option<UnsignedNumber>,
 }
 
-/// A service's `runtime`.
+/// The object `runtime` of a service.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub(crate) struct JsonRuntime {
@@ -84,7 +84,7 @@
     pub label: Option<String>,
 }
 
-/// The `caps`.
+/// The object `caps`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub(crate) struct JsonCaps {
@@ -109,9 +109,9 @@
     ///
     /// # Errors
     ///
-    /// Reports all items with values of a wrong type, or that the bytes are not JSON.
+    /// The first type error of each item, or a single error if the bytes are not JSON.
     pub(crate) fn from_bytes(bytes: &[u8]) -> Result<Self, ValidationErrors> {
-        // serde_json does not check that the text of unknown fields is UTF-8.
+        // serde_json does not check whether the text of unknown fields is UTF-8.
         let text = std::str::from_utf8(bytes).map_err(|error| ValidationErrors::unreadable(&error))?;
         let document: Result<Object<JsonDocument>, _> = serde_json::from_str(text);
         document.map(|Object(document)| document).map_err(|error| match error.is_data() {
--- a/crates/configuration/src/json/scalars.rs
+++ b/crates/configuration/src/json/scalars.rs
@@ -1,4 +1,4 @@
-//! JSON values whose form serde's derived readers don't enforce.
+//! JSON values that are validated more strictly than by derived deserializers.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -9,7 +9,7 @@
 
 use crate::model::RouteKind;
 
-/// A value that must be a JSON object. A derived reader by itself also accepts an array of the fields' values.
+/// A value that must be a JSON object. A derived deserializer alone also accepts an array of the fields' values.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Object<T>(pub T);
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A route's kind. An unknown name is read as the kind that is never retried.
+/// A route's kind. An unknown name is deserialized as [`RouteKind::Risky`], whose requests run at most once.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JsonRouteKind(pub RouteKind);
 
@@ -62,17 +62,17 @@
     }
 }
 
-/// A number from 0 up; fractions are rounded up.
+/// A number that is at least 0. Fractions are rounded up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct UnsignedNumber(pub u64);
 
 impl UnsignedNumber {
-    /// The number, or the largest that fits.
+    /// The number as `u32`; greater numbers become `u32::MAX`.
     pub(crate) fn to_u32(self) -> u32 {
         u32::try_from(self.0).unwrap_or(u32::MAX)
     }
 
-    /// The number, or the largest that fits.
+    /// The number as `u8`; greater numbers become `u8::MAX`.
     pub(crate) fn to_u8(self) -> u8 {
         u8::try_from(self.0).unwrap_or(u8::MAX)
     }
--- a/crates/configuration/src/json/type_errors.rs
+++ b/crates/configuration/src/json/type_errors.rs
@@ -1,7 +1,7 @@
-//! Finds the values of wrong types in a document that could not be deserialized.
+//! Finds all type errors of a document that could not be deserialized.
 //!
-//! serde stops at the first error. Here each item of the top-level lists is deserialized by itself, so that an error of
-//! each is reported with its path.
+//! serde stops at the first error. Here each item of the top-level lists is deserialized separately, so that an error
+//! of each item is reported with its path.
 
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
@@ -11,10 +11,11 @@
 use crate::fields::{CAPS, REVISION, ROUTES, SERVICES, TENANTS};
 use crate::validation_error::{ValidationErrorKind, ValidationErrors};
 
-/// What stands before a line and column in the text of an error.
+/// Text that precedes the line and column in a message of serde_json.
 const POSITION_PREFIX: &str = " at line ";
 
-/// The first wrong type in each item of a document, of which `error` is one.
+/// Collects the first type error of each item of a document. `error` is the one at which deserialization stopped; it is
+/// reported if no item has a type error.
 pub(super) fn collect_type_errors(text: &str, error: &serde_json::Error) -> ValidationErrors {
     let Ok(Value::Object(fields)) = serde_json::from_str(text) else {
         return ValidationErrors::unreadable(error);
@@ -28,8 +29,8 @@
     if collector.errors.is_empty() { ValidationErrors::unreadable(error) } else { collector.errors }
 }
 
-/// The error of a value that was deserialized by itself. The line and column in the error's text count from the start
-/// of that value, so they are left out.
+/// Converts the error of a value that was deserialized separately. The line and column in its message are relative to
+/// that value, so they are removed.
 pub(crate) fn wrong_type(error: &serde_json::Error) -> ValidationErrorKind {
     let text = error.to_string();
     let message = text.split(POSITION_PREFIX).next().unwrap_or_default().to_owned();
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operator's configuration: its typed model, parsing and validation, patches, versions, and the routing of requests.
-//! No I/O and no clock.
+//! Parsing, validation, patching and versioning of the operator's configuration, and the routing of requests by it.
+//! Nothing in this package does I/O or reads a clock.
 //!
-//! An operator's request passes through the modules in this order: [`configuration_state`] decides on it, with
-//! [`document`] and [`patch`] parsing and validating what was sent; an accepted change becomes an [`entry`] of the
-//! replicated log; [`difference`] is what the data plane receives, and [`lookup`] is how it routes by it.
+//! An operator's request is processed in these steps: [`configuration_state`] decides on it and uses
+//! [`document`] and [`patch`] to parse and validate the body; an accepted change becomes an [`entry`] of the
+//! replicated log; the data plane receives a [`difference`] and routes requests with [`lookup`].
 
 pub mod configuration_state;
 pub mod delta;
--- a/crates/configuration/src/lookup.rs
+++ b/crates/configuration/src/lookup.rs
@@ -1,12 +1,12 @@
-//! Routing: finds a request's route by host and path, its tenant by API key, and a service by weighted random choice.
+//! Routing: finds the route by host and path, the tenant by API key, and a service by weighted random choice.
 //!
-//! The time of a look-up depends on the length of the path, not on the number of routes.
+//! The time of a look-up depends on the length of the path but not on the number of routes.
 
 use std::collections::HashMap;
 
 use crate::model::{Configuration, Route};
 
-/// An index of a configuration's routes and keys. All results are indices into the configuration's own lists.
+/// Hash tables of a configuration's routes and API keys. Look-ups return indices into the configuration's lists.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
     hosts: HashMap<String, HostRoutes>,
@@ -15,7 +15,7 @@
 }
 
 impl RoutingTable {
-    /// Indexes a configuration.
+    /// Builds the tables of a configuration.
     #[must_use]
     pub fn new(configuration: &Configuration) -> Self {
         let mut table = RoutingTable::default();
@@ -32,25 +32,25 @@
         table
     }
 
-    /// The index of a request's route: of the host's routes, the one with the longest prefix of the path.
+    /// The index of a request's route: the one with the longest matching path prefix among the routes of the host.
     ///
-    /// `host` is the `Host` header's value, in any case and with or without a port. `target` is the request target; its
-    /// query is ignored.
+    /// `host` is the value of the `Host` header, in any case and with or without a port. `target` is the request
+    /// target, whose query is ignored. `None` if no route matches.
     #[must_use]
     pub fn route(&self, host: &str, target: &str) -> Option<usize> {
         self.routes_of(without_port(host))?.longest_prefix(path_of(target))
     }
 
-    /// The index of the tenant with an API key.
+    /// The index of the tenant that an API key belongs to; `None` for an unknown key. Keys are case-sensitive.
     #[must_use]
     pub fn tenant(&self, key: &str) -> Option<usize> {
         self.tenants_by_key.get(key).copied()
     }
 
-    /// Picks one of a route's services by their weights, as an index into the route's `service_weights`.
+    /// Picks a service of a route by weight. Returns its index in the route's `service_weights`.
     ///
-    /// `fraction` is a random number from 0 up to 1, exclusive; equal numbers pick equal services. None if the route is
-    /// unknown or has no service.
+    /// `fraction` is a random number from 0 to below 1; equal numbers pick the same service. `None` if the route is
+    /// unknown or has no services.
     #[must_use]
     pub fn pick_service(&self, route: usize, fraction: f64) -> Option<usize> {
         self.traffic_splits.get(route)?.pick(fraction)
@@ -64,7 +64,7 @@
     }
 }
 
-/// The routes of one host by their prefixes.
+/// The routes of one host.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
     by_prefix: HashMap<String, usize>,
@@ -77,8 +77,8 @@
         self.by_prefix.insert(prefix.to_owned(), index);
     }
 
-    /// Looks up the path's prefixes that end with a slash, the longest first. Those longer than every route's prefix are
-    /// skipped, so that a long path of slashes costs no more than a short one.
+    /// Looks up the path's prefixes that end with a slash, longest first. Prefixes longer than those of all routes are
+    /// skipped, so that a long path of slashes takes no more time than a short one.
     fn longest_prefix(&self, path: &str) -> Option<usize> {
         let mut rest = &path.as_bytes()[..path.len().min(self.longest_prefix_bytes)];
         while let Some(slash) = rest.iter().rposition(|byte| *byte == b'/') {
@@ -91,7 +91,7 @@
     }
 }
 
-/// The cumulative weights of a route's services.
+/// The weights by which a route's requests are split among its services.
 #[derive(Clone, Debug, Default)]
 struct TrafficSplit {
     cumulative_weights: Vec<f64>,
@@ -111,14 +111,14 @@
         let total = *self.cumulative_weights.last()?;
         let wanted = fraction * total;
         let picked = self.cumulative_weights.partition_point(|sum| *sum <= wanted);
-        // Rounding may lead past the end; the service that reaches the total first is the last one with a weight above
-        // 0.
+        // Rounding may give an index past the end. The service at which the total is reached is the last one with a
+        // weight above 0.
         let last_weighted = self.cumulative_weights.partition_point(|sum| *sum < total);
         Some(picked.min(last_weighted))
     }
 }
 
-/// A `Host` header's value without its port.
+/// Removes the port from the value of a `Host` header.
 fn without_port(host: &str) -> &str {
     let host = host.trim();
     if host.starts_with('[') {
@@ -127,7 +127,7 @@
     host.split_once(':').map_or(host, |(name, _port)| name)
 }
 
-/// A request target's path, without its query.
+/// The path of a request target, without query and fragment.
 fn path_of(target: &str) -> &str {
     let end = target.find(['?', '#']).unwrap_or(target.len());
     &target[..end]
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -1,7 +1,7 @@
 //! The typed form of a configuration, as the data plane uses it.
 //!
-//! The control plane also stores the operator's JSON document, including unknown fields; this form has the fields that
-//! the system acts on.
+//! The control plane stores the operator's JSON document, which may have further fields. This form has only the fields
+//! that affect how the system behaves.
 
 use musli::{Decode, Encode};
 
@@ -10,116 +10,116 @@
 /// A complete configuration of one revision.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Configuration {
-    /// The operator's version number; versions rise in uneven steps.
+    /// The revision, which the operator chooses; revisions rise in uneven steps.
     pub revision: Revision,
-    /// Routes, in the operator's order.
+    /// Routes in the order of the document.
     pub routes: Vec<Route>,
-    /// Services that routes lead to, and KV cache stores.
+    /// Services with replicas, and KV cache stores.
     pub services: Vec<Service>,
-    /// Limits on what clients send.
+    /// Limits on the requests and connections of clients.
     pub caps: Caps,
-    /// Requests need a tenant's key unless their route is public: true where the document has a list of tenants, even an
-    /// empty one, so that the removal of the last tenant doesn't open the routes.
+    /// Whether requests need a tenant's API key unless their route is public. True if the document has a list of
+    /// tenants, even an empty one, so that the removal of the last tenant doesn't make the routes public.
     pub requires_key: bool,
-    /// Tenants.
+    /// Tenants in the order of the document.
     pub tenants: Vec<Tenant>,
 }
 
-/// A route: a host and a path prefix, and where its requests go.
+/// A route: the requests that it matches by host and path prefix, and the services that receive them.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
-    /// The route's unique label.
+    /// Label, unique among the routes.
     pub label: String,
-    /// The host that requests name, in lower case.
+    /// Host name of the requests, in lower case.
     pub host: String,
-    /// The path prefix; starts and ends with a slash.
+    /// Prefix of the requests' paths; it starts and ends with a slash.
     pub path_prefix: String,
-    /// Whether requests may be retried, and whether the response is a stream.
+    /// Whether requests may be retried, and whether responses are event streams.
     pub kind: RouteKind,
-    /// The deadline of a request, from its arrival, in milliseconds.
+    /// Time from the arrival of a request to its deadline, in milliseconds; above 0.
     pub time_limit_ms: u64,
-    /// The latency target: the time within which a response (a stream's first event) has its full value, in milliseconds.
+    /// Latency target of a response, or of a stream's first event, in milliseconds. A later response is worth less.
     pub target_ms: u64,
-    /// Priority; 0 is the highest.
+    /// Priority of the requests; 0 is the highest.
     pub rank: Rank,
-    /// The traffic split; a single service has one entry.
+    /// Services among which the requests are split; one entry for a single service.
     pub service_weights: Vec<ServiceWeight>,
-    /// The most replicas to which one request may be sent.
+    /// Maximum number of attempts per request; at least 1.
     pub max_attempts: u32,
-    /// Requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// Requests name a model and the segments of their prompt, by which cached prefixes are found.
+    /// Whether requests name a model and the segments of their prompt, by which cached prefixes are found.
     pub pinned: bool,
-    /// A stream may be resumed at another replica by `Last-Event-Id`.
+    /// Whether a stream may be resumed at another replica by `Last-Event-Id`.
     pub resumable: bool,
-    /// The latency target between a stream's events, in milliseconds; 0 is not stated.
+    /// Latency target between events of a stream, in milliseconds; 0 means none.
     pub gap_target_ms: u64,
 }
 
-/// Whether a request may be retried after it reached a replica.
+/// Whether a request may be retried after it has reached a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RouteKind {
-    /// Idempotent: requests may run more than once.
+    /// Idempotent: a request may run more than once.
     Harmless,
     /// Not idempotent: a request runs at most once.
     Risky,
-    /// The response is a stream of events; idempotent only where the route is resumable.
+    /// The response is an event stream. Requests are idempotent only if the route is resumable.
     Stream,
 }
 
-/// A service of a route's traffic split.
+/// A service of a route, and the part of the requests that it receives.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ServiceWeight {
-    /// The service's label.
+    /// Label of the service.
     pub service: String,
-    /// Its weight relative to the others of the route.
+    /// Weight relative to the sum of the route's weights; finite and at least 0.
     pub weight: f64,
 }
 
-/// A service: interchangeable replicas, or a KV cache store.
+/// A service: a group of interchangeable replicas, or a KV cache store.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Service {
-    /// The service's unique label.
+    /// Label, unique among the services.
     pub label: String,
-    /// Path of its health check.
+    /// Path of the health check; empty for a store that states none.
     pub health_path: String,
-    /// Connections that one replica accepts from all callers together; 0 is not stated.
+    /// Maximum number of connections that one replica accepts from all clients together; 0 if not stated.
     pub connection_limit: u32,
-    /// Limits and sizes of its replicas, where they run language models.
+    /// Limits and sizes of the replicas, if they run language models.
     pub runtime: Option<ServiceRuntime>,
-    /// The address of a KV cache store, as `IP:PORT`; a service with one has no replicas and no routes.
+    /// Address of the KV cache store as `IP:PORT`. A service with a store address has no replicas and no routes.
     pub store_address: Option<String>,
-    /// The zone of the store.
+    /// Zone of the KV cache store.
     pub store_zone: Option<String>,
-    /// Concurrent requests to `/kv-events` that each replica or the store accepts; 0 is not stated.
+    /// Maximum number of concurrent requests to `/kv-events` that each replica or the store accepts; 0 if not stated.
     pub max_event_calls: u32,
-    /// Capacity of the store, in tokens.
+    /// Capacity of the KV cache store, in tokens.
     pub store_tokens: u64,
 }
 
-/// Sizes of a service's replicas.
+/// Limits and sizes of each replica of a service that runs language models.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ServiceRuntime {
-    /// Requests that a replica runs concurrently.
+    /// Number of requests that a replica runs concurrently.
     pub capacity: u32,
-    /// Capacity of a replica's memory, in tokens, for running requests and cached prefixes together.
+    /// Capacity of a replica's KV cache for running requests and cached prefixes together, in tokens.
     pub cache_tokens: u64,
-    /// Bytes of KV cache per token.
+    /// Size of one token in the KV cache, in bytes.
     pub cache_token_bytes: u64,
-    /// Bandwidth of a replica's link for KV cache, in Mbit/s.
+    /// Bandwidth of a replica's network link for KV cache transfers, in Mbit/s.
     pub bandwidth_mbps: f64,
-    /// Models that the replicas serve.
+    /// Names of the models that the replicas serve.
     pub models: Vec<String>,
 }
 
-/// Limits on what a client may send.
+/// Limits on the requests and connections of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Caps {
-    /// Bytes of a request's head (request line and header fields).
+    /// Maximum size of a request's head (request line and header fields), in bytes.
     pub head_bytes: u64,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Timeout for a complete head, in milliseconds.
+    /// Timeout for receiving a complete head, in milliseconds.
     pub head_wait_ms: u64,
     /// Idle timeout of a connection, in milliseconds.
     pub idle_ms: u64,
@@ -131,20 +131,20 @@
     }
 }
 
-/// A tenant and the keys that its clients send.
+/// A tenant and the API keys that its clients send.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Tenant {
-    /// The tenant's unique label, which is sent to replicas.
+    /// Label, unique among the tenants; it is sent to replicas.
     pub label: String,
-    /// Its API keys; no two tenants have the same one.
+    /// API keys; each key belongs to one tenant only.
     pub api_keys: Vec<String>,
-    /// Priority that overrides a route's, where stated.
+    /// Priority that overrides that of the route; `None` leaves the route's.
     pub rank: Option<Rank>,
-    /// Its prompts don't share KV cache with other tenants'.
+    /// Whether the tenant's prompts share no KV cache with those of other tenants.
     pub isolated: bool,
 }
 
-/// An item of a list whose labels are unique.
+/// An item of a list in which each label occurs once.
 pub(crate) trait Labelled {
     fn label(&self) -> &str;
 }
--- a/crates/configuration/src/number.rs
+++ b/crates/configuration/src/number.rs
@@ -1,10 +1,11 @@
-//! Types for numbers of one kind each, so that a revision can't be taken for a rank, or an epoch for a sequence number.
+//! Integer newtypes, so that a revision can't be mistaken for a rank, or an epoch for a sequence number.
 //!
-//! [`numbers`](crate::numbers) defines them, here and in the packages above. They are encoded as the plain number, and print as it.
+//! [`numbers`](crate::numbers) defines such types, here and in the packages that depend on this one. Their binary
+//! encoding and text are those of the plain integer.
 
-/// Defines types of numbers that are encoded, and printed by `Display` and `Debug`, like the number in them.
+/// Defines integer newtypes whose binary encoding, `Display` and `Debug` text are those of the integer.
 ///
-/// The package that uses it needs `musli` among its dependencies.
+/// The calling package must depend on `musli`.
 #[macro_export]
 macro_rules! numbers {
     ($($(#[$attribute:meta])* $name:ident($representation:ty);)+) => {$(
@@ -27,22 +28,22 @@
     )+};
 }
 
-/// Gives types of numbers that count without gaps the number after one.
+/// Implements `next` and `checked_next` for integer newtypes whose values increase in steps of one.
 #[macro_export]
 macro_rules! counted {
     ($($name:ident),+) => {$(
         impl $name {
-            /// The number after this one; `None` after the largest.
+            /// The next number; `None` after the largest.
             #[must_use]
             pub fn checked_next(self) -> Option<$name> {
                 self.0.checked_add(1).map($name)
             }
 
-            /// The number after this one.
+            /// The next number.
             ///
             /// # Panics
             ///
-            /// After the largest number.
+            /// If this is the largest number.
             #[must_use]
             pub fn next(self) -> $name {
                 self.checked_next().expect("numbers are counted up one by one and don't run out")
@@ -52,15 +53,15 @@
 }
 
 numbers! {
-    /// The revision of a configuration, which the operator chooses. Revisions rise in uneven steps; 0 stands for no
-    /// configuration.
+    /// The revision of a configuration, which the operator chooses. Revisions rise in uneven steps; 0 means that no
+    /// configuration is in force.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(transparent)]
     Revision(u64);
-    /// The revision of a model's weights, from 1 and rising. 0 is below all.
+    /// The revision of a model's weights. Revisions start at 1 and rise; 0 is less than each of them.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(transparent)]
     WeightsRevision(u64);
-    /// The rank of a tenant's or a route's requests; 0 is the highest.
+    /// The priority of the requests of a tenant or a route; 0 is the highest, and greater numbers are lower.
     Rank(u8);
 }
--- a/crates/configuration/src/parse/mod.rs
+++ b/crates/configuration/src/parse/mod.rs
@@ -1,7 +1,7 @@
-//! Parses the operator's configuration and validates it; all errors are reported together, each with its path.
+//! Parsing and validation of the operator's configuration. All errors are reported together, each with its path.
 //!
-//! The `schematic` crate was tried for this and left out: it stops at the first value of a wrong type, can't check one
-//! list against another, and took about twice the time.
+//! The `schematic` crate does not fit here: it stops at the first value of a wrong type, can't validate one list
+//! against another, and took about twice the time.
 
 mod item_path;
 mod routes;
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// Values of a wrong type are reported before all else; what the values mean is validated once all have their types.
+/// If values have wrong types, only these are reported. The meaning of values is validated once all types are right.
 pub(crate) fn parse_configuration(bytes: &[u8]) -> Result<Configuration, ValidationErrors> {
     let document = JsonDocument::from_bytes(bytes)?;
     let mut parser = Parser::default();
@@ -30,15 +30,15 @@
     parser.errors.or(configuration)
 }
 
-/// What a service's label stands for.
+/// The kind of service that a label identifies.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ServiceKind {
     Replicas,
     Store,
 }
 
-/// Converts the JSON form into the typed one and collects validation errors. Where there are errors, the converted
-/// values must not be used.
+/// Converts the JSON form to the typed form and collects validation errors. If there are errors, the converted values
+/// must not be used.
 #[derive(Default)]
 struct Parser {
     errors: ValidationErrors,
@@ -48,7 +48,7 @@
 impl Parser {
     fn configuration(&mut self, document: JsonDocument) -> Configuration {
         let revision = self.required(document.revision, || REVISION.to_owned());
-        // Routes refer to services, so these come first.
+        // The services are parsed first because routes refer to them.
         let services = self.services(document.backends);
         let routes = self.routes(document.routes);
         let requires_key = document.customers.is_some();
@@ -57,7 +57,7 @@
         Configuration { revision: Revision(revision), routes, services, caps, requires_key, tenants }
     }
 
-    /// Converts the items of a list, whose labels must be unique.
+    /// Converts the items of a list and checks that their labels are unique.
     fn items<J, T: Labelled>(
         &mut self,
         list: &'static str,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A string that is required and must not be empty.
+    /// Unwraps a required string; a missing or empty one is reported.
     fn non_empty_string(&mut self, item: ItemPath, field: &str, value: Option<String>) -> String {
         if value.as_deref() == Some("") {
             self.errors.add(item.field(field), ValidationErrorKind::Empty);
@@ -93,7 +93,7 @@
         self.required(value, || item.field(field))
     }
 
-    /// A required value; its default, with an error, where it is missing.
+    /// Unwraps a required value. If it is missing, this is reported and the default is returned.
     fn required<T: Default>(&mut self, value: Option<T>, path: impl FnOnce() -> String) -> T {
         if value.is_none() {
             self.errors.add(path(), ValidationErrorKind::Missing);
--- a/crates/configuration/src/parse/routes.rs
+++ b/crates/configuration/src/parse/routes.rs
@@ -1,4 +1,4 @@
-//! Routes and the services that they lead to.
+//! Parsing of routes and of their services and weights.
 
 use std::collections::HashMap;
 
@@ -9,10 +9,10 @@
 use crate::number::Rank;
 use crate::validation_error::ValidationErrorKind;
 
-/// The weight of a service that a route names alone.
+/// Weight of a route's only service, given as `backend`.
 const SOLE_SERVICE_WEIGHT: f64 = 1.0;
 
-/// Names of a route's JSON fields.
+// Names of JSON fields of a route.
 const HOSTNAME: &str = "hostname";
 const PATH_START: &str = "pathStart";
 const TIME_LIMIT: &str = "timeLimitMs";
@@ -69,7 +69,7 @@
         self.required(prefix, path)
     }
 
-    /// A route's services: its `shares`, or else its `backend` alone.
+    /// A route's services with their weights. A non-empty list of `shares` takes precedence over `backend`.
     fn service_weights(
         &mut self,
         item: ItemPath,
@@ -122,7 +122,7 @@
         ServiceWeight { service, weight }
     }
 
-    /// A route may lead only to a service that has replicas.
+    /// Reports a route to an unknown service or to a KV cache store.
     fn check_routable(&mut self, service: &str, path: impl FnOnce() -> String) {
         let error = match self.service_kinds.get(service) {
             Some(ServiceKind::Replicas) => return,
@@ -132,7 +132,7 @@
         self.errors.add(path(), error);
     }
 
-    /// No two routes may have the same host and path prefix.
+    /// Reports routes with the same host and path prefix as an earlier one.
     fn check_unique_prefixes(&mut self, routes: &[Route]) {
         let mut first_index: HashMap<(&str, &str), usize> = HashMap::with_capacity(routes.len());
         for (index, route) in routes.iter().enumerate() {
--- a/crates/configuration/src/parse/services.rs
+++ b/crates/configuration/src/parse/services.rs
@@ -1,11 +1,11 @@
-//! Services and KV cache stores.
+//! Parsing of services and KV cache stores.
 
 use super::{ItemPath, Parser, ServiceKind};
 use crate::fields::{LABEL, SERVICES};
 use crate::json::{JsonRuntime, JsonService, Object};
 use crate::model::{Service, ServiceRuntime};
 
-/// The health check's path where a service with replicas states none.
+/// Path of the health check for a service with replicas that states none.
 const DEFAULT_HEALTH_PATH: &str = "/health";
 
 impl Parser {
--- a/crates/configuration/src/parse/tenants.rs
+++ b/crates/configuration/src/parse/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants and their API keys.
+//! Parsing of tenants and their API keys.
 
 use std::collections::HashMap;
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// No two tenants may have the same key. The errors don't show keys.
+    /// Reports API keys that an earlier tenant has. The errors don't contain the keys.
     fn check_unique_keys(&mut self, tenants: &[Tenant]) {
         let mut first_tenant_by_key: HashMap<&str, usize> = HashMap::new();
         for (index, tenant) in tenants.iter().enumerate() {
--- a/crates/configuration/src/patch/mod.rs
+++ b/crates/configuration/src/patch/mod.rs
@@ -1,6 +1,6 @@
-//! A patch of the configuration: which items to add or replace, and which to remove, by their labels.
+//! Patches of a configuration: items to add or replace, and labels of items to remove.
 //!
-//! Items are copied as the text that the operator sent, so that fields which the system doesn't know are preserved.
+//! Items are copied as the text that the operator sent, so that fields that the system doesn't know are preserved.
 
 mod parser;
 
@@ -16,10 +16,10 @@
 use crate::number::Revision;
 use crate::validation_error::ValidationErrors;
 
-/// The fields of a JSON object, each as its text.
+/// The fields of a JSON object by name, each as its JSON text.
 type RawFields<'a> = BTreeMap<Cow<'a, str>, &'a RawValue>;
 
-/// A patch as the operator sent it, its form validated. Whether its items are valid is known once it is applied.
+/// An operator's patch with a valid form. The items are validated when the patch is applied to a document.
 #[derive(Clone, Debug, Default)]
 pub struct Patch {
     revision: Revision,
@@ -28,7 +28,7 @@
     replacements: Vec<Replacement>,
 }
 
-/// Items that replace those of a list with the same label, or are appended to it.
+/// Items that replace the items of a list that have the same labels, or are appended to the list.
 #[derive(Clone, Debug)]
 struct Upsert {
     list: String,
@@ -48,7 +48,7 @@
     labels: HashSet<String>,
 }
 
-/// A field that is not a list of items and is replaced completely.
+/// A field that is not a list of items. Its new value replaces the old one completely.
 #[derive(Clone, Debug)]
 struct Replacement {
     field: String,
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with the form, each with its path.
+    /// All errors of the form, each with its path.
     pub fn parse(bytes: &[u8]) -> Result<Patch, ValidationErrors> {
         parser::parse_patch(bytes)
     }
@@ -73,8 +73,8 @@
 }
 
 impl Document {
-    /// Applies a patch. Removals go before additions. Items keep their order, replaced ones their position, and new
-    /// ones follow at the end. Removing a label that isn't there changes nothing.
+    /// Applies a patch. Items are removed before others are added or replaced. Remaining items keep their order, a
+    /// replaced item keeps its position, and new items are appended. The removal of an unknown label has no effect.
     ///
     /// # Errors
     ///
@@ -86,7 +86,7 @@
     }
 }
 
-/// The text of the document that results from a patch.
+/// The JSON text of a document after a patch.
 fn patched_text(document: &[u8], patch: &Patch) -> Result<Vec<u8>, serde_json::Error> {
     let fields: RawFields<'_> = serde_json::from_slice(document)?;
     let mut changed: BTreeMap<&str, Cow<'_, RawValue>> = BTreeMap::new();
@@ -110,7 +110,7 @@
 }
 
 impl Removal {
-    /// The items that remain.
+    /// Returns the remaining items.
     fn apply<'a>(&self, mut items: Vec<&'a RawValue>) -> Vec<&'a RawValue> {
         items.retain(|item| label_of(item).is_none_or(|label| !self.labels.contains(label.as_ref())));
         items
@@ -118,7 +118,7 @@
 }
 
 impl Upsert {
-    /// The items with the new ones among them.
+    /// Returns the items with the replaced and appended ones.
     fn apply<'a>(&'a self, mut items: Vec<&'a RawValue>) -> Vec<&'a RawValue> {
         let labels = items.iter().enumerate().filter_map(|(index, item)| Some((label_of(item)?, index)));
         let index_by_label: HashMap<Cow<'_, str>, usize> = labels.collect();
@@ -132,12 +132,12 @@
     }
 }
 
-/// The items of a list, each as its text; none if the text is not a JSON array.
+/// The items of a list, each as its JSON text; `None` if the text is not a JSON array.
 fn items_of(text: &RawValue) -> Option<Vec<&RawValue>> {
     serde_json::from_str(text.get()).ok()
 }
 
-/// An item's label; none if it has no label, or one that is not a string.
+/// The label of an item; `None` if the label is missing or not a string.
 fn label_of(item: &RawValue) -> Option<Cow<'_, str>> {
     #[derive(Deserialize)]
     struct Labelled<'a> {
--- a/crates/configuration/src/patch/parser.rs
+++ b/crates/configuration/src/patch/parser.rs
@@ -1,4 +1,4 @@
-//! The JSON form of a patch: `{"revision": ..., "caps": ..., "upsert": {...}, "remove": {...}}`.
+//! Parser of the JSON form of a patch: `{"revision": ..., "caps": ..., "upsert": {...}, "remove": {...}}`.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -12,14 +12,16 @@
 use crate::number::Revision;
 use crate::validation_error::{ValidationErrorKind, ValidationErrors};
 
-/// Names of a patch's fields.
+/// The field of a patch with the items to add or replace.
 const UPSERT: &str = "upsert";
+/// The field of a patch with the labels of items to remove.
 const REMOVE: &str = "remove";
 
-/// The text of a JSON null.
+/// JSON text of a null value.
 const NULL: &str = "null";
 
-/// Lists that each configuration may have; a field of another name is merged alike where it is a list.
+/// Fields of a patch whose values must be lists. A field with another name is merged by label if its value is a list,
+/// and replaced otherwise.
 const KNOWN_LISTS: [&str; 3] = [ROUTES, SERVICES, TENANTS];
 
 /// Parses a patch and validates its form.
@@ -31,7 +33,7 @@
     parser.errors.or(parser.patch)
 }
 
-/// Converts the JSON form of a patch and collects what is wrong with it.
+/// Converts the JSON form of a patch and collects its errors.
 #[derive(Default)]
 struct PatchParser {
     patch: Patch,
@@ -60,7 +62,7 @@
         self.typed(text, || REVISION.to_owned())
     }
 
-    /// The fields of an object; none where it is missing or null.
+    /// The fields of an object; empty if the object is missing or null.
     fn object<'a>(&mut self, fields: &RawFields<'a>, name: &str) -> RawFields<'a> {
         match fields.get(name) {
             Some(text) if text.get() != NULL => self.typed(text, || name.to_owned()),
@@ -68,7 +70,7 @@
         }
     }
 
-    /// A list is merged by labels; any other field of the configuration is replaced.
+    /// Adds an upsert of a list, or a replacement of any other field.
     fn upsert(&mut self, field: &str, text: &RawValue) {
         let is_list = text.get().starts_with('[');
         if !is_list && !KNOWN_LISTS.contains(&field) {
@@ -80,7 +82,7 @@
         self.patch.upserts.push(Upsert { list: field.to_owned(), items });
     }
 
-    /// The items of a list with their labels, which are required and unique.
+    /// The items of a list with their labels. Missing and duplicate labels are reported.
     fn labelled(&mut self, list: &str, items: Vec<&RawValue>) -> Vec<LabelledItem> {
         let mut first_index_by_label: HashMap<String, usize> = HashMap::new();
         let mut labelled = Vec::with_capacity(items.len());
@@ -109,7 +111,7 @@
         self.patch.replacements.push(Replacement { field: field.to_owned(), text: text.to_owned() });
     }
 
-    /// A value of the type `T`; its default, with an error, where the text is of another type.
+    /// Parses a value of type `T`. A text of another type is reported, and the default is returned.
     fn typed<'a, T>(&mut self, text: &'a RawValue, path: impl FnOnce() -> String) -> T
     where
         T: Deserialize<'a> + Default,
--- a/crates/configuration/src/precision.rs
+++ b/crates/configuration/src/precision.rs
@@ -1,10 +1,10 @@
-//! Finds numbers in JSON that may be rounded when they are parsed.
+//! Detection of JSON numbers that parsing may round.
 
-/// Significant decimal digits that a 64-bit floating point number represents exactly.
+/// Number of significant decimal digits that a 64-bit floating-point number represents exactly.
 const EXACT_DIGITS: usize = f64::DIGITS as usize;
 
-/// Whether a number in the JSON text has so many digits, or an exponent, that it may be rounded to the same value as
-/// another number's text.
+/// Whether a number in the JSON text has more than [`EXACT_DIGITS`] digits or an exponent. Parsing may round such a
+/// number to the same value as a different text.
 pub(crate) fn may_round_numbers(json: &[u8]) -> bool {
     let mut scanner = NumberScanner::default();
     json.iter().any(|byte| scanner.may_round_at(*byte))
@@ -15,7 +15,7 @@
 struct NumberScanner {
     in_string: bool,
     after_backslash: bool,
-    /// Digits of the current number so far.
+    /// Number of digits of the current number that were scanned.
     digits: usize,
 }
 
--- a/crates/configuration/src/recent_requests.rs
+++ b/crates/configuration/src/recent_requests.rs
@@ -1,18 +1,19 @@
-//! The deduplication window: digests of the newest accepted requests, by which a retried request is recognised.
+//! Deduplication window: digests of recently accepted requests, by which a retried request is recognised.
 
 use std::collections::{HashSet, VecDeque};
 
 use crate::request_digest::RequestDigest;
 
-/// Requests in the window: more than a day of 5,000 changes. Each takes 16 bytes of a snapshot, 128 KiB together.
+/// Number of requests in the window: more than one day at 5,000 changes per day. Each takes 16 bytes of a snapshot,
+/// 128 KiB in total.
 pub const MAX_RECENT_REQUESTS: usize = 8_192;
 
-/// The newest [`MAX_RECENT_REQUESTS`] requests, in the order in which they were accepted.
+/// Digests of the newest requests, at most [`MAX_RECENT_REQUESTS`], in the order in which the requests were accepted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecentRequests {
-    /// Oldest first.
+    /// Digests from oldest to newest.
     order: VecDeque<RequestDigest>,
-    /// The same digests, for the look-up.
+    /// The same digests, for look-ups.
     members: HashSet<RequestDigest>,
 }
 
@@ -23,8 +24,8 @@
         self.members.contains(request)
     }
 
-    /// Records a request and evicts the oldest one from a full window. A request that is in the window already keeps
-    /// its position.
+    /// Adds a request to the window and removes the oldest one from a full window. A request that is already in the
+    /// window keeps its position.
     pub fn record(&mut self, request: RequestDigest) {
         if !self.members.insert(request) {
             return;
@@ -37,13 +38,13 @@
         }
     }
 
-    /// The digests as bytes, oldest first, for a snapshot.
+    /// Concatenates the digests, oldest first, for a snapshot.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         self.order.iter().flat_map(|request| request.to_bytes()).collect()
     }
 
-    /// The window from the bytes of [`RecentRequests::to_bytes`]; none if these are not a sequence of complete digests.
+    /// Restores a window from the bytes of [`RecentRequests::to_bytes`]; `None` if the last digest is incomplete.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let digests = bytes.chunks_exact(RequestDigest::BYTES);
--- a/crates/configuration/src/request_digest.rs
+++ b/crates/configuration/src/request_digest.rs
@@ -1,4 +1,4 @@
-//! A digest of an operator's request, by which a retry of the same request is recognised.
+//! Digests of operators' requests, by which a retry of a request is recognised.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 use crate::number::{Revision, WeightsRevision};
 use crate::precision::may_round_numbers;
 
-/// How a request states its configuration.
+/// Form in which a request contains its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestKind {
     /// The complete configuration.
@@ -18,24 +18,24 @@
     Patch,
 }
 
-/// The digest (XXH3, 128 bits) of a request's kind and content. A configuration is digested as its JSON value, together
-/// with the revision on which it builds: the order of fields and white space make no difference. Where numbers may be
-/// rounded when they are parsed, its bytes are digested instead. The digest is the same on all machines.
+/// Digest (XXH3, 128 bits) of a request's kind and content, equal on all machines. A configuration is digested as its
+/// JSON value, together with the revision on which it builds: the order of fields and white space make no difference.
+/// If parsing may round one of its numbers, its bytes are digested instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct RequestDigest(#[musli(bytes)] RawDigest);
 
-/// The bytes of a digest.
+/// A digest as bytes.
 type RawDigest = [u8; RequestDigest::BYTES];
 
 impl RequestDigest {
-    /// The length of a digest in bytes.
+    /// Length of a digest in bytes.
     pub(crate) const BYTES: usize = 16;
 
-    /// The digest of a configuration or a patch.
+    /// Digests a request that puts or patches a configuration.
     ///
     /// # Errors
     ///
-    /// The parser's error if the body is not one JSON value.
+    /// The parser's error if the body is not exactly one JSON value.
     pub(crate) fn of_configuration(
         kind: RequestKind,
         base: Revision,
@@ -54,7 +54,7 @@
         Ok(RequestDigest(digest_of_digests(kind, &[u128::from(base.0).to_le_bytes(), value])))
     }
 
-    /// The digest of a request that names weights of a model.
+    /// Digests a request that sets the weights revision of a model.
     #[must_use]
     pub fn of_weights(model: &str, revision: WeightsRevision) -> Self {
         let model = digest_of_bytes(tag::TEXT, model.as_bytes());
@@ -71,7 +71,7 @@
     }
 }
 
-/// Seeds that say what a hash is of, so that equal bytes of two types have different digests.
+/// Hash seeds of the digested types, so that equal bytes of different types have different digests.
 mod tag {
     pub(super) const PUT: u64 = 0;
     pub(super) const PATCH: u64 = 1;
@@ -95,7 +95,7 @@
     digest_of_bytes(tag, digests.as_flattened())
 }
 
-/// Digests a JSON value while it is parsed, without building it.
+/// Digests a JSON value during parsing, without building the value.
 #[derive(Clone, Copy)]
 struct ValueDigest;
 
@@ -151,7 +151,7 @@
         while let Some(name) = fields.next_key_seed(self)? {
             digests.push([name, fields.next_value_seed(self)?]);
         }
-        // The sort is stable: of fields with the same name the last one counts, so these keep their order.
+        // The sort must be stable: the last of several fields with the same name takes effect, so their order matters.
         digests.sort_by_key(|[name, _]| *name);
         Ok(digest_of_digests(tag::OBJECT, digests.as_flattened()))
     }
--- a/crates/configuration/src/validation_error.rs
+++ b/crates/configuration/src/validation_error.rs
@@ -1,4 +1,4 @@
-//! Errors that the validation of a configuration reports: all of a document together, each with the path to the value.
+//! Errors found by the validation of a configuration. A report has all errors of a document, each with its path.
 
 use std::fmt;
 
@@ -7,22 +7,22 @@
 
 use crate::number::Revision;
 
-/// Errors that a report lists; the rest is only counted.
+/// Maximum number of errors that a report lists; further errors are only counted.
 pub const MAX_REPORTED_ERRORS: usize = 50;
 
-/// The summary in the body of a refusal.
+/// Text of the `problem` field in the response to an invalid configuration.
 const INVALID_CONFIGURATION: &str = "the configuration is invalid";
 
-/// One invalid value and where it is.
+/// An invalid value and its path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
-    /// The path to the value, as in `routes[3].timeLimitMs`; empty for the document itself.
+    /// The path of the value, for example `routes[3].timeLimitMs`; empty for the document.
     pub path: String,
-    /// What is wrong with it.
+    /// The rule that the value violates.
     pub kind: ValidationErrorKind,
 }
 
-/// What may be wrong with a configuration or a change of it. The display texts are part of the operator's interface.
+/// Rules that a configuration or a patch can violate. Operators receive the display texts in HTTP responses.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ValidationErrorKind {
     /// The body is not a complete JSON document.
@@ -31,10 +31,10 @@
         /// The message of the JSON parser.
         message: String,
     },
-    /// A value has another type than its field, or is out of the type's range.
+    /// A value has a type other than its field's, or is out of the range of that type.
     #[snafu(display("{message}"))]
     WrongType {
-        /// The type or value that was found, and the expected one.
+        /// The type or value that was found and the type that was expected.
         message: String,
     },
     /// A required field is missing.
@@ -46,31 +46,31 @@
     /// Another item of the list has the same label.
     #[snafu(display("the label is also that of {other}"))]
     DuplicateLabel {
-        /// The path to the first item with that label.
+        /// The path of the first item with that label.
         other: String,
     },
     /// Another route has the same host and path prefix.
     #[snafu(display("host and prefix are also those of {other}"))]
     DuplicateRoute {
-        /// The path to the first route with them.
+        /// The path of the first route with that host and prefix.
         other: String,
     },
     /// A path prefix doesn't start and end with a slash.
     #[snafu(display("does not start and end with '/'"))]
     MissingSlash,
-    /// No service has the label that a route names.
+    /// A route names a service that the document does not define.
     #[snafu(display("there is no service '{service}'"))]
     UnknownService {
-        /// The label.
+        /// The unknown label.
         service: String,
     },
-    /// A route names a KV cache store, which serves no requests.
+    /// A route names a KV cache store, which doesn't serve clients' requests.
     #[snafu(display("'{service}' is a store of KV cache and takes no requests"))]
     RoutedToStore {
-        /// The store's label.
+        /// The label of the store.
         service: String,
     },
-    /// A route has no service, or its weights sum to 0.
+    /// A route has no services, or the sum of its weights is 0 or not finite.
     #[snafu(display("the weights sum to 0"))]
     ZeroWeights,
     /// A weight is negative or not finite.
@@ -85,7 +85,7 @@
         /// The label of the first tenant with that key.
         other: String,
     },
-    /// The revision isn't above the current one.
+    /// The revision is not greater than the current one.
     #[snafu(display("is not above the current revision, {current}"))]
     RevisionNotAbove {
         /// The current revision.
@@ -96,7 +96,7 @@
     NothingToPatch,
 }
 
-/// All validation errors of a document; never empty where it is returned as an error.
+/// All validation errors of a document. A list that is returned as an error is never empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ValidationErrors {
     errors: Vec<ValidationError>,
@@ -105,19 +105,19 @@
 impl std::error::Error for ValidationErrors {}
 
 impl ValidationErrors {
-    /// A report with one error.
+    /// A list of one error.
     pub fn one(path: impl Into<String>, kind: ValidationErrorKind) -> Self {
         let mut errors = ValidationErrors::default();
         errors.add(path, kind);
         errors
     }
 
-    /// The report on a body that is not a JSON document of the expected form.
+    /// The error of a body that is not a JSON document of the expected form.
     pub(crate) fn unreadable(error: &dyn fmt::Display) -> Self {
         ValidationErrors::one("", ValidationErrorKind::Unreadable { message: error.to_string() })
     }
 
-    /// Adds an error.
+    /// Adds an error of the value at `path`.
     pub fn add(&mut self, path: impl Into<String>, kind: ValidationErrorKind) {
         self.errors.push(ValidationError { path: path.into(), kind });
     }
@@ -127,7 +127,7 @@
         self.errors.iter()
     }
 
-    /// How many errors there are.
+    /// The number of errors, including those that a report only counts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.errors.len()
@@ -143,13 +143,13 @@
     ///
     /// # Errors
     ///
-    /// The errors themselves, if there are any.
+    /// `self`, if it has errors.
     pub fn or<T>(self, value: T) -> Result<T, ValidationErrors> {
         if self.is_empty() { Ok(value) } else { Err(self) }
     }
 
-    /// The body of a refusal: `{"problem": ..., "count": ..., "findings": [{"place": ..., "message": ...}]}`. At most
-    /// [`MAX_REPORTED_ERRORS`] errors are listed.
+    /// The body of an HTTP response: `{"problem": ..., "count": ..., "findings": [{"place": ..., "message": ...}]}`.
+    /// At most [`MAX_REPORTED_ERRORS`] errors are listed.
     pub fn to_json(&self) -> Vec<u8> {
         let errors = self.reported().map(ErrorReport::new).collect();
         let report = Report { problem: INVALID_CONFIGURATION, count: self.len(), errors };
@@ -161,7 +161,7 @@
     }
 }
 
-/// A line for each error; at most [`MAX_REPORTED_ERRORS`] of them, and one that counts the rest.
+/// One line per error, up to [`MAX_REPORTED_ERRORS`], and a last line with the number of errors that are not listed.
 impl fmt::Display for ValidationErrors {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, error) in self.reported().enumerate() {
