--- a/crates/configuration/src/configuration_state.rs
+++ b/crates/configuration/src/configuration_state.rs
@@ -116,10 +116,10 @@
     /// [`ApplyError`] if this state has diverged from that of the member which accepted the change. The state is
     /// unchanged then, but must no longer be used.
     pub fn apply_entry(&mut self, entry: &ChangeEntry) -> Result<EntryOutcome, ApplyError> {
-        let outcome = self.outcome(entry);
+        let outcome = self.outcome_of(entry);
         if outcome == EntryOutcome::Applied {
             let document = entry.apply(self.document())?;
-            self.replace(document, entry);
+            self.set_document(document, entry);
         }
         Ok(outcome)
     }
@@ -128,12 +128,12 @@
     ///
     /// # Errors
     ///
-    /// [`ApplyError::OtherBase`] if the document in force has the revision of the base, but different content.
+    /// [`ApplyError::BaseMismatch`] if the document in force has the revision of the base, but different content.
     pub fn apply_accepted(&mut self, change: AcceptedChange) -> Result<EntryOutcome, ApplyError> {
-        let outcome = self.outcome(&change.entry);
+        let outcome = self.outcome_of(&change.entry);
         if outcome == EntryOutcome::Applied {
             change.entry.check_base(self.document())?;
-            self.replace(change.document, &change.entry);
+            self.set_document(change.document, &change.entry);
         }
         Ok(outcome)
     }
@@ -177,7 +177,7 @@
             return Decision::Stale { current };
         }
         match self.next_document(kind, body) {
-            Ok(document) => Decision::Accept(Box::new(self.accepted(kind, request, body, document))),
+            Ok(document) => Decision::Accept(Box::new(self.accepted_change(kind, request, body, document))),
             Err(errors) => Decision::Invalid(errors),
         }
     }
@@ -189,12 +189,15 @@
         };
         let current = self.revision();
         if document.revision() <= current {
-            return Err(ValidationErrors::one(REVISION, ValidationErrorKind::RevisionNotAbove { current }));
+            return Err(ValidationErrors::single(
+                REVISION,
+                ValidationErrorKind::RevisionNotAbove { current },
+            ));
         }
         Ok(document)
     }
 
-    fn accepted(
+    fn accepted_change(
         &self,
         kind: RequestKind,
         request: RequestDigest,
@@ -210,7 +213,7 @@
     }
 
     /// The effect of an entry on this state, provided that applying it gives the accepted result.
-    fn outcome(&self, entry: &ChangeEntry) -> EntryOutcome {
+    fn outcome_of(&self, entry: &ChangeEntry) -> EntryOutcome {
         if self.recent_requests.contains(&entry.request()) {
             return EntryOutcome::Repeated;
         }
@@ -220,7 +223,7 @@
         }
     }
 
-    fn replace(&mut self, document: Document, entry: &ChangeEntry) {
+    fn set_document(&mut self, document: Document, entry: &ChangeEntry) {
         self.recent_requests.record(entry.request());
         self.document = Some(document);
     }
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -11,10 +11,10 @@
 
 /// Minimum length in bytes of a chunk that is searched for in the old text. A shorter chunk is copied only if it
 /// continues a longer copy: as a separate step it would take about as many bytes as its text.
-const MIN_SEARCHED_CHUNK: usize = 32;
+const MIN_SEARCHED_CHUNK_BYTES: usize = 32;
 
 /// Maximum encoded size of a step without its inserted text, in bytes.
-const MAX_STEP_OVERHEAD: usize = 24;
+const MAX_STEP_OVERHEAD_BYTES: usize = 24;
 
 /// Steps that build a new text from an old one, byte for byte.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
@@ -61,7 +61,7 @@
         for step in &self.steps {
             match step {
                 Step::Insert(text) => new.extend_from_slice(text),
-                Step::Copy { start, end } => new.extend_from_slice(copied(old, *start..*end)?),
+                Step::Copy { start, end } => new.extend_from_slice(copied_range(old, *start..*end)?),
             }
         }
         Ok(new)
@@ -76,13 +76,13 @@
 impl Step {
     fn max_encoded_length(&self) -> usize {
         match self {
-            Step::Copy { .. } => MAX_STEP_OVERHEAD,
-            Step::Insert(text) => MAX_STEP_OVERHEAD + text.len(),
+            Step::Copy { .. } => MAX_STEP_OVERHEAD_BYTES,
+            Step::Insert(text) => MAX_STEP_OVERHEAD_BYTES + text.len(),
         }
     }
 }
 
-fn copied(old: &[u8], range: Range<usize>) -> Result<&[u8], DeltaError> {
+fn copied_range(old: &[u8], range: Range<usize>) -> Result<&[u8], DeltaError> {
     let Range { start, end } = range;
     old.get(start..end).context(DeltaSnafu { start, end, length: old.len() })
 }
@@ -118,10 +118,10 @@
     }
 }
 
-/// Maps each chunk of at least [`MIN_SEARCHED_CHUNK`] bytes to its first offset.
+/// Maps each chunk of at least [`MIN_SEARCHED_CHUNK_BYTES`] bytes to its first offset.
 fn offsets_of_chunks(text: &[u8]) -> HashMap<&[u8], usize> {
     let mut offsets = HashMap::new();
-    for chunk in chunks(text).filter(|chunk| chunk.len() >= MIN_SEARCHED_CHUNK) {
+    for chunk in chunks(text).filter(|chunk| chunk.len() >= MIN_SEARCHED_CHUNK_BYTES) {
         offsets.entry(&text[chunk.clone()]).or_insert(chunk.start);
     }
     offsets
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -11,11 +11,14 @@
 use crate::parse::parse_configuration;
 use crate::validation_error::ValidationErrors;
 
+/// Length of the digest of a document in bytes.
+const DIGEST_BYTES: usize = 16;
+
 /// A valid configuration. Its JSON is preserved byte for byte, including fields that the system does not know.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
     bytes: Arc<[u8]>,
-    digest: [u8; 16],
+    digest: [u8; DIGEST_BYTES],
     configuration: Arc<Configuration>,
 }
 
@@ -25,7 +28,7 @@
     /// The revision that the operator gave the document.
     pub revision: Revision,
     #[musli(bytes)]
-    digest: [u8; 16],
+    digest: [u8; DIGEST_BYTES],
 }
 
 impl Document {
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -10,24 +10,24 @@
 
 /// Identifies the type of the encoded value and the version of its encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Format(pub [u8; FORMAT_LENGTH]);
+pub struct Format(pub [u8; FORMAT_BYTES]);
 
-const FORMAT_LENGTH: usize = 4;
-const CHECKSUM_LENGTH: usize = 8;
-const HEADER_LENGTH: usize = FORMAT_LENGTH + CHECKSUM_LENGTH;
+const FORMAT_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 8;
+const HEADER_BYTES: usize = FORMAT_BYTES + CHECKSUM_BYTES;
 
 /// Reason why bytes can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum EncodingError {
     /// The bytes have another format.
     #[snafu(display("the bytes are not of the format {expected:?}"))]
-    UnknownFormat {
+    FormatMismatch {
         /// The expected format.
         expected: Format,
     },
     /// The bytes are truncated or damaged.
     #[snafu(display("the checksum of the bytes is wrong"))]
-    WrongChecksum,
+    ChecksumMismatch,
     /// The checksum matches, but the payload is not a value of the requested type.
     #[snafu(display("the bytes can't be decoded: {source}"))]
     Malformed {
@@ -43,11 +43,11 @@
 /// If the value's `Encode` implementation returns an error; derived implementations don't.
 pub fn encode<T: Encode<Binary>>(format: Format, value: &T) -> Vec<u8> {
     let mut bytes = format.0.to_vec();
-    bytes.extend([0; CHECKSUM_LENGTH]);
+    bytes.extend([0; CHECKSUM_BYTES]);
     // Writing to memory can't fail, so only a manual implementation of `Encode` can return an error.
     musli::wire::encode(&mut bytes, value).expect("a value of plain fields can be encoded");
-    let checksum = xxh3_64(&bytes[HEADER_LENGTH..]).to_le_bytes();
-    bytes[FORMAT_LENGTH..HEADER_LENGTH].copy_from_slice(&checksum);
+    let checksum = xxh3_64(&bytes[HEADER_BYTES..]).to_le_bytes();
+    bytes[FORMAT_BYTES..HEADER_BYTES].copy_from_slice(&checksum);
     bytes
 }
 
@@ -60,9 +60,10 @@
 where
     T: Decode<'de, Binary, musli::alloc::Global>,
 {
-    let payload = bytes.strip_prefix(&format.0).ok_or(EncodingError::UnknownFormat { expected: format })?;
+    let payload =
+        bytes.strip_prefix(&format.0).ok_or(EncodingError::FormatMismatch { expected: format })?;
     let (checksum, payload) =
-        payload.split_first_chunk::<CHECKSUM_LENGTH>().ok_or(EncodingError::WrongChecksum)?;
-    ensure!(*checksum == xxh3_64(payload).to_le_bytes(), WrongChecksumSnafu);
+        payload.split_first_chunk::<CHECKSUM_BYTES>().ok_or(EncodingError::ChecksumMismatch)?;
+    ensure!(*checksum == xxh3_64(payload).to_le_bytes(), ChecksumMismatchSnafu);
     musli::wire::from_slice(payload).context(MalformedSnafu)
 }
--- a/crates/configuration/src/entry.rs
+++ b/crates/configuration/src/entry.rs
@@ -35,7 +35,7 @@
 pub enum ApplyError {
     /// The document in force has the revision of the base, but different content.
     #[snafu(display("the entry builds on {expected}, but {found} is in force"))]
-    OtherBase {
+    BaseMismatch {
         /// The document on which the entry builds.
         expected: DocumentVersion,
         /// The document in force.
@@ -43,7 +43,7 @@
     },
     /// The resulting document differs from that of the member which accepted the change.
     #[snafu(display("the entry has led to {found} instead of {expected}"))]
-    OtherResult {
+    ResultMismatch {
         /// The document that was accepted.
         expected: DocumentVersion,
         /// The document that results here.
@@ -57,7 +57,7 @@
     },
     /// The delta of the entry copies text from beyond the end of the base.
     #[snafu(display("the entry doesn't fit its base: {source}"))]
-    UnfitDelta {
+    DeltaMismatch {
         /// The range that the base lacks.
         source: DeltaError,
     },
@@ -95,10 +95,10 @@
     ///
     /// # Errors
     ///
-    /// [`ApplyError::OtherBase`] if `base` is a different document.
+    /// [`ApplyError::BaseMismatch`] if `base` is a different document.
     pub(crate) fn check_base(&self, base: Option<&Document>) -> Result<(), ApplyError> {
         let found = version_of(base);
-        ensure!(found == self.base, OtherBaseSnafu { expected: self.base, found });
+        ensure!(found == self.base, BaseMismatchSnafu { expected: self.base, found });
         Ok(())
     }
 
@@ -111,7 +111,7 @@
         self.check_base(base)?;
         let document = self.content.apply(base)?;
         let found = document.version();
-        ensure!(found == self.result, OtherResultSnafu { expected: self.result, found });
+        ensure!(found == self.result, ResultMismatchSnafu { expected: self.result, found });
         Ok(document)
     }
 }
@@ -131,7 +131,7 @@
         match self {
             ChangeContent::Document(text) => Document::parse(text).context(InvalidResultSnafu),
             ChangeContent::Delta(delta) => {
-                let text = delta.apply(base.map_or(&[], Document::text)).context(UnfitDeltaSnafu)?;
+                let text = delta.apply(base.map_or(&[], Document::text)).context(DeltaMismatchSnafu)?;
                 Document::parse(&text).context(InvalidResultSnafu)
             }
             ChangeContent::Patch(body) => patched_document(base, body).context(InvalidResultSnafu),
@@ -146,7 +146,7 @@
 /// The errors of the patch or of the resulting document, or [`ValidationErrorKind::NothingToPatch`] without a base.
 pub(crate) fn patched_document(base: Option<&Document>, body: &[u8]) -> Result<Document, ValidationErrors> {
     let Some(base) = base else {
-        return Err(ValidationErrors::one("", ValidationErrorKind::NothingToPatch));
+        return Err(ValidationErrors::single("", ValidationErrorKind::NothingToPatch));
     };
     base.apply(&Patch::parse(body)?)
 }
--- a/crates/configuration/src/json/scalars.rs
+++ b/crates/configuration/src/json/scalars.rs
@@ -68,12 +68,12 @@
 
 impl UnsignedNumber {
     /// The number as `u32`; greater numbers become `u32::MAX`.
-    pub(crate) fn to_u32(self) -> u32 {
+    pub(crate) fn saturating_to_u32(self) -> u32 {
         u32::try_from(self.0).unwrap_or(u32::MAX)
     }
 
     /// The number as `u8`; greater numbers become `u8::MAX`.
-    pub(crate) fn to_u8(self) -> u8 {
+    pub(crate) fn saturating_to_u8(self) -> u8 {
         u8::try_from(self.0).unwrap_or(u8::MAX)
     }
 }
--- a/crates/configuration/src/lookup.rs
+++ b/crates/configuration/src/lookup.rs
@@ -38,7 +38,7 @@
     /// target, whose query is ignored. `None` if no route matches.
     #[must_use]
     pub fn route(&self, host: &str, target: &str) -> Option<usize> {
-        self.routes_of(without_port(host))?.longest_prefix(path_of(target))
+        self.routes_of(without_port(host))?.route_with_longest_prefix(path_of(target))
     }
 
     /// The index of the tenant that an API key belongs to; `None` for an unknown key. Keys are case-sensitive.
@@ -67,22 +67,22 @@
 /// The routes of one host.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
-    by_prefix: HashMap<String, usize>,
-    longest_prefix_bytes: usize,
+    index_by_prefix: HashMap<String, usize>,
+    max_prefix_bytes: usize,
 }
 
 impl HostRoutes {
     fn insert(&mut self, prefix: &str, index: usize) {
-        self.longest_prefix_bytes = self.longest_prefix_bytes.max(prefix.len());
-        self.by_prefix.insert(prefix.to_owned(), index);
+        self.max_prefix_bytes = self.max_prefix_bytes.max(prefix.len());
+        self.index_by_prefix.insert(prefix.to_owned(), index);
     }
 
     /// Looks up the path's prefixes that end with a slash, longest first. Prefixes longer than those of all routes are
     /// skipped, so that a long path of slashes takes no more time than a short one.
-    fn longest_prefix(&self, path: &str) -> Option<usize> {
-        let mut rest = &path.as_bytes()[..path.len().min(self.longest_prefix_bytes)];
+    fn route_with_longest_prefix(&self, path: &str) -> Option<usize> {
+        let mut rest = &path.as_bytes()[..path.len().min(self.max_prefix_bytes)];
         while let Some(slash) = rest.iter().rposition(|byte| *byte == b'/') {
-            if let Some(index) = self.by_prefix.get(&path[..=slash]) {
+            if let Some(index) = self.index_by_prefix.get(&path[..=slash]) {
                 return Some(*index);
             }
             rest = &rest[..slash];
@@ -109,8 +109,8 @@
 
     fn pick(&self, fraction: f64) -> Option<usize> {
         let total = *self.cumulative_weights.last()?;
-        let wanted = fraction * total;
-        let picked = self.cumulative_weights.partition_point(|sum| *sum <= wanted);
+        let target_sum = fraction * total;
+        let picked = self.cumulative_weights.partition_point(|sum| *sum <= target_sum);
         // Rounding may give an index past the end. The service at which the total is reached is the last one with a
         // weight above 0.
         let last_weighted = self.cumulative_weights.partition_point(|sum| *sum < total);
--- a/crates/configuration/src/parse/mod.rs
+++ b/crates/configuration/src/parse/mod.rs
@@ -27,7 +27,7 @@
     let document = JsonDocument::from_bytes(bytes)?;
     let mut parser = Parser::default();
     let configuration = parser.configuration(document);
-    parser.errors.or(configuration)
+    parser.errors.into_result(configuration)
 }
 
 /// The kind of service that a label identifies.
@@ -104,11 +104,11 @@
 
 fn caps(json: JsonCaps) -> Caps {
     let default = Caps::default();
-    let or = |value: Option<UnsignedNumber>, default: u64| value.map_or(default, |value| value.0);
+    let or_default = |value: Option<UnsignedNumber>, default: u64| value.map_or(default, |value| value.0);
     Caps {
-        head_bytes: or(json.head_size_bytes, default.head_bytes),
-        body_bytes: or(json.body_size_bytes, default.body_bytes),
-        head_wait_ms: or(json.head_wait_ms, default.head_wait_ms),
-        idle_ms: or(json.quiet_ms, default.idle_ms),
+        head_bytes: or_default(json.head_size_bytes, default.head_bytes),
+        body_bytes: or_default(json.body_size_bytes, default.body_bytes),
+        head_wait_ms: or_default(json.head_wait_ms, default.head_wait_ms),
+        idle_ms: or_default(json.quiet_ms, default.idle_ms),
     }
 }
--- a/crates/configuration/src/parse/routes.rs
+++ b/crates/configuration/src/parse/routes.rs
@@ -37,9 +37,9 @@
             kind: json.sort.map_or(RouteKind::Risky, |kind| kind.0),
             time_limit_ms,
             target_ms: json.target_ms.map_or(time_limit_ms, |target| target.0),
-            rank: Rank(json.rank.unwrap_or_default().to_u8()),
+            rank: Rank(json.rank.unwrap_or_default().saturating_to_u8()),
             service_weights: self.service_weights(item, json.backend, json.shares),
-            max_attempts: json.tries.map_or(1, |attempts| attempts.to_u32().max(1)),
+            max_attempts: json.tries.map_or(1, |attempts| attempts.saturating_to_u32().max(1)),
             public: json.public.unwrap_or_default(),
             pinned: json.pinned.unwrap_or_default(),
             resumable: json.pick_up.unwrap_or_default(),
@@ -134,12 +134,12 @@
 
     /// Reports routes with the same host and path prefix as an earlier one.
     fn check_unique_prefixes(&mut self, routes: &[Route]) {
-        let mut first_index: HashMap<(&str, &str), usize> = HashMap::with_capacity(routes.len());
+        let mut first_index_by_prefix: HashMap<(&str, &str), usize> = HashMap::with_capacity(routes.len());
         for (index, route) in routes.iter().enumerate() {
             if route.host.is_empty() || route.path_prefix.is_empty() {
                 continue;
             }
-            let first = *first_index.entry((&route.host, &route.path_prefix)).or_insert(index);
+            let first = *first_index_by_prefix.entry((&route.host, &route.path_prefix)).or_insert(index);
             if first != index {
                 let other = ItemPath { list: ROUTES, index: first }.path();
                 let path = ItemPath { list: ROUTES, index }.path();
--- a/crates/configuration/src/parse/services.rs
+++ b/crates/configuration/src/parse/services.rs
@@ -29,11 +29,11 @@
         Service {
             label: self.non_empty_string(item, LABEL, json.label),
             health_path: json.check_path.unwrap_or_else(default_health_path),
-            connection_limit: json.conn_limit.unwrap_or_default().to_u32(),
+            connection_limit: json.conn_limit.unwrap_or_default().saturating_to_u32(),
             runtime: json.runtime.map(|Object(json)| runtime(json)),
             store_address: json.cache_store,
             store_zone: json.area,
-            max_event_calls: event_calls.unwrap_or_default().to_u32(),
+            max_event_calls: event_calls.unwrap_or_default().saturating_to_u32(),
             store_tokens: json.cache_tokens.unwrap_or_default().0,
         }
     }
@@ -42,7 +42,7 @@
 fn runtime(json: JsonRuntime) -> ServiceRuntime {
     let models = json.llms.unwrap_or_default();
     ServiceRuntime {
-        capacity: json.capacity.unwrap_or_default().to_u32(),
+        capacity: json.capacity.unwrap_or_default().saturating_to_u32(),
         cache_tokens: json.cache_tokens.unwrap_or_default().0,
         cache_token_bytes: json.cache_token_bytes.unwrap_or_default().0,
         bandwidth_mbps: json.bandwidth_mbps.unwrap_or_default(),
--- a/crates/configuration/src/parse/tenants.rs
+++ b/crates/configuration/src/parse/tenants.rs
@@ -20,7 +20,7 @@
         Tenant {
             label: self.non_empty_string(item, LABEL, json.label),
             api_keys: json.api_keys.unwrap_or_default(),
-            rank: json.rank.map(|rank| Rank(rank.to_u8())),
+            rank: json.rank.map(|rank| Rank(rank.saturating_to_u8())),
             isolated: json.isolated.unwrap_or_default(),
         }
     }
--- a/crates/configuration/src/patch/mod.rs
+++ b/crates/configuration/src/patch/mod.rs
@@ -89,24 +89,24 @@
 /// The JSON text of a document after a patch.
 fn patched_text(document: &[u8], patch: &Patch) -> Result<Vec<u8>, serde_json::Error> {
     let fields: RawFields<'_> = serde_json::from_slice(document)?;
-    let mut changed: BTreeMap<&str, Cow<'_, RawValue>> = BTreeMap::new();
-    changed.extend(fields.iter().map(|(name, text)| (name.as_ref(), Cow::Borrowed(*text))));
-    changed.insert(REVISION, Cow::Owned(raw(&patch.revision)?));
+    let mut merged: BTreeMap<&str, Cow<'_, RawValue>> = BTreeMap::new();
+    merged.extend(fields.iter().map(|(name, text)| (name.as_ref(), Cow::Borrowed(*text))));
+    merged.insert(REVISION, Cow::Owned(to_raw_value(&patch.revision)?));
     for replacement in &patch.replacements {
-        changed.insert(&replacement.field, Cow::Borrowed(&replacement.text));
+        merged.insert(&replacement.field, Cow::Borrowed(&replacement.text));
     }
     for removal in &patch.removals {
-        if let Some(items) = changed.get(removal.list.as_str()).and_then(|text| items_of(text)) {
-            let text = raw(&removal.apply(items))?;
-            changed.insert(&removal.list, Cow::Owned(text));
+        if let Some(items) = merged.get(removal.list.as_str()).and_then(|text| items_of(text)) {
+            let text = to_raw_value(&removal.apply(items))?;
+            merged.insert(&removal.list, Cow::Owned(text));
         }
     }
     for upsert in &patch.upserts {
-        let items = changed.get(upsert.list.as_str()).and_then(|text| items_of(text)).unwrap_or_default();
-        let text = raw(&upsert.apply(items))?;
-        changed.insert(&upsert.list, Cow::Owned(text));
+        let items = merged.get(upsert.list.as_str()).and_then(|text| items_of(text)).unwrap_or_default();
+        let text = to_raw_value(&upsert.apply(items))?;
+        merged.insert(&upsert.list, Cow::Owned(text));
     }
-    serde_json::to_vec(&changed)
+    serde_json::to_vec(&merged)
 }
 
 impl Removal {
@@ -148,6 +148,6 @@
     item.ok().map(|Object(item)| item.label)
 }
 
-fn raw<T: serde::Serialize>(value: &T) -> Result<Box<RawValue>, serde_json::Error> {
+fn to_raw_value<T: serde::Serialize>(value: &T) -> Result<Box<RawValue>, serde_json::Error> {
     serde_json::value::to_raw_value(value)
 }
--- a/crates/configuration/src/patch/parser.rs
+++ b/crates/configuration/src/patch/parser.rs
@@ -30,7 +30,7 @@
         serde_json::from_slice(bytes).map_err(|error| ValidationErrors::unreadable(&error))?;
     let mut parser = PatchParser::default();
     parser.parse(&fields);
-    parser.errors.or(parser.patch)
+    parser.errors.into_result(parser.patch)
 }
 
 /// Converts the JSON form of a patch and collects its errors.
@@ -44,13 +44,13 @@
     fn parse(&mut self, fields: &RawFields<'_>) {
         self.patch.revision = self.revision(fields);
         if let Some(text) = fields.get(CAPS) {
-            self.replacement(CAPS, text);
+            self.add_replacement(CAPS, text);
         }
-        for (name, text) in self.object(fields, UPSERT) {
-            self.upsert(&name, text);
+        for (name, text) in self.object_fields(fields, UPSERT) {
+            self.add_upsert(&name, text);
         }
-        for (name, text) in self.object(fields, REMOVE) {
-            self.removal(&name, text);
+        for (name, text) in self.object_fields(fields, REMOVE) {
+            self.add_removal(&name, text);
         }
     }
 
@@ -59,31 +59,31 @@
             self.errors.add(REVISION, ValidationErrorKind::Missing);
             return Revision(0);
         };
-        self.typed(text, || REVISION.to_owned())
+        self.parse_value(text, || REVISION.to_owned())
     }
 
     /// The fields of an object; empty if the object is missing or null.
-    fn object<'a>(&mut self, fields: &RawFields<'a>, name: &str) -> RawFields<'a> {
+    fn object_fields<'a>(&mut self, fields: &RawFields<'a>, name: &str) -> RawFields<'a> {
         match fields.get(name) {
-            Some(text) if text.get() != NULL => self.typed(text, || name.to_owned()),
+            Some(text) if text.get() != NULL => self.parse_value(text, || name.to_owned()),
             _ => RawFields::new(),
         }
     }
 
     /// Adds an upsert of a list, or a replacement of any other field.
-    fn upsert(&mut self, field: &str, text: &RawValue) {
+    fn add_upsert(&mut self, field: &str, text: &RawValue) {
         let is_list = text.get().starts_with('[');
         if !is_list && !KNOWN_LISTS.contains(&field) {
-            self.replacement(field, text);
+            self.add_replacement(field, text);
             return;
         }
-        let items = self.typed(text, || format!("{UPSERT}.{field}"));
-        let items = self.labelled(field, items);
+        let items = self.parse_value(text, || format!("{UPSERT}.{field}"));
+        let items = self.labelled_items(field, items);
         self.patch.upserts.push(Upsert { list: field.to_owned(), items });
     }
 
     /// The items of a list with their labels. Missing and duplicate labels are reported.
-    fn labelled(&mut self, list: &str, items: Vec<&RawValue>) -> Vec<LabelledItem> {
+    fn labelled_items(&mut self, list: &str, items: Vec<&RawValue>) -> Vec<LabelledItem> {
         let mut first_index_by_label: HashMap<String, usize> = HashMap::new();
         let mut labelled = Vec::with_capacity(items.len());
         for (index, item) in items.into_iter().enumerate() {
@@ -102,17 +102,17 @@
         labelled
     }
 
-    fn removal(&mut self, list: &str, text: &RawValue) {
-        let labels = self.typed(text, || format!("{REMOVE}.{list}"));
+    fn add_removal(&mut self, list: &str, text: &RawValue) {
+        let labels = self.parse_value(text, || format!("{REMOVE}.{list}"));
         self.patch.removals.push(Removal { list: list.to_owned(), labels });
     }
 
-    fn replacement(&mut self, field: &str, text: &RawValue) {
+    fn add_replacement(&mut self, field: &str, text: &RawValue) {
         self.patch.replacements.push(Replacement { field: field.to_owned(), text: text.to_owned() });
     }
 
     /// Parses a value of type `T`. A text of another type is reported, and the default is returned.
-    fn typed<'a, T>(&mut self, text: &'a RawValue, path: impl FnOnce() -> String) -> T
+    fn parse_value<'a, T>(&mut self, text: &'a RawValue, path: impl FnOnce() -> String) -> T
     where
         T: Deserialize<'a> + Default,
     {
--- a/crates/configuration/src/precision.rs
+++ b/crates/configuration/src/precision.rs
@@ -13,33 +13,33 @@
 /// Scans JSON byte by byte.
 #[derive(Default)]
 struct NumberScanner {
-    in_string: bool,
-    after_backslash: bool,
+    is_in_string: bool,
+    is_after_backslash: bool,
     /// Number of digits of the current number that were scanned.
-    digits: usize,
+    digit_count: usize,
 }
 
 impl NumberScanner {
     fn may_round_at(&mut self, byte: u8) -> bool {
-        if self.in_string {
-            self.read_in_string(byte);
+        if self.is_in_string {
+            self.scan_string_byte(byte);
             return false;
         }
         match byte {
-            b'0'..=b'9' => self.digits += 1,
+            b'0'..=b'9' => self.digit_count += 1,
             b'.' => {}
-            b'e' | b'E' if self.digits > 0 => return true,
-            _ => self.digits = 0,
+            b'e' | b'E' if self.digit_count > 0 => return true,
+            _ => self.digit_count = 0,
         }
-        self.in_string = byte == b'"';
-        self.digits > EXACT_DIGITS
+        self.is_in_string = byte == b'"';
+        self.digit_count > EXACT_DIGITS
     }
 
-    fn read_in_string(&mut self, byte: u8) {
-        let is_escaped = std::mem::take(&mut self.after_backslash);
+    fn scan_string_byte(&mut self, byte: u8) {
+        let is_escaped = std::mem::take(&mut self.is_after_backslash);
         match byte {
-            b'\\' => self.after_backslash = !is_escaped,
-            b'"' => self.in_string = is_escaped,
+            b'\\' => self.is_after_backslash = !is_escaped,
+            b'"' => self.is_in_string = is_escaped,
             _ => {}
         }
     }
--- a/crates/configuration/src/recent_requests.rs
+++ b/crates/configuration/src/recent_requests.rs
@@ -12,28 +12,28 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecentRequests {
     /// Digests from oldest to newest.
-    order: VecDeque<RequestDigest>,
+    queue: VecDeque<RequestDigest>,
     /// The same digests, for look-ups.
-    members: HashSet<RequestDigest>,
+    digests: HashSet<RequestDigest>,
 }
 
 impl RecentRequests {
     /// Whether the request is in the window.
     #[must_use]
     pub fn contains(&self, request: &RequestDigest) -> bool {
-        self.members.contains(request)
+        self.digests.contains(request)
     }
 
     /// Adds a request to the window and removes the oldest one from a full window. A request that is already in the
     /// window keeps its position.
     pub fn record(&mut self, request: RequestDigest) {
-        if !self.members.insert(request) {
+        if !self.digests.insert(request) {
             return;
         }
-        self.order.push_back(request);
-        if self.order.len() > MAX_RECENT_REQUESTS {
-            if let Some(oldest) = self.order.pop_front() {
-                self.members.remove(&oldest);
+        self.queue.push_back(request);
+        if self.queue.len() > MAX_RECENT_REQUESTS {
+            if let Some(oldest) = self.queue.pop_front() {
+                self.digests.remove(&oldest);
             }
         }
     }
@@ -41,7 +41,7 @@
     /// Concatenates the digests, oldest first, for a snapshot.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
-        self.order.iter().flat_map(|request| request.to_bytes()).collect()
+        self.queue.iter().flat_map(|request| request.to_bytes()).collect()
     }
 
     /// Restores a window from the bytes of [`RecentRequests::to_bytes`]; `None` if the last digest is incomplete.
--- a/crates/configuration/src/request_digest.rs
+++ b/crates/configuration/src/request_digest.rs
@@ -51,7 +51,7 @@
             RequestKind::Put => tag::PUT,
             RequestKind::Patch => tag::PATCH,
         };
-        Ok(RequestDigest(digest_of_digests(kind, &[u128::from(base.0).to_le_bytes(), value])))
+        Ok(RequestDigest(combined_digest(kind, &[u128::from(base.0).to_le_bytes(), value])))
     }
 
     /// Digests a request that sets the weights revision of a model.
@@ -59,7 +59,7 @@
     pub fn of_weights(model: &str, revision: WeightsRevision) -> Self {
         let model = digest_of_bytes(tag::TEXT, model.as_bytes());
         let revision = digest_of_bytes(tag::UNSIGNED, &revision.0.to_le_bytes());
-        RequestDigest(digest_of_digests(tag::WEIGHTS, &[model, revision]))
+        RequestDigest(combined_digest(tag::WEIGHTS, &[model, revision]))
     }
 
     pub(crate) fn to_bytes(self) -> RawDigest {
@@ -91,7 +91,7 @@
     xxh3_128_with_seed(bytes, tag).to_le_bytes()
 }
 
-fn digest_of_digests(tag: u64, digests: &[RawDigest]) -> RawDigest {
+fn combined_digest(tag: u64, digests: &[RawDigest]) -> RawDigest {
     digest_of_bytes(tag, digests.as_flattened())
 }
 
@@ -143,7 +143,7 @@
         while let Some(item) = items.next_element_seed(self)? {
             digests.push(item);
         }
-        Ok(digest_of_digests(tag::LIST, &digests))
+        Ok(combined_digest(tag::LIST, &digests))
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<RawDigest, A::Error> {
@@ -153,6 +153,6 @@
         }
         // The sort must be stable: the last of several fields with the same name takes effect, so their order matters.
         digests.sort_by_key(|[name, _]| *name);
-        Ok(digest_of_digests(tag::OBJECT, digests.as_flattened()))
+        Ok(combined_digest(tag::OBJECT, digests.as_flattened()))
     }
 }
--- a/crates/configuration/src/validation_error.rs
+++ b/crates/configuration/src/validation_error.rs
@@ -106,7 +106,7 @@
 
 impl ValidationErrors {
     /// A list of one error.
-    pub fn one(path: impl Into<String>, kind: ValidationErrorKind) -> Self {
+    pub fn single(path: impl Into<String>, kind: ValidationErrorKind) -> Self {
         let mut errors = ValidationErrors::default();
         errors.add(path, kind);
         errors
@@ -114,7 +114,7 @@
 
     /// The error of a body that is not a JSON document of the expected form.
     pub(crate) fn unreadable(error: &dyn fmt::Display) -> Self {
-        ValidationErrors::one("", ValidationErrorKind::Unreadable { message: error.to_string() })
+        ValidationErrors::single("", ValidationErrorKind::Unreadable { message: error.to_string() })
     }
 
     /// Adds an error of the value at `path`.
@@ -144,7 +144,7 @@
     /// # Errors
     ///
     /// `self`, if it has errors.
-    pub fn or<T>(self, value: T) -> Result<T, ValidationErrors> {
+    pub fn into_result<T>(self, value: T) -> Result<T, ValidationErrors> {
         if self.is_empty() { Ok(value) } else { Err(self) }
     }
 
@@ -170,7 +170,7 @@
         }
         match self.len().saturating_sub(MAX_REPORTED_ERRORS) {
             0 => Ok(()),
-            hidden => write!(formatter, "\nand {hidden} more"),
+            unlisted => write!(formatter, "\nand {unlisted} more"),
         }
     }
 }
--- a/crates/configuration/tests/encoding.rs
+++ b/crates/configuration/tests/encoding.rs
@@ -21,7 +21,7 @@
 #[case::text(b"{\"revision\":1}")]
 fn bytes_of_another_format_are_an_error(#[case] bytes: &[u8]) {
     let error = decode::<Vec<u64>>(FORMAT, bytes).expect_err("the bytes are of another format");
-    assert!(matches!(error, EncodingError::UnknownFormat { expected: FORMAT }), "{error}");
+    assert!(matches!(error, EncodingError::FormatMismatch { expected: FORMAT }), "{error}");
 }
 
 #[test]
@@ -44,7 +44,7 @@
 #[test]
 fn trailing_bytes_are_an_error() {
     let bytes = [sample_bytes(), vec![0]].concat();
-    assert!(matches!(decode::<Vec<u64>>(FORMAT, &bytes), Err(EncodingError::WrongChecksum)));
+    assert!(matches!(decode::<Vec<u64>>(FORMAT, &bytes), Err(EncodingError::ChecksumMismatch)));
 }
 
 #[test]
--- a/crates/configuration/tests/entry.rs
+++ b/crates/configuration/tests/entry.rs
@@ -96,7 +96,7 @@
     let mut diverged = state_with(&sample_with("/remark", json!("another")));
     let before = diverged.clone();
     let error = diverged.apply_entry(&entry).expect_err("the base is another");
-    assert!(matches!(error, ApplyError::OtherBase { .. }), "{error}");
+    assert!(matches!(error, ApplyError::BaseMismatch { .. }), "{error}");
     assert_eq!(diverged, before);
 }
 
@@ -107,12 +107,12 @@
     let change =
         accepted(decided_on.decide_put(Some(Revision(7)), &body(&sample_with("/revision", json!(9)))));
     let mut diverged = state_with(&sample_with("/remark", json!("another")));
-    assert!(matches!(diverged.apply_accepted(change), Err(ApplyError::OtherBase { .. })));
+    assert!(matches!(diverged.apply_accepted(change), Err(ApplyError::BaseMismatch { .. })));
 }
 
 /// An encoded entry whose content was exchanged leads to another document, which is noticed.
 #[rstest]
-#[case::another_document("blue", "gray", "OtherResult")]
+#[case::another_document("blue", "gray", "ResultMismatch")]
 #[case::an_invalid_document("\"tries\":1", "\"tries\":x", "InvalidResult")]
 fn another_result_is_an_error(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let mut state = ConfigurationState::default();
