--- a/crates/configuration/src/configuration_state.rs
+++ b/crates/configuration/src/configuration_state.rs
@@ -69,13 +69,13 @@
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
     /// The bytes are not an intact snapshot of this format.
-    #[snafu(display("cannot decode a configuration's state: {source}"))]
+    #[snafu(display("cannot decode the configuration snapshot: {source}"))]
     Encoding {
         /// Error of the decoder.
         source: EncodingError,
     },
     /// The configuration in the snapshot is invalid.
-    #[snafu(display("the decoded configuration is invalid: {source}"))]
+    #[snafu(display("the configuration in the snapshot is invalid: {source}"))]
     InvalidDocument {
         /// Errors of the configuration.
         source: ValidationErrors,
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -33,7 +33,7 @@
 
 /// A step copies a range that extends beyond the end of the base text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("bytes {start} to {end} are not in the base of {length} bytes"))]
+#[snafu(display("the byte range {start}..{end} exceeds the base length of {length} bytes"))]
 pub struct DeltaError {
     start: usize,
     end: usize,
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -20,16 +20,16 @@
 #[derive(Debug, Snafu)]
 pub enum EncodingError {
     /// The bytes have another format.
-    #[snafu(display("the bytes are not of the format {expected:?}"))]
+    #[snafu(display("the bytes do not have the format {expected:?}"))]
     FormatMismatch {
         /// The expected format.
         expected: Format,
     },
     /// The bytes are truncated or damaged.
-    #[snafu(display("the checksum of the bytes is wrong"))]
+    #[snafu(display("the checksum of the bytes does not match"))]
     ChecksumMismatch,
     /// The checksum matches, but the payload is not a value of the requested type.
-    #[snafu(display("the bytes can't be decoded: {source}"))]
+    #[snafu(display("the payload cannot be decoded: {source}"))]
     Malformed {
         /// Error of the decoder.
         source: musli::wire::Error,
@@ -45,7 +45,7 @@
     let mut bytes = format.0.to_vec();
     bytes.extend([0; CHECKSUM_BYTES]);
     // Writing to memory can't fail, so only a manual implementation of `Encode` can return an error.
-    musli::wire::encode(&mut bytes, value).expect("a value of plain fields can be encoded");
+    musli::wire::encode(&mut bytes, value).expect("encoding to memory must not fail");
     let checksum = xxh3_64(&bytes[HEADER_BYTES..]).to_le_bytes();
     bytes[FORMAT_BYTES..HEADER_BYTES].copy_from_slice(&checksum);
     bytes
--- a/crates/configuration/src/entry.rs
+++ b/crates/configuration/src/entry.rs
@@ -42,7 +42,7 @@
         found: DocumentVersion,
     },
     /// The resulting document differs from that of the member which accepted the change.
-    #[snafu(display("the entry has led to {found} instead of {expected}"))]
+    #[snafu(display("the entry resulted in {found} instead of {expected}"))]
     ResultMismatch {
         /// The document that was accepted.
         expected: DocumentVersion,
@@ -50,13 +50,13 @@
         found: DocumentVersion,
     },
     /// The resulting document is invalid.
-    #[snafu(display("the entry has led to an invalid configuration: {source}"))]
+    #[snafu(display("the entry resulted in an invalid configuration: {source}"))]
     InvalidResult {
         /// Errors of the document.
         source: ValidationErrors,
     },
     /// The delta of the entry copies text from beyond the end of the base.
-    #[snafu(display("the entry doesn't fit its base: {source}"))]
+    #[snafu(display("the entry's delta does not match its base: {source}"))]
     DeltaMismatch {
         /// The range that the base lacks.
         source: DeltaError,
--- a/crates/configuration/src/number.rs
+++ b/crates/configuration/src/number.rs
@@ -46,7 +46,7 @@
             /// If this is the largest number.
             #[must_use]
             pub fn next(self) -> $name {
-                self.checked_next().expect("numbers are counted up one by one and don't run out")
+                self.checked_next().expect("the next number must not exceed the maximum of its type")
             }
         }
     )+};
--- a/crates/configuration/tests/delta.rs
+++ b/crates/configuration/tests/delta.rs
@@ -61,7 +61,10 @@
     let delta = Delta::between(old.as_bytes(), old.as_bytes());
     let error = delta.apply(&old.as_bytes()[1..]).expect_err("the base lacks a byte");
     let (end, length) = (old.len(), old.len() - 1);
-    assert_eq!(error.to_string(), format!("bytes {head} to {end} are not in the base of {length} bytes"));
+    assert_eq!(
+        error.to_string(),
+        format!("the byte range {head}..{end} exceeds the base length of {length} bytes")
+    );
 }
 
 /// Texts of few letters and many braces, so that pieces are often found more than once.
