--- a/crates/configuration/benches/configuration_change.rs
+++ b/crates/configuration/benches/configuration_change.rs
@@ -1,5 +1,5 @@
-//! What a change of a large configuration costs: the bytes of its entry, and the time to decide on it and to
-//! apply it at the member that decided and at one that follows.
+//! Measures changes of a large configuration: the size of the log entry in bytes, the time of the decision, and the time
+//! to apply the entry at a follower.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -12,7 +12,8 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-const ROUNDS: u32 = 50;
+/// Number of timed runs of each operation.
+const RUN_COUNT: u32 = 50;
 
 fn main() {
     let document = common::large_configuration();
@@ -32,25 +33,25 @@
 fn report(name: &str, state: &ConfigurationState, decide: impl Fn() -> Decision) {
     let change = accepted(decide());
     let bytes = musli::wire::to_vec(&change.entry).expect("an entry can be encoded");
-    let deciding = times(|| {
+    let decision_times = shortest_and_median(|| {
         black_box(decide());
     });
-    let following = times(|| {
+    let follower_times = shortest_and_median(|| {
         let entry = musli::wire::from_slice(&bytes).expect("an entry can be decoded");
-        state.clone().apply_entry(&entry).expect("its base is in force");
+        state.clone().apply_entry(&entry).expect("the base is in force");
     });
     println!("{name}: {} bytes; shortest and median times:", bytes.len());
-    println!("    decide {deciding:?}, apply at a follower {following:?}");
+    println!("    decide {decision_times:?}, apply at a follower {follower_times:?}");
 }
 
-/// The shortest and the median time of several runs.
-fn times(run: impl Fn()) -> [Duration; 2] {
+/// The shortest and the median time of [`RUN_COUNT`] runs.
+fn shortest_and_median(run: impl Fn()) -> [Duration; 2] {
     let timed = |_| {
         let start = Instant::now();
         run();
         start.elapsed()
     };
-    let mut times: Vec<Duration> = (0..ROUNDS).map(timed).collect();
+    let mut times: Vec<Duration> = (0..RUN_COUNT).map(timed).collect();
     times.sort_unstable();
     [times[0], times[times.len() / 2]]
 }
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! Documents that several tests start from.
+//! Sample configurations and helpers that several tests use.
 
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
 use tulipridge_configuration::{AcceptedChange, ConfigurationState, Decision};
 
-/// A valid configuration: two routes, two services and a store, two tenants, and fields that the system
-/// doesn't know.
+/// A valid configuration: two routes, two services and a KV cache store, two tenants, and fields that the system doesn't
+/// know.
 pub(crate) fn sample() -> Value {
     json!({
         "revision": 7,
@@ -38,7 +38,7 @@
     })
 }
 
-/// The sample with the value at a JSON pointer replaced.
+/// The sample with another value at a JSON pointer.
 pub(crate) fn sample_with(pointer: &str, value: Value) -> Value {
     let mut document = sample();
     *document.pointer_mut(pointer).expect("the sample has the field") = value;
@@ -54,24 +54,25 @@
     document
 }
 
-/// A value as the bytes of a body.
+/// A value as the JSON bytes of a request body.
 pub(crate) fn body(value: &Value) -> Vec<u8> {
     serde_json::to_vec(value).expect("a value can be written")
 }
 
-/// Routes of the large configuration.
-const LARGE_ROUTES: usize = 5_300;
+/// Number of routes in the large configuration.
+const LARGE_ROUTE_COUNT: usize = 5_300;
 
 /// A valid configuration of about 1.3 MB at revision 1.
 pub(crate) fn large_configuration() -> Value {
-    let routes: Vec<Value> = (0..LARGE_ROUTES).map(|number| large_route(number, "shop.example")).collect();
+    let routes: Vec<Value> =
+        (0..LARGE_ROUTE_COUNT).map(|number| large_route(number, "shop.example")).collect();
     let services: Vec<Value> = (0..100)
         .map(|number| json!({"label": format!("service-{number}"), "checkPath": "/health"}))
         .collect();
     json!({"revision": 1, "routes": routes, "backends": services})
 }
 
-/// A route of the large configuration.
+/// The route of the large configuration with this number.
 pub(crate) fn large_route(number: usize, host: &str) -> Value {
     json!({
         "label": format!("route-{number}"), "hostname": host, "pathStart": format!("/part/{number}/"),
@@ -83,7 +84,11 @@
     })
 }
 
-/// The change of a request that must be accepted.
+/// The accepted change of a decision.
+///
+/// # Panics
+///
+/// If the request was not accepted.
 pub(crate) fn accepted(decision: Decision) -> AcceptedChange {
     match decision {
         Decision::Accept(change) => *change,
@@ -91,10 +96,10 @@
     }
 }
 
-/// A state whose first configuration is this one.
+/// A state in which this configuration is in force as the first one.
 pub(crate) fn state_with(document: &Value) -> ConfigurationState {
     let mut state = ConfigurationState::default();
     let change = accepted(state.decide_put(None, &body(document)));
-    state.apply_accepted(change).expect("it is the first");
+    state.apply_accepted(change).expect("no configuration is in force");
     state
 }
--- a/crates/configuration/tests/configuration_state.rs
+++ b/crates/configuration/tests/configuration_state.rs
@@ -1,4 +1,4 @@
-//! Decisions on the operator's requests.
+//! Decisions on operators' requests, and the effect of accepted changes on the state.
 
 mod common;
 
@@ -10,9 +10,9 @@
     AcceptedChange, ChangeEntry, ConfigurationState, Decision, EntryOutcome, MAX_RECENT_REQUESTS,
 };
 
-/// Applies a change that must take effect.
+/// Applies a change and checks that it takes effect.
 fn apply(state: &mut ConfigurationState, change: AcceptedChange) {
-    assert_eq!(state.apply_accepted(change).expect("its base is in force"), EntryOutcome::Applied);
+    assert_eq!(state.apply_accepted(change).expect("the base is in force"), EntryOutcome::Applied);
 }
 
 fn put(state: &mut ConfigurationState, base: u64, document: &Value) {
@@ -20,18 +20,18 @@
     apply(state, change);
 }
 
-/// A state with the sample (revision 7) in force.
+/// A state in which the sample (revision 7) is in force.
 fn state_with_sample() -> ConfigurationState {
     state_with(&sample())
 }
 
-fn at_revision(revision: u64) -> Value {
+fn sample_at_revision(revision: u64) -> Value {
     sample_with("/revision", json!(revision))
 }
 
-fn kind_of(decision: &Decision) -> &'static str {
+fn outcome_of(decision: &Decision) -> &'static str {
     match decision {
-        Decision::AlreadyAccepted => "already taken",
+        Decision::AlreadyAccepted => "already accepted",
         Decision::Stale { .. } => "stale",
         Decision::Invalid(_) => "invalid",
         Decision::Accept(_) => "accept",
@@ -39,33 +39,36 @@
 }
 
 #[rstest]
-#[case::on_nothing(Some(0), "accept")]
+#[case::on_base_0(Some(0), "accept")]
 #[case::without_a_base(None, "accept")]
-#[case::on_another(Some(5), "stale")]
-fn decides_on_the_first_configuration(#[case] if_match: Option<u64>, #[case] expected: &str) {
+#[case::on_another_base(Some(5), "stale")]
+fn a_first_put_is_accepted_unless_it_names_another_base(
+    #[case] if_match: Option<u64>,
+    #[case] expected: &str,
+) {
     let state = ConfigurationState::default();
-    assert_eq!(kind_of(&state.decide_put(if_match.map(Revision), &body(&sample()))), expected);
+    assert_eq!(outcome_of(&state.decide_put(if_match.map(Revision), &body(&sample()))), expected);
 }
 
 #[rstest]
-#[case::newer_on_the_current(Some(7), at_revision(9), "accept")]
-#[case::on_an_older(Some(6), at_revision(9), "stale")]
-#[case::on_a_newer(Some(8), at_revision(9), "stale")]
-#[case::without_a_base(None, at_revision(9), "stale")]
-#[case::on_nothing(Some(0), at_revision(9), "stale")]
+#[case::newer_on_the_current_base(Some(7), sample_at_revision(9), "accept")]
+#[case::on_an_older_base(Some(6), sample_at_revision(9), "stale")]
+#[case::on_a_newer_base(Some(8), sample_at_revision(9), "stale")]
+#[case::without_a_base(None, sample_at_revision(9), "stale")]
+#[case::on_base_0(Some(0), sample_at_revision(9), "stale")]
 #[case::same_revision(Some(7), sample_with("/remark", json!("other")), "invalid")]
-#[case::older_revision(Some(7), at_revision(3), "invalid")]
-#[case::the_same_document_on_itself(Some(7), sample(), "invalid")]
+#[case::older_revision(Some(7), sample_at_revision(3), "invalid")]
+#[case::same_document_on_its_own_revision(Some(7), sample(), "invalid")]
 #[case::invalid(Some(7), json!({"revision": 9}), "invalid")]
-#[case::sent_again(Some(0), sample(), "already taken")]
-#[case::sent_again_without_a_base(None, sample(), "already taken")]
-fn decides_on_the_next_configuration(
+#[case::retried(Some(0), sample(), "already accepted")]
+#[case::retried_without_a_base(None, sample(), "already accepted")]
+fn a_put_is_decided_by_its_base_and_validity(
     #[case] if_match: Option<u64>,
     #[case] document: Value,
     #[case] expected: &str,
 ) {
     let state = state_with_sample();
-    assert_eq!(kind_of(&state.decide_put(if_match.map(Revision), &body(&document))), expected);
+    assert_eq!(outcome_of(&state.decide_put(if_match.map(Revision), &body(&document))), expected);
 }
 
 #[test]
@@ -73,12 +76,12 @@
     let state = state_with_sample();
     let pretty = serde_json::to_vec_pretty(&sample()).expect("a value can be written");
     assert_eq!(state.decide_put(Some(Revision(0)), &pretty), Decision::AlreadyAccepted);
-    let other_order = br#"{"b":[1,{"y":2,"x":"a"}],"revision":9,"routes":[],"backends":[]}"#;
-    let one_order = br#"{"backends":[],"revision":9,"routes":[],"b":[1,{"x":"a","y":2}]}"#;
+    let sent = br#"{"b":[1,{"y":2,"x":"a"}],"revision":9,"routes":[],"backends":[]}"#;
+    let reordered = br#"{"backends":[],"revision":9,"routes":[],"b":[1,{"x":"a","y":2}]}"#;
     let mut state = state;
-    let change = accepted(state.decide_put(Some(Revision(7)), other_order));
+    let change = accepted(state.decide_put(Some(Revision(7)), sent));
     apply(&mut state, change);
-    assert_eq!(state.decide_put(Some(Revision(7)), one_order), Decision::AlreadyAccepted);
+    assert_eq!(state.decide_put(Some(Revision(7)), reordered), Decision::AlreadyAccepted);
 }
 
 #[rstest]
@@ -86,7 +89,7 @@
 #[case::another_type(br#"{"revision":9,"routes":[],"backends":[],"b":["1",2]}"#)]
 #[case::another_field(br#"{"revision":9,"routes":[],"backends":[],"c":[1,2]}"#)]
 #[case::one_more_field(br#"{"revision":9,"routes":[],"backends":[],"b":[1,2],"c":null}"#)]
-#[case::nested_otherwise(br#"{"revision":9,"routes":[],"backends":[],"b":[[1,2]]}"#)]
+#[case::different_nesting(br#"{"revision":9,"routes":[],"backends":[],"b":[[1,2]]}"#)]
 fn a_request_with_another_body_is_another_request(#[case] body: &[u8]) {
     let mut state = state_with_sample();
     let accepted_body = br#"{"revision":9,"routes":[],"backends":[],"b":[1,2]}"#;
@@ -98,9 +101,9 @@
 #[test]
 fn of_two_requests_on_one_revision_one_wins() {
     let mut state = state_with_sample();
-    let (first, second) = (body(&at_revision(9)), body(&sample_with("/revision", json!(10))));
+    let (first, second) = (body(&sample_at_revision(9)), body(&sample_with("/revision", json!(10))));
     let change = accepted(state.decide_put(Some(Revision(7)), &first));
-    assert_eq!(kind_of(&state.decide_put(Some(Revision(7)), &second)), "accept");
+    assert_eq!(outcome_of(&state.decide_put(Some(Revision(7)), &second)), "accept");
     apply(&mut state, change);
     assert_eq!(state.decide_put(Some(Revision(7)), &second), Decision::Stale { current: Revision(9) });
     assert_eq!(state.decide_put(Some(Revision(7)), &first), Decision::AlreadyAccepted);
@@ -110,10 +113,10 @@
 fn a_rejected_request_leaves_the_state_unchanged() {
     let state = state_with_sample();
     let before = state.clone();
-    let refused = body(&json!({"revision": 9}));
-    assert_eq!(kind_of(&state.decide_put(Some(Revision(7)), &refused)), "invalid");
+    let invalid = body(&json!({"revision": 9}));
+    assert_eq!(outcome_of(&state.decide_put(Some(Revision(7)), &invalid)), "invalid");
     assert_eq!(state, before);
-    assert_eq!(kind_of(&state.decide_put(Some(Revision(7)), &refused)), "invalid");
+    assert_eq!(outcome_of(&state.decide_put(Some(Revision(7)), &invalid)), "invalid");
 }
 
 #[test]
@@ -133,46 +136,46 @@
 }
 
 #[rstest]
-#[case::no_configuration_yet(ConfigurationState::default(), Some(0), json!({"revision": 9}), "invalid")]
-#[case::no_configuration_yet_on_another(ConfigurationState::default(), Some(3), json!({"revision": 9}),
+#[case::no_configuration(ConfigurationState::default(), Some(0), json!({"revision": 9}), "invalid")]
+#[case::no_configuration_on_another_base(ConfigurationState::default(), Some(3), json!({"revision": 9}),
     "stale")]
-#[case::stale(state_with_sample(), Some(5), json!({"revision": 9}), "stale")]
+#[case::on_an_older_base(state_with_sample(), Some(5), json!({"revision": 9}), "stale")]
 #[case::without_a_base(state_with_sample(), None, json!({"revision": 9}), "stale")]
 #[case::same_revision(state_with_sample(), Some(7), json!({"revision": 7}), "invalid")]
 #[case::older_revision(state_with_sample(), Some(7), json!({"revision": 6}), "invalid")]
 #[case::service_in_use(state_with_sample(), Some(7),
     json!({"revision": 9, "remove": {"backends": ["beta"]}}), "invalid")]
-#[case::nothing_but_a_revision(state_with_sample(), Some(7), json!({"revision": 9}), "accept")]
-fn decides_on_changes(
+#[case::only_a_revision(state_with_sample(), Some(7), json!({"revision": 9}), "accept")]
+fn a_patch_is_decided_by_its_base_and_validity(
     #[case] state: ConfigurationState,
     #[case] if_match: Option<u64>,
     #[case] change: Value,
     #[case] expected: &str,
 ) {
-    assert_eq!(kind_of(&state.decide_patch(if_match.map(Revision), &body(&change))), expected);
+    assert_eq!(outcome_of(&state.decide_patch(if_match.map(Revision), &body(&change))), expected);
 }
 
 #[rstest]
-#[case::nothing(b"")]
+#[case::empty(b"")]
 #[case::truncated(b"{\"revision\":9,")]
-#[case::more_behind(b"{\"revision\":9} x")]
-#[case::not_text(b"{\"revision\":9,\"x\":\"\xff\"}")]
+#[case::trailing_text(b"{\"revision\":9} x")]
+#[case::invalid_utf8(b"{\"revision\":9,\"x\":\"\xff\"}")]
 fn rejects_what_is_not_json(#[case] bytes: &[u8]) {
     let state = state_with_sample();
-    assert_eq!(kind_of(&state.decide_put(Some(Revision(7)), bytes)), "invalid");
-    assert_eq!(kind_of(&state.decide_patch(Some(Revision(7)), bytes)), "invalid");
+    assert_eq!(outcome_of(&state.decide_put(Some(Revision(7)), bytes)), "invalid");
+    assert_eq!(outcome_of(&state.decide_patch(Some(Revision(7)), bytes)), "invalid");
 }
 
 #[test]
 fn deep_nesting_is_rejected() {
     let bytes = [b"{\"revision\":9,\"x\":".to_vec(), vec![b'['; 100_000]].concat();
-    assert_eq!(kind_of(&state_with_sample().decide_put(Some(Revision(7)), &bytes)), "invalid");
+    assert_eq!(outcome_of(&state_with_sample().decide_put(Some(Revision(7)), &bytes)), "invalid");
 }
 
 #[test]
 fn a_snapshot_restores_the_state() {
     let mut state = state_with_sample();
-    put(&mut state, 7, &at_revision(9));
+    put(&mut state, 7, &sample_at_revision(9));
     let restored = ConfigurationState::from_snapshot(&state.to_snapshot()).expect("a complete snapshot");
     assert_eq!(restored, state);
     assert_eq!(restored.decide_put(Some(Revision(0)), &body(&sample())), Decision::AlreadyAccepted);
@@ -194,11 +197,11 @@
 #[test]
 fn an_accepted_change_is_restored_from_its_log_entry() {
     let mut state = state_with_sample();
-    let change = accepted(state.decide_put(Some(Revision(7)), &body(&at_revision(9))));
+    let change = accepted(state.decide_put(Some(Revision(7)), &body(&sample_at_revision(9))));
     let bytes = musli::wire::to_vec(&change.entry).expect("an entry can be encoded");
-    let read: ChangeEntry = musli::wire::from_slice(&bytes).expect("an entry can be decoded");
-    assert_eq!(read, change.entry);
-    assert_eq!(state.apply_entry(&read).expect("its base is in force"), EntryOutcome::Applied);
+    let restored: ChangeEntry = musli::wire::from_slice(&bytes).expect("an entry can be decoded");
+    assert_eq!(restored, change.entry);
+    assert_eq!(state.apply_entry(&restored).expect("the base is in force"), EntryOutcome::Applied);
     assert_eq!(state.document(), Some(&change.document));
     assert!(musli::wire::from_slice::<ChangeEntry>(b"").is_err());
 }
@@ -211,8 +214,8 @@
     for revision in 1..=newest {
         put(&mut state, revision - 1, &document(revision));
     }
-    let oldest_known = newest - MAX_RECENT_REQUESTS as u64 + 1;
+    let oldest_recent = newest - MAX_RECENT_REQUESTS as u64 + 1;
     let decide = |revision: u64| state.decide_put(Some(Revision(revision - 1)), &body(&document(revision)));
-    assert_eq!(decide(oldest_known), Decision::AlreadyAccepted);
-    assert_eq!(decide(oldest_known - 1), Decision::Stale { current: Revision(newest) });
+    assert_eq!(decide(oldest_recent), Decision::AlreadyAccepted);
+    assert_eq!(decide(oldest_recent - 1), Decision::Stale { current: Revision(newest) });
 }
--- a/crates/configuration/tests/delta.rs
+++ b/crates/configuration/tests/delta.rs
@@ -1,4 +1,4 @@
-//! The difference between two texts.
+//! Deltas between two texts: application, length and errors.
 
 use rstest::rstest;
 use tulipridge_configuration::Delta;
@@ -7,18 +7,18 @@
 {"label":"second","hostname":"b.example","rank":1},{"label":"third","hostname":"c.example","rank":2}]}"#;
 
 #[rstest]
-#[case::nothing_to_nothing("", "")]
-#[case::nothing_to_something("", ITEMS)]
-#[case::something_to_nothing(ITEMS, "")]
-#[case::the_same(ITEMS, ITEMS)]
+#[case::empty_to_empty("", "")]
+#[case::empty_to_items("", ITEMS)]
+#[case::items_to_empty(ITEMS, "")]
+#[case::unchanged(ITEMS, ITEMS)]
 #[case::one_item_changed(ITEMS, &ITEMS.replace("b.example", "d.example"))]
 #[case::no_braces("a text without braces that is longer than a piece", "another text without braces")]
 #[case::braces_only("{{}}}{}{", "}}{}{{{}")]
 #[case::braces_in_text(ITEMS, &ITEMS.replace("first", "}{first{}"))]
-#[case::not_ascii("{\"label\":\"grün und blau und rot und gelb\"}", "{\"label\":\"grün und blau\"}")]
+#[case::non_ascii("{\"label\":\"grün und blau und rot und gelb\"}", "{\"label\":\"grün und blau\"}")]
 fn a_delta_builds_the_new_text(#[case] old: &str, #[case] new: &str) {
     let delta = Delta::between(old.as_bytes(), new.as_bytes());
-    assert_eq!(delta.apply(old.as_bytes()).expect("the base is the right one"), new.as_bytes());
+    assert_eq!(delta.apply(old.as_bytes()).expect("the base matches"), new.as_bytes());
 }
 
 fn items(labels: &[usize], separator: &str) -> String {
@@ -29,16 +29,16 @@
 }
 
 #[rstest]
-#[case::the_same(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], ",", 100)]
-#[case::one_less(&[0, 1, 2, 3, 4, 6, 7, 8, 9], ",", 160)]
-#[case::one_more(&[0, 1, 2, 3, 4, 5, 6, 10, 7, 8, 9], ",", 250)]
-#[case::two_halves_exchanged(&[5, 6, 7, 8, 9, 0, 1, 2, 3, 4], ",", 160)]
-#[case::other_white_space(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], ",\n  ", 600)]
+#[case::unchanged(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], ",", 100)]
+#[case::one_removed(&[0, 1, 2, 3, 4, 6, 7, 8, 9], ",", 160)]
+#[case::one_added(&[0, 1, 2, 3, 4, 5, 6, 10, 7, 8, 9], ",", 250)]
+#[case::halves_swapped(&[5, 6, 7, 8, 9, 0, 1, 2, 3, 4], ",", 160)]
+#[case::different_white_space(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], ",\n  ", 600)]
 fn unchanged_items_are_copied(#[case] labels: &[usize], #[case] separator: &str, #[case] bound: usize) {
     let old = items(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], ",");
     let new = items(labels, separator);
     let delta = Delta::between(old.as_bytes(), new.as_bytes());
-    assert_eq!(delta.apply(old.as_bytes()).expect("the base is the right one"), new.as_bytes());
+    assert_eq!(delta.apply(old.as_bytes()).expect("the base matches"), new.as_bytes());
     assert!(delta.max_encoded_length() <= bound, "{} bytes", delta.max_encoded_length());
 }
 
@@ -57,39 +57,39 @@
 #[test]
 fn a_base_that_is_too_short_is_an_error() {
     let old = items(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], ",");
-    let head = r#"{"revision":10,"routes":["#.len();
+    let start = r#"{"revision":10,"routes":["#.len();
     let delta = Delta::between(old.as_bytes(), old.as_bytes());
-    let error = delta.apply(&old.as_bytes()[1..]).expect_err("the base lacks a byte");
+    let error = delta.apply(&old.as_bytes()[1..]).expect_err("the base is one byte too short");
     let (end, length) = (old.len(), old.len() - 1);
     assert_eq!(
         error.to_string(),
-        format!("the byte range {head}..{end} exceeds the base length of {length} bytes")
+        format!("the byte range {start}..{end} exceeds the base length of {length} bytes")
     );
 }
 
-/// Texts of few letters and many braces, so that pieces are often found more than once.
+/// Texts of few characters and many braces, so that equal chunks occur more than once.
 #[test]
-fn random_texts_are_rebuilt() {
+fn deltas_between_random_texts_build_the_new_text() {
     let mut random = fastrand::Rng::with_seed(11);
     for _ in 0..2_000 {
-        let parts: Vec<String> = (0..6).map(|_| random_part(&mut random)).collect();
-        let (old, new) = (random_text(&mut random, &parts), random_text(&mut random, &parts));
+        let fragments: Vec<String> = (0..6).map(|_| random_fragment(&mut random)).collect();
+        let (old, new) = (random_text(&mut random, &fragments), random_text(&mut random, &fragments));
         let delta = Delta::between(old.as_bytes(), new.as_bytes());
-        assert_eq!(delta.apply(old.as_bytes()).expect("the base is the right one"), new.as_bytes());
+        assert_eq!(delta.apply(old.as_bytes()).expect("the base matches"), new.as_bytes());
     }
 }
 
-fn random_text(random: &mut fastrand::Rng, parts: &[String]) -> String {
+fn random_text(random: &mut fastrand::Rng, fragments: &[String]) -> String {
     let length = random.usize(0..12);
-    (0..length).map(|_| parts[random.usize(0..parts.len())].as_str()).collect()
+    (0..length).map(|_| fragments[random.usize(0..fragments.len())].as_str()).collect()
 }
 
-fn random_part(random: &mut fastrand::Rng) -> String {
+fn random_fragment(random: &mut fastrand::Rng) -> String {
     let length = random.usize(1..120);
-    (0..length).map(|_| random_letter(random)).collect()
+    (0..length).map(|_| random_char(random)).collect()
 }
 
-fn random_letter(random: &mut fastrand::Rng) -> char {
-    let letters: &[char] = if random.u8(..20) == 0 { &['{', '}'] } else { &['a', 'b', ','] };
-    letters[random.usize(0..letters.len())]
+fn random_char(random: &mut fastrand::Rng) -> char {
+    let characters: &[char] = if random.u8(..20) == 0 { &['{', '}'] } else { &['a', 'b', ','] };
+    characters[random.usize(0..characters.len())]
 }
--- a/crates/configuration/tests/difference.rs
+++ b/crates/configuration/tests/difference.rs
@@ -1,4 +1,4 @@
-//! Differences between configurations.
+//! Computation and application of the changes between two configurations.
 
 use tulipridge_configuration::difference::{apply, difference};
 use tulipridge_configuration::number::{Rank, Revision};
@@ -6,8 +6,8 @@
     Caps, Configuration, ConfigurationChanges, Route, RouteKind, Service, ServiceWeight, Tenant,
 };
 
-const LABELS: usize = 12;
-const VARIANTS: u64 = 3;
+const LABEL_COUNT: usize = 12;
+const VARIANT_COUNT: u64 = 3;
 
 fn route(label: usize, variant: u64) -> Route {
     Route {
@@ -40,25 +40,25 @@
     }
 }
 
-/// Some of the labels in random order, each with a random variant.
-fn some<T>(random: &mut fastrand::Rng, make: fn(usize, u64) -> T) -> Vec<T> {
-    let mut labels: Vec<usize> = (0..LABELS).filter(|_| random.bool()).collect();
+/// Items with a random subset of the labels, in random order and of random variants.
+fn random_items<T>(random: &mut fastrand::Rng, new_item: fn(usize, u64) -> T) -> Vec<T> {
+    let mut labels: Vec<usize> = (0..LABEL_COUNT).filter(|_| random.bool()).collect();
     random.shuffle(&mut labels);
-    labels.into_iter().map(|label| make(label, random.u64(0..VARIANTS))).collect()
+    labels.into_iter().map(|label| new_item(label, random.u64(0..VARIANT_COUNT))).collect()
 }
 
-fn configuration(random: &mut fastrand::Rng, revision: u64) -> Configuration {
+fn random_configuration(random: &mut fastrand::Rng, revision: u64) -> Configuration {
     Configuration {
         revision: Revision(revision),
-        routes: some(random, route),
-        services: some(random, service),
-        caps: Caps { idle_ms: random.u64(0..VARIANTS), ..Caps::default() },
+        routes: random_items(random, route),
+        services: random_items(random, service),
+        caps: Caps { idle_ms: random.u64(0..VARIANT_COUNT), ..Caps::default() },
         requires_key: random.bool(),
-        tenants: some(random, tenant),
+        tenants: random_items(random, tenant),
     }
 }
 
-fn sorted(mut configuration: Configuration) -> Configuration {
+fn sorted_by_label(mut configuration: Configuration) -> Configuration {
     configuration.routes.sort_by(|a, b| a.label.cmp(&b.label));
     configuration.services.sort_by(|a, b| a.label.cmp(&b.label));
     configuration.tenants.sort_by(|a, b| a.label.cmp(&b.label));
@@ -69,10 +69,10 @@
 fn applying_a_difference_gives_the_new_configuration() {
     let mut random = fastrand::Rng::with_seed(3);
     for revision in 0..2000 {
-        let old = configuration(&mut random, revision);
-        let new = configuration(&mut random, revision + 1);
+        let old = random_configuration(&mut random, revision);
+        let new = random_configuration(&mut random, revision + 1);
         let changes = difference(&old, &new);
-        assert_eq!(sorted(apply(&old, &changes)), sorted(new));
+        assert_eq!(sorted_by_label(apply(&old, &changes)), sorted_by_label(new));
     }
 }
 
@@ -111,14 +111,14 @@
 
 #[test]
 fn equal_configurations_have_no_changes() {
-    let same = configuration(&mut fastrand::Rng::with_seed(5), 4);
-    let nothing = ConfigurationChanges {
+    let configuration = random_configuration(&mut fastrand::Rng::with_seed(5), 4);
+    let no_changes = ConfigurationChanges {
         base: Revision(4),
         revision: Revision(4),
         ..ConfigurationChanges::default()
     };
-    assert_eq!(difference(&same, &same), nothing);
-    assert_eq!(apply(&same, &nothing), same);
+    assert_eq!(difference(&configuration, &configuration), no_changes);
+    assert_eq!(apply(&configuration, &no_changes), configuration);
 }
 
 #[test]
@@ -145,8 +145,8 @@
 #[test]
 fn changes_are_decoded_as_they_were_encoded() {
     let mut random = fastrand::Rng::with_seed(9);
-    let changes = difference(&configuration(&mut random, 1), &configuration(&mut random, 2));
+    let changes = difference(&random_configuration(&mut random, 1), &random_configuration(&mut random, 2));
     let bytes = musli::wire::to_vec(&changes).expect("changes can be encoded");
-    let read: ConfigurationChanges = musli::wire::from_slice(&bytes).expect("changes can be decoded");
-    assert_eq!(read, changes);
+    let decoded: ConfigurationChanges = musli::wire::from_slice(&bytes).expect("changes can be decoded");
+    assert_eq!(decoded, changes);
 }
--- a/crates/configuration/tests/encoding.rs
+++ b/crates/configuration/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! The binary form of stored values.
+//! Binary encoding: round trip, and errors for damaged bytes.
 
 use rstest::rstest;
 use tulipridge_configuration::encoding::{EncodingError, Format, decode, encode};
@@ -15,9 +15,9 @@
 }
 
 #[rstest]
-#[case::nothing(b"")]
-#[case::part_of_the_format(b"TST")]
-#[case::another_edition(&encode(Format(*b"TST2"), &vec![1_u64]))]
+#[case::empty(b"")]
+#[case::truncated_format(b"TST")]
+#[case::another_version(&encode(Format(*b"TST2"), &vec![1_u64]))]
 #[case::text(b"{\"revision\":1}")]
 fn bytes_of_another_format_are_an_error(#[case] bytes: &[u8]) {
     let error = decode::<Vec<u64>>(FORMAT, bytes).expect_err("the bytes are of another format");
--- a/crates/configuration/tests/parse.rs
+++ b/crates/configuration/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Which configurations are accepted, and which errors are reported for others, with their paths.
+//! Valid configurations, and the errors with their paths that are reported for invalid ones.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use tulipridge_configuration::number::{Rank, Revision};
 use tulipridge_configuration::{Caps, Document, RouteKind, Service, ServiceWeight, ValidationErrorKind};
 
-/// The report on an invalid document.
+/// The error report of an invalid document.
 fn report_on(document: &Value) -> String {
     Document::parse(&body(document)).expect_err("the document is invalid").to_string()
 }
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn keeps_the_bytes_as_they_were_sent() {
+fn a_parsed_document_keeps_the_bytes_that_were_sent() {
     let sent = format!("  {}\n", serde_json::to_string_pretty(&sample()).expect("a value can be written"));
     let document = Document::parse(sent.as_bytes()).expect("a valid document");
     assert_eq!(&*document.to_bytes(), sent.as_bytes());
@@ -34,11 +34,11 @@
 #[case::no_rank("/routes/0/rank")]
 #[case::no_kind("/routes/0/sort")]
 #[case::no_target("/routes/0/targetMs")]
-#[case::no_attempts("/routes/0/tries")]
+#[case::no_max_attempts("/routes/0/tries")]
 #[case::no_public("/routes/0/public")]
 #[case::no_pinned("/routes/0/pinned")]
-#[case::no_resume("/routes/0/pickUp")]
-#[case::no_gap("/routes/0/gap_aim_ms")]
+#[case::no_resumable("/routes/0/pickUp")]
+#[case::no_gap_target("/routes/0/gap_aim_ms")]
 #[case::no_health_path("/backends/0/checkPath")]
 #[case::no_connection_limit("/backends/0/connLimit")]
 #[case::no_runtime("/backends/0/runtime")]
@@ -55,17 +55,17 @@
 #[rstest]
 #[case::no_routes("/routes", json!([]))]
 #[case::no_tenants("/customers", json!([]))]
-#[case::a_share_of_zero("/routes/0/shares/0/share", json!(0))]
+#[case::a_weight_of_zero("/routes/0/shares/0/share", json!(0))]
 #[case::one_service_twice("/routes/0/shares/1/backend", json!("alpha"))]
-#[case::a_fraction_as_weight("/routes/0/shares/0/share", json!(0.25))]
-#[case::a_fraction_as_time("/routes/0/targetMs", json!(250.5))]
+#[case::a_fractional_weight("/routes/0/shares/0/share", json!(0.25))]
+#[case::a_fractional_time("/routes/0/targetMs", json!(250.5))]
 #[case::an_unknown_kind("/routes/0/sort", json!("later"))]
 #[case::a_large_rank("/routes/0/rank", json!(4_000_000_000_u64))]
-#[case::one_key_twice_at_one_tenant("/customers/0/apiKeys", json!(["key-a1", "key-a1"]))]
+#[case::one_key_twice_in_one_tenant("/customers/0/apiKeys", json!(["key-a1", "key-a1"]))]
 #[case::same_prefix_at_another_host("/routes/0", json!({
     "label": "r", "hostname": "other.example", "pathStart": "/", "timeLimitMs": 1, "backend": "beta"
 }))]
-#[case::no_share_but_a_service("/routes/0", json!({
+#[case::empty_shares_and_a_service("/routes/0", json!({
     "label": "r", "hostname": "h", "pathStart": "/", "timeLimitMs": 1, "backend": "beta", "shares": []
 }))]
 fn accepts_a_document_with(#[case] pointer: &str, #[case] value: Value) {
@@ -98,9 +98,12 @@
 #[rstest]
 #[case::tenants(json!([{"label": "acme", "apiKeys": ["k"]}]), true)]
 #[case::tenants_without_keys(json!([{"label": "acme"}]), true)]
-#[case::no_tenant_left(json!([]), true)]
+#[case::empty_list(json!([]), true)]
 #[case::no_list(json!(null), false)]
-fn requests_need_a_key_where_there_is_a_list_of_tenants(#[case] tenants: Value, #[case] expected: bool) {
+fn requests_need_a_key_if_the_document_has_a_list_of_tenants(
+    #[case] tenants: Value,
+    #[case] expected: bool,
+) {
     let document = Document::parse(&body(&sample_with("/customers", tenants))).expect("a valid document");
     assert_eq!(document.configuration().requires_key, expected);
 }
@@ -113,7 +116,7 @@
 #[case::prefix("/routes/1/pathStart", "routes[1].pathStart: is missing")]
 #[case::time_limit("/routes/1/timeLimitMs", "routes[1].timeLimitMs: is missing")]
 #[case::service_of_route("/routes/1/backend", "routes[1].backend: is missing")]
-#[case::service_of_share("/routes/0/shares/1/backend", "routes[0].shares[1].backend: is missing")]
+#[case::service_of_weight("/routes/0/shares/1/backend", "routes[0].shares[1].backend: is missing")]
 #[case::weight("/routes/0/shares/1/share", "routes[0].shares[1].share: is missing")]
 #[case::service_label("/backends/2/label", "backends[2].label: is missing")]
 #[case::tenant_label("/customers/1/label", "customers[1].label: is missing")]
@@ -130,20 +133,20 @@
     "routes[0].pathStart: does not start and end with '/'")]
 #[case::empty_prefix("/routes/0/pathStart", json!(""),
     "routes[0].pathStart: does not start and end with '/'")]
-#[case::no_time("/routes/1/timeLimitMs", json!(0), "routes[1].timeLimitMs: must be above 0")]
+#[case::time_limit_of_zero("/routes/1/timeLimitMs", json!(0), "routes[1].timeLimitMs: must be above 0")]
 #[case::unknown_service("/routes/1/backend", json!("gamma"),
     "routes[1].backend: there is no service 'gamma'")]
-#[case::unknown_share("/routes/0/shares/1/backend", json!("gamma"),
+#[case::unknown_service_in_shares("/routes/0/shares/1/backend", json!("gamma"),
     "routes[0].shares[1].backend: there is no service 'gamma'")]
-#[case::store_as_target("/routes/1/backend", json!("store"),
+#[case::route_to_a_store("/routes/1/backend", json!("store"),
     "routes[1].backend: 'store' is a store of KV cache and takes no requests")]
-#[case::store_as_share("/routes/0/shares/0/backend", json!("store"),
+#[case::store_in_shares("/routes/0/shares/0/backend", json!("store"),
     "routes[0].shares[0].backend: 'store' is a store of KV cache and takes no requests")]
 #[case::weights_of_zero("/routes/0/shares", json!([{"backend": "alpha", "share": 0}]),
     "routes[0].shares: the weights sum to 0")]
 #[case::negative_weight("/routes/0/shares/1/share", json!(-10),
     "routes[0].shares[1].share: the weight is not a number from 0 up")]
-#[case::same_place("/routes/1/pathStart", json!("/cart/"),
+#[case::same_host_and_prefix("/routes/1/pathStart", json!("/cart/"),
     "routes[1]: host and prefix are also those of routes[0]")]
 #[case::same_route_label("/routes/1/label", json!("r-first"),
     "routes[1].label: the label is also that of routes[0]")]
@@ -151,7 +154,7 @@
     "backends[2].label: the label is also that of backends[1]")]
 #[case::same_tenant_label("/customers/1/label", json!("acme"),
     "customers[1].label: the label is also that of customers[0]")]
-#[case::shared_key("/customers/1/apiKeys", json!(["key-b1", "key-a2"]),
+#[case::same_key_of_two_tenants("/customers/1/apiKeys", json!(["key-b1", "key-a2"]),
     "customers[1].apiKeys[1]: tenant 'acme' holds the same key")]
 fn rejects_a_document_with(#[case] pointer: &str, #[case] value: Value, #[case] report: &str) {
     assert_eq!(report_on(&sample_with(pointer, value)), report);
@@ -167,15 +170,15 @@
 }
 
 #[rstest]
-#[case::nothing(b"")]
-#[case::no_json(b"revision: 7")]
+#[case::empty(b"")]
+#[case::not_json(b"revision: 7")]
 #[case::a_list(b"[]")]
-#[case::a_list_of_the_fields(b"[7, [], []]")]
+#[case::a_list_of_field_values(b"[7, [], []]")]
 #[case::null(b"null")]
 #[case::a_number(b"7")]
-#[case::not_text(b"{\"revision\": 7, \"routes\": [], \"backends\": [], \"remark\": \"\xff\"}")]
+#[case::invalid_utf8(b"{\"revision\": 7, \"routes\": [], \"backends\": [], \"remark\": \"\xff\"}")]
 #[case::two_documents(b"{\"revision\":7,\"routes\":[],\"backends\":[]}{}")]
-#[case::a_field_twice(b"{\"revision\":7,\"revision\":8,\"routes\":[],\"backends\":[]}")]
+#[case::a_duplicate_field(b"{\"revision\":7,\"revision\":8,\"routes\":[],\"backends\":[]}")]
 fn rejects_what_is_not_a_document(#[case] bytes: &[u8]) {
     assert!(Document::parse(bytes).is_err());
 }
