--- a/crates/configuration/benches/configuration_change.rs
+++ b/crates/configuration/benches/configuration_change.rs
@@ -1,5 +1,5 @@
-//! Measures changes of a large configuration: the size of the log entry in bytes, the time of the decision, and the time
-//! to apply the entry at a follower.
+//! Measures changes of a large configuration: the size of the log entry in bytes, the time of the decision, and the
+//! time to apply the entry at a follower.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
--- a/crates/configuration/src/request_digest.rs
+++ b/crates/configuration/src/request_digest.rs
@@ -14,7 +14,7 @@
 pub(crate) enum RequestKind {
     /// The complete configuration.
     Put,
-    /// A patch of named items.
+    /// A patch, which changes individual items.
     Patch,
 }
 
--- a/crates/configuration/src/validation_error.rs
+++ b/crates/configuration/src/validation_error.rs
@@ -133,7 +133,7 @@
         self.errors.len()
     }
 
-    /// Whether there are no errors.
+    /// Whether the list has no errors.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.errors.is_empty()
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use serde_json::{Value, json};
 use tulipridge_configuration::{AcceptedChange, ConfigurationState, Decision};
 
-/// A valid configuration: two routes, two services and a KV cache store, two tenants, and fields that the system doesn't
-/// know.
+/// A valid configuration: two routes, two services and a KV cache store, two tenants, and fields that the system does
+/// not know.
 pub(crate) fn sample() -> Value {
     json!({
         "revision": 7,
