--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -1,7 +1,7 @@
-//! The difference between two texts as copies from the old one and insertions.
+//! Byte-wise deltas between two texts: ranges copied from the old text, and inserted text.
 //!
 //! The texts are compared chunk by chunk, a chunk being the text between two braces. Unchanged items of a JSON list are
-//! found wherever they moved; white space and the order of fields are preserved.
+//! found at any position. White space and the order of fields are preserved.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -9,12 +9,12 @@
 use musli::{Decode, Encode};
 use snafu::{OptionExt, Snafu};
 
-/// Bytes of the shortest chunk that is searched for in the old text. Shorter ones are copied only where they continue a
-/// longer copy: a step of its own would take about as many bytes as the chunk.
-const MIN_SEARCHED_CHUNK: usize = 32;
+/// Minimum length in bytes of a chunk that is searched for in the old text. A shorter chunk is copied only if it
+/// continues a longer copy: as a separate step it would take about as many bytes as its text.
+const MIN_SEARCHED_CHUNK_BYTES: usize = 32;
 
-/// The most encoded bytes of a step beside the text that it inserts.
-const MAX_STEP_OVERHEAD: usize = 24;
+/// Maximum encoded size of a step without its inserted text, in bytes.
+const MAX_STEP_OVERHEAD_BYTES: usize = 24;
 
 /// Steps that build a new text from an old one, byte for byte.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
@@ -22,18 +22,18 @@
     steps: Vec<Step>,
 }
 
-/// The next bytes of the new text.
+/// A step, which appends to the new text.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 enum Step {
-    /// A range of bytes of the old text.
+    /// Appends a range of bytes of the old text.
     Copy { start: usize, end: usize },
-    /// New text.
+    /// Appends text that is stored in the step.
     Insert(#[musli(bytes)] Vec<u8>),
 }
 
-/// A delta copies a range that is not in the old text.
+/// A step copies a range that extends beyond the end of the base text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("bytes {start} to {end} are not in the base of {length} bytes"))]
+#[snafu(display("the byte range {start}..{end} exceeds the base length of {length} bytes"))]
 pub struct DeltaError {
     start: usize,
     end: usize,
@@ -41,7 +41,7 @@
 }
 
 impl Delta {
-    /// The steps from `old` to `new`.
+    /// Computes the steps that turn `old` into `new`.
     #[must_use]
     pub fn between(old: &[u8], new: &[u8]) -> Delta {
         let mut builder = DeltaBuilder { old, offsets: offsets_of_chunks(old), delta: Delta::default() };
@@ -51,23 +51,23 @@
         builder.delta
     }
 
-    /// The new text.
+    /// Builds the new text from `old`.
     ///
     /// # Errors
     ///
-    /// [`DeltaError`] if `old` is shorter than the text from which the delta was made.
+    /// [`DeltaError`] if `old` is shorter than the ranges that the delta copies from it.
     pub fn apply(&self, old: &[u8]) -> Result<Vec<u8>, DeltaError> {
         let mut new = Vec::new();
         for step in &self.steps {
             match step {
                 Step::Insert(text) => new.extend_from_slice(text),
-                Step::Copy { start, end } => new.extend_from_slice(copied(old, *start..*end)?),
+                Step::Copy { start, end } => new.extend_from_slice(copied_range(old, *start..*end)?),
             }
         }
         Ok(new)
     }
 
-    /// An upper bound of the encoded length in bytes.
+    /// An upper bound of the encoded length, in bytes.
     pub fn max_encoded_length(&self) -> usize {
         self.steps.iter().map(Step::max_encoded_length).sum()
     }
@@ -76,13 +76,13 @@
 impl Step {
     fn max_encoded_length(&self) -> usize {
         match self {
-            Step::Copy { .. } => MAX_STEP_OVERHEAD,
-            Step::Insert(text) => MAX_STEP_OVERHEAD + text.len(),
+            Step::Copy { .. } => MAX_STEP_OVERHEAD_BYTES,
+            Step::Insert(text) => MAX_STEP_OVERHEAD_BYTES + text.len(),
         }
     }
 }
 
-fn copied(old: &[u8], range: Range<usize>) -> Result<&[u8], DeltaError> {
+fn copied_range(old: &[u8], range: Range<usize>) -> Result<&[u8], DeltaError> {
     let Range { start, end } = range;
     old.get(start..end).context(DeltaSnafu { start, end, length: old.len() })
 }
@@ -106,7 +106,8 @@
         }
     }
 
-    /// Extends the last copy by the chunk if it follows there in the old text; returns whether it did.
+    /// Extends the last step by `chunk` if that step is a copy and `chunk` follows it in the old text. Returns whether
+    /// it was extended.
     fn continue_copy(&mut self, chunk: &[u8]) -> bool {
         let Some(Step::Copy { end, .. }) = self.delta.steps.last_mut() else { return false };
         let continues = self.old[*end..].starts_with(chunk);
@@ -117,16 +118,16 @@
     }
 }
 
-/// The first offset of each chunk that is long enough for the search.
+/// Maps each chunk of at least [`MIN_SEARCHED_CHUNK_BYTES`] bytes to its first offset.
 fn offsets_of_chunks(text: &[u8]) -> HashMap<&[u8], usize> {
     let mut offsets = HashMap::new();
-    for chunk in chunks(text).filter(|chunk| chunk.len() >= MIN_SEARCHED_CHUNK) {
+    for chunk in chunks(text).filter(|chunk| chunk.len() >= MIN_SEARCHED_CHUNK_BYTES) {
         offsets.entry(&text[chunk.clone()]).or_insert(chunk.start);
     }
     offsets
 }
 
-/// The ranges of the chunks: one begins at each opening brace, and one after each closing brace.
+/// Splits a text into chunks, before each opening brace and after each closing brace. Returns their byte ranges.
 fn chunks(text: &[u8]) -> impl Iterator<Item = Range<usize>> {
     let mut start = 0;
     std::iter::from_fn(move || {
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -1,7 +1,7 @@
-//! The binary form of values that are stored or sent between members.
+//! Binary encoding of values that are stored or sent between members.
 //!
-//! The bytes begin with an identifier of their format and a checksum of all that follows, so that bytes of another
-//! format, damaged ones and truncated ones give a typed error instead of a wrong value.
+//! Encoded bytes start with an identifier of their format and a checksum of the payload. Bytes of another format, and
+//! damaged or truncated bytes, give a typed error instead of a wrong value.
 
 use musli::mode::Binary;
 use musli::{Decode, Encode};
@@ -10,59 +10,60 @@
 
 /// Identifies the type of the encoded value and the version of its encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Format(pub [u8; FORMAT_LENGTH]);
+pub struct Format(pub [u8; FORMAT_BYTES]);
 
-const FORMAT_LENGTH: usize = 4;
-const CHECKSUM_LENGTH: usize = 8;
-const HEADER_LENGTH: usize = FORMAT_LENGTH + CHECKSUM_LENGTH;
+const FORMAT_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 8;
+const HEADER_BYTES: usize = FORMAT_BYTES + CHECKSUM_BYTES;
 
-/// Why bytes can't be decoded.
+/// Reason why bytes can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum EncodingError {
-    /// The bytes are of another format.
-    #[snafu(display("the bytes are not of the format {expected:?}"))]
-    UnknownFormat {
-        /// The format that was expected.
+    /// The bytes have another format.
+    #[snafu(display("the bytes do not have the format {expected:?}"))]
+    FormatMismatch {
+        /// The expected format.
         expected: Format,
     },
     /// The bytes are truncated or damaged.
-    #[snafu(display("the checksum of the bytes is wrong"))]
-    WrongChecksum,
-    /// The checksum is right, but the bytes are not a value of this type.
-    #[snafu(display("the bytes can't be decoded: {source}"))]
+    #[snafu(display("the checksum of the bytes does not match"))]
+    ChecksumMismatch,
+    /// The checksum matches, but the payload is not a value of the requested type.
+    #[snafu(display("the payload cannot be decoded: {source}"))]
     Malformed {
-        /// The decoder's error.
+        /// Error of the decoder.
         source: musli::wire::Error,
     },
 }
 
-/// Encodes a value with the header of its format.
+/// Encodes a value, preceded by its format and checksum.
 ///
 /// # Panics
 ///
-/// If the value's `Encode` fails by itself; derived ones don't.
+/// If the value's `Encode` implementation returns an error; derived implementations don't.
 pub fn encode<T: Encode<Binary>>(format: Format, value: &T) -> Vec<u8> {
     let mut bytes = format.0.to_vec();
-    bytes.extend([0; CHECKSUM_LENGTH]);
-    // Encoding into memory has no way to fail for values of plain fields.
-    musli::wire::encode(&mut bytes, value).expect("a value of plain fields can be encoded");
-    let checksum = xxh3_64(&bytes[HEADER_LENGTH..]).to_le_bytes();
-    bytes[FORMAT_LENGTH..HEADER_LENGTH].copy_from_slice(&checksum);
+    bytes.extend([0; CHECKSUM_BYTES]);
+    // Writing to memory can't fail, so only a manual implementation of `Encode` can return an error.
+    musli::wire::encode(&mut bytes, value).expect("encoding to memory must not fail");
+    let checksum = xxh3_64(&bytes[HEADER_BYTES..]).to_le_bytes();
+    bytes[FORMAT_BYTES..HEADER_BYTES].copy_from_slice(&checksum);
     bytes
 }
 
-/// Decodes a value from the bytes of [`encode`].
+/// Decodes a value that [`encode`] has encoded.
 ///
 /// # Errors
 ///
-/// [`EncodingError`] if the bytes are of another format, truncated or damaged.
+/// [`EncodingError`] if the bytes have another format, or are truncated or damaged.
 pub fn decode<'de, T>(format: Format, bytes: &'de [u8]) -> Result<T, EncodingError>
 where
     T: Decode<'de, Binary, musli::alloc::Global>,
 {
-    let payload = bytes.strip_prefix(&format.0).ok_or(EncodingError::UnknownFormat { expected: format })?;
+    let payload =
+        bytes.strip_prefix(&format.0).ok_or(EncodingError::FormatMismatch { expected: format })?;
     let (checksum, payload) =
-        payload.split_first_chunk::<CHECKSUM_LENGTH>().ok_or(EncodingError::WrongChecksum)?;
-    ensure!(*checksum == xxh3_64(payload).to_le_bytes(), WrongChecksumSnafu);
+        payload.split_first_chunk::<CHECKSUM_BYTES>().ok_or(EncodingError::ChecksumMismatch)?;
+    ensure!(*checksum == xxh3_64(payload).to_le_bytes(), ChecksumMismatchSnafu);
     musli::wire::from_slice(payload).context(MalformedSnafu)
 }
--- a/crates/configuration/src/parse/mod.rs
+++ b/crates/configuration/src/parse/mod.rs
@@ -1,7 +1,7 @@
-//! Parses the operator's configuration and validates it; all errors are reported together, each with its path.
+//! Parsing and validation of the operator's configuration. All errors are reported together, each with its path.
 //!
-//! The `schematic` crate was tried for this and left out: it stops at the first value of a wrong type, can't check one
-//! list against another, and took about twice the time.
+//! The `schematic` crate does not fit here: it stops at the first value of a wrong type, can't validate one list
+//! against another, and took about twice the time.
 
 mod item_path;
 mod routes;
@@ -22,23 +22,23 @@
 ///
 /// # Errors
 ///
-/// Values of a wrong type are reported before all else; what the values mean is validated once all have their types.
+/// If values have wrong types, only these are reported. The meaning of values is validated once all types are right.
 pub(crate) fn parse_configuration(bytes: &[u8]) -> Result<Configuration, ValidationErrors> {
     let document = JsonDocument::from_bytes(bytes)?;
     let mut parser = Parser::default();
     let configuration = parser.configuration(document);
-    parser.errors.or(configuration)
+    parser.errors.into_result(configuration)
 }
 
-/// What a service's label stands for.
+/// The kind of service that a label identifies.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ServiceKind {
     Replicas,
     Store,
 }
 
-/// Converts the JSON form into the typed one and collects validation errors. Where there are errors, the converted
-/// values must not be used.
+/// Converts the JSON form to the typed form and collects validation errors. If there are errors, the converted values
+/// must not be used.
 #[derive(Default)]
 struct Parser {
     errors: ValidationErrors,
@@ -48,7 +48,7 @@
 impl Parser {
     fn configuration(&mut self, document: JsonDocument) -> Configuration {
         let revision = self.required(document.revision, || REVISION.to_owned());
-        // Routes refer to services, so these come first.
+        // The services are parsed first because routes refer to them.
         let services = self.services(document.backends);
         let routes = self.routes(document.routes);
         let requires_key = document.customers.is_some();
@@ -57,7 +57,7 @@
         Configuration { revision: Revision(revision), routes, services, caps, requires_key, tenants }
     }
 
-    /// Converts the items of a list, whose labels must be unique.
+    /// Converts the items of a list and checks that their labels are unique.
     fn items<J, T: Labelled>(
         &mut self,
         list: &'static str,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A string that is required and must not be empty.
+    /// Unwraps a required string; a missing or empty one is reported.
     fn non_empty_string(&mut self, item: ItemPath, field: &str, value: Option<String>) -> String {
         if value.as_deref() == Some("") {
             self.errors.add(item.field(field), ValidationErrorKind::Empty);
@@ -93,7 +93,7 @@
         self.required(value, || item.field(field))
     }
 
-    /// A required value; its default, with an error, where it is missing.
+    /// Unwraps a required value. If it is missing, this is reported and the default is returned.
     fn required<T: Default>(&mut self, value: Option<T>, path: impl FnOnce() -> String) -> T {
         if value.is_none() {
             self.errors.add(path(), ValidationErrorKind::Missing);
@@ -104,11 +104,11 @@
 
 fn caps(json: JsonCaps) -> Caps {
     let default = Caps::default();
-    let or = |value: Option<UnsignedNumber>, default: u64| value.map_or(default, |value| value.0);
+    let or_default = |value: Option<UnsignedNumber>, default: u64| value.map_or(default, |value| value.0);
     Caps {
-        head_bytes: or(json.head_size_bytes, default.head_bytes),
-        body_bytes: or(json.body_size_bytes, default.body_bytes),
-        head_wait_ms: or(json.head_wait_ms, default.head_wait_ms),
-        idle_ms: or(json.quiet_ms, default.idle_ms),
+        head_bytes: or_default(json.head_size_bytes, default.head_bytes),
+        body_bytes: or_default(json.body_size_bytes, default.body_bytes),
+        head_wait_ms: or_default(json.head_wait_ms, default.head_wait_ms),
+        idle_ms: or_default(json.quiet_ms, default.idle_ms),
     }
 }
--- a/crates/configuration/src/parse/routes.rs
+++ b/crates/configuration/src/parse/routes.rs
@@ -1,4 +1,4 @@
-//! Routes and the services that they lead to.
+//! Parsing of routes and of their services and weights.
 
 use std::collections::HashMap;
 
@@ -9,10 +9,10 @@
 use crate::number::Rank;
 use crate::validation_error::ValidationErrorKind;
 
-/// The weight of a service that a route names alone.
+/// Weight of a route's only service, given as `backend`.
 const SOLE_SERVICE_WEIGHT: f64 = 1.0;
 
-/// Names of a route's JSON fields.
+// Names of JSON fields of a route.
 const HOSTNAME: &str = "hostname";
 const PATH_START: &str = "pathStart";
 const TIME_LIMIT: &str = "timeLimitMs";
@@ -37,9 +37,9 @@
             kind: json.sort.map_or(RouteKind::Risky, |kind| kind.0),
             time_limit_ms,
             target_ms: json.target_ms.map_or(time_limit_ms, |target| target.0),
-            rank: Rank(json.rank.unwrap_or_default().to_u8()),
+            rank: Rank(json.rank.unwrap_or_default().saturating_to_u8()),
             service_weights: self.service_weights(item, json.backend, json.shares),
-            max_attempts: json.tries.map_or(1, |attempts| attempts.to_u32().max(1)),
+            max_attempts: json.tries.map_or(1, |attempts| attempts.saturating_to_u32().max(1)),
             public: json.public.unwrap_or_default(),
             pinned: json.pinned.unwrap_or_default(),
             resumable: json.pick_up.unwrap_or_default(),
@@ -69,7 +69,7 @@
         self.required(prefix, path)
     }
 
-    /// A route's services: its `shares`, or else its `backend` alone.
+    /// A route's services with their weights. A non-empty list of `shares` takes precedence over `backend`.
     fn service_weights(
         &mut self,
         item: ItemPath,
@@ -122,7 +122,7 @@
         ServiceWeight { service, weight }
     }
 
-    /// A route may lead only to a service that has replicas.
+    /// Reports a route to an unknown service or to a KV cache store.
     fn check_routable(&mut self, service: &str, path: impl FnOnce() -> String) {
         let error = match self.service_kinds.get(service) {
             Some(ServiceKind::Replicas) => return,
@@ -132,14 +132,14 @@
         self.errors.add(path(), error);
     }
 
-    /// No two routes may have the same host and path prefix.
+    /// Reports routes with the same host and path prefix as an earlier one.
     fn check_unique_prefixes(&mut self, routes: &[Route]) {
-        let mut first_index: HashMap<(&str, &str), usize> = HashMap::with_capacity(routes.len());
+        let mut first_index_by_prefix: HashMap<(&str, &str), usize> = HashMap::with_capacity(routes.len());
         for (index, route) in routes.iter().enumerate() {
             if route.host.is_empty() || route.path_prefix.is_empty() {
                 continue;
             }
-            let first = *first_index.entry((&route.host, &route.path_prefix)).or_insert(index);
+            let first = *first_index_by_prefix.entry((&route.host, &route.path_prefix)).or_insert(index);
             if first != index {
                 let other = ItemPath { list: ROUTES, index: first }.path();
                 let path = ItemPath { list: ROUTES, index }.path();
--- a/crates/configuration/src/parse/tenants.rs
+++ b/crates/configuration/src/parse/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants and their API keys.
+//! Parsing of tenants and their API keys.
 
 use std::collections::HashMap;
 
@@ -20,12 +20,12 @@
         Tenant {
             label: self.non_empty_string(item, LABEL, json.label),
             api_keys: json.api_keys.unwrap_or_default(),
-            rank: json.rank.map(|rank| Rank(rank.to_u8())),
+            rank: json.rank.map(|rank| Rank(rank.saturating_to_u8())),
             isolated: json.isolated.unwrap_or_default(),
         }
     }
 
-    /// No two tenants may have the same key. The errors don't show keys.
+    /// Reports API keys that an earlier tenant has. The errors don't contain the keys.
     fn check_unique_keys(&mut self, tenants: &[Tenant]) {
         let mut first_tenant_by_key: HashMap<&str, usize> = HashMap::new();
         for (index, tenant) in tenants.iter().enumerate() {
