--- a/tests/support/cargo_metadata.rs
+++ b/tests/support/cargo_metadata.rs
@@ -1,4 +1,4 @@
-//! What `cargo metadata` prints of the workspace and its dependencies, as far as tests read it.
+//! The output of `cargo metadata` for the workspace and its dependencies, as far as tests read it.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -8,7 +8,7 @@
 
 use serde::Deserialize;
 
-/// What the machines of the system run; dependencies of other platforms are not compiled there.
+/// Platform of the machines that run the system; dependencies for other platforms are not compiled there.
 pub(crate) const TARGET_PLATFORM: &str = "x86_64-unknown-linux-gnu";
 
 #[derive(Deserialize)]
@@ -23,7 +23,7 @@
     pub(crate) name: String,
     pub(crate) links: Option<String>,
     pub(crate) rust_version: Option<String>,
-    /// None for a package of the workspace.
+    /// `None` for a package of the workspace.
     source: Option<String>,
     manifest_path: PathBuf,
     targets: Vec<Target>,
@@ -34,7 +34,7 @@
     kind: Vec<String>,
 }
 
-/// What the lock file comes to on one platform.
+/// The dependency graph of the lock file, resolved for one platform.
 #[derive(Deserialize)]
 struct Resolve {
     nodes: Vec<Node>,
@@ -68,47 +68,47 @@
 
     /// The folder of the package's manifest.
     pub(crate) fn folder(&self) -> PathBuf {
-        self.manifest_path.parent().expect("a manifest is in a folder").to_owned()
+        self.manifest_path.parent().expect("the folder of a manifest").to_owned()
     }
 }
 
 impl Dependency {
-    /// Whether a build without tests needs it.
+    /// True for a dependency that a build without tests needs.
     fn is_for_build(&self) -> bool {
         self.dep_kinds.iter().any(|kind| kind.kind.as_deref() != Some("dev"))
     }
 }
 
 impl Metadata {
-    /// Of the workspace, resolved for one platform by the lock file.
+    /// Reads the metadata of the workspace, resolved for one platform by the lock file.
     pub(crate) fn read(platform: &str) -> Metadata {
         let output = Command::new(env!("CARGO"))
             .args(["metadata", "--locked", "--format-version", "1", "--filter-platform", platform])
             .current_dir(env!("CARGO_MANIFEST_DIR"))
             .output()
-            .expect("cargo runs");
+            .expect("run cargo");
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-        serde_json::from_slice(&output.stdout).expect("cargo prints its metadata")
+        serde_json::from_slice(&output.stdout).expect("parse the metadata")
     }
 
-    /// Everything that the workspace and its tests compile.
+    /// All packages that are compiled for the workspace and its tests.
     pub(crate) fn into_compiled_packages(self) -> Vec<Package> {
         let compiled: BTreeSet<String> = self.resolve.nodes.into_iter().map(|node| node.id).collect();
         self.packages.into_iter().filter(|package| compiled.contains(&package.id)).collect()
     }
 
-    /// What a build of these packages of the workspace compiles, their tests left out.
+    /// Packages that are compiled for these packages of the workspace, without those only for tests.
     pub(crate) fn into_packages_needed_by(self, names: &[&str]) -> Vec<Package> {
         let nodes: BTreeMap<&str, &Node> =
             self.resolve.nodes.iter().map(|node| (node.id.as_str(), node)).collect();
         let is_named = |package: &&Package| names.contains(&package.name.as_str());
-        let mut open: Vec<String> =
+        let mut pending: Vec<String> =
             self.packages.iter().filter(is_named).map(|package| package.id.clone()).collect();
         let mut needed = BTreeSet::new();
-        while let Some(id) = open.pop() {
+        while let Some(id) = pending.pop() {
             let dependencies = &nodes[id.as_str()].deps;
             if needed.insert(id) {
-                open.extend(
+                pending.extend(
                     dependencies.iter().filter(|each| each.is_for_build()).map(|each| each.pkg.clone()),
                 );
             }
--- a/tests/support/source_files.rs
+++ b/tests/support/source_files.rs
@@ -1,9 +1,9 @@
-//! The sources of the repository, for tests that read them.
+//! Search of the repository for source files, for tests that check them.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Adds all Rust sources below a folder.
+/// Adds all Rust files in a folder and its subfolders to `sources`.
 pub(crate) fn sources_below(folder: &Path, sources: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("a folder of sources") {
         let path = entry.expect("an entry").path();
--- a/tests/support/stored_data.rs
+++ b/tests/support/stored_data.rs
@@ -1,6 +1,6 @@
-//! Checks values against the bytes that an earlier version of the programs wrote (`tests/data/README.md`).
+//! Checks of values against the bytes that an earlier version of the programs wrote (`tests/data/README.md`).
 //!
-//! Types and fields may be renamed in the tests that use this; the files stay as they are.
+//! Types and fields in the tests that use this may be renamed; the files must stay unchanged.
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
@@ -13,7 +13,7 @@
 pub(crate) struct Case<T> {
     /// The first word of the line.
     pub name: &'static str,
-    /// What the bytes of the line stand for.
+    /// The decoded bytes of the line.
     pub value: T,
 }
 
@@ -24,11 +24,11 @@
     }
 }
 
-/// Checks that each line of a file is read to the value of its case, and that the value is written to the same bytes.
+/// Checks that each line of a file decodes to the value of its case, and that the value encodes to the same bytes.
 ///
 /// # Panics
 ///
-/// If a value or its bytes differ, or if the file has other lines than there are cases.
+/// If a value or its bytes differ, or if the names of the lines differ from those of the cases.
 pub(crate) fn check_stored<T: Debug + PartialEq>(
     file: &str,
     cases: &[Case<T>],
@@ -41,16 +41,16 @@
     assert_eq!(names, expected_names, "lines of {file}");
     for (line, case) in text.lines().zip(cases) {
         let (name, stored) = line.split_once(' ').expect("a name and bytes");
-        assert_eq!(decode(&from_hex(stored)), case.value, "{file}, read: {name}");
-        assert_eq!(to_hex(&encode(&case.value)), stored, "{file}, written: {name}");
+        assert_eq!(decode(&from_hex(stored)), case.value, "{file}, decoded: {name}");
+        assert_eq!(to_hex(&encode(&case.value)), stored, "{file}, encoded: {name}");
     }
 }
 
-/// Checks that a directory has the same files with the same bytes as a stored one.
+/// Checks that a directory has the same files with the same bytes as a stored directory.
 ///
 /// # Panics
 ///
-/// If a file is missing, is there beside them, or differs.
+/// If a file is missing, additional or different.
 pub(crate) fn check_stored_directory(directory: &str, written: &Path) {
     let stored = stored_path(directory);
     assert_eq!(file_names(written), file_names(&stored), "files of {directory}");
@@ -61,11 +61,11 @@
     }
 }
 
-/// Copies a stored directory, so that the copy may be opened and written.
+/// Copies a stored directory, so that a test can open and modify the copy.
 ///
 /// # Panics
 ///
-/// If it can't be read, or the target can't be written.
+/// If the directory can't be read, or the target can't be written.
 pub(crate) fn copy_stored_directory(directory: &str, target: &Path) {
     let stored = stored_path(directory);
     fs::create_dir_all(target).expect("a folder for the copy");
@@ -74,11 +74,11 @@
     }
 }
 
-/// An empty directory of a test, in the folder of the build.
+/// Creates an empty directory for a test in the build folder.
 ///
 /// # Panics
 ///
-/// If it can't be emptied or made.
+/// If the directory can't be emptied or created.
 pub(crate) fn scratch_directory(name: &str) -> PathBuf {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     if directory.exists() {
@@ -88,27 +88,27 @@
     directory
 }
 
-/// Where a stored file or directory is.
+/// Path of a stored file or directory.
 pub(crate) fn stored_path(name: &str) -> PathBuf {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let folders = package.ancestors().map(|folder| folder.join("tests/data/c2874cb"));
     folders.into_iter().find(|folder| folder.is_dir()).expect("the folder of stored bytes").join(name)
 }
 
-/// Bytes as hexadecimal digits.
+/// Encodes bytes as hexadecimal digits.
 pub(crate) fn to_hex(bytes: &[u8]) -> String {
     let mut digits = String::with_capacity(2 * bytes.len());
     for byte in bytes {
-        write!(digits, "{byte:02x}").expect("a string takes all that is written");
+        write!(digits, "{byte:02x}").expect("write to a string");
     }
     digits
 }
 
-/// The bytes of hexadecimal digits.
+/// Decodes hexadecimal digits.
 ///
 /// # Panics
 ///
-/// If there are other characters, or an odd number of them.
+/// If a character is not a hexadecimal digit, or if the number of digits is odd.
 pub(crate) fn from_hex(digits: &str) -> Vec<u8> {
     let pairs = digits.as_bytes().chunks_exact(2);
     assert!(pairs.remainder().is_empty(), "an odd number of digits");
