--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -14,7 +14,7 @@
 use tulipridge::types::{Nanos, ReplicaId, Verdict};
 
 const MS: Nanos = 1_000_000;
-const READ: usize = 16 << 10;
+const READ_BYTES: usize = 16 << 10;
 
 fn check(seed: u64) -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(60, seed)).tests(600)
@@ -55,7 +55,7 @@
     fn arbitrary(g: &mut Gen) -> Step {
         let n = u16::arbitrary(g);
         match u8::arbitrary(g) % 32 {
-            0..=9 => Step::Arrive(n % READ as u16 + 1, bool::arbitrary(g)),
+            0..=9 => Step::Arrive(n % READ_BYTES as u16 + 1, bool::arbitrary(g)),
             10..=18 => Step::Take(n),
             19..=26 => Step::Wait(n % 3000),
             27 => Step::Allow(n),
