--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -24,7 +24,7 @@
         source: SettingsError,
     },
     /// A file is not a report.
-    NoReport {
+    InvalidReport {
         /// Its path.
         path: PathBuf,
         /// The parser's error.
@@ -48,7 +48,7 @@
         match self {
             CommandError::File { path, source } => write!(formatter, "{}: {source}", path.display()),
             CommandError::Experiment { source } => write!(formatter, "{source}"),
-            CommandError::NoReport { path, source } => {
+            CommandError::InvalidReport { path, source } => {
                 write!(formatter, "{}: no report: {source}", path.display())
             }
             CommandError::Report { source } => write!(formatter, "{source}"),
@@ -61,7 +61,7 @@
         match self {
             CommandError::File { source, .. } => Some(source),
             CommandError::Experiment { .. } => None,
-            CommandError::NoReport { source, .. } => Some(source),
+            CommandError::InvalidReport { source, .. } => Some(source),
             CommandError::Report { source } => Some(source),
         }
     }
--- a/crates/simulator/src/experiment/faults.rs
+++ b/crates/simulator/src/experiment/faults.rs
@@ -43,10 +43,12 @@
     /// Gateways are killed and restarted with the persisted list.
     RestartGateways,
     /// Replicas crash and restart under their own names, in slow start.
-    KillReplicas,
+    #[serde(rename = "kill_replicas")]
+    CrashReplicas,
     /// Machines lose their network: streams stay open without data and new connections time out; then they restart, in
     /// slow start.
-    SilenceReplicas,
+    #[serde(rename = "silence_replicas")]
+    PartitionReplicas,
     /// Replicas drain and are replaced by new ones with other names.
     ReplaceReplicas,
     /// Replicas slow down.
@@ -65,8 +67,8 @@
     pub fn description(self) -> &'static str {
         match self {
             FaultKind::RestartGateways => "gateways restart",
-            FaultKind::KillReplicas => "replicas die",
-            FaultKind::SilenceReplicas => "replicas vanish without a word",
+            FaultKind::CrashReplicas => "replicas die",
+            FaultKind::PartitionReplicas => "replicas vanish without a word",
             FaultKind::ReplaceReplicas => "replicas are replaced",
             FaultKind::SlowReplicas => "replicas slow down",
             FaultKind::ErrorReplicas => "replicas answer with errors",
--- a/crates/simulator/src/experiment/mod.rs
+++ b/crates/simulator/src/experiment/mod.rs
@@ -6,7 +6,7 @@
 mod faults;
 mod gateways;
 mod load;
-mod module_settings;
+mod load_balancer_settings;
 mod network;
 mod parse;
 mod policy_kind;
--- a/crates/simulator/src/experiment/policy_kind.rs
+++ b/crates/simulator/src/experiment/policy_kind.rs
@@ -7,7 +7,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
     /// The gateway's decision module, `crates/load-balancer/src/balancer/`.
-    Module,
+    #[serde(rename = "module")]
+    LoadBalancer,
     /// A random replica, weighted by size.
     Random,
     /// Round robin, each gateway from an offset of its own.
@@ -28,7 +29,7 @@
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            PolicyKind::Module => "module",
+            PolicyKind::LoadBalancer => "module",
             PolicyKind::Random => "random",
             PolicyKind::RoundRobin => "round_robin",
             PolicyKind::LeastInFlight => "least_in_flight",
--- a/crates/simulator/src/fleet/attempts.rs
+++ b/crates/simulator/src/fleet/attempts.rs
@@ -1,4 +1,4 @@
-//! Gateways' attempts at replicas, and the responses to clients.
+//! Gateways' attempts at replicas, and the responses that clients receive.
 
 use rand::RngExt;
 use tulipridge::types::{Event, Nanos, ReplicaId, RequestId, Verdict};
@@ -11,11 +11,11 @@
 use crate::replica::{AttemptId, Job};
 use crate::time::{MILLISECOND, nanos};
 
-/// The time after which a faulty replica responds with an error.
+/// Time from the arrival of a request at a faulty replica to its error response, in nanoseconds.
 const ERROR_RESPONSE_TIME: Nanos = MILLISECOND;
 
 impl Fleet<'_> {
-    /// Sends an attempt to a replica.
+    /// Sends an attempt to a replica, or schedules its failure if there is no connection.
     pub(super) fn send_attempt(
         &mut self,
         gateway: usize,
@@ -47,14 +47,14 @@
         }
     }
 
-    /// Takes an idle connection or opens a new one.
+    /// Reuses an idle connection that has not expired, or opens a new one.
     fn connect(&mut self, link: Link) -> Connection {
         let now = self.now();
         let network = &self.experiment.network;
         let round_trip = 2 * self.latency(link.gateway, link.replica);
         let replica = &self.replicas[link.replica].replica;
         if !replica.is_alive {
-            // The machine refuses the connection.
+            // The process is down, so the machine refuses the connection after one round trip.
             return Connection::Failed { delay: round_trip };
         }
         let idle = self.idle_connections.get_mut(&link).and_then(|expiries| {
@@ -71,16 +71,16 @@
         Connection::Established { delay: round_trip + nanos(network.handshake_duration) }
     }
 
-    /// Schedules an attempt's end at its gateway, without a complete response.
+    /// Schedules the end of an attempt without a complete response, as observed at its gateway.
     pub(super) fn schedule_end(&mut self, delay: Nanos, id: AttemptId, verdict: Verdict) {
         let end = AttemptEnd { id, verdict, cached_tokens: None };
         self.schedule(delay, FleetEvent::AttemptEnded(end));
     }
 
-    /// Responds to a client without a stream.
+    /// Sends a client a final response without a stream: a rejection or a failure. No effect on a closed request.
     pub(super) fn respond_to_client(&mut self, number: u64, outcome: RequestOutcome, retry_after: Nanos) {
         let Some(request) = self.requests[number as usize].as_mut() else { return };
-        if std::mem::replace(&mut request.is_answered, true) {
+        if std::mem::replace(&mut request.is_closed, true) {
             return;
         }
         let (client, attempts) = (request.client, request.attempts.len());
@@ -107,13 +107,13 @@
         self.recorder.add_rejection(now, arrived, with_free_capacity);
     }
 
-    /// The stage of an attempt; `None` if its request was removed.
+    /// The stage of an attempt; `None` if its request has been removed.
     pub(super) fn attempt_stage(&self, id: AttemptId) -> Option<AttemptStage> {
         let request = self.requests.get(id.request as usize)?.as_ref()?;
         request.attempts.get(id.attempt as usize).map(|attempt| attempt.stage)
     }
 
-    /// Ends an attempt at its gateway; the cancellation reaches the replica after the network's latency.
+    /// Ends an attempt at its gateway. The cancellation reaches the replica after the one-way latency.
     pub(super) fn abandon_attempt(&mut self, id: AttemptId) {
         let Some(request) = self.requests[id.request as usize].as_mut() else { return };
         let Some(attempt) = request.attempts.get_mut(id.attempt as usize) else { return };
@@ -127,7 +127,7 @@
         self.schedule(latency, FleetEvent::AttemptCancelled { process, id });
     }
 
-    /// Abandons an attempt and notifies the policy by an event of its own, as for all outcomes.
+    /// Abandons an attempt and notifies the policy by a separate event, as for all outcomes.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId) {
         self.abandon_attempt(id);
         if let Some(request) = self.requests[id.request as usize].as_mut() {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Delivers an attempt at its replica.
+    /// Delivers an attempt to its replica, which enqueues, resets or fails it.
     pub(super) fn deliver_attempt(&mut self, id: AttemptId) {
         let now = self.now();
         let Some(request) = self.requests[id.request as usize].as_ref() else { return };
@@ -167,7 +167,7 @@
         }
         self.recorder.add_arrival(now, process.replica);
         let error_fraction = replica.faults.error_fraction;
-        if error_fraction > 0.0 && self.random.chances.random::<f64>() < error_fraction {
+        if error_fraction > 0.0 && self.random.faults_and_delays.random::<f64>() < error_fraction {
             return self.schedule_end(latency + ERROR_RESPONSE_TIME, id, Verdict::Error);
         }
         self.replicas[process.replica].replica.enqueue(job);
@@ -175,14 +175,14 @@
         self.begin_step(process.replica);
     }
 
-    /// Begins the stream to the client, unless another attempt has begun it or the client does not wait any more.
+    /// Begins the stream to the client. If another attempt has begun it or the request is closed, cancels this attempt.
     pub(super) fn receive_first_token(&mut self, id: AttemptId) {
         if self.attempt_stage(id) != Some(AttemptStage::Sent) {
             return;
         }
         let now = self.now();
         let Some(request) = self.requests[id.request as usize].as_mut() else { return };
-        if request.streaming.is_some() || request.is_answered {
+        if request.streaming.is_some() || request.is_closed {
             return self.cancel_attempt(id);
         }
         request.streaming = Some(id.attempt);
@@ -195,14 +195,14 @@
         self.notify_policy(gateway, event);
     }
 
-    /// Ends an attempt: notifies the policy, and the client if its stream has ended.
+    /// Ends an attempt: notifies the policy, and finishes the client's request if its stream has ended.
     pub(super) fn end_attempt(&mut self, end: AttemptEnd) {
         let AttemptEnd { id, verdict, cached_tokens } = end;
         let now = self.now();
         let Some(request) = self.requests[id.request as usize].as_mut() else { return };
         let Some(attempt) = request.attempts.get_mut(id.attempt as usize) else { return };
         let stage = std::mem::replace(&mut attempt.stage, AttemptStage::Ended);
-        // An abandoned attempt has its outcome still to be notified; any other one can't end twice.
+        // The outcome of an abandoned attempt is notified after its end; all other attempts end once.
         let is_abandoned = matches!(verdict, Verdict::Cancelled | Verdict::TimedOut);
         request.pending_cancellations -= u32::from(verdict == Verdict::Cancelled);
         if stage == AttemptStage::Ended && !is_abandoned {
@@ -212,7 +212,7 @@
         let (gateway, client) = (request.process.gateway, request.client);
         let is_streaming = request.streaming == Some(id.attempt);
         let has_ended = is_streaming && matches!(verdict, Verdict::Ok | Verdict::Reset | Verdict::Error);
-        request.is_answered |= has_ended;
+        request.is_closed |= has_ended;
         if stage != AttemptStage::Ended {
             self.remove_from_fleet_load(replica);
         }
@@ -235,7 +235,7 @@
         self.clean_up_request(id.0);
     }
 
-    /// Ends the stream to a client; after a complete response the connection becomes idle.
+    /// Ends the stream to a client. After a complete response the connection becomes idle and can be reused.
     fn end_stream(&mut self, client: usize, link: Link, end: &AttemptEnd) {
         if end.verdict != Verdict::Ok {
             return self.finish_client(client, RequestOutcome::Broken, None);
@@ -247,11 +247,12 @@
         self.finish_served(client);
     }
 
-    /// Removes a request that is answered and has no attempt left.
+    /// Removes a closed request without attempts in flight from its gateway, and from the fleet once no cancellation is
+    /// pending.
     pub(super) fn clean_up_request(&mut self, number: u64) {
         let Some(request) = &self.requests[number as usize] else { return };
         let has_attempts = request.attempts.iter().any(|attempt| attempt.stage != AttemptStage::Ended);
-        if request.is_answered && !has_attempts {
+        if request.is_closed && !has_attempts {
             let open_requests = &mut self.gateways[request.process.gateway].open_requests;
             open_requests.retain(|open| *open != number);
             if request.pending_cancellations == 0 {
@@ -263,8 +264,8 @@
 
 /// The result of connecting to a replica.
 enum Connection {
-    /// The request can be sent after this delay.
+    /// The request can be sent after `delay`, 0 on an idle connection.
     Established { delay: Nanos },
-    /// The failure is noticed after this delay.
+    /// The gateway detects the failure after `delay`.
     Failed { delay: Nanos },
 }
--- a/crates/simulator/src/fleet/build.rs
+++ b/crates/simulator/src/fleet/build.rs
@@ -1,4 +1,4 @@
-//! Building a fleet.
+//! Creates a fleet with its initial replicas and gateways.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,29 +15,29 @@
 use crate::record::Recorder;
 use crate::replica::Replica;
 
-/// The standard deviation of replicas' speeds around that of their kind.
+/// Standard deviation of a replica's speed relative to its kind.
 const SPEED_SIGMA: f64 = 0.06;
-/// The bounds of a replica's speed relative to its kind.
+/// Minimum and maximum of a replica's speed relative to its kind.
 const SPEED_BOUNDS: [f64; 2] = [0.8, 1.2];
-/// The random stream of replicas' speeds.
+/// Number of the random stream that replicas' speeds are drawn from.
 const SPEED_STREAM: u64 = 5;
-/// The random stream of gateways' weights.
+/// Number of the random stream that gateways' traffic weights are drawn from.
 const WEIGHT_STREAM: u64 = 6;
 
-/// What a new replica is.
+/// Properties of a replica to be added.
 pub(super) struct ReplicaSpec {
     pub(super) name: String,
     pub(super) zone: u16,
-    /// The index of the kind of machine.
+    /// Index of the machine kind in the experiment.
     pub(super) kind: u16,
-    /// The speed relative to its kind.
+    /// Speed relative to the machine kind.
     pub(super) speed_factor: f64,
-    /// The start; `None` if that was long ago.
+    /// Start time; `None` for a replica that has completed slow start.
     pub(super) started: Option<Nanos>,
 }
 
 impl<'a> Fleet<'a> {
-    /// A fleet in which no gateway has started yet.
+    /// Creates a fleet in which no gateway has started yet.
     pub(super) fn new(experiment: &'a Experiment, policy_kind: PolicyKind) -> Fleet<'a> {
         let mut fleet = Fleet {
             experiment,
@@ -61,17 +61,18 @@
         fleet
     }
 
-    /// Adds replicas of each kind, in numbers as near to the fractions as possible.
+    /// Adds replicas by the largest deficit of their kinds, so that the counts follow the kinds' fractions closely.
     fn add_initial_replicas(&mut self) {
         let mut speeds = random_stream(self.experiment.seed, SPEED_STREAM);
         let kinds: Vec<_> = self.experiment.replicas.kinds.values().collect();
-        let mut owed: Vec<f64> = vec![0.0; kinds.len()];
+        let mut deficits: Vec<f64> = vec![0.0; kinds.len()];
         for number in 0..self.experiment.replicas.count {
-            owed.iter_mut().zip(&kinds).for_each(|(owed, kind)| *owed += kind.fraction);
-            let by_owed =
-                |left: &usize, right: &usize| owed[*left].total_cmp(&owed[*right]).then(right.cmp(left));
-            let kind = (0..owed.len()).max_by(by_owed).unwrap_or(0);
-            owed[kind] -= 1.0;
+            deficits.iter_mut().zip(&kinds).for_each(|(deficit, kind)| *deficit += kind.fraction);
+            let by_deficit = |left: &usize, right: &usize| {
+                deficits[*left].total_cmp(&deficits[*right]).then(right.cmp(left))
+            };
+            let kind = (0..deficits.len()).max_by(by_deficit).unwrap_or(0);
+            deficits[kind] -= 1.0;
             let [min, max] = SPEED_BOUNDS;
             let speed_factor = Normal::new(1.0f64, SPEED_SIGMA)
                 .map_or(1.0, |distribution| distribution.sample(&mut speeds))
@@ -99,7 +100,7 @@
                 policy: None,
                 incarnation: 0,
                 started: 0,
-                is_believed_up: true,
+                is_in_rotation: true,
                 is_watching: false,
                 has_list: false,
                 list_call: None,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Adds a replica that runs, and returns its index.
+    /// Adds a running replica that is listed as ready, and returns its index.
     pub(super) fn add_replica(&mut self, spec: ReplicaSpec) -> usize {
         let kinds = &self.experiment.replicas.kinds;
         let (kind_name, machine) =
--- a/crates/simulator/src/fleet/clients.rs
+++ b/crates/simulator/src/fleet/clients.rs
@@ -1,4 +1,4 @@
-//! Sessions, clients and their attempts, and the front layer that distributes them over the gateways.
+//! Sessions, clients and their attempts, and the front layer that distributes these over the gateways.
 
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -14,14 +14,14 @@
 use crate::replica::PrefixId;
 use crate::time::{MILLISECOND, SECOND, nanos};
 
-/// How long after its timeout a client gives an attempt up, so that a response in time is not missed.
+/// A client abandons an attempt this long after its timeout, so that a response that is just in time still counts.
 const TIMEOUT_SLACK: Nanos = 8 * MILLISECOND;
-/// The minimum time before a client's retry.
+/// Minimum delay of a client's retry.
 const MIN_BACKOFF: Nanos = MILLISECOND;
-/// The random stream of prefix lengths of the first class.
+/// Number of the random stream of the first class's prefix lengths; other classes follow in order.
 const PREFIX_LENGTH_STREAM: u64 = 100;
 
-/// A class of an experiment by its index.
+/// Returns the class with this index in the experiment.
 fn class(experiment: &Experiment, index: usize) -> Option<&Class> {
     experiment.classes.values().nth(index)
 }
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Sends a session's next request, and schedules the turn after it or ends the session.
+    /// Sends the next request of a session, and either schedules the following turn or ends the session.
     pub(super) fn begin_turn(&mut self, mut session: Session) {
         let Some(class) = class(self.experiment, session.prefix.class) else { return };
         let arrivals = &mut self.random.arrivals;
@@ -110,7 +110,7 @@
         self.send_client_attempt(client);
     }
 
-    /// Sends a client's request to a gateway, for the first time or as a retry.
+    /// Sends a client's request to a gateway, as its first attempt or as a retry.
     pub(super) fn send_client_attempt(&mut self, index: usize) {
         let now = self.now();
         let client = &mut self.clients[index];
@@ -118,12 +118,12 @@
             return;
         }
         client.attempts += 1;
-        let (zone, time_left) = (client.zone, client.deadline.saturating_sub(now));
+        let (zone, time_remaining) = (client.zone, client.deadline.saturating_sub(now));
         self.recorder.add_client_attempt(client.arrived);
         let Some(class) = class(self.experiment, client.prefix.class) else { return };
         let fraction = self.experiment.clients.attempt_deadline_fraction;
         let timeout = (nanos(class.deadline) as f64 * fraction) as Nanos;
-        let expires_in = timeout.min(time_left);
+        let expires_in = timeout.min(time_remaining);
         let gateway = self.select_gateway(zone);
         // The front layer may not have detected yet that the gateway has stopped.
         let Some(gateway) = gateway.filter(|gateway| self.gateways[*gateway].policy.is_some()) else {
@@ -135,7 +135,7 @@
         self.notify_policy(gateway, event);
     }
 
-    /// Registers a client's attempt at a gateway and returns its number.
+    /// Registers a client's attempt at a gateway, and returns the number of the request.
     fn open_request(&mut self, client: usize, gateway: usize) -> u64 {
         let number = self.requests.len() as u64;
         let process = self.gateway_process(gateway);
@@ -144,14 +144,14 @@
             process,
             attempts: Vec::new(),
             streaming: None,
-            is_answered: false,
+            is_closed: false,
             pending_cancellations: 0,
         }));
         self.gateways[gateway].open_requests.push(number);
         number
     }
 
-    /// A client's request as its gateway's policy sees it.
+    /// Converts a client's request to the policy's form.
     fn policy_request(&self, client: usize, number: u64, expires_in: Nanos) -> Request {
         let client = &self.clients[client];
         let prefix = client.prefix;
@@ -169,24 +169,24 @@
         }
     }
 
-    /// Draws a gateway that the front layer believes to be up, by weight; in the client's zone if there is one.
+    /// Draws a gateway in the rotation of the front layer by weight, from the client's zone unless that has none.
     fn select_gateway(&mut self, zone: u16) -> Option<usize> {
-        let is_local = |gateway: &GatewayState| gateway.is_believed_up && gateway.zone == zone;
+        let is_local = |gateway: &GatewayState| gateway.is_in_rotation && gateway.zone == zone;
         let has_local = self.gateways.iter().any(is_local);
         let is_candidate =
-            |gateway: &GatewayState| gateway.is_believed_up && (!has_local || gateway.zone == zone);
+            |gateway: &GatewayState| gateway.is_in_rotation && (!has_local || gateway.zone == zone);
         let candidates: Vec<usize> =
             (0..self.gateways.len()).filter(|index| is_candidate(&self.gateways[*index])).collect();
         let weights = candidates.iter().map(|index| self.gateways[*index].weight);
-        let selected = weighted_index(&mut self.random.front, weights);
+        let selected = weighted_index(&mut self.random.front_layer, weights);
         candidates.get(selected).copied()
     }
 
     /// Schedules a client's retry after a failed attempt, or finishes its request with `outcome`. `retry_after` is the
-    /// wait that the gateway has asked for, 0 if none.
+    /// `Retry-After` of the gateway in nanoseconds, 0 if none.
     pub(super) fn retry_client(&mut self, index: usize, outcome: RequestOutcome, retry_after: Nanos) {
         let settings = &self.experiment.clients;
-        let is_compliant = self.random.front.random::<f64>() < settings.retry_after_compliance;
+        let is_compliant = self.random.front_layer.random::<f64>() < settings.retry_after_compliance;
         let now = self.now();
         let client = &self.clients[index];
         if client.is_finished {
@@ -199,20 +199,20 @@
         self.schedule(delay.max(MIN_BACKOFF), FleetEvent::ClientAttempt(index));
     }
 
-    /// Ends a client's attempt that has no first token at its timeout.
+    /// Closes a client's attempt that has no first token at its timeout, and retries it if possible.
     pub(super) fn time_out_client_attempt(&mut self, number: u64) {
         let Some(request) = self.requests[number as usize].as_mut() else { return };
-        if request.is_answered || request.streaming.is_some() {
+        if request.is_closed || request.streaming.is_some() {
             return;
         }
-        request.is_answered = true;
+        request.is_closed = true;
         let (client, process) = (request.client, request.process);
         self.notify_process(process, Event::Expired(RequestId(number)));
         self.retry_client(client, RequestOutcome::Failed, 0);
         self.clean_up_request(number);
     }
 
-    /// Finishes a client's request that was served, in time or late.
+    /// Finishes a client's request that was served: in time if the first token met the latency target, else late.
     pub(super) fn finish_served(&mut self, index: usize) {
         let client = &self.clients[index];
         let Some(class) = class(self.experiment, client.prefix.class) else { return };
@@ -224,7 +224,7 @@
         self.finish_client(index, outcome, latency);
     }
 
-    /// Finishes a client's request, unless it is finished already.
+    /// Finishes a client's request and records its outcome. No effect on a finished request.
     pub(super) fn finish_client(
         &mut self,
         index: usize,
--- a/crates/simulator/src/fleet/events.rs
+++ b/crates/simulator/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation and their queue.
+//! Events of a simulation, and the queue that orders them.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -10,24 +10,24 @@
 use super::requests::Session;
 use crate::replica::AttemptId;
 
-/// The end of an attempt, as its gateway sees it.
+/// The end of an attempt, as observed at its gateway.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptEnd {
     pub(super) id: AttemptId,
     pub(super) verdict: Verdict,
-    /// Prompt tokens that were found in the cache, if the response was complete.
+    /// Prompt tokens found in the replica's cache; `None` unless the response is complete.
     pub(super) cached_tokens: Option<u32>,
 }
 
-/// What may happen in a simulation.
+/// An event of a simulation.
 pub(super) enum FleetEvent {
-    /// A session begins.
+    /// A session arrives. Its first turn begins, unless the arrival is dropped by thinning.
     SessionArrival,
-    /// A session's next turn begins.
+    /// The next turn of a session begins.
     SessionTurn(Box<Session>),
-    /// A client sends its request, for the first time or as a retry.
+    /// A client, by its index, sends its request as a retry.
     ClientAttempt(usize),
-    /// A client's attempt times out.
+    /// A client's attempt, by its request number, times out.
     ClientTimeout(u64),
     /// A policy's timer expires.
     PolicyTimer { process: GatewayProcess, token: u64 },
@@ -35,39 +35,39 @@
     AttemptArrival(AttemptId),
     /// An attempt times out at its gateway.
     AttemptTimeout(AttemptId),
-    /// A first token reaches the gateway.
+    /// The first token of an attempt's response reaches its gateway.
     FirstToken(AttemptId),
-    /// An attempt's end reaches the gateway.
+    /// The end of an attempt reaches its gateway.
     AttemptEnded(AttemptEnd),
-    /// A cancellation reaches the replica.
+    /// The cancellation of an attempt reaches its replica.
     AttemptCancelled { process: ReplicaProcess, id: AttemptId },
-    /// A replica's step ends.
+    /// The current step of a replica ends.
     StepEnded(ReplicaProcess),
     /// The list service has served the call at the head of its queue.
     ListCallServed,
-    /// The list service rejects a call.
+    /// The list service rejects a call and requests a delay of `wait` before the next one.
     ListCallRejected { call: ListCall, wait: Nanos },
     /// A call to the list service times out.
     ListCallTimeout(ListCall),
-    /// A list or its changes reach a gateway.
+    /// A complete list, or changes of it, reach a gateway.
     ListUpdate { process: GatewayProcess, kind: ListKind, members: Arc<[Member]> },
-    /// The list service publishes changes.
+    /// The list service publishes the changes that it has detected.
     ListPublication,
-    /// Replicas measure their load reports.
+    /// The load of all replicas is measured for their load reports.
     LoadReports,
-    /// A window of the record ends.
+    /// The current recording window ends.
     WindowEnded,
-    /// A fault of the experiment begins, by its index in the order of faults.
+    /// A fault begins, by its index in the order of faults.
     FaultBegins(usize),
-    /// A gateway stops.
+    /// A gateway, by its index, stops.
     GatewayStop(usize),
-    /// A gateway starts.
+    /// A gateway, by its index, starts.
     GatewayStart(usize),
     /// The front layer detects that a gateway has stopped or started.
-    GatewayDetected { gateway: usize, is_up: bool },
+    GatewayStateDetected { gateway: usize, is_up: bool },
     /// A fault affects a replica.
     ReplicaFault { replica: usize, fault: usize },
-    /// A draining replica stops, if it has no requests left.
+    /// A draining replica, by its index, stops if it has no requests in flight.
     ReplicaStop(usize),
     /// A replica recovers from a fault, or its replacement starts.
     ReplicaRecovery { replica: usize, fault: usize },
@@ -75,7 +75,7 @@
 
 struct ScheduledEvent {
     at: Nanos,
-    /// The number of the insertion, which orders events at the same time.
+    /// Number of the insertion; orders events with the same time.
     sequence: u64,
     event: FleetEvent,
 }
@@ -95,13 +95,13 @@
 }
 
 impl Ord for ScheduledEvent {
-    /// Reversed, since the heap pops the greatest first.
+    /// Reversed, since a [`BinaryHeap`] pops its greatest element first.
     fn cmp(&self, other: &ScheduledEvent) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// The virtual clock and the events that are due later.
+/// The clock of simulated time, and the events that are due later.
 #[derive(Default)]
 pub(super) struct EventQueue {
     now: Nanos,
@@ -114,14 +114,15 @@
         self.now
     }
 
-    /// Schedules an event after a delay from now.
+    /// Schedules an event `delay` nanoseconds after the current time.
     pub(super) fn schedule(&mut self, delay: Nanos, event: FleetEvent) {
         self.last_sequence += 1;
         let at = self.now.saturating_add(delay);
         self.heap.push(ScheduledEvent { at, sequence: self.last_sequence, event });
     }
 
-    /// Advances the clock to the next event and returns it; at the latest to `end`, with `None`.
+    /// Advances the clock to the next event and returns it. If none is due by `end`, advances the clock to `end` and
+    /// returns `None`.
     pub(super) fn advance(&mut self, end: Nanos) -> Option<FleetEvent> {
         match self.heap.pop() {
             Some(next) if next.at <= end => {
--- a/crates/simulator/src/fleet/gateways.rs
+++ b/crates/simulator/src/fleet/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways: their starts and stops, the events that their policies handle, and the actions that they return.
+//! Gateways: starts and stops, the events passed to their policies, and the actions that the policies return.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::time::nanos;
 
 impl Fleet<'_> {
-    /// Passes an event to a gateway's policy and carries out its actions.
+    /// Passes an event to a gateway's policy and performs the resulting actions.
     pub(super) fn notify_policy(&mut self, gateway: usize, event: Event) {
         let now = self.queue.now();
         let Some(policy) = self.gateways[gateway].policy.as_mut() else { return };
@@ -23,19 +23,19 @@
         let mut actions = std::mem::take(&mut self.buffers.actions);
         policy.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(gateway, action);
+            self.perform_action(gateway, action);
         }
         self.buffers.actions = actions;
     }
 
-    /// Passes an event to a gateway's policy if the process is its current one.
+    /// Passes an event to a gateway's policy, unless the gateway has stopped or restarted since `process`.
     pub(super) fn notify_process(&mut self, process: GatewayProcess, event: Event) {
-        if self.is_current(process) {
+        if self.is_current_gateway(process) {
             self.notify_policy(process.gateway, event);
         }
     }
 
-    fn carry_out(&mut self, gateway: usize, action: Action) {
+    fn perform_action(&mut self, gateway: usize, action: Action) {
         match action {
             Action::Send { id, replica, timeout, .. } => {
                 self.send_attempt(gateway, id.0, &replica, timeout);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Starts a gateway with the list that it has persisted.
+    /// Starts a gateway with its persisted list.
     pub(super) fn start_gateway(&mut self, index: usize) -> Result<(), SettingsError> {
         let seed = self.random.policy_seeds.random();
         let settings = self.experiment.settings(index as u32);
@@ -73,15 +73,15 @@
         gateway.has_list = false;
         gateway.list_call = None;
         let members: Arc<[Member]> = gateway.known_members.values().cloned().collect();
-        if !gateway.is_believed_up {
+        if !gateway.is_in_rotation {
             let delay = nanos(self.experiment.gateways.detection_delay);
-            self.schedule(delay, FleetEvent::GatewayDetected { gateway: index, is_up: true });
+            self.schedule(delay, FleetEvent::GatewayStateDetected { gateway: index, is_up: true });
         }
         self.notify_policy(index, Event::List { kind: ListKind::Persisted, members });
         Ok(())
     }
 
-    /// Stops a gateway; its requests fail and its streams break.
+    /// Stops a gateway: requests without a first token fail, and streams break.
     pub(super) fn stop_gateway(&mut self, index: usize) {
         let gateway = &mut self.gateways[index];
         gateway.policy = None;
@@ -94,10 +94,10 @@
             self.drop_request(number);
         }
         let delay = nanos(self.experiment.gateways.detection_delay);
-        self.schedule(delay, FleetEvent::GatewayDetected { gateway: index, is_up: false });
+        self.schedule(delay, FleetEvent::GatewayStateDetected { gateway: index, is_up: false });
     }
 
-    /// Drops a request of a gateway that has stopped.
+    /// Drops a request of a gateway that has stopped; the client retries unless its stream had begun.
     fn drop_request(&mut self, number: u64) {
         let Some(request) = self.requests[number as usize].as_ref() else { return };
         let (client, is_streaming) = (request.client, request.streaming.is_some());
--- a/crates/simulator/src/fleet/list_service.rs
+++ b/crates/simulator/src/fleet/list_service.rs
@@ -1,4 +1,4 @@
-//! The list service: it serves calls one after another, and publishes changes to watchers.
+//! The list service, which serves calls one after another and publishes changes to watching gateways.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use crate::time::{SECOND, nanos};
 
 impl Fleet<'_> {
-    /// Sends a gateway's call to the list service.
+    /// Sends a gateway's call to the list service, which queues or rejects it. In an outage the call times out.
     pub(super) fn call_list_service(&mut self, gateway: usize) {
         self.list_service.last_call += 1;
         self.recorder.add_list_call();
         let call = ListCall { caller: self.gateway_process(gateway), number: self.list_service.last_call };
         self.gateways[gateway].list_call = Some(call.number);
-        // Calls are served one after the other.
+        // Calls are served one after another, so the wait includes all queued ones.
         let wait = self.list_call_duration().saturating_mul(self.list_service.queue.len() as u64 + 1);
         let max_wait = self.experiment.list_service.max_queue_wait.map(nanos);
         if let Some(max_wait) = max_wait.filter(|max_wait| wait > *max_wait) {
@@ -37,13 +37,13 @@
         (SECOND as f64 / self.experiment.list_service.calls_per_s) as Nanos
     }
 
-    /// Completes the call at the head of the queue.
+    /// Completes the call at the head of the queue, and responds with the complete list.
     pub(super) fn serve_list_call(&mut self) {
         let Some(call) = self.list_service.queue.pop_front() else { return };
         if !self.list_service.queue.is_empty() {
             self.schedule(self.list_call_duration(), FleetEvent::ListCallServed);
         }
-        // The response is lost in an outage, or if the caller has timed out or stopped.
+        // The response is lost in an outage, or if the call has timed out or its gateway has stopped.
         if self.now() < self.list_service.unavailable_until || !self.is_pending(call) {
             return;
         }
@@ -55,7 +55,8 @@
     }
 
     fn is_pending(&self, call: ListCall) -> bool {
-        self.is_current(call.caller) && self.gateways[call.caller.gateway].list_call == Some(call.number)
+        self.is_current_gateway(call.caller)
+            && self.gateways[call.caller.gateway].list_call == Some(call.number)
     }
 
     fn complete_list(&self) -> Arc<[Member]> {
@@ -63,7 +64,7 @@
         members.filter(|member| member.phase != Phase::Gone).cloned().collect()
     }
 
-    /// Fails a call that is still pending.
+    /// Fails a call that is still pending, and notifies the policy.
     pub(super) fn fail_list_call(&mut self, call: ListCall) {
         if self.is_pending(call) {
             self.gateways[call.caller.gateway].list_call = None;
@@ -75,7 +76,7 @@
 
     /// Delivers a list or its changes to a gateway.
     pub(super) fn receive_list(&mut self, process: GatewayProcess, kind: ListKind, members: Arc<[Member]>) {
-        if !self.is_current(process) {
+        if !self.is_current_gateway(process) {
             return;
         }
         let now = self.queue.now();
@@ -94,12 +95,13 @@
         self.notify_policy(process.gateway, Event::List { kind, members });
     }
 
-    /// Publishes the changes that are known by now to all watchers.
+    /// Publishes the changes that the service has detected to all watching gateways, and schedules the next
+    /// publication.
     pub(super) fn publish_changes(&mut self) {
         let settings = &self.experiment.list_service;
         self.schedule(nanos(settings.publish_interval), FleetEvent::ListPublication);
         if self.now() < self.list_service.unavailable_until {
-            // Changes are published after the outage.
+            // Changes stay pending until the outage has ended.
             return;
         }
         if settings.push {
@@ -118,13 +120,13 @@
         }
     }
 
-    /// Applies the changes that are known by now to the list, and returns the changed members.
+    /// Applies the changes that the service has detected to the list, and returns the changed members.
     fn apply_due_changes(&mut self) -> Arc<[Member]> {
         let now = self.now();
         let pending = &mut self.list_service.pending_changes;
         let mut due: Vec<PendingChange> =
-            pending.extract_if(.., |change| change.known_from <= now).collect();
-        due.sort_by_key(|change| (change.known_from, change.replica));
+            pending.extract_if(.., |change| change.detected_at <= now).collect();
+        due.sort_by_key(|change| (change.detected_at, change.replica));
         let mut changed = BTreeMap::new();
         for change in due {
             let member = &mut self.replicas[change.replica].member;
@@ -147,9 +149,9 @@
         }
     }
 
-    /// Makes a change known to the list service after `delay`, or after the experiment's delay if it has one. Earlier
-    /// changes of the same replica that would become known later are outdated and dropped.
-    pub(super) fn publish_later(
+    /// Schedules the detection of a change by the list service after `delay`, or after the experiment's change delay if
+    /// set. Earlier changes of the same replica that would be detected later are outdated and dropped.
+    pub(super) fn schedule_detection(
         &mut self,
         delay: Nanos,
         replica: usize,
@@ -160,9 +162,9 @@
             Some(range) => nanos(range.min) + self.random_delay(nanos(range.max) - nanos(range.min)),
             None => delay,
         };
-        let known_from = self.now() + delay;
+        let detected_at = self.now() + delay;
         let pending = &mut self.list_service.pending_changes;
-        pending.retain(|change| change.replica != replica || change.known_from < known_from);
-        pending.push(PendingChange { known_from, replica, phase, started });
+        pending.retain(|change| change.replica != replica || change.detected_at < detected_at);
+        pending.push(PendingChange { detected_at, replica, phase, started });
     }
 }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet in virtual time: gateways with their policies, emulated replicas, a list service and clients.
+//! A fleet in simulated time: gateways with their policies, emulated replicas, a list service and clients.
 //!
-//! All that happens is an event in one queue, ordered by time and then by insertion, so that a run with the same seed
-//! is the same to the byte. The fleet carries out what policies decide, and decides no placement itself. `state` has
-//! the fleet's data, `run` the event loop, and the other modules the steps for one part of the fleet each.
+//! All events are in one queue, ordered by time and then by insertion, so that runs with the same seed are identical to
+//! the byte. Placement is decided by the policies alone; the fleet performs their actions. `state` has the fleet's data,
+//! `run` the event loop, and each other module the steps for one part of the fleet.
 
 mod attempts;
 mod build;
--- a/crates/simulator/src/fleet/processes.rs
+++ b/crates/simulator/src/fleet/processes.rs
@@ -1,28 +1,28 @@
-//! Identifies processes and calls, so that events for outdated ones are recognized.
+//! Identifiers of processes and calls, by which events for outdated ones are recognized and ignored.
 
-/// A process of a gateway: it becomes outdated when the gateway stops or restarts.
+/// A process of a gateway, outdated as soon as the gateway stops or restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GatewayProcess {
-    /// The index of the gateway.
+    /// Index of the gateway in the fleet.
     pub(super) gateway: usize,
-    /// The number of its starts and stops.
+    /// Number of the gateway's starts and stops up to this process.
     pub(super) incarnation: u32,
 }
 
-/// A process of a replica: it becomes outdated when the replica crashes.
+/// A process of a replica, outdated as soon as the replica crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ReplicaProcess {
-    /// The index of the replica.
+    /// Index of the replica in the fleet.
     pub(super) replica: usize,
-    /// The number of its crashes.
+    /// Number of the replica's crashes before this process.
     pub(super) incarnation: u32,
 }
 
 /// A call to the list service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ListCall {
-    /// The caller.
+    /// Process that made the call.
     pub(super) caller: GatewayProcess,
-    /// The number of the call, unique in a run.
+    /// Number of the call, unique in a run and ascending from 1.
     pub(super) number: u64,
 }
--- a/crates/simulator/src/fleet/replicas.rs
+++ b/crates/simulator/src/fleet/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas: their steps, load reports and crashes, and the work that they are sent in slow start.
+//! Replicas: steps, load reports, crashes, and the work sent to them in slow start.
 
 use rand_distr::{Distribution, Normal};
 use tulipridge::types::Verdict;
@@ -10,7 +10,7 @@
 use crate::replica::{AttemptId, StepEvent};
 use crate::time::{SECOND, nanos};
 
-/// The mean cost of a request of a class, in prompt tokens.
+/// Mean cost of a request of a class, in prompt tokens.
 fn mean_cost_tokens(class: &Class) -> f64 {
     let [min_prefix, max_prefix] = class.prefix_tokens;
     let [min_turn, max_turn] = class.turn_tokens;
@@ -18,7 +18,7 @@
 }
 
 impl Fleet<'_> {
-    /// Measures the load of all replicas, and schedules the next measurement.
+    /// Measures the load of all replicas for their load reports, and schedules the next measurement.
     pub(super) fn measure_load_reports(&mut self) {
         let Some(reports) = &self.experiment.replicas.load_reports else { return };
         let (period, now) = (nanos(reports.period), self.now());
@@ -26,9 +26,9 @@
         let noise = Normal::new(1.0, reports.noise).ok();
         for entry in &mut self.replicas {
             let busy = entry.replica.take_busy_time(now) as f64 / period as f64;
-            // Steps with a half empty batch count half.
+            // Steps are weighted by the utilization of the batch: a half-empty one counts half.
             let utilization = busy * entry.replica.batch_utilization();
-            let factor = noise.map_or(1.0, |noise| noise.sample(&mut self.random.chances));
+            let factor = noise.map_or(1.0, |noise| noise.sample(&mut self.random.faults_and_delays));
             entry.reports.push_back(LoadReport {
                 visible_from: now + nanos(reports.delay),
                 utilization: (utilization * factor).clamp(0.0, 1.0),
@@ -39,14 +39,14 @@
         }
     }
 
-    /// The newest visible load report of a replica: utilization and errors; empty if there is none.
+    /// Newest visible load report of a replica: utilization and errors. Empty before the first one.
     pub(super) fn load_report(&self, index: usize) -> Vec<f64> {
         let now = self.now();
         let visible = self.replicas[index].reports.iter().rev().find(|report| report.visible_from <= now);
         visible.map_or(Vec::new(), |report| vec![report.utilization, 0.0])
     }
 
-    /// Crashes a replica: its requests are reset and its connections closed.
+    /// Crashes a replica: resets its requests and closes its connections.
     pub(super) fn crash_replica(&mut self, index: usize) {
         for id in self.replicas[index].replica.crash() {
             let Some(request) = &self.requests[id.request as usize] else { continue };
@@ -57,7 +57,8 @@
         self.record_replica(index);
     }
 
-    /// Records work that is sent to a replica, and how near to overload it is in slow start.
+    /// Records work sent to a replica in slow start, relative to the work that overloads it. No effect on a replica with
+    /// its full capacity.
     pub(super) fn record_slow_start_work(&mut self, index: usize, cost_tokens: f64) {
         let now = self.now();
         let settings = &self.experiment.replicas;
@@ -81,8 +82,8 @@
         }
     }
 
-    /// The work that a replica can sustain: its part, by size, of the work that the tenants' quotas demand of the fleet,
-    /// at its available capacity.
+    /// Work per second that a replica can sustain, in prompt tokens: the fraction, by size, of the work that the tenants'
+    /// quotas demand of the fleet, times the available capacity.
     fn sustainable_tokens_per_s(&self, index: usize, capacity: f64) -> f64 {
         let quota: f64 = self.experiment.tenants.values().map(|tenant| tenant.quota_per_s).sum();
         let alive = self.replicas.iter().filter(|entry| entry.replica.is_alive);
@@ -93,7 +94,7 @@
         quota * mean_cost * size / fleet_size.max(f64::MIN_POSITIVE) * capacity
     }
 
-    /// Begins a step of a replica if it has work and none is in progress.
+    /// Begins a step of a replica, if there is work and no step in progress.
     pub(super) fn begin_step(&mut self, index: usize) {
         let now = self.now();
         let replica = &mut self.replicas[index].replica;
@@ -104,12 +105,12 @@
         }
     }
 
-    /// Whether a process of a replica is its current one.
+    /// Whether the replica has not crashed since `process`.
     fn is_current_replica(&self, process: ReplicaProcess) -> bool {
         self.replicas[process.replica].replica.incarnation == process.incarnation
     }
 
-    /// Ends a step of a replica: sends its events to the gateways, and begins the next step.
+    /// Ends a step of a replica: sends the resulting events to the gateways, and begins the next step.
     pub(super) fn end_step(&mut self, process: ReplicaProcess) {
         if !self.is_current_replica(process) {
             return;
@@ -134,7 +135,7 @@
         self.begin_step(process.replica);
     }
 
-    /// Cancels an attempt at a replica.
+    /// Cancels an attempt at a replica. No effect if the replica has crashed since or has completed the attempt.
     pub(super) fn cancel_at_replica(&mut self, process: ReplicaProcess, id: AttemptId) {
         if self.is_current_replica(process) && self.replicas[process.replica].replica.cancel(id) {
             self.record_replica(process.replica);
--- a/crates/simulator/src/fleet/requests.rs
+++ b/crates/simulator/src/fleet/requests.rs
@@ -1,25 +1,25 @@
-//! Sessions, clients' requests, and their attempts.
+//! Sessions, requests of clients, and attempts at gateways and replicas.
 
 use tulipridge::types::Nanos;
 
 use super::processes::{GatewayProcess, ReplicaProcess};
 use crate::replica::PrefixId;
 
-/// A sequence of requests, each with the prompt and the response of those before it.
+/// A sequence of requests; the prompt of each includes the prompts and responses before it.
 pub(super) struct Session {
-    /// The tenant's index, if there are tenants.
+    /// Index of the tenant; `None` if the experiment has no tenants.
     pub(super) tenant: Option<usize>,
     pub(super) zone: u16,
-    /// The number of the session, from 1.
+    /// Number of the session, ascending from 1.
     pub(super) number: u64,
-    /// The shared prefix, which names the class.
+    /// Shared prefix of all prompts; identifies the class too.
     pub(super) prefix: PrefixId,
     pub(super) prefix_tokens: u32,
-    /// Tokens of the conversation so far.
+    /// Tokens of all prompts and responses so far, the shared prefix included.
     pub(super) context_tokens: u32,
 }
 
-/// A client's request, over all its attempts.
+/// A request of a client, over all attempts for it.
 pub(super) struct ClientRequest {
     pub(super) tenant: Option<usize>,
     pub(super) zone: u16,
@@ -30,20 +30,20 @@
     pub(super) response_tokens: u32,
     pub(super) arrived: Nanos,
     pub(super) deadline: Nanos,
-    /// The number of attempts so far.
+    /// Attempts at gateways so far.
     pub(super) attempts: u32,
     pub(super) first_token: Option<Nanos>,
     pub(super) is_finished: bool,
 }
 
-/// The stage of a gateway's attempt at a replica.
+/// Stage of a gateway's attempt at a replica.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum AttemptStage {
-    /// Sent, without a first token.
+    /// Sent; no token received yet.
     Sent,
-    /// Its response is streamed to the client.
+    /// The response is being streamed to the client.
     Streaming,
-    /// Finished or abandoned.
+    /// Finished, failed or abandoned.
     Ended,
 }
 
@@ -56,14 +56,14 @@
 
 /// A client's attempt at a gateway.
 pub(super) struct GatewayRequest {
-    /// The index of the client's request.
+    /// Index of the client's request.
     pub(super) client: usize,
     pub(super) process: GatewayProcess,
     pub(super) attempts: Vec<Attempt>,
-    /// The attempt whose response is streamed.
+    /// Number of the attempt whose response is streamed; `None` before the first token.
     pub(super) streaming: Option<u32>,
-    /// Whether the client has got the final response, or does not wait any more.
-    pub(super) is_answered: bool,
-    /// Cancelled attempts of which the policy has not been notified yet.
+    /// Whether the client has received the final response, or has abandoned the request.
+    pub(super) is_closed: bool,
+    /// Cancelled attempts whose outcomes have not been passed to the policy yet.
     pub(super) pending_cancellations: u32,
 }
--- a/crates/simulator/src/fleet/run.rs
+++ b/crates/simulator/src/fleet/run.rs
@@ -1,16 +1,16 @@
-//! The event loop.
+//! The event loop of a simulation.
 
 use tulipridge::types::{Event, SettingsError, Verdict};
 
 use super::events::{AttemptEnd, FleetEvent};
 use super::requests::AttemptStage;
 use super::state::{Fleet, GatewayState};
-use crate::record::WINDOW;
+use crate::record::WINDOW_DURATION;
 use crate::replica::AttemptId;
 use crate::time::nanos;
 
 impl Fleet<'_> {
-    /// Runs the simulation until the experiment's end.
+    /// Handles all events up to the end of the experiment.
     pub(super) fn run(&mut self) -> Result<(), SettingsError> {
         self.schedule_initial_events();
         let end = self.experiment.end();
@@ -33,14 +33,14 @@
             self.schedule(start, FleetEvent::FaultBegins(index));
         }
         self.schedule(0, FleetEvent::SessionArrival);
-        self.schedule(WINDOW, FleetEvent::WindowEnded);
+        self.schedule(WINDOW_DURATION, FleetEvent::WindowEnded);
         self.schedule(nanos(self.experiment.list_service.publish_interval), FleetEvent::ListPublication);
         if let Some(reports) = &self.experiment.replicas.load_reports {
             self.schedule(nanos(reports.period), FleetEvent::LoadReports);
         }
     }
 
-    /// Counts streams that have not ended as served: what matters is their first token.
+    /// Counts streams in progress at the end as served, since only the first token decides whether they are in time.
     fn count_open_streams(&mut self) {
         for client in 0..self.clients.len() {
             if self.clients[client].first_token.is_some() && !self.clients[client].is_finished {
@@ -77,12 +77,14 @@
             FleetEvent::LoadReports => self.measure_load_reports(),
             FleetEvent::WindowEnded => {
                 self.recorder.end_window(self.queue.now());
-                self.schedule(WINDOW, FleetEvent::WindowEnded);
+                self.schedule(WINDOW_DURATION, FleetEvent::WindowEnded);
             }
             FleetEvent::FaultBegins(fault) => self.begin_fault(fault),
             FleetEvent::GatewayStop(gateway) => self.stop_gateway(gateway),
             FleetEvent::GatewayStart(gateway) => self.start_gateway(gateway)?,
-            FleetEvent::GatewayDetected { gateway, is_up } => self.gateways[gateway].is_believed_up = is_up,
+            FleetEvent::GatewayStateDetected { gateway, is_up } => {
+                self.gateways[gateway].is_in_rotation = is_up;
+            }
             FleetEvent::ReplicaFault { replica, fault } => self.apply_fault(replica, fault),
             FleetEvent::ReplicaStop(replica) => self.stop_drained(replica),
             FleetEvent::ReplicaRecovery { replica, fault } => self.recover(replica, fault),
--- a/crates/simulator/src/fleet/state.rs
+++ b/crates/simulator/src/fleet/state.rs
@@ -1,4 +1,4 @@
-//! The state of a simulated fleet.
+//! Data of a simulated fleet.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,62 +16,62 @@
 use crate::replica::{Replica, StepEvent};
 use crate::time::nanos;
 
-/// The cost of a response for a replica, in prompt tokens.
+/// Cost of a response, as the number of prompt tokens with the same cost.
 pub(super) const RESPONSE_COST_TOKENS: f64 = 1000.0;
 
-/// A gateway.
+/// State of a gateway.
 pub(super) struct GatewayState {
     pub(super) zone: u16,
-    /// Its weight in the front layer's distribution of traffic.
+    /// Weight in the front layer's distribution of traffic.
     pub(super) weight: f64,
-    /// Its policy while it runs.
+    /// Policy; `None` while the gateway is stopped.
     pub(super) policy: Option<Policy>,
     pub(super) incarnation: u32,
     pub(super) started: Nanos,
-    /// Whether the front layer sends requests to it.
-    pub(super) is_believed_up: bool,
-    /// Whether the list service sends changes to it.
+    /// Whether the front layer sends requests to this gateway. Follows starts and stops after the detection delay.
+    pub(super) is_in_rotation: bool,
+    /// Whether the list service sends changes to this gateway.
     pub(super) is_watching: bool,
     pub(super) has_list: bool,
-    /// The number of its call to the list service that has no response yet.
+    /// Number of the call to the list service that is waiting for a response.
     pub(super) list_call: Option<u64>,
-    /// The list as it persists it, by the index of the replica.
+    /// Persisted list, by index of the replica.
     pub(super) known_members: BTreeMap<usize, Member>,
-    /// The numbers of its requests that have not ended.
+    /// Numbers of the requests that are open or have attempts in flight.
     pub(super) open_requests: Vec<u64>,
 }
 
-/// A load report that becomes visible.
+/// A measurement of a replica's load, reported from `visible_from` on.
 pub(super) struct LoadReport {
     pub(super) visible_from: Nanos,
     pub(super) utilization: f64,
 }
 
-/// Work that was sent to a replica.
+/// Work sent to a replica.
 pub(super) struct WorkSample {
     pub(super) sent: Nanos,
     pub(super) cost_tokens: f64,
 }
 
-/// A replica with what is known of it outside.
+/// A replica with its list entry and its load reports.
 pub(super) struct ReplicaEntry {
     pub(super) replica: Replica,
-    /// Its entry in the list as it was published last.
+    /// Entry in the list, as last published.
     pub(super) member: Member,
     pub(super) reports: VecDeque<LoadReport>,
-    /// Work that it was sent in slow start, within the overload window.
+    /// Work sent to the replica in slow start, within the overload window.
     pub(super) slow_start_work: VecDeque<WorkSample>,
 }
 
-/// A change of the list that is not published yet.
+/// A change of the list that is not published yet. The service detects it at `detected_at`.
 pub(super) struct PendingChange {
-    pub(super) known_from: Nanos,
+    pub(super) detected_at: Nanos,
     pub(super) replica: usize,
     pub(super) phase: Phase,
     pub(super) started: Option<Nanos>,
 }
 
-/// The list service.
+/// State of the list service.
 #[derive(Default)]
 pub(super) struct ListServiceState {
     pub(super) pending_changes: Vec<PendingChange>,
@@ -80,45 +80,45 @@
     pub(super) unavailable_until: Nanos,
 }
 
-/// A pair of gateway and replica, with connections of its own.
+/// A pair of a gateway and a replica, the key of a connection pool.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Link {
     pub(super) gateway: usize,
     pub(super) replica: usize,
 }
 
-/// The random streams. Their numbers are part of the results for a seed.
+/// Independent random streams. Their numbers must not change, or the results for a seed change.
 pub(super) struct RandomStreams {
-    /// Sessions and their requests.
+    /// Sessions and the requests in them.
     pub(super) arrivals: Pcg64Mcg,
-    /// The front layer and clients' retries.
-    pub(super) front: Pcg64Mcg,
-    /// Seeds of the policies.
+    /// Selection of gateways, and clients' compliance with `Retry-After`.
+    pub(super) front_layer: Pcg64Mcg,
+    /// Seeds of the gateways' policies.
     pub(super) policy_seeds: Pcg64Mcg,
-    /// Faults, delays and errors.
-    pub(super) chances: Pcg64Mcg,
+    /// Targets of faults, delays, error responses, and noise of load reports.
+    pub(super) faults_and_delays: Pcg64Mcg,
 }
 
 impl RandomStreams {
     pub(super) fn new(seed: u64) -> RandomStreams {
         RandomStreams {
             arrivals: random_stream(seed, 1),
-            front: random_stream(seed, 2),
+            front_layer: random_stream(seed, 2),
             policy_seeds: random_stream(seed, 3),
-            chances: random_stream(seed, 4),
+            faults_and_delays: random_stream(seed, 4),
         }
     }
 }
 
-/// Buffers that are reused, since they are filled at each event.
+/// Buffers that are reused across events to avoid an allocation for each.
 #[derive(Default)]
 pub(super) struct Buffers {
     pub(super) actions: Vec<Action>,
     pub(super) step_events: Vec<StepEvent>,
 }
 
-/// A fleet with one policy. It has a field for each part of the simulation; steps that need several parts are methods
-/// in the modules of this folder.
+/// A fleet with one policy: a field for each part of the simulation. Steps that need several parts are methods in the
+/// modules of this folder.
 pub(super) struct Fleet<'a> {
     pub(super) experiment: &'a Experiment,
     pub(super) policy_kind: PolicyKind,
@@ -128,11 +128,11 @@
     pub(super) replicas: Vec<ReplicaEntry>,
     pub(super) replica_index: BTreeMap<ReplicaId, usize>,
     pub(super) clients: Vec<ClientRequest>,
-    /// Clients' attempts at gateways, by number; `None` once nothing of one is left.
+    /// Clients' attempts at gateways, by request number; `None` after their removal.
     pub(super) requests: Vec<Option<GatewayRequest>>,
-    /// The number of sessions so far.
+    /// Number of sessions so far.
     pub(super) sessions: u64,
-    /// Expiry times of idle connections.
+    /// Expiry times of the idle connections of each pair.
     pub(super) idle_connections: BTreeMap<Link, Vec<Nanos>>,
     pub(super) list_service: ListServiceState,
     pub(super) fleet_load: SharedFleetLoad,
@@ -149,34 +149,34 @@
         self.queue.schedule(delay, event);
     }
 
-    /// A random delay below `max`; 0 without a draw if `max` is 0.
+    /// Draws a delay below `max`; returns 0 without a draw if `max` is 0.
     pub(super) fn random_delay(&mut self, max: Nanos) -> Nanos {
-        if max == 0 { 0 } else { self.random.chances.random_range(0..max) }
+        if max == 0 { 0 } else { self.random.faults_and_delays.random_range(0..max) }
     }
 
-    /// A fault by its index in the order of faults.
+    /// Returns the name and the fault at an index of [`Experiment::faults_in_order`].
     pub(super) fn fault(&self, index: usize) -> (&'a str, &'a Fault) {
         self.experiment.faults_in_order()[index]
     }
 
-    /// The current process of a gateway.
+    /// Returns the identifier of a gateway's current process.
     pub(super) fn gateway_process(&self, gateway: usize) -> GatewayProcess {
         GatewayProcess { gateway, incarnation: self.gateways[gateway].incarnation }
     }
 
-    /// Whether a process of a gateway is its current one.
-    pub(super) fn is_current(&self, process: GatewayProcess) -> bool {
+    /// Whether the gateway has neither stopped nor restarted since `process`.
+    pub(super) fn is_current_gateway(&self, process: GatewayProcess) -> bool {
         self.gateways[process.gateway].incarnation == process.incarnation
     }
 
-    /// The one-way latency between a gateway and a replica.
+    /// One-way latency between a gateway and a replica, in nanoseconds.
     pub(super) fn latency(&self, gateway: usize, replica: usize) -> Nanos {
         let network = &self.experiment.network;
         let is_same_zone = self.gateways[gateway].zone == self.replicas[replica].replica.zone;
         nanos(if is_same_zone { network.same_zone_latency } else { network.cross_zone_latency })
     }
 
-    /// Records the current state of a replica.
+    /// Passes the current state of a replica to the recorder.
     pub(super) fn record_replica(&mut self, index: usize) {
         let replica = &self.replicas[index].replica;
         let state = ReplicaState {
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -113,5 +113,6 @@
 
 fn read_report(path: &Path) -> Result<Report, CommandError> {
     let text = read_file(path)?;
-    serde_json::from_str(&text).map_err(|source| CommandError::NoReport { path: path.to_owned(), source })
+    serde_json::from_str(&text)
+        .map_err(|source| CommandError::InvalidReport { path: path.to_owned(), source })
 }
--- a/crates/simulator/src/policy/baseline.rs
+++ b/crates/simulator/src/policy/baseline.rs
@@ -115,7 +115,7 @@
         let (id, deadline) = (request.id, now + request.expires_in);
         self.set_timer(request.expires_in, Timer::Deadline(id), actions);
         self.requests.insert(id, PendingRequest { request, deadline, attempts: Vec::new() });
-        self.place(now, id, actions);
+        self.send_or_reject(now, id, actions);
     }
 
     /// Records the end of an attempt; false if it had ended before.
@@ -139,7 +139,7 @@
         if has_ended {
             self.requests.remove(&id);
         } else {
-            self.place(now, id, actions);
+            self.send_or_reject(now, id, actions);
         }
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Sends a request to a replica that it has not been sent to, or rejects it.
-    fn place(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+    fn send_or_reject(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let attempts = pending.attempts.len();
         let is_exhausted =
@@ -246,7 +246,9 @@
             return None;
         }
         let selected = match self.kind {
-            PolicyKind::Module | PolicyKind::Random => selection::random(&candidates, &mut self.random),
+            PolicyKind::LoadBalancer | PolicyKind::Random => {
+                selection::random(&candidates, &mut self.random)
+            }
             PolicyKind::RoundRobin => {
                 self.round_robin += 1;
                 candidates[self.round_robin % candidates.len()].0
--- a/crates/simulator/src/policy/mod.rs
+++ b/crates/simulator/src/policy/mod.rs
@@ -16,7 +16,7 @@
 /// The policy of one gateway.
 pub enum Policy {
     /// The real decision module.
-    Module(Box<LoadBalancer>),
+    LoadBalancer(Box<LoadBalancer>),
     /// A baseline.
     Baseline(Box<BaselinePolicy>),
 }
@@ -34,7 +34,7 @@
         fleet_load: &SharedFleetLoad,
     ) -> Result<Policy, SettingsError> {
         Ok(match kind {
-            PolicyKind::Module => Policy::Module(Box::new(LoadBalancer::new(settings, seed)?)),
+            PolicyKind::LoadBalancer => Policy::LoadBalancer(Box::new(LoadBalancer::new(settings, seed)?)),
             baseline => Policy::Baseline(Box::new(BaselinePolicy::new(
                 baseline,
                 settings,
@@ -47,7 +47,7 @@
     /// Handles an event and adds the resulting actions.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match self {
-            Policy::Module(gateway) => gateway.handle(now, event, actions),
+            Policy::LoadBalancer(load_balancer) => load_balancer.handle(now, event, actions),
             Policy::Baseline(baseline) => baseline.handle(now, event, actions),
         }
     }
--- a/crates/simulator/src/policy/selection.rs
+++ b/crates/simulator/src/policy/selection.rs
@@ -8,7 +8,7 @@
 use crate::random::weighted_index;
 
 /// Virtual nodes of the largest replica on the hash ring.
-const NODES: f64 = 100.0;
+const MAX_VIRTUAL_NODES: f64 = 100.0;
 /// The bound of the hash ring, as a multiple of the mean load.
 const LOAD_BOUND: f64 = 1.25;
 
@@ -97,7 +97,7 @@
         let largest = replicas.clone().map(|(_, replica)| replica.size).fold(f64::MIN_POSITIVE, f64::max);
         let mut nodes = Vec::new();
         for (id, replica) in replicas {
-            let count = (NODES * replica.size / largest).ceil() as u64;
+            let count = (MAX_VIRTUAL_NODES * replica.size / largest).ceil() as u64;
             let hash = |number| xxh3_64_with_seed(id.0.as_bytes(), number);
             nodes.extend((0..count).map(|number| VirtualNode { hash: hash(number), replica: id.clone() }));
         }
--- a/crates/simulator/src/record/mod.rs
+++ b/crates/simulator/src/record/mod.rs
@@ -12,4 +12,4 @@
 pub use self::recorder::{Recorder, RunCounters};
 pub use self::replica_history::ReplicaState;
 pub use self::summary::{IntervalSummary, ReplicaSummary, RunSummary, Window};
-pub use self::window::{HERD, WINDOW};
+pub use self::window::{HERD_INTERVAL, WINDOW_DURATION};
--- a/crates/simulator/src/record/recorder.rs
+++ b/crates/simulator/src/record/recorder.rs
@@ -45,7 +45,7 @@
 /// Counters of the current window.
 #[derive(Default)]
 struct CurrentWindow {
-    began: Nanos,
+    started: Nanos,
     herd: usize,
     list_calls: usize,
 }
@@ -136,9 +136,9 @@
         for replica in 0..self.replicas.len() {
             self.set_replica_state(now, replica, self.replicas[replica].state);
         }
-        let length = now.saturating_sub(self.current.began).max(1) as f64;
+        let length = now.saturating_sub(self.current.started).max(1) as f64;
         let window = self.summarize_window(length);
-        let is_recorded = self.current.began >= self.warmup;
+        let is_recorded = self.current.started >= self.warmup;
         if is_recorded {
             self.windows.push(window);
         }
@@ -146,7 +146,7 @@
             history.end_window(length, is_recorded);
         }
         self.imbalance.elapsed = 0;
-        self.current = CurrentWindow { began: now, ..CurrentWindow::default() };
+        self.current = CurrentWindow { started: now, ..CurrentWindow::default() };
     }
 
     fn summarize_window(&self, length: f64) -> Window {
@@ -162,7 +162,7 @@
         let replaced_size = replacements.fold(0.0, |sum, history| sum + history.batch_size);
         let connections = self.replicas.iter().map(|history| history.connections);
         Window {
-            at_s: (self.current.began as f64 - self.warmup as f64) / SECOND as f64,
+            at_s: (self.current.started as f64 - self.warmup as f64) / SECOND as f64,
             in_flight,
             max_over_mean: over_mean(loads.iter().copied().fold(0.0, f64::max)),
             cv: variation(&loads),
--- a/crates/simulator/src/record/replica_history.rs
+++ b/crates/simulator/src/record/replica_history.rs
@@ -6,7 +6,7 @@
 
 use super::statistics::{average, round};
 use super::summary::ReplicaSummary;
-use super::window::{HERD, WINDOWS_PER_SECOND};
+use super::window::{HERD_INTERVAL, WINDOWS_PER_SECOND};
 
 /// The state of a replica that is recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -84,10 +84,10 @@
         self.state = state;
     }
 
-    /// Records an arrival; returns the number of arrivals within [`HERD`].
+    /// Records an arrival; returns the number of arrivals within [`HERD_INTERVAL`].
     pub(super) fn add_arrival(&mut self, now: Nanos) -> usize {
         self.recent_arrivals.push_back(now);
-        while self.recent_arrivals.front().is_some_and(|at| at + HERD <= now) {
+        while self.recent_arrivals.front().is_some_and(|at| at + HERD_INTERVAL <= now) {
             self.recent_arrivals.pop_front();
         }
         self.recent_arrivals.len()
--- a/crates/simulator/src/record/summary.rs
+++ b/crates/simulator/src/record/summary.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The load in one window of [`WINDOW`](super::WINDOW).
+/// The load in one window of [`WINDOW_DURATION`](super::WINDOW_DURATION).
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Window {
     /// Its start, in seconds after the warm-up.
@@ -19,7 +19,7 @@
     pub cv: f64,
     /// Fraction of the time in which one replica is idle while another one has a queue.
     pub idle_while_queued: f64,
-    /// Maximum number of requests that reached one replica within [`HERD`](super::HERD), ending in this window.
+    /// Maximum number of requests that reached one replica within [`HERD_INTERVAL`](super::HERD_INTERVAL), ending in this window.
     pub herd: usize,
     /// Load of replicas that replaced others, relative to the fleet's; 0 while there are none.
     #[serde(rename = "fresh_over_mean")]
@@ -102,7 +102,7 @@
     /// Load of replicas that replaced others, relative to the fleet's; mean over the windows.
     #[serde(rename = "fresh_over_mean")]
     pub replacements_over_mean: f64,
-    /// Maximum number of requests that reached one replica within [`HERD`](super::HERD).
+    /// Maximum number of requests that reached one replica within [`HERD_INTERVAL`](super::HERD_INTERVAL).
     pub herd: usize,
     /// Maximum number of connections to one replica that were opened in a window.
     #[serde(rename = "connections_most")]
--- a/crates/simulator/src/replica/batch.rs
+++ b/crates/simulator/src/replica/batch.rs
@@ -11,13 +11,13 @@
 use crate::time::{SECOND, nanos};
 
 /// A request in the batch.
-struct Running {
+struct RunningJob {
     job: Job,
     cached_tokens: u32,
     /// Prompt tokens that still have to be processed.
-    prefill_left: u32,
+    prefill_remaining: u32,
     /// Response tokens that still have to be decoded.
-    decode_left: u32,
+    decode_remaining: u32,
 }
 
 /// The prefill work of a step.
@@ -36,7 +36,7 @@
     step: Nanos,
     prefill_tokens_per_s: f64,
     queue: VecDeque<Job>,
-    running: Vec<Running>,
+    running: Vec<RunningJob>,
     reserved_tokens: u64,
     cache: PromptCache,
     prefill: Option<Prefill>,
@@ -112,9 +112,11 @@
         if self.running.is_empty() {
             return None;
         }
-        let index = self.running.iter().position(|running| running.prefill_left > 0);
-        self.prefill = index
-            .map(|index| Prefill { index, tokens: self.running[index].prefill_left.min(chunk_tokens) });
+        let index = self.running.iter().position(|running| running.prefill_remaining > 0);
+        self.prefill = index.map(|index| Prefill {
+            index,
+            tokens: self.running[index].prefill_remaining.min(chunk_tokens),
+        });
         let tokens = self.prefill.map_or(0, |prefill| prefill.tokens);
         Some(self.step as f64 + f64::from(tokens) / self.prefill_tokens_per_s * SECOND as f64)
     }
@@ -131,9 +133,9 @@
             // The last token of a prompt is always processed.
             let cached_tokens = session.max(prefix).min(job.prompt_tokens.saturating_sub(1));
             self.reserved_tokens += job.max_tokens();
-            let prefill_left = job.prompt_tokens - cached_tokens;
-            let decode_left = job.response_tokens.max(1);
-            self.running.push(Running { job, cached_tokens, prefill_left, decode_left });
+            let prefill_remaining = job.prompt_tokens - cached_tokens;
+            let decode_remaining = job.response_tokens.max(1);
+            self.running.push(RunningJob { job, cached_tokens, prefill_remaining, decode_remaining });
         }
     }
 
@@ -151,18 +153,18 @@
     fn advance(&mut self, index: usize, prefilled: Option<u32>, events: &mut Vec<StepEvent>) {
         let running = &mut self.running[index];
         match prefilled {
-            Some(tokens) if tokens < running.prefill_left => running.prefill_left -= tokens,
+            Some(tokens) if tokens < running.prefill_remaining => running.prefill_remaining -= tokens,
             Some(_) => {
                 // The last token of a prompt yields the first one of the response.
-                running.prefill_left = 0;
-                running.decode_left -= 1;
+                running.prefill_remaining = 0;
+                running.decode_remaining -= 1;
                 events.push(StepEvent::FirstToken(running.job.id));
                 let job = &running.job;
                 self.cache.insert(job.prefix_key(), job.prefix_tokens, self.capacity_tokens);
                 self.cache.insert(job.session_key(), job.prompt_tokens, self.capacity_tokens);
             }
-            None if running.prefill_left == 0 => {
-                running.decode_left = running.decode_left.saturating_sub(1);
+            None if running.prefill_remaining == 0 => {
+                running.decode_remaining = running.decode_remaining.saturating_sub(1);
             }
             None => {}
         }
@@ -171,7 +173,7 @@
     fn remove_completed(&mut self, events: &mut Vec<StepEvent>) {
         let reserved_tokens = &mut self.reserved_tokens;
         self.running.retain(|running| {
-            let is_completed = running.prefill_left == 0 && running.decode_left == 0;
+            let is_completed = running.prefill_remaining == 0 && running.decode_remaining == 0;
             if is_completed {
                 *reserved_tokens -= running.job.max_tokens();
                 let (id, cached_tokens) = (running.job.id, running.cached_tokens);
--- a/crates/simulator/src/replica/mod.rs
+++ b/crates/simulator/src/replica/mod.rs
@@ -54,14 +54,14 @@
     is_stepping: bool,
     speed: f64,
     batch: Batch,
-    usage: BusyTime,
+    busy_time: BusyTime,
 }
 
 /// The time in steps since the last load report.
 #[derive(Default)]
 struct BusyTime {
     total: Nanos,
-    step_began: Nanos,
+    step_started: Nanos,
 }
 
 impl Replica {
@@ -80,7 +80,7 @@
             is_stepping: false,
             speed: machine.speed * speed_factor,
             batch: Batch::new(machine),
-            usage: BusyTime::default(),
+            busy_time: BusyTime::default(),
         }
     }
 
@@ -161,23 +161,23 @@
         let work = self.batch.begin_step(settings.prefill_chunk_tokens)?;
         let speed = self.speed * self.available_capacity(now, settings) / self.faults.slowdown;
         self.is_stepping = true;
-        self.usage.step_began = now;
+        self.busy_time.step_started = now;
         Some((work / speed) as Nanos)
     }
 
     /// Ends the current step and adds its events.
     pub fn end_step(&mut self, now: Nanos, events: &mut Vec<StepEvent>) {
         self.is_stepping = false;
-        self.usage.total += now.saturating_sub(self.usage.step_began);
+        self.busy_time.total += now.saturating_sub(self.busy_time.step_started);
         self.batch.end_step(events);
     }
 
     /// The time in steps since the last call.
     pub fn take_busy_time(&mut self, now: Nanos) -> Nanos {
         if self.is_stepping {
-            self.usage.total += now.saturating_sub(self.usage.step_began);
-            self.usage.step_began = now;
+            self.busy_time.total += now.saturating_sub(self.busy_time.step_started);
+            self.busy_time.step_started = now;
         }
-        std::mem::take(&mut self.usage.total)
+        std::mem::take(&mut self.busy_time.total)
     }
 }
--- a/crates/simulator/src/report/plots.rs
+++ b/crates/simulator/src/report/plots.rs
@@ -69,7 +69,7 @@
 /// The height of a plot over time in pixels.
 const WINDOW_PLOT_HEIGHT: u32 = 300;
 /// The height of a map of replicas in pixels.
-const MAP_HEIGHT: u32 = 340;
+const HEAT_MAP_HEIGHT: u32 = 340;
 /// The margin around a plot in pixels.
 const MARGIN: u32 = 8;
 /// The height of the labels of the x axis in pixels.
@@ -120,7 +120,9 @@
         });
         let maps = self.runs.iter().map(|run| {
             let title = format!("{}: each replica's load, a row each, most loaded at the top", run.policy);
-            draw_plot(format!("servers-{}", run.policy), title, MAP_HEIGHT, |area| draw_map(area, run))
+            draw_plot(format!("servers-{}", run.policy), title, HEAT_MAP_HEIGHT, |area| {
+                draw_heat_map(area, run)
+            })
         });
         window_plots.chain(maps).collect()
     }
@@ -176,7 +178,7 @@
 }
 
 /// Draws the load of each replica over time: white is none, red a full batch; grey while it is down.
-fn draw_map(area: &Area<'_>, run: &RunSummary) -> Result<(), BoxedError> {
+fn draw_heat_map(area: &Area<'_>, run: &RunSummary) -> Result<(), BoxedError> {
     let mut replicas: Vec<&ReplicaSummary> = run.replicas.iter().collect();
     replicas
         .sort_by(|left, right| left.load.total_cmp(&right.load).then_with(|| left.name.cmp(&right.name)));
