--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the program's commands.
+//! Errors of the commands.
 
 use std::error::Error;
 use std::fmt;
@@ -8,31 +8,31 @@
 use tulipridge::settings::SettingsError;
 use tulipridge_simulator::report::ReportError;
 
-/// Why a command failed.
+/// An error that makes a command fail.
 #[derive(Debug)]
 pub(crate) enum CommandError {
-    /// A file or folder could not be read or written.
+    /// Reading or writing a file or folder failed.
     File {
-        /// Its path.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The experiment is invalid.
     Experiment {
-        /// The first invalid value, with file, position and key.
+        /// First invalid value, with file, position and key.
         source: SettingsError,
     },
-    /// A file is not a report.
+    /// A file is not a valid report.
     InvalidReport {
-        /// Its path.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The parser's error.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// A report could not be made, written or compared.
+    /// Simulating an experiment, or rendering or comparing reports failed.
     Report {
-        /// The error.
+        /// Error of the report.
         source: ReportError,
     },
 }
--- a/crates/simulator/src/experiment/check.rs
+++ b/crates/simulator/src/experiment/check.rs
@@ -13,20 +13,20 @@
 use super::policy_kind::PolicyKind;
 use super::replicas::{MachineKind, Replicas};
 
-/// The first invalid value: its key and a description, as the parser expects it.
+/// The result of a check: the key and the problem of the first invalid value.
 type Checked = Result<(), InvalidSetting>;
 
-/// Fractions have to add up to 1 within this tolerance.
+/// Tolerance for fractions that have to add up to 1.
 const SUM_TOLERANCE: f64 = 0.01;
-/// Maximum tokens of a section of a prompt or of a response.
+/// Maximum number of tokens of a prompt section or of a response.
 const MAX_TOKENS: u32 = 1_000_000;
-/// Minimum duration of a step.
+/// Minimum duration of a decoding step.
 const MIN_STEP: Duration = Duration::from_micros(100);
-/// Maximum of any duration.
+/// Maximum of the durations that are checked.
 const MAX_DURATION: Duration = Duration::from_secs(3600);
 
 impl Experiment {
-    /// Checks all values and returns the first invalid one.
+    /// Checks all values, and returns the first invalid one.
     pub(super) fn check(&self) -> Checked {
         check_policies(&self.policies)?;
         check_duration("warmup", self.warmup, Duration::ZERO)?;
@@ -192,7 +192,7 @@
     invalid(key, format!("{given:?} is not between {min:?} and {MAX_DURATION:?}"))
 }
 
-/// Checks a minimum and maximum number of tokens.
+/// Checks a range of token counts.
 fn check_tokens(key: String, [min, max]: [u32; 2]) -> Checked {
     if min > max || max == 0 || max > MAX_TOKENS {
         return invalid(key, format!("[{min}, {max}] is no span up to 1,000,000 tokens"));
--- a/crates/simulator/src/experiment/faults.rs
+++ b/crates/simulator/src/experiment/faults.rs
@@ -1,68 +1,68 @@
-//! The faults of an experiment.
+//! Faults of an experiment: kinds, times and affected fractions.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// A fault.
+/// A fault of gateways, of replicas, or of the list service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Its start, after the warm-up.
+    /// Time from the end of the warm-up to the start.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "at")]
     pub start: Duration,
-    /// Its kind.
+    /// Effect on the affected processes.
     pub kind: FaultKind,
-    /// The fraction of gateways or replicas that is affected; none for `list_outage`.
+    /// Fraction of the running gateways or replicas that is affected; `None` for `list_outage` only.
     #[serde(default)]
     #[serde(rename = "share")]
     pub fraction: Option<f64>,
-    /// They fail at random times within this duration.
+    /// Duration over which the starts of the fault at the affected processes are distributed; 0 is all at once.
     #[serde(with = "humantime_serde", default)]
     #[serde(rename = "within")]
     pub spread: Duration,
-    /// Time until each recovers.
+    /// Time from the start of the fault at a process to its recovery.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "back")]
     pub duration: Duration,
-    /// `slow_replicas`: the factor of all durations.
+    /// `slow_replicas` only: the factor of the duration of each step.
     #[serde(default)]
     #[serde(rename = "factor")]
     pub slowdown: Option<f64>,
-    /// `error_replicas`: the fraction of requests that fail.
+    /// `error_replicas` only: the fraction of requests that receive an error response.
     #[serde(default)]
     #[serde(rename = "part")]
     pub error_fraction: Option<f64>,
 }
 
-/// Kinds of faults.
+/// Effect of a fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
     /// Gateways are killed and restarted with the persisted list.
     RestartGateways,
-    /// Replicas crash and restart under their own names, in slow start.
+    /// Replicas crash, and restart under the same names in slow start.
     #[serde(rename = "kill_replicas")]
     CrashReplicas,
-    /// Machines lose their network: streams stay open without data and new connections time out; then they restart, in
-    /// slow start.
+    /// Machines are disconnected from the network: streams stay open without data, and new connections time out. At the
+    /// end of the fault they restart in slow start.
     #[serde(rename = "silence_replicas")]
     PartitionReplicas,
-    /// Replicas drain and are replaced by new ones with other names.
+    /// Replicas drain, and are replaced by new ones with other names.
     ReplaceReplicas,
-    /// Replicas slow down.
+    /// All steps of replicas take longer by a factor.
     SlowReplicas,
-    /// Replicas respond to a fraction of requests with an error, at once.
+    /// Replicas respond to a fraction of requests with an error, without processing them.
     ErrorReplicas,
-    /// Replicas accept connections and requests without processing, then resume.
+    /// Replicas accept connections and requests without processing them, and resume at the end of the fault.
     HangReplicas,
-    /// The list service is unreachable; changes are published after its return.
+    /// The list service is unreachable; changes are published after the outage.
     ListOutage,
 }
 
 impl FaultKind {
-    /// The description in the report.
+    /// Description in the report, part of its JSON form.
     #[must_use]
     pub fn description(self) -> &'static str {
         match self {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether statistics are reported for the time of the fault, not only for the time after it.
+    /// Whether statistics are reported for the duration of the fault, and not only for the time after it.
     #[must_use]
     pub fn has_interval(self) -> bool {
         !matches!(self, FaultKind::RestartGateways | FaultKind::ReplaceReplicas | FaultKind::SlowReplicas)
--- a/crates/simulator/src/experiment/gateways.rs
+++ b/crates/simulator/src/experiment/gateways.rs
@@ -1,39 +1,39 @@
-//! The gateways of an experiment, and the limits of their attempts.
+//! Gateways of an experiment, and the limits of their attempts.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// The gateways.
+/// The gateways, and the front layer that distributes requests over them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateways {
-    /// The number of gateways.
+    /// Number of gateways.
     pub count: u32,
-    /// The number of zones over which gateways and replicas are distributed.
+    /// Number of zones, over which gateways and replicas are distributed in turn.
     pub zones: u16,
-    /// The standard deviation of the logarithm of their traffic weights (log-normal): 0 is even.
+    /// Standard deviation of the logarithm of the gateways' traffic weights (log-normal); 0 distributes traffic evenly.
     #[serde(default)]
     #[serde(rename = "skew")]
     pub weight_sigma: f64,
-    /// They start at random times within this duration.
+    /// Duration over which the gateways' starts are distributed at random.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "start_within")]
     pub start_spread: Duration,
-    /// Time until the front layer detects that one has stopped or started.
+    /// Time until the front layer detects that a gateway has stopped or started.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "notice")]
     pub detection_delay: Duration,
 }
 
-/// The limits of the gateways' attempts.
+/// Limits of the gateways' attempts at replicas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AttemptPolicy {
-    /// Attempts at replicas for one attempt of a client.
+    /// Maximum number of attempts at replicas for one attempt of a client.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
-    /// Whether two of them may be in flight at once.
+    /// Whether a hedge is allowed: a second attempt while the first is in flight.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
 }
--- a/crates/simulator/src/experiment/mod.rs
+++ b/crates/simulator/src/experiment/mod.rs
@@ -1,6 +1,6 @@
-//! The definition of an experiment: the fleet, its load, its list service and its faults, from one HCL file.
+//! Definition of an experiment: the fleet with its load, list service and faults, from an HCL file and its base files.
 //!
-//! The names of HCL keys are fixed by existing files; `serde(rename)` maps them to the fields.
+//! Existing files fix the names of HCL keys, which `serde(rename)` maps to fields.
 
 mod check;
 mod faults;
@@ -26,64 +26,64 @@
 pub use self::replicas::{LoadReports, MachineKind, Replicas};
 use crate::time::nanos;
 
-/// One experiment.
+/// Settings of one experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// The file, in the same folder, that this one overrides. Blocks are merged, other values replaced, and `null` removes
-    /// a value.
+    /// Base file that this one overrides, in the same folder. Blocks are merged, other values replaced, and `null`
+    /// removes a value.
     #[serde(default)]
     #[serde(rename = "from")]
     pub base_file: Option<String>,
-    /// The title of the report.
+    /// Title of the report.
     #[serde(rename = "about")]
     pub description: String,
-    /// The seed of all random streams.
+    /// Seed of all random streams.
     pub seed: u64,
-    /// Time before statistics are recorded, in which caches fill and averages converge.
+    /// Time before statistics are recorded, during which caches fill and averages converge.
     #[serde(with = "humantime_serde")]
     pub warmup: Duration,
-    /// Time in which statistics are recorded, after the warm-up.
+    /// Time after the warm-up, during which statistics are recorded.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "length")]
     pub duration: Duration,
-    /// The policies to simulate, with the same seed.
+    /// Policies to simulate, all with the same seed.
     pub policies: Vec<PolicyKind>,
-    /// The gateways.
+    /// Gateways and the front layer.
     pub gateways: Gateways,
-    /// The replicas.
+    /// Replicas and their machine kinds.
     pub replicas: Replicas,
-    /// The arriving requests.
+    /// Arrival of requests.
     pub load: Load,
-    /// Classes of requests.
+    /// Classes of requests, by name.
     pub classes: BTreeMap<String, Class>,
-    /// Tenants by name.
+    /// Tenants, by name; may be empty.
     #[serde(default)]
     pub tenants: BTreeMap<String, Tenant>,
-    /// The list service.
+    /// List service that gateways get the replicas from.
     #[serde(rename = "list")]
     pub list_service: ListService,
-    /// The clients.
+    /// Timeouts and retries of clients.
     pub clients: Clients,
-    /// The network between gateways and replicas.
+    /// Network between gateways and replicas.
     pub network: Network,
-    /// The limits of the gateways' attempts.
+    /// Limits of the gateways' attempts at replicas.
     #[serde(default)]
     #[serde(rename = "allow")]
     pub attempt_policy: AttemptPolicy,
-    /// Faults by name.
+    /// Faults, by name.
     #[serde(default)]
     pub faults: BTreeMap<String, Fault>,
 }
 
 impl Experiment {
-    /// The time at which the simulation ends.
+    /// Time of the simulation's end, in nanoseconds.
     #[must_use]
     pub fn end(&self) -> Nanos {
         nanos(self.warmup + self.duration)
     }
 
-    /// Faults ordered by start, then by name.
+    /// Returns the faults, ordered by start and then by name.
     #[must_use]
     pub fn faults_in_order(&self) -> Vec<(&str, &Fault)> {
         let mut all: Vec<_> = self.faults.iter().map(|(name, fault)| (name.as_str(), fault)).collect();
@@ -91,13 +91,13 @@
         all
     }
 
-    /// The factor by which the arrival rate is multiplied at a time.
+    /// Factor of the arrival rate at a time of the simulation.
     #[must_use]
     pub fn load_factor_at(&self, now: Nanos) -> f64 {
         self.load.factor_at(now as f64 - nanos(self.warmup) as f64)
     }
 
-    /// An upper bound of [`Experiment::load_factor_at`].
+    /// Upper bound of [`Experiment::load_factor_at`] over all times.
     #[must_use]
     pub fn max_load_factor(&self) -> f64 {
         self.load.max_factor()
--- a/crates/simulator/src/experiment/network.rs
+++ b/crates/simulator/src/experiment/network.rs
@@ -1,85 +1,86 @@
-//! The network and the list service of an experiment.
+//! Network and list service of an experiment.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// The network.
+/// Latencies and timeouts of the network between gateways and replicas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Network {
-    /// One-way latency within a zone.
+    /// Latency within a zone, one way.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "same")]
     pub same_zone_latency: Duration,
-    /// One-way latency between zones.
+    /// Latency between zones, one way.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "cross")]
     pub cross_zone_latency: Duration,
-    /// Time to set up a connection, beyond one round trip.
+    /// Time to set up a connection, in addition to one round trip.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "handshake")]
     pub handshake_duration: Duration,
-    /// An idle connection is closed after this time.
+    /// Time after which an idle connection is closed.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "idle")]
     pub idle_timeout: Duration,
-    /// Timeout of a connection attempt.
+    /// Time after which a connection attempt to an unreachable machine fails.
     #[serde(with = "humantime_serde")]
     pub connect_timeout: Duration,
 }
 
-/// The list service, which serves one call at a time.
+/// The list service, which serves one call at a time or pushes changes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListService {
-    /// Whether it pushes the list and its changes without a call.
+    /// Whether the service pushes the list and changes of it without being called.
     #[serde(default)]
     pub push: bool,
-    /// The delay of each change, in place of `notice` and `add`.
+    /// Range of the delay of each change; `None` to use `notice` and `add` instead.
     #[serde(default)]
     #[serde(rename = "late")]
     pub change_delay: Option<DelayRange>,
-    /// Calls that it serves per second.
+    /// Calls served per second.
     pub calls_per_s: f64,
-    /// Whether the gateways' settings contain `calls_per_s`.
+    /// Whether the settings of the gateways contain `calls_per_s`.
     #[serde(default)]
     #[serde(rename = "told")]
     pub advertises_rate: bool,
-    /// It rejects a call that would wait longer, at once and at no cost, and requests no call for that time.
+    /// Maximum wait of a call, including its service. A call that would wait longer is rejected at once and at no cost,
+    /// with this time as the delay before the next one. `None` for no limit.
     #[serde(with = "humantime_serde", default)]
     #[serde(rename = "sheds_after")]
     pub max_queue_wait: Option<Duration>,
-    /// The timeout of a call; the service does the work nevertheless.
+    /// Timeout of a call. The service still processes a call that has timed out.
     #[serde(with = "humantime_serde")]
     pub timeout: Duration,
-    /// Time until it detects that a replica has stopped.
+    /// Time until the service detects that a replica has stopped.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "notice")]
     pub removal_delay: Duration,
-    /// Time until it detects a new replica.
+    /// Time until the service detects a new replica.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "add")]
     pub addition_delay: Duration,
-    /// Interval at which changes are published.
+    /// Interval at which detected changes are published.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "period")]
     pub publish_interval: Duration,
-    /// Watchers receive a change at random times within this duration.
+    /// Duration over which the delivery of a change to watching gateways is distributed at random.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "spread")]
     pub delivery_spread: Duration,
 }
 
-/// A range of delays, drawn uniformly.
+/// Range of delays, drawn uniformly.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DelayRange {
-    /// The minimum.
+    /// Minimum delay.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "least")]
     pub min: Duration,
-    /// The maximum.
+    /// Maximum delay.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "most")]
     pub max: Duration,
--- a/crates/simulator/src/experiment/parse.rs
+++ b/crates/simulator/src/experiment/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing an experiment, and the files that it overrides.
+//! Parses an experiment together with its base files.
 
 use std::fs;
 use std::path::Path;
@@ -8,12 +8,12 @@
 use super::Experiment;
 
 impl Experiment {
-    /// Parses an experiment. `path` appears in errors, and base files are read relative to it.
+    /// Parses an experiment. `path` appears in errors, and base files are read from its folder.
     ///
     /// # Errors
     ///
-    /// A syntax error, an unknown key or an invalid value, with file, position and key; a base file that can't be read
-    /// or that overrides itself.
+    /// Returns a syntax error, an unknown key or an invalid value with file, position and key; or a base file that can't
+    /// be read or that overrides itself.
     pub fn parse(path: &str, text: &str) -> Result<Experiment, SettingsError> {
         let mut files = vec![(path.to_owned(), text.to_owned())];
         while let Some(from) = files.last().and_then(|(_, text)| base_file_of(text)) {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The base file that a text names. A syntax error is reported when all files are parsed.
+/// Returns the base file named in `text`; `None` after a syntax error, which is reported when all files are parsed.
 fn base_file_of(text: &str) -> Option<String> {
     let value: serde_json::Value = hcl::from_str(text).ok()?;
     value.get("from")?.as_str().map(str::to_owned)
--- a/crates/simulator/src/experiment/replicas.rs
+++ b/crates/simulator/src/experiment/replicas.rs
@@ -1,37 +1,37 @@
-//! The replicas of an experiment.
+//! Replicas of an experiment, their machine kinds and load reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// The replicas.
+/// Replicas and their common settings.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replicas {
-    /// The number of replicas.
+    /// Number of replicas at the start.
     pub count: u32,
-    /// Kinds of machines, by name.
+    /// Machine kinds, by name.
     pub kinds: BTreeMap<String, MachineKind>,
-    /// The fraction of its capacity that a replica has right after its start.
+    /// Available fraction of the capacity immediately after a start.
     #[serde(rename = "cold_from")]
     pub slow_start_capacity: f64,
-    /// Time until it has its full capacity.
+    /// Time from a start until the full capacity is available.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "ramp")]
     pub slow_start_duration: Duration,
-    /// Maximum number of prompt tokens that are processed in one step.
+    /// Maximum number of prompt tokens processed in one step.
     #[serde(rename = "chunk")]
     pub prefill_chunk_tokens: u32,
-    /// Load reports; `null` without them.
+    /// Load reports; `None` if replicas send none.
     #[serde(default)]
     #[serde(rename = "reports")]
     pub load_reports: Option<LoadReports>,
-    /// A replica in slow start fails if it is sent more than this multiple of its capacity ...
+    /// Multiple of the available capacity at which a replica in slow start is overloaded.
     #[serde(default = "default_overload_factor")]
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// ... within this time.
+    /// Time over which the work that overloads a replica in slow start is summed.
     #[serde(with = "humantime_serde", default = "default_overload_window")]
     #[serde(rename = "fall")]
     pub overload_window: Duration,
@@ -45,24 +45,24 @@
     Duration::from_secs(3)
 }
 
-/// A kind of machine.
+/// Sizes and speeds of a kind of machine.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineKind {
-    /// Its fraction of the fleet.
+    /// Fraction of the replicas that run on this kind.
     #[serde(rename = "share")]
     pub fraction: f64,
-    /// Its size in the list.
+    /// Size in the list.
     pub units: f64,
-    /// Its speed relative to the reference machine.
+    /// Speed relative to the reference machine.
     pub speed: f64,
     /// Maximum number of requests in a batch.
     #[serde(rename = "batch")]
     pub batch_size: usize,
-    /// Capacity of its prompt cache, and of the batch, in tokens.
+    /// Capacity in tokens, both of the prompt cache and of the batch.
     #[serde(rename = "memory")]
     pub cache_tokens: u64,
-    /// The duration of a decoding step at speed 1.
+    /// Duration of a decoding step at speed 1.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "step")]
     pub step_duration: Duration,
@@ -71,7 +71,7 @@
     pub prefill_tokens_per_s: f64,
 }
 
-/// Load reports, which are sent with responses.
+/// Load reports, which are sent with responses to gateways.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReports {
--- a/crates/simulator/src/fleet/replicas.rs
+++ b/crates/simulator/src/fleet/replicas.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Work per second that a replica can sustain, in prompt tokens: the fraction, by size, of the work that the tenants'
-    /// quotas demand of the fleet, times the available capacity.
+    /// Work per second that a replica can sustain, in prompt tokens: its fraction, by size, of the work that tenants
+    /// may send within their quotas, times the available capacity.
     fn sustainable_tokens_per_s(&self, index: usize, capacity: f64) -> f64 {
         let quota: f64 = self.experiment.tenants.values().map(|tenant| tenant.quota_per_s).sum();
         let alive = self.replicas.iter().filter(|entry| entry.replica.is_alive);
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Simulates a fleet in virtual time: many gateways with the real decision module, against emulated replicas.
+//! Simulator of a fleet in simulated time: many gateways with their real load balancer, and emulated replicas.
 //!
-//! `docs/simulator.md` says how to use it, `docs/design/simulator.md` why it is so. Modules import one way: `time` and
-//! `random`; `experiment`; `replica`, `policy` and `record`; `fleet`; `report`.
+//! Usage is described in `docs/simulator.md`, and the design in `docs/design/simulator.md`. Modules import only those
+//! before them in this order: `time` and `random`; `experiment`; `replica`, `policy` and `record`; `fleet`; `report`.
 
 pub mod experiment;
 pub mod fleet;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `tulipridge-simulator`: simulates an experiment, checks one, or compares two reports.
+//! Command-line program of the simulator: simulates or checks an experiment, or compares two reports.
 
 mod error;
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Runs a command and returns what it prints.
+/// Runs a command, and returns its output.
 fn run(command: Command) -> Result<String, CommandError> {
     match command {
         Command::Check { file } => check(&file),
@@ -79,9 +79,9 @@
 fn simulate(file: &Path, folder: &Path, seed: Option<u64>) -> Result<String, CommandError> {
     let mut experiment = read_experiment(file)?;
     experiment.seed = seed.unwrap_or(experiment.seed);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let report = Report::simulate(&experiment)?;
-    let elapsed_s = began.elapsed().as_secs_f64();
+    let elapsed_s = started_at.elapsed().as_secs_f64();
     let simulated_s = (experiment.warmup + experiment.duration).as_secs_f64();
     let policies = experiment.policies.len();
     eprintln!("{simulated_s:.0} s simulated in {elapsed_s:.1} s, {policies} policies side by side");
--- a/crates/simulator/src/policy/baseline.rs
+++ b/crates/simulator/src/policy/baseline.rs
@@ -1,7 +1,7 @@
-//! Baseline policies: one way of selection each, and the same simple rest for all.
+//! Baseline policies, which differ only in how they select a replica.
 //!
-//! A replica that failed is ejected for two seconds, a failed attempt is retried at another replica, and a request for
-//! which there is none is rejected.
+//! All of them eject a replica for two seconds after a failure, retry a failed attempt at another replica, and reject a
+//! request for which no replica is available.
 
 use std::collections::BTreeMap;
 
@@ -18,12 +18,12 @@
 use crate::experiment::PolicyKind;
 use crate::time::SECOND;
 
-/// How long a replica that failed is ejected.
+/// Duration of a replica's ejection after a failure, in nanoseconds.
 const EJECTION_DURATION: Nanos = 2 * SECOND;
-/// The random initial offset of round robin is below this.
+/// Exclusive upper bound of the random initial offset of round robin.
 const MAX_ROUND_ROBIN_OFFSET: usize = 1 << 20;
 
-/// A request that has no response yet, or whose stream has not ended.
+/// A request whose response has not begun or not ended.
 struct PendingRequest {
     request: Request,
     deadline: Nanos,
@@ -35,15 +35,15 @@
     is_in_flight: bool,
 }
 
-/// What a timer is for.
+/// Purpose of a timer.
 enum Timer {
-    /// Call the list service.
+    /// Calls the list service.
     ListCall,
-    /// Fail a request.
+    /// Fails a request that has no first token.
     Deadline(RequestId),
 }
 
-/// A baseline policy.
+/// A baseline policy of one gateway, with its state.
 pub struct BaselinePolicy {
     kind: PolicyKind,
     settings: Settings,
@@ -59,7 +59,7 @@
 }
 
 impl BaselinePolicy {
-    /// A policy that knows no replica yet.
+    /// Creates a policy with an empty list of replicas.
     pub(super) fn new(
         kind: PolicyKind,
         settings: Settings,
@@ -118,7 +118,7 @@
         self.send_or_reject(now, id, actions);
     }
 
-    /// Records the end of an attempt; false if it had ended before.
+    /// Records the end of an attempt; returns false if it had ended before.
     fn end_attempt(&mut self, now: Nanos, id: RequestId, attempt: usize, is_failure: bool) -> bool {
         let Some(pending) = self.requests.get_mut(&id) else { return false };
         let Some(attempt) = pending.attempts.get_mut(attempt) else { return false };
@@ -134,7 +134,7 @@
         true
     }
 
-    /// Removes a request whose stream has ended, or retries it.
+    /// Removes a request whose stream has ended; otherwise retries or rejects it.
     fn continue_request(&mut self, now: Nanos, id: RequestId, has_ended: bool, actions: &mut Vec<Action>) {
         if has_ended {
             self.requests.remove(&id);
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Updates one replica; returns whether its readiness has changed.
+    /// Updates one replica, and returns whether its readiness has changed.
     fn update_member(&mut self, member: &Member) -> bool {
         let speed = self.settings.speeds.get(usize::from(member.kind)).copied().unwrap_or(1.0);
         let is_ready = member.phase == Phase::Ready;
@@ -190,7 +190,8 @@
         std::mem::replace(&mut replica.is_ready, is_ready) != is_ready
     }
 
-    /// Sends a request to a replica that it has not been sent to, or rejects it.
+    /// Sends a request to a replica without an attempt for it. Rejects it if there is none, after the last allowed
+    /// attempt, and from its deadline on.
     fn send_or_reject(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let attempts = pending.attempts.len();
@@ -265,7 +266,7 @@
     }
 }
 
-/// The key of a request on the hash ring: its prefix, else its session, else itself.
+/// Key of a request on the hash ring: the hash of its prefix, else of its session, else of its id.
 fn hash_key(request: &Request) -> u64 {
     xxh3_64(&request.prefix.or(request.session).unwrap_or(request.id.0).to_le_bytes())
 }
--- a/crates/simulator/src/policy/mod.rs
+++ b/crates/simulator/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Placement policies: the real decision module, or one of the baselines with which it is compared.
+//! Placement policies: the gateway's load balancer, and the baselines that it is compared with.
 
 mod baseline;
 mod fleet_load;
@@ -13,20 +13,20 @@
 pub use self::fleet_load::{ReplicaLoad, SharedFleetLoad};
 use crate::experiment::PolicyKind;
 
-/// The policy of one gateway.
+/// A policy instance of one gateway.
 pub enum Policy {
-    /// The real decision module.
+    /// The load balancer of the gateway, as in production.
     LoadBalancer(Box<LoadBalancer>),
-    /// A baseline.
+    /// A baseline for comparison.
     Baseline(Box<BaselinePolicy>),
 }
 
 impl Policy {
-    /// The policy of a gateway that has just started. `fleet_load` is for the oracle.
+    /// Creates the policy of a gateway that has just started. Only the oracle reads `fleet_load`.
     ///
     /// # Errors
     ///
-    /// The load balancer's, if it rejects the settings.
+    /// Returns the load balancer's error if it rejects the settings.
     pub fn new(
         kind: PolicyKind,
         settings: Settings,
--- a/crates/simulator/src/policy/selection.rs
+++ b/crates/simulator/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! How the baselines select a replica.
+//! Selection of a replica by each baseline.
 
 use rand_pcg::Pcg64Mcg;
 use tulipridge::types::{Nanos, ReplicaId};
@@ -7,19 +7,19 @@
 use super::fleet_load::SharedFleetLoad;
 use crate::random::weighted_index;
 
-/// Virtual nodes of the largest replica on the hash ring.
+/// Number of virtual nodes of the largest replica on the hash ring; smaller ones have proportionally fewer.
 const MAX_VIRTUAL_NODES: f64 = 100.0;
-/// The bound of the hash ring, as a multiple of the mean load.
+/// Bound of a replica's load on the hash ring, as a multiple of the mean load.
 const LOAD_BOUND: f64 = 1.25;
 
-/// A replica as a baseline knows it.
+/// State of a replica in a baseline policy.
 pub(super) struct KnownReplica {
-    /// Units times speed.
+    /// Size: units times speed.
     pub(super) size: f64,
     pub(super) is_ready: bool,
     /// Attempts in flight from this gateway.
     pub(super) in_flight: u32,
-    /// It is not selected before this time, after an error.
+    /// Time until which the replica is not selected after a failure; 0 if it has not failed.
     pub(super) ejected_until: Nanos,
 }
 
@@ -28,21 +28,21 @@
         KnownReplica { size: 0.0, is_ready: false, in_flight: 0, ejected_until: 0 }
     }
 
-    /// Whether it is listed as ready and not ejected.
+    /// Whether the replica is listed as ready and not ejected.
     pub(super) fn is_available(&self, now: Nanos) -> bool {
         self.is_ready && self.ejected_until <= now
     }
 
-    /// Attempts in flight relative to its size.
+    /// Attempts in flight from this gateway, relative to the replica's size.
     fn load(&self) -> f64 {
         f64::from(self.in_flight) / self.size
     }
 }
 
-/// A replica that may be selected.
+/// A replica that may be selected, with its id.
 pub(super) type Candidate<'a> = (&'a ReplicaId, &'a KnownReplica);
 
-/// Draws a candidate, weighted by size.
+/// Draws a candidate with a probability proportional to its size.
 pub(super) fn random<'a>(candidates: &[Candidate<'a>], stream: &mut Pcg64Mcg) -> &'a ReplicaId {
     draw(candidates, stream).0
 }
@@ -51,22 +51,22 @@
     candidates[weighted_index(stream, candidates.iter().map(|(_, replica)| replica.size))]
 }
 
-/// The less loaded of two drawn candidates (power of two choices).
+/// Draws two candidates and returns the less loaded one (power of two choices).
 pub(super) fn two_choices<'a>(candidates: &[Candidate<'a>], stream: &mut Pcg64Mcg) -> &'a ReplicaId {
     let (first, second) = (draw(candidates, stream), draw(candidates, stream));
     if second.1.load() < first.1.load() { second.0 } else { first.0 }
 }
 
-/// The least loaded candidate, drawn by size among equals.
+/// Returns the least loaded candidate; among equally loaded ones draws by size.
 pub(super) fn least_in_flight<'a>(candidates: &[Candidate<'a>], stream: &mut Pcg64Mcg) -> &'a ReplicaId {
     let min = candidates.iter().map(|(_, replica)| replica.load()).fold(f64::INFINITY, f64::min);
-    // Most have nothing in flight: among equals the larger ones are drawn more often.
+    // Most candidates have no attempts in flight, so ties are frequent; larger ones are drawn more often.
     let equal: Vec<Candidate<'a>> =
         candidates.iter().filter(|(_, replica)| replica.load() <= min).copied().collect();
     draw(&equal, stream).0
 }
 
-/// The candidate with the least true load of the fleet.
+/// Returns the candidate with the least true load, after adding this request.
 pub(super) fn oracle<'a>(
     candidates: &[Candidate<'a>],
     fleet_load: &SharedFleetLoad,
@@ -78,21 +78,21 @@
     Some(least.0)
 }
 
-/// A virtual node of a replica.
+/// A virtual node of a replica on the hash ring.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct VirtualNode {
     hash: u64,
     replica: ReplicaId,
 }
 
-/// A consistent-hash ring with bounded loads.
+/// A consistent-hash ring with bounded loads (Mirrokni, Thorup and Zadimoghaddam).
 #[derive(Default)]
 pub(super) struct HashRing {
     nodes: Vec<VirtualNode>,
 }
 
 impl HashRing {
-    /// Builds the ring of some replicas, with virtual nodes in proportion to their sizes.
+    /// Builds a ring of replicas with virtual nodes in proportion to their sizes.
     pub(super) fn build<'a>(replicas: impl Iterator<Item = Candidate<'a>> + Clone) -> HashRing {
         let largest = replicas.clone().map(|(_, replica)| replica.size).fold(f64::MIN_POSITIVE, f64::max);
         let mut nodes = Vec::new();
@@ -124,7 +124,7 @@
             let Ok(index) = found else { continue };
             let (id, replica) = candidates[index];
             first = first.or(Some(id));
-            // At least one request is admitted everywhere, also if the bound is below one.
+            // Each replica admits at least one request, even if the bound is below one.
             if f64::from(replica.in_flight + 1) <= (bound * replica.size).max(1.0) {
                 return Some(id);
             }
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -3,7 +3,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A random stream of its own for each purpose, so that another draw in one leaves the others unchanged.
+/// Creates the random stream of a purpose. With separate streams, a change of the draws for one purpose leaves those
+/// for others unchanged.
 #[must_use]
 pub fn random_stream(seed: u64, purpose: u64) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(
@@ -11,7 +12,7 @@
     )
 }
 
-/// Draws an index with probabilities proportional to `weights`; 0 if there are none.
+/// Draws an index with a probability proportional to its weight; returns 0 without weights.
 pub fn weighted_index(random: &mut Pcg64Mcg, weights: impl Iterator<Item = f64>) -> usize {
     let weights: Vec<f64> = weights.collect();
     let mut remaining = random.random::<f64>() * weights.iter().sum::<f64>();
--- a/crates/simulator/src/record/interval.rs
+++ b/crates/simulator/src/record/interval.rs
@@ -1,4 +1,4 @@
-//! Counts of the requests that arrive in an interval of a run.
+//! Counts of the requests that arrive in an interval of a run, and their summary.
 
 use hdrhistogram::Histogram;
 use tulipridge::types::Nanos;
@@ -11,16 +11,16 @@
 use crate::experiment::Experiment;
 use crate::time::{SECOND, nanos};
 
-/// The length of the interval after a fault.
+/// Length of the interval after a fault, in nanoseconds.
 const AFTER_FAULT: Nanos = 10 * SECOND;
-/// The maximum of a recorded latency in microseconds, an hour.
+/// Maximum of a recorded latency in microseconds: one hour. Longer ones are recorded as the maximum.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
-/// Significant digits of a recorded latency.
+/// Significant decimal digits of a recorded latency.
 const LATENCY_DIGITS: u8 = 3;
-/// Tolerance, in seconds, for rounding errors when windows are matched to an interval.
+/// Tolerance for rounding errors when windows are matched to an interval, in seconds.
 const TOLERANCE_S: f64 = 1e-9;
 
-/// Counts of the requests that arrived in an interval.
+/// An interval of a run, with the counts of the requests that arrived in it.
 pub(super) struct Interval {
     name: String,
     from: Nanos,
@@ -28,7 +28,7 @@
     pub(super) counts: RequestCounts,
 }
 
-/// Counts of requests and of their attempts.
+/// Counts of requests and of the attempts for them.
 pub(super) struct RequestCounts {
     pub(super) requests: u64,
     pub(super) outcomes: [u64; RequestOutcome::COUNT],
@@ -74,11 +74,11 @@
     }
 }
 
-/// Load statistics over the windows in an interval.
+/// Load statistics over the windows of an interval.
 struct WindowStatistics<'a> {
     windows: Vec<&'a Window>,
     max_over_mean: Vec<f64>,
-    /// The load of each replica, on average over the windows.
+    /// Average load of each replica over the windows in which it was running.
     average_loads: Vec<f64>,
 }
 
@@ -120,7 +120,7 @@
         Interval { name, from, to, counts: RequestCounts::new() }
     }
 
-    /// The intervals of an experiment: before the faults, during and after each, and all.
+    /// Returns the intervals of an experiment: before the faults, during and after each fault, and the complete run.
     pub(super) fn of_experiment(experiment: &Experiment) -> Vec<Interval> {
         let (warmup, end) = (nanos(experiment.warmup), experiment.end());
         let faults = experiment.faults_in_order();
@@ -130,7 +130,7 @@
         }
         for (name, fault) in faults {
             let start = warmup + nanos(fault.start);
-            // After a restart the interval begins with the recovery.
+            // The interval after a fault begins with the recovery.
             let recovery = start + nanos(fault.duration);
             if fault.kind.has_interval() {
                 intervals.push(Interval::new(format!("in {name}"), start, recovery.min(end)));
@@ -143,12 +143,12 @@
         intervals
     }
 
-    /// Whether a request that arrived at a time belongs to the interval.
+    /// Whether a request that arrived at this time belongs to the interval.
     pub(super) fn contains(&self, arrived: Nanos) -> bool {
         (self.from..self.to).contains(&arrived)
     }
 
-    /// The summary, with the statistics of the windows in the interval.
+    /// Summarizes the counts, and the windows in the interval.
     pub(super) fn summary(
         &self,
         warmup: Nanos,
--- a/crates/simulator/src/record/mod.rs
+++ b/crates/simulator/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! Records what happens in a run, and computes its statistics.
+//! Records the events of a run, and computes its statistics.
 
 mod interval;
 mod outcome;
--- a/crates/simulator/src/record/outcome.rs
+++ b/crates/simulator/src/record/outcome.rs
@@ -1,21 +1,21 @@
-//! Outcomes of clients' requests.
+//! The possible outcomes of clients' requests.
 
-/// The outcome of a client's request, over all its attempts.
+/// Outcome of a client's request, over all attempts for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// A complete response, with the first token within the latency target.
     InTime,
     /// A complete response with a late first token.
     Late,
-    /// Rejected at the last attempt.
+    /// The last attempt was rejected.
     Rejected,
-    /// Failed or timed out at the last attempt.
+    /// The last attempt failed or timed out.
     Failed,
     /// The stream broke after the first token.
     Broken,
 }
 
 impl RequestOutcome {
-    /// The number of outcomes.
+    /// Number of variants.
     pub(super) const COUNT: usize = 5;
 }
--- a/crates/simulator/src/record/recorder.rs
+++ b/crates/simulator/src/record/recorder.rs
@@ -1,4 +1,4 @@
-//! Records events of a run.
+//! The recorder of a run: counts events and averages load over windows.
 
 use tulipridge::types::Nanos;
 
@@ -10,26 +10,26 @@
 use crate::experiment::Experiment;
 use crate::time::{MILLISECOND, SECOND, nanos};
 
-/// The value of a response of a class.
+/// Value of a response of a class.
 #[derive(Clone, Copy)]
 struct ClassValue {
     in_time: f64,
-    /// The factor of the value of a late response.
+    /// Factor of the value if the response is late.
     late_factor: f64,
 }
 
-/// Measures the time in which some replicas are idle while others have a queue.
+/// Measures the time during which some replicas are idle while others have a queue.
 #[derive(Default)]
 struct ImbalanceTimer {
     since: Nanos,
     idle_replicas: usize,
     queueing_replicas: usize,
-    /// The time in the current window.
+    /// Measured time in the current window, in nanoseconds.
     elapsed: Nanos,
 }
 
 impl ImbalanceTimer {
-    /// Accounts for the time since the last change and replaces the state of a replica.
+    /// Accounts for the time since the last update, and replaces the state of a replica.
     fn update(&mut self, now: Nanos, before: ReplicaState, after: ReplicaState) {
         if self.idle_replicas > 0 && self.queueing_replicas > 0 {
             self.elapsed += now - self.since;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Counters of the current window.
+/// Start and counters of the current window.
 #[derive(Default)]
 struct CurrentWindow {
     started: Nanos,
@@ -50,24 +50,24 @@
     list_calls: usize,
 }
 
-/// Counters of the complete run, which the fleet updates itself.
+/// Counters of the complete run, updated directly by the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct RunCounters {
-    /// Events that the gateways handled.
+    /// Events passed to the gateways' policies.
     pub events: u64,
-    /// Calls to the list service that failed.
+    /// Calls to the list service that timed out or were rejected.
     pub list_calls_failed: u64,
-    /// Times from a gateway's start to its first list.
+    /// Times from a gateway's start to its first complete list.
     pub list_waits: Vec<Nanos>,
-    /// Gateways that run at the end and have not received the list.
+    /// Gateways that are running at the end and have not received a complete list.
     pub gateways_without_list: usize,
-    /// Maximum work sent to a replica in slow start, over what makes it fail.
+    /// Maximum work sent to a replica in slow start, relative to the work that overloads it.
     pub max_slow_start_overload: f64,
 }
 
 /// Records the events of a run.
 pub struct Recorder {
-    /// Counters of the complete run.
+    /// Counters that the fleet updates directly.
     pub counters: RunCounters,
     warmup: Nanos,
     replicas: Vec<ReplicaHistory>,
@@ -76,12 +76,12 @@
     windows: Vec<Window>,
     intervals: Vec<Interval>,
     class_values: Vec<ClassValue>,
-    /// Rejected attempts of clients after the warm-up.
+    /// Attempts of clients rejected after the warm-up.
     rejected: u64,
 }
 
 impl Recorder {
-    /// A recorder for a run of an experiment.
+    /// Creates a recorder for a run of an experiment.
     #[must_use]
     pub fn new(experiment: &Experiment) -> Recorder {
         let classes = experiment.classes.values();
@@ -100,20 +100,20 @@
         }
     }
 
-    /// Adds a replica, down at first. Replicas are numbered in the order of these calls.
+    /// Adds a replica, initially down. Replicas are indexed in the order of these calls.
     pub fn add_replica(&mut self, name: &str, kind: &str, batch_size: f64, is_replacement: bool) {
         let windows = self.windows.len();
         self.replicas.push(ReplicaHistory::new(name, kind, batch_size, is_replacement, windows));
     }
 
-    /// Records the state of a replica from now on.
+    /// Records the state of a replica from `now` on.
     pub fn set_replica_state(&mut self, now: Nanos, replica: usize, state: ReplicaState) {
         let history = &mut self.replicas[replica];
         self.imbalance.update(now, history.state, state);
         history.set_state(now, state);
     }
 
-    /// Records that a request has reached a replica.
+    /// Records the arrival of a request at a replica.
     pub fn add_arrival(&mut self, now: Nanos, replica: usize) {
         let is_recorded = now >= self.warmup;
         let history = &mut self.replicas[replica];
@@ -131,7 +131,7 @@
         self.current.list_calls += 1;
     }
 
-    /// Ends the current window.
+    /// Ends the current window, which is kept only if it began after the warm-up.
     pub fn end_window(&mut self, now: Nanos) {
         for replica in 0..self.replicas.len() {
             self.set_replica_state(now, replica, self.replicas[replica].state);
@@ -174,12 +174,12 @@
         }
     }
 
-    /// Records a request of a client.
+    /// Records a new request of a client.
     pub fn add_request(&mut self, arrived: Nanos) {
         self.count(arrived, |counts| counts.requests += 1);
     }
 
-    /// Records an attempt of a client, the first one included.
+    /// Records an attempt of a client, including the first.
     pub fn add_client_attempt(&mut self, arrived: Nanos) {
         self.count(arrived, |counts| counts.client_attempts += 1);
     }
@@ -196,12 +196,12 @@
         self.count(arrived, |counts| counts.errors += 1);
     }
 
-    /// Records a client's attempt that failed with the last attempt of its gateway.
+    /// Records a client's attempt that failed after the gateway used all of its attempts.
     pub fn add_exhausted(&mut self, arrived: Nanos) {
         self.count(arrived, |counts| counts.exhausted += 1);
     }
 
-    /// Records a client's attempt that was rejected while these replicas had free capacity.
+    /// Records the rejection of a client's attempt, with the indices of the replicas that had free capacity then.
     pub fn add_rejection(
         &mut self,
         now: Nanos,
@@ -218,7 +218,7 @@
         self.count(arrived, |counts| counts.rejected_with_free_capacity += u64::from(had_free_capacity));
     }
 
-    /// Records how much of the prompt of a served request was cached.
+    /// Records the prompt tokens of a served request, and those of them that were cached.
     pub fn add_cached_tokens(&mut self, arrived: Nanos, cached_tokens: u32, prompt_tokens: u32) {
         self.count(arrived, |counts| {
             counts.cached_tokens += u64::from(cached_tokens);
@@ -226,7 +226,7 @@
         });
     }
 
-    /// Records the outcome of a request, with the time to its first token if there was one.
+    /// Records the outcome of a request. `first_token` is the time from its arrival to its first token.
     pub fn add_outcome(
         &mut self,
         arrived: Nanos,
@@ -251,13 +251,13 @@
         });
     }
 
-    /// Updates the counts of all intervals in which a request arrived.
+    /// Updates the counts of all intervals that contain the arrival of a request.
     fn count(&mut self, arrived: Nanos, update: impl Fn(&mut RequestCounts)) {
         let intervals = self.intervals.iter_mut().filter(|interval| interval.contains(arrived));
         intervals.for_each(|interval| update(&mut interval.counts));
     }
 
-    /// The statistics of the run.
+    /// Computes the statistics of the run.
     #[must_use]
     pub fn summary(mut self, policy: &str) -> RunSummary {
         self.counters.list_waits.sort_unstable();
--- a/crates/simulator/src/record/replica_history.rs
+++ b/crates/simulator/src/record/replica_history.rs
@@ -1,4 +1,4 @@
-//! The recorded history of one replica.
+//! Recorded history of one replica.
 
 use std::collections::VecDeque;
 
@@ -8,14 +8,14 @@
 use super::summary::ReplicaSummary;
 use super::window::{HERD_INTERVAL, WINDOWS_PER_SECOND};
 
-/// The state of a replica that is recorded.
+/// Recorded state of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaState {
-    /// Whether its process runs.
+    /// Whether the process is running.
     pub is_alive: bool,
-    /// Requests in its queue and its batch.
+    /// Requests in the queue and the batch.
     pub in_flight: usize,
-    /// Requests in its queue.
+    /// Requests in the queue.
     pub queued: usize,
 }
 
@@ -35,11 +35,11 @@
     pub(super) arrivals: u64,
     pub(super) attempts: u64,
     pub(super) errors: u64,
-    /// Rejected attempts of clients at whose time it had free capacity.
+    /// Rejections of clients' attempts at which the replica had free capacity.
     pub(super) had_free_capacity: u64,
 }
 
-/// The history of one replica up to now.
+/// History of one replica up to the current time.
 #[derive(Default)]
 pub(super) struct ReplicaHistory {
     name: String,
@@ -47,19 +47,19 @@
     pub(super) batch_size: f64,
     pub(super) is_replacement: bool,
     pub(super) totals: ReplicaTotals,
-    /// Its load in each window after the warm-up; `None` while it was down.
+    /// Load in each window after the warm-up; `None` if the replica was down at its end.
     pub(super) loads: Vec<Option<f64>>,
     pub(super) state: ReplicaState,
     state_since: Nanos,
-    /// The integral of the requests in flight over the time in the current window.
+    /// Integral of the requests in flight over the time in the current window, in request-nanoseconds.
     pub(super) in_flight_time: f64,
     recent_arrivals: VecDeque<Nanos>,
-    /// Connections that were opened in the current window.
+    /// Connections opened in the current window.
     pub(super) connections: usize,
 }
 
 impl ReplicaHistory {
-    /// A replica that appears after `windows` windows.
+    /// Creates the history of a replica that is added after `windows` recorded windows.
     pub(super) fn new(
         name: &str,
         kind: &str,
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Accounts for the time in the current state and changes it.
+    /// Accounts for the time in the current state, and replaces it.
     pub(super) fn set_state(&mut self, now: Nanos, state: ReplicaState) {
         self.in_flight_time += self.state.in_flight as f64 * now.saturating_sub(self.state_since) as f64;
         self.state_since = now;
         self.state = state;
     }
 
-    /// Records an arrival; returns the number of arrivals within [`HERD_INTERVAL`].
+    /// Records an arrival, and returns the number of arrivals within [`HERD_INTERVAL`] up to now.
     pub(super) fn add_arrival(&mut self, now: Nanos) -> usize {
         self.recent_arrivals.push_back(now);
         while self.recent_arrivals.front().is_some_and(|at| at + HERD_INTERVAL <= now) {
@@ -93,12 +93,12 @@
         self.recent_arrivals.len()
     }
 
-    /// Requests in flight over batch size, on average over a window of `length` nanoseconds.
+    /// Load: average requests in flight over a window of `length` nanoseconds, relative to the batch size.
     pub(super) fn load(&self, length: f64) -> f64 {
         self.in_flight_time / length / self.batch_size
     }
 
-    /// Ends a window of `length` nanoseconds.
+    /// Ends a window of `length` nanoseconds, and keeps its load if `is_recorded`.
     pub(super) fn end_window(&mut self, length: f64, is_recorded: bool) {
         if is_recorded {
             self.loads.push(self.state.is_alive.then_some(self.load(length)));
@@ -107,7 +107,7 @@
         self.connections = 0;
     }
 
-    /// The summary; `rejected` is the number of rejected attempts of clients in the fleet.
+    /// Summarizes the history. `rejected` is the number of clients' attempts that the fleet rejected.
     pub(super) fn summary(&self, rejected: u64) -> ReplicaSummary {
         ReplicaSummary {
             name: self.name.clone(),
--- a/crates/simulator/src/record/statistics.rs
+++ b/crates/simulator/src/record/statistics.rs
@@ -1,19 +1,19 @@
-//! Averages, variation and quantiles.
+//! Averages, coefficients of variation, quantiles and rounding.
 
-/// The mean; `None` without values.
+/// Arithmetic mean; `None` without values.
 pub(super) fn average<'a>(values: impl Iterator<Item = &'a f64>) -> Option<f64> {
     let (sum, count) = values.fold((0.0, 0), |(sum, count), value| (sum + value, count + 1));
     (count > 0).then(|| sum / f64::from(count))
 }
 
-/// The coefficient of variation; 0 without values.
+/// Coefficient of variation; 0 without values or if their mean is not positive.
 pub(super) fn variation(values: &[f64]) -> f64 {
     let Some(mean) = average(values.iter()).filter(|mean| *mean > 0.0) else { return 0.0 };
     let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / values.len() as f64;
     variance.sqrt() / mean
 }
 
-/// The quantile `q` of sorted values by nearest rank; 0 without values.
+/// Quantile `q` of ascending values by nearest rank; 0 without values.
 pub(super) fn quantile(sorted: &[f64], q: f64) -> f64 {
     let rank = (sorted.len() as f64 * q).ceil() as usize;
     let index = rank.clamp(1, sorted.len().max(1)) - 1;
--- a/crates/simulator/src/record/summary.rs
+++ b/crates/simulator/src/record/summary.rs
@@ -1,30 +1,31 @@
-//! The statistics of a run, as the report stores them.
+//! Statistics of a run in the form stored in reports.
 //!
-//! The names of JSON keys are fixed by existing reports; `serde(rename)` maps them to the fields. The structs are rows of
-//! tables, so they have a field for each column.
+//! Existing reports fix the names of JSON keys, which `serde(rename)` maps to fields. The structs have a field for each
+//! column, since they are rows of tables.
 
 use serde::{Deserialize, Serialize};
 
-/// The load in one window of [`WINDOW_DURATION`](super::WINDOW_DURATION).
+/// Load in one window, of [`WINDOW_DURATION`](super::WINDOW_DURATION).
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Window {
-    /// Its start, in seconds after the warm-up.
+    /// Start in seconds after the warm-up.
     pub at_s: f64,
-    /// Requests in flight at all replicas, on average.
+    /// Average number of requests in flight at all replicas.
     #[serde(rename = "in_hand")]
     pub in_flight: f64,
-    /// Requests in flight over batch size: that of the most loaded replica, relative to the fleet's.
+    /// Load of the most loaded replica relative to the fleet's. Load is requests in flight over batch size.
     pub max_over_mean: f64,
-    /// Coefficient of variation of these loads.
+    /// Coefficient of variation of the replicas' loads.
     pub cv: f64,
-    /// Fraction of the time in which one replica is idle while another one has a queue.
+    /// Fraction of the time during which one replica is idle while another one has a queue.
     pub idle_while_queued: f64,
-    /// Maximum number of requests that reached one replica within [`HERD_INTERVAL`](super::HERD_INTERVAL), ending in this window.
+    /// Maximum number of requests that reached one replica within a [`HERD_INTERVAL`](super::HERD_INTERVAL) that ends in
+    /// this window.
     pub herd: usize,
-    /// Load of replicas that replaced others, relative to the fleet's; 0 while there are none.
+    /// Load of replacement replicas relative to the fleet's; 0 without such replicas.
     #[serde(rename = "fresh_over_mean")]
     pub replacements_over_mean: f64,
-    /// Maximum number of connections to one replica that were opened in this window.
+    /// Maximum number of connections opened to one replica in this window.
     #[serde(rename = "connections_most")]
     pub max_connections: usize,
     /// Calls to the list service.
@@ -34,27 +35,27 @@
 /// Statistics of the requests that arrived in an interval of the run, and of the windows in it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct IntervalSummary {
-    /// Its name.
+    /// Name: `before`, `in FAULT`, `after FAULT` or `all`.
     pub name: String,
-    /// Its start, in seconds after the warm-up.
+    /// Start in seconds after the warm-up.
     pub from_s: f64,
-    /// Its end, in seconds after the warm-up.
+    /// End in seconds after the warm-up.
     pub to_s: f64,
-    /// Clients' requests.
+    /// Requests of clients, not counting retries.
     #[serde(rename = "first_tries")]
     pub requests: u64,
     /// Fraction of the finished requests that were served in time.
     pub in_time: f64,
-    /// Fraction that were served late.
+    /// Fraction of the finished requests that were served late.
     pub late: f64,
-    /// Fraction that were rejected at the last attempt.
+    /// Fraction of the finished requests whose last attempt was rejected.
     #[serde(rename = "refused")]
     pub rejected: f64,
-    /// Fraction that failed or timed out.
+    /// Fraction of the finished requests whose last attempt failed or timed out.
     pub failed: f64,
-    /// Fraction whose stream broke after the first token.
+    /// Fraction of the finished requests whose stream broke after the first token.
     pub broken: f64,
-    /// Value of the responses over the value of the requests.
+    /// Value of the responses, relative to that of serving all finished requests in time.
     #[serde(rename = "worth")]
     pub value: f64,
     /// Clients' attempts per request.
@@ -65,7 +66,7 @@
     /// Fraction of the gateways' attempts with an error response.
     #[serde(default)]
     pub errors: f64,
-    /// Clients' attempts that exhausted the gateway's attempts, per request.
+    /// Clients' attempts that failed after the gateway used all of its attempts, per request.
     #[serde(default)]
     #[serde(rename = "spent")]
     pub exhausted: f64,
@@ -79,32 +80,33 @@
     /// Time from the client's first attempt to the first token, median, in ms.
     #[serde(rename = "wait_p50_ms")]
     pub first_token_p50_ms: f64,
-    /// The same, 99th percentile.
+    /// Time from the client's first attempt to the first token, 99th percentile, in ms.
     #[serde(rename = "wait_p99_ms")]
     pub first_token_p99_ms: f64,
-    /// Requests in flight on average.
+    /// Average number of requests in flight.
     #[serde(rename = "in_hand")]
     pub in_flight: f64,
-    /// Maximum over mean of the loads, median over the windows.
+    /// Load of the most loaded replica relative to the fleet's, median over the windows.
     pub max_over_mean_p50: f64,
-    /// The same, 95th percentile.
+    /// Load of the most loaded replica relative to the fleet's, 95th percentile over the windows.
     pub max_over_mean_p95: f64,
-    /// The same, maximum.
+    /// Load of the most loaded replica relative to the fleet's, maximum over the windows.
     #[serde(rename = "max_over_mean_most")]
     pub max_over_mean_max: f64,
-    /// Coefficient of variation, mean over the windows.
+    /// Coefficient of variation of the replicas' loads, mean over the windows.
     pub cv: f64,
-    /// The same of each replica's average over the interval: the persistent part, without random variation.
+    /// Coefficient of variation of the replicas' average loads over the interval: the persistent part, without random
+    /// variation.
     #[serde(rename = "cv_lasting")]
     pub cv_of_averages: f64,
-    /// Fraction of the time in which one replica is idle while another one has a queue.
+    /// Fraction of the time during which one replica is idle while another one has a queue.
     pub idle_while_queued: f64,
-    /// Load of replicas that replaced others, relative to the fleet's; mean over the windows.
+    /// Load of replacement replicas relative to the fleet's, mean over the windows.
     #[serde(rename = "fresh_over_mean")]
     pub replacements_over_mean: f64,
-    /// Maximum number of requests that reached one replica within [`HERD_INTERVAL`](super::HERD_INTERVAL).
+    /// Maximum number of requests that reached one replica within a [`HERD_INTERVAL`](super::HERD_INTERVAL).
     pub herd: usize,
-    /// Maximum number of connections to one replica that were opened in a window.
+    /// Maximum number of connections opened to one replica in a window.
     #[serde(rename = "connections_most")]
     pub max_connections: usize,
     /// Maximum number of calls to the list service in any second.
@@ -116,25 +118,25 @@
 /// Statistics of one replica over the run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ReplicaSummary {
-    /// Its name.
+    /// Name in the list.
     pub name: String,
-    /// Its kind of machine.
+    /// Name of the machine kind.
     pub kind: String,
-    /// Requests in flight over batch size, on average after the warm-up.
+    /// Average of requests in flight over batch size, after the warm-up.
     pub load: f64,
-    /// Requests that reached it.
+    /// Requests that reached the replica.
     pub arrivals: u64,
-    /// Gateways' attempts, those that did not reach it included.
+    /// Gateways' attempts, including those that did not reach the replica.
     #[serde(default)]
     pub attempts: u64,
     /// Attempts with an error response.
     #[serde(default)]
     pub errors: u64,
-    /// Fraction of all rejected attempts of clients at whose time it was healthy and had free capacity.
+    /// Fraction of the fleet's rejections of clients' attempts at which this replica was healthy and had free capacity.
     #[serde(default)]
     #[serde(rename = "had_room")]
     pub had_free_capacity: f64,
-    /// The load in each second after the warm-up; `None` while it was down.
+    /// Average load in each second after the warm-up; `None` if the replica was down throughout.
     #[serde(default)]
     pub loads: Vec<Option<f64>>,
 }
@@ -142,32 +144,32 @@
 /// The statistics of a run of one policy.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RunSummary {
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// Events that the gateways handled.
+    /// Events passed to the gateways' policies.
     pub events: u64,
-    /// Calls to the list service that failed.
+    /// Calls to the list service that timed out or were rejected.
     pub list_calls_failed: u64,
-    /// Time from a gateway's start to the first list, median in ms.
+    /// Time from a gateway's start to its first complete list, median, in ms.
     pub list_wait_p50_ms: f64,
-    /// The same, maximum.
+    /// Time from a gateway's start to its first complete list, maximum, in ms.
     pub list_wait_longest_ms: f64,
-    /// Gateways that run at the end and have not received the list.
+    /// Gateways that are running at the end and have not received a complete list.
     #[serde(rename = "without_list")]
     pub gateways_without_list: usize,
-    /// Maximum work sent to a replica in slow start within the overload window, over what makes it fail.
+    /// Maximum work sent to a replica in slow start within the overload window, relative to the work that overloads it.
     #[serde(rename = "cold_worst")]
     pub max_slow_start_overload: f64,
-    /// Clients' attempts that were rejected after the warm-up.
+    /// Clients' attempts rejected after the warm-up.
     #[serde(default)]
     #[serde(rename = "turned_down")]
     pub rejected: u64,
-    /// Intervals: before the faults, during and after each, and all.
+    /// Intervals: before the faults, during and after each fault, and the complete run.
     #[serde(rename = "stretches")]
     pub intervals: Vec<IntervalSummary>,
-    /// The replicas.
+    /// Statistics of each replica.
     #[serde(rename = "servers")]
     pub replicas: Vec<ReplicaSummary>,
-    /// All windows.
+    /// All windows after the warm-up.
     pub windows: Vec<Window>,
 }
--- a/crates/simulator/src/record/window.rs
+++ b/crates/simulator/src/record/window.rs
@@ -1,12 +1,12 @@
-//! The windows over which load is averaged.
+//! Durations over which load is averaged and arrivals are counted.
 
 use tulipridge::types::Nanos;
 
 use crate::time::{MILLISECOND, SECOND};
 
-/// The length of a window.
+/// Length of a window over which load is averaged, in nanoseconds.
 pub const WINDOW_DURATION: Nanos = 100 * MILLISECOND;
-/// Arrivals at one replica within this time count as a herd.
+/// Interval over which arrivals at one replica are counted to detect a thundering herd, in nanoseconds.
 pub const HERD_INTERVAL: Nanos = 50 * MILLISECOND;
-/// The number of windows in a second.
+/// Number of windows in a second.
 pub(super) const WINDOWS_PER_SECOND: usize = (SECOND / WINDOW_DURATION) as usize;
--- a/crates/simulator/src/replica/batch.rs
+++ b/crates/simulator/src/replica/batch.rs
@@ -1,4 +1,4 @@
-//! Batched processing of requests: a queue, a batch that decodes one token per step, and chunked prefill.
+//! Continuous batching: a queue, a batch in which each request decodes one token per step, and chunked prefill.
 
 use std::cmp::Ordering;
 use std::collections::VecDeque;
@@ -14,24 +14,24 @@
 struct RunningJob {
     job: Job,
     cached_tokens: u32,
-    /// Prompt tokens that still have to be processed.
+    /// Prompt tokens without prefill yet.
     prefill_remaining: u32,
-    /// Response tokens that still have to be decoded.
+    /// Response tokens not decoded yet.
     decode_remaining: u32,
 }
 
-/// The prefill work of a step.
+/// Prefill work of a step.
 #[derive(Clone, Copy)]
 struct Prefill {
-    /// The index of the request in the batch.
+    /// Index of the request in the batch.
     index: usize,
     tokens: u32,
 }
 
-/// The queue and the batch of a replica.
+/// Queue, batch and prompt cache of a replica.
 pub(super) struct Batch {
     size: usize,
-    /// Capacity of the cache, and of the running requests together, in tokens.
+    /// Capacity in tokens, both of the cache and of the sum over the running requests.
     capacity_tokens: u64,
     step: Nanos,
     prefill_tokens_per_s: f64,
@@ -86,7 +86,7 @@
         queued.chain(self.running.drain(..).map(|running| running.job.id)).collect()
     }
 
-    /// Removes a request; false if it is not there.
+    /// Removes a request from the queue or the batch; returns false if neither has it.
     pub(super) fn cancel(&mut self, id: AttemptId) -> bool {
         if let Some(index) = self.queue.iter().position(|job| job.id == id) {
             self.queue.remove(index);
@@ -96,8 +96,8 @@
             return false;
         };
         let running = self.running.remove(removed);
-        self.reserved_tokens -= running.job.max_tokens();
-        // The prefill of the current step may be for this request, or for one whose index has changed.
+        self.reserved_tokens -= running.job.total_tokens();
+        // The prefill of the current step may belong to this request, or to one whose index has changed.
         self.prefill = self.prefill.and_then(|prefill| match prefill.index.cmp(&removed) {
             Ordering::Less => Some(prefill),
             Ordering::Equal => None,
@@ -106,7 +106,7 @@
         true
     }
 
-    /// Begins a step; returns its work in nanoseconds at speed 1, or `None` if the batch is empty.
+    /// Begins a step, and returns its duration in nanoseconds at speed 1; `None` if the batch is empty.
     pub(super) fn begin_step(&mut self, chunk_tokens: u32) -> Option<f64> {
         self.fill();
         if self.running.is_empty() {
@@ -121,25 +121,26 @@
         Some(self.step as f64 + f64::from(tokens) / self.prefill_tokens_per_s * SECOND as f64)
     }
 
-    /// Moves requests from the queue into the batch, as far as its size and its memory allow.
+    /// Moves requests from the queue into the batch while its size and memory allow. An empty batch takes any request.
     fn fill(&mut self) {
         while self.running.len() < self.size
             && let Some(job) = self.queue.front()
-            && (self.running.is_empty() || self.reserved_tokens + job.max_tokens() <= self.capacity_tokens)
+            && (self.running.is_empty()
+                || self.reserved_tokens + job.total_tokens() <= self.capacity_tokens)
         {
             let Some(job) = self.queue.pop_front() else { break };
             let session = self.cache.look_up(job.session_key());
             let prefix = self.cache.look_up(job.prefix_key()).min(job.prefix_tokens);
-            // The last token of a prompt is always processed.
+            // The prefill of a prompt's last token yields the first response token, so it is never skipped.
             let cached_tokens = session.max(prefix).min(job.prompt_tokens.saturating_sub(1));
-            self.reserved_tokens += job.max_tokens();
+            self.reserved_tokens += job.total_tokens();
             let prefill_remaining = job.prompt_tokens - cached_tokens;
             let decode_remaining = job.response_tokens.max(1);
             self.running.push(RunningJob { job, cached_tokens, prefill_remaining, decode_remaining });
         }
     }
 
-    /// Ends a step and adds its events.
+    /// Ends a step, and appends its events.
     pub(super) fn end_step(&mut self, events: &mut Vec<StepEvent>) {
         let prefill = self.prefill.take();
         for index in 0..self.running.len() {
@@ -149,13 +150,13 @@
         self.remove_completed(events);
     }
 
-    /// Advances one request by a step, in which `prefilled` tokens of its prompt were processed.
+    /// Advances one request by a step, with `prefilled` prompt tokens processed in it; `None` if not in prefill.
     fn advance(&mut self, index: usize, prefilled: Option<u32>, events: &mut Vec<StepEvent>) {
         let running = &mut self.running[index];
         match prefilled {
             Some(tokens) if tokens < running.prefill_remaining => running.prefill_remaining -= tokens,
             Some(_) => {
-                // The last token of a prompt yields the first one of the response.
+                // The last token of a prompt yields the first token of the response.
                 running.prefill_remaining = 0;
                 running.decode_remaining -= 1;
                 events.push(StepEvent::FirstToken(running.job.id));
@@ -175,7 +176,7 @@
         self.running.retain(|running| {
             let is_completed = running.prefill_remaining == 0 && running.decode_remaining == 0;
             if is_completed {
-                *reserved_tokens -= running.job.max_tokens();
+                *reserved_tokens -= running.job.total_tokens();
                 let (id, cached_tokens) = (running.job.id, running.cached_tokens);
                 events.push(StepEvent::Completed { id, cached_tokens });
             }
--- a/crates/simulator/src/replica/job.rs
+++ b/crates/simulator/src/replica/job.rs
@@ -1,66 +1,66 @@
-//! Attempts as a replica sees them, and the events that their processing yields.
+//! Attempts in the form that a replica processes, and the resulting events.
 
 use super::prompt_cache::{PrefixId, PromptKey};
 
-/// Identifies an attempt of a gateway at a replica.
+/// Identifier of a gateway's attempt at a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The number of the request at its gateway.
+    /// Number of the request, unique in a run.
     pub request: u64,
-    /// The number of the attempt among those for the request.
+    /// Number of the attempt among those for the request, from 0.
     pub attempt: u32,
 }
 
-/// An attempt as a replica sees it.
+/// An attempt in the form that a replica processes.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its id.
+    /// Identifier by which the attempt can be cancelled.
     pub id: AttemptId,
-    /// The shared prefix of the prompt.
+    /// Shared prefix of the prompt.
     pub prefix: PrefixId,
-    /// The session.
+    /// Number of the session, the cache key of the complete prompt.
     pub session: u64,
-    /// Tokens of the prompt, those of the prefix included.
+    /// Tokens of the prompt, including those of the prefix.
     pub prompt_tokens: u32,
-    /// Tokens of the prefix.
+    /// Tokens of the shared prefix.
     pub prefix_tokens: u32,
     /// Tokens of the response.
     pub response_tokens: u32,
 }
 
 impl Job {
-    /// The cache key of its prefix.
+    /// Cache key of the shared prefix.
     pub(super) fn prefix_key(&self) -> PromptKey {
         PromptKey::Prefix(self.prefix)
     }
 
-    /// The cache key of its complete prompt.
+    /// Cache key of the complete prompt.
     pub(super) fn session_key(&self) -> PromptKey {
         PromptKey::Session(self.session)
     }
 
-    /// Tokens that it reserves in the batch's memory.
-    pub(super) fn max_tokens(&self) -> u64 {
+    /// Tokens reserved in the memory of the batch: those of the prompt and of the response.
+    pub(super) fn total_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.response_tokens)
     }
 }
 
-/// An event at the end of a step.
+/// An event at the end of a step of a replica.
 #[derive(Debug, PartialEq)]
 pub enum StepEvent {
-    /// The first token of a response.
+    /// The first token of a response was decoded.
     FirstToken(AttemptId),
-    /// The last token of a response.
+    /// The last token of a response was decoded.
     Completed {
-        /// The attempt.
+        /// Attempt that is complete.
         id: AttemptId,
-        /// Prompt tokens that were found in the cache.
+        /// Prompt tokens found in the cache.
         cached_tokens: u32,
     },
 }
 
 impl StepEvent {
-    /// The attempt.
+    /// Attempt that the event belongs to.
     #[must_use]
     pub fn id(&self) -> AttemptId {
         match self {
--- a/crates/simulator/src/replica/mod.rs
+++ b/crates/simulator/src/replica/mod.rs
@@ -1,6 +1,6 @@
-//! An emulated replica: batched steps, a queue, a prompt cache, slow start and faults.
+//! Emulated replicas with batched steps, a queue, a prompt cache, slow start and faults.
 //!
-//! It has no clock: the fleet passes the time in, and ends each step when it is due.
+//! A replica has no clock: the fleet passes the current time to it, and ends each step when it is due.
 
 mod batch;
 mod job;
@@ -14,16 +14,16 @@
 use crate::experiment::{MachineKind, Replicas};
 use crate::time::nanos;
 
-/// The faults of a replica.
+/// Active faults of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaFaults {
-    /// Its machine has lost its network.
+    /// The machine is disconnected from the network.
     pub is_unreachable: bool,
-    /// It accepts requests without processing them.
+    /// The replica accepts requests without processing them.
     pub is_hanging: bool,
-    /// The fraction of requests to which it responds with an error, at once.
+    /// Fraction of requests that receive an error response without processing.
     pub error_fraction: f64,
-    /// The factor of all durations.
+    /// Factor of the duration of each step, 1 without a slowdown.
     pub slowdown: f64,
 }
 
@@ -33,23 +33,23 @@
     }
 }
 
-/// An emulated replica.
+/// An emulated replica with its machine.
 pub struct Replica {
-    /// Its name in the list.
+    /// Name in the list, unique in a run.
     pub name: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: u16,
-    /// The index of its kind of machine.
+    /// Index of the machine kind in the experiment.
     pub kind: u16,
-    /// Units times speed.
+    /// Size: units times speed.
     pub size: f64,
-    /// Whether its process runs.
+    /// Whether the process is running.
     pub is_alive: bool,
-    /// Its faults.
+    /// Faults that are active now.
     pub faults: ReplicaFaults,
-    /// Its last start; `None` if that was long ago.
+    /// Time of the last start; `None` if the replica started before the simulation, with its full capacity.
     pub started: Option<Nanos>,
-    /// The number of its crashes, by which steps of an earlier incarnation are recognized.
+    /// Number of crashes; steps and attempts of an earlier incarnation are outdated.
     pub incarnation: u32,
     is_stepping: bool,
     speed: f64,
@@ -57,7 +57,7 @@
     busy_time: BusyTime,
 }
 
-/// The time in steps since the last load report.
+/// Time spent in steps since the last load report.
 #[derive(Default)]
 struct BusyTime {
     total: Nanos,
@@ -65,7 +65,7 @@
 }
 
 impl Replica {
-    /// A replica with its full capacity; its speed is `speed_factor` times that of its kind.
+    /// Creates a replica with its full capacity and `speed_factor` times the speed of its machine kind.
     #[must_use]
     pub fn new(name: String, zone: u16, kind: u16, machine: &MachineKind, speed_factor: f64) -> Replica {
         Replica {
@@ -84,31 +84,31 @@
         }
     }
 
-    /// The number of requests in the queue and the batch.
+    /// Number of requests in the queue and the batch.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.batch.in_flight()
     }
 
-    /// The number of requests in the queue.
+    /// Number of requests in the queue.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.batch.queued()
     }
 
-    /// The maximum number of requests in the batch.
+    /// Maximum number of requests in the batch.
     #[must_use]
     pub fn batch_size(&self) -> usize {
         self.batch.size()
     }
 
-    /// The fraction of the batch that is in use.
+    /// Number of requests in the batch over its maximum.
     #[must_use]
     pub fn batch_utilization(&self) -> f64 {
         self.batch.utilization()
     }
 
-    /// Crashes, and returns the requests that are lost. Faults end, except for the slowdown.
+    /// Crashes the replica, and returns the attempts that are lost. Ends all faults except the slowdown.
     pub fn crash(&mut self) -> Vec<AttemptId> {
         self.is_alive = false;
         self.faults = ReplicaFaults { slowdown: self.faults.slowdown, ..ReplicaFaults::default() };
@@ -117,14 +117,14 @@
         self.batch.clear()
     }
 
-    /// Starts, in slow start.
+    /// Starts the replica in slow start, and reconnects its machine.
     pub fn start(&mut self, now: Nanos) {
         self.is_alive = true;
         self.faults.is_unreachable = false;
         self.started = Some(now);
     }
 
-    /// The available fraction of the capacity, below 1 in slow start.
+    /// Available fraction of the capacity: rises linearly during slow start, then is 1.
     #[must_use]
     pub fn available_capacity(&self, now: Nanos, settings: &Replicas) -> f64 {
         let Some(started) = self.started else { return 1.0 };
@@ -133,7 +133,7 @@
         (settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * progress).min(1.0)
     }
 
-    /// Whether it is healthy, has its full capacity and an empty queue.
+    /// Whether the replica is healthy, has its full capacity and an empty queue. A slowdown does not count as a fault.
     #[must_use]
     pub fn has_free_capacity(&self, now: Nanos, settings: &Replicas) -> bool {
         let has_fault =
@@ -142,17 +142,18 @@
         is_healthy && self.batch.queued() == 0 && self.available_capacity(now, settings) >= 1.0
     }
 
-    /// Adds a request to the queue; it is considered when the next step begins.
+    /// Adds a request to the queue, which the next step processes.
     pub fn enqueue(&mut self, job: Job) {
         self.batch.enqueue(job);
     }
 
-    /// Cancels an attempt; false if it is not here any more.
+    /// Cancels an attempt; returns false if it is complete or was lost.
     pub fn cancel(&mut self, id: AttemptId) -> bool {
         self.batch.cancel(id)
     }
 
-    /// Begins a step if there is work, and returns its duration.
+    /// Begins a step and returns its duration in nanoseconds; `None` without work, during another step, or if a fault
+    /// prevents it.
     pub fn begin_step(&mut self, now: Nanos, settings: &Replicas) -> Option<Nanos> {
         let is_blocked = self.is_stepping || self.faults.is_unreachable || self.faults.is_hanging;
         if is_blocked || !self.is_alive {
@@ -165,14 +166,14 @@
         Some((work / speed) as Nanos)
     }
 
-    /// Ends the current step and adds its events.
+    /// Ends the current step, and appends its events.
     pub fn end_step(&mut self, now: Nanos, events: &mut Vec<StepEvent>) {
         self.is_stepping = false;
         self.busy_time.total += now.saturating_sub(self.busy_time.step_started);
         self.batch.end_step(events);
     }
 
-    /// The time in steps since the last call.
+    /// Returns the time spent in steps since the last call, in nanoseconds, and resets it.
     pub fn take_busy_time(&mut self, now: Nanos) -> Nanos {
         if self.is_stepping {
             self.busy_time.total += now.saturating_sub(self.busy_time.step_started);
--- a/crates/simulator/src/replica/prompt_cache.rs
+++ b/crates/simulator/src/replica/prompt_cache.rs
@@ -1,22 +1,22 @@
-//! The prompt cache of a replica.
+//! Prompt cache of a replica.
 
 use std::collections::BTreeMap;
 
-/// Identifies a shared prefix.
+/// Identifier of a shared prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PrefixId {
-    /// The index of the class of requests.
+    /// Index of the class of requests.
     pub class: usize,
-    /// The rank of the prefix in the class, from 1.
+    /// Popularity rank of the prefix in the class, from 1.
     pub rank: u32,
 }
 
-/// The key of a cached prompt.
+/// Key of a cached prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PromptKey {
-    /// A shared prefix.
+    /// A shared prefix of several sessions.
     Prefix(PrefixId),
-    /// A session.
+    /// The complete prompt of a session, by the number of the session.
     Session(u64),
 }
 
@@ -25,19 +25,19 @@
     used_at: u64,
 }
 
-/// A cache of prompts with a capacity in tokens, which evicts the least recently used.
+/// Cache of prompts with a capacity in tokens and least-recently-used eviction.
 #[derive(Default)]
 pub struct PromptCache {
     entries: BTreeMap<PromptKey, Entry>,
-    /// Keys by the time of their last use.
+    /// Keys by the logical time of their last use.
     by_use: BTreeMap<u64, PromptKey>,
-    /// The number of uses, which serves as a logical clock.
+    /// Number of uses so far, the logical clock.
     uses: u64,
     total_tokens: u64,
 }
 
 impl PromptCache {
-    /// The number of tokens cached under a key, which counts as a use.
+    /// Returns the number of tokens cached under a key, 0 if none, and marks the entry as used.
     pub fn look_up(&mut self, key: PromptKey) -> u32 {
         let Some(entry) = self.entries.get_mut(&key) else { return 0 };
         self.by_use.remove(&entry.used_at);
@@ -47,7 +47,7 @@
         entry.tokens
     }
 
-    /// Caches tokens under a key and evicts others until the sum is within `capacity`.
+    /// Caches tokens under a key, then evicts the least recently used entries until the sum is within `capacity`.
     pub fn insert(&mut self, key: PromptKey, tokens: u32, capacity: u64) {
         self.uses += 1;
         let entry = Entry { tokens, used_at: self.uses };
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The sum of all cached tokens.
+    /// Sum of all cached tokens.
     #[must_use]
     pub fn total_tokens(&self) -> u64 {
         self.total_tokens
--- a/crates/simulator/src/report/columns.rs
+++ b/crates/simulator/src/report/columns.rs
@@ -1,24 +1,24 @@
-//! The columns of the report's tables.
+//! Columns and rows of the report's tables.
 
 use super::data::Report;
 use crate::record::{IntervalSummary, ReplicaSummary, RunSummary};
 
-/// A column of the table of intervals. Its title is part of the report's format.
+/// A column of the table of intervals. The title is part of the report's format.
 pub(super) struct Column {
     pub(super) title: &'static str,
     value: fn(&IntervalSummary) -> f64,
 }
 
-/// A row of a table.
+/// A row of a table, with formatted values.
 pub(super) struct Row {
     pub(super) title: String,
     pub(super) cells: Vec<String>,
 }
 
-/// The columns of the table of replicas.
+/// Titles of the columns of the table of replicas, part of the report's format.
 pub(super) const REPLICA_COLUMNS: [&str; 5] = ["load", "attempts", "errors", "share", "had room"];
 
-/// The columns of the table of intervals.
+/// Columns of the table of intervals.
 pub(super) const INTERVAL_COLUMNS: [Column; 23] = [
     Column { title: "first tries", value: |interval| interval.requests as f64 },
     Column { title: "in time", value: |interval| interval.in_time },
@@ -45,13 +45,13 @@
     Column { title: "herd", value: |interval| interval.herd as f64 },
 ];
 
-/// The titles of the columns of the table of intervals.
+/// Titles of the columns of the table of intervals.
 pub(super) fn interval_titles() -> [&'static str; 23] {
     INTERVAL_COLUMNS.map(|column| column.title)
 }
 
 impl Report {
-    /// The rows of an interval, one for each policy.
+    /// Returns the rows of an interval, one for each policy.
     pub(super) fn interval_rows(&self, name: &str) -> Vec<Row> {
         let row = |run: &RunSummary| {
             let interval = run.intervals.iter().find(|interval| interval.name == name)?;
@@ -62,7 +62,7 @@
     }
 }
 
-/// The rows of a run's replicas.
+/// Returns the rows of the replicas of a run.
 pub(super) fn replica_rows(run: &RunSummary) -> Vec<Row> {
     let row = |replica: &ReplicaSummary| {
         let error_fraction = replica.errors as f64 / replica.attempts.max(1) as f64;
@@ -76,7 +76,7 @@
     run.replicas.iter().map(row).collect()
 }
 
-/// Formats a value with as many decimal places as are significant for its size.
+/// Formats a value with at least three significant digits: none, one or three decimal places, depending on its size.
 fn format_value(value: f64) -> String {
     match value {
         value if value.fract() == 0.0 => format!("{value:.0}"),
--- a/crates/simulator/src/report/data.rs
+++ b/crates/simulator/src/report/data.rs
@@ -1,4 +1,4 @@
-//! The data of a report, and its JSON form.
+//! Data of a report, and its JSON form.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,36 +7,36 @@
 use crate::record::RunSummary;
 use crate::time::{SECOND, nanos};
 
-/// The results of a simulation, the same to the byte for the same experiment and seed.
+/// Results of a simulation, identical to the byte for the same experiment and seed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Report {
-    /// The title of the experiment.
+    /// Title of the experiment.
     #[serde(rename = "about")]
     pub description: String,
-    /// The seed.
+    /// Seed of all random streams.
     pub seed: u64,
-    /// The number of gateways.
+    /// Number of gateways.
     pub gateways: u32,
-    /// The number of replicas.
+    /// Number of replicas at the start.
     pub replicas: u32,
-    /// Requests per second, retries not counted.
+    /// Mean requests per second, not counting retries.
     #[serde(rename = "rate")]
     pub requests_per_s: f64,
-    /// The faults, in the order of their starts.
+    /// Faults, ordered by start.
     pub faults: Vec<FaultMarker>,
-    /// The statistics of each policy.
+    /// Statistics of the run of each policy.
     pub runs: Vec<RunSummary>,
 }
 
-/// A fault as the report shows it. In JSON it is an array of its fields.
+/// A fault in the form shown in the report. The JSON form is an array of the fields.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(from = "(String, String, f64)", into = "(String, String, f64)")]
 pub struct FaultMarker {
-    /// The name in the experiment.
+    /// Name in the experiment.
     pub name: String,
-    /// What fails.
+    /// Description of the fault, with the affected fraction if there is one.
     pub description: String,
-    /// The start in seconds after the warm-up.
+    /// Start in seconds after the warm-up.
     pub at_s: f64,
 }
 
@@ -65,17 +65,17 @@
 }
 
 impl Report {
-    /// The report as JSON.
+    /// Encodes the report as JSON.
     ///
     /// # Errors
     ///
-    /// [`ReportError::Json`] if it can't be encoded.
+    /// Returns [`ReportError::Json`] if encoding fails.
     pub fn json(&self) -> Result<String, ReportError> {
         let text = serde_json::to_string_pretty(self).map_err(|source| ReportError::Json { source })?;
         Ok(text + "\n")
     }
 
-    /// The names of the intervals, which are the same for all policies.
+    /// Returns the names of the intervals, which are the same for all policies.
     pub(super) fn interval_names(&self) -> Vec<&str> {
         let intervals = self.runs.first().map_or(&[][..], |run| &run.intervals);
         intervals.iter().map(|interval| interval.name.as_str()).collect()
--- a/crates/simulator/src/report/error.rs
+++ b/crates/simulator/src/report/error.rs
@@ -7,53 +7,53 @@
 
 use crate::experiment::PolicyKind;
 
-/// Why a report could not be made, written or compared.
+/// An error in simulating an experiment, or in encoding, rendering or comparing reports.
 #[derive(Debug)]
 pub enum ReportError {
-    /// The load balancer has rejected the experiment's settings.
+    /// The load balancer rejected the settings of the experiment.
     Settings {
-        /// The simulated policy.
+        /// Policy that was simulated.
         policy: PolicyKind,
-        /// The load balancer's error.
+        /// Error of the load balancer.
         source: SettingsError,
     },
-    /// A simulation has panicked.
+    /// The thread of a simulation panicked.
     Panicked {
-        /// The simulated policy.
+        /// Policy that was simulated.
         policy: PolicyKind,
     },
     /// The report could not be encoded as JSON.
     Json {
-        /// The encoder's error.
+        /// Error of the JSON encoder.
         source: serde_json::Error,
     },
     /// The page could not be rendered.
     Page {
-        /// The template engine's error.
+        /// Error of the template engine.
         source: minijinja::Error,
     },
     /// A plot could not be drawn.
     Plot {
-        /// The name of the plot's file, without its extension.
+        /// Name of the plot's file, without the extension.
         plot: String,
-        /// The plotting library's error, whose type differs from step to step.
+        /// Error of the plotting library, whose functions return different types.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// Two reports to be compared are of different experiments or seeds.
+    /// The reports to be compared have different experiments or seeds.
     DifferentExperiments {
-        /// The earlier report.
+        /// Experiment of the earlier report.
         before: ExperimentId,
-        /// The later report.
+        /// Experiment of the later report.
         after: ExperimentId,
     },
 }
 
-/// The experiment of a report.
+/// Identity of the experiment of a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExperimentId {
-    /// Its title.
+    /// Title.
     pub description: String,
-    /// Its seed.
+    /// Seed of all random streams.
     pub seed: u64,
 }
 
--- a/crates/simulator/src/report/mod.rs
+++ b/crates/simulator/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The report of a simulation: its statistics as JSON, as text and as a page with plots, and the comparison of two.
+//! Reports of simulations: statistics as JSON, as text and as an HTML page with plots; and comparisons of two reports.
 
 mod columns;
 mod data;
--- a/crates/simulator/src/report/page.rs
+++ b/crates/simulator/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The report as an HTML page.
+//! Rendering of a report as an HTML page.
 
 use minijinja::{Environment, Value, context};
 use plotters::style::RGBColor;
@@ -8,32 +8,32 @@
 use super::error::ReportError;
 use super::plots::{Plot, policy_colour};
 
-/// The name of the template.
+/// Name of the template in the template engine.
 const TEMPLATE: &str = "page.html";
 
-/// A table as the template reads it.
+/// Converts a table to the template's form.
 fn table_value(title: &str, rows: Vec<Row>) -> Value {
     let rows: Vec<Value> =
         rows.into_iter().map(|row| context! { title => row.title, cells => row.cells }).collect();
     context! { title, rows }
 }
 
-/// A plot as the template reads it.
+/// Converts a plot to the template's form.
 fn plot_value(plot: Plot) -> Value {
     context! { title => plot.title, svg => plot.svg }
 }
 
-/// A fault as the template reads it.
+/// Converts a fault to the template's form.
 fn fault_value(fault: &FaultMarker) -> Value {
     context! { name => &fault.name, description => &fault.description, at_s => fault.at_s }
 }
 
 impl Report {
-    /// The page, with its plots embedded.
+    /// Renders the report as an HTML page with embedded plots.
     ///
     /// # Errors
     ///
-    /// [`ReportError::Plot`] if a plot can't be drawn, [`ReportError::Page`] if the page can't be rendered.
+    /// Returns [`ReportError::Plot`] if a plot can't be drawn, and [`ReportError::Page`] if the page can't be rendered.
     pub fn html(&self) -> Result<String, ReportError> {
         let plots = self.plots()?;
         self.render(plots).map_err(|source| ReportError::Page { source })
@@ -65,7 +65,7 @@
         })
     }
 
-    /// The policies with their colours in CSS notation.
+    /// Returns the policies with their colours in CSS notation.
     fn legend(&self) -> Vec<Value> {
         let runs = self.runs.iter().enumerate();
         runs.map(
--- a/crates/simulator/src/report/plots.rs
+++ b/crates/simulator/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! The plots of the report, as SVG.
+//! Plots of the report, as SVG.
 
 use std::error::Error;
 
@@ -13,18 +13,18 @@
 use super::error::ReportError;
 use crate::record::{ReplicaSummary, RunSummary, Window};
 
-/// A plot.
+/// A plot, rendered as SVG.
 #[derive(Clone, Debug)]
 pub struct Plot {
-    /// The name of its file, without the extension.
+    /// Name of the file, without the extension.
     pub name: String,
-    /// Its title.
+    /// Title.
     pub title: String,
-    /// The image.
+    /// SVG document.
     pub svg: String,
 }
 
-/// A plot of one value of each window over time.
+/// A plot over time, of one value for each window.
 struct WindowPlot {
     name: &'static str,
     title: &'static str,
@@ -64,36 +64,36 @@
     },
 ];
 
-/// The width of all plots in pixels.
+/// Width of all plots in pixels.
 const WIDTH: u32 = 940;
-/// The height of a plot over time in pixels.
+/// Height of a plot over time in pixels.
 const WINDOW_PLOT_HEIGHT: u32 = 300;
-/// The height of a map of replicas in pixels.
+/// Height of a heat map of replicas in pixels.
 const HEAT_MAP_HEIGHT: u32 = 340;
-/// The margin around a plot in pixels.
+/// Margin around a plot in pixels.
 const MARGIN: u32 = 8;
-/// The height of the labels of the x axis in pixels.
+/// Height of the area for labels of the x axis in pixels.
 const X_LABEL_SIZE: u32 = 28;
-/// The width of the labels of the y axis in pixels.
+/// Width of the area for labels of the y axis in pixels.
 const Y_LABEL_SIZE: u32 = 44;
-/// The label of the x axis.
+/// Label of the x axis.
 const TIME_LABEL: &str = "seconds after the warm-up";
-/// The space above the highest value, as a factor.
+/// Height of the y axis relative to the highest value.
 const HEADROOM: f64 = 1.05;
-/// The minimum height of the y axis.
+/// Minimum of the highest value, so that the y axis is not empty.
 const MIN_Y_RANGE: f64 = 1e-3;
-/// The length of a line in the legend in pixels.
+/// Length of a line in the legend in pixels.
 const LEGEND_LINE: i32 = 16;
-/// The colour of a replica that is down.
+/// Colour of a replica that is down.
 const DOWN_COLOUR: RGBColor = RGBColor(190, 190, 190);
-/// Loads above this are drawn darker.
+/// Load above which a replica is drawn in a darker colour.
 const HIGH_LOAD: f64 = 1.5;
 
 type BoxedError = Box<dyn Error + Send + Sync>;
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// The colour of a policy by its index.
+/// Returns the colour of a policy by its index; colours repeat after the seventh.
 pub(super) fn policy_colour(index: usize) -> RGBColor {
     const COLOURS: [RGBColor; 7] = [
         RGBColor(200, 30, 30),
@@ -108,11 +108,11 @@
 }
 
 impl Report {
-    /// All plots: one for each value over time, and a map of the replicas' loads for each policy.
+    /// Draws all plots: one for each value over time, and a heat map of the replicas' loads for each policy.
     ///
     /// # Errors
     ///
-    /// [`ReportError::Plot`] if one can't be drawn.
+    /// Returns [`ReportError::Plot`] if a plot can't be drawn.
     pub fn plots(&self) -> Result<Vec<Plot>, ReportError> {
         let window_plots = WINDOW_PLOTS.iter().map(|plot| {
             let draw = |area: &Area<'_>| self.draw_windows(area, plot.value);
@@ -127,7 +127,7 @@
         window_plots.chain(maps).collect()
     }
 
-    /// Draws one line for each policy over time, and a vertical line for each fault.
+    /// Draws a value of each window over time: a line for each policy, and a vertical line for each fault.
     fn draw_windows(&self, area: &Area<'_>, value: fn(&Window) -> f64) -> Result<(), BoxedError> {
         let windows = || self.runs.iter().flat_map(|run| &run.windows);
         let end = windows().map(|window| window.at_s).fold(1.0, f64::max);
@@ -153,7 +153,7 @@
     }
 }
 
-/// Draws a plot on an empty area.
+/// Creates a plot from a function that draws on an empty area.
 fn draw_plot(
     name: String,
     title: String,
@@ -170,14 +170,14 @@
     }
 }
 
-/// The axes of a plot, from 0 to the given values.
+/// Creates a chart with axes from 0 to the given values.
 fn build_chart<'a>(area: &Area<'a>, x_max: f64, y_max: f64) -> Result<Chart<'a>, BoxedError> {
     let mut builder = ChartBuilder::on(area);
     builder.margin(MARGIN).x_label_area_size(X_LABEL_SIZE).y_label_area_size(Y_LABEL_SIZE);
     Ok(builder.build_cartesian_2d(0.0..x_max, 0.0..y_max)?)
 }
 
-/// Draws the load of each replica over time: white is none, red a full batch; grey while it is down.
+/// Draws the load of each replica over time: white for no load, red for a full batch, grey while down.
 fn draw_heat_map(area: &Area<'_>, run: &RunSummary) -> Result<(), BoxedError> {
     let mut replicas: Vec<&ReplicaSummary> = run.replicas.iter().collect();
     replicas
@@ -195,7 +195,7 @@
     Ok(())
 }
 
-/// The colour of a load; `None` if the replica is down.
+/// Returns the colour of a load; `None` for a replica that is down.
 fn load_colour(load: Option<f64>) -> RGBColor {
     load.map_or(DOWN_COLOUR, |load| {
         let green_and_blue = (255.0 * (1.0 - load.clamp(0.0, 1.0))) as u8;
--- a/crates/simulator/src/report/simulation.rs
+++ b/crates/simulator/src/report/simulation.rs
@@ -1,4 +1,4 @@
-//! Simulates the policies of an experiment and collects their statistics.
+//! Simulates the policies of an experiment, and collects their statistics.
 
 use std::thread;
 
@@ -11,12 +11,12 @@
 use crate::record::RunSummary;
 
 impl Report {
-    /// Simulates an experiment with all its policies, each on a thread of its own; they share nothing.
+    /// Simulates an experiment with all of its policies, each on a separate thread without shared state.
     ///
     /// # Errors
     ///
-    /// [`ReportError::Settings`] if the load balancer rejects the experiment's settings, and
-    /// [`ReportError::Panicked`] if a simulation has panicked.
+    /// Returns [`ReportError::Settings`] if the load balancer rejects the settings of the experiment, and
+    /// [`ReportError::Panicked`] if a simulation panics.
     pub fn simulate(experiment: &Experiment) -> Result<Report, ReportError> {
         let faults = experiment.faults_in_order().into_iter();
         Ok(Report {
--- a/crates/simulator/src/report/text.rs
+++ b/crates/simulator/src/report/text.rs
@@ -1,4 +1,4 @@
-//! The report as plain text, and the comparison of two reports.
+//! Reports as plain text, and comparisons of two reports.
 
 use std::fmt::Write;
 
@@ -7,11 +7,11 @@
 use super::error::{ExperimentId, ReportError};
 use crate::record::RunSummary;
 
-/// The table of replicas is part of the text for fleets of up to this size.
+/// Maximum number of replicas of a run for which the text includes the table of replicas.
 const MAX_LISTED_REPLICAS: usize = 20;
 
 impl Report {
-    /// The statistics as tables of plain text.
+    /// Formats the statistics as plain-text tables.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
@@ -27,11 +27,11 @@
         text
     }
 
-    /// The statistics of this report beside those of an earlier one, for the policies that both have.
+    /// Formats the statistics of this report next to those of an earlier one, for the policies in both.
     ///
     /// # Errors
     ///
-    /// [`ReportError::DifferentExperiments`] if the experiments or the seeds differ.
+    /// Returns [`ReportError::DifferentExperiments`] if the experiments or the seeds differ.
     pub fn compare(&self, before: &Report) -> Result<String, ReportError> {
         if self.experiment_id() != before.experiment_id() {
             let (before, after) = (before.experiment_id(), self.experiment_id());
