--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -49,7 +49,7 @@
             CommandError::File { path, source } => write!(formatter, "{}: {source}", path.display()),
             CommandError::Experiment { source } => write!(formatter, "{source}"),
             CommandError::InvalidReport { path, source } => {
-                write!(formatter, "{}: no report: {source}", path.display())
+                write!(formatter, "{}: not a valid report: {source}", path.display())
             }
             CommandError::Report { source } => write!(formatter, "{source}"),
         }
--- a/crates/simulator/src/experiment/check.rs
+++ b/crates/simulator/src/experiment/check.rs
@@ -38,7 +38,7 @@
             check_range(&format!("load.phases.{name}.factor"), phase.factor, 0.0..=100.0)?;
         }
         if self.classes.is_empty() {
-            return invalid("classes", "names none");
+            return invalid("classes", "is empty");
         }
         for (name, class) in &self.classes {
             check_class(name, class)?;
@@ -60,11 +60,11 @@
 
 fn check_policies(policies: &[PolicyKind]) -> Checked {
     if policies.is_empty() {
-        return invalid("policies", "names none");
+        return invalid("policies", "is empty");
     }
-    let twice = |policy: &PolicyKind| policies.iter().filter(|other| *other == policy).count() > 1;
-    match policies.iter().find(|policy| twice(policy)) {
-        Some(policy) => invalid("policies", format!("names {} twice", policy.name())),
+    let is_duplicate = |policy: &PolicyKind| policies.iter().filter(|other| *other == policy).count() > 1;
+    match policies.iter().find(|policy| is_duplicate(policy)) {
+        Some(policy) => invalid("policies", format!("contains {} twice", policy.name())),
         None => Ok(()),
     }
 }
@@ -74,7 +74,7 @@
     check_range("gateways.zones", f64::from(gateways.zones), 1.0..=100.0)?;
     check_range("gateways.skew", gateways.weight_sigma, 0.0..=3.0)?;
     if u32::from(gateways.zones) > gateways.count {
-        return invalid("gateways.zones", "more zones than gateways: a zone's clients would reach nobody");
+        return invalid("gateways.zones", "more zones than gateways: some zones would have no gateway");
     }
     Ok(())
 }
@@ -90,7 +90,7 @@
         check_duration("replicas.reports.period", reports.period, Duration::from_millis(1))?;
     }
     if replicas.kinds.is_empty() {
-        return invalid("replicas.kinds", "names none");
+        return invalid("replicas.kinds", "is empty");
     }
     for (name, kind) in &replicas.kinds {
         check_kind(name, kind)?;
@@ -121,7 +121,7 @@
     check_tokens(key("answer"), class.response_tokens)?;
     check_duration(&key("deadline"), class.deadline, Duration::from_millis(10))?;
     if class.latency_target > class.deadline {
-        return invalid(key("aim"), "later than the deadline");
+        return invalid(key("aim"), "longer than the deadline");
     }
     Ok(())
 }
@@ -131,7 +131,7 @@
     check_duration("list.timeout", list.timeout, Duration::from_millis(1))?;
     check_duration("list.period", list.publish_interval, Duration::from_millis(1))?;
     if list.delivery_spread > list.publish_interval {
-        return invalid("list.spread", "longer than list.period: changes would overtake one another");
+        return invalid("list.spread", "longer than list.period: a change could overtake an earlier one");
     }
     match &list.change_delay {
         Some(delay) if delay.min > delay.max => {
@@ -146,7 +146,7 @@
     match (fault.kind, fault.fraction) {
         (FaultKind::ListOutage, None) => {}
         (FaultKind::ListOutage, Some(_)) => {
-            return invalid(key("share"), "list_outage has none: there is one list service");
+            return invalid(key("share"), "not valid for list_outage: there is one list service");
         }
         (_, Some(fraction)) => check_range(&key("share"), fraction, 0.0..=1.0)?,
         (_, None) => return invalid(format!("faults.{name}"), "needs a share"),
@@ -159,7 +159,7 @@
         (FaultKind::SlowReplicas, None) => {
             return invalid(format!("faults.{name}"), "slow_replicas needs a factor");
         }
-        (_, Some(_)) => return invalid(key("factor"), "only slow_replicas has one"),
+        (_, Some(_)) => return invalid(key("factor"), "only valid for slow_replicas"),
         (_, None) => {}
     }
     match (fault.kind, fault.error_fraction) {
@@ -167,35 +167,38 @@
         (FaultKind::ErrorReplicas, None) => {
             invalid(format!("faults.{name}"), "error_replicas needs a part")
         }
-        (_, Some(_)) => invalid(key("part"), "only error_replicas has one"),
+        (_, Some(_)) => invalid(key("part"), "only valid for error_replicas"),
         (_, None) => Ok(()),
     }
 }
 
-fn invalid(key: impl Into<String>, what: impl Into<String>) -> Checked {
-    Err(InvalidSetting::new(key.into(), what.into()))
+fn invalid(key: impl Into<String>, problem: impl Into<String>) -> Checked {
+    Err(InvalidSetting::new(key.into(), problem.into()))
 }
 
 /// Checks that a number is within bounds.
-fn check_range(key: &str, given: f64, bounds: RangeInclusive<f64>) -> Checked {
-    if bounds.contains(&given) {
+fn check_range(key: &str, value: f64, bounds: RangeInclusive<f64>) -> Checked {
+    if bounds.contains(&value) {
         return Ok(());
     }
-    invalid(key, format!("{given} is not between {} and {}", bounds.start(), bounds.end()))
+    invalid(key, format!("{value} is not between {} and {}", bounds.start(), bounds.end()))
 }
 
 /// Checks that a duration is between `min` and [`MAX_DURATION`].
-fn check_duration(key: &str, given: Duration, min: Duration) -> Checked {
-    if (min..=MAX_DURATION).contains(&given) {
+fn check_duration(key: &str, value: Duration, min: Duration) -> Checked {
+    if (min..=MAX_DURATION).contains(&value) {
         return Ok(());
     }
-    invalid(key, format!("{given:?} is not between {min:?} and {MAX_DURATION:?}"))
+    invalid(key, format!("{value:?} is not between {min:?} and {MAX_DURATION:?}"))
 }
 
 /// Checks a range of token counts.
 fn check_tokens(key: String, [min, max]: [u32; 2]) -> Checked {
     if min > max || max == 0 || max > MAX_TOKENS {
-        return invalid(key, format!("[{min}, {max}] is no span up to 1,000,000 tokens"));
+        return invalid(
+            key,
+            format!("[{min}, {max}] is not a range with a maximum of 1 to 1,000,000 tokens"),
+        );
     }
     Ok(())
 }
@@ -206,5 +209,5 @@
     if (sum - 1.0).abs() < SUM_TOLERANCE {
         return Ok(());
     }
-    invalid(key, format!("the shares come to {sum:.3}, not 1"))
+    invalid(key, format!("the shares add up to {sum:.3}, not 1"))
 }
--- a/crates/simulator/src/experiment/parse.rs
+++ b/crates/simulator/src/experiment/parse.rs
@@ -18,13 +18,13 @@
         let mut files = vec![(path.to_owned(), text.to_owned())];
         while let Some(from) = files.last().and_then(|(_, text)| base_file_of(text)) {
             let (path, _) = &files[files.len() - 1];
-            let fault =
+            let error =
                 |problem| SettingsError { file: path.clone(), position: None, key: "from".into(), problem };
             let base = Path::new(path).with_file_name(&from).display().to_string();
             if files.iter().any(|(known, _)| *known == base) {
-                return Err(fault(format!("{from} comes back to this file")));
+                return Err(error(format!("{from} is a base file of itself")));
             }
-            let text = fs::read_to_string(&base).map_err(|e| fault(format!("{base}: {e}")))?;
+            let text = fs::read_to_string(&base).map_err(|e| error(format!("{base}: {e}")))?;
             files.push((base, text));
         }
         let files: Vec<_> = files.iter().rev().map(|(path, text)| (path.as_str(), text.as_str())).collect();
--- a/crates/simulator/src/fleet/build.rs
+++ b/crates/simulator/src/fleet/build.rs
@@ -113,8 +113,10 @@
     /// Adds a running replica that is listed as ready, and returns its index.
     pub(super) fn add_replica(&mut self, spec: ReplicaSpec) -> usize {
         let kinds = &self.experiment.replicas.kinds;
-        let (kind_name, machine) =
-            kinds.iter().nth(usize::from(spec.kind)).expect("the kind is an index of the experiment's");
+        let (kind_name, machine) = kinds
+            .iter()
+            .nth(usize::from(spec.kind))
+            .expect("the index is that of a kind of the experiment");
         let mut replica = Replica::new(spec.name.clone(), spec.zone, spec.kind, machine, spec.speed_factor);
         replica.started = spec.started;
         let batch_size = replica.batch_size() as f64;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -13,7 +13,7 @@
 
 use crate::error::CommandError;
 
-/// Fleets of gateways in virtual time.
+/// Simulates fleets of gateways.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -25,25 +25,25 @@
 enum Command {
     /// Simulates an experiment and writes report.json, report.html and its plots as SVG
     Run {
-        /// The experiment, in HCL
+        /// Experiment file in HCL
         file: PathBuf,
-        /// The folder of the report
+        /// Folder that the report is written to
         #[arg(long, default_value = "target/lab")]
         out: PathBuf,
-        /// A seed in place of the file's
+        /// Seed that overrides the one in the file
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Checks an experiment without simulating it
+    /// Checks an experiment file without simulating it
     Check {
-        /// The experiment, in HCL
+        /// Experiment file in HCL
         file: PathBuf,
     },
-    /// Compares a report with an earlier one of the same experiment and seed
+    /// Compares two reports of the same experiment and seed
     Compare {
-        /// The report.json of before
+        /// report.json of the earlier simulation
         before: PathBuf,
-        /// The report.json of now
+        /// report.json of the later simulation
         now: PathBuf,
     },
 }
@@ -84,7 +84,7 @@
     let elapsed_s = started_at.elapsed().as_secs_f64();
     let simulated_s = (experiment.warmup + experiment.duration).as_secs_f64();
     let policies = experiment.policies.len();
-    eprintln!("{simulated_s:.0} s simulated in {elapsed_s:.1} s, {policies} policies side by side");
+    eprintln!("simulated {simulated_s:.0} s in {elapsed_s:.1} s, {policies} policies in parallel");
     write_report(folder, &report)?;
     Ok(report.text())
 }
--- a/crates/simulator/src/record/interval.rs
+++ b/crates/simulator/src/record/interval.rs
@@ -60,7 +60,7 @@
             cached_tokens: 0,
             prompt_tokens: 0,
             latencies_us: Histogram::new_with_max(MAX_LATENCY_US, LATENCY_DIGITS)
-                .expect("constants within the bounds of the histogram"),
+                .expect("the constants are valid bounds of a histogram"),
         }
     }
 
--- a/crates/simulator/src/report/error.rs
+++ b/crates/simulator/src/report/error.rs
@@ -72,13 +72,15 @@
             ReportError::Panicked { policy } => {
                 write!(formatter, "policy {}: the simulation panicked", policy.name())
             }
-            ReportError::Json { source } => write!(formatter, "the report can't be encoded: {source}"),
+            ReportError::Json { source } => {
+                write!(formatter, "the report can't be encoded as JSON: {source}")
+            }
             ReportError::Page { source } => write!(formatter, "the page can't be rendered: {source}"),
             ReportError::Plot { plot, source } => {
                 write!(formatter, "the plot {plot} can't be drawn: {source}")
             }
             ReportError::DifferentExperiments { before, after } => {
-                write!(formatter, "not the same experiment: {before}, and {after}")
+                write!(formatter, "the reports are of different experiments: {before} and {after}")
             }
         }
     }
--- a/crates/simulator/src/report/text.rs
+++ b/crates/simulator/src/report/text.rs
@@ -20,7 +20,7 @@
             write_table(&mut text, &interval_titles(), &self.interval_rows(name));
         }
         for run in self.runs.iter().filter(|run| run.replicas.len() <= MAX_LISTED_REPLICAS) {
-            let _ = writeln!(text, "{}: {} tries turned down", run.policy, run.rejected);
+            let _ = writeln!(text, "{}: {} attempts of clients rejected", run.policy, run.rejected);
             write_table(&mut text, &REPLICA_COLUMNS, &replica_rows(run));
         }
         self.runs.iter().for_each(|run| write_run(&mut text, run));
@@ -64,8 +64,8 @@
 fn write_run(text: &mut String, run: &RunSummary) {
     let _ = writeln!(
         text,
-        "{}: {} events; list calls: {} at most in a second, {} failed, answered after {:.0} ms (median), {:.0} ms \
-         (longest), {} gateways without; cold at most {:.2} of what fells one",
+        "{}: {} events; list calls: {} at most in a second, {} failed, first list after {:.0} ms (median), {:.0} ms \
+         (maximum), {} gateways without a list; cold at most {:.2} of the overloading work",
         run.policy,
         run.events,
         run.intervals.iter().map(|interval| interval.list_calls_peak).max().unwrap_or(0),
--- a/crates/simulator/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -288,7 +288,7 @@
     };
     assert!(kind("error_replicas", "share  = 0.7").contains("faults.release: error_replicas needs a part"));
     assert!(kind("error_replicas", "share = 0.7\n    part = 2").contains("faults.release.part: 2 is not"));
-    assert!(kind("hang_replicas", "share = 0.7\n    part = 1").contains("only error_replicas has one"));
+    assert!(kind("hang_replicas", "share = 0.7\n    part = 1").contains("only valid for error_replicas"));
     assert!(kind("hang_replicas", "").contains("faults.release: needs a share"));
     assert!(kind("list_outage", "share = 1").contains("there is one list service"));
     let late = "late {\n    least = \"2s\"\n    most = \"1s\"\n  }\n  calls_per_s = 85";
@@ -306,7 +306,7 @@
     assert!(text.contains("module, before") && text.contains("module, now"), "{text}");
     let other = simulate(&release(&[(from, &to), ("seed     = 1", "seed     = 2")]));
     let error = other.compare(&before).expect_err("another seed").to_string();
-    assert!(error.contains("not the same experiment"), "{error}");
+    assert!(error.contains("the reports are of different experiments"), "{error}");
 }
 
 #[test]
@@ -329,5 +329,5 @@
     assert!(theirs.contains(&format!("release.hcl:{line}:3: gateways.zones: 0 is not")), "{theirs}");
     assert!(fault("from = \"nowhere.hcl\"\n").contains("nowhere.hcl: No such file"));
     write("this.hcl", "from = \"this.hcl\"\n");
-    assert!(fault("from = \"this.hcl\"\n").contains("comes back to this file"));
+    assert!(fault("from = \"this.hcl\"\n").contains("this.hcl is a base file of itself"));
 }
