--- a/crates/simulator/experiments/cold_start.hcl
+++ b/crates/simulator/experiments/cold_start.hcl
@@ -1,5 +1,5 @@
-# 1,000 gateways start within one second, as after a hall was cut off, with the list that they had; a tenth of the real
-# servers has just started too. The list service answers 85 calls a second, one after another.
+# 1,000 gateways start within one second with their persisted lists, as after the outage of a data hall. A tenth of the
+# replicas has just started too. The list service serves 85 calls per second, one after another.
 from     = "release.hcl"
 about    = "A cold start: 1,000 gateways within one second"
 warmup   = "0s"
--- a/crates/simulator/experiments/errors.hcl
+++ b/crates/simulator/experiments/errors.hcl
@@ -1,6 +1,6 @@
-# A small fleet with one class of long prompts: three gateways before eleven replicas of three kinds, which report
-# nothing; lists come unasked and late, and say only whether a process runs. Four troubles follow one another, 15 s apart,
-# for what each leaves behind; at the end errors and a hang come together in an overload.
+# A small fleet with one class of long prompts: three gateways and eleven replicas of three machine kinds, without load
+# reports. Lists are pushed with a delay, and show only whether a process is running. Four faults follow one another,
+# 15 s apart, to show the aftermath of each; at the end errors and a hang coincide in an overload.
 about    = "Partial quick errors, a hang, a crash and a mute list, one after another"
 seed     = 1
 warmup   = "30s"
--- a/crates/simulator/experiments/herd.hcl
+++ b/crates/simulator/experiments/herd.hcl
@@ -1,5 +1,5 @@
-# A day of the operators' bench (herd+mass) as far as its log tells it: while half of the replicas are replaced in
-# steps, seven in ten of 309 gateways are killed at once, and the load swings. One server in eight is slow throughout.
+# A day of the operators' benchmark (herd+mass), as far as its log describes it: while half of the replicas are replaced
+# in steps, seven in ten of 309 gateways restart at once, and the load varies. One replica in eight is slow throughout.
 from     = "release.hcl"
 about    = "Gateways and replicas released together: after a day of herd+mass"
 length   = "20s"
--- a/crates/simulator/experiments/quiet.hcl
+++ b/crates/simulator/experiments/quiet.hcl
@@ -1,4 +1,5 @@
-# The same troubles at two thirds of the load, without the overload at the end: what is lost here is not lost to a jam.
+# The faults of errors.hcl at two thirds of the load and without the overload at the end, so that losses are not due to
+# overload.
 from  = "errors.hcl"
 about = "The troubles of errors.hcl in a quiet hour"
 
--- a/crates/simulator/experiments/release.hcl
+++ b/crates/simulator/experiments/release.hcl
@@ -1,6 +1,6 @@
-# 300 gateways before 100 replicas, each gateway with about two requests a second. Seven in ten gateways
-# restart at once with the list that they had. What the list says of the sizes is about right: the units times the
-# speeds are to each other as what the kinds do in this simulator (1.9 to 1.3 to 1).
+# 300 gateways and 100 replicas, with about two requests per second at each gateway. Seven in ten gateways restart at
+# once with their persisted lists. The sizes in the list are approximately right: units times speed of the machine kinds
+# are in the same proportion as their throughputs in the simulator (1.9 to 1.3 to 1).
 about    = "A release: seven in ten of 300 gateways restart at once"
 seed     = 1
 warmup   = "20s"
--- a/crates/simulator/experiments/wide.hcl
+++ b/crates/simulator/experiments/wide.hcl
@@ -1,4 +1,4 @@
-# How fast the simulator is: 10,000 small requests a second, a third of the gateways restarting.
+# Measures the speed of the simulator: 10,000 small requests per second, while a third of the gateways restarts.
 from     = "release.hcl"
 about    = "300 gateways, 100 replicas, 10,000 requests a second"
 warmup   = "5s"
--- a/crates/simulator/tests/load_phases.rs
+++ b/crates/simulator/tests/load_phases.rs
@@ -3,7 +3,7 @@
 use tulipridge_simulator::experiment::Experiment;
 
 #[test]
-fn a_burst_applies_at_once_a_ramp_linearly_and_both_are_multiplied() {
+fn a_burst_is_constant_a_ramp_linear_and_their_product_applies() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/experiments/here.hcl");
     let text = "from = \"release.hcl\"\nload {\n  phases {\n    burst {\n      at = \"5s\"\n      lasts = \"5s\"\n      \
                 factor = 3\n    }\n    ramp {\n      at = \"0s\"\n      lasts = \"10s\"\n      factor = 2\n      \
--- a/crates/simulator/tests/prompt_cache.rs
+++ b/crates/simulator/tests/prompt_cache.rs
@@ -3,7 +3,7 @@
 use tulipridge_simulator::replica::{PromptCache, PromptKey};
 
 #[test]
-fn the_least_recently_used_prompt_is_evicted_first_and_the_sum_stays_within_the_capacity() {
+fn over_capacity_the_least_recently_used_prompt_is_evicted() {
     let mut cache = PromptCache::default();
     for n in 0..4 {
         cache.insert(PromptKey::Session(n), 100, 400);
--- a/crates/simulator/tests/replica.rs
+++ b/crates/simulator/tests/replica.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_prompt_is_prefilled_in_chunks_and_a_cached_prefix_is_not_prefilled_again() {
+fn prefill_is_chunked_and_skips_a_cached_prefix() {
     let settings = settings();
     let mut replica = replica(&settings);
     replica.enqueue(job(1, 1));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_request_beyond_the_batch_is_queued_until_another_one_is_cancelled() {
+fn a_request_beyond_the_batch_waits_until_one_is_cancelled() {
     let settings = settings();
     let mut replica = replica(&settings);
     for request in 1..=3 {
