--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,10 +1,10 @@
-//! Three hundred gateway processes on loopback: a cold start, and a restart of a third at once.
+//! Benchmark of 300 gateway processes on loopback: a cold start of all, and a simultaneous restart of a third.
 //!
 //!     cargo bench --bench fleet
 //!     cargo bench --bench fleet -- cold
 //!     TULIPRIDGE_PROGRAM=/path/to/an/earlier/tulipridge cargo bench --bench fleet
 //!
-//! It wants some 10,000 descriptors (`ulimit -n`) and every core, takes five minutes, and is no part of CI.
+//! Needs about 10,000 file descriptors (`ulimit -n`) and all cores, takes five minutes, and does not run in CI.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -16,160 +16,187 @@
 
 use support::fleet::{Clients, Ends, Fleet, Lists, Mood, Seen, Servers, idle_while_queued, worst_window};
 
-const GATEWAYS: usize = 300;
-const SERVERS: usize = 30;
-/// What the stand-in list service answers in a second.
-const CALLS_PER_S: f64 = 85.0;
-/// First tries a second.
-const RATE: f64 = 400.0;
+const GATEWAY_COUNT: usize = 300;
+const REPLICA_COUNT: usize = 30;
+/// Maximum number of requests that a stand-in replica processes at once.
+const REPLICA_CONCURRENCY: usize = 16;
+/// Processing time of a request at a stand-in replica.
+const PROCESSING_TIME: Duration = Duration::from_millis(40);
+/// Calls per second that the stand-in list service serves.
+const LIST_CALLS_PER_S: f64 = 85.0;
+/// Requests per second of all clients; they don't retry.
+const REQUESTS_PER_S: f64 = 400.0;
+/// Maximum number of sockets in TIME-WAIT at the start of a run.
+const MAX_TIME_WAIT_SOCKETS: usize = 2000;
 const SECOND: Duration = Duration::from_secs(1);
 
 fn main() {
-    let asked = std::env::args().skip(1).find(|a| !a.starts_with('-'));
+    let selected = std::env::args().skip(1).find(|argument| !argument.starts_with('-'));
     let program = std::env::var("TULIPRIDGE_PROGRAM").ok();
-    let with = |mut more: Value| {
+    let with_program = |mut settings: Value| {
         if let Some(program) = &program {
-            more["program"] = program.as_str().into();
+            settings["program"] = program.as_str().into();
         }
-        more
+        settings
     };
-    println!("program: {}", program.as_deref().unwrap_or("as built here"));
-    settle();
-    if asked.as_deref().is_none_or(|a| a == "cold") {
-        cold("untold", with(json!({})), Duration::ZERO);
-        settle();
-        cold("untold, the service gone for 5 s", with(json!({})), 5 * SECOND);
-        // Earlier programs have no such setting.
+    println!("program: {}", program.as_deref().unwrap_or("built from this source tree"));
+    wait_for_closed_connections();
+    if selected.as_deref().is_none_or(|name| name == "cold") {
+        cold_start("without a call rate", with_program(json!({})), Duration::ZERO);
+        wait_for_closed_connections();
+        cold_start(
+            "without a call rate, list service unreachable for 5 s",
+            with_program(json!({})),
+            5 * SECOND,
+        );
+        // Earlier programs don't have this setting.
         if program.is_none() {
-            settle();
-            cold("told", with(json!({"list": {"calls_per_s": CALLS_PER_S}})), Duration::ZERO);
+            wait_for_closed_connections();
+            let settings = json!({"list": {"calls_per_s": LIST_CALLS_PER_S}});
+            cold_start("with a call rate", with_program(settings), Duration::ZERO);
         }
     }
-    if asked.as_deref().is_none_or(|a| a == "restart") {
-        settle();
-        restart(with(json!({})));
+    if selected.as_deref().is_none_or(|name| name == "restart") {
+        wait_for_closed_connections();
+        restart(with_program(json!({})));
     }
 }
 
-/// Waits until the system has let go of most closed connections: some ten thousand of them, which each run leaves
-/// behind for a minute, make the next one slow.
-fn settle() {
-    let waiting = || {
-        let stat = std::fs::read_to_string("/proc/net/sockstat").unwrap_or_default();
-        let mut words = stat.split_whitespace().skip_while(|word| *word != "tw").skip(1);
-        words.next().and_then(|n| n.parse::<usize>().ok()).unwrap_or(0)
+/// Waits until few closed connections remain in TIME-WAIT, for at most 90 s. Each run leaves about ten thousand for a
+/// minute, which slow the next run down.
+fn wait_for_closed_connections() {
+    let time_wait_sockets = || {
+        let statistics = std::fs::read_to_string("/proc/net/sockstat").unwrap_or_default();
+        let mut words = statistics.split_whitespace().skip_while(|word| *word != "tw").skip(1);
+        words.next().and_then(|count| count.parse::<usize>().ok()).unwrap_or(0)
     };
-    let from = Instant::now();
-    while waiting() > 2000 && from.elapsed() < 90 * SECOND {
+    let started = Instant::now();
+    while time_wait_sockets() > MAX_TIME_WAIT_SOCKETS && started.elapsed() < 90 * SECOND {
         thread::sleep(SECOND);
     }
 }
 
-/// All start at once; a replica in ten fails.
-fn cold(what: &str, more: Value, gone: Duration) {
-    let servers = Servers::start(SERVERS, 16, Duration::from_millis(40));
-    servers.failing.lock().expect("whole").extend((0..SERVERS).filter(|n| n % 10 == 3));
-    let lists = Lists::start(servers.entries(0..SERVERS), CALLS_PER_S);
-    if !gone.is_zero() {
-        lists.mood(Mood::Gone);
+/// Starts all gateways at once, while one replica in ten responds with errors and the list service is unreachable for
+/// the time of `outage`.
+fn cold_start(description: &str, settings: Value, outage: Duration) {
+    let replicas = Servers::start(REPLICA_COUNT, REPLICA_CONCURRENCY, PROCESSING_TIME);
+    replicas
+        .failing
+        .lock()
+        .expect("the lock is not poisoned")
+        .extend((0..REPLICA_COUNT).filter(|index| index % 10 == 3));
+    let list_service = Lists::start(replicas.entries(0..REPLICA_COUNT), LIST_CALLS_PER_S);
+    if !outage.is_zero() {
+        list_service.mood(Mood::Gone);
     }
-    let began = Instant::now();
-    let fleet = Fleet::start(GATEWAYS, servers.entries(0..SERVERS), lists.addr, more);
-    let started = began.elapsed();
-    let clients = Clients::start(fleet.fronts(), RATE);
-    thread::sleep((began + gone).saturating_duration_since(Instant::now()));
-    lists.mood(Mood::Serving);
-    let with_list = || lists.watchers();
-    let give_up = began + 60 * SECOND;
-    while with_list() < GATEWAYS && Instant::now() < give_up {
+    let started = Instant::now();
+    let fleet =
+        Fleet::start(GATEWAY_COUNT, replicas.entries(0..REPLICA_COUNT), list_service.addr, settings);
+    let processes_started_after = started.elapsed();
+    let clients = Clients::start(fleet.fronts(), REQUESTS_PER_S);
+    thread::sleep((started + outage).saturating_duration_since(Instant::now()));
+    list_service.mood(Mood::Serving);
+    let gateways_with_list = || list_service.watchers();
+    let deadline = started + 60 * SECOND;
+    while gateways_with_list() < GATEWAY_COUNT && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
-    let (all, lists_after) = (with_list(), began.elapsed());
-    thread::sleep((began + 12 * SECOND).saturating_duration_since(Instant::now()));
-    let (ends, waits) = clients.stop();
-    let calls: Vec<Instant> = lists.calls().iter().map(|c| c.at).collect();
-    let refused = lists.calls().iter().filter(|c| !c.answered).count();
-    println!("cold start, {what}:");
-    println!("  {GATEWAYS} processes up after {:.1} s", started.as_secs_f64());
-    println!("  with a list: {all} after {:.1} s", lists_after.as_secs_f64());
-    println!("  calls: {}, {refused} refused, {} at most in a second", calls.len(), peak(&calls));
-    clients_said(ends, &waits, began + started);
-    connections(&servers);
+    let (with_list, lists_received_after) = (gateways_with_list(), started.elapsed());
+    thread::sleep((started + 12 * SECOND).saturating_duration_since(Instant::now()));
+    let (outcomes, latencies) = clients.stop();
+    let calls: Vec<Instant> = list_service.calls().iter().map(|call| call.at).collect();
+    let refused = list_service.calls().iter().filter(|call| !call.answered).count();
+    println!("cold start, {description}:");
+    println!("  {GATEWAY_COUNT} processes started after {:.1} s", processes_started_after.as_secs_f64());
+    println!("  gateways with a list: {with_list} after {:.1} s", lists_received_after.as_secs_f64());
+    println!(
+        "  list calls: {}, {refused} refused, {} at most in a second",
+        calls.len(),
+        max_count_in_a_second(&calls)
+    );
+    print_outcomes(outcomes, &latencies, started + processes_started_after);
+    print_connections(&replicas);
 }
 
-/// A third is killed and started anew at once, while the layer before them knows of it.
-fn restart(more: Value) {
-    let servers = Servers::start(SERVERS, 16, Duration::from_millis(40));
-    let lists = Lists::start(servers.entries(0..SERVERS), CALLS_PER_S);
-    let mut fleet = Fleet::start(GATEWAYS, servers.entries(0..SERVERS), lists.addr, more);
-    let clients = Clients::start(fleet.fronts(), RATE);
+/// Kills and restarts a third of the gateways at once. The clients' front layer knows immediately which are down.
+fn restart(settings: Value) {
+    let replicas = Servers::start(REPLICA_COUNT, REPLICA_CONCURRENCY, PROCESSING_TIME);
+    let list_service = Lists::start(replicas.entries(0..REPLICA_COUNT), LIST_CALLS_PER_S);
+    let mut fleet =
+        Fleet::start(GATEWAY_COUNT, replicas.entries(0..REPLICA_COUNT), list_service.addr, settings);
+    let clients = Clients::start(fleet.fronts(), REQUESTS_PER_S);
     thread::sleep(3 * SECOND);
-    let restarted: Vec<usize> = (0..GATEWAYS).filter(|n| n % 3 == 0).collect();
+    let restarted: Vec<usize> = (0..GATEWAY_COUNT).filter(|index| index % 3 == 0).collect();
     let mut fronts = fleet.fronts();
-    restarted.iter().for_each(|n| fronts[*n] = None);
+    restarted.iter().for_each(|index| fronts[*index] = None);
     clients.fronts(fronts);
     fleet.kill(&restarted);
-    let at = Instant::now();
+    let killed_at = Instant::now();
     fleet.spawn(&restarted);
     clients.fronts(fleet.fronts());
     thread::sleep(8 * SECOND);
-    let (ends, waits) = clients.stop();
-    let taken: Vec<_> = servers.taken().into_iter().filter(|(when, ..)| *when >= at).collect();
-    let all = |_: usize| true;
-    let (worst, _) = worst_window(&taken, &all, SERVERS, Duration::from_millis(100), 20);
-    println!("restart of {} of {GATEWAYS}:", restarted.len());
-    println!("  most at one server in 100 ms over the mean: {worst:.1}");
+    let (outcomes, latencies) = clients.stop();
+    let events: Vec<_> = replicas.taken().into_iter().filter(|(at, ..)| *at >= killed_at).collect();
+    let all_replicas = |_: usize| true;
+    let (max_over_mean, _) =
+        worst_window(&events, &all_replicas, REPLICA_COUNT, Duration::from_millis(100), 20);
+    println!("restart of {} of {GATEWAY_COUNT}:", restarted.len());
+    println!("  maximum requests at one replica in 100 ms, relative to the mean: {max_over_mean:.1}");
     println!(
-        "  idle beside a queue at the longest: {:.0} ms",
-        idle_while_queued(&taken, &all).as_secs_f64() * 1e3
+        "  longest time with one replica idle while another has a queue: {:.0} ms",
+        idle_while_queued(&events, &all_replicas).as_secs_f64() * 1e3
     );
-    clients_said(ends, &waits, at);
+    print_outcomes(outcomes, &latencies, killed_at);
 }
 
-fn clients_said(ends: Ends, waits: &[(Instant, Duration)], from: Instant) {
-    let mut firsts: Vec<Duration> = waits
+/// Prints the outcomes of all requests, and the times to the first byte of those sent within 10 s after `from`.
+fn print_outcomes(outcomes: Ends, latencies: &[(Instant, Duration)], from: Instant) {
+    let mut first_bytes: Vec<Duration> = latencies
         .iter()
         .filter(|(at, _)| *at >= from && *at < from + 10 * SECOND)
-        .map(|(_, first)| *first)
+        .map(|(_, first_byte)| *first_byte)
         .collect();
-    firsts.sort();
-    let quantile =
-        |q: f64| firsts.get((firsts.len() as f64 * q) as usize).map_or(0.0, |f| f.as_secs_f64() * 1e3);
+    first_bytes.sort();
+    let quantile_ms = |q: f64| {
+        let index = (first_bytes.len() as f64 * q) as usize;
+        first_bytes.get(index).map_or(0.0, |first_byte| first_byte.as_secs_f64() * 1e3)
+    };
     println!(
-        "  requests: {} served, {} turned down, {} lost, {} at killed gateways; first byte in the first 10 s: \
+        "  requests: {} served, {} rejected, {} lost, {} at killed gateways; first byte in the first 10 s: \
          p50 {:.1} ms, p99 {:.1} ms",
-        ends.served,
-        ends.turned_down,
-        ends.lost,
-        ends.killed,
-        quantile(0.5),
-        quantile(0.99)
+        outcomes.served,
+        outcomes.turned_down,
+        outcomes.lost,
+        outcomes.killed,
+        quantile_ms(0.5),
+        quantile_ms(0.99)
     );
 }
 
-fn connections(servers: &Servers) {
-    let taken = servers.taken();
-    let most = (0..SERVERS).map(|n| {
-        let at: Vec<Instant> = taken
+/// Prints the maximum number of new connections to one replica within a second.
+fn print_connections(replicas: &Servers) {
+    let events = replicas.taken();
+    let max_counts = (0..REPLICA_COUNT).map(|index| {
+        let connected_at: Vec<Instant> = events
             .iter()
-            .filter(|(_, s, what)| *s == n && *what == Seen::Connected)
+            .filter(|(_, replica, event)| *replica == index && *event == Seen::Connected)
             .map(|(at, ..)| *at)
             .collect();
-        peak(&at)
+        max_count_in_a_second(&connected_at)
     });
-    println!("  new connections at one server: {} at most in a second", most.max().unwrap_or(0));
+    println!("  new connections to one replica: {} at most in a second", max_counts.max().unwrap_or(0));
 }
 
-/// The most of these moments within any second.
-fn peak(at: &[Instant]) -> usize {
-    let mut at = at.to_vec();
-    at.sort();
-    let (mut most, mut first) = (0, 0);
-    for (n, now) in at.iter().enumerate() {
-        while at[first] + SECOND <= *now {
+/// Maximum number of these times within any interval of one second.
+fn max_count_in_a_second(times: &[Instant]) -> usize {
+    let mut times = times.to_vec();
+    times.sort();
+    let (mut max_count, mut first) = (0, 0);
+    for (index, time) in times.iter().enumerate() {
+        while times[first] + SECOND <= *time {
             first += 1;
         }
-        most = most.max(n + 1 - first);
+        max_count = max_count.max(index + 1 - first);
     }
-    most
+    max_count
 }
