--- a/crates/simulator/src/experiment/check.rs
+++ b/crates/simulator/src/experiment/check.rs
@@ -48,7 +48,7 @@
             check_sum("tenants", self.tenants.values().map(|tenant| tenant.traffic_fraction))?;
         }
         check_list(&self.list_service)?;
-        check_range("allow.attempts", f64::from(self.attempt_policy.max_attempts), 1.0..=100.0)?;
+        check_range("allow.attempts", f64::from(self.attempt_limits.max_attempts), 1.0..=100.0)?;
         check_range("clients.try_share", self.clients.attempt_deadline_fraction, 0.01..=1.0)?;
         check_range("clients.honour", self.clients.retry_after_compliance, 0.0..=1.0)?;
         for (name, fault) in &self.faults {
@@ -115,7 +115,7 @@
     let key = |part: &str| format!("classes.{name}.{part}");
     check_range(&key("turns"), class.mean_turns, 1.0..=1000.0)?;
     check_range(&key("zipf"), class.zipf_exponent, 0.0..=5.0)?;
-    check_range(&key("beginnings"), f64::from(class.prefixes), 1.0..=1e6)?;
+    check_range(&key("beginnings"), f64::from(class.prefix_count), 1.0..=1e6)?;
     check_tokens(key("beginning"), class.prefix_tokens)?;
     check_tokens(key("adds"), class.turn_tokens)?;
     check_tokens(key("answer"), class.response_tokens)?;
--- a/crates/simulator/src/experiment/gateways.rs
+++ b/crates/simulator/src/experiment/gateways.rs
@@ -29,17 +29,17 @@
 /// Limits of the gateways' attempts at replicas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct AttemptPolicy {
+pub struct AttemptLimits {
     /// Maximum number of attempts at replicas for one attempt of a client.
     #[serde(rename = "attempts")]
     pub max_attempts: u32,
     /// Whether a hedge is allowed: a second attempt while the first is in flight.
     #[serde(rename = "second_copies")]
-    pub hedging: bool,
+    pub is_hedging_allowed: bool,
 }
 
-impl Default for AttemptPolicy {
-    fn default() -> AttemptPolicy {
-        AttemptPolicy { max_attempts: 5, hedging: true }
+impl Default for AttemptLimits {
+    fn default() -> AttemptLimits {
+        AttemptLimits { max_attempts: 5, is_hedging_allowed: true }
     }
 }
--- a/crates/simulator/src/experiment/load.rs
+++ b/crates/simulator/src/experiment/load.rs
@@ -82,7 +82,7 @@
     pub mean_turns: f64,
     /// Number of shared prefixes.
     #[serde(rename = "beginnings")]
-    pub prefixes: u32,
+    pub prefix_count: u32,
     /// Exponent of the Zipf distribution of prefixes' popularity by rank; 0 is uniform.
     #[serde(rename = "zipf")]
     pub zipf_exponent: f64,
--- a/crates/simulator/src/experiment/load_balancer_settings.rs
+++ b/crates/simulator/src/experiment/load_balancer_settings.rs
@@ -35,14 +35,14 @@
             group_size: self.gateways.count,
             gateway_index,
             zone: Some(gateway_index as u16 % self.gateways.zones),
-            has_pushed_list: self.list_service.push,
+            has_pushed_list: self.list_service.has_push,
             tick: 0,
             classes: classes.collect(),
             tenants: tenants.collect(),
             over_share_value: OVER_SHARE_VALUE,
             limits: types::Limits {
-                max_attempts: self.attempt_policy.max_attempts,
-                hedging: self.attempt_policy.hedging,
+                max_attempts: self.attempt_limits.max_attempts,
+                hedging: self.attempt_limits.is_hedging_allowed,
                 cancellation: true,
                 probes: false,
                 peer_messages: false,
@@ -56,7 +56,10 @@
                 max_list_age: MAX_LIST_AGE,
             },
             units: types::UnitsMeaning::Size,
-            list_calls_per_s: self.list_service.advertises_rate.then_some(self.list_service.calls_per_s),
+            list_calls_per_s: self
+                .list_service
+                .has_advertised_rate
+                .then_some(self.list_service.calls_per_s),
             speeds: self.replicas.kinds.values().map(|kind| kind.speed).collect(),
             load_metrics: match self.replicas.load_reports {
                 Some(_) => vec![types::LoadMetric::Utilisation, types::LoadMetric::Errors],
--- a/crates/simulator/src/experiment/mod.rs
+++ b/crates/simulator/src/experiment/mod.rs
@@ -19,7 +19,7 @@
 use tulipridge::types::Nanos;
 
 pub use self::faults::{Fault, FaultKind};
-pub use self::gateways::{AttemptPolicy, Gateways};
+pub use self::gateways::{AttemptLimits, Gateways};
 pub use self::load::{Class, Clients, Load, LoadPhase, Tenant};
 pub use self::network::{DelayRange, ListService, Network};
 pub use self::policy_kind::PolicyKind;
@@ -70,7 +70,7 @@
     /// Limits of the gateways' attempts at replicas.
     #[serde(default)]
     #[serde(rename = "allow")]
-    pub attempt_policy: AttemptPolicy,
+    pub attempt_limits: AttemptLimits,
     /// Faults, by name.
     #[serde(default)]
     pub faults: BTreeMap<String, Fault>,
--- a/crates/simulator/src/experiment/network.rs
+++ b/crates/simulator/src/experiment/network.rs
@@ -35,7 +35,8 @@
 pub struct ListService {
     /// Whether the service pushes the list and changes of it without being called.
     #[serde(default)]
-    pub push: bool,
+    #[serde(rename = "push")]
+    pub has_push: bool,
     /// Range of the delay of each change; `None` to use `notice` and `add` instead.
     #[serde(default)]
     #[serde(rename = "late")]
@@ -45,7 +46,7 @@
     /// Whether the settings of the gateways contain `calls_per_s`.
     #[serde(default)]
     #[serde(rename = "told")]
-    pub advertises_rate: bool,
+    pub has_advertised_rate: bool,
     /// Maximum wait of a call, including its service. A call that would wait longer is rejected at once and at no cost,
     /// with this time as the delay before the next one. `None` for no limit.
     #[serde(with = "humantime_serde", default)]
--- a/crates/simulator/src/experiment/replicas.rs
+++ b/crates/simulator/src/experiment/replicas.rs
@@ -61,7 +61,7 @@
     pub batch_size: usize,
     /// Capacity in tokens, both of the prompt cache and of the batch.
     #[serde(rename = "memory")]
-    pub cache_tokens: u64,
+    pub capacity_tokens: u64,
     /// Duration of a decoding step at speed 1.
     #[serde(with = "humantime_serde")]
     #[serde(rename = "step")]
--- a/crates/simulator/src/fleet/attempts.rs
+++ b/crates/simulator/src/fleet/attempts.rs
@@ -27,10 +27,10 @@
         let now = self.now();
         let process =
             ReplicaProcess { replica: index, incarnation: self.replicas[index].replica.incarnation };
-        let Some(request) = self.requests[number as usize].as_mut() else { return };
+        let Some(request) = self.gateway_requests[number as usize].as_mut() else { return };
         let id = AttemptId { request: number, attempt: request.attempts.len() as u32 };
         request.attempts.push(Attempt { process, stage: AttemptStage::Sent, sent: now });
-        let client = &self.clients[request.client];
+        let client = &self.client_requests[request.client];
         let cost_tokens = f64::from(client.prompt_tokens) + RESPONSE_COST_TOKENS;
         self.recorder.add_attempt(now, client.arrived, index);
         if let Some(load) = self.fleet_load.borrow_mut().get_mut(&*replica.0) {
@@ -53,7 +53,7 @@
         let network = &self.experiment.network;
         let round_trip = 2 * self.latency(link.gateway, link.replica);
         let replica = &self.replicas[link.replica].replica;
-        if !replica.is_alive {
+        if !replica.is_running {
             // The process is down, so the machine refuses the connection after one round trip.
             return Connection::Failed { delay: round_trip };
         }
@@ -79,14 +79,14 @@
 
     /// Sends a client a final response without a stream: a rejection or a failure. No effect on a closed request.
     pub(super) fn respond_to_client(&mut self, number: u64, outcome: RequestOutcome, retry_after: Nanos) {
-        let Some(request) = self.requests[number as usize].as_mut() else { return };
+        let Some(request) = self.gateway_requests[number as usize].as_mut() else { return };
         if std::mem::replace(&mut request.is_closed, true) {
             return;
         }
         let (client, attempts) = (request.client, request.attempts.len());
         if request.streaming.is_none() {
-            let arrived = self.clients[client].arrived;
-            if attempts >= self.experiment.attempt_policy.max_attempts as usize {
+            let arrived = self.client_requests[client].arrived;
+            if attempts >= self.experiment.attempt_limits.max_attempts as usize {
                 self.recorder.add_exhausted(arrived);
             }
             if outcome == RequestOutcome::Rejected {
@@ -109,13 +109,13 @@
 
     /// The stage of an attempt; `None` if its request has been removed.
     pub(super) fn attempt_stage(&self, id: AttemptId) -> Option<AttemptStage> {
-        let request = self.requests.get(id.request as usize)?.as_ref()?;
+        let request = self.gateway_requests.get(id.request as usize)?.as_ref()?;
         request.attempts.get(id.attempt as usize).map(|attempt| attempt.stage)
     }
 
     /// Ends an attempt at its gateway. The cancellation reaches the replica after the one-way latency.
     pub(super) fn abandon_attempt(&mut self, id: AttemptId) {
-        let Some(request) = self.requests[id.request as usize].as_mut() else { return };
+        let Some(request) = self.gateway_requests[id.request as usize].as_mut() else { return };
         let Some(attempt) = request.attempts.get_mut(id.attempt as usize) else { return };
         if attempt.stage == AttemptStage::Ended {
             return;
@@ -130,7 +130,7 @@
     /// Abandons an attempt and notifies the policy by a separate event, as for all outcomes.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId) {
         self.abandon_attempt(id);
-        if let Some(request) = self.requests[id.request as usize].as_mut() {
+        if let Some(request) = self.gateway_requests[id.request as usize].as_mut() {
             request.pending_cancellations += 1;
         }
         self.schedule_end(0, id, Verdict::Cancelled);
@@ -146,12 +146,12 @@
     /// Delivers an attempt to its replica, which enqueues, resets or fails it.
     pub(super) fn deliver_attempt(&mut self, id: AttemptId) {
         let now = self.now();
-        let Some(request) = self.requests[id.request as usize].as_ref() else { return };
+        let Some(request) = self.gateway_requests[id.request as usize].as_ref() else { return };
         let attempt = &request.attempts[id.attempt as usize];
         if attempt.stage != AttemptStage::Sent {
             return;
         }
-        let (process, client) = (attempt.process, &self.clients[request.client]);
+        let (process, client) = (attempt.process, &self.client_requests[request.client]);
         let job = Job {
             id,
             prefix: client.prefix,
@@ -162,7 +162,7 @@
         };
         let latency = self.latency(request.process.gateway, process.replica);
         let replica = &self.replicas[process.replica].replica;
-        if !replica.is_alive || replica.incarnation != process.incarnation {
+        if !replica.is_running || replica.incarnation != process.incarnation {
             return self.schedule_end(latency, id, Verdict::Reset);
         }
         self.recorder.add_arrival(now, process.replica);
@@ -181,7 +181,7 @@
             return;
         }
         let now = self.now();
-        let Some(request) = self.requests[id.request as usize].as_mut() else { return };
+        let Some(request) = self.gateway_requests[id.request as usize].as_mut() else { return };
         if request.streaming.is_some() || request.is_closed {
             return self.cancel_attempt(id);
         }
@@ -189,7 +189,7 @@
         let attempt = &mut request.attempts[id.attempt as usize];
         attempt.stage = AttemptStage::Streaming;
         let (elapsed, gateway) = (now - attempt.sent, request.process.gateway);
-        let client = &mut self.clients[request.client];
+        let client = &mut self.client_requests[request.client];
         client.first_token = client.first_token.or(Some(now));
         let event = Event::FirstToken { id: RequestId(id.request), attempt: id.attempt, elapsed };
         self.notify_policy(gateway, event);
@@ -199,7 +199,7 @@
     pub(super) fn end_attempt(&mut self, end: AttemptEnd) {
         let AttemptEnd { id, verdict, cached_tokens } = end;
         let now = self.now();
-        let Some(request) = self.requests[id.request as usize].as_mut() else { return };
+        let Some(request) = self.gateway_requests[id.request as usize].as_mut() else { return };
         let Some(attempt) = request.attempts.get_mut(id.attempt as usize) else { return };
         let stage = std::mem::replace(&mut attempt.stage, AttemptStage::Ended);
         // The outcome of an abandoned attempt is notified after its end; all other attempts end once.
@@ -220,7 +220,7 @@
             self.end_stream(client, Link { gateway, replica }, &end);
         }
         if verdict == Verdict::Error {
-            self.recorder.add_error(now, self.clients[client].arrived, replica);
+            self.recorder.add_error(now, self.client_requests[client].arrived, replica);
         }
         let report = match verdict {
             Verdict::Ok | Verdict::Error => self.load_report(replica),
@@ -242,7 +242,8 @@
         }
         let expiry = self.now() + nanos(self.experiment.network.idle_timeout);
         self.idle_connections.entry(link).or_default().push(expiry);
-        let (arrived, prompt_tokens) = (self.clients[client].arrived, self.clients[client].prompt_tokens);
+        let (arrived, prompt_tokens) =
+            (self.client_requests[client].arrived, self.client_requests[client].prompt_tokens);
         self.recorder.add_cached_tokens(arrived, end.cached_tokens.unwrap_or(0), prompt_tokens);
         self.finish_served(client);
     }
@@ -250,13 +251,13 @@
     /// Removes a closed request without attempts in flight from its gateway, and from the fleet once no cancellation is
     /// pending.
     pub(super) fn clean_up_request(&mut self, number: u64) {
-        let Some(request) = &self.requests[number as usize] else { return };
+        let Some(request) = &self.gateway_requests[number as usize] else { return };
         let has_attempts = request.attempts.iter().any(|attempt| attempt.stage != AttemptStage::Ended);
         if request.is_closed && !has_attempts {
             let open_requests = &mut self.gateways[request.process.gateway].open_requests;
             open_requests.retain(|open| *open != number);
             if request.pending_cancellations == 0 {
-                self.requests[number as usize] = None;
+                self.gateway_requests[number as usize] = None;
             }
         }
     }
--- a/crates/simulator/src/fleet/clients.rs
+++ b/crates/simulator/src/fleet/clients.rs
@@ -59,9 +59,9 @@
         let class = class(experiment, index)?;
         let tenants = experiment.tenants.values().map(|tenant| tenant.traffic_fraction);
         let tenant = (!experiment.tenants.is_empty()).then(|| weighted_index(arrivals, tenants));
-        let rank = Zipf::new(f64::from(class.prefixes), class.zipf_exponent)
+        let rank = Zipf::new(f64::from(class.prefix_count), class.zipf_exponent)
             .map_or(1.0, |distribution| distribution.sample(arrivals)) as u32;
-        self.sessions += 1;
+        self.session_count += 1;
         let zone = arrivals.random_range(0..experiment.gateways.zones);
         // The length of a prefix is the same for all sessions.
         let mut lengths =
@@ -70,7 +70,7 @@
         Some(Session {
             tenant,
             zone,
-            number: self.sessions,
+            number: self.session_count,
             prefix: PrefixId { class: index, rank },
             prefix_tokens,
             context_tokens: prefix_tokens,
@@ -84,8 +84,8 @@
         let prompt_tokens = session.context_tokens + random_tokens(arrivals, class.turn_tokens);
         let response_tokens = random_tokens(arrivals, class.response_tokens);
         let now = self.queue.now();
-        let client = self.clients.len();
-        self.clients.push(ClientRequest {
+        let client = self.client_requests.len();
+        self.client_requests.push(ClientRequest {
             tenant: session.tenant,
             zone: session.zone,
             session: session.number,
@@ -113,7 +113,7 @@
     /// Sends a client's request to a gateway, as its first attempt or as a retry.
     pub(super) fn send_client_attempt(&mut self, index: usize) {
         let now = self.now();
-        let client = &mut self.clients[index];
+        let client = &mut self.client_requests[index];
         if client.is_finished {
             return;
         }
@@ -137,9 +137,9 @@
 
     /// Registers a client's attempt at a gateway, and returns the number of the request.
     fn open_request(&mut self, client: usize, gateway: usize) -> u64 {
-        let number = self.requests.len() as u64;
+        let number = self.gateway_requests.len() as u64;
         let process = self.gateway_process(gateway);
-        self.requests.push(Some(GatewayRequest {
+        self.gateway_requests.push(Some(GatewayRequest {
             client,
             process,
             attempts: Vec::new(),
@@ -153,7 +153,7 @@
 
     /// Converts a client's request to the policy's form.
     fn policy_request(&self, client: usize, number: u64, expires_in: Nanos) -> Request {
-        let client = &self.clients[client];
+        let client = &self.client_requests[client];
         let prefix = client.prefix;
         Request {
             id: RequestId(number),
@@ -188,7 +188,7 @@
         let settings = &self.experiment.clients;
         let is_compliant = self.random.front_layer.random::<f64>() < settings.retry_after_compliance;
         let now = self.now();
-        let client = &self.clients[index];
+        let client = &self.client_requests[index];
         if client.is_finished {
             return;
         }
@@ -201,7 +201,7 @@
 
     /// Closes a client's attempt that has no first token at its timeout, and retries it if possible.
     pub(super) fn time_out_client_attempt(&mut self, number: u64) {
-        let Some(request) = self.requests[number as usize].as_mut() else { return };
+        let Some(request) = self.gateway_requests[number as usize].as_mut() else { return };
         if request.is_closed || request.streaming.is_some() {
             return;
         }
@@ -214,7 +214,7 @@
 
     /// Finishes a client's request that was served: in time if the first token met the latency target, else late.
     pub(super) fn finish_served(&mut self, index: usize) {
-        let client = &self.clients[index];
+        let client = &self.client_requests[index];
         let Some(class) = class(self.experiment, client.prefix.class) else { return };
         let per_token = nanos(class.latency_target_per_1000_tokens) / 1000;
         let target = nanos(class.latency_target) + per_token * Nanos::from(client.prompt_tokens);
@@ -231,7 +231,7 @@
         outcome: RequestOutcome,
         first_token: Option<Nanos>,
     ) {
-        let client = &mut self.clients[index];
+        let client = &mut self.client_requests[index];
         if !std::mem::replace(&mut client.is_finished, true) {
             self.recorder.add_outcome(client.arrived, client.prefix.class, outcome, first_token);
         }
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -46,7 +46,7 @@
         let mut running: Vec<usize> = if from_gateways {
             (0..self.gateways.len()).filter(|index| self.gateways[*index].policy.is_some()).collect()
         } else {
-            (0..self.replicas.len()).filter(|index| self.replicas[*index].replica.is_alive).collect()
+            (0..self.replicas.len()).filter(|index| self.replicas[*index].replica.is_running).collect()
         };
         let count = (running.len() as f64 * fraction).round() as usize;
         for index in 0..count {
--- a/crates/simulator/src/fleet/gateways.rs
+++ b/crates/simulator/src/fleet/gateways.rs
@@ -99,12 +99,12 @@
 
     /// Drops a request of a gateway that has stopped; the client retries unless its stream had begun.
     fn drop_request(&mut self, number: u64) {
-        let Some(request) = self.requests[number as usize].as_ref() else { return };
+        let Some(request) = self.gateway_requests[number as usize].as_ref() else { return };
         let (client, is_streaming) = (request.client, request.streaming.is_some());
         for attempt in 0..request.attempts.len() as u32 {
             self.abandon_attempt(AttemptId { request: number, attempt });
         }
-        self.requests[number as usize] = None;
+        self.gateway_requests[number as usize] = None;
         if is_streaming {
             self.finish_client(client, RequestOutcome::Broken, None);
         } else {
--- a/crates/simulator/src/fleet/list_service.rs
+++ b/crates/simulator/src/fleet/list_service.rs
@@ -13,9 +13,10 @@
 impl Fleet<'_> {
     /// Sends a gateway's call to the list service, which queues or rejects it. In an outage the call times out.
     pub(super) fn call_list_service(&mut self, gateway: usize) {
-        self.list_service.last_call += 1;
+        self.list_service.last_call_number += 1;
         self.recorder.add_list_call();
-        let call = ListCall { caller: self.gateway_process(gateway), number: self.list_service.last_call };
+        let call =
+            ListCall { caller: self.gateway_process(gateway), number: self.list_service.last_call_number };
         self.gateways[gateway].list_call = Some(call.number);
         // Calls are served one after another, so the wait includes all queued ones.
         let wait = self.list_call_duration().saturating_mul(self.list_service.queue.len() as u64 + 1);
@@ -104,7 +105,7 @@
             // Changes stay pending until the outage has ended.
             return;
         }
-        if settings.push {
+        if settings.has_push {
             self.push_complete_list();
         }
         let members = self.apply_due_changes();
--- a/crates/simulator/src/fleet/replicas.rs
+++ b/crates/simulator/src/fleet/replicas.rs
@@ -49,7 +49,7 @@
     /// Crashes a replica: resets its requests and closes its connections.
     pub(super) fn crash_replica(&mut self, index: usize) {
         for id in self.replicas[index].replica.crash() {
-            let Some(request) = &self.requests[id.request as usize] else { continue };
+            let Some(request) = &self.gateway_requests[id.request as usize] else { continue };
             let latency = self.latency(request.process.gateway, index);
             self.schedule_end(latency, id, Verdict::Reset);
         }
@@ -64,7 +64,7 @@
         let settings = &self.experiment.replicas;
         let entry = &mut self.replicas[index];
         let capacity = entry.replica.available_capacity(now, settings);
-        if capacity >= 1.0 || !entry.replica.is_alive {
+        if capacity >= 1.0 || !entry.replica.is_running {
             return;
         }
         let window = nanos(settings.overload_window);
@@ -86,8 +86,8 @@
     /// may send within their quotas, times the available capacity.
     fn sustainable_tokens_per_s(&self, index: usize, capacity: f64) -> f64 {
         let quota: f64 = self.experiment.tenants.values().map(|tenant| tenant.quota_per_s).sum();
-        let alive = self.replicas.iter().filter(|entry| entry.replica.is_alive);
-        let fleet_size: f64 = alive.map(|entry| entry.replica.size).sum();
+        let running = self.replicas.iter().filter(|entry| entry.replica.is_running);
+        let fleet_size: f64 = running.map(|entry| entry.replica.size).sum();
         let classes = self.experiment.classes.values();
         let mean_cost: f64 = classes.map(|class| class.session_fraction * mean_cost_tokens(class)).sum();
         let size = self.replicas[index].replica.size;
@@ -119,7 +119,7 @@
         let mut events = std::mem::take(&mut self.buffers.step_events);
         self.replicas[process.replica].replica.end_step(now, &mut events);
         for event in events.drain(..) {
-            let Some(request) = &self.requests[event.id().request as usize] else { continue };
+            let Some(request) = &self.gateway_requests[event.id().request as usize] else { continue };
             let latency = self.latency(request.process.gateway, process.replica);
             let event = match event {
                 StepEvent::FirstToken(id) => FleetEvent::FirstToken(id),
--- a/crates/simulator/src/fleet/run.rs
+++ b/crates/simulator/src/fleet/run.rs
@@ -42,8 +42,10 @@
 
     /// Counts streams in progress at the end as served, since only the first token decides whether they are in time.
     fn count_open_streams(&mut self) {
-        for client in 0..self.clients.len() {
-            if self.clients[client].first_token.is_some() && !self.clients[client].is_finished {
+        for client in 0..self.client_requests.len() {
+            if self.client_requests[client].first_token.is_some()
+                && !self.client_requests[client].is_finished
+            {
                 self.finish_served(client);
             }
         }
--- a/crates/simulator/src/fleet/state.rs
+++ b/crates/simulator/src/fleet/state.rs
@@ -76,7 +76,7 @@
 pub(super) struct ListServiceState {
     pub(super) pending_changes: Vec<PendingChange>,
     pub(super) queue: VecDeque<ListCall>,
-    pub(super) last_call: u64,
+    pub(super) last_call_number: u64,
     pub(super) unavailable_until: Nanos,
 }
 
@@ -127,11 +127,11 @@
     pub(super) gateways: Vec<GatewayState>,
     pub(super) replicas: Vec<ReplicaEntry>,
     pub(super) replica_index: BTreeMap<ReplicaId, usize>,
-    pub(super) clients: Vec<ClientRequest>,
+    pub(super) client_requests: Vec<ClientRequest>,
     /// Clients' attempts at gateways, by request number; `None` after their removal.
-    pub(super) requests: Vec<Option<GatewayRequest>>,
+    pub(super) gateway_requests: Vec<Option<GatewayRequest>>,
     /// Number of sessions so far.
-    pub(super) sessions: u64,
+    pub(super) session_count: u64,
     /// Expiry times of the idle connections of each pair.
     pub(super) idle_connections: BTreeMap<Link, Vec<Nanos>>,
     pub(super) list_service: ListServiceState,
@@ -180,7 +180,7 @@
     pub(super) fn record_replica(&mut self, index: usize) {
         let replica = &self.replicas[index].replica;
         let state = ReplicaState {
-            is_alive: replica.is_alive,
+            is_running: replica.is_running,
             in_flight: replica.in_flight(),
             queued: replica.queued(),
         };
--- a/crates/simulator/src/policy/baseline.rs
+++ b/crates/simulator/src/policy/baseline.rs
@@ -54,7 +54,7 @@
     requests: BTreeMap<RequestId, PendingRequest>,
     timers: BTreeMap<u64, Timer>,
     last_token: u64,
-    round_robin: usize,
+    round_robin_position: usize,
     list_calls: ListSchedule,
 }
 
@@ -67,7 +67,7 @@
         fleet_load: SharedFleetLoad,
     ) -> BaselinePolicy {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let round_robin = random.random_range(0..MAX_ROUND_ROBIN_OFFSET);
+        let round_robin_position = random.random_range(0..MAX_ROUND_ROBIN_OFFSET);
         let list_calls = ListSchedule::from_settings(&settings);
         BaselinePolicy {
             kind,
@@ -79,7 +79,7 @@
             requests: BTreeMap::new(),
             timers: BTreeMap::new(),
             last_token: 0,
-            round_robin,
+            round_robin_position,
             list_calls,
         }
     }
@@ -158,10 +158,10 @@
     }
 
     fn update_list(&mut self, now: Nanos, kind: ListKind, members: &[Member], actions: &mut Vec<Action>) {
-        let chance = self.random.random();
+        let jitter = self.random.random();
         let wait = match kind {
-            ListKind::Persisted => Some(self.list_calls.first_wait(now, chance)),
-            ListKind::Failed => Some(self.list_calls.record_failure(now, chance)),
+            ListKind::Persisted => Some(self.list_calls.first_wait(now, jitter)),
+            ListKind::Failed => Some(self.list_calls.record_failure(now, jitter)),
             ListKind::Complete | ListKind::Changes | ListKind::Local => None,
         };
         match wait {
@@ -251,8 +251,8 @@
                 selection::random(&candidates, &mut self.random)
             }
             PolicyKind::RoundRobin => {
-                self.round_robin += 1;
-                candidates[self.round_robin % candidates.len()].0
+                self.round_robin_position += 1;
+                candidates[self.round_robin_position % candidates.len()].0
             }
             PolicyKind::TwoChoices => selection::two_choices(&candidates, &mut self.random),
             PolicyKind::LeastInFlight => selection::least_in_flight(&candidates, &mut self.random),
--- a/crates/simulator/src/record/recorder.rs
+++ b/crates/simulator/src/record/recorder.rs
@@ -150,14 +150,14 @@
     }
 
     fn summarize_window(&self, length: f64) -> Window {
-        let alive: Vec<&ReplicaHistory> =
-            self.replicas.iter().filter(|history| history.state.is_alive).collect();
-        let batch_size: f64 = alive.iter().map(|history| history.batch_size).sum();
-        let in_flight = alive.iter().map(|history| history.in_flight_time).sum::<f64>() / length;
-        let loads: Vec<f64> = alive.iter().map(|history| history.load(length)).collect();
+        let running: Vec<&ReplicaHistory> =
+            self.replicas.iter().filter(|history| history.state.is_running).collect();
+        let batch_size: f64 = running.iter().map(|history| history.batch_size).sum();
+        let in_flight = running.iter().map(|history| history.in_flight_time).sum::<f64>() / length;
+        let loads: Vec<f64> = running.iter().map(|history| history.load(length)).collect();
         let mean = in_flight / batch_size.max(f64::MIN_POSITIVE);
         let over_mean = |load: f64| if mean > 0.0 { load / mean } else { 0.0 };
-        let replacements = alive.iter().filter(|history| history.is_replacement);
+        let replacements = running.iter().filter(|history| history.is_replacement);
         let replaced_time = replacements.clone().fold(0.0, |sum, history| sum + history.in_flight_time);
         let replaced_size = replacements.fold(0.0, |sum, history| sum + history.batch_size);
         let connections = self.replicas.iter().map(|history| history.connections);
@@ -212,7 +212,7 @@
         let mut had_free_capacity = false;
         for replica in with_free_capacity {
             had_free_capacity = true;
-            self.replicas[replica].totals.had_free_capacity += u64::from(is_recorded);
+            self.replicas[replica].totals.rejections_with_free_capacity += u64::from(is_recorded);
         }
         self.rejected += u64::from(is_recorded);
         self.count(arrived, |counts| counts.rejected_with_free_capacity += u64::from(had_free_capacity));
--- a/crates/simulator/src/record/replica_history.rs
+++ b/crates/simulator/src/record/replica_history.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaState {
     /// Whether the process is running.
-    pub is_alive: bool,
+    pub is_running: bool,
     /// Requests in the queue and the batch.
     pub in_flight: usize,
     /// Requests in the queue.
@@ -21,11 +21,11 @@
 
 impl ReplicaState {
     pub(super) fn is_idle(self) -> bool {
-        self.is_alive && self.in_flight == 0
+        self.is_running && self.in_flight == 0
     }
 
     pub(super) fn has_queue(self) -> bool {
-        self.is_alive && self.queued > 0
+        self.is_running && self.queued > 0
     }
 }
 
@@ -36,7 +36,7 @@
     pub(super) attempts: u64,
     pub(super) errors: u64,
     /// Rejections of clients' attempts at which the replica had free capacity.
-    pub(super) had_free_capacity: u64,
+    pub(super) rejections_with_free_capacity: u64,
 }
 
 /// History of one replica up to the current time.
@@ -101,7 +101,7 @@
     /// Ends a window of `length` nanoseconds, and keeps its load if `is_recorded`.
     pub(super) fn end_window(&mut self, length: f64, is_recorded: bool) {
         if is_recorded {
-            self.loads.push(self.state.is_alive.then_some(self.load(length)));
+            self.loads.push(self.state.is_running.then_some(self.load(length)));
         }
         self.in_flight_time = 0.0;
         self.connections = 0;
@@ -116,7 +116,9 @@
             arrivals: self.totals.arrivals,
             attempts: self.totals.attempts,
             errors: self.totals.errors,
-            had_free_capacity: round(self.totals.had_free_capacity as f64 / rejected.max(1) as f64),
+            free_capacity_at_rejections: round(
+                self.totals.rejections_with_free_capacity as f64 / rejected.max(1) as f64,
+            ),
             loads: self
                 .loads
                 .chunks(WINDOWS_PER_SECOND)
--- a/crates/simulator/src/record/summary.rs
+++ b/crates/simulator/src/record/summary.rs
@@ -135,7 +135,7 @@
     /// Fraction of the fleet's rejections of clients' attempts at which this replica was healthy and had free capacity.
     #[serde(default)]
     #[serde(rename = "had_room")]
-    pub had_free_capacity: f64,
+    pub free_capacity_at_rejections: f64,
     /// Average load in each second after the warm-up; `None` if the replica was down throughout.
     #[serde(default)]
     pub loads: Vec<Option<f64>>,
--- a/crates/simulator/src/replica/batch.rs
+++ b/crates/simulator/src/replica/batch.rs
@@ -46,7 +46,7 @@
     pub(super) fn new(kind: &MachineKind) -> Batch {
         Batch {
             size: kind.batch_size,
-            capacity_tokens: kind.cache_tokens,
+            capacity_tokens: kind.capacity_tokens,
             step: nanos(kind.step_duration),
             prefill_tokens_per_s: kind.prefill_tokens_per_s,
             queue: VecDeque::new(),
@@ -108,7 +108,7 @@
 
     /// Begins a step, and returns its duration in nanoseconds at speed 1; `None` if the batch is empty.
     pub(super) fn begin_step(&mut self, chunk_tokens: u32) -> Option<f64> {
-        self.fill();
+        self.admit_from_queue();
         if self.running.is_empty() {
             return None;
         }
@@ -122,7 +122,7 @@
     }
 
     /// Moves requests from the queue into the batch while its size and memory allow. An empty batch takes any request.
-    fn fill(&mut self) {
+    fn admit_from_queue(&mut self) {
         while self.running.len() < self.size
             && let Some(job) = self.queue.front()
             && (self.running.is_empty()
--- a/crates/simulator/src/replica/mod.rs
+++ b/crates/simulator/src/replica/mod.rs
@@ -44,7 +44,7 @@
     /// Size: units times speed.
     pub size: f64,
     /// Whether the process is running.
-    pub is_alive: bool,
+    pub is_running: bool,
     /// Faults that are active now.
     pub faults: ReplicaFaults,
     /// Time of the last start; `None` if the replica started before the simulation, with its full capacity.
@@ -73,7 +73,7 @@
             zone,
             kind,
             size: machine.units * machine.speed,
-            is_alive: true,
+            is_running: true,
             faults: ReplicaFaults::default(),
             started: None,
             incarnation: 0,
@@ -110,7 +110,7 @@
 
     /// Crashes the replica, and returns the attempts that are lost. Ends all faults except the slowdown.
     pub fn crash(&mut self) -> Vec<AttemptId> {
-        self.is_alive = false;
+        self.is_running = false;
         self.faults = ReplicaFaults { slowdown: self.faults.slowdown, ..ReplicaFaults::default() };
         self.is_stepping = false;
         self.incarnation += 1;
@@ -119,7 +119,7 @@
 
     /// Starts the replica in slow start, and reconnects its machine.
     pub fn start(&mut self, now: Nanos) {
-        self.is_alive = true;
+        self.is_running = true;
         self.faults.is_unreachable = false;
         self.started = Some(now);
     }
@@ -138,7 +138,7 @@
     pub fn has_free_capacity(&self, now: Nanos, settings: &Replicas) -> bool {
         let has_fault =
             self.faults.is_unreachable || self.faults.is_hanging || self.faults.error_fraction != 0.0;
-        let is_healthy = self.is_alive && !has_fault;
+        let is_healthy = self.is_running && !has_fault;
         is_healthy && self.batch.queued() == 0 && self.available_capacity(now, settings) >= 1.0
     }
 
@@ -156,7 +156,7 @@
     /// prevents it.
     pub fn begin_step(&mut self, now: Nanos, settings: &Replicas) -> Option<Nanos> {
         let is_blocked = self.is_stepping || self.faults.is_unreachable || self.faults.is_hanging;
-        if is_blocked || !self.is_alive {
+        if is_blocked || !self.is_running {
             return None;
         }
         let work = self.batch.begin_step(settings.prefill_chunk_tokens)?;
--- a/crates/simulator/src/report/columns.rs
+++ b/crates/simulator/src/report/columns.rs
@@ -67,7 +67,7 @@
     let row = |replica: &ReplicaSummary| {
         let error_fraction = replica.errors as f64 / replica.attempts.max(1) as f64;
         let (attempts, errors) = (replica.attempts as f64, replica.errors as f64);
-        let values = [replica.load, attempts, errors, error_fraction, replica.had_free_capacity];
+        let values = [replica.load, attempts, errors, error_fraction, replica.free_capacity_at_rejections];
         Row {
             title: format!("{} ({})", replica.name, replica.kind),
             cells: values.map(format_value).into(),
--- a/crates/simulator/tests/experiments.rs
+++ b/crates/simulator/tests/experiments.rs
@@ -272,7 +272,10 @@
     let summary = recorder.summary("none");
     let all = summary.intervals.iter().find(|interval| interval.name == "all").expect("the interval");
     assert_eq!((all.rejected_with_free_capacity, summary.rejected), (0.5, 3));
-    assert_eq!([0, 1].map(|index: usize| summary.replicas[index].had_free_capacity), [0.3333, 0.6667]);
+    assert_eq!(
+        [0, 1].map(|index: usize| summary.replicas[index].free_capacity_at_rejections),
+        [0.3333, 0.6667]
+    );
 }
 
 #[test]
--- a/crates/simulator/tests/replica.rs
+++ b/crates/simulator/tests/replica.rs
@@ -14,7 +14,7 @@
         units: 1.0,
         speed: 1.0,
         batch_size: 2,
-        cache_tokens: 10_000,
+        capacity_tokens: 10_000,
         step_duration: Duration::from_millis(10),
         prefill_tokens_per_s: 10_000.0,
     };
@@ -112,7 +112,7 @@
         replica.enqueue(job(at, at));
         let duration = replica.begin_step(at, &settings);
         replica.crash();
-        replica.is_alive = true;
+        replica.is_running = true;
         duration.unwrap_or(0)
     };
     assert_eq!(step_duration(&mut replica, SECOND), 4 * 110 * MILLISECOND);
