--- a/crates/simulator/src/experiment/network.rs
+++ b/crates/simulator/src/experiment/network.rs
@@ -29,7 +29,7 @@
     pub connect_timeout: Duration,
 }
 
-/// The list service, which serves one call at a time or pushes changes.
+/// The list service, which serves one call at a time and publishes changes at intervals.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListService {
