--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the program's commands.
+//! Errors of the commands.
 
 use std::error::Error;
 use std::fmt;
@@ -8,31 +8,31 @@
 use tulipridge::settings::SettingsError;
 use tulipridge_simulator::report::ReportError;
 
-/// Why a command failed.
+/// An error that makes a command fail.
 #[derive(Debug)]
 pub(crate) enum CommandError {
-    /// A file or folder could not be read or written.
+    /// Reading or writing a file or folder failed.
     File {
-        /// Its path.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The experiment is invalid.
     Experiment {
-        /// The first invalid value, with file, position and key.
+        /// First invalid value, with file, position and key.
         source: SettingsError,
     },
-    /// A file is not a report.
-    NoReport {
-        /// Its path.
+    /// A file is not a valid report.
+    InvalidReport {
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The parser's error.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// A report could not be made, written or compared.
+    /// Simulating an experiment, or rendering or comparing reports failed.
     Report {
-        /// The error.
+        /// Error of the report.
         source: ReportError,
     },
 }
@@ -48,8 +48,8 @@
         match self {
             CommandError::File { path, source } => write!(formatter, "{}: {source}", path.display()),
             CommandError::Experiment { source } => write!(formatter, "{source}"),
-            CommandError::NoReport { path, source } => {
-                write!(formatter, "{}: no report: {source}", path.display())
+            CommandError::InvalidReport { path, source } => {
+                write!(formatter, "{}: not a valid report: {source}", path.display())
             }
             CommandError::Report { source } => write!(formatter, "{source}"),
         }
@@ -61,7 +61,7 @@
         match self {
             CommandError::File { source, .. } => Some(source),
             CommandError::Experiment { .. } => None,
-            CommandError::NoReport { source, .. } => Some(source),
+            CommandError::InvalidReport { source, .. } => Some(source),
             CommandError::Report { source } => Some(source),
         }
     }
--- a/crates/simulator/src/policy/baseline.rs
+++ b/crates/simulator/src/policy/baseline.rs
@@ -1,7 +1,7 @@
-//! Baseline policies: one way of selection each, and the same simple rest for all.
+//! Baseline policies, which differ only in how they select a replica.
 //!
-//! A replica that failed is ejected for two seconds, a failed attempt is retried at another replica, and a request for
-//! which there is none is rejected.
+//! All of them eject a replica for two seconds after a failure, retry a failed attempt at another replica, and reject a
+//! request for which no replica is available.
 
 use std::collections::BTreeMap;
 
@@ -18,12 +18,12 @@
 use crate::experiment::PolicyKind;
 use crate::time::SECOND;
 
-/// How long a replica that failed is ejected.
+/// Duration of a replica's ejection after a failure, in nanoseconds.
 const EJECTION_DURATION: Nanos = 2 * SECOND;
-/// The random initial offset of round robin is below this.
+/// Exclusive upper bound of the random initial offset of round robin.
 const MAX_ROUND_ROBIN_OFFSET: usize = 1 << 20;
 
-/// A request that has no response yet, or whose stream has not ended.
+/// A request whose response has not begun or not ended.
 struct PendingRequest {
     request: Request,
     deadline: Nanos,
@@ -35,15 +35,15 @@
     is_in_flight: bool,
 }
 
-/// What a timer is for.
+/// Purpose of a timer.
 enum Timer {
-    /// Call the list service.
+    /// Calls the list service.
     ListCall,
-    /// Fail a request.
+    /// Fails a request that has no first token.
     Deadline(RequestId),
 }
 
-/// A baseline policy.
+/// A baseline policy of one gateway, with its state.
 pub struct BaselinePolicy {
     kind: PolicyKind,
     settings: Settings,
@@ -54,12 +54,12 @@
     requests: BTreeMap<RequestId, PendingRequest>,
     timers: BTreeMap<u64, Timer>,
     last_token: u64,
-    round_robin: usize,
+    round_robin_position: usize,
     list_calls: ListSchedule,
 }
 
 impl BaselinePolicy {
-    /// A policy that knows no replica yet.
+    /// Creates a policy with an empty list of replicas.
     pub(super) fn new(
         kind: PolicyKind,
         settings: Settings,
@@ -67,7 +67,7 @@
         fleet_load: SharedFleetLoad,
     ) -> BaselinePolicy {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let round_robin = random.random_range(0..MAX_ROUND_ROBIN_OFFSET);
+        let round_robin_position = random.random_range(0..MAX_ROUND_ROBIN_OFFSET);
         let list_calls = ListSchedule::from_settings(&settings);
         BaselinePolicy {
             kind,
@@ -79,7 +79,7 @@
             requests: BTreeMap::new(),
             timers: BTreeMap::new(),
             last_token: 0,
-            round_robin,
+            round_robin_position,
             list_calls,
         }
     }
@@ -115,10 +115,10 @@
         let (id, deadline) = (request.id, now + request.expires_in);
         self.set_timer(request.expires_in, Timer::Deadline(id), actions);
         self.requests.insert(id, PendingRequest { request, deadline, attempts: Vec::new() });
-        self.place(now, id, actions);
+        self.send_or_reject(now, id, actions);
     }
 
-    /// Records the end of an attempt; false if it had ended before.
+    /// Records the end of an attempt; returns false if it had ended before.
     fn end_attempt(&mut self, now: Nanos, id: RequestId, attempt: usize, is_failure: bool) -> bool {
         let Some(pending) = self.requests.get_mut(&id) else { return false };
         let Some(attempt) = pending.attempts.get_mut(attempt) else { return false };
@@ -134,12 +134,12 @@
         true
     }
 
-    /// Removes a request whose stream has ended, or retries it.
+    /// Removes a request whose stream has ended; otherwise retries or rejects it.
     fn continue_request(&mut self, now: Nanos, id: RequestId, has_ended: bool, actions: &mut Vec<Action>) {
         if has_ended {
             self.requests.remove(&id);
         } else {
-            self.place(now, id, actions);
+            self.send_or_reject(now, id, actions);
         }
     }
 
@@ -158,10 +158,10 @@
     }
 
     fn update_list(&mut self, now: Nanos, kind: ListKind, members: &[Member], actions: &mut Vec<Action>) {
-        let chance = self.random.random();
+        let jitter = self.random.random();
         let wait = match kind {
-            ListKind::Persisted => Some(self.list_calls.first_wait(now, chance)),
-            ListKind::Failed => Some(self.list_calls.record_failure(now, chance)),
+            ListKind::Persisted => Some(self.list_calls.first_wait(now, jitter)),
+            ListKind::Failed => Some(self.list_calls.record_failure(now, jitter)),
             ListKind::Complete | ListKind::Changes | ListKind::Local => None,
         };
         match wait {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Updates one replica; returns whether its readiness has changed.
+    /// Updates one replica, and returns whether its readiness has changed.
     fn update_member(&mut self, member: &Member) -> bool {
         let speed = self.settings.speeds.get(usize::from(member.kind)).copied().unwrap_or(1.0);
         let is_ready = member.phase == Phase::Ready;
@@ -190,8 +190,9 @@
         std::mem::replace(&mut replica.is_ready, is_ready) != is_ready
     }
 
-    /// Sends a request to a replica that it has not been sent to, or rejects it.
-    fn place(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+    /// Sends a request to a replica without an attempt for it. Rejects it if there is none, after the last allowed
+    /// attempt, and from its deadline on.
+    fn send_or_reject(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let attempts = pending.attempts.len();
         let is_exhausted =
@@ -246,10 +247,12 @@
             return None;
         }
         let selected = match self.kind {
-            PolicyKind::Module | PolicyKind::Random => selection::random(&candidates, &mut self.random),
+            PolicyKind::LoadBalancer | PolicyKind::Random => {
+                selection::random(&candidates, &mut self.random)
+            }
             PolicyKind::RoundRobin => {
-                self.round_robin += 1;
-                candidates[self.round_robin % candidates.len()].0
+                self.round_robin_position += 1;
+                candidates[self.round_robin_position % candidates.len()].0
             }
             PolicyKind::TwoChoices => selection::two_choices(&candidates, &mut self.random),
             PolicyKind::LeastInFlight => selection::least_in_flight(&candidates, &mut self.random),
@@ -263,7 +266,7 @@
     }
 }
 
-/// The key of a request on the hash ring: its prefix, else its session, else itself.
+/// Key of a request on the hash ring: the hash of its prefix, else of its session, else of its id.
 fn hash_key(request: &Request) -> u64 {
     xxh3_64(&request.prefix.or(request.session).unwrap_or(request.id.0).to_le_bytes())
 }
--- a/crates/simulator/src/report/text.rs
+++ b/crates/simulator/src/report/text.rs
@@ -1,4 +1,4 @@
-//! The report as plain text, and the comparison of two reports.
+//! Reports as plain text, and comparisons of two reports.
 
 use std::fmt::Write;
 
@@ -7,11 +7,11 @@
 use super::error::{ExperimentId, ReportError};
 use crate::record::RunSummary;
 
-/// The table of replicas is part of the text for fleets of up to this size.
+/// Maximum number of replicas of a run for which the text includes the table of replicas.
 const MAX_LISTED_REPLICAS: usize = 20;
 
 impl Report {
-    /// The statistics as tables of plain text.
+    /// Formats the statistics as plain-text tables.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
@@ -20,18 +20,18 @@
             write_table(&mut text, &interval_titles(), &self.interval_rows(name));
         }
         for run in self.runs.iter().filter(|run| run.replicas.len() <= MAX_LISTED_REPLICAS) {
-            let _ = writeln!(text, "{}: {} tries turned down", run.policy, run.rejected);
+            let _ = writeln!(text, "{}: {} attempts of clients rejected", run.policy, run.rejected);
             write_table(&mut text, &REPLICA_COLUMNS, &replica_rows(run));
         }
         self.runs.iter().for_each(|run| write_run(&mut text, run));
         text
     }
 
-    /// The statistics of this report beside those of an earlier one, for the policies that both have.
+    /// Formats the statistics of this report next to those of an earlier one, for the policies in both.
     ///
     /// # Errors
     ///
-    /// [`ReportError::DifferentExperiments`] if the experiments or the seeds differ.
+    /// Returns [`ReportError::DifferentExperiments`] if the experiments or the seeds differ.
     pub fn compare(&self, before: &Report) -> Result<String, ReportError> {
         if self.experiment_id() != before.experiment_id() {
             let (before, after) = (before.experiment_id(), self.experiment_id());
@@ -64,8 +64,8 @@
 fn write_run(text: &mut String, run: &RunSummary) {
     let _ = writeln!(
         text,
-        "{}: {} events; list calls: {} at most in a second, {} failed, answered after {:.0} ms (median), {:.0} ms \
-         (longest), {} gateways without; cold at most {:.2} of what fells one",
+        "{}: {} events; list calls: {} at most in a second, {} failed, first list after {:.0} ms (median), {:.0} ms \
+         (maximum), {} gateways without a list; cold at most {:.2} of the overloading work",
         run.policy,
         run.events,
         run.intervals.iter().map(|interval| interval.list_calls_peak).max().unwrap_or(0),
--- a/crates/simulator/tests/replica.rs
+++ b/crates/simulator/tests/replica.rs
@@ -14,7 +14,7 @@
         units: 1.0,
         speed: 1.0,
         batch_size: 2,
-        cache_tokens: 10_000,
+        capacity_tokens: 10_000,
         step_duration: Duration::from_millis(10),
         prefill_tokens_per_s: 10_000.0,
     };
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_prompt_is_prefilled_in_chunks_and_a_cached_prefix_is_not_prefilled_again() {
+fn prefill_is_chunked_and_skips_a_cached_prefix() {
     let settings = settings();
     let mut replica = replica(&settings);
     replica.enqueue(job(1, 1));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_request_beyond_the_batch_is_queued_until_another_one_is_cancelled() {
+fn a_request_beyond_the_batch_waits_until_one_is_cancelled() {
     let settings = settings();
     let mut replica = replica(&settings);
     for request in 1..=3 {
@@ -112,7 +112,7 @@
         replica.enqueue(job(at, at));
         let duration = replica.begin_step(at, &settings);
         replica.crash();
-        replica.is_alive = true;
+        replica.is_running = true;
         duration.unwrap_or(0)
     };
     assert_eq!(step_duration(&mut replica, SECOND), 4 * 110 * MILLISECOND);
