--- a/examples/messages_bench.rs
+++ b/examples/messages_bench.rs
@@ -14,7 +14,7 @@
 
 use tulipridge::conformance::case::{self, Case, Fleet, Outcome};
 use tulipridge::conformance::stand_in::StandIns;
-use tulipridge::conformance::{self, PAIRINGS, Pairing, Running};
+use tulipridge::conformance::{self, GatewayProcess, PAIRINGS, Pairing};
 use tulipridge::names::Dialect;
 
 /// What became of a request, and its attempts.
@@ -113,8 +113,8 @@
     Ok(Cost { first, whole, cpu_us: used as f64 * 10_000.0 / count as f64 })
 }
 
-fn gateway(stand_ins: &StandIns, servers: Dialect) -> Result<Running, BenchError> {
-    Ok(Running::start(stand_ins, servers, &program()?, &std::env::temp_dir())?)
+fn gateway(stand_ins: &StandIns, servers: Dialect) -> Result<GatewayProcess, BenchError> {
+    Ok(GatewayProcess::start(stand_ins, servers, &program()?, &std::env::temp_dir())?)
 }
 
 fn program() -> Result<PathBuf, BenchError> {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -179,10 +179,10 @@
     let report = match (against, front, servers) {
         (Some(addr), Some(front), Some(servers)) => {
             let pairing = Pairing { front: front.into(), replicas: servers.into() };
-            Ok(conformance::against(&cases, pairing, addr))
+            Ok(conformance::run_against(&cases, pairing, addr))
         }
         _ => std::env::current_exe()
-            .and_then(|program| conformance::everywhere(&cases, &program, &std::env::temp_dir(), 16)),
+            .and_then(|program| conformance::run_all_pairings(&cases, &program, &std::env::temp_dir(), 16)),
     };
     match report {
         Ok(report) => {
--- a/src/conformance/case.rs
+++ b/src/conformance/case.rs
@@ -1,6 +1,6 @@
-//! Cases as data: what a client asks, what the replica does, and what the client must see.
+//! Test cases as data: the request of a client, the behaviour of the replicas, and the expected response.
 //!
-//! A case file is made of lines; `#` begins a comment, an indented line goes on with the case above it:
+//! A case file consists of lines. `#` begins a comment line, and an indented line belongs to the case above it:
 //!
 //! ```text
 //! case a-tool-call
@@ -15,10 +15,10 @@
 //!   attempts 1
 //! ```
 //!
-//! Words stand for themselves, texts are JSON strings, and a JSON value runs to the end of its line. `then` begins
-//! what the next attempt meets; the last one repeats. `see@messages` holds on that front alone; `sent@platform
-//! /tool_choice "required"` says what of the body reaches replicas of that dialect, by a JSON pointer, `null` being
-//! nothing.
+//! Arguments are plain words, JSON strings, or a JSON value that extends to the end of the line. `then` begins the script
+//! of the next attempt; the last script applies to all further attempts. `see@messages` applies to that front only.
+//! `sent@platform /tool_choice "required"` states the value that the body has at a JSON pointer when it reaches replicas of
+//! that dialect; `null` means that there is no such value.
 
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use winnow::Parser;
@@ -29,176 +29,176 @@
 
 use crate::names::Dialect;
 
-/// One case.
+/// A test case.
 #[derive(Clone, Debug, Default)]
 pub struct Case {
-    /// Its name.
+    /// The unique name, one word.
     pub name: String,
-    /// Where it stands.
+    /// The file and line of its first line.
     pub position: CasePosition,
-    /// The fronts that it is for; none: all.
+    /// The dialects of the fronts that it applies to; all if empty.
     pub fronts: Vec<Dialect>,
-    /// The replicas' dialects that it is for; none: all.
+    /// The dialects of the replicas that it applies to; all if empty.
     pub replicas: Vec<Dialect>,
-    /// The replicas that are there.
+    /// The replicas behind the gateway.
     pub fleet: Fleet,
-    /// What the client asks.
+    /// The parts of the request.
     pub request_directives: Vec<Directive>,
-    /// What each attempt meets.
+    /// The script of the replica for each attempt; the last one applies to all further attempts.
     pub serve: Vec<Vec<Directive>>,
-    /// What the client must see, and on which front that holds.
+    /// The expected response, for all fronts or one dialect.
     pub see: Vec<Expectation>,
-    /// What of its body reaches the replicas of which dialect: a JSON pointer and the value there.
+    /// The expected body at the replicas, for all or one dialect: a JSON pointer and the value there.
     pub sent: Vec<Expectation>,
-    /// What becomes of the request.
+    /// The expected outcome of the request.
     pub outcome: Outcome,
-    /// How many attempts reach a replica.
+    /// The expected number of attempts that reach a replica; `None` if any number is allowed.
     pub attempts: Option<usize>,
 }
 
-/// A line of a file.
+/// The position of a line in a case file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CasePosition {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// The line, from 1.
+    /// The number of the line; the first line is 1.
     pub line: usize,
 }
 
-/// Something that has to be observed.
+/// An observation that a case requires.
 #[derive(Clone, Debug)]
 pub struct Expectation {
-    /// The dialect for which it holds; none: each.
+    /// The dialect for which it is required; both if `None`.
     pub dialect: Option<Dialect>,
-    /// What it is.
+    /// The kind of observation, and its value.
     pub directive: Directive,
 }
 
-/// Why a file of cases can't be read.
+/// The reason why a case file can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{}:{}: {source}", position.file, position.line))]
 pub struct CaseError {
-    /// The line.
+    /// The invalid line.
     pub position: CasePosition,
-    /// What is wrong with it.
+    /// The reason why it is invalid.
     pub source: LineError,
 }
 
-/// What is wrong with a line.
+/// The reason why a line is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum LineError {
-    /// It can't be taken from the text.
+    /// No line can be read from the text.
     #[snafu(display("no line"))]
     NoLine,
-    /// It does not begin with a keyword.
+    /// The line does not begin with a keyword.
     #[snafu(display("no keyword"))]
     NoKeyword,
-    /// Something other than a blank follows the keyword.
+    /// A character other than a blank follows the keyword.
     #[snafu(display("a blank is missing after the keyword"))]
     NoBlank,
-    /// What follows is of no known form.
-    #[snafu(display("not words, texts or a JSON value"))]
+    /// The arguments are not words, strings or JSON values.
+    #[snafu(display("not words, strings or a JSON value"))]
     UnknownForm,
-    /// A value is not JSON.
+    /// An argument is not valid JSON.
     #[snafu(display("not a JSON value"))]
     NotJson,
-    /// The name of a case is not one word.
-    #[snafu(display("a case's name is one word"))]
+    /// The name of a case is missing or not a single word.
+    #[snafu(display("the name of a case must be a single word"))]
     InvalidName,
-    /// Another keyword than `case` is not indented.
-    #[snafu(display("only 'case' begins at a line's start"))]
+    /// A keyword other than `case` is not indented.
+    #[snafu(display("only 'case' may begin at the start of a line"))]
     NotIndented,
     /// Another case of the file has the name.
-    #[snafu(display("this name was given before"))]
+    #[snafu(display("this name is already in use"))]
     NameInUse,
     /// A case of another file has the name.
-    #[snafu(display("{name} stands in {file} too"))]
+    #[snafu(display("{name} is also defined in {file}"))]
     NameInOtherFile {
-        /// The name.
+        /// The duplicate name.
         name: String,
-        /// The other file.
+        /// The file that defines the other case.
         file: String,
     },
-    /// It belongs to no case.
-    #[snafu(display("no case to go on with"))]
+    /// An indented line precedes the first case.
+    #[snafu(display("no case precedes this line"))]
     NoCase,
-    /// A word is not one of those that are allowed there.
-    #[snafu(display("'{word}' is no {kind}"))]
+    /// A word is not one of those that are allowed at its position.
+    #[snafu(display("unknown {kind} '{word}'"))]
     UnknownWord {
-        /// The word.
+        /// The unknown word.
         word: String,
-        /// What it should be.
+        /// The kind of word that is expected.
         kind: &'static str,
     },
-    /// A keyword is missing after the first one.
-    #[snafu(display("a keyword has to follow"))]
+    /// The second keyword of the line is missing.
+    #[snafu(display("a second keyword is missing"))]
     NoDirective,
-    /// It serves an attempt that was not begun.
-    #[snafu(display("nothing to serve"))]
+    /// The case has no script to which the line could belong.
+    #[snafu(display("no attempt to serve"))]
     NothingToServe,
-    /// A JSON pointer and a value are missing.
-    #[snafu(display("a JSON pointer and one value have to follow"))]
+    /// The arguments are not a JSON pointer and a single value.
+    #[snafu(display("a JSON pointer and one value are required"))]
     NoPointer,
-    /// A number is missing.
+    /// The argument is not a number.
     #[snafu(display("not a number"))]
     NotANumber,
 }
 
-/// The replicas of a case.
+/// The replicas behind the gateway of a case.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fleet {
-    /// Three, shared with other cases.
+    /// Three replicas, shared with other cases.
     #[default]
     Shared,
-    /// Three of its own.
+    /// Three replicas for this case only.
     Own,
-    /// One of its own.
+    /// One replica for this case only.
     One,
-    /// Two of its own, of which one takes no connection.
+    /// Two replicas for this case only, of which one refuses connections.
     Dead,
-    /// Three of its own, of which one has just started and would fall over.
+    /// Three replicas for this case only, of which one has just started and is in slow start.
     Cold,
 }
 
-/// What becomes of a request.
+/// The outcome of a request, as the client observes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is served whole.
+    /// The response is complete.
     #[default]
     Served,
-    /// Its stream ends before it is whole.
+    /// The response ends before it is complete.
     Broken,
-    /// It is shed; a new try does no harm.
+    /// The request is shed; a retry is safe.
     Shed,
-    /// It fails.
+    /// The request fails.
     Failed,
-    /// It is held for wrong.
+    /// The request is refused as invalid.
     Refused,
 }
 
-/// A keyword and what follows it.
+/// A keyword and its arguments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Directive {
-    /// The keyword.
+    /// The keyword that determines the meaning of the arguments.
     pub keyword: String,
-    /// The rest.
+    /// The arguments in their order.
     pub arguments: Vec<Argument>,
 }
 
-/// A part of a line.
+/// An argument of a directive.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Argument {
-    /// A plain word.
+    /// A word without quotes.
     Plain(String),
-    /// A text, as the JSON string that it is written as.
+    /// A JSON string, with its quotes and escapes.
     Text(String),
-    /// A JSON value that is no text.
+    /// A JSON value other than a string.
     Json(String),
 }
 
 impl Argument {
-    /// Its characters, in whichever form it was written.
+    /// The text of the argument: that of the JSON string, or else the characters as written.
     #[must_use]
     pub fn text(&self) -> String {
         match self {
@@ -207,7 +207,7 @@
         }
     }
 
-    /// The JSON that stands for it.
+    /// The argument as JSON. A word that is not a number, `true`, `false` or `null` becomes a string.
     #[must_use]
     pub fn json(&self) -> String {
         match self {
@@ -220,60 +220,60 @@
 }
 
 impl Directive {
-    /// The text of its nth part; empty if there is none.
+    /// The text of the nth argument; empty if there is none.
     pub fn at(&self, n: usize) -> String {
         self.arguments.get(n).map(Argument::text).unwrap_or_default()
     }
 
-    /// The JSON of its nth part.
+    /// The JSON of the nth argument; `null` if there is none.
     pub fn json(&self, n: usize) -> String {
         self.arguments.get(n).map_or_else(|| "null".into(), Argument::json)
     }
 
-    /// The number of its nth part; 0 if it is none.
+    /// The nth argument as a number; 0 if there is none or it is not a number.
     #[must_use]
     pub fn number(&self, n: usize) -> u64 {
         self.at(n).parse().unwrap_or(0)
     }
 }
 
-type Fault = ErrMode<ContextError>;
+type SyntaxError = ErrMode<ContextError>;
 
-fn plain<'s>(input: &mut &'s str) -> Result<&'s str, Fault> {
+fn plain_word<'s>(input: &mut &'s str) -> Result<&'s str, SyntaxError> {
     take_while(1.., |c: char| !c.is_whitespace() && !matches!(c, '"' | '{' | '[')).parse_next(input)
 }
 
-fn quoted<'s>(input: &mut &'s str) -> Result<&'s str, Fault> {
-    let inside = repeat::<_, _, (), _, _>(
+fn json_string<'s>(input: &mut &'s str) -> Result<&'s str, SyntaxError> {
+    let content = repeat::<_, _, (), _, _>(
         0..,
         alt((('\\', winnow::token::any).take(), take_while(1.., |c: char| c != '"' && c != '\\'))),
     );
-    ('"', inside, '"').take().parse_next(input)
+    ('"', content, '"').take().parse_next(input)
 }
 
-fn argument(input: &mut &str) -> Result<Argument, Fault> {
+fn argument(input: &mut &str) -> Result<Argument, SyntaxError> {
     alt((
-        quoted.map(|text: &str| Argument::Text(text.to_owned())),
-        plain.map(|text: &str| Argument::Plain(text.to_owned())),
+        json_string.map(|text: &str| Argument::Text(text.to_owned())),
+        plain_word.map(|text: &str| Argument::Plain(text.to_owned())),
         rest.verify(|text: &str| !text.is_empty()).map(|json: &str| Argument::Json(json.trim().to_owned())),
     ))
     .parse_next(input)
 }
 
-fn arguments(input: &mut &str) -> Result<Vec<Argument>, Fault> {
+fn arguments(input: &mut &str) -> Result<Vec<Argument>, SyntaxError> {
     terminated(repeat(0.., preceded(space0, argument)), (space0, eof)).parse_next(input)
 }
 
-/// A line's indentation and its characters.
-fn line<'s>(input: &mut &'s str) -> Result<(&'s str, &'s str), Fault> {
+/// The indentation of a line and the characters after it.
+fn indented_line<'s>(input: &mut &'s str) -> Result<(&'s str, &'s str), SyntaxError> {
     (space0, terminated(take_till(0.., '\n'), opt('\n'))).parse_next(input)
 }
 
-/// Reads a file.
+/// Parses a case file.
 ///
 /// # Errors
 ///
-/// The first line that is no part of a case.
+/// The first line that is not valid.
 pub fn parse(file: &str, text: &str) -> Result<Vec<Case>, CaseError> {
     let mut cases: Vec<Case> = Vec::new();
     let mut input = text;
@@ -286,35 +286,35 @@
     Ok(cases)
 }
 
-/// Reads a line, which begins a case or goes on with the last one.
+/// Parses a line, which begins a case or belongs to the last one.
 fn parse_line(input: &mut &str, position: &CasePosition, cases: &mut Vec<Case>) -> Result<(), LineError> {
-    let (indent, line) = line(input).ok().context(NoLineSnafu)?;
+    let (indent, line) = indented_line(input).ok().context(NoLineSnafu)?;
     let line = line.trim_end();
     if line.is_empty() || line.starts_with('#') {
         return Ok(());
     }
     let mut rest = line;
-    let head = plain(&mut rest).ok().context(NoKeywordSnafu)?;
-    if !rest.is_empty() && space1::<_, Fault>(&mut rest).is_err() {
+    let keyword = plain_word(&mut rest).ok().context(NoKeywordSnafu)?;
+    if !rest.is_empty() && space1::<_, SyntaxError>(&mut rest).is_err() {
         return NoBlankSnafu.fail();
     }
     let arguments = arguments(&mut rest).ok().context(UnknownFormSnafu)?;
     ensure!(arguments.iter().all(is_valid), NotJsonSnafu);
     if !indent.is_empty() {
-        return apply_line(cases.last_mut().context(NoCaseSnafu)?, head, arguments);
+        return apply_line(cases.last_mut().context(NoCaseSnafu)?, keyword, arguments);
     }
     let [Argument::Plain(name)] = &arguments[..] else { return InvalidNameSnafu.fail() };
-    ensure!(head == "case", NotIndentedSnafu);
+    ensure!(keyword == "case", NotIndentedSnafu);
     ensure!(!cases.iter().any(|case| case.name == *name), NameInUseSnafu);
     let (name, position) = (name.clone(), position.clone());
     cases.push(Case { name, position, serve: vec![Vec::new()], ..Case::default() });
     Ok(())
 }
 
-/// Whether texts and JSON values are what they look like.
-fn is_valid(word: &Argument) -> bool {
-    match word {
-        // Texts may hold halves of a character, which only a reader of bytes takes.
+/// Whether a JSON string or value is valid JSON.
+fn is_valid(argument: &Argument) -> bool {
+    match argument {
+        // A string may contain lone surrogates, which a `String` can't represent.
         Argument::Text(json) => {
             serde_json::from_str::<crate::front::translate::text_fragment::TextFragment>(json).is_ok()
         }
@@ -323,7 +323,7 @@
     }
 }
 
-fn dialect(word: &str) -> Result<Dialect, LineError> {
+fn parse_dialect(word: &str) -> Result<Dialect, LineError> {
     match word {
         "messages" => Ok(Dialect::Messages),
         "platform" => Ok(Dialect::Platform),
@@ -331,7 +331,7 @@
     }
 }
 
-fn fleet(word: &str) -> Result<Fleet, LineError> {
+fn parse_fleet(word: &str) -> Result<Fleet, LineError> {
     match word {
         "own" => Ok(Fleet::Own),
         "one" => Ok(Fleet::One),
@@ -341,7 +341,7 @@
     }
 }
 
-fn outcome(word: &str) -> Result<Outcome, LineError> {
+fn parse_outcome(word: &str) -> Result<Outcome, LineError> {
     match word {
         "served" => Ok(Outcome::Served),
         "broken" => Ok(Outcome::Broken),
@@ -352,7 +352,7 @@
     }
 }
 
-fn directive(arguments: Vec<Argument>) -> Result<Directive, LineError> {
+fn parse_directive(arguments: Vec<Argument>) -> Result<Directive, LineError> {
     let mut arguments = arguments.into_iter();
     match arguments.next() {
         Some(Argument::Plain(keyword)) => Ok(Directive { keyword, arguments: arguments.collect() }),
@@ -360,27 +360,28 @@
     }
 }
 
-fn apply_line(case: &mut Case, head: &str, rest: Vec<Argument>) -> Result<(), LineError> {
-    let (head, only) = match head.split_once('@') {
-        Some((head, of)) => (head, Some(dialect(of)?)),
-        None => (head, None),
+/// Adds an indented line to a case.
+fn apply_line(case: &mut Case, keyword: &str, rest: Vec<Argument>) -> Result<(), LineError> {
+    let (keyword, dialect) = match keyword.split_once('@') {
+        Some((keyword, suffix)) => (keyword, Some(parse_dialect(suffix)?)),
+        None => (keyword, None),
     };
     let first = rest.first().map(Argument::text).unwrap_or_default();
-    match head {
-        "fronts" => case.fronts.push(dialect(&first)?),
-        "servers" => case.replicas.push(dialect(&first)?),
-        "fleet" => case.fleet = fleet(&first)?,
-        "ask" => case.request_directives.push(directive(rest)?),
+    match keyword {
+        "fronts" => case.fronts.push(parse_dialect(&first)?),
+        "servers" => case.replicas.push(parse_dialect(&first)?),
+        "fleet" => case.fleet = parse_fleet(&first)?,
+        "ask" => case.request_directives.push(parse_directive(rest)?),
         "then" => case.serve.push(Vec::new()),
-        "serve" => case.serve.last_mut().context(NothingToServeSnafu)?.push(directive(rest)?),
-        "see" => case.see.push(Expectation { dialect: only, directive: directive(rest)? }),
+        "serve" => case.serve.last_mut().context(NothingToServeSnafu)?.push(parse_directive(rest)?),
+        "see" => case.see.push(Expectation { dialect, directive: parse_directive(rest)? }),
         "sent" => {
-            let directive = directive(rest)?;
+            let directive = parse_directive(rest)?;
             ensure!(directive.keyword.starts_with('/') && directive.arguments.len() == 1, NoPointerSnafu);
-            case.sent.push(Expectation { dialect: only, directive });
+            case.sent.push(Expectation { dialect, directive });
         }
         "attempts" => case.attempts = Some(first.parse().ok().context(NotANumberSnafu)?),
-        "outcome" => case.outcome = outcome(&first)?,
+        "outcome" => case.outcome = parse_outcome(&first)?,
         word => return UnknownWordSnafu { word, kind: "keyword" }.fail(),
     }
     Ok(())
--- a/src/conformance/mod.rs
+++ b/src/conformance/mod.rs
@@ -1,7 +1,8 @@
-//! The conformance suite: cases as data, run over all pairings of fronts and replicas.
+//! The conformance suite: test cases as data, run on all pairings of a front's dialect and a replica's dialect.
 //!
-//! A case's request, the replica's doing and the client's view are told in no dialect, so the same case holds on
-//! each pairing. A request's model is its case's name: by that the stand-ins know what to do.
+//! Each case describes the request, the replica's behaviour and the expected response independently of the dialects,
+//! so that it applies to each pairing. The model of a request begins with the name of its case, by which the stand-ins
+//! find the case.
 
 pub mod case;
 pub mod client;
@@ -18,14 +19,14 @@
 use std::thread;
 use std::time::Duration;
 
-use serde_json::json;
+use serde_json::{Value, json};
 
 use crate::names::Dialect;
 use case::{Case, CaseError, Expectation, Fleet, LineError, Outcome};
 use stand_in::StandIns;
 
-/// The suite's own cases.
-const FILES: [(&str, &str); 5] = [
+/// The case files of the suite: file name and text.
+const CASE_FILES: [(&str, &str); 5] = [
     ("answers.case", include_str!("../../conformance/answers.case")),
     ("tools.case", include_str!("../../conformance/tools.case")),
     ("requests.case", include_str!("../../conformance/requests.case")),
@@ -33,14 +34,14 @@
     ("translation.case", include_str!("../../conformance/translation.case")),
 ];
 
-/// All cases of the suite; a fault names its file and line.
+/// Returns all cases of the suite.
 ///
 /// # Errors
 ///
-/// The file, the line and what is wrong, for a case that can't be read or whose name is in use already.
+/// The file, the line and the reason, if a case can't be read or its name is already in use.
 pub fn cases() -> Result<Vec<Case>, CaseError> {
     let mut all: Vec<Case> = Vec::new();
-    for (file, text) in FILES {
+    for (file, text) in CASE_FILES {
         for case in case::parse(file, text)? {
             if let Some(other) = all.iter().find(|c| c.name == case.name) {
                 let (name, file) = (case.name.clone(), other.position.file.clone());
@@ -53,16 +54,16 @@
     Ok(all)
 }
 
-/// A front's dialect and that of the replicas behind it.
+/// The dialect of a front and that of the replicas behind it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pairing {
-    /// The front's dialect.
+    /// The dialect of the front.
     pub front: Dialect,
-    /// The replicas' dialect.
+    /// The dialect of the replicas.
     pub replicas: Dialect,
 }
 
-/// All pairings.
+/// All combinations of the two dialects.
 pub const PAIRINGS: [Pairing; 4] = [
     Pairing { front: Dialect::Platform, replicas: Dialect::Platform },
     Pairing { front: Dialect::Platform, replicas: Dialect::Messages },
@@ -71,76 +72,76 @@
 ];
 
 impl Case {
-    /// It is for this pairing.
+    /// Whether the case applies to a pairing.
     #[must_use]
     pub fn is_for(&self, Pairing { front, replicas }: Pairing) -> bool {
-        let among = |list: &[Dialect], one| list.is_empty() || list.contains(&one);
-        among(&self.fronts, front) && among(&self.replicas, replicas)
+        let allows = |list: &[Dialect], dialect| list.is_empty() || list.contains(&dialect);
+        allows(&self.fronts, front) && allows(&self.replicas, replicas)
     }
 }
 
-/// What came of a case on one pairing.
+/// The result of a case on one pairing.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// The case's name.
+    /// The name of the case.
     pub case: String,
-    /// The pairing.
+    /// The pairing on which the case was run.
     pub pairing: Pairing,
-    /// What became of its request.
+    /// The outcome of the request.
     pub outcome: Outcome,
-    /// Attempts that reached a replica, where that could be seen.
+    /// The number of attempts that reached a replica; `None` if the stand-ins are not in this process.
     pub attempts: Option<usize>,
-    /// What does not hold; nothing if all does.
+    /// The differences from the expectations; empty if the case passed.
     pub faults: Vec<String>,
 }
 
-/// What came of a run.
+/// The results of a run of the suite.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Case by case.
+    /// The result of each case on each of its pairings.
     pub verdicts: Vec<Verdict>,
-    /// Cases that were not run, and why.
-    pub left_out: Vec<(String, &'static str)>,
+    /// The names of the cases that were not run, each with the reason.
+    pub skipped: Vec<(String, &'static str)>,
 }
 
 impl Report {
-    /// Whether all that was run holds.
+    /// Whether all cases that were run have passed.
     #[must_use]
     pub fn all_passed(&self) -> bool {
         self.verdicts.iter().all(|v| v.faults.is_empty())
     }
 
-    /// The report as lines for people.
+    /// The report as lines of text.
     #[must_use]
     pub fn text(&self) -> String {
         let mut out = String::new();
         for pairing in PAIRINGS {
-            let of: Vec<_> = self.verdicts.iter().filter(|v| v.pairing == pairing).collect();
-            if of.is_empty() {
+            let verdicts: Vec<_> = self.verdicts.iter().filter(|v| v.pairing == pairing).collect();
+            if verdicts.is_empty() {
                 continue;
             }
-            let passed = of.iter().filter(|v| v.faults.is_empty()).count();
+            let passed = verdicts.iter().filter(|v| v.faults.is_empty()).count();
             let _ = writeln!(
                 out,
-                "{:?} front, {:?} servers: {passed} of {} hold",
+                "{:?} front, {:?} replicas: {passed} of {} passed",
                 pairing.front,
                 pairing.replicas,
-                of.len()
+                verdicts.len()
             );
         }
         for verdict in self.verdicts.iter().filter(|v| !v.faults.is_empty()) {
-            let Pairing { front, replicas: servers } = verdict.pairing;
-            let _ = writeln!(out, "{} ({front:?} front, {servers:?} servers)", verdict.case);
+            let Pairing { front, replicas } = verdict.pairing;
+            let _ = writeln!(out, "{} ({front:?} front, {replicas:?} replicas)", verdict.case);
             for fault in &verdict.faults {
                 let _ = writeln!(out, "  {fault}");
             }
         }
         let mut reasons: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        for (case, why) in &self.left_out {
-            reasons.entry(why).or_default().push(case);
+        for (case, reason) in &self.skipped {
+            reasons.entry(reason).or_default().push(case);
         }
-        for (why, cases) in reasons {
-            let _ = writeln!(out, "not run, {why}: {}", cases.join(", "));
+        for (reason, cases) in reasons {
+            let _ = writeln!(out, "not run, {reason}: {}", cases.join(", "));
         }
         out
     }
@@ -152,14 +153,14 @@
             json!({"case": v.case, "front": format!("{:?}", v.pairing.front), "servers": format!("{:?}", v.pairing.replicas),
                 "outcome": format!("{:?}", v.outcome), "attempts": v.attempts, "faults": v.faults})
         };
-        let left = |(case, why): &(String, &str)| json!({"case": case, "why": why});
+        let skipped = |(case, reason): &(String, &str)| json!({"case": case, "why": reason});
         json!({"holds": self.all_passed(), "cases": self.verdicts.iter().map(verdict).collect::<Vec<_>>(),
-            "not_run": self.left_out.iter().map(left).collect::<Vec<_>>()})
+            "not_run": self.skipped.iter().map(skipped).collect::<Vec<_>>()})
         .to_string()
     }
 }
 
-/// Runs one case against a front.
+/// Runs one case against the front at `addr`. `stand_ins`, if given, are the replicas behind it.
 pub fn run(case: &Case, pairing: Pairing, addr: SocketAddr, stand_ins: Option<&StandIns>) -> Verdict {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let id = NEXT.fetch_add(1, Ordering::SeqCst) << 16 | u64::from(std::process::id() & 0xFFFF);
@@ -172,62 +173,67 @@
         faults: Vec::new(),
     };
     let request = client::request(case, pairing.front, &model, id);
-    let seen = match client::send_request(addr, pairing.front, &request) {
-        Ok(seen) => seen,
+    let response = match client::send_request(addr, pairing.front, &request) {
+        Ok(response) => response,
         Err(e) => {
-            verdict.faults.push(format!("no answer: {e}"));
+            verdict.faults.push(format!("no response: {e}"));
             return verdict;
         }
     };
-    verdict.outcome = seen.outcome();
+    verdict.outcome = response.outcome();
     if verdict.outcome != case.outcome {
-        let (due, is) = (case.outcome, verdict.outcome);
+        let (expected, actual) = (case.outcome, verdict.outcome);
         verdict.faults.push(format!(
-            "outcome: {due:?} was due, {is:?} came, status {}: {:.300}",
-            seen.status, seen.raw
+            "outcome: expected {expected:?}, got {actual:?}, status {}: {:.300}",
+            response.status, response.raw
         ));
     }
-    verdict.faults.extend(seen.malformed.clone());
-    if pairing.front == Dialect::Messages && !seen.headers.contains_key("request-id") {
-        verdict.faults.push("header: no request-id".into());
+    verdict.faults.extend(response.malformed.clone());
+    if pairing.front == Dialect::Messages && !response.headers.contains_key("request-id") {
+        verdict.faults.push("header: request-id is missing".into());
     }
-    let mut call = 0;
-    for Expectation { dialect: only, directive: see } in &case.see {
-        if only.is_none_or(|only| only == pairing.front) {
-            verdict.faults.extend(seen.mismatch(see, &mut call, &model));
+    let mut call_count = 0;
+    for Expectation { dialect, directive } in &case.see {
+        if dialect.is_none_or(|dialect| dialect == pairing.front) {
+            verdict.faults.extend(response.mismatch(directive, &mut call_count, &model));
         }
     }
     if let Some(stand_ins) = stand_ins {
-        let came = stand_ins.received(&model);
-        for Expectation { dialect: only, directive: sent } in &case.sent {
-            if only.is_none_or(|only| only == pairing.replicas) {
-                let due: serde_json::Value = serde_json::from_str(&sent.json(0)).unwrap_or_default();
-                let is =
-                    came.last().and_then(|c| c.body.pointer(&sent.keyword)).cloned().unwrap_or_default();
-                if is != due || came.is_empty() {
-                    verdict.faults.push(format!("sent: {} {due} was due, {is} came", sent.keyword));
+        let received = stand_ins.received(&model);
+        for Expectation { dialect, directive } in &case.sent {
+            if dialect.is_none_or(|dialect| dialect == pairing.replicas) {
+                let expected: Value = serde_json::from_str(&directive.json(0)).unwrap_or_default();
+                let actual = received
+                    .last()
+                    .and_then(|r| r.body.pointer(&directive.keyword))
+                    .cloned()
+                    .unwrap_or_default();
+                if actual != expected || received.is_empty() {
+                    verdict
+                        .faults
+                        .push(format!("sent: {} expected {expected}, got {actual}", directive.keyword));
                 }
             }
         }
-        let came = came.len();
-        verdict.attempts = Some(came);
-        if let Some(due) = case.attempts.filter(|due| *due != came) {
-            verdict.faults.push(format!("attempts: {due} were due, {came} came"));
+        let received_count = received.len();
+        verdict.attempts = Some(received_count);
+        if let Some(expected) = case.attempts.filter(|expected| *expected != received_count) {
+            verdict.faults.push(format!("attempts: expected {expected}, got {received_count}"));
         }
     }
     verdict
 }
 
-/// Runs the cases against a gateway that is up. Its replicas have to be this suite's stand-ins; those that need
-/// servers of their own are left out.
+/// Runs the cases against a running gateway. Its replicas have to be stand-ins of this suite. Cases for other pairings,
+/// and those that need their own replicas, are skipped.
 #[must_use]
-pub fn against(cases: &[Case], pairing: Pairing, addr: SocketAddr) -> Report {
+pub fn run_against(cases: &[Case], pairing: Pairing, addr: SocketAddr) -> Report {
     let mut report = Report::default();
     for case in cases {
         if !case.is_for(pairing) {
-            report.left_out.push((case.name.clone(), "for another pairing"));
+            report.skipped.push((case.name.clone(), "applies to other pairings"));
         } else if case.fleet != Fleet::Shared {
-            report.left_out.push((case.name.clone(), "it needs replicas of its own"));
+            report.skipped.push((case.name.clone(), "needs its own replicas"));
         } else {
             report.verdicts.push(run(case, pairing, addr, None));
         }
@@ -235,27 +241,33 @@
     report
 }
 
-/// Runs the cases over all pairings, with gateways of the suite's own; `program` is the gateway, `scratch` a
-/// directory for their settings, `at_once` how many run beside one another.
+/// Runs the cases on all pairings, with gateways that the suite starts. `program` is the gateway's executable,
+/// `scratch` a directory for their settings, and `concurrency` the maximum number of gateways at a time; 0 counts as 1.
 ///
 /// # Errors
 ///
-/// If a directory, stand-in or gateway can't be started. A case that fails is no error, but part of the report.
-pub fn everywhere(cases: &[Case], program: &Path, scratch: &Path, at_once: usize) -> io::Result<Report> {
-    // What is run in one gateway, one after the other: all shared cases of a pairing, or one with its own servers.
+/// If a stand-in or gateway can't be started. A case that fails is not an error, but part of the report.
+pub fn run_all_pairings(
+    cases: &[Case],
+    program: &Path,
+    scratch: &Path,
+    concurrency: usize,
+) -> io::Result<Report> {
+    // The cases of a job are run in sequence on one gateway: all cases of a pairing with the shared replicas, or one case
+    // with its own replicas.
     let mut jobs: Vec<(Pairing, Fleet, Vec<Case>)> = Vec::new();
     for pairing in PAIRINGS {
-        let of = cases.iter().filter(|c| c.is_for(pairing)).cloned();
-        let (shared, own): (Vec<Case>, Vec<Case>) = of.partition(|c| c.fleet == Fleet::Shared);
+        let applicable = cases.iter().filter(|c| c.is_for(pairing)).cloned();
+        let (shared, own): (Vec<Case>, Vec<Case>) = applicable.partition(|c| c.fleet == Fleet::Shared);
         jobs.push((pairing, Fleet::Shared, shared));
         jobs.extend(own.into_iter().map(|case| (pairing, case.fleet, vec![case])));
     }
     let (next, report, failure) = (AtomicUsize::new(0), Mutex::new(Report::default()), Mutex::new(None));
     thread::scope(|scope| {
-        for _ in 0..at_once.clamp(1, jobs.len().max(1)) {
+        for _ in 0..concurrency.clamp(1, jobs.len().max(1)) {
             scope.spawn(|| {
                 while let Some((pairing, fleet, cases)) = jobs.get(next.fetch_add(1, Ordering::SeqCst)) {
-                    match job(*pairing, *fleet, cases, program, scratch) {
+                    match run_job(*pairing, *fleet, cases, program, scratch) {
                         Ok(verdicts) => {
                             report
                                 .lock()
@@ -279,7 +291,8 @@
     Ok(report)
 }
 
-fn job(
+/// Runs the cases in sequence on one gateway with its own stand-ins.
+fn run_job(
     pairing: Pairing,
     fleet: Fleet,
     cases: &[Case],
@@ -287,16 +300,16 @@
     scratch: &Path,
 ) -> io::Result<Vec<Verdict>> {
     let stand_ins = StandIns::start(pairing.replicas, fleet, cases, 0)?;
-    let gateway = Running::start(&stand_ins, pairing.replicas, program, scratch)?;
+    let gateway = GatewayProcess::start(&stand_ins, pairing.replicas, program, scratch)?;
     Ok(cases
         .iter()
         .map(|case| run(case, pairing, gateway.front(pairing.front), Some(&stand_ins)))
         .collect())
 }
 
-/// The platform's JSON for a gateway of the suite's own.
+/// The platform's configuration (JSON) for a gateway of the suite.
 #[must_use]
-pub fn config(stand_ins: &StandIns) -> serde_json::Value {
+pub fn config(stand_ins: &StandIns) -> Value {
     let second = 1_000_000_000u64;
     let lane = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "promise-ns": second, "deadline-ns": 4 * second, "stream": true,
@@ -314,7 +327,7 @@
                 "overload-factor": 2.5, "ask-within-ns": 10 * second}}})
 }
 
-/// The program's own settings for such a gateway.
+/// The program's settings (HCL) for a gateway of the suite, whose replicas speak the dialect `servers`.
 #[must_use]
 pub fn settings(servers: Dialect) -> String {
     let kind = if servers == Dialect::Messages { "messages" } else { "platform" };
@@ -325,28 +338,28 @@
     )
 }
 
-/// A gateway of the suite's own, which ends when it is dropped.
-pub struct Running {
+/// A gateway process that the suite started; it is killed and its files are removed when this is dropped.
+pub struct GatewayProcess {
     child: Child,
-    /// Where its fronts listen: the platform's, then the messages API's.
+    /// The addresses of its fronts: that of the platform, then that of the messages API.
     pub fronts: [SocketAddr; 2],
     files: [PathBuf; 2],
 }
 
-impl Running {
-    /// Starts the program in front of stand-ins that speak `servers`.
+impl GatewayProcess {
+    /// Starts the program with the stand-ins, which speak the dialect `servers`, as its replicas.
     ///
     /// # Errors
     ///
-    /// If the gateway's files can't be written or the program can't be started, or if it isn't ready in time.
+    /// If the gateway's files can't be written, or the program can't be started or is not ready in time.
     pub fn start(
         stand_ins: &StandIns,
         servers: Dialect,
         program: &Path,
         scratch: &Path,
-    ) -> io::Result<Running> {
-        static NUMBER: AtomicUsize = AtomicUsize::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+    ) -> io::Result<GatewayProcess> {
+        static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let file = |name: &str| scratch.join(format!("conformance-{}-{number}-{name}", std::process::id()));
         let files = [file("config.json"), file("settings.hcl")];
         std::fs::write(&files[0], config(stand_ins).to_string())?;
@@ -377,22 +390,22 @@
         let addrs: Vec<SocketAddr> = addr.collect();
         let [platform, messages] = addrs[..] else {
             let _ = child.kill();
-            return Err(io::Error::other("the gateway did not come up"));
+            return Err(io::Error::other("the gateway exited, or did not log the addresses of its fronts"));
         };
-        // The log is read on, so that the gateway never waits for it.
+        // The log is read to its end, since a full pipe would block the gateway.
         thread::spawn(move || lines.for_each(drop));
-        let running = Running { child, fronts: [platform, messages], files };
-        running.wait_ready()?;
-        Ok(running)
+        let gateway = GatewayProcess { child, fronts: [platform, messages], files };
+        gateway.wait_ready()?;
+        Ok(gateway)
     }
 
-    /// Where the front of that dialect listens.
+    /// The address of the front of a dialect.
     #[must_use]
     pub fn front(&self, dialect: Dialect) -> SocketAddr {
         self.fronts[usize::from(dialect == Dialect::Messages)]
     }
 
-    /// Its process's id.
+    /// The process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
@@ -408,11 +421,11 @@
             }
             thread::sleep(Duration::from_millis(10));
         }
-        Err(io::Error::other("the gateway never became ready"))
+        Err(io::Error::other("the gateway did not become ready in time"))
     }
 }
 
-impl Drop for Running {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/src/conformance/stand_in.rs
+++ b/src/conformance/stand_in.rs
@@ -1,5 +1,5 @@
-//! Stand-in replicas of either dialect, and a discovery that lists them. They play the case that a request's model names,
-//! with plain threads and blocking sockets, and share no code with the tested gateway.
+//! Stand-in replicas of either dialect, and a list service that lists them. They run the script of the case that the
+//! model of a request names, use plain threads and blocking sockets, and share no code with the tested gateway.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
@@ -24,7 +24,7 @@
     list: Mutex<ReplicaList>,
 }
 
-/// The list that discovery serves.
+/// The replica list that the list service returns.
 struct ReplicaList {
     version: u64,
     entries: Vec<Value>,
@@ -33,22 +33,28 @@
 /// A request that a stand-in received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// Index of the stand-in.
+    /// The index of the stand-in.
     pub replica: usize,
-    /// Its body.
+    /// The body; null if it is not valid JSON.
     pub body: Value,
-    /// Its head, name by name.
+    /// The head without its last, empty line.
     pub head: String,
 }
 
-/// A fleet of stand-ins.
+/// Running stand-in replicas with their list service; they run until the process ends.
 pub struct StandIns {
     shared: Arc<Shared>,
-    /// Where discovery listens.
+    /// The address of the list service.
     pub discovery: SocketAddr,
 }
 
-/// The list's version at the start.
+/// The interval at which a watch checks for a new version of the list.
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The number of polls without a new version after which a watch sends a keep-alive.
+const KEEP_ALIVE_POLLS: u32 = 50;
+
+/// The version of the list at the start.
 const INITIAL_VERSION: u64 = 2;
 
 /// Locks a mutex, also after a panic of another thread.
@@ -56,12 +62,12 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn local(port: u16) -> io::Result<TcpListener> {
+fn bind_loopback(port: u16) -> io::Result<TcpListener> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, port))
 }
 
 impl StandIns {
-    /// Starts a fleet that plays these cases; discovery listens on `port`, where 0 is any free one.
+    /// Starts stand-ins that run the scripts of these cases. The list service listens on `port`; 0 takes any free port.
     ///
     /// # Errors
     ///
@@ -75,13 +81,13 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let (mut listeners, mut entries) = (Vec::new(), Vec::new());
         for n in 0..count {
-            let listener = local(0)?;
+            let listener = bind_loopback(0)?;
             let addr = listener.local_addr()?;
-            let cold = fleet == Fleet::Cold && n == 0;
+            let is_cold = fleet == Fleet::Cold && n == 0;
             entries
                 .push(json!({"id": format!("s-{n}"), "addr": addr.to_string(), "zone": "a", "kind": "k",
-                "cell": 0, "state": "ready", "weight": 1.0, "started_ms": if cold { now } else { 0 }}));
-            // A dead replica's listener is closed at once.
+                "cell": 0, "state": "ready", "weight": 1.0, "started_ms": if is_cold { now } else { 0 }}));
+            // The listener of a dead replica is closed, so that connections are refused.
             if !(fleet == Fleet::Dead && n == 0) {
                 listeners.push((n, listener));
             }
@@ -97,11 +103,11 @@
             thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
                     let shared = shared.clone();
-                    thread::spawn(move || converse(&shared, n, stream));
+                    thread::spawn(move || serve_connection(&shared, n, stream));
                 }
             });
         }
-        let listener = local(port)?;
+        let listener = bind_loopback(port)?;
         let discovery = listener.local_addr()?;
         let watched = shared.clone();
         thread::spawn(move || {
@@ -113,13 +119,13 @@
         Ok(StandIns { shared, discovery })
     }
 
-    /// The list as discovery serves it.
+    /// The full list, as the list service returns it.
     #[must_use]
     pub fn list(&self) -> Value {
         list(&self.shared, true)
     }
 
-    /// The requests that were received for a model.
+    /// The requests that were received for a model, in their order.
     #[must_use]
     pub fn received(&self, model: &str) -> Vec<ReceivedRequest> {
         lock(&self.shared.received).get(model).cloned().unwrap_or_default()
@@ -131,36 +137,36 @@
     json!({"version": version, "full": full, "servers": entries})
 }
 
-/// A watch: the full list at first and after each change, and keep-alives in between.
+/// Serves a watch: sends the full list at first and after each change, and keep-alives in between.
 fn watch(shared: &Shared, mut stream: TcpStream) -> io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     if demo_replica::read_message(&mut reader).is_none() {
         return Ok(());
     }
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-    let (mut sent_version, mut quiet) = (0, 0);
+    let (mut sent_version, mut idle_count) = (0, 0);
     loop {
         let list = list(shared, true);
         let version = list["version"].as_u64().unwrap_or(0);
-        if version != sent_version || quiet >= 50 {
+        if version != sent_version || idle_count >= KEEP_ALIVE_POLLS {
             let line = if version == sent_version { String::new() } else { list.to_string() };
             write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1)?;
-            (sent_version, quiet) = (version, 0);
+            (sent_version, idle_count) = (version, 0);
         }
-        quiet += 1;
-        thread::sleep(Duration::from_millis(20));
+        idle_count += 1;
+        thread::sleep(LIST_POLL_INTERVAL);
     }
 }
 
-/// One connection to a stand-in.
-fn converse(shared: &Shared, replica: usize, mut stream: TcpStream) -> Option<()> {
+/// Serves a connection to a stand-in; `None` if it has failed or the script has closed it.
+fn serve_connection(shared: &Shared, replica: usize, mut stream: TcpStream) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     while let Some((head, body)) = demo_replica::read_message(&mut reader) {
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
         let model = body["model"].as_str().unwrap_or_default().to_owned();
         let name = model.split('~').next().unwrap_or_default();
-        let nth = {
+        let attempt = {
             let mut received = lock(&shared.received);
             let received = received.entry(model.clone()).or_default();
             received.push(ReceivedRequest { replica, body, head });
@@ -170,19 +176,19 @@
             stream.write_all(b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n").ok()?;
             continue;
         };
-        let script = case.serve.get(nth).or(case.serve.last())?;
-        let usual = [Directive { keyword: "hello".into(), arguments: Vec::new() }];
-        let script = if script.is_empty() { &usual[..] } else { script };
-        let mut attempt = ScriptedResponse {
+        let script = case.serve.get(attempt).or(case.serve.last())?;
+        let default_script = [Directive { keyword: "hello".into(), arguments: Vec::new() }];
+        let script = if script.is_empty() { &default_script[..] } else { script };
+        let mut response = ScriptedResponse {
             shared,
             replica,
             stream: &mut stream,
-            begun: false,
-            split: 0,
+            has_begun: false,
+            piece_bytes: 0,
             writer: EventWriter::default(),
         };
         for directive in script {
-            attempt.play(directive)?;
+            response.execute(directive)?;
         }
     }
     Some(())
@@ -192,29 +198,29 @@
 const STREAM_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A case's script as it is played.
+/// A response that is sent according to the script of a case.
 struct ScriptedResponse<'p> {
     shared: &'p Shared,
     replica: usize,
     stream: &'p mut TcpStream,
-    begun: bool,
-    /// Bytes of a piece, where the stream is sent in pieces.
-    split: usize,
+    has_begun: bool,
+    /// The size in bytes of the pieces in which events are sent; 0 sends each event in one piece.
+    piece_bytes: usize,
     writer: EventWriter,
 }
 
 impl ScriptedResponse<'_> {
     fn send_event(&mut self, event: &str) -> Option<()> {
         let mut out = Vec::new();
-        if !std::mem::replace(&mut self.begun, true) {
+        if !std::mem::replace(&mut self.has_begun, true) {
             out.extend_from_slice(STREAM_HEAD);
         }
-        let pieces = if self.split > 0 { self.split } else { event.len().max(1) };
-        for piece in event.as_bytes().chunks(pieces) {
+        let piece_bytes = if self.piece_bytes > 0 { self.piece_bytes } else { event.len().max(1) };
+        for piece in event.as_bytes().chunks(piece_bytes) {
             out.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
             out.extend_from_slice(piece);
             out.extend_from_slice(b"\r\n");
-            if self.split > 0 {
+            if self.piece_bytes > 0 {
                 self.stream.write_all(&out).ok()?;
                 out.clear();
             }
@@ -222,16 +228,16 @@
         self.stream.write_all(&out).ok()
     }
 
-    /// Carries out a directive; `None` ends the connection.
-    fn play(&mut self, directive: &Directive) -> Option<()> {
+    /// Executes a directive; `None` closes the connection.
+    fn execute(&mut self, directive: &Directive) -> Option<()> {
         match directive.keyword.as_str() {
-            "hello" => self.hello(),
+            "hello" => self.send_default_response(),
             "begin" | "text" | "call" | "args" | "stop" | "thinking" => {
-                let event = self.written_event(directive);
+                let event = self.content_event(directive);
                 self.send_event(&event)
             }
             "ping" | "unknown" | "error" | "raw" => {
-                let event = self.plain_event(directive);
+                let event = self.other_event(directive);
                 self.send_event(&event)
             }
             "usage" => {
@@ -239,94 +245,96 @@
                 self.writer.usage = Some(ScriptedUsage { prompt, cached, output });
                 Some(())
             }
-            "end" => self.end(&directive.at(0)),
-            // The last chunk, without the dialect's last event before it.
+            "end" => self.end_stream(&directive.at(0)),
+            // Sends the last chunk without the dialect's last event.
             "last" => self.stream.write_all(b"0\r\n\r\n").ok(),
             "split" => {
-                self.split = directive.number(0) as usize;
+                self.piece_bytes = directive.number(0) as usize;
                 Some(())
             }
             "pause" => {
                 thread::sleep(Duration::from_millis(directive.number(0)));
                 Some(())
             }
-            "head" => self.head(),
-            "full" => self.full(),
-            "status" => self.status(directive),
+            "head" => self.send_head(),
+            "full" => self.send_rejection(),
+            "status" => self.send_error(directive),
             "reset" => {
                 let _ = SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
                 None
             }
             "close" => None,
-            // Until the gateway closes the connection.
+            // Sends nothing until the gateway closes the connection, at most for 60 s.
             "silence" => {
                 let _ = self.stream.set_read_timeout(Some(Duration::from_secs(60)));
                 let _ = io::Read::read(self.stream, &mut [0]);
                 None
             }
             "drain" => {
-                self.drain();
+                self.start_drain();
                 Some(())
             }
             _ => None,
         }
     }
 
-    /// A whole short response.
-    fn hello(&mut self) -> Option<()> {
-        let messages = self.shared.dialect == Dialect::Messages;
+    /// Sends a short, complete response.
+    fn send_default_response(&mut self) -> Option<()> {
+        let is_messages = self.shared.dialect == Dialect::Messages;
         for text in ["\"Hel\"", "\"lo\""] {
-            let event = self.writer.text(messages, text);
+            let event = self.writer.text(is_messages, text);
             self.send_event(&event)?;
         }
-        self.end("done")
+        self.end_stream("done")
     }
 
-    /// An event that goes on from those before it.
-    fn written_event(&mut self, directive: &Directive) -> String {
-        let messages = self.shared.dialect == Dialect::Messages;
+    /// An event whose content depends on the events before it.
+    fn content_event(&mut self, directive: &Directive) -> String {
+        let is_messages = self.shared.dialect == Dialect::Messages;
         match directive.keyword.as_str() {
-            "begin" => self.writer.begin(messages),
-            "text" => self.writer.text(messages, &directive.json(0)),
-            "call" => self.writer.call(messages, directive.number(0), &directive.at(1), &directive.at(2)),
-            "args" => self.writer.args(messages, directive.number(0), &directive.json(1)),
-            "thinking" => self.writer.thinking(messages, &directive.json(0)),
-            // "stop": its stop and its tokens are told, but not that it is over.
-            _ => self.writer.stop(messages, &directive.at(0)),
+            "begin" => self.writer.begin(is_messages),
+            "text" => self.writer.text(is_messages, &directive.json(0)),
+            "call" => {
+                self.writer.call(is_messages, directive.number(0), &directive.at(1), &directive.at(2))
+            }
+            "args" => self.writer.args(is_messages, directive.number(0), &directive.json(1)),
+            "thinking" => self.writer.thinking(is_messages, &directive.json(0)),
+            // "stop": states the stop reason and the usage, without the event that ends the stream.
+            _ => self.writer.stop(is_messages, &directive.at(0)),
         }
     }
 
-    /// An event that stands by itself.
-    fn plain_event(&self, directive: &Directive) -> String {
-        let messages = self.shared.dialect == Dialect::Messages;
+    /// An event that does not depend on the events before it.
+    fn other_event(&self, directive: &Directive) -> String {
+        let is_messages = self.shared.dialect == Dialect::Messages;
         match directive.keyword.as_str() {
-            "ping" if messages => "event: ping\ndata: {\"type\":\"ping\"}\n\n".to_owned(),
+            "ping" if is_messages => "event: ping\ndata: {\"type\":\"ping\"}\n\n".to_owned(),
             "ping" => ": ping\n\n".to_owned(),
-            "unknown" if messages => {
+            "unknown" if is_messages => {
                 "event: glimmer\ndata: {\"type\":\"glimmer\",\"shade\":3}\n\n".to_owned()
             }
             "unknown" => "data: {\"type\":\"glimmer\",\"shade\":3}\n\n".to_owned(),
             "error" => {
                 let error = json!({"type": "error", "error": {"type": directive.at(0), "message": directive.at(1)}});
-                if messages {
+                if is_messages {
                     format!("event: error\ndata: {error}\n\n")
                 } else {
                     format!("data: {}\n\n", json!({"error": error["error"]}))
                 }
             }
-            // "raw": the characters as they are.
+            // "raw": the given characters.
             _ => directive.at(0),
         }
     }
 
-    /// The head, and no event.
-    fn head(&mut self) -> Option<()> {
-        self.begun = true;
+    /// Sends the head of a stream without an event.
+    fn send_head(&mut self) -> Option<()> {
+        self.has_begun = true;
         self.stream.write_all(STREAM_HEAD).ok()
     }
 
-    /// Rejects the request without having run it.
-    fn full(&mut self) -> Option<()> {
+    /// Rejects the request because the replica is full, which states that it has not run.
+    fn send_rejection(&mut self) -> Option<()> {
         let response = match self.shared.dialect {
             Dialect::Messages => "HTTP/1.1 529 Overloaded\r\nContent-Length: 0\r\n\r\n",
             Dialect::Platform => "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -334,8 +342,8 @@
         self.stream.write_all(response.as_bytes()).ok()
     }
 
-    /// Responds with a status and an error.
-    fn status(&mut self, directive: &Directive) -> Option<()> {
+    /// Sends a response with an error status and an error object.
+    fn send_error(&mut self, directive: &Directive) -> Option<()> {
         let error = json!({"type": "error", "error": {"type": "invalid_request_error",
             "message": directive.at(1)}});
         let body = error.to_string();
@@ -347,17 +355,17 @@
         self.stream.write_all(response.as_bytes()).ok()
     }
 
-    /// From now on discovery lists this replica as draining.
-    fn drain(&self) {
+    /// Marks this replica as draining in the list.
+    fn start_drain(&self) {
         let mut list = lock(&self.shared.list);
         list.version += 1;
         list.entries[self.replica]["state"] = "draining".into();
     }
 
-    fn end(&mut self, stop: &str) -> Option<()> {
-        let messages = self.shared.dialect == Dialect::Messages;
-        let event = self.writer.stop(messages, stop)
-            + if messages {
+    fn end_stream(&mut self, stop: &str) -> Option<()> {
+        let is_messages = self.shared.dialect == Dialect::Messages;
+        let event = self.writer.stop(is_messages, stop)
+            + if is_messages {
                 "event: message_stop\ndata: {\"type\":\"message_stop\"}\n\n"
             } else {
                 "data: [DONE]\n\n"
@@ -367,15 +375,15 @@
     }
 }
 
-/// An open block of a stream.
+/// A content block of a stream that has not ended.
 #[derive(Clone, Copy)]
 struct OpenBlock {
     index: u64,
-    /// The number of the tool call, if it is one.
+    /// The number of the tool call; `None` for text and thinking.
     call: Option<u64>,
 }
 
-/// The token usage that a stand-in states.
+/// The token usage in the response of a stand-in; `prompt` includes `cached`.
 #[derive(Clone, Copy)]
 struct ScriptedUsage {
     prompt: u64,
@@ -383,15 +391,15 @@
     output: u64,
 }
 
-/// The usage that is stated if the case gives none.
+/// The token usage if the case states none.
 const DEFAULT_USAGE: ScriptedUsage = ScriptedUsage { prompt: 12, cached: 5, output: 2 };
 
-/// Writes a stream in either dialect.
+/// Writes the events of a stream in either dialect.
 #[derive(Default)]
 struct EventWriter {
-    begun: bool,
+    has_begun: bool,
     open: Vec<OpenBlock>,
-    next: u64,
+    next_index: u64,
     usage: Option<ScriptedUsage>,
 }
 
@@ -400,15 +408,15 @@
         self.usage.unwrap_or(DEFAULT_USAGE)
     }
 
-    fn begin(&mut self, messages: bool) -> String {
-        if std::mem::replace(&mut self.begun, true) {
+    fn begin(&mut self, is_messages: bool) -> String {
+        if std::mem::replace(&mut self.has_begun, true) {
             return String::new();
         }
         let ScriptedUsage { prompt, cached, .. } = self.usage();
-        if !messages {
-            return chunk(r#"{"role":"assistant","content":""}"#, "null");
+        if !is_messages {
+            return completion_chunk(r#"{"role":"assistant","content":""}"#, "null");
         }
-        named(
+        named_event(
             "message_start",
             &format!(
                 r#""message":{{"id":"msg_1","type":"message","role":"assistant","content":[],"model":"m","stop_reason":null,"stop_sequence":null,"usage":{{"input_tokens":{},"cache_read_input_tokens":{cached},"output_tokens":1}}}}"#,
@@ -419,29 +427,30 @@
 
     fn block(&mut self, call: Option<u64>, block: &str) -> String {
         let mut out = String::new();
-        // A text ends once anything else begins; calls may be open at the same time.
+        // Any new block ends an open text; tool calls may be open at the same time.
         if call.is_none() || self.open.last().is_some_and(|block| block.call.is_none()) {
             out += &self.close();
         }
-        let index = self.next;
-        self.next += 1;
+        let index = self.next_index;
+        self.next_index += 1;
         self.open.push(OpenBlock { index, call });
-        out + &named("content_block_start", &format!(r#""index":{index},"content_block":{block}"#))
+        out + &named_event("content_block_start", &format!(r#""index":{index},"content_block":{block}"#))
     }
 
     fn close(&mut self) -> String {
-        let stop = |OpenBlock { index, .. }| named("content_block_stop", &format!(r#""index":{index}"#));
+        let stop =
+            |OpenBlock { index, .. }| named_event("content_block_stop", &format!(r#""index":{index}"#));
         std::mem::take(&mut self.open).into_iter().map(stop).collect()
     }
 
     fn delta(&self, index: u64, delta: &str) -> String {
-        named("content_block_delta", &format!(r#""index":{index},"delta":{{{delta}}}"#))
+        named_event("content_block_delta", &format!(r#""index":{index},"delta":{{{delta}}}"#))
     }
 
-    fn text(&mut self, messages: bool, json: &str) -> String {
-        let mut out = self.begin(messages);
-        if !messages {
-            return out + &chunk(&format!(r#"{{"content":{json}}}"#), "null");
+    fn text(&mut self, is_messages: bool, json: &str) -> String {
+        let mut out = self.begin(is_messages);
+        if !is_messages {
+            return out + &completion_chunk(&format!(r#"{{"content":{json}}}"#), "null");
         }
         if self.open.last().is_none_or(|block| block.call.is_some()) {
             out += &self.block(None, r#"{"type":"text","text":""}"#);
@@ -450,22 +459,22 @@
         out + &self.delta(index, &format!(r#""type":"text_delta","text":{json}"#))
     }
 
-    fn thinking(&mut self, messages: bool, json: &str) -> String {
-        let mut out = self.begin(messages);
-        if !messages {
-            return out + &chunk(&format!(r#"{{"reasoning_content":{json}}}"#), "null");
+    fn thinking(&mut self, is_messages: bool, json: &str) -> String {
+        let mut out = self.begin(is_messages);
+        if !is_messages {
+            return out + &completion_chunk(&format!(r#"{{"reasoning_content":{json}}}"#), "null");
         }
         out += &self.block(None, r#"{"type":"thinking","thinking":"","signature":""}"#);
-        let index = self.next - 1;
+        let index = self.next_index - 1;
         out += &self.delta(index, &format!(r#""type":"thinking_delta","thinking":{json}"#));
         out + &self.close()
     }
 
-    fn call(&mut self, messages: bool, number: u64, id: &str, name: &str) -> String {
-        let out = self.begin(messages);
-        if !messages {
+    fn call(&mut self, is_messages: bool, number: u64, id: &str, name: &str) -> String {
+        let out = self.begin(is_messages);
+        if !is_messages {
             return out
-                + &chunk(
+                + &completion_chunk(
                     &format!(
                         r#"{{"tool_calls":[{{"index":{number},"id":"{id}","type":"function","function":{{"name":"{name}","arguments":""}}}}]}}"#
                     ),
@@ -478,9 +487,9 @@
         )
     }
 
-    fn args(&mut self, messages: bool, number: u64, json: &str) -> String {
-        if !messages {
-            return chunk(
+    fn args(&mut self, is_messages: bool, number: u64, json: &str) -> String {
+        if !is_messages {
+            return completion_chunk(
                 &format!(r#"{{"tool_calls":[{{"index":{number},"function":{{"arguments":{json}}}}}]}}"#),
                 "null",
             );
@@ -490,10 +499,10 @@
         self.delta(index, &format!(r#""type":"input_json_delta","partial_json":{json}"#))
     }
 
-    fn stop(&mut self, messages: bool, stop: &str) -> String {
+    fn stop(&mut self, is_messages: bool, stop: &str) -> String {
         let ScriptedUsage { prompt, cached, output } = self.usage();
-        let begun = self.begin(messages);
-        if messages {
+        let first_event = self.begin(is_messages);
+        if is_messages {
             let reason = match stop {
                 "length" => "max_tokens",
                 "tools" => "tool_use",
@@ -502,9 +511,9 @@
                 _ => "end_turn",
             };
             let sequence = if stop == "sequence" { "\"END\"" } else { "null" };
-            return begun
+            return first_event
                 + &self.close()
-                + &named(
+                + &named_event(
                     "message_delta",
                     &format!(
                         r#""delta":{{"stop_reason":"{reason}","stop_sequence":{sequence}}},"usage":{{"output_tokens":{output}}}"#
@@ -517,18 +526,20 @@
             "refused" => "content_filter",
             _ => "stop",
         };
-        begun
-            + &chunk("{}", &format!("\"{reason}\""))
+        first_event
+            + &completion_chunk("{}", &format!("\"{reason}\""))
             + &format!(
                 "data: {{\"choices\":[],\"usage\":{{\"prompt_tokens\":{prompt},\"completion_tokens\":{output},\"prompt_tokens_details\":{{\"cached_tokens\":{cached}}}}}}}\n\n"
             )
     }
 }
 
-fn named(name: &str, rest: &str) -> String {
+/// An event of the messages API.
+fn named_event(name: &str, rest: &str) -> String {
     format!("event: {name}\ndata: {{\"type\":\"{name}\",{rest}}}\n\n")
 }
 
-fn chunk(delta: &str, finish: &str) -> String {
+/// A chunk of chat completions.
+fn completion_chunk(delta: &str, finish: &str) -> String {
     format!("data: {{\"choices\":[{{\"index\":0,\"delta\":{delta},\"finish_reason\":{finish}}}]}}\n\n")
 }
--- a/tests/conformance.rs
+++ b/tests/conformance.rs
@@ -6,18 +6,18 @@
 use tulipridge::conformance::{self, Verdict, case::Fleet};
 
 #[test]
-fn all_cases_hold_on_all_pairings_and_each_fault_comes_out_the_same() {
+fn all_cases_pass_and_pairings_agree_on_outcomes_and_attempts() {
     let cases = conformance::cases().expect("good files");
     assert!(cases.len() >= 150, "{}", cases.len());
     let program = Path::new(env!("CARGO_BIN_EXE_tulipridge"));
-    let report = conformance::everywhere(&cases, program, Path::new(env!("CARGO_TARGET_TMPDIR")), 8);
+    let report = conformance::run_all_pairings(&cases, program, Path::new(env!("CARGO_TARGET_TMPDIR")), 8);
     let report = report.expect("it runs");
     assert!(report.all_passed(), "{}", report.text());
-    let due: usize =
+    let expected_count: usize =
         conformance::PAIRINGS.iter().map(|p| cases.iter().filter(|c| c.is_for(*p)).count()).sum();
-    assert_eq!(report.verdicts.len(), due, "each case ran on each of its pairings");
+    assert_eq!(report.verdicts.len(), expected_count, "each case ran on each of its pairings");
 
-    // What a case says it expects is compared with what came; here what came is compared among the pairings.
+    // Each run is compared with its expectations by the suite; here the runs of a case are compared with each other.
     let mut faults: BTreeMap<&str, Vec<&Verdict>> = BTreeMap::new();
     for verdict in &report.verdicts {
         let case = cases.iter().find(|c| c.name == verdict.case).expect("its case");
@@ -37,7 +37,7 @@
     let text = "case wrong\n  serve text \"a\"\n  serve end done\n  see text \"b\"\n  attempts 2\n  sent /max_tokens 51\n  outcome broken\n";
     let cases = conformance::case::parse("wrong.case", text).expect("a good file");
     let program = Path::new(env!("CARGO_BIN_EXE_tulipridge"));
-    let report = conformance::everywhere(&cases, program, Path::new(env!("CARGO_TARGET_TMPDIR")), 4);
+    let report = conformance::run_all_pairings(&cases, program, Path::new(env!("CARGO_TARGET_TMPDIR")), 4);
     let report = report.expect("it runs");
     assert!(!report.all_passed());
     assert_eq!(report.verdicts.len(), 4);
@@ -45,5 +45,5 @@
         assert_eq!(verdict.faults.len(), 4, "{:?}", verdict.faults);
     }
     let text = report.text();
-    assert!(text.contains("0 of 1 hold") && text.contains("attempts: 2 were due, 1 came"), "{text}");
+    assert!(text.contains("0 of 1 passed") && text.contains("attempts: expected 2, got 1"), "{text}");
 }
--- a/tests/units/case_files.rs
+++ b/tests/units/case_files.rs
@@ -20,8 +20,8 @@
     assert!(parse("f", "case\ra\r\r  x").is_err());
     for (text, message) in [
         ("x a\n", "f:1: only"),
-        ("case a\n  odd\n", "f:2: 'odd' is no keyword"),
-        ("case a\n  outcome odd\n", "f:2: 'odd' is no outcome"),
+        ("case a\n  odd\n", "f:2: unknown keyword 'odd'"),
+        ("case a\n  outcome odd\n", "f:2: unknown outcome 'odd'"),
         ("case a\n  ask user \"x\n", "f:2: not"),
         ("case a\n  see call f {\"a\"\n", "f:2: not a JSON value"),
         ("case a\n  sent model \"m\"\n", "f:2: a JSON pointer"),
