--- a/src/bin/tulipridge-simhost/host.rs
+++ b/src/bin/tulipridge-simhost/host.rs
@@ -1,4 +1,5 @@
-//! Batches of events for any number of gateways, which share nothing but this process.
+//! Processes batches of events for any number of gateways, which share no state except the lists of replicas and the
+//! numbers of zones and kinds.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -9,41 +10,43 @@
     Action, ClassIndex, Event, ListKind, Member, Nanos, ReplicaId, Request, TenantIndex,
 };
 
-use crate::parse::{FieldError, Names, Parts, invalid, member, number_of, settings};
+use crate::parse::{FieldError, Fields, Names, invalid, member, number_of, settings};
 
-/// Lists are numbered below this.
-const LISTS: usize = 16;
-/// The bit of a request's marks that says that the client tries it again.
-const RETRY_MARK: u64 = 2;
+/// The number of lists; they are numbered from 0.
+const MAX_LISTS: usize = 16;
+/// The bit of a request's `marks` for a retry by the client.
+const RETRY_BIT: u64 = 2;
 
-/// A gateway that was started.
+/// A running gateway.
 struct Gateway {
     balancer: LoadBalancer,
-    /// The names that its events use.
+    /// The names in its events.
     names: Names,
 }
 
-/// A batch of events that is being read.
+/// The batch of events that is being read.
 #[derive(Clone, Copy)]
 struct Batch {
-    /// The clock of all its events.
+    /// The time of all events in the batch.
     now: Nanos,
     number: u64,
 }
 
-/// A list that is being read: its number, its lines so far, and how many are due.
-struct Reading {
+/// The list that is being read.
+struct PendingList {
     number: usize,
     members: Vec<Member>,
-    due: usize,
+    /// The total number of members.
+    expected_count: usize,
 }
 
+/// The gateways of the process, and the state of the input.
 #[derive(Default)]
 pub(crate) struct Host {
     gateways: HashMap<String, Gateway>,
-    lists: [Option<Arc<[Member]>>; LISTS],
-    reading: Option<Reading>,
-    /// Zones and kinds by number, the same for lists and gateways.
+    lists: [Option<Arc<[Member]>>; MAX_LISTS],
+    pending_list: Option<PendingList>,
+    /// The names of zones and kinds by their numbers, which lists and gateways share.
     zones: Vec<String>,
     kinds: Vec<String>,
     batch: Option<Batch>,
@@ -51,153 +54,154 @@
 }
 
 impl Host {
-    /// Reads a line and adds the actions that follow; true once the reply is complete.
-    pub(crate) fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, FieldError> {
-        if self.reading.is_some() {
-            self.entry(line)?;
+    /// Processes a line and adds the resulting actions to `reply`. Returns true if the line ends a batch.
+    pub(crate) fn process_line(&mut self, line: &str, reply: &mut String) -> Result<bool, FieldError> {
+        if self.pending_list.is_some() {
+            self.add_entry(line)?;
             return Ok(false);
         }
-        let mut parts = Parts::new(line);
-        let message = parts.text("message")?;
+        let mut fields = Fields::new(line);
+        let message = fields.required("message")?;
         let Some(Batch { now, number }) = self.batch else {
             if message != "CLOCK" {
-                return Err(invalid("message", format_args!("'{message}' where CLOCK was due")));
+                return Err(invalid("message", format_args!("expected CLOCK, got '{message}'")));
             }
-            self.batch = Some(Batch { now: parts.integer("wall-ns")?, number: parts.integer("n")? });
-            return parts.end().map(|()| false);
+            self.batch = Some(Batch { now: fields.integer("wall-ns")?, number: fields.integer("n")? });
+            return fields.end().map(|()| false);
         };
         match message {
             "FLUSH" => {
-                parts.end()?;
+                fields.end()?;
                 self.batch = None;
                 let _ = writeln!(reply, "ACK {number}");
                 return Ok(true);
             }
             "ROSTER" => {
-                let number: usize = parts.integer("set-id")?;
-                let due: usize = parts.integer("members-list")?;
-                parts.end()?;
-                if number >= LISTS {
-                    return Err(invalid("set-id", format_args!("'{number}' is not below {LISTS}")));
+                let number: usize = fields.integer("set-id")?;
+                let expected_count: usize = fields.integer("members-list")?;
+                fields.end()?;
+                if number >= MAX_LISTS {
+                    return Err(invalid("set-id", format_args!("{number} is not below {MAX_LISTS}")));
                 }
-                self.reading = Some(Reading { number, members: Vec::new(), due });
-                self.entries_done();
+                self.pending_list = Some(PendingList { number, members: Vec::new(), expected_count });
+                self.store_complete_list();
             }
             "PROVISION" => {
-                let name = router(&mut parts)?;
-                let salt = parts.integer("salt")?;
-                let (mut settings, names) = settings(&parts.pairs()?)?;
+                let name = router_name(&mut fields)?;
+                let salt = fields.integer("salt")?;
+                let (mut settings, names) = settings(&fields.parameters()?)?;
                 settings.zone =
                     settings.zone.map(|z| number_of(&mut self.zones, &names.zones[usize::from(z)]));
                 let balancer = LoadBalancer::new(settings, salt).map_err(|e| invalid("setup", e))?;
                 self.gateways.insert(name.to_owned(), Gateway { balancer, names });
             }
             "CRASH_NOW" => {
-                let name = router(&mut parts)?;
-                parts.end()?;
+                let name = router_name(&mut fields)?;
+                fields.end()?;
                 self.gateways.remove(name);
             }
-            "CLOCK" => return Err(invalid("message", "'CLOCK' within a batch")),
-            _ => self.event(now, message, parts, reply)?,
+            "CLOCK" => return Err(invalid("message", "CLOCK within a batch")),
+            _ => self.process_event(now, message, fields, reply)?,
         }
         Ok(false)
     }
 
-    /// The input's end, which is in order only between batches.
+    /// Checks that the input does not end within a batch.
     pub(crate) fn end(&self) -> Result<(), FieldError> {
         match self.batch {
             None => Ok(()),
-            Some(_) => Err(invalid("message", "the input ends within a batch")),
+            Some(_) => Err(invalid("message", "input ends within a batch")),
         }
     }
 
-    fn entry(&mut self, line: &str) -> Result<(), FieldError> {
+    fn add_entry(&mut self, line: &str) -> Result<(), FieldError> {
         let member = member(line, &mut self.zones, &mut self.kinds)?;
-        if let Some(reading) = &mut self.reading {
-            reading.members.push(member);
+        if let Some(list) = &mut self.pending_list {
+            list.members.push(member);
         }
-        self.entries_done();
+        self.store_complete_list();
         Ok(())
     }
 
-    fn entries_done(&mut self) {
-        if let Some(done) = self.reading.take_if(|r| r.members.len() == r.due) {
-            self.lists[done.number] = Some(done.members.into());
+    /// Stores the pending list once it has all its members.
+    fn store_complete_list(&mut self) {
+        if let Some(list) = self.pending_list.take_if(|list| list.members.len() == list.expected_count) {
+            self.lists[list.number] = Some(list.members.into());
         }
     }
 
-    /// An event of one gateway. One for a gateway that was never started or was killed is ignored.
-    fn event(
+    /// Processes an event of a gateway. Events for gateways that are not running are ignored.
+    fn process_event(
         &mut self,
         now: Nanos,
         message: &str,
-        mut parts: Parts<'_>,
+        mut fields: Fields<'_>,
         reply: &mut String,
     ) -> Result<(), FieldError> {
-        let name = router(&mut parts)?;
+        let name = router_name(&mut fields)?;
         let event = match message {
-            "UPDATE" => self.list_event(&mut parts)?,
+            "UPDATE" => self.list_event(&mut fields)?,
             "ASK" => {
                 let names = self.gateways.get(name).map(|gateway| &gateway.names);
-                match request_event(&mut parts, names)? {
+                match request_event(&mut fields, names)? {
                     Some(event) => event,
                     None => return Ok(()),
                 }
             }
-            "EXPIRED" => Event::Expired(parts.request()?),
-            "RETURNED" => outcome_event(&mut parts)?,
-            "HEAD_RECEIVED" => first_token_event(&mut parts)?,
-            "HEALTH_RESULT" => probe_event(&mut parts)?,
-            "WAKE" => Event::Timer(parts.integer("token")?),
-            "MESSAGE" => Event::PeerMessage { from: parts.integer("who")?, bytes: parts.bytes("raw")? },
-            other => return Err(invalid("message", format_args!("'{other}' is not known"))),
+            "EXPIRED" => Event::Expired(fields.request_id()?),
+            "RETURNED" => outcome_event(&mut fields)?,
+            "HEAD_RECEIVED" => first_token_event(&mut fields)?,
+            "HEALTH_RESULT" => probe_event(&mut fields)?,
+            "WAKE" => Event::Timer(fields.integer("token")?),
+            "MESSAGE" => Event::PeerMessage { from: fields.integer("who")?, bytes: fields.bytes("raw")? },
+            other => return Err(invalid("message", format_args!("unknown message '{other}'"))),
         };
-        parts.end()?;
+        fields.end()?;
         if let Some(gateway) = self.gateways.get_mut(name) {
             gateway.balancer.handle(now, event, &mut self.actions);
         }
         for action in self.actions.drain(..) {
-            print(name, &action, reply);
+            write_action(name, &action, reply);
         }
         Ok(())
     }
 
-    fn list_event(&self, parts: &mut Parts<'_>) -> Result<Event, FieldError> {
-        let kind = match parts.text("kind")? {
+    fn list_event(&self, fields: &mut Fields<'_>) -> Result<Event, FieldError> {
+        let kind = match fields.required("kind")? {
             "Partial" => ListKind::Changes,
             "Complete" => ListKind::Complete,
             "Persisted" => ListKind::Persisted,
             "Error" => ListKind::Failed,
-            other => return Err(invalid("kind", format_args!("'{other}' is no known kind"))),
+            other => return Err(invalid("kind", format_args!("unknown kind '{other}'"))),
         };
-        parts.integer_or::<u64>("gen", 0)?;
-        let list = parts.part("set-id")?;
+        fields.integer_or::<u64>("gen", 0)?;
+        let list = fields.optional("set-id")?;
         let members = match (kind, list.map(str::parse::<usize>)) {
             (ListKind::Failed, _) => Arc::from([]),
             (_, Some(Ok(list))) => match self.lists.get(list) {
                 Some(Some(members)) => Arc::clone(members),
-                _ => return Err(invalid("set-id", format_args!("no list {list} was given"))),
+                _ => return Err(invalid("set-id", format_args!("list {list} was not sent"))),
             },
-            (_, Some(Err(_))) => return Err(invalid("set-id", "no whole number in range")),
+            (_, Some(Err(_))) => return Err(invalid("set-id", "not an integer in range")),
             (_, None) => return Err(invalid("set-id", "absent")),
         };
         Ok(Event::List { kind, members })
     }
 }
 
-/// Reads a request; none if its gateway, whose `names` it uses, is not there.
-fn request_event(parts: &mut Parts<'_>, names: Option<&Names>) -> Result<Option<Event>, FieldError> {
-    let id = parts.request()?;
-    let expires_in = parts.integer::<i64>("expires-in-ns")?.max(0) as Nanos;
-    let prefix = parts.key("shared-prefix")?;
-    let session = parts.key("object")?;
-    parts.span("expected-ns")?;
-    let prefix_tokens = parts.count("prefix-len")?;
-    let max_output_tokens = parts.count("n-max")?;
-    let class = parts.text("priority")?;
-    let tenant = parts.part("project")?;
-    let prompt_tokens = parts.count("prompt-len")?;
-    let marks: u64 = parts.integer_or("marks", 0)?;
+/// Parses a request. `names` are those of its gateway; the result is `None` if the gateway is not running.
+fn request_event(fields: &mut Fields<'_>, names: Option<&Names>) -> Result<Option<Event>, FieldError> {
+    let id = fields.request_id()?;
+    let expires_in = fields.integer::<i64>("expires-in-ns")?.max(0) as Nanos;
+    let prefix = fields.key("shared-prefix")?;
+    let session = fields.key("object")?;
+    fields.span("expected-ns")?;
+    let prefix_tokens = fields.count("prefix-len")?;
+    let max_output_tokens = fields.count("n-max")?;
+    let class = fields.required("priority")?;
+    let tenant = fields.optional("project")?;
+    let prompt_tokens = fields.count("prompt-len")?;
+    let flags: u64 = fields.integer_or("marks", 0)?;
     let Some(names) = names else { return Ok(None) };
     Ok(Some(Event::Request(Request {
         id,
@@ -209,61 +213,61 @@
         prompt_tokens,
         prefix_tokens,
         max_output_tokens,
-        is_retry: marks & RETRY_MARK != 0,
+        is_retry: flags & RETRY_BIT != 0,
     })))
 }
 
 fn class_index(names: &Names, class: &str) -> Result<ClassIndex, FieldError> {
     let index = names.classes.iter().position(|name| name == class);
-    let unknown = || invalid("priority", format_args!("'{class}' is no class of this gateway's"));
+    let unknown = || invalid("priority", format_args!("this gateway has no class '{class}'"));
     index.map(ClassIndex).ok_or_else(unknown)
 }
 
 fn tenant_index(names: &Names, tenant: Option<&str>) -> Result<Option<TenantIndex>, FieldError> {
     let tenant = tenant.filter(|tenant| *tenant != "0" && !names.tenants.is_empty());
     match tenant.map(|tenant| names.tenants.iter().position(|name| name == tenant)) {
-        Some(None) => Err(invalid("project", "no tenant of this gateway's")),
+        Some(None) => Err(invalid("project", "this gateway has no such tenant")),
         found => Ok(found.flatten().map(TenantIndex)),
     }
 }
 
-fn outcome_event(parts: &mut Parts<'_>) -> Result<Event, FieldError> {
-    let id = parts.request()?;
-    let cached = parts.part("info")?;
-    let cached = cached.map(|text| text.parse().map_err(|_| invalid("info", "no whole number in range")));
-    let elapsed = parts.span("rtt-ns")?;
-    parts.part("worker")?;
-    let attempt = parts.integer("hop")?;
-    let ended = parts.flag("ended")?;
-    let verdict = parts.verdict()?;
-    let report = parts.report()?;
+fn outcome_event(fields: &mut Fields<'_>) -> Result<Event, FieldError> {
+    let id = fields.request_id()?;
+    let cached = fields.optional("info")?;
+    let cached = cached.map(|text| text.parse().map_err(|_| invalid("info", "not an integer in range")));
+    let elapsed = fields.span("rtt-ns")?;
+    fields.optional("worker")?;
+    let attempt = fields.integer("hop")?;
+    let ended = fields.flag("ended")?;
+    let verdict = fields.verdict()?;
+    let report = fields.report()?;
     let cached_tokens = cached.transpose()?;
     Ok(Event::Outcome { id, attempt, verdict, ended, elapsed, cached_tokens, report })
 }
 
-fn first_token_event(parts: &mut Parts<'_>) -> Result<Event, FieldError> {
-    let id = parts.request()?;
-    let elapsed = parts.span("rtt-ns")?;
-    parts.part("worker")?;
-    Ok(Event::FirstToken { id, attempt: parts.integer("hop")?, elapsed })
+fn first_token_event(fields: &mut Fields<'_>) -> Result<Event, FieldError> {
+    let id = fields.request_id()?;
+    let elapsed = fields.span("rtt-ns")?;
+    fields.optional("worker")?;
+    Ok(Event::FirstToken { id, attempt: fields.integer("hop")?, elapsed })
 }
 
-fn probe_event(parts: &mut Parts<'_>) -> Result<Event, FieldError> {
-    let replica = ReplicaId::from(parts.text("worker")?);
-    let verdict = parts.verdict()?;
-    let elapsed = parts.span("rtt-ns")?;
-    Ok(Event::Probed { replica, verdict, elapsed, report: parts.report()? })
+fn probe_event(fields: &mut Fields<'_>) -> Result<Event, FieldError> {
+    let replica = ReplicaId::from(fields.required("worker")?);
+    let verdict = fields.verdict()?;
+    let elapsed = fields.span("rtt-ns")?;
+    Ok(Event::Probed { replica, verdict, elapsed, report: fields.report()? })
 }
 
-fn router<'a>(parts: &mut Parts<'a>) -> Result<&'a str, FieldError> {
-    let name = parts.text("router")?;
-    let number = name.strip_prefix("router_").is_some_and(|n| n.parse::<u32>().is_ok());
-    if number { Ok(name) } else { Err(invalid("router", format_args!("'{name}' is no router's name"))) }
+fn router_name<'a>(fields: &mut Fields<'a>) -> Result<&'a str, FieldError> {
+    let name = fields.required("router")?;
+    let is_valid = name.strip_prefix("router_").is_some_and(|n| n.parse::<u32>().is_ok());
+    if is_valid { Ok(name) } else { Err(invalid("router", format_args!("'{name}' is not a router name"))) }
 }
 
-/// Adds an action's line.
-fn print(router: &str, action: &Action, reply: &mut String) {
-    // Writing to a string does not fail.
+/// Appends the line of an action to `reply`.
+fn write_action(router: &str, action: &Action, reply: &mut String) {
+    // Writing to a string never fails.
     let _ = match action {
         Action::Send { id, replica, timeout, .. } => {
             writeln!(reply, "RELAY {router} {:016x} {} {timeout}", id.0, replica.0)
--- a/src/bin/tulipridge-simhost/main.rs
+++ b/src/bin/tulipridge-simhost/main.rs
@@ -1,4 +1,5 @@
-//! The adapter: speaks the simulator's wire for any number of gateways, and decides nothing.
+//! Adapter between the simulator's line protocol and the load balancers of any number of gateways. All decisions are made
+//! by the load balancers.
 
 mod host;
 mod parse;
@@ -23,19 +24,19 @@
     }
 }
 
-/// Why the program ends before its input does.
+/// The reason why the program ends before its input.
 #[derive(Debug, Snafu)]
 enum HostError {
     /// The input can't be read.
     #[snafu(display("line {number}: {source}"))]
     Read { number: u64, source: io::Error },
-    /// The last line has no end.
-    #[snafu(display("line {number}: line: cut off before its end"))]
+    /// The last line has no line terminator.
+    #[snafu(display("line {number}: line: truncated"))]
     Truncated { number: u64 },
     /// A line is not UTF-8.
     #[snafu(display("line {number}: line: not UTF-8"))]
     NotUtf8 { number: u64, source: Utf8Error },
-    /// A line can't be used.
+    /// A line is invalid.
     #[snafu(display("line {number}: {source}"))]
     Line { number: u64, source: FieldError },
     /// The reply can't be written.
@@ -43,7 +44,7 @@
     Reply { number: u64, source: io::Error },
 }
 
-/// Answers batches until the input ends.
+/// Processes batches and writes the reply to each, until the input ends.
 fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), HostError> {
     let mut host = host::Host::default();
     let mut line = Vec::new();
@@ -59,7 +60,7 @@
         }
         line.pop_if(|last| *last == b'\r');
         let text = std::str::from_utf8(&line).context(NotUtf8Snafu { number })?;
-        if host.line(text, &mut reply).context(LineSnafu { number })? {
+        if host.process_line(text, &mut reply).context(LineSnafu { number })? {
             let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
             sent.context(ReplySnafu { number })?;
             reply.clear();
