--- a/src/api_keys.rs
+++ b/src/api_keys.rs
@@ -1,33 +1,33 @@
-//! Clients' keys, which are stored as hashes and compared in constant time.
+//! API keys of clients, which are stored as hashes and compared in constant time.
 
 use sha2::{Digest, Sha256};
 use subtle::{Choice, ConditionallySelectable, ConstantTimeEq};
 
 use tulipridge_http1::codec::Head;
 
-/// A known key.
+/// An API key of the settings.
 #[derive(Clone, Debug)]
 pub struct Key {
-    /// Its name in the settings and the log.
+    /// The name of the key in the settings and the log.
     pub name: String,
-    /// The SHA-256 of its bytes. Keys are long and random, so that no slower hash would add anything.
+    /// The SHA-256 of the key's bytes. A slower hash would add no security, since keys are long and random.
     pub hash: [u8; 32],
-    /// The tenant that it belongs to.
+    /// The index of the tenant that the key belongs to, if any.
     pub tenant: Option<usize>,
-    /// The models that it may request; all if empty.
+    /// The models that requests with the key may name; all if empty.
     pub models: Vec<String>,
 }
 
-/// All known keys.
+/// The API keys of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Keys(Vec<Key>);
 
-/// The owner of a request, by its key.
+/// The owner of a request, as identified by its API key.
 #[derive(Clone, Copy, Debug)]
 pub enum KeyOwner<'k> {
-    /// No keys are set, so every client is served.
+    /// The settings have no keys, so every client is served.
     Anybody,
-    /// The owner of this key.
+    /// The owner of a known key.
     Known(&'k Key),
     /// The request has no key.
     Keyless,
@@ -36,57 +36,57 @@
 }
 
 impl Keys {
-    /// Creates the set of these keys.
+    /// Creates a set of keys.
     #[must_use]
     pub fn new(keys: Vec<Key>) -> Keys {
         Keys(keys)
     }
 
-    /// Whether there are no keys.
+    /// Whether the settings have no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The owner of a request, by its `x-api-key` or else its `authorization: Bearer`.
+    /// Identifies the owner of a request by its `x-api-key` header, or else by `authorization: Bearer`.
     #[must_use]
     pub fn owner(&self, head: &Head) -> KeyOwner<'_> {
         if self.0.is_empty() {
             return KeyOwner::Anybody;
         }
         let bearer = || head.get("authorization")?.strip_prefix("Bearer ").map(str::trim);
-        let Some(shown) = head.get("x-api-key").or_else(bearer).filter(|k| !k.is_empty()) else {
+        let Some(presented) = head.get("x-api-key").or_else(bearer).filter(|k| !k.is_empty()) else {
             return KeyOwner::Keyless;
         };
-        let hash: [u8; 32] = Sha256::digest(shown.as_bytes()).into();
-        // All keys are compared, so that the time does not depend on which one matches.
-        let (mut found, mut at) = (Choice::from(0), 0u64);
-        for (n, key) in self.0.iter().enumerate() {
-            let same = key.hash.ct_eq(&hash);
-            at.conditional_assign(&(n as u64), same);
-            found |= same;
+        let hash: [u8; 32] = Sha256::digest(presented.as_bytes()).into();
+        // All keys are compared, so that the duration does not depend on which one matches.
+        let (mut is_found, mut index) = (Choice::from(0), 0u64);
+        for (key_index, key) in self.0.iter().enumerate() {
+            let is_equal = key.hash.ct_eq(&hash);
+            index.conditional_assign(&(key_index as u64), is_equal);
+            is_found |= is_equal;
         }
-        match self.0.get(at as usize) {
-            Some(key) if bool::from(found) => KeyOwner::Known(key),
+        match self.0.get(index as usize) {
+            Some(key) if bool::from(is_found) => KeyOwner::Known(key),
             _ => KeyOwner::Stranger,
         }
     }
 }
 
-/// The hash of a key, from its hex digits.
+/// Parses the hash of a key; `None` unless `digits` are 64 hex digits.
 #[must_use]
 pub fn hash_of(digits: &str) -> Option<[u8; 32]> {
     if digits.len() != 64 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
     }
     let mut hash = [0; 32];
-    for (byte, at) in hash.iter_mut().zip((0..64).step_by(2)) {
-        *byte = u8::from_str_radix(&digits[at..at + 2], 16).ok()?;
+    for (byte, start) in hash.iter_mut().zip((0..64).step_by(2)) {
+        *byte = u8::from_str_radix(&digits[start..start + 2], 16).ok()?;
     }
     Some(hash)
 }
 
-/// A key's hash as the settings have it.
+/// The hash of a key as 64 hex digits, the form that the settings use.
 #[must_use]
 pub fn digits_of(key: &str) -> String {
     Sha256::digest(key.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: parses the arguments and runs the command that they name.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
@@ -16,74 +16,77 @@
 
 use crate::{demo, serve};
 
+/// The minimum length of a client's key; a shorter one could be found by brute force.
+const MIN_KEY_CHARS: usize = 24;
+
 /// A gateway for the replicas of a language model.
 ///
-/// Without a command it serves, as 'serve' does. To see it work with nothing else at hand: 'tulipridge demo'.
+/// Without a command it serves, as 'serve' does. To try it without any configuration, run 'tulipridge demo'.
 #[derive(Parser)]
 #[command(version, args_conflicts_with_subcommands = true)]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
     #[command(flatten)]
-    files: Files,
+    files: FileOptions,
 }
 
 #[derive(Args, Clone)]
-struct Files {
-    /// The platform's configuration, JSON: name, addresses, limits, classes [default: what EDGE_CONFIG names]
+struct FileOptions {
+    /// The platform's configuration, JSON: name, addresses, limits, classes [default: the file that EDGE_CONFIG names]
     #[arg(long, value_name = "FILE")]
     config: Option<String>,
-    /// The program's own settings, HCL [default: what TULIPRIDGE_SETTINGS names, else deploy/tulipridge.hcl if
-    /// it is there]
+    /// The program's own settings, HCL [default: the file that TULIPRIDGE_SETTINGS names, else
+    /// deploy/tulipridge.hcl if it exists]
     #[arg(long, value_name = "FILE")]
     settings: Option<String>,
 }
 
-/// A dialect, as the command line names it.
+/// A dialect as an argument of the command line.
 #[derive(Clone, Copy, ValueEnum)]
-enum Speaks {
+enum DialectArgument {
     Platform,
     Messages,
 }
 
-impl From<Speaks> for Dialect {
-    fn from(speaks: Speaks) -> Dialect {
-        match speaks {
-            Speaks::Platform => Dialect::Platform,
-            Speaks::Messages => Dialect::Messages,
+impl From<DialectArgument> for Dialect {
+    fn from(argument: DialectArgument) -> Dialect {
+        match argument {
+            DialectArgument::Platform => Dialect::Platform,
+            DialectArgument::Messages => Dialect::Messages,
         }
     }
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until SIGTERM or Ctrl-C; SIGHUP reads the files again
-    Serve(Files),
-    /// Check a settings file as a start would, name the first fault, and start nothing; exit status 0 if it is good
+    /// Serve until SIGTERM or Ctrl-C; SIGHUP reloads the files
+    Serve(FileOptions),
+    /// Validate a settings file as at a start and print the first error, without starting; exit status 0 if it is valid
     Check {
         /// The settings file, HCL
         file: String,
-        /// Check the names in it against this configuration too [default: what EDGE_CONFIG names, if it is set]
+        /// Also check its names against this configuration [default: the file that EDGE_CONFIG names, if it is set]
         #[arg(long, value_name = "FILE")]
         config: Option<String>,
     },
-    /// Run the conformance suite: by itself over all pairings of fronts and replicas, or against a gateway that
-    /// is up; exit status 0 if all that was run holds
+    /// Run the conformance suite: on all pairings of fronts and replicas, with gateways that it starts, or against a
+    /// running gateway; exit status 0 if all cases that were run have passed
     Conformance(ConformanceOptions),
-    /// Make a key for a client of the messages front, and the line that the settings hold of it
+    /// Generate a key for a client of the messages front, and print its line for the settings
     Key {
-        /// The key's name in the settings
+        /// The name of the key in the settings
         name: String,
-        /// The tenant whose it is
+        /// The tenant that the key belongs to
         #[arg(long)]
         tenant: Option<String>,
-        /// Read the key from standard input, where there is one already, instead of making one
+        /// Read an existing key from standard input instead of generating one
         #[arg(long)]
         read: bool,
     },
-    /// Bring up toy replicas, a discovery and a gateway with both fronts on loopback, and print two calls
+    /// Start demo replicas, a list service and a gateway with both fronts on loopback, and print two example requests
     Demo {
-        /// The port of the platform's front, that of the messages front being the next; 0 takes any two
+        /// The port of the platform front; the messages front uses the next one. 0 takes any two free ports
         #[arg(long, default_value_t = 8080)]
         port: u16,
     },
@@ -91,90 +94,90 @@
 
 #[derive(Args)]
 struct ConformanceOptions {
-    /// The front of a gateway that is up, whose replicas are this suite's stand-ins
+    /// The front of a running gateway whose replicas are stand-ins of this suite
     #[arg(long, value_name = "ADDRESS", requires = "front", requires = "servers")]
     against: Option<SocketAddr>,
-    /// That front's dialect
+    /// The dialect of that front
     #[arg(long, value_enum)]
-    front: Option<Speaks>,
+    front: Option<DialectArgument>,
     /// The dialect of the replicas behind it
     #[arg(long, value_enum)]
-    servers: Option<Speaks>,
-    /// Bring up the stand-ins for such a gateway, with discovery at this port, until Ctrl-C
+    servers: Option<DialectArgument>,
+    /// Run the stand-ins for such a gateway until Ctrl-C, with the list service on this port
     #[arg(long, value_name = "PORT", requires = "servers", conflicts_with = "against")]
     stand_in: Option<u16>,
-    /// Run only cases whose names hold this
+    /// Run only cases whose names contain this
     #[arg(long, value_name = "WORD")]
     only: Option<String>,
-    /// Write the report as JSON
+    /// Print the report as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Does what the command line says.
+/// Parses the command line and runs its command.
 pub(crate) fn run() -> ExitCode {
-    let line = Line::parse();
-    match line.command.unwrap_or(Command::Serve(line.files)) {
+    let arguments = Arguments::parse();
+    match arguments.command.unwrap_or(Command::Serve(arguments.files)) {
         Command::Serve(files) => serve_files(files),
         Command::Check { file, config } => check(file, config),
         Command::Conformance(options) => run_conformance(options),
-        Command::Key { name, tenant, read } => key(&name, tenant.as_deref(), read),
+        Command::Key { name, tenant, read } => print_key(&name, tenant.as_deref(), read),
         Command::Demo { port } => run_demo(port),
     }
 }
 
-/// Serves with what these files say.
-fn serve_files(files: Files) -> ExitCode {
+/// Serves with the configuration and settings from these files.
+fn serve_files(files: FileOptions) -> ExitCode {
     let sources = Sources { config: files.config, settings: files.settings };
     let inherited = match listen::inherited() {
         Ok(inherited) => inherited,
-        Err(error) => return fault(&error.to_string()),
+        Err(error) => return fail(&error.to_string()),
     };
     match Config::load(&sources) {
         Ok(config) => serve::serve(config, sources, inherited),
-        Err(error) => fault(&error.to_string()),
+        Err(error) => fail(&error.to_string()),
     }
 }
 
-/// Checks a settings file, with the configuration beside it if there is one.
+/// Validates a settings file, together with the configuration if one is named.
 fn check(file: String, config: Option<String>) -> ExitCode {
     let sources = Sources { config, settings: Some(file.clone()) };
     if sources.config().is_none() {
         return match Settings::load(&file) {
             Ok(_) => {
-                println!("{file}: good; names of classes and tenants need --config to be checked");
+                println!("{file}: valid; names of classes and tenants are checked only with --config");
                 ExitCode::SUCCESS
             }
-            Err(error) => fault(&error.to_string()),
+            Err(error) => fail(&error.to_string()),
         };
     }
-    // With the configuration beside it everything is checked that a start would check.
+    // With the configuration, all checks of a start apply.
     match Config::load(&sources) {
         Ok(config) => {
             let limits = config.limits();
             println!(
-                "{file}: good; a stream holds {} bytes, all of them {}, a socket's buffer {}",
+                "{file}: valid; buffer limits in bytes: {} per stream, {} for all streams, {} per socket",
                 limits.stream.high_watermark, limits.stream.budget, limits.wire.socket_buffer
             );
             ExitCode::SUCCESS
         }
-        Err(error) => fault(&error.to_string()),
+        Err(error) => fail(&error.to_string()),
     }
 }
 
-/// Runs the conformance suite, or serves its stand-ins.
+/// Runs the conformance suite, or only its stand-ins.
 fn run_conformance(options: ConformanceOptions) -> ExitCode {
     let ConformanceOptions { against, front, servers, stand_in, only, json } = options;
     let mut cases = match conformance::cases() {
         Ok(cases) => cases,
-        Err(error) => return fault(&error.to_string()),
+        Err(error) => return fail(&error.to_string()),
     };
     cases.retain(|c| only.as_ref().is_none_or(|word| c.name.contains(word)));
     if cases.is_empty() {
-        return fault("--only: no case has such a name");
+        return fail("--only: no name of a case contains this word");
     }
     if let (Some(port), Some(servers)) = (stand_in, servers) {
-        return conformance_stand_in(servers.into(), &cases, port);
+        return run_stand_ins(servers.into(), &cases, port);
     }
     let report = match (against, front, servers) {
         (Some(addr), Some(front), Some(servers)) => {
@@ -189,53 +192,52 @@
             print!("{}", if json { report.json() + "\n" } else { report.text() });
             if report.all_passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
-        Err(e) => fault(&format!("conformance: {e}")),
+        Err(e) => fail(&format!("conformance: {e}")),
     }
 }
 
-/// Brings up the demo, with its two fronts at `port` and the port after it.
+/// Runs the demo, with its two fronts on `port` and the next port.
 fn run_demo(port: u16) -> ExitCode {
     let next = if port == 0 { Some(0) } else { port.checked_add(1) };
     let Some(next) = next else {
-        return fault("--port: there is no next one for the messages front");
+        return fail("--port: no next port exists for the messages front");
     };
     let at = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
     demo::run(at(port), at(next))
 }
 
-/// Serves the stand-ins until it is ended, having printed what a gateway needs for them.
-fn conformance_stand_in(servers: Dialect, cases: &[conformance::case::Case], port: u16) -> ExitCode {
+/// Prints the files for a gateway in front of the stand-ins, and runs the stand-ins until the process is terminated.
+fn run_stand_ins(servers: Dialect, cases: &[conformance::case::Case], port: u16) -> ExitCode {
     let fleet = conformance::case::Fleet::Shared;
     match conformance::stand_in::StandIns::start(servers, fleet, cases, port) {
         Ok(stand_ins) => {
-            println!("# a gateway's configuration (--config):\n{}", conformance::config(&stand_ins));
-            println!("# its settings (--settings):\n{}", conformance::settings(servers));
+            println!("# configuration of the gateway (--config):\n{}", conformance::config(&stand_ins));
+            println!("# settings of the gateway (--settings):\n{}", conformance::settings(servers));
             loop {
                 std::thread::park();
             }
         }
-        Err(e) => fault(&format!("conformance: discovery at port {port}: {e}")),
+        Err(e) => fail(&format!("conformance: list service on port {port}: {e}")),
     }
 }
 
-/// Prints a key, and what the settings hold of it.
-fn key(name: &str, tenant: Option<&str>, read: bool) -> ExitCode {
+/// Prints a client's key and the line for the settings that contains its hash.
+fn print_key(name: &str, tenant: Option<&str>, read: bool) -> ExitCode {
     let key = if read {
         let mut line = String::new();
         match std::io::stdin().read_line(&mut line) {
             Ok(_) => line.trim().to_owned(),
-            Err(e) => return fault(&format!("key: standard input: {e}")),
+            Err(e) => return fail(&format!("key: standard input: {e}")),
         }
     } else {
         let mut bytes = [0; 32];
         if let Err(e) = getrandom::fill(&mut bytes) {
-            return fault(&format!("key: no random numbers: {e}"));
+            return fail(&format!("key: can't generate random numbers: {e}"));
         }
         format!("tr-{}", base64::engine::general_purpose::URL_SAFE_NO_PAD.encode(bytes))
     };
-    // Guards against a key that could be found by trying.
-    if key.len() < 24 {
-        return fault("key: fewer than 24 characters could be found by trying");
+    if key.len() < MIN_KEY_CHARS {
+        return fail(&format!("key: fewer than {MIN_KEY_CHARS} characters can be found by brute force"));
     }
     let tenant = tenant.map_or(String::new(), |t| format!(", tenant = {t:?}"));
     println!("# the client's: {}", if read { "as read" } else { &key });
@@ -244,7 +246,8 @@
     ExitCode::SUCCESS
 }
 
-fn fault(what: &str) -> ExitCode {
-    eprintln!("tulipridge: {what}");
+/// Prints an error message; returns the exit status of a failed command.
+fn fail(message: &str) -> ExitCode {
+    eprintln!("tulipridge: {message}");
     ExitCode::FAILURE
 }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,6 +1,6 @@
-//! `tulipridge demo`: demo replicas, a discovery and the gateway itself, all on loopback and in one process.
+//! `tulipridge demo`: demo replicas, a list service and the gateway, on loopback and in one process.
 //!
-//! The replicas are plain threads with blocking sockets, so that they share nothing with what they show.
+//! The replicas use plain threads and blocking sockets, so that they share no code with the gateway.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
@@ -19,7 +19,10 @@
 
 use crate::serve;
 
-/// Serves until Ctrl-C, having printed two calls that work.
+/// The interval of keep-alives on a watch of the replica list.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+
+/// Prints two example requests and serves until Ctrl-C.
 pub(crate) fn run(platform: SocketAddr, messages: SocketAddr) -> ExitCode {
     let config = match prepare(platform, messages) {
         Ok(config) => config,
@@ -30,11 +33,11 @@
     };
     let front = config.own.messages.listen.unwrap_or(messages);
     println!(
-        "Two demo replicas, one of each dialect, and a discovery are up. Ask them by way of the gateway:\n"
+        "Two demo replicas, one of each dialect, and a list service are running. Send them requests through the gateway:\n"
     );
     println!("{}\n", platform_call(config.listen));
     println!("{}\n", messages_call(front));
-    println!("Ctrl-C ends it.\n");
+    println!("Ctrl-C stops the demo.\n");
     serve::serve(config, Sources::default(), None)
 }
 
@@ -53,30 +56,31 @@
     )
 }
 
-/// Why the demo can't be started.
+/// The reason why the demo can't be started.
 #[derive(Debug, Snafu)]
 enum DemoError {
-    /// A port that was asked for can't be used.
+    /// A requested port can't be bound.
     #[snafu(display("{address}: {source}; try --port"))]
     Port { address: SocketAddr, source: io::Error },
-    /// A port of a stand-in can't be used.
+    /// A port of a demo replica or of the list service can't be bound.
     #[snafu(display("{owner}: {source}"))]
-    StandInPort { owner: &'static str, source: io::Error },
-    /// The configuration can't be used.
+    LocalPort { owner: &'static str, source: io::Error },
+    /// The configuration of the demo is invalid.
     #[snafu(context(false), display("{source}"))]
     Configuration { source: ValueError },
 }
 
 fn prepare(platform: SocketAddr, messages: SocketAddr) -> Result<Config, DemoError> {
-    // A port that is taken is told before anything is printed; port 0 becomes one that is free just now.
-    let free = |addr: SocketAddr| {
+    // A port in use is reported before anything is printed. Port 0 becomes the number of a port that is free now.
+    let resolve_port = |addr: SocketAddr| {
         let bound = TcpListener::bind(addr).and_then(|listener| listener.local_addr());
         bound.context(PortSnafu { address: addr })
     };
-    let (platform, messages) = (free(platform)?, free(messages)?);
+    let (platform, messages) = (resolve_port(platform)?, resolve_port(messages)?);
     let mut entries = Vec::new();
     for (id, kind) in [("toy-1", "toy"), ("toy-2", "toy-messages")] {
-        let (listener, addr) = local().context(StandInPortSnafu { owner: "a demo replica's port" })?;
+        let (listener, addr) =
+            bind_loopback().context(LocalPortSnafu { owner: "port of a demo replica" })?;
         entries
             .push(json!({"id": id, "addr": addr.to_string(), "zone": "a", "kind": kind, "state": "ready"}));
         thread::spawn(move || {
@@ -85,26 +89,27 @@
             }
         });
     }
-    let (listener, discovery) = local().context(StandInPortSnafu { owner: "discovery's port" })?;
+    let (listener, discovery) =
+        bind_loopback().context(LocalPortSnafu { owner: "port of the list service" })?;
     let list = json!({"version": 2, "full": true, "servers": entries});
-    let said = list.clone();
+    let served_list = list.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let list = said.to_string();
+            let list = served_list.to_string();
             thread::spawn(move || watch(stream, &list));
         }
     });
     let second = 1_000_000_000u64;
-    let lane = |name: &str, aim: u64, deadline: u64, points: f64| {
-        json!({"name": name, "effect": "retryable", "promise-ns": aim, "deadline-ns": deadline,
+    let class = |name: &str, latency_target: u64, deadline: u64, points: f64| {
+        json!({"name": name, "effect": "retryable", "promise-ns": latency_target, "deadline-ns": deadline,
             "points": points, "late-worth": 0.3, "stream": true})
     };
     let config = json!({"name": "demo", "listen": platform.to_string(), "discovery": discovery.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": list, "settings": {"group-size": 1, "me": 0, "zone": "a", "localities": ["a"],
             "shapes": ["toy", "toy-messages"], "discovery": "ask", "weight-source": "rough", "report": {"fields": []},
-            "lanes": [lane("docs", 3 * second / 2, 5 * second, 1.0),
-                lane("bulk", 3 * second, 10 * second, 3.0)],
+            "lanes": [class("docs", 3 * second / 2, 5 * second, 1.0),
+                class("bulk", 3 * second, 10 * second, 3.0)],
             "accounts": [{"name": "office", "share": 1.0}],
             "policy-limits": {"send-cap": 5, "cancel": true, "retry-after": true,
                 "max-retry-after-ns": 2 * second, "conn-idle-ns": 5 * second},
@@ -124,14 +129,14 @@
     Ok(Config::new(&config, own)?)
 }
 
-/// A listener at any port, and its address.
-fn local() -> io::Result<(TcpListener, SocketAddr)> {
+/// Binds a listener to any free port of the loopback address, and returns it with its address.
+fn bind_loopback() -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// A watch: the whole list, then a sign of life every 2 s.
+/// Serves a watch: sends the full list, then a keep-alive at each [`KEEP_ALIVE_INTERVAL`].
 fn watch(mut stream: TcpStream, list: &str) -> io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     if demo_replica::read_message(&mut reader).is_none() {
@@ -140,7 +145,7 @@
     write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
     write!(stream, "{:x}\r\n{list}\n\r\n", list.len() + 1)?;
     loop {
-        thread::sleep(Duration::from_secs(2));
+        thread::sleep(KEEP_ALIVE_INTERVAL);
         stream.write_all(b"1\r\n\n\r\n")?;
     }
 }
--- a/src/demo_replica.rs
+++ b/src/demo_replica.rs
@@ -1,5 +1,5 @@
-//! Demo replicas to try the gateway with, for `tulipridge demo` and the examples: plain blocking sockets, which
-//! share nothing with what they show.
+//! Demo replicas for `tulipridge demo` and the examples. They use blocking sockets, so that they share no code with the
+//! gateway.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -8,7 +8,14 @@
 
 use serde_json::{Value, json};
 
-/// Reads a message's head, and its body of a stated length; `None` once there is none, or none that is one.
+/// The time between two events of a response.
+const EVENT_INTERVAL: Duration = Duration::from_millis(60);
+
+/// The estimated length of a token in bytes.
+const BYTES_PER_TOKEN: usize = 4;
+
+/// Reads the head of a message and a body of the length in `Content-Length`. `None` if the input ends, can't be read or
+/// states an invalid length.
 pub fn read_message(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let (mut head, mut length) = (String::new(), 0);
     loop {
@@ -31,51 +38,54 @@
     Some((head, body))
 }
 
-/// A demo replica's connection, in the dialect of each request's path: it says its name and the question's words,
-/// a word an event; where there are tools and no result yet, it uses the first one. Returns once the other side has
-/// closed it.
+/// Serves a connection to a demo replica, in the dialect of each request's path. The response consists of the replica's
+/// name and the words of the last turn, one event for each word. If the request has tools and no result of one, the
+/// response calls the first tool.
+///
+/// Returns `Some` once the client has closed the connection or sent an invalid message, and `None` if a write failed.
 #[must_use]
 pub fn serve_connection(id: &str, mut stream: TcpStream) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     while let Some((head, body)) = read_message(&mut reader) {
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
-        let messages = head.starts_with("POST /v1/messages ");
+        let is_messages = head.starts_with("POST /v1/messages ");
         let last = body["messages"].as_array().and_then(|m| m.last()).cloned().unwrap_or_default();
-        let words = words_of(&last["content"]);
-        let answered = last["role"] == "tool" || last["content"][0]["type"] == "tool_result";
+        let prompt = text_of(&last["content"]);
+        let has_tool_result = last["role"] == "tool" || last["content"][0]["type"] == "tool_result";
         let tool = &body["tools"][0];
-        let tool = tool["name"].as_str().or(tool["function"]["name"].as_str()).filter(|_| !answered);
+        let tool = tool["name"].as_str().or(tool["function"]["name"].as_str()).filter(|_| !has_tool_result);
         let head =
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         stream.write_all(head.as_bytes()).ok()?;
-        let text = format!("{id} heard: {words}");
-        let events = if messages {
-            messages_events(&text, tool, words.len() / 4)
+        let text = format!("{id} heard: {prompt}");
+        let events = if is_messages {
+            messages_events(&text, tool, prompt.len() / BYTES_PER_TOKEN)
         } else {
-            platform_events(&text, tool, words.len() / 4)
+            platform_events(&text, tool, prompt.len() / BYTES_PER_TOKEN)
         };
         for event in events {
             stream.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes()).ok()?;
-            thread::sleep(Duration::from_millis(60));
+            thread::sleep(EVENT_INTERVAL);
         }
         stream.write_all(b"0\r\n\r\n").ok()?;
     }
     Some(())
 }
 
-/// The words of a content: a text, or blocks of which some are texts or hold some.
-fn words_of(content: &Value) -> String {
+/// The text of a turn's content, which is a string or an array of blocks that may contain text or further content.
+fn text_of(content: &Value) -> String {
     match content {
         Value::String(text) => text.clone(),
         Value::Array(blocks) => {
-            let of = |b: &Value| b["text"].as_str().map_or_else(|| words_of(&b["content"]), str::to_owned);
-            blocks.iter().map(of).collect()
+            let block_text =
+                |b: &Value| b["text"].as_str().map_or_else(|| text_of(&b["content"]), str::to_owned);
+            blocks.iter().map(block_text).collect()
         }
         _ => String::new(),
     }
 }
 
-fn platform_events(text: &str, tool: Option<&str>, prompt: usize) -> Vec<String> {
+fn platform_events(text: &str, tool: Option<&str>, prompt_tokens: usize) -> Vec<String> {
     let choice = |delta: Value, finish: Value| {
         format!("data: {}\n\n", json!({"choices": [{"index": 0, "delta": delta, "finish_reason": finish}]}))
     };
@@ -89,13 +99,13 @@
         events.push(choice(json!({"tool_calls": [call]}), Value::Null));
     }
     events.push(choice(json!({}), stop.into()));
-    let usage = json!({"prompt_tokens": prompt, "completion_tokens": 8});
+    let usage = json!({"prompt_tokens": prompt_tokens, "completion_tokens": 8});
     events.push(format!("data: {}\n\n", json!({"choices": [], "usage": usage})));
     events.push("data: [DONE]\n\n".into());
     events
 }
 
-fn messages_events(text: &str, tool: Option<&str>, prompt: usize) -> Vec<String> {
+fn messages_events(text: &str, tool: Option<&str>, prompt_tokens: usize) -> Vec<String> {
     let event = |data: Value| {
         let name = data["type"].as_str().unwrap_or_default();
         format!("event: {name}\ndata: {data}\n\n")
@@ -104,7 +114,7 @@
         event(
             json!({"type": "message_start", "message": {"id": "msg_toy", "type": "message", "role": "assistant",
             "content": [], "model": "toy", "stop_reason": null, "stop_sequence": null,
-            "usage": {"input_tokens": prompt, "output_tokens": 1}}}),
+            "usage": {"input_tokens": prompt_tokens, "output_tokens": 1}}}),
         ),
         event(
             json!({"type": "content_block_start", "index": 0, "content_block": {"type": "text", "text": ""}}),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway of `tulipridge serve`: one process that takes requests of two dialects, places each on a replica and
-//! relays the response. `README.md` ("The gateway") says what each module does.
+//! The gateway of `tulipridge serve`: one process that accepts requests in two dialects, sends each to a replica and
+//! relays the response. `README.md` ("The gateway") describes each module.
 //!
-//! The load balancer is the package `tulipridge-load-balancer`, re-exported here; this package is its clock, its
-//! timers and its network.
+//! The load balancer is the package `tulipridge-load-balancer`, re-exported here. This package provides its clock, its
+//! timers and its network connections.
 
 pub mod admission;
 pub mod api_keys;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: its command line, and what each command starts.
+//! The executable `tulipridge`.
 
 mod cli;
 mod demo;
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,4 +1,4 @@
-//! What requests, lists and settings call things, and the dialects that they speak.
+//! Names in requests, replica lists and settings, and the dialects of requests.
 
 use std::collections::BTreeMap;
 
@@ -6,83 +6,83 @@
 
 use crate::types::{LoadMetric, Member, Nanos, Phase, ReplicaId};
 
-/// A way to speak of requests and streams.
+/// The format of requests and event streams.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Dialect {
-    /// The platform's: chat completions.
+    /// Chat completions, the dialect of the platform.
     #[default]
     Platform,
-    /// The messages API's, with named events.
+    /// The messages API, whose streams have named events.
     Messages,
 }
 
-/// A line of discovery's list.
+/// An entry of the replica list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServiceEntry {
-    /// The replica's id.
+    /// The identifier of the replica.
     pub id: String,
-    /// Its address for this gateway.
+    /// The address at which this gateway reaches the replica.
     #[serde(default)]
     pub addr: String,
-    /// Its zone.
+    /// The name of the zone.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine.
+    /// The name of the kind of machine.
     #[serde(default)]
     pub kind: String,
-    /// Its cell.
+    /// The number of the cell.
     #[serde(default)]
     pub cell: u64,
-    /// Its state.
+    /// The lifecycle state.
     pub state: State,
-    /// Its size, as the settings say.
-    #[serde(default = "one")]
+    /// The weight; `weight-source` in the settings says what it means.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Its last start in Unix milliseconds; 0 is long ago.
+    /// The last start in Unix milliseconds; 0 if it was long ago.
     #[serde(default)]
     pub started_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// What discovery says of a replica.
+/// The lifecycle state of a replica in the replica list. Greater values are more restrictive.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It runs.
+    /// The replica accepts requests.
     Ready,
-    /// It wants nothing new.
+    /// The replica accepts no new requests.
     Draining,
-    /// It has left.
+    /// The replica has left the fleet.
     Gone,
 }
 
-/// A response of discovery.
+/// A response of the list service.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Listing {
-    /// The list's version.
+    /// The version of the list.
     #[serde(default)]
     pub version: u64,
-    /// It is the whole list.
+    /// Whether the response is the full list and not only its changes.
     #[serde(default)]
     pub full: bool,
-    /// The entries.
+    /// The entries, at most one for each replica after [`Listing::correct`].
     #[serde(default)]
     pub servers: Vec<ServiceEntry>,
 }
 
-/// Sizes that a replica may have, beside those of others.
-const WEIGHTS: std::ops::RangeInclusive<f64> = 1e-3..=1e4;
-/// A start further ahead of this machine's clock, in milliseconds, is no start: clocks differ by less.
-const AHEAD_MS: f64 = 60_000.0;
+/// The valid range of weights.
+const WEIGHT_RANGE: std::ops::RangeInclusive<f64> = 1e-3..=1e4;
+/// The maximum clock difference, in milliseconds, by which the start of a replica may be ahead of this machine's time.
+const MAX_CLOCK_LEAD_MS: f64 = 60_000.0;
 
 impl Listing {
-    /// Corrects what can't be right, at `now_ms` of Unix time, and names it. Guards against updates that would
-    /// draw all requests to one replica, keep one cold for ever, or send work to what drains: of two entries
-    /// for one replica in one listing the one that wants nothing new counts.
+    /// Replaces invalid values, at the Unix time `now_ms`, and returns the replica and the reason for each. This prevents
+    /// updates that would direct all requests to one replica, keep a replica in slow start forever, or send requests to a
+    /// draining replica: of several entries for one replica, the most restrictive state is used.
     pub fn correct(&mut self, now_ms: f64) -> Vec<(String, &'static str)> {
         let mut faults = Vec::new();
         let mut positions = BTreeMap::new();
@@ -91,18 +91,18 @@
             match self.servers.get_mut(position) {
                 Some(first) => {
                     first.state = first.state.max(entry.state);
-                    faults.push((entry.id, "named twice, the word that wants nothing new counts"));
+                    faults.push((entry.id, "duplicate entry; the more restrictive state is used"));
                 }
                 None => self.servers.push(entry),
             }
         }
         for entry in &mut self.servers {
-            if !WEIGHTS.contains(&entry.weight) {
-                faults.push((entry.id.clone(), "a weight that no machine has, taken for 1"));
+            if !WEIGHT_RANGE.contains(&entry.weight) {
+                faults.push((entry.id.clone(), "weight out of range; 1 is used"));
                 entry.weight = 1.0;
             }
-            if !(0.0..=now_ms + AHEAD_MS).contains(&entry.started_ms) {
-                faults.push((entry.id.clone(), "a start that can't be, taken for now"));
+            if !(0.0..=now_ms + MAX_CLOCK_LEAD_MS).contains(&entry.started_ms) {
+                faults.push((entry.id.clone(), "invalid start time; the current time is used"));
                 entry.started_ms = now_ms;
             }
         }
@@ -110,53 +110,53 @@
     }
 }
 
-/// The names that requests and lists use, with what goes with them.
+/// The names in requests and replica lists, with the settings that depend on them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// The classes' names.
+    /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// The tenants' names.
+    /// The names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
-    /// The zones' names.
+    /// The names of the zones by their numbers.
     pub zones: Vec<String>,
-    /// The kinds' names.
+    /// The names of the kinds of machine by their numbers.
     pub kinds: Vec<String>,
-    /// The names of a load report's values, in the settings' order.
+    /// The names of the values in a load report, in the order of the settings.
     pub load_metrics: Vec<String>,
-    /// The classes' deadlines.
+    /// The deadlines of the classes.
     pub deadlines: Vec<Nanos>,
-    /// The classes of which a second run does no harm.
+    /// Whether requests of a class may run twice without harm.
     pub safe: Vec<bool>,
-    /// Classes by model, for the messages front.
+    /// The class index by model, for the messages front.
     pub models: BTreeMap<String, usize>,
-    /// The class of other models.
+    /// The class index for all other models.
     pub usual_class: usize,
-    /// The tenant of requests that name none on the messages front.
+    /// The tenant index for requests on the messages front that name no tenant.
     pub usual_tenant: Option<usize>,
-    /// Dialects of replicas by their kind.
+    /// The dialects of replicas by their kind; other kinds have the platform dialect.
     pub dialects: BTreeMap<String, Dialect>,
 }
 
 impl Names {
-    /// A class's index.
+    /// The index of a class; `None` if the name is unknown.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|n| n == name)
     }
 
-    /// A tenant's index.
+    /// The index of a tenant; `None` if the name is unknown.
     #[must_use]
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|n| n == name)
     }
 
-    /// The dialect of a kind of replica.
+    /// The dialect of the replicas of a kind.
     #[must_use]
     pub fn dialect(&self, kind: &str) -> Dialect {
         self.dialects.get(kind).copied().unwrap_or_default()
     }
 
-    /// A service entry as the load balancer takes it. New zones and kinds get the next numbers.
+    /// Converts an entry of the list for the load balancer. New zones and kinds get the next numbers.
     pub fn member(&mut self, entry: &ServiceEntry) -> Member {
         Member {
             id: ReplicaId::from(entry.id.as_str()),
@@ -169,13 +169,13 @@
                 State::Draining => Phase::Draining,
                 State::Gone => Phase::Gone,
             },
-            // The load balancer's clock is Unix time too.
+            // The load balancer's clock is also Unix time, in nanoseconds.
             started: (entry.started_ms > 0.0).then_some((entry.started_ms * 1e6) as Nanos),
         }
     }
 
-    /// A load report (`TEXT util=0.6, eps=0`) in the settings' order; a value that is missing,
-    /// or out of all range, is not a number.
+    /// Parses a load report (`TEXT util=0.6, eps=0`) into values in the order of the settings. A value that is missing or
+    /// out of range is NaN.
     #[must_use]
     pub fn report(&self, text: &str) -> Vec<f64> {
         let pairs = text.split([',', ' ']).filter_map(|p| p.split_once('='));
@@ -188,16 +188,16 @@
     }
 }
 
-/// A name's number; a new one gets the next.
+/// The number of a name; a new name gets the next number. All names beyond the first 65,535 share the number 65,535.
 pub fn number_of(names: &mut Vec<String>, name: &str) -> u16 {
-    let known = names.iter().position(|n| n == name).unwrap_or_else(|| {
+    let index = names.iter().position(|n| n == name).unwrap_or_else(|| {
         names.push(name.to_owned());
         names.len() - 1
     });
-    known.min(usize::from(u16::MAX)) as u16
+    index.min(usize::from(u16::MAX)) as u16
 }
 
-/// What load reports call a value.
+/// The load metric that a name in load reports stands for.
 #[must_use]
 pub fn load_metric_named(name: &str) -> LoadMetric {
     match name {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,4 +1,4 @@
-//! One gateway, from its start to its end: wires the parts together.
+//! Starts a gateway, runs it until a signal stops it, and connects its parts.
 
 use std::cell::{Cell, RefCell};
 use std::env;
@@ -38,24 +38,25 @@
 /// Nanoseconds in a millisecond, for log fields.
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// The executor of the one thread that serves; it lives as long as the program.
+/// The executor of the single serving thread; it exists until the process exits.
 type Executor = &'static LocalExecutor<'static>;
 
-/// Why a gateway can't start. Each variant is fatal, and its text says what to mend.
+/// The reason why a gateway can't start. Each variant is fatal, and its text states what has to be corrected.
 #[derive(Debug, Snafu)]
 enum StartError {
-    /// The signals can't be awaited.
+    /// The signal handlers can't be installed.
     #[snafu(display("signals: {source}"))]
     Signals { source: io::Error },
-    /// The platform's settings can't be used.
+    /// The platform's settings are invalid.
     #[snafu(display("settings: {source}"))]
     Settings { source: SettingsError },
-    /// A port can't be listened at.
+    /// A listener can't be opened.
     #[snafu(context(false), display("{source}"))]
     Listen { source: ListenError },
 }
 
-/// Serves until a signal ends it; `sources` is what SIGHUP reads again, `inherited` the platform's own listener.
+/// Serves until a signal stops the process. `sources` are the files that SIGHUP reloads; `inherited` is the listener that
+/// the platform passes to each process of this gateway, if there is one.
 pub(crate) fn serve(config: Config, sources: Sources, inherited: Option<TcpListener>) -> ExitCode {
     let limits = config.limits();
     let limits = Rc::new(if inherited.is_some() { limits.with_overlapping_process() } else { limits });
@@ -65,7 +66,9 @@
         let (log, lines) = match syslog::start(&config.name, collector.is_some(), &limits) {
             Ok(started) => started,
             Err(e) => {
-                eprintln!("tulipridge: no thread for the log: {e}; raise the limit on threads or memory");
+                eprintln!(
+                    "tulipridge: can't start the log thread: {e}; raise the limit on threads or memory"
+                );
                 return ExitCode::FAILURE;
             }
         };
@@ -82,7 +85,8 @@
     }))
 }
 
-/// Builds the parts, starts their loops and returns once all requests have their responses after a signal to stop.
+/// Builds the parts, starts their loops, and returns once a signal has stopped the gateway and all open requests have
+/// their responses.
 async fn run(
     executor: Executor,
     config: Config,
@@ -110,7 +114,7 @@
     let is_shared = inherited.is_some();
     let readiness = readiness(&fleet, &discovery, &limits);
     let lifecycle = Rc::new(LifecycleMonitor::new(engine.clone(), limits.clone(), is_shared, readiness));
-    // Without a listener that the platform keeps, no process ever serves beside this one.
+    // Without an inherited listener no other process of this gateway can serve at the same time.
     let handover = Rc::new(match is_shared {
         true => Handover::new(&env::temp_dir(), &config.name, config.own.handover, limits.clone()),
         false => Handover::disabled(limits.clone()),
@@ -142,33 +146,35 @@
     wait_until_stopped(executor, signals, &reload, &parts.edge).await;
     parts.engine.log_stream_statistics();
     context.omissions.log();
-    log::info!("stopped: all is answered");
+    log::info!("stopped: all requests have their responses");
     Ok(())
 }
 
-/// Warns where lists are polled and the group is so large that a list may be older than its notifications allow.
+/// Warns if the list is polled and the group is so large that a change of the list may arrive after the propagation
+/// deadline.
 fn warn_of_late_lists(settings: &Settings) {
     let bounds = ListSchedule::from_settings(settings).propagation_bounds();
     if settings.has_pushed_list || bounds.after_idle.max(bounds.after_refusal) <= PROPAGATION_DEADLINE {
         return;
     }
-    let [silent, refused] = [bounds.after_idle, bounds.after_refusal].map(|nanos| nanos / NANOS_PER_MILLI);
-    log::warn!(silent_ms = silent, refused_ms = refused; "list-late: a group of this size may have its list later than its news count as told; state what the list service can serve in list.calls_per_s, or make it faster");
+    let [after_idle, after_refusal] =
+        [bounds.after_idle, bounds.after_refusal].map(|nanos| nanos / NANOS_PER_MILLI);
+    log::warn!(silent_ms = after_idle, refused_ms = after_refusal; "list-late: in a group of this size, changes of the replica list may arrive after the propagation deadline; set list.calls_per_s to the rate that the list service can serve, or raise that rate");
 }
 
-/// Reads load reports of replicas; the first one with values that can't be read is logged.
+/// Returns the parser for load reports of replicas. Only the first report with invalid values is logged.
 fn load_report_reader(names: Rc<RefCell<Names>>) -> LoadReportReader {
-    let is_logged = Cell::new(false);
+    let has_logged = Cell::new(false);
     Box::new(move |text: &str| {
         let report = names.borrow().report(text);
-        if report.iter().any(|value| value.is_nan()) && !is_logged.replace(true) {
-            log::warn!(report = text; "bad-report: what can't be read of load reports is passed over");
+        if report.iter().any(|value| value.is_nan()) && !has_logged.replace(true) {
+            log::warn!(report = text; "bad-report: invalid values of load reports are ignored; only the first such report is logged");
         }
         report
     })
 }
 
-/// Whether requests can be served: a replica is ready, and discovery has answered or had its time.
+/// Returns the readiness check: a replica is ready, and discovery has returned a list or the fallback delay has elapsed.
 fn readiness(fleet: &Rc<Fleet>, discovery: &Rc<Discovery>, limits: &Rc<Limits>) -> Box<dyn Fn() -> bool> {
     let (fleet, discovery, limits) = (fleet.clone(), discovery.clone(), limits.clone());
     let started = Instant::now();
@@ -178,7 +184,7 @@
     })
 }
 
-/// What the listeners and loops of a gateway work with.
+/// The parts of a gateway that its listeners and loops share.
 struct Parts {
     executor: Executor,
     engine: Engine,
@@ -198,14 +204,14 @@
         Ok(listen::open(address, inherited, port, &self.limits)?)
     }
 
-    /// Listens at the second address, for operators.
+    /// Opens the listener for operators, at the management address.
     fn listen_to_operators(&self, address: SocketAddr) -> Result<(), StartError> {
         let mgmt = Rc::new(Mgmt::new(self.engine.clone(), self.lifecycle.clone(), self.limits.clone()));
         self.executor.spawn(mgmt.listen(self.executor, self.bind(address, None, "Mgmt")?)).detach();
         Ok(())
     }
 
-    /// Listens for clients: on the platform's front, and on the messages front where it has an address.
+    /// Opens the listeners for clients: the platform front, and the messages front if it has an address.
     fn listen_to_clients(
         &self,
         platform: SocketAddr,
@@ -215,14 +221,14 @@
         let mut fronts = vec![(platform, Dialect::Platform)];
         fronts.extend(messages.map(|address| (address, Dialect::Messages)));
         for (address, dialect) in fronts {
-            // What the platform keeps is the socket of its own front, which comes first.
+            // The inherited socket belongs to the platform front, which is opened first.
             let listener = self.bind(address, inherited.take(), &format!("{dialect:?}"))?;
             self.executor.spawn(self.edge.clone().listen(self.executor, listener, dialect)).detach();
         }
         Ok(())
     }
 
-    /// Serves the replicated store, exchanges it with its peers and follows what it says.
+    /// Starts the replicated store, its exchange with the peers, and the loop that applies its settings.
     fn start_store(
         &self,
         name: &str,
@@ -242,7 +248,7 @@
         Ok(())
     }
 
-    /// Takes over the store's settings and reports this gateway's state there, again and again.
+    /// Applies the store's settings and writes this gateway's state to the store, at `limits.store.state_interval`.
     fn follow_store(
         &self,
         store: Rc<Store>,
@@ -261,7 +267,7 @@
         }
     }
 
-    /// Starts the loops of the engine and of the lifecycle.
+    /// Starts the loops of the engine and of the lifecycle monitor.
     fn spawn_loops(&self) {
         let engine = self.engine.clone();
         self.executor.spawn(async move { engine.maintain_streams().await }).detach();
@@ -272,23 +278,26 @@
     }
 }
 
-/// Starts the loop that reads the files again at each order; several orders that wait are one.
+/// Starts the loop that reloads the files at each request of the returned channel. Requests during a pending one are
+/// dropped.
 ///
-/// `mgmt` is the second address in force, which a newer file does not change.
+/// `mgmt` is the management address in use; a reload does not change it.
 fn spawn_reloads(
     executor: Executor,
     discovery: Rc<Discovery>,
     sources: Sources,
     mgmt: Option<SocketAddr>,
 ) -> Sender<()> {
-    let (reload, orders) = async_channel::bounded(1);
+    let (reload, requests) = async_channel::bounded(1);
     executor
         .spawn(async move {
-            // One reading at a time, so that the last order is the one that counts.
-            while orders.recv().await.is_ok() {
-                match read_again(sources.clone()).await {
+            // One reload at a time, so that the result of the last one remains in force.
+            while requests.recv().await.is_ok() {
+                match read_files(sources.clone()).await {
                     Ok(config) => apply_reload(&discovery, &config, mgmt),
-                    Err(error) => log::error!("reload-failed: all stays as it was: {error}"),
+                    Err(error) => {
+                        log::error!("reload-failed: the previous configuration stays in force: {error}");
+                    }
                 }
             }
         })
@@ -296,28 +305,28 @@
     reload
 }
 
-/// Reads the files on a thread of its own: a slow disk must not keep requests waiting.
-async fn read_again(sources: Sources) -> Result<Config, ConfigError> {
+/// Reads the files on a separate thread, since a slow disk must not delay requests.
+async fn read_files(sources: Sources) -> Result<Config, ConfigError> {
     let read = run_in_background(move || Config::reload(&sources)).await;
     read.unwrap_or_else(|e| Err(ConfigError::NoThread { source: e }))
 }
 
 fn apply_reload(discovery: &Discovery, config: &Config, mgmt: Option<SocketAddr>) {
-    // What the environment says goes first, and can't have changed.
+    // The environment variable takes precedence over the file and can't change while the process runs.
     if config.mgmt != mgmt && env::var_os("EDGE_MGMT").is_none() {
-        log::warn!(told:? = config.mgmt, kept:? = mgmt; "mgmt-kept: a second address counts from the next start");
+        log::warn!(told:? = config.mgmt, kept:? = mgmt; "mgmt-kept: a changed management address takes effect at the next start");
     }
     discovery.set_address(config.discovery);
 }
 
-/// Handles signals until the first that stops the gateway, and then until all requests have their responses.
+/// Handles signals, and returns once one has stopped the gateway and all open requests have their responses.
 async fn wait_until_stopped(
     executor: Executor,
     mut signals: Signals,
     reload: &Sender<()>,
     edge: &Rc<Edge>,
 ) {
-    // Guards against a SIGHUP that ends the program, also one that comes while it stops.
+    // SIGHUP remains handled while the gateway stops, since its default action would terminate the process.
     let mut is_stopping = false;
     let (done, stopped) = async_channel::bounded::<()>(1);
     loop {
@@ -326,11 +335,11 @@
             None
         });
         match signal.await {
-            // A full channel has an order that is not begun yet and will see what this one would.
+            // If the channel is full, the pending reload has not started and will read the same files.
             Some(Signal::Hup) => drop(reload.try_send(())),
             Some(signal) if !is_stopping => {
                 is_stopping = true;
-                log::info!(signal:? = signal, connections = edge.open(); "stopping: finishing what is held");
+                log::info!(signal:? = signal, connections = edge.open(); "stopping: completing the open requests");
                 spawn_stop(executor, edge.clone(), done.clone());
             }
             Some(_) => {}
@@ -339,7 +348,7 @@
     }
 }
 
-/// Stops taking clients, and reports when the last one has its response.
+/// Stops accepting connections, and sends to `done` once all open requests have their responses.
 fn spawn_stop(executor: Executor, edge: Rc<Edge>, done: Sender<()>) {
     executor
         .spawn(async move {
--- a/src/store.rs
+++ b/src/store.rs
@@ -21,9 +21,9 @@
 /// A key's value with its stamp; `null` marks a removed key, which is kept so that an older value does not return.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Entry {
-    /// When it was written.
+    /// The stamp of the last write.
     pub stamp: Stamp,
-    /// The value.
+    /// The value; `null` if the key was removed.
     pub value: Value,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Store {
-    /// An empty store, as after each start.
+    /// Creates an empty store. No entry survives a restart of the process, unless a peer has it.
     #[must_use]
     pub fn new(node: &str, limits: &Limits) -> Store {
         Store {
@@ -55,12 +55,12 @@
         }
     }
 
-    /// The value of a key.
+    /// The value of a key; `None` if the key is unknown or was removed.
     pub fn get(&self, key: &str) -> Option<Value> {
         self.entries.borrow().get(key).map(|e| e.value.clone()).filter(|v| !v.is_null())
     }
 
-    /// All keys with this prefix, with their values.
+    /// The keys that begin with `prefix`, with their values.
     pub fn under(&self, prefix: &str) -> BTreeMap<String, Value> {
         let entries = self.entries.borrow();
         let found = entries.iter().filter(|(k, e)| k.starts_with(prefix) && !e.value.is_null());
