--- a/src/conformance/mod.rs
+++ b/src/conformance/mod.rs
@@ -25,6 +25,12 @@
 use case::{Case, CaseError, Expectation, Fleet, LineError, Outcome};
 use stand_in::StandIns;
 
+/// The number of readiness probes after which the start of a gateway has failed.
+const MAX_READY_PROBES: u32 = 500;
+
+/// The interval between readiness probes of a starting gateway.
+const READY_PROBE_INTERVAL: Duration = Duration::from_millis(10);
+
 /// The case files of the suite: file name and text.
 const CASE_FILES: [(&str, &str); 5] = [
     ("answers.case", include_str!("../../conformance/answers.case")),
@@ -89,7 +95,8 @@
     pub pairing: Pairing,
     /// The outcome of the request.
     pub outcome: Outcome,
-    /// The number of attempts that reached a replica; `None` if the stand-ins are not in this process.
+    /// The number of attempts that reached a replica. `None` if there was no response, or if the stand-ins run in another
+    /// process.
     pub attempts: Option<usize>,
     /// The differences from the expectations; empty if the case passed.
     pub faults: Vec<String>,
@@ -311,7 +318,7 @@
 #[must_use]
 pub fn config(stand_ins: &StandIns) -> Value {
     let second = 1_000_000_000u64;
-    let lane = |name: &str, effect: &str| {
+    let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "promise-ns": second, "deadline-ns": 4 * second, "stream": true,
             "points": 1.0})
     };
@@ -319,7 +326,7 @@
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "sockets": 1024, "memory_mb": 192},
         "known": stand_ins.list(), "settings": {"group-size": 1, "me": 0, "zone": "a", "localities": ["a"],
             "shapes": ["k"], "discovery": "push", "weight-source": "rough", "report": {"fields": []},
-            "lanes": [lane("plain", "retryable"), lane("once", "fragile")],
+            "lanes": [class("plain", "retryable"), class("once", "fragile")],
             "accounts": [{"name": "office", "share": 1.0}],
             "policy-limits": {"send-cap": 4, "cancel": true, "retry-after": true,
                 "max-retry-after-ns": 2 * second, "conn-idle-ns": 5 * second, "connect-timeout-ns": second},
@@ -327,10 +334,10 @@
                 "overload-factor": 2.5, "ask-within-ns": 10 * second}}})
 }
 
-/// The program's settings (HCL) for a gateway of the suite, whose replicas speak the dialect `servers`.
+/// The program's settings (HCL) for a gateway of the suite, whose replicas speak the dialect `replicas`.
 #[must_use]
-pub fn settings(servers: Dialect) -> String {
-    let kind = if servers == Dialect::Messages { "messages" } else { "platform" };
+pub fn settings(replicas: Dialect) -> String {
+    let kind = if replicas == Dialect::Messages { "messages" } else { "platform" };
     format!(
         "messages {{\n  listen = \"127.0.0.1:0\"\n  class = \"plain\"\n  tenant = \"office\"\n  \
         classes = {{ map-fast = \"plain\", map-once = \"once\" }}\n  limits = {{ office = {{ requests = 100000 }} }}\n}}\n\
@@ -347,14 +354,14 @@
 }
 
 impl GatewayProcess {
-    /// Starts the program with the stand-ins, which speak the dialect `servers`, as its replicas.
+    /// Starts the program with the stand-ins as its replicas; they speak the dialect `replicas`.
     ///
     /// # Errors
     ///
     /// If the gateway's files can't be written, or the program can't be started or is not ready in time.
     pub fn start(
         stand_ins: &StandIns,
-        servers: Dialect,
+        replicas: Dialect,
         program: &Path,
         scratch: &Path,
     ) -> io::Result<GatewayProcess> {
@@ -363,7 +370,7 @@
         let file = |name: &str| scratch.join(format!("conformance-{}-{number}-{name}", std::process::id()));
         let files = [file("config.json"), file("settings.hcl")];
         std::fs::write(&files[0], config(stand_ins).to_string())?;
-        std::fs::write(&files[1], settings(servers))?;
+        std::fs::write(&files[1], settings(replicas))?;
         let mut child = Command::new(program)
             .arg("serve")
             .arg("--config")
@@ -412,14 +419,14 @@
     }
 
     fn wait_ready(&self) -> io::Result<()> {
-        for _ in 0..500 {
+        for _ in 0..MAX_READY_PROBES {
             let request = b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
             if client::send_request(self.fronts[0], Dialect::Platform, request)
                 .is_ok_and(|s| s.status == 200)
             {
                 return Ok(());
             }
-            thread::sleep(Duration::from_millis(10));
+            thread::sleep(READY_PROBE_INTERVAL);
         }
         Err(io::Error::other("the gateway did not become ready in time"))
     }
--- a/src/names.rs
+++ b/src/names.rs
@@ -36,7 +36,7 @@
     pub cell: u64,
     /// The lifecycle state.
     pub state: State,
-    /// The weight; `weight-source` in the settings says what it means.
+    /// The weight; `weight-source` in the settings defines its meaning.
     #[serde(default = "default_weight")]
     pub weight: f64,
     /// The last start in Unix milliseconds; 0 if it was long ago.
