--- a/crates/subscription/src/freshness.rs
+++ b/crates/subscription/src/freshness.rs
@@ -1,17 +1,17 @@
-//! How fresh a subscriber's state is. No I/O and no clock.
+//! Freshness of a subscriber's state. No I/O and no clock.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Most pings without a pong; older ones are dropped.
+/// Maximum number of pings without a pong; the oldest are dropped beyond it.
 const MAX_PENDING: usize = 64;
-/// A ping without a pong for longer than this is dropped.
+/// Pings without a pong are dropped after this time.
 const PING_EXPIRY: Duration = Duration::from_secs(30);
 
 /// Computes freshness from pings and pongs.
 ///
-/// A pong carries the age of the publisher's own freshness. The state that precedes the pong was therefore the newest
-/// at the time of the ping less that age, by the subscriber's own clock, however long the pong took.
+/// A pong carries the age of the publisher's state. The state that precedes the pong was therefore the newest at the
+/// time of the ping minus that age, by the subscriber's clock, regardless of the delay of the pong.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
     pending: VecDeque<PendingPing>,
@@ -28,13 +28,13 @@
 }
 
 impl Freshness {
-    /// Nothing is known yet.
+    /// Creates a state without any pong.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Records that a ping is sent at `now`. Ids have to rise.
+    /// Records that a ping was sent at `now`. Ids must increase.
     pub fn record_ping(&mut self, id: u64, now: Duration) {
         self.expire(now);
         if self.pending.len() == MAX_PENDING {
@@ -43,8 +43,8 @@
         self.pending.push_back(PendingPing { id, sent: now });
     }
 
-    /// Records a pong; `age` is none where the publisher does not know how fresh it is. Pongs of unknown pings are
-    /// ignored. A publisher may skip pings, so a pong drops all earlier ones.
+    /// Records a pong; `age` is `None` if the publisher does not know the age of its state. Pongs without a pending
+    /// ping are ignored. A publisher may skip pings, so a pong drops all earlier pings.
     pub fn record_pong(&mut self, id: u64, age: Option<Duration>, now: Duration) {
         self.expire(now);
         while self.pending.front().is_some_and(|ping| ping.id < id) {
@@ -59,18 +59,18 @@
         self.fresh_as_of = self.fresh_as_of.max(Some(fresh_as_of));
     }
 
-    /// Drops all pings without a pong. To be called when their connection ends.
+    /// Drops all pings without a pong. Must be called when their connection ends.
     pub fn forget_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// The latest time at which the state was certainly the newest; none also while that time lies before the clock's
-    /// origin, where only [`Freshness::age`] can express it.
+    /// Returns the latest time at which the state was certainly the newest; `None` while that time is unknown or before
+    /// the clock's origin, where only [`Freshness::age`] can express it.
     pub fn fresh_as_of(&self) -> Option<Duration> {
         self.fresh_as_of.and_then(duration)
     }
 
-    /// How long before `now` that was; none while nothing is known.
+    /// Returns the time from that instant to `now`; `None` while it is unknown.
     #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.fresh_as_of.map(|as_of| duration(signed_nanos(now) - as_of).unwrap_or_default())
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -1,14 +1,14 @@
 //! Delivery of state along the feed: from the control plane's primary to the relays of each zone (members that serve
-//! agents), from a relay to its agents, and from an agent to the proxy beside it.
+//! agents), from a relay to its agents, and from an agent to the proxy on the same machine.
 //!
-//! The path of a change, at each hop: a message arrives at the [`subscriber::Subscriber`], which applies it to the
-//! process's [`store::FeedStore`] and calls its listeners; one of these notifies the [`publisher::Publisher`] of the
-//! same store, which sends each of its subscribers a delta from the position that this one has reached, or a snapshot.
-//! Pings go the other way, and [`freshness::Freshness`] computes from their pongs how stale the state may be. Reports
-//! of [`queued_work`] go towards the primary on the same connections.
+//! A change takes the same path at each hop. The [`subscriber::Subscriber`] receives a message, applies it to the
+//! process's [`store::FeedStore`] and calls its listeners. One listener notifies the [`publisher::Publisher`] of the
+//! same store, which sends each of its subscribers a delta from that subscriber's position, or a snapshot.
+//! Pings are sent in the opposite direction, and [`freshness::Freshness`] computes from their pongs how stale the
+//! state may be. Reports of [`queued_work`] are sent towards the primary on the same connections.
 //!
 //! [`store`], [`freshness`] and [`queued_work`] do no I/O. [`publisher::Publisher`] and
-//! [`subscriber::Subscriber`] are the two ends of a connection. They are futures for one thread.
+//! [`subscriber::Subscriber`] are the two ends of a connection. Their futures run on one thread.
 
 pub mod freshness;
 mod link;
--- a/crates/subscription/src/link.rs
+++ b/crates/subscription/src/link.rs
@@ -1,4 +1,4 @@
-//! A connection of the feed, as the task at either end polls it.
+//! A connection of the feed, polled by the task at either end.
 
 use std::future::poll_fn;
 use std::io;
@@ -14,15 +14,15 @@
 use crate::signal::Signal;
 use crate::wire::{Incoming, Outgoing, Received};
 
-/// What a connection's task was woken for.
+/// Event for which a connection's task was woken.
 pub(crate) enum Event {
-    /// The peer has sent bytes, or has closed its side.
+    /// The peer has sent bytes or has closed its side.
     Received(Received),
     /// The connection has accepted bytes.
     Written,
     /// The signal at this index was raised.
     Signalled(usize),
-    /// The timer has fired. The deadline may have been put off meanwhile, so the caller checks it again.
+    /// The timer has fired. The deadline may have been extended since, so the caller checks it again.
     Timer,
 }
 
@@ -46,10 +46,10 @@
         }
     }
 
-    /// Waits for the next event, and writes meanwhile.
+    /// Waits for the next event, and sends queued bytes in the meantime.
     ///
     /// # Errors
-    /// The error of a read or a write that has failed.
+    /// The error of a failed read or write.
     pub(crate) async fn next_event(
         &mut self,
         signals: &[&Signal],
@@ -59,7 +59,8 @@
         poll_fn(|context| self.poll_event(signals, context)).await
     }
 
-    /// A deadline that is put off leaves the timer as it is, since the owner checks its deadline when the timer fires.
+    /// Sets the timer to an earlier deadline. For a later one it is left as it is, since the caller checks the deadline
+    /// when the timer fires.
     fn arm_timer(&mut self, deadline: Duration) {
         if deadline < self.timer_at {
             self.timer.set_after(deadline.saturating_sub(clock::now()));
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Reads go before the timer, so that bytes which have already arrived count as received in time.
+    /// Polls reads before the timer, so that bytes which have already arrived count as received in time.
     fn poll_event(&mut self, signals: &[&Signal], context: &mut Context<'_>) -> Poll<io::Result<Event>> {
         if let Poll::Ready(received) = self.incoming.poll_fill(self.stream, context) {
             return Poll::Ready(received.map(Event::Received));
--- a/crates/subscription/src/publisher.rs
+++ b/crates/subscription/src/publisher.rs
@@ -22,17 +22,17 @@
 
 pub use subscription::ConnectedSubscriber;
 
-/// Delay after a failed accept, for instance without a free file descriptor.
+/// Delay after a failed accept, which fails for instance while no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Limits of a publisher's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct PublisherSettings {
-    /// Most connections at once; further ones are closed on arrival.
+    /// Maximum number of simultaneous connections; the publisher closes further ones as soon as they are accepted.
     pub max_connections: usize,
-    /// Longest time for which a connection with data to send may accept no bytes.
+    /// A connection with unsent data that accepts no bytes for this long is closed.
     pub write_stall: Duration,
-    /// Longest time without a message of the subscriber.
+    /// A connection without a message from the subscriber for this long is closed.
     pub idle_timeout: Duration,
 }
 
@@ -48,9 +48,9 @@
 
 /// Serves the state of a store to subscribers.
 ///
-/// For each of them it keeps only the position up to which the state was sent, and no queue: once a connection has
-/// sent all its bytes, the difference from that position to the newest state is written. A slow subscriber skips
-/// states in between.
+/// Keeps no queue per subscriber, only the position up to which the state was sent: once a connection has sent all its
+/// bytes, the difference from that position to the newest state is written. A slow subscriber skips intermediate
+/// states.
 pub struct Publisher {
     store: Rc<RefCell<FeedStore>>,
     age: Rc<dyn Fn() -> Option<Duration>>,
@@ -62,12 +62,13 @@
 }
 
 impl Publisher {
-    /// A publisher of `store` with the default limits; `age` returns how long ago its state was known to be the newest.
+    /// Creates a publisher of `store` with the default limits. `age` returns the time since the store's state was known
+    /// to be the newest; `None` while that is unknown.
     pub fn new(store: Rc<RefCell<FeedStore>>, age: Rc<dyn Fn() -> Option<Duration>>) -> Rc<Self> {
         Self::with_settings(store, age, PublisherSettings::default())
     }
 
-    /// A publisher with limits of its own.
+    /// Creates a publisher with the given limits.
     pub fn with_settings(
         store: Rc<RefCell<FeedStore>>,
         age: Rc<dyn Fn() -> Option<Duration>>,
@@ -84,7 +85,7 @@
         })
     }
 
-    /// Accepts connections for ever; each is served by a task of its own.
+    /// Accepts connections without end, and spawns a task for each.
     pub async fn serve(self: Rc<Self>, listener: Async<TcpListener>, executor: &LocalExecutor<'_>) {
         loop {
             match listener.accept().await {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Gateways that the connected subscribers serve, by their latest pings. Subscribers whose last message is more than
-    /// two seconds old do not count.
+    /// Returns the number of gateways that the connected subscribers serve, by their latest pings. Subscribers whose
+    /// last message is more than two seconds old are not counted.
     pub fn gateways(&self) -> u32 {
         let now = clock::now();
         let subscriptions = self.subscriptions.borrow();
@@ -114,7 +115,7 @@
         live.fold(0, |sum, subscription| sum.saturating_add(subscription.gateways()))
     }
 
-    /// The sum of the work that the connected subscribers have reported as queued at replicas.
+    /// Returns the sum of the work that the connected subscribers have reported as queued at replicas.
     pub fn queued_work(&self) -> QueuedWork {
         let subscriptions = self.subscriptions.borrow();
         let statuses: Vec<_> =
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The subscribers that are connected.
+    /// Lists the connected subscribers whose first message has arrived.
     pub fn subscribers(&self) -> Vec<ConnectedSubscriber> {
         let now = clock::now();
         self.subscriptions.borrow().values().filter_map(|subscription| subscription.report(now)).collect()
--- a/crates/subscription/src/publisher/batches.rs
+++ b/crates/subscription/src/publisher/batches.rs
@@ -1,4 +1,4 @@
-//! A cache of encoded updates, since many subscribers need the same ones.
+//! A cache of encoded updates, which many subscribers share.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -7,10 +7,10 @@
 
 use crate::store::{FeedStore, SentPositions};
 
-/// Most batches in the cache.
+/// Maximum number of cached batches; the oldest is dropped first.
 const MAX_BATCHES: usize = 4;
 
-/// The latest batches of updates.
+/// Cache of the latest encoded batches of updates.
 #[derive(Debug, Default)]
 pub(super) struct Batches {
     cached: VecDeque<Batch>,
@@ -24,7 +24,7 @@
 }
 
 impl Batches {
-    /// The frames that bring a subscriber from `from` to the newest state; empty where it has that already.
+    /// Returns the frames that bring a subscriber from `from` to the newest state; empty if `from` is the newest.
     ///
     /// # Errors
     /// [`FrameError`] if a message can't be encoded or is too long.
@@ -45,7 +45,7 @@
         Ok(frames)
     }
 
-    /// Drops all batches. To be called when the store has changed.
+    /// Drops all batches. Must be called when the store has changed.
     pub(super) fn clear(&mut self) {
         self.cached.clear();
     }
--- a/crates/subscription/src/publisher/connection.rs
+++ b/crates/subscription/src/publisher/connection.rs
@@ -17,10 +17,10 @@
 use crate::store::SentPositions;
 use crate::wire::Received;
 
-/// Longest message accepted from a subscriber.
+/// Maximum length of a subscriber's message; the connection ends with a longer one.
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
-/// Why a connection ends.
+/// Reason for the end of a subscriber's connection.
 #[derive(Debug, Snafu)]
 pub(super) enum ConnectionEnd {
     #[snafu(display("the subscriber has closed it"))]
@@ -39,7 +39,7 @@
     Stalled,
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it ends.
 pub(super) async fn serve(
     publisher: &Publisher,
     subscription: &Subscription,
@@ -59,11 +59,11 @@
     publisher: &'a Publisher,
     subscription: &'a Subscription,
     link: Link<'a>,
-    /// The position up to which the subscriber was sent the state; none before it has subscribed.
+    /// Position up to which the state was sent; `None` before the subscription.
     sent: Option<SentPositions>,
-    /// The newest ping without a pong. Its pong covers all earlier pings.
+    /// Id of the newest ping that has no pong yet. One pong covers this ping and all earlier ones.
     pending_ping: Option<u64>,
-    /// When the connection last accepted bytes, or had none to send.
+    /// Time at which the connection last accepted bytes or had none to send.
     write_progress: Duration,
 }
 
@@ -134,9 +134,9 @@
         Ok(())
     }
 
-    /// Once all is written, continues with the newest state, and after it the pong for the newest ping.
+    /// Once all bytes are sent, writes the newest state, followed by the pong for the newest ping.
     ///
-    /// The order matters: a pong vouches for the state that precedes it on the connection.
+    /// The order matters: a pong states the age of the state that precedes it on the connection.
     fn write_newest(&mut self) -> Result<(), ConnectionEnd> {
         let Some(sent) = self.sent.filter(|_| self.link.outgoing.is_empty()) else { return Ok(()) };
         let store = self.publisher.store.borrow();
@@ -178,7 +178,7 @@
     }
 }
 
-/// Rounded up, since an age must never be understated.
+/// Converts to milliseconds, rounded up, since an age must never be understated.
 fn milliseconds_up(age: Duration) -> u32 {
     u32::try_from(age.as_nanos().div_ceil(1_000_000)).unwrap_or(u32::MAX)
 }
--- a/crates/subscription/src/publisher/subscription.rs
+++ b/crates/subscription/src/publisher/subscription.rs
@@ -1,4 +1,4 @@
-//! The state of one subscription, shared by its connection's task and the publisher's reports.
+//! The state of one subscription, shared by the task of its connection and the publisher's reports.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,29 +10,29 @@
 
 use crate::signal::Signal;
 
-/// A subscriber whose last message is older than this does not count among the gateways.
+/// The gateways of a subscriber whose last message is older than this are not counted.
 const LIVENESS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A subscriber that is connected, for reports.
+/// Description of a connected subscriber, for reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectedSubscriber {
-    /// The remote address of its connection.
+    /// Remote address of the connection.
     pub peer: SocketAddr,
-    /// Its machine name.
+    /// Machine name of the subscriber.
     pub name: String,
-    /// Its zone.
+    /// Zone of the subscriber's machine.
     pub zone: String,
-    /// Its role.
+    /// Role of the subscriber's process.
     pub role: SubscriberRole,
-    /// Gateways that it serves, by its latest ping.
+    /// Number of gateways that the subscriber serves, by its latest ping.
     pub gateways: u32,
-    /// Revision of the configuration that it was sent last, or had when it subscribed.
+    /// Revision of the last configuration sent to the subscriber, or known to it when it subscribed.
     pub revision: Revision,
-    /// Time since its last message.
+    /// Time since the subscriber's last message.
     pub idle: Duration,
 }
 
-/// What the publisher knows of a connection.
+/// State that the publisher keeps for one connection.
 #[derive(Debug)]
 pub(super) struct Subscription {
     address: SocketAddr,
@@ -41,12 +41,12 @@
     pub(super) status: RefCell<SubscriptionStatus>,
 }
 
-/// What the subscriber has sent so far, and how far it was sent the configuration.
+/// Latest messages of the subscriber, and the revision of the configuration that it was sent.
 #[derive(Debug)]
 pub(super) struct SubscriptionStatus {
-    /// The first message; none before it has come.
+    /// First message of the subscriber; `None` before its arrival.
     pub(super) subscriber: Option<Subscribe>,
-    /// When the last message came, or the connection was made.
+    /// Arrival of the last message; at first the time of the connection.
     pub(super) last_message: Duration,
     pub(super) gateways: u32,
     pub(super) revision: Revision,
@@ -65,17 +65,17 @@
         Subscription { address, store_changed: Signal::default(), status: RefCell::new(status) }
     }
 
-    /// Whether the last message is recent enough for the subscriber's gateways to count.
+    /// Returns whether the last message is recent enough for the subscriber's gateways to be counted.
     pub(super) fn is_live(&self, now: Duration) -> bool {
         now.saturating_sub(self.status.borrow().last_message) <= LIVENESS_TIMEOUT
     }
 
-    /// Gateways that the subscriber serves, by its latest ping.
+    /// Returns the number of gateways that the subscriber serves, by its latest ping.
     pub(super) fn gateways(&self) -> u32 {
         self.status.borrow().gateways
     }
 
-    /// The subscriber for a report; none before it has subscribed.
+    /// Describes the subscriber for a report; `None` before the subscription.
     pub(super) fn report(&self, now: Duration) -> Option<ConnectedSubscriber> {
         let status = self.status.borrow();
         let subscriber = status.subscriber.as_ref()?;
--- a/crates/subscription/src/queued_work.rs
+++ b/crates/subscription/src/queued_work.rs
@@ -4,8 +4,8 @@
 
 use tulipridge_protocol::feed::{QueuedWork, QueuedWorkEntry};
 
-/// The sum of the reports of several subscribers. Where reports refer to different positions of the table of replicas,
-/// only those of the latest position count.
+/// Returns the sum of several subscribers' reports. If reports refer to different positions of the table of replicas,
+/// only those of the latest position are counted.
 pub fn sum<'a>(reports: impl IntoIterator<Item = &'a QueuedWork>) -> QueuedWork {
     let mut fleet = Default::default();
     let mut units_by_replica: BTreeMap<u32, u32> = BTreeMap::new();
--- a/crates/subscription/src/signal.rs
+++ b/crates/subscription/src/signal.rs
@@ -11,7 +11,7 @@
 }
 
 impl Signal {
-    /// Raises the flag and wakes the task that waits for it.
+    /// Raises the flag and wakes the waiting task.
     pub(crate) fn raise(&self) {
         self.raised.set(true);
         if let Some(waker) = self.waker.take() {
@@ -19,12 +19,12 @@
         }
     }
 
-    /// Clears the flag; whether it was raised.
+    /// Clears the flag. Returns whether it was raised.
     pub(crate) fn clear(&self) -> bool {
         self.raised.replace(false)
     }
 
-    /// Ready once the flag has been raised, which is cleared then.
+    /// Ready once the flag is raised, and clears it.
     pub(crate) fn poll_raised(&self, context: &mut Context<'_>) -> Poll<()> {
         if self.clear() {
             return Poll::Ready(());
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -1,7 +1,7 @@
-//! The versioned state that travels along the feed. No I/O and no clock.
+//! The versioned state that the feed delivers. No I/O and no clock.
 //!
-//! [`FeedStore`] is the state of one process. A publisher reads from it which snapshots and deltas a subscriber
-//! needs, a subscriber applies them to its own. Each table has a position that only rises.
+//! [`FeedStore`] is the state of one process. A publisher reads the snapshots and deltas for its subscribers from it,
+//! and a subscriber applies them to its own store. Each table has a position that never decreases.
 
 mod cache_index;
 mod changes;
@@ -33,10 +33,10 @@
 pub use error::{FeedError, Table};
 pub use positions::SentPositions;
 
-/// The newest state that a process knows, and enough of its history to send deltas.
+/// The newest state known to a process, with enough history to compute deltas.
 ///
 /// The primary writes with the `set_` functions and [`FeedStore::update_cache_index`], every other process with
-/// [`FeedStore::apply`]. Revisions and positions never go back.
+/// [`FeedStore::apply`]. Revisions and positions never decrease.
 #[derive(Debug, Default)]
 pub struct FeedStore {
     configurations: Configurations,
@@ -49,45 +49,45 @@
 }
 
 impl FeedStore {
-    /// An empty store that remembers [`REMEMBERED_CONFIGURATIONS`].
+    /// Creates an empty store that keeps [`REMEMBERED_CONFIGURATIONS`] earlier configurations.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An empty store that keeps `configurations` earlier ones; a store without subscribers needs none.
+    /// Creates an empty store that keeps `configurations` earlier ones; a store without subscribers needs none.
     #[must_use]
     pub fn remembering(configurations: usize) -> Self {
         FeedStore { configurations: Configurations::remembering(configurations), ..Self::default() }
     }
 
-    /// Replaces the configuration if the revision is higher than the present one; whether it did.
+    /// Replaces the configuration if the revision is higher than the current one. Returns whether it was replaced.
     pub fn set_configuration(&mut self, configuration: Arc<Configuration>) -> bool {
         self.configurations.replace_if_newer(configuration)
     }
 
-    /// Sets the table of replicas, as the primary of `epoch`; whether its position advances. It advances when a
-    /// replica differs or the epoch is new. Time that has passed on `warm_left_ms` is no difference until none is
-    /// left; such replicas are stored as they are, so that new subscribers get the present figure. No other store
-    /// may set tables in the same epoch.
+    /// Sets the table of replicas, as the primary of `epoch`. Returns whether its position advances, which it does when
+    /// a replica differs or the epoch is new. A decrease of `warm_left_ms` counts as a difference only when it reaches
+    /// 0; the lower value is stored all the same, so that new subscribers receive the current one. No other store may
+    /// set tables in the same epoch.
     pub fn set_fleet(&mut self, epoch: Epoch, replicas: Vec<Replica>) -> bool {
         self.fleet.set(epoch, replicas)
     }
 
-    /// Sets the table of weights, as the primary of `epoch`; whether its position advances.
+    /// Sets the table of weights, as the primary of `epoch`. Returns whether its position advances.
     pub fn set_weights(&mut self, epoch: Epoch, models: Vec<ModelWeights>) -> bool {
         let Some(next) = snapshot_tables::next_weights(&self.weights, epoch, models) else { return false };
         self.weights = next;
         true
     }
 
-    /// Applies changes of the prefix-cache index, as the primary of `epoch`; whether its position advances.
+    /// Applies changes of the prefix-cache index, as the primary of `epoch`. Returns whether its position advances.
     pub fn update_cache_index(&mut self, epoch: Epoch, updates: &[CacheUpdate]) -> bool {
         self.cache_index.set(epoch, updates)
     }
 
-    /// Sets the table of loads from the work queued at replicas, as the primary of `epoch`; whether its position
-    /// advances. Work that refers to another table of replicas than the present one is left out.
+    /// Sets the table of loads from the work queued at replicas, as the primary of `epoch`. Returns whether its
+    /// position advances. Work that refers to another position of the table of replicas is ignored.
     pub fn set_loads(&mut self, epoch: Epoch, work: &QueuedWork) -> bool {
         let fleet = self.fleet.position();
         let replica_count = self.fleet.replicas().count();
@@ -97,7 +97,7 @@
         true
     }
 
-    /// Sets the gateways and members of the control plane; whether they differ from before.
+    /// Sets the gateway count and the members of the control plane. Returns whether they differ from before.
     pub fn set_group(&mut self, group: ClusterMembership) -> bool {
         if self.group_version > 0 && self.group == group {
             return false;
@@ -107,10 +107,10 @@
         true
     }
 
-    /// Applies a publisher's message. What is not newer than the present state changes nothing.
+    /// Applies a publisher's message. Tables that are not newer than the current ones are ignored.
     ///
     /// # Errors
-    /// [`FeedError::Gap`] if a delta does not start from the present position. The store is unchanged then.
+    /// [`FeedError::Gap`] if a delta does not start from the current position. The store is unchanged then.
     pub fn apply(&mut self, message: ToSubscriber) -> Result<StateChanges, FeedError> {
         let mut changes = StateChanges::default();
         match message {
@@ -134,45 +134,45 @@
         Ok(changes)
     }
 
-    /// The newest configuration.
+    /// Returns the newest configuration; `None` before the first one.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configurations.newest().cloned()
     }
 
-    /// The replicas, in the order of their ids.
+    /// Iterates over the replicas in the order of their ids.
     pub fn fleet(&self) -> impl Iterator<Item = &Replica> {
         self.fleet.replicas()
     }
 
-    /// A replica by its id.
+    /// Looks up a replica by its id.
     pub fn replica(&self, id: &str) -> Option<&Replica> {
         self.fleet.replica(id)
     }
 
-    /// The position of the table of replicas.
+    /// Returns the position of the table of replicas.
     pub fn fleet_position(&self) -> Position {
         self.fleet.position()
     }
 
-    /// The table of weights.
+    /// Returns the table of weights.
     pub fn weights(&self) -> &WeightsTable {
         &self.weights
     }
 
-    /// The prefix-cache index, shared with this store: it follows later updates.
+    /// Returns the prefix-cache index, which is shared with this store and changes with later updates.
     pub fn cache_index(&self) -> &Rc<RefCell<Index>> {
         self.cache_index.index()
     }
 
-    /// The replicas with the units of work queued at each; none while the table of loads refers to another table of
-    /// replicas than the present one.
+    /// Iterates over the replicas with the units of work queued at each; `None` while the table of loads refers to
+    /// another position of the table of replicas than the current one.
     pub fn loads(&self) -> Option<impl Iterator<Item = (&Replica, u8)>> {
         let is_of_fleet = self.loads.fleet == self.fleet.position();
         is_of_fleet.then(|| self.fleet.replicas().zip(self.loads.queued_units.iter().copied()))
     }
 
-    /// A report of the work queued at replicas, for the publisher of this state. `units_of` returns the units by the
-    /// id of the replica; none where nothing is queued.
+    /// Builds a report of the work queued at replicas, for the publisher of this state. `units_of` returns the units by
+    /// the id of the replica; `None` where nothing is queued.
     pub fn queued_work(&self, units_of: impl Fn(&str) -> Option<u32>) -> QueuedWork {
         let entries = self.fleet.replicas().zip(0..).filter_map(|(replica, replica_index)| {
             let units = units_of(&replica.id)?;
@@ -181,12 +181,12 @@
         QueuedWork { fleet: self.fleet.position(), entries: entries.collect() }
     }
 
-    /// The gateways and members of the control plane; empty while they are not known.
+    /// Returns the gateway count and the members of the control plane; empty while they are unknown.
     pub fn group(&self) -> &ClusterMembership {
         &self.group
     }
 
-    /// The position of each table.
+    /// Returns the position of each table.
     pub fn known_positions(&self) -> KnownPositions {
         KnownPositions {
             configuration: self.configurations.revision(),
@@ -197,18 +197,18 @@
         }
     }
 
-    /// The positions of a subscriber that has been sent everything.
+    /// Returns the positions of a subscriber that was sent all of the current state.
     pub fn newest_positions(&self) -> SentPositions {
         SentPositions { known: self.known_positions(), group: self.group_version }
     }
 
-    /// The updates for a subscriber that has just stated its `known` positions: deltas where these are possible, else
-    /// snapshots. The group is always among them once it is known.
+    /// Returns the updates for a subscriber that has just sent its `known` positions: deltas where possible, otherwise
+    /// snapshots. The cluster membership is always included once it is known.
     pub fn updates_for(&self, known: &KnownPositions) -> Vec<ToSubscriber> {
         self.updates_since(&SentPositions::from(*known))
     }
 
-    /// The updates for a subscriber that has been sent the state up to `sent`.
+    /// Returns the updates for a subscriber that was sent the state up to `sent`.
     pub fn updates_since(&self, sent: &SentPositions) -> Vec<ToSubscriber> {
         let mut messages = Vec::new();
         if let Some(update) = self.configurations.since(sent.known.configuration) {
--- a/crates/subscription/src/store/cache_index.rs
+++ b/crates/subscription/src/store/cache_index.rs
@@ -10,10 +10,10 @@
 use super::error::{FeedError, Table};
 use super::positions::next_position;
 
-/// Most pairs of a prefix and a source in the index; the oldest are evicted beyond it.
+/// Maximum number of pairs of a prefix and a source in the index; the oldest are evicted beyond it.
 const MAX_ENTRIES: usize = 200_000;
 
-/// Which source has which prefix cached, the position of that table, and its latest changes.
+/// Cached prefixes by source, the position of that table, and a log of its latest changes.
 #[derive(Debug, Default)]
 pub(super) struct CacheIndexTable {
     position: Position,
@@ -30,7 +30,7 @@
         &self.index
     }
 
-    /// Applies changes, as the primary of `epoch`; whether the position advances.
+    /// Applies changes, as the primary of `epoch`. Returns whether the position advances.
     pub(super) fn set(&mut self, epoch: Epoch, updates: &[CacheUpdate]) -> bool {
         if epoch < self.position.epoch {
             return false;
@@ -65,7 +65,7 @@
         Ok(true)
     }
 
-    /// The update from `base` to the present index; none where the base is as new.
+    /// Returns the update from `base` to the current index; `None` if `base` is not older.
     pub(super) fn since(&self, base: Position) -> Option<CacheIndexUpdate> {
         if base >= self.position {
             return None;
--- a/crates/subscription/src/store/changes.rs
+++ b/crates/subscription/src/store/changes.rs
@@ -1,30 +1,30 @@
-//! What a publisher's message has changed.
+//! Changes of the state that a publisher's messages have caused.
 
 use std::time::Duration;
 
 use tulipridge_configuration::number::Revision;
 
-/// Which tables differ after one or several messages, and the last pong among these.
+/// Flags for the tables that differ after one or several messages, and the last pong among these messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateChanges {
-    /// The configuration.
+    /// Whether the configuration differs.
     pub configuration: bool,
-    /// The table of replicas.
+    /// Whether the table of replicas differs.
     pub fleet: bool,
-    /// The table of weights.
+    /// Whether the table of weights differs.
     pub weights: bool,
-    /// The prefix-cache index.
+    /// Whether the prefix-cache index differs.
     pub cache_index: bool,
-    /// The gateways and members of the control plane.
+    /// Whether the gateway count or the members of the control plane differ.
     pub group: bool,
-    /// The table of loads.
+    /// Whether the table of loads differs.
     pub loads: bool,
-    /// The reply to a ping. It is no change of the state.
+    /// Last pong, which does not count as a change of the state.
     pub pong: Option<Pong>,
 }
 
 impl StateChanges {
-    /// Whether any table differs from before.
+    /// Returns whether any table differs.
     #[must_use]
     pub fn any(&self) -> bool {
         self.configuration || self.fleet || self.weights || self.cache_index || self.group || self.loads
@@ -42,13 +42,13 @@
     }
 }
 
-/// The reply to a ping.
+/// A publisher's response to a ping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pong {
-    /// The ping's id.
+    /// Id of the ping.
     pub id: u64,
-    /// How long ago the publisher's state was known to be the newest; none while the publisher does not know.
+    /// Time since the publisher's state was known to be the newest; `None` while that is unknown to the publisher.
     pub age: Option<Duration>,
-    /// Revision of the configuration that the publisher has.
+    /// Revision of the publisher's configuration; 0 without one.
     pub revision: Revision,
 }
--- a/crates/subscription/src/store/configurations.rs
+++ b/crates/subscription/src/store/configurations.rs
@@ -10,14 +10,14 @@
 
 use super::error::{FeedError, Table};
 
-/// Earlier configurations that a store keeps by default, as bases of deltas.
+/// Default number of earlier configurations that a store keeps as bases of deltas.
 pub const REMEMBERED_CONFIGURATIONS: usize = 8;
 
-/// Most routes, services and tenants in all earlier configurations together; the oldest configurations are dropped
-/// beyond it.
+/// Maximum number of routes, services and tenants in all earlier configurations together; the oldest configurations
+/// are dropped beyond it.
 const MAX_EARLIER_ITEMS: usize = 100_000;
 
-/// The newest configuration, and earlier ones as bases of deltas.
+/// History of the configuration: the newest one, and earlier ones as bases of deltas.
 #[derive(Debug)]
 pub(super) struct Configurations {
     newest: Option<Arc<Configuration>>,
@@ -26,7 +26,7 @@
     latest_update: RefCell<Option<CachedUpdate>>,
 }
 
-/// The update that was computed or received last. It is cached since many subscribers need the same.
+/// The last update that was computed or received, cached because many subscribers need the same one.
 #[derive(Debug)]
 struct CachedUpdate {
     base: Revision,
@@ -54,12 +54,12 @@
         self.newest.as_ref()
     }
 
-    /// The newest revision; 0 is none.
+    /// Returns the newest revision; 0 without a configuration.
     pub(super) fn revision(&self) -> Revision {
         self.newest.as_ref().map_or(Revision(0), |newest| newest.revision)
     }
 
-    /// Replaces the newest configuration if the revision is higher; whether it did.
+    /// Replaces the newest configuration if the revision is higher. Returns whether it was replaced.
     pub(super) fn replace_if_newer(&mut self, configuration: Arc<Configuration>) -> bool {
         let newer = self.newest.as_ref().is_none_or(|newest| configuration.revision > newest.revision);
         if !newer {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Caches a delta that was applied here for the subscribers with the same base.
+    /// Caches a delta that was applied to this store, for subscribers with the same base.
     fn cache_update(&self, changes: ConfigurationChanges) {
         let known = CachedUpdate {
             base: changes.base,
@@ -102,7 +102,7 @@
         self.latest_update.replace(Some(known));
     }
 
-    /// The update from revision `base` to the newest; none where the base is as new.
+    /// Returns the update from revision `base` to the newest; `None` if `base` is not older.
     pub(super) fn since(&self, base: Revision) -> Option<ConfigurationUpdate> {
         let newest = self.newest.as_ref().filter(|newest| newest.revision > base)?;
         let mut latest = self.latest_update.borrow_mut();
@@ -115,7 +115,8 @@
         Some(update)
     }
 
-    /// Deltas carry no order of items, so one is used only where it leads exactly to the newest configuration.
+    /// Computes the update from `base`: a delta only if it leads exactly to the newest configuration, since deltas
+    /// carry no order of items, otherwise a snapshot.
     fn update_from(&self, base: Revision, newest: &Arc<Configuration>) -> ConfigurationUpdate {
         let snapshot = || ConfigurationUpdate::Snapshot(Arc::clone(newest));
         let Some(base) = self.earlier.iter().find(|earlier| earlier.revision == base) else {
--- a/crates/subscription/src/store/error.rs
+++ b/crates/subscription/src/store/error.rs
@@ -1,28 +1,28 @@
-//! Why an update does not apply.
+//! Errors of updates that can't be applied.
 
 use std::fmt;
 
 use snafu::Snafu;
 
-/// Why an update can't be applied. The subscriber reconnects and states its known positions again.
+/// Error of an update that can't be applied. The subscriber reconnects and sends its known positions again.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum FeedError {
-    /// A delta starts from another position than the one that is known here.
+    /// The base of a delta differs from the table's current position.
     #[snafu(display("a delta of the {table} does not start from the known position"))]
     Gap {
-        /// The table that the delta is for.
+        /// Table that the delta is for.
         table: Table,
     },
 }
 
-/// A table that is delivered as a snapshot and deltas.
+/// A table that is delivered as a snapshot followed by deltas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Table {
-    /// The operator's configuration.
+    /// Configuration set by the operator.
     Configuration,
-    /// The table of replicas.
+    /// Table of replicas.
     Fleet,
-    /// The prefix-cache index.
+    /// Prefix-cache index.
     CacheIndex,
 }
 
--- a/crates/subscription/src/store/fleet.rs
+++ b/crates/subscription/src/store/fleet.rs
@@ -8,25 +8,25 @@
 use super::error::{FeedError, Table};
 use super::positions::next_position;
 
-/// Most changes in the log.
+/// Maximum number of changes in the log; the oldest are dropped beyond it.
 const MAX_LOGGED_CHANGES: usize = 1024;
-/// Most ids in all logged changes together.
+/// Maximum number of ids in all logged changes together; the oldest changes are dropped beyond it.
 const MAX_LOGGED_IDS: usize = 16_384;
 
-/// The replicas by their ids, the position of the table, and the ids that each of the latest changes touched.
+/// The replicas by their ids, the position of the table, and the ids affected by each of the latest changes.
 #[derive(Debug, Default)]
 pub(super) struct FleetTable {
     position: Position,
     replicas: BTreeMap<String, Replica>,
     log: VecDeque<LoggedChange>,
-    /// Ids in all entries of `log`.
+    /// Number of ids in all entries of `log`.
     logged_ids: usize,
 }
 
 /// A change of the table from the position `base` to the base of the next logged change, or to the table's position.
 ///
-/// Deltas start only from positions that this table had itself: a change between two of them, or in an epoch that
-/// this process has not followed to its end, may have touched replicas that look untouched here.
+/// Deltas start only from positions that this table had: a change between two of them, or in an epoch that this process
+/// did not follow to its end, may have affected replicas that seem unchanged here.
 #[derive(Debug)]
 struct LoggedChange {
     base: Position,
@@ -46,7 +46,7 @@
         self.replicas.get(id)
     }
 
-    /// Replaces the table, as the primary of `epoch`; whether its position advances.
+    /// Replaces the table, as the primary of `epoch`. Returns whether its position advances.
     pub(super) fn set(&mut self, epoch: Epoch, replicas: Vec<Replica>) -> bool {
         if epoch < self.position.epoch {
             return false;
@@ -85,7 +85,7 @@
         Ok(true)
     }
 
-    /// The update from `base` to the present table; none where the base is as new.
+    /// Returns the update from `base` to the current table; `None` if `base` is not older.
     pub(super) fn since(&self, base: Position) -> Option<FleetUpdate> {
         if base >= self.position {
             return None;
@@ -157,7 +157,7 @@
     replicas.into_iter().map(|replica| (replica.id.clone(), replica)).collect()
 }
 
-/// Whether subscribers need the new entry; time that has passed on `warm_left_ms` is no change until none is left.
+/// Returns whether subscribers need the new entry. A decrease of `warm_left_ms` counts only when it reaches 0.
 fn differs(old: &Replica, new: &Replica) -> bool {
     let Replica { id, service, address, zone, capacity, phase, warm_left_ms, models } = new;
     let became_warm = *warm_left_ms == 0 && old.warm_left_ms > 0;
--- a/crates/subscription/src/store/positions.rs
+++ b/crates/subscription/src/store/positions.rs
@@ -1,14 +1,14 @@
-//! How far a subscriber has followed the state, and how a table's position advances.
+//! Positions that a subscriber has reached, and the rule by which a table's position advances.
 
 use tulipridge_protocol::feed::{KnownPositions, Position};
 use tulipridge_protocol::number::{ChangeNumber, Epoch};
 
-/// The positions up to which a subscriber has been sent the state, or which it stated itself.
+/// Positions up to which a subscriber was sent the state, or which the subscriber sent when it subscribed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentPositions {
-    /// The position of each table.
+    /// Position of each table.
     pub known: KnownPositions,
-    /// The group's version, counted by the publisher; 0 before it was sent.
+    /// Version of the cluster membership, counted by the publisher; 0 before the first was sent.
     pub group: u64,
 }
 
@@ -19,7 +19,7 @@
 }
 
 impl SentPositions {
-    /// The later of both, table by table.
+    /// Combines the later positions of both, table by table.
     #[must_use]
     pub fn later(self, other: SentPositions) -> SentPositions {
         let known = KnownPositions {
@@ -27,17 +27,17 @@
             fleet: self.known.fleet.max(other.known.fleet),
             weights: self.known.weights.max(other.known.weights),
             cache_index: self.known.cache_index.max(other.known.cache_index),
-            // A subscriber that does not know the table of loads is never sent it.
+            // A subscriber that does not support the table of loads is never sent it.
             loads: self.known.loads.map(|own| own.max(other.known.loads.unwrap_or_default())),
         };
         SentPositions { known, group: self.group.max(other.group) }
     }
 }
 
-/// The position of a table after the primary of `epoch` has written it; none if it stays at `position`.
+/// Returns the position of a table after a write by the primary of `epoch`; `None` if it stays at `position`.
 ///
-/// A new epoch always advances the position, so that subscribers take over the new primary's table even where its
-/// content is the same. Within an epoch the position advances with each difference.
+/// A new epoch always advances the position, so that subscribers take over the new primary's table even if its
+/// content is the same. Within an epoch, each difference advances the position.
 pub(super) fn next_position(position: Position, epoch: Epoch, differs: bool) -> Option<Position> {
     let first = Position { epoch, sequence: ChangeNumber(1) };
     if first > position && (epoch > position.epoch || position.sequence == ChangeNumber(0)) {
--- a/crates/subscription/src/store/snapshot_tables.rs
+++ b/crates/subscription/src/store/snapshot_tables.rs
@@ -5,9 +5,9 @@
 
 use super::positions::next_position;
 
-/// A table with a position that is replaced as a unit.
+/// A table with a position that is always replaced completely.
 pub(super) trait SnapshotTable {
-    /// The position of the table.
+    /// Returns the position of the table.
     fn position(&self) -> Position;
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Replaces `table` if `received` has a later position; whether it did.
+/// Replaces `table` if `received` has a later position. Returns whether it was replaced.
 pub(super) fn replace_if_newer<T: SnapshotTable>(table: &mut T, received: T) -> bool {
     let is_newer = received.position() > table.position();
     if is_newer {
@@ -32,7 +32,7 @@
     is_newer
 }
 
-/// The table of weights after the primary of `epoch` has written `models`; none if its position stays.
+/// Returns the table of weights after the primary of `epoch` has set `models`; `None` if its position does not advance.
 pub(super) fn next_weights(
     table: &WeightsTable,
     epoch: Epoch,
@@ -42,9 +42,10 @@
     Some(WeightsTable { position, models })
 }
 
-/// The table of loads after the primary of `epoch` has written `work`; none if its position stays.
+/// Returns the table of loads after the primary of `epoch` has set `work`; `None` if its position does not advance.
 ///
-/// `fleet` and `replica_count` describe the present table of replicas. Work by another one is left out.
+/// `fleet` and `replica_count` describe the current table of replicas. Work that refers to another position of that
+/// table is ignored. Units above 255 are reported as 255.
 pub(super) fn next_loads(
     table: &LoadTable,
     epoch: Epoch,
--- a/crates/subscription/src/subscriber.rs
+++ b/crates/subscription/src/subscriber.rs
@@ -26,34 +26,34 @@
 pub use end::{EndReason, PreviousConnection};
 pub use staleness::StalenessTolerance;
 
-/// Who subscribes.
+/// Name, zone and role that a subscriber sends to its publishers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
-    /// The subscriber's machine name.
+    /// Machine name of the subscriber.
     pub name: String,
-    /// Its zone.
+    /// Zone of the subscriber's machine.
     pub zone: String,
-    /// Its role.
+    /// Role of the process: relay, agent or proxy.
     pub role: SubscriberRole,
 }
 
-/// What is known when a publisher is selected.
+/// Outcome of the previous attempts, passed to the function that selects a publisher.
 #[derive(Debug, Default)]
 pub struct SelectionContext {
-    /// Attempts that have failed since the last publisher that replied with freshness.
+    /// Consecutive failed attempts, connection losses included; 0 after a pong with a known, tolerated age.
     pub failures: u32,
-    /// How the last connection, or the attempt at one, has ended; none at the first selection, and after a selection
-    /// of no publisher.
+    /// The previous connection or failed attempt; `None` at the first selection, and after a selection that returned
+    /// no publisher.
     pub last: Option<PreviousConnection>,
 }
 
-/// Called after the state has changed.
+/// Function that is called after the state has changed.
 type ChangeListener = Box<dyn Fn(&StateChanges)>;
 
-/// Keeps a store up to date from a publisher, and knows how fresh it is.
+/// Keeps a store up to date from a publisher, and tracks the freshness of the state.
 ///
-/// Only one connection exists at a time. A publisher is left when the connection fails, when it is unresponsive, and
-/// when its state is stale; the next one is selected after an exponential backoff.
+/// Only one connection exists at a time. The subscriber closes it when the connection fails, the publisher is
+/// unresponsive or its state is stale, and selects the next publisher after an exponential backoff.
 pub struct Subscriber {
     tolerance: StalenessTolerance,
     identity: Identity,
@@ -69,13 +69,13 @@
 }
 
 impl Subscriber {
-    /// A subscriber that keeps `store` up to date while [`Subscriber::run`] is polled, with
+    /// Creates a subscriber that keeps `store` up to date while [`Subscriber::run`] is polled, with
     /// [`StalenessTolerance::ONE_PUBLISHER`].
     pub fn new(identity: Identity, store: Rc<RefCell<FeedStore>>) -> Rc<Self> {
         Subscriber::with_tolerance(identity, store, StalenessTolerance::ONE_PUBLISHER)
     }
 
-    /// The same, with a tolerance of its own for stale publishers.
+    /// Creates a subscriber with the given tolerance for stale publishers.
     pub fn with_tolerance(
         identity: Identity,
         store: Rc<RefCell<FeedStore>>,
@@ -96,8 +96,8 @@
         })
     }
 
-    /// Follows one publisher after the other, for ever. `select` returns the next; if it returns none, it is called
-    /// again after a delay, or when [`Subscriber::reselect`] is called.
+    /// Subscribes to one publisher after the other, without end. `select` returns the next one; if it returns `None`,
+    /// it is called again after a delay, or when [`Subscriber::reselect`] is called.
     pub async fn run(self: Rc<Self>, mut select: impl FnMut(SelectionContext) -> Option<SocketAddr>) {
         let mut failures = 0;
         let mut last = None;
@@ -120,12 +120,12 @@
         }
     }
 
-    /// Adds a function that is called each time the state has changed; the store is not borrowed then.
+    /// Adds a function that is called each time the state has changed. The store is not borrowed during the call.
     pub fn on_change(&self, listener: ChangeListener) {
         self.listeners.borrow_mut().push(Rc::new(listener));
     }
 
-    /// Sets how many gateways this subscriber serves; it is reported with the next ping.
+    /// Sets the number of gateways that this subscriber serves, which is reported with the next ping.
     pub fn set_gateways(&self, gateways: u32) {
         self.gateways.set(gateways);
     }
@@ -144,17 +144,18 @@
         self.reselect.raise();
     }
 
-    /// The publisher to which a connection is open.
+    /// Returns the address of the connected publisher; `None` while there is no connection.
     pub fn connected_to(&self) -> Option<SocketAddr> {
         self.connected.get()
     }
 
-    /// The latest time at which the state was certainly the newest, by [`crate::clock`]; none while that is not known.
+    /// Returns the latest time, by [`crate::clock`], at which the state was certainly the newest; `None` while that
+    /// time is unknown or before the clock's origin.
     pub fn fresh_as_of(&self) -> Option<Duration> {
         self.freshness.borrow().fresh_as_of()
     }
 
-    /// How long before `now` that was: the staleness of the state.
+    /// Returns the staleness of the state: the time from that instant to `now`; `None` while it is unknown.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.freshness.borrow().age(now)
     }
@@ -195,7 +196,7 @@
     }
 }
 
-/// Marks the subscriber as connected until it is dropped.
+/// Marks the subscriber as connected to an address until the guard is dropped.
 struct ConnectedGuard<'a> {
     subscriber: &'a Subscriber,
 }
--- a/crates/subscription/src/subscriber/connect.rs
+++ b/crates/subscription/src/subscriber/connect.rs
@@ -9,19 +9,20 @@
 
 use super::end::{ConnectSnafu, ConnectTimeoutSnafu, EndReason};
 
-/// Longest time for a connection to be made.
+/// Connection attempts that take longer fail.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Backoff after the first failure; each further one doubles it.
+/// Backoff after the first failure; each further failure doubles it.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest backoff.
+/// Upper limit of the backoff.
 pub(super) const MAX_BACKOFF: Duration = Duration::from_millis(400);
-/// Doublings after which the backoff is far above its maximum, so that the factor can't overflow.
+/// The exponent stays at this value after more failures, so that the factor can't overflow. The backoff is far above
+/// its limit then.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Connects to a publisher.
+/// Opens a connection to a publisher, without Nagle's algorithm.
 ///
 /// # Errors
-/// [`EndReason::Connect`] or [`EndReason::ConnectTimeout`].
+/// [`EndReason::Connect`] if the connection can't be made, [`EndReason::ConnectTimeout`] if it takes too long.
 pub(super) async fn connect(address: SocketAddr) -> Result<Async<TcpStream>, EndReason> {
     let connecting = async { Async::<TcpStream>::connect(address).await.context(ConnectSnafu) };
     let timeout = async {
@@ -33,7 +34,7 @@
     Ok(stream)
 }
 
-/// The time before the next attempt after so many failures in a row.
+/// Returns the delay before the next attempt after `failures` consecutive failures.
 pub(super) fn backoff(failures: u32) -> Duration {
     INITIAL_BACKOFF.saturating_mul(1 << failures.min(MAX_DOUBLINGS)).min(MAX_BACKOFF)
 }
--- a/crates/subscription/src/subscriber/end.rs
+++ b/crates/subscription/src/subscriber/end.rs
@@ -1,4 +1,4 @@
-//! How a connection to a publisher ends.
+//! Reasons for the end of a connection to a publisher.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,56 +9,56 @@
 
 use crate::store::FeedError;
 
-/// A connection, or an attempt at one, that has ended.
+/// A connection, or an attempt to connect, that has ended.
 #[derive(Debug)]
 pub struct PreviousConnection {
-    /// The publisher.
+    /// Address of the publisher.
     pub address: SocketAddr,
-    /// Why it has ended.
+    /// Cause of the end.
     pub reason: EndReason,
 }
 
-/// Why a connection to a publisher has ended, or was not made.
+/// Reason why a connection to a publisher ended or could not be made.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EndReason {
-    /// No connection was made.
+    /// The connection attempt failed.
     #[snafu(display("can't connect: {source}"))]
     Connect {
-        /// The error of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// No connection was made in time.
+    /// The connection attempt timed out.
     #[snafu(display("no connection within {} ms", limit.as_millis()))]
     ConnectTimeout {
-        /// The timeout.
+        /// Longest duration of an attempt.
         limit: Duration,
     },
-    /// The publisher has closed the connection.
+    /// The publisher closed the connection.
     #[snafu(display("the publisher has closed the connection"))]
     Closed,
-    /// The connection has failed.
+    /// A read or write failed.
     #[snafu(display("the connection has failed: {source}"))]
     Failed {
-        /// The error of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The publisher does not reply to pings.
     #[snafu(display("the publisher is unresponsive"))]
     Unresponsive,
-    /// The publisher replies, but its state is stale, or it does not know how fresh it is.
+    /// The publisher replies, but its state is stale, or the age of its state is unknown.
     #[snafu(display("the publisher's state is stale"))]
     NotFresh,
     /// A message can't be encoded or decoded.
     #[snafu(display("{source}"))]
     Malformed {
-        /// The error of the codec.
+        /// Error of the codec.
         source: FrameError,
     },
     /// An update can't be applied.
     #[snafu(display("{source}"))]
     Update {
-        /// Why it does not apply.
+        /// Error of the store.
         source: FeedError,
     },
     /// [`Subscriber::reselect`](super::Subscriber::reselect) was called.
--- a/crates/subscription/src/subscriber/liveness.rs
+++ b/crates/subscription/src/subscriber/liveness.rs
@@ -1,4 +1,4 @@
-//! Whether a connected publisher is responsive and fresh.
+//! Detection of unresponsive and stale publishers.
 
 use std::time::Duration;
 
@@ -7,38 +7,38 @@
 use super::end::{EndReason, NotFreshSnafu, UnresponsiveSnafu};
 use super::staleness::StalenessTolerance;
 
-/// A publisher that has neither replied nor sent bytes of an update for this long is left.
+/// The connection ends after this time without a pong and without bytes of an update.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// A publisher that still sends a long update but has not replied for this long is left.
+/// The connection ends after this time without a pong, even while bytes of a long update arrive.
 const MAX_TRANSFER_TIME: Duration = Duration::from_secs(10);
 
-/// The times of a publisher's last signs of life on one connection.
+/// Times of a publisher's last pong and last bytes on one connection, and how long its pongs have been stale.
 #[derive(Debug)]
 pub(super) struct PublisherLiveness {
     tolerance: StalenessTolerance,
-    /// When the last pong came, or the connection was made.
+    /// Arrival of the last pong; at first the time of the connection.
     last_pong: Duration,
-    /// When the last bytes came, or the connection was made.
+    /// Arrival of the last bytes; at first the time of the connection.
     last_bytes: Duration,
-    /// Since when all pongs are stale; none while the last one was fresh.
+    /// Arrival of the first stale pong since the last fresh one; `None` after a fresh pong.
     stale_since: Option<Duration>,
 }
 
 impl PublisherLiveness {
-    /// The connection was made at `now`.
+    /// Starts to track a connection that was made at `now`.
     pub(super) fn new(tolerance: StalenessTolerance, now: Duration) -> Self {
         PublisherLiveness { tolerance, last_pong: now, last_bytes: now, stale_since: None }
     }
 
-    /// Bytes have come at `now`.
+    /// Records that bytes arrived at `now`.
     pub(super) fn record_bytes(&mut self, now: Duration) {
         self.last_bytes = now;
     }
 
-    /// A pong has come at `now`; whether it is fresh.
+    /// Records a pong that arrived at `now`, and returns whether it is fresh. A pong without an age is stale.
     ///
     /// # Errors
-    /// [`EndReason::NotFresh`] if the pongs have been stale for the whole grace period.
+    /// [`EndReason::NotFresh`] if all pongs of the grace period were stale.
     pub(super) fn record_pong(&mut self, age: Option<Duration>, now: Duration) -> Result<bool, EndReason> {
         self.last_pong = now;
         if age.is_some_and(|age| age < self.tolerance.max_age) {
@@ -50,16 +50,16 @@
         Ok(false)
     }
 
-    /// When the publisher counts as unresponsive unless more comes from it.
+    /// Returns the time at which the publisher counts as unresponsive unless more bytes arrive.
     pub(super) fn deadline(&self) -> Duration {
         let transfer_deadline = self.last_pong + MAX_TRANSFER_TIME;
         (self.last_bytes.max(self.last_pong) + RESPONSE_TIMEOUT).min(transfer_deadline)
     }
 
-    /// Checks the deadline.
+    /// Checks that the deadline has not passed.
     ///
     /// # Errors
-    /// [`EndReason::Unresponsive`] after the deadline.
+    /// [`EndReason::Unresponsive`] at the deadline and after it.
     pub(super) fn check(&self, now: Duration) -> Result<(), EndReason> {
         ensure!(now < self.deadline(), UnresponsiveSnafu);
         Ok(())
--- a/crates/subscription/src/subscriber/queued_work_report.rs
+++ b/crates/subscription/src/subscriber/queued_work_report.rs
@@ -1,48 +1,48 @@
-//! When queued work is reported to the publisher.
+//! Schedule of the reports of queued work to the publisher.
 
 use std::time::Duration;
 
-/// Least time from one report to the next.
+/// Shortest time between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The schedule of reports on one connection.
+/// Decides when the next report is due on one connection.
 #[derive(Debug)]
 pub(super) struct QueuedWorkReport {
-    /// Whether the publisher knows the message; it has sent a table of loads then.
+    /// Whether the publisher supports the message, which it shows by sending a table of loads.
     is_supported: bool,
-    /// Whether the work differs from what was reported last.
+    /// Whether the queued work differs from the last report.
     is_outdated: bool,
-    /// The earliest time of the next report.
+    /// Earliest time of the next report.
     next_at: Duration,
 }
 
 impl QueuedWorkReport {
-    /// The connection was made at `now`; nothing is reported yet.
+    /// Creates the schedule of a connection that was made at `now`, with the first report outstanding.
     pub(super) fn new(now: Duration) -> Self {
         QueuedWorkReport { is_supported: false, is_outdated: true, next_at: now }
     }
 
-    /// The publisher has sent a table of loads.
+    /// Records that the publisher has sent a table of loads.
     pub(super) fn set_supported(&mut self) {
         self.is_supported = true;
     }
 
-    /// The work has changed.
+    /// Records that the queued work has changed since the last report.
     pub(super) fn set_outdated(&mut self) {
         self.is_outdated = true;
     }
 
-    /// When the next report is due; never is [`Duration::MAX`].
+    /// Returns the time of the next report; [`Duration::MAX`] if none is due.
     pub(super) fn due_at(&self) -> Duration {
         if self.is_supported && self.is_outdated { self.next_at } else { Duration::MAX }
     }
 
-    /// Puts the next report off by the interval.
+    /// Delays the next report until one interval after `now`.
     pub(super) fn postpone(&mut self, now: Duration) {
         self.next_at = now + REPORT_INTERVAL;
     }
 
-    /// The present work is reported.
+    /// Records that the current queued work is reported.
     pub(super) fn set_reported(&mut self) {
         self.is_outdated = false;
     }
--- a/crates/subscription/src/subscriber/session.rs
+++ b/crates/subscription/src/subscriber/session.rs
@@ -1,4 +1,4 @@
-//! One connection to a publisher, from the subscription to its end.
+//! One connection to a publisher, from the subscription to the end of the connection.
 
 use std::convert::Infallible;
 use std::net::TcpStream;
@@ -19,10 +19,10 @@
 
 /// Time between pings.
 const PING_INTERVAL: Duration = Duration::from_millis(300);
-/// The index of [`Subscriber`]'s signal to select another publisher among those that a session waits for.
+/// Index of the [`Subscriber`]'s reselect signal among the signals that a session waits for.
 const RESELECT_SIGNAL: usize = 0;
 
-/// Follows a publisher until the connection ends. `failures` goes to 0 once it replies with freshness.
+/// Subscribes to a publisher and applies its messages until the connection ends. A fresh pong sets `failures` to 0.
 pub(super) async fn run(
     subscriber: &Subscriber,
     stream: &Async<TcpStream>,
@@ -81,7 +81,8 @@
         self.next_ping_at.min(self.liveness.deadline()).min(self.queued_work_report.due_at())
     }
 
-    /// Pings are not queued behind each other on a connection that accepts no bytes.
+    /// Sends a ping if one is due, unless earlier bytes are still unsent: pings must not queue up on a connection that
+    /// accepts no bytes.
     fn ping_when_due(&mut self) -> Result<(), EndReason> {
         let now = clock::now();
         if now < self.next_ping_at {
@@ -103,7 +104,8 @@
         self.link.outgoing.push_message(&ping).context(MalformedSnafu)
     }
 
-    /// Reports queued work, unless the connection has bytes to send: then the work is reported later, as it is then.
+    /// Reports queued work if a report is due. While earlier bytes are unsent, the report is delayed and then contains
+    /// the work queued at that time.
     fn report_queued_work_when_due(&mut self) -> Result<(), EndReason> {
         let now = clock::now();
         if now < self.queued_work_report.due_at() {
@@ -118,7 +120,7 @@
         self.link.outgoing.push_message(&report).context(MalformedSnafu)
     }
 
-    /// Applies all complete messages. The listeners are called once, also where one of the messages fails.
+    /// Applies all complete messages. Calls the listeners once, even if one of the messages fails.
     fn read_messages(&mut self) -> Result<(), EndReason> {
         let mut changes = StateChanges::default();
         let outcome = self.apply_messages(&mut changes);
--- a/crates/subscription/src/wire.rs
+++ b/crates/subscription/src/wire.rs
@@ -1,4 +1,4 @@
-//! The buffers of a connection's two directions: bytes to messages, messages to bytes.
+//! Buffers for the two directions of a connection: received bytes to messages, and messages to bytes.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -12,14 +12,14 @@
 use musli::{Decode, Encode};
 use tulipridge_protocol::frame::{self, FrameError};
 
-/// Most bytes that one system call reads.
+/// Maximum number of bytes that one system call reads.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Most system calls in one poll, so that other tasks of the thread get their turn.
+/// Maximum number of reads in one poll, so that other tasks of the thread can run.
 const MAX_READS: usize = 16;
 /// An empty buffer with more capacity than this is freed.
 const MAX_IDLE_CAPACITY_BYTES: usize = 256 * 1024;
 
-/// The outcome of a read.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Received {
     /// Bytes were added to the buffer.
@@ -28,14 +28,14 @@
     End,
 }
 
-/// Bytes that were received and not yet decoded.
+/// Received bytes that are not decoded yet.
 #[derive(Debug, Default)]
 pub(crate) struct Incoming {
     buffer: Vec<u8>,
 }
 
 impl Incoming {
-    /// Reads what has arrived; pending while there is nothing.
+    /// Reads the bytes that have arrived; pending while there are none.
     pub(crate) fn poll_fill(
         &mut self,
         stream: &Async<TcpStream>,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The next complete message; none while more bytes are needed.
+    /// Decodes the next complete message; `None` while more bytes are needed.
     pub(crate) fn next_message<T: for<'de> Decode<'de, Binary, Global>>(
         &mut self,
     ) -> Result<Option<T>, FrameError> {
@@ -61,7 +61,7 @@
         Ok(message)
     }
 
-    /// Bytes of the message that is not complete yet.
+    /// Returns the number of bytes that are not decoded yet.
     pub(crate) fn len(&self) -> usize {
         self.buffer.len()
     }
@@ -84,28 +84,28 @@
     }
 }
 
-/// Bytes to be written.
+/// Bytes to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct Outgoing {
     chunks: VecDeque<Rc<Vec<u8>>>,
-    /// Bytes of the first chunk that are written already.
+    /// Number of bytes of the first chunk that are already sent.
     written: usize,
 }
 
 impl Outgoing {
-    /// Whether all is written.
+    /// Returns whether all bytes are sent.
     pub(crate) fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
-    /// Adds a chunk of complete frames.
+    /// Adds a chunk of complete frames; an empty chunk is ignored.
     pub(crate) fn push(&mut self, chunk: Rc<Vec<u8>>) {
         if !chunk.is_empty() {
             self.chunks.push_back(chunk);
         }
     }
 
-    /// Adds a message, to the last chunk where that is not shared with other connections.
+    /// Adds a message, to the last chunk if that is not shared with other connections.
     pub(crate) fn push_message<T: Encode<Binary>>(&mut self, message: &T) -> Result<(), FrameError> {
         if let Some(last) = self.chunks.back_mut().and_then(Rc::get_mut) {
             return frame::append(message, last);
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Writes what the connection accepts; ready once it accepted some. Pending also while there is nothing to write.
+    /// Sends as many bytes as the connection accepts; ready once some were sent, pending while there are none to send.
     pub(crate) fn poll_write(
         &mut self,
         stream: &Async<TcpStream>,
