--- a/crates/subscription/src/link.rs
+++ b/crates/subscription/src/link.rs
@@ -12,7 +12,7 @@
 use tulipridge_runtime::clock;
 
 use crate::signal::Signal;
-use crate::wire::{Incoming, Outgoing, Received};
+use crate::wire::{ReceiveBuffer, Received, SendQueue};
 
 /// Event for which a connection's task was woken.
 pub(crate) enum Event {
@@ -29,20 +29,20 @@
 /// A connection with its buffers and one timer.
 pub(crate) struct Link<'a> {
     stream: &'a Async<TcpStream>,
-    pub(crate) incoming: Incoming,
-    pub(crate) outgoing: Outgoing,
+    pub(crate) receive_buffer: ReceiveBuffer,
+    pub(crate) send_queue: SendQueue,
     timer: Timer,
-    timer_at: Duration,
+    timer_deadline: Duration,
 }
 
 impl<'a> Link<'a> {
     pub(crate) fn new(stream: &'a Async<TcpStream>) -> Self {
         Link {
             stream,
-            incoming: Incoming::default(),
-            outgoing: Outgoing::default(),
+            receive_buffer: ReceiveBuffer::default(),
+            send_queue: SendQueue::default(),
             timer: Timer::never(),
-            timer_at: Duration::MAX,
+            timer_deadline: Duration::MAX,
         }
     }
 
@@ -62,18 +62,18 @@
     /// Sets the timer to an earlier deadline. For a later one it is left as it is, since the caller checks the deadline
     /// when the timer fires.
     fn arm_timer(&mut self, deadline: Duration) {
-        if deadline < self.timer_at {
+        if deadline < self.timer_deadline {
             self.timer.set_after(deadline.saturating_sub(clock::now()));
-            self.timer_at = deadline;
+            self.timer_deadline = deadline;
         }
     }
 
     /// Polls reads before the timer, so that bytes which have already arrived count as received in time.
     fn poll_event(&mut self, signals: &[&Signal], context: &mut Context<'_>) -> Poll<io::Result<Event>> {
-        if let Poll::Ready(received) = self.incoming.poll_fill(self.stream, context) {
+        if let Poll::Ready(received) = self.receive_buffer.poll_read(self.stream, context) {
             return Poll::Ready(received.map(Event::Received));
         }
-        if let Poll::Ready(written) = self.outgoing.poll_write(self.stream, context) {
+        if let Poll::Ready(written) = self.send_queue.poll_send(self.stream, context) {
             return Poll::Ready(written.map(|()| Event::Written));
         }
         for (index, signal) in signals.iter().enumerate() {
@@ -82,7 +82,7 @@
             }
         }
         Pin::new(&mut self.timer).poll_next(context).map(|_| {
-            self.timer_at = Duration::MAX;
+            self.timer_deadline = Duration::MAX;
             Ok(Event::Timer)
         })
     }
--- a/crates/subscription/src/publisher.rs
+++ b/crates/subscription/src/publisher.rs
@@ -1,6 +1,6 @@
 //! The publishing end of the feed: serves the state of a store to subscribers.
 
-mod batches;
+mod batch_cache;
 mod connection;
 mod subscription;
 
@@ -17,7 +17,7 @@
 
 use crate::queued_work;
 use crate::store::FeedStore;
-use batches::Batches;
+use batch_cache::BatchCache;
 use subscription::Subscription;
 
 pub use subscription::ConnectedSubscriber;
@@ -31,7 +31,7 @@
     /// Maximum number of simultaneous connections; the publisher closes further ones as soon as they are accepted.
     pub max_connections: usize,
     /// A connection with unsent data that accepts no bytes for this long is closed.
-    pub write_stall: Duration,
+    pub write_stall_timeout: Duration,
     /// A connection without a message from the subscriber for this long is closed.
     pub idle_timeout: Duration,
 }
@@ -40,7 +40,7 @@
     fn default() -> Self {
         PublisherSettings {
             max_connections: 512,
-            write_stall: Duration::from_secs(2),
+            write_stall_timeout: Duration::from_secs(2),
             idle_timeout: Duration::from_secs(3),
         }
     }
@@ -56,8 +56,8 @@
     age: Rc<dyn Fn() -> Option<Duration>>,
     settings: PublisherSettings,
     subscriptions: RefCell<BTreeMap<u64, Rc<Subscription>>>,
-    next_subscription: Cell<u64>,
-    batches: RefCell<Batches>,
+    next_subscription_id: Cell<u64>,
+    batch_cache: RefCell<BatchCache>,
     queued_work_listener: RefCell<Option<Rc<dyn Fn()>>>,
 }
 
@@ -79,8 +79,8 @@
             age,
             settings,
             subscriptions: RefCell::default(),
-            next_subscription: Cell::new(0),
-            batches: RefCell::default(),
+            next_subscription_id: Cell::new(0),
+            batch_cache: RefCell::default(),
             queued_work_listener: RefCell::default(),
         })
     }
@@ -89,7 +89,7 @@
     pub async fn serve(self: Rc<Self>, listener: Async<TcpListener>, executor: &LocalExecutor<'_>) {
         loop {
             match listener.accept().await {
-                Ok((stream, address)) => self.admit(stream, address, executor),
+                Ok((stream, address)) => self.start_connection(stream, address, executor),
                 Err(error) => {
                     log::warn!(error:% = error; "a connection can't be accepted");
                     Timer::after(ACCEPT_RETRY_DELAY).await;
@@ -100,7 +100,7 @@
 
     /// Notifies all connections that the store has changed.
     pub fn notify(&self) {
-        self.batches.borrow_mut().clear();
+        self.batch_cache.borrow_mut().clear();
         for subscription in self.subscriptions.borrow().values() {
             subscription.store_changed.raise();
         }
@@ -112,7 +112,7 @@
         let now = clock::now();
         let subscriptions = self.subscriptions.borrow();
         let live = subscriptions.values().filter(|subscription| subscription.is_live(now));
-        live.fold(0, |sum, subscription| sum.saturating_add(subscription.gateways()))
+        live.fold(0, |sum, subscription| sum.saturating_add(subscription.gateway_count()))
     }
 
     /// Returns the sum of the work that the connected subscribers have reported as queued at replicas.
@@ -138,15 +138,20 @@
     /// Lists the connected subscribers whose first message has arrived.
     pub fn subscribers(&self) -> Vec<ConnectedSubscriber> {
         let now = clock::now();
-        self.subscriptions.borrow().values().filter_map(|subscription| subscription.report(now)).collect()
+        self.subscriptions.borrow().values().filter_map(|subscription| subscription.describe(now)).collect()
     }
 
-    fn admit(self: &Rc<Self>, stream: Async<TcpStream>, address: SocketAddr, executor: &LocalExecutor<'_>) {
+    fn start_connection(
+        self: &Rc<Self>,
+        stream: Async<TcpStream>,
+        address: SocketAddr,
+        executor: &LocalExecutor<'_>,
+    ) {
         if self.subscriptions.borrow().len() >= self.settings.max_connections {
             log::warn!(peer:% = address; "a connection over the limit is closed");
             return;
         }
-        let id = self.next_subscription.replace(self.next_subscription.get() + 1);
+        let id = self.next_subscription_id.replace(self.next_subscription_id.get() + 1);
         let subscription = Rc::new(Subscription::new(address));
         self.subscriptions.borrow_mut().insert(id, Rc::clone(&subscription));
         let publisher = Rc::clone(self);
--- a/crates/subscription/src/publisher/batches.rs
+++ b/crates/subscription/src/publisher/batch_cache.rs
@@ -12,8 +12,8 @@
 
 /// Cache of the latest encoded batches of updates.
 #[derive(Debug, Default)]
-pub(super) struct Batches {
-    cached: VecDeque<Batch>,
+pub(super) struct BatchCache {
+    batches: VecDeque<Batch>,
 }
 
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     frames: Rc<Vec<u8>>,
 }
 
-impl Batches {
+impl BatchCache {
     /// Returns the frames that bring a subscriber from `from` to the newest state; empty if `from` is the newest.
     ///
     /// # Errors
@@ -34,20 +34,20 @@
         from: SentPositions,
     ) -> Result<Rc<Vec<u8>>, FrameError> {
         let to = store.newest_positions();
-        if let Some(known) = self.cached.iter().find(|batch| (batch.from, batch.to) == (from, to)) {
-            return Ok(Rc::clone(&known.frames));
+        if let Some(cached) = self.batches.iter().find(|batch| (batch.from, batch.to) == (from, to)) {
+            return Ok(Rc::clone(&cached.frames));
         }
         let frames = Rc::new(encode(store, &from)?);
-        if self.cached.len() == MAX_BATCHES {
-            self.cached.pop_front();
+        if self.batches.len() == MAX_BATCHES {
+            self.batches.pop_front();
         }
-        self.cached.push_back(Batch { from, to, frames: Rc::clone(&frames) });
+        self.batches.push_back(Batch { from, to, frames: Rc::clone(&frames) });
         Ok(frames)
     }
 
     /// Drops all batches. Must be called when the store has changed.
     pub(super) fn clear(&mut self) {
-        self.cached.clear();
+        self.batches.clear();
     }
 }
 
--- a/crates/subscription/src/publisher/connection.rs
+++ b/crates/subscription/src/publisher/connection.rs
@@ -18,7 +18,7 @@
 use crate::wire::Received;
 
 /// Maximum length of a subscriber's message; the connection ends with a longer one.
-const MAX_REQUEST_BYTES: usize = 64 * 1024;
+const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
 /// Reason for the end of a subscriber's connection.
 #[derive(Debug, Snafu)]
@@ -64,7 +64,7 @@
     /// Id of the newest ping that has no pong yet. One pong covers this ping and all earlier ones.
     pending_ping: Option<u64>,
     /// Time at which the connection last accepted bytes or had none to send.
-    write_progress: Duration,
+    last_progress_at: Duration,
 }
 
 impl<'a> Connection<'a> {
@@ -75,7 +75,7 @@
             link: Link::new(stream),
             sent: None,
             pending_ping: None,
-            write_progress: clock::now(),
+            last_progress_at: clock::now(),
         }
     }
 
@@ -88,27 +88,27 @@
                 .await
                 .context(FailedSnafu)?
             {
-                Event::Received(Received::End) => return ClosedSnafu.fail(),
+                Event::Received(Received::EndOfStream) => return ClosedSnafu.fail(),
                 Event::Received(Received::Bytes) => self.read_messages()?,
-                Event::Written => self.write_progress = clock::now(),
+                Event::Written => self.last_progress_at = clock::now(),
                 Event::Signalled(_) => {}
                 Event::Timer => self.check_deadlines()?,
             }
-            self.write_newest()?;
+            self.queue_newest_state()?;
         }
     }
 
     fn read_messages(&mut self) -> Result<(), ConnectionEnd> {
         let mut has_queued_work = false;
-        while let Some(message) = self.link.incoming.next_message().context(FrameSnafu)? {
+        while let Some(message) = self.link.receive_buffer.next_message().context(FrameSnafu)? {
             has_queued_work |= matches!(message, ToPublisher::QueuedWork(_));
             self.handle_message(message)?;
         }
         if has_queued_work {
             self.publisher.notify_queued_work();
         }
-        ensure!(self.link.incoming.len() <= MAX_REQUEST_BYTES, TooLongSnafu);
-        self.subscription.status.borrow_mut().last_message = clock::now();
+        ensure!(self.link.receive_buffer.len() <= MAX_MESSAGE_BYTES, TooLongSnafu);
+        self.subscription.status.borrow_mut().last_message_at = clock::now();
         Ok(())
     }
 
@@ -123,7 +123,7 @@
             }
             ToPublisher::Ping { id, gateways } => {
                 ensure!(self.sent.is_some(), UnexpectedMessageSnafu);
-                status.gateways = gateways;
+                status.gateway_count = gateways;
                 self.pending_ping = Some(id);
             }
             ToPublisher::QueuedWork(queued_work) => {
@@ -137,48 +137,51 @@
     /// Once all bytes are sent, writes the newest state, followed by the pong for the newest ping.
     ///
     /// The order matters: a pong states the age of the state that precedes it on the connection.
-    fn write_newest(&mut self) -> Result<(), ConnectionEnd> {
-        let Some(sent) = self.sent.filter(|_| self.link.outgoing.is_empty()) else { return Ok(()) };
+    fn queue_newest_state(&mut self) -> Result<(), ConnectionEnd> {
+        let Some(sent) = self.sent.filter(|_| self.link.send_queue.is_empty()) else { return Ok(()) };
         let store = self.publisher.store.borrow();
-        let frames = self.publisher.batches.borrow_mut().frames(&store, sent).context(FrameSnafu)?;
-        self.link.outgoing.push(frames);
+        let frames = self.publisher.batch_cache.borrow_mut().frames(&store, sent).context(FrameSnafu)?;
+        self.link.send_queue.push_frames(frames);
         let sent = sent.later(store.newest_positions());
         self.sent = Some(sent);
         self.subscription.status.borrow_mut().revision = sent.known.configuration;
         if let Some(id) = self.pending_ping.take() {
             let revision = store.known_positions().configuration;
-            let pong =
-                ToSubscriber::Pong { id, age_ms: (self.publisher.age)().map(milliseconds_up), revision };
-            self.link.outgoing.push_message(&pong).context(FrameSnafu)?;
+            let pong = ToSubscriber::Pong {
+                id,
+                age_ms: (self.publisher.age)().map(milliseconds_rounded_up),
+                revision,
+            };
+            self.link.send_queue.push_message(&pong).context(FrameSnafu)?;
         }
-        self.write_progress = clock::now();
+        self.last_progress_at = clock::now();
         Ok(())
     }
 
     fn check_deadlines(&self) -> Result<(), ConnectionEnd> {
         let now = clock::now();
-        ensure!(now < self.idle_at(), IdleSnafu);
-        ensure!(self.link.outgoing.is_empty() || now < self.stalled_at(), StalledSnafu);
+        ensure!(now < self.idle_deadline(), IdleSnafu);
+        ensure!(self.link.send_queue.is_empty() || now < self.write_stall_deadline(), StalledSnafu);
         Ok(())
     }
 
     fn deadline(&self) -> Duration {
-        match self.link.outgoing.is_empty() {
-            true => self.idle_at(),
-            false => self.idle_at().min(self.stalled_at()),
+        match self.link.send_queue.is_empty() {
+            true => self.idle_deadline(),
+            false => self.idle_deadline().min(self.write_stall_deadline()),
         }
     }
 
-    fn idle_at(&self) -> Duration {
-        self.subscription.status.borrow().last_message + self.publisher.settings.idle_timeout
+    fn idle_deadline(&self) -> Duration {
+        self.subscription.status.borrow().last_message_at + self.publisher.settings.idle_timeout
     }
 
-    fn stalled_at(&self) -> Duration {
-        self.write_progress + self.publisher.settings.write_stall
+    fn write_stall_deadline(&self) -> Duration {
+        self.last_progress_at + self.publisher.settings.write_stall_timeout
     }
 }
 
 /// Converts to milliseconds, rounded up, since an age must never be understated.
-fn milliseconds_up(age: Duration) -> u32 {
+fn milliseconds_rounded_up(age: Duration) -> u32 {
     u32::try_from(age.as_nanos().div_ceil(1_000_000)).unwrap_or(u32::MAX)
 }
--- a/crates/subscription/src/publisher/subscription.rs
+++ b/crates/subscription/src/publisher/subscription.rs
@@ -25,11 +25,11 @@
     /// Role of the subscriber's process.
     pub role: SubscriberRole,
     /// Number of gateways that the subscriber serves, by its latest ping.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// Revision of the last configuration sent to the subscriber, or known to it when it subscribed.
     pub revision: Revision,
     /// Time since the subscriber's last message.
-    pub idle: Duration,
+    pub idle_time: Duration,
 }
 
 /// State that the publisher keeps for one connection.
@@ -47,8 +47,8 @@
     /// First message of the subscriber; `None` before its arrival.
     pub(super) subscriber: Option<Subscribe>,
     /// Arrival of the last message; at first the time of the connection.
-    pub(super) last_message: Duration,
-    pub(super) gateways: u32,
+    pub(super) last_message_at: Duration,
+    pub(super) gateway_count: u32,
     pub(super) revision: Revision,
     pub(super) queued_work: QueuedWork,
 }
@@ -57,8 +57,8 @@
     pub(super) fn new(address: SocketAddr) -> Self {
         let status = SubscriptionStatus {
             subscriber: None,
-            last_message: clock::now(),
-            gateways: 0,
+            last_message_at: clock::now(),
+            gateway_count: 0,
             revision: Revision(0),
             queued_work: QueuedWork::default(),
         };
@@ -67,16 +67,16 @@
 
     /// Returns whether the last message is recent enough for the subscriber's gateways to be counted.
     pub(super) fn is_live(&self, now: Duration) -> bool {
-        now.saturating_sub(self.status.borrow().last_message) <= LIVENESS_TIMEOUT
+        now.saturating_sub(self.status.borrow().last_message_at) <= LIVENESS_TIMEOUT
     }
 
     /// Returns the number of gateways that the subscriber serves, by its latest ping.
-    pub(super) fn gateways(&self) -> u32 {
-        self.status.borrow().gateways
+    pub(super) fn gateway_count(&self) -> u32 {
+        self.status.borrow().gateway_count
     }
 
     /// Describes the subscriber for a report; `None` before the subscription.
-    pub(super) fn report(&self, now: Duration) -> Option<ConnectedSubscriber> {
+    pub(super) fn describe(&self, now: Duration) -> Option<ConnectedSubscriber> {
         let status = self.status.borrow();
         let subscriber = status.subscriber.as_ref()?;
         Some(ConnectedSubscriber {
@@ -84,9 +84,9 @@
             name: subscriber.name.clone(),
             zone: subscriber.zone.clone(),
             role: subscriber.role,
-            gateways: status.gateways,
+            gateway_count: status.gateway_count,
             revision: status.revision,
-            idle: now.saturating_sub(status.last_message),
+            idle_time: now.saturating_sub(status.last_message_at),
         })
     }
 }
--- a/crates/subscription/src/signal.rs
+++ b/crates/subscription/src/signal.rs
@@ -6,14 +6,14 @@
 /// A flag that one task raises and another waits for.
 #[derive(Debug, Default)]
 pub(crate) struct Signal {
-    raised: Cell<bool>,
+    is_raised: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl Signal {
     /// Raises the flag and wakes the waiting task.
     pub(crate) fn raise(&self) {
-        self.raised.set(true);
+        self.is_raised.set(true);
         if let Some(waker) = self.waker.take() {
             waker.wake();
         }
@@ -21,7 +21,7 @@
 
     /// Clears the flag. Returns whether it was raised.
     pub(crate) fn clear(&self) -> bool {
-        self.raised.replace(false)
+        self.is_raised.replace(false)
     }
 
     /// Ready once the flag is raised, and clears it.
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -25,11 +25,11 @@
 use tulipridge_protocol::number::Epoch;
 
 use cache_index::CacheIndexTable;
-use configurations::Configurations;
+use configurations::ConfigurationHistory;
 use fleet::FleetTable;
 
 pub use changes::{Pong, StateChanges};
-pub use configurations::REMEMBERED_CONFIGURATIONS;
+pub use configurations::DEFAULT_EARLIER_CONFIGURATIONS;
 pub use error::{FeedError, Table};
 pub use positions::SentPositions;
 
@@ -39,17 +39,17 @@
 /// [`FeedStore::apply`]. Revisions and positions never decrease.
 #[derive(Debug, Default)]
 pub struct FeedStore {
-    configurations: Configurations,
+    configurations: ConfigurationHistory,
     fleet: FleetTable,
     weights: WeightsTable,
     cache_index: CacheIndexTable,
     loads: LoadTable,
-    group: ClusterMembership,
-    group_version: u64,
+    membership: ClusterMembership,
+    membership_version: u64,
 }
 
 impl FeedStore {
-    /// Creates an empty store that keeps [`REMEMBERED_CONFIGURATIONS`] earlier configurations.
+    /// Creates an empty store that keeps [`DEFAULT_EARLIER_CONFIGURATIONS`] earlier configurations.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -58,7 +58,10 @@
     /// Creates an empty store that keeps `configurations` earlier ones; a store without subscribers needs none.
     #[must_use]
     pub fn remembering(configurations: usize) -> Self {
-        FeedStore { configurations: Configurations::remembering(configurations), ..Self::default() }
+        FeedStore {
+            configurations: ConfigurationHistory::with_max_earlier(configurations),
+            ..Self::default()
+        }
     }
 
     /// Replaces the configuration if the revision is higher than the current one. Returns whether it was replaced.
@@ -99,11 +102,11 @@
 
     /// Sets the gateway count and the members of the control plane. Returns whether they differ from before.
     pub fn set_group(&mut self, group: ClusterMembership) -> bool {
-        if self.group_version > 0 && self.group == group {
+        if self.membership_version > 0 && self.membership == group {
             return false;
         }
-        self.group = group;
-        self.group_version += 1;
+        self.membership = group;
+        self.membership_version += 1;
         true
     }
 
@@ -167,8 +170,8 @@
     /// Iterates over the replicas with the units of work queued at each; `None` while the table of loads refers to
     /// another position of the table of replicas than the current one.
     pub fn loads(&self) -> Option<impl Iterator<Item = (&Replica, u8)>> {
-        let is_of_fleet = self.loads.fleet == self.fleet.position();
-        is_of_fleet.then(|| self.fleet.replicas().zip(self.loads.queued_units.iter().copied()))
+        let is_for_current_fleet = self.loads.fleet == self.fleet.position();
+        is_for_current_fleet.then(|| self.fleet.replicas().zip(self.loads.queued_units.iter().copied()))
     }
 
     /// Builds a report of the work queued at replicas, for the publisher of this state. `units_of` returns the units by
@@ -183,7 +186,7 @@
 
     /// Returns the gateway count and the members of the control plane; empty while they are unknown.
     pub fn group(&self) -> &ClusterMembership {
-        &self.group
+        &self.membership
     }
 
     /// Returns the position of each table.
@@ -199,7 +202,7 @@
 
     /// Returns the positions of a subscriber that was sent all of the current state.
     pub fn newest_positions(&self) -> SentPositions {
-        SentPositions { known: self.known_positions(), group: self.group_version }
+        SentPositions { known: self.known_positions(), membership_version: self.membership_version }
     }
 
     /// Returns the updates for a subscriber that has just sent its `known` positions: deltas where possible, otherwise
@@ -226,8 +229,8 @@
         if sent.known.loads.is_some_and(|sent| self.loads.position > sent) {
             messages.push(ToSubscriber::Loads(self.loads.clone()));
         }
-        if self.group_version > sent.group {
-            messages.push(ToSubscriber::ClusterMembership(self.group.clone()));
+        if self.membership_version > sent.membership_version {
+            messages.push(ToSubscriber::ClusterMembership(self.membership.clone()));
         }
         messages
     }
--- a/crates/subscription/src/store/changes.rs
+++ b/crates/subscription/src/store/changes.rs
@@ -26,7 +26,7 @@
 impl StateChanges {
     /// Returns whether any table differs.
     #[must_use]
-    pub fn any(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         self.configuration || self.fleet || self.weights || self.cache_index || self.group || self.loads
     }
 
--- a/crates/subscription/src/store/configurations.rs
+++ b/crates/subscription/src/store/configurations.rs
@@ -11,7 +11,7 @@
 use super::error::{FeedError, Table};
 
 /// Default number of earlier configurations that a store keeps as bases of deltas.
-pub const REMEMBERED_CONFIGURATIONS: usize = 8;
+pub const DEFAULT_EARLIER_CONFIGURATIONS: usize = 8;
 
 /// Maximum number of routes, services and tenants in all earlier configurations together; the oldest configurations
 /// are dropped beyond it.
@@ -19,7 +19,7 @@
 
 /// History of the configuration: the newest one, and earlier ones as bases of deltas.
 #[derive(Debug)]
-pub(super) struct Configurations {
+pub(super) struct ConfigurationHistory {
     newest: Option<Arc<Configuration>>,
     earlier: VecDeque<Arc<Configuration>>,
     max_earlier: usize,
@@ -34,15 +34,15 @@
     update: ConfigurationUpdate,
 }
 
-impl Default for Configurations {
+impl Default for ConfigurationHistory {
     fn default() -> Self {
-        Self::remembering(REMEMBERED_CONFIGURATIONS)
+        Self::with_max_earlier(DEFAULT_EARLIER_CONFIGURATIONS)
     }
 }
 
-impl Configurations {
-    pub(super) fn remembering(max_earlier: usize) -> Self {
-        Configurations {
+impl ConfigurationHistory {
+    pub(super) fn with_max_earlier(max_earlier: usize) -> Self {
+        ConfigurationHistory {
             newest: None,
             earlier: VecDeque::new(),
             max_earlier,
@@ -61,12 +61,12 @@
 
     /// Replaces the newest configuration if the revision is higher. Returns whether it was replaced.
     pub(super) fn replace_if_newer(&mut self, configuration: Arc<Configuration>) -> bool {
-        let newer = self.newest.as_ref().is_none_or(|newest| configuration.revision > newest.revision);
-        if !newer {
+        let is_newer = self.newest.as_ref().is_none_or(|newest| configuration.revision > newest.revision);
+        if !is_newer {
             return false;
         }
-        if let Some(before) = self.newest.replace(configuration) {
-            self.earlier.push_back(before);
+        if let Some(previous) = self.newest.replace(configuration) {
+            self.earlier.push_back(previous);
         }
         self.latest_update.replace(None);
         self.drop_oldest();
@@ -94,21 +94,21 @@
 
     /// Caches a delta that was applied to this store, for subscribers with the same base.
     fn cache_update(&self, changes: ConfigurationChanges) {
-        let known = CachedUpdate {
+        let cached = CachedUpdate {
             base: changes.base,
             revision: changes.revision,
             update: ConfigurationUpdate::Changes(changes),
         };
-        self.latest_update.replace(Some(known));
+        self.latest_update.replace(Some(cached));
     }
 
     /// Returns the update from revision `base` to the newest; `None` if `base` is not older.
     pub(super) fn since(&self, base: Revision) -> Option<ConfigurationUpdate> {
         let newest = self.newest.as_ref().filter(|newest| newest.revision > base)?;
         let mut latest = self.latest_update.borrow_mut();
-        let wanted = (base, newest.revision);
-        if let Some(known) = latest.as_ref().filter(|known| (known.base, known.revision) == wanted) {
-            return Some(known.update.clone());
+        let revisions = (base, newest.revision);
+        if let Some(cached) = latest.as_ref().filter(|cached| (cached.base, cached.revision) == revisions) {
+            return Some(cached.update.clone());
         }
         let update = self.update_from(base, newest);
         *latest = Some(CachedUpdate { base, revision: newest.revision, update: update.clone() });
@@ -130,16 +130,16 @@
     }
 
     fn drop_oldest(&mut self) {
-        while self.earlier.len() > self.max_earlier || self.earlier_items() > MAX_EARLIER_ITEMS {
+        while self.earlier.len() > self.max_earlier || self.earlier_item_count() > MAX_EARLIER_ITEMS {
             self.earlier.pop_front();
         }
     }
 
-    fn earlier_items(&self) -> usize {
-        self.earlier.iter().map(|earlier| items(earlier)).sum()
+    fn earlier_item_count(&self) -> usize {
+        self.earlier.iter().map(|earlier| item_count(earlier)).sum()
     }
 }
 
-fn items(configuration: &Configuration) -> usize {
+fn item_count(configuration: &Configuration) -> usize {
     configuration.routes.len() + configuration.services.len() + configuration.tenants.len()
 }
--- a/crates/subscription/src/store/fleet.rs
+++ b/crates/subscription/src/store/fleet.rs
@@ -20,7 +20,7 @@
     replicas: BTreeMap<String, Replica>,
     log: VecDeque<LoggedChange>,
     /// Number of ids in all entries of `log`.
-    logged_ids: usize,
+    logged_id_count: usize,
 }
 
 /// A change of the table from the position `base` to the base of the next logged change, or to the table's position.
@@ -52,7 +52,7 @@
             return false;
         }
         let replicas = by_id(replicas);
-        let ids = self.differing_ids(&replicas);
+        let ids = self.changed_ids(&replicas);
         let next = next_position(self.position, epoch, !ids.is_empty());
         self.replicas = replicas;
         if let Some(next) = next {
@@ -68,7 +68,7 @@
                     return Ok(false);
                 }
                 let replicas = by_id(replicas);
-                let ids = self.differing_ids(&replicas);
+                let ids = self.changed_ids(&replicas);
                 self.replicas = replicas;
                 self.advance(position, ids);
             }
@@ -101,8 +101,9 @@
     }
 
     fn delta_since(&self, base: Position) -> Option<FleetUpdate> {
-        let first = self.log.iter().rposition(|change| change.base == base)?;
-        let ids: BTreeSet<&String> = self.log.range(first..).flat_map(|change| &change.ids).collect();
+        let first_change = self.log.iter().rposition(|change| change.base == base)?;
+        let ids: BTreeSet<&String> =
+            self.log.range(first_change..).flat_map(|change| &change.ids).collect();
         if ids.len() > self.replicas.len() {
             return None;
         }
@@ -134,18 +135,18 @@
         if base == Position::default() {
             return;
         }
-        self.logged_ids += ids.len();
+        self.logged_id_count += ids.len();
         self.log.push_back(LoggedChange { base, ids });
-        while self.log.len() > MAX_LOGGED_CHANGES || self.logged_ids > MAX_LOGGED_IDS {
-            let dropped = self.log.pop_front().map_or(0, |change| change.ids.len());
-            self.logged_ids -= dropped;
+        while self.log.len() > MAX_LOGGED_CHANGES || self.logged_id_count > MAX_LOGGED_IDS {
+            let dropped_count = self.log.pop_front().map_or(0, |change| change.ids.len());
+            self.logged_id_count -= dropped_count;
         }
     }
 
-    fn differing_ids(&self, replicas: &BTreeMap<String, Replica>) -> Vec<String> {
-        let gone = self.replicas.keys().filter(|id| !replicas.contains_key(*id)).cloned();
-        let differing = replicas.values().filter(|new| self.is_changed(new)).map(|new| new.id.clone());
-        gone.chain(differing).collect()
+    fn changed_ids(&self, replicas: &BTreeMap<String, Replica>) -> Vec<String> {
+        let removed = self.replicas.keys().filter(|id| !replicas.contains_key(*id)).cloned();
+        let changed = replicas.values().filter(|new| self.is_changed(new)).map(|new| new.id.clone());
+        removed.chain(changed).collect()
     }
 
     fn is_changed(&self, new: &Replica) -> bool {
@@ -160,9 +161,9 @@
 /// Returns whether subscribers need the new entry. A decrease of `warm_left_ms` counts only when it reaches 0.
 fn differs(old: &Replica, new: &Replica) -> bool {
     let Replica { id, service, address, zone, capacity, phase, warm_left_ms, models } = new;
-    let became_warm = *warm_left_ms == 0 && old.warm_left_ms > 0;
-    let warm_up_changed = became_warm || *warm_left_ms > old.warm_left_ms;
-    let same = (id, service, address, zone) == (&old.id, &old.service, &old.address, &old.zone)
+    let has_become_warm = *warm_left_ms == 0 && old.warm_left_ms > 0;
+    let has_warm_up_changed = has_become_warm || *warm_left_ms > old.warm_left_ms;
+    let is_same = (id, service, address, zone) == (&old.id, &old.service, &old.address, &old.zone)
         && (capacity, phase, models) == (&old.capacity, &old.phase, &old.models);
-    warm_up_changed || !same
+    has_warm_up_changed || !is_same
 }
--- a/crates/subscription/src/store/positions.rs
+++ b/crates/subscription/src/store/positions.rs
@@ -9,12 +9,12 @@
     /// Position of each table.
     pub known: KnownPositions,
     /// Version of the cluster membership, counted by the publisher; 0 before the first was sent.
-    pub group: u64,
+    pub membership_version: u64,
 }
 
 impl From<KnownPositions> for SentPositions {
     fn from(known: KnownPositions) -> Self {
-        SentPositions { known, group: 0 }
+        SentPositions { known, membership_version: 0 }
     }
 }
 
@@ -30,7 +30,7 @@
             // A subscriber that does not support the table of loads is never sent it.
             loads: self.known.loads.map(|own| own.max(other.known.loads.unwrap_or_default())),
         };
-        SentPositions { known, group: self.group.max(other.group) }
+        SentPositions { known, membership_version: self.membership_version.max(other.membership_version) }
     }
 }
 
@@ -38,11 +38,11 @@
 ///
 /// A new epoch always advances the position, so that subscribers take over the new primary's table even if its
 /// content is the same. Within an epoch, each difference advances the position.
-pub(super) fn next_position(position: Position, epoch: Epoch, differs: bool) -> Option<Position> {
+pub(super) fn next_position(position: Position, epoch: Epoch, is_different: bool) -> Option<Position> {
     let first = Position { epoch, sequence: ChangeNumber(1) };
     if first > position && (epoch > position.epoch || position.sequence == ChangeNumber(0)) {
         return Some(first);
     }
-    let advances = epoch == position.epoch && differs;
-    advances.then(|| Position { epoch, sequence: position.sequence.next() })
+    let should_advance = epoch == position.epoch && is_different;
+    should_advance.then(|| Position { epoch, sequence: position.sequence.next() })
 }
--- a/crates/subscription/src/store/snapshot_tables.rs
+++ b/crates/subscription/src/store/snapshot_tables.rs
@@ -59,7 +59,7 @@
             *units = u8::try_from(entry.units).unwrap_or(u8::MAX);
         }
     }
-    let differs = (table.fleet, &table.queued_units) != (fleet, &queued_units);
-    let position = next_position(table.position, epoch, differs)?;
+    let is_different = (table.fleet, &table.queued_units) != (fleet, &queued_units);
+    let position = next_position(table.position, epoch, is_different)?;
     Some(LoadTable { position, fleet, queued_units })
 }
--- a/crates/subscription/src/subscriber.rs
+++ b/crates/subscription/src/subscriber.rs
@@ -3,7 +3,7 @@
 mod connect;
 mod end;
 mod liveness;
-mod queued_work_report;
+mod report_schedule;
 mod session;
 mod staleness;
 
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 pub struct SelectionContext {
     /// Consecutive failed attempts, connection losses included; 0 after a pong with a known, tolerated age.
-    pub failures: u32,
+    pub failure_count: u32,
     /// The previous connection or failed attempt; `None` at the first selection, and after a selection that returned
     /// no publisher.
     pub last: Option<PreviousConnection>,
@@ -59,12 +59,12 @@
     identity: Identity,
     store: Rc<RefCell<FeedStore>>,
     freshness: RefCell<Freshness>,
-    gateways: Cell<u32>,
-    next_ping: Cell<u64>,
+    gateway_count: Cell<u32>,
+    next_ping_id: Cell<u64>,
     queued_work: RefCell<QueuedWork>,
     queued_work_changed: Signal,
     connected: Cell<Option<SocketAddr>>,
-    reselect: Signal,
+    reselect_signal: Signal,
     listeners: RefCell<Vec<Rc<ChangeListener>>>,
 }
 
@@ -86,12 +86,12 @@
             tolerance,
             store,
             freshness: RefCell::default(),
-            gateways: Cell::new(0),
-            next_ping: Cell::new(1),
+            gateway_count: Cell::new(0),
+            next_ping_id: Cell::new(1),
             queued_work: RefCell::default(),
             queued_work_changed: Signal::default(),
             connected: Cell::new(None),
-            reselect: Signal::default(),
+            reselect_signal: Signal::default(),
             listeners: RefCell::default(),
         })
     }
@@ -99,23 +99,23 @@
     /// Subscribes to one publisher after the other, without end. `select` returns the next one; if it returns `None`,
     /// it is called again after a delay, or when [`Subscriber::reselect`] is called.
     pub async fn run(self: Rc<Self>, mut select: impl FnMut(SelectionContext) -> Option<SocketAddr>) {
-        let mut failures = 0;
+        let mut failure_count = 0;
         let mut last = None;
         loop {
-            self.reselect.clear();
-            let selected = select(SelectionContext { failures, last: last.take() });
+            self.reselect_signal.clear();
+            let selected = select(SelectionContext { failure_count, last: last.take() });
             let Some(address) = selected else {
-                self.delay(MAX_BACKOFF).await;
+                self.sleep_unless_reselected(MAX_BACKOFF).await;
                 continue;
             };
-            let reason = self.follow(address, &mut failures).await;
-            let level = if failures == 0 { log::Level::Info } else { log::Level::Debug };
+            let reason = self.subscribe_to(address, &mut failure_count).await;
+            let level = if failure_count == 0 { log::Level::Info } else { log::Level::Debug };
             log::log!(level, publisher:% = address, reason:% = reason; "a publisher is left");
             let is_reselection = matches!(reason, EndReason::Reselected);
             last = Some(PreviousConnection { address, reason });
             if !is_reselection {
-                self.delay(backoff(failures)).await;
-                failures = failures.saturating_add(1);
+                self.sleep_unless_reselected(backoff(failure_count)).await;
+                failure_count = failure_count.saturating_add(1);
             }
         }
     }
@@ -127,7 +127,7 @@
 
     /// Sets the number of gateways that this subscriber serves, which is reported with the next ping.
     pub fn set_gateways(&self, gateways: u32) {
-        self.gateways.set(gateways);
+        self.gateway_count.set(gateways);
     }
 
     /// Sets the work queued at replicas by the gateways that this subscriber serves. A difference is reported to the
@@ -141,7 +141,7 @@
 
     /// Closes the connection, if any, and selects a publisher again at once, without a backoff.
     pub fn reselect(&self) {
-        self.reselect.raise();
+        self.reselect_signal.raise();
     }
 
     /// Returns the address of the connected publisher; `None` while there is no connection.
@@ -160,9 +160,9 @@
         self.freshness.borrow().age(now)
     }
 
-    async fn follow(&self, address: SocketAddr, failures: &mut u32) -> EndReason {
+    async fn subscribe_to(&self, address: SocketAddr, failure_count: &mut u32) -> EndReason {
         let reselected = async {
-            poll_fn(|context| self.reselect.poll_raised(context)).await;
+            poll_fn(|context| self.reselect_signal.poll_raised(context)).await;
             ReselectedSnafu.fail()
         };
         let stream = match connect(address).or(reselected).await {
@@ -170,14 +170,14 @@
             Err(reason) => return reason,
         };
         let _connected = ConnectedGuard::new(self, address);
-        session::run(self, &stream, failures).await
+        session::run(self, &stream, failure_count).await
     }
 
-    async fn delay(&self, duration: Duration) {
+    async fn sleep_unless_reselected(&self, duration: Duration) {
         let timer = async {
             Timer::after(duration).await;
         };
-        poll_fn(|context| self.reselect.poll_raised(context)).or(timer).await;
+        poll_fn(|context| self.reselect_signal.poll_raised(context)).or(timer).await;
     }
 
     fn subscribe_message(&self) -> Subscribe {
@@ -186,7 +186,7 @@
     }
 
     fn notify_listeners(&self, changes: &StateChanges) {
-        if !changes.any() {
+        if !changes.has_changes() {
             return;
         }
         let listeners: Vec<_> = self.listeners.borrow().iter().map(Rc::clone).collect();
@@ -211,6 +211,6 @@
 impl Drop for ConnectedGuard<'_> {
     fn drop(&mut self) {
         self.subscriber.connected.set(None);
-        self.subscriber.freshness.borrow_mut().forget_pending();
+        self.subscriber.freshness.borrow_mut().drop_pending_pings();
     }
 }
--- a/crates/subscription/src/subscriber/connect.rs
+++ b/crates/subscription/src/subscriber/connect.rs
@@ -34,7 +34,7 @@
     Ok(stream)
 }
 
-/// Returns the delay before the next attempt after `failures` consecutive failures.
-pub(super) fn backoff(failures: u32) -> Duration {
-    INITIAL_BACKOFF.saturating_mul(1 << failures.min(MAX_DOUBLINGS)).min(MAX_BACKOFF)
+/// Returns the delay before the next attempt after `failure_count` consecutive failures.
+pub(super) fn backoff(failure_count: u32) -> Duration {
+    INITIAL_BACKOFF.saturating_mul(1 << failure_count.min(MAX_DOUBLINGS)).min(MAX_BACKOFF)
 }
--- a/crates/subscription/src/subscriber/queued_work_report.rs
+++ b/crates/subscription/src/subscriber/report_schedule.rs
@@ -7,7 +7,7 @@
 
 /// Decides when the next report is due on one connection.
 #[derive(Debug)]
-pub(super) struct QueuedWorkReport {
+pub(super) struct ReportSchedule {
     /// Whether the publisher supports the message, which it shows by sending a table of loads.
     is_supported: bool,
     /// Whether the queued work differs from the last report.
@@ -16,10 +16,10 @@
     next_at: Duration,
 }
 
-impl QueuedWorkReport {
+impl ReportSchedule {
     /// Creates the schedule of a connection that was made at `now`, with the first report outstanding.
     pub(super) fn new(now: Duration) -> Self {
-        QueuedWorkReport { is_supported: false, is_outdated: true, next_at: now }
+        ReportSchedule { is_supported: false, is_outdated: true, next_at: now }
     }
 
     /// Records that the publisher has sent a table of loads.
--- a/crates/subscription/src/subscriber/session.rs
+++ b/crates/subscription/src/subscriber/session.rs
@@ -12,7 +12,7 @@
 use super::Subscriber;
 use super::end::{ClosedSnafu, EndReason, FailedSnafu, MalformedSnafu, ReselectedSnafu, UpdateSnafu};
 use super::liveness::PublisherLiveness;
-use super::queued_work_report::QueuedWorkReport;
+use super::report_schedule::ReportSchedule;
 use crate::link::{Event, Link};
 use crate::store::{Pong, StateChanges};
 use crate::wire::Received;
@@ -22,13 +22,13 @@
 /// Index of the [`Subscriber`]'s reselect signal among the signals that a session waits for.
 const RESELECT_SIGNAL: usize = 0;
 
-/// Subscribes to a publisher and applies its messages until the connection ends. A fresh pong sets `failures` to 0.
+/// Subscribes to a publisher and applies its messages until the connection ends. A fresh pong resets `failure_count`.
 pub(super) async fn run(
     subscriber: &Subscriber,
     stream: &Async<TcpStream>,
-    failures: &mut u32,
+    failure_count: &mut u32,
 ) -> EndReason {
-    let mut session = Session::new(subscriber, stream, failures);
+    let mut session = Session::new(subscriber, stream, failure_count);
     match session.run().await {
         Ok(never) => match never {},
         Err(reason) => reason,
@@ -38,86 +38,86 @@
 struct Session<'a> {
     subscriber: &'a Subscriber,
     link: Link<'a>,
-    failures: &'a mut u32,
+    failure_count: &'a mut u32,
     next_ping_at: Duration,
     liveness: PublisherLiveness,
-    queued_work_report: QueuedWorkReport,
+    report_schedule: ReportSchedule,
 }
 
 impl<'a> Session<'a> {
-    fn new(subscriber: &'a Subscriber, stream: &'a Async<TcpStream>, failures: &'a mut u32) -> Self {
+    fn new(subscriber: &'a Subscriber, stream: &'a Async<TcpStream>, failure_count: &'a mut u32) -> Self {
         let now = clock::now();
         Session {
             subscriber,
             link: Link::new(stream),
-            failures,
+            failure_count,
             next_ping_at: now,
             liveness: PublisherLiveness::new(subscriber.tolerance, now),
-            queued_work_report: QueuedWorkReport::new(now),
+            report_schedule: ReportSchedule::new(now),
         }
     }
 
     async fn run(&mut self) -> Result<Infallible, EndReason> {
         let subscribe = ToPublisher::Subscribe(self.subscriber.subscribe_message());
-        self.link.outgoing.push_message(&subscribe).context(MalformedSnafu)?;
-        self.ping()?;
+        self.link.send_queue.push_message(&subscribe).context(MalformedSnafu)?;
+        self.send_ping()?;
         loop {
-            self.ping_when_due()?;
-            self.report_queued_work_when_due()?;
+            self.send_ping_if_due()?;
+            self.report_queued_work_if_due()?;
             let deadline = self.deadline();
-            let signals = [&self.subscriber.reselect, &self.subscriber.queued_work_changed];
+            let signals = [&self.subscriber.reselect_signal, &self.subscriber.queued_work_changed];
             match self.link.next_event(&signals, deadline).await.context(FailedSnafu)? {
-                Event::Received(Received::End) => return ClosedSnafu.fail(),
+                Event::Received(Received::EndOfStream) => return ClosedSnafu.fail(),
                 Event::Received(Received::Bytes) => self.read_messages()?,
                 Event::Written => {}
                 Event::Signalled(RESELECT_SIGNAL) => return ReselectedSnafu.fail(),
-                Event::Signalled(_) => self.queued_work_report.set_outdated(),
-                Event::Timer => self.liveness.check(clock::now())?,
+                Event::Signalled(_) => self.report_schedule.set_outdated(),
+                Event::Timer => self.liveness.check_deadline(clock::now())?,
             }
         }
     }
 
     fn deadline(&self) -> Duration {
-        self.next_ping_at.min(self.liveness.deadline()).min(self.queued_work_report.due_at())
+        self.next_ping_at.min(self.liveness.deadline()).min(self.report_schedule.due_at())
     }
 
     /// Sends a ping if one is due, unless earlier bytes are still unsent: pings must not queue up on a connection that
     /// accepts no bytes.
-    fn ping_when_due(&mut self) -> Result<(), EndReason> {
+    fn send_ping_if_due(&mut self) -> Result<(), EndReason> {
         let now = clock::now();
         if now < self.next_ping_at {
             return Ok(());
         }
-        if !self.link.outgoing.is_empty() {
+        if !self.link.send_queue.is_empty() {
             self.next_ping_at = now + PING_INTERVAL;
             return Ok(());
         }
-        self.ping()
+        self.send_ping()
     }
 
-    fn ping(&mut self) -> Result<(), EndReason> {
+    fn send_ping(&mut self) -> Result<(), EndReason> {
         let now = clock::now();
         self.next_ping_at = now + PING_INTERVAL;
-        let id = self.subscriber.next_ping.replace(self.subscriber.next_ping.get() + 1);
+        let id = self.subscriber.next_ping_id.replace(self.subscriber.next_ping_id.get() + 1);
         self.subscriber.freshness.borrow_mut().record_ping(id, now);
-        let ping = ToPublisher::Ping { id, gateways: self.subscriber.gateways.get() };
-        self.link.outgoing.push_message(&ping).context(MalformedSnafu)
+        let ping = ToPublisher::Ping { id, gateways: self.subscriber.gateway_count.get() };
+        self.link.send_queue.push_message(&ping).context(MalformedSnafu)
     }
 
     /// Reports queued work if a report is due. While earlier bytes are unsent, the report is delayed and then contains
     /// the work queued at that time.
-    fn report_queued_work_when_due(&mut self) -> Result<(), EndReason> {
+    fn report_queued_work_if_due(&mut self) -> Result<(), EndReason> {
         let now = clock::now();
-        if now < self.queued_work_report.due_at() {
+        if now < self.report_schedule.due_at() {
             return Ok(());
         }
-        self.queued_work_report.postpone(now);
-        if !self.link.outgoing.is_empty() {
+        self.report_schedule.postpone(now);
+        if !self.link.send_queue.is_empty() {
             return Ok(());
         }
-        self.queued_work_report.set_reported();
+        self.report_schedule.set_reported();
         let report = ToPublisher::QueuedWork(self.subscriber.queued_work.borrow().clone());
-        self.link.outgoing.push_message(&report).context(MalformedSnafu)
+        self.link.send_queue.push_message(&report).context(MalformedSnafu)
     }
 
     /// Applies all complete messages. Calls the listeners once, even if one of the messages fails.
@@ -131,12 +131,12 @@
 
     fn apply_messages(&mut self, changes: &mut StateChanges) -> Result<(), EndReason> {
         while let Some(message) =
-            self.link.incoming.next_message::<ToSubscriber>().context(MalformedSnafu)?
+            self.link.receive_buffer.next_message::<ToSubscriber>().context(MalformedSnafu)?
         {
             let applied = self.subscriber.store.borrow_mut().apply(message).context(UpdateSnafu)?;
             changes.merge(applied);
             if applied.loads {
-                self.queued_work_report.set_supported();
+                self.report_schedule.set_supported();
             }
             if let Some(pong) = applied.pong {
                 self.handle_pong(pong)?;
@@ -150,7 +150,7 @@
         self.subscriber.freshness.borrow_mut().record_pong(pong.id, pong.age, now);
         let is_fresh = self.liveness.record_pong(pong.age, now)?;
         if is_fresh {
-            *self.failures = 0;
+            *self.failure_count = 0;
         }
         Ok(())
     }
--- a/crates/subscription/src/wire.rs
+++ b/crates/subscription/src/wire.rs
@@ -13,9 +13,9 @@
 use tulipridge_protocol::frame::{self, FrameError};
 
 /// Maximum number of bytes that one system call reads.
-const CHUNK_BYTES: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Maximum number of reads in one poll, so that other tasks of the thread can run.
-const MAX_READS: usize = 16;
+const MAX_READS_PER_POLL: usize = 16;
 /// An empty buffer with more capacity than this is freed.
 const MAX_IDLE_CAPACITY_BYTES: usize = 256 * 1024;
 
@@ -25,26 +25,26 @@
     /// Bytes were added to the buffer.
     Bytes,
     /// The peer has closed its side.
-    End,
+    EndOfStream,
 }
 
 /// Received bytes that are not decoded yet.
 #[derive(Debug, Default)]
-pub(crate) struct Incoming {
+pub(crate) struct ReceiveBuffer {
     buffer: Vec<u8>,
 }
 
-impl Incoming {
+impl ReceiveBuffer {
     /// Reads the bytes that have arrived; pending while there are none.
-    pub(crate) fn poll_fill(
+    pub(crate) fn poll_read(
         &mut self,
         stream: &Async<TcpStream>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<Received>> {
         loop {
             ready!(stream.poll_readable(context))?;
-            match self.fill(stream.get_ref()) {
-                Err(error) if is_retry(&error) => {}
+            match self.read(stream.get_ref()) {
+                Err(error) if is_retryable(&error) => {}
                 result => return Poll::Ready(result),
             }
         }
@@ -66,17 +66,17 @@
         self.buffer.len()
     }
 
-    fn fill(&mut self, mut stream: &TcpStream) -> io::Result<Received> {
-        let mut chunk = [0; CHUNK_BYTES];
-        for reads in 0..MAX_READS {
+    fn read(&mut self, mut stream: &TcpStream) -> io::Result<Received> {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        for reads in 0..MAX_READS_PER_POLL {
             let count = match stream.read(&mut chunk) {
-                Ok(0) if reads == 0 => return Ok(Received::End),
+                Ok(0) if reads == 0 => return Ok(Received::EndOfStream),
                 Ok(count) => count,
                 Err(_) if reads > 0 => break,
                 Err(error) => return Err(error),
             };
             self.buffer.extend_from_slice(&chunk[..count]);
-            if count < CHUNK_BYTES {
+            if count < READ_CHUNK_BYTES {
                 break;
             }
         }
@@ -86,20 +86,20 @@
 
 /// Bytes to be sent.
 #[derive(Debug, Default)]
-pub(crate) struct Outgoing {
+pub(crate) struct SendQueue {
     chunks: VecDeque<Rc<Vec<u8>>>,
     /// Number of bytes of the first chunk that are already sent.
-    written: usize,
+    first_chunk_sent_bytes: usize,
 }
 
-impl Outgoing {
+impl SendQueue {
     /// Returns whether all bytes are sent.
     pub(crate) fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
     /// Adds a chunk of complete frames; an empty chunk is ignored.
-    pub(crate) fn push(&mut self, chunk: Rc<Vec<u8>>) {
+    pub(crate) fn push_frames(&mut self, chunk: Rc<Vec<u8>>) {
         if !chunk.is_empty() {
             self.chunks.push_back(chunk);
         }
@@ -112,40 +112,40 @@
         }
         let mut chunk = Vec::new();
         frame::append(message, &mut chunk)?;
-        self.push(Rc::new(chunk));
+        self.push_frames(Rc::new(chunk));
         Ok(())
     }
 
     /// Sends as many bytes as the connection accepts; ready once some were sent, pending while there are none to send.
-    pub(crate) fn poll_write(
+    pub(crate) fn poll_send(
         &mut self,
         stream: &Async<TcpStream>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<()>> {
         while !self.is_empty() {
-            match self.write(stream.get_ref()) {
-                Err(error) if is_retry(&error) => ready!(stream.poll_writable(context))?,
+            match self.send(stream.get_ref()) {
+                Err(error) if is_retryable(&error) => ready!(stream.poll_writable(context))?,
                 result => return Poll::Ready(result),
             }
         }
         Poll::Pending
     }
 
-    fn write(&mut self, mut stream: &TcpStream) -> io::Result<()> {
+    fn send(&mut self, mut stream: &TcpStream) -> io::Result<()> {
         let Some(chunk) = self.chunks.front() else { return Ok(()) };
-        let count = stream.write(&chunk[self.written..])?;
+        let count = stream.write(&chunk[self.first_chunk_sent_bytes..])?;
         if count == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        self.written += count;
-        if self.written == chunk.len() {
-            self.written = 0;
+        self.first_chunk_sent_bytes += count;
+        if self.first_chunk_sent_bytes == chunk.len() {
+            self.first_chunk_sent_bytes = 0;
             self.chunks.pop_front();
         }
         Ok(())
     }
 }
 
-fn is_retry(error: &io::Error) -> bool {
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
--- a/crates/subscription/tests/freshness.rs
+++ b/crates/subscription/tests/freshness.rs
@@ -64,7 +64,7 @@
 fn the_end_of_a_connection_drops_its_pings() {
     let mut freshness = Freshness::new();
     freshness.record_ping(1, ms(1_000));
-    freshness.forget_pending();
+    freshness.drop_pending_pings();
     freshness.record_pong(1, Some(ms(0)), ms(1_100));
     assert_eq!(freshness.fresh_as_of(), None);
 }
--- a/crates/subscription/tests/publisher.rs
+++ b/crates/subscription/tests/publisher.rs
@@ -97,7 +97,8 @@
     network::run(|executor| async move {
         let store = store();
         let patient = Duration::from_secs(60);
-        let settings = PublisherSettings { write_stall: patient, idle_timeout: patient, ..settings() };
+        let settings =
+            PublisherSettings { write_stall_timeout: patient, idle_timeout: patient, ..settings() };
         let (publisher, address) = publish(&executor, &store, fresh(), settings);
         let mut peer = Peer::connect(address).await;
         peer.send(&subscribe(KnownPositions::default())).await;
@@ -178,7 +179,7 @@
 #[test]
 fn a_connection_that_accepts_no_bytes_ends() {
     network::run(|executor| async move {
-        let settings = PublisherSettings { write_stall: Duration::from_millis(50), ..settings() };
+        let settings = PublisherSettings { write_stall_timeout: Duration::from_millis(50), ..settings() };
         let store = store();
         let replicas = (0..40_000).map(|number| replica(&format!("replica-{number}"), 1));
         store.borrow_mut().set_fleet(Epoch(1), replicas.collect());
--- a/crates/subscription/tests/subscriber.rs
+++ b/crates/subscription/tests/subscriber.rs
@@ -240,7 +240,7 @@
         let choose = move |attempt: tulipridge_subscription::SelectionContext| {
             let last = attempt.last.map(|last| format!("{:?}", last.reason));
             let reason = last.map(|reason| reason.split([' ', '{']).next().unwrap_or_default().to_owned());
-            reported.borrow_mut().push((attempt.failures, reason));
+            reported.borrow_mut().push((attempt.failure_count, reason));
             addresses.pop().unwrap_or(Some(two_address))
         };
         executor.spawn(Rc::clone(&subscriber).run(choose)).detach();
