--- a/crates/subscription/src/publisher.rs
+++ b/crates/subscription/src/publisher.rs
@@ -91,7 +91,7 @@
             match listener.accept().await {
                 Ok((stream, address)) => self.start_connection(stream, address, executor),
                 Err(error) => {
-                    log::warn!(error:% = error; "a connection can't be accepted");
+                    log::warn!(error:% = error; "failed to accept a subscriber's connection");
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -148,7 +148,7 @@
         executor: &LocalExecutor<'_>,
     ) {
         if self.subscriptions.borrow().len() >= self.settings.max_connections {
-            log::warn!(peer:% = address; "a connection over the limit is closed");
+            log::warn!(peer:% = address; "connection limit reached: a subscriber's connection is closed");
             return;
         }
         let id = self.next_subscription_id.replace(self.next_subscription_id.get() + 1);
@@ -159,7 +159,7 @@
             let end = connection::serve(&publisher, &subscription, &stream).await;
             publisher.subscriptions.borrow_mut().remove(&id);
             publisher.notify_queued_work();
-            log::info!(peer:% = address, reason:% = end; "a subscriber's connection ends");
+            log::info!(peer:% = address, reason:% = end; "a connection of a subscriber ended");
         };
         executor.spawn(serving).detach();
     }
--- a/crates/subscription/src/publisher/connection.rs
+++ b/crates/subscription/src/publisher/connection.rs
@@ -23,19 +23,19 @@
 /// Reason for the end of a subscriber's connection.
 #[derive(Debug, Snafu)]
 pub(super) enum ConnectionEnd {
-    #[snafu(display("the subscriber has closed it"))]
+    #[snafu(display("the subscriber has closed the connection"))]
     Closed,
     #[snafu(display("the connection has failed: {source}"))]
     Failed { source: io::Error },
     #[snafu(display("{source}"))]
     Frame { source: FrameError },
-    #[snafu(display("a message of the subscriber is too long"))]
+    #[snafu(display("a message from the subscriber is too long"))]
     TooLong,
-    #[snafu(display("a message of the subscriber is unexpected"))]
+    #[snafu(display("a message from the subscriber is unexpected"))]
     UnexpectedMessage,
-    #[snafu(display("the subscriber is idle for too long"))]
+    #[snafu(display("no message from the subscriber within the idle timeout"))]
     Idle,
-    #[snafu(display("the subscriber accepts no bytes"))]
+    #[snafu(display("the subscriber accepted no bytes within the write stall timeout"))]
     Stalled,
 }
 
--- a/crates/subscription/src/subscriber.rs
+++ b/crates/subscription/src/subscriber.rs
@@ -110,7 +110,7 @@
             };
             let reason = self.subscribe_to(address, &mut failure_count).await;
             let level = if failure_count == 0 { log::Level::Info } else { log::Level::Debug };
-            log::log!(level, publisher:% = address, reason:% = reason; "a publisher is left");
+            log::log!(level, publisher:% = address, reason:% = reason; "a connection to a publisher ended");
             let is_reselection = matches!(reason, EndReason::Reselected);
             last = Some(PreviousConnection { address, reason });
             if !is_reselection {
--- a/crates/subscription/src/subscriber/end.rs
+++ b/crates/subscription/src/subscriber/end.rs
@@ -29,7 +29,7 @@
         source: io::Error,
     },
     /// The connection attempt timed out.
-    #[snafu(display("no connection within {} ms", limit.as_millis()))]
+    #[snafu(display("the connection attempt timed out after {} ms", limit.as_millis()))]
     ConnectTimeout {
         /// Longest duration of an attempt.
         limit: Duration,
@@ -62,6 +62,6 @@
         source: FeedError,
     },
     /// [`Subscriber::reselect`](super::Subscriber::reselect) was called.
-    #[snafu(display("another publisher is to be selected"))]
+    #[snafu(display("a new selection of the publisher was requested"))]
     Reselected,
 }
