--- a/crates/subscription/tests/cache_index.rs
+++ b/crates/subscription/tests/cache_index.rs
@@ -1,4 +1,4 @@
-//! The prefix-cache index on its way along the feed.
+//! Delivery of the prefix-cache index along the feed.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -14,20 +14,20 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080)
 }
 
-fn key(part: u64) -> PrefixKey {
-    PrefixKey::new("m1", &part.to_string())
+fn key(number: u64) -> PrefixKey {
+    PrefixKey::new("m1", &number.to_string())
 }
 
-fn cached(number: u8, next_token: u64, parts: &[(u64, u32)]) -> CacheUpdate {
+fn cached(number: u8, next_token: u64, prefixes: &[(u64, u32)]) -> CacheUpdate {
     CacheUpdate {
         source: address(number),
         boot: 1,
         next_token,
         liveness: Liveness::Alive,
         replace: false,
-        added: parts
+        added: prefixes
             .iter()
-            .map(|(part, tokens)| CachedPrefix { key: key(*part), tokens: *tokens })
+            .map(|(number, tokens)| CachedPrefix { key: key(*number), tokens: *tokens })
             .collect(),
         removed: Vec::new(),
     }
@@ -44,13 +44,13 @@
     })
 }
 
-/// Brings a subscriber up to date, by way of the bytes of the wire.
+/// Brings a subscriber up to date through encoded frames.
 fn deliver(publisher: &FeedStore, subscriber: &mut FeedStore) -> Result<(), FeedError> {
     let mut bytes = Vec::new();
     for message in publisher.updates_for(&subscriber.known_positions()) {
-        frame::append(&message, &mut bytes).expect("a short message");
+        frame::append(&message, &mut bytes).expect("encodes the message");
     }
-    while let Some(message) = frame::take::<ToSubscriber>(&mut bytes).expect("a whole message") {
+    while let Some(message) = frame::take::<ToSubscriber>(&mut bytes).expect("decodes the message") {
         subscriber.apply(message)?;
     }
     Ok(())
@@ -79,15 +79,15 @@
     let (mut publisher, mut subscriber) = (FeedStore::new(), FeedStore::new());
     publisher.update_cache_index(Epoch(1), &[cached(1, 1, &[(1, 800), (2, 800)])]);
     assert_eq!(pending_update(&publisher, &subscriber).map(|update| update.base), Some(None));
-    deliver(&publisher, &mut subscriber).expect("a snapshot");
+    deliver(&publisher, &mut subscriber).expect("the snapshot applies");
     let mut removal = cached(1, 3, &[(3, 900)]);
     removal.removed.push(key(1));
     publisher.update_cache_index(Epoch(1), &[removal]);
-    let update = pending_update(&publisher, &subscriber).expect("news");
+    let update = pending_update(&publisher, &subscriber).expect("an update is pending");
     assert_eq!((update.base, update.position), (Some(position(1, 1)), position(1, 2)));
     assert_eq!(update.updates[0].added, [CachedPrefix { key: key(3), tokens: 900 }]);
     assert_eq!(update.updates[0].removed, [key(1)]);
-    deliver(&publisher, &mut subscriber).expect("changes");
+    deliver(&publisher, &mut subscriber).expect("the delta applies");
     assert_same(&subscriber, &publisher);
     assert_eq!(pending_update(&publisher, &subscriber), None);
 }
@@ -109,17 +109,17 @@
 fn a_subscriber_ahead_in_an_old_epoch_gets_a_snapshot() {
     let (mut old, mut new) = (FeedStore::new(), FeedStore::new());
     old.update_cache_index(Epoch(1), &[cached(1, 1, &[(1, 800)])]);
-    deliver(&old, &mut new).expect("a snapshot");
+    deliver(&old, &mut new).expect("the snapshot applies");
     old.update_cache_index(Epoch(1), &[cached(1, 2, &[(2, 800)])]);
     new.update_cache_index(Epoch(2), &[cached(1, 3, &[(3, 800)])]);
     assert_eq!(pending_update(&new, &old).map(|update| update.base), Some(None));
-    deliver(&new, &mut old).expect("a snapshot");
+    deliver(&new, &mut old).expect("the snapshot applies");
     assert_same(&old, &new);
-    assert!(!old.update_cache_index(Epoch(1), &[cached(1, 9, &[(9, 800)])]), "the old primary is deposed");
+    assert!(!old.update_cache_index(Epoch(1), &[cached(1, 9, &[(9, 800)])]), "an old epoch");
 }
 
 #[rstest]
-fn subscribers_equal_their_publishers_through_takeovers(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
+fn subscribers_match_the_primary_after_takeovers(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut stores = [FeedStore::new(), FeedStore::new(), FeedStore::new()];
     let (mut primary, mut epoch) = (0, 1);
@@ -129,8 +129,8 @@
             1..40 => {
                 let other = (primary + random.usize(1..3)) % 3;
                 let [publisher, subscriber] =
-                    stores.get_disjoint_mut([primary, other]).expect("two of three stores");
-                deliver(publisher, subscriber).expect("what is missing applies");
+                    stores.get_disjoint_mut([primary, other]).expect("two different stores");
+                deliver(publisher, subscriber).expect("the missing updates apply");
             }
             _ => {
                 stores[primary].update_cache_index(Epoch(epoch), &[random_update(&mut random, step)]);
@@ -141,8 +141,8 @@
     stores[primary].update_cache_index(Epoch(epoch), &[cached(1, 0, &[])]);
     for other in [(primary + 1) % 3, (primary + 2) % 3] {
         let [publisher, subscriber] =
-            stores.get_disjoint_mut([primary, other]).expect("two of three stores");
-        deliver(publisher, subscriber).expect("what is missing applies");
+            stores.get_disjoint_mut([primary, other]).expect("two different stores");
+        deliver(publisher, subscriber).expect("the missing updates apply");
         assert_same(subscriber, publisher);
     }
 }
--- a/crates/subscription/tests/common/mod.rs
+++ b/crates/subscription/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! State for the tests.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Tables for the tests.
+#![allow(dead_code, reason = "no test file uses all of the helpers")]
 
 pub(crate) mod network;
 
@@ -13,7 +13,7 @@
 };
 use tulipridge_protocol::node::{Generation, NodeId};
 
-/// A configuration whose content follows from `content`.
+/// Builds a configuration whose items are derived from the bits of `content`.
 pub(crate) fn configuration(revision: u64, content: u64) -> Arc<Configuration> {
     let tenants = (0..6).filter(|bit| content >> bit & 1 == 1).map(|bit| tenant(bit, content >> 8));
     let service =
@@ -36,7 +36,7 @@
     }
 }
 
-/// A warm replica.
+/// Builds a ready replica that has warmed up.
 pub(crate) fn replica(id: &str, capacity: u32) -> Replica {
     Replica {
         id: id.to_owned(),
@@ -50,23 +50,23 @@
     }
 }
 
-/// A replica that is still slow.
+/// Builds a replica that is still warming up.
 pub(crate) fn replica_warming(id: &str, warm_left_ms: u32) -> Replica {
     Replica { warm_left_ms, ..replica(id, 1) }
 }
 
-/// A table of weights.
-pub(crate) fn weights(named: u64) -> Vec<ModelWeights> {
+/// Builds a table of weights with the target revision `target`.
+pub(crate) fn weights(target: u64) -> Vec<ModelWeights> {
     vec![ModelWeights {
         model: "large".to_owned(),
-        target: WeightsRevision(named),
-        minimum: WeightsRevision(named / 2),
-        expired_below: WeightsRevision(named / 2),
+        target: WeightsRevision(target),
+        minimum: WeightsRevision(target / 2),
+        expired_below: WeightsRevision(target / 2),
     }]
 }
 
-/// A group of so many gateways.
-pub(crate) fn group(gateways: u32) -> ClusterMembership {
+/// Builds a cluster membership with `gateways` gateways and one member.
+pub(crate) fn membership(gateways: u32) -> ClusterMembership {
     let member =
         ControlNode { id: NodeId::new(Ipv4Addr::new(10, 0, 0, 9), Generation(0)), zone: "east".to_owned() };
     ClusterMembership { gateways, control: vec![member] }
--- a/crates/subscription/tests/common/network.rs
+++ b/crates/subscription/tests/common/network.rs
@@ -1,4 +1,4 @@
-//! Connections over loopback for the tests. Nothing sleeps: all waits are for conditions, and bounded.
+//! Connections over loopback for the tests. Tests wait for conditions, with a time limit, and never for a fixed time.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -13,52 +13,52 @@
 use tulipridge_protocol::frame;
 use tulipridge_subscription::{FeedStore, Identity, Publisher, PublisherSettings, Subscriber};
 
-/// Longest time for which a condition may be awaited.
-const WITHIN: Duration = Duration::from_secs(20);
+/// A test that takes longer fails.
+const TIME_LIMIT: Duration = Duration::from_secs(20);
 
-/// A store that is shared by tasks.
+/// Store that several tasks share.
 pub(crate) type SharedStore = Rc<RefCell<FeedStore>>;
 
 /// Runs a test with an executor for its tasks.
 pub(crate) fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<LocalExecutor<'static>>) -> F) {
     let executor = Rc::new(LocalExecutor::new());
-    async_io::block_on(executor.run(bounded(test(Rc::clone(&executor)))));
+    async_io::block_on(executor.run(with_time_limit(test(Rc::clone(&executor)))));
 }
 
-/// The output of a future that must be ready in time.
-pub(crate) async fn bounded<T>(future: impl Future<Output = T>) -> T {
-    let late = async {
-        Timer::after(WITHIN).await;
-        panic!("not ready within {WITHIN:?}")
+/// Returns the output of a future; panics if it takes longer than the time limit.
+pub(crate) async fn with_time_limit<T>(future: impl Future<Output = T>) -> T {
+    let timeout = async {
+        Timer::after(TIME_LIMIT).await;
+        panic!("the test takes longer than {TIME_LIMIT:?}")
     };
-    future.or(late).await
+    future.or(timeout).await
 }
 
-/// Waits until a condition holds, letting other tasks run meanwhile.
-pub(crate) async fn until(condition: impl Fn() -> bool) {
+/// Waits until a condition is true, while other tasks run.
+pub(crate) async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         future::yield_now().await;
     }
 }
 
-/// A listener on a free port.
+/// Opens a listener on a free port.
 pub(crate) fn listener() -> (Async<TcpListener>, SocketAddr) {
-    let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).expect("binds");
-    let address = listener.get_ref().local_addr().expect("has an address");
+    let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0)).expect("binds a port");
+    let address = listener.get_ref().local_addr().expect("returns the local address");
     (listener, address)
 }
 
-/// An empty store.
+/// Creates an empty store.
 pub(crate) fn store() -> SharedStore {
     Rc::default()
 }
 
-/// Age of a primary within its lease.
+/// Returns the age of a primary within its lease: always 0.
 pub(crate) fn fresh() -> Rc<dyn Fn() -> Option<Duration>> {
     Rc::new(|| Some(Duration::ZERO))
 }
 
-/// Starts a publisher.
+/// Starts a publisher on a free port.
 pub(crate) fn publish(
     executor: &Rc<LocalExecutor<'static>>,
     store: &SharedStore,
@@ -72,23 +72,23 @@
     (publisher, address)
 }
 
-/// A subscriber that does not run yet.
+/// Creates a subscriber that does not run yet.
 pub(crate) fn subscriber(store: &SharedStore, role: SubscriberRole) -> Rc<Subscriber> {
     Subscriber::new(identity(role), Rc::clone(store))
 }
 
-/// Who a test subscriber is.
+/// Identity of the test's subscriber.
 pub(crate) fn identity(role: SubscriberRole) -> Identity {
     Identity { name: "edge-1".to_owned(), zone: "east".to_owned(), role }
 }
 
-/// A subscriber's first message.
+/// Builds a subscriber's first message.
 pub(crate) fn subscribe(known: KnownPositions) -> ToPublisher {
     let Identity { name, zone, role } = identity(SubscriberRole::Agent);
     ToPublisher::Subscribe(Subscribe { name, zone, role, known })
 }
 
-/// The bare end of a connection, which a test drives message by message.
+/// One end of a connection whose messages the test sends and receives one by one.
 pub(crate) struct Peer {
     stream: Async<TcpStream>,
     buffer: Vec<u8>,
@@ -97,51 +97,51 @@
 impl Peer {
     /// Connects to a publisher.
     pub(crate) async fn connect(address: SocketAddr) -> Self {
-        Self::new(Async::<TcpStream>::connect(address).await.expect("connects"))
+        Self::new(Async::<TcpStream>::connect(address).await.expect("connects to the publisher"))
     }
 
-    /// Takes a subscriber's connection.
+    /// Accepts a subscriber's connection.
     pub(crate) async fn accept(listener: &Async<TcpListener>) -> Self {
-        Self::new(listener.accept().await.expect("accepts").0)
+        Self::new(listener.accept().await.expect("accepts a connection").0)
     }
 
     fn new(stream: Async<TcpStream>) -> Self {
         Peer { stream, buffer: Vec::new() }
     }
 
-    /// Sends a subscriber's message.
+    /// Sends a message to a publisher.
     pub(crate) async fn send(&mut self, message: &ToPublisher) {
         let mut bytes = Vec::new();
-        frame::append(message, &mut bytes).expect("encodes");
+        frame::append(message, &mut bytes).expect("encodes the message");
         self.write(&bytes).await;
     }
 
-    /// Sends a publisher's message.
-    pub(crate) async fn reply(&mut self, message: &ToSubscriber) {
+    /// Sends a message to a subscriber.
+    pub(crate) async fn send_to_subscriber(&mut self, message: &ToSubscriber) {
         let mut bytes = Vec::new();
-        frame::append(message, &mut bytes).expect("encodes");
+        frame::append(message, &mut bytes).expect("encodes the message");
         self.write(&bytes).await;
     }
 
-    /// Sends bytes.
+    /// Sends bytes that need not be a message.
     pub(crate) async fn write(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).await.expect("writes");
+        self.stream.write_all(bytes).await.expect("sends the bytes");
     }
 
-    /// The publisher's next message; none at the end of the connection.
+    /// Receives the publisher's next message; `None` at the end of the connection.
     pub(crate) async fn receive(&mut self) -> Option<ToSubscriber> {
         loop {
-            if let Some(message) = frame::take(&mut self.buffer).expect("decodes") {
+            if let Some(message) = frame::take(&mut self.buffer).expect("decodes the message") {
                 return Some(message);
             }
             self.fill().await?;
         }
     }
 
-    /// The subscriber's next message; none at the end of the connection.
-    pub(crate) async fn receive_request(&mut self) -> Option<ToPublisher> {
+    /// Receives the subscriber's next message; `None` at the end of the connection.
+    pub(crate) async fn receive_from_subscriber(&mut self) -> Option<ToPublisher> {
         loop {
-            if let Some(message) = frame::take(&mut self.buffer).expect("decodes") {
+            if let Some(message) = frame::take(&mut self.buffer).expect("decodes the message") {
                 return Some(message);
             }
             self.fill().await?;
--- a/crates/subscription/tests/freshness.rs
+++ b/crates/subscription/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Freshness is never claimed beyond the truth, whatever delays there are.
+//! Freshness: whatever the delays, the age of the state is never understated.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn is_the_time_of_the_ping_less_the_age() {
+fn freshness_is_the_ping_time_minus_the_publishers_age() {
     let mut freshness = Freshness::new();
     assert_eq!(freshness.age(ms(1)), None);
     freshness.record_ping(1, ms(5_000));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn moves_only_forward() {
+fn an_older_pong_does_not_move_freshness_back() {
     let mut freshness = Freshness::new();
     freshness.record_ping(1, ms(5_000));
     freshness.record_pong(1, Some(ms(0)), ms(5_001));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_moment_before_the_clock_began_has_an_age_but_no_reading() {
+fn a_time_before_the_clocks_origin_has_only_an_age() {
     let mut freshness = Freshness::new();
     freshness.record_ping(1, ms(10));
     freshness.record_pong(1, Some(ms(400)), ms(20));
@@ -39,9 +39,9 @@
 }
 
 #[rstest]
-#[case::without_freshness(1, None, ms(100))]
-#[case::unknown(7, Some(ms(0)), ms(100))]
-#[case::expired(1, Some(ms(0)), ms(60_000))]
+#[case::without_an_age(1, None, ms(100))]
+#[case::unknown_ping(7, Some(ms(0)), ms(100))]
+#[case::expired_ping(1, Some(ms(0)), ms(60_000))]
 fn a_pong_is_ignored(#[case] id: u64, #[case] age: Option<Duration>, #[case] now: Duration) {
     let mut freshness = Freshness::new();
     freshness.record_ping(1, ms(50));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_end_of_a_connection_drops_its_pings() {
+fn pongs_after_the_end_of_a_connection_are_ignored() {
     let mut freshness = Freshness::new();
     freshness.record_ping(1, ms(1_000));
     freshness.drop_pending_pings();
@@ -81,70 +81,76 @@
     assert_eq!(freshness.fresh_as_of(), Some(ms(1_000)));
 }
 
-/// A process in virtual time. Its clock is true time plus an offset of its own.
+/// A process in simulated time. Its clock is the true time plus `clock_offset`.
 struct Hop {
-    offset: Duration,
+    clock_offset: Duration,
     freshness: Freshness,
-    /// True time at which its state was certainly the newest, as the test knows.
-    truth: Option<Duration>,
-    next_ping: u64,
-    waiting: Vec<Exchange>,
+    /// True time at which the state was certainly the newest.
+    true_fresh_as_of: Option<Duration>,
+    next_ping_id: u64,
+    exchanges: Vec<Exchange>,
 }
 
-/// A ping under way, then its answer.
+/// A ping on its way to the publisher, later its pong on the way back.
 struct Exchange {
     id: u64,
-    due: Duration,
-    answer: Option<Answer>,
+    due_at: Duration,
+    pong: Option<Pong>,
 }
 
-/// A publisher's answer, and the truth about the state that goes before it.
+/// A pong, and the true time at which the state that precedes it was the newest.
 #[derive(Clone, Copy)]
-struct Answer {
+struct Pong {
     age: Option<Duration>,
-    truth: Option<Duration>,
+    true_fresh_as_of: Option<Duration>,
 }
 
 impl Hop {
-    fn new(offset: Duration) -> Self {
-        Hop { offset, freshness: Freshness::new(), truth: None, next_ping: 1, waiting: Vec::new() }
+    fn new(clock_offset: Duration) -> Self {
+        Hop {
+            clock_offset,
+            freshness: Freshness::new(),
+            true_fresh_as_of: None,
+            next_ping_id: 1,
+            exchanges: Vec::new(),
+        }
     }
 
     fn clock(&self, time: Duration) -> Duration {
-        time + self.offset
+        time + self.clock_offset
     }
 
     fn ping(&mut self, time: Duration, delay: Duration) {
-        let id = self.next_ping;
-        self.next_ping += 1;
+        let id = self.next_ping_id;
+        self.next_ping_id += 1;
         self.freshness.record_ping(id, self.clock(time));
-        self.waiting.push(Exchange { id, due: time + delay, answer: None });
+        self.exchanges.push(Exchange { id, due_at: time + delay, pong: None });
     }
 
-    fn answer(&self, time: Duration) -> Answer {
-        Answer { age: self.freshness.age(self.clock(time)), truth: self.truth }
+    fn pong(&self, time: Duration) -> Pong {
+        Pong { age: self.freshness.age(self.clock(time)), true_fresh_as_of: self.true_fresh_as_of }
     }
 
-    fn take(&mut self, id: u64, answer: Answer, time: Duration) {
-        self.freshness.record_pong(id, answer.age, self.clock(time));
-        self.truth = self.truth.max(answer.truth);
+    fn receive_pong(&mut self, id: u64, pong: Pong, time: Duration) {
+        self.freshness.record_pong(id, pong.age, self.clock(time));
+        self.true_fresh_as_of = self.true_fresh_as_of.max(pong.true_fresh_as_of);
     }
 }
 
-/// A delay of a link or a frozen process: mostly short, sometimes of seconds.
+/// Delay by a connection or a frozen process: mostly short, with 1 in 10 of up to 8 s.
 fn delay(random: &mut fastrand::Rng) -> Duration {
-    let bound = if random.u32(..10) == 0 { 8_000 } else { 80 };
-    ms(random.u64(..bound))
+    let max_delay_ms = if random.u32(..10) == 0 { 8_000 } else { 80 };
+    ms(random.u64(..max_delay_ms))
 }
 
-/// Three hops behind a primary that holds its lease only at times. Each hop's claim is compared with the true time
-/// at which the state that it has was the primary's newest.
+/// Three hops behind a primary that has its lease only at times. The age at each hop is compared with the true time
+/// at which the hop's state was the primary's newest.
 #[rstest]
-fn is_sound_over_three_hops(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn ages_are_never_understated_over_three_hops(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut hops = [Hop::new(ms(0)), Hop::new(ms(900_000)), Hop::new(ms(17))];
     let mut lease_until = Duration::ZERO;
-    let mut claims = 0;
+    let mut checked_ages = 0;
     for step in 0..60_000 {
         let time = ms(100_000 + step);
         if random.u32(..2_000) == 0 {
@@ -156,29 +162,29 @@
             }
             let (before, rest) = hops.split_at_mut(index);
             let (hop, publisher) = (&mut rest[0], before.last());
-            let due = std::mem::take(&mut hop.waiting);
-            for mut exchange in due {
-                if exchange.due > time {
-                    hop.waiting.push(exchange);
-                } else if let Some(answer) = exchange.answer {
-                    hop.take(exchange.id, answer, time);
+            let pending = std::mem::take(&mut hop.exchanges);
+            for mut exchange in pending {
+                if exchange.due_at > time {
+                    hop.exchanges.push(exchange);
+                } else if let Some(pong) = exchange.pong {
+                    hop.receive_pong(exchange.id, pong, time);
                 } else {
-                    let primary = Answer {
+                    let primary = Pong {
                         age: (time < lease_until).then_some(Duration::ZERO),
-                        truth: (time < lease_until).then_some(time),
+                        true_fresh_as_of: (time < lease_until).then_some(time),
                     };
-                    exchange.answer = Some(publisher.map_or(primary, |hop| hop.answer(time)));
-                    exchange.due = time + delay(&mut random);
-                    hop.waiting.push(exchange);
+                    exchange.pong = Some(publisher.map_or(primary, |hop| hop.pong(time)));
+                    exchange.due_at = time + delay(&mut random);
+                    hop.exchanges.push(exchange);
                 }
             }
         }
         for hop in &hops {
             let Some(age) = hop.freshness.age(hop.clock(time)) else { continue };
-            let truth = hop.truth.expect("a claim rests on an answer");
-            assert!(time - age <= truth, "claims {:?}, but knows only {truth:?}", time - age);
-            claims += 1;
+            let true_fresh_as_of = hop.true_fresh_as_of.expect("an age requires an earlier pong");
+            assert!(time - age <= true_fresh_as_of, "claimed {:?}, true {true_fresh_as_of:?}", time - age);
+            checked_ages += 1;
         }
     }
-    assert!(claims > 10_000, "the hops have hardly ever been fresh: {claims}");
+    assert!(checked_ages > 10_000, "too few known ages were checked: {checked_ages}");
 }
--- a/crates/subscription/tests/publisher.rs
+++ b/crates/subscription/tests/publisher.rs
@@ -1,4 +1,4 @@
-//! The publisher over loopback.
+//! Publisher tests over loopback connections.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::network::{self, Peer, fresh, publish, store, subscribe, until};
-use common::{configuration, group, replica, weights};
+use common::network::{self, Peer, fresh, publish, store, subscribe, wait_until};
+use common::{configuration, membership, replica, weights};
 use rstest::rstest;
 use tulipridge_configuration::number::Revision;
 use tulipridge_protocol::feed::{
@@ -24,30 +24,30 @@
     PublisherSettings::default()
 }
 
-/// A subscriber's messages and what the publisher answers, line by line.
+/// Record of the messages in both directions, one per line.
 #[derive(Clone, Default)]
 struct Transcript(Rc<RefCell<String>>);
 
 impl Transcript {
-    fn note(&self, line: &str) {
+    fn add_comment(&self, line: &str) {
         self.0.borrow_mut().push_str(&format!("-- {line}\n"));
     }
 
-    async fn say(&self, peer: &mut Peer, message: ToPublisher) {
+    async fn send(&self, peer: &mut Peer, message: ToPublisher) {
         self.0.borrow_mut().push_str(&format!("> {message:?}\n"));
         peer.send(&message).await;
     }
 
-    async fn hear(&self, peer: &mut Peer) {
+    async fn receive(&self, peer: &mut Peer) {
         let message = peer.receive().await;
         self.0.borrow_mut().push_str(&format!("< {message:?}\n"));
     }
 }
 
 #[test]
-fn a_complete_exchange() {
+fn a_complete_exchange_matches_the_snapshot() {
     let transcript = Transcript::default();
-    let written = transcript.clone();
+    let recorded = transcript.clone();
     network::run(|executor| async move {
         let store = store();
         let age = Rc::new(Cell::new(None));
@@ -56,65 +56,70 @@
         store.borrow_mut().set_configuration(configuration(3, 1));
         store.borrow_mut().set_fleet(Epoch(7), vec![replica("a", 1), replica("b", 1), replica("c", 1)]);
         store.borrow_mut().set_weights(Epoch(7), weights(2));
-        store.borrow_mut().set_group(group(2));
+        store.borrow_mut().set_group(membership(2));
 
-        transcript.note("a newcomer gets everything");
+        transcript.add_comment("a new subscriber receives the complete state");
         let mut peer = Peer::connect(address).await;
-        transcript.say(&mut peer, subscribe(KnownPositions::default())).await;
+        transcript.send(&mut peer, subscribe(KnownPositions::default())).await;
         for _ in 0..4 {
-            transcript.hear(&mut peer).await;
+            transcript.receive(&mut peer).await;
         }
-        transcript.note("the publisher is not fresh, then it is");
-        transcript.say(&mut peer, ping(1)).await;
-        transcript.hear(&mut peer).await;
+        transcript.add_comment("the age of the publisher's state is unknown, then known");
+        transcript.send(&mut peer, ping(1)).await;
+        transcript.receive(&mut peer).await;
         age.set(Some(Duration::from_micros(40_001)));
-        transcript.say(&mut peer, ping(2)).await;
-        transcript.hear(&mut peer).await;
-        transcript.note("changes follow, all before the next answer");
+        transcript.send(&mut peer, ping(2)).await;
+        transcript.receive(&mut peer).await;
+        transcript.add_comment("all changes precede the next pong");
         store.borrow_mut().set_configuration(configuration(5, 3));
         store.borrow_mut().set_fleet(Epoch(7), vec![replica("a", 2), replica("c", 1)]);
-        store.borrow_mut().set_group(group(3));
+        store.borrow_mut().set_group(membership(3));
         publisher.notify();
-        transcript.say(&mut peer, ping(3)).await;
+        transcript.send(&mut peer, ping(3)).await;
         for _ in 0..4 {
-            transcript.hear(&mut peer).await;
+            transcript.receive(&mut peer).await;
         }
-        transcript.note("one who holds the rest gets the group alone");
+        transcript.add_comment("a subscriber that knows the tables receives only the cluster membership");
         let mut peer = Peer::connect(address).await;
         let known = store.borrow().known_positions();
-        transcript.say(&mut peer, subscribe(known)).await;
-        transcript.hear(&mut peer).await;
-        transcript.note("a second subscription is out of place");
-        transcript.say(&mut peer, subscribe(known)).await;
-        transcript.hear(&mut peer).await;
+        transcript.send(&mut peer, subscribe(known)).await;
+        transcript.receive(&mut peer).await;
+        transcript.add_comment("a second subscription ends the connection");
+        transcript.send(&mut peer, subscribe(known)).await;
+        transcript.receive(&mut peer).await;
     });
-    insta::assert_snapshot!(written.0.borrow());
+    insta::assert_snapshot!(recorded.0.borrow());
 }
 
 #[test]
 fn a_slow_subscriber_skips_intermediate_states() {
-    const LAST: u32 = 400;
+    const LAST_CAPACITY: u32 = 400;
     network::run(|executor| async move {
         let store = store();
-        let patient = Duration::from_secs(60);
-        let settings =
-            PublisherSettings { write_stall_timeout: patient, idle_timeout: patient, ..settings() };
+        let long_timeout = Duration::from_secs(60);
+        let settings = PublisherSettings {
+            write_stall_timeout: long_timeout,
+            idle_timeout: long_timeout,
+            ..settings()
+        };
         let (publisher, address) = publish(&executor, &store, fresh(), settings);
         let mut peer = Peer::connect(address).await;
         peer.send(&subscribe(KnownPositions::default())).await;
-        until(|| !publisher.subscribers().is_empty()).await;
-        // All states together are far more than the buffers of the connection hold.
-        for capacity in 1..=LAST {
+        wait_until(|| !publisher.subscribers().is_empty()).await;
+        // All states together are far larger than the buffers of the connection.
+        for capacity in 1..=LAST_CAPACITY {
             let replicas = (0..2_000).map(|number| replica(&format!("replica-{number}"), capacity));
             store.borrow_mut().set_fleet(Epoch(1), replicas.collect());
             publisher.notify();
             futures_lite::future::yield_now().await;
         }
         let newest = store.borrow().fleet_position();
-        let mut updates = 0;
+        let mut update_count = 0;
         let mut position = Position::default();
         while position < newest {
-            let Some(ToSubscriber::Fleet(update)) = peer.receive().await else { panic!("not an update") };
+            let Some(ToSubscriber::Fleet(update)) = peer.receive().await else {
+                panic!("expected an update of the fleet")
+            };
             position = match update {
                 FleetUpdate::Snapshot { position, .. } => position,
                 FleetUpdate::Changes { base, position: next, .. } => {
@@ -122,9 +127,9 @@
                     next
                 }
             };
-            updates += 1;
+            update_count += 1;
         }
-        assert!(updates < LAST / 2, "{updates} updates were queued");
+        assert!(update_count < LAST_CAPACITY / 2, "{update_count} updates were queued");
     });
 }
 
@@ -138,14 +143,14 @@
         let mut agent = Peer::connect(address).await;
         agent.send(&subscribe(KnownPositions::default())).await;
         agent.send(&ping(1)).await;
-        until(|| publisher.gateways() == 21).await;
+        wait_until(|| publisher.gateways() == 21).await;
         assert_eq!(publisher.subscribers().len(), 2);
         drop(relay);
-        until(|| publisher.gateways() == 1).await;
-        // Silent, but still connected for a while.
-        until(|| publisher.gateways() == 0).await;
+        wait_until(|| publisher.gateways() == 1).await;
+        // Without further messages the agent remains connected until the idle timeout.
+        wait_until(|| publisher.gateways() == 0).await;
         assert_eq!(publisher.subscribers().len(), 1);
-        until(|| publisher.subscribers().is_empty()).await;
+        wait_until(|| publisher.subscribers().is_empty()).await;
         assert_eq!(
             agent.receive().await,
             Some(ToSubscriber::Pong { id: 1, age_ms: Some(0), revision: Revision(0) })
@@ -157,17 +162,17 @@
 #[rstest]
 #[case::ping_before_subscription({
     let mut bytes = Vec::new();
-    tulipridge_protocol::frame::append(&ping(1), &mut bytes).expect("encodes");
+    tulipridge_protocol::frame::append(&ping(1), &mut bytes).expect("encodes the message");
     bytes
 })]
-#[case::no_message(vec![4, 0, 0, 0, 0xff, 0xff, 0xff, 0xff])]
-#[case::length_over_every_bound(vec![0xff; 8])]
-#[case::length_over_a_subscribers_bound({
+#[case::undecodable_message(vec![4, 0, 0, 0, 0xff, 0xff, 0xff, 0xff])]
+#[case::length_over_the_frame_limit(vec![0xff; 8])]
+#[case::length_over_the_limit_for_subscribers({
     let mut bytes = vec![0, 0, 1, 0];
     bytes.resize(70_000, 0);
     bytes
 })]
-fn a_connection_ends_after_a_wrong_message(#[case] bytes: Vec<u8>) {
+fn a_connection_ends_after_an_invalid_message(#[case] bytes: Vec<u8>) {
     network::run(|executor| async move {
         let (_publisher, address) = publish(&executor, &store(), fresh(), settings());
         let mut peer = Peer::connect(address).await;
@@ -186,8 +191,8 @@
         let (publisher, address) = publish(&executor, &store, fresh(), settings);
         let mut peer = Peer::connect(address).await;
         peer.send(&subscribe(KnownPositions::default())).await;
-        until(|| !publisher.subscribers().is_empty()).await;
-        until(|| publisher.subscribers().is_empty()).await;
+        wait_until(|| !publisher.subscribers().is_empty()).await;
+        wait_until(|| publisher.subscribers().is_empty()).await;
     });
 }
 
@@ -198,13 +203,13 @@
         let (publisher, address) = publish(&executor, &store(), fresh(), settings);
         let mut first = Peer::connect(address).await;
         first.send(&subscribe(KnownPositions::default())).await;
-        until(|| !publisher.subscribers().is_empty()).await;
+        wait_until(|| !publisher.subscribers().is_empty()).await;
         let mut second = Peer::connect(address).await;
         assert_eq!(second.receive().await, None);
         first.send(&ping(1)).await;
         assert!(first.receive().await.is_some());
         drop(first);
-        until(|| publisher.subscribers().is_empty()).await;
+        wait_until(|| publisher.subscribers().is_empty()).await;
         let mut third = Peer::connect(address).await;
         third.send(&subscribe(KnownPositions::default())).await;
         third.send(&ping(2)).await;
--- a/crates/subscription/tests/queued_work.rs
+++ b/crates/subscription/tests/queued_work.rs
@@ -1,10 +1,10 @@
-//! Work queued at replicas, on its way up to the primary and down to all gateways.
+//! Work queued at replicas: reports towards the primary, and the table of loads towards all gateways.
 
 mod common;
 
 use std::rc::Rc;
 
-use common::network::{self, Peer, fresh, listener, publish, store, subscribe, subscriber, until};
+use common::network::{self, Peer, fresh, listener, publish, store, subscribe, subscriber, wait_until};
 use common::replica;
 use rstest::rstest;
 use tulipridge_protocol::feed::{
@@ -23,14 +23,14 @@
     QueuedWork { fleet, entries: entries.iter().map(entry).collect() }
 }
 
-/// A primary's store with three replicas.
+/// Creates a primary's store with three replicas.
 fn primary() -> FeedStore {
     let mut store = FeedStore::new();
     store.set_fleet(Epoch(7), vec![replica("a", 1), replica("b", 1), replica("c", 1)]);
     store
 }
 
-fn table_for(store: &FeedStore, known: &KnownPositions) -> Option<LoadTable> {
+fn load_table_for(store: &FeedStore, known: &KnownPositions) -> Option<LoadTable> {
     store.updates_for(known).into_iter().find_map(|message| match message {
         ToSubscriber::Loads(table) => Some(table),
         _ => None,
@@ -38,16 +38,16 @@
 }
 
 #[rstest]
-#[case::nothing(&[], work(Position::default(), &[]))]
-#[case::of_one_table(
+#[case::no_reports(&[], work(Position::default(), &[]))]
+#[case::reports_for_one_table(
     &[work(position(7, 1), &[(0, 2), (2, 5)]), work(position(7, 1), &[(2, 1)])],
     work(position(7, 1), &[(0, 2), (2, 6)])
 )]
-#[case::of_the_newest_table(
+#[case::report_for_an_older_table(
     &[work(position(7, 2), &[(1, 3)]), work(position(7, 1), &[(0, 2)]), work(position(7, 2), &[(1, 1)])],
     work(position(7, 2), &[(1, 4)])
 )]
-#[case::without_overflow(
+#[case::sum_above_the_limit(
     &[work(position(7, 1), &[(0, u32::MAX)]), work(position(7, 1), &[(0, 9)])],
     work(position(7, 1), &[(0, u32::MAX)])
 )]
@@ -56,12 +56,14 @@
 }
 
 #[test]
-fn the_table_has_an_entry_for_each_replica_and_advances_when_one_differs() {
+fn loads_have_an_entry_per_replica_and_advance_on_differences() {
     let mut store = primary();
     let fleet = store.fleet_position();
     assert!(store.set_loads(Epoch(7), &work(fleet, &[(1, 4), (2, 900), (9, 1)])));
-    let table =
-        table_for(&store, &KnownPositions { loads: Some(Position::default()), ..store.known_positions() });
+    let table = load_table_for(
+        &store,
+        &KnownPositions { loads: Some(Position::default()), ..store.known_positions() },
+    );
     assert_eq!(table, Some(LoadTable { position: position(7, 1), fleet, queued_units: vec![0, 4, 255] }));
     assert!(!store.set_loads(Epoch(7), &work(fleet, &[(1, 4), (2, 900)])), "nothing differs");
     assert!(!store.set_loads(Epoch(6), &work(fleet, &[(1, 5)])), "an old epoch");
@@ -70,15 +72,16 @@
 }
 
 #[test]
-fn work_by_another_table_of_replicas_is_left_out() {
+fn work_for_another_table_of_replicas_is_ignored() {
     let mut store = primary();
     store.set_loads(Epoch(7), &work(position(7, 9), &[(1, 4)]));
-    let units: Vec<u8> = store.loads().expect("a table").map(|(_, units)| units).collect();
+    let units: Vec<u8> =
+        store.loads().expect("the table of loads is current").map(|(_, units)| units).collect();
     assert_eq!(units, [0, 0, 0]);
 }
 
 #[test]
-fn a_table_of_loads_is_not_read_beside_another_table_of_replicas() {
+fn loads_for_another_table_of_replicas_are_not_returned() {
     let mut store = primary();
     let fleet = store.fleet_position();
     store.set_loads(Epoch(7), &work(fleet, &[(1, 4)]));
@@ -87,14 +90,15 @@
 }
 
 #[test]
-fn a_program_that_does_not_know_the_table_is_never_sent_it() {
+fn subscribers_without_support_for_loads_never_receive_them() {
     let mut store = primary();
     store.set_loads(Epoch(7), &work(store.fleet_position(), &[(1, 4)]));
-    let earlier = KnownPositions::default();
-    assert_eq!(table_for(&store, &earlier), None);
-    let sent = tulipridge_subscription::store::SentPositions::from(earlier).later(store.newest_positions());
+    let without_loads = KnownPositions::default();
+    assert_eq!(load_table_for(&store, &without_loads), None);
+    let sent =
+        tulipridge_subscription::store::SentPositions::from(without_loads).later(store.newest_positions());
     store.set_loads(Epoch(7), &work(store.fleet_position(), &[(1, 5)]));
-    assert_eq!(table_for(&store, &sent.known), None);
+    assert_eq!(load_table_for(&store, &sent.known), None);
 }
 
 #[test]
@@ -109,11 +113,11 @@
         let mut second = Peer::connect(address).await;
         second.send(&subscribe(KnownPositions::default())).await;
         second.send(&ToPublisher::QueuedWork(work(fleet, &[(1, 3)]))).await;
-        until(|| publisher.queued_work() == work(fleet, &[(0, 2), (1, 4)])).await;
+        wait_until(|| publisher.queued_work() == work(fleet, &[(0, 2), (1, 4)])).await;
         first.send(&ToPublisher::QueuedWork(work(fleet, &[]))).await;
-        until(|| publisher.queued_work() == work(fleet, &[(1, 3)])).await;
+        wait_until(|| publisher.queued_work() == work(fleet, &[(1, 3)])).await;
         drop(second);
-        until(|| publisher.queued_work() == work(fleet, &[])).await;
+        wait_until(|| publisher.queued_work() == work(fleet, &[])).await;
     });
 }
 
@@ -128,7 +132,7 @@
 }
 
 #[test]
-fn work_is_reported_only_to_a_publisher_that_sends_a_table_of_loads() {
+fn work_is_reported_only_to_publishers_that_send_loads() {
     network::run(|executor| async move {
         let (listener, address) = listener();
         let subscriber = subscriber(&store(), SubscriberRole::Agent);
@@ -136,17 +140,17 @@
         subscriber.set_queued_work(reported.clone());
         executor.spawn(Rc::clone(&subscriber).run(move |_| Some(address))).detach();
         let mut peer = Peer::accept(&listener).await;
-        // The subscription, and two pings without a report of work.
-        assert!(matches!(peer.receive_request().await, Some(ToPublisher::Subscribe(_))));
-        assert!(matches!(peer.receive_request().await, Some(ToPublisher::Ping { .. })));
-        assert!(matches!(peer.receive_request().await, Some(ToPublisher::Ping { .. })));
+        // The subscription and two pings arrive without a report of work.
+        assert!(matches!(peer.receive_from_subscriber().await, Some(ToPublisher::Subscribe(_))));
+        assert!(matches!(peer.receive_from_subscriber().await, Some(ToPublisher::Ping { .. })));
+        assert!(matches!(peer.receive_from_subscriber().await, Some(ToPublisher::Ping { .. })));
         let table = LoadTable { position: position(7, 1), ..LoadTable::default() };
-        peer.reply(&ToSubscriber::Loads(table)).await;
+        peer.send_to_subscriber(&ToSubscriber::Loads(table)).await;
         let work = loop {
-            match peer.receive_request().await {
+            match peer.receive_from_subscriber().await {
                 Some(ToPublisher::QueuedWork(work)) => break work,
                 Some(ToPublisher::Ping { .. }) => {}
-                other => panic!("not expected: {other:?}"),
+                other => panic!("unexpected message: {other:?}"),
             }
         };
         assert_eq!(work, reported);
--- a/crates/subscription/tests/store.rs
+++ b/crates/subscription/tests/store.rs
@@ -1,11 +1,11 @@
-//! The store: whatever is lost or late, a subscriber reaches the publisher's newest state and never goes back.
+//! Store tests: despite lost and late messages, a subscriber reaches the publisher's newest state, and no position
 
 mod common;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use common::{configuration, group, replica, replica_warming, weights};
+use common::{configuration, membership, replica, replica_warming, weights};
 use rstest::rstest;
 use tulipridge_configuration::Configuration;
 use tulipridge_configuration::number::Revision;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_configuration_is_taken_only_if_its_revision_is_higher() {
+fn a_configuration_is_replaced_only_by_a_higher_revision() {
     let mut store = FeedStore::new();
     assert!(store.set_configuration(configuration(7, 1)));
     assert!(!store.set_configuration(configuration(7, 2)));
@@ -80,26 +80,26 @@
     let mut store = FeedStore::new();
     assert!(store.set_fleet(Epoch(1), vec![replica_warming("a", 900)]));
     assert!(!store.set_fleet(Epoch(1), vec![replica_warming("a", 600)]));
-    assert_eq!(replicas(&store)[0].warm_left_ms, 600, "newcomers get the present figure");
+    assert_eq!(replicas(&store)[0].warm_left_ms, 600, "new subscribers receive the current value");
     assert!(store.set_fleet(Epoch(1), vec![replica_warming("a", 0)]));
     assert!(!store.set_fleet(Epoch(1), vec![replica_warming("a", 0)]));
     assert!(store.set_fleet(Epoch(1), vec![replica_warming("a", 900)]));
 }
 
-/// Each field of a line is compared.
+/// Every field of an entry is compared.
 #[rstest]
-#[case::service(|line: &mut Replica| line.service.push('x'))]
-#[case::address(|line: &mut Replica| line.address.push('1'))]
-#[case::zone(|line: &mut Replica| line.zone.push('x'))]
-#[case::capacity(|line: &mut Replica| line.capacity += 1)]
-#[case::phase(|line: &mut Replica| line.phase = ReplicaPhase::Draining)]
-#[case::models(|line: &mut Replica| line.models.clear())]
+#[case::service(|entry: &mut Replica| entry.service.push('x'))]
+#[case::address(|entry: &mut Replica| entry.address.push('1'))]
+#[case::zone(|entry: &mut Replica| entry.zone.push('x'))]
+#[case::capacity(|entry: &mut Replica| entry.capacity += 1)]
+#[case::phase(|entry: &mut Replica| entry.phase = ReplicaPhase::Draining)]
+#[case::models(|entry: &mut Replica| entry.models.clear())]
 fn a_replica_that_differs_advances_the_fleet_position(#[case] change: fn(&mut Replica)) {
     let mut store = FeedStore::new();
-    let mut line = replica("a", 1);
-    store.set_fleet(Epoch(1), vec![line.clone()]);
-    change(&mut line);
-    assert!(store.set_fleet(Epoch(1), vec![line]));
+    let mut entry = replica("a", 1);
+    store.set_fleet(Epoch(1), vec![entry.clone()]);
+    change(&mut entry);
+    assert!(store.set_fleet(Epoch(1), vec![entry]));
 }
 
 #[test]
@@ -119,7 +119,7 @@
 }
 
 #[rstest]
-#[case::never_held(position(1, 7))]
+#[case::unknown_sequence(position(1, 7))]
 #[case::other_epoch(position(0, 2))]
 fn a_subscriber_with_an_unknown_fleet_position_gets_a_snapshot(#[case] known: Position) {
     let mut publisher = FeedStore::new();
@@ -169,15 +169,15 @@
         old.set_weights(Epoch(1), weights(capacity.into()));
     }
     let mut subscriber = FeedStore::new();
-    apply_all(&mut subscriber, old.updates_for(&KnownPositions::default())).expect("applies");
+    apply_all(&mut subscriber, old.updates_for(&KnownPositions::default())).expect("the updates apply");
     let mut new = FeedStore::new();
     new.set_fleet(Epoch(2), vec![replica("z", 1)]);
     new.set_weights(Epoch(2), weights(1));
     let known = subscriber.known_positions();
-    apply_all(&mut subscriber, new.updates_for(&known)).expect("applies");
+    apply_all(&mut subscriber, new.updates_for(&known)).expect("the updates apply");
     assert_same(&subscriber, &new);
     assert_eq!(subscriber.fleet_position(), position(2, 1));
-    apply_all(&mut subscriber, old.updates_for(&KnownPositions::default())).expect("is not news");
+    apply_all(&mut subscriber, old.updates_for(&KnownPositions::default())).expect("ignores older state");
     assert_same(&subscriber, &new);
 }
 
@@ -198,32 +198,32 @@
 }
 
 #[test]
-fn the_group_is_sent_to_new_subscribers_and_on_change() {
+fn the_membership_is_sent_to_new_subscribers_and_on_change() {
     let mut publisher = FeedStore::new();
     assert_eq!(publisher.updates_for(&KnownPositions::default()), vec![]);
-    assert!(publisher.set_group(group(3)));
-    assert!(!publisher.set_group(group(3)));
+    assert!(publisher.set_group(membership(3)));
+    assert!(!publisher.set_group(membership(3)));
     assert_eq!(
         publisher.updates_for(&KnownPositions::default()),
-        vec![ToSubscriber::ClusterMembership(group(3))]
+        vec![ToSubscriber::ClusterMembership(membership(3))]
     );
     let sent = publisher.newest_positions();
     assert_eq!(publisher.updates_since(&sent), vec![]);
-    assert!(publisher.set_group(group(4)));
-    assert_eq!(publisher.updates_since(&sent), vec![ToSubscriber::ClusterMembership(group(4))]);
+    assert!(publisher.set_group(membership(4)));
+    assert_eq!(publisher.updates_since(&sent), vec![ToSubscriber::ClusterMembership(membership(4))]);
 }
 
-/// The update of the configuration for a subscriber that knows revision `base`.
+/// Returns the update of the configuration for a subscriber that knows revision `base`.
 fn configuration_update(publisher: &FeedStore, base: u64) -> ConfigurationUpdate {
     let known = KnownPositions { configuration: Revision(base), ..KnownPositions::default() };
     match publisher.updates_for(&known).as_slice() {
         [ToSubscriber::Configuration(update)] => update.clone(),
-        other => panic!("not an update of the configuration: {other:?}"),
+        other => panic!("expected one update of the configuration: {other:?}"),
     }
 }
 
 #[test]
-fn a_subscriber_with_one_of_the_last_eight_configurations_gets_a_delta() {
+fn only_the_last_eight_configurations_lead_to_deltas() {
     let mut publisher = FeedStore::new();
     for revision in 1..=10 {
         publisher.set_configuration(configuration(revision, 0b11 | revision << 8));
@@ -239,7 +239,7 @@
     let mut publisher = FeedStore::new();
     publisher.set_configuration(configuration(1, 0b10));
     publisher.set_configuration(configuration(2, 0b11));
-    let newest = publisher.configuration().expect("is known");
+    let newest = publisher.configuration().expect("a configuration was set");
     assert_eq!(configuration_update(&publisher, 1), ConfigurationUpdate::Snapshot(newest));
 }
 
@@ -248,10 +248,10 @@
     let mut publisher = FeedStore::new();
     publisher.set_configuration(configuration(1, 0b01));
     let mut relay = FeedStore::new();
-    apply_all(&mut relay, publisher.updates_for(&KnownPositions::default())).expect("applies");
+    apply_all(&mut relay, publisher.updates_for(&KnownPositions::default())).expect("the updates apply");
     publisher.set_configuration(configuration(2, 0b11));
     let relay_positions = relay.known_positions();
-    apply_all(&mut relay, publisher.updates_for(&relay_positions)).expect("applies");
+    apply_all(&mut relay, publisher.updates_for(&relay_positions)).expect("the updates apply");
     assert_same(&relay, &publisher);
     assert_eq!(configuration_update(&relay, 1), configuration_update(&publisher, 1));
 }
@@ -268,10 +268,10 @@
     assert_eq!(outcome, Err(FeedError::Gap { table: Table::Configuration }));
     subscriber.set_configuration(configuration(6, 0b01));
     let outcome = subscriber.apply(ToSubscriber::Configuration(changes));
-    assert_eq!(outcome, Ok(StateChanges::default()), "what is old is no gap");
+    assert_eq!(outcome, Ok(StateChanges::default()), "an outdated delta is not a gap");
 }
 
-/// What the primaries have written under each revision and position.
+/// Tables that the primaries have written, by revision and position.
 #[derive(Default)]
 struct Reference {
     configurations: BTreeMap<Revision, Arc<Configuration>>,
@@ -288,7 +288,7 @@
         self.weights.insert(primary.weights().position, primary.weights().models.clone());
     }
 
-    /// Checks that a store has nothing but what a primary has written.
+    /// Checks that each table of a store was written by a primary.
     fn check(&self, store: &FeedStore) {
         if let Some(configuration) = store.configuration() {
             assert_eq!(self.configurations.get(&configuration.revision), Some(&configuration));
@@ -302,15 +302,15 @@
     }
 }
 
-/// A subscriber's connection: what its publisher has sent, and what is under way.
+/// A subscriber's connection: the positions that were sent, and the messages that have not arrived yet.
 struct Link {
     publisher: usize,
     sent: SentPositions,
     in_flight: VecDeque<ToSubscriber>,
 }
 
-/// Stores that subscribe to each other; one at a time is the primary.
-struct Fleet {
+/// Stores that subscribe to each other. One of them is the primary.
+struct Cluster {
     random: fastrand::Rng,
     reference: Reference,
     stores: Vec<FeedStore>,
@@ -320,25 +320,25 @@
     revision: u64,
 }
 
-const STORES: usize = 6;
+const STORE_COUNT: usize = 6;
 
-impl Fleet {
+impl Cluster {
     fn new(seed: u64) -> Self {
-        let mut fleet = Fleet {
+        let mut cluster = Cluster {
             random: fastrand::Rng::with_seed(seed),
             reference: Reference::default(),
-            stores: (0..STORES).map(|_| FeedStore::new()).collect(),
-            links: (0..STORES).map(|_| None).collect(),
+            stores: (0..STORE_COUNT).map(|_| FeedStore::new()).collect(),
+            links: (0..STORE_COUNT).map(|_| None).collect(),
             epoch: 0,
             primary: 0,
             revision: 0,
         };
-        fleet.write();
-        fleet
+        cluster.write();
+        cluster
     }
 
     fn step(&mut self) {
-        let store = self.random.usize(..STORES);
+        let store = self.random.usize(..STORE_COUNT);
         match self.random.u32(..100) {
             0 => self.take_over(),
             1 => self.restart(store),
@@ -349,7 +349,7 @@
         }
     }
 
-    /// The primary writes something.
+    /// The primary writes random tables.
     fn write(&mut self) {
         let replicas = (0..self.random.u32(..12)).map(|_| {
             let name = self.random.u32(..12).to_string();
@@ -365,14 +365,14 @@
             self.revision += self.random.u64(1..9);
             primary.set_configuration(configuration(self.revision, self.random.u64(..)));
         }
-        primary.set_group(group(self.random.u32(..5)));
+        primary.set_group(membership(self.random.u32(..5)));
         self.reference.record(primary);
     }
 
-    /// Any store becomes primary, also one that is behind. As a primary must, it writes each table in its epoch; a
-    /// configuration that it lacks comes from its log.
+    /// Any store becomes the primary, even one that is behind. As required of a primary, it writes each table in its
+    /// epoch, after it has read a missing configuration from its log.
     fn take_over(&mut self) {
-        self.primary = self.random.usize(..STORES);
+        self.primary = self.random.usize(..STORE_COUNT);
         self.links[self.primary] = None;
         self.epoch += 1;
         if let Some(newest) = self.reference.configurations.values().next_back() {
@@ -383,7 +383,7 @@
         self.write();
     }
 
-    /// A store that is not primary loses everything.
+    /// A store other than the primary loses its state and all connections to it.
     fn restart(&mut self, store: usize) {
         if store == self.primary {
             return;
@@ -398,7 +398,7 @@
     }
 
     fn connect(&mut self, store: usize) {
-        let publisher = self.random.usize(..STORES);
+        let publisher = self.random.usize(..STORE_COUNT);
         if store != self.primary && publisher != store {
             let sent = SentPositions::from(self.stores[store].known_positions());
             self.links[store] = Some(Link { publisher, sent, in_flight: VecDeque::new() });
@@ -417,7 +417,7 @@
             return;
         };
         let before = self.stores[store].known_positions();
-        self.stores[store].apply(message).expect("a connection in order has no gaps");
+        self.stores[store].apply(message).expect("messages in order have no gaps");
         let after = self.stores[store].known_positions();
         assert!(after.configuration >= before.configuration);
         assert!(after.fleet >= before.fleet);
@@ -427,21 +427,21 @@
 
 #[rstest]
 fn random_histories_end_in_the_newest_state(#[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)] seed: u64) {
-    let mut fleet = Fleet::new(seed);
+    let mut cluster = Cluster::new(seed);
     for _ in 0..6_000 {
-        fleet.step();
-        for store in &fleet.stores {
-            fleet.reference.check(store);
+        cluster.step();
+        for store in &cluster.stores {
+            cluster.reference.check(store);
         }
     }
-    let primary = fleet.primary;
-    for store in (0..STORES).filter(|store| *store != primary) {
-        let sent = SentPositions::from(fleet.stores[store].known_positions());
-        fleet.links[store] = Some(Link { publisher: primary, sent, in_flight: VecDeque::new() });
-        fleet.send(store);
-        while fleet.links[store].as_ref().is_some_and(|link| !link.in_flight.is_empty()) {
-            fleet.deliver(store);
+    let primary = cluster.primary;
+    for store in (0..STORE_COUNT).filter(|store| *store != primary) {
+        let sent = SentPositions::from(cluster.stores[store].known_positions());
+        cluster.links[store] = Some(Link { publisher: primary, sent, in_flight: VecDeque::new() });
+        cluster.send(store);
+        while cluster.links[store].as_ref().is_some_and(|link| !link.in_flight.is_empty()) {
+            cluster.deliver(store);
         }
-        assert_same(&fleet.stores[store], &fleet.stores[primary]);
+        assert_same(&cluster.stores[store], &cluster.stores[primary]);
     }
 }
