--- a/crates/subscription/src/freshness.rs
+++ b/crates/subscription/src/freshness.rs
@@ -70,7 +70,7 @@
         self.fresh_as_of.and_then(duration_from_nanos)
     }
 
-    /// Returns the time from that instant to `now`; `None` while it is unknown.
+    /// Returns the time from when the state was last certainly the newest to `now`; `None` while that is unknown.
     #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.fresh_as_of.map(|as_of| duration_from_nanos(signed_nanos(now) - as_of).unwrap_or_default())
--- a/crates/subscription/src/publisher/connection.rs
+++ b/crates/subscription/src/publisher/connection.rs
@@ -17,8 +17,8 @@
 use crate::store::SentPositions;
 use crate::wire::Received;
 
-/// Maximum length of a subscriber's message; the connection ends with a longer one.
-const MAX_MESSAGE_BYTES: usize = 64 * 1024;
+/// Maximum number of buffered bytes of an incomplete message; the connection ends beyond it.
+const MAX_PARTIAL_MESSAGE_BYTES: usize = 64 * 1024;
 
 /// Reason for the end of a subscriber's connection.
 #[derive(Debug, Snafu)]
@@ -107,7 +107,7 @@
         if has_queued_work {
             self.publisher.notify_queued_work();
         }
-        ensure!(self.link.receive_buffer.len() <= MAX_MESSAGE_BYTES, TooLongSnafu);
+        ensure!(self.link.receive_buffer.len() <= MAX_PARTIAL_MESSAGE_BYTES, TooLongSnafu);
         self.subscription.status.borrow_mut().last_message_at = clock::now();
         Ok(())
     }
@@ -181,7 +181,7 @@
     }
 }
 
-/// Converts to milliseconds, rounded up, since an age must never be understated.
+/// Converts to milliseconds, rounded up, since an age must never be understated; at most [`u32::MAX`].
 fn milliseconds_rounded_up(age: Duration) -> u32 {
     u32::try_from(age.as_nanos().div_ceil(1_000_000)).unwrap_or(u32::MAX)
 }
--- a/crates/subscription/src/store/positions.rs
+++ b/crates/subscription/src/store/positions.rs
@@ -28,7 +28,7 @@
             weights: self.known.weights.max(other.known.weights),
             cache_index: self.known.cache_index.max(other.known.cache_index),
             // A subscriber that does not support the table of loads is never sent it.
-            loads: self.known.loads.map(|own| own.max(other.known.loads.unwrap_or_default())),
+            loads: self.known.loads.map(|position| position.max(other.known.loads.unwrap_or_default())),
         };
         SentPositions { known, membership_version: self.membership_version.max(other.membership_version) }
     }
--- a/crates/subscription/src/subscriber.rs
+++ b/crates/subscription/src/subscriber.rs
@@ -63,7 +63,7 @@
     next_ping_id: Cell<u64>,
     queued_work: RefCell<QueuedWork>,
     queued_work_changed: Signal,
-    connected: Cell<Option<SocketAddr>>,
+    connected_publisher: Cell<Option<SocketAddr>>,
     reselect_signal: Signal,
     listeners: RefCell<Vec<Rc<ChangeListener>>>,
 }
@@ -90,7 +90,7 @@
             next_ping_id: Cell::new(1),
             queued_work: RefCell::default(),
             queued_work_changed: Signal::default(),
-            connected: Cell::new(None),
+            connected_publisher: Cell::new(None),
             reselect_signal: Signal::default(),
             listeners: RefCell::default(),
         })
@@ -146,7 +146,7 @@
 
     /// Returns the address of the connected publisher; `None` while there is no connection.
     pub fn connected_to(&self) -> Option<SocketAddr> {
-        self.connected.get()
+        self.connected_publisher.get()
     }
 
     /// Returns the latest time, by [`crate::clock`], at which the state was certainly the newest; `None` while that
@@ -155,7 +155,8 @@
         self.freshness.borrow().fresh_as_of()
     }
 
-    /// Returns the staleness of the state: the time from that instant to `now`; `None` while it is unknown.
+    /// Returns the staleness of the state: the time from when the state was last certainly the newest to `now`. `None`
+    /// while that is unknown.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.freshness.borrow().age(now)
     }
@@ -203,14 +204,14 @@
 
 impl<'a> ConnectedGuard<'a> {
     fn new(subscriber: &'a Subscriber, address: SocketAddr) -> Self {
-        subscriber.connected.set(Some(address));
+        subscriber.connected_publisher.set(Some(address));
         ConnectedGuard { subscriber }
     }
 }
 
 impl Drop for ConnectedGuard<'_> {
     fn drop(&mut self) {
-        self.subscriber.connected.set(None);
+        self.subscriber.connected_publisher.set(None);
         self.subscriber.freshness.borrow_mut().drop_pending_pings();
     }
 }
--- a/crates/subscription/src/subscriber/session.rs
+++ b/crates/subscription/src/subscriber/session.rs
@@ -20,7 +20,7 @@
 /// Time between pings.
 const PING_INTERVAL: Duration = Duration::from_millis(300);
 /// Index of the [`Subscriber`]'s reselect signal among the signals that a session waits for.
-const RESELECT_SIGNAL: usize = 0;
+const RESELECT_SIGNAL_INDEX: usize = 0;
 
 /// Subscribes to a publisher and applies its messages until the connection ends. A fresh pong resets `failure_count`.
 pub(super) async fn run(
@@ -70,7 +70,7 @@
                 Event::Received(Received::EndOfStream) => return ClosedSnafu.fail(),
                 Event::Received(Received::Bytes) => self.read_messages()?,
                 Event::Written => {}
-                Event::Signalled(RESELECT_SIGNAL) => return ReselectedSnafu.fail(),
+                Event::Signalled(RESELECT_SIGNAL_INDEX) => return ReselectedSnafu.fail(),
                 Event::Signalled(_) => self.report_schedule.set_outdated(),
                 Event::Timer => self.liveness.check_deadline(clock::now())?,
             }
