--- a/crates/subscription/src/publisher.rs
+++ b/crates/subscription/src/publisher.rs
@@ -1,6 +1,6 @@
 //! The publishing end of the feed: serves the state of a store to subscribers.
 
-mod batches;
+mod batch_cache;
 mod connection;
 mod subscription;
 
@@ -17,22 +17,22 @@
 
 use crate::queued_work;
 use crate::store::FeedStore;
-use batches::Batches;
+use batch_cache::BatchCache;
 use subscription::Subscription;
 
 pub use subscription::ConnectedSubscriber;
 
-/// Delay after a failed accept, for instance without a free file descriptor.
+/// Delay after a failed accept, which fails for instance while no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Limits of a publisher's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct PublisherSettings {
-    /// Most connections at once; further ones are closed on arrival.
+    /// Maximum number of simultaneous connections; the publisher closes further ones as soon as they are accepted.
     pub max_connections: usize,
-    /// Longest time for which a connection with data to send may accept no bytes.
-    pub write_stall: Duration,
-    /// Longest time without a message of the subscriber.
+    /// A connection with unsent data that accepts no bytes for this long is closed.
+    pub write_stall_timeout: Duration,
+    /// A connection without a message from the subscriber for this long is closed.
     pub idle_timeout: Duration,
 }
 
@@ -40,7 +40,7 @@
     fn default() -> Self {
         PublisherSettings {
             max_connections: 512,
-            write_stall: Duration::from_secs(2),
+            write_stall_timeout: Duration::from_secs(2),
             idle_timeout: Duration::from_secs(3),
         }
     }
@@ -48,26 +48,27 @@
 
 /// Serves the state of a store to subscribers.
 ///
-/// For each of them it keeps only the position up to which the state was sent, and no queue: once a connection has
-/// sent all its bytes, the difference from that position to the newest state is written. A slow subscriber skips
-/// states in between.
+/// Keeps no queue per subscriber, only the position up to which the state was sent: once a connection has sent all its
+/// bytes, the difference from that position to the newest state is written. A slow subscriber skips intermediate
+/// states.
 pub struct Publisher {
     store: Rc<RefCell<FeedStore>>,
     age: Rc<dyn Fn() -> Option<Duration>>,
     settings: PublisherSettings,
     subscriptions: RefCell<BTreeMap<u64, Rc<Subscription>>>,
-    next_subscription: Cell<u64>,
-    batches: RefCell<Batches>,
+    next_subscription_id: Cell<u64>,
+    batch_cache: RefCell<BatchCache>,
     queued_work_listener: RefCell<Option<Rc<dyn Fn()>>>,
 }
 
 impl Publisher {
-    /// A publisher of `store` with the default limits; `age` returns how long ago its state was known to be the newest.
+    /// Creates a publisher of `store` with the default limits. `age` returns the time since the store's state was known
+    /// to be the newest; `None` while that is unknown.
     pub fn new(store: Rc<RefCell<FeedStore>>, age: Rc<dyn Fn() -> Option<Duration>>) -> Rc<Self> {
         Self::with_settings(store, age, PublisherSettings::default())
     }
 
-    /// A publisher with limits of its own.
+    /// Creates a publisher with the given limits.
     pub fn with_settings(
         store: Rc<RefCell<FeedStore>>,
         age: Rc<dyn Fn() -> Option<Duration>>,
@@ -78,19 +79,19 @@
             age,
             settings,
             subscriptions: RefCell::default(),
-            next_subscription: Cell::new(0),
-            batches: RefCell::default(),
+            next_subscription_id: Cell::new(0),
+            batch_cache: RefCell::default(),
             queued_work_listener: RefCell::default(),
         })
     }
 
-    /// Accepts connections for ever; each is served by a task of its own.
+    /// Accepts connections without end, and spawns a task for each.
     pub async fn serve(self: Rc<Self>, listener: Async<TcpListener>, executor: &LocalExecutor<'_>) {
         loop {
             match listener.accept().await {
-                Ok((stream, address)) => self.admit(stream, address, executor),
+                Ok((stream, address)) => self.start_connection(stream, address, executor),
                 Err(error) => {
-                    log::warn!(error:% = error; "a connection can't be accepted");
+                    log::warn!(error:% = error; "failed to accept a subscriber's connection");
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -99,22 +100,22 @@
 
     /// Notifies all connections that the store has changed.
     pub fn notify(&self) {
-        self.batches.borrow_mut().clear();
+        self.batch_cache.borrow_mut().clear();
         for subscription in self.subscriptions.borrow().values() {
             subscription.store_changed.raise();
         }
     }
 
-    /// Gateways that the connected subscribers serve, by their latest pings. Subscribers whose last message is more than
-    /// two seconds old do not count.
+    /// Returns the number of gateways that the connected subscribers serve, by their latest pings. Subscribers whose
+    /// last message is more than two seconds old are not counted.
     pub fn gateways(&self) -> u32 {
         let now = clock::now();
         let subscriptions = self.subscriptions.borrow();
         let live = subscriptions.values().filter(|subscription| subscription.is_live(now));
-        live.fold(0, |sum, subscription| sum.saturating_add(subscription.gateways()))
+        live.fold(0, |sum, subscription| sum.saturating_add(subscription.gateway_count()))
     }
 
-    /// The sum of the work that the connected subscribers have reported as queued at replicas.
+    /// Returns the sum of the work that the connected subscribers have reported as queued at replicas.
     pub fn queued_work(&self) -> QueuedWork {
         let subscriptions = self.subscriptions.borrow();
         let statuses: Vec<_> =
@@ -134,18 +135,23 @@
         }
     }
 
-    /// The subscribers that are connected.
+    /// Lists the connected subscribers whose first message has arrived.
     pub fn subscribers(&self) -> Vec<ConnectedSubscriber> {
         let now = clock::now();
-        self.subscriptions.borrow().values().filter_map(|subscription| subscription.report(now)).collect()
+        self.subscriptions.borrow().values().filter_map(|subscription| subscription.describe(now)).collect()
     }
 
-    fn admit(self: &Rc<Self>, stream: Async<TcpStream>, address: SocketAddr, executor: &LocalExecutor<'_>) {
+    fn start_connection(
+        self: &Rc<Self>,
+        stream: Async<TcpStream>,
+        address: SocketAddr,
+        executor: &LocalExecutor<'_>,
+    ) {
         if self.subscriptions.borrow().len() >= self.settings.max_connections {
-            log::warn!(peer:% = address; "a connection over the limit is closed");
+            log::warn!(peer:% = address; "connection limit reached: a subscriber's connection is closed");
             return;
         }
-        let id = self.next_subscription.replace(self.next_subscription.get() + 1);
+        let id = self.next_subscription_id.replace(self.next_subscription_id.get() + 1);
         let subscription = Rc::new(Subscription::new(address));
         self.subscriptions.borrow_mut().insert(id, Rc::clone(&subscription));
         let publisher = Rc::clone(self);
@@ -153,7 +159,7 @@
             let end = connection::serve(&publisher, &subscription, &stream).await;
             publisher.subscriptions.borrow_mut().remove(&id);
             publisher.notify_queued_work();
-            log::info!(peer:% = address, reason:% = end; "a subscriber's connection ends");
+            log::info!(peer:% = address, reason:% = end; "a connection of a subscriber ended");
         };
         executor.spawn(serving).detach();
     }
--- a/crates/subscription/src/publisher/batches.rs
+++ b/crates/subscription/src/publisher/batch_cache.rs
@@ -1,4 +1,4 @@
-//! A cache of encoded updates, since many subscribers need the same ones.
+//! A cache of encoded updates, which many subscribers share.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -7,13 +7,13 @@
 
 use crate::store::{FeedStore, SentPositions};
 
-/// Most batches in the cache.
+/// Maximum number of cached batches; the oldest is dropped first.
 const MAX_BATCHES: usize = 4;
 
-/// The latest batches of updates.
+/// Cache of the latest encoded batches of updates.
 #[derive(Debug, Default)]
-pub(super) struct Batches {
-    cached: VecDeque<Batch>,
+pub(super) struct BatchCache {
+    batches: VecDeque<Batch>,
 }
 
 #[derive(Debug)]
@@ -23,8 +23,8 @@
     frames: Rc<Vec<u8>>,
 }
 
-impl Batches {
-    /// The frames that bring a subscriber from `from` to the newest state; empty where it has that already.
+impl BatchCache {
+    /// Returns the frames that bring a subscriber from `from` to the newest state; empty if `from` is the newest.
     ///
     /// # Errors
     /// [`FrameError`] if a message can't be encoded or is too long.
@@ -34,20 +34,20 @@
         from: SentPositions,
     ) -> Result<Rc<Vec<u8>>, FrameError> {
         let to = store.newest_positions();
-        if let Some(known) = self.cached.iter().find(|batch| (batch.from, batch.to) == (from, to)) {
-            return Ok(Rc::clone(&known.frames));
+        if let Some(cached) = self.batches.iter().find(|batch| (batch.from, batch.to) == (from, to)) {
+            return Ok(Rc::clone(&cached.frames));
         }
         let frames = Rc::new(encode(store, &from)?);
-        if self.cached.len() == MAX_BATCHES {
-            self.cached.pop_front();
+        if self.batches.len() == MAX_BATCHES {
+            self.batches.pop_front();
         }
-        self.cached.push_back(Batch { from, to, frames: Rc::clone(&frames) });
+        self.batches.push_back(Batch { from, to, frames: Rc::clone(&frames) });
         Ok(frames)
     }
 
-    /// Drops all batches. To be called when the store has changed.
+    /// Drops all batches. Must be called when the store has changed.
     pub(super) fn clear(&mut self) {
-        self.cached.clear();
+        self.batches.clear();
     }
 }
 
--- a/crates/subscription/src/store/fleet.rs
+++ b/crates/subscription/src/store/fleet.rs
@@ -8,25 +8,25 @@
 use super::error::{FeedError, Table};
 use super::positions::next_position;
 
-/// Most changes in the log.
+/// Maximum number of changes in the log; the oldest are dropped beyond it.
 const MAX_LOGGED_CHANGES: usize = 1024;
-/// Most ids in all logged changes together.
+/// Maximum number of ids in all logged changes together; the oldest changes are dropped beyond it.
 const MAX_LOGGED_IDS: usize = 16_384;
 
-/// The replicas by their ids, the position of the table, and the ids that each of the latest changes touched.
+/// The replicas by their ids, the position of the table, and the ids affected by each of the latest changes.
 #[derive(Debug, Default)]
 pub(super) struct FleetTable {
     position: Position,
     replicas: BTreeMap<String, Replica>,
     log: VecDeque<LoggedChange>,
-    /// Ids in all entries of `log`.
-    logged_ids: usize,
+    /// Number of ids in all entries of `log`.
+    logged_id_count: usize,
 }
 
 /// A change of the table from the position `base` to the base of the next logged change, or to the table's position.
 ///
-/// Deltas start only from positions that this table had itself: a change between two of them, or in an epoch that
-/// this process has not followed to its end, may have touched replicas that look untouched here.
+/// Deltas start only from positions that this table had: a change between two of them, or in an epoch that this process
+/// did not follow to its end, may have affected replicas that seem unchanged here.
 #[derive(Debug)]
 struct LoggedChange {
     base: Position,
@@ -46,13 +46,13 @@
         self.replicas.get(id)
     }
 
-    /// Replaces the table, as the primary of `epoch`; whether its position advances.
+    /// Replaces the table, as the primary of `epoch`. Returns whether its position advances.
     pub(super) fn set(&mut self, epoch: Epoch, replicas: Vec<Replica>) -> bool {
         if epoch < self.position.epoch {
             return false;
         }
         let replicas = by_id(replicas);
-        let ids = self.differing_ids(&replicas);
+        let ids = self.changed_ids(&replicas);
         let next = next_position(self.position, epoch, !ids.is_empty());
         self.replicas = replicas;
         if let Some(next) = next {
@@ -68,7 +68,7 @@
                     return Ok(false);
                 }
                 let replicas = by_id(replicas);
-                let ids = self.differing_ids(&replicas);
+                let ids = self.changed_ids(&replicas);
                 self.replicas = replicas;
                 self.advance(position, ids);
             }
@@ -85,7 +85,7 @@
         Ok(true)
     }
 
-    /// The update from `base` to the present table; none where the base is as new.
+    /// Returns the update from `base` to the current table; `None` if `base` is not older.
     pub(super) fn since(&self, base: Position) -> Option<FleetUpdate> {
         if base >= self.position {
             return None;
@@ -101,8 +101,9 @@
     }
 
     fn delta_since(&self, base: Position) -> Option<FleetUpdate> {
-        let first = self.log.iter().rposition(|change| change.base == base)?;
-        let ids: BTreeSet<&String> = self.log.range(first..).flat_map(|change| &change.ids).collect();
+        let first_change = self.log.iter().rposition(|change| change.base == base)?;
+        let ids: BTreeSet<&String> =
+            self.log.range(first_change..).flat_map(|change| &change.ids).collect();
         if ids.len() > self.replicas.len() {
             return None;
         }
@@ -134,18 +135,18 @@
         if base == Position::default() {
             return;
         }
-        self.logged_ids += ids.len();
+        self.logged_id_count += ids.len();
         self.log.push_back(LoggedChange { base, ids });
-        while self.log.len() > MAX_LOGGED_CHANGES || self.logged_ids > MAX_LOGGED_IDS {
-            let dropped = self.log.pop_front().map_or(0, |change| change.ids.len());
-            self.logged_ids -= dropped;
+        while self.log.len() > MAX_LOGGED_CHANGES || self.logged_id_count > MAX_LOGGED_IDS {
+            let dropped_count = self.log.pop_front().map_or(0, |change| change.ids.len());
+            self.logged_id_count -= dropped_count;
         }
     }
 
-    fn differing_ids(&self, replicas: &BTreeMap<String, Replica>) -> Vec<String> {
-        let gone = self.replicas.keys().filter(|id| !replicas.contains_key(*id)).cloned();
-        let differing = replicas.values().filter(|new| self.is_changed(new)).map(|new| new.id.clone());
-        gone.chain(differing).collect()
+    fn changed_ids(&self, replicas: &BTreeMap<String, Replica>) -> Vec<String> {
+        let removed = self.replicas.keys().filter(|id| !replicas.contains_key(*id)).cloned();
+        let changed = replicas.values().filter(|new| self.is_changed(new)).map(|new| new.id.clone());
+        removed.chain(changed).collect()
     }
 
     fn is_changed(&self, new: &Replica) -> bool {
@@ -157,12 +158,12 @@
     replicas.into_iter().map(|replica| (replica.id.clone(), replica)).collect()
 }
 
-/// Whether subscribers need the new entry; time that has passed on `warm_left_ms` is no change until none is left.
+/// Returns whether subscribers need the new entry. A decrease of `warm_left_ms` counts only when it reaches 0.
 fn differs(old: &Replica, new: &Replica) -> bool {
     let Replica { id, service, address, zone, capacity, phase, warm_left_ms, models } = new;
-    let became_warm = *warm_left_ms == 0 && old.warm_left_ms > 0;
-    let warm_up_changed = became_warm || *warm_left_ms > old.warm_left_ms;
-    let same = (id, service, address, zone) == (&old.id, &old.service, &old.address, &old.zone)
+    let has_become_warm = *warm_left_ms == 0 && old.warm_left_ms > 0;
+    let has_warm_up_changed = has_become_warm || *warm_left_ms > old.warm_left_ms;
+    let is_same = (id, service, address, zone) == (&old.id, &old.service, &old.address, &old.zone)
         && (capacity, phase, models) == (&old.capacity, &old.phase, &old.models);
-    warm_up_changed || !same
+    has_warm_up_changed || !is_same
 }
--- a/crates/subscription/src/subscriber.rs
+++ b/crates/subscription/src/subscriber.rs
@@ -3,7 +3,7 @@
 mod connect;
 mod end;
 mod liveness;
-mod queued_work_report;
+mod report_schedule;
 mod session;
 mod staleness;
 
@@ -26,56 +26,56 @@
 pub use end::{EndReason, PreviousConnection};
 pub use staleness::StalenessTolerance;
 
-/// Who subscribes.
+/// Name, zone and role that a subscriber sends to its publishers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
-    /// The subscriber's machine name.
+    /// Machine name of the subscriber.
     pub name: String,
-    /// Its zone.
+    /// Zone of the subscriber's machine.
     pub zone: String,
-    /// Its role.
+    /// Role of the process: relay, agent or proxy.
     pub role: SubscriberRole,
 }
 
-/// What is known when a publisher is selected.
+/// Outcome of the previous attempts, passed to the function that selects a publisher.
 #[derive(Debug, Default)]
 pub struct SelectionContext {
-    /// Attempts that have failed since the last publisher that replied with freshness.
-    pub failures: u32,
-    /// How the last connection, or the attempt at one, has ended; none at the first selection, and after a selection
-    /// of no publisher.
+    /// Consecutive failed attempts, connection losses included; 0 after a pong with a known, tolerated age.
+    pub failure_count: u32,
+    /// The previous connection or failed attempt; `None` at the first selection, and after a selection that returned
+    /// no publisher.
     pub last: Option<PreviousConnection>,
 }
 
-/// Called after the state has changed.
+/// Function that is called after the state has changed.
 type ChangeListener = Box<dyn Fn(&StateChanges)>;
 
-/// Keeps a store up to date from a publisher, and knows how fresh it is.
+/// Keeps a store up to date from a publisher, and tracks the freshness of the state.
 ///
-/// Only one connection exists at a time. A publisher is left when the connection fails, when it is unresponsive, and
-/// when its state is stale; the next one is selected after an exponential backoff.
+/// Only one connection exists at a time. The subscriber closes it when the connection fails, the publisher is
+/// unresponsive or its state is stale, and selects the next publisher after an exponential backoff.
 pub struct Subscriber {
     tolerance: StalenessTolerance,
     identity: Identity,
     store: Rc<RefCell<FeedStore>>,
     freshness: RefCell<Freshness>,
-    gateways: Cell<u32>,
-    next_ping: Cell<u64>,
+    gateway_count: Cell<u32>,
+    next_ping_id: Cell<u64>,
     queued_work: RefCell<QueuedWork>,
     queued_work_changed: Signal,
-    connected: Cell<Option<SocketAddr>>,
-    reselect: Signal,
+    connected_publisher: Cell<Option<SocketAddr>>,
+    reselect_signal: Signal,
     listeners: RefCell<Vec<Rc<ChangeListener>>>,
 }
 
 impl Subscriber {
-    /// A subscriber that keeps `store` up to date while [`Subscriber::run`] is polled, with
+    /// Creates a subscriber that keeps `store` up to date while [`Subscriber::run`] is polled, with
     /// [`StalenessTolerance::ONE_PUBLISHER`].
     pub fn new(identity: Identity, store: Rc<RefCell<FeedStore>>) -> Rc<Self> {
         Subscriber::with_tolerance(identity, store, StalenessTolerance::ONE_PUBLISHER)
     }
 
-    /// The same, with a tolerance of its own for stale publishers.
+    /// Creates a subscriber with the given tolerance for stale publishers.
     pub fn with_tolerance(
         identity: Identity,
         store: Rc<RefCell<FeedStore>>,
@@ -86,48 +86,48 @@
             tolerance,
             store,
             freshness: RefCell::default(),
-            gateways: Cell::new(0),
-            next_ping: Cell::new(1),
+            gateway_count: Cell::new(0),
+            next_ping_id: Cell::new(1),
             queued_work: RefCell::default(),
             queued_work_changed: Signal::default(),
-            connected: Cell::new(None),
-            reselect: Signal::default(),
+            connected_publisher: Cell::new(None),
+            reselect_signal: Signal::default(),
             listeners: RefCell::default(),
         })
     }
 
-    /// Follows one publisher after the other, for ever. `select` returns the next; if it returns none, it is called
-    /// again after a delay, or when [`Subscriber::reselect`] is called.
+    /// Subscribes to one publisher after the other, without end. `select` returns the next one; if it returns `None`,
+    /// it is called again after a delay, or when [`Subscriber::reselect`] is called.
     pub async fn run(self: Rc<Self>, mut select: impl FnMut(SelectionContext) -> Option<SocketAddr>) {
-        let mut failures = 0;
+        let mut failure_count = 0;
         let mut last = None;
         loop {
-            self.reselect.clear();
-            let selected = select(SelectionContext { failures, last: last.take() });
+            self.reselect_signal.clear();
+            let selected = select(SelectionContext { failure_count, last: last.take() });
             let Some(address) = selected else {
-                self.delay(MAX_BACKOFF).await;
+                self.sleep_unless_reselected(MAX_BACKOFF).await;
                 continue;
             };
-            let reason = self.follow(address, &mut failures).await;
-            let level = if failures == 0 { log::Level::Info } else { log::Level::Debug };
-            log::log!(level, publisher:% = address, reason:% = reason; "a publisher is left");
+            let reason = self.subscribe_to(address, &mut failure_count).await;
+            let level = if failure_count == 0 { log::Level::Info } else { log::Level::Debug };
+            log::log!(level, publisher:% = address, reason:% = reason; "a connection to a publisher ended");
             let is_reselection = matches!(reason, EndReason::Reselected);
             last = Some(PreviousConnection { address, reason });
             if !is_reselection {
-                self.delay(backoff(failures)).await;
-                failures = failures.saturating_add(1);
+                self.sleep_unless_reselected(backoff(failure_count)).await;
+                failure_count = failure_count.saturating_add(1);
             }
         }
     }
 
-    /// Adds a function that is called each time the state has changed; the store is not borrowed then.
+    /// Adds a function that is called each time the state has changed. The store is not borrowed during the call.
     pub fn on_change(&self, listener: ChangeListener) {
         self.listeners.borrow_mut().push(Rc::new(listener));
     }
 
-    /// Sets how many gateways this subscriber serves; it is reported with the next ping.
+    /// Sets the number of gateways that this subscriber serves, which is reported with the next ping.
     pub fn set_gateways(&self, gateways: u32) {
-        self.gateways.set(gateways);
+        self.gateway_count.set(gateways);
     }
 
     /// Sets the work queued at replicas by the gateways that this subscriber serves. A difference is reported to the
@@ -141,27 +141,29 @@
 
     /// Closes the connection, if any, and selects a publisher again at once, without a backoff.
     pub fn reselect(&self) {
-        self.reselect.raise();
+        self.reselect_signal.raise();
     }
 
-    /// The publisher to which a connection is open.
+    /// Returns the address of the connected publisher; `None` while there is no connection.
     pub fn connected_to(&self) -> Option<SocketAddr> {
-        self.connected.get()
+        self.connected_publisher.get()
     }
 
-    /// The latest time at which the state was certainly the newest, by [`crate::clock`]; none while that is not known.
+    /// Returns the latest time, by [`crate::clock`], at which the state was certainly the newest; `None` while that
+    /// time is unknown or before the clock's origin.
     pub fn fresh_as_of(&self) -> Option<Duration> {
         self.freshness.borrow().fresh_as_of()
     }
 
-    /// How long before `now` that was: the staleness of the state.
+    /// Returns the staleness of the state: the time from when the state was last certainly the newest to `now`. `None`
+    /// while that is unknown.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.freshness.borrow().age(now)
     }
 
-    async fn follow(&self, address: SocketAddr, failures: &mut u32) -> EndReason {
+    async fn subscribe_to(&self, address: SocketAddr, failure_count: &mut u32) -> EndReason {
         let reselected = async {
-            poll_fn(|context| self.reselect.poll_raised(context)).await;
+            poll_fn(|context| self.reselect_signal.poll_raised(context)).await;
             ReselectedSnafu.fail()
         };
         let stream = match connect(address).or(reselected).await {
@@ -169,14 +171,14 @@
             Err(reason) => return reason,
         };
         let _connected = ConnectedGuard::new(self, address);
-        session::run(self, &stream, failures).await
+        session::run(self, &stream, failure_count).await
     }
 
-    async fn delay(&self, duration: Duration) {
+    async fn sleep_unless_reselected(&self, duration: Duration) {
         let timer = async {
             Timer::after(duration).await;
         };
-        poll_fn(|context| self.reselect.poll_raised(context)).or(timer).await;
+        poll_fn(|context| self.reselect_signal.poll_raised(context)).or(timer).await;
     }
 
     fn subscribe_message(&self) -> Subscribe {
@@ -185,7 +187,7 @@
     }
 
     fn notify_listeners(&self, changes: &StateChanges) {
-        if !changes.any() {
+        if !changes.has_changes() {
             return;
         }
         let listeners: Vec<_> = self.listeners.borrow().iter().map(Rc::clone).collect();
@@ -195,21 +197,21 @@
     }
 }
 
-/// Marks the subscriber as connected until it is dropped.
+/// Marks the subscriber as connected to an address until the guard is dropped.
 struct ConnectedGuard<'a> {
     subscriber: &'a Subscriber,
 }
 
 impl<'a> ConnectedGuard<'a> {
     fn new(subscriber: &'a Subscriber, address: SocketAddr) -> Self {
-        subscriber.connected.set(Some(address));
+        subscriber.connected_publisher.set(Some(address));
         ConnectedGuard { subscriber }
     }
 }
 
 impl Drop for ConnectedGuard<'_> {
     fn drop(&mut self) {
-        self.subscriber.connected.set(None);
-        self.subscriber.freshness.borrow_mut().forget_pending();
+        self.subscriber.connected_publisher.set(None);
+        self.subscriber.freshness.borrow_mut().drop_pending_pings();
     }
 }
--- a/crates/subscription/src/wire.rs
+++ b/crates/subscription/src/wire.rs
@@ -1,4 +1,4 @@
-//! The buffers of a connection's two directions: bytes to messages, messages to bytes.
+//! Buffers for the two directions of a connection: received bytes to messages, and messages to bytes.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -12,45 +12,45 @@
 use musli::{Decode, Encode};
 use tulipridge_protocol::frame::{self, FrameError};
 
-/// Most bytes that one system call reads.
-const CHUNK_BYTES: usize = 16 * 1024;
-/// Most system calls in one poll, so that other tasks of the thread get their turn.
-const MAX_READS: usize = 16;
+/// Maximum number of bytes that one system call reads.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of reads in one poll, so that other tasks of the thread can run.
+const MAX_READS_PER_POLL: usize = 16;
 /// An empty buffer with more capacity than this is freed.
 const MAX_IDLE_CAPACITY_BYTES: usize = 256 * 1024;
 
-/// The outcome of a read.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Received {
     /// Bytes were added to the buffer.
     Bytes,
     /// The peer has closed its side.
-    End,
+    EndOfStream,
 }
 
-/// Bytes that were received and not yet decoded.
+/// Received bytes that are not decoded yet.
 #[derive(Debug, Default)]
-pub(crate) struct Incoming {
+pub(crate) struct ReceiveBuffer {
     buffer: Vec<u8>,
 }
 
-impl Incoming {
-    /// Reads what has arrived; pending while there is nothing.
-    pub(crate) fn poll_fill(
+impl ReceiveBuffer {
+    /// Reads the bytes that have arrived; pending while there are none.
+    pub(crate) fn poll_read(
         &mut self,
         stream: &Async<TcpStream>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<Received>> {
         loop {
             ready!(stream.poll_readable(context))?;
-            match self.fill(stream.get_ref()) {
-                Err(error) if is_retry(&error) => {}
+            match self.read(stream.get_ref()) {
+                Err(error) if is_retryable(&error) => {}
                 result => return Poll::Ready(result),
             }
         }
     }
 
-    /// The next complete message; none while more bytes are needed.
+    /// Decodes the next complete message; `None` while more bytes are needed.
     pub(crate) fn next_message<T: for<'de> Decode<'de, Binary, Global>>(
         &mut self,
     ) -> Result<Option<T>, FrameError> {
@@ -61,22 +61,22 @@
         Ok(message)
     }
 
-    /// Bytes of the message that is not complete yet.
+    /// Returns the number of bytes that are not decoded yet.
     pub(crate) fn len(&self) -> usize {
         self.buffer.len()
     }
 
-    fn fill(&mut self, mut stream: &TcpStream) -> io::Result<Received> {
-        let mut chunk = [0; CHUNK_BYTES];
-        for reads in 0..MAX_READS {
+    fn read(&mut self, mut stream: &TcpStream) -> io::Result<Received> {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        for reads in 0..MAX_READS_PER_POLL {
             let count = match stream.read(&mut chunk) {
-                Ok(0) if reads == 0 => return Ok(Received::End),
+                Ok(0) if reads == 0 => return Ok(Received::EndOfStream),
                 Ok(count) => count,
                 Err(_) if reads > 0 => break,
                 Err(error) => return Err(error),
             };
             self.buffer.extend_from_slice(&chunk[..count]);
-            if count < CHUNK_BYTES {
+            if count < READ_CHUNK_BYTES {
                 break;
             }
         }
@@ -84,68 +84,68 @@
     }
 }
 
-/// Bytes to be written.
+/// Bytes to be sent.
 #[derive(Debug, Default)]
-pub(crate) struct Outgoing {
+pub(crate) struct SendQueue {
     chunks: VecDeque<Rc<Vec<u8>>>,
-    /// Bytes of the first chunk that are written already.
-    written: usize,
+    /// Number of bytes of the first chunk that are already sent.
+    first_chunk_sent_bytes: usize,
 }
 
-impl Outgoing {
-    /// Whether all is written.
+impl SendQueue {
+    /// Returns whether all bytes are sent.
     pub(crate) fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
-    /// Adds a chunk of complete frames.
-    pub(crate) fn push(&mut self, chunk: Rc<Vec<u8>>) {
+    /// Adds a chunk of complete frames; an empty chunk is ignored.
+    pub(crate) fn push_frames(&mut self, chunk: Rc<Vec<u8>>) {
         if !chunk.is_empty() {
             self.chunks.push_back(chunk);
         }
     }
 
-    /// Adds a message, to the last chunk where that is not shared with other connections.
+    /// Adds a message, to the last chunk if that is not shared with other connections.
     pub(crate) fn push_message<T: Encode<Binary>>(&mut self, message: &T) -> Result<(), FrameError> {
         if let Some(last) = self.chunks.back_mut().and_then(Rc::get_mut) {
             return frame::append(message, last);
         }
         let mut chunk = Vec::new();
         frame::append(message, &mut chunk)?;
-        self.push(Rc::new(chunk));
+        self.push_frames(Rc::new(chunk));
         Ok(())
     }
 
-    /// Writes what the connection accepts; ready once it accepted some. Pending also while there is nothing to write.
-    pub(crate) fn poll_write(
+    /// Sends as many bytes as the connection accepts; ready once some were sent, pending while there are none to send.
+    pub(crate) fn poll_send(
         &mut self,
         stream: &Async<TcpStream>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<()>> {
         while !self.is_empty() {
-            match self.write(stream.get_ref()) {
-                Err(error) if is_retry(&error) => ready!(stream.poll_writable(context))?,
+            match self.send(stream.get_ref()) {
+                Err(error) if is_retryable(&error) => ready!(stream.poll_writable(context))?,
                 result => return Poll::Ready(result),
             }
         }
         Poll::Pending
     }
 
-    fn write(&mut self, mut stream: &TcpStream) -> io::Result<()> {
+    fn send(&mut self, mut stream: &TcpStream) -> io::Result<()> {
         let Some(chunk) = self.chunks.front() else { return Ok(()) };
-        let count = stream.write(&chunk[self.written..])?;
+        let count = stream.write(&chunk[self.first_chunk_sent_bytes..])?;
         if count == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        self.written += count;
-        if self.written == chunk.len() {
-            self.written = 0;
+        self.first_chunk_sent_bytes += count;
+        if self.first_chunk_sent_bytes == chunk.len() {
+            self.first_chunk_sent_bytes = 0;
             self.chunks.pop_front();
         }
         Ok(())
     }
 }
 
-fn is_retry(error: &io::Error) -> bool {
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
