--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,5 +1,5 @@
-//! The planned restart: SIGTERM, clients that go on sending on whatever stays open, and SIGKILL. Every stream that its
-//! replica finished is passed on to its end, and every request that was read gets its one answer.
+//! Planned restart: SIGTERM while clients continue to send on open connections, then SIGKILL. Streams that the replica
+//! completes are forwarded completely, and each request that was read gets exactly one response.
 
 mod support;
 
@@ -14,126 +14,130 @@
 use serde_json::json;
 use support::*;
 
-/// SIGKILL comes no sooner after SIGTERM: the longest deadline, taken as 3 s, and 0.7 s more.
-const KILL: Duration = Duration::from_millis(3700);
+/// Minimum time from SIGTERM to SIGKILL: the longest deadline, here 3 s, and 0.7 s more.
+const SIGKILL_DELAY: Duration = Duration::from_millis(3700);
 
-/// What a replica does with its requests, the first of which has number 0.
+/// Responses of a replica. Requests are numbered from 0.
 #[derive(Clone, Copy)]
-enum Work {
-    /// It serves after so long.
-    Serve(u64),
-    /// It never answers.
+enum Script {
+    /// Sends a complete stream after this many milliseconds.
+    ServeAfterMs(u64),
+    /// Sends no response.
     Hang,
-    /// A stream that is whole after the time of its number, its head there at once or, of each other, at the end.
-    Streams(&'static [u64]),
+    /// Sends a stream that is complete after this many milliseconds, by the request's number modulo the length of the
+    /// list. Requests with an odd number receive the head only at the end.
+    StreamForMs(&'static [u64]),
 }
 
-/// A replica and the ids of the requests that reached it.
-struct Working {
-    server: StandInReplica,
-    ids: Arc<Mutex<Vec<u64>>>,
+/// A replica, and the ids of the requests that it received.
+struct RecordingReplica {
+    replica: StandInReplica,
+    request_ids: Arc<Mutex<Vec<u64>>>,
 }
 
-fn working(work: Work) -> Working {
+fn start_recording_replica(script: Script) -> RecordingReplica {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let (ids, requests) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
-    let (noted, count) = (ids.clone(), requests.clone());
+    let (request_ids, requests) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
+    let (shared_ids, count) = (request_ids.clone(), requests.clone());
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (noted, count) = (noted.clone(), count.clone());
+            let (shared_ids, count) = (shared_ids.clone(), count.clone());
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().ok()?);
                 while let Some((head, _)) = read_message(&mut reader) {
                     let id = header(&head, "x-request-id").expect("an id");
-                    noted.lock().expect("whole").push(u64::from_str_radix(&id, 16).expect("hex digits"));
-                    work.on(&mut stream, count.fetch_add(1, Ordering::SeqCst))?;
+                    shared_ids
+                        .lock()
+                        .expect("lock")
+                        .push(u64::from_str_radix(&id, 16).expect("hex digits"));
+                    script.respond(&mut stream, count.fetch_add(1, Ordering::SeqCst))?;
                 }
                 Some(())
             });
         }
     });
-    let (_, left) = std::sync::mpsc::channel();
-    Working {
-        server: StandInReplica { addr, requests, bodies: Arc::default(), connection_ends: left },
-        ids,
+    let (_, connection_ends) = std::sync::mpsc::channel();
+    RecordingReplica {
+        replica: StandInReplica { addr, requests, bodies: Arc::default(), connection_ends },
+        request_ids,
     }
 }
 
-impl Work {
-    fn on(self, stream: &mut TcpStream, number: usize) -> Option<()> {
-        let word = encode_chunk(&text_event("platform", "a"));
+impl Script {
+    fn respond(self, stream: &mut TcpStream, number: usize) -> Option<()> {
+        let text = encode_chunk(&text_event("platform", "a"));
         let end = encode_chunk(&closing_events("platform")) + "0\r\n\r\n";
-        let mut say = |words: &str| stream.write_all(words.as_bytes()).ok();
+        let mut send = |bytes: &str| stream.write_all(bytes.as_bytes()).ok();
         match self {
-            Work::Serve(after) => {
-                thread::sleep(ms(after));
-                say(&(STREAM_HEAD.to_owned() + &word + &end))
+            Script::ServeAfterMs(delay_ms) => {
+                thread::sleep(ms(delay_ms));
+                send(&(STREAM_HEAD.to_owned() + &text + &end))
             }
-            Work::Hang => {
+            Script::Hang => {
                 thread::sleep(TEST_TIMEOUT);
                 None
             }
-            Work::Streams(times) => {
-                let (from, time) = (Instant::now(), ms(times[number % times.len()]));
+            Script::StreamForMs(durations_ms) => {
+                let (start, duration) = (Instant::now(), ms(durations_ms[number % durations_ms.len()]));
                 if number % 2 == 1 {
-                    thread::sleep(time);
+                    thread::sleep(duration);
                 }
-                say(&(STREAM_HEAD.to_owned() + &word))?;
-                while from.elapsed() < time {
+                send(&(STREAM_HEAD.to_owned() + &text))?;
+                while start.elapsed() < duration {
                     thread::sleep(ms(40));
-                    say(&word)?;
+                    send(&text)?;
                 }
-                say(&end)
+                send(&end)
             }
         }
     }
 }
 
-/// A gateway that has heard of its replicas.
-fn gateway(servers: &[&StandInReplica]) -> Gateway {
-    let servers: Vec<_> =
-        servers.iter().enumerate().map(|(n, s)| replica_entry(n, s, "ready", 0)).collect();
-    Gateway::start_with_list(servers, 3, (1024, 1024), json!({}))
+/// Starts a gateway and waits until it knows the replicas.
+fn start_gateway(replicas: &[&StandInReplica]) -> Gateway {
+    let entries: Vec<_> =
+        replicas.iter().enumerate().map(|(n, replica)| replica_entry(n, replica, "ready", 0)).collect();
+    Gateway::start_with_list(entries, 3, (1024, 1024), json!({}))
 }
 
-/// Tells it to end, and waits for that up to SIGKILL: its status.
-fn restart(gateway: &mut Gateway, term: Instant) -> Option<i32> {
-    while term.elapsed() < KILL {
-        if let Some(status) = gateway.child.try_wait().expect("a child") {
+/// Waits for the exit after SIGTERM and returns the exit code. Sends SIGKILL and returns `None` when it is due.
+fn wait_for_exit(gateway: &mut Gateway, sigterm_at: Instant) -> Option<i32> {
+    while sigterm_at.elapsed() < SIGKILL_DELAY {
+        if let Some(status) = gateway.child.try_wait().expect("a child process") {
             return status.code();
         }
         thread::sleep(ms(5));
     }
-    gateway.child.kill().expect("a child");
+    gateway.child.kill().expect("a child process");
     None
 }
 
-/// What became of one request.
+/// Result of one request as its client received it.
 #[derive(Debug, PartialEq)]
-enum ClientOutcome {
-    /// An answer of that status, whole; and whether its connection ends with it.
-    Answer(u16, bool),
-    /// The connection was closed without a byte.
+enum RequestOutcome {
+    /// Complete response with this status, and whether the connection closes after it.
+    Complete(u16, bool),
+    /// Connection closed before the first byte of a response.
     Closed,
-    /// Anything else.
-    Cut(String),
+    /// Any other result, with a description.
+    Invalid(String),
 }
 
-/// A client's connection.
-struct Line {
+/// Connection of a client to a front.
+struct Connection {
     reader: BufReader<TcpStream>,
     dialect: &'static str,
 }
 
-impl Line {
-    fn to(front: SocketAddr, dialect: &'static str) -> Option<Line> {
+impl Connection {
+    fn open(front: SocketAddr, dialect: &'static str) -> Option<Connection> {
         let stream = TcpStream::connect(front).ok()?;
         stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
-        Some(Line { reader: BufReader::new(stream), dialect })
+        Some(Connection { reader: BufReader::new(stream), dialect })
     }
 
-    /// A request as bytes.
+    /// Encodes a request.
     fn request(&self, class: &str, deadline_ms: u32, id: u64) -> Vec<u8> {
         let more = match self.dialect {
             "messages" => format!("X-Request-Id: {id:016x}\r\n"),
@@ -144,23 +148,23 @@
     }
 
     fn send(&mut self, bytes: &[u8]) {
-        // It may have been closed: the answer, or its want, says so.
+        // A closed connection is detected when the response is read.
         let _ = self.reader.get_mut().write_all(bytes);
     }
 
-    /// The one answer; if the connection ends with it, nothing comes behind it.
-    fn outcome(&mut self) -> ClientOutcome {
+    /// Reads one response. No bytes may follow a response with `Connection: close`.
+    fn read_response(&mut self) -> RequestOutcome {
         let mut head = Vec::new();
         loop {
             let mut line = String::new();
             match self.reader.read_line(&mut line) {
-                Ok(0) if head.is_empty() => return ClientOutcome::Closed,
+                Ok(0) if head.is_empty() => return RequestOutcome::Closed,
                 Err(e) if head.is_empty() && e.kind() != ErrorKind::WouldBlock => {
-                    return ClientOutcome::Closed;
+                    return RequestOutcome::Closed;
                 }
                 Ok(count) if count > 2 => head.push(line.trim_end().to_owned()),
                 Ok(2) => break,
-                other => return ClientOutcome::Cut(format!("{other:?} after {head:?}")),
+                other => return RequestOutcome::Invalid(format!("{other:?} after {head:?}")),
             }
         }
         let status = head[0].split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
@@ -169,26 +173,26 @@
                 let mut body = vec![0; length.parse().expect("a length")];
                 self.reader.read_exact(&mut body).map(|()| String::new())
             }
-            None => self.chunks(),
+            None => self.read_chunks(),
         };
         let closes = header(&head, "connection").is_some_and(|c| c == "close");
         match body {
-            Ok(text) if status == 200 && !text.contains("stop") => ClientOutcome::Cut(text),
+            Ok(text) if status == 200 && !text.contains("stop") => RequestOutcome::Invalid(text),
             Ok(_) if closes && !matches!(self.reader.read(&mut [0; 64]), Ok(0)) => {
-                ClientOutcome::Cut("no end after the last answer".into())
+                RequestOutcome::Invalid("no end of the connection after Connection: close".into())
             }
-            Ok(_) => ClientOutcome::Answer(status, closes),
-            Err(e) => ClientOutcome::Cut(format!("{head:?}: {e}")),
+            Ok(_) => RequestOutcome::Complete(status, closes),
+            Err(e) => RequestOutcome::Invalid(format!("{head:?}: {e}")),
         }
     }
 
-    fn chunks(&mut self) -> std::io::Result<String> {
+    fn read_chunks(&mut self) -> std::io::Result<String> {
         let mut text = String::new();
         loop {
             let mut size = String::new();
             self.reader.read_line(&mut size)?;
             let size = usize::from_str_radix(size.trim_end(), 16)
-                .map_err(|_| std::io::Error::other(format!("no chunk after {text}")))?;
+                .map_err(|_| std::io::Error::other(format!("invalid chunk size after {text}")))?;
             let mut bytes = vec![0; size + 2];
             self.reader.read_exact(&mut bytes)?;
             if size == 0 {
@@ -199,205 +203,235 @@
     }
 }
 
-/// What became of all requests, and their ids.
+/// Ids and outcomes of all requests.
 #[derive(Default)]
-struct Tally(Mutex<Vec<(u64, ClientOutcome)>>);
+struct Outcomes(Mutex<Vec<(u64, RequestOutcome)>>);
 
-impl Tally {
-    fn fresh(next: &AtomicUsize) -> u64 {
+impl Outcomes {
+    fn next_id(next: &AtomicUsize) -> u64 {
         next.fetch_add(1, Ordering::SeqCst) as u64
     }
 
-    fn note(&self, id: u64, told: ClientOutcome) {
-        self.0.lock().expect("whole").push((id, told));
+    fn record(&self, id: u64, outcome: RequestOutcome) {
+        self.0.lock().expect("lock").push((id, outcome));
     }
 
-    /// Each was answered, with one of these statuses, or its connection was closed before it was read.
-    fn holds(&self, what: &str, statuses: &[u16], reached: &[u64]) -> usize {
-        let reached: BTreeSet<u64> = reached.iter().copied().collect();
-        let all = self.0.lock().expect("whole");
-        for (id, told) in &*all {
-            let good = match told {
-                ClientOutcome::Answer(status, _) => statuses.contains(status),
-                ClientOutcome::Closed => !reached.contains(id),
-                ClientOutcome::Cut(_) => false,
+    /// Checks that each request got a response with one of these statuses, or that its connection was closed before it
+    /// was read. Returns the number of responses.
+    fn check(&self, dialect: &str, statuses: &[u16], received_ids: &[u64]) -> usize {
+        let received_ids: BTreeSet<u64> = received_ids.iter().copied().collect();
+        let all = self.0.lock().expect("lock");
+        for (id, outcome) in &*all {
+            let is_valid = match outcome {
+                RequestOutcome::Complete(status, _) => statuses.contains(status),
+                RequestOutcome::Closed => !received_ids.contains(id),
+                RequestOutcome::Invalid(_) => false,
             };
-            assert!(good, "{what}: {told:?}");
+            assert!(is_valid, "{dialect}: {outcome:?}");
         }
-        all.iter().filter(|(_, told)| matches!(told, ClientOutcome::Answer(..))).count()
+        all.iter().filter(|(_, outcome)| matches!(outcome, RequestOutcome::Complete(..))).count()
     }
 }
 
-fn goes_on_sending(front: &'static str) {
-    let quick = working(Work::Serve(20));
-    let mut gateway = gateway(&[&quick.server]);
-    let (addr, next, tally) = (gateway.front(front), AtomicUsize::new(1), Tally::default());
-    let (next, tally) = (&next, &tally);
+/// Checks that the replica received no request twice and that the outcomes of all requests are allowed.
+fn check_responses(dialect: &str, replica: &RecordingReplica, outcomes: &Outcomes) {
+    let received_ids = replica.request_ids.lock().expect("lock").clone();
+    assert_eq!(
+        received_ids.iter().collect::<BTreeSet<_>>().len(),
+        received_ids.len(),
+        "no request is forwarded twice"
+    );
+    let response_count = outcomes.check(dialect, &[200, 429, 503, 529], &received_ids);
+    println!("{dialect}: {response_count} responses, {} requests forwarded", received_ids.len());
+    assert!(response_count > 60);
+}
+
+fn requests_get_one_response(dialect: &'static str) {
+    let replica = start_recording_replica(Script::ServeAfterMs(20));
+    let mut gateway = start_gateway(&[&replica.replica]);
+    let (addr, next, outcomes) = (gateway.front(dialect), AtomicUsize::new(1), Outcomes::default());
+    let (next, outcomes) = (&next, &outcomes);
     thread::scope(|scope| {
-        // They keep their connections, and send again at once.
+        // Clients that send the next request at once on the same connection.
         for _ in 0..6 {
             scope.spawn(move || {
-                while let Some(mut line) = Line::to(addr, front) {
+                while let Some(mut connection) = Connection::open(addr, dialect) {
                     loop {
-                        let id = Tally::fresh(next);
-                        let bytes = line.request("plain", 2900, id);
-                        line.send(&bytes);
-                        let told = line.outcome();
-                        let stays = told == ClientOutcome::Answer(200, false);
-                        tally.note(id, told);
-                        if !stays {
+                        let id = Outcomes::next_id(next);
+                        let bytes = connection.request("plain", 2900, id);
+                        connection.send(&bytes);
+                        let outcome = connection.read_response();
+                        let is_reusable = outcome == RequestOutcome::Complete(200, false);
+                        outcomes.record(id, outcome);
+                        if !is_reusable {
                             break;
                         }
                     }
                 }
             });
         }
-        // They have a part of their request there at SIGTERM, and the rest so long after it.
-        for after in [100, 600, 1000, 1600] {
-            let mut line = Line::to(addr, front).expect("it accepts");
-            let id = Tally::fresh(next);
-            let bytes = line.request("plain", 2900, id);
-            let (begin, rest) = bytes.split_at(bytes.len() / 2);
-            line.send(begin);
+        // Clients that send half of a request before SIGTERM, and the rest this many milliseconds after it.
+        for delay_ms in [100, 600, 1000, 1600] {
+            let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
+            let id = Outcomes::next_id(next);
+            let bytes = connection.request("plain", 2900, id);
+            let (start, rest) = bytes.split_at(bytes.len() / 2);
+            connection.send(start);
             let rest = rest.to_vec();
             scope.spawn(move || {
-                thread::sleep(ms(300 + after));
-                line.send(&rest);
-                let told = line.outcome();
-                assert_ne!(told, ClientOutcome::Closed, "a request that had begun to come");
-                tally.note(id, told);
+                thread::sleep(ms(300 + delay_ms));
+                connection.send(&rest);
+                let outcome = connection.read_response();
+                assert_ne!(
+                    outcome,
+                    RequestOutcome::Closed,
+                    "part of the request was received before SIGTERM"
+                );
+                outcomes.record(id, outcome);
             });
         }
         thread::sleep(ms(300));
         gateway.signal("-TERM");
-        let term = Instant::now();
-        // New connections, that say something at once or only later.
+        let sigterm_at = Instant::now();
+        // New connections, whose requests are sent at once or later.
         for n in 0..16 {
             scope.spawn(move || {
                 thread::sleep(ms(n % 4 * 100));
-                let mut line = Line::to(addr, front).expect("it accepts for a while");
+                let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
                 thread::sleep(ms(n / 4 * 200));
-                let id = Tally::fresh(next);
-                let bytes = line.request("plain", 2900, id);
-                line.send(&bytes);
-                tally.note(id, line.outcome());
+                let id = Outcomes::next_id(next);
+                let bytes = connection.request("plain", 2900, id);
+                connection.send(&bytes);
+                outcomes.record(id, connection.read_response());
             });
         }
-        assert_eq!(restart(&mut gateway, term), Some(0), "{front}");
-        let took = term.elapsed();
-        println!("{front}: ended {took:?} after SIGTERM");
+        assert_eq!(wait_for_exit(&mut gateway, sigterm_at), Some(0), "{dialect}");
+        let elapsed = sigterm_at.elapsed();
+        println!("{dialect}: exited {elapsed:?} after SIGTERM");
     });
-    let reached = quick.ids.lock().expect("whole").clone();
-    assert_eq!(reached.iter().collect::<BTreeSet<_>>().len(), reached.len(), "each is sent on once");
-    let answered = tally.holds(front, &[200, 429, 503, 529], &reached);
-    println!("{front}: {answered} answered, {} sent on", reached.len());
-    assert!(answered > 60);
+    check_responses(dialect, &replica, outcomes);
 }
 
 #[test]
-fn every_request_on_a_connection_that_stays_open_gets_its_one_answer() {
-    let all = DIALECTS.map(|front| thread::spawn(move || goes_on_sending(front)));
-    all.into_iter().for_each(|one| one.join().expect("it holds"));
+fn requests_on_open_connections_get_one_response_each() {
+    let tests = DIALECTS.map(|dialect| thread::spawn(move || requests_get_one_response(dialect)));
+    tests.into_iter().for_each(|test| test.join().expect("the test passes"));
 }
 
-fn streams_end_completely(front: &'static str) {
-    // SIGTERM comes 0.3 s after they began.
-    let long = working(Work::Streams(&[400, 700, 1200, 1700, 2300, 2800, 3300, 3500]));
-    let mut gateway = gateway(&[&long.server]);
-    let (addr, next, tally) = (gateway.front(front), AtomicUsize::new(1), Tally::default());
-    let (next, tally) = (&next, &tally);
+fn streams_are_completed(dialect: &'static str) {
+    // SIGTERM is sent 0.3 s after the start of the requests.
+    let replica =
+        start_recording_replica(Script::StreamForMs(&[400, 700, 1200, 1700, 2300, 2800, 3300, 3500]));
+    let mut gateway = start_gateway(&[&replica.replica]);
+    let (addr, next, outcomes) = (gateway.front(dialect), AtomicUsize::new(1), Outcomes::default());
+    let (next, outcomes) = (&next, &outcomes);
     thread::scope(|scope| {
-        let from = Instant::now();
+        let start = Instant::now();
         for n in 0..24 {
             scope.spawn(move || {
-                let mut line = Line::to(addr, front).expect("it accepts");
-                let id = Tally::fresh(next);
-                let bytes = line.request(if n % 3 == 0 { "once" } else { "plain" }, 9000, id);
-                line.send(&bytes);
-                let told = line.outcome();
-                let stays = told == ClientOutcome::Answer(200, false);
-                tally.note(id, told);
-                // Whoever may, asks again at once: it is answered, or the close crossed it.
-                if stays {
-                    let id = 1000 + Tally::fresh(next);
-                    let bytes = line.request("plain", 100, id);
-                    line.send(&bytes);
-                    tally.note(id, line.outcome());
+                let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
+                let id = Outcomes::next_id(next);
+                let bytes = connection.request(if n % 3 == 0 { "once" } else { "plain" }, 9000, id);
+                connection.send(&bytes);
+                let outcome = connection.read_response();
+                let is_reusable = outcome == RequestOutcome::Complete(200, false);
+                outcomes.record(id, outcome);
+                // One more request at once on a reusable connection: it gets a response, unless the gateway closes at
+                // the same time.
+                if is_reusable {
+                    let id = 1000 + Outcomes::next_id(next);
+                    let bytes = connection.request("plain", 100, id);
+                    connection.send(&bytes);
+                    outcomes.record(id, connection.read_response());
                 }
             });
         }
-        // Those that ask again are among them on a slow machine.
-        wait_until(|| long.server.requests.load(Ordering::SeqCst) >= 24);
-        thread::sleep(ms(300).saturating_sub(from.elapsed()));
+        // On a slow machine these include second requests.
+        wait_until(|| replica.replica.requests.load(Ordering::SeqCst) >= 24);
+        thread::sleep(ms(300).saturating_sub(start.elapsed()));
         gateway.signal("-TERM");
-        let term = Instant::now();
-        assert_eq!(restart(&mut gateway, term), Some(0), "{front}");
-        println!("{front}: ended {:?} after SIGTERM", term.elapsed());
+        let sigterm_at = Instant::now();
+        assert_eq!(wait_for_exit(&mut gateway, sigterm_at), Some(0), "{dialect}");
+        println!("{dialect}: exited {:?} after SIGTERM", sigterm_at.elapsed());
     });
-    let reached = long.ids.lock().expect("whole").clone();
-    tally.holds(front, &[200, 503, 504, 529], &reached);
-    let all = tally.0.lock().expect("whole");
-    let whole =
-        all.iter().filter(|(id, told)| *id < 1000 && matches!(told, ClientOutcome::Answer(200, _))).count();
-    assert_eq!(whole, 24, "{front}: all streams are passed on to their end");
+    let received_ids = replica.request_ids.lock().expect("lock").clone();
+    outcomes.check(dialect, &[200, 503, 504, 529], &received_ids);
+    let all = outcomes.0.lock().expect("lock");
+    let complete_count = all
+        .iter()
+        .filter(|(id, outcome)| *id < 1000 && matches!(outcome, RequestOutcome::Complete(200, _)))
+        .count();
+    assert_eq!(complete_count, 24, "{dialect}: all streams are forwarded completely");
 }
 
 #[test]
-fn every_stream_that_its_server_finishes_is_passed_on_to_its_end() {
-    let all = DIALECTS.map(|front| thread::spawn(move || streams_end_completely(front)));
-    all.into_iter().for_each(|one| one.join().expect("it holds"));
+fn streams_that_the_replica_completes_are_forwarded_completely() {
+    let tests = DIALECTS.map(|dialect| thread::spawn(move || streams_are_completed(dialect)));
+    tests.into_iter().for_each(|test| test.join().expect("the test passes"));
 }
 
-fn answered_before_sigkill(front: &'static str) {
-    // Enough of them that no want of good ones turns the late requests down.
-    let hung: Vec<Working> = (0..12).map(|_| working(Work::Hang)).collect();
-    let mut gateway = gateway(&hung.iter().map(|w| &w.server).collect::<Vec<_>>());
-    let (addr, next, tally) = (gateway.front(front), AtomicUsize::new(1), Tally::default());
-    let (next, tally) = (&next, &tally);
+fn late_requests_get_a_response(dialect: &'static str) {
+    // So many replicas that late requests are not shed for lack of usable ones.
+    let replicas: Vec<RecordingReplica> = (0..12).map(|_| start_recording_replica(Script::Hang)).collect();
+    let mut gateway = start_gateway(&replicas.iter().map(|replica| &replica.replica).collect::<Vec<_>>());
+    let (addr, next, outcomes) = (gateway.front(dialect), AtomicUsize::new(1), Outcomes::default());
+    let (next, outcomes) = (&next, &outcomes);
     thread::scope(|scope| {
-        // What came before SIGTERM, or within 0.7 s after it, has its time; what comes later has up to SIGKILL.
-        for (open, ask, deadline) in
+        // Requests received before SIGTERM, or within 0.7 s after it, have their full deadline; later ones have until
+        // SIGKILL. Milliseconds from SIGTERM to the connection and to the request, and the deadline.
+        for (connect_ms, send_ms, deadline_ms) in
             [(0, 0, 2900), (0, 400, 2900), (200, 500, 2900), (500, 1000, 2900), (500, 1100, 9000)]
         {
             scope.spawn(move || {
-                // SIGTERM comes after 100 ms.
-                thread::sleep(ms(100 + open));
-                let mut line = Line::to(addr, front).expect("it accepts for a while");
-                thread::sleep(ms(ask - open));
-                let id = Tally::fresh(next);
-                let bytes = line.request("once", deadline, id);
-                line.send(&bytes);
-                let told = line.outcome();
-                assert!(matches!(told, ClientOutcome::Answer(..)), "{front}, {open}, {ask}: {told:?}");
-                tally.note(id, told);
+                // SIGTERM is sent after 100 ms.
+                thread::sleep(ms(100 + connect_ms));
+                let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
+                thread::sleep(ms(send_ms - connect_ms));
+                let id = Outcomes::next_id(next);
+                let bytes = connection.request("once", deadline_ms, id);
+                connection.send(&bytes);
+                let outcome = connection.read_response();
+                assert!(
+                    matches!(outcome, RequestOutcome::Complete(..)),
+                    "{dialect}, {connect_ms}, {send_ms}: {outcome:?}"
+                );
+                outcomes.record(id, outcome);
             });
         }
-        for (rest, deadline) in [(900, 2900), (1500, 9000)] {
-            let mut line = Line::to(addr, front).expect("it accepts");
-            let id = Tally::fresh(next);
-            let bytes = line.request("once", deadline, id);
-            line.send(&bytes[..bytes.len() - 1]);
+        for (rest_ms, deadline_ms) in [(900, 2900), (1500, 9000)] {
+            let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
+            let id = Outcomes::next_id(next);
+            let bytes = connection.request("once", deadline_ms, id);
+            connection.send(&bytes[..bytes.len() - 1]);
             let last = bytes[bytes.len() - 1..].to_vec();
             scope.spawn(move || {
-                thread::sleep(ms(100 + rest));
-                line.send(&last);
-                let told = line.outcome();
-                assert!(matches!(told, ClientOutcome::Answer(..)), "{front}, whole after {rest}: {told:?}");
-                tally.note(id, told);
+                thread::sleep(ms(100 + rest_ms));
+                connection.send(&last);
+                let outcome = connection.read_response();
+                assert!(
+                    matches!(outcome, RequestOutcome::Complete(..)),
+                    "{dialect}, complete after {rest_ms} ms: {outcome:?}"
+                );
+                outcomes.record(id, outcome);
             });
         }
         thread::sleep(ms(100));
         gateway.signal("-TERM");
-        let term = Instant::now();
-        assert_eq!(restart(&mut gateway, term), Some(0), "{front}: something is unanswered");
-        println!("{front}: ended {:?} after SIGTERM", term.elapsed());
+        let sigterm_at = Instant::now();
+        assert_eq!(
+            wait_for_exit(&mut gateway, sigterm_at),
+            Some(0),
+            "{dialect}: no exit with code 0 before SIGKILL"
+        );
+        println!("{dialect}: exited {:?} after SIGTERM", sigterm_at.elapsed());
     });
-    let reached: Vec<u64> = hung.iter().flat_map(|w| w.ids.lock().expect("whole").clone()).collect();
-    assert_eq!(tally.holds(front, &[429, 503, 504, 529], &reached), 7);
+    let received_ids: Vec<u64> =
+        replicas.iter().flat_map(|replica| replica.request_ids.lock().expect("lock").clone()).collect();
+    assert_eq!(outcomes.check(dialect, &[429, 503, 504, 529], &received_ids), 7);
 }
 
 #[test]
-fn what_comes_late_is_answered_before_sigkill_though_its_server_hangs() {
-    let all = DIALECTS.map(|front| thread::spawn(move || answered_before_sigkill(front)));
-    all.into_iter().for_each(|one| one.join().expect("it holds"));
+fn late_requests_to_hung_replicas_get_a_response_before_sigkill() {
+    let tests = DIALECTS.map(|dialect| thread::spawn(move || late_requests_get_a_response(dialect)));
+    tests.into_iter().for_each(|test| test.join().expect("the test passes"));
 }
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -1,4 +1,5 @@
-//! Models of a connection's and a request's states, each checked against random steps with fixed seeds.
+//! The states of a request and of an edge connection, checked against models under random steps with fixed seeds; and
+//! directed cases of attempts, request framing and events.
 
 use std::cell::{Cell, RefCell};
 use std::io::Read;
@@ -33,48 +34,51 @@
     Limits::new(1024, 192, Duration::from_millis(150), Duration::from_secs(5))
 }
 
-/// What happens to a request, from outside.
+/// External event of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Move {
+enum Step {
     Event,
     End(Verdict),
     Reject,
-    Leave,
-    /// An ending and its client's leaving, seen together.
-    EndAndLeave(Verdict),
+    Disconnect,
+    /// The end of the attempt and the client's disconnect, noticed at the same time.
+    EndAndDisconnect(Verdict),
 }
 
-impl Arbitrary for Move {
-    fn arbitrary(g: &mut Gen) -> Move {
+impl Arbitrary for Step {
+    fn arbitrary(g: &mut Gen) -> Step {
         use Verdict::*;
-        let ends = [Ok, Error, Full, NoConnection, Reset, TimedOut, NotSent].map(Move::End);
-        let both = Move::EndAndLeave(*g.choose(&[Ok, Error, Full, NoConnection, Reset]).expect("some"));
-        let others = [Move::Event, Move::Event, Move::Event, Move::Event, Move::Reject, Move::Leave, both];
-        let from = if bool::arbitrary(g) { &ends[..] } else { &others[..] };
-        *g.choose(from).expect("some")
+        let endings = [Ok, Error, Full, NoConnection, Reset, TimedOut, NotSent].map(Step::End);
+        let both = Step::EndAndDisconnect(
+            *g.choose(&[Ok, Error, Full, NoConnection, Reset]).expect("a non-empty list"),
+        );
+        let others =
+            [Step::Event, Step::Event, Step::Event, Step::Event, Step::Reject, Step::Disconnect, both];
+        let choices = if bool::arbitrary(g) { &endings[..] } else { &others[..] };
+        *g.choose(choices).expect("a non-empty list")
     }
 }
 
-/// What a client was told, and what became of its attempts.
+/// What the client received, and the channels that feed the attempts.
 #[derive(Default)]
-struct Seen {
-    events: Cell<u32>,
-    finals: RefCell<Vec<&'static str>>,
-    out: RefCell<Vec<Sender<AttemptUpdate<()>>>>,
+struct Recorder {
+    event_count: Cell<u32>,
+    final_responses: RefCell<Vec<&'static str>>,
+    attempts: RefCell<Vec<Sender<AttemptUpdate<()>>>>,
 }
 
-struct FakeRunner(Rc<Seen>);
+struct StandInRunner(Rc<Recorder>);
 
-impl AttemptRunner<()> for FakeRunner {
+impl AttemptRunner<()> for StandInRunner {
     type Updates = Pin<Box<Receiver<AttemptUpdate<()>>>>;
     fn start_attempt(&self, _: ReplicaId, _: Duration, _: Duration) -> Self::Updates {
-        let (send, steps) = async_channel::unbounded();
-        self.0.out.borrow_mut().push(send);
-        Box::pin(steps)
+        let (sender, updates) = async_channel::unbounded();
+        self.0.attempts.borrow_mut().push(sender);
+        Box::pin(updates)
     }
 }
 
-/// No process follows.
+/// Handover without a successor process: every stream stays in this one.
 struct NoSuccessor;
 
 impl<S, A> StreamSuccessor<S, A> for NoSuccessor {
@@ -83,16 +87,16 @@
     }
 }
 
-struct FakeClient(Rc<Seen>, Pin<Box<Receiver<()>>>);
+struct StandInClient(Rc<Recorder>, Pin<Box<Receiver<()>>>);
 
-impl FakeClient {
-    fn record_answer(self, what: &'static str) {
-        self.0.finals.borrow_mut().push(what);
+impl StandInClient {
+    fn record_response(self, kind: &'static str) {
+        self.0.final_responses.borrow_mut().push(kind);
     }
 }
 
-impl Client<()> for FakeClient {
-    type Sink = FakeClient;
+impl Client<()> for StandInClient {
+    type Sink = StandInClient;
     async fn wait_for_disconnect(&mut self) {
         while self.1.next().await.is_some() {}
     }
@@ -102,21 +106,21 @@
     async fn abandon(self) {}
     async fn shed(self, wait: Duration) {
         assert!(wait <= Duration::from_secs(2));
-        self.record_answer("turned down");
+        self.record_response("shed");
     }
     async fn reject(self, Rejection { status, .. }: Rejection) {
         assert!((400..500).contains(&status));
-        self.record_answer("rejected");
+        self.record_response("rejected");
     }
     async fn fail(self, _: FailureReason) {
-        self.record_answer("failed");
+        self.record_response("failed");
     }
-    fn begin(self) -> FakeClient {
+    fn begin(self) -> StandInClient {
         self
     }
 }
 
-impl ResponseSink<()> for FakeClient {
+impl ResponseSink<()> for StandInClient {
     fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<Disconnect> {
         self.1.as_mut().poll_next(cx).map(|_| Disconnect::Closed)
     }
@@ -130,7 +134,7 @@
         false
     }
     fn queue(&mut self, (): ()) -> usize {
-        self.0.events.set(self.0.events.get() + 1);
+        self.0.event_count.set(self.0.event_count.get() + 1);
         1
     }
     fn queue_end(&mut self, _: Cause) -> usize {
@@ -140,12 +144,12 @@
         Poll::Ready(Ok(1))
     }
     fn finish(self) {
-        self.record_answer("served");
+        self.record_response("served");
     }
     fn abort(self) {
-        // A client that left is told nothing more.
+        // A client that disconnected receives no response.
         if !self.1.is_closed() {
-            self.record_answer("broken");
+            self.record_response("aborted");
         }
     }
 }
@@ -176,39 +180,41 @@
     }
 }
 
-/// The model: how many events were passed on, how often it was scheduled, and its one final answer.
+/// Expected state of a request: forwarded events, attempts so far, and its only final response.
 #[derive(Debug, PartialEq)]
 struct Model {
-    events: u32,
-    attempts: usize,
-    answer: Option<&'static str>,
-    over: bool,
+    event_count: u32,
+    attempt_count: usize,
+    response: Option<&'static str>,
+    is_finished: bool,
 }
 
 impl Model {
-    fn take(&mut self, step: Move, safe: bool) {
-        let begun = self.events > 0;
-        let never_ran = matches!(step, Move::End(Verdict::Full | Verdict::NoConnection | Verdict::NotSent));
+    fn apply(&mut self, step: Step, is_safe: bool) {
+        let has_begun = self.event_count > 0;
+        let was_not_run =
+            matches!(step, Step::End(Verdict::Full | Verdict::NoConnection | Verdict::NotSent));
         match step {
-            _ if self.over => return,
-            Move::Event => self.events += 1,
-            // Whatever came with it calls for nothing more.
-            Move::Leave | Move::EndAndLeave(_) => {}
-            // Once it has begun, a replica can't take that back.
-            Move::Reject => self.answer = Some(if begun { "broken" } else { "rejected" }),
-            Move::End(verdict) if begun => {
-                self.answer = Some(if verdict == Verdict::Ok { "served" } else { "broken" });
+            _ if self.is_finished => return,
+            Step::Event => self.event_count += 1,
+            // The end that arrives with the disconnect has no effect.
+            Step::Disconnect | Step::EndAndDisconnect(_) => {}
+            // After the first event a replica can't reject the request any more.
+            Step::Reject => self.response = Some(if has_begun { "aborted" } else { "rejected" }),
+            Step::End(verdict) if has_begun => {
+                self.response = Some(if verdict == Verdict::Ok { "served" } else { "aborted" });
             }
-            // Again elsewhere while it does no harm and attempts are left.
-            Move::End(_) if (safe || never_ran) && self.attempts < 3 => self.attempts += 1,
-            Move::End(_) => self.answer = Some(if safe || never_ran { "turned down" } else { "failed" }),
+            // Retried on another replica if that is safe and attempts remain.
+            Step::End(_) if (is_safe || was_not_run) && self.attempt_count < 3 => self.attempt_count += 1,
+            Step::End(_) => self.response = Some(if is_safe || was_not_run { "shed" } else { "failed" }),
         }
-        self.over = matches!(step, Move::Leave | Move::EndAndLeave(_)) || self.answer.is_some();
+        self.is_finished =
+            matches!(step, Step::Disconnect | Step::EndAndDisconnect(_)) || self.response.is_some();
     }
 }
 
-/// A replica that is ready.
-fn member(n: u64) -> Member {
+/// List entry of a ready replica.
+fn ready_member(n: u64) -> Member {
     Member {
         id: ReplicaId::from(format!("s-{n}").as_str()),
         units: 1.0,
@@ -233,89 +239,93 @@
     }
 }
 
-/// Lets a step happen: at the latest attempt, or at the client, which stays until `stay` is closed.
-fn deliver(step: Move, last: &Sender<AttemptUpdate<()>>, stay: &Sender<()>) {
+/// Applies a step to the latest attempt, or to the client, which disconnects when `connection` is closed.
+fn deliver(step: Step, attempt: &Sender<AttemptUpdate<()>>, connection: &Sender<()>) {
     match step {
-        Move::Event => {
-            drop(last.try_send(AttemptUpdate::Events((), Arrival { events: 1, ..Arrival::default() })));
+        Step::Event => {
+            drop(attempt.try_send(AttemptUpdate::Events((), Arrival { events: 1, ..Arrival::default() })));
         }
-        Move::End(verdict) => drop(last.try_send(AttemptUpdate::Ended(AttemptOutcome::from(verdict)))),
-        Move::Reject => {
-            drop(last.try_send(AttemptUpdate::Rejected(Rejection { status: 400, message: String::new() })));
+        Step::End(verdict) => drop(attempt.try_send(AttemptUpdate::Ended(AttemptOutcome::from(verdict)))),
+        Step::Reject => {
+            drop(
+                attempt
+                    .try_send(AttemptUpdate::Rejected(Rejection { status: 400, message: String::new() })),
+            );
         }
-        Move::Leave => drop(stay.close()),
-        Move::EndAndLeave(verdict) => {
-            let _ = last.try_send(AttemptUpdate::Ended(AttemptOutcome::from(verdict)));
-            stay.close();
+        Step::Disconnect => drop(connection.close()),
+        Step::EndAndDisconnect(verdict) => {
+            let _ = attempt.try_send(AttemptUpdate::Ended(AttemptOutcome::from(verdict)));
+            connection.close();
         }
     }
 }
 
-fn follows_its_model(moves: Vec<Move>, safe: bool) -> bool {
-    let effect = if safe { Effect::Safe } else { Effect::Unsafe };
-    let (engine, _orders) = Engine::new(settings(effect), 1, &limits()).expect("good settings");
-    engine.update_list(ListKind::Persisted, (0..4).map(member).collect());
-    let seen = Rc::new(Seen::default());
-    let (stay, staying) = async_channel::bounded(1);
-    let ex = LocalExecutor::new();
-    let (client, runner) = (FakeClient(seen.clone(), Box::pin(staying)), FakeRunner(seen.clone()));
+fn request_matches_model(steps: Vec<Step>, is_safe: bool) -> bool {
+    let effect = if is_safe { Effect::Safe } else { Effect::Unsafe };
+    let (engine, _commands) = Engine::new(settings(effect), 1, &limits()).expect("valid settings");
+    engine.update_list(ListKind::Persisted, (0..4).map(ready_member).collect());
+    let recorder = Rc::new(Recorder::default());
+    let (connection, disconnect) = async_channel::bounded(1);
+    let executor = LocalExecutor::new();
+    let (client, runner) =
+        (StandInClient(recorder.clone(), Box::pin(disconnect)), StandInRunner(recorder.clone()));
     let core = engine.clone();
-    let life = ex.spawn(async move {
+    let request_task = executor.spawn(async move {
         let request = sample_placement();
         engine::serve(&core, &request, &runner, client, &NoSuccessor).await;
     });
-    let settle = || while ex.try_tick() {};
-    settle();
-    let mut model = Model { events: 0, attempts: 1, answer: None, over: false };
-    for step in moves {
-        let last = seen.out.borrow().last().cloned().expect("a first attempt");
-        deliver(step, &last, &stay);
-        settle();
-        model.take(step, safe);
-        let answers = seen.finals.borrow();
-        assert!(answers.len() <= 1, "two final answers: {answers:?}");
-        let is = Model {
-            events: seen.events.get(),
-            attempts: seen.out.borrow().len(),
-            answer: answers.first().copied(),
-            over: life.is_finished(),
+    let run_pending_tasks = || while executor.try_tick() {};
+    run_pending_tasks();
+    let mut model = Model { event_count: 0, attempt_count: 1, response: None, is_finished: false };
+    for step in steps {
+        let attempt = recorder.attempts.borrow().last().cloned().expect("a first attempt");
+        deliver(step, &attempt, &connection);
+        run_pending_tasks();
+        model.apply(step, is_safe);
+        let responses = recorder.final_responses.borrow();
+        assert!(responses.len() <= 1, "more than one final response: {responses:?}");
+        let actual = Model {
+            event_count: recorder.event_count.get(),
+            attempt_count: recorder.attempts.borrow().len(),
+            response: responses.first().copied(),
+            is_finished: request_task.is_finished(),
         };
-        assert_eq!(is, model, "after {step:?}");
-        // What is over holds nothing: no request in the engine, no attempt's connection.
-        assert_eq!(engine.request_count(), usize::from(!model.over));
-        let open = seen.out.borrow().iter().filter(|s| !s.is_closed()).count();
-        assert_eq!(open, usize::from(!model.over));
+        assert_eq!(actual, model, "after {step:?}");
+        // A finished request uses no resources: it is not in the engine, and its attempts are closed.
+        assert_eq!(engine.request_count(), usize::from(!model.is_finished));
+        let open_count = recorder.attempts.borrow().iter().filter(|attempt| !attempt.is_closed()).count();
+        assert_eq!(open_count, usize::from(!model.is_finished));
     }
     true
 }
 
 #[test]
-fn a_request_follows_its_model_whatever_happens() {
-    check(11).quickcheck(follows_its_model as fn(Vec<Move>, bool) -> bool);
+fn a_request_matches_its_model_under_random_events() {
+    check(11).quickcheck(request_matches_model as fn(Vec<Step>, bool) -> bool);
 }
 
 #[test]
-fn an_address_that_a_new_server_has_taken_ends_the_old_id() {
+fn a_new_replica_on_a_known_address_removes_the_old_id() {
     let fleet = Fleet::new(Rc::new(limits()), Box::new(|_| Vec::new()));
-    let learn = |id: &str, started_ms| {
+    let apply = |id: &str, started_ms| {
         let entry = entry(id, "127.0.0.1:9", State::Ready, started_ms);
         fleet.apply_entry(&entry, Dialect::Platform).iter().map(|id| id.0.to_string()).collect::<Vec<_>>()
     };
-    assert!(learn("old", 0.0).is_empty());
-    assert_eq!(learn("new", 5.0), ["old"]);
-    assert_eq!(learn("old", 0.0), ["old"], "a list that is behind does not bring it back");
-    assert!(learn("new", 5.0).is_empty());
+    assert!(apply("old", 0.0).is_empty());
+    assert_eq!(apply("new", 5.0), ["old"]);
+    assert_eq!(apply("old", 0.0), ["old"], "an outdated list does not add it again");
+    assert!(apply("new", 5.0).is_empty());
 }
 
 #[test]
-fn a_want_of_connections_here_is_not_the_servers_failure() {
+fn exhausted_local_connections_are_no_replica_failure() {
     let mut limits_without_connections = limits();
     limits_without_connections.replicas.connections = 0;
     let fleet = Rc::new(Fleet::new(Rc::new(limits_without_connections), Box::new(|_| Vec::new())));
     fleet.apply_entry(&entry("s-1", "127.0.0.1:9", State::Ready, 0.0), Dialect::Platform);
-    let mut steps =
+    let mut updates =
         dispatch(&fleet).start_attempt(ReplicaId::from("s-1"), Duration::from_secs(20), Duration::MAX);
-    match async_io::block_on(steps.next()) {
+    match async_io::block_on(updates.next()) {
         Some(AttemptUpdate::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
         other => panic!("{other:?}"),
     }
@@ -335,46 +345,46 @@
 }
 
 #[test]
-fn a_drain_stops_a_scheduling_whose_connection_is_just_coming_up() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+fn a_drain_cancels_an_attempt_whose_connection_is_opening() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let limits = Rc::new(Limits::new(1024, 192, Duration::from_secs(20), Duration::from_secs(5)));
     let fleet = Rc::new(Fleet::new(limits, Box::new(|_| Vec::new())));
-    let learn = |state| {
+    let apply = |state| {
         let addr = listener.local_addr().expect("an address").to_string();
         let entry = entry("s-1", &addr, state, 0.0);
         fleet.apply_entry(&entry, Dialect::Platform);
     };
-    learn(State::Ready);
-    let mut steps =
+    apply(State::Ready);
+    let mut updates =
         dispatch(&fleet).start_attempt(ReplicaId::from("s-1"), Duration::from_secs(20), Duration::MAX);
     async_io::block_on(async {
-        assert!(future::poll_once(steps.next()).await.is_none(), "the connection is under way");
-        learn(State::Draining);
-        match steps.next().await {
+        assert!(future::poll_once(updates.next()).await.is_none(), "the connection is being opened");
+        apply(State::Draining);
+        match updates.next().await {
             Some(AttemptUpdate::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
             other => panic!("{other:?}"),
         }
     });
     let (mut stream, _) = listener.accept().expect("a connection");
-    assert_eq!(stream.read(&mut [0]).expect("closed in order"), 0, "nothing was sent");
+    assert_eq!(stream.read(&mut [0]).expect("closed without a reset"), 0, "no byte was sent");
 }
 
-/// A request as a client may write it.
+/// A request in the framing that its client chose.
 #[derive(Clone, Debug)]
-struct Sent {
+struct ClientRequest {
     path: u8,
     body: Vec<u8>,
-    /// Sizes of chunks; a stated length if there are none.
+    /// Sizes of the chunks. If empty, the request has a `Content-Length`.
     chunks: Vec<u8>,
 }
 
-impl Arbitrary for Sent {
-    fn arbitrary(g: &mut Gen) -> Sent {
-        Sent { path: u8::arbitrary(g), body: Vec::arbitrary(g), chunks: Vec::arbitrary(g) }
+impl Arbitrary for ClientRequest {
+    fn arbitrary(g: &mut Gen) -> ClientRequest {
+        ClientRequest { path: u8::arbitrary(g), body: Vec::arbitrary(g), chunks: Vec::arbitrary(g) }
     }
 }
 
-impl Sent {
+impl ClientRequest {
     fn bytes(&self) -> Vec<u8> {
         let mut out = format!("POST /{} HTTP/1.1\r\nHost: a\r\n", self.path).into_bytes();
         if self.chunks.is_empty() {
@@ -385,11 +395,11 @@
         out.extend(b"Transfer-Encoding: chunked\r\n\r\n");
         let mut rest = &self.body[..];
         for size in &self.chunks {
-            let (chunk, left) = rest.split_at(usize::from(*size).min(rest.len()));
+            let (chunk, remaining) = rest.split_at(usize::from(*size).min(rest.len()));
             if !chunk.is_empty() {
                 out.extend(codec::chunk(chunk));
             }
-            rest = left;
+            rest = remaining;
         }
         if !rest.is_empty() {
             out.extend(codec::chunk(rest));
@@ -399,12 +409,13 @@
     }
 }
 
-/// An edge connection's reading side: between requests, in a head, or in a body.
+/// Reads requests as an edge connection does. `body` is the path, framing and bytes of a request whose body is
+/// incomplete.
 #[derive(Default)]
 struct Reader {
     buf: Vec<u8>,
     body: Option<(String, Body, Vec<u8>)>,
-    whole: Vec<(String, Vec<u8>)>,
+    requests: Vec<(String, Vec<u8>)>,
 }
 
 impl Reader {
@@ -419,48 +430,48 @@
             if !framing.take(&mut self.buf, body, &limits.wire)? {
                 return Ok(());
             }
-            let (path, _, body) = self.body.take().expect("just read");
-            self.whole.push((path, body));
+            let (path, _, body) = self.body.take().expect("set above");
+            self.requests.push((path, body));
         }
     }
 }
 
 #[test]
-fn pipelined_requests_come_out_complete_however_they_are_split() {
-    fn same(requests: Vec<Sent>, cuts: Vec<u8>) -> bool {
-        let bytes: Vec<u8> = requests.iter().flat_map(Sent::bytes).collect();
+fn pipelined_requests_are_parsed_completely_in_any_pieces() {
+    fn parsed_unchanged(requests: Vec<ClientRequest>, cuts: Vec<u8>) -> bool {
+        let bytes: Vec<u8> = requests.iter().flat_map(ClientRequest::bytes).collect();
         let (mut reader, mut rest, limits) = (Reader::default(), &bytes[..], limits());
-        for cut in cuts.iter().cycle().chain([&0]).take(bytes.len()) {
-            let (piece, left) = rest.split_at((usize::from(*cut) + 1).min(rest.len()));
-            reader.push(piece, &limits).expect("in order");
-            rest = left;
+        for size in cuts.iter().cycle().chain([&0]).take(bytes.len()) {
+            let (piece, remaining) = rest.split_at((usize::from(*size) + 1).min(rest.len()));
+            reader.push(piece, &limits).expect("a valid request");
+            rest = remaining;
         }
-        reader.push(rest, &limits).expect("in order");
+        reader.push(rest, &limits).expect("a valid request");
         let sent: Vec<_> = requests.iter().map(|r| (format!("/{}", r.path), r.body.clone())).collect();
-        reader.whole == sent && reader.buf.is_empty() && reader.body.is_none()
+        reader.requests == sent && reader.buf.is_empty() && reader.body.is_none()
     }
-    check(12).quickcheck(same as fn(Vec<Sent>, Vec<u8>) -> bool);
+    check(12).quickcheck(parsed_unchanged as fn(Vec<ClientRequest>, Vec<u8>) -> bool);
 }
 
 #[test]
-fn spoilt_requests_never_panic_and_never_grow_beyond_their_bound() {
-    fn bounded(requests: Vec<Sent>, spoils: Vec<(u16, u8)>) -> bool {
-        let mut bytes: Vec<u8> = requests.iter().flat_map(Sent::bytes).collect();
-        for (at, byte) in spoils {
+fn corrupted_requests_parse_or_get_a_status_of_400_to_505() {
+    fn parses_or_fails(requests: Vec<ClientRequest>, changes: Vec<(u16, u8)>) -> bool {
+        let mut bytes: Vec<u8> = requests.iter().flat_map(ClientRequest::bytes).collect();
+        for (at, byte) in changes {
             let at = usize::from(at) % bytes.len().max(1);
-            if let Some(place) = bytes.get_mut(at) {
-                *place = byte;
+            if let Some(target) = bytes.get_mut(at) {
+                *target = byte;
             }
         }
         let (mut reader, limits) = (Reader::default(), limits());
-        let end = reader.push(&bytes, &limits);
-        end.is_ok() || end.is_err_and(|bad| (400..=505).contains(&bad.status()))
+        let result = reader.push(&bytes, &limits);
+        result.is_ok() || result.is_err_and(|error| (400..=505).contains(&error.status()))
     }
-    check(13).quickcheck(bounded as fn(Vec<Sent>, Vec<(u16, u8)>) -> bool);
+    check(13).quickcheck(parses_or_fails as fn(Vec<ClientRequest>, Vec<(u16, u8)>) -> bool);
 }
 
 #[test]
-fn what_two_readers_could_take_for_different_requests_is_refused() {
+fn ambiguously_framed_requests_are_rejected() {
     for (status, head) in [
         (400, "Content-Length: 3\r\nContent-Length: 3\r\n"),
         (400, "Content-Length: 3, 3\r\n"),
@@ -475,10 +486,10 @@
         (400, "Host: b\r\n"),
     ] {
         let bytes = format!("POST / HTTP/1.1\r\nHost: a\r\n{head}\r\nabc");
-        let end = Reader::default().push(bytes.as_bytes(), &limits());
-        assert_eq!(end.map_err(codec::ParseError::status), Err(status), "{head:?}");
+        let result = Reader::default().push(bytes.as_bytes(), &limits());
+        assert_eq!(result.map_err(codec::ParseError::status), Err(status), "{head:?}");
     }
-    // What can't become right is refused at once, whether or not more comes.
+    // Chunks that can't become valid are rejected at once, before further bytes arrive.
     for (status, chunks) in [
         (400, "-1\r\n"),
         (400, "fffffffff\r\n"),
@@ -490,15 +501,15 @@
         (413, "b2d05e00\r\n"),
     ] {
         let bytes = format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
-        let end = Reader::default().push(bytes.as_bytes(), &limits());
-        assert_eq!(end.map_err(codec::ParseError::status), Err(status), "{chunks:?}");
+        let result = Reader::default().push(bytes.as_bytes(), &limits());
+        assert_eq!(result.map_err(codec::ParseError::status), Err(status), "{chunks:?}");
     }
     assert!(codec::response_head(&mut b"noise".to_vec(), &limits().wire).is_err());
 }
 
 #[test]
-fn events_come_out_unchanged_however_they_are_split() {
-    fn same(lines: Vec<u8>, cuts: Vec<u8>) -> bool {
+fn events_are_parsed_unchanged_in_any_pieces() {
+    fn parsed_unchanged(lines: Vec<u8>, cuts: Vec<u8>) -> bool {
         let events: Vec<String> = lines
             .iter()
             .map(|n| match n % 4 {
@@ -510,18 +521,19 @@
             .collect();
         let bytes = events.concat().into_bytes();
         let (mut rest, mut buf, mut out, mut scanned) = (&bytes[..], Vec::new(), Vec::new(), 0);
-        for cut in cuts.iter().cycle().chain([&0]).take(bytes.len()).chain([&255]) {
-            let size = if *cut == 255 { rest.len() } else { (usize::from(*cut) + 1).min(rest.len()) };
-            let (piece, left) = rest.split_at(size);
+        for size in cuts.iter().cycle().chain([&0]).take(bytes.len()).chain([&255]) {
+            let size = if *size == 255 { rest.len() } else { (usize::from(*size) + 1).min(rest.len()) };
+            let (piece, remaining) = rest.split_at(size);
             buf.extend_from_slice(piece);
-            rest = left;
-            let batch = codec::sse_batch(&mut buf, &mut scanned, &limits().wire).expect("small");
+            rest = remaining;
+            let batch = codec::sse_batch(&mut buf, &mut scanned, &limits().wire)
+                .expect("an event within its bound");
             let blocks = codec::sse_blocks(&batch).map(|b| String::from_utf8(b.0.to_vec()).expect("UTF-8"));
             out.extend(blocks);
         }
         out == events && buf.is_empty()
     }
-    check(14).quickcheck(same as fn(Vec<u8>, Vec<u8>) -> bool);
-    let mut endless = vec![b'x'; limits().wire.event_bytes + 1];
-    assert!(codec::sse_batch(&mut endless, &mut 0, &limits().wire).is_err());
+    check(14).quickcheck(parsed_unchanged as fn(Vec<u8>, Vec<u8>) -> bool);
+    let mut oversized = vec![b'x'; limits().wire.event_bytes + 1];
+    assert!(codec::sse_batch(&mut oversized, &mut 0, &limits().wire).is_err());
 }
