--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,5 +1,5 @@
-//! The whole program on loopback: stand-in clients of each dialect against stand-in replicas of each, with
-//! a stand-in discovery. Whatever the pairing, the same trouble must come to the same outcome.
+//! The gateway program on loopback, with stand-in clients and replicas of each dialect and a stand-in list service. A
+//! fault must have the same outcome for all pairs of dialects.
 
 mod support;
 
@@ -15,99 +15,104 @@
 
 use support::*;
 
-/// One trouble at the only replica, in all pairings.
-fn everywhere(behavior: ReplicaBehavior, class: &str, deadline_ms: u32, expected: ClientOutcome) {
+/// Checks the outcome of a behaviour of the only replica, for all pairs of dialects.
+fn check_all_pairs(behavior: ReplicaBehavior, class: &str, deadline_ms: u32, expected: ClientOutcome) {
     for (client, dialect) in DIALECT_PAIRS {
-        let server = start_replica(dialect, behavior);
-        let gateway = Gateway::start(dialect, vec![replica_entry(0, &server, "ready", 0)], 1);
-        let (seen, _) = gateway.exchange(client, class, deadline_ms, 1);
-        assert_eq!(seen, expected, "{behavior:?} of class {class}: client {client}, server {dialect}");
-        assert_eq!(server.requests.load(Ordering::SeqCst), 1, "one attempt, never sent again silently");
+        let replica = start_replica(dialect, behavior);
+        let gateway = Gateway::start(dialect, vec![replica_entry(0, &replica, "ready", 0)], 1);
+        let (outcome, _) = gateway.exchange(client, class, deadline_ms, 1);
+        assert_eq!(outcome, expected, "{behavior:?}, class {class}: client {client}, replica {dialect}");
+        assert_eq!(replica.requests.load(Ordering::SeqCst), 1, "exactly one attempt");
         if behavior == ReplicaBehavior::NoResponse {
-            server.connection_ends.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection closes");
+            replica.connection_ends.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
         }
     }
 }
 
 #[test]
-fn a_served_request_is_served_in_all_pairings() {
-    everywhere(ReplicaBehavior::Serve, "plain", 9000, ClientOutcome::Served("Hello".into()));
+fn a_served_request_is_served_for_all_pairs_of_dialects() {
+    check_all_pairs(ReplicaBehavior::Serve, "plain", 9000, ClientOutcome::Served("Hello".into()));
 }
 
 #[test]
-fn what_was_turned_away_is_turned_down_in_the_clients_dialect() {
-    everywhere(ReplicaBehavior::Overloaded, "plain", 9000, ClientOutcome::Shed);
-    everywhere(ReplicaBehavior::Overloaded, "once", 9000, ClientOutcome::Shed);
+fn a_refusal_of_the_replica_is_shed_in_the_clients_dialect() {
+    check_all_pairs(ReplicaBehavior::Overloaded, "plain", 9000, ClientOutcome::Shed);
+    check_all_pairs(ReplicaBehavior::Overloaded, "once", 9000, ClientOutcome::Shed);
 }
 
 #[test]
-fn errors_turn_down_what_may_be_repeated_and_fail_what_may_not() {
-    everywhere(ReplicaBehavior::InternalError, "plain", 9000, ClientOutcome::Shed);
-    everywhere(ReplicaBehavior::InternalError, "once", 9000, ClientOutcome::Failed);
-    everywhere(ReplicaBehavior::ErrorEvent, "once", 9000, ClientOutcome::Failed);
+fn errors_shed_safe_requests_and_fail_unsafe_ones() {
+    check_all_pairs(ReplicaBehavior::InternalError, "plain", 9000, ClientOutcome::Shed);
+    check_all_pairs(ReplicaBehavior::InternalError, "once", 9000, ClientOutcome::Failed);
+    check_all_pairs(ReplicaBehavior::ErrorEvent, "once", 9000, ClientOutcome::Failed);
 }
 
 #[test]
-fn resets_turn_down_what_may_be_repeated_and_fail_what_may_not() {
-    everywhere(ReplicaBehavior::CloseWithoutResponse, "plain", 9000, ClientOutcome::Shed);
-    everywhere(ReplicaBehavior::CloseWithoutResponse, "once", 9000, ClientOutcome::Failed);
+fn closed_connections_shed_safe_requests_and_fail_unsafe_ones() {
+    check_all_pairs(ReplicaBehavior::CloseWithoutResponse, "plain", 9000, ClientOutcome::Shed);
+    check_all_pairs(ReplicaBehavior::CloseWithoutResponse, "once", 9000, ClientOutcome::Failed);
 }
 
 #[test]
-fn an_unresponsive_replica_ends_at_the_deadline_and_the_attempts_connection_closes() {
-    everywhere(ReplicaBehavior::NoResponse, "once", 300, ClientOutcome::Failed);
+fn an_unresponsive_replica_is_abandoned_at_the_deadline() {
+    check_all_pairs(ReplicaBehavior::NoResponse, "once", 300, ClientOutcome::Failed);
 }
 
 #[test]
 fn a_broken_stream_ends_without_its_last_chunk() {
-    everywhere(ReplicaBehavior::CloseMidStream, "plain", 9000, ClientOutcome::Truncated("Hel".into()));
-    everywhere(ReplicaBehavior::ErrorEventAfterText, "plain", 9000, ClientOutcome::Truncated("Hel".into()));
+    check_all_pairs(ReplicaBehavior::CloseMidStream, "plain", 9000, ClientOutcome::Truncated("Hel".into()));
+    check_all_pairs(
+        ReplicaBehavior::ErrorEventAfterText,
+        "plain",
+        9000,
+        ClientOutcome::Truncated("Hel".into()),
+    );
 }
 
 #[test]
-fn a_spoilt_answer_fails_its_scheduling_or_cuts_its_client_off() {
+fn a_malformed_response_fails_the_attempt_or_truncates_a_stream() {
     for behavior in [ReplicaBehavior::GarbageHead, ReplicaBehavior::PartialHead] {
-        everywhere(behavior, "plain", 9000, ClientOutcome::Shed);
-        everywhere(behavior, "once", 9000, ClientOutcome::Failed);
+        check_all_pairs(behavior, "plain", 9000, ClientOutcome::Shed);
+        check_all_pairs(behavior, "once", 9000, ClientOutcome::Failed);
     }
-    everywhere(ReplicaBehavior::PartialChunk, "plain", 9000, ClientOutcome::Truncated("Hel".into()));
-    let from = Instant::now();
-    everywhere(ReplicaBehavior::StallMidStream, "plain", 9000, ClientOutcome::Truncated("Hel".into()));
-    // Each within 5 s where the machine has the time; all four were two minutes once.
-    assert!(from.elapsed() < 2 * TEST_TIMEOUT);
-    everywhere(ReplicaBehavior::HugeChunk, "plain", 9000, ClientOutcome::Truncated("Hel".into()));
+    check_all_pairs(ReplicaBehavior::PartialChunk, "plain", 9000, ClientOutcome::Truncated("Hel".into()));
+    let start = Instant::now();
+    check_all_pairs(ReplicaBehavior::StallMidStream, "plain", 9000, ClientOutcome::Truncated("Hel".into()));
+    // Each pair takes less than 5 s on an idle machine. Guards against a stall that took two minutes for all four.
+    assert!(start.elapsed() < 2 * TEST_TIMEOUT);
+    check_all_pairs(ReplicaBehavior::HugeChunk, "plain", 9000, ClientOutcome::Truncated("Hel".into()));
 }
 
 #[test]
-fn what_a_good_answer_brings_besides_is_skipped_and_its_connection_not_used_again() {
-    let server = start_replica("platform", ReplicaBehavior::SurplusResponses);
-    let gateway = Gateway::start("platform", vec![replica_entry(0, &server, "ready", 0)], 1);
+fn surplus_responses_are_skipped_and_retire_the_connection() {
+    let replica = start_replica("platform", ReplicaBehavior::SurplusResponses);
+    let gateway = Gateway::start("platform", vec![replica_entry(0, &replica, "ready", 0)], 1);
     for session in 0..3 {
         assert_eq!(
             gateway.exchange("platform", "once", 9000, session).0,
             ClientOutcome::Served("Hello".into())
         );
-        server.connection_ends.recv_timeout(TEST_TIMEOUT).expect("the connection is retired");
+        replica.connection_ends.recv_timeout(TEST_TIMEOUT).expect("the connection is retired");
     }
 }
 
 #[test]
-fn a_request_that_a_real_server_rejects_is_not_tried_on_the_others() {
+fn a_request_that_a_replica_rejects_is_not_retried() {
     for (client, dialect) in DIALECT_PAIRS {
-        let server = start_replica(dialect, ReplicaBehavior::Unprocessable);
-        let entries = (0..3).map(|n| replica_entry(n, &server, "ready", 0)).collect();
+        let replica = start_replica(dialect, ReplicaBehavior::Unprocessable);
+        let entries = (0..3).map(|n| replica_entry(n, &replica, "ready", 0)).collect();
         let gateway = Gateway::start(dialect, entries, 3);
         assert_eq!(gateway.exchange(client, "plain", 9000, 1).0, ClientOutcome::Failed);
-        assert_eq!(server.requests.load(Ordering::SeqCst), 1);
+        assert_eq!(replica.requests.load(Ordering::SeqCst), 1);
     }
 }
 
 #[test]
-fn a_second_request_under_an_open_id_gets_a_conflict_and_the_first_its_answer() {
-    let server = start_replica("platform", ReplicaBehavior::NoResponse);
-    let gateway = Gateway::start("platform", vec![replica_entry(0, &server, "ready", 0)], 1);
+fn a_duplicate_id_gets_409_and_the_first_request_its_response() {
+    let replica = start_replica("platform", ReplicaBehavior::NoResponse);
+    let gateway = Gateway::start("platform", vec![replica_entry(0, &replica, "ready", 0)], 1);
     let first = gateway.send("platform", "once", 2000, 7);
-    wait_until(|| server.requests.load(Ordering::SeqCst) > 0);
+    wait_until(|| replica.requests.load(Ordering::SeqCst) > 0);
     for dialect in ["platform", "messages"] {
         let body = json!({"model": "m", "max_tokens": 1, "stream": true, "messages": [{"role": "user", "content": "?"}]});
         let (path, body) =
@@ -120,32 +125,32 @@
         assert_eq!(statuses(&gateway, dialect, &[&request]), [409], "{dialect}");
     }
     assert_eq!(read_outcome("platform", first).0, ClientOutcome::Failed);
-    assert_eq!(server.requests.load(Ordering::SeqCst), 1);
+    assert_eq!(replica.requests.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn clients_that_say_nothing_or_half_of_it_hold_no_place_for_long() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let servers = vec![replica_entry(0, &server, "ready", 0)];
-    let gateway = Gateway::attach(Gateway::spawn("n0", "platform", servers, 1, (1024, 64), json!({})));
-    // Far sooner than an idle connection's end of old, on a machine of any speed.
-    let from = Instant::now();
+fn silent_and_partial_requests_do_not_block_other_clients() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let entries = vec![replica_entry(0, &replica, "ready", 0)];
+    let gateway = Gateway::attach(Gateway::spawn("n0", "platform", entries, 1, (1024, 64), json!({})));
+    // Far less than the idle timeout of an earlier version, on a machine of any speed.
+    let start = Instant::now();
     for dialect in ["platform", "messages"] {
         assert_eq!(statuses(&gateway, dialect, &[]), [0; 0]);
         assert_eq!(statuses(&gateway, dialect, &["POST /v1/messages HTTP/1.1\r\nHo"]), [408]);
     }
-    assert!(from.elapsed() < TEST_TIMEOUT);
-    // More than there are places for; who has something to say is heard all the same.
-    let crowd: Vec<TcpStream> =
+    assert!(start.elapsed() < TEST_TIMEOUT);
+    // More connections than slots; a client that sends a request is still served.
+    let idle_clients: Vec<TcpStream> =
         (0..200).map(|n| gateway.connect(["platform", "messages"][n % 2])).collect();
     for dialect in ["platform", "messages"] {
         assert_eq!(gateway.exchange(dialect, "plain", 9000, 1).0, ClientOutcome::Served("Hello".into()));
     }
-    drop(crowd);
+    drop(idle_clients);
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_a_bad_one_changes_nothing() {
+fn a_reload_moves_discovery_and_ignores_an_invalid_file() {
     let (one, two) = (
         start_replica("platform", ReplicaBehavior::Serve),
         start_replica("platform", ReplicaBehavior::Serve),
@@ -167,7 +172,7 @@
         start_discovery(replica_list(3, true, vec![replica_entry(1, &two, "ready", 0)]));
     let mut config: Value = serde_json::from_str(&good).expect("JSON");
     config["discovery"] = addr.to_string().into();
-    // A second address can't come while it serves.
+    // The operators' address can't be added while the process runs.
     config["mgmt"] = "127.0.0.1:1".into();
     std::fs::write(&path, config.to_string()).expect("written");
     gateway.signal("-HUP");
@@ -175,50 +180,50 @@
     assert_eq!(gateway.exchange("messages", "plain", 9000, 1).0, ClientOutcome::Served("Hello".into()));
     assert_eq!(two.requests.load(Ordering::SeqCst), 1);
     assert_eq!(gateway.count_log_lines("mgmt-kept"), 1);
-    // Both signals at once: it still stops in order.
+    // SIGHUP and SIGTERM at once: the process still exits with code 0.
     gateway.signal("-HUP");
     assert_eq!(gateway.stop(), Some(0));
 }
 
 #[test]
-fn a_configuration_that_a_disk_does_not_give_out_delays_no_answer() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let mut gateway = Gateway::start("platform", vec![replica_entry(0, &server, "ready", 0)], 1);
+fn a_blocked_read_of_the_configuration_delays_no_response() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let mut gateway = Gateway::start("platform", vec![replica_entry(0, &replica, "ready", 0)], 1);
     let environment = std::fs::read(format!("/proc/{}/environ", gateway.child.id())).expect("readable");
     let variables = String::from_utf8(environment).expect("UTF-8");
     let path = variables.split('\0').find_map(|v| v.strip_prefix("EDGE_CONFIG=")).expect("set").to_owned();
-    // A pipe in the file's place: whoever opens it waits until somebody writes.
+    // A named pipe instead of the file: opening it blocks until it is written to.
     std::fs::remove_file(&path).expect("removed");
     assert!(Command::new("mkfifo").arg(&path).status().expect("it runs").success());
     gateway.signal("-HUP");
     for session in 0..20 {
         let stream = gateway.send("platform", "plain", 9000, session);
-        stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
+        stream.set_read_timeout(Some(Duration::from_secs(5))).expect("set the timeout");
         assert_eq!(read_outcome("platform", stream).0, ClientOutcome::Served("Hello".into()));
         thread::sleep(Duration::from_millis(10));
     }
-    // It was indeed asked for, and is read once it comes.
+    // The read was pending, and completes after the write.
     std::fs::write(&path, "{").expect("written");
     wait_until(|| gateway.count_log_lines("reload-failed") == 1);
-    // One that is still being waited for does not keep it from ending.
+    // A pending read does not delay the shutdown.
     gateway.signal("-HUP");
     thread::sleep(Duration::from_millis(100));
     assert_eq!(gateway.stop(), Some(0));
 }
 
 #[test]
-fn an_unknown_event_passes_untouched_or_is_left_out_and_logged_once() {
+fn an_unknown_event_is_forwarded_or_omitted_and_logged_once() {
     for (client, dialect) in DIALECT_PAIRS {
-        let server = start_replica(dialect, ReplicaBehavior::UnknownEvent);
-        let gateway = Gateway::start(dialect, vec![replica_entry(0, &server, "ready", 0)], 1);
+        let replica = start_replica(dialect, ReplicaBehavior::UnknownEvent);
+        let gateway = Gateway::start(dialect, vec![replica_entry(0, &replica, "ready", 0)], 1);
         for session in [1, 2] {
-            let (seen, stream) = gateway.exchange(client, "plain", 9000, session);
-            assert_eq!(seen, ClientOutcome::Served("Hello".into()));
+            let (outcome, stream) = gateway.exchange(client, "plain", 9000, session);
+            assert_eq!(outcome, ClientOutcome::Served("Hello".into()));
             assert_eq!(stream.contains(&unknown_event(dialect)), client == dialect, "{stream}");
         }
         assert_eq!(gateway.count_log_lines("event-omitted"), usize::from(client != dialect));
-        // The question has kept its parts on the way.
-        let body = server.bodies.lock().expect("whole")[0].to_string();
+        // All parts of the request arrived.
+        let body = replica.bodies.lock().expect("lock")[0].to_string();
         assert!(
             body.contains("Be brief.") && body.contains("Which gate?") && body.contains("20"),
             "{body}"
@@ -227,7 +232,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_server() {
+fn a_draining_replica_gets_no_new_requests() {
     for (client, dialect) in DIALECT_PAIRS {
         let (one, two) = (
             start_replica(dialect, ReplicaBehavior::Serve),
@@ -253,82 +258,91 @@
 }
 
 #[test]
-fn idle_connections_are_closed_in_time_and_ended_ones_not_used() {
-    // The settings say that a replica closes after 5 s; the gateway must be well before that.
-    let server_kept = start_replica("platform", ReplicaBehavior::Serve);
-    let gateway = Gateway::start("platform", vec![replica_entry(0, &server_kept, "ready", 0)], 1);
+fn idle_connections_close_in_time_and_closed_ones_are_not_used() {
+    // By the settings a replica closes idle connections after 5 s; the gateway must close them well before that.
+    let open_replica = start_replica("platform", ReplicaBehavior::Serve);
+    let gateway = Gateway::start("platform", vec![replica_entry(0, &open_replica, "ready", 0)], 1);
     assert_eq!(gateway.exchange("platform", "plain", 9000, 1).0, ClientOutcome::Served("Hello".into()));
-    server_kept
+    open_replica
         .connection_ends
         .recv_timeout(Duration::from_millis(4800))
-        .expect("closed before the server would");
+        .expect("closed before the replica would close");
 
-    // What ended while it was idle is not written to: each request is sent once, and served.
-    let server_ends = start_replica("platform", ReplicaBehavior::ServeAndClose);
-    let gateway = Gateway::start("platform", vec![replica_entry(0, &server_ends, "ready", 0)], 1);
+    // A connection that closed while idle is not reused: each request is sent once, and served.
+    let closing_replica = start_replica("platform", ReplicaBehavior::ServeAndClose);
+    let gateway = Gateway::start("platform", vec![replica_entry(0, &closing_replica, "ready", 0)], 1);
     for session in 0..3 {
         assert_eq!(
             gateway.exchange("platform", "once", 9000, session).0,
             ClientOutcome::Served("Hello".into())
         );
-        server_ends.connection_ends.recv_timeout(TEST_TIMEOUT).expect("closed");
+        closing_replica.connection_ends.recv_timeout(TEST_TIMEOUT).expect("the connection is closed");
     }
-    assert_eq!(server_ends.requests.load(Ordering::SeqCst), 3);
+    assert_eq!(closing_replica.requests.load(Ordering::SeqCst), 3);
 }
 
 #[test]
-fn discovery_is_called_again_after_a_refusal_a_reset_an_end_and_no_answer() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let whole = replica_list(7, true, vec![replica_entry(0, &server, "ready", 0)]);
-    let old = replica_list(3, false, vec![replica_entry(0, &server, "gone", 0)]);
-    let begin = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+fn discovery_is_called_again_after_each_kind_of_failure() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let complete = replica_list(7, true, vec![replica_entry(0, &replica, "ready", 0)]);
+    let outdated = replica_list(3, false, vec![replica_entry(0, &replica, "gone", 0)]);
+    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let watch = |lines: &[&Value]| {
-        begin.to_owned() + &lines.iter().map(|l| encode_chunk(&format!("{l}\n"))).collect::<String>()
+        head.to_owned() + &lines.iter().map(|l| encode_chunk(&format!("{l}\n"))).collect::<String>()
     };
-    // What each call is answered, and whether its connection then stays open in silence.
-    let answers = [
+    // The response to each call, and whether its connection then stays open without further bytes.
+    let responses = [
         ("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_owned(), false),
         (String::new(), false),
-        (watch(&[&whole, &old]) + "0\r\n\r\n", false),
+        (watch(&[&complete, &outdated]) + "0\r\n\r\n", false),
         (watch(&[]) + &encode_chunk("\n"), true),
-        (watch(&[&replica_list(8, false, vec![replica_entry(0, &server, "draining", 0)])]), true),
+        (watch(&[&replica_list(8, false, vec![replica_entry(0, &replica, "draining", 0)])]), true),
     ];
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let addr = listener.local_addr().expect("an address");
-    let (tell, asked) = channel();
+    let (path_sender, paths) = channel();
     thread::spawn(move || {
         let mut open = Vec::new();
-        for (answer, stays) in answers {
+        for (response, stays_open) in responses {
             let mut stream = listener.accept().expect("a call").0;
             let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
             let (head, _) = read_message(&mut reader).expect("a call");
-            tell.send(head[0].split(' ').nth(1).expect("a path").to_owned()).expect("heard");
-            stream.write_all(answer.as_bytes()).expect("sent");
-            open.extend(stays.then_some((stream, reader)));
+            path_sender
+                .send(head[0].split(' ').nth(1).expect("a path").to_owned())
+                .expect("an open channel");
+            stream.write_all(response.as_bytes()).expect("sent");
+            open.extend(stays_open.then_some((stream, reader)));
         }
         thread::park();
     });
-    let known = Vec::new();
-    let found = (addr, channel().0);
-    let platform = Platform::with_discovery(found);
-    let gateway =
-        Gateway::attach(Gateway::spawn_on("n0", "platform", known, 1, (1024, 1024), json!({}), platform));
-    let next = || asked.recv_timeout(TEST_TIMEOUT).expect("asked again");
+    let known_entries = Vec::new();
+    let discovery = (addr, channel().0);
+    let platform = Platform::with_discovery(discovery);
+    let gateway = Gateway::attach(Gateway::spawn_on(
+        "n0",
+        "platform",
+        known_entries,
+        1,
+        (1024, 1024),
+        json!({}),
+        platform,
+    ));
+    let next = || paths.recv_timeout(TEST_TIMEOUT).expect("another call");
     let path = |index: u32| format!("/catalog/members?stream=1&index={index}");
     assert_eq!([next(), next(), next()], [path(1), path(1), path(1)]);
-    assert_eq!(next(), path(7), "from the list held, which older changes did not touch");
+    assert_eq!(next(), path(7), "from the index of the known list, which outdated changes did not affect");
     assert_eq!(gateway.exchange("platform", "plain", 9000, 1).0, ClientOutcome::Served("Hello".into()));
-    assert_eq!(next(), path(7), "after silence");
+    assert_eq!(next(), path(7), "after a watch without data");
     wait_until(|| gateway.count_log_lines("state=\"Draining\"") > 0);
-    let (seen, _) = gateway.exchange("platform", "plain", 300, 2);
-    assert!(matches!(seen, ClientOutcome::Failed | ClientOutcome::Shed), "{seen:?}");
-    assert_eq!(server.requests.load(Ordering::SeqCst), 1);
+    let (outcome, _) = gateway.exchange("platform", "plain", 300, 2);
+    assert!(matches!(outcome, ClientOutcome::Failed | ClientOutcome::Shed), "{outcome:?}");
+    assert_eq!(replica.requests.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn a_cold_server_is_spared() {
-    // How many of the same requests the second of two servers gets, started at that time.
-    let second_gets = |client, dialect, started| {
+fn a_replica_in_slow_start_gets_fewer_requests() {
+    // Number of the same requests that the second of two replicas gets if it started at this time.
+    let second_request_count = |client, dialect, started| {
         let (one, two) = (
             start_replica(dialect, ReplicaBehavior::Serve),
             start_replica(dialect, ReplicaBehavior::Serve),
@@ -347,41 +361,42 @@
     };
     for (client, dialect) in DIALECT_PAIRS {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
-        let (warm, cold) = (second_gets(client, dialect, 0), second_gets(client, dialect, now));
-        assert!(cold < warm, "{cold} cold, {warm} warm: client {client}, server {dialect}");
+        let (warm, cold) =
+            (second_request_count(client, dialect, 0), second_request_count(client, dialect, now));
+        assert!(cold < warm, "{cold} in slow start, {warm} otherwise: client {client}, replica {dialect}");
     }
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_scheduling_along() {
+fn a_disconnect_of_the_client_cancels_its_attempt() {
     for (client, dialect) in DIALECT_PAIRS {
-        let server = start_replica(dialect, ReplicaBehavior::NoResponse);
-        let gateway = Gateway::start(dialect, vec![replica_entry(0, &server, "ready", 0)], 3);
+        let replica = start_replica(dialect, ReplicaBehavior::NoResponse);
+        let gateway = Gateway::start(dialect, vec![replica_entry(0, &replica, "ready", 0)], 3);
         let stream = gateway.send(client, "plain", 9000, 1);
-        wait_until(|| server.requests.load(Ordering::SeqCst) > 0);
+        wait_until(|| replica.requests.load(Ordering::SeqCst) > 0);
         drop(stream);
-        server.connection_ends.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection closes");
-        assert_eq!(server.requests.load(Ordering::SeqCst), 1);
+        replica.connection_ends.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
+        assert_eq!(replica.requests.load(Ordering::SeqCst), 1);
     }
 }
 
-/// Sends bytes and gives back the status line of each answer up to the connection's end.
+/// Sends bytes and returns the status of each response up to the end of the connection.
 fn statuses(gateway: &Gateway, dialect: &str, pieces: &[&str]) -> Vec<u16> {
     let mut stream = gateway.connect(dialect);
     for piece in pieces {
-        // It may have been answered and closed before all is sent.
+        // The response and the close may precede the last piece.
         let _ = stream.write_all(piece.as_bytes());
     }
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    let answer = String::from_utf8_lossy(&answer).into_owned();
-    answer.split("HTTP/1.1 ").skip(1).map(|a| a[..3].parse().expect("a status")).collect()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    let response = String::from_utf8_lossy(&response).into_owned();
+    response.split("HTTP/1.1 ").skip(1).map(|a| a[..3].parse().expect("a status")).collect()
 }
 
 #[test]
-fn bad_input_gets_its_status_on_both_fronts() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let gateway = Gateway::start("platform", vec![replica_entry(0, &server, "ready", 0)], 1);
+fn invalid_requests_get_their_status_on_both_fronts() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let gateway = Gateway::start("platform", vec![replica_entry(0, &replica, "ready", 0)], 1);
     let close = "Connection: close\r\n";
     let long = "x".repeat(20_000);
     for (expected, input) in [
@@ -417,39 +432,39 @@
             }
         }
     }
-    assert_eq!(server.requests.load(Ordering::SeqCst), 0);
+    assert_eq!(replica.requests.load(Ordering::SeqCst), 0);
 }
 
 #[test]
-fn a_want_of_descriptors_is_survived() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let servers = vec![replica_entry(0, &server, "ready", 0)];
-    let gateway = Gateway::attach(Gateway::spawn("n0", "platform", servers, 1, (24, 1024), json!({})));
-    let crowd: Vec<TcpStream> = (0..40).map(|_| gateway.connect("platform")).collect();
+fn service_resumes_after_descriptors_were_exhausted() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let entries = vec![replica_entry(0, &replica, "ready", 0)];
+    let gateway = Gateway::attach(Gateway::spawn("n0", "platform", entries, 1, (24, 1024), json!({})));
+    let idle_clients: Vec<TcpStream> = (0..40).map(|_| gateway.connect("platform")).collect();
     wait_until(|| gateway.count_log_lines("accept-failed") > 0);
-    drop(crowd);
+    drop(idle_clients);
     wait_until(|| {
         gateway.exchange("platform", "plain", 9000, 1).0 == ClientOutcome::Served("Hello".into())
     });
 }
 
 #[test]
-fn a_stop_answers_open_requests_closes_idle_connections_and_exits_well() {
-    let server = start_replica("platform", ReplicaBehavior::NoResponse);
-    let mut gateway = Gateway::start("platform", vec![replica_entry(0, &server, "ready", 0)], 1);
+fn a_stop_completes_requests_and_closes_idle_connections() {
+    let replica = start_replica("platform", ReplicaBehavior::NoResponse);
+    let mut gateway = Gateway::start("platform", vec![replica_entry(0, &replica, "ready", 0)], 1);
     let idle = gateway.connect("platform");
-    let held = gateway.send("platform", "once", 2500, 1);
-    wait_until(|| server.requests.load(Ordering::SeqCst) > 0);
+    let pending = gateway.send("platform", "once", 2500, 1);
+    wait_until(|| replica.requests.load(Ordering::SeqCst) > 0);
     let fronts = gateway.fronts;
-    let waiter = thread::spawn(move || read_outcome("platform", held).0);
+    let waiter = thread::spawn(move || read_outcome("platform", pending).0);
     assert_eq!(gateway.stop(), Some(0));
-    assert_eq!(waiter.join().expect("answered"), ClientOutcome::Failed);
-    assert_eq!((&idle).read(&mut [0]).expect("closed in order"), 0);
+    assert_eq!(waiter.join().expect("a response"), ClientOutcome::Failed);
+    assert_eq!((&idle).read(&mut [0]).expect("closed without a reset"), 0);
     assert!(fronts.iter().all(|front| TcpStream::connect(front).is_err()));
 }
 
-/// A line that is a message of RFC 5424, parted into its header, its structured data and its text.
-fn parted(line: &str) -> (Vec<&str>, &str, &str) {
+/// Splits a message of RFC 5424 into its header, structured data and text.
+fn split_log_line(line: &str) -> (Vec<&str>, &str, &str) {
     let mut parts = line.splitn(7, ' ');
     let header: Vec<&str> = parts.by_ref().take(6).collect();
     let rest = parts.next().expect("structured data");
@@ -458,12 +473,12 @@
     }
     let (mut quoted, mut escaped) = (false, false);
     let end = rest.char_indices().find(|(_, c)| {
-        let over = *c == ']' && !quoted;
+        let is_end = *c == ']' && !quoted;
         quoted ^= *c == '"' && !escaped;
         escaped = *c == '\\' && !escaped;
-        over
+        is_end
     });
-    let end = end.expect("an end of the structured data").0 + 1;
+    let end = end.expect("the end of the structured data").0 + 1;
     (header, &rest[..end], rest[end..].trim_start())
 }
 
@@ -478,30 +493,30 @@
         "<28>1 2026-01-02T03:04:05.000006Z n0 tulipridge 7 bad-request \
          [tulipridge@32473 client=\"a\\\"b\\]c\\\\d\\ne\" ab=\"x\"] one\\ntwo"
     );
-    assert_eq!(parted(&line).2, "one\\ntwo");
+    assert_eq!(split_log_line(&line).2, "one\\ntwo");
     let record = log::Record::builder().args(format_args!("plain words")).level(log::Level::Error).build();
     let line = tulipridge::syslog::line("-", "n0", 7, &record);
     assert_eq!(line, "<27>1 - n0 tulipridge 7 plainwords -");
 }
 
 #[test]
-fn a_collector_gets_counted_lines_and_its_hang_or_death_delays_nobody() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+fn a_hung_or_lost_log_collector_delays_no_request() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let collector = listener.local_addr().expect("an address");
-    let server = start_replica("platform", ReplicaBehavior::Serve);
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
     let more = json!({"syslog": {"tcp": collector.to_string()}});
     let (child, discovery) = Gateway::spawn(
         "n0",
         "platform",
-        vec![replica_entry(0, &server, "ready", 0)],
+        vec![replica_entry(0, &replica, "ready", 0)],
         1,
         (1024, 1024),
         more,
     );
     let stream = listener.accept().expect("a connection").0;
-    let kept = stream.try_clone().expect("a clone");
+    let open_stream = stream.try_clone().expect("a clone");
     let mut reader = BufReader::new(stream);
-    // Reads the first lines and then no more, while the connection stays open.
+    // Reads the first lines only, while the connection stays open.
     let lines = (0..3).map(move |_| {
         let mut count = Vec::new();
         reader.read_until(b' ', &mut count).expect("a count");
@@ -509,7 +524,7 @@
         let mut line = vec![0; count];
         reader.read_exact(&mut line).expect("a line");
         let line = String::from_utf8(line).expect("UTF-8");
-        let (header, data, _) = parted(&line);
+        let (header, data, _) = split_log_line(&line);
         assert!(header[0].starts_with('<') && header[0].ends_with(">1"), "{line}");
         assert_eq!((header[2], header[3]), ("n0", "tulipridge"));
         assert!(data == "-" || data.starts_with("[tulipridge@32473 "), "{line}");
@@ -523,7 +538,7 @@
             ClientOutcome::Served("Hello".into())
         );
     }
-    drop((kept, listener));
+    drop((open_stream, listener));
     for session in 0..3 {
         statuses(&gateway, "platform", &["nonsense\r\n\r\n"]);
         assert_eq!(
@@ -533,96 +548,97 @@
     }
 }
 
-/// A node of the store, and the address of its port.
-fn node(name: &str, servers: Vec<Value>, peers: &[SocketAddr]) -> (Gateway, SocketAddr) {
+/// Starts a gateway with a store. Returns the address of its store port as well.
+fn start_node(name: &str, entries: Vec<Value>, peers: &[SocketAddr]) -> (Gateway, SocketAddr) {
     let peers: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
     let more = json!({"store": {"listen": "127.0.0.1:0", "peers": peers}});
-    let gateway = Gateway::attach(Gateway::spawn(name, "platform", servers, 1, (1024, 1024), more));
+    let gateway = Gateway::attach(Gateway::spawn(name, "platform", entries, 1, (1024, 1024), more));
     wait_until(|| gateway.count_log_lines("port=\"Store\"") > 0);
     let addr = {
-        let log = gateway.log.lock().expect("whole");
-        let line = log.iter().find(|l| l.contains("port=\"Store\"")).expect("just seen");
+        let log = gateway.log.lock().expect("lock");
+        let line = log.iter().find(|l| l.contains("port=\"Store\"")).expect("a line with the port");
         line.split('"').nth(1).and_then(|a| a.parse().ok()).expect("an address")
     };
     (gateway, addr)
 }
 
-/// What a node's port answers to a line; `None` if it closes instead.
-fn answer_to_line(addr: SocketAddr, line: &str) -> Option<Value> {
-    let mut stream = TcpStream::connect(addr).expect("it accepts");
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+/// Sends a line to a store port and returns the response; `None` if the connection is closed instead.
+fn call_store(addr: SocketAddr, line: &str) -> Option<Value> {
+    let mut stream = TcpStream::connect(addr).expect("an accepted connection");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the timeout");
     stream.write_all(format!("{line}\n").as_bytes()).expect("sent");
-    let mut answer = String::new();
-    // A close with unread bytes may come as a reset.
-    let _ = BufReader::new(stream).read_line(&mut answer);
-    serde_json::from_str(&answer).ok()
+    let mut response = String::new();
+    // A close with unread bytes may appear as a reset.
+    let _ = BufReader::new(stream).read_line(&mut response);
+    serde_json::from_str(&response).ok()
 }
 
-fn holds(addr: SocketAddr, key: &str, value: &Value) -> bool {
-    answer_to_line(addr, &json!({"get": key}).to_string()).expect("an answer")["value"] == *value
+fn has_entry(addr: SocketAddr, key: &str, value: &Value) -> bool {
+    call_store(addr, &json!({"get": key}).to_string()).expect("a response")["value"] == *value
 }
 
-fn comes_to_hold(addr: SocketAddr, key: &str, value: Value) {
-    wait_until(|| holds(addr, key, &value));
+fn wait_for_entry(addr: SocketAddr, key: &str, value: Value) {
+    wait_until(|| has_entry(addr, key, &value));
 }
 
 #[test]
-fn the_store_survives_a_restart_a_lost_peer_a_stale_one_and_garbage() {
-    let (_one, first) = node("n1", Vec::new(), &[]);
-    let (two, second) = node("n2", Vec::new(), &[first]);
+fn the_store_survives_lost_and_stale_peers_and_invalid_lines() {
+    let (_one, first) = start_node("n1", Vec::new(), &[]);
+    let (two, second) = start_node("n2", Vec::new(), &[first]);
     let set = |addr, key: &str, value: Value| {
         assert_eq!(
-            answer_to_line(addr, &json!({"set": key, "value": value}).to_string()),
+            call_store(addr, &json!({"set": key, "value": value}).to_string()),
             Some(json!({"taken": true}))
         );
     };
     set(first, "config/models/a", json!("once"));
     set(second, "config/models/b", json!("plain"));
-    comes_to_hold(second, "config/models/a", json!("once"));
-    comes_to_hold(first, "config/models/b", json!("plain"));
-    comes_to_hold(first, "state/n2", json!({"held": 0, "connections": 0, "places": 0}));
+    wait_for_entry(second, "config/models/a", json!("once"));
+    wait_for_entry(first, "config/models/b", json!("plain"));
+    wait_for_entry(first, "state/n2", json!({"held": 0, "connections": 0, "places": 0}));
 
-    // A peer is lost: the other is written to alone. A restart comes back empty and catches up.
+    // One peer is lost and only the other is written to. The restarted peer is empty at first and catches up.
     drop(two);
     set(first, "config/models/b", json!("once"));
     set(first, "config/models/a", Value::Null);
-    let (_two, second) = node("n2", Vec::new(), &[first]);
-    comes_to_hold(second, "config/models/b", json!("once"));
+    let (_two, second) = start_node("n2", Vec::new(), &[first]);
+    wait_for_entry(second, "config/models/b", json!("once"));
 
-    // A stale peer back from a cut: what it held before does not undo what came after, removals included.
+    // A stale peer returns after a network partition: its old entries replace no newer ones, removals included.
     let old = |value: &str| json!({"stamp": [1000, "n9"], "value": value});
-    let news = json!({"news": {"config/models/a": old("once"), "config/models/b": old("plain"), "kept": old("x")}});
+    let update = json!({"news": {"config/models/a": old("once"), "config/models/b": old("plain"), "kept": old("x")}});
     assert_eq!(
-        answer_to_line(first, &format!("{news}\n{}", json!({"get": "kept"}))),
+        call_store(first, &format!("{update}\n{}", json!({"get": "kept"}))),
         Some(json!({"value": "x"}))
     );
     assert!(
-        holds(first, "config/models/a", &Value::Null) && holds(first, "config/models/b", &json!("once"))
+        has_entry(first, "config/models/a", &Value::Null)
+            && has_entry(first, "config/models/b", &json!("once"))
     );
-    comes_to_hold(second, "kept", json!("x"));
+    wait_for_entry(second, "kept", json!("x"));
 
-    // Garbage ends its connection; a stamp from the far future, which would win for ever, is not taken.
-    for garbage in
+    // An invalid line closes its connection. A stamp far in the future, which would win for ever, is rejected.
+    for line in
         ["{", "[]", "{\"get\":1}", "{\"digest\":{\"a\":\"b\"}}", "GET / HTTP/1.1", "{\"news\":{},\"x\":1}"]
     {
-        assert_eq!(answer_to_line(first, garbage), None, "{garbage}");
+        assert_eq!(call_store(first, line), None, "{line}");
     }
-    let late = json!({"news": {"kept": {"stamp": [99_999_999_999_999u64, "n9"], "value": "y"}}});
+    let future = json!({"news": {"kept": {"stamp": [99_999_999_999_999u64, "n9"], "value": "y"}}});
     assert_eq!(
-        answer_to_line(first, &format!("{late}\n{}", json!({"get": "kept"}))),
+        call_store(first, &format!("{future}\n{}", json!({"get": "kept"}))),
         Some(json!({"value": "x"}))
     );
     let large = json!({"set": "large", "value": "x".repeat(5000)});
-    assert_eq!(answer_to_line(first, &large.to_string()), Some(json!({"taken": false})));
+    assert_eq!(call_store(first, &large.to_string()), Some(json!({"taken": false})));
 }
 
 #[test]
-fn the_store_moves_a_models_class_while_the_program_runs() {
-    let server = start_replica("platform", ReplicaBehavior::InternalError);
-    let (gateway, store) = node("n0", vec![replica_entry(0, &server, "ready", 0)], &[]);
+fn the_store_changes_the_class_of_a_model_at_run_time() {
+    let replica = start_replica("platform", ReplicaBehavior::InternalError);
+    let (gateway, store) = start_node("n0", vec![replica_entry(0, &replica, "ready", 0)], &[]);
     assert_eq!(gateway.exchange("messages", "plain", 9000, 1).0, ClientOutcome::Shed);
-    answer_to_line(store, &json!({"set": "config/models/plain-model", "value": "once"}).to_string())
-        .expect("taken");
-    // The class that may not be repeated fails where the other is shed.
+    call_store(store, &json!({"set": "config/models/plain-model", "value": "once"}).to_string())
+        .expect("a response");
+    // A request of the unsafe class fails where one of the safe class is shed.
     wait_until(|| gateway.exchange("messages", "plain", 9000, 2).0 == ClientOutcome::Failed);
 }
