--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,4 +1,5 @@
-//! What operators do to the program while it serves: the second address, drains, a second process beside it.
+//! Operations on the gateway program while it serves: the operators' address, drains, and a second process on the same
+//! listener.
 
 mod support;
 
@@ -18,57 +19,57 @@
 
 use support::*;
 
-/// A gateway with a second address, which takes its platform's port from `inherited` if there is one.
-fn gateway(server: &StandInReplica, inherited: Option<&TcpListener>) -> (Gateway, SocketAddr) {
-    gateway_with(server, inherited, json!({"mgmt": "127.0.0.1:0"}))
+/// Starts a gateway with an operators' address. Its platform front uses the listener `inherited`, if any.
+fn start_gateway(replica: &StandInReplica, inherited: Option<&TcpListener>) -> (Gateway, SocketAddr) {
+    start_gateway_with(replica, inherited, json!({"mgmt": "127.0.0.1:0"}))
 }
 
-fn gateway_with(
-    server: &StandInReplica,
+fn start_gateway_with(
+    replica: &StandInReplica,
     inherited: Option<&TcpListener>,
     more: Value,
 ) -> (Gateway, SocketAddr) {
-    let servers = vec![replica_entry(0, server, "ready", 0)];
+    let entries = vec![replica_entry(0, replica, "ready", 0)];
     let listener = inherited.map(|l| OwnedFd::from(l.try_clone().expect("a copy")));
     let platform = Platform {
-        discovery: start_discovery(replica_list(2, true, servers.clone())),
+        discovery: start_discovery(replica_list(2, true, entries.clone())),
         inherited: listener.map(|listener| ("4", listener.into())),
     };
-    operated(Gateway::spawn_on("n0", "platform", servers, 1, (1024, 1024), more, platform))
+    attach(Gateway::spawn_on("n0", "platform", entries, 1, (1024, 1024), more, platform))
 }
 
-/// The same, and its second address.
-fn operated(started: (Child, Sender<Value>)) -> (Gateway, SocketAddr) {
+/// Waits for the started gateway. Returns its operators' address as well.
+fn attach(started: (Child, Sender<Value>)) -> (Gateway, SocketAddr) {
     let gateway = Gateway::attach(started);
-    let mgmt = gateway.mgmt.expect("it listens for calls");
+    let mgmt = gateway.mgmt.expect("an address for operators");
     (gateway, mgmt)
 }
 
-/// One call, and the status of its answer; 0 is a close without one.
-fn status(stream: &mut TcpStream) -> u16 {
-    let mut answer = String::new();
-    let _ = stream.read_to_string(&mut answer);
-    answer.split(' ').nth(1).map_or(0, |status| status.parse().expect("a status"))
+/// Reads the response to a call and returns its status; 0 if the connection closes without one.
+fn read_status(stream: &mut TcpStream) -> u16 {
+    let mut response = String::new();
+    let _ = stream.read_to_string(&mut response);
+    response.split(' ').nth(1).map_or(0, |status| status.parse().expect("a status"))
 }
 
-fn health(gateway: &Gateway) -> u16 {
+fn health_status(gateway: &Gateway) -> u16 {
     call_status(gateway.front("platform"), "GET /_health")
 }
 
 #[test]
-fn calls_are_answered_while_callers_that_say_nothing_or_half_a_call_hold_every_place() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let (gateway, mgmt) = gateway(&server, None);
+fn idle_callers_on_every_slot_do_not_block_calls() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let (gateway, mgmt) = start_gateway(&replica, None);
     wait_until(|| call_status(mgmt, "GET /ready") == 200);
-    for (what, status) in [("GET /drain", 405), ("POST /ready", 405), ("GET /", 404), ("nonsense", 400)] {
-        assert_eq!(call_status(mgmt, what), status, "{what}");
+    for (call, status) in [("GET /drain", 405), ("POST /ready", 405), ("GET /", 404), ("nonsense", 400)] {
+        assert_eq!(call_status(mgmt, call), status, "{call}");
     }
     assert_eq!(call_status(mgmt, &format!("GET /{}", "x".repeat(20 << 10))), 431);
-    let holders: Vec<TcpStream> = (0..200)
+    let idle_callers: Vec<TcpStream> = (0..200)
         .map(|n| {
             let mut stream = connect(mgmt);
             if n % 2 == 0 {
-                // Some have made room for others by then.
+                // Some connections were already closed in favour of others.
                 let _ = stream.write_all(b"GET /ready HTTP/1.1\r\nHo");
             }
             stream
@@ -77,188 +78,201 @@
     for _ in 0..20 {
         assert_eq!(call_status(mgmt, "GET /ready"), 200);
     }
-    assert_eq!(health(&gateway), 200);
-    drop(holders);
-    // Half a call alone is told that it took too long.
-    let mut half = connect(mgmt);
-    half.write_all(b"POST /dr").expect("sent");
-    assert_eq!(status(&mut half), 408);
-    assert_eq!(health(&gateway), 200, "half an order is none");
+    assert_eq!(health_status(&gateway), 200);
+    drop(idle_callers);
+    // An incomplete call whose slot no other caller needs times out with 408.
+    let mut partial = connect(mgmt);
+    partial.write_all(b"POST /dr").expect("sent");
+    assert_eq!(read_status(&mut partial), 408);
+    assert_eq!(health_status(&gateway), 200, "an incomplete call has no effect");
 }
 
 #[test]
-fn calls_and_lists_are_read_however_they_are_cut() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    // A discovery whose answer comes byte by byte; what the gateway knew before is nothing.
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+fn calls_and_lists_are_parsed_in_any_pieces() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    // A list service that sends its response byte by byte, to a gateway without a known list.
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let addr = listener.local_addr().expect("an address");
-    let line = replica_list(2, true, vec![replica_entry(0, &server, "ready", 0)]).to_string() + "\n";
+    let line = replica_list(2, true, vec![replica_entry(0, &replica, "ready", 0)]).to_string() + "\n";
     thread::spawn(move || {
         let mut stream = listener.accept().expect("a watch").0;
         stream.set_nodelay(true).expect("no delay");
-        let answer =
+        let response =
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", encode_chunk(&line));
-        for byte in answer.bytes() {
+        for byte in response.bytes() {
             stream.write_all(&[byte]).expect("sent");
         }
-        // The watch stays open for as long as the gateway lives.
+        // The watch stays open until the gateway exits.
         let _ = stream.read_to_end(&mut Vec::new());
     });
     let more = json!({"mgmt": "127.0.0.1:0"});
     let platform = Platform::with_discovery((addr, channel().0));
     let started = Gateway::spawn_on("n0", "platform", vec![], 1, (1024, 1024), more, platform);
-    let (gateway, mgmt) = operated(started);
+    let (gateway, mgmt) = attach(started);
     wait_until(|| call_status(mgmt, "GET /ready") == 200);
-    let whole = b"POST /undrain HTTP/1.1\r\nHost: gateway\r\nContent-Length: 0\r\n\r\n";
-    for cut in 1..whole.len() {
+    let call = b"POST /undrain HTTP/1.1\r\nHost: gateway\r\nContent-Length: 0\r\n\r\n";
+    for cut in 1..call.len() {
         let mut stream = connect(mgmt);
         stream.set_nodelay(true).expect("no delay");
-        stream.write_all(&whole[..cut]).expect("sent");
+        stream.write_all(&call[..cut]).expect("sent");
         thread::yield_now();
-        stream.write_all(&whole[cut..]).expect("sent");
-        assert_eq!(status(&mut stream), 200, "cut at {cut}");
+        stream.write_all(&call[cut..]).expect("sent");
+        assert_eq!(read_status(&mut stream), 200, "split at {cut}");
     }
     assert_eq!(gateway.exchange("platform", "plain", 9000, 1).0, ClientOutcome::Served("Hello".into()));
 }
 
 #[test]
-fn a_drained_gateway_sends_its_clients_away_and_takes_them_again() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let (gateway, mgmt) = gateway(&server, None);
-    wait_until(|| health(&gateway) == 200);
-    let (idle, mut used) = (gateway.connect("platform"), gateway.connect("platform"));
+fn a_drained_gateway_closes_connections_until_it_is_undrained() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let (gateway, mgmt) = start_gateway(&replica, None);
+    wait_until(|| health_status(&gateway) == 200);
+    let (idle, mut active) = (gateway.connect("platform"), gateway.connect("platform"));
     assert_eq!(call_status(mgmt, "POST /drain"), 200);
-    assert_eq!(health(&gateway), 503);
-    assert_eq!(call_status(mgmt, "GET /ready"), 200, "the process could serve");
-    // What comes on a connection that is open is still served, and told to be the last.
-    used.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("sent");
-    let mut answer = String::new();
-    used.read_to_string(&mut answer).expect("an end");
-    assert!(answer.starts_with("HTTP/1.1 503 ") && answer.contains("Connection: close\r\n"), "{answer}");
-    assert_eq!((&idle).read(&mut [0]).expect("an end, and no reset"), 0);
+    assert_eq!(health_status(&gateway), 503);
+    assert_eq!(call_status(mgmt, "GET /ready"), 200, "the process is able to serve");
+    // A request on an open connection is still served, and its response announces the close.
+    active.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("sent");
+    let mut response = String::new();
+    active.read_to_string(&mut response).expect("the end of the connection");
+    assert!(
+        response.starts_with("HTTP/1.1 503 ") && response.contains("Connection: close\r\n"),
+        "{response}"
+    );
+    assert_eq!((&idle).read(&mut [0]).expect("an end without a reset"), 0);
     assert_eq!(gateway.exchange("platform", "plain", 9000, 1).0, ClientOutcome::Served("Hello".into()));
-    assert_eq!(call_status(mgmt, "POST /drain"), 200, "it is drained already");
+    assert_eq!(call_status(mgmt, "POST /drain"), 200, "a second drain has no effect");
     assert_eq!(call_status(mgmt, "POST /undrain"), 200);
-    assert_eq!(health(&gateway), 200);
-    let mut kept = gateway.connect("platform");
+    assert_eq!(health_status(&gateway), 200);
+    let mut reused = gateway.connect("platform");
     for _ in 0..2 {
-        kept.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("sent");
+        reused.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("sent");
         let mut line = String::new();
-        let mut reader = BufReader::new(&kept);
+        let mut reader = BufReader::new(&reused);
         while line != "ready\n" {
             line.clear();
-            assert!(reader.read_line(&mut line).expect("an answer") > 0, "the connection stays");
+            assert!(reader.read_line(&mut line).expect("a response") > 0, "the connection stays open");
         }
     }
 }
 
 #[test]
-fn a_second_process_serves_beside_the_first_on_one_listener_and_nothing_is_refused() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (mut old, old_mgmt) = gateway(&server, Some(&listener));
+fn two_processes_on_one_listener_refuse_no_connection() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let (mut old, old_mgmt) = start_gateway(&replica, Some(&listener));
     wait_until(|| call_status(old_mgmt, "GET /ready") == 200);
     assert_eq!(old.exchange("platform", "plain", 9000, 1).0, ClientOutcome::Served("Hello".into()));
-    // Clients that come again and again all the while, each time on a connection of its own.
-    let (front, over) = (old.fronts[0], Arc::new(AtomicBool::new(false)));
+    // Clients that send requests throughout the handover, each on a new connection.
+    let (front, is_stopped) = (old.fronts[0], Arc::new(AtomicBool::new(false)));
     let clients: Vec<_> = (1..5)
         .map(|client| {
-            let over = over.clone();
+            let is_stopped = is_stopped.clone();
             thread::spawn(move || {
-                let mut asked = 0;
-                while !over.load(Ordering::SeqCst) {
-                    let stream = send(front, "platform", "plain", 9000, client << 20 | asked);
+                let mut request_count = 0;
+                while !is_stopped.load(Ordering::SeqCst) {
+                    let stream = send(front, "platform", "plain", 9000, client << 20 | request_count);
                     assert_eq!(read_outcome("platform", stream).0, ClientOutcome::Served("Hello".into()));
-                    asked += 1;
+                    request_count += 1;
                 }
-                asked
+                request_count
             })
         })
         .collect();
-    let (new, new_mgmt) = gateway(&server, Some(&listener));
+    let (new, new_mgmt) = start_gateway(&replica, Some(&listener));
     assert_eq!(new.fronts[0], listener.local_addr().expect("an address"));
     wait_until(|| call_status(new_mgmt, "GET /ready") == 200);
     wait_until(|| old.count_log_lines(" newcomer ") == 1);
     old.signal("-TERM");
     wait_until(|| call_status(old_mgmt, "GET /ready") == 503);
     assert_eq!(call_status(old_mgmt, "POST /undrain"), 409);
-    assert_eq!(old.child.wait().expect("it ends").code(), Some(0));
+    assert_eq!(old.child.wait().expect("wait for the exit").code(), Some(0));
     assert_eq!(new.exchange("platform", "plain", 9000, 31).0, ClientOutcome::Served("Hello".into()));
-    over.store(true, Ordering::SeqCst);
-    let asked: usize = clients.into_iter().map(|client| client.join().expect("all served")).sum();
-    assert!(asked > 0);
-    assert_eq!(server.requests.load(Ordering::SeqCst), asked + 2, "each is answered once");
+    is_stopped.store(true, Ordering::SeqCst);
+    let request_count: usize = clients.into_iter().map(|client| client.join().expect("all served")).sum();
+    assert!(request_count > 0);
+    assert_eq!(replica.requests.load(Ordering::SeqCst), request_count + 2, "each request is served once");
 }
 
 #[test]
-fn a_drain_leaves_nobody_idle_and_cuts_nobody_off_on_either_front() {
+fn a_drain_closes_idle_connections_and_completes_requests() {
     for front in ["platform", "messages"] {
-        let (server, begins, words) = halting_server();
-        let (gateway, mgmt) = gateway(&server, None);
-        wait_until(|| health(&gateway) == 200);
-        let (mute, silent) = (gateway.connect(front), gateway.connect(front));
+        let (replica, started, words) = start_stepwise_replica();
+        let (gateway, mgmt) = start_gateway(&replica, None);
+        wait_until(|| health_status(&gateway) == 200);
+        let (first_idle, second_idle) = (gateway.connect(front), gateway.connect(front));
         let stream = gateway.send(front, "plain", 9000, 1);
-        begins.recv_timeout(TEST_TIMEOUT).expect("it begins");
-        let mut half = gateway.connect(front);
-        half.write_all(b"GET /_health HTTP/1.1\r\nHo").expect("sent");
+        started.recv_timeout(TEST_TIMEOUT).expect("the request has started");
+        let mut partial = gateway.connect(front);
+        partial.write_all(b"GET /_health HTTP/1.1\r\nHo").expect("sent");
         assert_eq!(call_status(mgmt, "POST /drain"), 200);
-        // What is on its way is taken and answered, with a no that ends its connection.
-        half.write_all(b"st: app.svc\r\n\r\n").expect("sent");
-        assert_eq!(status(&mut half), 503, "{front}");
-        for idle in [mute, silent] {
-            assert_eq!((&idle).read(&mut [0]).expect("an end, and no reset"), 0, "{front}");
+        // A partly received request is completed; its response is 503 and closes the connection.
+        partial.write_all(b"st: app.svc\r\n\r\n").expect("sent");
+        assert_eq!(read_status(&mut partial), 503, "{front}");
+        for idle in [first_idle, second_idle] {
+            assert_eq!((&idle).read(&mut [0]).expect("an end without a reset"), 0, "{front}");
         }
         words.send("lo").expect("open");
         drop(words);
         let mut reader = BufReader::new(stream);
-        let mut all = String::new();
-        reader.read_to_string(&mut all).expect("an end, and no reset");
-        assert!(all.starts_with("HTTP/1.1 200 ") && all.ends_with("0\r\n\r\n"), "{front}: {all}");
-        assert_eq!(health(&gateway), 503);
+        let mut response = String::new();
+        reader.read_to_string(&mut response).expect("an end without a reset");
+        assert!(
+            response.starts_with("HTTP/1.1 200 ") && response.ends_with("0\r\n\r\n"),
+            "{front}: {response}"
+        );
+        assert_eq!(health_status(&gateway), 503);
     }
 }
 
 #[test]
-fn answers_in_a_crowd_end_their_connections_so_that_the_next_are_taken_at_once() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let servers = vec![replica_entry(0, &server, "ready", 0)];
-    // Of 128 descriptors, and it has no more, 55 are clients'.
+fn responses_near_the_connection_limit_close_their_connections() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let entries = vec![replica_entry(0, &replica, "ready", 0)];
+    // The process has 128 descriptors, of which 55 are for clients.
     let more = json!({"mgmt": "127.0.0.1:0"});
-    let (gateway, mgmt) = operated(Gateway::spawn("n0", "platform", servers, 1, (128, 128), more));
-    wait_until(|| health(&gateway) == 200);
-    let mut crowd = Vec::new();
-    let mut told = Vec::new();
+    let (gateway, mgmt) = attach(Gateway::spawn("n0", "platform", entries, 1, (128, 128), more));
+    wait_until(|| health_status(&gateway) == 200);
+    let mut clients = Vec::new();
+    let mut is_closed = Vec::new();
     for _ in 0..200 {
         let mut stream = gateway.connect("platform");
         stream.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("sent");
-        let (mut answer, mut piece) = (String::new(), [0; 512]);
-        while !answer.ends_with("ready\n") {
-            let count = stream.read(&mut piece).expect("an answer");
-            answer.push_str(&String::from_utf8_lossy(&piece[..count]));
+        let (mut response, mut piece) = (String::new(), [0; 512]);
+        while !response.ends_with("ready\n") {
+            let count = stream.read(&mut piece).expect("a response");
+            response.push_str(&String::from_utf8_lossy(&piece[..count]));
         }
-        told.push(answer.contains("Connection: close"));
-        // Each asks once and stays.
-        crowd.push(stream);
+        is_closed.push(response.contains("Connection: close"));
+        // Each client sends one request and stays connected.
+        clients.push(stream);
     }
-    // Mute ones take what places are left, and the second address is as before.
-    let mute: Vec<TcpStream> = (0..100).map(|_| gateway.connect("platform")).collect();
+    // Idle connections take the remaining slots; the operators' address still responds.
+    let idle_clients: Vec<TcpStream> = (0..100).map(|_| gateway.connect("platform")).collect();
     for _ in 0..10 {
         assert_eq!(call_status(mgmt, "GET /ready"), 200);
     }
-    drop(mute);
-    assert_eq!(gateway.count_log_lines("accept-failed"), 0, "descriptors are kept back");
-    assert!(told[..30].iter().all(|close| !close), "with room, connections stay: {told:?}");
-    assert!(told[60..].iter().filter(|close| **close).count() > 100, "in a crowd they don't: {told:?}");
+    drop(idle_clients);
+    assert_eq!(gateway.count_log_lines("accept-failed"), 0, "some descriptors are reserved");
+    assert!(
+        is_closed[..30].iter().all(|close| !close),
+        "connections stay open while slots are free: {is_closed:?}"
+    );
+    assert!(
+        is_closed[60..].iter().filter(|close| **close).count() > 100,
+        "connections are closed near the limit: {is_closed:?}"
+    );
     assert_eq!(gateway.exchange("platform", "plain", 9000, 1).0, ClientOutcome::Served("Hello".into()));
 }
 
-/// A replica that says so when a request has begun, and goes on at each word; it ends at the last.
-fn halting_server() -> (StandInReplica, Receiver<()>, Sender<&'static str>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+/// Starts a replica that reports the start of a request, sends one event for each word from the channel, and completes
+/// the stream when the channel is closed.
+fn start_stepwise_replica() -> (StandInReplica, Receiver<()>, Sender<&'static str>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let addr = listener.local_addr().expect("an address");
-    let (begun, begins) = channel();
-    let (words, said) = channel::<&'static str>();
-    let (_, left) = channel();
+    let (start_sender, started) = channel();
+    let (words, word_receiver) = channel::<&'static str>();
+    let (_, connection_ends) = channel();
     thread::spawn(move || {
         let mut stream = listener.accept().expect("a connection").0;
         let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
@@ -267,116 +281,117 @@
         let head =
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         write!(stream, "{head}{first}").expect("sent");
-        begun.send(()).expect("open");
-        // Each word comes cut amid its chunk.
+        start_sender.send(()).expect("open");
+        // Each chunk is sent in two halves, the second one with the next word.
         let mut rest = String::new();
-        for word in &said {
-            let whole = encode_chunk(&text_event("platform", word));
-            let (now, later) = whole.split_at(whole.len() / 2);
+        for word in &word_receiver {
+            let chunk = encode_chunk(&text_event("platform", word));
+            let (now, later) = chunk.split_at(chunk.len() / 2);
             write!(stream, "{rest}{now}").expect("sent");
             rest = later.to_owned();
         }
         write!(stream, "{rest}{}0\r\n\r\n", encode_chunk(&closing_events("platform"))).expect("sent");
-        // The connection stays.
+        // The connection stays open.
         let _ = reader.read(&mut [0]);
     });
     let (requests, bodies) = Default::default();
-    (StandInReplica { addr, requests, bodies, connection_ends: left }, begins, words)
+    (StandInReplica { addr, requests, bodies, connection_ends }, started, words)
 }
 
-/// Streams are offered half a second before they are cut. The folder is this run's: others may run beside it.
-fn handing_over(name: &str) -> Value {
+/// Settings with handover, where streams are offered half a second before they are cut. The folder is unique to this
+/// run, as others may run at the same time.
+fn handover_settings(name: &str) -> Value {
     let shared = format!("{}/{}-{name}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     json!({"mgmt": "127.0.0.1:0", "handover": true, "streams": {"stop_within": "1s"}, "shared": shared})
 }
 
 #[test]
-fn a_stream_that_outlasts_its_process_goes_on_completely_in_the_one_that_follows() {
-    let (server, begins, words) = halting_server();
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let more = handing_over("follower");
-    let (mut old, old_mgmt) = gateway_with(&server, Some(&listener), more.clone());
+fn a_handed_over_stream_is_completed_by_the_successor() {
+    let (replica, started, words) = start_stepwise_replica();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let more = handover_settings("complete");
+    let (mut old, old_mgmt) = start_gateway_with(&replica, Some(&listener), more.clone());
     wait_until(|| call_status(old_mgmt, "GET /ready") == 200);
     let client = old.send("platform", "once", 9000, 1);
-    begins.recv_timeout(TEST_TIMEOUT).expect("it begins");
+    started.recv_timeout(TEST_TIMEOUT).expect("the request has started");
     words.send("lo").expect("open");
-    let (new, new_mgmt) = gateway_with(&server, Some(&listener), more);
+    let (new, new_mgmt) = start_gateway_with(&replica, Some(&listener), more);
     wait_until(|| call_status(new_mgmt, "GET /ready") == 200);
     assert_eq!(old.stop(), Some(0));
-    // The process that took the request is gone.
+    // The process that accepted the request has exited.
     for word in [", wor", "ld"] {
         words.send(word).expect("open");
     }
     drop(words);
-    let again = client.try_clone().expect("a clone");
-    let (told, bytes) = read_outcome("platform", client);
-    assert_eq!(told, ClientOutcome::Served("Hello, world".into()), "{bytes}");
+    let reused = client.try_clone().expect("a clone");
+    let (outcome, bytes) = read_outcome("platform", client);
+    assert_eq!(outcome, ClientOutcome::Served("Hello, world".into()), "{bytes}");
     wait_until(|| new.count_log_lines(" handover ") == 1);
-    // Its connection is the new process's, and serves on.
-    let mut again = again;
-    again.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n").expect("sent");
-    assert_eq!(status(&mut again), 200);
+    // The connection now belongs to the new process, and serves further requests.
+    let mut reused = reused;
+    reused.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n").expect("sent");
+    assert_eq!(read_status(&mut reused), 200);
 }
 
 #[test]
-fn a_stream_that_nobody_takes_over_is_cut_in_time() {
-    let (server, begins, words) = halting_server();
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let more = handing_over("nobody");
-    let (mut old, mgmt) = gateway_with(&server, Some(&listener), more);
+fn a_stream_without_a_successor_is_cut_in_time() {
+    let (replica, started, words) = start_stepwise_replica();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let more = handover_settings("alone");
+    let (mut old, mgmt) = start_gateway_with(&replica, Some(&listener), more);
     wait_until(|| call_status(mgmt, "GET /ready") == 200);
     let client = old.send("platform", "once", 9000, 1);
-    begins.recv_timeout(TEST_TIMEOUT).expect("it begins");
+    started.recv_timeout(TEST_TIMEOUT).expect("the request has started");
     assert_eq!(old.stop(), Some(0));
     assert_eq!(read_outcome("platform", client).0, ClientOutcome::Truncated("Hel".into()));
     drop(words);
 }
 
 #[test]
-fn a_handed_over_stream_whose_client_leaves_frees_its_real_server_in_the_follower() {
-    let (server, closed) = start_stalling_replica("platform", 1);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut more = handing_over("leaver");
+fn the_successor_cancels_a_stream_whose_client_disconnects() {
+    let (replica, closed) = start_stalling_replica("platform", 1);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+    let mut more = handover_settings("left");
     more["streams"]["silence"] = json!("1m");
-    let (mut old, old_mgmt) = gateway_with(&server, Some(&listener), more.clone());
+    let (mut old, old_mgmt) = start_gateway_with(&replica, Some(&listener), more.clone());
     wait_until(|| call_status(old_mgmt, "GET /ready") == 200);
     let mut client = old.send("platform", "once", 9000, 1);
     read_event(&mut client);
-    let (new, new_mgmt) = gateway_with(&server, Some(&listener), more);
+    let (new, new_mgmt) = start_gateway_with(&replica, Some(&listener), more);
     wait_until(|| call_status(new_mgmt, "GET /ready") == 200);
     assert_eq!(old.stop(), Some(0));
     wait_until(|| new.count_log_lines(" handover ") == 1);
-    assert!(closed.try_recv().is_err(), "the handing over closed the replica's connection");
+    assert!(closed.try_recv().is_err(), "the handover closed the replica's connection");
     drop(client);
     assert!(
         closed.recv_timeout(MAX_ABANDONED_WORK).is_ok(),
-        "the follower kept the leaver's replica working"
+        "the successor did not close the replica's connection"
     );
 }
 
 #[test]
-fn a_stream_cut_by_the_stop_frees_its_real_server_by_the_clients_end_on_both_fronts() {
+fn a_stream_cut_by_a_stop_closes_its_attempt_on_both_fronts() {
     for front in ["platform", "messages"] {
-        let (server, closed) = start_stalling_replica("platform", 1);
-        let mut more = handing_over("cut");
+        let (replica, closed) = start_stalling_replica("platform", 1);
+        let mut more = handover_settings("cut");
         more["streams"]["silence"] = json!("1m");
-        let (mut gateway, mgmt) = gateway_with(&server, None, more);
+        let (mut gateway, mgmt) = start_gateway_with(&replica, None, more);
         wait_until(|| call_status(mgmt, "GET /ready") == 200);
         let client = gateway.send(front, "once", 9000, 1);
         assert_eq!(call_status(mgmt, "POST /drain"), 200);
         gateway.signal("-TERM");
         assert_eq!(read_outcome(front, client).0, ClientOutcome::Truncated("Hel".into()), "{front}");
-        // The stand-in tells of the close from a thread of its own, which may come to it after the client.
+        // The stand-in reports the close from its own thread, possibly after the client's end of stream.
         assert!(
             closed.recv_timeout(MAX_ABANDONED_WORK).is_ok(),
-            "{front}: the replica worked on after the cut"
+            "{front}: the replica continued after the cut"
         );
         assert_eq!(gateway.stop(), Some(0));
     }
 }
 
-/// Random snapshots come back as they were; whatever else comes is an error.
-fn snapshots(id: u64, buffers: (Vec<u8>, Vec<u8>, Vec<u8>, Vec<u8>), cut: usize, noise: Vec<u8>) {
+/// Checks that a snapshot is decoded unchanged, and that truncated, extended or random bytes are an error.
+fn check_snapshot(id: u64, buffers: (Vec<u8>, Vec<u8>, Vec<u8>, Vec<u8>), cut: usize, noise: Vec<u8>) {
     let (to_client, from_client, from_replica, partial_event) = buffers;
     let snapshot = StreamSnapshot {
         id,
@@ -392,28 +407,28 @@
 }
 
 #[test]
-fn snapshots_come_back_as_they_were_and_nothing_else_does() {
+fn snapshots_are_decoded_unchanged_and_other_bytes_rejected() {
     type Buffers = (Vec<u8>, Vec<u8>, Vec<u8>, Vec<u8>);
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(40, 44)).tests(400);
-    check.quickcheck(snapshots as fn(u64, Buffers, usize, Vec<u8>));
+    check.quickcheck(check_snapshot as fn(u64, Buffers, usize, Vec<u8>));
 }
 
 #[test]
-fn a_descriptor_that_is_no_listener_is_named_at_the_start() {
-    let connected = TcpListener::bind("127.0.0.1:0").expect("a port");
+fn an_inherited_descriptor_that_is_no_listener_is_reported() {
+    let connected = TcpListener::bind("127.0.0.1:0").expect("bind a port");
     let connected = TcpStream::connect(connected.local_addr().expect("an address")).expect("a connection");
-    for (told, stdin, word) in [
+    for (descriptor, stdin, message) in [
         ("four", Stdio::null(), "'four' is not a descriptor number"),
         ("1", Stdio::null(), "'1' is not a descriptor number"),
         ("4", Stdio::null(), "not a socket"),
         ("4", Stdio::from(OwnedFd::from(connected)), "does not listen"),
     ] {
-        let found = start_discovery(replica_list(2, true, vec![]));
-        let platform = Platform { discovery: found, inherited: Some((told, stdin)) };
+        let discovery = start_discovery(replica_list(2, true, vec![]));
+        let platform = Platform { discovery, inherited: Some((descriptor, stdin)) };
         let (child, _discovery) =
             Gateway::spawn_on("n0", "platform", vec![], 1, (1024, 1024), json!({}), platform);
-        let output = child.wait_with_output().expect("it ends");
+        let output = child.wait_with_output().expect("wait for the exit");
         let text = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success() && text.contains(word), "{told}: {text}");
+        assert!(!output.status.success() && text.contains(message), "{descriptor}: {text}");
     }
 }
