--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Tenants' limits as a model against random steps: what is let in, what is told of it, and what is given back.
+//! Quotas of tenants, checked against a model under random steps: admission, the reported status, and reconciliation.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -10,64 +10,63 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Wait(u64),
-    /// The clock runs back.
-    Back(u64),
-    PlacementRequest {
+    /// The clock goes back.
+    GoBack(u64),
+    Request {
         tenant: usize,
         input: u64,
         output: u64,
     },
-    /// The oldest that is open ends, having needed so much; or it was not run.
+    /// The oldest open request ends with this usage of input and output tokens; `None` if it was not run.
     End(Option<(u64, u64)>),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let upto = |g: &mut Gen, most: u64| u64::arbitrary(g) % most;
-        match upto(g, 10) {
-            0..3 => Step::Wait(upto(g, 20 * SECOND)),
-            3 => Step::Back(upto(g, 5 * SECOND)),
-            4..8 => Step::PlacementRequest {
-                tenant: upto(g, 3) as usize,
-                input: upto(g, 900),
-                output: upto(g, 300),
-            },
+        let below = |g: &mut Gen, bound: u64| u64::arbitrary(g) % bound;
+        match below(g, 10) {
+            0..3 => Step::Wait(below(g, 20 * SECOND)),
+            3 => Step::GoBack(below(g, 5 * SECOND)),
+            4..8 => {
+                Step::Request { tenant: below(g, 3) as usize, input: below(g, 900), output: below(g, 300) }
+            }
             8 => Step::End(None),
-            _ => Step::End(Some((upto(g, 900), upto(g, 600)))),
+            _ => Step::End(Some((below(g, 900), below(g, 600)))),
         }
     }
 }
 
-/// What is left is within its limit, and a bucket is full when it says so.
-fn check_standings(quota: &mut Quota, now: u64) {
+/// Checks that the remaining amounts are within their limits, and that each bucket is full at its `full_at`.
+fn check_status(quota: &mut Quota, now: u64) {
     for tenant in 0..3 {
-        for standing in quota.status(now, tenant) {
-            assert!(standing.remaining <= standing.limit);
-            assert!(standing.full_at >= now);
+        for status in quota.status(now, tenant) {
+            assert!(status.remaining <= status.limit);
+            assert!(status.full_at >= now);
             let mut later = quota.clone();
-            let full = later.status(standing.full_at + 1000, tenant);
-            let then = full.iter().find(|s| s.kind == standing.kind).expect("the same");
-            assert_eq!(then.remaining, then.limit, "it is full when it says so");
+            let later_statuses = later.status(status.full_at + 1000, tenant);
+            let full =
+                later_statuses.iter().find(|s| s.kind == status.kind).expect("the same kind of limit");
+            assert_eq!(full.remaining, full.limit, "the bucket is full at `full_at`");
         }
     }
 }
 
-/// Requests taken, and when, keep to a minute's burst and the rate.
-fn check_stretches(taken: &[(u64, i64)]) {
-    // In any stretch no more requests than a minute's worth and what the stretch brought.
-    for (n, (from, _)) in taken.iter().enumerate() {
+/// Checks that admitted requests, given with their times, keep to a minute's burst and the rate.
+fn check_windows(admitted: &[(u64, i64)]) {
+    // No window may have more requests than one minute's worth and what the rate allows for its length.
+    for (n, (from, _)) in admitted.iter().enumerate() {
         let mut sum = 0;
-        for (to, count) in &taken[n..] {
+        for (to, count) in &admitted[n..] {
             sum += count;
-            let most = 6.0 + 6.0 * (to - from) as f64 / (60 * SECOND) as f64;
-            assert!(sum as f64 <= most + 0.001, "{sum} of {most}");
+            let max = 6.0 + 6.0 * (to - from) as f64 / (60 * SECOND) as f64;
+            assert!(sum as f64 <= max + 0.001, "{sum} of {max}");
         }
     }
 }
 
 #[test]
-fn no_window_lets_in_more_than_a_burst_and_its_minutes_share_and_waits_are_honest() {
-    fn holds(steps: Vec<Step>) -> bool {
+fn admissions_keep_to_burst_and_rate_with_tight_waits() {
+    fn keeps_limits(steps: Vec<Step>) -> bool {
         let rates = [
             Rates { requests: Some(6), input: Some(2000), output: Some(500) },
             Rates { requests: Some(30), ..Rates::default() },
@@ -76,61 +75,63 @@
         let mut quota = Quota::new(&rates);
         let (mut now, mut open): (u64, Vec<(usize, Grant)>) = (START, Vec::new());
         let mut latest = now;
-        // What was taken of the first tenant's requests, net of what was given back, and when.
-        let mut taken: Vec<(u64, i64)> = Vec::new();
+        // Times of the first tenant's admissions, and of the returns of requests that were not run as -1.
+        let mut admitted: Vec<(u64, i64)> = Vec::new();
         for step in steps {
             match step {
                 Step::Wait(span) => now += span,
-                Step::Back(span) => now = now.saturating_sub(span).max(START),
-                Step::PlacementRequest { tenant, input, output } => {
+                Step::GoBack(span) => now = now.saturating_sub(span).max(START),
+                Step::Request { tenant, input, output } => {
                     match quota.admit(now, tenant, input, output) {
                         Ok(Some(grant)) => {
                             assert!(tenant < 2, "a tenant without limits gets no grant");
                             open.push((tenant, grant));
                             if tenant == 0 {
-                                taken.push((latest.max(now), 1));
+                                admitted.push((latest.max(now), 1));
                             }
                         }
                         Ok(None) => assert_eq!(tenant, 2),
-                        Err(short) => {
-                            assert!(tenant < 2 && short.wait > 0);
-                            // The wait that is told is enough, and half of it is not.
-                            for (wait, enough) in [(short.wait + 1000, true), (short.wait / 2, false)] {
+                        Err(shortage) => {
+                            assert!(tenant < 2 && shortage.wait > 0);
+                            // The reported wait is enough, and half of it is not.
+                            for (wait, is_enough) in
+                                [(shortage.wait + 1000, true), (shortage.wait / 2, false)]
+                            {
                                 let mut later = quota.clone();
-                                let late = later.admit(now + wait, tenant, input, output);
-                                assert_eq!(late.is_ok(), enough, "{short:?} after {wait}");
+                                let result = later.admit(now + wait, tenant, input, output);
+                                assert_eq!(result.is_ok(), is_enough, "{shortage:?} after {wait}");
                             }
                         }
                     }
                 }
-                Step::End(needed) if !open.is_empty() => {
+                Step::End(usage) if !open.is_empty() => {
                     let (tenant, grant) = open.remove(0);
-                    quota.reconcile(now, grant, needed);
-                    if tenant == 0 && needed.is_none() {
-                        taken.push((latest.max(now), -1));
+                    quota.reconcile(now, grant, usage);
+                    if tenant == 0 && usage.is_none() {
+                        admitted.push((latest.max(now), -1));
                     }
                 }
                 Step::End(_) => {}
             }
             latest = latest.max(now);
-            check_standings(&mut quota, now);
+            check_status(&mut quota, now);
         }
-        check_stretches(&taken);
+        check_windows(&admitted);
         true
     }
-    let test = holds as fn(Vec<Step>) -> bool;
+    let test = keeps_limits as fn(Vec<Step>) -> bool;
     QuickCheck::new().rng(Gen::from_size_and_seed(60, 7)).tests(400).quickcheck(test);
 }
 
 #[test]
-fn a_request_larger_than_a_minutes_worth_waits_for_a_full_bucket_and_no_longer() {
+fn a_request_beyond_a_minutes_worth_waits_for_a_full_bucket() {
     let mut quota = Quota::new(&[Rates { input: Some(100), ..Rates::default() }]);
     let grant = quota.admit(START, 0, 1_000_000, 0).expect("a full bucket").expect("a limit");
-    let short = quota.admit(START, 0, 1_000_000, 0).expect_err("it is empty");
-    assert_eq!((short.kind, short.wait.div_ceil(SECOND)), (LimitKind::Input, 60));
-    // What it did need is a debt that later ones wait for: 300 tokens are three minutes.
+    let shortage = quota.admit(START, 0, 1_000_000, 0).expect_err("an empty bucket");
+    assert_eq!((shortage.kind, shortage.wait.div_ceil(SECOND)), (LimitKind::Input, 60));
+    // Usage beyond the bucket is a debt for which later requests wait: 300 tokens are three minutes.
     quota.reconcile(START, grant, Some((300, 0)));
-    let short = quota.admit(START, 0, 1, 0).expect_err("a debt");
-    assert!((120 * SECOND..=122 * SECOND).contains(&short.wait), "{short:?}");
+    let shortage = quota.admit(START, 0, 1, 0).expect_err("a debt");
+    assert!((120 * SECOND..=122 * SECOND).contains(&shortage.wait), "{shortage:?}");
     assert_eq!(quota.status(START, 0)[0].remaining, 0);
 }
--- a/tests/translate.rs
+++ b/tests/translate.rs
@@ -1,5 +1,5 @@
-//! Translation between the dialects: there and back keeps the meaning, any cut of a stream gives the same bytes, and
-//! no input panics or grows past its bound.
+//! Translation between the dialects: a round trip keeps the meaning, the result does not depend on how a stream is
+//! split, and no input panics or exceeds its bound.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,39 +19,41 @@
     Limits::new(64, 64, Duration::from_secs(1), Duration::from_secs(1))
 }
 
-/// Random words, with all that JSON escapes.
-fn words(g: &mut Gen) -> String {
+/// Random text, with all kinds of characters that JSON escapes.
+fn random_text(g: &mut Gen) -> String {
     let pieces =
         ["gate", " ", "\"", "\\", "\n", "\u{e9}", "\u{1f6eb}", "{", "}", "data: x", "\u{7f}", "[DONE]"];
-    (0..1 + usize::arbitrary(g) % 6).map(|_| *g.choose(&pieces).expect("some")).collect()
+    (0..1 + usize::arbitrary(g) % 6).map(|_| *g.choose(&pieces).expect("a non-empty list")).collect()
 }
 
-fn value(g: &mut Gen, depth: usize) -> Value {
+fn random_value(g: &mut Gen, depth: usize) -> Value {
     match u8::arbitrary(g) % if depth == 0 { 4 } else { 6 } {
         0 => Value::Null,
         1 => json!(i32::arbitrary(g)),
         2 => json!(bool::arbitrary(g)),
-        3 => json!(words(g)),
-        4 => (0..usize::arbitrary(g) % 3).map(|_| value(g, depth - 1)).collect(),
-        _ => object(g, depth - 1),
+        3 => json!(random_text(g)),
+        4 => (0..usize::arbitrary(g) % 3).map(|_| random_value(g, depth - 1)).collect(),
+        _ => random_object(g, depth - 1),
     }
 }
 
-fn object(g: &mut Gen, depth: usize) -> Value {
+fn random_object(g: &mut Gen, depth: usize) -> Value {
     Value::Object(
-        (0..usize::arbitrary(g) % 3).map(|n| (format!("{n}{}", words(g)), value(g, depth))).collect(),
+        (0..usize::arbitrary(g) % 3)
+            .map(|n| (format!("{n}{}", random_text(g)), random_value(g, depth)))
+            .collect(),
     )
 }
 
-/// Up to two tools, and how one of them is chosen.
+/// Adds up to two tools, and possibly a tool choice.
 fn add_tools(g: &mut Gen, body: &mut Value) {
-    let tools = usize::arbitrary(g) % 3;
-    if tools > 0 {
-        body["tools"] = (0..tools)
+    let tool_count = usize::arbitrary(g) % 3;
+    if tool_count > 0 {
+        body["tools"] = (0..tool_count)
             .map(|n| {
-                let mut tool = json!({"name": format!("t{n}"), "input_schema": object(g, 2)});
+                let mut tool = json!({"name": format!("t{n}"), "input_schema": random_object(g, 2)});
                 if bool::arbitrary(g) {
-                    tool["description"] = words(g).into();
+                    tool["description"] = random_text(g).into();
                 }
                 tool
             })
@@ -64,67 +66,70 @@
             json!({"type": "auto", "disable_parallel_tool_use": true}),
         ];
         if bool::arbitrary(g) {
-            body["tool_choice"] = g.choose(&choices).expect("some").clone();
+            body["tool_choice"] = g.choose(&choices).expect("a non-empty list").clone();
         }
     }
 }
 
-/// A messages request of what both dialects have words for.
+/// A messages request with only such parts as both dialects support.
 #[derive(Clone, Debug)]
-struct Asked(Value);
+struct PortableRequest(Value);
 
-impl Arbitrary for Asked {
-    fn arbitrary(g: &mut Gen) -> Asked {
-        let text = |g: &mut Gen| json!({"type": "text", "text": words(g)});
+impl Arbitrary for PortableRequest {
+    fn arbitrary(g: &mut Gen) -> PortableRequest {
+        let text_block = |g: &mut Gen| json!({"type": "text", "text": random_text(g)});
         let mut body =
-            json!({"model": words(g), "max_tokens": 1 + u32::arbitrary(g) % 9000, "stream": true});
+            json!({"model": random_text(g), "max_tokens": 1 + u32::arbitrary(g) % 9000, "stream": true});
         add_tools(g, &mut body);
         if bool::arbitrary(g) {
-            body["system"] = (0..1 + usize::arbitrary(g) % 3).map(|_| text(g)).collect();
+            body["system"] = (0..1 + usize::arbitrary(g) % 3).map(|_| text_block(g)).collect();
         }
         if bool::arbitrary(g) {
             body["temperature"] = json!(f64::from(u8::arbitrary(g)) / 255.0);
             body["stop_sequences"] = json!(["END"]);
-            body["metadata"] = json!({"user_id": words(g)});
+            body["metadata"] = json!({"user_id": random_text(g)});
             body["service_tier"] = "auto".into();
         }
         let mut turns = Vec::new();
         for n in 0..1 + usize::arbitrary(g) % 4 {
-            let mut said = vec![text(g)];
+            let mut question = vec![text_block(g)];
             if bool::arbitrary(g) {
                 let data = json!({"type": "base64", "media_type": "image/png", "data": "aGVsbG8h"});
-                said.push(json!({"type": "image", "source": data}));
+                question.push(json!({"type": "image", "source": data}));
             }
             if bool::arbitrary(g) {
-                let source = json!({"type": "text", "media_type": "text/plain", "data": words(g)});
-                said.push(json!({"type": "document", "title": words(g), "source": source}));
+                let source = json!({"type": "text", "media_type": "text/plain", "data": random_text(g)});
+                question.push(json!({"type": "document", "title": random_text(g), "source": source}));
             }
-            let calls = usize::arbitrary(g) % 3;
-            let mut answer = vec![text(g)];
+            let call_count = usize::arbitrary(g) % 3;
+            let mut response = vec![text_block(g)];
             let mut results = Vec::new();
-            for c in 0..calls {
+            for c in 0..call_count {
                 let id = format!("c{n}-{c}");
-                answer.push(json!({"type": "tool_use", "id": id, "name": "t0", "input": object(g, 3)}));
-                let mut result = json!({"type": "tool_result", "tool_use_id": id, "content": words(g)});
+                response.push(
+                    json!({"type": "tool_use", "id": id, "name": "t0", "input": random_object(g, 3)}),
+                );
+                let mut result =
+                    json!({"type": "tool_result", "tool_use_id": id, "content": random_text(g)});
                 if bool::arbitrary(g) {
                     result["is_error"] = true.into();
                 }
                 results.push(result);
             }
-            turns.push(json!({"role": "user", "content": said}));
-            turns.push(json!({"role": "assistant", "content": answer}));
+            turns.push(json!({"role": "user", "content": question}));
+            turns.push(json!({"role": "assistant", "content": response}));
             if !results.is_empty() {
                 turns.push(json!({"role": "user", "content": results}));
             }
         }
         body["messages"] = turns.into();
-        Asked(body)
+        PortableRequest(body)
     }
 }
 
-/// A content as blocks, so that a text and a list of it compare alike; and turns of one side that follow one another
-/// as one, which is how the API takes them.
-fn spelled_out(mut body: Value) -> Value {
+/// Normalises a request: each content becomes a list of blocks, and consecutive turns of one role become one turn, as
+/// in the API.
+fn normalised(mut body: Value) -> Value {
     let blocks = |content: &mut Value| {
         if let Some(text) = content.as_str() {
             *content = json!([{"type": "text", "text": text}]);
@@ -156,27 +161,32 @@
 }
 
 #[test]
-fn a_request_there_and_back_says_the_same() {
-    fn same(Asked(body): Asked) -> bool {
+fn a_request_is_unchanged_by_a_round_trip() {
+    fn unchanged(PortableRequest(body): PortableRequest) -> bool {
         let limits = MessagesLimits::default();
         let text = body.to_string();
-        let request = Request::read(text.as_bytes(), Purpose::Generation, &limits).expect("good");
-        let platform = to_platform::body(&request).expect("all of it has a counterpart");
-        let back = to_messages::body(&platform, &limits).expect("and so has that");
-        let again = Request::read(&back, Purpose::Generation, &limits).expect("good again");
+        let request =
+            Request::read(text.as_bytes(), Purpose::Generation, &limits).expect("a valid request");
+        let platform = to_platform::body(&request).expect("translation to the platform dialect");
+        let back = to_messages::body(&platform, &limits).expect("translation to the messages dialect");
+        let again = Request::read(&back, Purpose::Generation, &limits).expect("a valid request");
         assert_eq!(Route::of(&again).tokens, Route::of(&request).tokens);
         let back: Value = serde_json::from_slice(&back).expect("JSON");
-        let (was, is) = (spelled_out(body), spelled_out(back));
-        for name in was.as_object().expect("an object").keys() {
-            assert_eq!(was[name], is[name], "{name}");
+        let (before, after) = (normalised(body), normalised(back));
+        for name in before.as_object().expect("an object").keys() {
+            assert_eq!(before[name], after[name], "{name}");
         }
-        assert_eq!(was, is);
+        assert_eq!(before, after);
         true
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(20, 8)).tests(300).quickcheck(same as fn(Asked) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(20, 8))
+        .tests(300)
+        .quickcheck(unchanged as fn(PortableRequest) -> bool);
 }
 
-/// A platform stream: words and calls in any order, their arguments in turns.
+/// A platform stream with text and tool calls in any order, where the calls' arguments are interleaved. `cuts` are the
+/// sizes of the pieces in which the stream is received.
 #[derive(Clone, Debug)]
 struct PlatformStream {
     events: Vec<String>,
@@ -194,37 +204,39 @@
             )
         };
         let calls: Vec<(String, Value)> =
-            (0..usize::arbitrary(g) % 4).map(|n| (format!("t{n}"), object(g, 3))).collect();
-        // What is still to be said of each call.
-        let mut left: Vec<(usize, Vec<String>)> = Vec::new();
+            (0..usize::arbitrary(g) % 4).map(|n| (format!("t{n}"), random_object(g, 3))).collect();
+        // Remaining pieces of each call's arguments, in reverse order.
+        let mut remaining: Vec<(usize, Vec<String>)> = Vec::new();
         for (n, (_, input)) in calls.iter().enumerate() {
-            let letters: Vec<char> = input.to_string().chars().collect();
+            let characters: Vec<char> = input.to_string().chars().collect();
             let size = 1 + usize::arbitrary(g) % 9;
-            left.push((n, letters.chunks(size).map(|c| c.iter().collect()).rev().collect()));
+            remaining.push((n, characters.chunks(size).map(|c| c.iter().collect()).rev().collect()));
         }
-        let (mut events, mut text, mut begun) = (Vec::new(), String::new(), 0);
+        let (mut events, mut text, mut started_count) = (Vec::new(), String::new(), 0);
         loop {
-            let open: Vec<usize> = (0..begun).filter(|n| !left[*n].1.is_empty()).collect();
+            let open: Vec<usize> = (0..started_count).filter(|n| !remaining[*n].1.is_empty()).collect();
             match u8::arbitrary(g) % 4 {
-                0 if begun < calls.len() => {
-                    let (name, _) = &calls[begun];
-                    events.push(event(json!({"tool_calls": [{"index": begun, "id": format!("c{begun}"),
-                        "type": "function", "function": {"name": name, "arguments": ""}}]})));
-                    begun += 1;
+                0 if started_count < calls.len() => {
+                    let (name, _) = &calls[started_count];
+                    events.push(event(
+                        json!({"tool_calls": [{"index": started_count, "id": format!("c{started_count}"),
+                        "type": "function", "function": {"name": name, "arguments": ""}}]}),
+                    ));
+                    started_count += 1;
                 }
                 1 if usize::arbitrary(g) % 4 == 0 => {
-                    let said = words(g);
-                    events.push(event(json!({"content": said})));
-                    text += &said;
+                    let words = random_text(g);
+                    events.push(event(json!({"content": words})));
+                    text += &words;
                 }
                 _ if !open.is_empty() => {
-                    let n = *g.choose(&open).expect("some");
-                    let piece = left[n].1.pop().expect("some");
+                    let n = *g.choose(&open).expect("a non-empty list");
+                    let piece = remaining[n].1.pop().expect("a non-empty list");
                     events.push(event(
                         json!({"tool_calls": [{"index": n, "function": {"arguments": piece}}]}),
                     ));
                 }
-                _ if begun == calls.len() => break,
+                _ if started_count == calls.len() => break,
                 _ => {}
             }
         }
@@ -238,28 +250,29 @@
     }
 }
 
-fn passed(client: Dialect, server: Dialect, stream: &[u8], cuts: &[usize]) -> Vec<u8> {
+/// Translates a stream in pieces of the sizes `cuts`, repeated.
+fn translate(client: Dialect, server: Dialect, stream: &[u8], cuts: &[usize]) -> Vec<u8> {
     let limits = limits();
     let mut translator =
         StreamTranslator::new(client, "1", "m", Rc::new(OmissionLog::new(&limits)), &limits);
-    let (mut text, mut scanned, mut out, mut rest) = (Vec::new(), 0, Vec::new(), stream);
+    let (mut buffer, mut scanned, mut out, mut rest) = (Vec::new(), 0, Vec::new(), stream);
     for cut in cuts.iter().cycle() {
         if rest.is_empty() {
             break;
         }
         let (piece, after) = rest.split_at((*cut).min(rest.len()));
-        text.extend_from_slice(piece);
+        buffer.extend_from_slice(piece);
         rest = after;
         let batch =
-            codec::sse_batch(&mut text, &mut scanned, &limits.wire).expect("events within their bound");
+            codec::sse_batch(&mut buffer, &mut scanned, &limits.wire).expect("events within their bound");
         translator.events(server, &batch, &mut out);
         assert!(!translator.is_full());
     }
-    assert_eq!(translator.buffered_bytes(), 0, "all has been said");
+    assert_eq!(translator.buffered_bytes(), 0, "no buffered bytes after the end");
     out
 }
 
-/// One block after another, each begun once and ended once.
+/// Checks that blocks do not overlap, and that each is started once and stopped once.
 fn assert_blocks_in_sequence(stream: &[u8]) {
     let (mut open, mut next) = (None, 0);
     for block in codec::sse_blocks(stream) {
@@ -282,40 +295,44 @@
 }
 
 #[test]
-fn a_stream_in_any_pieces_gives_the_same_blocks_one_after_another() {
-    fn same(told: PlatformStream) -> bool {
-        let stream = told.events.concat();
-        let whole = passed(Dialect::Messages, Dialect::Platform, stream.as_bytes(), &[stream.len()]);
-        let cut = passed(Dialect::Messages, Dialect::Platform, stream.as_bytes(), &told.cuts);
-        assert_eq!(String::from_utf8_lossy(&whole), String::from_utf8_lossy(&cut));
+fn a_stream_in_any_pieces_gives_the_same_sequence_of_blocks() {
+    fn unchanged(original: PlatformStream) -> bool {
+        let stream = original.events.concat();
+        let in_one_piece =
+            translate(Dialect::Messages, Dialect::Platform, stream.as_bytes(), &[stream.len()]);
+        let in_pieces = translate(Dialect::Messages, Dialect::Platform, stream.as_bytes(), &original.cuts);
+        assert_eq!(String::from_utf8_lossy(&in_one_piece), String::from_utf8_lossy(&in_pieces));
 
-        assert_blocks_in_sequence(&whole);
-        // Gathered, it says what the stream did; and so does the way back.
+        assert_blocks_in_sequence(&in_one_piece);
+        // The assembled message has the content of the stream, also after a round trip.
         let mut assembler = MessageAssembler::new(1 << 20);
-        assembler.events(&whole);
-        let message: Value = serde_json::from_slice(&assembler.finish().expect("whole")).expect("JSON");
-        let of = |kind: &str| {
+        assembler.events(&in_one_piece);
+        let message: Value =
+            serde_json::from_slice(&assembler.finish().expect("a complete message")).expect("JSON");
+        let blocks_of = |kind: &str| {
             let blocks = message["content"].as_array().expect("a list").clone();
             blocks.into_iter().filter(|b| b["type"] == kind).collect::<Vec<_>>()
         };
-        let text: String = of("text").iter().filter_map(|b| b["text"].as_str()).collect();
-        assert_eq!(text, told.text);
-        let mut calls: Vec<(String, Value)> = of("tool_use")
+        let text: String = blocks_of("text").iter().filter_map(|b| b["text"].as_str()).collect();
+        assert_eq!(text, original.text);
+        let mut calls: Vec<(String, Value)> = blocks_of("tool_use")
             .iter()
             .map(|b| (b["name"].as_str().expect("a name").into(), b["input"].clone()))
             .collect();
         calls.sort_by(|a, b| a.0.cmp(&b.0));
-        assert_eq!(calls, told.calls);
+        assert_eq!(calls, original.calls);
         assert_eq!(message["usage"]["input_tokens"], 7);
 
-        let back = passed(Dialect::Platform, Dialect::Messages, &whole, &told.cuts);
-        let there = passed(Dialect::Messages, Dialect::Platform, &back, &[back.len()]);
-        let said = |stream: &[u8]| {
+        let platform_stream =
+            translate(Dialect::Platform, Dialect::Messages, &in_one_piece, &original.cuts);
+        let messages_stream =
+            translate(Dialect::Messages, Dialect::Platform, &platform_stream, &[platform_stream.len()]);
+        let content_of = |stream: &[u8]| {
             let mut assembler = MessageAssembler::new(1 << 20);
             assembler.events(stream);
             let mut message: Value =
-                serde_json::from_slice(&assembler.finish().expect("whole")).expect("JSON");
-            // Texts that calls part are one text on the platform.
+                serde_json::from_slice(&assembler.finish().expect("a complete message")).expect("JSON");
+            // Texts that are separated by calls are one text in the platform dialect.
             let text: String = message["content"]
                 .as_array()
                 .expect("a list")
@@ -326,22 +343,26 @@
             list.retain(|b| b["type"] == "tool_use");
             (text, message["content"].clone(), message["stop_reason"].clone())
         };
-        assert_eq!(said(&there), said(&whole));
+        assert_eq!(content_of(&messages_stream), content_of(&in_one_piece));
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(20, 9))
         .tests(300)
-        .quickcheck(same as fn(PlatformStream) -> bool);
+        .quickcheck(unchanged as fn(PlatformStream) -> bool);
 }
 
 #[test]
-fn no_input_panics_or_grows_past_its_bound() {
-    // Good input that was bitten, doubled and mixed.
-    fn survives(Asked(body): Asked, told: PlatformStream, bites: Vec<(usize, u8)>) -> bool {
-        let bitten = |text: String| {
+fn no_input_panics_or_exceeds_the_output_bound() {
+    // Valid input with bytes replaced, removed and inserted.
+    fn is_bounded(
+        PortableRequest(body): PortableRequest,
+        original: PlatformStream,
+        changes: Vec<(usize, u8)>,
+    ) -> bool {
+        let corrupt = |text: String| {
             let mut bytes = text.into_bytes();
-            for (at, byte) in &bites {
+            for (at, byte) in &changes {
                 let at = at % bytes.len();
                 match byte % 3 {
                     0 => bytes[at] = *byte,
@@ -355,7 +376,7 @@
             bytes
         };
         let limits = limits();
-        let body = bitten(body.to_string());
+        let body = corrupt(body.to_string());
         match Request::read(&body, Purpose::Generation, &limits.messages) {
             Ok(request) => {
                 if let Ok(platform) = to_platform::body(&request) {
@@ -363,13 +384,13 @@
                     serde_json::from_slice::<Value>(&platform).expect("JSON");
                 }
             }
-            Err(what) => assert!(!what.to_string().is_empty()),
+            Err(error) => assert!(!error.to_string().is_empty()),
         }
         if let Ok(messages) = to_messages::body(&body, &limits.messages) {
             assert!(messages.len() <= 4 * body.len() + 4096);
             serde_json::from_slice::<Value>(&messages).expect("JSON");
         }
-        let stream = bitten(told.events.concat());
+        let stream = corrupt(original.events.concat());
         for (client, server) in
             [(Dialect::Messages, Dialect::Platform), (Dialect::Platform, Dialect::Messages)]
         {
@@ -377,7 +398,7 @@
                 StreamTranslator::new(client, "1", "m", Rc::new(OmissionLog::new(&limits)), &limits);
             let mut out = Vec::new();
             translator.events(server, &stream, &mut out);
-            // Each event has a frame of its own, which is longer in the one dialect.
+            // Each event is framed separately, and the frame is longer in one of the dialects.
             assert!(out.len() <= 16 * stream.len() + 4096);
             let mut assembler = MessageAssembler::new(2048);
             assembler.events(&out);
@@ -386,6 +407,6 @@
         }
         true
     }
-    let survives = survives as fn(Asked, PlatformStream, Vec<(usize, u8)>) -> bool;
-    QuickCheck::new().rng(Gen::from_size_and_seed(20, 10)).tests(400).quickcheck(survives);
+    let is_bounded = is_bounded as fn(PortableRequest, PlatformStream, Vec<(usize, u8)>) -> bool;
+    QuickCheck::new().rng(Gen::from_size_and_seed(20, 10)).tests(400).quickcheck(is_bounded);
 }
