--- a/tests/stored_handover.rs
+++ b/tests/stored_handover.rs
@@ -1,8 +1,8 @@
-//! What a gateway's process sends to the one that follows it and to its peers, against the bytes that an earlier
-//! version sent (`tests/data/README.md`).
+//! Data that a gateway process sends to its successor and to its peers, compared with the bytes that an earlier version
+//! sent (`tests/data/README.md`).
 //!
-//! Types and fields may be renamed here and in the sources (with `serde(rename)`), the bytes stay. Neighbouring
-//! fields of one type have different values, so that an exchange of two of them is found.
+//! Types and fields may be renamed here and in the sources (with `serde(rename)`), but the bytes must stay the same.
+//! Neighbouring fields of one type have different values, so that a swap is found.
 
 #[path = "support/stored_data.rs"]
 mod stored_data;
@@ -21,12 +21,12 @@
 use tulipridge::store::{Digest, Entries, Entry, Stamp};
 
 #[test]
-fn the_version_of_the_handover_stays() {
+fn the_handover_version_is_unchanged() {
     assert_eq!(FORMAT_VERSION, 1);
 }
 
 #[test]
-fn streams_keep_their_bytes_between_processes() {
+fn handed_over_streams_keep_their_bytes() {
     let with_body = |body| StreamSnapshot { body, ..stream() };
     let chunked = |chunk| with_body(Some(Body::Chunked(chunk)));
     let cases = [
@@ -41,8 +41,8 @@
         Case::new("ipv6", StreamSnapshot { addr: "[fd00::1]:8080".parse().ok(), ..stream() }),
         Case::new("kept-client-only", StreamSnapshot { keep_replica: false, last: false, ..stream() }),
     ];
-    let encode = |snapshot: &StreamSnapshot| snapshot.bytes().expect("it is written");
-    let decode = |stored: &[u8]| StreamSnapshot::read(stored).expect("it is read");
+    let encode = |snapshot: &StreamSnapshot| snapshot.bytes().expect("an encodable value");
+    let decode = |stored: &[u8]| StreamSnapshot::read(stored).expect("a decodable value");
     check_stored("handover-streams.txt", &cases, encode, decode);
 }
 
@@ -73,7 +73,7 @@
     check_json("store-digests.txt", &[Case::new("none", Digest::new()), Case::new("two", digest)]);
 }
 
-/// A stream in which each field has a value of its own.
+/// A stream whose fields have different values.
 fn stream() -> StreamSnapshot {
     StreamSnapshot {
         id: 0xfeed_0000_0000_0001,
@@ -98,7 +98,7 @@
 }
 
 fn check_json<T: Debug + PartialEq + Serialize + DeserializeOwned>(file: &str, cases: &[Case<T>]) {
-    let encode = |value: &T| serde_json::to_vec(value).expect("it is written");
-    let decode = |stored: &[u8]| serde_json::from_slice(stored).expect("it is read");
+    let encode = |value: &T| serde_json::to_vec(value).expect("an encodable value");
+    let decode = |stored: &[u8]| serde_json::from_slice(stored).expect("a decodable value");
     check_stored(file, cases, encode, decode);
 }
