--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Crowds that fill every place, or every descriptor that there is, while discovery is down: the gateway still finds
-//! discovery at its return, reaches replicas and answers calls at the second address.
+//! Clients that use all connection slots, or all descriptors, while the list service is down: the gateway still connects to
+//! it when it is back, reaches replicas, and serves the management address.
 
 mod support;
 
@@ -15,116 +15,121 @@
 use support::fleet::{ListService, ListServiceBehavior};
 use support::*;
 
-/// One call at the second address: the status of its answer, 0 if there is none, and how long it took.
-fn timed(mgmt: SocketAddr) -> (u16, Duration) {
-    let from = Instant::now();
-    (call_status(mgmt, "GET /ready"), from.elapsed())
+/// Sends one request to the management address; returns the status of the response, 0 if there is none, and the time that
+/// it took.
+fn timed_ready_check(mgmt: SocketAddr) -> (u16, Duration) {
+    let start = Instant::now();
+    (call_status(mgmt, "GET /ready"), start.elapsed())
 }
 
-/// Clients of all idle kinds, each of which comes again as soon as it is sent away.
+/// Idle clients of all kinds, each of which reconnects once its connection is closed: silent ones, ones with an
+/// incomplete request, and ones that have received a response.
 struct Crowd {
-    over: Arc<AtomicBool>,
+    is_over: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl Crowd {
-    fn gather(gateway: &Gateway, count: usize) -> Crowd {
-        let over = Arc::new(AtomicBool::new(false));
+    fn start(gateway: &Gateway, count: usize) -> Crowd {
+        let is_over = Arc::new(AtomicBool::new(false));
         let client = |n: usize| {
-            let (over, front) = (over.clone(), gateway.fronts[n % 2]);
+            let (is_over, front) = (is_over.clone(), gateway.fronts[n % 2]);
             thread::spawn(move || {
-                while !over.load(Ordering::SeqCst) {
+                while !is_over.load(Ordering::SeqCst) {
                     let Ok(mut stream) = TcpStream::connect(front) else { continue };
-                    let said: &[u8] = match n / 2 % 3 {
+                    let first_bytes: &[u8] = match n / 2 % 3 {
                         0 => b"",
                         1 => b"POST /v1/chat/completions HTTP/1.1\r\nHo",
                         _ => b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n",
                     };
-                    let _ = stream.write_all(said);
+                    let _ = stream.write_all(first_bytes);
                     let _ = stream.set_read_timeout(Some(ms(50)));
-                    let gone = |stream: &mut TcpStream| match stream.read(&mut [0; 512]) {
+                    let is_closed = |stream: &mut TcpStream| match stream.read(&mut [0; 512]) {
                         Ok(count) => count == 0,
                         Err(e) => !matches!(e.kind(), std::io::ErrorKind::WouldBlock),
                     };
-                    while !over.load(Ordering::SeqCst) && !gone(&mut stream) {}
+                    while !is_over.load(Ordering::SeqCst) && !is_closed(&mut stream) {}
                     thread::sleep(ms(5));
                 }
             })
         };
         let clients = (0..count).map(client).collect();
-        Crowd { over, clients }
+        Crowd { is_over, clients }
     }
 
-    fn leave(self) {
-        self.over.store(true, Ordering::SeqCst);
-        self.clients.into_iter().for_each(|client| client.join().expect("it leaves"));
+    fn stop(self) {
+        self.is_over.store(true, Ordering::SeqCst);
+        self.clients.into_iter().for_each(|client| client.join().expect("the client ends"));
     }
 }
 
-/// Of descriptors the first number is what there is, the second what the gateway is told.
-fn crowded(descriptors: (u32, u32), way: &str) {
-    let what = format!("{descriptors:?}, {way}");
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let lists = ListService::start(vec![replica_entry(0, &server, "ready", 0)], 100.0);
+/// Runs a gateway with a crowd of clients. `descriptors` has the number of available descriptors and the configured number.
+fn check_under_crowd(descriptors: (u32, u32), way: &str) {
+    let case = format!("{descriptors:?}, {way}");
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let lists = ListService::start(vec![replica_entry(0, &replica, "ready", 0)], 100.0);
     lists.set_behavior(ListServiceBehavior::Closing);
     let platform = Platform::with_discovery((lists.addr, channel().0));
     let more = json!({"mgmt": "127.0.0.1:0", "way": way});
     let started = Gateway::spawn_on("n0", "platform", vec![], 1, descriptors, more, platform);
     let mut gateway = Gateway::attach(started);
-    let mgmt = gateway.mgmt.expect("a second address");
-    let crowd = Crowd::gather(&gateway, 100);
-    // Long enough for the crowd to have tried every place, and for several calls to discovery that fail.
-    let from = Instant::now();
+    let mgmt = gateway.mgmt.expect("a management address");
+    let crowd = Crowd::start(&gateway, 100);
+    // Long enough for the clients to try all slots, and for several failed calls to the list service.
+    let start = Instant::now();
     let mut calls = Vec::new();
-    while from.elapsed() < ms(2500) {
-        calls.push(timed(mgmt));
+    while start.elapsed() < ms(2500) {
+        calls.push(timed_ready_check(mgmt));
         thread::sleep(ms(50));
     }
-    // What says nothing of descriptors would be logged in any run; this is how the first want of them shows.
-    let failed = gateway.count_log_lines("accept-failed");
-    let mute: Vec<_> = calls.iter().filter(|(status, _)| *status != 503).collect();
+    // Failures to accept are the first sign that descriptors have run out.
+    let failed_during_outage = gateway.count_log_lines("accept-failed");
+    let unexpected: Vec<_> = calls.iter().filter(|(status, _)| *status != 503).collect();
     assert!(
-        mute.len() * 50 <= calls.len(),
-        "{what}: calls without their answer: {mute:?} of {}",
+        unexpected.len() * 50 <= calls.len(),
+        "{case}: calls without status 503: {unexpected:?} of {}",
         calls.len()
     );
-    assert!(calls.iter().all(|(_, took)| *took < ms(1000)), "{what}: {calls:?}");
+    assert!(calls.iter().all(|(_, took)| *took < ms(1000)), "{case}: {calls:?}");
     lists.set_behavior(ListServiceBehavior::Serving);
-    let back = Instant::now();
+    let restored_at = Instant::now();
     while call_status(mgmt, "GET /ready") != 200 {
         assert!(
-            back.elapsed() < ms(6000),
-            "{what}: the list is not there yet; {failed} failures to accept"
+            restored_at.elapsed() < ms(6000),
+            "{case}: no list yet; {failed_during_outage} failures to accept"
         );
         thread::sleep(ms(20));
     }
     for session in 0..4 {
-        let (seen, _) = gateway.exchange(["platform", "messages"][session % 2], "plain", 9000, session);
-        assert_eq!(seen, ClientOutcome::Served("Hello".into()), "{what}");
+        let (outcome, _) = gateway.exchange(["platform", "messages"][session % 2], "plain", 9000, session);
+        assert_eq!(outcome, ClientOutcome::Served("Hello".into()), "{case}");
     }
-    let late = gateway.count_log_lines("accept-failed");
+    let failed_in_total = gateway.count_log_lines("accept-failed");
     if descriptors.0 >= descriptors.1 {
-        assert_eq!(late, 0, "{what}: descriptors are kept back");
+        assert_eq!(failed_in_total, 0, "{case}: descriptors are reserved");
     } else {
-        // It learns from the first want how many there are, and until the mute have made room, after 0.2 s, others that
-        // listen fail every 20 ms. From then on nothing fails any more.
-        assert!(failed <= 60, "{what}: {failed} failures to accept while discovery was down");
-        assert_eq!(late, failed, "{what}: it fails to accept again and again");
+        // The first shortage shows the number of descriptors. Until silent connections are evicted, after 0.2 s, the other
+        // listeners fail every 20 ms; after that nothing fails.
+        assert!(
+            failed_during_outage <= 60,
+            "{case}: {failed_during_outage} failures to accept while discovery was down"
+        );
+        assert_eq!(failed_in_total, failed_during_outage, "{case}: further failures to accept");
     }
-    crowd.leave();
-    assert_eq!(gateway.stop(), Some(0), "{what}");
+    crowd.stop();
+    assert_eq!(gateway.stop(), Some(0), "{case}");
 }
 
 #[test]
-fn a_crowd_in_every_place_keeps_discovery_real_servers_and_operators_within_reach() {
+fn a_crowd_in_all_slots_blocks_no_lists_replicas_or_operators() {
     for way in ["ask", "push"] {
-        crowded((128, 128), way);
+        check_under_crowd((128, 128), way);
     }
 }
 
 #[test]
-fn a_crowd_on_fewer_descriptors_than_configured_keeps_them_within_reach_too() {
+fn a_crowd_on_too_few_descriptors_blocks_nothing_else() {
     for way in ["ask", "push"] {
-        crowded((72, 1024), way);
+        check_under_crowd((72, 1024), way);
     }
 }
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle and the rule of places against random steps, beside models that are too plain to be wrong.
+//! The lifecycle, connection slots and connection limits under random steps, compared with simple models. Fixed seeds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,94 +8,108 @@
 use tulipridge::process::lifecycle::{Lifecycle, State};
 use tulipridge::process::overlap::{ConnectionCounts, ConnectionReport, Overlap};
 
+/// Grace period in nanoseconds, like all times of these tests.
 const GRACE: u64 = 700;
 
-fn check(seed: u64) -> QuickCheck {
+fn quickcheck_with_seed(seed: u64) -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(60, seed)).tests(3000)
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Order {
-    Able,
+enum LifecycleStep {
+    SetReady,
     Drain,
     Undrain,
     Stop,
+    /// This many nanoseconds elapse.
     Wait(u16),
 }
 
-impl Arbitrary for Order {
-    fn arbitrary(g: &mut Gen) -> Order {
-        let wait = Order::Wait(u16::arbitrary(g) % 900);
-        *g.choose(&[Order::Able, Order::Drain, Order::Undrain, wait, wait, wait, Order::Stop])
-            .expect("some")
+impl Arbitrary for LifecycleStep {
+    fn arbitrary(g: &mut Gen) -> LifecycleStep {
+        let wait = LifecycleStep::Wait(u16::arbitrary(g) % 900);
+        *g.choose(&[
+            LifecycleStep::SetReady,
+            LifecycleStep::Drain,
+            LifecycleStep::Undrain,
+            wait,
+            wait,
+            wait,
+            LifecycleStep::Stop,
+        ])
+        .expect("a nonempty list")
     }
 }
 
-/// What was ordered, without any state between.
-fn orders(shared: bool, orders: Vec<Order>) {
-    let (mut life, mut now) = (Lifecycle::new(0, shared, GRACE), 0);
-    // When it last began to do without clients; whether it can serve, was drained, has stopped.
-    let (mut left, mut able, mut drained, mut stopped) = (None, false, false, None);
-    for order in orders {
-        let done = match order {
-            Order::Able => {
-                life.set_ready(now);
-                able = true;
+/// Compares the lifecycle with its expected state, which follows from the steps since the start.
+fn check_lifecycle(shared: bool, steps: Vec<LifecycleStep>) {
+    let (mut lifecycle, mut now) = (Lifecycle::new(0, shared, GRACE), 0);
+    // Since when clients are sent away; whether the process is ready and drained; when it was stopped first.
+    let (mut leaving_since, mut is_ready, mut is_drained, mut stopped_at) = (None, false, false, None);
+    for step in steps {
+        let result = match step {
+            LifecycleStep::SetReady => {
+                lifecycle.set_ready(now);
+                is_ready = true;
                 Ok(())
             }
-            Order::Drain => life.drain(now),
-            Order::Undrain => life.undrain(now),
-            Order::Stop => {
-                life.stop(now);
-                stopped = stopped.or(Some(now));
+            LifecycleStep::Drain => lifecycle.drain(now),
+            LifecycleStep::Undrain => lifecycle.undrain(now),
+            LifecycleStep::Stop => {
+                lifecycle.stop(now);
+                stopped_at = stopped_at.or(Some(now));
                 Ok(())
             }
-            Order::Wait(time) => {
+            LifecycleStep::Wait(time) => {
                 now += u64::from(time);
                 Ok(())
             }
         };
-        assert_eq!(done.is_err(), stopped.is_some() && matches!(order, Order::Drain | Order::Undrain));
-        match order {
-            Order::Drain if done.is_ok() => drained = true,
-            Order::Undrain if done.is_ok() => drained = false,
+        assert_eq!(
+            result.is_err(),
+            stopped_at.is_some() && matches!(step, LifecycleStep::Drain | LifecycleStep::Undrain)
+        );
+        match step {
+            LifecycleStep::Drain if result.is_ok() => is_drained = true,
+            LifecycleStep::Undrain if result.is_ok() => is_drained = false,
             _ => {}
         }
-        let goes = stopped.is_some() || able && drained;
-        left = if goes { stopped.or(left).or(Some(now)) } else { None };
-        let over = stopped.is_some_and(|at| now >= at + GRACE);
-        assert_eq!(life.is_in_rotation(), able && !drained && stopped.is_none());
-        assert_eq!(life.can_serve(), able && stopped.is_none());
-        assert_eq!(life.keeps_connections(), !goes);
-        let accepts = if shared { able && stopped.is_none() } else { !over };
-        assert_eq!(life.admits_requests(now), shared || !over);
-        assert_eq!(life.accepts(now), accepts, "{:?} after {order:?}", life.state());
-        assert_eq!(life.idle_deadline(None), left.map(|at| at + GRACE));
-        // One that connects now is heard for as long, even if the grace is over.
-        assert_eq!(life.idle_deadline(Some(now)), left.map(|_| now + GRACE));
-        assert_eq!((life.is_finished(now, 0), life.is_finished(now, 1)), (over, false));
-        assert_eq!(life.next_change(now), stopped.filter(|_| !over).map(|at| at + GRACE));
-        assert_eq!(life.state() == State::Stopping, stopped.is_some());
+        let is_leaving = stopped_at.is_some() || is_ready && is_drained;
+        leaving_since = if is_leaving { stopped_at.or(leaving_since).or(Some(now)) } else { None };
+        let is_grace_over = stopped_at.is_some_and(|at| now >= at + GRACE);
+        assert_eq!(lifecycle.is_in_rotation(), is_ready && !is_drained && stopped_at.is_none());
+        assert_eq!(lifecycle.can_serve(), is_ready && stopped_at.is_none());
+        assert_eq!(lifecycle.keeps_connections(), !is_leaving);
+        let accepts = if shared { is_ready && stopped_at.is_none() } else { !is_grace_over };
+        assert_eq!(lifecycle.admits_requests(now), shared || !is_grace_over);
+        assert_eq!(lifecycle.accepts(now), accepts, "{:?} after {step:?}", lifecycle.state());
+        assert_eq!(lifecycle.idle_deadline(None), leaving_since.map(|at| at + GRACE));
+        // A connection opened now stays for one grace period, even if that of the process has ended.
+        assert_eq!(lifecycle.idle_deadline(Some(now)), leaving_since.map(|_| now + GRACE));
+        assert_eq!((lifecycle.is_finished(now, 0), lifecycle.is_finished(now, 1)), (is_grace_over, false));
+        assert_eq!(lifecycle.next_change(now), stopped_at.filter(|_| !is_grace_over).map(|at| at + GRACE));
+        assert_eq!(lifecycle.state() == State::Stopping, stopped_at.is_some());
     }
 }
 
 #[test]
-fn the_lifecycle_does_what_was_ordered_last() {
-    check(41).quickcheck(orders as fn(bool, Vec<Order>));
+fn the_lifecycle_follows_the_latest_step() {
+    quickcheck_with_seed(41).quickcheck(check_lifecycle as fn(bool, Vec<LifecycleStep>));
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Move {
+enum SlotStep {
     Acquire,
     Release(u8),
     SetState(u8, ConnectionState),
     Progress(u8),
+    /// This many nanoseconds elapse.
     Wait(u16),
     Evict,
 }
 
-impl Arbitrary for Move {
-    fn arbitrary(g: &mut Gen) -> Move {
+impl Arbitrary for SlotStep {
+    fn arbitrary(g: &mut Gen) -> SlotStep {
         let state = *g
             .choose(&[
                 ConnectionState::Receiving,
@@ -104,63 +118,63 @@
                 ConnectionState::Closing,
                 ConnectionState::Evicted,
             ])
-            .expect("some");
+            .expect("a nonempty list");
         let slot = u8::arbitrary(g) % 12;
-        let (set_state, progress) = (Move::SetState(slot, state), Move::Progress(slot));
+        let (set_state, progress) = (SlotStep::SetState(slot, state), SlotStep::Progress(slot));
         *g.choose(&[
-            Move::Acquire,
-            Move::Acquire,
+            SlotStep::Acquire,
+            SlotStep::Acquire,
             set_state,
             set_state,
             progress,
-            Move::Release(slot),
-            Move::Wait(70),
-            Move::Evict,
+            SlotStep::Release(slot),
+            SlotStep::Wait(70),
+            SlotStep::Evict,
         ])
-        .expect("some")
+        .expect("a nonempty list")
     }
 }
 
-/// The connections that have a slot at the moment, in a plain table.
-fn moves(moves: Vec<Move>) {
-    let span = Duration::from_nanos;
-    let timeouts =
-        SlotTimeouts { silent: span(100), receiving: span(300), idle: span(200), closing: span(20) };
+/// Compares the slots with a table of the connections that have a slot.
+fn check_slots(steps: Vec<SlotStep>) {
+    let ns = Duration::from_nanos;
+    let timeouts = SlotTimeouts { silent: ns(100), receiving: ns(300), idle: ns(200), closing: ns(20) };
     let (mut slots, mut model, mut now) = (ConnectionSlots::new(timeouts), BTreeMap::new(), 0);
-    for step in moves {
+    for step in steps {
         match step {
-            Move::Acquire => drop(model.insert(slots.acquire(now), (ConnectionState::Silent, now))),
-            Move::Release(n) => {
+            SlotStep::Acquire => drop(model.insert(slots.acquire(now), (ConnectionState::Silent, now))),
+            SlotStep::Release(n) => {
                 slots.release(n.into());
                 model.remove(&u64::from(n));
             }
-            Move::SetState(n, state) => {
+            SlotStep::SetState(n, state) => {
                 let before =
                     model.get_mut(&u64::from(n)).map(|slot| std::mem::replace(slot, (state, now)).0);
                 assert_eq!(slots.set_state(now, n.into(), state), before);
             }
-            Move::Progress(n) => {
+            SlotStep::Progress(n) => {
                 slots.progress(now, n.into());
-                // Only what arrives makes progress.
+                // Only an incomplete request makes progress.
                 if let Some(slot) =
                     model.get_mut(&u64::from(n)).filter(|(s, _)| *s == ConnectionState::Receiving)
                 {
                     slot.1 = now;
                 }
             }
-            Move::Wait(time) => now += u64::from(time),
-            Move::Evict => {
-                let old = |state, most| {
-                    let of = model.iter().filter(move |(_, (s, since))| *s == state && now - since >= most);
-                    of.map(|(n, (_, since))| (*since, *n)).min()
+            SlotStep::Wait(time) => now += u64::from(time),
+            SlotStep::Evict => {
+                let oldest = |state, timeout| {
+                    let evictable =
+                        model.iter().filter(move |(_, (s, since))| *s == state && now - since >= timeout);
+                    evictable.map(|(n, (_, since))| (*since, *n)).min()
                 };
-                let talkers = [
-                    old(ConnectionState::Receiving, 300),
-                    old(ConnectionState::Idle, 200),
-                    old(ConnectionState::Closing, 20),
+                let not_silent = [
+                    oldest(ConnectionState::Receiving, 300),
+                    oldest(ConnectionState::Idle, 200),
+                    oldest(ConnectionState::Closing, 20),
                 ];
-                let expected = old(ConnectionState::Silent, 100)
-                    .or(talkers.into_iter().flatten().min())
+                let expected = oldest(ConnectionState::Silent, 100)
+                    .or(not_silent.into_iter().flatten().min())
                     .map(|(_, n)| n);
                 assert_eq!(slots.evict(now), expected);
                 if let Some(slot) = expected.and_then(|n| model.get_mut(&n)) {
@@ -175,79 +189,79 @@
 }
 
 #[test]
-fn silent_connections_go_first_then_the_oldest_and_nobody_with_a_request_open() {
-    check(42).quickcheck(moves as fn(Vec<Move>));
+fn silent_connections_are_evicted_first_then_the_oldest_unserved() {
+    quickcheck_with_seed(42).quickcheck(check_slots as fn(Vec<SlotStep>));
 }
 
-/// Two processes of one gateway, each of which opens and closes connections as it likes within its places.
-fn overlaps(whole: (u8, u8), held: (u8, u8), steps: Vec<(bool, i8, i8)>, stops: u8) {
-    let whole = ConnectionCounts { edge: 16 + usize::from(whole.0), replicas: 16 + usize::from(whole.1) };
-    let (older, newer) = (Overlap::new(whole), Overlap::new(whole));
-    // Alone the older one may have filled all of it.
+/// Two processes of one gateway, each of which opens and closes random numbers of connections within its limits.
+fn check_overlap(all: (u8, u8), open: (u8, u8), steps: Vec<(bool, i8, i8)>, stop_step: u8) {
+    let all = ConnectionCounts { edge: 16 + usize::from(all.0), replicas: 16 + usize::from(all.1) };
+    let (older, newer) = (Overlap::new(all), Overlap::new(all));
+    // While it was alone, the older process may have used all connections.
     let mut old = ConnectionCounts {
-        edge: usize::from(held.0).min(whole.edge),
-        replicas: usize::from(held.1).min(whole.replicas),
+        edge: usize::from(open.0).min(all.edge),
+        replicas: usize::from(open.1).min(all.replicas),
     };
     let mut new = ConnectionCounts::default();
-    assert_eq!(older.limits(), whole);
+    assert_eq!(older.limits(), all);
     older.newer_started();
-    assert_eq!((older.share(100), newer.share(100)), (50, 100), "the newcomer knows nothing yet");
+    assert_eq!((older.share(100), newer.share(100)), (50, 100), "the newer process has no report yet");
     for (n, (is_old, edge, replicas)) in steps.into_iter().enumerate() {
-        let stopping = n >= usize::from(stops) % 32;
+        let stopping = n >= usize::from(stop_step) % 32;
         newer.older_reported(ConnectionReport { open: old, stopping });
-        let to = |held: usize, by: i8, most: usize| match by {
-            // What is over the part already may only become less.
-            0.. => (held + by as usize).min(most.max(held)),
-            _ => held.saturating_sub(usize::from(by.unsigned_abs())),
+        let change = |count: usize, by: i8, limit: usize| match by {
+            // A count above the limit may only decrease.
+            0.. => (count + by as usize).min(limit.max(count)),
+            _ => count.saturating_sub(usize::from(by.unsigned_abs())),
         };
-        let (open, may) = if is_old { (&mut old, older.limits()) } else { (&mut new, newer.limits()) };
+        let (open, limits) = if is_old { (&mut old, older.limits()) } else { (&mut new, newer.limits()) };
         let edge = if stopping && is_old { -edge.saturating_abs() } else { edge };
         let replicas = if stopping && is_old { -replicas.saturating_abs() } else { replicas };
         *open = ConnectionCounts {
-            edge: to(open.edge, edge, may.edge),
-            replicas: to(open.replicas, replicas, may.replicas),
+            edge: change(open.edge, edge, limits.edge),
+            replicas: change(open.replicas, replicas, limits.replicas),
         };
-        // Those four that a newcomer always has come out of what is kept back.
-        assert!(old.edge + new.edge <= whole.edge + 4, "{old:?} {new:?} of {whole:?}");
-        assert!(old.replicas + new.replicas <= whole.replicas + 4, "{old:?} {new:?} of {whole:?}");
+        // Reserved descriptors cover the four connections that a newer process may always open.
+        assert!(old.edge + new.edge <= all.edge + 4, "{old:?} {new:?} of {all:?}");
+        assert!(old.replicas + new.replicas <= all.replicas + 4, "{old:?} {new:?} of {all:?}");
     }
     older.newer_exited();
     newer.older_exited();
-    assert_eq!((older.limits(), newer.limits()), (whole, whole));
+    assert_eq!((older.limits(), newer.limits()), (all, all));
     assert_eq!((older.share(100), newer.share(100)), (100, 100));
 }
 
 #[test]
-fn two_processes_together_hold_no_more_than_one_alone() {
+fn two_processes_open_no_more_connections_than_one_alone() {
     type Steps = Vec<(bool, i8, i8)>;
-    check(43).quickcheck(overlaps as fn((u8, u8), (u8, u8), Steps, u8));
+    quickcheck_with_seed(43).quickcheck(check_overlap as fn((u8, u8), (u8, u8), Steps, u8));
 }
 
-/// However often descriptors run out, and with whatever open: places never become more, never fewer than each kind needs
-/// at the least, and what is kept back is kept back.
-fn runs_out(whole: (u8, u8), own: u8, spells: Vec<(u8, u8)>) {
-    let whole = ConnectionCounts { edge: 8 + usize::from(whole.0), replicas: 8 + usize::from(whole.1) };
-    let (overlap, own) = (Overlap::new(whole), usize::from(own));
-    for (edge, replicas) in spells {
+/// However often descriptors run out, and whatever the numbers of open connections: limits never increase, none is less
+/// than the minimum of its kind, and the descriptors to be reserved are reserved.
+fn check_reduced_limits(all: (u8, u8), own: u8, shortages: Vec<(u8, u8)>) {
+    let all = ConnectionCounts { edge: 8 + usize::from(all.0), replicas: 8 + usize::from(all.1) };
+    let (overlap, own) = (Overlap::new(all), usize::from(own));
+    for (edge, replicas) in shortages {
         let before = overlap.limits();
         let open = ConnectionCounts { edge: usize::from(edge), replicas: usize::from(replicas) };
-        let fewer = overlap.reduce_limits(open, own);
-        let (after, all) = (overlap.limits(), open.edge + open.replicas);
-        assert_eq!(fewer, after != before);
+        let is_reduced = overlap.reduce_limits(open, own);
+        let (after, open_count) = (overlap.limits(), open.edge + open.replicas);
+        assert_eq!(is_reduced, after != before);
         assert!(
             after.edge <= before.edge && after.replicas <= before.replicas,
             "{after:?} after {before:?}"
         );
         assert!(after.edge >= 4 && after.replicas >= 4, "{after:?}");
-        let kept_back = all.saturating_sub(after.edge + after.replicas);
+        let reserved = open_count.saturating_sub(after.edge + after.replicas);
         assert!(
-            kept_back >= own.min(all / 2) || after.edge.min(after.replicas) == 4,
+            reserved >= own.min(open_count / 2) || after.edge.min(after.replicas) == 4,
             "{after:?} of {open:?}"
         );
     }
 }
 
 #[test]
-fn places_become_fewer_where_descriptors_run_out() {
-    check(44).quickcheck(runs_out as fn((u8, u8), u8, Vec<(u8, u8)>));
+fn limits_are_reduced_when_descriptors_run_out() {
+    quickcheck_with_seed(44).quickcheck(check_reduced_limits as fn((u8, u8), u8, Vec<(u8, u8)>));
 }
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,4 +1,4 @@
-//! A log that nobody takes, or takes slowly: the program serves on at its pace and ends in time.
+//! A log whose reader is slow, absent or gone: the program serves requests without delay and exits in time.
 
 mod support;
 
@@ -13,75 +13,75 @@
 
 use support::*;
 
-/// Lines that the tests make the program write: at some 200 bytes a line far more than a pipe's 64 KiB and the
-/// program's own queue hold together.
-const LINES: usize = 2400;
-/// The longest that one answer may take here. It is milliseconds on a machine with nothing else to do; a program
-/// that waits for its log never answers at all.
-const PACE: Duration = Duration::from_secs(5);
-
-/// The program with its standard error in the test's hands, read up to where both fronts listen.
-fn unread(server: &StandInReplica) -> (Gateway, BufReader<ChildStderr>) {
-    let servers = vec![replica_entry(0, server, "ready", 0)];
-    let (mut child, discovery) = Gateway::spawn("n0", "platform", servers, 1, (1024, 1024), json!({}));
+/// Log lines that a test causes: at about 200 bytes a line far more than a pipe's 64 KiB and the program's queue can
+/// buffer together.
+const LINE_COUNT: usize = 2400;
+/// Maximum time for a response or an exit. It takes milliseconds on an idle machine; a program that waits for its log
+/// never responds.
+const MAX_DELAY: Duration = Duration::from_secs(5);
+
+/// Starts the program and reads its standard error until both fronts listen; the test reads the rest.
+fn start_with_unread_log(replica: &StandInReplica) -> (Gateway, BufReader<ChildStderr>) {
+    let replicas = vec![replica_entry(0, replica, "ready", 0)];
+    let (mut child, discovery) = Gateway::spawn("n0", "platform", replicas, 1, (1024, 1024), json!({}));
     let mut log = BufReader::new(child.stderr.take().expect("piped"));
     let mut lines = Vec::new();
     while lines.iter().filter(|l: &&String| l.contains(" listening ")).count() < 2 {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).expect("readable") > 0, "it ended: {lines:?}");
+        assert!(log.read_line(&mut line).expect("readable") > 0, "the log ended: {lines:?}");
         lines.push(line);
     }
     (Gateway::attach_with_log(child, discovery, lines.into_iter()), log)
 }
 
-/// Has a line written at level info, by bytes that are no request.
-fn noise(gateway: &Gateway, front: &str) {
-    answers(gateway, front, "nonsense\r\n\r\n", 400);
+/// Causes one log line at level info, by bytes that are not a request.
+fn send_invalid_request(gateway: &Gateway, front: &str) {
+    assert_status(gateway, front, "nonsense\r\n\r\n", 400);
 }
 
-/// These bytes get an answer of that status in time.
-fn answers(gateway: &Gateway, front: &str, bytes: &str, status: u16) {
+/// Asserts that these bytes get a response with this status in time.
+fn assert_status(gateway: &Gateway, front: &str, bytes: &str, status: u16) {
     let mut stream = gateway.connect(front);
-    stream.set_read_timeout(Some(PACE)).expect("a time-out");
+    stream.set_read_timeout(Some(MAX_DELAY)).expect("set the timeout");
     stream.write_all(bytes.as_bytes()).expect("sent");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer in time");
-    assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response in time");
+    assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{response}");
 }
 
-/// Both fronts and the health check answer in time.
-fn serves(gateway: &Gateway) {
+/// Asserts that both fronts and their health checks respond in time.
+fn assert_serves(gateway: &Gateway) {
     for (session, front) in ["platform", "messages"].into_iter().enumerate() {
-        let from = Instant::now();
+        let start = Instant::now();
         let stream = gateway.send(front, "plain", 9000, session);
-        stream.set_read_timeout(Some(PACE)).expect("a time-out");
+        stream.set_read_timeout(Some(MAX_DELAY)).expect("set the timeout");
         assert_eq!(read_outcome(front, stream).0, ClientOutcome::Served("Hello".into()));
-        answers(gateway, front, "GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", 200);
-        assert!(from.elapsed() < PACE, "{front}: {:?}", from.elapsed());
+        assert_status(gateway, front, "GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", 200);
+        assert!(start.elapsed() < MAX_DELAY, "{front}: {:?}", start.elapsed());
     }
 }
 
-/// Stops it, which must not wait for the log.
-fn stops(mut gateway: Gateway) {
-    let from = Instant::now();
-    let (tell, ended) = channel();
+/// Stops the program, and asserts that it exits in time, without waiting for its log.
+fn assert_stops(mut gateway: Gateway) {
+    let start = Instant::now();
+    let (exit_sender, exit) = channel();
     gateway.signal("-TERM");
     let stopping = thread::spawn(move || {
-        let code = gateway.child.wait().expect("it ends").code();
-        let _ = tell.send(());
+        let code = gateway.child.wait().expect("wait for the exit").code();
+        let _ = exit_sender.send(());
         (gateway, code)
     });
-    ended.recv_timeout(PACE).expect("it ends in time");
-    assert_eq!(stopping.join().expect("whole").1, Some(0), "after {:?}", from.elapsed());
+    exit.recv_timeout(MAX_DELAY).expect("the program exits in time");
+    assert_eq!(stopping.join().expect("the waiting thread").1, Some(0), "after {:?}", start.elapsed());
 }
 
-/// How many lines of the text say this.
-fn said(log: &str, word: &str) -> usize {
-    log.lines().filter(|l| l.contains(word)).count()
+/// Number of log lines that contain `text`.
+fn count_lines(log: &str, text: &str) -> usize {
+    log.lines().filter(|l| l.contains(text)).count()
 }
 
-/// The lines that the program says it lost on that way, and how often it said so.
-fn lost(log: &str, way: &str) -> (usize, usize) {
+/// Number of lines that the log reports as lost on this output, and number of such reports.
+fn lost_lines(log: &str, way: &str) -> (usize, usize) {
     let mut counts = Vec::new();
     for line in log.lines().filter(|l| l.contains(" log-lost ")) {
         assert!(line.contains(&format!("way=\"{way}\"")), "{line}");
@@ -92,78 +92,78 @@
 }
 
 #[test]
-fn a_full_pipe_delays_no_answer_and_no_end_and_what_it_cost_is_said() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let (gateway, mut log) = unread(&server);
-    for n in 0..LINES {
-        noise(&gateway, ["platform", "messages"][n % 2]);
+fn a_full_pipe_delays_no_response_or_exit_and_losses_are_logged() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let (gateway, mut log) = start_with_unread_log(&replica);
+    for n in 0..LINE_COUNT {
+        send_invalid_request(&gateway, ["platform", "messages"][n % 2]);
     }
-    serves(&gateway);
-    // Somebody reads again: what fitted comes in its order, then how many did not.
-    let (lines, read) = channel();
+    assert_serves(&gateway);
+    // The log is read again: the buffered lines in their order, then the number of lost ones.
+    let (report_sender, reports) = channel();
     let reader = thread::spawn(move || {
         let mut text = String::new();
         let mut line = String::new();
         while log.read_line(&mut line).expect("readable") > 0 {
             if line.contains(" log-lost ") {
-                let _ = lines.send(());
+                let _ = report_sender.send(());
             }
             text += &std::mem::take(&mut line);
         }
         text
     });
-    read.recv_timeout(TEST_TIMEOUT).expect("the count is said when there is room");
-    serves(&gateway);
-    stops(gateway);
-    let text = reader.join().expect("whole");
-    let (lines, times) = lost(&text, "stderr");
-    assert_eq!(said(&text, " bad-request ") + lines, LINES, "each line is there or counted");
-    assert!(lines > 0 && times == 1, "{lines} lost in {times} lines");
+    reports.recv_timeout(TEST_TIMEOUT).expect("a report of lost lines once there is room");
+    assert_serves(&gateway);
+    assert_stops(gateway);
+    let text = reader.join().expect("the reading thread");
+    let (lost, report_count) = lost_lines(&text, "stderr");
+    assert_eq!(count_lines(&text, " bad-request ") + lost, LINE_COUNT, "each line is written or counted");
+    assert!(lost > 0 && report_count == 1, "{lost} lost in {report_count} reports");
     let times: Vec<&str> = text.lines().map(|l| l.split(' ').nth(1).expect("a time")).collect();
-    assert!(times.is_sorted(), "in the order in which they were written");
-    assert_eq!(said(&text, " stopped "), 1, "the last line is written");
+    assert!(times.is_sorted(), "lines out of order");
+    assert_eq!(count_lines(&text, " stopped "), 1, "the last line is missing");
 }
 
 #[test]
-fn a_pipe_that_is_never_read_holds_up_neither_service_nor_the_end() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let (gateway, _log) = unread(&server);
-    for n in 0..LINES {
-        noise(&gateway, ["platform", "messages"][n % 2]);
+fn a_pipe_that_is_never_read_delays_neither_requests_nor_the_exit() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let (gateway, _log) = start_with_unread_log(&replica);
+    for n in 0..LINE_COUNT {
+        send_invalid_request(&gateway, ["platform", "messages"][n % 2]);
     }
-    serves(&gateway);
-    stops(gateway);
+    assert_serves(&gateway);
+    assert_stops(gateway);
 }
 
 #[test]
-fn a_pipe_that_is_read_slowly_delays_no_answer() {
-    let server = start_replica("platform", ReplicaBehavior::Serve);
-    let (gateway, mut log) = unread(&server);
-    let (enough, told) = channel::<()>();
+fn a_pipe_that_is_read_slowly_delays_no_response() {
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
+    let (gateway, mut log) = start_with_unread_log(&replica);
+    let (stop_sender, stop) = channel::<()>();
     let reader = thread::spawn(move || {
-        // Far less than is written.
+        // Far slower than the lines are written.
         let mut bytes = [0; 512];
-        while told.recv_timeout(Duration::from_millis(200)).is_err() {
+        while stop.recv_timeout(Duration::from_millis(200)).is_err() {
             if log.read(&mut bytes).expect("readable") == 0 {
                 break;
             }
         }
         log
     });
-    let from = Instant::now();
-    for n in 0..LINES {
-        noise(&gateway, ["platform", "messages"][n % 2]);
-        // At the reader's pace they would take minutes.
-        assert!(from.elapsed() < TEST_TIMEOUT, "{n} lines took that long");
+    let start = Instant::now();
+    for n in 0..LINE_COUNT {
+        send_invalid_request(&gateway, ["platform", "messages"][n % 2]);
+        // At the rate of the reader this would take minutes.
+        assert!(start.elapsed() < TEST_TIMEOUT, "{n} lines took {TEST_TIMEOUT:?}");
     }
-    serves(&gateway);
-    stops(gateway);
-    enough.send(()).expect("it still reads");
-    drop(reader.join().expect("whole"));
+    assert_serves(&gateway);
+    assert_stops(gateway);
+    stop_sender.send(()).expect("the reading thread runs");
+    drop(reader.join().expect("the reading thread"));
 }
 
-/// The next line that a collector is sent.
-fn counted(reader: &mut BufReader<TcpStream>) -> String {
+/// Reads the next line that a collector receives, framed by its length.
+fn read_syslog_line(reader: &mut BufReader<TcpStream>) -> String {
     let mut count = Vec::new();
     reader.read_until(b' ', &mut count).expect("a count");
     let count = String::from_utf8(count).expect("UTF-8").trim_end().parse().expect("a count");
@@ -173,14 +173,14 @@
 }
 
 #[test]
-fn a_collector_that_comes_back_gets_the_count_of_lost_lines() {
+fn a_collector_that_returns_gets_the_count_of_lost_lines() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let server = start_replica("platform", ReplicaBehavior::Serve);
+    let replica = start_replica("platform", ReplicaBehavior::Serve);
     let (child, discovery) = Gateway::spawn(
         "n0",
         "platform",
-        vec![replica_entry(0, &server, "ready", 0)],
+        vec![replica_entry(0, &replica, "ready", 0)],
         1,
         (1024, 1024),
         json!({"syslog": {"tcp": addr.to_string()}}),
@@ -188,49 +188,49 @@
     let mut first = BufReader::new(listener.accept().expect("a connection").0);
     let mut lines = Vec::new();
     while lines.iter().filter(|l: &&String| l.contains(" listening ")).count() < 2 {
-        lines.push(counted(&mut first));
+        lines.push(read_syslog_line(&mut first));
     }
     let gateway = Gateway::attach_with_log(child, discovery, lines.into_iter());
     drop((first, listener));
-    for n in 0..LINES {
-        noise(&gateway, ["platform", "messages"][n % 2]);
+    for n in 0..LINE_COUNT {
+        send_invalid_request(&gateway, ["platform", "messages"][n % 2]);
     }
     let listener = TcpListener::bind(addr).expect("the same port");
-    let mut again = BufReader::new(listener.accept().expect("it comes back").0);
+    let mut second = BufReader::new(listener.accept().expect("a second connection").0);
     let mut text = String::new();
     while !text.contains(" log-lost ") {
-        text += &(counted(&mut again) + "\n");
+        text += &(read_syslog_line(&mut second) + "\n");
     }
-    let (lines, _) = lost(&text, "collector");
-    // Some may have been on their way to the collector when it went.
-    assert!(lines > 0 && said(&text, " bad-request ") + lines <= LINES, "{lines} lost");
-    serves(&gateway);
-    stops(gateway);
+    let (lost, _) = lost_lines(&text, "collector");
+    // Lines in transit when the connection ended are neither received nor counted.
+    assert!(lost > 0 && count_lines(&text, " bad-request ") + lost <= LINE_COUNT, "{lost} lost");
+    assert_serves(&gateway);
+    assert_stops(gateway);
 }
 
 #[test]
-fn a_panics_message_comes_out_behind_the_lines_before_it() {
+fn a_panic_message_is_written_after_all_earlier_lines() {
     const ROLE: &str = "TULIPRIDGE_TEST_PANICS";
     if std::env::var_os(ROLE).is_some() {
-        // The other side of this test, in a process of its own, whose log is not the test's.
-        let limits = tulipridge::limits::Limits::new(1024, 192, PACE, PACE);
+        // The process that the test below starts, with a separate log.
+        let limits = tulipridge::limits::Limits::new(1024, 192, MAX_DELAY, MAX_DELAY);
         let _log = tulipridge::syslog::start("n0", false, &limits).expect("a log");
-        log::error!("before: it still runs");
+        log::error!("before: this line precedes the panic");
         panic!("out of\ncheese");
     }
-    let me = std::env::current_exe().expect("a path");
-    let mut child = Command::new(me)
-        .args(["--exact", "a_panics_message_comes_out_behind_the_lines_before_it", "--nocapture"])
+    let this_program = std::env::current_exe().expect("a path");
+    let mut child = Command::new(this_program)
+        .args(["--exact", "a_panic_message_is_written_after_all_earlier_lines", "--nocapture"])
         .env(ROLE, "1")
         .env("RUST_LOG", "info")
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("start the program");
     let mut text = String::new();
     child.stderr.take().expect("piped").read_to_string(&mut text).expect("UTF-8");
-    assert!(!child.wait().expect("it ends").success());
-    let at = |word: &str| text.find(word).unwrap_or_else(|| panic!("{word} is missing: {text}"));
-    assert!(at(" panicked ") > at(" before "), "{text}");
+    assert!(!child.wait().expect("wait for the exit").success());
+    let position = |event: &str| text.find(event).unwrap_or_else(|| panic!("{event} is missing: {text}"));
+    assert!(position(" panicked ") > position(" before "), "{text}");
     assert!(text.contains("out of\\ncheese") && text.contains("at=\"tests/logging.rs:"), "{text}");
 }
