--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter, through its standard input and output.
+//! The simulator adapter program, by its standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -15,29 +15,29 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // The adapter may end before all is written; what it says then is what counts.
+        .expect("start the adapter");
+    // The adapter may exit before all is written; its output and status are checked either way.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("wait for the adapter")
 }
 
-/// The replies to input that must be in order.
-fn replies(input: &str) -> Vec<String> {
+/// Output lines for valid input.
+fn output_lines(input: &str) -> Vec<String> {
     let output = run(input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8(output.stdout).expect("UTF-8").lines().map(str::to_owned).collect()
 }
 
-/// The message for input that must end the adapter.
-fn complaint(input: &str) -> String {
+/// Error message for invalid input, on which the adapter exits.
+fn error_message(input: &str) -> String {
     let output = run(input);
-    assert_eq!(output.status.code(), Some(1), "no complaint about {input}");
+    assert_eq!(output.status.code(), Some(1), "no error for {input}");
     let text = String::from_utf8(output.stderr).expect("UTF-8");
     assert_eq!(text.lines().count(), 1, "{text}");
     text
 }
 
-fn start(router: &str) -> String {
+fn provision_line(router: &str) -> String {
     format!("PROVISION {router} 5 {SETUP}\n")
 }
 
@@ -47,100 +47,105 @@
     format!("ASK {router} {id:016x} 500000000 - 7 - 0 100 chat - 200 0\n")
 }
 
-fn of<'a>(lines: &'a [String], message: &str) -> Vec<&'a String> {
-    lines.iter().filter(|l| l.starts_with(message)).collect()
+fn lines_starting_with<'a>(lines: &'a [String], prefix: &str) -> Vec<&'a String> {
+    lines.iter().filter(|l| l.starts_with(prefix)).collect()
 }
 
 #[test]
-fn an_empty_input_and_an_empty_batch_are_in_order() {
-    assert!(replies("").is_empty());
-    assert_eq!(replies("CLOCK 8412250000 1\nFLUSH\n"), ["ACK 1"]);
+fn empty_input_and_an_empty_batch_are_valid() {
+    assert!(output_lines("").is_empty());
+    assert_eq!(output_lines("CLOCK 8412250000 1\nFLUSH\n"), ["ACK 1"]);
 }
 
 #[test]
-fn a_request_is_relayed_and_its_outcome_taken() {
+fn a_request_is_relayed_and_its_outcome_accepted() {
     let input = format!(
         "CLOCK 1000 1\n{}{LIST}UPDATE router_0 Persisted 41 0\n{}FLUSH\nCLOCK 2000 2\n\
          HEAD_RECEIVED router_0 {:016x} 900 worker_x 0\n\
          RETURNED router_0 {:016x} 150 1000 worker_x 0 1 Ok 3,0.5\nFLUSH\n",
-        start("router_0"),
+        provision_line("router_0"),
         request_line("router_0", 1),
         1,
         1
     );
-    let lines = replies(&input);
-    assert_eq!(of(&lines, "RELAY router_0 0000000000000001 worker_x 500000000").len(), 1, "{lines:?}");
-    assert_eq!(of(&lines, "REMIND router_0").len(), 2);
+    let lines = output_lines(&input);
+    assert_eq!(
+        lines_starting_with(&lines, "RELAY router_0 0000000000000001 worker_x 500000000").len(),
+        1,
+        "{lines:?}"
+    );
+    assert_eq!(lines_starting_with(&lines, "REMIND router_0").len(), 2);
     assert_eq!(lines.last().map(String::as_str), Some("ACK 2"));
 }
 
 #[test]
-fn lists_are_resolved_in_order_and_may_be_used_again_in_a_batch() {
-    let other = "ROSTER 0 1\nROW 2.5 b worker_z new 3 SERVING -\n";
+fn an_update_uses_the_latest_list_of_its_number_in_a_batch() {
+    let second_list = "ROSTER 0 1\nROW 2.5 b worker_z new 3 SERVING -\n";
     let input = format!(
-        "CLOCK 1 1\n{}{}{LIST}UPDATE router_0 Persisted 1 0\n{other}UPDATE router_1 Complete 1 0\n{}{}FLUSH\n",
-        start("router_0"),
-        start("router_1"),
+        "CLOCK 1 1\n{}{}{LIST}UPDATE router_0 Persisted 1 0\n{second_list}UPDATE router_1 Complete 1 0\n{}{}FLUSH\n",
+        provision_line("router_0"),
+        provision_line("router_1"),
         request_line("router_0", 1),
         request_line("router_1", 2)
     );
-    let lines = replies(&input);
-    assert!(!of(&lines, "RELAY router_0").is_empty());
-    assert!(of(&lines, "RELAY router_0").iter().all(|l| !l.contains("worker_z")));
-    assert_eq!(of(&lines, "RELAY router_1 0000000000000002 worker_z").len(), 1);
+    let lines = output_lines(&input);
+    assert!(!lines_starting_with(&lines, "RELAY router_0").is_empty());
+    assert!(lines_starting_with(&lines, "RELAY router_0").iter().all(|l| !l.contains("worker_z")));
+    assert_eq!(lines_starting_with(&lines, "RELAY router_1 0000000000000002 worker_z").len(), 1);
 }
 
 #[test]
-fn a_kill_and_a_new_start_in_a_batch_forget_all() {
-    let begin = format!("CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\n", start("router_0"));
+fn a_crash_and_restart_in_one_batch_discard_all_requests() {
+    let setup = format!("CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\n", provision_line("router_0"));
     let input = format!(
-        "{begin}{}FLUSH\nCLOCK 2 2\nCRASH_NOW router_0\n{}{}UPDATE router_0 Persisted 1 0\n\
+        "{setup}{}FLUSH\nCLOCK 2 2\nCRASH_NOW router_0\n{}{}UPDATE router_0 Persisted 1 0\n\
          EXPIRED router_0 {:016x}\nFLUSH\n",
         request_line("router_0", 1),
-        start("router_0"),
+        provision_line("router_0"),
         "ROSTER 3 0\n",
         1
     );
-    let lines = replies(&input);
-    assert!(of(&lines, "REVOKE").is_empty(), "the request died with the instance: {lines:?}");
+    let lines = output_lines(&input);
+    assert!(lines_starting_with(&lines, "REVOKE").is_empty(), "the crash discarded the request: {lines:?}");
     assert_eq!(lines.last().map(String::as_str), Some("ACK 2"));
 }
 
 #[test]
-fn instances_act_alike_in_one_process_and_in_several() {
+fn instances_act_the_same_in_one_process_and_in_several() {
     let batch = |routers: &[&str]| {
         let mut text = "CLOCK 1 1\n".to_owned();
         for router in routers {
-            text += &format!("{}{LIST}UPDATE {router} Persisted 1 0\n", start(router));
+            text += &format!("{}{LIST}UPDATE {router} Persisted 1 0\n", provision_line(router));
         }
         for router in routers {
             text += &(0..20).map(|n| request_line(router, n)).collect::<String>();
         }
-        replies(&(text + "FLUSH\n"))
+        output_lines(&(text + "FLUSH\n"))
     };
     let both = batch(&["router_0", "router_1"]);
     for router in ["router_0", "router_1"] {
-        let mine: Vec<_> = both.iter().filter(|l| l.contains(&format!(" {router} "))).cloned().collect();
-        let alone: Vec<_> = batch(&[router]).into_iter().filter(|l| !l.starts_with("ACK")).collect();
-        assert_eq!(mine, alone);
+        let in_shared: Vec<_> =
+            both.iter().filter(|l| l.contains(&format!(" {router} "))).cloned().collect();
+        let in_separate: Vec<_> = batch(&[router]).into_iter().filter(|l| !l.starts_with("ACK")).collect();
+        assert_eq!(in_shared, in_separate);
     }
 }
 
 #[test]
-fn all_other_events_are_taken() {
+fn all_other_events_are_accepted() {
     let input = format!(
         "CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\nUPDATE router_0 Error 0 -\nWAKE router_0 77\n\
          MESSAGE router_0 2 68692037\nMESSAGE router_0 2 -\nHEALTH_RESULT router_0 worker_x Ok 1400000 -\n\
          HEALTH_RESULT router_0 worker_x TimedOut 1400000 2,-\nEXPIRED router_0 58df71a60e6f2b19\n\
          WAKE router_9 1\nFLUSH\n",
-        start("router_0")
+        provision_line("router_0")
     );
-    assert_eq!(replies(&input).last().map(String::as_str), Some("ACK 1"));
+    assert_eq!(output_lines(&input).last().map(String::as_str), Some("ACK 1"));
 }
 
 #[test]
-fn bad_input_is_named_by_line_field_and_fault() {
-    let begin = format!("CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\n", start("router_0"));
+fn invalid_input_is_reported_by_line_field_and_fault() {
+    let setup = format!("CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\n", provision_line("router_0"));
     for (line, field) in [
         ("HELLO router_0", "message"),
         ("WAKE router_0", "token"),
@@ -166,12 +171,14 @@
         ("PROVISION router_1 5 lanes.count=1 lanes.0.name=x lanes.0.effect=odd", "lanes.0.effect"),
         ("CLOCK 2 2", "message"),
     ] {
-        let text = complaint(&format!("{begin}{line}\nFLUSH\n"));
+        let text = error_message(&format!("{setup}{line}\nFLUSH\n"));
         assert!(text.contains("line 7: ") && text.contains(&format!(" {field}: ")), "{line} gave {text}");
     }
-    assert!(complaint(&format!("{begin}ROSTER 1 1\nROW 1 a worker_z old 0 ASLEEP -\n")).contains("phase"));
-    assert!(complaint(&format!("{begin}ROSTER 1 1\nFLUSH\n")).contains("ROW"));
-    assert!(complaint("FLUSH\n").contains("line 1: message"));
-    assert!(complaint("CLOCK 1 1").contains("line 1: line"), "cut off");
-    assert!(complaint("CLOCK 1 1\n").contains("line 2: message"), "ends within a batch");
+    assert!(
+        error_message(&format!("{setup}ROSTER 1 1\nROW 1 a worker_z old 0 ASLEEP -\n")).contains("phase")
+    );
+    assert!(error_message(&format!("{setup}ROSTER 1 1\nFLUSH\n")).contains("ROW"));
+    assert!(error_message("FLUSH\n").contains("line 1: message"));
+    assert!(error_message("CLOCK 1 1").contains("line 1: line"), "cut off");
+    assert!(error_message("CLOCK 1 1\n").contains("line 2: message"), "ends within a batch");
 }
--- a/tests/bench_days.rs
+++ b/tests/bench_days.rs
@@ -1,4 +1,4 @@
-//! The days of our own under `deploy/days/`: each file holds one day that can be played again.
+//! The benchmark days under `deploy/days/`: each file has one day that can be replayed.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -14,7 +14,7 @@
     paths.filter(|path| path.is_dir()).collect()
 }
 
-/// The names of the days of a site, each read from its file, and their seeds.
+/// Names and seeds of the days of a site, one per file.
 fn days_of(folder: &Path) -> Vec<(String, i64)> {
     let files = fs::read_dir(folder).expect("the folder of a site");
     files.map(|file| read_day(&file.expect("an entry of the folder").path())).collect()
@@ -27,13 +27,13 @@
     assert_eq!(days.len(), 1, "{}", file.display());
     let day = days.get(0).expect("one day");
     assert_eq!(day["name"].as_str(), file.file_stem().and_then(|stem| stem.to_str()), "{}", file.display());
-    assert!(troubles(day, "plan") > 0 && troubles(day, "faults") > 0, "{}", file.display());
+    assert!(entry_count(day, "plan") > 0 && entry_count(day, "faults") > 0, "{}", file.display());
     (day["name"].as_str().unwrap_or_default().to_owned(), day["seed"].as_integer().expect("a seed"))
 }
 
-/// The number of entries in a list of troubles.
-fn troubles(day: &Table, list: &str) -> usize {
-    let entries = day[list].as_array().expect("a list of troubles");
+/// Number of entries with a kind in a list of the day.
+fn entry_count(day: &Table, list: &str) -> usize {
+    let entries = day[list].as_array().expect("a list of entries");
     entries
         .iter()
         .filter(|entry| entry.as_inline_table().is_some_and(|entry| entry.contains_key("kind")))
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn each_site_has_days_with_names_and_seeds_of_their_own() {
+fn each_site_has_days_with_unique_names_and_seeds() {
     let folders = site_folders();
     assert!(folders.len() >= 2);
     for folder in folders {
--- a/tests/conformance.rs
+++ b/tests/conformance.rs
@@ -1,4 +1,4 @@
-//! The conformance suite over all four pairings, as `tulipridge conformance` runs it.
+//! The conformance suite over all four dialect pairs, as `tulipridge conformance` runs it.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,18 +6,18 @@
 use tulipridge::conformance::{self, Verdict, case::Fleet};
 
 #[test]
-fn all_cases_hold_on_all_pairings_and_each_fault_comes_out_the_same() {
-    let cases = conformance::cases().expect("good files");
+fn all_cases_pass_and_faults_have_equal_results_in_all_pairs() {
+    let cases = conformance::cases().expect("valid case files");
     assert!(cases.len() >= 150, "{}", cases.len());
     let program = Path::new(env!("CARGO_BIN_EXE_tulipridge"));
     let report = conformance::everywhere(&cases, program, Path::new(env!("CARGO_TARGET_TMPDIR")), 8);
-    let report = report.expect("it runs");
+    let report = report.expect("run the suite");
     assert!(report.all_passed(), "{}", report.text());
-    let due: usize =
+    let expected: usize =
         conformance::PAIRINGS.iter().map(|p| cases.iter().filter(|c| c.is_for(*p)).count()).sum();
-    assert_eq!(report.verdicts.len(), due, "each case ran on each of its pairings");
+    assert_eq!(report.verdicts.len(), expected, "each case runs on each of its pairs");
 
-    // What a case says it expects is compared with what came; here what came is compared among the pairings.
+    // The suite compares results with the expectations of the case; here results are compared between the pairs.
     let mut faults: BTreeMap<&str, Vec<&Verdict>> = BTreeMap::new();
     for verdict in &report.verdicts {
         let case = cases.iter().find(|c| c.name == verdict.case).expect("its case");
@@ -35,10 +35,10 @@
 #[test]
 fn a_case_that_fails_is_reported() {
     let text = "case wrong\n  serve text \"a\"\n  serve end done\n  see text \"b\"\n  attempts 2\n  sent /max_tokens 51\n  outcome broken\n";
-    let cases = conformance::case::parse("wrong.case", text).expect("a good file");
+    let cases = conformance::case::parse("wrong.case", text).expect("a valid case file");
     let program = Path::new(env!("CARGO_BIN_EXE_tulipridge"));
     let report = conformance::everywhere(&cases, program, Path::new(env!("CARGO_TARGET_TMPDIR")), 4);
-    let report = report.expect("it runs");
+    let report = report.expect("run the suite");
     assert!(!report.all_passed());
     assert_eq!(report.verdicts.len(), 4);
     for verdict in &report.verdicts {
--- a/tests/minimum_rust_version.rs
+++ b/tests/minimum_rust_version.rs
@@ -1,5 +1,5 @@
-//! The oldest toolchain that builds the programs of the system, held against their sources and dependencies: the machines
-//! may have Debian's 1.85, which CI's own toolchain is newer than.
+//! The minimum Rust version of the programs of the system, compared with their sources and dependencies: the target machines
+//! may have Debian's 1.85, which is older than the toolchain of CI.
 
 #[path = "support/cargo_metadata.rs"]
 mod cargo_metadata;
@@ -11,34 +11,34 @@
 use cargo_metadata::{Metadata, Package, TARGET_PLATFORM};
 use source_files::sources_below;
 
-/// What `deploy/system.toml` builds.
+/// Programs that `deploy/system.toml` builds.
 const PROGRAMS: [&str; 3] = ["tulipridge-proxy", "tulipridge-agent", "tulipridge-control-plane"];
 
-/// The version of Debian 12's `rustc-web` without security updates.
-const MINIMUM: (u32, u32) = (1, 85);
+/// Version of Debian 12's `rustc-web` without security updates.
+const MINIMUM_VERSION: (u32, u32) = (1, 85);
 
 fn needed_packages() -> Vec<Package> {
     Metadata::read(TARGET_PLATFORM).into_packages_needed_by(&PROGRAMS)
 }
 
-/// Major and minor version.
+/// Parses the major and minor version.
 fn version(text: &str) -> (u32, u32) {
     let mut parts = text.split('.').map(|part| part.parse().expect("a number"));
     (parts.next().unwrap_or(0), parts.next().unwrap_or(0))
 }
 
-/// The conditions of `if` and `while`, each on one line, with the number of the line where it begins.
+/// Conditions of `if` and `while`, each joined into one line, with the number of its first line.
 fn conditions(source: &str) -> Vec<(usize, String)> {
     let mut found: Vec<(usize, String)> = Vec::new();
     let mut is_open = false;
     for (index, line) in source.lines().map(str::trim).enumerate() {
-        let begins = ["if ", "while ", "} else if "].iter().any(|keyword| line.starts_with(keyword));
-        if begins {
+        let is_start = ["if ", "while ", "} else if "].iter().any(|keyword| line.starts_with(keyword));
+        if is_start {
             found.push((index + 1, String::new()));
             is_open = true;
         }
         if is_open {
-            let (_, condition) = found.last_mut().expect("one was begun");
+            let (_, condition) = found.last_mut().expect("a started condition");
             condition.push_str(line);
             condition.push(' ');
             is_open = !line.ends_with('{') && !line.ends_with('}');
@@ -47,7 +47,7 @@
     found
 }
 
-/// Whether a condition joins a pattern with another condition, which is Rust 1.88.
+/// Whether a condition joins a pattern with another condition, which needs Rust 1.88.
 fn is_let_chain(condition: &str) -> bool {
     let mut depth = 0_i32;
     let mut outside = String::new();
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn each_package_of_the_programs_states_the_oldest_toolchain() {
+fn each_package_of_the_programs_states_the_minimum_version() {
     for package in needed_packages().iter().filter(|package| package.is_in_workspace()) {
         let stated = package.rust_version.as_deref().map(version);
-        assert_eq!(stated, Some(MINIMUM), "{}", package.name);
+        assert_eq!(stated, Some(MINIMUM_VERSION), "{}", package.name);
     }
 }
 
@@ -85,7 +85,7 @@
     let newer: Vec<(&str, &str)> = packages
         .iter()
         .filter_map(|package| Some((package.name.as_str(), package.rust_version.as_deref()?)))
-        .filter(|(_, stated)| version(stated) > MINIMUM)
+        .filter(|(_, stated)| version(stated) > MINIMUM_VERSION)
         .collect();
     assert!(newer.is_empty(), "{newer:?}");
 }
--- a/tests/module_imports.rs
+++ b/tests/module_imports.rs
@@ -1,23 +1,23 @@
-//! No package has modules that import each other in a circle.
+//! No package has an import cycle between its modules.
 //!
-//! A module is a file. It imports another one if a `use` or a path in its code leads to an item that the other defines; an
-//! item that is re-exported counts where it is defined. Declarations of submodules and re-exports are no imports.
+//! A module is a file. It imports another one if a `use` or a path in its code refers to an item that the other defines.
+//! A re-exported item belongs to the module that defines it. Declarations of submodules and re-exports are no imports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Re-exports of re-exports that are followed.
+/// Maximum number of re-exports that are followed to the definition of an item.
 const MAX_REEXPORTS: usize = 6;
 
-/// The path of a module within its package, such as `["store", "positions"]`; empty for the crate itself.
+/// Path of a module within its package, such as `["store", "positions"]`; empty for the crate itself.
 type ModulePath = Vec<String>;
 
-/// The modules of a package, with the code of each.
+/// Modules of a package, with the code of each.
 #[derive(Default)]
 struct Package {
     code: BTreeMap<ModulePath, String>,
-    /// For each module the items that it re-exports, with their paths.
+    /// Items that each module re-exports, with their paths.
     reexports: BTreeMap<ModulePath, BTreeMap<String, ModulePath>>,
 }
 
@@ -48,7 +48,7 @@
     text.lines().map(|line| line.split("//").next().unwrap_or_default()).collect::<Vec<_>>().join("\n")
 }
 
-/// The paths of a `use` tree, such as `a::b` and `a::c` of `a::{b, c}`.
+/// Expands a `use` tree into its paths, such as `a::b` and `a::c` of `a::{b, c}`.
 fn expand(tree: &str) -> Vec<String> {
     let tree = tree.trim();
     let Some((prefix, rest)) = tree.split_once('{') else {
@@ -60,7 +60,7 @@
     named.flat_map(|branch| expand(branch)).map(|path| join(prefix, &path)).collect()
 }
 
-/// The path of a branch of a tree; `self` is the tree's own path.
+/// Path of a branch of a `use` tree with this prefix; `self` is the prefix.
 fn join(prefix: &str, branch: &str) -> String {
     match branch {
         "self" => prefix.trim_end_matches(':').to_owned(),
@@ -82,12 +82,12 @@
             }
             _ => {}
         }
-        branches.last_mut().expect("one was begun").push(character);
+        branches.last_mut().expect("a first branch").push(character);
     }
     branches
 }
 
-/// The `use` declarations of a module: their trees, and whether they re-export.
+/// `use` declarations of a module: whether each re-exports, and its tree.
 fn declarations(code: &str) -> Vec<(bool, String)> {
     let mut found = Vec::new();
     for statement in code.split(';') {
@@ -101,10 +101,11 @@
     found
 }
 
-/// Paths in the code that begin at the crate, the parent or the load balancer itself.
+/// Paths in the code that start at the crate, the parent module or the module.
 fn inline_paths(code: &str) -> Vec<String> {
-    let is_part = |character: char| character.is_alphanumeric() || character == '_' || character == ':';
-    let words = code.split(|character| !is_part(character));
+    let is_path_character =
+        |character: char| character.is_alphanumeric() || character == '_' || character == ':';
+    let words = code.split(|character| !is_path_character(character));
     let rooted =
         words.filter(|word| ["crate::", "super::", "self::"].iter().any(|root| word.starts_with(root)));
     rooted.map(|word| word.trim_end_matches(':').to_owned()).collect()
@@ -128,7 +129,7 @@
         paths.filter_map(|path| Some((path.last()?.clone(), path))).collect()
     }
 
-    /// A path from the root of the package; none if it leads out of it.
+    /// Converts a path in a module to a path from the root of the package; `None` if it leads out of the package.
     fn absolute(&self, module: &ModulePath, path: &str) -> Option<ModulePath> {
         let mut segments = path.split("::").map(|segment| segment.trim().to_owned()).peekable();
         let mut base = match segments.peek()?.as_str() {
@@ -152,16 +153,16 @@
         Some(base.into_iter().chain(segments).collect())
     }
 
-    /// The load balancer that defines what a path leads to.
-    fn defining_module(&self, path: &ModulePath, reexports_left: usize) -> ModulePath {
+    /// The module that defines the item at a path, after at most this number of re-exports.
+    fn defining_module(&self, path: &ModulePath, max_reexports: usize) -> ModulePath {
         let is_module = |length: &usize| self.code.contains_key(&path[..*length]);
         let length = (0..=path.len()).rev().find(is_module).unwrap_or(0);
         let (module, rest) = (path[..length].to_vec(), &path[length..]);
         let target = rest.first().and_then(|item| self.reexports.get(&module)?.get(item));
         match target {
-            Some(target) if reexports_left > 0 && *target != *path => {
-                let further: ModulePath = target.iter().chain(&rest[1..]).cloned().collect();
-                self.defining_module(&further, reexports_left - 1)
+            Some(target) if max_reexports > 0 && *target != *path => {
+                let next: ModulePath = target.iter().chain(&rest[1..]).cloned().collect();
+                self.defining_module(&next, max_reexports - 1)
             }
             _ => module,
         }
@@ -177,17 +178,17 @@
         targets.filter(|target| target != module).collect()
     }
 
-    /// The modules that are part of a circle, each with what it imports.
-    fn circles(&self) -> BTreeMap<ModulePath, BTreeSet<ModulePath>> {
+    /// Modules of import cycles, and modules between two cycles, each with its imports among them.
+    fn import_cycles(&self) -> BTreeMap<ModulePath, BTreeSet<ModulePath>> {
         let mut imports: BTreeMap<ModulePath, BTreeSet<ModulePath>> =
             self.code.keys().map(|module| (module.clone(), self.imports(module))).collect();
-        // Modules that import nothing left are in no circle; nor are those that nobody left imports.
+        // Removes modules without imports or importers among the remaining ones, as they are in no cycle.
         loop {
             let imported: BTreeSet<ModulePath> = imports.values().flatten().cloned().collect();
             let count = imports.len();
             imports.retain(|module, targets| !targets.is_empty() && imported.contains(module));
-            let left: BTreeSet<ModulePath> = imports.keys().cloned().collect();
-            imports.values_mut().for_each(|targets| targets.retain(|target| left.contains(target)));
+            let remaining: BTreeSet<ModulePath> = imports.keys().cloned().collect();
+            imports.values_mut().for_each(|targets| targets.retain(|target| remaining.contains(target)));
             if imports.len() == count {
                 return imports;
             }
@@ -195,7 +196,7 @@
     }
 }
 
-/// The code without its `use` declarations.
+/// Removes the `use` declarations from the code.
 fn without_declarations(code: &str) -> String {
     let mut rest = code.to_owned();
     for (_, tree) in declarations(code) {
@@ -204,7 +205,7 @@
     rest
 }
 
-/// A package of these modules.
+/// Creates a package of modules, each given by path and code.
 fn package_of(modules: &[(&str, &str)]) -> Package {
     let path = |name: &str| name.split("::").filter(|part| !part.is_empty()).map(str::to_owned).collect();
     let code = modules.iter().map(|(name, code)| (path(name), (*code).to_owned())).collect();
@@ -217,40 +218,40 @@
 }
 
 #[test]
-fn circles_are_found_also_through_reexports_and_paths_in_code() {
+fn cycles_are_found_through_reexports_and_paths_in_code() {
     let direct =
         package_of(&[("", ""), ("a", "use crate::b::{self, B};"), ("b", "fn f() { super::a::A }")]);
-    assert_eq!(direct.circles().len(), 2);
+    assert_eq!(direct.import_cycles().len(), 2);
     let reexported = package_of(&[
         ("", ""),
         ("p", "mod c;\npub use c::C;\nstruct P;"),
         ("p::c", "use crate::q::Q;\npub struct C;"),
         ("q", "use crate::p::C;"),
     ]);
-    let found: Vec<String> = reexported.circles().keys().map(|module| module.join("::")).collect();
+    let found: Vec<String> = reexported.import_cycles().keys().map(|module| module.join("::")).collect();
     assert_eq!(found, ["p::c", "q"]);
 }
 
 #[test]
-fn a_parent_that_declares_and_reexports_its_children_makes_no_circle() {
+fn a_parent_that_reexports_its_children_makes_no_cycle() {
     let package = package_of(&[
         ("", ""),
         ("p", "mod c;\nmod d;\npub use c::C;"),
         ("p::c", "use super::d::D;\npub struct C;"),
         ("p::d", "pub struct D;"),
     ]);
-    assert!(package.circles().is_empty());
+    assert!(package.import_cycles().is_empty());
 }
 
 #[test]
-fn no_package_has_a_circle_of_imports() {
+fn no_package_has_an_import_cycle() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let packages = fs::read_dir(root.join("crates")).expect("the packages");
     let mut sources: Vec<PathBuf> =
         packages.map(|entry| entry.expect("an entry").path().join("src")).collect();
     sources.push(root.join("src"));
     for source in sources {
-        let circles = Package::read(&source).circles();
-        assert!(circles.is_empty(), "{}: {circles:#?}", source.display());
+        let cycles = Package::read(&source).import_cycles();
+        assert!(cycles.is_empty(), "{}: {cycles:#?}", source.display());
     }
 }
--- a/tests/system_packages.rs
+++ b/tests/system_packages.rs
@@ -1,7 +1,8 @@
-//! The system packages that a build needs: `packages` in `deploy/system.toml` against what the dependencies ask for.
+//! The system packages that a build needs: `packages` in `deploy/system.toml`, compared with the needs of the dependencies.
 //!
-//! A dependency can ask the machine for more than a Rust toolchain in two ways: by its build script, or by a library that it
-//! links (`links` in its manifest). So each dependency that has either is listed here, with what was read in its script.
+//! A dependency can need more than a Rust toolchain in two ways: for its build script, or for a library that it links
+//! (`links` in its manifest). Each dependency with a build script is listed here with the result of its review; a linked
+//! library is not allowed.
 
 #[path = "support/cargo_metadata.rs"]
 mod cargo_metadata;
@@ -10,10 +11,10 @@
 
 use cargo_metadata::{Metadata, Package, TARGET_PLATFORM};
 
-/// The file that names the system packages.
+/// The file that lists the system packages.
 const SYSTEM_FILE: &str = include_str!("../deploy/system.toml");
 
-/// The system packages that a step needs whatever the dependencies are.
+/// System packages that the steps need independently of the dependencies, with the reason.
 const STEP_PACKAGES: [(&str, &str); 7] = [
     ("ca-certificates", "cargo checks the registry's certificate against it"),
     ("cargo-web", "builds; Debian's plain cargo is too old for edition 2024"),
@@ -24,39 +25,39 @@
     ("rustc-web", "compiles, and brings the standard library"),
 ];
 
-/// A dependency with a build script that was read.
+/// A dependency whose build script was reviewed.
 struct ReviewedScript {
-    /// The dependency's name.
+    /// Name of the dependency.
     dependency: &'static str,
-    /// What its script does.
+    /// Summary of what the script does.
     finding: &'static str,
-    /// The system packages that it needs beside a Rust toolchain.
+    /// System packages that the script needs besides a Rust toolchain.
     system_packages: &'static [&'static str],
 }
 
-const ASKS_RUSTC: &str = "asks rustc for its version, or whether it compiles a probe";
-const READS_ENVIRONMENT: &str = "reads cargo's variables only";
+const QUERIES_RUSTC: &str = "queries rustc for its version, or whether it compiles a probe";
+const READS_ENVIRONMENT: &str = "reads only cargo's environment variables";
 
 const REVIEWED_SCRIPTS: [ReviewedScript; 16] = [
-    needs_nothing("async-io", ASKS_RUSTC),
-    needs_nothing("crc32fast", ASKS_RUSTC),
+    needs_nothing("async-io", QUERIES_RUSTC),
+    needs_nothing("crc32fast", QUERIES_RUSTC),
     needs_nothing("crossbeam-utils", READS_ENVIRONMENT),
-    needs_nothing("generic-array", ASKS_RUSTC),
+    needs_nothing("generic-array", QUERIES_RUSTC),
     needs_nothing("getrandom", READS_ENVIRONMENT),
-    needs_nothing("libc", ASKS_RUSTC),
+    needs_nothing("libc", QUERIES_RUSTC),
     needs_nothing("libm", READS_ENVIRONMENT),
-    needs_nothing("num-traits", ASKS_RUSTC),
-    needs_nothing("proc-macro2", ASKS_RUSTC),
-    needs_nothing("quote", ASKS_RUSTC),
-    needs_nothing("rstest_macros", ASKS_RUSTC),
-    needs_nothing("rustix", ASKS_RUSTC),
-    needs_nothing("serde", ASKS_RUSTC),
-    needs_nothing("serde_core", ASKS_RUSTC),
+    needs_nothing("num-traits", QUERIES_RUSTC),
+    needs_nothing("proc-macro2", QUERIES_RUSTC),
+    needs_nothing("quote", QUERIES_RUSTC),
+    needs_nothing("rstest_macros", QUERIES_RUSTC),
+    needs_nothing("rustix", QUERIES_RUSTC),
+    needs_nothing("serde", QUERIES_RUSTC),
+    needs_nothing("serde_core", QUERIES_RUSTC),
     needs_nothing("serde_json", READS_ENVIRONMENT),
-    needs_nothing("zmij", ASKS_RUSTC),
+    needs_nothing("zmij", QUERIES_RUSTC),
 ];
 
-/// Crates by which build scripts compile foreign code or look for libraries of the machine.
+/// Crates with which build scripts compile foreign code or look for system libraries.
 const NATIVE_BUILD_HELPERS: [&str; 10] = [
     "autotools",
     "bindgen",
@@ -74,20 +75,20 @@
     ReviewedScript { dependency, finding, system_packages: &[] }
 }
 
-/// Everything that the whole workspace and its tests compile on the system's machines.
+/// All packages that the workspace and its tests compile on the target platform.
 fn compiled_packages() -> Vec<Package> {
     Metadata::read(TARGET_PLATFORM).into_compiled_packages()
 }
 
-/// The list in `deploy/system.toml`.
+/// System packages listed in `deploy/system.toml`.
 fn listed_system_packages() -> Vec<String> {
-    let document: toml_edit::DocumentMut = SYSTEM_FILE.parse().expect("the file is TOML");
-    let list = document["packages"].as_array().expect("`packages` is a list");
-    list.iter().map(|entry| entry.as_str().expect("each entry is a name").to_owned()).collect()
+    let document: toml_edit::DocumentMut = SYSTEM_FILE.parse().expect("valid TOML");
+    let list = document["packages"].as_array().expect("`packages` as a list");
+    list.iter().map(|entry| entry.as_str().expect("a package name").to_owned()).collect()
 }
 
 #[test]
-fn every_build_script_was_reviewed_and_every_review_has_its_script() {
+fn every_build_script_is_reviewed_and_no_review_is_outdated() {
     let reviewed: BTreeMap<&str, &str> =
         REVIEWED_SCRIPTS.iter().map(|script| (script.dependency, script.finding)).collect();
     let packages = compiled_packages();
@@ -97,13 +98,13 @@
         .map(|package| package.name.as_str())
         .collect();
     let unreviewed: Vec<&&str> = with_script.iter().filter(|name| !reviewed.contains_key(**name)).collect();
-    assert!(unreviewed.is_empty(), "read the build scripts of {unreviewed:?}, then list them here");
+    assert!(unreviewed.is_empty(), "review and list the build scripts of {unreviewed:?}");
     let outdated: Vec<_> = reviewed.iter().filter(|(name, _)| !with_script.contains(*name)).collect();
-    assert!(outdated.is_empty(), "no build script is left of {outdated:?}");
+    assert!(outdated.is_empty(), "reviews without a build script: {outdated:?}");
 }
 
 #[test]
-fn no_dependency_links_a_library_of_the_machine() {
+fn no_dependency_links_a_system_library() {
     let packages = compiled_packages();
     let linking: Vec<(&str, &str)> = packages
         .iter()
@@ -120,14 +121,18 @@
         .map(|package| package.name.as_str())
         .filter(|name| NATIVE_BUILD_HELPERS.contains(name))
         .collect();
-    assert!(helpers.is_empty(), "list what those need that use {helpers:?}");
+    assert!(helpers.is_empty(), "list the system packages that the users of {helpers:?} need");
 }
 
 #[test]
-fn the_list_names_what_the_steps_and_the_build_scripts_need() {
+fn the_list_has_what_the_steps_and_build_scripts_need() {
     let for_steps = STEP_PACKAGES.iter().map(|(name, _)| *name);
     let for_scripts = REVIEWED_SCRIPTS.iter().flat_map(|script| script.system_packages.iter().copied());
     let needed: BTreeSet<&str> = for_steps.chain(for_scripts).collect();
     let listed = listed_system_packages();
-    assert_eq!(listed, needed.into_iter().collect::<Vec<_>>(), "sorted, and each once");
+    assert_eq!(
+        listed,
+        needed.into_iter().collect::<Vec<_>>(),
+        "the list must be sorted and without duplicates"
+    );
 }
