--- a/tests/conformance.rs
+++ b/tests/conformance.rs
@@ -20,7 +20,7 @@
     // The suite compares results with the expectations of the case; here results are compared between the pairs.
     let mut faults: BTreeMap<&str, Vec<&Verdict>> = BTreeMap::new();
     for verdict in &report.verdicts {
-        let case = cases.iter().find(|c| c.name == verdict.case).expect("its case");
+        let case = cases.iter().find(|c| c.name == verdict.case).expect("the case of the verdict");
         if case.fleet != Fleet::Shared {
             faults.entry(&verdict.case).or_default().push(verdict);
         }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -82,7 +82,7 @@
         calls.push(timed_ready_check(mgmt));
         thread::sleep(ms(50));
     }
-    // Failures to accept are the first sign that descriptors have run out.
+    // A shortage of descriptors shows first as failures to accept; other log lines occur in any run.
     let failed_during_outage = gateway.count_log_lines("accept-failed");
     let unexpected: Vec<_> = calls.iter().filter(|(status, _)| *status != 503).collect();
     assert!(
@@ -112,7 +112,7 @@
         // listeners fail every 20 ms; after that nothing fails.
         assert!(
             failed_during_outage <= 60,
-            "{case}: {failed_during_outage} failures to accept while discovery was down"
+            "{case}: {failed_during_outage} failures to accept while the list service was down"
         );
         assert_eq!(failed_in_total, failed_during_outage, "{case}: further failures to accept");
     }
--- a/tests/floods.rs
+++ b/tests/floods.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Sends a request without retries for each of these sessions at the same time, and asserts that all are served.
+/// Sends a request that must not run twice for each of these sessions, all at once, and asserts that all are served.
 /// Returns the sessions with the time that each waited.
 fn exchange_in_parallel(front: SocketAddr, sessions: usize) -> Vec<(usize, Duration)> {
     let exchange = |session| {
@@ -112,7 +112,7 @@
     let replicas = vec![replica_entry(0, &late.replica, "ready", 0), replica_entry(1, &quick, "ready", 0)];
     let gateway = start_gateway(replicas, 3, json!({"connect_timeout_ms": 500}));
     let count = late.open(ms(1500));
-    // Nothing was sent, so that a request without retries is sent to the other replica as well.
+    // Nothing was sent, so that even a request that must not run twice is sent to the other replica.
     for (_, wait) in exchange_in_parallel(gateway.front("platform"), 20) {
         assert!(wait < ms(2000), "{wait:?}");
     }
@@ -137,7 +137,7 @@
     gateway
         .discovery
         .send(replica_list(3, false, vec![replica_entry(1, &late.replica, "ready", 0)]))
-        .expect("open");
+        .expect("send the list");
     let count = late.open(ms(700));
     let (outcome, _) = read_outcome("platform", client);
     // A request still in transit would arrive within this time.
@@ -186,7 +186,7 @@
     const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
     const FULL: &str = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
     for may_have_run in [ERROR, ""] {
-        // A class without retries is sent once; one with retries, as often as the settings allow.
+        // A request that must not run twice is sent once; one that may, as often as the settings allow.
         assert_eq!(count_attempts("once", 300, 20, may_have_run).0, 1);
         assert_eq!(count_attempts("plain", 300, 20, may_have_run).0, 3);
         // Within the window a keyed request is retried; after it, it is not.
--- a/tests/instant.rs
+++ b/tests/instant.rs
@@ -122,7 +122,7 @@
         for _ in 0..5 {
             let mut stream = gateway.connect(front);
             let mut head = [0; 12];
-            stream.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("sent");
+            stream.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("send");
             stream.read_exact(&mut head).expect("a response");
             idle.push((front, stream));
         }
@@ -135,7 +135,7 @@
     let mut clients: Vec<_> = idle.into_iter().chain(fresh).collect();
     for (n, (front, stream)) in clients.iter_mut().enumerate() {
         let (head, body) = request(front, "plain", 3000, n, "");
-        stream.write_all((head + &body).as_bytes()).expect("sent");
+        stream.write_all((head + &body).as_bytes()).expect("send");
     }
     thread::sleep(ms(800));
     gateway.signal("-CONT");
@@ -184,10 +184,10 @@
                 let replica = start_replica_with_surplus(ms(delay_ms), surplus);
                 let gateway = start_gateway(&replica, 1);
                 for session in 0..4 {
-                    // The class without retries, immediately after the previous request.
-                    let (seen, _) = gateway.exchange(front, "once", 5000, session);
+                    // The class whose requests must not run twice, immediately after the previous request.
+                    let (outcome, _) = gateway.exchange(front, "once", 5000, session);
                     assert_eq!(
-                        seen,
+                        outcome,
                         ClientOutcome::Served("Hello".into()),
                         "{front}: {surplus:?} after {delay_ms} ms"
                     );
@@ -268,10 +268,10 @@
             });
             let gateway = start_gateway(&replica, 1);
             for session in 0..2 {
-                let (seen, bytes) = gateway.exchange(front, "once", 5000, session);
+                let (outcome, bytes) = gateway.exchange(front, "once", 5000, session);
                 assert!(
-                    matches!(&seen, ClientOutcome::Truncated(t) if t.starts_with("Hel")),
-                    "{front} {n}: {seen:?} {bytes}"
+                    matches!(&outcome, ClientOutcome::Truncated(t) if t.starts_with("Hel")),
+                    "{front} {n}: {outcome:?} {bytes}"
                 );
                 if stays_open {
                     assert!(
@@ -311,7 +311,7 @@
     let addr = gateway.front(front);
     let mut idle: Vec<TcpStream> = (0..120).map(|_| connect(addr)).collect();
     for stream in &mut idle {
-        stream.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("sent");
+        stream.write_all(b"GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("send");
         let mut response = Vec::new();
         while !response.ends_with(b"ready\n") {
             let mut piece = [0; 256];
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn silent_connections_are_evicted_first_then_the_oldest_unserved() {
+fn eviction_order_is_silent_first_then_oldest_and_never_serving() {
     quickcheck_with_seed(42).quickcheck(check_slots as fn(Vec<SlotStep>));
 }
 
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -43,7 +43,7 @@
 fn assert_status(gateway: &Gateway, front: &str, bytes: &str, status: u16) {
     let mut stream = gateway.connect(front);
     stream.set_read_timeout(Some(MAX_DELAY)).expect("set the timeout");
-    stream.write_all(bytes.as_bytes()).expect("sent");
+    stream.write_all(bytes.as_bytes()).expect("send");
     let mut response = String::new();
     stream.read_to_string(&mut response).expect("a response in time");
     assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{response}");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_pipe_that_is_never_read_delays_neither_requests_nor_the_exit() {
+fn a_pipe_that_is_never_read_delays_no_response_and_no_exit() {
     let replica = start_replica("platform", ReplicaBehavior::Serve);
     let (gateway, _log) = start_with_unread_log(&replica);
     for n in 0..LINE_COUNT {
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -47,7 +47,7 @@
         "POST /v1/messages HTTP/1.1\r\nHost: a\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    stream.write_all(head.as_bytes()).expect("sent");
+    stream.write_all(head.as_bytes()).expect("send");
     stream
 }
 
@@ -146,7 +146,7 @@
     // The model list and the token counts need a key as well; the health check needs none.
     let get = |path: &str| {
         let mut stream = gateway.connect("messages");
-        write!(stream, "GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").expect("sent");
+        write!(stream, "GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").expect("send");
         read_response(stream).0
     };
     assert_eq!(get("/v1/models"), 401);
@@ -386,8 +386,8 @@
         1024,
         messages_settings(json!({})),
     );
-    let (seen, stream) = gateway.exchange("messages", "plain", 9000, 1);
-    assert_eq!(seen, ClientOutcome::Truncated(String::new()));
+    let (outcome, stream) = gateway.exchange("messages", "plain", 9000, 1);
+    assert_eq!(outcome, ClientOutcome::Truncated(String::new()));
     assert!(stream.contains("event: error") && stream.contains("api_error"), "{stream}");
     wait_until(|| gateway.count_log_lines("cause=\"too-long\"") == 1);
 }
@@ -423,8 +423,8 @@
     let post = |body: &[u8]| {
         let mut stream = gateway.connect("messages");
         write!(stream, "POST /v1/messages HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n", body.len())
-            .expect("sent");
-        stream.write_all(body).expect("sent");
+            .expect("send");
+        stream.write_all(body).expect("send");
         let (status, _, body) = read_response(stream);
         (status, body["error"]["message"].as_str().unwrap_or_default().to_owned())
     };
--- a/tests/minimum_rust_version.rs
+++ b/tests/minimum_rust_version.rs
@@ -1,5 +1,5 @@
-//! The minimum Rust version of the programs of the system, compared with their sources and dependencies: the target machines
-//! may have Debian's 1.85, which is older than the toolchain of CI.
+//! The minimum Rust version of the programs of the system, compared with their sources and dependencies: the target
+//! machines may have Debian's 1.85, which is older than the toolchain of CI.
 
 #[path = "support/cargo_metadata.rs"]
 mod cargo_metadata;
--- a/tests/module_imports.rs
+++ b/tests/module_imports.rs
@@ -37,7 +37,9 @@
         let path = entry.expect("an entry").path();
         if path.is_dir() {
             read_modules(source, &path, package);
-        } else if let Some(module) = module_path(path.strip_prefix(source).expect("it is below")) {
+        } else if let Some(module) =
+            module_path(path.strip_prefix(source).expect("a path below the sources"))
+        {
             let text = fs::read_to_string(&path).expect("a source is UTF-8");
             package.code.insert(module, without_comments(&text));
         }
