--- a/crates/fault-injection/tests/configuration_changes.rs
+++ b/crates/fault-injection/tests/configuration_changes.rs
@@ -1,40 +1,40 @@
-//! Concurrent changes with one base revision, and retries of changes whose response was lost.
+//! Concurrent changes with the same base revision, and retries of changes whose response was lost.
 
 mod support;
 
 use std::thread;
 use std::time::Duration;
 
-use support::{CHANGE_LIMIT, start};
+use support::{CHANGE_TIMEOUT, start};
 use tulipridge_fault_injection::deployment::{Deployment, Topology};
 use tulipridge_fault_injection::network::{Direction, LinkState};
 use tulipridge_fault_injection::operator::{Change, ChangeResponse, Operator, marker_of, revision_of};
 use tulipridge_fault_injection::wait::{wait_for, wait_until};
 
-/// Rounds in which two operators send changes with one base revision.
+/// Number of rounds in which two operators send changes with the same base revision.
 const ROUNDS: u64 = 12;
-/// The round in which the primary is killed meanwhile.
+/// Round in which the primary is killed during the changes.
 const ROUND_WITH_KILL: u64 = 8;
-/// The timeout of an attempt whose response is lost.
+/// Timeout of an attempt whose response is lost.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes of a response after which the connection is reset.
+/// Numbers of bytes of a response after which the connection is reset.
 const RESPONSE_RESET_OFFSETS: [u64; 6] = [0, 1, 12, 60, 110, 200];
 
-/// Bytes of a request after which the connection is reset.
+/// Numbers of bytes of a request after which the connection is reset.
 const REQUEST_RESET_OFFSETS: [u64; 6] = [0, 1, 40, 150, 400, 4_000];
 
-/// The model whose weights are changed.
+/// Model whose weights revision is changed.
 const MODEL: &str = "m";
-/// The status of accepted weights.
+/// Status of an accepted weights revision.
 const OK: u16 = 200;
-/// The status of rejected weights.
+/// Status of a rejected weights revision.
 const BAD_REQUEST: u16 = 400;
 
 fn send(operator: &Operator, change: &Change) -> ChangeResponse {
-    operator.send(change, CHANGE_LIMIT).expect("it is decided")
+    operator.send(change, CHANGE_TIMEOUT).expect("a decision")
 }
 
-/// Sends two changes concurrently and returns the replies.
+/// Sends two changes concurrently and returns their responses.
 fn send_both(operators: &[Operator; 2], changes: &[Change; 2]) -> [ChangeResponse; 2] {
     thread::scope(|scope| {
         let first = scope.spawn(|| send(&operators[0], &changes[0]));
@@ -43,17 +43,17 @@
     })
 }
 
-fn assert_one_wins(
+fn assert_one_is_applied(
     deployment: &Deployment,
-    replies: &[ChangeResponse; 2],
+    responses: &[ChangeResponse; 2],
     changes: &[Change; 2],
     markers: [u64; 2],
 ) {
-    let winners: Vec<usize> = (0..2).filter(|index| replies[*index] == ChangeResponse::Applied).collect();
-    let [winner] = winners[..] else { panic!("{replies:?}") };
-    assert_eq!(replies[1 - winner], ChangeResponse::Stale { current: changes[0].revision });
-    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("a response");
-    assert_eq!(marker_of(&configuration, "contested"), Some(markers[winner]));
+    let applied: Vec<usize> = (0..2).filter(|index| responses[*index] == ChangeResponse::Applied).collect();
+    let [index] = applied[..] else { panic!("{responses:?}") };
+    assert_eq!(responses[1 - index], ChangeResponse::Stale { current: changes[0].revision });
+    let configuration = deployment.operator().configuration(CHANGE_TIMEOUT).expect("a response");
+    assert_eq!(marker_of(&configuration, "contested"), Some(markers[index]));
     assert_eq!(revision_of(&configuration), changes[0].revision);
 }
 
@@ -65,19 +65,19 @@
         let changes = markers.map(|marker| Change::upsert_route(round, "contested", marker));
         let first = deployment.operator_for(|index| index == 0 || index == 2);
         let second = deployment.operator_for(|index| index == 1 || index == 2);
-        let replies = thread::scope(|scope| {
-            let replies = scope.spawn(|| send_both(&[first, second], &changes));
+        let responses = thread::scope(|scope| {
+            let responses = scope.spawn(|| send_both(&[first, second], &changes));
             if round == ROUND_WITH_KILL {
                 let primary = deployment.wait_for_primary().expect("a primary");
                 deployment.members[primary].process.kill();
             }
-            replies.join().expect("replies")
+            responses.join().expect("responses")
         });
-        assert_one_wins(&deployment, &replies, &changes, markers);
+        assert_one_is_applied(&deployment, &responses, &changes, markers);
     }
 }
 
-/// Resets the connection during the response to a change, and retries it.
+/// The connection is reset during the response to each change, and the change is retried at each member.
 #[test]
 fn a_retry_after_a_lost_response_is_acknowledged_by_any_member_and_after_a_takeover() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
@@ -103,11 +103,11 @@
     for change in &changes {
         assert_eq!(send(&deployment.operator(), change), ChangeResponse::Applied, "after a takeover");
     }
-    let configuration = deployment.operator().configuration(CHANGE_LIMIT).expect("a response");
+    let configuration = deployment.operator().configuration(CHANGE_TIMEOUT).expect("a response");
     assert_eq!(revision_of(&configuration), changes.last().expect("a change").revision);
 }
 
-/// Resets the connection during the request, which may have been received completely or not, and retries it.
+/// The connection is reset during the request, which may have been received completely or not, before the retry.
 #[test]
 fn a_change_whose_request_was_interrupted_is_applied_once() {
     let deployment = start(Topology { edges: 0, ..Topology::default() });
@@ -130,7 +130,7 @@
     }
 }
 
-/// Weights are set again after the response was lost, at any member and after a takeover; older ones are rejected.
+/// The response is lost; retries at any member and after a takeover are acknowledged, and older weights are rejected.
 #[test]
 fn a_retried_change_of_weights_is_acknowledged_again() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
@@ -153,14 +153,14 @@
         let status = deployment.status(successor);
         status.is_some_and(|status| status.weights.get(MODEL) == Some(&2))
     };
-    wait_until("the weights are set", CHANGE_LIMIT, is_set).expect("they are");
+    wait_until("the weights are set", CHANGE_TIMEOUT, is_set).expect("the weights in the member's status");
 }
 
-/// The first status that decides; a member that knows no primary gets the request again.
+/// Repeats the request until the status is a decision; a member that knows no primary responds with another status.
 fn set_weights_until_decided(deployment: &Deployment, member: usize, revision: u64) -> u16 {
     let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
     let address = deployment.operator_socket(member);
-    wait_for("weights are decided on", CHANGE_LIMIT, || {
+    wait_for("a decision on the weights", CHANGE_TIMEOUT, || {
         let status = operator.set_weights_revision(address, MODEL, revision);
         status.filter(|status| [OK, BAD_REQUEST].contains(status))
     })
--- a/crates/fault-injection/tests/harness.rs
+++ b/crates/fault-injection/tests/harness.rs
@@ -1,4 +1,4 @@
-//! The harness itself: relays reset at the configured byte, and a loss of power drops only unacknowledged data.
+//! Fault injection: relays reset at the configured byte, and a power loss drops only unacknowledged data.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,29 +14,29 @@
 const SENDER: MachineId = MachineId(0);
 const RECEIVER: MachineId = MachineId(1);
 const DIRECTION: Direction = Direction { from: SENDER, to: RECEIVER };
-/// The last octet of the relay's address, in a block reserved for the test.
+/// Last octet of the relay's address in the reserved block.
 const RELAY_HOST: u8 = 2;
-/// The relay's port.
+/// Port of the relay.
 const RELAY_PORT: u16 = 20_000;
-/// Timeout of a read.
-const LIMIT: Duration = Duration::from_secs(5);
-/// Simulated losses of power.
+/// Timeout of reads at the receiver.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of simulated power losses.
 const POWER_LOSSES: usize = 200;
 
-/// A relayed connection: the sender's side and the receiver's.
-fn connect(network: &Network) -> (TcpStream, TcpStream) {
+/// Opens a connection through a relay and returns the sender's and the receiver's end.
+fn connect_through_relay(network: &Network) -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let target = listener.local_addr().expect("an address");
-    let addresses = AddressBlock::reserve().expect("addresses of our own");
+    let addresses = AddressBlock::reserve().expect("a free block of addresses");
     let listen = SocketAddr::from((addresses.address(RELAY_HOST), RELAY_PORT));
     TcpRelay::start(network, RelayRoute { direction: DIRECTION, listen, target }).expect("a relay");
     let sender = TcpStream::connect(listen).expect("a connection");
     let (receiver, _) = listener.accept().expect("a connection");
-    receiver.set_read_timeout(Some(LIMIT)).expect("a timeout");
+    receiver.set_read_timeout(Some(READ_TIMEOUT)).expect("a timeout");
     (sender, receiver)
 }
 
-/// The bytes until the connection ends, and the error with which it ends.
+/// Reads until the connection ends and returns the bytes and the error, if any.
 fn read_to_end(mut receiver: TcpStream) -> (Vec<u8>, Option<ErrorKind>) {
     let mut bytes = Vec::new();
     let end = receiver.read_to_end(&mut bytes);
@@ -47,40 +47,40 @@
 #[case::before_the_first_byte(0)]
 #[case::in_the_middle(5)]
 #[case::before_the_last_byte(9)]
-fn a_relay_resets_the_connection_after_the_given_byte(#[case] passed: u64) {
+fn a_relay_resets_the_connection_after_the_given_byte(#[case] forwarded: u64) {
     let network = Network::default();
-    let (mut sender, mut receiver) = connect(&network);
-    network.set_after(DIRECTION, passed, LinkState::Reset);
-    sender.write_all(b"0123456789").expect("it is written");
-    let mut bytes = vec![0; passed as usize];
-    receiver.read_exact(&mut bytes).expect("what may pass comes");
-    assert_eq!(bytes, b"0123456789"[..passed as usize]);
+    let (mut sender, mut receiver) = connect_through_relay(&network);
+    network.set_after(DIRECTION, forwarded, LinkState::Reset);
+    sender.write_all(b"0123456789").expect("a write");
+    let mut bytes = vec![0; forwarded as usize];
+    receiver.read_exact(&mut bytes).expect("the bytes before the reset");
+    assert_eq!(bytes, b"0123456789"[..forwarded as usize]);
     let (rest, end) = read_to_end(receiver);
     assert_eq!((rest, end), (Vec::new(), Some(ErrorKind::ConnectionReset)));
-    assert_eq!(network.forwarded_bytes(DIRECTION), passed);
+    assert_eq!(network.forwarded_bytes(DIRECTION), forwarded);
 }
 
 #[test]
 fn stalled_bytes_arrive_later_and_the_other_direction_stays_open() {
     let network = Network::default();
-    let (mut sender, mut receiver) = connect(&network);
+    let (mut sender, mut receiver) = connect_through_relay(&network);
     network.set(DIRECTION, LinkState::Stalled);
-    sender.write_all(b"held").expect("it is written");
-    receiver.write_all(b"back").expect("it is written");
+    sender.write_all(b"data").expect("a write");
+    receiver.write_all(b"back").expect("a write");
     let mut back = [0; 4];
-    sender.read_exact(&mut back).expect("the other direction passes");
+    sender.read_exact(&mut back).expect("bytes in the other direction");
     assert_eq!(network.forwarded_bytes(DIRECTION), 0);
     network.set(DIRECTION, LinkState::Open);
     drop(sender);
-    assert_eq!(read_to_end(receiver), (b"held".to_vec(), None));
+    assert_eq!(read_to_end(receiver), (b"data".to_vec(), None));
 }
 
 #[test]
 fn stalled_bytes_are_lost_by_a_reset() {
     let network = Network::default();
-    let (mut sender, receiver) = connect(&network);
+    let (mut sender, receiver) = connect_through_relay(&network);
     network.set(DIRECTION, LinkState::Stalled);
-    sender.write_all(b"held").expect("it is written");
+    sender.write_all(b"data").expect("a write");
     network.set(DIRECTION, LinkState::Reset);
     network.set(DIRECTION, LinkState::Open);
     assert_eq!(read_to_end(receiver), (Vec::new(), Some(ErrorKind::ConnectionReset)));
@@ -91,16 +91,16 @@
     let folder = tempfile::tempdir().expect("a folder");
     let log = folder.path().join("log-000001");
     for _ in 0..POWER_LOSSES {
-        std::fs::write(&log, b"acknowledged").expect("it is written");
+        std::fs::write(&log, b"acknowledged").expect("a write");
         let acknowledged = FileLengths::of(folder.path());
-        std::fs::write(&log, b"acknowledged, not acknowledged").expect("it is written");
+        std::fs::write(&log, b"acknowledged, not acknowledged").expect("a write");
         let dropped = drop_unacknowledged_tail(folder.path(), &acknowledged)
-            .expect("it is truncated")
-            .expect("some is dropped");
-        let left = std::fs::read(&log).expect("it is read");
-        assert!(left.starts_with(b"acknowledged") && dropped.dropped_bytes > 0, "{dropped:?}");
+            .expect("the files are truncated")
+            .expect("a dropped tail");
+        let remaining = std::fs::read(&log).expect("the log");
+        assert!(remaining.starts_with(b"acknowledged") && dropped.dropped_bytes > 0, "{dropped:?}");
         assert_eq!(
-            left.len() as u64 + dropped.dropped_bytes,
+            remaining.len() as u64 + dropped.dropped_bytes,
             b"acknowledged, not acknowledged".len() as u64
         );
     }
@@ -109,9 +109,9 @@
 #[test]
 fn a_loss_of_power_drops_nothing_if_files_were_created_or_nothing_was_written() {
     let folder = tempfile::tempdir().expect("a folder");
-    std::fs::write(folder.path().join("log-000001"), b"acknowledged").expect("it is written");
+    std::fs::write(folder.path().join("log-000001"), b"acknowledged").expect("a write");
     let acknowledged = FileLengths::of(folder.path());
-    assert_eq!(drop_unacknowledged_tail(folder.path(), &acknowledged).expect("it is looked at"), None);
-    std::fs::write(folder.path().join("log-000002"), b"more").expect("it is written");
-    assert_eq!(drop_unacknowledged_tail(folder.path(), &acknowledged).expect("it is looked at"), None);
+    assert_eq!(drop_unacknowledged_tail(folder.path(), &acknowledged).expect("the folder is read"), None);
+    std::fs::write(folder.path().join("log-000002"), b"more").expect("a write");
+    assert_eq!(drop_unacknowledged_tail(folder.path(), &acknowledged).expect("the folder is read"), None);
 }
