--- a/crates/fault-injection/tests/catch_up.rs
+++ b/crates/fault-injection/tests/catch_up.rs
@@ -30,7 +30,7 @@
 #[rstest]
 #[case::voter(false)]
 #[case::backup(true)]
-fn a_member_that_missed_changes_catches_up_and_never_leads_with_stale_state(#[case] was_backup: bool) {
+fn a_stale_member_catches_up_and_does_not_become_primary(#[case] was_backup: bool) {
     let mut deployment = start(Topology::default());
     let backup = deployment.wait_for_backup().expect("a backup");
     let primary = deployment.wait_for_primary().expect("a primary");
@@ -55,7 +55,7 @@
 
 /// All members are killed after hundreds of changes, and the one that has missed them is restarted first.
 #[test]
-fn a_stale_member_that_is_restarted_first_does_not_lead() {
+fn a_stale_member_restarted_first_does_not_become_primary() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     let stale = deployment.wait_for_backup().expect("a backup");
     deployment.members[stale].process.kill();
--- a/crates/fault-injection/tests/configuration_changes.rs
+++ b/crates/fault-injection/tests/configuration_changes.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_of_two_concurrent_changes_with_one_base_revision_is_applied() {
+fn one_of_two_concurrent_changes_of_a_revision_is_applied() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     for round in 1..=ROUNDS {
         let markers = [2 * round, 2 * round + 1];
@@ -79,7 +79,7 @@
 
 /// The connection is reset during the response to each change, and the change is retried at each member.
 #[test]
-fn a_retry_after_a_lost_response_is_acknowledged_by_any_member_and_after_a_takeover() {
+fn a_retry_is_acknowledged_by_any_member_and_after_a_takeover() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     let mut changes = Vec::new();
     for (bytes, base) in RESPONSE_RESET_OFFSETS.into_iter().zip(1..) {
@@ -132,7 +132,7 @@
 
 /// The response is lost; retries at any member and after a takeover are acknowledged, and older weights are rejected.
 #[test]
-fn a_retried_change_of_weights_is_acknowledged_again() {
+fn a_retried_weights_revision_is_acknowledged_again() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     let primary = deployment.wait_for_primary().expect("a primary");
     let responses =
--- a/crates/fault-injection/tests/demo.rs
+++ b/crates/fault-injection/tests/demo.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn the_demo_serves_changes_takes_over_and_ends_with_all_its_programs() {
+fn the_demo_fails_over_and_exits_with_all_its_programs() {
     let mut demo = Demo::start();
     let mut lines = demo.lines_until("Ctrl-C ends all");
     let started = parse_processes(&lines);
@@ -205,7 +205,7 @@
 #[rstest]
 #[case::port_of_a_proxy(1)]
 #[case::port_of_the_control_plane(12)]
-fn a_port_that_is_in_use_is_named_before_anything_starts(#[case] offset: u16) {
+fn a_port_in_use_is_reported_before_any_program_starts(#[case] offset: u16) {
     let (reservation, listener) = reserve_with_occupied_port(offset);
     let port = listener.local_addr().expect("an address").port();
     let mut child = demo_command(reservation.first)
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_segment_counts_as_cached_only_after_all_before_it() {
+fn a_segment_is_cached_only_if_all_earlier_ones_are() {
     let segment = |id: &str, tokens| PromptSegment { id: id.to_owned(), tokens };
     let prompt = parse_prompt("a:10, b:20,,c:x,d:30");
     assert_eq!(prompt, [segment("a", 10), segment("b", 20), segment("d", 30)]);
--- a/crates/fault-injection/tests/edge_machine.rs
+++ b/crates/fault-injection/tests/edge_machine.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_proxy_keeps_serving_without_its_agent_and_is_updated_after_its_restart() {
+fn a_proxy_serves_without_its_agent_and_updates_after_restart() {
     let mut deployment =
         start(Topology { members: 1, seeds: 1, tolerated_losses: 0, ..Topology::default() });
     deployment.edges[0].agent.kill();
@@ -39,7 +39,7 @@
 
 /// The connections of a frozen agent stay open, so that the proxy can detect the failure only by a timeout.
 #[test]
-fn a_proxy_behind_a_frozen_agent_stops_serving_a_stale_configuration() {
+fn a_proxy_with_a_frozen_agent_rejects_requests_in_time() {
     let deployment = start(Topology { members: 1, seeds: 1, tolerated_losses: 0, ..Topology::default() });
     deployment.edges[0].agent.signal(Signal::STOP).expect("the program is frozen");
     let is_rejected = || matches!(request_status(&deployment, 0, "base"), Ok(503));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_proxy_that_was_killed_serves_the_newest_configuration_again() {
+fn a_restarted_proxy_serves_the_newest_configuration() {
     let mut deployment =
         start(Topology { members: 1, seeds: 1, tolerated_losses: 0, ..Topology::default() });
     deployment.edges[0].proxy.kill();
@@ -61,7 +61,7 @@
 
 /// Requests that arrive after SIGTERM are served, and both programs exit with status 0.
 #[test]
-fn terminated_programs_exit_within_the_leeway() {
+fn terminated_programs_serve_and_exit_within_the_leeway() {
     let mut deployment =
         start(Topology { members: 1, seeds: 1, tolerated_losses: 0, ..Topology::default() });
     deployment.edges[0].proxy.signal(Signal::TERM).expect("the program is signalled");
@@ -77,7 +77,7 @@
 
 /// The primary is killed while a client sends requests and an operator sends a change.
 #[test]
-fn clients_are_served_throughout_a_takeover() {
+fn all_requests_are_served_during_a_takeover() {
     let mut deployment = start(Topology::default());
     let primary = deployment.wait_for_primary().expect("a primary");
     deployment.members[primary].process.kill();
--- a/crates/fault-injection/tests/harness.rs
+++ b/crates/fault-injection/tests/harness.rs
@@ -47,7 +47,7 @@
 #[case::before_the_first_byte(0)]
 #[case::in_the_middle(5)]
 #[case::before_the_last_byte(9)]
-fn a_relay_resets_the_connection_after_the_given_byte(#[case] forwarded: u64) {
+fn a_relay_resets_the_connection_after_the_configured_byte(#[case] forwarded: u64) {
     let network = Network::default();
     let (mut sender, mut receiver) = connect_through_relay(&network);
     network.set_after(DIRECTION, forwarded, LinkState::Reset);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn stalled_bytes_arrive_later_and_the_other_direction_stays_open() {
+fn a_stall_delays_one_direction_and_leaves_the_other_open() {
     let network = Network::default();
     let (mut sender, mut receiver) = connect_through_relay(&network);
     network.set(DIRECTION, LinkState::Stalled);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn stalled_bytes_are_lost_by_a_reset() {
+fn a_reset_drops_stalled_bytes() {
     let network = Network::default();
     let (mut sender, receiver) = connect_through_relay(&network);
     network.set(DIRECTION, LinkState::Stalled);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_loss_of_power_drops_only_unacknowledged_data() {
+fn a_power_loss_drops_only_unacknowledged_data() {
     let folder = tempfile::tempdir().expect("a folder");
     let log = folder.path().join("log-000001");
     for _ in 0..POWER_LOSSES {
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_loss_of_power_drops_nothing_if_files_were_created_or_nothing_was_written() {
+fn a_power_loss_drops_nothing_if_a_file_is_new_or_none_grew() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("log-000001"), b"acknowledged").expect("a write");
     let acknowledged = FileLengths::of(folder.path());
--- a/crates/fault-injection/tests/mutations.rs
+++ b/crates/fault-injection/tests/mutations.rs
@@ -53,14 +53,14 @@
 }
 
 #[test]
-fn each_mutation_has_a_name_of_its_own() {
+fn each_mutation_has_a_unique_name() {
     let list = read_mutations();
     let ids: BTreeSet<&str> = list.iter().map(|mutation| mutation.id.as_str()).collect();
     assert!(list.len() >= 40 && ids.len() == list.len(), "{} names of {}", ids.len(), list.len());
 }
 
 #[test]
-fn the_text_of_each_mutation_stands_in_its_file_once() {
+fn the_text_of_each_mutation_occurs_once_in_its_file() {
     for Mutation { id, file, find, replace, .. } in read_mutations() {
         assert_eq!(read_file(&file).matches(&find).count(), 1, "{id}");
         assert_ne!(find, replace, "{id}");
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn each_rule_of_the_map_names_existing_modules_and_what_notices_their_absence() {
+fn each_rule_names_existing_modules_and_mutations_or_tests() {
     let rows = rule_rows();
     assert!(rows.len() >= 60, "{} rows", rows.len());
     for RuleRow { modules, mutations_and_tests } in rows {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_map_of_rules_and_the_list_of_mutations_name_the_same_mutations() {
+fn the_map_of_rules_names_all_mutations_and_existing_tests() {
     let mutations_and_tests: Vec<String> =
         rule_rows().into_iter().flat_map(|row| row.mutations_and_tests).collect();
     let (tests, ids): (BTreeSet<String>, BTreeSet<String>) =
--- a/crates/fault-injection/tests/partitions.rs
+++ b/crates/fault-injection/tests/partitions.rs
@@ -52,7 +52,7 @@
 #[rstest]
 #[case::stalled(LinkState::Stalled)]
 #[case::reset(LinkState::Reset)]
-fn a_partitioned_primary_violates_no_consistency(#[case] state: LinkState) {
+fn a_partitioned_primary_causes_no_consistency_violation(#[case] state: LinkState) {
     let deployment = start(Topology::default());
     let old_primary = deployment.wait_for_primary().expect("a primary");
     deployment.partition_member(old_primary, state);
@@ -76,7 +76,7 @@
 #[rstest]
 #[case::outgoing(true)]
 #[case::incoming(false)]
-fn a_primary_behind_a_one_way_partition_violates_no_consistency(#[case] is_outgoing: bool) {
+fn a_one_way_partition_causes_no_consistency_violation(#[case] is_outgoing: bool) {
     let deployment = start(Topology::default());
     let old_primary = deployment.wait_for_primary().expect("a primary");
     let id = deployment.members[old_primary].machine.id;
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_frozen_primary_violates_no_consistency_when_it_resumes() {
+fn a_resumed_primary_causes_no_consistency_violation() {
     let deployment = start(Topology::default());
     let old_primary = deployment.wait_for_primary().expect("a primary");
     deployment.members[old_primary].process.signal(Signal::STOP).expect("the program is frozen");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_partitioned_proxy_serves_no_removed_route_beyond_the_withdrawal_term() {
+fn a_partitioned_proxy_stops_serving_a_removed_route_in_time() {
     let deployment = start(Topology::default());
     let operator = deployment.operator();
     operator.apply(&Change::upsert_route(1, "withdrawn", 1), CHANGE_TIMEOUT).expect("a change");
--- a/crates/fault-injection/tests/replacement.rs
+++ b/crates/fault-injection/tests/replacement.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_second_loss_right_after_a_planned_replacement_loses_nothing() {
+fn losing_the_primary_after_a_replacement_loses_no_change() {
     let mut deployment = start(Topology { members: 4, edges: 0, ..Topology::default() });
     apply_change(&deployment, 1);
     let backup = deployment.wait_for_backup().expect("a backup");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_second_loss_right_after_a_repair_loses_nothing() {
+fn losing_the_primary_after_a_recovery_loses_no_change() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     for base in 1..=3 {
         apply_change(&deployment, base);
@@ -72,7 +72,7 @@
 
 /// The backup is killed. Immediately afterwards the primary, which has the only other copy of the data, is terminated.
 #[test]
-fn a_primary_that_is_terminated_with_the_only_other_replica_loses_nothing() {
+fn terminating_the_primary_without_a_backup_loses_no_change() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     apply_change(&deployment, 1);
     let backup = deployment.wait_for_backup().expect("a backup");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn machines_are_replaced_until_no_original_seed_is_left() {
+fn replacing_all_original_seeds_loses_no_change() {
     let mut deployment = start(Topology { members: 6, ..Topology::default() });
     for old in 0..3 {
         let new = old + 3;
--- a/crates/fault-injection/tests/responses.rs
+++ b/crates/fault-injection/tests/responses.rs
@@ -69,7 +69,10 @@
 #[case::no_response(ReplicaBehaviour::NoResponse, NO_RESPONSE_TIMEOUT)]
 #[case::reset(ReplicaBehaviour::Reset, REQUEST_TIMEOUT)]
 #[case::reset_during_the_head(ReplicaBehaviour::ResetDuringHead, REQUEST_TIMEOUT)]
-fn a_risky_request_is_not_retried(#[case] behaviour: ReplicaBehaviour, #[case] timeout: Duration) {
+fn a_risky_request_is_not_retried_after_a_replica_failure(
+    #[case] behaviour: ReplicaBehaviour,
+    #[case] timeout: Duration,
+) {
     let deployment = start_with_two_replicas("risky");
     // Fills the retry budget, so that an empty budget is not the reason why no request is retried.
     for number in 0..CLIENTS {
