--- a/examples/messages_bench.rs
+++ b/examples/messages_bench.rs
@@ -1,5 +1,5 @@
-//! What the messages front and the translation cost, and whether the pairings agree under faults; see
-//! docs/design/messages.md for its figures. Needs a release build of the program beside it:
+//! Measures the cost of the messages API and of the translation between dialects, and compares the pairings of dialects
+//! under faults. The figures are in docs/design/messages.md. Needs a release build of the program in the target folder:
 //!
 //! ```text
 //! cargo build --release --locked && cargo run --release --locked --example messages_bench
@@ -17,54 +17,55 @@
 use tulipridge::conformance::{self, PAIRINGS, Pairing, Running};
 use tulipridge::names::Dialect;
 
-/// What became of a request, and its attempts.
-type Came = (Outcome, Option<usize>);
+/// Outcome of a request, and the number of its attempts if the replicas counted them.
+type CaseResult = (Outcome, Option<usize>);
 
-/// Why a run could not be made.
+/// Reason why a measurement failed.
 type BenchError = Box<dyn std::error::Error>;
 
-/// A stream of so many text events, asked for as a stream or whole.
-fn long(name: &str, events: usize, whole: bool) -> Result<Case, BenchError> {
+/// A case with `event_count` text events, requested as a stream or as one complete response.
+fn text_case(name: &str, event_count: usize, is_complete_response: bool) -> Result<Case, BenchError> {
     let mut text = format!("case {name}\n");
-    if whole {
+    if is_complete_response {
         text += "  ask whole\n";
     }
-    for _ in 0..events {
+    for _ in 0..event_count {
         text += "  serve text \"Gate A1 is open. \"\n";
     }
     text += "  serve end done\n";
     case::parse("bench", &text)?.pop().ok_or_else(|| "no case".into())
 }
 
-/// Ticks of a process's time, its own and the system's for it, in hundredths of a second.
-fn ticks(id: u32) -> Result<u64, BenchError> {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
-    let fields: Vec<&str> = stat.rsplit_once(')').ok_or("no stat")?.1.split_whitespace().collect();
+/// CPU time of a process, user and system, in clock ticks of 10 ms.
+fn cpu_ticks(process_id: u32) -> Result<u64, BenchError> {
+    let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat"))?;
+    let fields: Vec<&str> =
+        stat.rsplit_once(')').ok_or("/proc/PID/stat has no process name")?.1.split_whitespace().collect();
     Ok(fields[11].parse::<u64>()? + fields[12].parse::<u64>()?)
 }
 
-/// One request on an open connection: the time to its first event and to its end.
-fn once(reader: &mut BufReader<TcpStream>, request: &[u8]) -> Result<(Duration, Duration), BenchError> {
-    let from = Instant::now();
+/// Sends a request on an open connection; returns the time to the first event and to the end of the response.
+fn exchange(reader: &mut BufReader<TcpStream>, request: &[u8]) -> Result<(Duration, Duration), BenchError> {
+    let started_at = Instant::now();
     reader.get_mut().write_all(request)?;
-    let (mut line, mut length) = (String::new(), None);
+    let (mut line, mut content_length) = (String::new(), None);
     loop {
         line.clear();
         if reader.read_line(&mut line)? == 0 {
-            return Err("the connection ended".into());
+            return Err("the connection ended before the end of the head".into());
         }
-        if let Some(told) = line.to_ascii_lowercase().strip_prefix("content-length:") {
-            length = Some(told.trim().parse::<usize>()?);
+        if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length:") {
+            content_length = Some(value.trim().parse::<usize>()?);
         }
         if line.trim_end().is_empty() {
             break;
         }
     }
-    let mut first = None;
-    if let Some(length) = length {
+    let mut first_event_time = None;
+    if let Some(length) = content_length {
         let mut body = vec![0; length];
         reader.read_exact(&mut body)?;
-        return Ok((from.elapsed(), from.elapsed()));
+        return Ok((started_at.elapsed(), started_at.elapsed()));
     }
     loop {
         line.clear();
@@ -72,98 +73,105 @@
         let size = usize::from_str_radix(line.trim(), 16)?;
         let mut chunk = vec![0; size + 2];
         reader.read_exact(&mut chunk)?;
-        first.get_or_insert_with(|| from.elapsed());
+        first_event_time.get_or_insert_with(|| started_at.elapsed());
         if size == 0 {
-            return Ok((first.unwrap_or_default(), from.elapsed()));
+            return Ok((first_event_time.unwrap_or_default(), started_at.elapsed()));
         }
     }
 }
 
-struct Cost {
-    first: Histogram<u64>,
-    whole: Histogram<u64>,
+struct RequestCost {
+    first_event_us: Histogram<u64>,
+    complete_us: Histogram<u64>,
     cpu_us: f64,
 }
 
-/// So many requests, one after the other, on one connection.
-fn cost(
+/// Measures `count` requests in sequence on one connection, after a tenth as many that are not measured.
+fn measure_requests(
     addr: SocketAddr,
-    id: Option<u32>,
+    process_id: Option<u32>,
     front: Dialect,
     case: &Case,
     count: usize,
-) -> Result<Cost, BenchError> {
+) -> Result<RequestCost, BenchError> {
     let stream = TcpStream::connect(addr)?;
     stream.set_nodelay(true)?;
     let mut reader = BufReader::with_capacity(64 << 10, stream);
-    let (mut first, mut whole) = (Histogram::new(3)?, Histogram::new(3)?);
-    let mut before = 0;
+    let (mut first_event_us, mut complete_us) = (Histogram::new(3)?, Histogram::new(3)?);
+    let mut initial_ticks = 0;
     for n in 0..count + count / 10 {
         if n == count / 10 {
-            before = id.map_or(Ok(0), ticks)?;
+            initial_ticks = process_id.map_or(Ok(0), cpu_ticks)?;
         }
         let request = conformance::client::request(case, front, &case.name, 0xB0_0000 + n as u64);
-        let (begun, ended) = once(&mut reader, &request)?;
+        let (first_event_time, complete_time) = exchange(&mut reader, &request)?;
         if n >= count / 10 {
-            first.record(begun.as_nanos() as u64 / 1000)?;
-            whole.record(ended.as_nanos() as u64 / 1000)?;
+            first_event_us.record(first_event_time.as_nanos() as u64 / 1000)?;
+            complete_us.record(complete_time.as_nanos() as u64 / 1000)?;
         }
     }
-    let used = id.map_or(Ok(0), ticks)? - before;
-    Ok(Cost { first, whole, cpu_us: used as f64 * 10_000.0 / count as f64 })
+    let used_ticks = process_id.map_or(Ok(0), cpu_ticks)? - initial_ticks;
+    Ok(RequestCost { first_event_us, complete_us, cpu_us: used_ticks as f64 * 10_000.0 / count as f64 })
 }
 
-fn gateway(stand_ins: &StandIns, servers: Dialect) -> Result<Running, BenchError> {
-    Ok(Running::start(stand_ins, servers, &program()?, &std::env::temp_dir())?)
+fn start_gateway(stand_ins: &StandIns, replica_dialect: Dialect) -> Result<Running, BenchError> {
+    Ok(Running::start(stand_ins, replica_dialect, &program_path()?, &std::env::temp_dir())?)
 }
 
-fn program() -> Result<PathBuf, BenchError> {
-    let own = std::env::current_exe()?;
-    let beside = own.parent().and_then(Path::parent).ok_or("no place")?.join("tulipridge");
-    if beside.exists() {
-        Ok(beside)
+fn program_path() -> Result<PathBuf, BenchError> {
+    let example_path = std::env::current_exe()?;
+    let program_path = example_path
+        .parent()
+        .and_then(Path::parent)
+        .ok_or("the example's path has no parent folder")?
+        .join("tulipridge");
+    if program_path.exists() {
+        Ok(program_path)
     } else {
         Err("build the program first: cargo build --release --locked".into())
     }
 }
 
-fn costs(count: usize) -> Result<(), BenchError> {
+fn measure_costs(count: usize) -> Result<(), BenchError> {
     println!("front     servers   form    events  first us p50/p99  whole us p50/p99  cpu us/request");
-    for (events, whole) in [(1, false), (100, false), (1000, false), (100, true)] {
-        let case = long("bench", events, whole)?;
-        let count = if events > 500 { count / 4 } else { count };
-        for servers in [Dialect::Platform, Dialect::Messages] {
-            let stand_ins = StandIns::start(servers, Fleet::One, std::slice::from_ref(&case), 0)?;
-            let running = gateway(&stand_ins, servers)?;
+    for (event_count, is_complete_response) in [(1, false), (100, false), (1000, false), (100, true)] {
+        let case = text_case("bench", event_count, is_complete_response)?;
+        let count = if event_count > 500 { count / 4 } else { count };
+        for replica_dialect in [Dialect::Platform, Dialect::Messages] {
+            let stand_ins = StandIns::start(replica_dialect, Fleet::One, std::slice::from_ref(&case), 0)?;
+            let gateway = start_gateway(&stand_ins, replica_dialect)?;
             for front in [Dialect::Platform, Dialect::Messages] {
-                if whole && front == Dialect::Platform {
+                if is_complete_response && front == Dialect::Platform {
                     continue;
                 }
-                let cost = cost(running.front(front), Some(running.id()), front, &case, count)?;
+                let cost = measure_requests(gateway.front(front), Some(gateway.id()), front, &case, count)?;
                 println!(
-                    "{:9} {:9} {:7} {events:6} {:>9}/{:<7} {:>9}/{:<7} {:>10.1}",
+                    "{:9} {:9} {:7} {event_count:6} {:>9}/{:<7} {:>9}/{:<7} {:>10.1}",
                     format!("{front:?}"),
-                    format!("{servers:?}"),
-                    if whole { "whole" } else { "stream" },
-                    cost.first.value_at_quantile(0.5),
-                    cost.first.value_at_quantile(0.99),
-                    cost.whole.value_at_quantile(0.5),
-                    cost.whole.value_at_quantile(0.99),
+                    format!("{replica_dialect:?}"),
+                    if is_complete_response { "whole" } else { "stream" },
+                    cost.first_event_us.value_at_quantile(0.5),
+                    cost.first_event_us.value_at_quantile(0.99),
+                    cost.complete_us.value_at_quantile(0.5),
+                    cost.complete_us.value_at_quantile(0.99),
                     cost.cpu_us,
                 );
             }
-            let addr = stand_ins.list()["servers"][0]["addr"].as_str().ok_or("no server")?.parse()?;
-            if !whole {
-                let direct = cost(addr, None, servers, &case, count)?;
+            let addr = stand_ins.list()["servers"][0]["addr"]
+                .as_str()
+                .ok_or("the list has no replica")?
+                .parse()?;
+            if !is_complete_response {
+                let direct = measure_requests(addr, None, replica_dialect, &case, count)?;
                 println!(
-                    "{:9} {:9} {:7} {events:6} {:>9}/{:<7} {:>9}/{:<7} {:>10}",
+                    "{:9} {:9} {:7} {event_count:6} {:>9}/{:<7} {:>9}/{:<7} {:>10}",
                     "-",
-                    format!("{servers:?}"),
+                    format!("{replica_dialect:?}"),
                     "stream",
-                    direct.first.value_at_quantile(0.5),
-                    direct.first.value_at_quantile(0.99),
-                    direct.whole.value_at_quantile(0.5),
-                    direct.whole.value_at_quantile(0.99),
+                    direct.first_event_us.value_at_quantile(0.5),
+                    direct.first_event_us.value_at_quantile(0.99),
+                    direct.complete_us.value_at_quantile(0.5),
+                    direct.complete_us.value_at_quantile(0.99),
                     "-",
                 );
             }
@@ -172,7 +180,7 @@
     Ok(())
 }
 
-/// What the replicas do in the run with faults, as so many parts of 16 requests.
+/// Behaviours of the replicas under faults: each case is chosen for 1 in 16 requests, the first one also for the rest.
 const FAULTS: &str = "case served
 case full-once
   serve full
@@ -207,59 +215,59 @@
   serve status 422 \"no\"
 ";
 
-/// The same requests with the same faults over each pairing: what became of each, and its attempts.
-fn faults(count: usize) -> Result<(), BenchError> {
+/// Sends the same requests with the same faults over each pairing and prints the numbers of outcomes and attempts.
+fn compare_pairings(count: usize) -> Result<(), BenchError> {
     let cases = case::parse("faults", FAULTS)?;
-    let mut runs: Vec<(Pairing, Vec<Came>)> = Vec::new();
+    let mut runs: Vec<(Pairing, Vec<CaseResult>)> = Vec::new();
     for pairing in PAIRINGS {
         let stand_ins = StandIns::start(pairing.replicas, Fleet::Own, &cases, 0)?;
-        let running = gateway(&stand_ins, pairing.replicas)?;
+        let gateway = start_gateway(&stand_ins, pairing.replicas)?;
         let mut seed = 8u64;
-        let mut came = Vec::new();
+        let mut results = Vec::new();
         for _ in 0..count {
             seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-            // Half of all are served at once, so that no server is taken for sick.
-            let n = (seed >> 33) as usize % 16;
-            let case = cases.get(n).unwrap_or(&cases[0]);
-            let verdict = conformance::run(case, pairing, running.front(pairing.front), Some(&stand_ins));
-            came.push((verdict.outcome, verdict.attempts));
+            // Half of the requests have no fault, so that no replica is ejected as an outlier.
+            let case_index = (seed >> 33) as usize % 16;
+            let case = cases.get(case_index).unwrap_or(&cases[0]);
+            let verdict = conformance::run(case, pairing, gateway.front(pairing.front), Some(&stand_ins));
+            results.push((verdict.outcome, verdict.attempts));
         }
-        runs.push((pairing, came));
+        runs.push((pairing, results));
     }
-    let tally = |runs: &[Came]| {
-        let of = |o: Outcome| runs.iter().filter(|(is, _)| *is == o).count();
-        let sent: usize = runs.iter().filter_map(|(_, n)| *n).sum();
+    let count_outcomes = |results: &[CaseResult]| {
+        let count = |outcome: Outcome| results.iter().filter(|(actual, _)| *actual == outcome).count();
+        let attempts: usize = results.iter().filter_map(|(_, n)| *n).sum();
         (
-            of(Outcome::Served),
-            of(Outcome::Broken),
-            of(Outcome::Shed),
-            of(Outcome::Failed),
-            of(Outcome::Refused),
-            sent,
+            count(Outcome::Served),
+            count(Outcome::Broken),
+            count(Outcome::Shed),
+            count(Outcome::Failed),
+            count(Outcome::Refused),
+            attempts,
         )
     };
     println!(
         "front     servers   served  broken  turned-down  failed  refused  attempts  differ from the first"
     );
-    let first = runs[0].1.clone();
-    for (Pairing { front, replicas: servers }, came) in &runs {
-        let differ = came.iter().zip(&first).filter(|(a, b)| a != b).count();
-        let (served, broken, turned, failed, refused, sent) = tally(came);
+    let reference = runs[0].1.clone();
+    for (Pairing { front, replicas: replica_dialect }, results) in &runs {
+        let different = results.iter().zip(&reference).filter(|(a, b)| a != b).count();
+        let (served, broken, shed, failed, refused, attempts) = count_outcomes(results);
         println!(
-            "{:9} {:9} {served:6}  {broken:6}  {turned:11}  {failed:6}  {refused:7}  {sent:11}  {differ:6}",
+            "{:9} {:9} {served:6}  {broken:6}  {shed:11}  {failed:6}  {refused:7}  {attempts:11}  {different:6}",
             format!("{front:?}"),
-            format!("{servers:?}")
+            format!("{replica_dialect:?}")
         );
     }
     Ok(())
 }
 
-/// The process's memory for each whole answer in progress.
-fn memory() -> Result<(), BenchError> {
-    let held = |id: u32| -> Result<u64, BenchError> {
-        let status = std::fs::read_to_string(format!("/proc/{id}/status"))?;
-        let line = status.lines().find(|l| l.starts_with("VmRSS:")).ok_or("no size")?;
-        Ok(line.split_whitespace().nth(1).ok_or("no size")?.parse()?)
+/// Measures the gateway's memory per complete response that is being assembled.
+fn measure_memory() -> Result<(), BenchError> {
+    let resident_kib = |process_id: u32| -> Result<u64, BenchError> {
+        let status = std::fs::read_to_string(format!("/proc/{process_id}/status"))?;
+        let line = status.lines().find(|l| l.starts_with("VmRSS:")).ok_or("no VmRSS")?;
+        Ok(line.split_whitespace().nth(1).ok_or("no VmRSS")?.parse()?)
     };
     println!("whole answers  bytes each  KiB of the process for each");
     for (count, kib) in [(100, 4), (100, 32), (400, 4)] {
@@ -270,24 +278,24 @@
         text += "  serve pause 450\n  serve ping\n  serve pause 450\n  serve ping\n  serve pause 450\n  serve ping\n  serve pause 450\n  serve end done\n";
         let cases = case::parse("hold", &text)?;
         let stand_ins = StandIns::start(Dialect::Messages, Fleet::One, &cases, 0)?;
-        let running = gateway(&stand_ins, Dialect::Messages)?;
-        let before = held(running.id())?;
-        let mut open = Vec::new();
+        let gateway = start_gateway(&stand_ins, Dialect::Messages)?;
+        let initial_kib = resident_kib(gateway.id())?;
+        let mut streams = Vec::new();
         for n in 0..count {
             let request = conformance::client::request(&cases[0], Dialect::Messages, "hold", 0xC0_0000 + n);
-            let mut stream = TcpStream::connect(running.front(Dialect::Messages))?;
+            let mut stream = TcpStream::connect(gateway.front(Dialect::Messages))?;
             stream.write_all(&request)?;
-            open.push(stream);
+            streams.push(stream);
         }
         std::thread::sleep(Duration::from_millis(900));
-        let after = held(running.id())?;
-        println!("{count:13}  {:10}  {:10.1}", kib * 1000, (after - before) as f64 / count as f64);
+        let final_kib = resident_kib(gateway.id())?;
+        println!("{count:13}  {:10}  {:10.1}", kib * 1000, (final_kib - initial_kib) as f64 / count as f64);
     }
     Ok(())
 }
 
 fn main() -> Result<(), BenchError> {
-    costs(2000)?;
-    memory()?;
-    faults(2000)
+    measure_costs(2000)?;
+    measure_memory()?;
+    compare_pairings(2000)
 }
--- a/examples/stream_bench.rs
+++ b/examples/stream_bench.rs
@@ -1,16 +1,16 @@
-//! Measures what passing streams costs, on loopback: `cargo run --release --example stream_bench -- [WHAT] [PROGRAM]`.
+//! Measures the cost of relayed streams, on loopback: `cargo run --release --example stream_bench -- [WHAT] [PROGRAM]`.
 //!
-//! WHAT is `stop`, `unread`, `paused`, `pass`, `paced`, `pauses` or `all`. PROGRAM is the gateway's binary, by default the release
-//! build; an older build may be named to set the two side by side. Each run is bounded in count and time.
+//! WHAT is `stop`, `unread`, `paused`, `pass`, `paced`, `pauses` or `all`. PROGRAM is the gateway's binary, by default
+//! the release build; an older build can be given for a comparison. Each run is bounded in count and time.
 //!
-//! - `stop`: from a break to the replica's connection being closed, 1,000 breaks of each kind, with 10, 100
+//! - `stop`: time from a broken stream until the other connection is closed; 1,000 breaks of each kind, with 10, 100
 //!   and 500 other streams open.
-//! - `unread`: from a client's close after five events of a silent stream, and from the end of a stream cut for a
-//!   stall, to the replica's connection being closed; 200 streams of each, with 10 and 500 other streams open.
-//! - `paused`: memory of the process, and bytes taken from the servers, for each paused reader of a flood.
-//! - `pass`: CPU for each MiB and each event, beside a plain copy between two sockets in the same run.
-//! - `paced`: CPU for each event where events come one by one.
-//! - `pauses`: good streams lost to flat and to pace-following limits on silence, under servers that pause.
+//! - `unread`: time from a client's close after five events of a stalled stream, and from the end of a stream cut for a
+//!   stall, until the replica's connection is closed; 200 streams of each, with 10 and 500 other streams open.
+//! - `paused`: memory of the process and bytes read from the replicas, per client that stops reading a fast stream.
+//! - `pass`: CPU time per MiB and per event, compared with a plain copy between two sockets in the same run.
+//! - `paced`: CPU time per event if events arrive one at a time.
+//! - `pauses`: healthy streams that fixed and adaptive stall timeouts cut, with replicas that pause.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -31,71 +31,72 @@
 
 const HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// The platform's largest machine: 192 MB and so many descriptors.
-const MACHINE: u64 = 1024;
-/// Descriptors for 500 streams beside what is measured; the system's buffers are smaller for it.
-const CROWD: u64 = 4096;
-const LONG: Duration = Duration::from_secs(20);
+/// Descriptors of the platform's largest machine, which has 192 MB.
+const MACHINE_DESCRIPTORS: u64 = 1024;
+/// Descriptors for 500 streams in addition to the measured ones; the system's socket buffers are smaller with it.
+const LOAD_DESCRIPTORS: u64 = 4096;
+/// Timeout of reads and of waits for a replica's thread.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let what = args.first().map_or("all", String::as_str);
+    let measurement = args.first().map_or("all", String::as_str);
     let program = args.get(1).map_or("target/release/tulipridge", String::as_str);
-    let is = |name| what == name || what == "all";
-    if is("pass") {
-        pass(program);
+    let is_selected = |name| measurement == name || measurement == "all";
+    if is_selected("pass") {
+        measure_throughput(program);
     }
-    if is("paced") {
-        paced(program);
+    if is_selected("paced") {
+        measure_single_events(program);
     }
-    if is("stop") {
-        stop(program);
+    if is_selected("stop") {
+        measure_breaks(program);
     }
-    if is("unread") {
-        unread(program);
+    if is_selected("unread") {
+        measure_unread_ends(program);
     }
-    if is("paused") {
-        paused(program);
+    if is_selected("paused") {
+        measure_paused_clients(program);
     }
-    if is("pauses") {
-        pauses();
+    if is_selected("pauses") {
+        measure_stall_timeouts();
     }
 }
 
-fn event(size: usize) -> String {
+fn event_of_size(size_bytes: usize) -> String {
     let frame =
         "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"\"},\"finish_reason\":null}]}\n\n";
-    let fill = "x".repeat(size.saturating_sub(frame.len()));
-    frame.replace("\"content\":\"\"", &format!("\"content\":\"{fill}\""))
+    let padding = "x".repeat(size_bytes.saturating_sub(frame.len()));
+    frame.replace("\"content\":\"\"", &format!("\"content\":\"{padding}\""))
 }
 
 fn chunk(event: &str) -> String {
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-/// Reads a request; its path tells the server what to do.
-fn request(reader: &mut BufReader<TcpStream>) -> Option<String> {
+/// Reads a request and returns its query, which selects the behaviour of the replica.
+fn read_command(reader: &mut BufReader<TcpStream>) -> Option<String> {
     let (head, _) = demo_replica::read_message(reader)?;
     Some(head.lines().next()?.split('?').nth(1)?.split(' ').next()?.to_owned())
 }
 
-/// A replica: the request's query says what it plays. `closed` hears when a connection was closed, and
-/// `written` counts what was taken from it.
-fn server(closed: Sender<Instant>, written: Arc<AtomicU64>) -> SocketAddr {
+/// Starts a replica whose behaviour the request's query selects. `closed` gets the time at which a connection was
+/// closed, and `written` counts the bytes that the gateway has accepted.
+fn start_replica(closed: Sender<Instant>, written: Arc<AtomicU64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let (closed, written) = (closed.clone(), written.clone());
-            thread::spawn(move || play(stream, &closed, &written));
+            thread::spawn(move || serve_connection(stream, &closed, &written));
         }
     });
     addr
 }
 
-/// Sends so many events of that size, one each millisecond, then the end.
-fn send_paced(stream: &mut TcpStream, size: usize, count: usize) -> Option<()> {
-    let event = chunk(&event(size));
+/// Sends `count` events, one per millisecond, then the end of the stream.
+fn send_paced(stream: &mut TcpStream, size_bytes: usize, count: usize) -> Option<()> {
+    let event = chunk(&event_of_size(size_bytes));
     for _ in 0..count {
         stream.write_all(event.as_bytes()).ok()?;
         thread::sleep(Duration::from_millis(1));
@@ -104,49 +105,49 @@
     stream.write_all(end.as_bytes()).ok()
 }
 
-/// Sends so many events of that size, then the end.
-fn send_in_lots(stream: &mut TcpStream, size: usize, count: usize) -> Option<()> {
-    let event = chunk(&event(size));
-    // As a server that has much to say writes: 64 KiB at a time.
-    let lot = (64 << 10) / event.len().max(1) + 1;
-    let many = event.repeat(lot);
-    for _ in 0..count / lot {
-        stream.write_all(many.as_bytes()).ok()?;
+/// Sends `count` events in batches, then the end of the stream.
+fn send_in_batches(stream: &mut TcpStream, size_bytes: usize, count: usize) -> Option<()> {
+    let event = chunk(&event_of_size(size_bytes));
+    // Writes 64 KiB at a time, as a replica does that has many events ready.
+    let batch_len = (64 << 10) / event.len().max(1) + 1;
+    let batch = event.repeat(batch_len);
+    for _ in 0..count / batch_len {
+        stream.write_all(batch.as_bytes()).ok()?;
     }
     let end = chunk("data: [DONE]\n\n") + "0\r\n\r\n";
     stream.write_all(end.as_bytes()).ok()
 }
 
-fn play(mut stream: TcpStream, closed: &Sender<Instant>, written: &AtomicU64) -> Option<()> {
+fn serve_connection(mut stream: TcpStream, closed: &Sender<Instant>, written: &AtomicU64) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut reader = BufReader::new(stream.try_clone().ok()?);
-    while let Some(order) = request(&mut reader) {
-        let mut words = order.split('-');
+    while let Some(command) = read_command(&mut reader) {
+        let mut words = command.split('-');
         let kind = words.next()?;
         let mut number = || words.next().and_then(|n| n.parse::<usize>().ok()).unwrap_or(0);
-        let first = chunk(&event(120));
+        let first = chunk(&event_of_size(120));
         stream.write_all((HEAD.to_owned() + &first).as_bytes()).ok()?;
-        let told = match kind {
-            // So many events of that size, one each millisecond, then the end.
+        let is_close_reported = match kind {
+            // paced-SIZE-COUNT: events at intervals of 1 ms.
             "paced" => {
                 send_paced(&mut stream, number(), number())?;
                 continue;
             }
-            // So many events of that size, then the end.
+            // send-SIZE-COUNT: events without pauses.
             "send" => {
-                send_in_lots(&mut stream, number(), number())?;
+                send_in_batches(&mut stream, number(), number())?;
                 continue;
             }
             "flood" | "floodhidden" => {
-                let event = chunk(&event(4096));
-                // What lies in the server's own buffer has not been taken from it.
+                let event = chunk(&event_of_size(4096));
+                // A small buffer, because bytes in it are counted although the gateway has not accepted them.
                 SockRef::from(&stream).set_send_buffer_size(16 << 10).ok()?;
                 while let Ok(n) = stream.write(event.as_bytes()) {
                     written.fetch_add(n as u64, Ordering::Relaxed);
                 }
                 kind == "flood"
             }
-            // Breaks by its own doing after a moment.
+            // Closes the connection after 2 ms.
             "break" => {
                 let mut byte = [0];
                 let _ = stream.set_read_timeout(Some(Duration::from_millis(2)));
@@ -155,26 +156,26 @@
                 let _ = stream.shutdown(Shutdown::Both);
                 return None;
             }
-            // Four more events, then silent.
+            // Four more events, then a stall.
             "five" => {
                 stream.write_all(first.repeat(4).as_bytes()).ok()?;
                 let _ = reader.read(&mut [0]);
                 true
             }
-            // A token now and then.
+            // One event every 100 ms.
             "drip" => {
                 while stream.write_all(first.as_bytes()).is_ok() {
                     thread::sleep(Duration::from_millis(100));
                 }
                 false
             }
-            // Silent from here on.
+            // A stall after the first event.
             _ => {
                 let _ = reader.read(&mut [0]);
                 true
             }
         };
-        if told {
+        if is_close_reported {
             let _ = closed.send(Instant::now());
         }
         return None;
@@ -188,14 +189,14 @@
 }
 
 impl Gateway {
-    fn start(program: &str, servers: &[SocketAddr], sockets: u64) -> Gateway {
-        Gateway::start_with(program, servers, sockets, None)
+    fn start(program: &str, replicas: &[SocketAddr], sockets: u64) -> Gateway {
+        Gateway::start_with(program, replicas, sockets, None)
     }
 
-    /// The same with settings of the program's own, in HCL.
-    fn start_with(program: &str, servers: &[SocketAddr], sockets: u64, settings: Option<&str>) -> Gateway {
-        let second = 1_000_000_000u64;
-        let entries: Vec<_> = servers
+    /// Starts the program with further settings in HCL and with a list service that lists `replicas`.
+    fn start_with(program: &str, replicas: &[SocketAddr], sockets: u64, settings: Option<&str>) -> Gateway {
+        let second_ns = 1_000_000_000u64;
+        let entries: Vec<_> = replicas
             .iter()
             .enumerate()
             .map(|(n, a)| {
@@ -205,35 +206,35 @@
             .collect();
         let list = json!({"version": 2, "full": true, "servers": entries});
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let discovery = listener.local_addr().expect("an address");
-        let said = list.to_string();
+        let list_service = listener.local_addr().expect("an address");
+        let list_text = list.to_string();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let _ = stream.read(&mut [0; 1024]);
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                let line = format!("{head}{:x}\r\n{said}\n\r\n", said.len() + 1);
+                let line = format!("{head}{:x}\r\n{list_text}\n\r\n", list_text.len() + 1);
                 let _ = stream.write_all(line.as_bytes());
                 while stream.write_all(b"1\r\n\n\r\n").is_ok() {
                     thread::sleep(Duration::from_secs(1));
                 }
             }
         });
-        let config = json!({"name": "b", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
+        let config = json!({"name": "b", "listen": "127.0.0.1:0", "discovery": list_service.to_string(),
             "seed": "1", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "known": list,
             "settings": {"group-size": 1, "me": 0, "zone": "a", "localities": ["a"], "shapes": ["k"],
                 "discovery": "ask", "weight-source": "rough", "report": {"fields": []},
-                "lanes": [{"name": "plain", "effect": "retryable", "promise-ns": 9 * second,
-                    "deadline-ns": 30 * second, "stream": true, "points": 1.0}], "accounts": [],
-                "policy-limits": {"send-cap": 1, "cancel": true, "conn-idle-ns": 5 * second},
-                "safety": {"cold-from": 1.0, "overload-factor": 2.5, "ask-within-ns": 60 * second}}});
+                "lanes": [{"name": "plain", "effect": "retryable", "promise-ns": 9 * second_ns,
+                    "deadline-ns": 30 * second_ns, "stream": true, "points": 1.0}], "accounts": [],
+                "policy-limits": {"send-cap": 1, "cancel": true, "conn-idle-ns": 5 * second_ns},
+                "safety": {"cold-from": 1.0, "overload-factor": 2.5, "ask-within-ns": 60 * second_ns}}});
         let dir = std::env::temp_dir();
         let path = dir.join(format!("stream-bench-{}.json", std::process::id()));
-        std::fs::write(&path, config.to_string()).expect("written");
+        std::fs::write(&path, config.to_string()).expect("the file is written");
         let mut command = Command::new(program);
         if let Some(settings) = settings {
-            let own = dir.join(format!("stream-bench-{}.hcl", std::process::id()));
-            std::fs::write(&own, settings).expect("written");
-            command.env("TULIPRIDGE_SETTINGS", own);
+            let settings_path = dir.join(format!("stream-bench-{}.hcl", std::process::id()));
+            std::fs::write(&settings_path, settings).expect("the file is written");
+            command.env("TULIPRIDGE_SETTINGS", settings_path);
         }
         let mut child = command
             .env("EDGE_CONFIG", path)
@@ -241,8 +242,8 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the gateway starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines().map_while(Result::ok);
-        let line = lines.find(|l| l.contains(" listening ")).expect("it listens");
+        let mut lines = BufReader::new(child.stderr.take().expect("a pipe")).lines().map_while(Result::ok);
+        let line = lines.find(|l| l.contains(" listening ")).expect("the gateway listens");
         let addr = line.split("addr=\"").nth(1).and_then(|a| a.split('"').next()).expect("an address");
         let addr = addr.parse().expect("an address");
         thread::spawn(move || lines.for_each(drop));
@@ -250,31 +251,33 @@
         Gateway { child, addr }
     }
 
-    fn send_command(&self, order: &str) -> TcpStream {
+    fn send_command(&self, command: &str) -> TcpStream {
         static ID: AtomicU64 = AtomicU64::new(1);
         let id = ID.fetch_add(1, Ordering::Relaxed);
-        let mut stream = TcpStream::connect(self.addr).expect("it accepts");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        let mut stream = TcpStream::connect(self.addr).expect("a connection");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket option");
         let text = format!(
-            "POST /v1/chat/completions?{order} HTTP/1.1\r\nHost: a\r\nX-Request-Id: {id:016x}\r\nX-Key: {id:x}\r\n\
+            "POST /v1/chat/completions?{command} HTTP/1.1\r\nHost: a\r\nX-Request-Id: {id:016x}\r\nX-Key: {id:x}\r\n\
             X-Deadline-Ms: 30000\r\nContent-Length: 2\r\n\r\n{{}}"
         );
-        stream.write_all(text.as_bytes()).expect("sent");
+        stream.write_all(text.as_bytes()).expect("the request is sent");
         stream
     }
 
-    /// CPU time of the process so far: user and system.
-    fn cpu(&self) -> Duration {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
+    /// CPU time of the process since its start, user and system.
+    fn cpu_time(&self) -> Duration {
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("the process runs");
         let after = stat.rsplit(')').next().expect("fields");
         let fields: Vec<&str> = after.split_whitespace().collect();
         let ticks = |n: usize| fields[n].parse::<u64>().expect("a number");
-        // Clock ticks are hundredths of a second here, as on every common Linux.
+        // A clock tick is 10 ms, the value of USER_HZ on the usual Linux systems.
         Duration::from_millis((ticks(11) + ticks(12)) * 10)
     }
 
-    fn rss(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
+    fn resident_bytes(&self) -> u64 {
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("the process runs");
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("a size");
         line.trim().trim_end_matches(" kB").parse::<u64>().expect("a number") << 10
     }
@@ -287,80 +290,87 @@
     }
 }
 
-fn begun(stream: &mut TcpStream) {
-    let (mut bytes, mut had) = ([0; 256], Vec::new());
-    while !had.windows(2).any(|w| w == b"}\n") {
-        let n = stream.read(&mut bytes).expect("an answer");
-        assert!(n > 0, "it ended: {}", String::from_utf8_lossy(&had));
-        had.extend_from_slice(&bytes[..n]);
+fn read_first_event(stream: &mut TcpStream) {
+    let (mut bytes, mut received) = ([0; 256], Vec::new());
+    while !received.windows(2).any(|w| w == b"}\n") {
+        let n = stream.read(&mut bytes).expect("a response");
+        assert!(n > 0, "the stream ended: {}", String::from_utf8_lossy(&received));
+        received.extend_from_slice(&bytes[..n]);
     }
 }
 
-fn stop(program: &str) {
+fn measure_breaks(program: &str) {
     println!("stop: from the break to the other side's connection being closed, in ms");
     println!("| kind | streams open | p50 | p99 | max | breaks |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for open in [10, 100, 500] {
-        let (tell, closed) = channel();
-        let addr = server(tell, Arc::default());
-        let gateway = Gateway::start(program, &[addr], CROWD);
-        let (others, readers) = drips(&gateway, open);
+        let (sender, closed) = channel();
+        let replica = start_replica(sender, Arc::default());
+        let gateway = Gateway::start(program, &[replica], LOAD_DESCRIPTORS);
+        let (others, readers) = open_slow_streams(&gateway, open);
         for kind in
             ["leaver, silent", "leaver, flood", "reset, flood", "half close, silent", "server breaks"]
         {
-            stops(&gateway, kind, open, &closed);
+            measure_break_kind(&gateway, kind, open, &closed);
         }
-        ended(others, readers);
+        close_streams(others, readers);
     }
 }
 
-fn stops(gateway: &Gateway, kind: &str, open: usize, closed: &Receiver<Instant>) {
+fn measure_break_kind(gateway: &Gateway, kind: &str, open: usize, closed: &Receiver<Instant>) {
     let mut times = Histogram::<u64>::new_with_max(60_000_000, 3).expect("three digits");
-    let order = match kind {
+    let command = match kind {
         "server breaks" => "break",
         k if k.contains("flood") => "flood",
         _ => "silent",
     };
     for _ in 0..1000 {
-        let mut client = gateway.send_command(order);
-        begun(&mut client);
-        let took = if kind == "server breaks" {
-            // Until the client's connection ends.
+        let mut client = gateway.send_command(command);
+        read_first_event(&mut client);
+        let duration = if kind == "server breaks" {
+            // Reads until the client's connection is closed.
             let mut bytes = [0; 4096];
             while client.read(&mut bytes).is_ok_and(|n| n > 0) {}
             let now = Instant::now();
-            now.saturating_duration_since(closed.recv_timeout(LONG).expect("it broke"))
+            now.saturating_duration_since(
+                closed.recv_timeout(TIMEOUT).expect("the replica broke the stream"),
+            )
         } else {
             if kind.starts_with("reset") {
-                SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("set");
+                SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("a socket option");
             }
-            let from = Instant::now();
-            let kept = if kind.starts_with("half") {
-                client.shutdown(Shutdown::Write).expect("half closed");
+            let broken_at = Instant::now();
+            let open_client = if kind.starts_with("half") {
+                client.shutdown(Shutdown::Write).expect("a half close");
                 Some(client)
             } else {
                 drop(client);
                 None
             };
-            let at = closed.recv_timeout(LONG).expect("the work stops");
-            drop(kept);
-            at.saturating_duration_since(from)
+            let at = closed.recv_timeout(TIMEOUT).expect("the gateway closes the replica's connection");
+            drop(open_client);
+            at.saturating_duration_since(broken_at)
         };
-        times.saturating_record(took.as_micros() as u64);
+        times.saturating_record(duration.as_micros() as u64);
     }
-    row(kind, open, &times, &times.len().to_string());
+    print_row(kind, open, &times, &times.len().to_string());
 }
 
-/// A line of the table, in ms: median, 99th percentile, longest, and what the last column says.
-fn row(what: &str, open: usize, times: &Histogram<u64>, last: &str) {
+/// Prints a row of a table: median, 99th percentile and maximum in ms, and the last column.
+fn print_row(name: &str, open: usize, times: &Histogram<u64>, last_column: &str) {
     let ms = |us: u64| us as f64 / 1e3;
     let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
-    println!("| {what} | {open} | {:.2} | {:.2} | {:.2} | {last} |", ms(p50), ms(p99), ms(times.max()));
+    println!(
+        "| {name} | {open} | {:.2} | {:.2} | {:.2} | {last_column} |",
+        ms(p50),
+        ms(p99),
+        ms(times.max())
+    );
 }
 
-/// So many other streams, each read as it comes, that drip a token each 100 ms.
-fn drips(gateway: &Gateway, open: usize) -> (Vec<TcpStream>, Vec<thread::JoinHandle<()>>) {
-    let others: Vec<TcpStream> = (0..open).map(|_| gateway.send_command("drip")).collect();
+/// Opens `count` streams with an event every 100 ms, each read by a thread.
+fn open_slow_streams(gateway: &Gateway, count: usize) -> (Vec<TcpStream>, Vec<thread::JoinHandle<()>>) {
+    let others: Vec<TcpStream> = (0..count).map(|_| gateway.send_command("drip")).collect();
     let readers = others
         .iter()
         .map(|s| {
@@ -371,91 +381,95 @@
     (others, readers)
 }
 
-fn ended(others: Vec<TcpStream>, readers: Vec<thread::JoinHandle<()>>) {
+fn close_streams(others: Vec<TcpStream>, readers: Vec<thread::JoinHandle<()>>) {
     for stream in others {
         let _ = stream.shutdown(Shutdown::Both);
     }
     readers.into_iter().for_each(|r| drop(r.join()));
 }
 
-fn unread(program: &str) {
+fn measure_unread_ends(program: &str) {
     println!("unread: to the replica's connection being closed, in ms; 200 streams of each");
     println!("| from | streams open | p50 | p99 | max | closed before the client heard |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for open in [10, 500] {
-        let (tell, closed) = channel();
-        let addr = server(tell, Arc::default());
-        // Others drip every 100 ms, within the silence.
+        let (sender, closed) = channel();
+        let replica = start_replica(sender, Arc::default());
+        // Longer than the interval of 100 ms between events of the other streams.
         let settings = "streams {\n  silence = \"200ms\"\n}\n";
-        let gateway = Gateway::start_with(program, &[addr], CROWD, Some(settings));
-        let (others, readers) = drips(&gateway, open);
-        for (from, leaves) in [("the client's close", true), ("the stall's end", false)] {
+        let gateway = Gateway::start_with(program, &[replica], LOAD_DESCRIPTORS, Some(settings));
+        let (others, readers) = open_slow_streams(&gateway, open);
+        for (start, is_client_close) in [("the client's close", true), ("the stall's end", false)] {
             let mut times = Histogram::<u64>::new_with_max(60_000_000, 3).expect("three digits");
-            let mut before = 0;
+            let mut closed_before = 0;
             for _ in 0..200 {
-                let mut client = gateway.send_command(if leaves { "five" } else { "silent" });
-                let took = if leaves {
-                    // Reads may take several events at once: they are counted in all that came.
-                    let (mut had, mut bytes) = (Vec::new(), [0; 4096]);
-                    while had.windows(2).filter(|w| *w == b"}\n").count() < 5 {
-                        let n = client.read(&mut bytes).expect("an answer");
-                        assert!(n > 0, "it ended");
-                        had.extend_from_slice(&bytes[..n]);
+                let mut client = gateway.send_command(if is_client_close { "five" } else { "silent" });
+                let duration = if is_client_close {
+                    // A read can return several events, which are counted in all received bytes.
+                    let (mut received, mut bytes) = (Vec::new(), [0; 4096]);
+                    while received.windows(2).filter(|w| *w == b"}\n").count() < 5 {
+                        let n = client.read(&mut bytes).expect("a response");
+                        assert!(n > 0, "the stream ended");
+                        received.extend_from_slice(&bytes[..n]);
                     }
-                    let left = Instant::now();
+                    let closed_at = Instant::now();
                     drop(client);
-                    closed.recv_timeout(LONG).expect("the work stops").saturating_duration_since(left)
+                    closed
+                        .recv_timeout(TIMEOUT)
+                        .expect("the gateway closes the replica's connection")
+                        .saturating_duration_since(closed_at)
                 } else {
                     while client.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {}
-                    let heard = Instant::now();
-                    let at = closed.recv_timeout(LONG).expect("the work stops");
-                    before += usize::from(at <= heard);
-                    at.saturating_duration_since(heard)
+                    let ended_at = Instant::now();
+                    let at =
+                        closed.recv_timeout(TIMEOUT).expect("the gateway closes the replica's connection");
+                    closed_before += usize::from(at <= ended_at);
+                    at.saturating_duration_since(ended_at)
                 };
-                times.saturating_record(took.as_micros() as u64);
+                times.saturating_record(duration.as_micros() as u64);
             }
-            row(from, open, &times, &format!("{before} of 200"));
+            print_row(start, open, &times, &format!("{closed_before} of 200"));
         }
-        ended(others, readers);
+        close_streams(others, readers);
     }
 }
 
-/// Streams that have begun, opened one after the other: together they would be more than a stand-in accepts.
-fn open(gateway: &Gateway, order: &str, count: u64) -> Vec<TcpStream> {
-    let one = |_| {
-        let mut stream = gateway.send_command(order);
-        begun(&mut stream);
+/// Opens streams and reads the first event of each, one at a time: a stand-in replica does not accept all at once.
+fn open_streams(gateway: &Gateway, command: &str, count: u64) -> Vec<TcpStream> {
+    let open_stream = |_| {
+        let mut stream = gateway.send_command(command);
+        read_first_event(&mut stream);
         stream
     };
-    (0..count).map(one).collect()
+    (0..count).map(open_stream).collect()
 }
 
-fn paused(program: &str) {
+fn measure_paused_clients(program: &str) {
     println!("paused: 3 s after readers of a flood stopped, for each of them, in KiB");
     println!("| readers | taken from the server | process grew | and with silent streams |");
     println!("| --- | --- | --- | --- |");
     for count in [16, 100, 400] {
-        let (tell, _closed) = channel();
+        let (sender, _closed) = channel();
         let written = Arc::new(AtomicU64::new(0));
-        let addr = server(tell, written.clone());
-        let gateway = Gateway::start(program, &[addr], CROWD);
-        let before = gateway.rss();
-        let readers = open(&gateway, "floodhidden", count);
+        let replica = start_replica(sender, written.clone());
+        let gateway = Gateway::start(program, &[replica], LOAD_DESCRIPTORS);
+        let initial_bytes = gateway.resident_bytes();
+        let readers = open_streams(&gateway, "floodhidden", count);
         thread::sleep(Duration::from_secs(3));
-        let taken = written.load(Ordering::Relaxed) / count / 1024;
-        let grew = gateway.rss().saturating_sub(before) / count / 1024;
+        let read_kib = written.load(Ordering::Relaxed) / count / 1024;
+        let growth_kib = gateway.resident_bytes().saturating_sub(initial_bytes) / count / 1024;
         drop((readers, gateway));
-        // What a stream costs with nothing waiting.
-        let gateway = Gateway::start(program, &[addr], CROWD);
-        let before = gateway.rss();
-        let readers = open(&gateway, "silent", count);
-        let idle = gateway.rss().saturating_sub(before) / count / 1024;
+        // Memory of a stream without buffered data.
+        let gateway = Gateway::start(program, &[replica], LOAD_DESCRIPTORS);
+        let initial_bytes = gateway.resident_bytes();
+        let readers = open_streams(&gateway, "silent", count);
+        let idle_kib = gateway.resident_bytes().saturating_sub(initial_bytes) / count / 1024;
         drop(readers);
-        println!("| {count} | {taken} | {grew} | {idle} |");
+        println!("| {count} | {read_kib} | {growth_kib} | {idle_kib} |");
     }
 }
 
-/// Copies one way until the end, as plainly as can be.
+/// Copies bytes in one direction until the end of the stream.
 fn copy(mut from: TcpStream, mut to: TcpStream) {
     let mut bytes = vec![0; 16 << 10];
     while let Ok(n @ 1..) = from.read(&mut bytes) {
@@ -466,34 +480,34 @@
     let _ = to.shutdown(Shutdown::Write);
 }
 
-/// The plain copy as a process of its own kind: a thread whose CPU time is taken by itself.
-fn copied(server: SocketAddr, order: &str) -> Duration {
+/// CPU time of a thread that copies a replica's response to a client, without any other work.
+fn copy_cpu_time(replica: SocketAddr, command: &str) -> Duration {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let (tell, cpu) = channel();
+    let (sender, cpu_time) = channel();
     thread::spawn(move || {
         let client = listener.accept().expect("a client").0;
-        let up = TcpStream::connect(server).expect("a server");
-        up.set_nodelay(true).expect("set");
-        let (to_server, from_client) =
-            (up.try_clone().expect("a clone"), client.try_clone().expect("a clone"));
-        thread::spawn(move || copy(from_client, to_server));
-        copy(up, client);
-        let ran = std::fs::read_to_string("/proc/thread-self/schedstat").expect("it runs");
-        let nanos: u64 = ran.split(' ').next().and_then(|n| n.parse().ok()).expect("a time");
-        let _ = tell.send(Duration::from_nanos(nanos));
+        let upstream = TcpStream::connect(replica).expect("a replica");
+        upstream.set_nodelay(true).expect("a socket option");
+        let (to_replica, from_client) =
+            (upstream.try_clone().expect("a clone"), client.try_clone().expect("a clone"));
+        thread::spawn(move || copy(from_client, to_replica));
+        copy(upstream, client);
+        let schedstat = std::fs::read_to_string("/proc/thread-self/schedstat").expect("the process runs");
+        let nanos: u64 = schedstat.split(' ').next().and_then(|n| n.parse().ok()).expect("a time");
+        let _ = sender.send(Duration::from_nanos(nanos));
     });
-    let mut stream = TcpStream::connect(addr).expect("it accepts");
-    stream.write_all(format!("POST /?{order} HTTP/1.1\r\n\r\n").as_bytes()).expect("sent");
-    drain(&mut stream);
+    let mut stream = TcpStream::connect(addr).expect("a connection");
+    stream.write_all(format!("POST /?{command} HTTP/1.1\r\n\r\n").as_bytes()).expect("the request is sent");
+    read_to_end(&mut stream);
     let _ = stream.shutdown(Shutdown::Both);
     drop(stream);
-    cpu.recv_timeout(LONG).expect("it ends")
+    cpu_time.recv_timeout(TIMEOUT).expect("the copy ends")
 }
 
-fn drain(stream: &mut TcpStream) -> u64 {
+fn read_to_end(stream: &mut TcpStream) -> u64 {
     let (mut bytes, mut total, mut tail) = (vec![0; 256 << 10], 0, Vec::new());
-    stream.set_read_timeout(Some(LONG)).expect("set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket option");
     loop {
         match stream.read(&mut bytes) {
             Ok(0) => return total,
@@ -506,12 +520,12 @@
                 tail.drain(..tail.len().saturating_sub(8));
             }
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => panic!("after {total} bytes: {e}"),
+            Err(e) => panic!("read failed after {total} bytes: {e}"),
         }
     }
 }
 
-fn pass(program: &str) {
+fn measure_throughput(program: &str) {
     println!(
         "pass: CPU of the gateway for a fast stream, and of a plain copy with 16 KiB reads in the same run"
     );
@@ -520,56 +534,61 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (size, mib) in [(120, 128), (4096, 512), (32 << 10, 512)] {
-        let (tell, _closed) = channel();
-        let addr = server(tell, Arc::default());
-        let gateway = Gateway::start(program, &[addr], MACHINE);
+        let (sender, _closed) = channel();
+        let replica = start_replica(sender, Arc::default());
+        let gateway = Gateway::start(program, &[replica], MACHINE_DESCRIPTORS);
         let count = (mib << 20) / size;
-        let order = format!("send-{size}-{count}");
-        let (before, from) = (gateway.cpu(), Instant::now());
-        let mut stream = gateway.send_command(&order);
-        let bytes = drain(&mut stream);
-        let (took, wall) = (gateway.cpu() - before, from.elapsed());
-        let plain = copied(addr, &order);
+        let command = format!("send-{size}-{count}");
+        let (initial_cpu_time, started_at) = (gateway.cpu_time(), Instant::now());
+        let mut stream = gateway.send_command(&command);
+        let bytes = read_to_end(&mut stream);
+        let (gateway_cpu_time, duration) = (gateway.cpu_time() - initial_cpu_time, started_at.elapsed());
+        let copy_time = copy_cpu_time(replica, &command);
         let mib = bytes as f64 / f64::from(1 << 20);
-        let each = |t: Duration| t.as_secs_f64() * 1e3 / mib;
+        let ms_per_mib = |t: Duration| t.as_secs_f64() * 1e3 / mib;
         println!(
             "| {size} | {mib:.0} | {:.2} | {:.2} | {:.2} | {:.1} | {:.0} |",
-            each(took),
-            took.as_secs_f64() * 1e6 / count as f64,
-            each(plain),
-            each(took) / each(plain),
-            mib / wall.as_secs_f64()
+            ms_per_mib(gateway_cpu_time),
+            gateway_cpu_time.as_secs_f64() * 1e6 / count as f64,
+            ms_per_mib(copy_time),
+            ms_per_mib(gateway_cpu_time) / ms_per_mib(copy_time),
+            mib / duration.as_secs_f64()
         );
     }
 }
 
-fn paced(program: &str) {
+fn measure_single_events(program: &str) {
     println!(
         "paced: CPU of the gateway for events of 120 bytes that come one by one, on 16 streams at once"
     );
     println!("| events | µs for each event | plain copy, µs for each event |");
     println!("| --- | --- | --- |");
-    let (tell, _closed) = channel();
-    let addr = server(tell, Arc::default());
-    let gateway = Gateway::start(program, &[addr], MACHINE);
+    let (sender, _closed) = channel();
+    let replica = start_replica(sender, Arc::default());
+    let gateway = Gateway::start(program, &[replica], MACHINE_DESCRIPTORS);
     let (streams, count) = (16, 3_000);
-    let order = format!("paced-120-{count}");
-    let before = gateway.cpu();
-    let asked: Vec<TcpStream> = (0..streams).map(|_| gateway.send_command(&order)).collect();
-    let readers: Vec<_> = asked.into_iter().map(|mut s| thread::spawn(move || drain(&mut s))).collect();
+    let command = format!("paced-120-{count}");
+    let initial_cpu_time = gateway.cpu_time();
+    let opened: Vec<TcpStream> = (0..streams).map(|_| gateway.send_command(&command)).collect();
+    let readers: Vec<_> =
+        opened.into_iter().map(|mut s| thread::spawn(move || read_to_end(&mut s))).collect();
     for reader in readers {
         reader.join().expect("a reader");
     }
-    let took = gateway.cpu() - before;
-    let plain = copied(addr, &order);
-    let each = |t: Duration, n: u32| t.as_secs_f64() * 1e6 / f64::from(n);
-    let all = streams * count;
-    println!("| {all} | {:.1} | {:.1} |", each(took, all), each(plain, count));
+    let gateway_cpu_time = gateway.cpu_time() - initial_cpu_time;
+    let copy_time = copy_cpu_time(replica, &command);
+    let us_per_event = |t: Duration, n: u32| t.as_secs_f64() * 1e6 / f64::from(n);
+    let event_count = streams * count;
+    println!(
+        "| {event_count} | {:.1} | {:.1} |",
+        us_per_event(gateway_cpu_time, event_count),
+        us_per_event(copy_time, count)
+    );
 }
 
-/// Good streams that a limit on silence would cut, in virtual time: tokens every 15 to 30 ms, and now and then
-/// a pause of 200 to 600 ms, or rarely one of up to `longest`.
-fn pauses() {
+/// Counts healthy streams that a stall timeout cuts, in simulated time. Events arrive every 15 to 30 ms, with
+/// occasional pauses of 200 to 600 ms and rare ones of 600 ms to `longest`.
+fn measure_stall_timeouts() {
     println!("pauses: of 20,000 good streams, those lost; and how late a true stall is noticed, ms");
     println!("| limit | pauses to 600 ms | rarely to 1.5 s | rarely to 3 s | stall noticed, median |");
     println!("| --- | --- | --- | --- | --- |");
@@ -586,12 +605,12 @@
         let mut rules = base.clone();
         rules.pace = pace.map(|(factor, min_timeout)| PaceLimit { factor, min_timeout });
         let mut seed = 7u64;
-        let mut random = |most: u64| {
+        let mut random = |bound: u64| {
             seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-            (seed >> 33) % most
+            (seed >> 33) % bound
         };
-        let mut lost = [0; 3];
-        let mut noticed = Histogram::<u64>::new_with_max(60_000_000, 3).expect("three digits");
+        let mut cut_counts = [0; 3];
+        let mut detection_ms = Histogram::<u64>::new_with_max(60_000_000, 3).expect("three digits");
         for (n, longest) in [600u64, 1_500, 3_000].into_iter().enumerate() {
             for _ in 0..20_000 {
                 let mut now = 0u64;
@@ -605,18 +624,18 @@
                     };
                     now += gap * 1_000_000;
                     if relay.poll(now) == RelayAction::Abort {
-                        lost[n] += 1;
+                        cut_counts[n] += 1;
                         break;
                     }
                     relay.record_arrival(now, &Arrival { bytes: 120, events: 1, ..Arrival::default() });
                 }
                 if let (0, Some(due)) = (n, relay.due()) {
-                    noticed.saturating_record((due - now) / 1_000_000);
+                    detection_ms.saturating_record((due - now) / 1_000_000);
                 }
                 relay.replica_ended(now, End::Complete);
             }
         }
-        let [short, mid, long] = lost;
-        println!("| {name} | {short} | {mid} | {long} | {} |", noticed.value_at_quantile(0.5));
+        let [short, mid, long] = cut_counts;
+        println!("| {name} | {short} | {mid} | {long} | {} |", detection_ms.value_at_quantile(0.5));
     }
 }
--- a/examples/tulipridge.hcl
+++ b/examples/tulipridge.hcl
@@ -1,4 +1,4 @@
-# Both fronts and the store on loopback; see docs/settings.md for every key.
+# Serves both dialects and the store on loopback. docs/settings.md describes all keys.
 
 messages {
   listen  = "127.0.0.1:8081"
@@ -6,18 +6,18 @@
   class   = "docs"
   tenant  = "alpen-karten"
 
-  # What clients are told of at /v1/models.
+  # Models that /v1/models lists.
   models = {
     map-fast = { name = "Map, fast" }
     map-bulk = { name = "Map, bulk", output_tokens = 8192 }
   }
 
-  # A minute's worth for each tenant; what is absent is not limited.
+  # Limits of each tenant per minute; an absent limit does not apply.
   limits = {
     alpen-karten = { requests = 600, input_tokens = 2000000 }
   }
 
-  # 'tulipridge key NAME' makes a key and its line; with any line here every client has to show one.
+  # 'tulipridge key NAME' makes a key and its line. If this table has a line, every client must present a key.
   keys = {}
 }
 
