--- a/fuzz/fuzz_targets/events.rs
+++ b/fuzz/fuzz_targets/events.rs
@@ -1,4 +1,4 @@
-//! Streams of both dialects: translated either way, in batches cut anywhere, and gathered into a whole.
+//! Event streams: translated between the dialects in batches of any size, and assembled into one message.
 #![no_main]
 
 use std::rc::Rc;
@@ -11,17 +11,19 @@
 use tulipridge::net::codec;
 
 fuzz_target!(|input: &[u8]| {
-    let Some((cut, stream)) = input.split_first() else { return };
+    let Some((batch_size, stream)) = input.split_first() else { return };
     let limits = Limits::new(64, 64, Duration::from_secs(1), Duration::from_secs(1));
-    for (client, server) in [(Dialect::Messages, Dialect::Platform), (Dialect::Platform, Dialect::Messages)] {
-        let run = |step: usize| {
+    for (client_dialect, replica_dialect) in
+        [(Dialect::Messages, Dialect::Platform), (Dialect::Platform, Dialect::Messages)]
+    {
+        let translate = |batch_size: usize| {
             let omissions = Rc::new(OmissionLog::new(&limits));
-            let mut translator = StreamTranslator::new(client, "1", "m", omissions, &limits);
+            let mut translator = StreamTranslator::new(client_dialect, "1", "m", omissions, &limits);
             let (mut text, mut scanned, mut out) = (Vec::new(), 0, Vec::new());
-            for piece in stream.chunks(step) {
-                text.extend_from_slice(piece);
+            for part in stream.chunks(batch_size) {
+                text.extend_from_slice(part);
                 let Ok(batch) = codec::sse_batch(&mut text, &mut scanned, &limits.wire) else { return out };
-                translator.events(server, &batch, &mut out);
+                translator.events(replica_dialect, &batch, &mut out);
                 if translator.is_full() {
                     return out;
                 }
@@ -29,8 +31,11 @@
             }
             out
         };
-        let whole = run(stream.len().max(1));
-        assert!(whole == run(usize::from(*cut).max(1)), "the same stream in other pieces");
+        let expected = translate(stream.len().max(1));
+        assert!(
+            expected == translate(usize::from(*batch_size).max(1)),
+            "the translation depends on the batch size"
+        );
     }
     let mut assembler = MessageAssembler::new(4096);
     assembler.events(stream);
--- a/fuzz/fuzz_targets/files.rs
+++ b/fuzz/fuzz_targets/files.rs
@@ -1,4 +1,4 @@
-//! Files that people write: settings and conformance cases.
+//! Files that operators write: settings and conformance cases.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -8,8 +8,8 @@
 fuzz_target!(|input: &[u8]| {
     if let Ok(text) = std::str::from_utf8(input) {
         let _ = case::parse("f", text);
-        if let Err(fault) = Settings::parse("f", text) {
-            assert!(!fault.to_string().is_empty());
+        if let Err(error) = Settings::parse("f", text) {
+            assert!(!error.to_string().is_empty());
         }
     }
 });
--- a/fuzz/fuzz_targets/requests.rs
+++ b/fuzz/fuzz_targets/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of both dialects: read, checked, routed, and turned into the other dialect and back.
+//! Requests of both dialects: parsed, validated, routed, and translated into the other dialect.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -12,10 +12,10 @@
     if let Ok(request) = Request::read(body, Purpose::Generation, &limits) {
         assert_eq!(Route::of(&request), Route::of(&request));
         if let Ok(platform) = to_platform::body(&request) {
-            serde_json::from_slice::<serde_json::Value>(&platform).expect("what is written is JSON");
+            serde_json::from_slice::<serde_json::Value>(&platform).expect("the translation is JSON");
         }
     }
     if let Ok(messages) = to_messages::body(body, &limits) {
-        serde_json::from_slice::<serde_json::Value>(&messages).expect("what is written is JSON");
+        serde_json::from_slice::<serde_json::Value>(&messages).expect("the translation is JSON");
     }
 });
--- a/fuzz/fuzz_targets/wire.rs
+++ b/fuzz/fuzz_targets/wire.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and events as they come from sockets, cut anywhere.
+//! Request and response heads and bodies as received from a socket, possibly incomplete.
 #![no_main]
 
 use std::time::Duration;
