--- a/crates/fault-injection/tests/demo.rs
+++ b/crates/fault-injection/tests/demo.rs
@@ -15,7 +15,7 @@
 use tulipridge_fault_injection::demo::{DemoPorts, PrefixCache, PromptSegment, parse_prompt};
 use tulipridge_fault_injection::wait::wait_until;
 
-/// Timeout for an expected line of output; the first lines follow the build of the programs.
+/// Timeout for an expected line of output; the demo builds the programs before its first lines.
 const LINE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Timeout of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/fault-injection/tests/partitions.rs
+++ b/crates/fault-injection/tests/partitions.rs
@@ -107,7 +107,7 @@
         deployment.operator_for(|index| index != old_primary).with_attempt_timeout(ATTEMPT_TIMEOUT);
     let change = Change::upsert_route(1, "second", 1);
     other_members.apply(&change, CHANGE_TIMEOUT).expect("the other members take over");
-    // The member handles requests that arrive while it is frozen first.
+    // Requests that arrive while the member is frozen are the first that it handles after it resumes.
     let operator = deployment.operator();
     let address = deployment.operator_socket(old_primary);
     thread::scope(|scope| {
