--- a/crates/fault-injection/tests/demo.rs
+++ b/crates/fault-injection/tests/demo.rs
@@ -4,6 +4,7 @@
 use std::net::{Ipv4Addr, TcpListener};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::mpsc::{Receiver, channel};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -38,6 +39,14 @@
     command
 }
 
+/// Held from the choice of ports until the program that uses them has started. A process inherits all open sockets until
+/// its `exec`, so that a process started by one test would keep a port in use that another test has just probed.
+static PROGRAM_START: Mutex<()> = Mutex::new(());
+
+fn lock_program_start() -> MutexGuard<'static, ()> {
+    PROGRAM_START.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
 /// Reserves a block of ports at the start of a range in which all ports of the demo are free.
 fn reserve_demo_ports() -> PortBlock {
     let is_free = |port| TcpListener::bind((Ipv4Addr::LOCALHOST, port)).is_ok();
@@ -50,8 +59,7 @@
     }
 }
 
-/// Reserves ports for a demo and listens at the one with this offset. Tries other ports if this one is in use: a
-/// process that another test starts inherits the probing socket and keeps the port in use until its `exec`.
+/// Reserves ports for a demo and listens at the one with this offset. Tries other ports if this one is in use.
 fn reserve_with_occupied_port(offset: u16) -> (PortBlock, TcpListener) {
     loop {
         let reservation = reserve_demo_ports();
@@ -63,10 +71,12 @@
 
 impl Demo {
     fn start() -> Demo {
+        let start_guard = lock_program_start();
         let reservation = reserve_demo_ports();
         let ports = DemoPorts::from_first(reservation.first).expect("a valid first port");
         let mut child =
             demo_command(reservation.first).stdout(Stdio::piped()).spawn().expect("the demo starts");
+        drop(start_guard);
         let output = BufReader::new(child.stdout.take().expect("a pipe"));
         let (sender, lines) = channel();
         thread::spawn(move || output.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
@@ -206,6 +216,7 @@
 #[case::port_of_a_proxy(1)]
 #[case::port_of_the_control_plane(12)]
 fn a_port_in_use_is_reported_before_any_program_starts(#[case] offset: u16) {
+    let start_guard = lock_program_start();
     let (reservation, listener) = reserve_with_occupied_port(offset);
     let port = listener.local_addr().expect("an address").port();
     let mut child = demo_command(reservation.first)
@@ -213,6 +224,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the demo starts");
+    drop(start_guard);
     let mut printed = [String::new(), String::new()];
     child.stdout.take().expect("a pipe").read_to_string(&mut printed[0]).expect("text");
     child.stderr.take().expect("a pipe").read_to_string(&mut printed[1]).expect("text");
