--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -11,7 +11,7 @@
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::{Settings, SettingsError};
 use tulipridge_runtime::signals::{ProcessSignal, SignalError, SignalStream};
-use tulipridge_subscription::{FeedStore, Identity, StalenessTolerance, Subscriber};
+use tulipridge_subscription::{FeedStore, StalenessTolerance, Subscriber, SubscriberIdentity};
 
 use crate::discovery::Discovery;
 use crate::proxy_feed::ProxyFeed;
@@ -46,7 +46,8 @@
     /// Creates an agent; its tasks run after [`Agent::start`].
     #[must_use]
     pub fn new(settings: Settings) -> Rc<Self> {
-        let store = Rc::new(RefCell::new(FeedStore::remembering(MAX_EARLIER_CONFIGURATIONS)));
+        let store =
+            Rc::new(RefCell::new(FeedStore::with_earlier_configurations(MAX_EARLIER_CONFIGURATIONS)));
         let subscriber = subscriber(&settings, &store);
         let proxy_feed = ProxyFeed::new(&store, &subscriber);
         let discovery = Rc::new(Discovery::new(store));
@@ -123,13 +124,13 @@
 }
 
 fn subscriber(settings: &Settings, store: &Rc<RefCell<FeedStore>>) -> Rc<Subscriber> {
-    let identity = Identity {
+    let identity = SubscriberIdentity {
         name: settings.node_name.clone(),
         zone: settings.area.clone(),
         role: SubscriberRole::Agent,
     };
     let tolerance = StalenessTolerance::SEVERAL_PUBLISHERS;
     let subscriber = Subscriber::with_tolerance(identity, Rc::clone(store), tolerance);
-    subscriber.set_gateways(GATEWAYS_SERVED);
+    subscriber.set_gateway_count(GATEWAYS_SERVED);
     subscriber
 }
--- a/crates/agent/src/proxy_feed.rs
+++ b/crates/agent/src/proxy_feed.rs
@@ -54,7 +54,7 @@
     let age_source = Rc::clone(subscriber);
     let publisher = Publisher::new(Rc::clone(store), Rc::new(move || age_source.age(clock::now())));
     let notified_publisher = Rc::clone(&publisher);
-    subscriber.on_change(Box::new(move |_| notified_publisher.notify()));
+    subscriber.on_change(Box::new(move |_| notified_publisher.notify_subscribers()));
     publisher
 }
 
--- a/crates/agent/src/relay_follower.rs
+++ b/crates/agent/src/relay_follower.rs
@@ -80,11 +80,11 @@
     }
 
     fn record_failure(&self, context: &SelectionContext, now: Duration) {
-        let Some(last) = &context.last else { return };
-        if matches!(last.reason, EndReason::Reselected) {
+        let Some(previous) = &context.previous else { return };
+        if matches!(previous.reason, EndReason::Reselected) {
             return;
         }
-        if let Some(member) = ipv4(last.address) {
+        if let Some(member) = ipv4(previous.address) {
             let was_fresh = self.subscriber.fresh_as_of() > self.fresh_at_selection.get();
             self.selector.borrow_mut().record_failure(member, was_fresh, now);
         }
--- a/crates/agent/tests/exchange.rs
+++ b/crates/agent/tests/exchange.rs
@@ -17,7 +17,7 @@
 use tulipridge_protocol::node::{Generation, NodeId};
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::Settings;
-use tulipridge_subscription::{FeedStore, Identity, Publisher, Subscriber};
+use tulipridge_subscription::{FeedStore, Publisher, Subscriber, SubscriberIdentity};
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 1);
 const SEED: Ipv4Addr = Ipv4Addr::new(127, 0, 8, 2);
@@ -86,7 +86,8 @@
 
         // The proxy and the seed start after the agent.
         let received = Rc::new(RefCell::new(FeedStore::new()));
-        let identity = Identity { name: "edge".into(), zone: "a".into(), role: SubscriberRole::Proxy };
+        let identity =
+            SubscriberIdentity { name: "edge".into(), zone: "a".into(), role: SubscriberRole::Proxy };
         let proxy = Subscriber::new(identity, Rc::clone(&received));
         let loopback = settings.loopback_feed();
         executor.spawn(Rc::clone(&proxy).run(move |_| Some(loopback))).detach();
@@ -96,14 +97,14 @@
         let has_revision = |revision| received.borrow().known_positions().configuration == revision;
         wait_until("the seed's state", || has_revision(Revision(4)) && is_fresh(proxy.age(clock::now())))
             .await;
-        assert_eq!(seed.gateways(), 1);
+        assert_eq!(seed.gateway_count(), 1);
 
         // The feed lists a member in the agent's zone, so the agent switches to it.
         let (store, relay) = publishing_member(4);
         serve(&relay, settings.feed_socket(RELAY), executor);
         wait_until("the relay", || agent.relay() == Some(settings.feed_socket(RELAY))).await;
         store.borrow_mut().set_configuration(revision(9));
-        relay.notify();
+        relay.notify_subscribers();
         wait_until("the relay's state", || has_revision(Revision(9)) && is_fresh(proxy.age(clock::now())))
             .await;
         assert_eq!(received.borrow().group().gateways, 3);
--- a/crates/control-plane/src/member_feed.rs
+++ b/crates/control-plane/src/member_feed.rs
@@ -18,7 +18,7 @@
 use tulipridge_protocol::feed::{ClusterMembership, ControlNode, ModelWeights, Replica, SubscriberRole};
 use tulipridge_protocol::number::Epoch;
 use tulipridge_runtime::clock;
-use tulipridge_subscription::{FeedStore, Identity, Publisher, Subscriber};
+use tulipridge_subscription::{FeedStore, Publisher, Subscriber, SubscriberIdentity};
 
 use crate::api::{IndexSize, ReplicaWeights};
 use crate::tenure::Tenure;
@@ -52,12 +52,12 @@
         primary_tracker: Rc<dyn PrimaryTracker>,
     ) -> Rc<MemberFeed> {
         let store = Rc::new(RefCell::new(FeedStore::new()));
-        let identity = Identity { name, zone, role: SubscriberRole::Relay };
+        let identity = SubscriberIdentity { name, zone, role: SubscriberRole::Relay };
         let subscriber = Subscriber::new(identity, store.clone());
         let publisher =
             Publisher::new(store.clone(), state_age(primary_tracker.clone(), subscriber.clone()));
         let notified_publisher = publisher.clone();
-        subscriber.on_change(Box::new(move |_| notified_publisher.notify()));
+        subscriber.on_change(Box::new(move |_| notified_publisher.notify_subscribers()));
         // The publisher owns this callback, so a strong reference would be a cycle and leak the publisher.
         let weak_publisher = Rc::downgrade(&publisher);
         let reporting_subscriber = subscriber.clone();
@@ -94,7 +94,7 @@
     /// Reports the number of gateways served here to the primary, and selects another feed if the primary has
     /// changed.
     pub fn review(&self) {
-        self.subscriber.set_gateways(self.publisher.gateways());
+        self.subscriber.set_gateway_count(self.publisher.gateway_count());
         let feed = self.primary_feed();
         // While no primary is known, the subscription to the last one is kept, because its messages contain the age
         // of the state.
@@ -160,14 +160,14 @@
 
     /// Delivers the group: the members of the control plane and the number of gateways. Only the primary calls this.
     pub fn set_group(&self, control: Vec<ControlNode>) {
-        let group = ClusterMembership { gateways: self.publisher.gateways(), control };
+        let group = ClusterMembership { gateways: self.publisher.gateway_count(), control };
         let has_changed = self.store.borrow_mut().set_group(group);
         self.notify_if_changed(has_changed);
     }
 
     fn notify_if_changed(&self, has_changed: bool) {
         if has_changed {
-            self.publisher.notify();
+            self.publisher.notify_subscribers();
         }
     }
 
--- a/crates/control-plane/tests/member_process.rs
+++ b/crates/control-plane/tests/member_process.rs
@@ -19,7 +19,7 @@
 use tulipridge_http1::{Http1Limits, within};
 use tulipridge_protocol::feed::SubscriberRole;
 use tulipridge_runtime::settings::Settings;
-use tulipridge_subscription::{FeedStore, Identity, Subscriber, clock};
+use tulipridge_subscription::{FeedStore, Subscriber, SubscriberIdentity, clock};
 
 /// The last byte of the first member's address on the loopback network. Each member has an address that no other
 /// program uses, so that free ports stay free.
@@ -108,8 +108,11 @@
     async fn subscribe(&self, revision: u64) {
         let feed = SocketAddr::from((self.operator.ip(), self.first_spare + 1));
         let store = Rc::new(RefCell::new(FeedStore::new()));
-        let identity =
-            Identity { name: "edge-1".to_owned(), zone: "a".to_owned(), role: SubscriberRole::Agent };
+        let identity = SubscriberIdentity {
+            name: "edge-1".to_owned(),
+            zone: "a".to_owned(),
+            role: SubscriberRole::Agent,
+        };
         let subscriber = Subscriber::new(identity, store.clone());
         let is_served = || {
             let is_fresh = subscriber.age(clock::now()).is_some();
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -15,7 +15,7 @@
 use tulipridge_protocol::feed::SubscriberRole;
 use tulipridge_runtime::settings::Settings;
 use tulipridge_runtime::signals::{ProcessSignal, SignalStream};
-use tulipridge_subscription::{FeedStore, Identity, StateChanges, Subscriber, clock};
+use tulipridge_subscription::{FeedStore, StateChanges, Subscriber, SubscriberIdentity, clock};
 
 use crate::placement::placed_request;
 use crate::proxy::Proxy;
@@ -74,7 +74,7 @@
     let client_listener = listener(settings.listen_on.front_door, "frontDoor")?;
     let ready_listener = listener(settings.listen_on.ready_check, "readyCheck")?;
     let signals = SignalStream::new()?;
-    let store = Rc::new(RefCell::new(FeedStore::remembering(0)));
+    let store = Rc::new(RefCell::new(FeedStore::with_earlier_configurations(0)));
     let subscriber = Subscriber::new(identity(&settings), store.clone());
     let proxy = new_proxy(&settings, &subscriber);
     proxy.set_index(store.borrow().cache_index().clone());
@@ -109,8 +109,12 @@
     Async::new(TcpListener::from(socket))
 }
 
-fn identity(settings: &Settings) -> Identity {
-    Identity { name: settings.node_name.clone(), zone: settings.area.clone(), role: SubscriberRole::Proxy }
+fn identity(settings: &Settings) -> SubscriberIdentity {
+    SubscriberIdentity {
+        name: settings.node_name.clone(),
+        zone: settings.area.clone(),
+        role: SubscriberRole::Proxy,
+    }
 }
 
 fn new_proxy(settings: &Settings, subscriber: &Rc<Subscriber>) -> Rc<Proxy> {
--- a/crates/subscription/src/lib.rs
+++ b/crates/subscription/src/lib.rs
@@ -25,5 +25,5 @@
 pub use publisher::{Publisher, PublisherSettings};
 pub use store::{FeedError, FeedStore, Pong, StateChanges};
 pub use subscriber::{
-    EndReason, Identity, PreviousConnection, SelectionContext, StalenessTolerance, Subscriber,
+    EndReason, PreviousConnection, SelectionContext, StalenessTolerance, Subscriber, SubscriberIdentity,
 };
--- a/crates/subscription/src/publisher.rs
+++ b/crates/subscription/src/publisher.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Notifies all connections that the store has changed.
-    pub fn notify(&self) {
+    /// Wakes all connections, so that each sends the changes of the store to its subscriber.
+    pub fn notify_subscribers(&self) {
         self.batch_cache.borrow_mut().clear();
         for subscription in self.subscriptions.borrow().values() {
             subscription.store_changed.raise();
@@ -108,7 +108,7 @@
 
     /// Returns the number of gateways that the connected subscribers serve, by their latest pings. Subscribers whose
     /// last message is more than two seconds old are not counted.
-    pub fn gateways(&self) -> u32 {
+    pub fn gateway_count(&self) -> u32 {
         let now = clock::now();
         let subscriptions = self.subscriptions.borrow();
         let live = subscriptions.values().filter(|subscription| subscription.is_live(now));
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -55,13 +55,10 @@
         Self::default()
     }
 
-    /// Creates an empty store that keeps `configurations` earlier ones; a store without subscribers needs none.
+    /// Creates an empty store that keeps at most `max_count` earlier configurations; a store without subscribers needs 0.
     #[must_use]
-    pub fn remembering(configurations: usize) -> Self {
-        FeedStore {
-            configurations: ConfigurationHistory::with_max_earlier(configurations),
-            ..Self::default()
-        }
+    pub fn with_earlier_configurations(max_count: usize) -> Self {
+        FeedStore { configurations: ConfigurationHistory::with_max_earlier(max_count), ..Self::default() }
     }
 
     /// Replaces the configuration if the revision is higher than the current one. Returns whether it was replaced.
--- a/crates/subscription/src/subscriber.rs
+++ b/crates/subscription/src/subscriber.rs
@@ -28,7 +28,7 @@
 
 /// Name, zone and role that a subscriber sends to its publishers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Identity {
+pub struct SubscriberIdentity {
     /// Machine name of the subscriber.
     pub name: String,
     /// Zone of the subscriber's machine.
@@ -44,7 +44,7 @@
     pub failure_count: u32,
     /// The previous connection or failed attempt; `None` at the first selection, and after a selection that returned
     /// no publisher.
-    pub last: Option<PreviousConnection>,
+    pub previous: Option<PreviousConnection>,
 }
 
 /// Function that is called after the state has changed.
@@ -56,7 +56,7 @@
 /// unresponsive or its state is stale, and selects the next publisher after an exponential backoff.
 pub struct Subscriber {
     tolerance: StalenessTolerance,
-    identity: Identity,
+    identity: SubscriberIdentity,
     store: Rc<RefCell<FeedStore>>,
     freshness: RefCell<Freshness>,
     gateway_count: Cell<u32>,
@@ -71,13 +71,13 @@
 impl Subscriber {
     /// Creates a subscriber that keeps `store` up to date while [`Subscriber::run`] is polled, with
     /// [`StalenessTolerance::ONE_PUBLISHER`].
-    pub fn new(identity: Identity, store: Rc<RefCell<FeedStore>>) -> Rc<Self> {
+    pub fn new(identity: SubscriberIdentity, store: Rc<RefCell<FeedStore>>) -> Rc<Self> {
         Subscriber::with_tolerance(identity, store, StalenessTolerance::ONE_PUBLISHER)
     }
 
     /// Creates a subscriber with the given tolerance for stale publishers.
     pub fn with_tolerance(
-        identity: Identity,
+        identity: SubscriberIdentity,
         store: Rc<RefCell<FeedStore>>,
         tolerance: StalenessTolerance,
     ) -> Rc<Self> {
@@ -100,10 +100,10 @@
     /// it is called again after a delay, or when [`Subscriber::reselect`] is called.
     pub async fn run(self: Rc<Self>, mut select: impl FnMut(SelectionContext) -> Option<SocketAddr>) {
         let mut failure_count = 0;
-        let mut last = None;
+        let mut previous = None;
         loop {
             self.reselect_signal.clear();
-            let selected = select(SelectionContext { failure_count, last: last.take() });
+            let selected = select(SelectionContext { failure_count, previous: previous.take() });
             let Some(address) = selected else {
                 self.sleep_unless_reselected(MAX_BACKOFF).await;
                 continue;
@@ -112,7 +112,7 @@
             let level = if failure_count == 0 { log::Level::Info } else { log::Level::Debug };
             log::log!(level, publisher:% = address, reason:% = reason; "a connection to a publisher ended");
             let is_reselection = matches!(reason, EndReason::Reselected);
-            last = Some(PreviousConnection { address, reason });
+            previous = Some(PreviousConnection { address, reason });
             if !is_reselection {
                 self.sleep_unless_reselected(backoff(failure_count)).await;
                 failure_count = failure_count.saturating_add(1);
@@ -126,8 +126,8 @@
     }
 
     /// Sets the number of gateways that this subscriber serves, which is reported with the next ping.
-    pub fn set_gateways(&self, gateways: u32) {
-        self.gateway_count.set(gateways);
+    pub fn set_gateway_count(&self, gateway_count: u32) {
+        self.gateway_count.set(gateway_count);
     }
 
     /// Sets the work queued at replicas by the gateways that this subscriber serves. A difference is reported to the
@@ -182,7 +182,7 @@
     }
 
     fn subscribe_message(&self) -> Subscribe {
-        let Identity { name, zone, role } = self.identity.clone();
+        let SubscriberIdentity { name, zone, role } = self.identity.clone();
         Subscribe { name, zone, role, known: self.store.borrow().known_positions() }
     }
 
--- a/crates/subscription/tests/common/network.rs
+++ b/crates/subscription/tests/common/network.rs
@@ -11,7 +11,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
 use tulipridge_protocol::feed::{KnownPositions, Subscribe, SubscriberRole, ToPublisher, ToSubscriber};
 use tulipridge_protocol::frame;
-use tulipridge_subscription::{FeedStore, Identity, Publisher, PublisherSettings, Subscriber};
+use tulipridge_subscription::{FeedStore, Publisher, PublisherSettings, Subscriber, SubscriberIdentity};
 
 /// A test that takes longer fails.
 const TIME_LIMIT: Duration = Duration::from_secs(20);
@@ -78,13 +78,13 @@
 }
 
 /// Identity of the test's subscriber.
-pub(crate) fn identity(role: SubscriberRole) -> Identity {
-    Identity { name: "edge-1".to_owned(), zone: "east".to_owned(), role }
+pub(crate) fn identity(role: SubscriberRole) -> SubscriberIdentity {
+    SubscriberIdentity { name: "edge-1".to_owned(), zone: "east".to_owned(), role }
 }
 
 /// Builds a subscriber's first message.
 pub(crate) fn subscribe(known: KnownPositions) -> ToPublisher {
-    let Identity { name, zone, role } = identity(SubscriberRole::Agent);
+    let SubscriberIdentity { name, zone, role } = identity(SubscriberRole::Agent);
     ToPublisher::Subscribe(Subscribe { name, zone, role, known })
 }
 
--- a/crates/subscription/tests/publisher.rs
+++ b/crates/subscription/tests/publisher.rs
@@ -74,7 +74,7 @@
         store.borrow_mut().set_configuration(configuration(5, 3));
         store.borrow_mut().set_fleet(Epoch(7), vec![replica("a", 2), replica("c", 1)]);
         store.borrow_mut().set_group(membership(3));
-        publisher.notify();
+        publisher.notify_subscribers();
         transcript.send(&mut peer, ping(3)).await;
         for _ in 0..4 {
             transcript.receive(&mut peer).await;
@@ -110,7 +110,7 @@
         for capacity in 1..=LAST_CAPACITY {
             let replicas = (0..2_000).map(|number| replica(&format!("replica-{number}"), capacity));
             store.borrow_mut().set_fleet(Epoch(1), replicas.collect());
-            publisher.notify();
+            publisher.notify_subscribers();
             futures_lite::future::yield_now().await;
         }
         let newest = store.borrow().fleet_position();
@@ -143,12 +143,12 @@
         let mut agent = Peer::connect(address).await;
         agent.send(&subscribe(KnownPositions::default())).await;
         agent.send(&ping(1)).await;
-        wait_until(|| publisher.gateways() == 21).await;
+        wait_until(|| publisher.gateway_count() == 21).await;
         assert_eq!(publisher.subscribers().len(), 2);
         drop(relay);
-        wait_until(|| publisher.gateways() == 1).await;
+        wait_until(|| publisher.gateway_count() == 1).await;
         // Without further messages the agent remains connected until the idle timeout.
-        wait_until(|| publisher.gateways() == 0).await;
+        wait_until(|| publisher.gateway_count() == 0).await;
         assert_eq!(publisher.subscribers().len(), 1);
         wait_until(|| publisher.subscribers().is_empty()).await;
         assert_eq!(
--- a/crates/subscription/tests/subscriber.rs
+++ b/crates/subscription/tests/subscriber.rs
@@ -31,8 +31,8 @@
     let reported = Rc::clone(&reason);
     let mut was_selected = false;
     let select = move |context: tulipridge_subscription::SelectionContext| {
-        if let Some(last) = context.last {
-            reported.replace(Some(last.reason));
+        if let Some(previous) = context.previous {
+            reported.replace(Some(previous.reason));
         }
         (!std::mem::replace(&mut was_selected, true)).then_some(address)
     };
@@ -61,14 +61,14 @@
             let age = Rc::new(move || aged.age(clock::now()));
             let (publisher, address) = publish(&executor, store, age, PublisherSettings::default());
             let notified = Rc::clone(&publisher);
-            subscriber.on_change(Box::new(move |_| notified.notify()));
+            subscriber.on_change(Box::new(move |_| notified.notify_subscribers()));
             subscribe_to(&executor, &subscriber, publisher_address);
             (subscriber, publisher, address)
         };
         let (relay, relay_publisher, relay_address) =
             hop(&relay_store, SubscriberRole::Relay, primary_address);
         let (agent, _, agent_address) = hop(&agent_store, SubscriberRole::Agent, relay_address);
-        agent.set_gateways(1);
+        agent.set_gateway_count(1);
         let proxy = subscriber(&proxy_store, SubscriberRole::Proxy);
         let seen = Rc::new(Cell::new(Revision(0)));
         let (observed, read) = (Rc::clone(&seen), Rc::clone(&proxy_store));
@@ -81,15 +81,15 @@
         primary_store.borrow_mut().set_configuration(configuration(8, 3));
         primary_store.borrow_mut().set_fleet(Epoch(7), vec![replica("b", 2)]);
         let changed_at = clock::now();
-        primary.notify();
+        primary.notify_subscribers();
         wait_until(|| proxy.fresh_as_of() > Some(changed_at)).await;
         assert_eq!(proxy_store.borrow().configuration(), primary_store.borrow().configuration());
         assert_eq!(proxy_store.borrow().fleet().collect::<Vec<_>>(), vec![&replica("b", 2)]);
         assert_eq!(seen.get(), Revision(8));
 
-        wait_until(|| relay_publisher.gateways() == 1).await;
-        relay.set_gateways(relay_publisher.gateways());
-        wait_until(|| primary.gateways() == 1).await;
+        wait_until(|| relay_publisher.gateway_count() == 1).await;
+        relay.set_gateway_count(relay_publisher.gateway_count());
+        wait_until(|| primary.gateway_count() == 1).await;
         assert_eq!(relay.connected_to(), Some(primary_address));
     });
 }
@@ -101,7 +101,7 @@
         write_tables(&store);
         let (listener, address) = listener();
         let subscriber = subscriber(&store, SubscriberRole::Agent);
-        subscriber.set_gateways(4);
+        subscriber.set_gateway_count(4);
         subscribe_to(&executor, &subscriber, address);
         let mut peer = Peer::accept(&listener).await;
         let Some(ToPublisher::Subscribe(subscribe)) = peer.receive_from_subscriber().await else {
@@ -246,8 +246,9 @@
         let recorded_reasons = Rc::clone(&reasons);
         let mut addresses = vec![Some(second_address), None, Some(first_address), Some(closed_address)];
         let select = move |context: tulipridge_subscription::SelectionContext| {
-            let last = context.last.map(|last| format!("{:?}", last.reason));
-            let reason = last.map(|reason| reason.split([' ', '{']).next().unwrap_or_default().to_owned());
+            let previous = context.previous.map(|previous| format!("{:?}", previous.reason));
+            let reason =
+                previous.map(|reason| reason.split([' ', '{']).next().unwrap_or_default().to_owned());
             recorded_reasons.borrow_mut().push((context.failure_count, reason));
             addresses.pop().unwrap_or(Some(second_address))
         };
