--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -249,7 +249,7 @@
         store.get("config/log-level").and_then(|v| v.as_str().and_then(|l| l.parse().ok()));
     log::set_max_level(level_in_store.unwrap_or(level));
     let mut models = file.classes.clone();
-    for (key, class) in store.under("config/models/") {
+    for (key, class) in store.entries_with_prefix("config/models/") {
         if let (Some(model), Some(class)) = (key.strip_prefix("config/models/"), class.as_str()) {
             models.insert(model.to_owned(), class.to_owned());
         }
@@ -302,7 +302,7 @@
     for (index, class) in tree.at("lanes").items().iter().enumerate() {
         names.classes.push(class.at("name").string()?);
         let effect = effect(class)?;
-        names.safe.push(effect == Effect::Safe);
+        names.is_class_idempotent.push(effect == Effect::Safe);
         let target_of_class =
             |list: &[JsonTree<'_>]| list.get(index).map_or(Ok(0), |target| target.nanos_or(0));
         let deadline = class.at("deadline-ns").nanos_or(0)?;
--- a/src/front/messages/accept.rs
+++ b/src/front/messages/accept.rs
@@ -36,7 +36,7 @@
     let (grant, headers) = admit(context, incoming, &request, &route)?;
     let names = context.names.borrow();
     Ok(AcceptedRequest {
-        safe: names.safe.get(request.placement.class).copied().unwrap_or(false),
+        safe: names.is_class_idempotent.get(request.placement.class).copied().unwrap_or(false),
         model: request.body.model.as_deref().unwrap_or_default().to_owned(),
         is_message: !request.body.streams(),
         edit: stream_edit(&request.body, incoming.body),
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -38,7 +38,7 @@
         false => None,
     };
     Call::Serve(Box::new(AcceptedRequest {
-        safe: names.safe.get(placement.class).copied().unwrap_or(false),
+        safe: names.is_class_idempotent.get(placement.class).copied().unwrap_or(false),
         model: String::new(),
         is_message: false,
         edit: None,
--- a/src/names.rs
+++ b/src/names.rs
@@ -35,7 +35,7 @@
     #[serde(default)]
     pub cell: u64,
     /// The lifecycle state.
-    pub state: State,
+    pub state: ReplicaState,
     /// The weight; `weight-source` in the settings defines its meaning.
     #[serde(default = "default_weight")]
     pub weight: f64,
@@ -51,7 +51,7 @@
 /// The lifecycle state of a replica in the replica list. Greater values are more restrictive.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum ReplicaState {
     /// The replica accepts requests.
     Ready,
     /// The replica accepts no new requests.
@@ -67,11 +67,11 @@
     #[serde(default)]
     pub version: u64,
     /// Whether the response is the full list and not only its changes.
-    #[serde(default)]
-    pub full: bool,
+    #[serde(default, rename = "full")]
+    pub is_full: bool,
     /// The entries, at most one for each replica after [`Listing::correct`].
-    #[serde(default)]
-    pub servers: Vec<ServiceEntry>,
+    #[serde(default, rename = "servers")]
+    pub entries: Vec<ServiceEntry>,
 }
 
 /// The valid range of weights.
@@ -86,17 +86,17 @@
     pub fn correct(&mut self, now_ms: f64) -> Vec<(String, &'static str)> {
         let mut faults = Vec::new();
         let mut positions = BTreeMap::new();
-        for entry in std::mem::take(&mut self.servers) {
-            let position = *positions.entry(entry.id.clone()).or_insert(self.servers.len());
-            match self.servers.get_mut(position) {
+        for entry in std::mem::take(&mut self.entries) {
+            let position = *positions.entry(entry.id.clone()).or_insert(self.entries.len());
+            match self.entries.get_mut(position) {
                 Some(first) => {
                     first.state = first.state.max(entry.state);
                     faults.push((entry.id, "duplicate entry; the more restrictive state is used"));
                 }
-                None => self.servers.push(entry),
+                None => self.entries.push(entry),
             }
         }
-        for entry in &mut self.servers {
+        for entry in &mut self.entries {
             if !WEIGHT_RANGE.contains(&entry.weight) {
                 faults.push((entry.id.clone(), "weight out of range; 1 is used"));
                 entry.weight = 1.0;
@@ -125,8 +125,9 @@
     pub load_metrics: Vec<String>,
     /// The deadlines of the classes.
     pub deadlines: Vec<Nanos>,
-    /// Whether requests of a class may run twice without harm.
-    pub safe: Vec<bool>,
+    /// For each class, in the order of the settings: whether its requests are idempotent, so that one may run twice
+    /// without harm.
+    pub is_class_idempotent: Vec<bool>,
     /// The class index by model, for the messages front.
     pub models: BTreeMap<String, usize>,
     /// The class index for all other models.
@@ -165,9 +166,9 @@
             kind: number_of(&mut self.kinds, &entry.kind),
             cell: entry.cell,
             phase: match entry.state {
-                State::Ready => Phase::Ready,
-                State::Draining => Phase::Draining,
-                State::Gone => Phase::Gone,
+                ReplicaState::Ready => Phase::Ready,
+                ReplicaState::Draining => Phase::Draining,
+                ReplicaState::Gone => Phase::Gone,
             },
             // The load balancer's clock is also Unix time, in nanoseconds.
             started: (entry.started_ms > 0.0).then_some((entry.started_ms * 1e6) as Nanos),
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -18,7 +18,7 @@
 use super::{BufferedStream, within};
 use crate::engine::{Engine, FleetAction};
 use crate::limits::Limits;
-use crate::names::{Listing, Names, State};
+use crate::names::{Listing, Names, ReplicaState};
 use crate::types::{ListKind, Member, Phase, ReplicaId};
 
 /// Fetches and watches the replica list as the load balancer requests, and passes updates to it and to the fleet.
@@ -305,14 +305,14 @@
     /// Applies an object of a response.
     fn apply_object(&self, object: &[u8], first: &mut bool) -> io::Result<()> {
         let listing: Listing = serde_json::from_slice(object).map_err(io::Error::other)?;
-        if !listing.full && listing.version < self.version.get() {
+        if !listing.is_full && listing.version < self.version.get() {
             // These changes lead to a version that is already known.
             log::warn!(version = listing.version, held = self.version.get(); "old-changes: ignoring changes up to an already known version");
             self.apply_no_change(first);
             return Ok(());
         }
         *first = false;
-        let kind = if listing.full { ListKind::Complete } else { ListKind::Changes };
+        let kind = if listing.is_full { ListKind::Complete } else { ListKind::Changes };
         self.apply(listing, kind);
         Ok(())
     }
@@ -325,13 +325,13 @@
         self.version.set(listing.version);
         self.has_list.set(self.has_list.get() || kind != ListKind::Persisted);
         self.failing.set(false);
-        let mut members: Vec<Member> = Vec::with_capacity(listing.servers.len());
-        for entry in &listing.servers {
+        let mut members: Vec<Member> = Vec::with_capacity(listing.entries.len());
+        for entry in &listing.entries {
             let mut names = self.names.borrow_mut();
             let gone = self.fleet.apply_entry(entry, names.dialect(&entry.kind));
             members.push(names.member(entry));
             for id in gone {
-                if entry.state != State::Gone {
+                if entry.state != ReplicaState::Gone {
                     log::info!(replica = &*id.0, addr = entry.addr; "address-taken: a replica that started later has this address; removing the older id");
                 }
                 match members.iter_mut().find(|m| m.id == id) {
@@ -339,7 +339,7 @@
                     None => members.push(Member { id, phase: Phase::Gone, ..names.member(entry) }),
                 }
             }
-            if kind == ListKind::Changes && entry.state != State::Ready {
+            if kind == ListKind::Changes && entry.state != ReplicaState::Ready {
                 log::info!(version = listing.version, replica = entry.id, state:? = entry.state; "list-change: sending no new requests to this replica");
             }
         }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -73,7 +73,7 @@
                 continue;
             }
             Message::Get { get } => json!({"value": store.get(&get)}),
-            Message::Under { under } => json!({"values": store.under(&under)}),
+            Message::Under { under } => json!({"values": store.entries_with_prefix(&under)}),
             Message::Set { set, value } => json!({"taken": store.set(&set, value)}),
         };
         write(&mut wire, &response, limits).await?;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -23,7 +23,7 @@
 use super::{BufferedStream, within};
 use crate::front::{Dialect, ReplicaDialects};
 use crate::limits::Limits;
-use crate::names::{ServiceEntry, State};
+use crate::names::{ReplicaState, ServiceEntry};
 use crate::process::overlap::{ConnectionCounts, Overlap};
 use crate::types::ReplicaId;
 
@@ -92,7 +92,8 @@
             .filter(|(other, listed)| **other != id && listed.addr == addr && addr.is_some());
         let same_address: Vec<_> =
             same_address.map(|(other, listed)| (other.clone(), listed.started)).collect();
-        if entry.state == State::Gone || same_address.iter().any(|(_, started)| *started > entry.started_ms)
+        if entry.state == ReplicaState::Gone
+            || same_address.iter().any(|(_, started)| *started > entry.started_ms)
         {
             replicas.remove(&id);
             return vec![id];
@@ -112,7 +113,7 @@
             replica.idle.clear();
         }
         (replica.addr, replica.dialect, replica.started) = (addr, dialect, entry.started_ms);
-        replica.is_ready = entry.state == State::Ready;
+        replica.is_ready = entry.state == ReplicaState::Ready;
         displaced
     }
 
--- a/src/store.rs
+++ b/src/store.rs
@@ -60,8 +60,8 @@
         self.entries.borrow().get(key).map(|e| e.value.clone()).filter(|v| !v.is_null())
     }
 
-    /// The keys that begin with `prefix`, with their values.
-    pub fn under(&self, prefix: &str) -> BTreeMap<String, Value> {
+    /// Returns the values of all keys that begin with `prefix`, by key. Removed keys are left out.
+    pub fn entries_with_prefix(&self, prefix: &str) -> BTreeMap<String, Value> {
         let entries = self.entries.borrow();
         let found = entries.iter().filter(|(k, e)| k.starts_with(prefix) && !e.value.is_null());
         found.map(|(k, e)| (k.clone(), e.value.clone())).collect()
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 use tulipridge::config::Config;
-use tulipridge::names::{Listing, Names, State};
+use tulipridge::names::{Listing, Names, ReplicaState};
 use tulipridge::settings::Settings;
 
 const NOW: f64 = 1.8e12;
@@ -23,7 +23,7 @@
 fn a_valid_list_is_accepted_unchanged() {
     let mut valid = listing(&[(3, "state", json!("draining")), (4, "started_ms", json!(NOW))]);
     assert!(valid.correct(NOW).is_empty());
-    assert_eq!(valid.servers.len(), 60);
+    assert_eq!(valid.entries.len(), 60);
 }
 
 #[test]
@@ -39,9 +39,9 @@
     let faults = list.correct(NOW);
     let faulty_ids: Vec<&str> = faults.iter().map(|(server, _)| &**server).collect();
     assert_eq!(faulty_ids, ["s-0", "s-1", "s-2", "s-3", "s-4"]);
-    assert!(list.servers[..3].iter().all(|s| s.weight == 1.0));
-    assert!(list.servers[3..5].iter().all(|s| s.started_ms == NOW));
-    assert!(list.servers[5..].iter().all(|s| s.weight == 4.0 && s.started_ms == 0.0));
+    assert!(list.entries[..3].iter().all(|s| s.weight == 1.0));
+    assert!(list.entries[3..5].iter().all(|s| s.started_ms == NOW));
+    assert!(list.entries[5..].iter().all(|s| s.weight == 4.0 && s.started_ms == 0.0));
     assert!(list.correct(NOW).is_empty(), "a corrected list is valid");
 }
 
@@ -53,13 +53,14 @@
         let mut list =
             listing(&[(8, "id", json!("s-40")), (8, "state", json!(first)), (40, "state", json!(second))]);
         assert_eq!(list.correct(NOW).len(), 1);
-        let states: Vec<State> = list.servers.iter().filter(|s| s.id == "s-40").map(|s| s.state).collect();
+        let states: Vec<ReplicaState> =
+            list.entries.iter().filter(|s| s.id == "s-40").map(|s| s.state).collect();
         let expected = if [first, second].contains(&"gone") {
-            State::Gone
+            ReplicaState::Gone
         } else if first == second {
-            State::Ready
+            ReplicaState::Ready
         } else {
-            State::Draining
+            ReplicaState::Draining
         };
         assert_eq!(states, [expected]);
     }
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -19,7 +19,7 @@
 };
 use tulipridge::front::{Dialect, ForwardedRequest};
 use tulipridge::limits::Limits;
-use tulipridge::names::{ServiceEntry, State};
+use tulipridge::names::{ReplicaState, ServiceEntry};
 use tulipridge::net::codec::{self, Body};
 use tulipridge::net::upstream::{Dispatch, Fleet};
 use tulipridge::stream::{Cause, Disconnect};
@@ -298,7 +298,7 @@
 fn an_address_that_a_new_server_has_taken_ends_the_old_id() {
     let fleet = Fleet::new(Rc::new(limits()), Box::new(|_| Vec::new()));
     let learn = |id: &str, started_ms| {
-        let entry = entry(id, "127.0.0.1:9", State::Ready, started_ms);
+        let entry = entry(id, "127.0.0.1:9", ReplicaState::Ready, started_ms);
         fleet.apply_entry(&entry, Dialect::Platform).iter().map(|id| id.0.to_string()).collect::<Vec<_>>()
     };
     assert!(learn("old", 0.0).is_empty());
@@ -312,7 +312,7 @@
     let mut limits_without_connections = limits();
     limits_without_connections.replicas.connections = 0;
     let fleet = Rc::new(Fleet::new(Rc::new(limits_without_connections), Box::new(|_| Vec::new())));
-    fleet.apply_entry(&entry("s-1", "127.0.0.1:9", State::Ready, 0.0), Dialect::Platform);
+    fleet.apply_entry(&entry("s-1", "127.0.0.1:9", ReplicaState::Ready, 0.0), Dialect::Platform);
     let mut steps =
         dispatch(&fleet).start_attempt(ReplicaId::from("s-1"), Duration::from_secs(20), Duration::MAX);
     match async_io::block_on(steps.next()) {
@@ -321,7 +321,7 @@
     }
 }
 
-fn entry(id: &str, addr: &str, state: State, started_ms: f64) -> ServiceEntry {
+fn entry(id: &str, addr: &str, state: ReplicaState, started_ms: f64) -> ServiceEntry {
     let (addr, zone, kind) = (addr.into(), "a".into(), "k".into());
     ServiceEntry { id: id.into(), addr, zone, kind, cell: 0, state, weight: 1.0, started_ms }
 }
@@ -344,12 +344,12 @@
         let entry = entry("s-1", &addr, state, 0.0);
         fleet.apply_entry(&entry, Dialect::Platform);
     };
-    learn(State::Ready);
+    learn(ReplicaState::Ready);
     let mut steps =
         dispatch(&fleet).start_attempt(ReplicaId::from("s-1"), Duration::from_secs(20), Duration::MAX);
     async_io::block_on(async {
         assert!(future::poll_once(steps.next()).await.is_none(), "the connection is under way");
-        learn(State::Draining);
+        learn(ReplicaState::Draining);
         match steps.next().await {
             Some(AttemptUpdate::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
             other => panic!("{other:?}"),
--- a/tests/units/messages_order.rs
+++ b/tests/units/messages_order.rs
@@ -22,7 +22,7 @@
         classes: vec!["docs".into(), "bulk".into()],
         tenants: vec!["a".into(), "b".into()],
         deadlines: vec![5 * SECOND, 20 * SECOND],
-        safe: vec![true, false],
+        is_class_idempotent: vec![true, false],
         default_tenant: Some(0),
         ..Names::default()
     };
