--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -35,7 +35,7 @@
     match listener.accept().await {
         Ok((stream, _)) => spawn_connection(proxy, executor, stream),
         Err(error) => {
-            log::warn!(error:% = error; "a connection can't be accepted");
+            log::warn!(error:% = error; "failed to accept a connection");
             proxy.timers.sleep(ACCEPT_BACKOFF).await;
         }
     }
