--- a/crates/control-plane/tests/linearizability.rs
+++ b/crates/control-plane/tests/linearizability.rs
@@ -191,7 +191,7 @@
 #[test]
 fn repeats_are_recognized_up_to_the_remembered_count() {
     const REMEMBERED: u64 = 40;
-    let register = ConfigurationRegister::remembering(REMEMBERED as usize);
+    let register = ConfigurationRegister::with_max_recent_requests(REMEMBERED as usize);
     let length = REMEMBERED + 1;
     let (mut operations, now) = chain(length);
     operations.push(completed(now, now + 1, put(1, 2, 1), Response::Accepted));
--- a/crates/control-plane/tests/support/operator/register.rs
+++ b/crates/control-plane/tests/support/operator/register.rs
@@ -31,27 +31,27 @@
 pub(crate) struct ConfigurationRegister {
     content: Option<Content>,
     accepted: Vec<ConfigurationChange>,
-    remembered_changes: usize,
+    max_recent_requests: usize,
 }
 
 impl Default for ConfigurationRegister {
     fn default() -> Self {
-        ConfigurationRegister::remembering(MAX_RECENT_REQUESTS)
+        ConfigurationRegister::with_max_recent_requests(MAX_RECENT_REQUESTS)
     }
 }
 
 impl ConfigurationRegister {
     /// An empty register that recognizes repeats of this many of the latest changes.
-    pub(crate) fn remembering(remembered_changes: usize) -> Self {
-        ConfigurationRegister { content: None, accepted: Vec::new(), remembered_changes }
+    pub(crate) fn with_max_recent_requests(max_recent_requests: usize) -> Self {
+        ConfigurationRegister { content: None, accepted: Vec::new(), max_recent_requests }
     }
 
     fn revision(&self) -> u64 {
         self.content.as_ref().map_or(NO_REVISION.0, |content| content.revision)
     }
 
-    fn remembers(&self, change: &ConfigurationChange) -> bool {
-        self.accepted.iter().rev().take(self.remembered_changes).any(|accepted| accepted == change)
+    fn is_recent_request(&self, change: &ConfigurationChange) -> bool {
+        self.accepted.iter().rev().take(self.max_recent_requests).any(|accepted| accepted == change)
     }
 
     /// The content after a valid change; `None` if the change is invalid.
@@ -74,7 +74,7 @@
     }
 
     fn apply_change(&self, change: ConfigurationChange) -> (Response, Option<Self>) {
-        if self.remembers(&change) {
+        if self.is_recent_request(&change) {
             return (Response::Accepted, None);
         }
         let current = self.revision();
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -20,7 +20,7 @@
 };
 use tulipridge::front::{Dialect, ForwardedRequest};
 use tulipridge::limits::Limits;
-use tulipridge::names::{ServiceEntry, State};
+use tulipridge::names::{ReplicaState, ServiceEntry};
 use tulipridge::net::codec::{self, Body};
 use tulipridge::net::upstream::{Dispatch, Fleet};
 use tulipridge::stream::{Cause, Disconnect};
@@ -308,7 +308,7 @@
 fn a_new_replica_on_a_known_address_removes_the_old_id() {
     let fleet = Fleet::new(Rc::new(limits()), Box::new(|_| Vec::new()));
     let apply = |id: &str, started_ms| {
-        let entry = entry(id, "127.0.0.1:9", State::Ready, started_ms);
+        let entry = entry(id, "127.0.0.1:9", ReplicaState::Ready, started_ms);
         fleet.apply_entry(&entry, Dialect::Platform).iter().map(|id| id.0.to_string()).collect::<Vec<_>>()
     };
     assert!(apply("old", 0.0).is_empty());
@@ -322,7 +322,7 @@
     let mut limits_without_connections = limits();
     limits_without_connections.replicas.connections = 0;
     let fleet = Rc::new(Fleet::new(Rc::new(limits_without_connections), Box::new(|_| Vec::new())));
-    fleet.apply_entry(&entry("s-1", "127.0.0.1:9", State::Ready, 0.0), Dialect::Platform);
+    fleet.apply_entry(&entry("s-1", "127.0.0.1:9", ReplicaState::Ready, 0.0), Dialect::Platform);
     let mut updates =
         dispatch(&fleet).start_attempt(ReplicaId::from("s-1"), Duration::from_secs(20), Duration::MAX);
     match async_io::block_on(updates.next()) {
@@ -331,7 +331,7 @@
     }
 }
 
-fn entry(id: &str, addr: &str, state: State, started_ms: f64) -> ServiceEntry {
+fn entry(id: &str, addr: &str, state: ReplicaState, started_ms: f64) -> ServiceEntry {
     let (addr, zone, kind) = (addr.into(), "a".into(), "k".into());
     ServiceEntry { id: id.into(), addr, zone, kind, cell: 0, state, weight: 1.0, started_ms }
 }
@@ -354,12 +354,12 @@
         let entry = entry("s-1", &addr, state, 0.0);
         fleet.apply_entry(&entry, Dialect::Platform);
     };
-    apply(State::Ready);
+    apply(ReplicaState::Ready);
     let mut updates =
         dispatch(&fleet).start_attempt(ReplicaId::from("s-1"), Duration::from_secs(20), Duration::MAX);
     async_io::block_on(async {
         assert!(future::poll_once(updates.next()).await.is_none(), "the connection is being opened");
-        apply(State::Draining);
+        apply(ReplicaState::Draining);
         match updates.next().await {
             Some(AttemptUpdate::Ended(ending)) => assert_eq!(ending.verdict, Verdict::NotSent),
             other => panic!("{other:?}"),
