--- a/src/front/translate/messages.rs
+++ b/src/front/translate/messages.rs
@@ -186,7 +186,7 @@
 
     fn begin_block(&mut self, index: u64, block: &Block<'_>, out: &mut Vec<ResponsePart>) {
         if self.blocks.len() >= MAX_BLOCKS {
-            return out.push(ResponsePart::Unknown("a block of too high a number".into()));
+            return out.push(ResponsePart::Unknown("a block index above the limit".into()));
         }
         let kind = match &*block.kind {
             "text" => {
--- a/src/front/translate/platform.rs
+++ b/src/front/translate/platform.rs
@@ -199,7 +199,7 @@
         for call in delta.tool_calls.as_deref().unwrap_or_default() {
             let number = call.index.unwrap_or(0);
             if number >= MAX_CALLS {
-                out.push(ResponsePart::Unknown("a tool call of too high a number".into()));
+                out.push(ResponsePart::Unknown("a tool call index above the limit".into()));
                 continue;
             }
             let function = call.function.as_ref();
