--- a/src/api_keys.rs
+++ b/src/api_keys.rs
@@ -26,13 +26,13 @@
 #[derive(Clone, Copy, Debug)]
 pub enum KeyOwner<'k> {
     /// The settings have no keys, so every client is served.
-    Anybody,
+    NotRequired,
     /// The owner of a known key.
     Known(&'k Key),
-    /// The request has no key.
-    Keyless,
-    /// The key is unknown.
-    Stranger,
+    /// The request has no key, or an empty one.
+    Missing,
+    /// The request's key is not among those of the settings.
+    Unknown,
 }
 
 impl Keys {
@@ -52,11 +52,11 @@
     #[must_use]
     pub fn owner(&self, head: &Head) -> KeyOwner<'_> {
         if self.0.is_empty() {
-            return KeyOwner::Anybody;
+            return KeyOwner::NotRequired;
         }
         let bearer = || head.get("authorization")?.strip_prefix("Bearer ").map(str::trim);
         let Some(presented) = head.get("x-api-key").or_else(bearer).filter(|k| !k.is_empty()) else {
-            return KeyOwner::Keyless;
+            return KeyOwner::Missing;
         };
         let hash: [u8; 32] = Sha256::digest(presented.as_bytes()).into();
         // All keys are compared, so that the duration does not depend on which one matches.
@@ -68,7 +68,7 @@
         }
         match self.0.get(index as usize) {
             Some(key) if bool::from(is_found) => KeyOwner::Known(key),
-            _ => KeyOwner::Stranger,
+            _ => KeyOwner::Unknown,
         }
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -38,7 +38,7 @@
     /// The address for the platform's clients.
     pub listen: SocketAddr,
     /// The address for operators' calls, if the platform sets one.
-    pub mgmt: Option<SocketAddr>,
+    pub management: Option<SocketAddr>,
     /// The address of the list service.
     pub discovery: SocketAddr,
     /// The seed of the random number generators.
@@ -189,7 +189,7 @@
         Ok(Config {
             name: at("name").string()?,
             listen: addr("listen")?,
-            mgmt: if config["mgmt"].is_null() { None } else { Some(addr("mgmt")?) },
+            management: if config["mgmt"].is_null() { None } else { Some(addr("mgmt")?) },
             discovery: addr("discovery")?,
             seed: u64::from_str_radix(&seed, 16)
                 .ok()
--- a/src/front/messages/accept.rs
+++ b/src/front/messages/accept.rs
@@ -36,11 +36,11 @@
     let (grant, headers) = admit(context, incoming, &request, &route)?;
     let names = context.names.borrow();
     Ok(AcceptedRequest {
-        safe: names.safe.get(request.placement.class).copied().unwrap_or(false),
+        is_idempotent: names.safe.get(request.placement.class).copied().unwrap_or(false),
         model: request.body.model.as_deref().unwrap_or_default().to_owned(),
-        is_message: !request.body.streams(),
+        is_message: !request.body.is_streaming(),
         edit: stream_edit(&request.body, incoming.body),
-        prompt: u64::from(route.tokens),
+        prompt_tokens: u64::from(route.tokens),
         translated_body: request.translated_body,
         placement: with_route(request.placement, &route, request.max_output, incoming.head),
         grant,
--- a/src/front/messages/errors.rs
+++ b/src/front/messages/errors.rs
@@ -71,13 +71,13 @@
         object.object("error").set("type", error_type(self.status)).set("message", &self.message);
         object.set("request_id", id);
         drop(object);
-        let mut response = Response::json(self.status, body).with("request-id", id);
+        let mut response = Response::json(self.status, body).with_header("request-id", id);
         if let Some(wait) = self.retry_after {
             // `Retry-After` is for all clients; the official client libraries use the more precise `retry-after-ms`.
-            response = response.retry_after(wait).with("retry-after-ms", wait.as_millis());
+            response = response.retry_after(wait).with_header("retry-after-ms", wait.as_millis());
         }
         match self.is_retryable {
-            Some(is_retryable) => response.with("x-should-retry", is_retryable),
+            Some(is_retryable) => response.with_header("x-should-retry", is_retryable),
             None => response,
         }
     }
--- a/src/front/messages/mod.rs
+++ b/src/front/messages/mod.rs
@@ -10,7 +10,7 @@
 
 use std::cell::RefCell;
 
-use super::{Call, FrontContext, ReplicaDialects, Response};
+use super::{FrontContext, FrontDecision, ReplicaDialects, Response};
 use crate::admission::quota::{Grant, Quota, Rates};
 use crate::api_keys::{Key, KeyOwner, Keys};
 use crate::types::Nanos;
@@ -103,47 +103,49 @@
 
 /// Reads a request with the id `id`: either accepts it, or creates the response. `dialects` are those of the fleet's
 /// replicas.
-pub fn call(
+pub fn read_request(
     context: &FrontContext,
     now: Nanos,
     head: &Head,
     body: &[u8],
     id: &str,
     dialects: ReplicaDialects,
-) -> Call {
+) -> FrontDecision {
     let path = head.start[1].split('?').next().unwrap_or_default();
     let method = head.start[0].as_str();
     let Some(endpoint) = Endpoint::from_path(path) else {
-        return Call::Respond(ApiError::new(404, format!("{path}: nothing is here")).response(id));
+        return FrontDecision::Respond(ApiError::new(404, format!("{path}: nothing is here")).response(id));
     };
     let allowed = endpoint.methods();
     if method == "OPTIONS" {
-        return Call::Respond(Response::text(204, "").with("Allow", allowed).with("request-id", id));
+        return FrontDecision::Respond(
+            Response::text(204, "").with_header("Allow", allowed).with_header("request-id", id),
+        );
     }
     if !allowed.split(", ").any(|allowed| allowed == method) {
         let error = ApiError::new(405, format!("{method}: only {allowed} are taken here"));
-        return Call::Respond(error.response(id).with("Allow", allowed));
+        return FrontDecision::Respond(error.response(id).with_header("Allow", allowed));
     }
     if endpoint == Endpoint::Health && method == "GET" {
-        return Call::Health;
+        return FrontDecision::Health;
     }
     let key = if endpoint.requires_key() { authenticate(context, head) } else { Ok(None) };
     let response = match (key, endpoint) {
         (Ok(key), Endpoint::Messages) => {
             let request = accept::IncomingRequest { now, head, body, id, dialects, key };
             return match accept::accept(context, &request) {
-                Ok(accepted) => Call::Serve(Box::new(accepted)),
-                Err(response) => Call::Respond(*response),
+                Ok(accepted) => FrontDecision::Serve(Box::new(accepted)),
+                Err(response) => FrontDecision::Respond(*response),
             };
         }
         (Ok(_), endpoint) => respond(context, endpoint, head, body),
         (Err(error), _) => Err(error),
     };
     let response = match response {
-        Ok(response) => response.with("request-id", id),
+        Ok(response) => response.with_header("request-id", id),
         Err(error) => error.response(id),
     };
-    Call::Respond(if method == "HEAD" { response.head_only() } else { response })
+    FrontDecision::Respond(if method == "HEAD" { response.head_only() } else { response })
 }
 
 /// The response of an endpoint that needs no replica.
@@ -174,10 +176,10 @@
 /// The API key that a request presents; `None` if no keys are configured.
 fn authenticate<'d>(context: &'d FrontContext, head: &Head) -> Result<Option<&'d Key>, ApiError> {
     match context.messages.keys.owner(head) {
-        KeyOwner::Anybody => Ok(None),
+        KeyOwner::NotRequired => Ok(None),
         KeyOwner::Known(key) => Ok(Some(key)),
-        KeyOwner::Keyless => Err(ApiError::new(401, "x-api-key: a key is required")),
-        KeyOwner::Stranger => Err(ApiError::new(401, "x-api-key: the key is not known here")),
+        KeyOwner::Missing => Err(ApiError::new(401, "x-api-key: a key is required")),
+        KeyOwner::Unknown => Err(ApiError::new(401, "x-api-key: the key is not known here")),
     }
 }
 
--- a/src/front/messages/request.rs
+++ b/src/front/messages/request.rs
@@ -252,7 +252,7 @@
 
     /// Whether the client requests a stream.
     #[must_use]
-    pub fn streams(&self) -> bool {
+    pub fn is_streaming(&self) -> bool {
         self.stream.is_some_and(|s| s.get() == "true")
     }
 
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -55,7 +55,7 @@
     }
 
     /// Reads a client's request with the id `id`. `dialects` are those of the fleet's replicas.
-    pub fn call(
+    pub fn read_request(
         &self,
         now: Nanos,
         dialect: Dialect,
@@ -63,10 +63,10 @@
         body: &[u8],
         id: &str,
         dialects: ReplicaDialects,
-    ) -> Call {
+    ) -> FrontDecision {
         match dialect {
-            Dialect::Platform => platform::call(self, head, body, dialects),
-            Dialect::Messages => messages::call(self, now, head, body, id, dialects),
+            Dialect::Platform => platform::read_request(self, head, body, dialects),
+            Dialect::Messages => messages::read_request(self, now, head, body, id, dialects),
         }
     }
 
@@ -96,8 +96,8 @@
     }
 }
 
-/// A front's decision about a request.
-pub enum Call {
+/// The next step for a request, after a front has read it.
+pub enum FrontDecision {
     /// Place the request on a replica.
     Serve(Box<AcceptedRequest>),
     /// Report the gateway's readiness.
@@ -124,12 +124,12 @@
     pub is_message: bool,
     /// Edit of the body before forwarding.
     pub edit: Option<BodyEdit>,
-    /// Estimated prompt tokens by the body; 0 if the front does not read the body.
-    pub prompt: u64,
+    /// Estimated length of the prompt by the body; 0 if the front does not read the body.
+    pub prompt_tokens: u64,
     /// The body in the other dialect, if any replica speaks that.
     pub translated_body: Option<Vec<u8>>,
-    /// Whether the request is idempotent.
-    pub safe: bool,
+    /// Whether a retry of the request is safe after it may have run.
+    pub is_idempotent: bool,
     /// Charge to the tenant's quota.
     pub grant: Option<Grant>,
     /// Headers to add to each response.
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's front: a request is described by its headers, and its body is read only for translation.
 
-use super::{AcceptedRequest, Call, Dialect, FrontContext, ReplicaDialects, Response, translate};
+use super::{AcceptedRequest, Dialect, FrontContext, FrontDecision, ReplicaDialects, Response, translate};
 use crate::engine::{PlacementRequest, TokenCounts};
 use crate::names::Names;
 use crate::types::Nanos;
@@ -13,11 +13,16 @@
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
 /// Reads a request's head. The body is read only if any replica speaks the other dialect.
-pub fn call(context: &FrontContext, head: &Head, body: &[u8], dialects: ReplicaDialects) -> Call {
+pub fn read_request(
+    context: &FrontContext,
+    head: &Head,
+    body: &[u8],
+    dialects: ReplicaDialects,
+) -> FrontDecision {
     let path = head.start[1].split('?').next().unwrap_or_default();
-    let refusal = |status: u16, message: &str| Call::Respond(Response::text(status, message));
+    let refusal = |status: u16, message: &str| FrontDecision::Respond(Response::text(status, message));
     match (head.start[0].as_str(), path) {
-        ("GET", "/_health") => return Call::Health,
+        ("GET", "/_health") => return FrontDecision::Health,
         ("POST", PATH) => {}
         (_, PATH | "/_health") => return refusal(405, "another method is wanted here"),
         _ => return refusal(404, "nothing is here"),
@@ -37,12 +42,12 @@
         },
         false => None,
     };
-    Call::Serve(Box::new(AcceptedRequest {
-        safe: names.safe.get(placement.class).copied().unwrap_or(false),
+    FrontDecision::Serve(Box::new(AcceptedRequest {
+        is_idempotent: names.safe.get(placement.class).copied().unwrap_or(false),
         model: String::new(),
         is_message: false,
         edit: None,
-        prompt: 0,
+        prompt_tokens: 0,
         translated_body,
         placement,
         grant: None,
@@ -106,8 +111,8 @@
         expires_in: deadline_ms * NANOS_PER_MILLI,
         class,
         tenant,
-        prefix: extra("prefix").map(key).filter(|p| *p != 0),
-        session: head.get("x-key").map(key),
+        prefix: extra("prefix").map(key_hash).filter(|p| *p != 0),
+        session: head.get("x-key").map(key_hash),
         tokens: TokenCounts {
             prompt: token_count("prompt_len")?,
             prefix: token_count("prefix_len")?,
@@ -127,7 +132,7 @@
 /// Converts a key to a number: the value of its hex digits, or for other texts their FNV-1a hash. The number is the
 /// same on all gateways.
 #[must_use]
-pub fn key(text: &str) -> u64 {
+pub fn key_hash(text: &str) -> u64 {
     let fnv1a = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01B3);
     u64::from_str_radix(text, 16).unwrap_or_else(|_| text.bytes().fold(0xCBF2_9CE4_8422_2325, fnv1a))
 }
--- a/src/front/responder.rs
+++ b/src/front/responder.rs
@@ -17,8 +17,8 @@
     pub dialect: Dialect,
     /// Id of the request.
     pub id: String,
-    /// Whether the request is idempotent, so that a retry after an error is safe.
-    pub safe: bool,
+    /// Whether a retry of the request is safe after it may have run.
+    pub is_idempotent: bool,
     /// Headers to add to each response.
     pub headers: Headers,
 }
@@ -27,7 +27,7 @@
     /// Creates a responder for a request of which only dialect and id are known: not idempotent, no additional headers.
     #[must_use]
     pub fn new(dialect: Dialect, id: &str) -> Responder {
-        Responder { dialect, id: id.to_owned(), safe: false, headers: Vec::new() }
+        Responder { dialect, id: id.to_owned(), is_idempotent: false, headers: Vec::new() }
     }
 
     pub(super) fn error_response(&self, error: ApiError) -> Response {
@@ -38,12 +38,16 @@
     #[must_use]
     pub fn text(&self, status: u16, text: &str) -> Response {
         let response = Response::text(status, text);
-        if self.dialect == Dialect::Messages { response.with("request-id", &self.id) } else { response }
+        if self.dialect == Dialect::Messages {
+            response.with_header("request-id", &self.id)
+        } else {
+            response
+        }
     }
 
-    /// The response to an invalid request.
+    /// The error response to a request whose head or body can't be accepted.
     #[must_use]
-    pub fn bad(&self, status: u16, message: &str) -> Response {
+    pub fn invalid_request(&self, status: u16, message: &str) -> Response {
         match self.dialect {
             Dialect::Platform => Response::text(status, message),
             Dialect::Messages => self.error_response(ApiError::new(status, message)),
@@ -53,7 +57,7 @@
     /// The response to a request that can't be parsed as HTTP.
     #[must_use]
     pub fn malformed(&self, error: RequestError) -> Response {
-        self.bad(error.status(), &error.to_string())
+        self.invalid_request(error.status(), &error.to_string())
     }
 
     /// The response to a request that the load balancer has shed; a retry is safe after `wait`.
@@ -80,7 +84,7 @@
             FailureReason::NoAnswer => (504, "no answer in time"),
         };
         // A request that no replica has run is safe to retry.
-        let is_retryable = self.safe || reason == FailureReason::Refused;
+        let is_retryable = self.is_idempotent || reason == FailureReason::Refused;
         self.error_response(
             ApiError::new(status, message).retry_after(Duration::ZERO).retryable(is_retryable),
         )
@@ -94,7 +98,7 @@
         self.error_response(
             ApiError::new(errors::status_for(kind), message)
                 .retry_after(Duration::ZERO)
-                .retryable(self.safe),
+                .retryable(self.is_idempotent),
         )
     }
 
--- a/src/front/response.rs
+++ b/src/front/response.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Adds a header.
-    pub fn with(mut self, name: &'static str, value: impl Display) -> Response {
+    /// Appends a header; an earlier one of the same name is kept.
+    pub fn with_header(mut self, name: &'static str, value: impl Display) -> Response {
         self.headers.push((name, value.to_string()));
         self
     }
@@ -53,7 +53,7 @@
     /// Adds `Retry-After`: the time after which the client may retry, in seconds with millisecond precision.
     #[must_use]
     pub fn retry_after(self, wait: Duration) -> Response {
-        self.with("Retry-After", format_args!("{:.3}", wait.as_secs_f64()))
+        self.with_header("Retry-After", format_args!("{:.3}", wait.as_secs_f64()))
     }
 
     /// Omits the body, as required in a response to HEAD.
--- a/src/front/response_encoder.rs
+++ b/src/front/response_encoder.rs
@@ -125,12 +125,13 @@
                 let response = if cause == Cause::Complete && assembler.error().is_none() {
                     match assembler.finish() {
                         Ok(body) => Response::json(200, body)
-                            .with("request-id", &self.responder.id)
+                            .with_header("request-id", &self.responder.id)
                             .with_headers(&self.responder.headers),
                         Err(error) => {
                             log::warn!(id = self.responder.id; "message-assembly-failed: {error}");
                             self.responder.error_response(
-                                ApiError::new(500, error.to_string()).retryable(self.responder.safe),
+                                ApiError::new(500, error.to_string())
+                                    .retryable(self.responder.is_idempotent),
                             )
                         }
                     }
--- a/src/net/edge/connection.rs
+++ b/src/net/edge/connection.rs
@@ -15,7 +15,7 @@
 use super::{BufferedStream, EdgeServer, within};
 use crate::admission::connection_slots::ConnectionState;
 use crate::engine;
-use crate::front::{AcceptedRequest, Call, Dialect, ForwardedRequest, Responder, Response};
+use crate::front::{AcceptedRequest, Dialect, ForwardedRequest, FrontDecision, Responder, Response};
 use crate::net::slot_pool::Slot;
 use crate::net::upstream::Dispatch;
 use tulipridge_http1::RequestError;
@@ -78,12 +78,12 @@
         let keep = head.keeps_alive(&head.start[2]) && !crowded && self.lifecycle.keeps_connections();
         let id = self.resolve_request_id(dialect, &mut head);
         let now = self.engine.now();
-        let call = self.context.call(now, dialect, &head, &body, &id, self.fleet.dialects());
-        let response = match call {
-            Call::Serve(mut accepted) => {
+        let decision = self.context.read_request(now, dialect, &head, &body, &id, self.fleet.dialects());
+        let response = match decision {
+            FrontDecision::Serve(mut accepted) => {
                 let back = Rc::new(RefCell::new(None));
                 let headers = std::mem::take(&mut accepted.headers);
-                let responder = Responder { dialect, id, safe: accepted.safe, headers };
+                let responder = Responder { dialect, id, is_idempotent: accepted.is_idempotent, headers };
                 let may_run = self.lifecycle.admits_requests();
                 let charge = self.charge(&mut accepted, may_run);
                 let forwarded = Rc::new(ForwardedRequest::from_accepted(
@@ -113,11 +113,11 @@
                 engine::serve(&self.engine, &accepted.placement, &dispatch, client, &*self).await;
                 return back.take();
             }
-            Call::Health if self.lifecycle.is_in_rotation() => {
+            FrontDecision::Health if self.lifecycle.is_in_rotation() => {
                 Responder::new(dialect, &id).text(200, "ready")
             }
-            Call::Health => Responder::new(dialect, &id).text(503, "not ready"),
-            Call::Respond(response) => {
+            FrontDecision::Health => Responder::new(dialect, &id).text(503, "not ready"),
+            FrontDecision::Respond(response) => {
                 log::debug!(id = id, client:% = from, status = response.status; "answered: the front responded without a replica");
                 response
             }
@@ -145,7 +145,7 @@
         Charge {
             edge: self.clone(),
             grant: accepted.grant.take(),
-            prompt: accepted.prompt,
+            prompt: accepted.prompt_tokens,
             output: 0,
             events: 0,
             may_have_run: may_run,
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -29,7 +29,7 @@
     /// Determines the request's id, which the client and the replicas are told. Every request of the messages front gets
     /// one. A client's id of another form is replaced by its hash, so that its second use is detected here too.
     pub(super) fn resolve_request_id(&self, dialect: Dialect, head: &mut Head) -> String {
-        let given = head.get("x-request-id").map(crate::front::platform::key);
+        let given = head.get("x-request-id").map(crate::front::platform::key_hash);
         if dialect == Dialect::Platform {
             return head.get("x-request-id").unwrap_or_default().to_owned();
         }
--- a/src/net/edge/waiting_client.rs
+++ b/src/net/edge/waiting_client.rs
@@ -48,7 +48,7 @@
     async fn reject(mut self, Rejection { status, message }: Rejection) {
         log::info!(id = self.0.responder.id, status = status; "rejected: {message}");
         self.0.charge.may_have_run = false;
-        let response = self.0.responder.bad(status, &message);
+        let response = self.0.responder.invalid_request(status, &message);
         self.0.respond(response).await;
     }
 
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -106,7 +106,7 @@
             _ => return Response::text(404, "no such call: GET /ready, POST /drain, POST /undrain"),
         };
         if method != expected_method {
-            return Response::text(405, "not that method").with("Allow", expected_method);
+            return Response::text(405, "not that method").with_header("Allow", expected_method);
         }
         let response = handler(self);
         if expected_method == "POST" {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -131,7 +131,7 @@
     executor.spawn(handover.listen(executor, edge.clone(), lifecycle.clone())).detach();
 
     let parts = Parts { executor, engine, edge, lifecycle, names, limits };
-    if let Some(address) = config.mgmt {
+    if let Some(address) = config.management {
         parts.listen_to_operators(address)?;
     }
     parts.listen_to_clients(config.listen, config.own.messages.listen, inherited)?;
@@ -142,7 +142,7 @@
     executor.spawn(async move { fleet.sweep().await }).detach();
     executor.spawn(discovery.clone().run(executor, orders)).detach();
 
-    let reload = spawn_reloads(executor, discovery, sources, config.mgmt);
+    let reload = spawn_reloads(executor, discovery, sources, config.management);
     wait_until_stopped(executor, signals, &reload, &parts.edge).await;
     parts.engine.log_stream_statistics();
     context.omissions.log();
@@ -285,12 +285,12 @@
 /// Starts the loop that reloads the files at each request of the returned channel. Requests during a pending one are
 /// dropped.
 ///
-/// `mgmt` is the management address in use; a reload does not change it.
+/// `management` is the management address in use; a reload does not change it.
 fn spawn_reloads(
     executor: Executor,
     discovery: Rc<Discovery>,
     sources: Sources,
-    mgmt: Option<SocketAddr>,
+    management: Option<SocketAddr>,
 ) -> Sender<()> {
     let (reload, requests) = async_channel::bounded(1);
     executor
@@ -298,7 +298,7 @@
             // One reload at a time, so that the result of the last one remains in force.
             while requests.recv().await.is_ok() {
                 match read_files(sources.clone()).await {
-                    Ok(config) => apply_reload(&discovery, &config, mgmt),
+                    Ok(config) => apply_reload(&discovery, &config, management),
                     Err(error) => {
                         log::error!("reload-failed: the previous configuration stays in force: {error}");
                     }
@@ -315,10 +315,10 @@
     read.unwrap_or_else(|e| Err(ConfigError::NoThread { source: e }))
 }
 
-fn apply_reload(discovery: &Discovery, config: &Config, mgmt: Option<SocketAddr>) {
+fn apply_reload(discovery: &Discovery, config: &Config, management: Option<SocketAddr>) {
     // The environment variable takes precedence over the file and can't change while the process runs.
-    if config.mgmt != mgmt && env::var_os("EDGE_MGMT").is_none() {
-        log::warn!(told:? = config.mgmt, kept:? = mgmt; "mgmt-kept: a changed management address takes effect at the next start");
+    if config.management != management && env::var_os("EDGE_MGMT").is_none() {
+        log::warn!(told:? = config.management, kept:? = management; "mgmt-kept: a changed management address takes effect at the next start");
     }
     discovery.set_address(config.discovery);
 }
--- a/tests/units/api_keys.rs
+++ b/tests/units/api_keys.rs
@@ -22,11 +22,11 @@
     assert_eq!(owner("X-Api-Key", "alpha"), "alpha");
     assert_eq!(owner("x-api-key", "gamma"), "gamma");
     assert_eq!(owner("Authorization", "Bearer beta"), "beta");
-    assert_eq!(owner("x-api-key", "alpha "), "Stranger");
-    assert_eq!(owner("x-api-key", "delta"), "Stranger");
-    assert_eq!(owner("x-api-key", ""), "Keyless");
-    assert_eq!(owner("accept", "alpha"), "Keyless");
-    assert!(matches!(Keys::default().owner(&Head::default()), KeyOwner::Anybody));
+    assert_eq!(owner("x-api-key", "alpha "), "Unknown");
+    assert_eq!(owner("x-api-key", "delta"), "Unknown");
+    assert_eq!(owner("x-api-key", ""), "Missing");
+    assert_eq!(owner("accept", "alpha"), "Missing");
+    assert!(matches!(Keys::default().owner(&Head::default()), KeyOwner::NotRequired));
     assert_eq!(hash_of("12"), None);
     assert_eq!(hash_of(&"g".repeat(64)), None);
 }
--- a/tests/units/messages_order.rs
+++ b/tests/units/messages_order.rs
@@ -8,8 +8,8 @@
 use tulipridge::admission::quota::Rates;
 use tulipridge::api_keys::{self, Key, Keys};
 use tulipridge::engine::TokenCounts;
-use tulipridge::front::messages::{PATH, Setup, call, models};
-use tulipridge::front::{AcceptedRequest, Call, FrontContext, ReplicaDialects};
+use tulipridge::front::messages::{PATH, Setup, models, read_request};
+use tulipridge::front::{AcceptedRequest, FrontContext, FrontDecision, ReplicaDialects};
 use tulipridge::limits::Limits;
 use tulipridge::names::Names;
 use tulipridge::net::codec::Head;
@@ -61,11 +61,17 @@
     }
     head.headers.extend(headers.iter().map(|(n, v)| (n.to_string(), v.to_string())));
     let body = request_body.to_string();
-    match call(context, SECOND, &head, body.as_bytes(), "req_00000000000000a1", ReplicaDialects::default())
-    {
-        Call::Serve(request) => Ok(request),
-        Call::Respond(response) => Err(response.status),
-        Call::Health => Err(0),
+    match read_request(
+        context,
+        SECOND,
+        &head,
+        body.as_bytes(),
+        "req_00000000000000a1",
+        ReplicaDialects::default(),
+    ) {
+        FrontDecision::Serve(request) => Ok(request),
+        FrontDecision::Respond(response) => Err(response.status),
+        FrontDecision::Health => Err(0),
     }
 }
 
@@ -73,17 +79,23 @@
 fn the_body_determines_what_headers_do_not_set() {
     let context = context();
     let plain = accepted(&context, &[], json!({})).expect("good");
-    assert_eq!((plain.placement.class, plain.placement.expires_in, plain.safe), (0, 5 * SECOND, true));
+    assert_eq!(
+        (plain.placement.class, plain.placement.expires_in, plain.is_idempotent),
+        (0, 5 * SECOND, true)
+    );
     assert_eq!(
         (plain.placement.id, plain.placement.is_retry, plain.placement.tenant),
         (Some(0xa1), false, Some(0))
     );
     assert_eq!(
-        (plain.placement.tokens, plain.prompt),
+        (plain.placement.tokens, plain.prompt_tokens),
         (TokenCounts { prompt: 3, prefix: 0, max_output: 9 }, 3)
     );
     let bulk = accepted(&context, &[], json!({"model": "map-bulk"})).expect("good");
-    assert_eq!((bulk.placement.class, bulk.placement.expires_in, bulk.safe), (1, 20 * SECOND, false));
+    assert_eq!(
+        (bulk.placement.class, bulk.placement.expires_in, bulk.is_idempotent),
+        (1, 20 * SECOND, false)
+    );
     let docs = accepted(&context, &[("x-class", "docs")], json!({"model": "map-bulk"})).expect("good");
     assert_eq!(docs.placement.class, 0);
     // A session is identified by the user id, otherwise by the first turn.
@@ -140,6 +152,6 @@
     // limit.
     let long = json!({"messages": [{"role": "user", "content": "x".repeat(3600)}]});
     let small = [("x-extras", "prompt_len=0,prefix_len=0,max_out=0")];
-    assert!(accepted(&context, &small, long.clone()).is_ok_and(|request| request.prompt == 900));
+    assert!(accepted(&context, &small, long.clone()).is_ok_and(|request| request.prompt_tokens == 900));
     assert_eq!(accepted(&context, &small, long).err(), Some(429));
 }
--- a/tests/units/request_reading.rs
+++ b/tests/units/request_reading.rs
@@ -149,7 +149,7 @@
     let text = body.to_string();
     let limits = MessagesLimits::default();
     let read = Request::read(text.as_bytes(), Purpose::Generation, &limits).expect("good");
-    assert!(read.streams());
+    assert!(read.is_streaming());
     assert_eq!(read.unknown, [Text("speed".into())], "a null counts as absent");
     assert_eq!(read.turns().len(), 3);
 }
