--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -30,7 +30,7 @@
     pub(crate) fn members(&self) -> Vec<ControlNode> {
         let mut members =
             self.exchange.borrow().as_ref().map(|exchange| exchange.control_nodes()).unwrap_or_default();
-        members.extend(self.store.borrow().group().control.iter().cloned());
+        members.extend(self.store.borrow().cluster_membership().control.iter().cloned());
         members
     }
 
--- a/crates/agent/tests/exchange.rs
+++ b/crates/agent/tests/exchange.rs
@@ -48,7 +48,7 @@
 fn publishing_member(configuration: u64) -> (Rc<RefCell<FeedStore>>, Rc<Publisher>) {
     let mut store = FeedStore::new();
     store.set_configuration(revision(configuration));
-    store.set_group(ClusterMembership {
+    store.set_cluster_membership(ClusterMembership {
         gateways: 3,
         control: vec![ControlNode { id: NodeId::new(RELAY, Generation(0)), zone: "a".into() }],
     });
@@ -106,6 +106,6 @@
         relay.notify();
         wait_until("the relay's state", || has_revision(Revision(9)) && is_fresh(proxy.age(clock::now())))
             .await;
-        assert_eq!(received.borrow().group().gateways, 3);
+        assert_eq!(received.borrow().cluster_membership().gateways, 3);
     }));
 }
--- a/crates/control-plane/src/member_feed.rs
+++ b/crates/control-plane/src/member_feed.rs
@@ -158,10 +158,10 @@
         self.store.borrow().cache_index().borrow().sources().collect()
     }
 
-    /// Delivers the group: the members of the control plane and the number of gateways. Only the primary calls this.
-    pub fn set_group(&self, control: Vec<ControlNode>) {
-        let group = ClusterMembership { gateways: self.publisher.gateways(), control };
-        let has_changed = self.store.borrow_mut().set_group(group);
+    /// Delivers the members of the control plane and the number of gateways. Only the primary calls this.
+    pub fn set_cluster_membership(&self, control: Vec<ControlNode>) {
+        let membership = ClusterMembership { gateways: self.publisher.gateways(), control };
+        let has_changed = self.store.borrow_mut().set_cluster_membership(membership);
         self.notify_if_changed(has_changed);
     }
 
@@ -212,7 +212,7 @@
 
     /// The number of gateways that the control plane knows of.
     pub fn gateway_count(&self) -> u32 {
-        self.store.borrow().group().gateways
+        self.store.borrow().cluster_membership().gateways
     }
 
     /// The time since the delivered state was last known to be the newest, or `None` if it never was.
--- a/crates/control-plane/src/server/periodic.rs
+++ b/crates/control-plane/src/server/periodic.rs
@@ -38,7 +38,7 @@
     loop {
         member_feed.review();
         if member.singleton_lease().is_some() {
-            member_feed.set_group(member.live_members());
+            member_feed.set_cluster_membership(member.live_members());
         }
         Timer::after(DELIVERY_REVIEW_INTERVAL).await;
     }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -136,8 +136,8 @@
 }
 
 fn apply_change(proxy: &Proxy, store: &FeedStore, changed: &StateChanges) {
-    if changed.group {
-        proxy.set_proxy_count(store.group().gateways);
+    if changed.cluster_membership {
+        proxy.set_proxy_count(store.cluster_membership().gateways);
     }
     if changed.configuration {
         if let Some(configuration) = store.configuration() {
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -44,8 +44,8 @@
     weights: WeightsTable,
     cache_index: CacheIndexTable,
     loads: LoadTable,
-    group: ClusterMembership,
-    group_version: u64,
+    cluster_membership: ClusterMembership,
+    cluster_membership_version: u64,
 }
 
 impl FeedStore {
@@ -97,13 +97,13 @@
         true
     }
 
-    /// Sets the gateways and members of the control plane; whether they differ from before.
-    pub fn set_group(&mut self, group: ClusterMembership) -> bool {
-        if self.group_version > 0 && self.group == group {
+    /// Sets the gateways and members of the control plane. Returns whether they differ from before.
+    pub fn set_cluster_membership(&mut self, membership: ClusterMembership) -> bool {
+        if self.cluster_membership_version > 0 && self.cluster_membership == membership {
             return false;
         }
-        self.group = group;
-        self.group_version += 1;
+        self.cluster_membership = membership;
+        self.cluster_membership_version += 1;
         true
     }
 
@@ -122,7 +122,9 @@
                 changes.weights = snapshot_tables::replace_if_newer(&mut self.weights, table);
             }
             ToSubscriber::CacheIndex(update) => changes.cache_index = self.cache_index.apply(update)?,
-            ToSubscriber::ClusterMembership(group) => changes.group = self.set_group(group),
+            ToSubscriber::ClusterMembership(membership) => {
+                changes.cluster_membership = self.set_cluster_membership(membership);
+            }
             ToSubscriber::Loads(table) => {
                 changes.loads = snapshot_tables::replace_if_newer(&mut self.loads, table);
             }
@@ -182,8 +184,8 @@
     }
 
     /// The gateways and members of the control plane; empty while they are not known.
-    pub fn group(&self) -> &ClusterMembership {
-        &self.group
+    pub fn cluster_membership(&self) -> &ClusterMembership {
+        &self.cluster_membership
     }
 
     /// The position of each table.
@@ -199,11 +201,11 @@
 
     /// The positions of a subscriber that has been sent everything.
     pub fn newest_positions(&self) -> SentPositions {
-        SentPositions { known: self.known_positions(), group: self.group_version }
+        SentPositions { known: self.known_positions(), cluster_membership: self.cluster_membership_version }
     }
 
     /// The updates for a subscriber that has just stated its `known` positions: deltas where these are possible, else
-    /// snapshots. The group is always among them once it is known.
+    /// snapshots. The cluster membership is always among them once it is known.
     pub fn updates_for(&self, known: &KnownPositions) -> Vec<ToSubscriber> {
         self.updates_since(&SentPositions::from(*known))
     }
@@ -226,8 +228,8 @@
         if sent.known.loads.is_some_and(|sent| self.loads.position > sent) {
             messages.push(ToSubscriber::Loads(self.loads.clone()));
         }
-        if self.group_version > sent.group {
-            messages.push(ToSubscriber::ClusterMembership(self.group.clone()));
+        if self.cluster_membership_version > sent.cluster_membership {
+            messages.push(ToSubscriber::ClusterMembership(self.cluster_membership.clone()));
         }
         messages
     }
--- a/crates/subscription/src/store/changes.rs
+++ b/crates/subscription/src/store/changes.rs
@@ -16,7 +16,7 @@
     /// The prefix-cache index.
     pub cache_index: bool,
     /// The gateways and members of the control plane.
-    pub group: bool,
+    pub cluster_membership: bool,
     /// The table of loads.
     pub loads: bool,
     /// The reply to a ping. It is no change of the state.
@@ -27,7 +27,12 @@
     /// Whether any table differs from before.
     #[must_use]
     pub fn any(&self) -> bool {
-        self.configuration || self.fleet || self.weights || self.cache_index || self.group || self.loads
+        self.configuration
+            || self.fleet
+            || self.weights
+            || self.cache_index
+            || self.cluster_membership
+            || self.loads
     }
 
     /// Adds the changes of a later message.
@@ -36,7 +41,7 @@
         self.fleet |= later.fleet;
         self.weights |= later.weights;
         self.cache_index |= later.cache_index;
-        self.group |= later.group;
+        self.cluster_membership |= later.cluster_membership;
         self.loads |= later.loads;
         self.pong = later.pong.or(self.pong);
     }
--- a/crates/subscription/src/store/positions.rs
+++ b/crates/subscription/src/store/positions.rs
@@ -8,13 +8,13 @@
 pub struct SentPositions {
     /// The position of each table.
     pub known: KnownPositions,
-    /// The group's version, counted by the publisher; 0 before it was sent.
-    pub group: u64,
+    /// The version of the cluster membership, counted by the publisher; 0 before it was sent.
+    pub cluster_membership: u64,
 }
 
 impl From<KnownPositions> for SentPositions {
     fn from(known: KnownPositions) -> Self {
-        SentPositions { known, group: 0 }
+        SentPositions { known, cluster_membership: 0 }
     }
 }
 
@@ -30,7 +30,7 @@
             // A subscriber that does not know the table of loads is never sent it.
             loads: self.known.loads.map(|own| own.max(other.known.loads.unwrap_or_default())),
         };
-        SentPositions { known, group: self.group.max(other.group) }
+        SentPositions { known, cluster_membership: self.cluster_membership.max(other.cluster_membership) }
     }
 }
 
--- a/crates/subscription/tests/common/mod.rs
+++ b/crates/subscription/tests/common/mod.rs
@@ -65,8 +65,8 @@
     }]
 }
 
-/// A group of so many gateways.
-pub(crate) fn group(gateways: u32) -> ClusterMembership {
+/// A cluster of `gateways` gateways and one member of the control plane.
+pub(crate) fn cluster_membership(gateways: u32) -> ClusterMembership {
     let member =
         ControlNode { id: NodeId::new(Ipv4Addr::new(10, 0, 0, 9), Generation(0)), zone: "east".to_owned() };
     ClusterMembership { gateways, control: vec![member] }
--- a/crates/subscription/tests/publisher.rs
+++ b/crates/subscription/tests/publisher.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::network::{self, Peer, fresh, publish, store, subscribe, until};
-use common::{configuration, group, replica, weights};
+use common::{cluster_membership, configuration, replica, weights};
 use rstest::rstest;
 use tulipridge_configuration::number::Revision;
 use tulipridge_protocol::feed::{
@@ -56,7 +56,7 @@
         store.borrow_mut().set_configuration(configuration(3, 1));
         store.borrow_mut().set_fleet(Epoch(7), vec![replica("a", 1), replica("b", 1), replica("c", 1)]);
         store.borrow_mut().set_weights(Epoch(7), weights(2));
-        store.borrow_mut().set_group(group(2));
+        store.borrow_mut().set_cluster_membership(cluster_membership(2));
 
         transcript.note("a newcomer gets everything");
         let mut peer = Peer::connect(address).await;
@@ -73,7 +73,7 @@
         transcript.note("changes follow, all before the next answer");
         store.borrow_mut().set_configuration(configuration(5, 3));
         store.borrow_mut().set_fleet(Epoch(7), vec![replica("a", 2), replica("c", 1)]);
-        store.borrow_mut().set_group(group(3));
+        store.borrow_mut().set_cluster_membership(cluster_membership(3));
         publisher.notify();
         transcript.say(&mut peer, ping(3)).await;
         for _ in 0..4 {
--- a/crates/subscription/tests/store.rs
+++ b/crates/subscription/tests/store.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use common::{configuration, group, replica, replica_warming, weights};
+use common::{cluster_membership, configuration, replica, replica_warming, weights};
 use rstest::rstest;
 use tulipridge_configuration::Configuration;
 use tulipridge_configuration::number::Revision;
@@ -34,7 +34,7 @@
     assert_eq!(subscriber.configuration(), publisher.configuration());
     assert_eq!(replicas(subscriber), replicas(publisher));
     assert_eq!(subscriber.weights(), publisher.weights());
-    assert_eq!(subscriber.group(), publisher.group());
+    assert_eq!(subscriber.cluster_membership(), publisher.cluster_membership());
 }
 
 #[test]
@@ -198,19 +198,22 @@
 }
 
 #[test]
-fn the_group_is_sent_to_new_subscribers_and_on_change() {
+fn membership_is_sent_to_new_subscribers_and_on_change() {
     let mut publisher = FeedStore::new();
     assert_eq!(publisher.updates_for(&KnownPositions::default()), vec![]);
-    assert!(publisher.set_group(group(3)));
-    assert!(!publisher.set_group(group(3)));
+    assert!(publisher.set_cluster_membership(cluster_membership(3)));
+    assert!(!publisher.set_cluster_membership(cluster_membership(3)));
     assert_eq!(
         publisher.updates_for(&KnownPositions::default()),
-        vec![ToSubscriber::ClusterMembership(group(3))]
+        vec![ToSubscriber::ClusterMembership(cluster_membership(3))]
     );
     let sent = publisher.newest_positions();
     assert_eq!(publisher.updates_since(&sent), vec![]);
-    assert!(publisher.set_group(group(4)));
-    assert_eq!(publisher.updates_since(&sent), vec![ToSubscriber::ClusterMembership(group(4))]);
+    assert!(publisher.set_cluster_membership(cluster_membership(4)));
+    assert_eq!(
+        publisher.updates_since(&sent),
+        vec![ToSubscriber::ClusterMembership(cluster_membership(4))]
+    );
 }
 
 /// The update of the configuration for a subscriber that knows revision `base`.
@@ -365,7 +368,7 @@
             self.revision += self.random.u64(1..9);
             primary.set_configuration(configuration(self.revision, self.random.u64(..)));
         }
-        primary.set_group(group(self.random.u32(..5)));
+        primary.set_cluster_membership(cluster_membership(self.random.u32(..5)));
         self.reference.record(primary);
     }
 
--- a/crates/subscription/tests/subscriber.rs
+++ b/crates/subscription/tests/subscriber.rs
@@ -9,7 +9,7 @@
 
 use async_executor::LocalExecutor;
 use common::network::{self, Peer, SharedStore, fresh, listener, publish, store, subscriber, until};
-use common::{configuration, group, replica, weights};
+use common::{cluster_membership, configuration, replica, weights};
 use rstest::rstest;
 use tulipridge_configuration::number::Revision;
 use tulipridge_protocol::feed::{FleetUpdate, Position, SubscriberRole, ToPublisher, ToSubscriber};
@@ -45,7 +45,7 @@
     store.set_configuration(configuration(3, 1));
     store.set_fleet(Epoch(7), vec![replica("a", 1), replica("b", 1)]);
     store.set_weights(Epoch(7), weights(2));
-    store.set_group(group(2));
+    store.set_cluster_membership(cluster_membership(2));
 }
 
 #[test]
