--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -95,7 +95,7 @@
     persistence: Persistence,
 ) -> Completion {
     let write_deadline = Instant::now() + WRITE_TIMEOUT;
-    match proxy.timers.by(write_deadline, client.stream.write(bytes)).await {
+    match proxy.timers.timeout_at(write_deadline, client.stream.write(bytes)).await {
         Some(Ok(())) => persistence.into(),
         _ => Completion::Abort,
     }
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -63,7 +63,7 @@
     log::debug!(status = error.status(); "a request can't be read: {error}");
     let mut bytes = Vec::new();
     LocalResponse::plain(error.status()).write(None, Persistence::Close, &mut bytes);
-    if proxy.timers.by(Instant::now() + LINGER_TIMEOUT, stream.write(&bytes)).await.is_some() {
+    if proxy.timers.timeout_at(Instant::now() + LINGER_TIMEOUT, stream.write(&bytes)).await.is_some() {
         lingering_close(stream, limits).await;
     }
 }
--- a/crates/proxy/src/downstream/relay.rs
+++ b/crates/proxy/src/downstream/relay.rs
@@ -121,7 +121,7 @@
         loop {
             self.fill_outbound(&mut response);
             if !self.outbound.is_empty() {
-                match proxy.timers.by(abort_at, client.stream.write(&self.outbound)).await {
+                match proxy.timers.timeout_at(abort_at, client.stream.write(&self.outbound)).await {
                     Some(Ok(())) => self.outbound.clear(),
                     Some(Err(_)) => return RelayEnd::ClientDisconnected,
                     None => return RelayEnd::UpstreamBroken,
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -65,7 +65,7 @@
 ) -> Result<Option<DownstreamRequest>, RequestError> {
     let started = Instant::now();
     let head_deadline = started + Duration::from_millis(proxy.caps().head_wait_ms);
-    let head = match proxy.timers.by(head_deadline, read_head(stream, limits)).await {
+    let head = match proxy.timers.timeout_at(head_deadline, read_head(stream, limits)).await {
         Some(Ok(Some(head))) => head,
         Some(other) => return other.map(|_| None),
         None => return Err(RequestError::TooSlow),
@@ -73,7 +73,7 @@
     let body_deadline = started + time_left(&head).unwrap_or(DEFAULT_BODY_TIMEOUT);
     let mut body_bytes = proxy.count_body_bytes();
     let reading = read_body(proxy, stream, limits, &head, &mut body_bytes);
-    match proxy.timers.by(body_deadline.max(head_deadline), reading).await {
+    match proxy.timers.timeout_at(body_deadline.max(head_deadline), reading).await {
         Some(Ok(Some(body))) => Ok(Some(DownstreamRequest { head, body, started, body_bytes })),
         Some(other) => other.map(|_| None),
         None => Err(RequestError::TooSlow),
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/ready.rs
@@ -45,7 +45,7 @@
                 break head;
             }
             let read_deadline = std::time::Instant::now() + IDLE_TIMEOUT;
-            if !proxy.timers.by(read_deadline, stream.read_more(&limits)).await? {
+            if !proxy.timers.timeout_at(read_deadline, stream.read_more(&limits)).await? {
                 return None;
             }
         };
--- a/crates/proxy/src/timer_queue.rs
+++ b/crates/proxy/src/timer_queue.rs
@@ -60,8 +60,9 @@
         self.sleep_until(Instant::now() + time)
     }
 
-    /// The output of `work` if it is ready by the time `due`. Otherwise None, and `work` is dropped.
-    pub async fn by<T>(&self, due: Instant, work: impl Future<Output = T>) -> Option<T> {
+    /// Runs `work` until the time `due`. Returns its output, or None if it is not ready by then; `work` is then
+    /// dropped.
+    pub async fn timeout_at<T>(&self, due: Instant, work: impl Future<Output = T>) -> Option<T> {
         future::or(async { Some(work.await) }, async {
             self.sleep_until(due).await;
             None
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -500,7 +500,7 @@
     let harness = Harness::start(1);
     // Well before the idle timeout of client connections.
     let timeout_at = Instant::now() + Duration::from_secs(3);
-    let end = harness.run(harness.proxy.timers.by(timeout_at, async {
+    let end = harness.run(harness.proxy.timers.timeout_at(timeout_at, async {
         let mut client = harness.connect().await;
         client.send(&post("/risky/", "t1")).await;
         assert_eq!(status(&client.read_response().await), "200");
--- a/crates/proxy/tests/early_responses.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -74,7 +74,7 @@
     let harness = Harness::start(1);
     harness.script_next_request(&[Step::AwaitHead, write(response("200 OK", "", "early")), Step::Wait]);
     let timeout_at = Instant::now() + Duration::from_secs(5);
-    let responses = harness.run(harness.proxy.timers.by(timeout_at, async {
+    let responses = harness.run(harness.proxy.timers.timeout_at(timeout_at, async {
         let first = harness.send_request(&post_with_long_body("/risky/", "t1")).await;
         support::settle().await;
         [first, harness.send_request(&post("/risky/", "t2")).await]
--- a/crates/proxy/tests/limits.rs
+++ b/crates/proxy/tests/limits.rs
@@ -10,8 +10,8 @@
     let past = Instant::now();
     let timers = TimerQueue::default();
     futures_lite::future::block_on(async {
-        assert_eq!(timers.by(past, std::future::pending::<()>()).await, None);
-        assert_eq!(timers.by(past + Duration::from_secs(9), async { 1 }).await, Some(1));
+        assert_eq!(timers.timeout_at(past, std::future::pending::<()>()).await, None);
+        assert_eq!(timers.timeout_at(past + Duration::from_secs(9), async { 1 }).await, Some(1));
     });
 }
 
--- a/crates/proxy/tests/responses.rs
+++ b/crates/proxy/tests/responses.rs
@@ -124,7 +124,7 @@
     harness.script_next_request(&[Step::Wait]);
     let request = post("/resumable/", "t1").replace("Time-Left-Ms: 6000", "Time-Left-Ms: 500");
     let timeout_at = Instant::now() + Duration::from_secs(9);
-    let response = harness.run(harness.proxy.timers.by(timeout_at, harness.send_request(&request)));
+    let response = harness.run(harness.proxy.timers.timeout_at(timeout_at, harness.send_request(&request)));
     let response = response.expect("a response before the timeout");
     assert!(response.contains("d1") && response.ends_with("(truncated)"), "{response}");
     assert_eq!(harness.arrivals(), 2);
@@ -286,7 +286,7 @@
     let harness = Harness::start(1);
     harness.script_next_request(&[write(stream_head() + &event(1)), Step::Wait]);
     let timeout_at = Instant::now() + Duration::from_secs(5);
-    let ended = harness.run(harness.proxy.timers.by(timeout_at, async {
+    let ended = harness.run(harness.proxy.timers.timeout_at(timeout_at, async {
         let mut client = harness.connect().await;
         client.send(&post("/stream/", "t1")).await;
         client.wait_for("data: d1").await;
--- a/crates/proxy/tests/retry_safety.rs
+++ b/crates/proxy/tests/retry_safety.rs
@@ -181,7 +181,7 @@
     harness.script_next_request(&[Step::Wait]);
     // Well before the request's deadline.
     let timeout_at = Instant::now() + Duration::from_secs(3);
-    let ended = harness.run(harness.proxy.timers.by(timeout_at, async {
+    let ended = harness.run(harness.proxy.timers.timeout_at(timeout_at, async {
         let mut client = harness.connect().await;
         client.send(&post("/risky/", "t1")).await;
         harness.wait_until(|| harness.arrivals() == 1).await;
