--- a/crates/control-plane/src/member/mod.rs
+++ b/crates/control-plane/src/member/mod.rs
@@ -104,7 +104,7 @@
     }
 
     /// Releases the lease, if this member holds it, so that a successor can take over at once.
-    pub fn terminate(&self) {
+    pub fn shut_down(&self) {
         self.step(Input::Shutdown);
     }
 
--- a/crates/control-plane/src/rollout/planner/mod.rs
+++ b/crates/control-plane/src/rollout/planner/mod.rs
@@ -129,8 +129,8 @@
     fn lacking_target(&self, id: &str) -> Option<ModelRevision> {
         let mut targets = self.targets.iter();
         let (model, target) =
-            targets.find(|(model, target)| self.fleet.has_older_weights(id, model, target.desired))?;
-        Some(ModelRevision { model: model.clone(), revision: target.desired })
+            targets.find(|(model, target)| self.fleet.has_older_weights(id, model, target.target))?;
+        Some(ModelRevision { model: model.clone(), revision: target.target })
     }
 
     /// Adds a target that the operator announced, and returns whether it is new.
@@ -244,10 +244,10 @@
     /// older than the target if all replicas have loaded it.
     fn withdraw(&mut self, now: Duration) {
         for (model, target) in &mut self.targets {
-            let is_rollout_complete = self.fleet.is_rollout_complete(model, target.desired);
+            let is_rollout_complete = self.fleet.is_rollout_complete(model, target.target);
             target.expire_due(now);
             if is_rollout_complete {
-                target.withdraw_below(target.desired);
+                target.withdraw_below(target.target);
             }
         }
     }
@@ -256,7 +256,7 @@
         let models: Vec<String> = self.targets.keys().cloned().collect();
         for model in models {
             let target = &self.targets[&model];
-            let weights = ModelRevision { model: model.clone(), revision: target.desired };
+            let weights = ModelRevision { model: model.clone(), revision: target.target };
             for replica in self.select_next(&model, target, now) {
                 let load = Load::start(weights.clone(), now, now + DRAIN_PROPAGATION_TIME);
                 self.loads.insert(replica, load);
@@ -285,7 +285,7 @@
             NextStep::CommandAt(_) => {
                 load.next_step = NextStep::AwaitOutcome;
                 // A newer revision may have been announced after the load started.
-                load.weights.revision = load.weights.revision.max(target.desired);
+                load.weights.revision = load.weights.revision.max(target.target);
                 Some(Action::SendCommand { replica, weights: load.weights.clone() })
             }
             NextStep::ReportAt(_) => {
@@ -309,7 +309,7 @@
     /// When the next load may start, if no load is in progress and some replicas lack their target.
     fn next_start(&self) -> Option<Duration> {
         let lacks_target = |(model, target): (&String, &Target)| {
-            self.fleet.lacking_revision(model, target.desired).next().is_some()
+            self.fleet.lacking_revision(model, target.target).next().is_some()
         };
         if !self.loads.is_empty() || !self.targets.iter().any(lacks_target) {
             return None;
--- a/crates/control-plane/src/rollout/planner/selection.rs
+++ b/crates/control-plane/src/rollout/planner/selection.rs
@@ -46,14 +46,14 @@
     fn urgent(&self) -> impl Iterator<Item = &'a Replica> {
         self.fleet.serving(self.model).filter(|replica| self.is_idle(replica)).filter(|replica| {
             let is_draining = replica.phase == ReplicaPhase::Draining;
-            let minimum = if is_draining { self.target.expired } else { self.target.minimum };
+            let minimum = if is_draining { self.target.expired_below } else { self.target.minimum };
             self.fleet.has_older_weights(&replica.id, self.model, minimum)
         })
     }
 
     /// Idle replicas that lack the target revision but whose weights are not withdrawn.
     fn usable(&self) -> impl Iterator<Item = &'a Replica> {
-        let lacking = self.fleet.lacking_revision(self.model, self.target.desired);
+        let lacking = self.fleet.lacking_revision(self.model, self.target.target);
         let idle = lacking.filter(|replica| self.is_idle(replica));
         idle.filter(|replica| !self.fleet.has_older_weights(&replica.id, self.model, self.target.minimum))
     }
--- a/crates/control-plane/src/rollout/planner/target.rs
+++ b/crates/control-plane/src/rollout/planner/target.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Target {
     /// The newest announced revision.
-    pub(super) desired: WeightsRevision,
+    pub(super) target: WeightsRevision,
     /// The oldest revision that is not withdrawn: only replicas with this revision or a newer one may be sent requests.
     pub(super) minimum: WeightsRevision,
     /// The newest revision whose withdrawal deadline has passed: requests queued on older weights must not start.
-    pub(super) expired: WeightsRevision,
+    pub(super) expired_below: WeightsRevision,
     /// Deadlines that have not passed, ordered by revision.
     deadlines: Vec<Deadline>,
 }
@@ -48,10 +48,10 @@
     /// Adds an announced revision and returns whether it is new. The deadlines of other revisions remain.
     pub(super) fn announce(&mut self, deadline: Deadline) -> bool {
         let is_known = self.deadlines.iter().any(|known| known.revision == deadline.revision);
-        if is_known || deadline.revision <= self.expired {
+        if is_known || deadline.revision <= self.expired_below {
             return false;
         }
-        self.desired = self.desired.max(deadline.revision);
+        self.target = self.target.max(deadline.revision);
         self.deadlines.push(deadline);
         self.deadlines.sort_by_key(|deadline| deadline.revision);
         true
@@ -59,7 +59,7 @@
 
     /// Adopts the target that an earlier primary delivered: revisions that it withdrew remain withdrawn.
     pub(super) fn inherit(&mut self, delivered: &ModelWeights) {
-        self.desired = self.desired.max(delivered.target);
+        self.target = self.target.max(delivered.target);
         self.expire(delivered.expired_below);
         self.withdraw_below(delivered.minimum);
     }
@@ -77,10 +77,10 @@
     }
 
     fn expire(&mut self, revision: WeightsRevision) {
-        self.expired = self.expired.max(revision);
+        self.expired_below = self.expired_below.max(revision);
         self.withdraw_below(revision);
-        let expired = self.expired;
-        self.deadlines.retain(|deadline| deadline.revision > expired);
+        let expired_below = self.expired_below;
+        self.deadlines.retain(|deadline| deadline.revision > expired_below);
     }
 
     /// Deadlines that have not passed, ordered by revision.
@@ -92,9 +92,9 @@
     pub(super) fn to_model_weights(&self, model: &str) -> ModelWeights {
         ModelWeights {
             model: model.to_owned(),
-            target: self.desired,
+            target: self.target,
             minimum: self.minimum,
-            expired_below: self.expired,
+            expired_below: self.expired_below,
         }
     }
 }
--- a/crates/control-plane/src/server/departure.rs
+++ b/crates/control-plane/src/server/departure.rs
@@ -35,7 +35,7 @@
 /// Releases the member's lease and its roles in the view, and returns once its process may exit.
 pub(super) async fn depart(member: &Member, termination_grace_period: Duration) {
     let started = clock::now();
-    member.terminate();
+    member.shut_down();
     loop {
         let departure = member.departure();
         let waited = clock::now().saturating_sub(started);
