--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Snafu)]
 pub enum CallError {
     /// The connection was not established.
-    #[snafu(display("no connection: {source}"))]
+    #[snafu(display("connection not established: {source}"))]
     Connect {
         /// The error of the operating system.
         source: io::Error,
@@ -35,13 +35,13 @@
         source: io::Error,
     },
     /// The received bytes are no valid HTTP message.
-    #[snafu(display("not HTTP: {reason}"))]
+    #[snafu(display("invalid HTTP message: {reason}"))]
     Malformed {
         /// The parser's error.
         reason: &'static str,
     },
     /// The peer closed the connection before the message was complete.
-    #[snafu(display("the connection was closed"))]
+    #[snafu(display("connection closed before the end of the message"))]
     Closed,
 }
 
--- a/crates/fault-injection/tests/responses.rs
+++ b/crates/fault-injection/tests/responses.rs
@@ -68,7 +68,7 @@
 #[case::no_response(ReplicaBehaviour::NoResponse, SHORT_TIMEOUT)]
 #[case::reset(ReplicaBehaviour::Reset, TIMEOUT)]
 #[case::reset_during_the_head(ReplicaBehaviour::ResetDuringHead, TIMEOUT)]
-fn a_risky_request_is_not_retried(#[case] behaviour: ReplicaBehaviour, #[case] timeout: Duration) {
+fn a_non_idempotent_request_is_not_retried(#[case] behaviour: ReplicaBehaviour, #[case] timeout: Duration) {
     let deployment = start_with_two_replicas("risky");
     // Fills the retry budget, so that it is not an empty budget that prevents a retry.
     for number in 0..CLIENTS {
@@ -102,7 +102,7 @@
 
 /// The counterpart: a request that may run twice is retried, so the test above can fail.
 #[test]
-fn a_harmless_request_is_retried_after_a_reset() {
+fn an_idempotent_request_is_retried_after_a_reset() {
     let deployment = start_with_two_replicas("harmless");
     for number in 0..CLIENTS {
         let id = format!("calm-{number}");
