--- a/crates/configuration/src/configuration_state.rs
+++ b/crates/configuration/src/configuration_state.rs
@@ -8,7 +8,7 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 
 use crate::document::Document;
-use crate::encoding::{self, EncodingError, Format};
+use crate::encoding::{self, DecodeError, Format};
 use crate::entry::{self, ApplyError, ChangeContent, ChangeEntry};
 use crate::fields::REVISION;
 use crate::number::Revision;
@@ -53,7 +53,7 @@
     /// The document of the entry is in force.
     Applied,
     /// No effect: an earlier entry of the same request was applied.
-    Repeated,
+    Duplicate,
     /// No effect: another request replaced the configuration on which the entry builds.
     Superseded,
 }
@@ -72,7 +72,7 @@
     #[snafu(display("cannot decode the configuration snapshot: {source}"))]
     Encoding {
         /// Error of the decoder.
-        source: EncodingError,
+        source: DecodeError,
     },
     /// The configuration in the snapshot is invalid.
     #[snafu(display("the configuration in the snapshot is invalid: {source}"))]
@@ -215,7 +215,7 @@
     /// The effect of an entry on this state, provided that applying it gives the accepted result.
     fn outcome_of(&self, entry: &ChangeEntry) -> EntryOutcome {
         if self.recent_requests.contains(&entry.request()) {
-            return EntryOutcome::Repeated;
+            return EntryOutcome::Duplicate;
         }
         match entry.base().revision == self.revision() {
             true => EntryOutcome::Applied,
--- a/crates/configuration/src/difference.rs
+++ b/crates/configuration/src/difference.rs
@@ -4,7 +4,7 @@
 
 use musli::{Decode, Encode};
 
-use crate::model::{Caps, Configuration, Labelled, Route, Service, Tenant};
+use crate::model::{ClientLimits, Configuration, Labelled, Route, Service, Tenant};
 use crate::number::Revision;
 
 /// Changes from one revision to another. Items are identified by their labels.
@@ -27,7 +27,7 @@
     /// Labels of the removed tenants.
     pub removed_tenants: Vec<String>,
     /// The new limits on clients; `None` if they are unchanged.
-    pub caps: Option<Caps>,
+    pub caps: Option<ClientLimits>,
     /// The new value of [`Configuration::requires_key`]; `None` if it is unchanged.
     pub requires_key: Option<bool>,
 }
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -18,7 +18,7 @@
 
 /// Reason why bytes can't be decoded.
 #[derive(Debug, Snafu)]
-pub enum EncodingError {
+pub enum DecodeError {
     /// The bytes have another format.
     #[snafu(display("the bytes do not have the format {expected:?}"))]
     FormatMismatch {
@@ -55,15 +55,14 @@
 ///
 /// # Errors
 ///
-/// [`EncodingError`] if the bytes have another format, or are truncated or damaged.
-pub fn decode<'de, T>(format: Format, bytes: &'de [u8]) -> Result<T, EncodingError>
+/// [`DecodeError`] if the bytes have another format, or are truncated or damaged.
+pub fn decode<'de, T>(format: Format, bytes: &'de [u8]) -> Result<T, DecodeError>
 where
     T: Decode<'de, Binary, musli::alloc::Global>,
 {
-    let payload =
-        bytes.strip_prefix(&format.0).ok_or(EncodingError::FormatMismatch { expected: format })?;
+    let payload = bytes.strip_prefix(&format.0).ok_or(DecodeError::FormatMismatch { expected: format })?;
     let (checksum, payload) =
-        payload.split_first_chunk::<CHECKSUM_BYTES>().ok_or(EncodingError::ChecksumMismatch)?;
+        payload.split_first_chunk::<CHECKSUM_BYTES>().ok_or(DecodeError::ChecksumMismatch)?;
     ensure!(*checksum == xxh3_64(payload).to_le_bytes(), ChecksumMismatchSnafu);
     musli::wire::from_slice(payload).context(MalformedSnafu)
 }
--- a/crates/configuration/src/json/scalars.rs
+++ b/crates/configuration/src/json/scalars.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// A route's kind. An unknown name is deserialized as [`RouteKind::Risky`], whose requests run at most once.
+/// A route's kind. An unknown name is deserialized as [`RouteKind::NonIdempotent`], whose requests run at most once.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JsonRouteKind(pub RouteKind);
 
@@ -54,9 +54,9 @@
 
     fn visit_str<E: Error>(self, text: &str) -> Result<JsonRouteKind, E> {
         let kind = match text {
-            "harmless" => RouteKind::Harmless,
+            "harmless" => RouteKind::Idempotent,
             "stream" => RouteKind::Stream,
-            _ => RouteKind::Risky,
+            _ => RouteKind::NonIdempotent,
         };
         Ok(JsonRouteKind(kind))
     }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -29,7 +29,9 @@
 pub use document::{Document, DocumentVersion};
 pub use entry::{ApplyError, ChangeEntry};
 pub use lookup::RoutingTable;
-pub use model::{Caps, Configuration, Route, RouteKind, Service, ServiceRuntime, ServiceWeight, Tenant};
+pub use model::{
+    ClientLimits, Configuration, Route, RouteKind, Service, ServiceRuntime, ServiceWeight, Tenant,
+};
 pub use patch::Patch;
 pub use recent_requests::{MAX_RECENT_REQUESTS, RecentRequests};
 pub use request_digest::RequestDigest;
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -5,7 +5,7 @@
 
 use musli::{Decode, Encode};
 
-use crate::number::{Rank, Revision};
+use crate::number::{Priority, Revision};
 
 /// A complete configuration of one revision.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
@@ -17,7 +17,7 @@
     /// Services with replicas, and KV cache stores.
     pub services: Vec<Service>,
     /// Limits on the requests and connections of clients.
-    pub caps: Caps,
+    pub caps: ClientLimits,
     /// Whether requests need a tenant's API key unless their route is public. True if the document has a list of
     /// tenants, even an empty one, so that the removal of the last tenant doesn't make the routes public.
     pub requires_key: bool,
@@ -41,7 +41,7 @@
     /// Latency target of a response, or of a stream's first event, in milliseconds. A later response is worth less.
     pub target_ms: u64,
     /// Priority of the requests; 0 is the highest.
-    pub rank: Rank,
+    pub rank: Priority,
     /// Services among which the requests are split; one entry for a single service.
     pub service_weights: Vec<ServiceWeight>,
     /// Maximum number of attempts per request; at least 1.
@@ -59,10 +59,10 @@
 /// Whether a request may be retried after it has reached a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RouteKind {
-    /// Idempotent: a request may run more than once.
-    Harmless,
-    /// Not idempotent: a request runs at most once.
-    Risky,
+    /// A request may run more than once.
+    Idempotent,
+    /// A request runs at most once.
+    NonIdempotent,
     /// The response is an event stream. Requests are idempotent only if the route is resumable.
     Stream,
 }
@@ -114,7 +114,7 @@
 
 /// Limits on the requests and connections of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Caps {
+pub struct ClientLimits {
     /// Maximum size of a request's head (request line and header fields), in bytes.
     pub head_bytes: u64,
     /// Maximum size of a request's body, in bytes.
@@ -125,9 +125,9 @@
     pub idle_ms: u64,
 }
 
-impl Default for Caps {
+impl Default for ClientLimits {
     fn default() -> Self {
-        Caps { head_bytes: 16_384, body_bytes: 4_194_304, head_wait_ms: 3_000, idle_ms: 15_000 }
+        ClientLimits { head_bytes: 16_384, body_bytes: 4_194_304, head_wait_ms: 3_000, idle_ms: 15_000 }
     }
 }
 
@@ -139,7 +139,7 @@
     /// API keys; each key belongs to one tenant only.
     pub api_keys: Vec<String>,
     /// Priority that overrides that of the route; `None` leaves the route's.
-    pub rank: Option<Rank>,
+    pub rank: Option<Priority>,
     /// Whether the tenant's prompts share no KV cache with those of other tenants.
     pub isolated: bool,
 }
--- a/crates/configuration/src/number.rs
+++ b/crates/configuration/src/number.rs
@@ -1,13 +1,13 @@
-//! Integer newtypes, so that a revision can't be mistaken for a rank, or an epoch for a sequence number.
+//! Integer newtypes, so that a revision can't be mistaken for a priority, or an epoch for a sequence number.
 //!
-//! [`numbers`](crate::numbers) defines such types, here and in the packages that depend on this one. Their binary
-//! encoding and text are those of the plain integer.
+//! [`integer_newtypes`](crate::integer_newtypes) defines such types, here and in the packages that depend on this one.
+//! Their binary encoding and text are those of the plain integer.
 
 /// Defines integer newtypes whose binary encoding, `Display` and `Debug` text are those of the integer.
 ///
 /// The calling package must depend on `musli`.
 #[macro_export]
-macro_rules! numbers {
+macro_rules! integer_newtypes {
     ($($(#[$attribute:meta])* $name:ident($representation:ty);)+) => {$(
         $(#[$attribute])*
         #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, ::musli::Encode, ::musli::Decode)]
@@ -30,7 +30,7 @@
 
 /// Implements `next` and `checked_next` for integer newtypes whose values increase in steps of one.
 #[macro_export]
-macro_rules! counted {
+macro_rules! sequential_newtypes {
     ($($name:ident),+) => {$(
         impl $name {
             /// The next number; `None` after the largest.
@@ -52,7 +52,7 @@
     )+};
 }
 
-numbers! {
+integer_newtypes! {
     /// The revision of a configuration, which the operator chooses. Revisions rise in uneven steps; 0 means that no
     /// configuration is in force.
     #[derive(serde::Serialize, serde::Deserialize)]
@@ -63,5 +63,5 @@
     #[serde(transparent)]
     WeightsRevision(u64);
     /// The priority of the requests of a tenant or a route; 0 is the highest, and greater numbers are lower.
-    Rank(u8);
+    Priority(u8);
 }
--- a/crates/configuration/src/parse/mod.rs
+++ b/crates/configuration/src/parse/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::fields::{LABEL, REVISION};
 use crate::json::{JsonCaps, JsonDocument, Object, UnsignedNumber};
-use crate::model::{Caps, Configuration, Labelled};
+use crate::model::{ClientLimits, Configuration, Labelled};
 use crate::number::Revision;
 use crate::validation_error::{ValidationErrorKind, ValidationErrors};
 
@@ -102,10 +102,10 @@
     }
 }
 
-fn caps(json: JsonCaps) -> Caps {
-    let default = Caps::default();
+fn caps(json: JsonCaps) -> ClientLimits {
+    let default = ClientLimits::default();
     let or_default = |value: Option<UnsignedNumber>, default: u64| value.map_or(default, |value| value.0);
-    Caps {
+    ClientLimits {
         head_bytes: or_default(json.head_size_bytes, default.head_bytes),
         body_bytes: or_default(json.body_size_bytes, default.body_bytes),
         head_wait_ms: or_default(json.head_wait_ms, default.head_wait_ms),
--- a/crates/configuration/src/parse/routes.rs
+++ b/crates/configuration/src/parse/routes.rs
@@ -6,7 +6,7 @@
 use crate::fields::{LABEL, ROUTES};
 use crate::json::{JsonRoute, JsonServiceWeight, Object, UnsignedNumber};
 use crate::model::{Route, RouteKind, ServiceWeight};
-use crate::number::Rank;
+use crate::number::Priority;
 use crate::validation_error::ValidationErrorKind;
 
 /// Weight of a route's only service, given as `backend`.
@@ -34,10 +34,10 @@
             label: self.non_empty_string(item, LABEL, json.label),
             host: self.host(item, json.hostname),
             path_prefix: self.path_prefix(item, json.path_start),
-            kind: json.sort.map_or(RouteKind::Risky, |kind| kind.0),
+            kind: json.sort.map_or(RouteKind::NonIdempotent, |kind| kind.0),
             time_limit_ms,
             target_ms: json.target_ms.map_or(time_limit_ms, |target| target.0),
-            rank: Rank(json.rank.unwrap_or_default().saturating_to_u8()),
+            rank: Priority(json.rank.unwrap_or_default().saturating_to_u8()),
             service_weights: self.service_weights(item, json.backend, json.shares),
             max_attempts: json.tries.map_or(1, |attempts| attempts.saturating_to_u32().max(1)),
             public: json.public.unwrap_or_default(),
--- a/crates/configuration/src/parse/tenants.rs
+++ b/crates/configuration/src/parse/tenants.rs
@@ -6,7 +6,7 @@
 use crate::fields::{LABEL, TENANTS};
 use crate::json::{JsonTenant, Object};
 use crate::model::Tenant;
-use crate::number::Rank;
+use crate::number::Priority;
 use crate::validation_error::ValidationErrorKind;
 
 impl Parser {
@@ -20,7 +20,7 @@
         Tenant {
             label: self.non_empty_string(item, LABEL, json.label),
             api_keys: json.api_keys.unwrap_or_default(),
-            rank: json.rank.map(|rank| Rank(rank.saturating_to_u8())),
+            rank: json.rank.map(|rank| Priority(rank.saturating_to_u8())),
             isolated: json.isolated.unwrap_or_default(),
         }
     }
--- a/crates/configuration/tests/difference.rs
+++ b/crates/configuration/tests/difference.rs
@@ -1,9 +1,9 @@
 //! Computation and application of the changes between two configurations.
 
 use tulipridge_configuration::difference::{apply, difference};
-use tulipridge_configuration::number::{Rank, Revision};
+use tulipridge_configuration::number::{Priority, Revision};
 use tulipridge_configuration::{
-    Caps, Configuration, ConfigurationChanges, Route, RouteKind, Service, ServiceWeight, Tenant,
+    ClientLimits, Configuration, ConfigurationChanges, Route, RouteKind, Service, ServiceWeight, Tenant,
 };
 
 const LABEL_COUNT: usize = 12;
@@ -14,10 +14,10 @@
         label: format!("r{label}"),
         host: "h".to_owned(),
         path_prefix: format!("/{label}/"),
-        kind: RouteKind::Harmless,
+        kind: RouteKind::Idempotent,
         time_limit_ms: 1 + variant,
         target_ms: 1,
-        rank: Rank(0),
+        rank: Priority(0),
         service_weights: vec![ServiceWeight { service: "s0".to_owned(), weight: 1.0 }],
         max_attempts: 1,
         public: false,
@@ -52,7 +52,7 @@
         revision: Revision(revision),
         routes: random_items(random, route),
         services: random_items(random, service),
-        caps: Caps { idle_ms: random.u64(0..VARIANT_COUNT), ..Caps::default() },
+        caps: ClientLimits { idle_ms: random.u64(0..VARIANT_COUNT), ..ClientLimits::default() },
         requires_key: random.bool(),
         tenants: random_items(random, tenant),
     }
@@ -82,7 +82,7 @@
         revision: Revision(3),
         routes: vec![route(0, 0), route(1, 0), route(2, 0)],
         services: vec![service(0, 0)],
-        caps: Caps::default(),
+        caps: ClientLimits::default(),
         requires_key: true,
         tenants: vec![tenant(0, 0)],
     };
@@ -90,7 +90,7 @@
         revision: Revision(5),
         routes: vec![route(2, 0), route(1, 1), route(3, 0)],
         services: vec![service(0, 0), service(1, 0)],
-        caps: Caps::default(),
+        caps: ClientLimits::default(),
         requires_key: true,
         tenants: Vec::new(),
     };
@@ -124,7 +124,7 @@
 #[test]
 fn changes_contain_changed_caps() {
     let old = Configuration::default();
-    let caps = Caps { idle_ms: 1, ..Caps::default() };
+    let caps = ClientLimits { idle_ms: 1, ..ClientLimits::default() };
     let new = Configuration { caps, ..Configuration::default() };
     let changes = difference(&old, &new);
     assert_eq!(changes.caps, Some(caps));
--- a/crates/configuration/tests/encoding.rs
+++ b/crates/configuration/tests/encoding.rs
@@ -1,7 +1,7 @@
 //! Binary encoding: round trip, and errors for damaged bytes.
 
 use rstest::rstest;
-use tulipridge_configuration::encoding::{EncodingError, Format, decode, encode};
+use tulipridge_configuration::encoding::{DecodeError, Format, decode, encode};
 
 const FORMAT: Format = Format(*b"TST1");
 
@@ -21,7 +21,7 @@
 #[case::text(b"{\"revision\":1}")]
 fn bytes_of_another_format_are_an_error(#[case] bytes: &[u8]) {
     let error = decode::<Vec<u64>>(FORMAT, bytes).expect_err("the bytes are of another format");
-    assert!(matches!(error, EncodingError::FormatMismatch { expected: FORMAT }), "{error}");
+    assert!(matches!(error, DecodeError::FormatMismatch { expected: FORMAT }), "{error}");
 }
 
 #[test]
@@ -44,11 +44,11 @@
 #[test]
 fn trailing_bytes_are_an_error() {
     let bytes = [sample_bytes(), vec![0]].concat();
-    assert!(matches!(decode::<Vec<u64>>(FORMAT, &bytes), Err(EncodingError::ChecksumMismatch)));
+    assert!(matches!(decode::<Vec<u64>>(FORMAT, &bytes), Err(DecodeError::ChecksumMismatch)));
 }
 
 #[test]
 fn complete_bytes_of_another_type_are_an_error() {
     let bytes = encode(FORMAT, &"text".to_owned());
-    assert!(matches!(decode::<Vec<u64>>(FORMAT, &bytes), Err(EncodingError::Malformed { .. })));
+    assert!(matches!(decode::<Vec<u64>>(FORMAT, &bytes), Err(DecodeError::Malformed { .. })));
 }
--- a/crates/configuration/tests/entry.rs
+++ b/crates/configuration/tests/entry.rs
@@ -141,7 +141,7 @@
     let first = put_entry(&state, &sample_with("/revision", json!(9)));
     let concurrent = put_entry(&state, &sample_with("/revision", json!(10)));
     assert_eq!(state.apply_entry(&first).expect("the base is in force"), EntryOutcome::Applied);
-    assert_eq!(state.apply_entry(&first).expect("it was applied"), EntryOutcome::Repeated);
+    assert_eq!(state.apply_entry(&first).expect("it was applied"), EntryOutcome::Duplicate);
     assert_eq!(state.apply_entry(&concurrent).expect("its base was replaced"), EntryOutcome::Superseded);
     assert_eq!(state.revision(), Revision(9));
 }
--- a/crates/configuration/tests/lookup.rs
+++ b/crates/configuration/tests/lookup.rs
@@ -4,7 +4,7 @@
 
 use common::{body, sample};
 use rstest::rstest;
-use tulipridge_configuration::number::Rank;
+use tulipridge_configuration::number::Priority;
 use tulipridge_configuration::{
     Configuration, Document, Route, RouteKind, RoutingTable, ServiceWeight, Tenant,
 };
@@ -16,10 +16,10 @@
         label: format!("{host}{path_prefix}"),
         host: host.to_owned(),
         path_prefix: path_prefix.to_owned(),
-        kind: RouteKind::Risky,
+        kind: RouteKind::NonIdempotent,
         time_limit_ms: 1000,
         target_ms: 100,
-        rank: Rank(0),
+        rank: Priority(0),
         service_weights: weights.iter().map(service_weight).collect(),
         max_attempts: 1,
         public: true,
--- a/crates/configuration/tests/parse.rs
+++ b/crates/configuration/tests/parse.rs
@@ -5,8 +5,10 @@
 use common::{body, sample, sample_with, sample_without};
 use rstest::rstest;
 use serde_json::{Value, json};
-use tulipridge_configuration::number::{Rank, Revision};
-use tulipridge_configuration::{Caps, Document, RouteKind, Service, ServiceWeight, ValidationErrorKind};
+use tulipridge_configuration::number::{Priority, Revision};
+use tulipridge_configuration::{
+    ClientLimits, Document, RouteKind, Service, ServiceWeight, ValidationErrorKind,
+};
 
 /// The error report of an invalid document.
 fn report_on(document: &Value) -> String {
@@ -81,11 +83,11 @@
     });
     let document = Document::parse(&body(&document)).expect("a valid document");
     let configuration = document.configuration();
-    assert_eq!(configuration.caps, Caps::default());
+    assert_eq!(configuration.caps, ClientLimits::default());
     assert!(configuration.tenants.is_empty());
     assert!(!configuration.requires_key);
     let route = &configuration.routes[0];
-    assert_eq!((route.kind, route.max_attempts, route.rank), (RouteKind::Risky, 1, Rank(0)));
+    assert_eq!((route.kind, route.max_attempts, route.rank), (RouteKind::NonIdempotent, 1, Priority(0)));
     assert_eq!(route.target_ms, 50);
     assert_eq!(route.service_weights, [ServiceWeight { service: "s".to_owned(), weight: 1.0 }]);
     let health_path = "/health".to_owned();
--- a/crates/configuration/tests/patch.rs
+++ b/crates/configuration/tests/patch.rs
@@ -82,7 +82,7 @@
     assert_eq!(document.configuration().caps.idle_ms, 5);
     assert_eq!(
         document.configuration().caps.head_bytes,
-        tulipridge_configuration::Caps::default().head_bytes
+        tulipridge_configuration::ClientLimits::default().head_bytes
     );
 }
 
--- a/crates/control-plane/src/state/command.rs
+++ b/crates/control-plane/src/state/command.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use musli::{Decode, Encode};
-use tulipridge_configuration::encoding::{self, EncodingError, Format};
+use tulipridge_configuration::encoding::{self, DecodeError, Format};
 use tulipridge_configuration::number::WeightsRevision;
 use tulipridge_configuration::{AcceptedChange, ChangeEntry};
 
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// If the bytes have another format.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Command, EncodingError> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Command, DecodeError> {
         encoding::decode(COMMAND_FORMAT, bytes)
     }
 
--- a/crates/control-plane/src/state/mod.rs
+++ b/crates/control-plane/src/state/mod.rs
@@ -9,7 +9,7 @@
 use musli::{Decode, Encode};
 use snafu::{OptionExt, ResultExt, Snafu};
 use tulipridge_configuration::configuration_state::Decision as ConfigurationDecision;
-use tulipridge_configuration::encoding::{self, EncodingError, Format};
+use tulipridge_configuration::encoding::{self, DecodeError, Format};
 use tulipridge_configuration::number::{Revision, WeightsRevision};
 use tulipridge_configuration::{
     ApplyError, ConfigurationState, Document, EntryOutcome, SnapshotError, ValidationErrors,
@@ -90,7 +90,7 @@
     #[snafu(display("failed to decode the replicated state: {source}"))]
     Encoding {
         /// Why.
-        source: EncodingError,
+        source: DecodeError,
     },
     /// The configuration in a snapshot can't be restored.
     #[snafu(display("failed to restore the configuration from a snapshot: {source}"))]
@@ -240,7 +240,7 @@
 
 fn configuration_applied(outcome: EntryOutcome) -> Applied {
     match outcome {
-        EntryOutcome::Applied | EntryOutcome::Repeated => Applied::Configuration,
+        EntryOutcome::Applied | EntryOutcome::Duplicate => Applied::Configuration,
         EntryOutcome::Superseded => Applied::Superseded,
     }
 }
--- a/crates/protocol/src/node.rs
+++ b/crates/protocol/src/node.rs
@@ -4,9 +4,9 @@
 use std::net::Ipv4Addr;
 
 use musli::{Decode, Encode};
-use tulipridge_configuration::numbers;
+use tulipridge_configuration::integer_newtypes;
 
-numbers! {
+integer_newtypes! {
     /// Distinguishes incarnations of a process on one machine: a member's by its disk, an agent's by its start.
     Generation(u64);
 }
--- a/crates/protocol/src/number.rs
+++ b/crates/protocol/src/number.rs
@@ -1,8 +1,8 @@
 //! Numbers that order the state of the control plane's members and of subscribers.
 
-use tulipridge_configuration::{counted, numbers};
+use tulipridge_configuration::{integer_newtypes, sequential_newtypes};
 
-numbers! {
+integer_newtypes! {
     /// An epoch of the control plane, under which at most one member is primary. The upper 32 bits are a counter and 8
     /// bits of the proposer's generation, the lower 32 bits its address, so that no two proposers share an epoch. 0 is
     /// below all epochs.
@@ -14,4 +14,4 @@
     ChangeNumber(u64);
 }
 
-counted!(SequenceNumber, ChangeNumber);
+sequential_newtypes!(SequenceNumber, ChangeNumber);
--- a/crates/protocol/tests/support/configurations.rs
+++ b/crates/protocol/tests/support/configurations.rs
@@ -1,9 +1,9 @@
 //! Configurations and changes for tests of the encoding.
 
-use tulipridge_configuration::number::{Rank, Revision};
+use tulipridge_configuration::number::{Priority, Revision};
 use tulipridge_configuration::{
-    Caps, Configuration, ConfigurationChanges, Route, RouteKind, Service, ServiceRuntime, ServiceWeight,
-    Tenant,
+    ClientLimits, Configuration, ConfigurationChanges, Route, RouteKind, Service, ServiceRuntime,
+    ServiceWeight, Tenant,
 };
 
 /// A configuration whose values reveal swapped neighbouring fields.
@@ -12,7 +12,12 @@
         revision: Revision(70_001),
         routes: vec![streamed_route(), plain_route(), repeatable_route()],
         services: vec![model_service(), store()],
-        caps: Caps { head_bytes: 8_192, body_bytes: 1_000_000, head_wait_ms: 2_000, idle_ms: 9_000 },
+        caps: ClientLimits {
+            head_bytes: 8_192,
+            body_bytes: 1_000_000,
+            head_wait_ms: 2_000,
+            idle_ms: 9_000,
+        },
         requires_key: true,
         tenants: vec![isolated_tenant(), plain_tenant()],
     }
@@ -29,7 +34,7 @@
         removed_services: vec!["service-gone".to_owned()],
         tenants: vec![plain_tenant()],
         removed_tenants: vec!["tenant-gone".to_owned()],
-        caps: Some(Caps { head_bytes: 1, body_bytes: 2, head_wait_ms: 3, idle_ms: 4 }),
+        caps: Some(ClientLimits { head_bytes: 1, body_bytes: 2, head_wait_ms: 3, idle_ms: 4 }),
         requires_key: Some(false),
     }
 }
@@ -52,7 +57,7 @@
         kind: RouteKind::Stream,
         time_limit_ms: 8_000,
         target_ms: 400,
-        rank: Rank(1),
+        rank: Priority(1),
         service_weights: vec![
             ServiceWeight { service: "alpha".to_owned(), weight: 90.5 },
             ServiceWeight { service: "beta".to_owned(), weight: 9.5 },
@@ -68,7 +73,7 @@
 fn plain_route() -> Route {
     Route {
         label: "route-plain".to_owned(),
-        kind: RouteKind::Risky,
+        kind: RouteKind::NonIdempotent,
         service_weights: vec![ServiceWeight { service: "gamma".to_owned(), weight: 1.0 }],
         public: true,
         pinned: false,
@@ -80,7 +85,7 @@
 fn repeatable_route() -> Route {
     Route {
         label: "route-repeatable".to_owned(),
-        kind: RouteKind::Harmless,
+        kind: RouteKind::Idempotent,
         public: false,
         pinned: false,
         resumable: true,
@@ -124,7 +129,7 @@
     Tenant {
         label: "acme".to_owned(),
         api_keys: vec!["key-a1".to_owned(), "key-a2".to_owned()],
-        rank: Some(Rank(1)),
+        rank: Some(Priority(1)),
         isolated: true,
     }
 }
--- a/crates/proxy/src/active_configuration.rs
+++ b/crates/proxy/src/active_configuration.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tulipridge_configuration::{Caps, Configuration};
+use tulipridge_configuration::{ClientLimits, Configuration};
 use tulipridge_http1::Http1Limits;
 
 use crate::admission::Routing;
@@ -29,7 +29,7 @@
     pub fn new(gate: FreshnessGate, age: ConfigurationAge) -> ActiveConfiguration {
         ActiveConfiguration {
             routing: RefCell::default(),
-            client_limits: RefCell::new(Rc::new(client_limits(&Caps::default()))),
+            client_limits: RefCell::new(Rc::new(client_limits(&ClientLimits::default()))),
             gate: Cell::new(gate),
             age,
         }
@@ -66,7 +66,10 @@
     }
 
     /// The operator's caps on clients.
-    pub fn caps(&self) -> Caps {
-        self.routing.borrow().as_ref().map_or_else(Caps::default, |routing| routing.configuration.caps)
+    pub fn caps(&self) -> ClientLimits {
+        self.routing
+            .borrow()
+            .as_ref()
+            .map_or_else(ClientLimits::default, |routing| routing.configuration.caps)
     }
 }
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use tulipridge_configuration::lookup::RoutingTable;
-use tulipridge_configuration::number::{Rank, WeightsRevision};
+use tulipridge_configuration::number::{Priority, WeightsRevision};
 use tulipridge_configuration::{Configuration, Route, ServiceWeight, Tenant};
 use tulipridge_http1::codec::Head;
 
@@ -109,7 +109,7 @@
 
     /// The operator-set rank, 0 first: that of the tenant if it has one, otherwise that of the route.
     #[must_use]
-    pub fn rank(&self) -> Rank {
+    pub fn rank(&self) -> Priority {
         let tenant_rank = self.tenant().and_then(|tenant| tenant.rank);
         tenant_rank.unwrap_or(self.route().rank)
     }
--- a/crates/proxy/src/bounds.rs
+++ b/crates/proxy/src/bounds.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use tulipridge_configuration::Caps;
+use tulipridge_configuration::ClientLimits;
 use tulipridge_http1::Http1Limits;
 
 use crate::notify::Notify;
@@ -142,7 +142,7 @@
 
 /// The HTTP limits of clients' connections.
 #[must_use]
-pub fn client_limits(caps: &Caps) -> Http1Limits {
+pub fn client_limits(caps: &ClientLimits) -> Http1Limits {
     Http1Limits {
         head_bytes: caps.head_bytes as usize,
         headers: MAX_HEADERS,
--- a/crates/proxy/src/placement/urgency.rs
+++ b/crates/proxy/src/placement/urgency.rs
@@ -5,7 +5,7 @@
 //! with considerably more tokens to prefill than the mean is lowered by 1 to 3 ranks: short prefills precede long ones
 //! that would delay others, and among requests of similar length the rank decides.
 
-use tulipridge_configuration::number::Rank;
+use tulipridge_configuration::number::Priority;
 
 /// The lowest priority that replicas support.
 const LAST_PRIORITY: u8 = 9;
@@ -22,7 +22,7 @@
 
 impl Urgency {
     /// The priority, 0 first, of a request with this rank and `unread_tokens` to prefill. Adds the request to the mean.
-    pub fn priority(&mut self, rank: Rank, unread_tokens: u32) -> u8 {
+    pub fn priority(&mut self, rank: Priority, unread_tokens: u32) -> u8 {
         let unread = f64::from(unread_tokens);
         let mean = self.mean_tokens.unwrap_or(unread);
         self.mean_tokens = Some(mean + MEAN_GAIN * (unread - mean));
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use tulipridge_configuration::Caps;
+use tulipridge_configuration::ClientLimits;
 use tulipridge_http1::Http1Limits;
 use tulipridge_http1::codec::Head;
 use tulipridge_protocol::feed::ModelRevision;
@@ -99,7 +99,7 @@
     }
 
     /// The operator's caps on clients.
-    pub fn caps(&self) -> Caps {
+    pub fn caps(&self) -> ClientLimits {
         self.configuration.caps()
     }
 
--- a/crates/proxy/src/replica/request_kind.rs
+++ b/crates/proxy/src/replica/request_kind.rs
@@ -24,8 +24,8 @@
     #[must_use]
     pub fn of(route: &Route) -> RequestKind {
         match route.kind {
-            RouteKind::Harmless => RequestKind::Safe,
-            RouteKind::Risky => RequestKind::Unsafe,
+            RouteKind::Idempotent => RequestKind::Safe,
+            RouteKind::NonIdempotent => RequestKind::Unsafe,
             RouteKind::Stream if route.resumable => RequestKind::ResumableStream,
             RouteKind::Stream => RequestKind::Stream,
         }
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -359,7 +359,8 @@
         assert_eq!(status(&harness.send_request(&post("/new/", "t1")).await), "404");
         harness.proxy.set_configuration(changed_configuration(|configuration| {
             configuration.services.push(Service { label: "second".to_owned(), ..Service::default() });
-            let mut route = support::route("new", "/new/", tulipridge_configuration::RouteKind::Risky);
+            let mut route =
+                support::route("new", "/new/", tulipridge_configuration::RouteKind::NonIdempotent);
             route.service_weights = vec![ServiceWeight { service: "second".to_owned(), weight: 1.0 }];
             configuration.routes.push(route);
         }));
--- a/crates/proxy/tests/placement.rs
+++ b/crates/proxy/tests/placement.rs
@@ -169,8 +169,12 @@
     configuration.routes.remove(0);
     let risky = configuration.routes.iter_mut().find(|route| route.label == "risky").expect("a route");
     // Requests of this route are idempotent from now on.
-    risky.kind = tulipridge_configuration::RouteKind::Harmless;
-    configuration.routes.push(support::route("new", "/new/", tulipridge_configuration::RouteKind::Risky));
+    risky.kind = tulipridge_configuration::RouteKind::Idempotent;
+    configuration.routes.push(support::route(
+        "new",
+        "/new/",
+        tulipridge_configuration::RouteKind::NonIdempotent,
+    ));
     placement.configure(&configuration);
     assert_eq!(placement.class("risky"), Some(before));
     assert_eq!(placement.class("harmless"), Some(ClassIndex(0)));
@@ -185,7 +189,7 @@
 #[case::stated(400, 400)]
 #[case::derived_from_the_time_limit(0, 2_000)]
 fn a_route_without_a_target_gets_a_latency_target(#[case] stated_ms: u64, #[case] expected_ms: u64) {
-    let route = support::route("risky", "/risky/", tulipridge_configuration::RouteKind::Risky);
+    let route = support::route("risky", "/risky/", tulipridge_configuration::RouteKind::NonIdempotent);
     let route = tulipridge_configuration::Route { target_ms: stated_ms, ..route };
     assert_eq!(placement::latency_target(&route), Duration::from_millis(expected_ms));
 }
--- a/crates/proxy/tests/retry_safety.rs
+++ b/crates/proxy/tests/retry_safety.rs
@@ -150,7 +150,7 @@
         // From now on the load balancer regards the request as idempotent, and finds no replica for it.
         let mut configuration = support::configuration();
         configuration.routes.iter_mut().for_each(|route| {
-            route.kind = tulipridge_configuration::RouteKind::Harmless;
+            route.kind = tulipridge_configuration::RouteKind::Idempotent;
             route.target_ms = 50;
         });
         harness.proxy.set_configuration(configuration.into());
--- a/crates/proxy/tests/support/fixtures.rs
+++ b/crates/proxy/tests/support/fixtures.rs
@@ -1,7 +1,9 @@
 //! The default configuration, settings and replica list of the tests.
 
-use tulipridge_configuration::number::{Rank, Revision, WeightsRevision};
-use tulipridge_configuration::{Caps, Configuration, Route, RouteKind, Service, ServiceWeight, Tenant};
+use tulipridge_configuration::number::{Priority, Revision, WeightsRevision};
+use tulipridge_configuration::{
+    ClientLimits, Configuration, Route, RouteKind, Service, ServiceWeight, Tenant,
+};
 use tulipridge_protocol::feed::{ModelRevision, Replica, ReplicaPhase};
 use tulipridge_runtime::settings::Settings;
 
@@ -25,7 +27,7 @@
         kind,
         time_limit_ms: 8000,
         target_ms: 2000,
-        rank: Rank(1),
+        rank: Priority(1),
         service_weights: vec![ServiceWeight { service: "service".to_owned(), weight: 1.0 }],
         max_attempts: 2,
         public: false,
@@ -37,24 +39,24 @@
 
 pub(crate) fn configuration() -> Configuration {
     let resumable = Route { resumable: true, ..route("resumable", "/resumable/", RouteKind::Stream) };
-    let open = Route { public: true, ..route("open", "/open/", RouteKind::Harmless) };
+    let open = Route { public: true, ..route("open", "/open/", RouteKind::Idempotent) };
     Configuration {
         revision: Revision(1),
         routes: vec![
-            route("harmless", "/harmless/", RouteKind::Harmless),
-            route("risky", "/risky/", RouteKind::Risky),
+            route("harmless", "/harmless/", RouteKind::Idempotent),
+            route("risky", "/risky/", RouteKind::NonIdempotent),
             route("stream", "/stream/", RouteKind::Stream),
             resumable,
             open,
         ],
         services: vec![Service { label: "service".to_owned(), ..Service::default() }],
-        caps: Caps::default(),
+        caps: ClientLimits::default(),
         requires_key: true,
         tenants: vec![
             Tenant {
                 label: "acme".to_owned(),
                 api_keys: vec![KEY.to_owned()],
-                rank: Some(Rank(3)),
+                rank: Some(Priority(3)),
                 isolated: true,
             },
             Tenant {
--- a/crates/proxy/tests/urgency.rs
+++ b/crates/proxy/tests/urgency.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use support::{Harness, header, post_with};
-use tulipridge_configuration::number::Rank;
+use tulipridge_configuration::number::Priority;
 use tulipridge_proxy::placement::urgency::Urgency;
 
 const MEAN_TOKENS: u32 = 3_000;
@@ -13,7 +13,7 @@
 fn after_mean_requests() -> Urgency {
     let mut urgency = Urgency::default();
     for _ in 0..100 {
-        urgency.priority(Rank(0), MEAN_TOKENS);
+        urgency.priority(Priority(0), MEAN_TOKENS);
     }
     urgency
 }
@@ -27,34 +27,36 @@
 #[case::least_urgent(9, 53_000, 9)]
 #[case::maximum_rank(255, 0, 9)]
 fn long_prompts_are_less_urgent(#[case] rank: u8, #[case] unread: u32, #[case] expected: u8) {
-    assert_eq!(after_mean_requests().priority(Rank(rank), unread), expected);
+    assert_eq!(after_mean_requests().priority(Priority(rank), unread), expected);
 }
 
 #[rstest]
 fn rank_decides_between_prompts_of_equal_length(#[values(0, 3_000, 4_000, 15_000, 100_000)] unread: u32) {
-    assert!((0..6).all(|rank| after_mean_requests().priority(Rank(rank), unread)
-        < after_mean_requests().priority(Rank(rank + 1), unread)));
+    assert!((0..6).all(|rank| after_mean_requests().priority(Priority(rank), unread)
+        < after_mean_requests().priority(Priority(rank + 1), unread)));
 }
 
 #[test]
 fn a_short_prompt_precedes_a_long_one_of_the_next_higher_rank() {
     assert!(
-        after_mean_requests().priority(Rank(2), 1_100) < after_mean_requests().priority(Rank(1), 17_000)
+        after_mean_requests().priority(Priority(2), 1_100)
+            < after_mean_requests().priority(Priority(1), 17_000)
     );
     assert!(
-        after_mean_requests().priority(Rank(1), 1_100) < after_mean_requests().priority(Rank(0), 17_000)
+        after_mean_requests().priority(Priority(1), 1_100)
+            < after_mean_requests().priority(Priority(0), 17_000)
     );
 }
 
 #[test]
 fn the_first_request_sets_the_mean_and_later_ones_move_it() {
     let mut urgency = Urgency::default();
-    assert_eq!(urgency.priority(Rank(1), 17_000), 1);
-    assert_eq!(urgency.priority(Rank(1), 17_000), 1);
+    assert_eq!(urgency.priority(Priority(1), 17_000), 1);
+    assert_eq!(urgency.priority(Priority(1), 17_000), 1);
     for _ in 0..400 {
-        urgency.priority(Rank(1), 1_000);
+        urgency.priority(Priority(1), 1_000);
     }
-    assert_eq!(urgency.priority(Rank(1), 17_000), 4);
+    assert_eq!(urgency.priority(Priority(1), 17_000), 4);
 }
 
 #[test]
