--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -359,7 +359,8 @@
         assert_eq!(status(&harness.send_request(&post("/new/", "t1")).await), "404");
         harness.proxy.set_configuration(changed_configuration(|configuration| {
             configuration.services.push(Service { label: "second".to_owned(), ..Service::default() });
-            let mut route = support::route("new", "/new/", tulipridge_configuration::RouteKind::Risky);
+            let mut route =
+                support::route("new", "/new/", tulipridge_configuration::RouteKind::NonIdempotent);
             route.service_weights = vec![ServiceWeight { service: "second".to_owned(), weight: 1.0 }];
             configuration.routes.push(route);
         }));
@@ -500,7 +501,7 @@
     let harness = Harness::start(1);
     // Well before the idle timeout of client connections.
     let timeout_at = Instant::now() + Duration::from_secs(3);
-    let end = harness.run(harness.proxy.timers.by(timeout_at, async {
+    let end = harness.run(harness.proxy.timers.timeout_at(timeout_at, async {
         let mut client = harness.connect().await;
         client.send(&post("/risky/", "t1")).await;
         assert_eq!(status(&client.read_response().await), "200");
--- a/crates/proxy/tests/retry_safety.rs
+++ b/crates/proxy/tests/retry_safety.rs
@@ -150,7 +150,7 @@
         // From now on the load balancer regards the request as idempotent, and finds no replica for it.
         let mut configuration = support::configuration();
         configuration.routes.iter_mut().for_each(|route| {
-            route.kind = tulipridge_configuration::RouteKind::Harmless;
+            route.kind = tulipridge_configuration::RouteKind::Idempotent;
             route.target_ms = 50;
         });
         harness.proxy.set_configuration(configuration.into());
@@ -181,7 +181,7 @@
     harness.script_next_request(&[Step::Wait]);
     // Well before the request's deadline.
     let timeout_at = Instant::now() + Duration::from_secs(3);
-    let ended = harness.run(harness.proxy.timers.by(timeout_at, async {
+    let ended = harness.run(harness.proxy.timers.timeout_at(timeout_at, async {
         let mut client = harness.connect().await;
         client.send(&post("/risky/", "t1")).await;
         harness.wait_until(|| harness.arrivals() == 1).await;
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -98,11 +98,11 @@
     }
 
     /// Sets the gateway count and the members of the control plane. Returns whether they differ from before.
-    pub fn set_group(&mut self, group: ClusterMembership) -> bool {
-        if self.membership_version > 0 && self.membership == group {
+    pub fn set_cluster_membership(&mut self, membership: ClusterMembership) -> bool {
+        if self.membership_version > 0 && self.membership == membership {
             return false;
         }
-        self.membership = group;
+        self.membership = membership;
         self.membership_version += 1;
         true
     }
@@ -122,7 +122,9 @@
                 changes.weights = snapshot_tables::replace_if_newer(&mut self.weights, table);
             }
             ToSubscriber::CacheIndex(update) => changes.cache_index = self.cache_index.apply(update)?,
-            ToSubscriber::ClusterMembership(group) => changes.group = self.set_group(group),
+            ToSubscriber::ClusterMembership(membership) => {
+                changes.cluster_membership = self.set_cluster_membership(membership);
+            }
             ToSubscriber::Loads(table) => {
                 changes.loads = snapshot_tables::replace_if_newer(&mut self.loads, table);
             }
@@ -182,7 +184,7 @@
     }
 
     /// Returns the gateway count and the members of the control plane; empty while they are unknown.
-    pub fn group(&self) -> &ClusterMembership {
+    pub fn cluster_membership(&self) -> &ClusterMembership {
         &self.membership
     }
 
--- a/crates/subscription/src/store/changes.rs
+++ b/crates/subscription/src/store/changes.rs
@@ -16,7 +16,7 @@
     /// Whether the prefix-cache index differs.
     pub cache_index: bool,
     /// Whether the gateway count or the members of the control plane differ.
-    pub group: bool,
+    pub cluster_membership: bool,
     /// Whether the table of loads differs.
     pub loads: bool,
     /// Last pong, which does not count as a change of the state.
@@ -27,7 +27,12 @@
     /// Returns whether any table differs.
     #[must_use]
     pub fn has_changes(&self) -> bool {
-        self.configuration || self.fleet || self.weights || self.cache_index || self.group || self.loads
+        self.configuration
+            || self.fleet
+            || self.weights
+            || self.cache_index
+            || self.cluster_membership
+            || self.loads
     }
 
     /// Adds the changes of a later message.
@@ -36,7 +41,7 @@
         self.fleet |= later.fleet;
         self.weights |= later.weights;
         self.cache_index |= later.cache_index;
-        self.group |= later.group;
+        self.cluster_membership |= later.cluster_membership;
         self.loads |= later.loads;
         self.pong = later.pong.or(self.pong);
     }
--- a/crates/subscription/tests/publisher.rs
+++ b/crates/subscription/tests/publisher.rs
@@ -56,7 +56,7 @@
         store.borrow_mut().set_configuration(configuration(3, 1));
         store.borrow_mut().set_fleet(Epoch(7), vec![replica("a", 1), replica("b", 1), replica("c", 1)]);
         store.borrow_mut().set_weights(Epoch(7), weights(2));
-        store.borrow_mut().set_group(membership(2));
+        store.borrow_mut().set_cluster_membership(membership(2));
 
         transcript.add_comment("a new subscriber receives the complete state");
         let mut peer = Peer::connect(address).await;
@@ -73,7 +73,7 @@
         transcript.add_comment("all changes precede the next pong");
         store.borrow_mut().set_configuration(configuration(5, 3));
         store.borrow_mut().set_fleet(Epoch(7), vec![replica("a", 2), replica("c", 1)]);
-        store.borrow_mut().set_group(membership(3));
+        store.borrow_mut().set_cluster_membership(membership(3));
         publisher.notify_subscribers();
         transcript.send(&mut peer, ping(3)).await;
         for _ in 0..4 {
--- a/crates/subscription/tests/store.rs
+++ b/crates/subscription/tests/store.rs
@@ -34,7 +34,7 @@
     assert_eq!(subscriber.configuration(), publisher.configuration());
     assert_eq!(replicas(subscriber), replicas(publisher));
     assert_eq!(subscriber.weights(), publisher.weights());
-    assert_eq!(subscriber.group(), publisher.group());
+    assert_eq!(subscriber.cluster_membership(), publisher.cluster_membership());
 }
 
 #[test]
@@ -201,15 +201,15 @@
 fn the_membership_is_sent_to_new_subscribers_and_on_change() {
     let mut publisher = FeedStore::new();
     assert_eq!(publisher.updates_for(&KnownPositions::default()), vec![]);
-    assert!(publisher.set_group(membership(3)));
-    assert!(!publisher.set_group(membership(3)));
+    assert!(publisher.set_cluster_membership(membership(3)));
+    assert!(!publisher.set_cluster_membership(membership(3)));
     assert_eq!(
         publisher.updates_for(&KnownPositions::default()),
         vec![ToSubscriber::ClusterMembership(membership(3))]
     );
     let sent = publisher.newest_positions();
     assert_eq!(publisher.updates_since(&sent), vec![]);
-    assert!(publisher.set_group(membership(4)));
+    assert!(publisher.set_cluster_membership(membership(4)));
     assert_eq!(publisher.updates_since(&sent), vec![ToSubscriber::ClusterMembership(membership(4))]);
 }
 
@@ -365,7 +365,7 @@
             self.revision += self.random.u64(1..9);
             primary.set_configuration(configuration(self.revision, self.random.u64(..)));
         }
-        primary.set_group(membership(self.random.u32(..5)));
+        primary.set_cluster_membership(membership(self.random.u32(..5)));
         self.reference.record(primary);
     }
 
--- a/crates/subscription/tests/subscriber.rs
+++ b/crates/subscription/tests/subscriber.rs
@@ -45,7 +45,7 @@
     store.set_configuration(configuration(3, 1));
     store.set_fleet(Epoch(7), vec![replica("a", 1), replica("b", 1)]);
     store.set_weights(Epoch(7), weights(2));
-    store.set_group(membership(2));
+    store.set_cluster_membership(membership(2));
 }
 
 #[test]
