--- a/crates/control-plane/src/index/follower.rs
+++ b/crates/control-plane/src/index/follower.rs
@@ -25,9 +25,10 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Interval between the starts of polls of a replica.
+/// Minimum interval between the starts of two polls of a replica.
 const REPLICA_INTERVAL: Duration = Duration::from_millis(400);
-/// Interval between the starts of polls of a store. It is shorter because all gateways fetch from stores.
+/// Minimum interval between the starts of two polls of a store. It is shorter because the replicas of all gateways load
+/// cache entries from stores.
 const STORE_INTERVAL: Duration = Duration::from_millis(300);
 /// Delay after a failed poll.
 const FAILURE_DELAY: Duration = Duration::from_millis(500);
@@ -38,7 +39,7 @@
 /// HTTP status with which a source reports that its rate limit is exceeded.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// The kind of a source, which determines how it is polled and recovers from gaps.
+/// The kind of a source, which determines its poll interval and what follows a gap in its events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceKind {
     /// A store. After a gap in its events it is resynced from a full listing.
@@ -83,7 +84,7 @@
     pub fn new(
         source: SocketAddrV4,
         kind: SourceKind,
-        known: Option<SourceStatus>,
+        known_status: Option<SourceStatus>,
         outbox: Rc<Outbox>,
     ) -> Follower {
         let limits = Http1Limits {
@@ -95,8 +96,8 @@
             source,
             kind,
             client: HttpClient::new(SocketAddr::V4(source), limits),
-            cursor: known.map(|status| status.cursor),
-            liveness: known.map(|status| status.liveness),
+            cursor: known_status.map(|status| status.cursor),
+            liveness: known_status.map(|status| status.liveness),
             outbox,
         }
     }
@@ -105,7 +106,7 @@
     pub async fn run(mut self) {
         loop {
             let started_at = clock::now();
-            let next = match self.poll().await {
+            let next_poll_at = match self.poll().await {
                 Ok(()) => started_at + self.kind.poll_interval(),
                 Err(PollError::Status { status: TOO_MANY_REQUESTS }) => clock::now() + RATE_LIMIT_BACKOFF,
                 Err(error) => {
@@ -113,7 +114,7 @@
                     clock::now() + FAILURE_DELAY
                 }
             };
-            Timer::after(next.saturating_sub(clock::now())).await;
+            Timer::after(next_poll_at.saturating_sub(clock::now())).await;
         }
     }
 
@@ -125,7 +126,7 @@
         }
         match self.poll_events().await? {
             PollOutcome::Unchanged => {}
-            PollOutcome::Update(update) => self.deliver(update),
+            PollOutcome::Update(update) => self.queue_update(update),
             PollOutcome::Restarted(update) => self.restart(update).await?,
             PollOutcome::Gap(update) => self.recover_from_gap(update).await?,
         }
@@ -142,46 +143,47 @@
     /// Replaces all entries of the source with those of a full listing.
     async fn resync(&mut self) -> Result<(), PollError> {
         let listing = self.request_listing().await?;
-        self.deliver(CacheUpdate::resync(self.source, listing));
+        self.queue_update(CacheUpdate::resync(self.source, listing));
         Ok(())
     }
 
     /// Invalidates the entries of a source that has restarted, and requests its events from the first one.
     async fn restart(&mut self, invalidation: CacheUpdate) -> Result<(), PollError> {
-        self.deliver(invalidation);
+        self.queue_update(invalidation);
         let outcome = self.poll_events().await?;
         if let PollOutcome::Update(update) | PollOutcome::Gap(update) = outcome {
-            self.deliver(update);
+            self.queue_update(update);
         }
         Ok(())
     }
 
-    /// Recovers from lost events: with a full listing of a store, or with only the entries of the page for a replica.
+    /// Recovers from lost events. For a store, requests a full listing. For a replica, keeps only the entries of the
+    /// received page.
     async fn recover_from_gap(&mut self, update: CacheUpdate) -> Result<(), PollError> {
         match self.kind {
             SourceKind::Store => self.resync().await,
             SourceKind::Replica => {
-                self.deliver(update);
+                self.queue_update(update);
                 Ok(())
             }
         }
     }
 
     /// Queues an update of the source, marks it as alive, and advances the cursor to that of the update.
-    fn deliver(&mut self, update: CacheUpdate) {
+    fn queue_update(&mut self, update: CacheUpdate) {
         self.cursor = Some(update.cursor());
-        let has_recovered = self.liveness.replace(Liveness::Alive) != Some(Liveness::Alive);
-        if has_recovered {
+        let is_newly_alive = self.liveness.replace(Liveness::Alive) != Some(Liveness::Alive);
+        if is_newly_alive {
             log::info!(source:% = self.source; "a KV cache source is reachable again");
         }
-        let urgency = if has_recovered { Urgency::Immediate } else { Urgency::Batched };
+        let urgency = if is_newly_alive { Urgency::Immediate } else { Urgency::Batched };
         self.outbox.push(update, urgency);
     }
 
-    /// Delivers that the source is alive, if a successful poll without an update has not done so.
+    /// Queues an update that the source is alive, if the poll had no update that says so.
     fn record_success(&mut self) {
         if let Some(cursor) = self.cursor.filter(|_| self.liveness != Some(Liveness::Alive)) {
-            self.deliver(CacheUpdate::status(self.source, cursor, Liveness::Alive));
+            self.queue_update(CacheUpdate::status(self.source, cursor, Liveness::Alive));
         }
     }
 
--- a/crates/control-plane/src/replication/campaign.rs
+++ b/crates/control-plane/src/replication/campaign.rs
@@ -35,12 +35,12 @@
     pub(super) fn start_view_change(&mut self, now: Duration) {
         let node = self.settings.node;
         let Some(base) = self.storage.view().cloned() else { return };
-        if !self.votes.may_promise_to(now, node) {
-            let campaign_at = self.votes.grants_end().max(now + RESEND_INTERVAL / 4);
+        if !self.promises.may_promise_to(now, node) {
+            let campaign_at = self.promises.grants_end().max(now + RESEND_INTERVAL / 4);
             self.election.schedule(campaign_at);
             return;
         }
-        let epoch = next_epoch(self.votes.highest_epoch_seen().max(self.storage.promised()), node);
+        let epoch = next_epoch(self.promises.highest_epoch_seen().max(self.storage.promised()), node);
         let stalled_at = now + self.election.stall_timeout();
         self.view_change = Some(ViewChange::new(epoch, base, now, stalled_at));
         self.on_prepare(now, node, epoch);
@@ -117,7 +117,7 @@
 
     /// Handles a refusal: its sender has promised this epoch or a higher one, or may not promise yet.
     pub(super) fn on_refuse(&mut self, now: Duration, from: NodeId, epoch: Epoch, promised: Epoch) {
-        self.votes.observe_epoch(promised);
+        self.promises.observe_epoch(promised);
         let is_preempted = promised >= epoch;
         let preempted =
             self.view_change.as_mut().filter(|view_change| is_preempted && view_change.epoch == epoch);
--- a/crates/control-plane/src/replication/heartbeat.rs
+++ b/crates/control-plane/src/replication/heartbeat.rs
@@ -49,11 +49,11 @@
         let epoch = view.epoch;
         let known_epoch = self.storage.view_epoch();
         let is_from_other = from != self.settings.node;
-        let is_released = is_from_other && self.votes.is_released(epoch);
+        let is_released = is_from_other && self.promises.is_released(epoch);
         if view.data_replicas.first() != Some(&from) || is_released {
             return;
         }
-        let has_own_promise = self.votes.has_promised_to(from);
+        let has_own_promise = self.promises.has_promised_to(from);
         if epoch < known_epoch && !has_own_promise {
             self.refuse(from, epoch);
             return;
@@ -70,7 +70,7 @@
         if epoch >= known_epoch {
             self.adopt_view(now, view);
         }
-        self.votes.grant_lease(now, from, epoch);
+        self.promises.grant_lease(now, from, epoch);
         self.commit_as_backup(from, epoch, committed);
         self.acknowledge_heartbeat(from, view, token);
     }
--- a/crates/control-plane/src/replication/machine.rs
+++ b/crates/control-plane/src/replication/machine.rs
@@ -27,7 +27,7 @@
 };
 use super::transfer::IncomingTransfer;
 use super::view_change::ViewChange;
-use super::vote::VoteState;
+use super::vote::PromiseState;
 
 /// A member of the replication group.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
     pub(super) lifecycle: Lifecycle,
     pub(super) storage: Storage,
     pub(super) outbox: Outbox,
-    pub(super) votes: VoteState,
+    pub(super) promises: PromiseState,
     pub(super) peers: Peers,
     pub(super) discovery: Discovery,
     pub(super) election: ElectionTimer,
@@ -54,13 +54,13 @@
     /// Creates a member from the state on its disk.
     #[must_use]
     pub fn new(settings: ReplicationSettings, durable: DurableState, now: Duration) -> Self {
-        let votes = VoteState::new(durable.promised, now);
+        let promises = PromiseState::new(durable.promised, now);
         let mut replication = Replication {
             random: Rng::with_seed(settings.seed),
             lifecycle: Lifecycle::new(),
             storage: Storage::new(durable),
             outbox: Outbox::new(settings.node),
-            votes,
+            promises,
             peers: Peers::default(),
             discovery: Discovery::new(now),
             election: ElectionTimer::new(now),
@@ -69,7 +69,7 @@
             incoming: IncomingTransfer::default(),
             settings,
         };
-        let campaign_at = replication.votes.no_promise_before() + replication.election_offset();
+        let campaign_at = replication.promises.no_promise_before() + replication.election_offset();
         replication.election.schedule(campaign_at);
         replication
     }
@@ -173,9 +173,9 @@
 
     /// Raises the promised epoch.
     pub(super) fn promise(&mut self, epoch: Epoch) {
-        self.votes.observe_epoch(epoch);
+        self.promises.observe_epoch(epoch);
         if epoch > self.storage.promised() {
-            self.votes.clear_promised_to();
+            self.promises.clear_promised_to();
             self.record(DurableRecord::Promised(epoch));
         }
     }
@@ -183,7 +183,7 @@
     /// Raises the promised epoch on a request of its proposer.
     pub(super) fn promise_to(&mut self, proposer: NodeId, epoch: Epoch) {
         self.promise(epoch);
-        self.votes.set_promised_to(proposer);
+        self.promises.set_promised_to(proposer);
     }
 
     /// Refuses a request. The refusal contains the promised epoch.
@@ -204,7 +204,7 @@
             self.promise(view.epoch);
             self.record_view(view);
         } else {
-            self.votes.observe_epoch(view.epoch);
+            self.promises.observe_epoch(view.epoch);
             self.storage.set_unrecorded_view(view.clone());
         }
         self.yield_to_view(now, view);
--- a/crates/control-plane/src/replication/primary.rs
+++ b/crates/control-plane/src/replication/primary.rs
@@ -53,7 +53,7 @@
         for failure in leadership.proposals.into_failures() {
             self.outbox.push(failure);
         }
-        self.votes.withdraw_grant_to(self.settings.node);
+        self.promises.withdraw_grant_to(self.settings.node);
         let delay = if self.lifecycle.is_leaving() { LEAVING_CAMPAIGN_DELAY } else { ELECTION_TIMEOUT / 2 };
         let campaign_at = now + delay + jitter(&mut self.random, 0..500);
         self.election.schedule(campaign_at);
@@ -112,7 +112,7 @@
 
     /// Handles the release of a lease by its primary.
     pub(super) fn on_release(&mut self, now: Duration, from: NodeId, epoch: Epoch, successor: NodeId) {
-        self.votes.record_release(from, epoch);
+        self.promises.record_release(from, epoch);
         self.peers.forget_primary_if(from);
         let is_newest = self.storage.view().is_some_and(|view| view.epoch == epoch);
         if successor == self.settings.node && is_newest {
--- a/crates/control-plane/src/replication/vote.rs
+++ b/crates/control-plane/src/replication/vote.rs
@@ -1,4 +1,4 @@
-//! Promises to proposers and lease grants to primaries since the process of a member started.
+//! The promises and lease grants that a member has made since its process started.
 //!
 //! The promised epoch itself is durable ([`super::storage`]). Lease grants are kept in memory only: a restarted
 //! member makes no promise until all earlier grants have expired.
@@ -15,33 +15,34 @@
 struct LeaseGrant {
     primary: NodeId,
     epoch: Epoch,
+    /// The time at which the grant expires, on the member's monotonic clock.
     expires_at: Duration,
 }
 
 /// The promises and grants of a member.
 #[derive(Clone, Debug)]
-pub(super) struct VoteState {
-    /// The proposer that holds the newest promise of this process.
+pub(super) struct PromiseState {
+    /// The proposer that has the newest promise of this process.
     promised_to: Option<NodeId>,
     grant: Option<LeaseGrant>,
     /// The highest epoch whose primary has released its lease. Lower epochs count as released too.
     released_epoch: Epoch,
-    /// Grants from before the start of this process may be valid until this time.
+    /// Grants from before the start of this process may be valid until this time on the member's monotonic clock.
     no_promise_before: Duration,
     /// The highest epoch that this member has observed.
     highest_epoch_seen: Epoch,
 }
 
-impl VoteState {
+impl PromiseState {
     /// Creates the state of a member that starts at `now` with its durable promise.
-    pub(super) fn new(promised: Epoch, now: Duration) -> VoteState {
-        let may_have_granted = promised > Epoch(0);
-        VoteState {
+    pub(super) fn new(promised_epoch: Epoch, now: Duration) -> PromiseState {
+        let may_have_granted = promised_epoch > Epoch(0);
+        PromiseState {
             promised_to: None,
             grant: None,
             released_epoch: Epoch(0),
             no_promise_before: if may_have_granted { now + GRANT_DURATION } else { now },
-            highest_epoch_seen: promised,
+            highest_epoch_seen: promised_epoch,
         }
     }
 
@@ -56,7 +57,7 @@
         expires_at.max(self.no_promise_before)
     }
 
-    /// Whether no lease of a member other than `proposer` can rely on a grant of this member.
+    /// Whether a promise to `proposer` is allowed: all grants of this member to others have expired.
     pub(super) fn may_promise_to(&self, now: Duration, proposer: NodeId) -> bool {
         let granted_to_other =
             self.grant.as_ref().is_some_and(|grant| grant.primary != proposer && now < grant.expires_at);
@@ -68,12 +69,13 @@
         self.promised_to == Some(proposer)
     }
 
-    /// Records the proposer that holds the newest promise.
+    /// Records the proposer that has the newest promise.
     pub(super) fn set_promised_to(&mut self, proposer: NodeId) {
         self.promised_to = Some(proposer);
     }
 
-    /// Records that the promised epoch was raised without a request of its proposer.
+    /// Records that the promised epoch was raised otherwise than by a request of a proposer, so that no proposer has the
+    /// promise.
     pub(super) fn clear_promised_to(&mut self) {
         self.promised_to = None;
     }
@@ -104,7 +106,7 @@
         self.highest_epoch_seen
     }
 
-    /// Records an epoch that is in use.
+    /// Records an epoch that this member has observed.
     pub(super) fn observe_epoch(&mut self, epoch: Epoch) {
         self.highest_epoch_seen = self.highest_epoch_seen.max(epoch);
     }
--- a/crates/control-plane/src/replication/voter.rs
+++ b/crates/control-plane/src/replication/voter.rs
@@ -11,10 +11,10 @@
 impl Replication {
     /// Handles a request of a proposer to promise its epoch.
     pub(super) fn on_prepare(&mut self, now: Duration, from: NodeId, epoch: Epoch) {
-        self.votes.observe_epoch(epoch);
-        let is_repeated = epoch == self.storage.promised() && self.votes.has_promised_to(from);
+        self.promises.observe_epoch(epoch);
+        let is_repeated = epoch == self.storage.promised() && self.promises.has_promised_to(from);
         if !is_repeated {
-            if epoch <= self.storage.promised() || !self.votes.may_promise_to(now, from) {
+            if epoch <= self.storage.promised() || !self.promises.may_promise_to(now, from) {
                 self.refuse(from, epoch);
                 return;
             }
--- a/crates/control-plane/src/server/build.rs
+++ b/crates/control-plane/src/server/build.rs
@@ -10,7 +10,7 @@
 use tulipridge_protocol::peer_sampling::{Entry, Role};
 use tulipridge_runtime::settings::Settings;
 
-use super::error::{PeerSamplingSnafu, RandomNumberSnafu, ServerError};
+use super::error::{BindPeerSamplingSnafu, RandomNumberSnafu, ServerError};
 use super::listeners::Listeners;
 use super::singleton_outputs::SingletonOutputs;
 use super::start::StartedMember;
@@ -134,5 +134,5 @@
     let own_entry = Entry { id: node, role: Role::Control, zone: settings.area.clone(), age: 0 };
     let address = settings.peer_sampling_socket(settings.ip_address);
     let view = View::new(own_entry, settings.seed_ips(), seed);
-    Exchange::bind(address, view, seed).context(PeerSamplingSnafu { address })
+    Exchange::bind(address, view, seed).context(BindPeerSamplingSnafu { address })
 }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -31,7 +31,7 @@
 use crate::rollout::{Event, Rollout};
 
 pub use error::ServerError;
-use error::{DiskEndedSnafu, SignalsSnafu};
+use error::{DiskWriterEndedSnafu, SignalsSnafu};
 use listeners::Listeners;
 use start::StartedMember;
 
@@ -109,11 +109,11 @@
         tasks.extend(discovery.map(|discovery| executor.spawn(discovery.run())));
         let state_machine_failure = async {
             let source = member.clone().run_state_machine_events(state_machine_events).await;
-            Err(ServerError::State { source })
+            Err(ServerError::StateMachineStopped { source })
         };
         let disk_failure = async {
             member.clone().run_disk_events(disk_events).await;
-            DiskEndedSnafu.fail()
+            DiskWriterEndedSnafu.fail()
         };
         let departure = stop_and_depart(stop, &member, self.termination_grace_period);
         let end = future::or(departure, future::or(state_machine_failure, disk_failure)).await;
--- a/crates/control-plane/src/server/start.rs
+++ b/crates/control-plane/src/server/start.rs
@@ -9,7 +9,7 @@
 use tulipridge_runtime::clock;
 use tulipridge_runtime::settings::Settings;
 
-use super::error::{DiskSnafu, RandomNumberSnafu, ServerError, ThreadSnafu};
+use super::error::{DiskSnafu, RandomNumberSnafu, ServerError, StartStateMachineSnafu};
 use crate::disk::{Boot, DiskEvent, MissingFolderSnafu, OpenedDisk, StartedDisk};
 use crate::links::Links;
 use crate::member::{Member, MemberParts};
@@ -51,7 +51,7 @@
             replication: Replication::new(replication, image.state, clock::now()),
             links: links.clone(),
             disk,
-            state_machine: StateMachine::start(state_machine_sender).context(ThreadSnafu)?,
+            state_machine: StateMachine::start(state_machine_sender).context(StartStateMachineSnafu)?,
         });
         Ok(StartedMember { node, member, links, disk_events, state_machine_events })
     }
