--- a/src/cli.rs
+++ b/src/cli.rs
@@ -129,7 +129,7 @@
 /// Serves with the configuration and settings from these files.
 fn serve_files(files: FileOptions) -> ExitCode {
     let sources = Sources { config: files.config, settings: files.settings };
-    let inherited = match listen::inherited() {
+    let inherited = match listen::inherited_listener() {
         Ok(inherited) => inherited,
         Err(error) => return fail(&error.to_string()),
     };
--- a/src/engine/core.rs
+++ b/src/engine/core.rs
@@ -17,7 +17,7 @@
 use super::stream_table::StreamTable;
 use crate::LoadBalancer;
 use crate::limits::{Limits, StreamLimits};
-use crate::process::lag::{LagEpisode, LagMonitor};
+use crate::process::lag::{LagMonitor, LateRun};
 use crate::stream::EjectionChange;
 use crate::types::{
     Action, ClassIndex, Event, ListKind, Member, Nanos, ReplicaId, Request, RequestId, Settings,
@@ -210,11 +210,11 @@
     /// Records how late the thread runs, and logs a delay above the threshold. Loops that sleep for a known time call
     /// this; none wakes more often for it, since wake-ups are the main cost of an idle gateway.
     pub(super) fn record_lag(&self, due: Nanos, now: Nanos) {
-        let episode = self.core.borrow_mut().lag.record_run(due, now, cpu_time);
-        if let Some(LagEpisode { due, late, span, cpu }) = episode {
+        let late_run = self.core.borrow_mut().lag.record_run(due, now, cpu_time);
+        if let Some(LateRun { due, delay, span, cpu_time }) = late_run {
             let due = humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_nanos(due));
-            let [late, span, cpu] = [late, span, cpu].map(|nanos| nanos / 1_000_000);
-            log::warn!(due:% = due, late_ms = late, span_ms = span, cpu_ms = cpu;
+            let [delay, span, cpu_time] = [delay, span, cpu_time].map(|nanos| nanos / 1_000_000);
+            log::warn!(due:% = due, late_ms = delay, span_ms = span, cpu_ms = cpu_time;
                 "thread-late: the serving thread was delayed; by its own work if cpu_ms is close to late_ms");
         }
     }
--- a/src/engine/participants.rs
+++ b/src/engine/participants.rs
@@ -80,7 +80,7 @@
     /// Final response: failed.
     fn fail(self, reason: FailureReason) -> impl Future<Output = ()>;
     /// Starts the response.
-    fn begin(self) -> Self::Sink;
+    fn begin_response(self) -> Self::Sink;
 }
 
 /// A started response. It ends with `finish`, with `abort`, or when the client leaves.
--- a/src/engine/request_lifecycle.rs
+++ b/src/engine/request_lifecycle.rs
@@ -140,7 +140,7 @@
     let time_to_first_event = replica_side.record_first_event();
     let Some(replica) = replica_side.replica() else { return client.fail(FailureReason::Errors).await };
     let mut relay = Relay::new(engine.now(), time_to_first_event, &engine.limits);
-    let mut sink = client.begin();
+    let mut sink = client.begin_response();
     if sink.is_assembled() {
         relay.set_assembled();
     }
--- a/src/net/edge/connection.rs
+++ b/src/net/edge/connection.rs
@@ -75,7 +75,7 @@
             };
         slot.set_state(ConnectionState::Serving);
         let crowded = self.slots.is_crowded(self.connection_limit());
-        let keep = head.keeps_alive(&head.start[2]) && !crowded && self.lifecycle.keeps_connections();
+        let keep_alive = head.keeps_alive(&head.start[2]) && !crowded && self.lifecycle.keeps_connections();
         let id = self.resolve_request_id(dialect, &mut head);
         let now = self.engine.now();
         let call = self.context.call(now, dialect, &head, &body, &id, self.fleet.dialects());
@@ -98,11 +98,11 @@
                     edge: self.clone(),
                     wire,
                     responder,
-                    keep,
+                    keep_alive,
                     model: accepted.model,
                     is_message: accepted.is_message,
                     back: back.clone(),
-                    from: Instant::now(),
+                    started_at: Instant::now(),
                     charge,
                 });
                 if !may_run {
@@ -122,7 +122,7 @@
                 response
             }
         };
-        self.write_response(wire, &response, keep).await
+        self.write_response(wire, &response, keep_alive).await
     }
 
     /// Responds to a request that can't be parsed, and closes its connection.
@@ -157,11 +157,11 @@
         &self,
         mut wire: BufferedStream,
         response: &Response,
-        keep: bool,
+        keep_alive: bool,
     ) -> Option<AfterResponse> {
-        let bytes = response.bytes(keep);
+        let bytes = response.bytes(keep_alive);
         match within(self.limits.edge.write_timeout, wire.write(&bytes)).await {
-            Ok(Ok(())) if keep => Some(AfterResponse::KeepAlive(wire)),
+            Ok(Ok(())) if keep_alive => Some(AfterResponse::KeepAlive(wire)),
             Ok(Ok(())) => Some(AfterResponse::Close(wire)),
             _ => None,
         }
--- a/src/net/edge/exchange.rs
+++ b/src/net/edge/exchange.rs
@@ -27,30 +27,34 @@
     /// Data that the client sends behind its request.
     pub(super) pipelined: Pipelined,
     pub(super) responder: Responder,
-    pub(super) keep: bool,
+    /// Whether the connection may carry another request after this one; a drain or shutdown can still prevent it.
+    pub(super) keep_alive: bool,
     pub(super) model: String,
     pub(super) is_message: bool,
     /// Where the connection is returned after the response.
     pub(super) back: Rc<RefCell<Option<AfterResponse>>>,
-    pub(super) from: Instant,
+    pub(super) started_at: Instant,
     pub(super) charge: Charge,
 }
 
 impl Exchange {
     /// Writes a final response.
     pub(super) async fn respond(mut self, response: Response) {
-        let keep = self.keep && self.edge.lifecycle.keeps_connections();
-        let bytes = response.bytes(keep);
+        let keep_alive = self.keep_alive && self.edge.lifecycle.keeps_connections();
+        let bytes = response.bytes(keep_alive);
         let written = within(self.edge.limits.edge.write_timeout, self.wire.write(&bytes)).await;
         if matches!(written, Ok(Ok(()))) {
-            self.give_back(keep);
+            self.give_back(keep_alive);
         }
     }
 
-    /// Returns the connection; `keep` tells whether it may carry another request.
-    pub(super) fn give_back(self, keep: bool) {
-        *self.back.borrow_mut() =
-            Some(if keep { AfterResponse::KeepAlive(self.wire) } else { AfterResponse::Close(self.wire) });
+    /// Returns the connection; `keep_alive` tells whether it may carry another request.
+    pub(super) fn give_back(self, keep_alive: bool) {
+        *self.back.borrow_mut() = Some(if keep_alive {
+            AfterResponse::KeepAlive(self.wire)
+        } else {
+            AfterResponse::Close(self.wire)
+        });
     }
 
     /// Ready once the client has disconnected. Data behind the request is read to its end and buffered up to a limit, since
@@ -67,7 +71,7 @@
             };
             // Pipelined data may use half of the memory for requests; the other half stays for requests that are being read.
             let has_memory = edge.buffered_bytes.get() + received
-                <= edge.fleet.overlap.share(edge.limits.edge.buffered_bytes) / 2;
+                <= edge.fleet.process_limits.memory_share(edge.limits.edge.buffered_bytes) / 2;
             match input.received(had, received, has_memory) {
                 Disposition::Keep => counted.set_count(wire.buf.len()),
                 Disposition::Drop => wire.buf.truncate(had),
--- a/src/net/edge/handover.rs
+++ b/src/net/edge/handover.rs
@@ -46,11 +46,11 @@
             edge: self.clone(),
             wire,
             responder,
-            keep: snapshot.keep_client,
+            keep_alive: snapshot.keep_client,
             model: String::new(),
             is_message: false,
             back: back.clone(),
-            from: Instant::now(),
+            started_at: Instant::now(),
             charge: Charge {
                 edge: self.clone(),
                 grant: None,
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -29,7 +29,7 @@
 use crate::engine::Engine;
 use crate::front::{Dialect, FrontContext};
 use crate::limits::Limits;
-use crate::process::overlap::{ConnectionCounts, ConnectionReport, Overlap};
+use crate::process::overlap::{ConnectionCounts, ConnectionReport, ProcessLimits};
 
 /// The state that all client connections share.
 pub struct EdgeServer {
@@ -141,16 +141,16 @@
 
     /// Lowers the connection limits after a lack of descriptors: fewer are available than the configuration requires.
     fn lower_connection_limits(&self) {
-        let overlap = &self.fleet.overlap;
-        if overlap.reduce_limits(self.report().open, self.limits.reserved_descriptors) {
-            let ConnectionCounts { edge, replicas } = overlap.limits();
+        let process_limits = &self.fleet.process_limits;
+        if process_limits.reduce_limits(self.report().open, self.limits.reserved_descriptors) {
+            let ConnectionCounts { edge, replicas } = process_limits.limits();
             log::warn!(edge = edge, replicas = replicas; "descriptors-short: lowered the connection limits; raise the descriptor limit of this process to limits.sockets");
         }
     }
 
     /// The limit on client connections of this process.
     fn connection_limit(&self) -> usize {
-        self.fleet.overlap.limits().edge
+        self.fleet.process_limits.limits().edge
     }
 
     /// The open connections of this process, for its successor.
@@ -160,10 +160,10 @@
     }
 
     /// Records a change of another process, and adjusts this process's share of the stream memory.
-    pub fn overlap(&self, change: impl FnOnce(&Overlap)) {
-        let overlap = &self.fleet.overlap;
-        change(overlap);
-        self.engine.set_stream_budget(overlap.share(self.limits.stream.budget));
+    pub fn update_process_limits(&self, change: impl FnOnce(&ProcessLimits)) {
+        let process_limits = &self.fleet.process_limits;
+        change(process_limits);
+        self.engine.set_stream_budget(process_limits.memory_share(self.limits.stream.budget));
     }
 
     /// The number of open client connections.
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -142,7 +142,9 @@
                 return Ok(Some(IncomingRequest { head, body, bytes }));
             }
             // Bounds the memory of all requests that are being read: beyond it, data waits in the sockets.
-            while self.buffered_bytes.get() > self.fleet.overlap.share(self.limits.edge.buffered_bytes) {
+            while self.buffered_bytes.get()
+                > self.fleet.process_limits.memory_share(self.limits.edge.buffered_bytes)
+            {
                 Timer::after(self.limits.edge.accept_pause).await;
             }
             if !wire.read_more(wire_limits).await {
--- a/src/net/edge/responding_client.rs
+++ b/src/net/edge/responding_client.rs
@@ -43,9 +43,9 @@
         snapshot.buffers.to_client = self.out[self.written..].to_vec();
         // Pipelined bytes beyond a head are not handed over, so that the snapshot stays small; the connection then ends
         // with the stream.
-        let Exchange { wire, edge, keep, .. } = &self.exchange;
+        let Exchange { wire, edge, keep_alive, .. } = &self.exchange;
         let is_small = !wire.is_truncated && wire.buf.len() <= edge.limits.wire.head_bytes;
-        snapshot.keep_client = *keep && is_small;
+        snapshot.keep_client = *keep_alive && is_small;
         if is_small {
             snapshot.buffers.from_client.clone_from(&wire.buf);
         }
@@ -86,16 +86,16 @@
             // Reserves no more than the events need, since the queue of a slow client may exist for a long time.
             self.out.reserve_exact(batch.bytes.len() + FRAMING_BYTES);
         }
-        let keep = self.exchange.keep;
-        self.add(|encoder, out| encoder.events(batch.dialect, &batch.bytes, keep, out))
+        let keep_alive = self.exchange.keep_alive;
+        self.add(|encoder, out| encoder.events(batch.dialect, &batch.bytes, keep_alive, out))
     }
 
     fn queue_end(&mut self, cause: Cause) -> usize {
         if cause == Cause::Complete {
             self.exchange.charge.complete();
         }
-        let keep = self.exchange.keep;
-        self.add(|encoder, out| encoder.end(cause, keep, out))
+        let keep_alive = self.exchange.keep_alive;
+        self.add(|encoder, out| encoder.end(cause, keep_alive, out))
     }
 
     fn poll_write(&mut self, cx: &mut Context<'_>) -> Poll<Result<usize, Disconnect>> {
@@ -111,8 +111,8 @@
 
     fn finish(self) {
         // A connection that was announced as kept alive stays open; the lifecycle closes it like other idle ones.
-        let keep = self.exchange.keep;
-        self.exchange.give_back(keep);
+        let keep_alive = self.exchange.keep_alive;
+        self.exchange.give_back(keep_alive);
     }
 
     fn abort(self) {
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -20,7 +20,7 @@
 use super::within;
 use crate::limits::Limits;
 use crate::process::background::run_in_background;
-use crate::process::overlap::{ConnectionReport, Overlap};
+use crate::process::overlap::{ConnectionReport, ProcessLimits};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -71,7 +71,7 @@
         match socket {
             Ok(socket) => {
                 // Until its first report, the older process is assumed to use its half.
-                edge.overlap(|overlap| overlap.older_reported(ConnectionReport::default()));
+                edge.update_process_limits(|limits| limits.older_reported(ConnectionReport::default()));
                 ex.spawn(receive_from_older(ex, socket, edge.clone(), self.limits.clone())).detach();
             }
             Err(e) => log::debug!(path:? = path; "alone: no older process is running: {e}"),
@@ -120,7 +120,7 @@
     /// Sends reports to a newer process until that process ends.
     async fn serve_newer(self: Rc<Self>, socket: Rc<Async<OwnedFd>>, edge: Rc<EdgeServer>) {
         log::info!("newcomer: a newer process started; it gets half of the connections");
-        edge.overlap(Overlap::newer_started);
+        edge.update_process_limits(ProcessLimits::newer_started);
         self.successors.add(socket.clone());
         let mut last_report = None;
         loop {
@@ -137,7 +137,7 @@
             }
         }
         self.successors.remove(&socket);
-        edge.overlap(Overlap::newer_exited);
+        edge.update_process_limits(ProcessLimits::newer_exited);
         log::info!("newcomer-left: the newer process ended; this process may use its share again");
     }
 }
@@ -170,7 +170,9 @@
     loop {
         match receive_message(socket.get_ref(), &limits) {
             Ok(Message::End) => break,
-            Ok(Message::Report(report)) => edge.overlap(|overlap| overlap.older_reported(report)),
+            Ok(Message::Report(report)) => {
+                edge.update_process_limits(|limits| limits.older_reported(report));
+            }
             Ok(Message::Stream(snapshot, connections)) => {
                 let id = snapshot.id;
                 match edge.clone().resume_handed_over(ex, *snapshot, connections) {
@@ -186,7 +188,7 @@
             }
         }
     }
-    edge.overlap(Overlap::older_exited);
+    edge.update_process_limits(ProcessLimits::older_exited);
     log::info!(streams = resumed; "handover: the older process ended; its streams were resumed here");
 }
 
--- a/src/net/lifecycle_monitor.rs
+++ b/src/net/lifecycle_monitor.rs
@@ -24,16 +24,17 @@
 }
 
 impl LifecycleMonitor {
-    /// Creates the monitor of a starting process; `shared` tells whether another process uses the same listener.
+    /// Creates the monitor of a starting process. `shares_accept_queue` tells whether another process uses the same
+    /// accept queue.
     #[must_use]
     pub fn new(
         engine: Engine,
         limits: Rc<Limits>,
-        shared: bool,
+        shares_accept_queue: bool,
         ready: Box<dyn Fn() -> bool>,
     ) -> LifecycleMonitor {
-        let grace = limits.lifecycle.shutdown_grace.as_nanos() as Nanos;
-        let life = RefCell::new(Lifecycle::new(engine.now(), shared, grace));
+        let grace_period = limits.lifecycle.shutdown_grace.as_nanos() as Nanos;
+        let life = RefCell::new(Lifecycle::new(engine.now(), shares_accept_queue, grace_period));
         LifecycleMonitor {
             engine,
             limits,
@@ -91,13 +92,13 @@
         self.change(Lifecycle::stop);
     }
 
-    /// Whether load balancers should send clients to this process.
+    /// Whether the load balancers in front of the gateways should send clients to this process.
     pub fn is_in_rotation(&self) -> bool {
         self.check_ready();
         self.life.borrow().is_in_rotation() && (self.ready)()
     }
 
-    /// Whether the process can serve requests, drained or not.
+    /// Whether the process has started, has what it needs to serve requests, and isn't stopping, drained or not.
     pub fn can_serve(&self) -> bool {
         self.check_ready();
         self.life.borrow().can_serve() && (self.ready)()
@@ -150,10 +151,11 @@
         }
     }
 
-    /// Waits until an idle connection has to close; `silent_since` is when it opened, if nothing was received on it yet.
-    pub async fn idle_expired(&self, silent_since: Option<Nanos>) {
+    /// Waits until an idle connection has to close. `opened_unused_at` is the time at which a connection opened that has
+    /// received nothing yet, and `None` for any other connection.
+    pub async fn idle_expired(&self, opened_unused_at: Option<Nanos>) {
         loop {
-            let until = self.life.borrow().idle_deadline(silent_since);
+            let until = self.life.borrow().idle_deadline(opened_unused_at);
             let now = self.engine.now();
             match until {
                 Some(until) if until <= now => return,
@@ -166,12 +168,12 @@
         }
     }
 
-    /// Whether the shutdown is complete, with `open` connections left.
-    pub fn is_finished(&self, open: usize) -> bool {
-        self.life.borrow().is_finished(self.engine.now(), open)
+    /// Whether the shutdown is complete, with this number of open connections.
+    pub fn is_finished(&self, open_connections: usize) -> bool {
+        self.life.borrow().is_finished(self.engine.now(), open_connections)
     }
 
-    /// Runs for the life of the process and notifies waiting tasks of changes that come with time alone.
+    /// Runs for the life of the process and notifies waiting tasks of changes that happen with time alone.
     pub async fn run(&self) {
         loop {
             self.check_ready();
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,8 +1,9 @@
-//! Opens listeners: bound at an address, or inherited from the platform.
+//! Opens listeners, which are either bound to an address or inherited from the platform.
 //!
-//! The platform passes the number of an inherited descriptor in `EDGE_INHERITED_FD`. The library that adopts it reads the
-//! variables of socket activation. Changing the environment of a running program isn't safe, so the program executes
-//! itself once more with these variables set; the process id stays the same.
+//! The platform passes the number of an inherited descriptor in `EDGE_INHERITED_FD`. `listenfd`, which takes over the
+//! descriptor, reads the variables of systemd socket activation (`LISTEN_FDS`, `LISTEN_FDS_FIRST_FD`). Changing the
+//! environment of a running program isn't safe, so the program executes itself once more with these variables set; the
+//! process id stays the same.
 
 use std::env;
 use std::io;
@@ -21,7 +22,7 @@
 /// The environment variable with the descriptor number of an inherited listener.
 const INHERITED_LISTENER_VARIABLE: &str = "EDGE_INHERITED_FD";
 
-/// Why there is no listener.
+/// The reason for which a listener can't be opened.
 #[derive(Debug, Snafu)]
 pub enum ListenError {
     /// An inherited listener can't be adopted.
@@ -33,12 +34,12 @@
     /// More than one listener is inherited.
     #[snafu(display("the inherited listener: expected one, got {count}"))]
     SeveralInherited {
-        /// Their number.
+        /// The number of inherited listeners.
         count: usize,
     },
     /// The inherited socket does not listen.
     #[snafu(display("the inherited listener: the socket does not listen"))]
-    NoListener,
+    NotListening,
     /// The variable contains no valid descriptor number.
     #[snafu(display("{INHERITED_LISTENER_VARIABLE}: '{given}' is not a descriptor number above 2"))]
     BadDescriptor {
@@ -46,29 +47,29 @@
         given: String,
     },
     /// The path of the executable can't be determined, so the program can't execute itself.
-    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: finding the executable: {source}"))]
+    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: failed to find the executable: {source}"))]
     NoExecutable {
         /// The error of the operating system.
         source: io::Error,
     },
     /// The program could not execute itself.
-    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: executing the program again: {source}"))]
+    #[snafu(display("{INHERITED_LISTENER_VARIABLE}: failed to execute the program again: {source}"))]
     Execute {
         /// The error of the operating system.
         source: io::Error,
     },
-    /// An address can't be bound or set up.
-    #[snafu(display("listen {address}: {source}"))]
+    /// A listener can't be bound to an address, or can't be set up.
+    #[snafu(display("failed to listen on {address}: {source}"))]
     Bind {
-        /// The address.
+        /// The requested address.
         address: SocketAddr,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The inherited listener is at another address.
-    #[snafu(display("listen {address}: the inherited listener is at {inherited}"))]
+    /// The inherited listener has another address.
+    #[snafu(display("expected a listener on {address}, but the inherited one is on {inherited}"))]
     OtherAddress {
-        /// The address to listen at.
+        /// The requested address.
         address: SocketAddr,
         /// The address of the inherited listener.
         inherited: SocketAddr,
@@ -76,29 +77,29 @@
 }
 
 /// Returns the inherited listener of this process, if it has one. If `EDGE_INHERITED_FD` is set, the program executes
-/// itself again with the variables of socket activation. Must be called before anything else runs, since it changes the
-/// environment.
+/// itself again with the variables of socket activation. Must be called before any thread starts, since reading the
+/// variables of socket activation also removes them.
 ///
 /// # Errors
 ///
 /// If the inherited listener is unusable, or the program can't execute itself.
-pub fn inherited() -> Result<Option<TcpListener>, ListenError> {
+pub fn inherited_listener() -> Result<Option<TcpListener>, ListenError> {
     if let Ok(descriptor) = env::var(INHERITED_LISTENER_VARIABLE) {
         return Err(execute_again(&descriptor));
     }
-    let mut all = ListenFd::from_env();
-    if all.len() > 1 {
-        return SeveralInheritedSnafu { count: all.len() }.fail();
+    let mut inherited = ListenFd::from_env();
+    if inherited.len() > 1 {
+        return SeveralInheritedSnafu { count: inherited.len() }.fail();
     }
-    let Some(listener) = all.take_tcp_listener(0).context(InheritedSnafu)? else { return Ok(None) };
+    let Some(listener) = inherited.take_tcp_listener(0).context(InheritedSnafu)? else { return Ok(None) };
     let is_listener = SockRef::from(&listener).is_listener().context(InheritedSnafu)?;
-    ensure!(is_listener, NoListenerSnafu);
+    ensure!(is_listener, NotListeningSnafu);
     Ok(Some(listener))
 }
 
 /// Executes the program again with the variables of socket activation; returns only if that fails.
 fn execute_again(descriptor: &str) -> ListenError {
-    // The three standard streams can't be listeners: their output would go to clients.
+    // Descriptors 0 to 2 are the standard streams. If one were a listener, log output would be written to its socket.
     if !descriptor.parse::<i32>().is_ok_and(|number| number > 2) {
         return BadDescriptorSnafu { given: descriptor }.build();
     }
@@ -116,15 +117,15 @@
     ExecuteSnafu.into_error(command.exec())
 }
 
-/// Opens a listener that is ready to accept, and binds it if none was inherited; `port` is its purpose in the log.
+/// Sets up the inherited listener, or binds a new one. `purpose` names it in the log.
 ///
 /// # Errors
 ///
-/// If the address can't be bound or set up, or the inherited listener has another address.
+/// If the listener can't be bound or set up, or the inherited listener has another address.
 pub fn open(
     addr: SocketAddr,
     inherited: Option<TcpListener>,
-    port: &str,
+    purpose: &str,
     limits: &Limits,
 ) -> Result<Async<TcpListener>, ListenError> {
     let is_inherited = inherited.is_some();
@@ -134,11 +135,14 @@
         Async::new(listener)
     });
     let listener = listener.context(BindSnafu { address: addr })?;
-    let at = listener.get_ref().local_addr().context(BindSnafu { address: addr })?;
-    let any = at.ip().is_unspecified() || addr.ip().is_unspecified();
-    if is_inherited && (at.port() != addr.port() && addr.port() != 0 || at.ip() != addr.ip() && !any) {
-        return OtherAddressSnafu { address: addr, inherited: at }.fail();
+    let local_addr = listener.get_ref().local_addr().context(BindSnafu { address: addr })?;
+    let is_wildcard = local_addr.ip().is_unspecified() || addr.ip().is_unspecified();
+    if is_inherited
+        && (local_addr.port() != addr.port() && addr.port() != 0
+            || local_addr.ip() != addr.ip() && !is_wildcard)
+    {
+        return OtherAddressSnafu { address: addr, inherited: local_addr }.fail();
     }
-    log::info!(addr:% = at, port = port, inherited = is_inherited; "listening: ready to accept connections");
+    log::info!(addr:% = local_addr, port = purpose, inherited = is_inherited; "listening: ready to accept connections");
     Ok(listener)
 }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -24,7 +24,7 @@
 use crate::front::{Dialect, ReplicaDialects};
 use crate::limits::Limits;
 use crate::names::{ServiceEntry, State};
-use crate::process::overlap::{ConnectionCounts, Overlap};
+use crate::process::overlap::{ConnectionCounts, ProcessLimits};
 use crate::types::ReplicaId;
 
 /// A replica in the replica list, with its idle connections.
@@ -60,7 +60,7 @@
     dialects: Cell<Option<ReplicaDialects>>,
     limits: Rc<Limits>,
     /// This process's share of the connection limits.
-    pub overlap: Overlap,
+    pub process_limits: ProcessLimits,
     read_load: LoadReportReader,
 }
 
@@ -74,7 +74,7 @@
             open: Rc::default(),
             dialects: Cell::new(None),
             limits,
-            overlap: Overlap::new(all),
+            process_limits: ProcessLimits::new(all),
             read_load,
         }
     }
@@ -154,7 +154,7 @@
                 });
             }
             // Another process of the gateway may have started; idle connections beyond the lower limit are closed.
-            while self.open.get() > self.overlap.limits().replicas && self.close_oldest_idle() {}
+            while self.open.get() > self.process_limits.limits().replicas && self.close_oldest_idle() {}
         }
     }
 
@@ -208,7 +208,7 @@
 
     async fn connect(&self, addr: SocketAddr) -> io::Result<Connection> {
         // The limit keeps the process from running out of descriptors.
-        while self.open.get() >= self.overlap.limits().replicas {
+        while self.open.get() >= self.process_limits.limits().replicas {
             if !self.close_oldest_idle() {
                 return Err(io::ErrorKind::QuotaExceeded.into());
             }
--- a/src/net/upstream/response_head.rs
+++ b/src/net/upstream/response_head.rs
@@ -8,21 +8,22 @@
 
 /// Reads the head of the final response and skips interim ones.
 pub(super) async fn read_head(wire: &mut BufferedStream, limits: &Limits) -> io::Result<Head> {
-    let mut interim = 0;
+    let mut interim_count = 0;
     loop {
         match codec::response_head(&mut wire.buf, &limits.wire) {
             Ok(Some(head)) if (100..200).contains(&head.status()) => {
-                interim += 1;
-                if interim > limits.replicas.interim_heads {
+                interim_count += 1;
+                if interim_count > limits.replicas.interim_heads {
                     return Err(io::Error::other("too many interim responses"));
                 }
                 continue;
             }
             Ok(Some(head)) => return Ok(head),
             Ok(None) => {}
-            Err(bad) => return Err(io::Error::other(bad.message())),
+            Err(error) => return Err(io::Error::other(error.message())),
         }
-        // A head that has arrived in part must end within its own limit, which is shorter than the deadline.
+        // While a head is incomplete, each read must receive data within `partial_head_timeout`, which is shorter than
+        // the deadline.
         let is_partial = !wire.buf.is_empty();
         let fill = wire.fill(&limits.wire);
         if (if is_partial {
--- a/src/process/lifecycle.rs
+++ b/src/process/lifecycle.rs
@@ -7,13 +7,13 @@
 /// The state of a gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It can't serve requests yet.
+    /// Can't serve requests yet.
     Starting,
-    /// It serves requests.
+    /// Serves requests.
     Serving,
-    /// An operator drained it; it serves again once the drain is ended.
+    /// Drained by an operator; serves again once the drain is ended.
     Drained,
-    /// It completes its open requests and then exits.
+    /// Accepts requests until the end of the grace period, completes them, and exits.
     Stopping,
 }
 
@@ -25,20 +25,26 @@
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     state: State,
-    since: Nanos,
-    /// Another process accepts from the same listener queue.
-    shared: bool,
-    /// A drain was requested while it could not serve requests yet.
-    drained: bool,
-    grace: Nanos,
+    state_entered_at: Nanos,
+    /// Another process accepts from the same accept queue.
+    shares_accept_queue: bool,
+    /// A drain was requested before the process could serve requests.
+    drain_requested: bool,
+    grace_period: Nanos,
 }
 
 impl Lifecycle {
-    /// Creates the lifecycle of a starting process. `shared` tells whether another process uses the same listener. After
-    /// a drain or a stop, requests on idle connections are still accepted for the `grace` period.
+    /// Creates the lifecycle of a starting process. `shares_accept_queue` tells whether another process uses the same
+    /// accept queue. After a drain or a stop, requests on idle connections are still accepted for the `grace_period`.
     #[must_use]
-    pub fn new(now: Nanos, shared: bool, grace: Nanos) -> Lifecycle {
-        Lifecycle { state: State::Starting, since: now, shared, drained: false, grace }
+    pub fn new(now: Nanos, shares_accept_queue: bool, grace_period: Nanos) -> Lifecycle {
+        Lifecycle {
+            state: State::Starting,
+            state_entered_at: now,
+            shares_accept_queue,
+            drain_requested: false,
+            grace_period,
+        }
     }
 
     /// The current state.
@@ -50,7 +56,7 @@
     /// Records that the process can serve requests from now on.
     pub fn set_ready(&mut self, now: Nanos) {
         if self.state == State::Starting {
-            self.enter(now, if self.drained { State::Drained } else { State::Serving });
+            self.enter(now, if self.drain_requested { State::Drained } else { State::Serving });
         }
     }
 
@@ -61,7 +67,7 @@
     /// [`AlreadyStopping`] if the process is shutting down.
     pub fn drain(&mut self, now: Nanos) -> Result<(), AlreadyStopping> {
         match self.state {
-            State::Starting => self.drained = true,
+            State::Starting => self.drain_requested = true,
             State::Serving => self.enter(now, State::Drained),
             State::Drained => {}
             State::Stopping => return Err(AlreadyStopping),
@@ -76,7 +82,7 @@
     /// [`AlreadyStopping`] if the process is shutting down.
     pub fn undrain(&mut self, now: Nanos) -> Result<(), AlreadyStopping> {
         match self.state {
-            State::Starting => self.drained = false,
+            State::Starting => self.drain_requested = false,
             State::Serving => {}
             State::Drained => self.enter(now, State::Serving),
             State::Stopping => return Err(AlreadyStopping),
@@ -92,16 +98,16 @@
     }
 
     fn enter(&mut self, now: Nanos, state: State) {
-        (self.state, self.since) = (state, now);
+        (self.state, self.state_entered_at) = (state, now);
     }
 
-    /// Whether load balancers should send clients to this process.
+    /// Whether the load balancers in front of the gateways should send clients to this process.
     #[must_use]
     pub fn is_in_rotation(&self) -> bool {
         self.state == State::Serving
     }
 
-    /// Whether the process can serve requests, drained or not.
+    /// Whether the process has started and isn't stopping, drained or not.
     #[must_use]
     pub fn can_serve(&self) -> bool {
         matches!(self.state, State::Serving | State::Drained)
@@ -113,56 +119,57 @@
         matches!(self.state, State::Starting | State::Serving)
     }
 
-    /// Whether connections are accepted. From a shared queue, a process accepts only what it can serve, and a stopping
-    /// process accepts nothing, since the other process serves the queue.
+    /// Whether connections are accepted. With a shared accept queue, a starting or stopping process accepts none, since
+    /// the other process does. Otherwise a process accepts connections until the grace period of its shutdown ends.
     #[must_use]
     pub fn accepts(&self, now: Nanos) -> bool {
         match self.state {
-            State::Starting => !self.shared,
+            State::Starting => !self.shares_accept_queue,
             State::Serving | State::Drained => true,
-            State::Stopping => !self.shared && now < self.grace_end(),
+            State::Stopping => !self.shares_accept_queue && now < self.grace_end(),
         }
     }
 
     /// Whether the accept queue belongs to this process alone.
     #[must_use]
     pub fn owns_accept_queue(&self) -> bool {
-        !self.shared
+        !self.shares_accept_queue
     }
 
-    /// Whether a completely received request is sent to a replica. A stopping process is killed one longest deadline after
-    /// the end of the grace period, so a request that arrives later could still be running then. With a shared listener
-    /// the shutdown has no such time limit.
+    /// Whether a completely received request is sent to a replica. A stopping process is killed when the longest
+    /// request deadline has passed since the end of the grace period. A request that arrives after the grace period
+    /// could still be running at that time. With a shared accept queue the shutdown has no such time limit.
     #[must_use]
     pub fn admits_requests(&self, now: Nanos) -> bool {
-        self.state != State::Stopping || self.shared || now < self.grace_end()
+        self.state != State::Stopping || self.shares_accept_queue || now < self.grace_end()
     }
 
-    /// When an idle connection has to close, if at all: after the grace period, which counts from the opening of a
-    /// connection that opened later and has received nothing yet.
+    /// The time at which an idle connection has to close, if at all: at the end of the grace period. A connection that
+    /// has received nothing yet gets at least one grace period from its opening. `opened_unused_at` is the time at which
+    /// such a connection opened, and `None` for any other connection.
     #[must_use]
-    pub fn idle_deadline(&self, silent_since: Option<Nanos>) -> Option<Nanos> {
+    pub fn idle_deadline(&self, opened_unused_at: Option<Nanos>) -> Option<Nanos> {
         match self.state {
             State::Starting | State::Serving => None,
             State::Drained | State::Stopping => {
-                Some(self.grace_end().max(silent_since.unwrap_or(0).saturating_add(self.grace)))
+                Some(self.grace_end().max(opened_unused_at.unwrap_or(0).saturating_add(self.grace_period)))
             }
         }
     }
 
-    /// Whether the shutdown is complete, with `open` connections left.
+    /// Whether the shutdown is complete, with this number of open connections.
     #[must_use]
-    pub fn is_finished(&self, now: Nanos, open: usize) -> bool {
-        self.state == State::Stopping && now >= self.grace_end() && open == 0
+    pub fn is_finished(&self, now: Nanos, open_connections: usize) -> bool {
+        self.state == State::Stopping && now >= self.grace_end() && open_connections == 0
     }
 
-    /// When one of the conditions above next changes with time alone.
+    /// The next time at which the result of a method above changes without a change of state.
     #[must_use]
     pub fn next_change(&self, now: Nanos) -> Option<Nanos> {
         (self.state == State::Stopping && now < self.grace_end()).then(|| self.grace_end())
     }
 
     fn grace_end(&self) -> Nanos {
-        self.since.saturating_add(self.grace)
+        self.state_entered_at.saturating_add(self.grace_period)
     }
 }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -199,9 +199,9 @@
         &self,
         address: SocketAddr,
         inherited: Option<TcpListener>,
-        port: &str,
+        purpose: &str,
     ) -> Result<Async<TcpListener>, StartError> {
-        Ok(listen::open(address, inherited, port, &self.limits)?)
+        Ok(listen::open(address, inherited, purpose, &self.limits)?)
     }
 
     /// Opens the listener for operators, at the management address.
--- a/tests/lag.rs
+++ b/tests/lag.rs
@@ -8,7 +8,7 @@
 
 use quickcheck::{Gen, QuickCheck};
 use tulipridge::limits::Limits;
-use tulipridge::process::lag::{LagEpisode, LagMonitor};
+use tulipridge::process::lag::{LagMonitor, LateRun};
 
 use support::*;
 
@@ -25,12 +25,15 @@
     assert_eq!(monitor.record_run(50 * MS, 150 * MS, || 9 * MS), None, "within the permitted lag");
     // Other threads had the processor, or a system call blocked: little processor time of its own.
     let report = monitor.record_run(200 * MS, 900 * MS, || 10 * MS);
-    assert_eq!(report, Some(LagEpisode { due: 200 * MS, late: 700 * MS, span: 750 * MS, cpu: MS }));
+    assert_eq!(report, Some(LateRun { due: 200 * MS, delay: 700 * MS, span: 750 * MS, cpu_time: MS }));
     assert_eq!(monitor.record_run(900 * MS, 1100 * MS, || 200 * MS), None, "the same spell");
     assert_eq!(monitor.record_run(2080 * MS, 2090 * MS, || 210 * MS), None, "on time");
     // A long computation of the program itself.
     let report = monitor.record_run(2100 * MS, 2500 * MS, || 610 * MS);
-    assert_eq!(report, Some(LagEpisode { due: 2100 * MS, late: 400 * MS, span: 410 * MS, cpu: 400 * MS }));
+    assert_eq!(
+        report,
+        Some(LateRun { due: 2100 * MS, delay: 400 * MS, span: 410 * MS, cpu_time: 400 * MS })
+    );
 }
 
 #[test]
@@ -61,7 +64,8 @@
             let report = monitor.record_run(due, now, || cpu);
             let over = late > 100 * MS;
             let first = over && last.is_none_or(|last| now - last >= 1000 * MS);
-            let expected = first.then(|| LagEpisode { due, late, span: now - seen.0, cpu: cpu - seen.1 });
+            let expected =
+                first.then(|| LateRun { due, delay: late, span: now - seen.0, cpu_time: cpu - seen.1 });
             if over {
                 last = Some(now);
             }
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tulipridge::admission::connection_slots::{ConnectionSlots, ConnectionState, SlotTimeouts};
 use tulipridge::process::lifecycle::{Lifecycle, State};
-use tulipridge::process::overlap::{ConnectionCounts, ConnectionReport, Overlap};
+use tulipridge::process::overlap::{ConnectionCounts, ConnectionReport, ProcessLimits};
 
 const GRACE: u64 = 700;
 
@@ -182,7 +182,7 @@
 /// Two processes of one gateway, each of which opens and closes connections as it likes within its places.
 fn overlaps(whole: (u8, u8), held: (u8, u8), steps: Vec<(bool, i8, i8)>, stops: u8) {
     let whole = ConnectionCounts { edge: 16 + usize::from(whole.0), replicas: 16 + usize::from(whole.1) };
-    let (older, newer) = (Overlap::new(whole), Overlap::new(whole));
+    let (older, newer) = (ProcessLimits::new(whole), ProcessLimits::new(whole));
     // Alone the older one may have filled all of it.
     let mut old = ConnectionCounts {
         edge: usize::from(held.0).min(whole.edge),
@@ -191,7 +191,11 @@
     let mut new = ConnectionCounts::default();
     assert_eq!(older.limits(), whole);
     older.newer_started();
-    assert_eq!((older.share(100), newer.share(100)), (50, 100), "the newcomer knows nothing yet");
+    assert_eq!(
+        (older.memory_share(100), newer.memory_share(100)),
+        (50, 100),
+        "the newcomer knows nothing yet"
+    );
     for (n, (is_old, edge, replicas)) in steps.into_iter().enumerate() {
         let stopping = n >= usize::from(stops) % 32;
         newer.older_reported(ConnectionReport { open: old, stopping });
@@ -214,7 +218,7 @@
     older.newer_exited();
     newer.older_exited();
     assert_eq!((older.limits(), newer.limits()), (whole, whole));
-    assert_eq!((older.share(100), newer.share(100)), (100, 100));
+    assert_eq!((older.memory_share(100), newer.memory_share(100)), (100, 100));
 }
 
 #[test]
@@ -227,12 +231,12 @@
 /// at the least, and what is kept back is kept back.
 fn runs_out(whole: (u8, u8), own: u8, spells: Vec<(u8, u8)>) {
     let whole = ConnectionCounts { edge: 8 + usize::from(whole.0), replicas: 8 + usize::from(whole.1) };
-    let (overlap, own) = (Overlap::new(whole), usize::from(own));
+    let (limits, own) = (ProcessLimits::new(whole), usize::from(own));
     for (edge, replicas) in spells {
-        let before = overlap.limits();
+        let before = limits.limits();
         let open = ConnectionCounts { edge: usize::from(edge), replicas: usize::from(replicas) };
-        let fewer = overlap.reduce_limits(open, own);
-        let (after, all) = (overlap.limits(), open.edge + open.replicas);
+        let fewer = limits.reduce_limits(open, own);
+        let (after, all) = (limits.limits(), open.edge + open.replicas);
         assert_eq!(fewer, after != before);
         assert!(
             after.edge <= before.edge && after.replicas <= before.replicas,
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -115,7 +115,7 @@
     async fn fail(self, _: FailureReason) {
         self.record_response("failed");
     }
-    fn begin(self) -> StandInClient {
+    fn begin_response(self) -> StandInClient {
         self
     }
 }
