--- a/tests/list_propagation.rs
+++ b/tests/list_propagation.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use support::list_propagation::{Behaviour, Scenario};
+use support::list_propagation::{ListServiceBehavior, Scenario};
 
 /// A change that an idle watch misses must be applied within this time after the watch became idle.
 const PROPAGATION_DEADLINE: Duration = Duration::from_secs(6);
@@ -18,12 +18,12 @@
 /// Length of an outage of the list service; longer than the timeout of an idle watch.
 const OUTAGE: Duration = Duration::from_secs(3);
 
-fn check_idle_watch(way: &str) {
-    let scenario = Scenario::new(way, 10, false, false);
+fn check_idle_watch(discovery_mode: &str) {
+    let scenario = Scenario::new(discovery_mode, 10, false, false);
     let from = scenario.list_service.make_watches_idle();
     thread::sleep(DRAIN_DELAY);
     scenario.list_service.drain(0);
-    scenario.check_drain(&format!("{way}, idle"), from, PROPAGATION_DEADLINE);
+    scenario.check_drain(&format!("{discovery_mode}, idle"), from, PROPAGATION_DEADLINE);
 }
 
 #[test]
@@ -36,20 +36,20 @@
     check_idle_watch("ask");
 }
 
-/// The watch is reset, and the next call hangs as `behaviour` says.
-fn check_hanging_call(way: &str, behaviour: Behaviour) {
-    let scenario = Scenario::new(way, 10, false, false);
-    scenario.list_service.set_behaviour(Behaviour::Reset);
+/// The watch is reset, and the next call hangs as `behavior` specifies.
+fn check_hanging_call(discovery_mode: &str, behavior: ListServiceBehavior) {
+    let scenario = Scenario::new(discovery_mode, 10, false, false);
+    scenario.list_service.set_behavior(ListServiceBehavior::Reset);
     // By then open watches are reset. Calls made meanwhile are reset too.
     thread::sleep(Duration::from_millis(50));
-    let from = scenario.list_service.set_behaviour(behaviour);
+    let from = scenario.list_service.set_behavior(behavior);
     support::wait_until(|| scenario.list_service.calls_since(from) > 0);
     scenario.list_service.drain(0);
     thread::sleep(DRAIN_DELAY);
-    scenario.list_service.set_behaviour(Behaviour::Healthy);
+    scenario.list_service.set_behavior(ListServiceBehavior::Healthy);
     // One second is reserved for the wait of a gateway in a larger group for its slot.
     scenario.check_drain(
-        &format!("{way}, {behaviour:?}"),
+        &format!("{discovery_mode}, {behavior:?}"),
         from,
         PROPAGATION_DEADLINE - Duration::from_secs(1),
     );
@@ -57,41 +57,46 @@
 
 #[test]
 fn a_hanging_call_is_repeated_in_time() {
-    let behaviours = [Behaviour::NoResponse, Behaviour::HeadOnly, Behaviour::LateHead(2400)];
-    let all = ["ask", "push"]
-        .map(|way| behaviours.map(|behaviour| thread::spawn(move || check_hanging_call(way, behaviour))));
+    let behaviors = [
+        ListServiceBehavior::NoResponse,
+        ListServiceBehavior::HeadOnly,
+        ListServiceBehavior::LateHead(2400),
+    ];
+    let all = ["ask", "push"].map(|discovery_mode| {
+        behaviors.map(|behavior| thread::spawn(move || check_hanging_call(discovery_mode, behavior)))
+    });
     all.into_iter().flatten().for_each(|one| one.join().expect("the check passes"));
 }
 
 /// A drain during an outage of the list service.
-fn check_outage(way: &str, behaviour: Behaviour, deadline: Duration) {
-    let scenario = Scenario::new(way, 1, false, false);
-    if way == "ask" {
+fn check_outage(discovery_mode: &str, behavior: ListServiceBehavior, deadline: Duration) {
+    let scenario = Scenario::new(discovery_mode, 1, false, false);
+    if discovery_mode == "ask" {
         // An outage ends open watches.
-        scenario.list_service.set_behaviour(Behaviour::Reset);
+        scenario.list_service.set_behavior(ListServiceBehavior::Reset);
         thread::sleep(Duration::from_millis(20));
     }
-    scenario.list_service.set_behaviour(behaviour);
+    scenario.list_service.set_behavior(behavior);
     thread::sleep(DRAIN_DELAY);
     scenario.list_service.drain(0);
     thread::sleep(OUTAGE);
-    let from = scenario.list_service.set_behaviour(Behaviour::Healthy);
-    scenario.check_drain(&format!("{way}, down: {behaviour:?}"), from, deadline);
+    let from = scenario.list_service.set_behavior(ListServiceBehavior::Healthy);
+    scenario.check_drain(&format!("{discovery_mode}, down: {behavior:?}"), from, deadline);
 }
 
-const OUTAGE_BEHAVIOURS: [Behaviour; 5] = [
-    Behaviour::NoResponse,
-    Behaviour::HeadOnly,
-    Behaviour::Reset,
-    Behaviour::Unavailable,
-    Behaviour::NotListening,
+const OUTAGE_BEHAVIORS: [ListServiceBehavior; 5] = [
+    ListServiceBehavior::NoResponse,
+    ListServiceBehavior::HeadOnly,
+    ListServiceBehavior::Reset,
+    ListServiceBehavior::Unavailable,
+    ListServiceBehavior::NotListening,
 ];
 
 #[test]
 fn a_pushed_change_is_applied_at_once_after_an_outage() {
     // The local agent already has the change, so no time is permitted for it.
-    let all = OUTAGE_BEHAVIOURS
-        .map(|behaviour| thread::spawn(move || check_outage("push", behaviour, Duration::ZERO)));
+    let all = OUTAGE_BEHAVIORS
+        .map(|behavior| thread::spawn(move || check_outage("push", behavior, Duration::ZERO)));
     all.into_iter().for_each(|one| one.join().expect("the check passes"));
 }
 
@@ -99,18 +104,18 @@
 fn a_fetched_list_is_applied_in_time_after_an_outage() {
     // The maximum age of the list is 1 s here, and the settings permit four times as much after a failed
     // call.
-    let all = OUTAGE_BEHAVIOURS
-        .map(|behaviour| thread::spawn(move || check_outage("ask", behaviour, Duration::from_secs(4))));
+    let all = OUTAGE_BEHAVIORS
+        .map(|behavior| thread::spawn(move || check_outage("ask", behavior, Duration::from_secs(4))));
     all.into_iter().for_each(|one| one.join().expect("the check passes"));
 }
 
 #[test]
 fn a_pushed_change_is_applied_after_a_watch_reset() {
     let scenario = Scenario::new("push", 10, false, false);
-    let from = scenario.list_service.set_behaviour(Behaviour::Reset);
+    let from = scenario.list_service.set_behavior(ListServiceBehavior::Reset);
     thread::sleep(Duration::from_millis(20));
     scenario.list_service.drain(0);
-    scenario.list_service.set_behaviour(Behaviour::Healthy);
+    scenario.list_service.set_behavior(ListServiceBehavior::Healthy);
     scenario.check_drain("push, reset", from, Duration::ZERO);
 }
 
@@ -123,11 +128,11 @@
 
 #[test]
 fn indented_lists_are_read_in_both_modes() {
-    let all = ["push", "ask"].map(|way| {
+    let all = ["push", "ask"].map(|discovery_mode| {
         thread::spawn(move || {
-            let scenario = Scenario::new(way, 10, true, false);
+            let scenario = Scenario::new(discovery_mode, 10, true, false);
             let from = scenario.list_service.drain(0);
-            scenario.check_drain(&format!("{way}, indented"), from, Duration::ZERO);
+            scenario.check_drain(&format!("{discovery_mode}, indented"), from, Duration::ZERO);
         })
     });
     all.into_iter().for_each(|one| one.join().expect("the check passes"));
@@ -160,7 +165,7 @@
 fn an_idle_watch_is_reopened_in_time_in_a_group_of_300() {
     let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
     at_all_delays(|member, wait| {
-        let scenario = Scenario::of(member, "ask", 10, false, false);
+        let scenario = Scenario::in_group(member, "ask", 10, false, false);
         thread::sleep(wait);
         let from = scenario.list_service.make_watches_idle();
         thread::sleep(DRAIN_DELAY);
@@ -172,37 +177,41 @@
 /// A drain during an outage that is long enough for calls to fail.
 fn check_outage_in_group_of_300(
     member: (u32, u32),
-    behaviour: Behaviour,
+    behavior: ListServiceBehavior,
     max_list_age_s: u64,
     deadline: Duration,
 ) {
-    let scenario = Scenario::of(member, "ask", max_list_age_s, false, false);
-    scenario.list_service.set_behaviour(Behaviour::Reset);
+    let scenario = Scenario::in_group(member, "ask", max_list_age_s, false, false);
+    scenario.list_service.set_behavior(ListServiceBehavior::Reset);
     thread::sleep(Duration::from_millis(20));
-    let start = scenario.list_service.set_behaviour(behaviour);
+    let start = scenario.list_service.set_behavior(behavior);
     thread::sleep(DRAIN_DELAY);
     scenario.list_service.drain(0);
-    match behaviour {
+    match behavior {
         // No calls are seen; this is longer than any gateway waits for its first slot.
-        Behaviour::NotListening => thread::sleep(Duration::from_millis(6500)),
+        ListServiceBehavior::NotListening => thread::sleep(Duration::from_millis(6500)),
         _ => {
             support::wait_until(|| scenario.list_service.calls_since(start) > 0);
             // Different delays after a call for the two gateways.
             thread::sleep(DRAIN_DELAY + Duration::from_millis(9) * member.0);
         }
     }
-    let from = scenario.list_service.set_behaviour(Behaviour::Healthy);
-    scenario.check_drain(&format!("{member:?}, down: {behaviour:?}"), from, deadline);
+    let from = scenario.list_service.set_behavior(ListServiceBehavior::Healthy);
+    scenario.check_drain(&format!("{member:?}, down: {behavior:?}"), from, deadline);
 }
 
 #[test]
 fn a_list_is_applied_in_time_after_refusals_in_a_group_of_300() {
     let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
-    let behaviours =
-        [Behaviour::NotListening, Behaviour::Reset, Behaviour::Unavailable, Behaviour::RetryAfter(1000)];
-    let all = behaviours.map(|behaviour| {
+    let behaviors = [
+        ListServiceBehavior::NotListening,
+        ListServiceBehavior::Reset,
+        ListServiceBehavior::Unavailable,
+        ListServiceBehavior::RetryAfter(1000),
+    ];
+    let all = behaviors.map(|behavior| {
         GROUP_ENDS.map(|member| {
-            thread::spawn(move || check_outage_in_group_of_300(member, behaviour, 10, PROPAGATION_DEADLINE))
+            thread::spawn(move || check_outage_in_group_of_300(member, behavior, 10, PROPAGATION_DEADLINE))
         })
     });
     join_all(all.into_iter().flatten().collect());
@@ -213,10 +222,10 @@
     let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
     // Such a call may be queued at an overloaded service. The settings permit four times the maximum age
     // after it: 12 s.
-    let all = [Behaviour::NoResponse, Behaviour::HeadOnly].map(|behaviour| {
+    let all = [ListServiceBehavior::NoResponse, ListServiceBehavior::HeadOnly].map(|behavior| {
         GROUP_ENDS.map(|member| {
             thread::spawn(move || {
-                check_outage_in_group_of_300(member, behaviour, 3, Duration::from_secs(12));
+                check_outage_in_group_of_300(member, behavior, 3, Duration::from_secs(12));
             })
         })
     });
@@ -225,7 +234,7 @@
 
 #[test]
 fn a_late_line_causes_no_call_and_its_watch_is_read() {
-    let scenario = Scenario::of((150, 300), "ask", 10, false, false);
+    let scenario = Scenario::in_group((150, 300), "ask", 10, false, false);
     let from = scenario.list_service.set_line_interval(Duration::from_millis(2550));
     thread::sleep(Duration::from_secs(9));
     // Three times the watch is idle for 150 ms more than the timeout. The slot recurs after 3.1 s and is in
--- a/tests/support/cargo_metadata.rs
+++ b/tests/support/cargo_metadata.rs
@@ -73,14 +73,14 @@
 }
 
 impl Dependency {
-    /// True for a dependency that a build without tests needs.
-    fn is_for_build(&self) -> bool {
+    /// Whether a build without tests needs the dependency.
+    fn is_needed_without_tests(&self) -> bool {
         self.dep_kinds.iter().any(|kind| kind.kind.as_deref() != Some("dev"))
     }
 }
 
 impl Metadata {
-    /// Reads the metadata of the workspace, resolved for one platform by the lock file.
+    /// Reads the metadata of the workspace, resolved for `platform` with the versions of the lock file.
     pub(crate) fn read(platform: &str) -> Metadata {
         let output = Command::new(env!("CARGO"))
             .args(["metadata", "--locked", "--format-version", "1", "--filter-platform", platform])
@@ -109,7 +109,10 @@
             let dependencies = &nodes[id.as_str()].deps;
             if needed.insert(id) {
                 pending.extend(
-                    dependencies.iter().filter(|each| each.is_for_build()).map(|each| each.pkg.clone()),
+                    dependencies
+                        .iter()
+                        .filter(|dependency| dependency.is_needed_without_tests())
+                        .map(|dependency| dependency.pkg.clone()),
                 );
             }
         }
--- a/tests/support/list_propagation.rs
+++ b/tests/support/list_propagation.rs
@@ -18,14 +18,14 @@
     wait_until,
 };
 
-/// What the list service does with calls and with open watches.
+/// The behavior of the list service for calls and open watches.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Behaviour {
+pub(crate) enum ListServiceBehavior {
     /// Responds at once.
     Healthy,
-    /// Accepts calls without a response; open watches become idle for good.
+    /// Accepts calls without a response; open watches become idle permanently.
     NoResponse,
-    /// Like `NoResponse`, after the head of a response.
+    /// Sends the head of a response, and then nothing; open watches become idle permanently.
     HeadOnly,
     /// Like `HeadOnly`, with the head sent after this many milliseconds.
     LateHead(u64),
@@ -40,10 +40,9 @@
 }
 
 struct State {
-    behaviour: Behaviour,
-    /// Number of changes of the behaviour, by which a watch knows whether it was opened before the last
-    /// one.
-    changes: usize,
+    behavior: ListServiceBehavior,
+    /// Number of changes of the behavior, from which a watch detects that it was opened before the last change.
+    behavior_changes: usize,
     version: u64,
     replicas: Vec<Value>,
     /// Time of each write of a list, with its version.
@@ -60,8 +59,8 @@
 /// Binds a socket with `SO_REUSEPORT` to an address that other such sockets may share.
 fn bound_socket(addr: SocketAddr) -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_reuse_port(true).expect("set");
-    socket.bind(&addr.into()).expect("its port");
+    socket.set_reuse_port(true).expect("set SO_REUSEPORT");
+    socket.bind(&addr.into()).expect("bind the socket");
     socket
 }
 
@@ -77,12 +76,12 @@
     /// Starts a service with these replicas in version 2; `indented` is whether it writes indented JSON.
     pub(crate) fn new(replicas: Vec<Value>, indented: bool) -> ListService {
         let reservation = bound_socket(SocketAddr::from(([127, 0, 0, 1], 0)));
-        let addr = reservation.local_addr().expect("an address").as_socket().expect("of IP");
+        let addr = reservation.local_addr().expect("an address").as_socket().expect("an IP address");
         let (written, calls) = (Vec::new(), Vec::new());
         let line_interval = Duration::from_secs(2);
         let state = State {
-            behaviour: Behaviour::Healthy,
-            changes: 0,
+            behavior: ListServiceBehavior::Healthy,
+            behavior_changes: 0,
             version: 2,
             replicas,
             written,
@@ -91,7 +90,7 @@
         };
         let list_service = ListService { addr, state: Arc::new(Mutex::new(state)), indented };
         let service = list_service.clone();
-        let listener = list_service.open();
+        let listener = list_service.open_listener();
         thread::spawn(move || service.listen(reservation, listener));
         list_service
     }
@@ -101,13 +100,13 @@
     fn listen(self, _reservation: Socket, listener: TcpListener) {
         let mut open = Some(listener);
         loop {
-            let away = self.state().behaviour == Behaviour::NotListening;
-            match (&open, away) {
+            let must_not_listen = self.state().behavior == ListServiceBehavior::NotListening;
+            match (&open, must_not_listen) {
                 (Some(_), true) => drop(open.take()),
-                (None, false) => open = Some(self.open()),
+                (None, false) => open = Some(self.open_listener()),
                 (Some(listener), false) => {
                     if let Ok((stream, _)) = listener.accept() {
-                        stream.set_nonblocking(false).expect("set");
+                        stream.set_nonblocking(false).expect("make the stream blocking");
                         let this = self.clone();
                         thread::spawn(move || this.respond(stream));
                         continue;
@@ -119,10 +118,10 @@
         }
     }
 
-    fn open(&self) -> TcpListener {
+    fn open_listener(&self) -> TcpListener {
         let socket = bound_socket(self.addr);
-        socket.listen(BACKLOG).expect("listens");
-        socket.set_nonblocking(true).expect("set");
+        socket.listen(BACKLOG).expect("listen");
+        socket.set_nonblocking(true).expect("make the listener non-blocking");
         socket.into()
     }
 
@@ -130,20 +129,20 @@
         self.state.lock().expect("not poisoned")
     }
 
-    /// Sets the behaviour and returns the time.
-    pub(crate) fn set_behaviour(&self, behaviour: Behaviour) -> Instant {
+    /// Sets the behavior and returns the time.
+    pub(crate) fn set_behavior(&self, behavior: ListServiceBehavior) -> Instant {
         let mut state = self.state();
-        (state.behaviour, state.changes) = (behaviour, state.changes + 1);
+        (state.behavior, state.behavior_changes) = (behavior, state.behavior_changes + 1);
         Instant::now()
     }
 
-    /// Makes open watches idle, while calls get responses as before. Returns the time.
+    /// Makes open watches idle. Calls get no response for 30 ms, and then responses as before. Returns the time.
     pub(crate) fn make_watches_idle(&self) -> Instant {
-        let from = self.set_behaviour(Behaviour::NoResponse);
-        // By then each watch has seen the change.
+        let changed_at = self.set_behavior(ListServiceBehavior::NoResponse);
+        // Each watch checks the behavior every 2 ms, so it sees the change within this time.
         thread::sleep(Duration::from_millis(30));
-        self.set_behaviour(Behaviour::Healthy);
-        from
+        self.set_behavior(ListServiceBehavior::Healthy);
+        changed_at
     }
 
     /// Sets the interval of empty lines. Returns the time.
@@ -160,8 +159,8 @@
         Instant::now()
     }
 
-    /// When the current version was first written to a caller.
-    pub(crate) fn written(&self) -> Option<Instant> {
+    /// The time at which the current version was first written to a caller.
+    pub(crate) fn written_at(&self) -> Option<Instant> {
         let state = self.state();
         state.written.iter().find(|(version, _)| *version >= state.version).map(|(_, at)| *at)
     }
@@ -171,80 +170,80 @@
         self.state().calls.iter().filter(|at| **at >= from).count()
     }
 
-    fn object(&self) -> (u64, String) {
+    fn versioned_list_json(&self) -> (u64, String) {
         let state = self.state();
-        let object = replica_list(state.version, true, state.replicas.clone());
-        let form =
+        let list = replica_list(state.version, true, state.replicas.clone());
+        let serialize =
             if self.indented { serde_json::to_string_pretty } else { serde_json::to_string::<Value> };
-        (state.version, form(&object).expect("text") + "\n")
+        (state.version, serialize(&list).expect("serialize the list") + "\n")
     }
 
     fn respond(&self, mut stream: TcpStream) -> Option<()> {
         let mut reader = BufReader::new(stream.try_clone().ok()?);
         read_message(&mut reader)?;
-        let (behaviour, changes) = {
+        let (behavior, behavior_changes) = {
             let mut state = self.state();
             state.calls.push(Instant::now());
-            (state.behaviour, state.changes)
+            (state.behavior, state.behavior_changes)
         };
-        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        match behaviour {
-            Behaviour::Healthy | Behaviour::HeadOnly => stream.write_all(head.as_bytes()).ok()?,
-            Behaviour::LateHead(ms) => {
+        let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        match behavior {
+            ListServiceBehavior::Healthy | ListServiceBehavior::HeadOnly => stream.write_all(head).ok()?,
+            ListServiceBehavior::LateHead(ms) => {
                 thread::sleep(Duration::from_millis(ms));
-                stream.write_all(head.as_bytes()).ok()?;
+                stream.write_all(head).ok()?;
             }
-            Behaviour::Unavailable => {
+            ListServiceBehavior::Unavailable => {
                 return stream.write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n").ok();
             }
-            Behaviour::RetryAfter(ms) => {
+            ListServiceBehavior::RetryAfter(ms) => {
                 let wait = ms as f64 / 1000.0;
                 let response =
                     format!("HTTP/1.1 503 No\r\nRetry-After: {wait}\r\nContent-Length: 0\r\n\r\n");
                 return stream.write_all(response.as_bytes()).ok();
             }
-            Behaviour::Reset => {
-                reset(&stream);
+            ListServiceBehavior::Reset => {
+                reset_on_close(&stream);
                 return None;
             }
-            Behaviour::NoResponse | Behaviour::NotListening => {}
+            ListServiceBehavior::NoResponse | ListServiceBehavior::NotListening => {}
         }
-        if behaviour != Behaviour::Healthy {
-            // Until the caller closes the connection.
+        if behavior != ListServiceBehavior::Healthy {
+            // Waits until the caller closes the connection.
             let _ = read_message(&mut reader);
             return None;
         }
-        let (mut sent_version, mut last) = (0, Instant::now());
+        let (mut sent_version, mut last_write_at) = (0, Instant::now());
         loop {
-            let now = self.state().behaviour;
-            let older = self.state().changes > changes;
-            match now {
-                Behaviour::Reset | Behaviour::NotListening => {
-                    reset(&stream);
+            let current_behavior = self.state().behavior;
+            let is_older_than_change = self.state().behavior_changes > behavior_changes;
+            match current_behavior {
+                ListServiceBehavior::Reset | ListServiceBehavior::NotListening => {
+                    reset_on_close(&stream);
                     return None;
                 }
-                Behaviour::Unavailable | Behaviour::RetryAfter(_) => return None,
-                _ if older => {
+                ListServiceBehavior::Unavailable | ListServiceBehavior::RetryAfter(_) => return None,
+                _ if is_older_than_change => {
                     let _ = read_message(&mut reader);
                     return None;
                 }
                 _ => {}
             }
-            let (version, object) = self.object();
+            let (version, list) = self.versioned_list_json();
             if version > sent_version {
-                stream.write_all(encode_chunk(&object).as_bytes()).ok()?;
-                (sent_version, last) = (version, Instant::now());
-                self.state().written.push((version, last));
-            } else if last.elapsed() > self.state().line_interval {
+                stream.write_all(encode_chunk(&list).as_bytes()).ok()?;
+                (sent_version, last_write_at) = (version, Instant::now());
+                self.state().written.push((version, last_write_at));
+            } else if last_write_at.elapsed() > self.state().line_interval {
                 stream.write_all(encode_chunk("\n").as_bytes()).ok()?;
-                last = Instant::now();
+                last_write_at = Instant::now();
             }
             thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-fn reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
@@ -260,8 +259,7 @@
     (replica, arrivals)
 }
 
-/// Two replicas, the first of which is drained, their list service, and a gateway with clients that send
-/// requests.
+/// Two replicas, their list service, and a gateway with clients that send requests. A test drains the first replica.
 pub(crate) struct Scenario {
     pub list_service: ListService,
     pub gateway: Gateway,
@@ -271,16 +269,21 @@
 }
 
 impl Scenario {
-    /// `way` is the discovery mode in the settings, and `max_list_age_s` the maximum age of the list. The
+    /// `discovery_mode` is the mode in the settings, and `max_list_age_s` the maximum age of the list. The
     /// gateway's persisted list has both replicas as ready, whatever the service's list has.
-    pub(crate) fn new(way: &str, max_list_age_s: u64, indented: bool, drained: bool) -> Scenario {
-        Scenario::of((0, 1), way, max_list_age_s, indented, drained)
+    pub(crate) fn new(
+        discovery_mode: &str,
+        max_list_age_s: u64,
+        indented: bool,
+        drained: bool,
+    ) -> Scenario {
+        Scenario::in_group((0, 1), discovery_mode, max_list_age_s, indented, drained)
     }
 
-    /// The same with a gateway of this index in a group of this size.
-    pub(crate) fn of(
-        (me, group): (u32, u32),
-        way: &str,
+    /// Like `new`, with a gateway that has index `index` in a group of `group_size`.
+    pub(crate) fn in_group(
+        (index, group_size): (u32, u32),
+        discovery_mode: &str,
         max_list_age_s: u64,
         indented: bool,
         drained: bool,
@@ -292,19 +295,28 @@
             list_service.drain(0);
         }
         let platform = Platform::with_discovery((list_service.addr, channel().0));
-        let more = json!({"way": way, "ask_within_s": max_list_age_s, "me": me, "group": group});
-        let gateway =
-            Gateway::attach(Gateway::spawn_on("n0", "platform", replicas, 3, (1024, 1024), more, platform));
+        let extra_settings = json!({
+            "way": discovery_mode, "ask_within_s": max_list_age_s, "me": index, "group": group_size
+        });
+        let gateway = Gateway::attach(Gateway::spawn_on(
+            "n0",
+            "platform",
+            replicas,
+            3,
+            (1024, 1024),
+            extra_settings,
+            platform,
+        ));
         let stop = Arc::new(AtomicBool::new(false));
         // Many scenarios run at once. With shorter pauses, a busy machine is so slow that gateways shed
         // load.
         let pause = Duration::from_millis(25);
-        let (front, next) = (gateway.front("platform"), Arc::new(AtomicUsize::new(1)));
+        let (front, next_session) = (gateway.front("platform"), Arc::new(AtomicUsize::new(1)));
         let clients = (0..3).map(|_| {
-            let (stop, next) = (stop.clone(), next.clone());
+            let (stop, next_session) = (stop.clone(), next_session.clone());
             thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
-                    let session = next.fetch_add(1, Ordering::SeqCst);
+                    let session = next_session.fetch_add(1, Ordering::SeqCst);
                     assert_eq!(
                         read_outcome("platform", send(front, "platform", "plain", 9000, session)).0,
                         ClientOutcome::Served("Hello".into())
@@ -318,7 +330,7 @@
             Scenario { list_service, gateway, arrivals: [arrivals_one, arrivals_two], stop, clients };
         if !drained {
             wait_until(|| {
-                scenario.list_service.written().is_some()
+                scenario.list_service.written_at().is_some()
                     && scenario.requests_since(0, None) > 5
                     && scenario.requests_since(1, None) > 5
             });
@@ -332,36 +344,39 @@
         arrivals.iter().filter(|at| from.is_none_or(|from| **at > from)).count()
     }
 
-    /// Waits until the drain is written, and for some time after the propagation deadline and the grace
-    /// period. Checks that the drained replica got no requests after that, while the other one did. Returns
-    /// the time from `from` until the drain was written.
-    pub(crate) fn check_drain(mut self, what: &str, from: Instant, deadline: Duration) -> Duration {
-        wait_until(|| self.list_service.written().is_some());
-        let written = self.list_service.written().expect("just checked");
+    /// Checks that the drain was written by the deadline, and that after the grace period only the other replica got
+    /// requests. Waits until the drain is written, and for some time after the propagation deadline and the grace
+    /// period. Returns the time from `from` until the drain was written.
+    pub(crate) fn check_drain(mut self, case: &str, from: Instant, deadline: Duration) -> Duration {
+        wait_until(|| self.list_service.written_at().is_some());
+        let written_at = self.list_service.written_at().expect("just checked");
         let due = from + deadline + GRACE + SLACK;
-        let until = due.max(written + GRACE) + Duration::from_millis(300);
-        // A drain that was written early is also obeyed early; there is nothing to see in the remaining
-        // time.
-        let until = until.min(written + GRACE + Duration::from_millis(500)).max(Instant::now());
+        let until = due.max(written_at + GRACE) + Duration::from_millis(300);
+        // If the drain was written early, waiting 500 ms after its grace period is enough.
+        let until = until.min(written_at + GRACE + Duration::from_millis(500)).max(Instant::now());
         thread::sleep(until - Instant::now());
         self.stop.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
             client.join().expect("all requests are served");
         }
-        let took = written.saturating_duration_since(from);
-        println!("{what}: written after {took:?}");
-        let end = due.min(written + GRACE + SLACK);
+        let propagation_time = written_at.saturating_duration_since(from);
+        println!("{case}: the drain was written after {propagation_time:?}");
+        let end = due.min(written_at + GRACE + SLACK);
         assert_eq!(
             self.requests_since(0, Some(end)),
             0,
-            "{what}: sent to a drained replica, drain written after {took:?}"
+            "{case}: requests were sent to the drained replica; the drain was written after {propagation_time:?}"
+        );
+        assert!(
+            written_at <= due,
+            "{case}: the drain was written after {propagation_time:?}, with a limit of {:?}",
+            due - from
         );
-        assert!(written <= due, "{what}: written after {took:?}, deadline {deadline:?}");
         assert!(
-            self.requests_since(1, Some(written + GRACE)) > 0,
-            "{what}: the other replica got no requests"
+            self.requests_since(1, Some(written_at + GRACE)) > 0,
+            "{case}: the other replica got no requests"
         );
-        took
+        propagation_time
     }
 }
 
