--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tulipridge::admission::connection_slots::{ConnectionSlots, ConnectionState, SlotTimeouts};
 use tulipridge::process::lifecycle::{Lifecycle, State};
-use tulipridge::process::overlap::{ConnectionCounts, ConnectionReport, Overlap};
+use tulipridge::process::overlap::{ConnectionCounts, ConnectionReport, ProcessLimits};
 
 /// Grace period in nanoseconds, like all times of these tests.
 const GRACE: u64 = 700;
@@ -196,7 +196,7 @@
 /// Two processes of one gateway, each of which opens and closes random numbers of connections within its limits.
 fn check_overlap(all: (u8, u8), open: (u8, u8), steps: Vec<(bool, i8, i8)>, stop_step: u8) {
     let all = ConnectionCounts { edge: 16 + usize::from(all.0), replicas: 16 + usize::from(all.1) };
-    let (older, newer) = (Overlap::new(all), Overlap::new(all));
+    let (older, newer) = (ProcessLimits::new(all), ProcessLimits::new(all));
     // While it was alone, the older process may have used all connections.
     let mut old = ConnectionCounts {
         edge: usize::from(open.0).min(all.edge),
@@ -205,7 +205,11 @@
     let mut new = ConnectionCounts::default();
     assert_eq!(older.limits(), all);
     older.newer_started();
-    assert_eq!((older.share(100), newer.share(100)), (50, 100), "the newer process has no report yet");
+    assert_eq!(
+        (older.memory_share(100), newer.memory_share(100)),
+        (50, 100),
+        "the newer process has no report yet"
+    );
     for (n, (is_old, edge, replicas)) in steps.into_iter().enumerate() {
         let stopping = n >= usize::from(stop_step) % 32;
         newer.older_reported(ConnectionReport { open: old, stopping });
@@ -228,7 +232,7 @@
     older.newer_exited();
     newer.older_exited();
     assert_eq!((older.limits(), newer.limits()), (all, all));
-    assert_eq!((older.share(100), newer.share(100)), (100, 100));
+    assert_eq!((older.memory_share(100), newer.memory_share(100)), (100, 100));
 }
 
 #[test]
@@ -241,12 +245,12 @@
 /// than the minimum of its kind, and the descriptors to be reserved are reserved.
 fn check_reduced_limits(all: (u8, u8), own: u8, shortages: Vec<(u8, u8)>) {
     let all = ConnectionCounts { edge: 8 + usize::from(all.0), replicas: 8 + usize::from(all.1) };
-    let (overlap, own) = (Overlap::new(all), usize::from(own));
+    let (limits, own) = (ProcessLimits::new(all), usize::from(own));
     for (edge, replicas) in shortages {
-        let before = overlap.limits();
+        let before = limits.limits();
         let open = ConnectionCounts { edge: usize::from(edge), replicas: usize::from(replicas) };
-        let is_reduced = overlap.reduce_limits(open, own);
-        let (after, open_count) = (overlap.limits(), open.edge + open.replicas);
+        let is_reduced = limits.reduce_limits(open, own);
+        let (after, open_count) = (limits.limits(), open.edge + open.replicas);
         assert_eq!(is_reduced, after != before);
         assert!(
             after.edge <= before.edge && after.replicas <= before.replicas,
