--- a/crates/control-plane/tests/bandwidth_limited_cluster/mod.rs
+++ b/crates/control-plane/tests/bandwidth_limited_cluster/mod.rs
@@ -77,11 +77,11 @@
 
 /// A member.
 pub(crate) struct Member {
-    /// Its address and generation.
+    /// Address of the member, and generation of its current disk.
     pub node: NodeId,
-    /// The durable state on its disk.
+    /// The durable state on the member's disk.
     pub disk: DurableState,
-    /// The speed of its disk.
+    /// The speed of the member's disk.
     pub speed: DiskSpeed,
     pending: VecDeque<PendingWrite>,
     disk_health: DiskHealthMonitor,
@@ -91,7 +91,7 @@
     log_bytes: u64,
     /// Until when the disk is busy with a compaction.
     compacting_until: Duration,
-    /// Its process, if it is running.
+    /// The member's process; `None` while it is stopped.
     pub process: Option<Process>,
     incarnations: u64,
 }
@@ -130,9 +130,9 @@
 /// The outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// It was acknowledged at this time.
+    /// The proposal was acknowledged at this virtual time.
     Acknowledged(Duration),
-    /// It failed.
+    /// The proposal failed for this reason.
     Failed(FailureReason),
 }
 
--- a/crates/control-plane/tests/support/machine.rs
+++ b/crates/control-plane/tests/support/machine.rs
@@ -18,51 +18,51 @@
     pub replication: Replication,
     /// The state after the applied commands.
     pub applied: AppliedState,
-    /// Whether it has ever been primary.
+    /// Whether the process has ever been primary.
     pub was_primary: bool,
     /// Queued changes of operators.
     pub changes: ChangeQueue,
-    /// When its next tick is scheduled.
+    /// When the next tick of the process is scheduled, in microseconds of true time.
     pub wake_at: u64,
-    /// Inputs that arrived while it was frozen.
+    /// Inputs that arrived while the machine was frozen.
     pub backlog: Vec<Input>,
-    /// Calls and steps that came due while it was frozen.
+    /// Calls and steps that became due while the machine was frozen.
     pub delayed_events: Vec<OperatorEvent>,
-    /// Whether the disk was last reported as healthy.
+    /// Whether the machine's disk was last reported as healthy.
     pub reported_healthy: bool,
 }
 
 /// A simulated machine.
 pub(crate) struct Machine {
-    /// The id of its member; a wiped disk gets a new generation.
+    /// The id of the machine's member; a wiped disk gets a new generation.
     pub node: NodeId,
-    /// Its zone.
+    /// Name of the zone that the machine belongs to.
     pub zone: String,
-    /// Its disk.
+    /// The machine's disk, with its unsynced records.
     pub disk: Disk,
-    /// Its clock.
+    /// The machine's monotonic clock.
     pub clock: Clock,
-    /// Its process; `None` while it is stopped.
+    /// The machine's process; `None` while it is stopped.
     pub process: Option<Process>,
-    /// The machine is frozen until this time.
+    /// The machine is frozen until this true time, in microseconds.
     pub frozen_until: u64,
     /// Whether the machine is permanently gone.
     pub removed: bool,
-    /// The state of its permanent departure, once that has begun.
+    /// The state of the machine's permanent departure; `None` before the departure begins.
     pub leaving: Option<Leaving>,
-    /// The machine counts as lost until this time.
+    /// The machine counts as lost until this true time, in microseconds.
     pub lost_until: u64,
-    /// Number of processes started so far.
+    /// Number of processes started on the machine so far.
     pub incarnations: u64,
 }
 
 impl Machine {
-    /// Whether its process runs and is not frozen.
+    /// Whether the machine's process runs and is not frozen.
     pub(crate) fn is_running(&self, now: u64) -> bool {
         self.process.is_some() && self.frozen_until <= now
     }
 
-    /// Whether it holds a valid lease by its own clock.
+    /// Whether the machine's member has a valid lease by the machine's clock.
     pub(crate) fn lease_valid(&self, now: u64) -> bool {
         let local = self.clock.local(now);
         self.process.as_ref().is_some_and(|process| process.replication.is_primary(local))
--- a/crates/control-plane/tests/support/operator/call.rs
+++ b/crates/control-plane/tests/support/operator/call.rs
@@ -17,13 +17,13 @@
 /// A change of the configuration. Changes with different route ids have different bodies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct ConfigurationChange {
-    /// Whether it replaces the configuration or changes items of it.
+    /// Whether the change replaces the configuration or changes items of it.
     pub method: ConfigurationMethod,
-    /// The revision that it is based on (`If-Match`).
+    /// The revision that the change is based on (`If-Match`).
     pub base: u64,
-    /// The revision that it creates.
+    /// The revision that the change creates.
     pub revision: u64,
-    /// Identifies the one route that it adds.
+    /// Identifies the one route that the change adds.
     pub route_id: u64,
 }
 
@@ -32,7 +32,7 @@
 pub(crate) struct WeightsChange {
     /// The model.
     pub model: &'static str,
-    /// The revision of its weights.
+    /// The new target revision of the model's weights.
     pub revision: u64,
 }
 
@@ -50,9 +50,9 @@
 /// The parts of a configuration in which the simulated changes differ.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Content {
-    /// Its revision.
+    /// Revision of the configuration.
     pub revision: u64,
-    /// The ids of its routes, sorted.
+    /// The ids of the configuration's routes, sorted.
     pub route_ids: Vec<u64>,
 }
 
--- a/crates/control-plane/tests/support/operator/linearizability.rs
+++ b/crates/control-plane/tests/support/operator/linearizability.rs
@@ -11,20 +11,20 @@
 /// The response that the caller received, and when.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct KnownResponse {
-    /// Its position among all starts and responses.
+    /// Position of the response among all starts and responses of the history.
     pub at: u64,
     /// The response.
     pub response: Response,
 }
 
-/// One call of a history.
+/// A call of a history, with its start and its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Operation<C> {
     /// The call.
     pub call: C,
-    /// The position of its start among all starts and responses.
+    /// Position of the call's start among all starts and responses of the history.
     pub started_at: u64,
-    /// Its response; `None` if the call may or may not have taken effect.
+    /// The response to the call; `None` if the call may or may not have taken effect.
     pub end: Option<KnownResponse>,
 }
 
--- a/crates/control-plane/tests/support/payload.rs
+++ b/crates/control-plane/tests/support/payload.rs
@@ -10,9 +10,9 @@
 /// A command with a number that identifies it to the checker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NumberedCommand {
-    /// Its number.
+    /// Number of the command, unique within a simulation.
     pub number: u64,
-    /// The encoded command for the replicated state; empty if it changes nothing there.
+    /// The encoded command for the replicated state; empty if the command changes nothing there.
     pub command: Arc<[u8]>,
 }
 
--- a/crates/control-plane/tests/support_model/member.rs
+++ b/crates/control-plane/tests/support_model/member.rs
@@ -1,4 +1,4 @@
-//! One member: its clock, its disk, and its process.
+//! A member of the explored cluster: its clock, its disk, and its process.
 
 use std::collections::hash_map::DefaultHasher;
 use std::fmt::Debug;
@@ -33,24 +33,24 @@
     pub ticked_at: u64,
 }
 
-/// One member.
+/// A member of the explored cluster.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
-    /// Its address, and the generation of its current disk.
+    /// Address of the member, and generation of its current disk.
     pub node: NodeId,
-    /// Its clock.
+    /// The member's monotonic clock.
     pub clock: Clock,
-    /// Its disk.
+    /// The member's disk, with its unsynced records.
     pub disk: Disk,
-    /// Its running process.
+    /// The member's process; `None` while it is stopped.
     pub process: Option<Process>,
-    /// Time at which its process starts again.
+    /// True time at which the member's process starts again, in microseconds; `None` if no restart is scheduled.
     pub restart_at: Option<u64>,
-    /// Time until which it handles no input.
+    /// True time until which the member handles no input, in microseconds; `None` if the member is not paused.
     pub paused_until: Option<u64>,
     /// Inputs that arrived during the pause.
     pub backlog: Vec<Input>,
-    /// Number of processes started.
+    /// Number of processes started on the member so far.
     pub incarnations: u64,
 }
 
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Whether its process runs and handles inputs.
+    /// Whether the member's process runs and handles inputs.
     pub(crate) fn is_running(&self) -> bool {
         self.process.is_some() && self.paused_until.is_none()
     }
 
-    /// When its next timer is due.
+    /// True time at which the next timer of the member is due, in microseconds; `None` if stopped without a restart.
     pub(crate) fn due(&self, now: u64) -> Option<u64> {
         if let Some(restart_at) = self.restart_at {
             return Some(restart_at.max(now));
--- a/src/admission/connection_slots.rs
+++ b/src/admission/connection_slots.rs
@@ -9,30 +9,30 @@
 /// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Nothing was received on it yet.
+    /// Nothing was received on the connection yet.
     Silent,
     /// A request is incomplete.
     Receiving,
     /// A request is being served.
     Serving,
-    /// Its last request has its response; it may carry another one.
+    /// The response to the last request was sent; the connection may carry another request.
     Idle,
-    /// Its last response was sent; data that still arrives is read and dropped.
+    /// The last response was sent; data that still arrives is read and dropped.
     Closing,
-    /// It was asked to release its slot.
+    /// The connection was asked to release its slot.
     Evicted,
 }
 
 /// Times after which a connection in a state may be evicted while others wait for a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotTimeouts {
-    /// Since it was accepted, if nothing was received.
+    /// Time since the connection was accepted, if nothing was received.
     pub silent: Duration,
-    /// With an incomplete request, since its last data.
+    /// Time since the last data of an incomplete request.
     pub receiving: Duration,
-    /// While idle, since its last response.
+    /// Time since the last response, for an idle connection.
     pub idle: Duration,
-    /// While closing, since its last response.
+    /// Time since the last response, for a closing connection.
     pub closing: Duration,
 }
 
--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -12,11 +12,11 @@
 /// The limits of a tenant per minute; `None`: unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Rates {
-    /// Requests.
+    /// Requests per minute.
     pub requests: Option<u64>,
-    /// Input tokens, without cached ones.
+    /// Input tokens per minute, without cached ones.
     pub input: Option<u64>,
-    /// Output tokens.
+    /// Output tokens per minute.
     pub output: Option<u64>,
 }
 
@@ -37,11 +37,11 @@
 /// The state of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitStatus {
-    /// Its kind.
+    /// The kind of the limit.
     pub kind: LimitKind,
     /// The limit per minute.
     pub limit: u64,
-    /// What remains now; 0 if the bucket is negative.
+    /// Requests or tokens that remain now; 0 if the bucket is negative.
     pub remaining: u64,
     /// When the bucket is full again if nothing is charged until then.
     pub full_at: Nanos,
@@ -56,7 +56,7 @@
     pub wait: Nanos,
 }
 
-/// What a request was charged on admission.
+/// The amounts that a request was charged on admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[must_use = "a grant is reconciled when the request ends"]
 pub struct Grant {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The state of a tenant's limits; empty if it has none.
+    /// The state of a tenant's limits; empty if the tenant has none.
     pub fn status(&mut self, now: Nanos, tenant: usize) -> Vec<LimitStatus> {
         let Some(buckets) = self.tenants.get_mut(tenant) else { return Vec::new() };
         let mut statuses = Vec::new();
--- a/src/engine/interface.rs
+++ b/src/engine/interface.rs
@@ -20,18 +20,18 @@
     pub prefix: Option<u64>,
     /// Hash of the session.
     pub session: Option<u64>,
-    /// Its size.
+    /// The size of the request in tokens.
     pub tokens: TokenCounts,
-    /// Whether it is a retry of the client.
+    /// Whether the request is a retry of the client.
     pub is_retry: bool,
 }
 
 /// The size of a request in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCounts {
-    /// Of the prompt.
+    /// Tokens of the prompt.
     pub prompt: u32,
-    /// Of the prefix that the prompt shares with others.
+    /// Tokens of the prefix that the prompt shares with others.
     pub prefix: u32,
     /// Maximum number of output tokens of the response.
     pub max_output: u32,
@@ -40,13 +40,13 @@
 /// An action of the load balancer for one request.
 #[derive(Debug, PartialEq)]
 pub enum RequestAction {
-    /// Start an attempt; they are numbered from 0.
+    /// Start an attempt; attempts are numbered from 0.
     StartAttempt {
-        /// Its number.
+        /// Number of the attempt within its request.
         number: u32,
-        /// The replica.
+        /// The replica that the attempt is sent to.
         replica: ReplicaId,
-        /// Timeout for its first event.
+        /// Timeout for the attempt's first event.
         timeout: Duration,
         /// The request may be written only within this time, even if the connection takes longer to open.
         write_within: Duration,
@@ -79,7 +79,7 @@
     pub cached_tokens: Option<u32>,
     /// The replica's load report, in the order of the settings; empty if there is none.
     pub load_report: Vec<f64>,
-    /// How its stream ended, if one had started.
+    /// How the attempt's stream ended, if one had started.
     pub end: End,
 }
 
@@ -97,9 +97,9 @@
 /// Why a request failed, for the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// No replica has run it: all replicas that were tried refused it.
+    /// No replica has run the request: all replicas that were tried refused it.
     Refused,
-    /// Replicas failed while they ran it.
+    /// Replicas failed while they ran the request.
     Errors,
     /// No replica responded in time.
     NoAnswer,
--- a/src/engine/participants.rs
+++ b/src/engine/participants.rs
@@ -10,7 +10,7 @@
 use crate::stream::{Arrival, Cause, Disconnect};
 use crate::types::{Nanos, ReplicaId};
 
-/// What an attempt yields: any number of events, then one end.
+/// The updates that an attempt yields: any number of events, then one end.
 #[derive(Debug)]
 pub enum AttemptUpdate<E> {
     /// Events of the response's stream that arrived together.
@@ -44,15 +44,15 @@
 /// Metadata of a started stream, as needed by a process that takes it over.
 #[derive(Clone, Debug)]
 pub struct StreamInfo {
-    /// The id of its request.
+    /// The id of the stream's request.
     pub id: u64,
-    /// The class of its request.
+    /// The class of the stream's request.
     pub class: usize,
-    /// The tenant of its request.
+    /// The tenant of the stream's request.
     pub tenant: Option<usize>,
-    /// Its replica.
+    /// The replica that sends the stream.
     pub replica: ReplicaId,
-    /// Time from the start of its attempt to its first event.
+    /// Time from the start of the stream's attempt to its first event, in nanoseconds.
     pub time_to_first_event: Nanos,
 }
 
@@ -91,7 +91,7 @@
     fn is_assembled(&self) -> bool;
     /// Bytes that are buffered and not yet queued.
     fn buffered_bytes(&self) -> usize;
-    /// Whether its buffer is full.
+    /// Whether the response needs more buffer than is allowed, so that it can't continue.
     fn is_full(&self) -> bool;
     /// Queues events for the client. Returns the number of queued bytes.
     fn queue(&mut self, events: E) -> usize;
--- a/src/net/edge/after_response.rs
+++ b/src/net/edge/after_response.rs
@@ -1,10 +1,10 @@
-//! What happens to a connection after a response.
+//! Whether a connection is kept or closed after a response.
 
 use super::BufferedStream;
 
-/// What happens to a connection after a response.
+/// A connection after its response, to be kept or closed.
 pub(super) enum AfterResponse {
-    /// It may carry another request.
+    /// The connection may carry another request.
     KeepAlive(BufferedStream),
     /// The last response was written and may still be in flight.
     Close(BufferedStream),
--- a/src/stream/outcome.rs
+++ b/src/stream/outcome.rs
@@ -5,42 +5,42 @@
 /// Why a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// All of it was received and delivered.
+    /// All data of the stream was received and delivered.
     Complete,
-    /// Its client left.
+    /// The client left.
     ClientLeft,
-    /// Its client read less than the required minimum.
+    /// The client read less than the required minimum.
     ReaderSlow,
-    /// Its replica sent nothing for longer than the idle timeout.
+    /// The replica sent nothing for longer than the idle timeout.
     Stalled,
-    /// Its replica's connection ended before the stream did.
+    /// The replica's connection ended before the stream did.
     Disconnected,
-    /// The data from its replica could not be parsed.
+    /// The data from the replica could not be parsed.
     Malformed,
-    /// Its replica reported an error within the stream.
+    /// The replica reported an error within the stream.
     Failed,
-    /// It was evicted when the memory budget ran short.
+    /// The stream was evicted when the memory budget ran short.
     Budget,
-    /// More of it had to be buffered than one stream may.
+    /// More of the stream had to be buffered than one stream may.
     TooLong,
     /// The process is shutting down and the stream did not end in time.
     Shutdown,
-    /// The load balancer cancelled it: another attempt serves the request.
+    /// The load balancer cancelled the stream: another attempt serves the request.
     Cancelled,
-    /// The successor process continues it.
+    /// The successor process continues the stream.
     HandedOver,
 }
 
 /// The side that is responsible for an end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// None: the stream is complete.
+    /// No side: the stream is complete or was handed over.
     Nobody,
     /// The client.
     Client,
     /// The replica.
     Replica,
-    /// This gateway.
+    /// The gateway.
     Gateway,
 }
 
@@ -115,13 +115,13 @@
 /// The record of one stream. Times are in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Why it ended.
+    /// Why the stream ended.
     pub cause: Cause,
     /// Bytes received from the replica.
     pub bytes: u64,
     /// Events received from the replica.
     pub events: u64,
-    /// Time from the start of the attempt to its first event.
+    /// Time from the start of the attempt to the stream's first event.
     pub time_to_first_event: Nanos,
     /// The longest time without data while the replica was read.
     pub longest_gap: Nanos,
--- a/src/stream/relay.rs
+++ b/src/stream/relay.rs
@@ -27,39 +27,39 @@
     Ended,
 }
 
-/// What the owner of a stream has to do next.
+/// The next action of a stream's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayAction {
     /// Wait for the next event or timer.
     Wait,
-    /// End it as a complete stream: the client has read all bytes.
+    /// End the stream as complete: the client has read all bytes.
     Finish,
-    /// End it as incomplete, without the last chunk.
+    /// End the stream as incomplete, without the last chunk.
     Abort,
-    /// Offer it to the successor process.
+    /// Offer the stream to the successor process.
     OfferHandover,
 }
 
 /// How a replica's side ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum End {
-    /// With its last chunk.
+    /// The last chunk arrived.
     Complete,
-    /// Its connection ended before the last chunk.
+    /// The replica's connection ended before the last chunk.
     #[default]
     Disconnected,
-    /// With data that can't be parsed.
+    /// The replica sent data that can't be parsed.
     Malformed,
-    /// With an error event.
+    /// The replica sent an error event.
     Failed,
 }
 
 /// How a client left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disconnect {
-    /// It closed its connection, or its sending half: both look the same here and both cancel the request.
+    /// The client closed its connection, or its sending half: both look the same here and both cancel the request.
     Closed,
-    /// Its connection was reset.
+    /// The client's connection was reset or failed otherwise, or the client sent too much pipelined data.
     Reset,
 }
 
@@ -124,7 +124,7 @@
     longest_pause: Nanos,
     replica_end: Option<End>,
     shutdown_at: Option<Nanos>,
-    /// When it is offered to the successor process.
+    /// When the stream is offered to the successor process.
     offer_at: Option<Nanos>,
     /// Until when the client may read the rest of a broken stream.
     linger_until: Option<Nanos>,
@@ -467,7 +467,7 @@
 }
 
 impl End {
-    /// The cause of the stream's end that it stands for.
+    /// The cause of a stream that ends like this on the replica's side.
     #[must_use]
     pub fn cause(self) -> Cause {
         match self {
