--- a/crates/fault-injection/tests/configuration_changes.rs
+++ b/crates/fault-injection/tests/configuration_changes.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_of_two_concurrent_changes_of_a_revision_is_applied() {
+fn one_of_two_concurrent_changes_on_a_base_revision_is_applied() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     for round in 1..=ROUNDS {
         let markers = [2 * round, 2 * round + 1];
@@ -82,15 +82,15 @@
 fn a_retry_is_acknowledged_by_any_member_and_after_a_takeover() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     let mut changes = Vec::new();
-    for (bytes, base) in RESPONSE_RESET_OFFSETS.into_iter().zip(1..) {
+    for (bytes, base_revision) in RESPONSE_RESET_OFFSETS.into_iter().zip(1..) {
         let primary = deployment.wait_for_primary().expect("a primary");
         let member = deployment.members[primary].machine.id;
-        let responses = Direction { from: member, to: deployment.operator_machine.id };
-        deployment.network.set_after(responses, bytes, LinkState::Reset);
-        let change = Change::upsert_route(base, &format!("r-{base}"), base);
+        let response_direction = Direction { from: member, to: deployment.operator_machine.id };
+        deployment.network.set_after(response_direction, bytes, LinkState::Reset);
+        let change = Change::upsert_route(base_revision, &format!("r-{base_revision}"), base_revision);
         let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
         let lost = operator.send_once(deployment.operator_socket(primary), &change);
-        deployment.network.set(responses, LinkState::Open);
+        deployment.network.set(response_direction, LinkState::Open);
         assert!(matches!(lost, ChangeResponse::Undecided { .. } | ChangeResponse::Applied), "{lost:?}");
         for member in 0..deployment.members.len() {
             let only = deployment.operator_for(|index| index == member);
@@ -107,22 +107,22 @@
     assert_eq!(revision_of(&configuration), changes.last().expect("a change").revision);
 }
 
-/// The connection is reset during the request, which may have been received completely or not, before the retry.
+/// The connection is reset after part of the request or all of it; then the change is retried.
 #[test]
 fn a_change_whose_request_was_interrupted_is_applied_once() {
     let deployment = start(Topology { edges: 0, ..Topology::default() });
     let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
-    for (bytes, base) in REQUEST_RESET_OFFSETS.into_iter().zip(1..) {
+    for (bytes, base_revision) in REQUEST_RESET_OFFSETS.into_iter().zip(1..) {
         let primary = deployment.wait_for_primary().expect("a primary");
         let member = deployment.members[primary].machine.id;
-        let requests = Direction { from: deployment.operator_machine.id, to: member };
-        deployment.network.set_after(requests, bytes, LinkState::Reset);
-        let change = Change::upsert_route(base, "interrupted", base);
+        let request_direction = Direction { from: deployment.operator_machine.id, to: member };
+        deployment.network.set_after(request_direction, bytes, LinkState::Reset);
+        let change = Change::upsert_route(base_revision, "interrupted", base_revision);
         let first = operator.send_once(deployment.operator_socket(primary), &change);
-        deployment.network.set(requests, LinkState::Open);
+        deployment.network.set(request_direction, LinkState::Open);
         assert!(matches!(first, ChangeResponse::Undecided { .. } | ChangeResponse::Applied), "{first:?}");
         assert_eq!(send(&deployment.operator(), &change), ChangeResponse::Applied);
-        let conflicting = Change::upsert_route(base, "interrupted", base + 1_000);
+        let conflicting = Change::upsert_route(base_revision, "interrupted", base_revision + 1_000);
         assert_eq!(
             send(&deployment.operator(), &conflicting),
             ChangeResponse::Stale { current: change.revision }
@@ -135,13 +135,13 @@
 fn a_retried_weights_revision_is_acknowledged_again() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     let primary = deployment.wait_for_primary().expect("a primary");
-    let responses =
+    let response_direction =
         Direction { from: deployment.members[primary].machine.id, to: deployment.operator_machine.id };
     let operator = deployment.operator().with_attempt_timeout(ATTEMPT_TIMEOUT);
-    deployment.network.set_after(responses, 0, LinkState::Reset);
+    deployment.network.set_after(response_direction, 0, LinkState::Reset);
     let lost = operator.set_weights_revision(deployment.operator_socket(primary), MODEL, 2);
     assert_eq!(lost, None, "the response is lost");
-    deployment.network.set(responses, LinkState::Open);
+    deployment.network.set(response_direction, LinkState::Open);
     for member in 0..deployment.members.len() {
         assert_eq!(set_weights_until_decided(&deployment, member, 2), OK);
     }
--- a/crates/fault-injection/tests/kills.rs
+++ b/crates/fault-injection/tests/kills.rs
@@ -1,4 +1,4 @@
-//! Kills while operators send changes, and a check that the loss of synced data is detected.
+//! Members are killed while operators send changes; and a check that the loss of synced data is detected.
 
 mod support;
 
--- a/crates/fault-injection/tests/replacement.rs
+++ b/crates/fault-injection/tests/replacement.rs
@@ -20,8 +20,8 @@
     disk::wipe(&deployment.members[index].data_folder).expect("the disk is wiped");
 }
 
-fn apply_change(deployment: &Deployment, base: u64) {
-    let change = Change::upsert_route(base, "marked", base);
+fn apply_change(deployment: &Deployment, base_revision: u64) {
+    let change = Change::upsert_route(base_revision, "marked", base_revision);
     deployment.operator().apply(&change, CHANGE_TIMEOUT).expect("a change is acknowledged");
 }
 
@@ -52,8 +52,8 @@
 #[test]
 fn losing_the_primary_after_a_recovery_loses_no_change() {
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
-    for base in 1..=3 {
-        apply_change(&deployment, base);
+    for base_revision in 1..=3 {
+        apply_change(&deployment, base_revision);
         let backup = deployment.wait_for_backup().expect("a backup");
         deployment.replace_disk(backup).expect("the member restarts with an empty disk");
         wait_until("the control plane has converged", CONVERGENCE_TIMEOUT, || {
@@ -62,7 +62,7 @@
         .expect("the member has rejoined");
         let primary = deployment.wait_for_primary().expect("a primary");
         deployment.replace_disk(primary).expect("the member restarts with an empty disk");
-        assert_marker(&deployment, base);
+        assert_marker(&deployment, base_revision);
         wait_until("the control plane has converged", CONVERGENCE_TIMEOUT, || {
             deployment.is_control_plane_converged()
         })
@@ -97,8 +97,8 @@
     let mut deployment = start(Topology { edges: 0, ..Topology::default() });
     let operator = deployment.operator();
     let changes = thread::spawn(move || {
-        for base in 1..=CHANGES_DURING_RESTART {
-            let change = Change::upsert_route(base, "marked", base);
+        for base_revision in 1..=CHANGES_DURING_RESTART {
+            let change = Change::upsert_route(base_revision, "marked", base_revision);
             let response = operator.send(&change, CHANGE_TIMEOUT).expect("a decision");
             assert_eq!(response, ChangeResponse::Applied);
             thread::sleep(Duration::from_millis(50));
@@ -128,12 +128,12 @@
         let fresh_status =
             || deployment.status(new).filter(tulipridge_fault_injection::status::Status::is_fresh);
         wait_for("the new member follows the primary", CONVERGENCE_TIMEOUT, fresh_status)
-            .expect("the machine becomes a member");
+            .expect("the new member follows the primary");
         kill_and_wipe_disk(&mut deployment, old);
         wait_until("the control plane has converged", CONVERGENCE_TIMEOUT, || {
             deployment.is_control_plane_converged()
         })
-        .expect("the machine is replaced");
+        .expect("the control plane converges after the loss of the old member");
         assert_marker(&deployment, old as u64 + 1);
     }
     let configuration = deployment.operator().configuration(CHANGE_TIMEOUT).expect("a response");
