--- a/examples/messages_bench.rs
+++ b/examples/messages_bench.rs
@@ -1,5 +1,6 @@
-//! Measures the cost of the messages API and of the translation between dialects, and compares the pairings of dialects
-//! under faults. The figures are in docs/design/messages.md. Needs a release build of the program in the target folder:
+//! Measures the cost of the messages API and of the translation between dialects, and compares all pairings of a
+//! front's and the replicas' dialect under faults. The figures are in docs/design/messages.md. Needs a release build
+//! of the program in the target folder:
 //!
 //! ```text
 //! cargo build --release --locked && cargo run --release --locked --example messages_bench
@@ -180,7 +181,8 @@
     Ok(())
 }
 
-/// Behaviours of the replicas under faults: each case is chosen for 1 in 16 requests, the first one also for the rest.
+/// Cases with and without faults. Each is chosen for 1 in 16 requests; the remaining 7 in 16 use the first case too,
+/// which has no fault.
 const FAULTS: &str = "case served
 case full-once
   serve full
@@ -251,10 +253,10 @@
     );
     let reference = runs[0].1.clone();
     for (Pairing { front, replicas: replica_dialect }, results) in &runs {
-        let different = results.iter().zip(&reference).filter(|(a, b)| a != b).count();
+        let differing_count = results.iter().zip(&reference).filter(|(a, b)| a != b).count();
         let (served, broken, shed, failed, refused, attempts) = count_outcomes(results);
         println!(
-            "{:9} {:9} {served:6}  {broken:6}  {shed:11}  {failed:6}  {refused:7}  {attempts:11}  {different:6}",
+            "{:9} {:9} {served:6}  {broken:6}  {shed:11}  {failed:6}  {refused:7}  {attempts:11}  {differing_count:6}",
             format!("{front:?}"),
             format!("{replica_dialect:?}")
         );
--- a/tests/support/connect_faults.rs
+++ b/tests/support/connect_faults.rs
@@ -16,7 +16,8 @@
 }
 
 /// A listener with a full accept queue, for which the kernel drops connection requests. A connection attempted
-/// meanwhile is established when the kernel retransmits the request: 1 s after the first one, or after 2 to 3 s.
+/// meanwhile is established when the kernel of the connecting side retransmits the request: 1 s after the first
+/// request, or, if that is dropped too, 2 to 3 s after the first.
 pub(crate) struct FullBacklogListener {
     socket: Socket,
     pub addr: SocketAddr,
