--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter program, by its standard input and output.
+//! Tests of the simulator adapter program through its standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_update_uses_the_latest_list_of_its_number_in_a_batch() {
+fn an_update_uses_the_latest_list_with_its_set_id_in_a_batch() {
     let second_list = "ROSTER 0 1\nROW 2.5 b worker_z new 3 SERVING -\n";
     let input = format!(
         "CLOCK 1 1\n{}{}{LIST}UPDATE router_0 Persisted 1 0\n{second_list}UPDATE router_1 Complete 1 0\n{}{}FLUSH\n",
@@ -96,9 +96,10 @@
 
 #[test]
 fn a_crash_and_restart_in_one_batch_discard_all_requests() {
-    let setup = format!("CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\n", provision_line("router_0"));
+    let initial_lines =
+        format!("CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\n", provision_line("router_0"));
     let input = format!(
-        "{setup}{}FLUSH\nCLOCK 2 2\nCRASH_NOW router_0\n{}{}UPDATE router_0 Persisted 1 0\n\
+        "{initial_lines}{}FLUSH\nCLOCK 2 2\nCRASH_NOW router_0\n{}{}UPDATE router_0 Persisted 1 0\n\
          EXPIRED router_0 {:016x}\nFLUSH\n",
         request_line("router_0", 1),
         provision_line("router_0"),
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn instances_act_the_same_in_one_process_and_in_several() {
+fn routers_produce_the_same_output_in_one_or_several_processes() {
     let batch = |routers: &[&str]| {
         let mut text = "CLOCK 1 1\n".to_owned();
         for router in routers {
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn all_other_events_are_accepted() {
+fn errors_timers_messages_and_health_results_are_accepted() {
     let input = format!(
         "CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\nUPDATE router_0 Error 0 -\nWAKE router_0 77\n\
          MESSAGE router_0 2 68692037\nMESSAGE router_0 2 -\nHEALTH_RESULT router_0 worker_x Ok 1400000 -\n\
@@ -144,8 +145,9 @@
 }
 
 #[test]
-fn invalid_input_is_reported_by_line_field_and_fault() {
-    let setup = format!("CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\n", provision_line("router_0"));
+fn invalid_input_is_reported_with_its_line_and_field() {
+    let initial_lines =
+        format!("CLOCK 1 1\n{}{LIST}UPDATE router_0 Persisted 1 0\n", provision_line("router_0"));
     for (line, field) in [
         ("HELLO router_0", "message"),
         ("WAKE router_0", "token"),
@@ -171,13 +173,14 @@
         ("PROVISION router_1 5 lanes.count=1 lanes.0.name=x lanes.0.effect=odd", "lanes.0.effect"),
         ("CLOCK 2 2", "message"),
     ] {
-        let text = error_message(&format!("{setup}{line}\nFLUSH\n"));
+        let text = error_message(&format!("{initial_lines}{line}\nFLUSH\n"));
         assert!(text.contains("line 7: ") && text.contains(&format!(" {field}: ")), "{line} gave {text}");
     }
     assert!(
-        error_message(&format!("{setup}ROSTER 1 1\nROW 1 a worker_z old 0 ASLEEP -\n")).contains("phase")
+        error_message(&format!("{initial_lines}ROSTER 1 1\nROW 1 a worker_z old 0 ASLEEP -\n"))
+            .contains("phase")
     );
-    assert!(error_message(&format!("{setup}ROSTER 1 1\nFLUSH\n")).contains("ROW"));
+    assert!(error_message(&format!("{initial_lines}ROSTER 1 1\nFLUSH\n")).contains("ROW"));
     assert!(error_message("FLUSH\n").contains("line 1: message"));
     assert!(error_message("CLOCK 1 1").contains("line 1: line"), "cut off");
     assert!(error_message("CLOCK 1 1\n").contains("line 2: message"), "ends within a batch");
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Clients that use all connection slots, or all descriptors, while the list service is down: the gateway still connects to
-//! it when it is back, reaches replicas, and serves the management address.
+//! Idle clients occupy all connection slots, or all descriptors, during an outage of the list service. The gateway
+//! still reconnects to the list service after the outage, reaches replicas, and serves the management address.
 
 mod support;
 
@@ -15,8 +15,8 @@
 use support::fleet::{ListService, ListServiceBehavior};
 use support::*;
 
-/// Sends one request to the management address; returns the status of the response, 0 if there is none, and the time that
-/// it took.
+/// Sends one request to the management address; returns the status of the response, 0 if there is none, and the time
+/// that it took.
 fn timed_ready_check(mgmt: SocketAddr) -> (u16, Duration) {
     let start = Instant::now();
     (call_status(mgmt, "GET /ready"), start.elapsed())
@@ -24,18 +24,18 @@
 
 /// Idle clients of all kinds, each of which reconnects once its connection is closed: silent ones, ones with an
 /// incomplete request, and ones that have received a response.
-struct Crowd {
-    is_over: Arc<AtomicBool>,
+struct IdleClients {
+    is_stopped: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
-impl Crowd {
-    fn start(gateway: &Gateway, count: usize) -> Crowd {
-        let is_over = Arc::new(AtomicBool::new(false));
+impl IdleClients {
+    fn start(gateway: &Gateway, count: usize) -> IdleClients {
+        let is_stopped = Arc::new(AtomicBool::new(false));
         let client = |n: usize| {
-            let (is_over, front) = (is_over.clone(), gateway.fronts[n % 2]);
+            let (is_stopped, front) = (is_stopped.clone(), gateway.fronts[n % 2]);
             thread::spawn(move || {
-                while !is_over.load(Ordering::SeqCst) {
+                while !is_stopped.load(Ordering::SeqCst) {
                     let Ok(mut stream) = TcpStream::connect(front) else { continue };
                     let first_bytes: &[u8] = match n / 2 % 3 {
                         0 => b"",
@@ -48,33 +48,44 @@
                         Ok(count) => count == 0,
                         Err(e) => !matches!(e.kind(), std::io::ErrorKind::WouldBlock),
                     };
-                    while !is_over.load(Ordering::SeqCst) && !is_closed(&mut stream) {}
+                    while !is_stopped.load(Ordering::SeqCst) && !is_closed(&mut stream) {}
                     thread::sleep(ms(5));
                 }
             })
         };
         let clients = (0..count).map(client).collect();
-        Crowd { is_over, clients }
+        IdleClients { is_stopped, clients }
     }
 
     fn stop(self) {
-        self.is_over.store(true, Ordering::SeqCst);
+        self.is_stopped.store(true, Ordering::SeqCst);
         self.clients.into_iter().for_each(|client| client.join().expect("the client ends"));
     }
 }
 
-/// Runs a gateway with a crowd of clients. `descriptors` has the number of available descriptors and the configured number.
-fn check_under_crowd(descriptors: (u32, u32), way: &str) {
-    let case = format!("{descriptors:?}, {way}");
+/// Starts a gateway with these limits on descriptors and sockets, and without a replica list.
+fn start_gateway(
+    list_service: SocketAddr,
+    descriptor_limit: u32,
+    configured_sockets: u32,
+    discovery_mode: &str,
+) -> Gateway {
+    let sockets = (descriptor_limit, configured_sockets);
+    let platform = Platform::with_discovery((list_service, channel().0));
+    let extra_settings = json!({"mgmt": "127.0.0.1:0", "way": discovery_mode});
+    Gateway::attach(Gateway::spawn_on("n0", "platform", vec![], 1, sockets, extra_settings, platform))
+}
+
+/// Runs a gateway with 100 idle clients. `descriptor_limit` is the limit on descriptors of its process, and
+/// `configured_sockets` the number of sockets in its configuration.
+fn check_with_idle_clients(descriptor_limit: u32, configured_sockets: u32, discovery_mode: &str) {
+    let case = format!("{descriptor_limit} descriptors for {configured_sockets} sockets, {discovery_mode}");
     let replica = start_replica("platform", ReplicaBehavior::Serve);
     let lists = ListService::start(vec![replica_entry(0, &replica, "ready", 0)], 100.0);
     lists.set_behavior(ListServiceBehavior::Closing);
-    let platform = Platform::with_discovery((lists.addr, channel().0));
-    let more = json!({"mgmt": "127.0.0.1:0", "way": way});
-    let started = Gateway::spawn_on("n0", "platform", vec![], 1, descriptors, more, platform);
-    let mut gateway = Gateway::attach(started);
+    let mut gateway = start_gateway(lists.addr, descriptor_limit, configured_sockets, discovery_mode);
     let mgmt = gateway.mgmt.expect("a management address");
-    let crowd = Crowd::start(&gateway, 100);
+    let idle_clients = IdleClients::start(&gateway, 100);
     // Long enough for the clients to try all slots, and for several failed calls to the list service.
     let start = Instant::now();
     let mut calls = Vec::new();
@@ -82,12 +93,14 @@
         calls.push(timed_ready_check(mgmt));
         thread::sleep(ms(50));
     }
-    // A shortage of descriptors shows first as failures to accept; other log lines occur in any run.
-    let failed_during_outage = gateway.count_log_lines("accept-failed");
-    let unexpected: Vec<_> = calls.iter().filter(|(status, _)| *status != 503).collect();
+    // A shortage of descriptors first causes failures to accept, of clients or of management calls; other log lines
+    // occur in any run.
+    let accept_failures_during_outage = gateway.count_log_lines("accept-failed");
+    // At most 2 % of the calls, one in 50, may fail or have another status.
+    let not_503: Vec<_> = calls.iter().filter(|(status, _)| *status != 503).collect();
     assert!(
-        unexpected.len() * 50 <= calls.len(),
-        "{case}: calls without status 503: {unexpected:?} of {}",
+        not_503.len() * 50 <= calls.len(),
+        "{case}: calls without status 503: {not_503:?} of {}",
         calls.len()
     );
     assert!(calls.iter().all(|(_, took)| *took < ms(1000)), "{case}: {calls:?}");
@@ -96,7 +109,7 @@
     while call_status(mgmt, "GET /ready") != 200 {
         assert!(
             restored_at.elapsed() < ms(6000),
-            "{case}: no list yet; {failed_during_outage} failures to accept"
+            "{case}: no list yet; {accept_failures_during_outage} failures to accept"
         );
         thread::sleep(ms(20));
     }
@@ -104,32 +117,39 @@
         let (outcome, _) = gateway.exchange(["platform", "messages"][session % 2], "plain", 9000, session);
         assert_eq!(outcome, ClientOutcome::Served("Hello".into()), "{case}");
     }
-    let failed_in_total = gateway.count_log_lines("accept-failed");
-    if descriptors.0 >= descriptors.1 {
-        assert_eq!(failed_in_total, 0, "{case}: descriptors are reserved");
+    let total_accept_failures = gateway.count_log_lines("accept-failed");
+    if descriptor_limit >= configured_sockets {
+        assert_eq!(
+            total_accept_failures, 0,
+            "{case}: accept failed although the limit covers all configured sockets"
+        );
     } else {
-        // The first shortage shows the number of descriptors. Until silent connections are evicted, after 0.2 s, the other
-        // listeners fail every 20 ms; after that nothing fails.
+        // At the first failure to accept, the gateway lowers its connection limits to what the available descriptors
+        // allow. For the 0.2 s until it evicts silent connections, each other listener fails to accept every 20 ms;
+        // later none fails.
         assert!(
-            failed_during_outage <= 60,
-            "{case}: {failed_during_outage} failures to accept while the list service was down"
+            accept_failures_during_outage <= 60,
+            "{case}: {accept_failures_during_outage} failures to accept while the list service was down"
+        );
+        assert_eq!(
+            total_accept_failures, accept_failures_during_outage,
+            "{case}: further failures to accept"
         );
-        assert_eq!(failed_in_total, failed_during_outage, "{case}: further failures to accept");
     }
-    crowd.stop();
+    idle_clients.stop();
     assert_eq!(gateway.stop(), Some(0), "{case}");
 }
 
 #[test]
-fn a_crowd_in_all_slots_blocks_no_lists_replicas_or_operators() {
-    for way in ["ask", "push"] {
-        check_under_crowd((128, 128), way);
+fn idle_clients_in_all_slots_block_no_other_kind_of_connection() {
+    for discovery_mode in ["ask", "push"] {
+        check_with_idle_clients(128, 128, discovery_mode);
     }
 }
 
 #[test]
-fn a_crowd_on_too_few_descriptors_blocks_nothing_else() {
-    for way in ["ask", "push"] {
-        check_under_crowd((72, 1024), way);
+fn idle_clients_under_a_low_descriptor_limit_block_nothing_else() {
+    for discovery_mode in ["ask", "push"] {
+        check_with_idle_clients(72, 1024, discovery_mode);
     }
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -4,13 +4,14 @@
 
 use tulipridge::admission::quota::{Grant, LimitKind, Quota, Rates};
 
-const SECOND: u64 = 1_000_000_000;
-const START: u64 = 1_000 * SECOND;
+const SECOND_NS: u64 = 1_000_000_000;
+const START: u64 = 1_000 * SECOND_NS;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
+    /// The clock advances by this many nanoseconds.
     Wait(u64),
-    /// The clock goes back.
+    /// The clock goes back by this many nanoseconds, at most to `START`.
     GoBack(u64),
     Request {
         tenant: usize,
@@ -25,8 +26,8 @@
     fn arbitrary(g: &mut Gen) -> Step {
         let below = |g: &mut Gen, bound: u64| u64::arbitrary(g) % bound;
         match below(g, 10) {
-            0..3 => Step::Wait(below(g, 20 * SECOND)),
-            3 => Step::GoBack(below(g, 5 * SECOND)),
+            0..3 => Step::Wait(below(g, 20 * SECOND_NS)),
+            3 => Step::GoBack(below(g, 5 * SECOND_NS)),
             4..8 => {
                 Step::Request { tenant: below(g, 3) as usize, input: below(g, 900), output: below(g, 300) }
             }
@@ -51,21 +52,21 @@
     }
 }
 
-/// Checks that admitted requests, given with their times, keep to a minute's burst and the rate.
-fn check_windows(admitted: &[(u64, i64)]) {
-    // No window may have more requests than one minute's worth and what the rate allows for its length.
+/// Checks admissions (time, 1) and refunds (time, -1) against a limit of 6 requests per minute: in each interval at
+/// most 6 requests as a burst, plus 6 for each minute of its length.
+fn check_request_rate(admitted: &[(u64, i64)]) {
     for (n, (from, _)) in admitted.iter().enumerate() {
         let mut sum = 0;
         for (to, count) in &admitted[n..] {
             sum += count;
-            let max = 6.0 + 6.0 * (to - from) as f64 / (60 * SECOND) as f64;
+            let max = 6.0 + 6.0 * (to - from) as f64 / (60 * SECOND_NS) as f64;
             assert!(sum as f64 <= max + 0.001, "{sum} of {max}");
         }
     }
 }
 
 #[test]
-fn admissions_keep_to_burst_and_rate_with_tight_waits() {
+fn admissions_keep_to_burst_and_rate_and_waits_are_tight() {
     fn keeps_limits(steps: Vec<Step>) -> bool {
         let rates = [
             Rates { requests: Some(6), input: Some(2000), output: Some(500) },
@@ -73,19 +74,19 @@
             Rates::default(),
         ];
         let mut quota = Quota::new(&rates);
-        let (mut now, mut open): (u64, Vec<(usize, Grant)>) = (START, Vec::new());
+        let (mut now, mut open_grants): (u64, Vec<(usize, Grant)>) = (START, Vec::new());
         let mut latest = now;
-        // Times of the first tenant's admissions, and of the returns of requests that were not run as -1.
+        // The first tenant's admissions as (time, 1), and refunds of requests that were not run as (time, -1).
         let mut admitted: Vec<(u64, i64)> = Vec::new();
         for step in steps {
             match step {
-                Step::Wait(span) => now += span,
-                Step::GoBack(span) => now = now.saturating_sub(span).max(START),
+                Step::Wait(span_ns) => now += span_ns,
+                Step::GoBack(span_ns) => now = now.saturating_sub(span_ns).max(START),
                 Step::Request { tenant, input, output } => {
                     match quota.admit(now, tenant, input, output) {
                         Ok(Some(grant)) => {
                             assert!(tenant < 2, "a tenant without limits gets no grant");
-                            open.push((tenant, grant));
+                            open_grants.push((tenant, grant));
                             if tenant == 0 {
                                 admitted.push((latest.max(now), 1));
                             }
@@ -94,18 +95,18 @@
                         Err(shortage) => {
                             assert!(tenant < 2 && shortage.wait > 0);
                             // The reported wait is enough, and half of it is not.
-                            for (wait, is_enough) in
+                            for (wait_ns, is_enough) in
                                 [(shortage.wait + 1000, true), (shortage.wait / 2, false)]
                             {
                                 let mut later = quota.clone();
-                                let result = later.admit(now + wait, tenant, input, output);
-                                assert_eq!(result.is_ok(), is_enough, "{shortage:?} after {wait}");
+                                let result = later.admit(now + wait_ns, tenant, input, output);
+                                assert_eq!(result.is_ok(), is_enough, "{shortage:?} after {wait_ns} ns");
                             }
                         }
                     }
                 }
-                Step::End(usage) if !open.is_empty() => {
-                    let (tenant, grant) = open.remove(0);
+                Step::End(usage) if !open_grants.is_empty() => {
+                    let (tenant, grant) = open_grants.remove(0);
                     quota.reconcile(now, grant, usage);
                     if tenant == 0 && usage.is_none() {
                         admitted.push((latest.max(now), -1));
@@ -116,7 +117,7 @@
             latest = latest.max(now);
             check_status(&mut quota, now);
         }
-        check_windows(&admitted);
+        check_request_rate(&admitted);
         true
     }
     let test = keeps_limits as fn(Vec<Step>) -> bool;
@@ -128,10 +129,11 @@
     let mut quota = Quota::new(&[Rates { input: Some(100), ..Rates::default() }]);
     let grant = quota.admit(START, 0, 1_000_000, 0).expect("a full bucket").expect("a limit");
     let shortage = quota.admit(START, 0, 1_000_000, 0).expect_err("an empty bucket");
-    assert_eq!((shortage.kind, shortage.wait.div_ceil(SECOND)), (LimitKind::Input, 60));
-    // Usage beyond the bucket is a debt for which later requests wait: 300 tokens are three minutes.
+    assert_eq!((shortage.kind, shortage.wait.div_ceil(SECOND_NS)), (LimitKind::Input, 60));
+    // Usage beyond the bucket is a debt that later requests wait for: 300 tokens from a bucket of 100 leave a debt of
+    // 200, refilled in two minutes.
     quota.reconcile(START, grant, Some((300, 0)));
     let shortage = quota.admit(START, 0, 1, 0).expect_err("a debt");
-    assert!((120 * SECOND..=122 * SECOND).contains(&shortage.wait), "{shortage:?}");
+    assert!((120 * SECOND_NS..=122 * SECOND_NS).contains(&shortage.wait), "{shortage:?}");
     assert_eq!(quota.status(START, 0)[0].remaining, 0);
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -14,8 +14,11 @@
 use serde_json::json;
 use support::*;
 
-/// Minimum time from SIGTERM to SIGKILL: the longest deadline, here 3 s, and 0.7 s more.
+/// Time from SIGTERM to SIGKILL, the minimum that the gateway relies on: requests are still accepted for 0.7 s, and
+/// open ones have 3 s more.
 const SIGKILL_DELAY: Duration = Duration::from_millis(3700);
+/// Added to the ids of second requests on a connection; the ids of first requests are lower.
+const SECOND_REQUEST_ID_OFFSET: u64 = 1000;
 
 /// Responses of a replica. Requests are numbered from 0.
 #[derive(Clone, Copy)]
@@ -24,8 +27,8 @@
     ServeAfterMs(u64),
     /// Sends no response.
     Hang,
-    /// Sends a stream that is complete after this many milliseconds, by the request's number modulo the length of the
-    /// list. Requests with an odd number receive the head only at the end.
+    /// Sends a stream; request n lasts as many milliseconds as element n modulo the length of the list. For odd n even
+    /// the response head is sent only after that time.
     StreamForMs(&'static [u64]),
 }
 
@@ -116,14 +119,21 @@
 /// Result of one request as its client received it.
 #[derive(Debug, PartialEq)]
 enum RequestOutcome {
-    /// Complete response with this status, and whether the connection closes after it.
-    Complete(u16, bool),
+    /// Complete response. `closes` is true if the connection closes after it.
+    Complete { status: u16, closes: bool },
     /// Connection closed before the first byte of a response.
     Closed,
     /// Any other result, with a description.
     Invalid(String),
 }
 
+impl RequestOutcome {
+    /// Whether the response is complete with status 200, and the connection stays open.
+    fn is_reusable(&self) -> bool {
+        *self == RequestOutcome::Complete { status: 200, closes: false }
+    }
+}
+
 /// Connection of a client to a front.
 struct Connection {
     reader: BufReader<TcpStream>,
@@ -139,11 +149,11 @@
 
     /// Encodes a request.
     fn request(&self, class: &str, deadline_ms: u32, id: u64) -> Vec<u8> {
-        let more = match self.dialect {
+        let extra_headers = match self.dialect {
             "messages" => format!("X-Request-Id: {id:016x}\r\n"),
             _ => String::new(),
         };
-        let (head, body) = request(self.dialect, class, deadline_ms, id as usize, &more);
+        let (head, body) = request(self.dialect, class, deadline_ms, id as usize, &extra_headers);
         (head + &body).into_bytes()
     }
 
@@ -181,7 +191,7 @@
             Ok(_) if closes && !matches!(self.reader.read(&mut [0; 64]), Ok(0)) => {
                 RequestOutcome::Invalid("no end of the connection after Connection: close".into())
             }
-            Ok(_) => RequestOutcome::Complete(status, closes),
+            Ok(_) => RequestOutcome::Complete { status, closes },
             Err(e) => RequestOutcome::Invalid(format!("{head:?}: {e}")),
         }
     }
@@ -203,33 +213,33 @@
     }
 }
 
+fn take_id(next_id: &AtomicUsize) -> u64 {
+    next_id.fetch_add(1, Ordering::SeqCst) as u64
+}
+
 /// Ids and outcomes of all requests.
 #[derive(Default)]
 struct Outcomes(Mutex<Vec<(u64, RequestOutcome)>>);
 
 impl Outcomes {
-    fn next_id(next: &AtomicUsize) -> u64 {
-        next.fetch_add(1, Ordering::SeqCst) as u64
-    }
-
     fn record(&self, id: u64, outcome: RequestOutcome) {
         self.0.lock().expect("lock").push((id, outcome));
     }
 
-    /// Checks that each request got a response with one of these statuses, or that its connection was closed before it
-    /// was read. Returns the number of responses.
+    /// Checks that each request got a complete response with one of these statuses, or that its connection was closed
+    /// and no replica received it. Returns the number of responses.
     fn check(&self, dialect: &str, statuses: &[u16], received_ids: &[u64]) -> usize {
         let received_ids: BTreeSet<u64> = received_ids.iter().copied().collect();
         let all = self.0.lock().expect("lock");
         for (id, outcome) in &*all {
             let is_valid = match outcome {
-                RequestOutcome::Complete(status, _) => statuses.contains(status),
+                RequestOutcome::Complete { status, .. } => statuses.contains(status),
                 RequestOutcome::Closed => !received_ids.contains(id),
                 RequestOutcome::Invalid(_) => false,
             };
             assert!(is_valid, "{dialect}: {outcome:?}");
         }
-        all.iter().filter(|(_, outcome)| matches!(outcome, RequestOutcome::Complete(..))).count()
+        all.iter().filter(|(_, outcome)| matches!(outcome, RequestOutcome::Complete { .. })).count()
     }
 }
 
@@ -249,19 +259,19 @@
 fn requests_get_one_response(dialect: &'static str) {
     let replica = start_recording_replica(Script::ServeAfterMs(20));
     let mut gateway = start_gateway(&[&replica.replica]);
-    let (addr, next, outcomes) = (gateway.front(dialect), AtomicUsize::new(1), Outcomes::default());
-    let (next, outcomes) = (&next, &outcomes);
+    let (addr, next_id, outcomes) = (gateway.front(dialect), AtomicUsize::new(1), Outcomes::default());
+    let (next_id, outcomes) = (&next_id, &outcomes);
     thread::scope(|scope| {
         // Clients that send the next request at once on the same connection.
         for _ in 0..6 {
             scope.spawn(move || {
                 while let Some(mut connection) = Connection::open(addr, dialect) {
                     loop {
-                        let id = Outcomes::next_id(next);
+                        let id = take_id(next_id);
                         let bytes = connection.request("plain", 2900, id);
                         connection.send(&bytes);
                         let outcome = connection.read_response();
-                        let is_reusable = outcome == RequestOutcome::Complete(200, false);
+                        let is_reusable = outcome.is_reusable();
                         outcomes.record(id, outcome);
                         if !is_reusable {
                             break;
@@ -273,7 +283,7 @@
         // Clients that send half of a request before SIGTERM, and the rest this many milliseconds after it.
         for delay_ms in [100, 600, 1000, 1600] {
             let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
-            let id = Outcomes::next_id(next);
+            let id = take_id(next_id);
             let bytes = connection.request("plain", 2900, id);
             let (start, rest) = bytes.split_at(bytes.len() / 2);
             connection.send(start);
@@ -299,7 +309,7 @@
                 thread::sleep(ms(n % 4 * 100));
                 let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
                 thread::sleep(ms(n / 4 * 200));
-                let id = Outcomes::next_id(next);
+                let id = take_id(next_id);
                 let bytes = connection.request("plain", 2900, id);
                 connection.send(&bytes);
                 outcomes.record(id, connection.read_response());
@@ -323,30 +333,30 @@
     let replica =
         start_recording_replica(Script::StreamForMs(&[400, 700, 1200, 1700, 2300, 2800, 3300, 3500]));
     let mut gateway = start_gateway(&[&replica.replica]);
-    let (addr, next, outcomes) = (gateway.front(dialect), AtomicUsize::new(1), Outcomes::default());
-    let (next, outcomes) = (&next, &outcomes);
+    let (addr, next_id, outcomes) = (gateway.front(dialect), AtomicUsize::new(1), Outcomes::default());
+    let (next_id, outcomes) = (&next_id, &outcomes);
     thread::scope(|scope| {
         let start = Instant::now();
         for n in 0..24 {
             scope.spawn(move || {
                 let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
-                let id = Outcomes::next_id(next);
+                let id = take_id(next_id);
                 let bytes = connection.request(if n % 3 == 0 { "once" } else { "plain" }, 9000, id);
                 connection.send(&bytes);
                 let outcome = connection.read_response();
-                let is_reusable = outcome == RequestOutcome::Complete(200, false);
+                let is_reusable = outcome.is_reusable();
                 outcomes.record(id, outcome);
                 // One more request at once on a reusable connection: it gets a response, unless the gateway closes at
                 // the same time.
                 if is_reusable {
-                    let id = 1000 + Outcomes::next_id(next);
+                    let id = SECOND_REQUEST_ID_OFFSET + take_id(next_id);
                     let bytes = connection.request("plain", 100, id);
                     connection.send(&bytes);
                     outcomes.record(id, connection.read_response());
                 }
             });
         }
-        // On a slow machine these include second requests.
+        // On a slow machine the 24 counted requests may include second requests on a connection.
         wait_until(|| replica.replica.requests.load(Ordering::SeqCst) >= 24);
         thread::sleep(ms(300).saturating_sub(start.elapsed()));
         gateway.signal("-TERM");
@@ -359,7 +369,10 @@
     let all = outcomes.0.lock().expect("lock");
     let complete_count = all
         .iter()
-        .filter(|(id, outcome)| *id < 1000 && matches!(outcome, RequestOutcome::Complete(200, _)))
+        .filter(|(id, outcome)| {
+            *id < SECOND_REQUEST_ID_OFFSET
+                && matches!(outcome, RequestOutcome::Complete { status: 200, .. })
+        })
         .count();
     assert_eq!(complete_count, 24, "{dialect}: all streams are forwarded completely");
 }
@@ -374,11 +387,12 @@
     // So many replicas that late requests are not shed for lack of usable ones.
     let replicas: Vec<RecordingReplica> = (0..12).map(|_| start_recording_replica(Script::Hang)).collect();
     let mut gateway = start_gateway(&replicas.iter().map(|replica| &replica.replica).collect::<Vec<_>>());
-    let (addr, next, outcomes) = (gateway.front(dialect), AtomicUsize::new(1), Outcomes::default());
-    let (next, outcomes) = (&next, &outcomes);
+    let (addr, next_id, outcomes) = (gateway.front(dialect), AtomicUsize::new(1), Outcomes::default());
+    let (next_id, outcomes) = (&next_id, &outcomes);
     thread::scope(|scope| {
         // Requests received before SIGTERM, or within 0.7 s after it, have their full deadline; later ones have until
-        // SIGKILL. Milliseconds from SIGTERM to the connection and to the request, and the deadline.
+        // SIGKILL. Each entry: milliseconds from SIGTERM to the connect, milliseconds from SIGTERM to the request,
+        // deadline in milliseconds.
         for (connect_ms, send_ms, deadline_ms) in
             [(0, 0, 2900), (0, 400, 2900), (200, 500, 2900), (500, 1000, 2900), (500, 1100, 9000)]
         {
@@ -387,12 +401,12 @@
                 thread::sleep(ms(100 + connect_ms));
                 let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
                 thread::sleep(ms(send_ms - connect_ms));
-                let id = Outcomes::next_id(next);
+                let id = take_id(next_id);
                 let bytes = connection.request("once", deadline_ms, id);
                 connection.send(&bytes);
                 let outcome = connection.read_response();
                 assert!(
-                    matches!(outcome, RequestOutcome::Complete(..)),
+                    matches!(outcome, RequestOutcome::Complete { .. }),
                     "{dialect}, {connect_ms}, {send_ms}: {outcome:?}"
                 );
                 outcomes.record(id, outcome);
@@ -400,7 +414,7 @@
         }
         for (rest_ms, deadline_ms) in [(900, 2900), (1500, 9000)] {
             let mut connection = Connection::open(addr, dialect).expect("an accepted connection");
-            let id = Outcomes::next_id(next);
+            let id = take_id(next_id);
             let bytes = connection.request("once", deadline_ms, id);
             connection.send(&bytes[..bytes.len() - 1]);
             let last = bytes[bytes.len() - 1..].to_vec();
@@ -409,7 +423,7 @@
                 connection.send(&last);
                 let outcome = connection.read_response();
                 assert!(
-                    matches!(outcome, RequestOutcome::Complete(..)),
+                    matches!(outcome, RequestOutcome::Complete { .. }),
                     "{dialect}, complete after {rest_ms} ms: {outcome:?}"
                 );
                 outcomes.record(id, outcome);
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -1,5 +1,5 @@
-//! The states of a request and of an edge connection, checked against models under random steps with fixed seeds; and
-//! directed cases of attempts, request framing and events.
+//! The states of a request and of a client connection, checked against models under random steps with fixed seeds; and
+//! single cases of attempts, request framing and server-sent events.
 
 use std::cell::{Cell, RefCell};
 use std::io::Read;
@@ -34,10 +34,10 @@
     Limits::new(1024, 192, Duration::from_millis(150), Duration::from_secs(5))
 }
 
-/// External event of a request.
+/// A step of a test: an update from the replica, or the client's disconnect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    Event,
+    StreamEvent,
     End(Verdict),
     Reject,
     Disconnect,
@@ -52,14 +52,21 @@
         let both = Step::EndAndDisconnect(
             *g.choose(&[Ok, Error, Full, NoConnection, Reset]).expect("a non-empty list"),
         );
-        let others =
-            [Step::Event, Step::Event, Step::Event, Step::Event, Step::Reject, Step::Disconnect, both];
+        let others = [
+            Step::StreamEvent,
+            Step::StreamEvent,
+            Step::StreamEvent,
+            Step::StreamEvent,
+            Step::Reject,
+            Step::Disconnect,
+            both,
+        ];
         let choices = if bool::arbitrary(g) { &endings[..] } else { &others[..] };
         *g.choose(choices).expect("a non-empty list")
     }
 }
 
-/// What the client received, and the channels that feed the attempts.
+/// The events and final responses that the client received, and for each attempt the sender of its updates.
 #[derive(Default)]
 struct Recorder {
     event_count: Cell<u32>,
@@ -87,21 +94,24 @@
     }
 }
 
-struct StandInClient(Rc<Recorder>, Pin<Box<Receiver<()>>>);
+struct StandInClient {
+    recorder: Rc<Recorder>,
+    disconnect: Pin<Box<Receiver<()>>>,
+}
 
 impl StandInClient {
     fn record_response(self, kind: &'static str) {
-        self.0.final_responses.borrow_mut().push(kind);
+        self.recorder.final_responses.borrow_mut().push(kind);
     }
 }
 
 impl Client<()> for StandInClient {
     type Sink = StandInClient;
     async fn wait_for_disconnect(&mut self) {
-        while self.1.next().await.is_some() {}
+        while self.disconnect.next().await.is_some() {}
     }
     async fn is_disconnected(&mut self) -> bool {
-        self.1.is_closed()
+        self.disconnect.is_closed()
     }
     async fn abandon(self) {}
     async fn shed(self, wait: Duration) {
@@ -122,7 +132,7 @@
 
 impl ResponseSink<()> for StandInClient {
     fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<Disconnect> {
-        self.1.as_mut().poll_next(cx).map(|_| Disconnect::Closed)
+        self.disconnect.as_mut().poll_next(cx).map(|_| Disconnect::Closed)
     }
     fn is_assembled(&self) -> bool {
         false
@@ -134,7 +144,7 @@
         false
     }
     fn queue(&mut self, (): ()) -> usize {
-        self.0.event_count.set(self.0.event_count.get() + 1);
+        self.recorder.event_count.set(self.recorder.event_count.get() + 1);
         1
     }
     fn queue_end(&mut self, _: Cause) -> usize {
@@ -148,7 +158,7 @@
     }
     fn abort(self) {
         // A client that disconnected receives no response.
-        if !self.1.is_closed() {
+        if !self.disconnect.is_closed() {
             self.record_response("aborted");
         }
     }
@@ -196,7 +206,7 @@
             matches!(step, Step::End(Verdict::Full | Verdict::NoConnection | Verdict::NotSent));
         match step {
             _ if self.is_finished => return,
-            Step::Event => self.event_count += 1,
+            Step::StreamEvent => self.event_count += 1,
             // The end that arrives with the disconnect has no effect.
             Step::Disconnect | Step::EndAndDisconnect(_) => {}
             // After the first event a replica can't reject the request any more.
@@ -242,7 +252,7 @@
 /// Applies a step to the latest attempt, or to the client, which disconnects when `connection` is closed.
 fn deliver(step: Step, attempt: &Sender<AttemptUpdate<()>>, connection: &Sender<()>) {
     match step {
-        Step::Event => {
+        Step::StreamEvent => {
             drop(attempt.try_send(AttemptUpdate::Events((), Arrival { events: 1, ..Arrival::default() })));
         }
         Step::End(verdict) => drop(attempt.try_send(AttemptUpdate::Ended(AttemptOutcome::from(verdict)))),
@@ -267,12 +277,14 @@
     let recorder = Rc::new(Recorder::default());
     let (connection, disconnect) = async_channel::bounded(1);
     let executor = LocalExecutor::new();
-    let (client, runner) =
-        (StandInClient(recorder.clone(), Box::pin(disconnect)), StandInRunner(recorder.clone()));
-    let core = engine.clone();
+    let (client, runner) = (
+        StandInClient { recorder: recorder.clone(), disconnect: Box::pin(disconnect) },
+        StandInRunner(recorder.clone()),
+    );
+    let task_engine = engine.clone();
     let request_task = executor.spawn(async move {
         let request = sample_placement();
-        engine::serve(&core, &request, &runner, client, &NoSuccessor).await;
+        engine::serve(&task_engine, &request, &runner, client, &NoSuccessor).await;
     });
     let run_pending_tasks = || while executor.try_tick() {};
     run_pending_tasks();
@@ -307,14 +319,14 @@
 #[test]
 fn a_new_replica_on_a_known_address_removes_the_old_id() {
     let fleet = Fleet::new(Rc::new(limits()), Box::new(|_| Vec::new()));
-    let apply = |id: &str, started_ms| {
+    let removed_ids_after_applying = |id: &str, started_ms| {
         let entry = entry(id, "127.0.0.1:9", ReplicaState::Ready, started_ms);
         fleet.apply_entry(&entry, Dialect::Platform).iter().map(|id| id.0.to_string()).collect::<Vec<_>>()
     };
-    assert!(apply("old", 0.0).is_empty());
-    assert_eq!(apply("new", 5.0), ["old"]);
-    assert_eq!(apply("old", 0.0), ["old"], "an outdated list does not add it again");
-    assert!(apply("new", 5.0).is_empty());
+    assert!(removed_ids_after_applying("old", 0.0).is_empty());
+    assert_eq!(removed_ids_after_applying("new", 5.0), ["old"]);
+    assert_eq!(removed_ids_after_applying("old", 0.0), ["old"], "an outdated list does not add it again");
+    assert!(removed_ids_after_applying("new", 5.0).is_empty());
 }
 
 #[test]
@@ -409,12 +421,12 @@
     }
 }
 
-/// Reads requests as an edge connection does. `body` is the path, framing and bytes of a request whose body is
-/// incomplete.
+/// Parses requests as a client connection of the gateway does.
 #[derive(Default)]
 struct Reader {
     buf: Vec<u8>,
-    body: Option<(String, Body, Vec<u8>)>,
+    /// Path, framing, and the part of the body received so far.
+    incomplete_request: Option<(String, Body, Vec<u8>)>,
     requests: Vec<(String, Vec<u8>)>,
 }
 
@@ -422,15 +434,16 @@
     fn push(&mut self, bytes: &[u8], limits: &Limits) -> Result<(), codec::ParseError> {
         self.buf.extend_from_slice(bytes);
         loop {
-            if self.body.is_none() {
+            if self.incomplete_request.is_none() {
                 let Some(head) = codec::request_head(&mut self.buf, &limits.wire)? else { return Ok(()) };
-                self.body = Some((head.start[1].clone(), head.request_body(&limits.wire)?, Vec::new()));
+                self.incomplete_request =
+                    Some((head.start[1].clone(), head.request_body(&limits.wire)?, Vec::new()));
             }
-            let Some((_, framing, body)) = &mut self.body else { return Ok(()) };
+            let Some((_, framing, body)) = &mut self.incomplete_request else { return Ok(()) };
             if !framing.take(&mut self.buf, body, &limits.wire)? {
                 return Ok(());
             }
-            let (path, _, body) = self.body.take().expect("set above");
+            let (path, _, body) = self.incomplete_request.take().expect("set above");
             self.requests.push((path, body));
         }
     }
@@ -438,17 +451,17 @@
 
 #[test]
 fn pipelined_requests_are_parsed_completely_in_any_pieces() {
-    fn parsed_unchanged(requests: Vec<ClientRequest>, cuts: Vec<u8>) -> bool {
+    fn parsed_unchanged(requests: Vec<ClientRequest>, piece_sizes: Vec<u8>) -> bool {
         let bytes: Vec<u8> = requests.iter().flat_map(ClientRequest::bytes).collect();
         let (mut reader, mut rest, limits) = (Reader::default(), &bytes[..], limits());
-        for size in cuts.iter().cycle().chain([&0]).take(bytes.len()) {
+        for size in piece_sizes.iter().cycle().chain([&0]).take(bytes.len()) {
             let (piece, remaining) = rest.split_at((usize::from(*size) + 1).min(rest.len()));
             reader.push(piece, &limits).expect("a valid request");
             rest = remaining;
         }
         reader.push(rest, &limits).expect("a valid request");
         let sent: Vec<_> = requests.iter().map(|r| (format!("/{}", r.path), r.body.clone())).collect();
-        reader.requests == sent && reader.buf.is_empty() && reader.body.is_none()
+        reader.requests == sent && reader.buf.is_empty() && reader.incomplete_request.is_none()
     }
     check(12).quickcheck(parsed_unchanged as fn(Vec<ClientRequest>, Vec<u8>) -> bool);
 }
@@ -509,8 +522,8 @@
 
 #[test]
 fn events_are_parsed_unchanged_in_any_pieces() {
-    fn parsed_unchanged(lines: Vec<u8>, cuts: Vec<u8>) -> bool {
-        let events: Vec<String> = lines
+    fn parsed_unchanged(event_numbers: Vec<u8>, piece_sizes: Vec<u8>) -> bool {
+        let events: Vec<String> = event_numbers
             .iter()
             .map(|n| match n % 4 {
                 0 => format!("data: {n}\n\n"),
@@ -521,7 +534,7 @@
             .collect();
         let bytes = events.concat().into_bytes();
         let (mut rest, mut buf, mut out, mut scanned) = (&bytes[..], Vec::new(), Vec::new(), 0);
-        for size in cuts.iter().cycle().chain([&0]).take(bytes.len()).chain([&255]) {
+        for size in piece_sizes.iter().cycle().chain([&0]).take(bytes.len()).chain([&255]) {
             let size = if *size == 255 { rest.len() } else { (usize::from(*size) + 1).min(rest.len()) };
             let (piece, remaining) = rest.split_at(size);
             buf.extend_from_slice(piece);
