--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,4 +1,4 @@
-//! What the documentation says of the sources, held to the sources: paths that it names, and words that it withdraws.
+//! Checks of the documentation against the sources: paths that it names, and conventions that it states.
 
 #[path = "support/source_files.rs"]
 mod source_files;
@@ -54,29 +54,6 @@
 /// The longest name of a test, in characters.
 const MAX_TEST_NAME_LENGTH: usize = 60;
 
-/// Folders and files whose tests have names of at most [`MAX_TEST_NAME_LENGTH`] characters. `docs/ROADMAP.md` lists the others.
-const TESTS_WITH_SHORT_NAMES: [&str; 19] = [
-    "crates/agent/tests",
-    "crates/control-plane/tests",
-    "crates/http1/tests",
-    "crates/load-balancer/tests",
-    "crates/peer-sampling/tests",
-    "crates/prefix-cache-index/tests",
-    "crates/protocol/tests",
-    "crates/proxy/tests",
-    "crates/runtime/tests",
-    "crates/write-ahead-log/tests",
-    "tests/cold.rs",
-    "tests/documentation.rs",
-    "tests/gone.rs",
-    "tests/lag.rs",
-    "tests/list_propagation.rs",
-    "tests/lists.rs",
-    "tests/module.rs",
-    "tests/pace.rs",
-    "tests/units",
-];
-
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
@@ -249,13 +226,9 @@
 
 #[test]
 fn test_names_are_short() {
-    let mut sources = Vec::new();
-    for path in TESTS_WITH_SHORT_NAMES.map(|path| root().join(path)) {
-        if path.is_dir() { sources_below(&path, &mut sources) } else { sources.push(path) }
-    }
     let (mut count, mut long) = (0, Vec::new());
-    for source in &sources {
-        let text = read(source);
+    for source in all_sources() {
+        let text = read(&source);
         let names = test_names(&text);
         count += names.len();
         long.extend(names.into_iter().filter(|name| name.len() > MAX_TEST_NAME_LENGTH).map(str::to_owned));
