--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -1,7 +1,7 @@
 //! Byte-wise deltas between two texts: ranges copied from the old text, and inserted text.
 //!
-//! The texts are compared chunk by chunk, a chunk being the text between two braces. Unchanged items of a JSON list are
-//! found at any position. White space and the order of fields are preserved.
+//! A text is split into chunks before each `{` and after each `}` that is not a chunk's first byte. Unchanged items of
+//! a JSON list are found at any position. White space and the order of fields are preserved.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -22,7 +22,7 @@
     steps: Vec<Step>,
 }
 
-/// A step, which appends to the new text.
+/// An operation of a [`Delta`]; it appends bytes to the new text.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 enum Step {
     /// Appends a range of bytes of the old text.
@@ -31,9 +31,9 @@
     Insert(#[musli(bytes)] Vec<u8>),
 }
 
-/// A step copies a range that extends beyond the end of the base text.
+/// A step copies a range that is not within the old text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the byte range {start}..{end} exceeds the base length of {length} bytes"))]
+#[snafu(display("the byte range {start}..{end} is not within the old text of {length} bytes"))]
 pub struct DeltaError {
     start: usize,
     end: usize,
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// [`DeltaError`] if `old` is shorter than the ranges that the delta copies from it.
+    /// [`DeltaError`] if a range that the delta copies is not within `old`.
     pub fn apply(&self, old: &[u8]) -> Result<Vec<u8>, DeltaError> {
         let mut new = Vec::new();
         for step in &self.steps {
@@ -67,7 +67,7 @@
         Ok(new)
     }
 
-    /// An upper bound of the encoded length, in bytes.
+    /// An upper bound of the encoded length of the steps, in bytes, without the length prefix of their list.
     pub fn max_encoded_length(&self) -> usize {
         self.steps.iter().map(Step::max_encoded_length).sum()
     }
@@ -127,7 +127,8 @@
     offsets
 }
 
-/// Splits a text into chunks, before each opening brace and after each closing brace. Returns their byte ranges.
+/// Splits a text into chunks before each `{` and after each `}` that is not a chunk's first byte. Returns their byte
+/// ranges.
 fn chunks(text: &[u8]) -> impl Iterator<Item = Range<usize>> {
     let mut start = 0;
     std::iter::from_fn(move || {
--- a/crates/configuration/tests/delta.rs
+++ b/crates/configuration/tests/delta.rs
@@ -63,7 +63,7 @@
     let (end, length) = (old.len(), old.len() - 1);
     assert_eq!(
         error.to_string(),
-        format!("the byte range {start}..{end} exceeds the base length of {length} bytes")
+        format!("the byte range {start}..{end} is not within the old text of {length} bytes")
     );
 }
 
