--- a/crates/configuration/src/json/checked_values.rs
+++ b/crates/configuration/src/json/checked_values.rs
@@ -1,4 +1,4 @@
-//! JSON values that are validated more strictly than by derived deserializers.
+//! JSON values whose validation differs from that of derived deserializers.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -98,8 +98,8 @@
     }
 
     fn visit_i64<E: Error>(self, number: i64) -> Result<UnsignedNumber, E> {
-        let negative = |_| E::invalid_value(Unexpected::Signed(number), &self);
-        u64::try_from(number).map(UnsignedNumber).map_err(negative)
+        let negative_error = |_| E::invalid_value(Unexpected::Signed(number), &self);
+        u64::try_from(number).map(UnsignedNumber).map_err(negative_error)
     }
 
     fn visit_f64<E: Error>(self, number: f64) -> Result<UnsignedNumber, E> {
--- a/crates/configuration/src/json/mod.rs
+++ b/crates/configuration/src/json/mod.rs
@@ -1,12 +1,12 @@
 //! Serde types for the JSON form of a configuration, with the operator's field names. All fields are optional here; the
 //! parser checks that required ones are present.
 
-mod scalars;
+mod checked_values;
 mod type_errors;
 
 use serde::Deserialize;
 
-pub(crate) use scalars::{JsonRouteKind, Object, UnsignedNumber};
+pub(crate) use checked_values::{JsonRouteKind, Object, UnsignedNumber};
 pub(crate) use type_errors::wrong_type;
 
 use crate::validation_error::ValidationErrors;
--- a/crates/configuration/src/lookup.rs
+++ b/crates/configuration/src/lookup.rs
@@ -52,8 +52,8 @@
     /// `fraction` is a random number from 0 to below 1; equal numbers pick the same service. `None` if the route is
     /// unknown or has no services.
     #[must_use]
-    pub fn pick_service(&self, route: usize, fraction: f64) -> Option<usize> {
-        self.traffic_splits.get(route)?.pick(fraction)
+    pub fn pick_service(&self, route_index: usize, fraction: f64) -> Option<usize> {
+        self.traffic_splits.get(route_index)?.pick(fraction)
     }
 
     fn routes_of(&self, host: &str) -> Option<&HostRoutes> {
--- a/crates/subscription/src/publisher.rs
+++ b/crates/subscription/src/publisher.rs
@@ -22,7 +22,7 @@
 
 pub use subscription::ConnectedSubscriber;
 
-/// Delay after a failed accept, which fails for instance while no file descriptor is free.
+/// Delay after accepting a connection has failed, for instance because no file descriptor was free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Limits of a publisher's connections.
@@ -53,7 +53,7 @@
 /// states.
 pub struct Publisher {
     store: Rc<RefCell<FeedStore>>,
-    age: Rc<dyn Fn() -> Option<Duration>>,
+    state_age: Rc<dyn Fn() -> Option<Duration>>,
     settings: PublisherSettings,
     subscriptions: RefCell<BTreeMap<u64, Rc<Subscription>>>,
     next_subscription_id: Cell<u64>,
@@ -62,21 +62,21 @@
 }
 
 impl Publisher {
-    /// Creates a publisher of `store` with the default limits. `age` returns the time since the store's state was known
-    /// to be the newest; `None` while that is unknown.
-    pub fn new(store: Rc<RefCell<FeedStore>>, age: Rc<dyn Fn() -> Option<Duration>>) -> Rc<Self> {
-        Self::with_settings(store, age, PublisherSettings::default())
+    /// Creates a publisher of `store` with the default limits. `state_age` returns the time since the store's state was
+    /// last known to be the newest; `None` while that is unknown.
+    pub fn new(store: Rc<RefCell<FeedStore>>, state_age: Rc<dyn Fn() -> Option<Duration>>) -> Rc<Self> {
+        Self::with_settings(store, state_age, PublisherSettings::default())
     }
 
     /// Creates a publisher with the given limits.
     pub fn with_settings(
         store: Rc<RefCell<FeedStore>>,
-        age: Rc<dyn Fn() -> Option<Duration>>,
+        state_age: Rc<dyn Fn() -> Option<Duration>>,
         settings: PublisherSettings,
     ) -> Rc<Self> {
         Rc::new(Publisher {
             store,
-            age,
+            state_age,
             settings,
             subscriptions: RefCell::default(),
             next_subscription_id: Cell::new(0),
--- a/crates/subscription/src/publisher/connection.rs
+++ b/crates/subscription/src/publisher/connection.rs
@@ -149,7 +149,7 @@
             let revision = store.known_positions().configuration;
             let pong = ToSubscriber::Pong {
                 id,
-                age_ms: (self.publisher.age)().map(milliseconds_rounded_up),
+                age_ms: (self.publisher.state_age)().map(milliseconds_rounded_up),
                 revision,
             };
             self.link.send_queue.push_message(&pong).context(FrameSnafu)?;
--- a/crates/subscription/src/store.rs
+++ b/crates/subscription/src/store.rs
@@ -83,7 +83,7 @@
 
     /// Applies changes of the prefix-cache index, as the primary of `epoch`. Returns whether its position advances.
     pub fn update_cache_index(&mut self, epoch: Epoch, updates: &[CacheUpdate]) -> bool {
-        self.cache_index.set(epoch, updates)
+        self.cache_index.apply_as_primary(epoch, updates)
     }
 
     /// Sets the table of loads from the work queued at replicas, as the primary of `epoch`. Returns whether its
@@ -121,7 +121,9 @@
             ToSubscriber::Weights(table) => {
                 changes.weights = snapshot_tables::replace_if_newer(&mut self.weights, table);
             }
-            ToSubscriber::CacheIndex(update) => changes.cache_index = self.cache_index.apply(update)?,
+            ToSubscriber::CacheIndex(update) => {
+                changes.cache_index = self.cache_index.apply_received(update)?;
+            }
             ToSubscriber::ClusterMembership(membership) => {
                 changes.cluster_membership = self.set_cluster_membership(membership);
             }
@@ -129,8 +131,8 @@
                 changes.loads = snapshot_tables::replace_if_newer(&mut self.loads, table);
             }
             ToSubscriber::Pong { id, age_ms, revision } => {
-                let age = age_ms.map(|age| Duration::from_millis(age.into()));
-                changes.pong = Some(Pong { id, age, revision });
+                let state_age = age_ms.map(|age_ms| Duration::from_millis(age_ms.into()));
+                changes.pong = Some(Pong { id, state_age, revision });
             }
         }
         Ok(changes)
--- a/crates/subscription/src/store/cache_index.rs
+++ b/crates/subscription/src/store/cache_index.rs
@@ -10,10 +10,11 @@
 use super::error::{FeedError, Table};
 use super::positions::next_position;
 
-/// Maximum number of pairs of a prefix and a source in the index; the oldest are evicted beyond it.
+/// Maximum number of pairs of a prefix and a source in the index; the oldest are evicted beyond it. A source is a
+/// replica or a store that has the prefix cached.
 const MAX_ENTRIES: usize = 200_000;
 
-/// Cached prefixes by source, the position of that table, and a log of its latest changes.
+/// Cached prefixes by source, the position of this table in the feed, and a log of its latest changes.
 #[derive(Debug, Default)]
 pub(super) struct CacheIndexTable {
     position: Position,
@@ -30,8 +31,8 @@
         &self.index
     }
 
-    /// Applies changes, as the primary of `epoch`. Returns whether the position advances.
-    pub(super) fn set(&mut self, epoch: Epoch, updates: &[CacheUpdate]) -> bool {
+    /// Applies changes that this member makes as the primary of `epoch`. Returns whether the position advances.
+    pub(super) fn apply_as_primary(&mut self, epoch: Epoch, updates: &[CacheUpdate]) -> bool {
         if epoch < self.position.epoch {
             return false;
         }
@@ -44,7 +45,7 @@
         true
     }
 
-    pub(super) fn apply(&mut self, update: CacheIndexUpdate) -> Result<bool, FeedError> {
+    pub(super) fn apply_received(&mut self, update: CacheIndexUpdate) -> Result<bool, FeedError> {
         let CacheIndexUpdate { base, position, updates } = update;
         if position <= self.position {
             return Ok(false);
--- a/crates/subscription/src/store/changes.rs
+++ b/crates/subscription/src/store/changes.rs
@@ -4,27 +4,27 @@
 
 use tulipridge_configuration::number::Revision;
 
-/// Flags for the tables that differ after one or several messages, and the last pong among these messages.
+/// Flags for the tables that one or several messages have changed, and the last pong among these messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateChanges {
-    /// Whether the configuration differs.
+    /// Whether the configuration has changed.
     pub configuration: bool,
-    /// Whether the table of replicas differs.
+    /// Whether the table of replicas has changed.
     pub fleet: bool,
-    /// Whether the table of weights differs.
+    /// Whether the table of weights has changed.
     pub weights: bool,
-    /// Whether the prefix-cache index differs.
+    /// Whether the prefix-cache index has changed.
     pub cache_index: bool,
-    /// Whether the gateway count or the members of the control plane differ.
+    /// Whether the gateway count or the members of the control plane have changed.
     pub cluster_membership: bool,
-    /// Whether the table of loads differs.
+    /// Whether the table of loads has changed.
     pub loads: bool,
     /// Last pong, which does not count as a change of the state.
     pub pong: Option<Pong>,
 }
 
 impl StateChanges {
-    /// Returns whether any table differs.
+    /// Returns whether any table has changed.
     #[must_use]
     pub fn has_changes(&self) -> bool {
         self.configuration
@@ -52,8 +52,8 @@
 pub struct Pong {
     /// Id of the ping.
     pub id: u64,
-    /// Time since the publisher's state was known to be the newest; `None` while that is unknown to the publisher.
-    pub age: Option<Duration>,
+    /// Time since the publisher's state was last known to be the newest; `None` while that is unknown to the publisher.
+    pub state_age: Option<Duration>,
     /// Revision of the publisher's configuration; 0 without one.
     pub revision: Revision,
 }
--- a/crates/subscription/src/subscriber/session.rs
+++ b/crates/subscription/src/subscriber/session.rs
@@ -147,8 +147,8 @@
 
     fn handle_pong(&mut self, pong: Pong) -> Result<(), EndReason> {
         let now = clock::now();
-        self.subscriber.freshness.borrow_mut().record_pong(pong.id, pong.age, now);
-        let is_fresh = self.liveness.record_pong(pong.age, now)?;
+        self.subscriber.freshness.borrow_mut().record_pong(pong.id, pong.state_age, now);
+        let is_fresh = self.liveness.record_pong(pong.state_age, now)?;
         if is_fresh {
             *self.failure_count = 0;
         }
