--- a/crates/simulator/src/experiment/load_balancer_settings.rs
+++ b/crates/simulator/src/experiment/load_balancer_settings.rs
@@ -5,17 +5,17 @@
 use super::Experiment;
 use crate::time::nanos;
 
-/// Value of a request beyond its tenant's guaranteed fraction, relative to one within it.
+/// Value of a request beyond the share of the service that is reserved for its tenant, relative to one within it.
 const OVER_SHARE_VALUE: f64 = 0.1;
 /// Maximum `Retry-After` of a gateway, in nanoseconds.
 const MAX_RETRY_AFTER: types::Nanos = 2_000_000_000;
-/// Maximum age of a gateway's list, in nanoseconds.
+/// Maximum age of a gateway's replica list, in nanoseconds.
 const MAX_LIST_AGE: types::Nanos = 10_000_000_000;
 
 impl Experiment {
     /// Returns the settings of the load balancer of one gateway.
     #[must_use]
-    pub fn settings(&self, gateway_index: u32) -> types::Settings {
+    pub fn load_balancer_settings(&self, gateway_index: u32) -> types::Settings {
         let classes = self.classes.values().map(|class| types::Class {
             latency_target: nanos(class.latency_target),
             latency_target_per_token: nanos(class.latency_target_per_1000_tokens) / 1000,
--- a/crates/simulator/src/fleet/gateways.rs
+++ b/crates/simulator/src/fleet/gateways.rs
@@ -62,7 +62,7 @@
     /// Starts a gateway with its persisted list.
     pub(super) fn start_gateway(&mut self, index: usize) -> Result<(), SettingsError> {
         let seed = self.random.policy_seeds.random();
-        let settings = self.experiment.settings(index as u32);
+        let settings = self.experiment.load_balancer_settings(index as u32);
         let policy = Policy::new(self.policy_kind, settings, seed, &self.fleet_load)?;
         let now = self.queue.now();
         let gateway = &mut self.gateways[index];
--- a/crates/simulator/src/replica/prompt_cache.rs
+++ b/crates/simulator/src/replica/prompt_cache.rs
@@ -25,7 +25,7 @@
     used_at: u64,
 }
 
-/// Cache of prompts with a capacity in tokens and least-recently-used eviction.
+/// Cache of prompts with least-recently-used eviction; each insertion states the capacity in tokens.
 #[derive(Default)]
 pub struct PromptCache {
     entries: BTreeMap<PromptKey, Entry>,
@@ -47,8 +47,9 @@
         entry.tokens
     }
 
-    /// Caches tokens under a key, then evicts the least recently used entries until the sum is within `capacity`.
-    pub fn insert(&mut self, key: PromptKey, tokens: u32, capacity: u64) {
+    /// Caches tokens under a key, then evicts the least recently used entries until the sum of all cached tokens is at
+    /// most `capacity_tokens`.
+    pub fn insert(&mut self, key: PromptKey, tokens: u32, capacity_tokens: u64) {
         self.uses += 1;
         let entry = Entry { tokens, used_at: self.uses };
         if let Some(replaced) = self.entries.insert(key, entry) {
@@ -57,11 +58,11 @@
         }
         self.by_use.insert(self.uses, key);
         self.total_tokens += u64::from(tokens);
-        self.evict_down_to(capacity);
+        self.evict_down_to(capacity_tokens);
     }
 
-    fn evict_down_to(&mut self, capacity: u64) {
-        while self.total_tokens > capacity {
+    fn evict_down_to(&mut self, capacity_tokens: u64) {
+        while self.total_tokens > capacity_tokens {
             let Some((_, oldest)) = self.by_use.pop_first() else { return };
             if let Some(evicted) = self.entries.remove(&oldest) {
                 self.total_tokens -= u64::from(evicted.tokens);
--- a/crates/simulator/src/report/simulation.rs
+++ b/crates/simulator/src/report/simulation.rs
@@ -11,7 +11,8 @@
 use crate::record::RunSummary;
 
 impl Report {
-    /// Simulates an experiment with all of its policies, each on a separate thread without shared state.
+    /// Simulates an experiment with all of its policies, each on a separate thread; the threads share only the
+    /// immutable experiment.
     ///
     /// # Errors
     ///
@@ -32,8 +33,8 @@
 }
 
 fn simulate_policies(experiment: &Experiment) -> Result<Vec<RunSummary>, ReportError> {
-    type Run<'scope> = thread::ScopedJoinHandle<'scope, Result<RunSummary, SettingsError>>;
-    let join = |(policy, run): (PolicyKind, Run<'_>)| match run.join() {
+    type RunHandle<'scope> = thread::ScopedJoinHandle<'scope, Result<RunSummary, SettingsError>>;
+    let join = |(policy, run): (PolicyKind, RunHandle<'_>)| match run.join() {
         Ok(result) => result.map_err(|source| ReportError::Settings { policy, source }),
         Err(_) => Err(ReportError::Panicked { policy }),
     };
@@ -42,7 +43,7 @@
             let policy = *policy;
             (policy, scope.spawn(move || fleet::simulate(experiment, policy)))
         };
-        let runs: Vec<(PolicyKind, Run<'_>)> = experiment.policies.iter().map(spawn).collect();
+        let runs: Vec<(PolicyKind, RunHandle<'_>)> = experiment.policies.iter().map(spawn).collect();
         runs.into_iter().map(join).collect()
     })
 }
