--- a/crates/fault-injection/src/consistency.rs
+++ b/crates/fault-injection/src/consistency.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use crate::operator::{Change, ChangeResponse, Operator, revision_of};
+use crate::operator::{Change, ChangeResponse, OperatorClient, revision_of};
 
 /// The route of the change that conflicts with the change in force.
 const CONFLICTING_ROUTE: &str = "rival";
@@ -12,7 +12,11 @@
 /// `in_force`, rejects `in_force`, or acknowledges a change that conflicts with it. `None` without a violation;
 /// a response that leaves a change undecided is none.
 #[must_use]
-pub fn consistency_violation(operator: &Operator, member: SocketAddr, in_force: &Change) -> Option<String> {
+pub fn consistency_violation(
+    operator: &OperatorClient,
+    member: SocketAddr,
+    in_force: &Change,
+) -> Option<String> {
     let document = operator.configuration_from(member);
     if let Some(revision) = document.map(|document| revision_of(&document))
         && revision < in_force.revision
--- a/crates/fault-injection/src/demo/instructions.rs
+++ b/crates/fault-injection/src/demo/instructions.rs
@@ -22,12 +22,12 @@
         line(format!(
             "{:10} proxy          http://{}  process {pid}",
             edge.machine.name,
-            ports.proxy(index)
+            ports.proxy_address(index)
         ));
     }
     for (index, member) in deployment.members.iter().enumerate() {
         let pid = member.process.pid().unwrap_or(0);
-        let address = ports.member(index);
+        let address = ports.member_address(index);
         line(format!("{:10} control plane  http://{address}  process {pid}", member.machine.name));
     }
     line(format!("logs       {}", deployment.folder().display()));
@@ -41,11 +41,11 @@
     line(format!(
         "  curl -L -X PATCH -H 'If-Match: 1' -d '{}' http://{}/settings",
         added_route(),
-        ports.member(0)
+        ports.member_address(0)
     ));
     line(format!("  {}", request_command(ports, ADDED_PATH)));
     line("\nHow a member sees the control plane (\"lease\": true is the primary):".to_owned());
-    line(format!("  curl http://{}/status", ports.member(0)));
+    line(format!("  curl http://{}/status", ports.member_address(0)));
     let primary = deployment.primary().and_then(|index| deployment.members[index].process.pid());
     if let Some(pid) = primary {
         line(
@@ -62,6 +62,6 @@
     format!(
         "curl -N -H 'Host: {HOST}' -H \"Attempt-Id: $RANDOM\" -H 'Time-Left-Ms: 15000' -H 'Llm: {MODEL}' \
          -H 'Token-Count: 1200,10' -H 'Prompt-Start: {PROMPT}' -d hello http://{}{path}",
-        ports.proxy(0)
+        ports.proxy_address(0)
     )
 }
--- a/crates/fault-injection/src/demo/mod.rs
+++ b/crates/fault-injection/src/demo/mod.rs
@@ -74,5 +74,6 @@
     let headers = [("Host", configuration::HOST), ("Attempt-Id", "start"), ("Token-Count", "0,0")];
     let request =
         Request { method: "POST", target: configuration::CHAT_PATH, headers: &headers, body: b"" };
-    call(ports.proxy(edge), &request, REQUEST_TIMEOUT).is_ok_and(|response| response.status() == 200)
+    call(ports.proxy_address(edge), &request, REQUEST_TIMEOUT)
+        .is_ok_and(|response| response.status() == 200)
 }
--- a/crates/fault-injection/src/demo/ports.rs
+++ b/crates/fault-injection/src/demo/ports.rs
@@ -1,4 +1,4 @@
-//! The fixed ports of 127.0.0.1 at which the demo accepts connections.
+//! The ports of 127.0.0.1 at which the demo accepts connections, as offsets from a first port.
 
 use std::io::ErrorKind;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -8,7 +8,7 @@
 use super::TOPOLOGY;
 use crate::deployment::Deployment;
 use crate::error::{IoSnafu, PortInUseSnafu, Result};
-use crate::machine::{Machine, Port};
+use crate::machine::{Machine, PortPurpose};
 use crate::network::Direction;
 use crate::relay::{RelayRoute, TcpRelay};
 
@@ -30,10 +30,10 @@
 impl DemoPorts {
     /// The first port by default.
     pub const DEFAULT_FIRST: u16 = 8080;
-    /// The highest first port with which all other ports are valid.
+    /// A first port up to which all other ports are valid.
     pub const MAX_FIRST: u16 = u16::MAX - CONTROL_PLANE_OFFSET - TOPOLOGY.members as u16;
 
-    /// Ports from `first` on; `None` if `first` is 0 or above `MAX_FIRST`, where the last port would be above 65,535.
+    /// Ports from `first` on; `None` if `first` is 0 or above `MAX_FIRST`, which keeps the last port below 65,535.
     #[must_use]
     pub fn from_first(first: u16) -> Option<DemoPorts> {
         (1..=DemoPorts::MAX_FIRST).contains(&first).then_some(DemoPorts { first })
@@ -41,14 +41,14 @@
 
     /// The address of the proxy of an edge machine.
     #[must_use]
-    pub fn proxy(self, edge: usize) -> SocketAddr {
-        (Ipv4Addr::LOCALHOST, self.first + edge as u16).into()
+    pub fn proxy_address(self, edge_index: usize) -> SocketAddr {
+        (Ipv4Addr::LOCALHOST, self.first + edge_index as u16).into()
     }
 
     /// The address of a member's operator API.
     #[must_use]
-    pub fn member(self, member: usize) -> SocketAddr {
-        (Ipv4Addr::LOCALHOST, self.first + CONTROL_PLANE_OFFSET + member as u16).into()
+    pub fn member_address(self, member_index: usize) -> SocketAddr {
+        (Ipv4Addr::LOCALHOST, self.first + CONTROL_PLANE_OFFSET + member_index as u16).into()
     }
 
     /// Binds all ports. The demo does so before it starts a program.
@@ -58,8 +58,8 @@
         };
         Ok(DemoListeners {
             ports: self,
-            proxies: bind_all(TOPOLOGY.edges, &|edge| self.proxy(edge))?,
-            members: bind_all(TOPOLOGY.members, &|member| self.member(member))?,
+            proxies: bind_all(TOPOLOGY.edges, &|edge| self.proxy_address(edge))?,
+            members: bind_all(TOPOLOGY.members, &|member| self.member_address(member))?,
         })
     }
 }
@@ -82,18 +82,20 @@
 impl DemoListeners {
     /// Starts relays from the listeners to the programs of a deployment.
     pub(super) fn start_relays(self, deployment: &Deployment) -> Vec<TcpRelay> {
-        let relay = |listener, listen, machine: &Machine, port| {
+        let relay = |listener, listen, machine: &Machine, purpose| {
             let direction = Direction { from: deployment.operator_machine.id, to: machine.id };
-            let route = RelayRoute { direction, listen, target: machine.socket(port) };
+            let route = RelayRoute { direction, listen, target: machine.listen_address(purpose) };
             TcpRelay::serve(&deployment.network, listener, route)
         };
         let ports = self.ports;
         let proxies =
             self.proxies.into_iter().zip(&deployment.edges).enumerate().map(|(index, (listener, edge))| {
-                relay(listener, ports.proxy(index), &edge.machine, Port::Clients)
+                relay(listener, ports.proxy_address(index), &edge.machine, PortPurpose::Clients)
             });
         let members = self.members.into_iter().zip(&deployment.members).enumerate().map(
-            |(index, (listener, member))| relay(listener, ports.member(index), &member.machine, Port::Api),
+            |(index, (listener, member))| {
+                relay(listener, ports.member_address(index), &member.machine, PortPurpose::Api)
+            },
         );
         proxies.chain(members).collect()
     }
--- a/crates/fault-injection/src/deployment/observe.rs
+++ b/crates/fault-injection/src/deployment/observe.rs
@@ -6,8 +6,8 @@
 use super::system::{CONVERGENCE_TIMEOUT, Deployment};
 use crate::client::{CallError, Message, Request, call};
 use crate::error::Result;
-use crate::machine::Port;
-use crate::operator::{HOST, Operator};
+use crate::machine::PortPurpose;
+use crate::operator::{HOST, OperatorClient};
 use crate::status::Status;
 use crate::wait::{wait_for, wait_until};
 
@@ -30,22 +30,22 @@
 impl Deployment {
     /// An operator that sends requests to all running members.
     #[must_use]
-    pub fn operator(&self) -> Operator {
+    pub fn operator(&self) -> OperatorClient {
         self.operator_for(|_| true)
     }
 
     /// An operator that sends requests to the running members that `is_included` selects.
     #[must_use]
-    pub fn operator_for(&self, is_included: impl Fn(usize) -> bool) -> Operator {
+    pub fn operator_for(&self, is_included: impl Fn(usize) -> bool) -> OperatorClient {
         let running =
             (0..self.members.len()).filter(|index| self.is_running(*index) && is_included(*index));
-        Operator::new(running.map(|index| self.operator_socket(index)).collect())
+        OperatorClient::new(running.map(|index| self.operator_socket(index)).collect())
     }
 
     /// The address of the relay through which the operator connects to a member.
     #[must_use]
     pub fn operator_socket(&self, index: usize) -> SocketAddr {
-        self.operator_machine.socket_toward(&self.members[index].machine, Port::Api)
+        self.operator_machine.address_toward(&self.members[index].machine, PortPurpose::Api)
     }
 
     /// Whether a member was started and its exit has not been collected.
@@ -60,7 +60,7 @@
         if !self.is_running(index) {
             return None;
         }
-        Status::of(self.members[index].machine.socket(Port::Api))
+        Status::of(self.members[index].machine.listen_address(PortPurpose::Api))
     }
 
     /// The index of the member whose status shows the lease; `None` if there is none.
@@ -149,7 +149,7 @@
     /// Whether the readiness check of a proxy responds with status 200.
     #[must_use]
     pub fn is_ready(&self, edge: usize) -> bool {
-        let ready = self.edges[edge].machine.socket(Port::Readiness);
+        let ready = self.edges[edge].machine.listen_address(PortPurpose::Readiness);
         call(ready, &Request::get("/ready"), READINESS_TIMEOUT)
             .is_ok_and(|response| response.status() == 200)
     }
@@ -165,6 +165,6 @@
             [("Host", HOST), ("Attempt-Id", request.attempt_id), ("Time-Left-Ms", time_left_ms.as_str())];
         let (target, body) = (request.path, request.body.as_bytes());
         let message = Request { method: "POST", target, headers: &headers, body };
-        call(self.edges[edge].machine.socket(Port::Clients), &message, request.timeout)
+        call(self.edges[edge].machine.listen_address(PortPurpose::Clients), &message, request.timeout)
     }
 }
--- a/crates/fault-injection/src/deployment/settings.rs
+++ b/crates/fault-injection/src/deployment/settings.rs
@@ -3,11 +3,12 @@
 use super::settings_file;
 use super::system::{Deployment, LIST_REQUESTS_PER_S, ZONE};
 use crate::error::Result;
-use crate::machine::{Machine, Port};
+use crate::machine::{Machine, PortPurpose};
 
 impl Deployment {
     fn seed_list(&self) -> String {
-        let seed = |index: &usize| self.members[*index].machine.socket(Port::Api).to_string();
+        let seed =
+            |index: &usize| self.members[*index].machine.listen_address(PortPurpose::Api).to_string();
         let seeds: Vec<String> = self.seeds.iter().map(|index| format!("'{}'", seed(index))).collect();
         format!("[{}]", seeds.join(", "))
     }
@@ -15,12 +16,12 @@
     /// The contents of a member's settings file.
     pub(super) fn member_settings(&self, index: usize, is_first_boot: bool) -> String {
         let member = &self.members[index];
-        let platform = member.machine.socket_toward(&self.platform_machine, Port::Api);
+        let platform = member.machine.address_toward(&self.platform_machine, PortPurpose::Api);
         format!(
             "{}listenOn: {{controlPort: '{}'}}\nfirstBoot: {is_first_boot}\ndataFolder: '{}'\n\
              cloudApi: {{address: '{platform}', ratePerS: {LIST_REQUESTS_PER_S}}}\n",
             self.common_settings(&member.machine),
-            member.machine.socket(Port::Api),
+            member.machine.listen_address(PortPurpose::Api),
             member.data_folder.display(),
         )
     }
@@ -31,8 +32,8 @@
         let text = format!(
             "{}listenOn: {{frontDoor: '{}', readyCheck: '{}'}}\n",
             self.common_settings(machine),
-            machine.socket(Port::Clients),
-            machine.socket(Port::Readiness),
+            machine.listen_address(PortPurpose::Clients),
+            machine.listen_address(PortPurpose::Readiness),
         );
         settings_file::write(self.folder.path(), machine, &text)
     }
@@ -43,8 +44,8 @@
              withstand: {{machineLosses: {}}}\n",
             machine.name,
             machine.address,
-            machine.port(Port::Control),
-            machine.port(Port::LocalSubscription),
+            machine.port(PortPurpose::Control),
+            machine.port(PortPurpose::LocalSubscription),
             self.seed_list(),
             self.topology.tolerated_losses,
         )
--- a/crates/fault-injection/src/deployment/system.rs
+++ b/crates/fault-injection/src/deployment/system.rs
@@ -12,7 +12,7 @@
 use super::topology::Topology;
 use crate::address::AddressBlock;
 use crate::error::{IoSnafu, Result};
-use crate::machine::{Machine, MachineId, Port};
+use crate::machine::{Machine, MachineId, PortPurpose};
 use crate::network::Network;
 use crate::platform::Platform;
 use crate::process::Signal;
@@ -97,7 +97,7 @@
         for number in 1..=topology.edges {
             edges.push(Edge::new(machines.create(format!("edge-{number}"))?, &programs, folder.path()));
         }
-        let platform = Platform::start(platform_machine.socket(Port::Api))?;
+        let platform = Platform::start(platform_machine.listen_address(PortPurpose::Api))?;
         let replicas = start_replicas(topology.replicas, &addresses, &platform)?;
         let mut deployment = Deployment {
             network: Network::default(),
--- a/crates/fault-injection/src/kill_test/mod.rs
+++ b/crates/fault-injection/src/kill_test/mod.rs
@@ -18,7 +18,7 @@
 use crate::deployment::{Deployment, Topology};
 use crate::disk::FileLengths;
 use crate::error::Result;
-use crate::operator::{Change, ChangeResponse, Operator, marker_of};
+use crate::operator::{Change, ChangeResponse, OperatorClient, marker_of};
 
 /// Number of operators that send changes concurrently.
 const OPERATORS: usize = 2;
@@ -101,7 +101,7 @@
 
 fn run_rounds(
     deployment: &mut Deployment,
-    operator: &Operator,
+    operator: &OperatorClient,
     outcomes: &ChangeOutcomes,
     count: u64,
     report: &mut KillReport,
@@ -164,7 +164,7 @@
 
 /// Sends changes, each based on the newest revision that the operator has received, until `stop` is set or a change is
 /// not decided in time.
-fn send_changes(number: usize, operator: &Operator, outcomes: &ChangeOutcomes, stop: &AtomicBool) {
+fn send_changes(number: usize, operator: &OperatorClient, outcomes: &ChangeOutcomes, stop: &AtomicBool) {
     let mut base = 1;
     for counter in 1.. {
         if stop.load(Ordering::Relaxed) {
@@ -190,7 +190,7 @@
 
 /// Compares the configuration with the changes that were acknowledged before the request for it.
 fn check_configuration(
-    operator: &Operator,
+    operator: &OperatorClient,
     outcomes: &ChangeOutcomes,
     report: &mut KillReport,
 ) -> Result<()> {
--- a/crates/fault-injection/src/machine.rs
+++ b/crates/fault-injection/src/machine.rs
@@ -13,7 +13,7 @@
 /// four from `sparePorts` in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
-pub enum Port {
+pub enum PortPurpose {
     /// Connections between members of the control plane.
     Control = 0,
     /// The subscription server of a member.
@@ -22,7 +22,7 @@
     PeerSampling = 2,
     /// The subscription server of an agent, on 127.0.0.1.
     LocalSubscription = 3,
-    /// The operator's API of a member, or the platform's list.
+    /// The operator's API of a member, or the platform's list service, which lists the replicas.
     Api = 4,
     /// The proxy's listener for requests of clients.
     Clients = 5,
@@ -56,20 +56,20 @@
 
     /// The port number of this machine for a purpose.
     #[must_use]
-    pub fn port(&self, port: Port) -> u16 {
-        self.ports.first + port as u16
+    pub fn port(&self, purpose: PortPurpose) -> u16 {
+        self.ports.first + purpose as u16
     }
 
     /// The address and port at which this machine listens.
     #[must_use]
-    pub fn socket(&self, port: Port) -> SocketAddr {
-        (self.address, self.port(port)).into()
+    pub fn listen_address(&self, purpose: PortPurpose) -> SocketAddr {
+        (self.address, self.port(purpose)).into()
     }
 
     /// The address and port to which this machine connects to reach another machine; the relay between them
     /// listens there.
     #[must_use]
-    pub fn socket_toward(&self, other: &Machine, port: Port) -> SocketAddr {
-        (other.address, self.port(port)).into()
+    pub fn address_toward(&self, other: &Machine, purpose: PortPurpose) -> SocketAddr {
+        (other.address, self.port(purpose)).into()
     }
 }
--- a/crates/fault-injection/src/measurement/change_cost.rs
+++ b/crates/fault-injection/src/measurement/change_cost.rs
@@ -8,7 +8,7 @@
 use crate::deployment::{Deployment, Topology};
 use crate::disk;
 use crate::error::Result;
-use crate::operator::{Change, Operator};
+use crate::operator::{Change, OperatorClient};
 
 /// The measured cost of a change for one size of the document.
 #[derive(Clone, Debug, Serialize)]
@@ -97,7 +97,7 @@
 }
 
 /// Replaces the first configuration by a configuration with a note, as revision 2.
-fn replace_configuration(operator: &Operator, padding_bytes: usize) -> Result<u64> {
+fn replace_configuration(operator: &OperatorClient, padding_bytes: usize) -> Result<u64> {
     let first = Change::first(padding_bytes);
     let body = String::from_utf8_lossy(&first.body).replace("\"revision\":1", "\"revision\":2");
     let second = Change { if_match: 1, revision: 2, body: body.into_bytes(), ..first };
--- a/crates/fault-injection/src/measurement/propagation.rs
+++ b/crates/fault-injection/src/measurement/propagation.rs
@@ -9,7 +9,7 @@
 use crate::deployment::{ClientRequest, Deployment, Topology};
 use crate::duration_summary::DurationSummary;
 use crate::error::{Result, TimedOutSnafu};
-use crate::operator::{Change, Operator, route_path};
+use crate::operator::{Change, OperatorClient, route_path};
 
 /// Number of edge machines.
 const EDGES: usize = 4;
@@ -59,7 +59,11 @@
 }
 
 /// Adds a route while one client polls each proxy for the route.
-fn propagate_route(deployment: &Deployment, operator: &Operator, base: u64) -> Result<PropagationTimes> {
+fn propagate_route(
+    deployment: &Deployment,
+    operator: &OperatorClient,
+    base: u64,
+) -> Result<PropagationTimes> {
     let label = format!("r-{base}");
     let label = label.as_str();
     thread::scope(|scope| {
--- a/crates/fault-injection/src/operator.rs
+++ b/crates/fault-injection/src/operator.rs
@@ -54,7 +54,7 @@
         Change::upsert(if_match, route(label, marker))
     }
 
-    /// Adds or replaces a route of a kind of the operator's API, such as `risky`; the marker is 0.
+    /// Adds or replaces a route; `kind` is its kind as the operator's API names it, such as `risky`. The marker is 0.
     #[must_use]
     pub fn upsert_route_of_kind(if_match: u64, label: &str, kind: &str) -> Change {
         let mut route = route(label, 0);
@@ -103,12 +103,12 @@
         /// The revision in force, from the response.
         current: u64,
     },
-    /// The change is rejected for another reason (400).
+    /// The change is rejected for another reason (400), or a 412 has an invalid body.
     Rejected {
-        /// The body of the response.
+        /// The body of a 400, or the error of decoding the body of a 412.
         reason: String,
     },
-    /// The change may be applied or not: no response, 503, 504 or another unexpected status.
+    /// It is unknown whether the change was applied: there was no response, or its status was 503, 504 or unexpected.
     Undecided {
         /// The error of the connection, or the response's status and body.
         reason: String,
@@ -129,24 +129,24 @@
     current: u64,
 }
 
-/// An operator that sends requests to a list of members.
+/// A client of the operator's API that sends requests to a list of members.
 #[derive(Clone, Debug)]
-pub struct Operator {
+pub struct OperatorClient {
     members: Vec<SocketAddr>,
     attempt_timeout: Duration,
 }
 
-impl Operator {
-    /// Creates an operator for the members at these addresses, with the default timeout of an attempt.
+impl OperatorClient {
+    /// Creates a client for the members at these addresses, with the default timeout of an attempt.
     #[must_use]
-    pub fn new(members: Vec<SocketAddr>) -> Operator {
-        Operator { members, attempt_timeout: ATTEMPT_TIMEOUT }
+    pub fn new(members: Vec<SocketAddr>) -> OperatorClient {
+        OperatorClient { members, attempt_timeout: ATTEMPT_TIMEOUT }
     }
 
     /// Replaces the timeout of an attempt.
     #[must_use]
-    pub fn with_attempt_timeout(self, attempt_timeout: Duration) -> Operator {
-        Operator { attempt_timeout, ..self }
+    pub fn with_attempt_timeout(self, attempt_timeout: Duration) -> OperatorClient {
+        OperatorClient { attempt_timeout, ..self }
     }
 
     /// Sends a change once to a member, and follows redirects.
@@ -171,7 +171,7 @@
         Ok(self.send_until_decided(change, timeout)?.response)
     }
 
-    /// Sends a change as [`Operator::send`] does, and also returns the number of undecided attempts.
+    /// Sends a change as [`OperatorClient::send`] does, and also returns the number of undecided attempts.
     ///
     /// # Errors
     ///
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Sets the weights revision of a model once, at a member or where that redirects the request. Returns the
-    /// status of the response; `None` without a response.
+    /// Sets the weights revision of a model once, at `member` or at the address to which it redirects the request.
+    /// Returns the status of the response; `None` without a response.
     #[must_use]
     pub fn set_weights_revision(&self, member: SocketAddr, model: &str, revision: u64) -> Option<u16> {
         let body = json!({"llm": model, "revision": revision}).to_string();
@@ -243,7 +243,8 @@
         TimedOutSnafu { condition: "a response to GET /settings", timeout }.fail()
     }
 
-    /// The newest configuration, from a member or where that redirects the request; `None` without a valid response.
+    /// The newest configuration, from `member` or from the address to which it redirects the request; `None` without a
+    /// valid response.
     #[must_use]
     pub fn configuration_from(&self, member: SocketAddr) -> Option<Value> {
         let response = self.send_following_redirects(member, &Request::get("/settings")).ok()?;
--- a/crates/fault-injection/tests/configuration_changes.rs
+++ b/crates/fault-injection/tests/configuration_changes.rs
@@ -8,7 +8,9 @@
 use support::{CHANGE_TIMEOUT, start};
 use tulipridge_fault_injection::deployment::{Deployment, Topology};
 use tulipridge_fault_injection::network::{Direction, LinkState};
-use tulipridge_fault_injection::operator::{Change, ChangeResponse, Operator, marker_of, revision_of};
+use tulipridge_fault_injection::operator::{
+    Change, ChangeResponse, OperatorClient, marker_of, revision_of,
+};
 use tulipridge_fault_injection::wait::{wait_for, wait_until};
 
 /// Number of rounds in which two operators send changes with the same base revision.
@@ -30,12 +32,12 @@
 /// Status of a rejected weights revision.
 const BAD_REQUEST: u16 = 400;
 
-fn send(operator: &Operator, change: &Change) -> ChangeResponse {
+fn send(operator: &OperatorClient, change: &Change) -> ChangeResponse {
     operator.send(change, CHANGE_TIMEOUT).expect("a decision")
 }
 
 /// Sends two changes concurrently and returns their responses.
-fn send_both(operators: &[Operator; 2], changes: &[Change; 2]) -> [ChangeResponse; 2] {
+fn send_both(operators: &[OperatorClient; 2], changes: &[Change; 2]) -> [ChangeResponse; 2] {
     thread::scope(|scope| {
         let first = scope.spawn(|| send(&operators[0], &changes[0]));
         let second = scope.spawn(|| send(&operators[1], &changes[1]));
--- a/crates/fault-injection/tests/demo.rs
+++ b/crates/fault-injection/tests/demo.rs
@@ -109,7 +109,7 @@
             ("Prompt-Start", "5c1e07a2:800,91bd3f06:400"),
         ];
         let request = Request { method: "POST", target: path, headers: &headers, body: b"hello" };
-        call(self.ports.proxy(edge), &request, REQUEST_TIMEOUT).expect("a response")
+        call(self.ports.proxy_address(edge), &request, REQUEST_TIMEOUT).expect("a response")
     }
 
     fn interrupt(&mut self) -> ExitStatus {
@@ -181,7 +181,7 @@
         body: patch.0.as_bytes(),
     };
     let responses =
-        (0..3).filter_map(|member| call(demo.ports.member(member), &request, REQUEST_TIMEOUT).ok());
+        (0..3).filter_map(|member| call(demo.ports.member_address(member), &request, REQUEST_TIMEOUT).ok());
     assert!(
         responses.map(|response| response.status()).any(|status| status == 200),
         "the change is applied"
--- a/crates/fault-injection/tests/partitions.rs
+++ b/crates/fault-injection/tests/partitions.rs
@@ -10,7 +10,7 @@
 use tulipridge_fault_injection::consistency::consistency_violation;
 use tulipridge_fault_injection::deployment::{Deployment, Topology};
 use tulipridge_fault_injection::network::{Direction, LinkState};
-use tulipridge_fault_injection::operator::{Change, ChangeResponse, Operator, revision_of};
+use tulipridge_fault_injection::operator::{Change, ChangeResponse, OperatorClient, revision_of};
 use tulipridge_fault_injection::process::Signal;
 use tulipridge_fault_injection::wait::wait_until;
 
@@ -26,7 +26,7 @@
 const WITHDRAWAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn assert_no_consistency_violation(
-    operator: &Operator,
+    operator: &OperatorClient,
     deployment: &Deployment,
     old_primary: usize,
     in_force: &Change,
