--- a/src/bin/tulipridge-simhost/main.rs
+++ b/src/bin/tulipridge-simhost/main.rs
@@ -24,14 +24,15 @@
     }
 }
 
-/// The reason why the program ends before its input.
+/// The error with which the program ends. Errors of a line state its number, the field and the problem; the
+/// field is `line` for a problem of the complete line.
 #[derive(Debug, Snafu)]
 enum HostError {
     /// The input can't be read.
     #[snafu(display("line {number}: {source}"))]
     Read { number: u64, source: io::Error },
     /// The last line has no line terminator.
-    #[snafu(display("line {number}: line: truncated"))]
+    #[snafu(display("line {number}: line: the line terminator is missing"))]
     Truncated { number: u64 },
     /// A line is not UTF-8.
     #[snafu(display("line {number}: line: not UTF-8"))]
