--- a/fuzz/fuzz_targets/requests.rs
+++ b/fuzz/fuzz_targets/requests.rs
@@ -15,7 +15,7 @@
             serde_json::from_slice::<serde_json::Value>(&platform).expect("the translation is JSON");
         }
     }
-    if let Ok(messages) = to_messages::body(body, &limits) {
+    if let Ok(messages) = to_messages::translate_body(body, &limits) {
         serde_json::from_slice::<serde_json::Value>(&messages).expect("the translation is JSON");
     }
 });
--- a/src/demo_replica.rs
+++ b/src/demo_replica.rs
@@ -1,5 +1,4 @@
-//! Demo replicas for `tulipridge demo` and the examples. They use blocking sockets, so that they share no code with the
-//! gateway.
+//! Demo replicas for `tulipridge demo` and the examples. They share no code with the gateway, and use blocking sockets.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -38,26 +37,28 @@
     Some((head, body))
 }
 
-/// Serves a connection to a demo replica, in the dialect of each request's path. The response consists of the replica's
-/// name and the words of the last turn, one event for each word. If the request has tools and no result of one, the
-/// response calls the first tool.
+/// Serves a connection to a demo replica, in the dialect of each request's path. The text of the response is the
+/// replica's name, `heard:` and the text of the last turn, with one event for each word. If the request has tools and
+/// its last turn does not begin with a tool result, the response also calls the first tool.
 ///
-/// Returns `Some` once the client has closed the connection or sent an invalid message, and `None` if a write failed.
+/// Returns `Some` once the client has closed the connection or sent an invalid message, and `None` if the socket can't
+/// be cloned or a write failed.
 #[must_use]
-pub fn serve_connection(id: &str, mut stream: TcpStream) -> Option<()> {
+pub fn serve_connection(replica_name: &str, mut stream: TcpStream) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     while let Some((head, body)) = read_message(&mut reader) {
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
         let is_messages = head.starts_with("POST /v1/messages ");
-        let last = body["messages"].as_array().and_then(|m| m.last()).cloned().unwrap_or_default();
-        let prompt = text_of(&last["content"]);
-        let has_tool_result = last["role"] == "tool" || last["content"][0]["type"] == "tool_result";
+        let last_turn = body["messages"].as_array().and_then(|m| m.last()).cloned().unwrap_or_default();
+        let prompt = text_of(&last_turn["content"]);
+        let has_tool_result =
+            last_turn["role"] == "tool" || last_turn["content"][0]["type"] == "tool_result";
         let tool = &body["tools"][0];
         let tool = tool["name"].as_str().or(tool["function"]["name"].as_str()).filter(|_| !has_tool_result);
         let head =
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         stream.write_all(head.as_bytes()).ok()?;
-        let text = format!("{id} heard: {prompt}");
+        let text = format!("{replica_name} heard: {prompt}");
         let events = if is_messages {
             messages_events(&text, tool, prompt.len() / BYTES_PER_TOKEN)
         } else {
--- a/src/engine/interface.rs
+++ b/src/engine/interface.rs
@@ -1,5 +1,6 @@
 //! Inputs and outputs of the engine.
 
+use std::fmt;
 use std::time::Duration;
 
 use crate::stream::End;
@@ -95,12 +96,23 @@
 }
 
 /// Why a request failed, for the response to the client.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum FailureReason {
     /// No replica has run it: all replicas that were tried refused it.
     Refused,
     /// Replicas failed while they ran it.
     Errors,
     /// No replica responded in time.
-    NoAnswer,
+    NoResponse,
+}
+
+/// The values as the log names them.
+impl fmt::Debug for FailureReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            FailureReason::Refused => "Refused",
+            FailureReason::Errors => "Errors",
+            FailureReason::NoResponse => "NoAnswer",
+        })
+    }
 }
--- a/src/engine/request_lifecycle.rs
+++ b/src/engine/request_lifecycle.rs
@@ -33,9 +33,9 @@
 
     fn reason(&self, in_flight: usize) -> FailureReason {
         match self {
-            _ if in_flight > 0 => FailureReason::NoAnswer,
+            _ if in_flight > 0 => FailureReason::NoResponse,
             AttemptHistory { any_timed_out: true, .. } | AttemptHistory { any_ended: false, .. } => {
-                FailureReason::NoAnswer
+                FailureReason::NoResponse
             }
             AttemptHistory { any_error: true, .. } => FailureReason::Errors,
             _ => FailureReason::Refused,
--- a/src/front/forwarded_request.rs
+++ b/src/front/forwarded_request.rs
@@ -112,7 +112,7 @@
 /// Translates a request's body from the dialect `from` into the other one.
 fn translate_body(from: Dialect, body: &[u8], limits: &Limits) -> Result<Vec<u8>, BodyError> {
     match from {
-        Dialect::Platform => translate::to_messages::body(body, &limits.messages),
+        Dialect::Platform => translate::to_messages::translate_body(body, &limits.messages),
         Dialect::Messages => {
             let request = messages::request::Request::read(
                 body,
--- a/src/front/messages/request.rs
+++ b/src/front/messages/request.rs
@@ -619,7 +619,11 @@
 /// Limits the nesting depth, since deep nesting can crash the parser of a replica.
 fn check_depth(path: &str, raw: &RawValue, limits: &MessagesLimits) -> ValidationResult {
     let depth = object::depth(raw.get());
-    if depth > limits.depth { invalid(path, format!("nests deeper than {}", limits.depth)) } else { Ok(()) }
+    if depth > limits.max_json_depth {
+        invalid(path, format!("nests deeper than {}", limits.max_json_depth))
+    } else {
+        Ok(())
+    }
 }
 
 fn check_base64(path: &str, data: &str) -> ValidationResult {
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -36,7 +36,7 @@
     };
     // A body must have a counterpart in every replica's dialect, so that its validity does not depend on placement.
     let translated_body = match dialects.has_other_than(Dialect::Platform) {
-        true => match translate::to_messages::body(body, &context.limits.messages) {
+        true => match translate::to_messages::translate_body(body, &context.limits.messages) {
             Ok(body) => Some(body),
             Err(error) => return refusal(400, &error.to_string()),
         },
--- a/src/front/responder.rs
+++ b/src/front/responder.rs
@@ -1,4 +1,4 @@
-//! Final responses to one request in its client's dialect.
+//! Responses to one request in its client's dialect, and the head of its event stream.
 
 use std::time::Duration;
 
@@ -34,7 +34,8 @@
         error.response(&self.id).with_headers(&self.headers)
     }
 
-    /// A response with a line of text, for statuses that are not errors of the request.
+    /// A plain-text response in either dialect, for responses that do not report an error of a request, such as the
+    /// readiness check's.
     #[must_use]
     pub fn text(&self, status: u16, text: &str) -> Response {
         let response = Response::text(status, text);
@@ -60,7 +61,7 @@
         self.invalid_request(error.status(), &error.to_string())
     }
 
-    /// The response to a request that the load balancer has shed; a retry is safe after `wait`.
+    /// The response to a request that the load balancer has shed, with the advice to retry after `wait`.
     #[must_use]
     pub fn shed(&self, wait: Duration) -> Response {
         let message = "shed without having run; it may be retried";
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The response to a request that the load balancer has failed.
+    /// The response to a request that the load balancer has given up.
     #[must_use]
     pub fn failed(&self, reason: FailureReason) -> Response {
         if self.dialect == Dialect::Platform {
@@ -81,7 +82,7 @@
         let (status, message) = match reason {
             FailureReason::Refused => (529, "all replicas rejected it until its deadline"),
             FailureReason::Errors => (500, "the replicas failed"),
-            FailureReason::NoAnswer => (504, "no answer in time"),
+            FailureReason::NoResponse => (504, "no answer in time"),
         };
         // A request that no replica has run is safe to retry.
         let is_retryable = self.is_idempotent || reason == FailureReason::Refused;
@@ -90,7 +91,8 @@
         )
     }
 
-    /// The response if the stream of an assembled response broke. The client has received no part of it yet.
+    /// The response if the replica's stream broke before a complete response could be assembled from it. The client has
+    /// received no part of it yet.
     pub(super) fn broken_stream(&self, cause: Cause, error: Option<&ReportedError>) -> Response {
         let reported = error.map(|error| (error.kind.as_str(), error.message.as_str()));
         let (kind, message) =
--- a/src/front/translate/to_messages.rs
+++ b/src/front/translate/to_messages.rs
@@ -1,4 +1,5 @@
-//! Translation of a chat completion request to the messages API. A field without a counterpart is refused, by its name.
+//! Translation of a chat completion request to the messages API. A request with an unknown field, or with a value that
+//! has no counterpart, is refused with an error that names the field. Unknown fields of a chosen function are ignored.
 
 use serde_json::value::RawValue;
 
@@ -19,7 +20,7 @@
         /// Whether the response is a stream. Only `true` is supported.
         stream = "stream": bool,
         /// Options of the stream.
-        stream_options = "stream_options": Options<'a>,
+        stream_options = "stream_options": StreamOptions<'a>,
         /// Maximum number of output tokens, under the older name.
         max_tokens = "max_tokens": u64,
         /// Maximum number of output tokens, under the newer name, which has priority.
@@ -53,7 +54,7 @@
 
 object! {
     /// Options of a stream.
-    Options {
+    StreamOptions {
         /// Whether the stream states the token usage. Ignored: translated streams always do.
         include_usage = "include_usage": bool,
     }
@@ -64,7 +65,7 @@
     Message {
         /// Role of the author: `system`, `developer`, `user`, `assistant` or `tool`.
         role = "role": Text<'a>,
-        /// Content of the message.
+        /// Text or parts.
         content = "content": TextOr<'a, Vec<Part<'a>>>,
         /// Tool calls of the model.
         tool_calls = "tool_calls": Vec<Call<'a>>,
@@ -102,7 +103,7 @@
     File {
         /// Name of the file.
         filename = "filename": Text<'a>,
-        /// Data as a data URL.
+        /// Content of the file, as a base64 data URL.
         file_data = "file_data": Text<'a>,
     }
 }
@@ -112,7 +113,7 @@
     Tool {
         /// Tool type: `function`.
         kind = "type": Text<'a>,
-        /// Function of the tool.
+        /// Name, description and argument schema, and whether the arguments must follow the schema.
         function = "function": Function<'a>,
     }
 }
@@ -140,7 +141,7 @@
         id = "id": Text<'a>,
         /// Call type: `function`, also if absent.
         kind = "type": Text<'a>,
-        /// Function of the call.
+        /// Name of the called function, and its arguments.
         function = "function": Function<'a>,
     }
 }
@@ -150,20 +151,21 @@
     ChosenTool {
         /// Type of the choice: `function`.
         kind = "type": Text<'a>,
-        /// Function of the tool.
+        /// The function to call. Only its name is read.
         function = "function": Function<'a>,
     }
 }
 
 type TranslationResult = Result<(), BodyError>;
 
-/// Translates a body for replicas that speak the messages API. The translated request is for a stream.
+/// Translates a body for replicas that speak the messages API. The translated request asks for a streamed response.
 ///
 /// # Errors
 ///
-/// If `bytes` is not JSON of a chat completion's form, if a required field is missing or has a wrong value, or if a
-/// field has no counterpart in the messages API. The message begins with the name of that field.
-pub fn body(bytes: &[u8], limits: &MessagesLimits) -> Result<Vec<u8>, BodyError> {
+/// If `bytes` is not the JSON of a chat completion request, if a required field is missing or has a wrong value, or if
+/// a field has no counterpart in the messages API. In the last two cases the message begins with the name of that
+/// field.
+pub fn translate_body(bytes: &[u8], limits: &MessagesLimits) -> Result<Vec<u8>, BodyError> {
     let chat: ChatRequest<'_> = object::read(bytes)?;
     refuse_untranslatable(&chat)?;
     let Some(model) = chat.model.as_deref().filter(|m| !m.is_empty()) else {
@@ -185,7 +187,7 @@
     Ok(out)
 }
 
-/// Refuses top-level fields without a counterpart.
+/// Refuses a request that is not for a stream, or that has a top-level field or stream option without a counterpart.
 fn refuse_untranslatable(chat: &ChatRequest<'_>) -> TranslationResult {
     refuse_unknown("", &chat.unknown)?;
     if chat.stream != Some(true) {
@@ -382,7 +384,7 @@
     Ok(())
 }
 
-/// Writes a message that is not a tool result as a turn.
+/// Writes a message as one turn. Tool results are written by [`write_tool_results_turn`].
 fn write_turn(
     path: &str,
     message: &Message<'_>,
@@ -588,8 +590,11 @@
     if serde_json::from_str::<&RawValue>(arguments).is_err() || !arguments.starts_with('{') {
         return invalid(format!("{path}arguments"), "not a JSON object");
     }
-    if object::depth(arguments) > limits.depth {
-        return invalid(format!("{path}arguments"), &format!("nests deeper than {}", limits.depth));
+    if object::depth(arguments) > limits.max_json_depth {
+        return invalid(
+            format!("{path}arguments"),
+            &format!("nests deeper than {}", limits.max_json_depth),
+        );
     }
     blocks.object().set("type", "tool_use").set("id", id).set("name", name).raw("input", arguments);
     Ok(())
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -429,7 +429,7 @@
     /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
     /// Maximum nesting depth of a tool's schema or input.
-    pub depth: usize,
+    pub max_json_depth: usize,
     /// Maximum number of content blocks in a request, including those within tool results and documents.
     pub blocks: usize,
     /// Maximum number of turns in a request.
@@ -452,7 +452,7 @@
     fn default() -> MessagesLimits {
         MessagesLimits {
             body_bytes: 256 << 10,
-            depth: 64,
+            max_json_depth: 64,
             blocks: 4096,
             turns: 4096,
             tools: 256,
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -96,7 +96,7 @@
         while self.lifecycle.accepting().await {
             let next = async {
                 // Silent and idle connections must not hold all slots while other clients wait to be accepted.
-                if self.open() >= self.connection_limit() {
+                if self.open_connections() >= self.connection_limit() {
                     return self.slots.evict_and_wait(self.limits.edge.slot_check_interval).await;
                 }
                 match listener.accept().await {
@@ -118,7 +118,7 @@
         // Closing the listener resets connections in its queue. So these are accepted first, and told that this process
         // serves no more requests.
         while self.lifecycle.owns_accept_queue()
-            && self.open() < self.connection_limit()
+            && self.open_connections() < self.connection_limit()
             && let Some(Ok(accepted)) = future::poll_once(listener.accept()).await
         {
             accept(accepted);
@@ -132,7 +132,7 @@
     pub async fn stop(&self) {
         self.lifecycle.stop();
         self.engine.shut_down_streams(self.limits.stream.shutdown_timeout);
-        while !self.lifecycle.is_finished(self.open()) || self.listeners.get() > 0 {
+        while !self.lifecycle.is_finished(self.open_connections()) || self.listeners.get() > 0 {
             // Polls as well: the listeners wait for the same notification, which wakes only one waiting task.
             let notification = future::or(self.slots.freed(), self.lifecycle.changed());
             let _ = within(self.limits.edge.slot_check_interval, notification).await;
@@ -155,7 +155,7 @@
 
     /// The open connections of this process, for its successor.
     pub fn report(&self) -> ConnectionReport {
-        let open = ConnectionCounts { edge: self.open(), replicas: self.fleet.open() };
+        let open = ConnectionCounts { edge: self.open_connections(), replicas: self.fleet.open() };
         ConnectionReport { open, stopping: self.lifecycle.is_stopping() }
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// The number of open client connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.slots.in_use()
     }
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -62,7 +62,7 @@
     }
 
     /// Connects to the older process, if there is one, to receive its reports and streams.
-    pub fn connect_to_older(&self, ex: &'static LocalExecutor<'static>, edge: &Rc<EdgeServer>) {
+    pub fn connect_to_older_process(&self, ex: &'static LocalExecutor<'static>, edge: &Rc<EdgeServer>) {
         let Some(path) = &self.path else { return };
         let socket = socket().and_then(|socket| {
             connect(&socket, &SocketAddrUnix::new(path)?)?;
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -41,7 +41,7 @@
 /// The executor of the single serving thread; it exists until the process exits.
 type Executor = &'static LocalExecutor<'static>;
 
-/// The reason why a gateway can't start. Each variant is fatal, and its text states what has to be corrected.
+/// The reason why a gateway can't start. Each variant is fatal.
 #[derive(Debug, Snafu)]
 enum StartError {
     /// The signal handlers can't be installed.
@@ -63,7 +63,7 @@
     let executor: Executor = Box::leak(Box::default());
     async_io::block_on(executor.run(async {
         let collector = config.own.syslog.tcp;
-        let (log, lines) = match syslog::start(&config.name, collector.is_some(), &limits) {
+        let (log_handle, lines) = match syslog::start(&config.name, collector.is_some(), &limits) {
             Ok(started) => started,
             Err(e) => {
                 eprintln!(
@@ -80,7 +80,7 @@
         if let Err(error) = &outcome {
             log::error!("start-failed: {error}");
         }
-        log.drain(&limits).await;
+        log_handle.drain(&limits).await;
         if outcome.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
     }))
 }
@@ -97,7 +97,8 @@
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).context(SignalsSnafu)?;
     warn_of_late_lists(&config.settings);
     let push = config.settings.has_pushed_list;
-    let (engine, orders) = Engine::new(config.settings, config.seed, &limits).context(SettingsSnafu)?;
+    let (engine, fleet_actions) =
+        Engine::new(config.settings, config.seed, &limits).context(SettingsSnafu)?;
     engine.set_stream_labels(config.names.classes.clone(), config.names.tenants.clone());
     let names = Rc::new(RefCell::new(config.names));
     let fleet = Rc::new(Fleet::new(limits.clone(), load_report_reader(names.clone())));
@@ -112,8 +113,9 @@
     discovery.apply_persisted(&config.known);
     let context = Rc::new(FrontContext::new(names.clone(), limits.clone(), config.messages));
     let is_shared = inherited.is_some();
-    let readiness = readiness(&fleet, &discovery, &limits);
-    let lifecycle = Rc::new(LifecycleMonitor::new(engine.clone(), limits.clone(), is_shared, readiness));
+    let readiness_check = readiness_check(&fleet, &discovery, &limits);
+    let lifecycle =
+        Rc::new(LifecycleMonitor::new(engine.clone(), limits.clone(), is_shared, readiness_check));
     // Without an inherited listener no other process of this gateway can serve at the same time.
     let handover = Rc::new(match is_shared {
         true => Handover::new(&env::temp_dir(), &config.name, config.own.handover, limits.clone()),
@@ -127,7 +129,7 @@
         lifecycle.clone(),
         handover.successors(),
     ));
-    handover.connect_to_older(executor, &edge);
+    handover.connect_to_older_process(executor, &edge);
     executor.spawn(handover.listen(executor, edge.clone(), lifecycle.clone())).detach();
 
     let parts = Parts { executor, engine, edge, lifecycle, names, limits };
@@ -140,7 +142,7 @@
     }
     parts.spawn_loops();
     executor.spawn(async move { fleet.sweep().await }).detach();
-    executor.spawn(discovery.clone().run(executor, orders)).detach();
+    executor.spawn(discovery.clone().run(executor, fleet_actions)).detach();
 
     let reload = spawn_reloads(executor, discovery, sources, config.management);
     wait_until_stopped(executor, signals, &reload, &parts.edge).await;
@@ -150,8 +152,8 @@
     Ok(())
 }
 
-/// Warns if the list is polled and the group is so large that a change of the list may arrive after the propagation
-/// deadline.
+/// Warns if the replica list is polled and there are so many gateways that a change of the list may arrive after the
+/// propagation deadline.
 fn warn_of_late_lists(settings: &Settings) {
     let bounds = ListSchedule::from_settings(settings).propagation_bounds();
     if settings.has_pushed_list || bounds.after_idle.max(bounds.after_refusal) <= PROPAGATION_DEADLINE {
@@ -175,7 +177,11 @@
 }
 
 /// Returns the readiness check: a replica is ready, and discovery has returned a list or the fallback delay has elapsed.
-fn readiness(fleet: &Rc<Fleet>, discovery: &Rc<Discovery>, limits: &Rc<Limits>) -> Box<dyn Fn() -> bool> {
+fn readiness_check(
+    fleet: &Rc<Fleet>,
+    discovery: &Rc<Discovery>,
+    limits: &Rc<Limits>,
+) -> Box<dyn Fn() -> bool> {
     let (fleet, discovery, limits) = (fleet.clone(), discovery.clone(), limits.clone());
     let started = Instant::now();
     Box::new(move || {
@@ -199,9 +205,9 @@
         &self,
         address: SocketAddr,
         inherited: Option<TcpListener>,
-        port: &str,
+        listener_label: &str,
     ) -> Result<Async<TcpListener>, StartError> {
-        Ok(listen::open(address, inherited, port, &self.limits)?)
+        Ok(listen::open(address, inherited, listener_label, &self.limits)?)
     }
 
     /// Opens the listener for operators, at the management address.
@@ -238,7 +244,7 @@
         name: &str,
         address: SocketAddr,
         peers: Vec<SocketAddr>,
-        file: Messages,
+        file_settings: Messages,
     ) -> Result<(), StartError> {
         let store = Rc::new(Store::new(name, &self.limits));
         let listener = self.bind(address, None, "Store")?;
@@ -248,7 +254,7 @@
         for peer in peers {
             self.executor.spawn(peers::exchange(peer, store.clone(), self.limits.clone())).detach();
         }
-        self.executor.spawn(self.follow_store(store, format!("state/{name}"), file)).detach();
+        self.executor.spawn(self.follow_store(store, format!("state/{name}"), file_settings)).detach();
         Ok(())
     }
 
@@ -257,15 +263,15 @@
         &self,
         store: Rc<Store>,
         state_key: String,
-        file: Messages,
+        file_settings: Messages,
     ) -> impl Future<Output = ()> + use<> {
         let (engine, edge) = (self.engine.clone(), self.edge.clone());
         let (names, limits) = (self.names.clone(), self.limits.clone());
-        let level = log::max_level();
+        let initial_log_level = log::max_level();
         async move {
             loop {
-                config::follow(&store, &mut names.borrow_mut(), &file, level);
-                store.set(&state_key, serde_json::json!({"held": engine.request_count(), "connections": edge.open(), "places": engine.replica_slots()}));
+                config::follow(&store, &mut names.borrow_mut(), &file_settings, initial_log_level);
+                store.set(&state_key, serde_json::json!({"held": engine.request_count(), "connections": edge.open_connections(), "places": engine.replica_slots()}));
                 Timer::after(limits.store.state_interval).await;
             }
         }
@@ -282,8 +288,8 @@
     }
 }
 
-/// Starts the loop that reloads the files at each request of the returned channel. Requests during a pending one are
-/// dropped.
+/// Starts the loop that reloads the files at each request of the returned channel. A request is dropped if another one
+/// is waiting for its reload to start.
 ///
 /// `management` is the management address in use; a reload does not change it.
 fn spawn_reloads(
@@ -292,11 +298,11 @@
     sources: Sources,
     management: Option<SocketAddr>,
 ) -> Sender<()> {
-    let (reload, requests) = async_channel::bounded(1);
+    let (reload, reload_requests) = async_channel::bounded(1);
     executor
         .spawn(async move {
             // One reload at a time, so that the result of the last one remains in force.
-            while requests.recv().await.is_ok() {
+            while reload_requests.recv().await.is_ok() {
                 match read_files(sources.clone()).await {
                     Ok(config) => apply_reload(&discovery, &config, management),
                     Err(error) => {
@@ -343,7 +349,7 @@
             Some(Signal::Hup) => drop(reload.try_send(())),
             Some(signal) if !is_stopping => {
                 is_stopping = true;
-                log::info!(signal:? = signal, connections = edge.open(); "stopping: completing the open requests");
+                log::info!(signal:? = signal, connections = edge.open_connections(); "stopping: completing the open requests");
                 spawn_stop(executor, edge.clone(), done.clone());
             }
             Some(_) => {}
--- a/tests/translate.rs
+++ b/tests/translate.rs
@@ -168,7 +168,8 @@
         let request =
             Request::read(text.as_bytes(), Purpose::Generation, &limits).expect("a valid request");
         let platform = to_platform::body(&request).expect("translation to the platform dialect");
-        let back = to_messages::body(&platform, &limits).expect("translation to the messages dialect");
+        let back =
+            to_messages::translate_body(&platform, &limits).expect("translation to the messages dialect");
         let again = Request::read(&back, Purpose::Generation, &limits).expect("a valid request");
         assert_eq!(Route::of(&again).tokens, Route::of(&request).tokens);
         let back: Value = serde_json::from_slice(&back).expect("JSON");
@@ -386,7 +387,7 @@
             }
             Err(error) => assert!(!error.to_string().is_empty()),
         }
-        if let Ok(messages) = to_messages::body(&body, &limits.messages) {
+        if let Ok(messages) = to_messages::translate_body(&body, &limits.messages) {
             assert!(messages.len() <= 4 * body.len() + 4096);
             serde_json::from_slice::<Value>(&messages).expect("JSON");
         }
