--- a/crates/fault-injection/tests/responses.rs
+++ b/crates/fault-injection/tests/responses.rs
@@ -65,13 +65,8 @@
     });
 }
 
-#[rstest]
-#[case::no_response(ReplicaBehaviour::NoResponse, NO_RESPONSE_TIMEOUT)]
-#[case::reset(ReplicaBehaviour::Reset, REQUEST_TIMEOUT)]
-#[case::reset_during_the_head(ReplicaBehaviour::ResetDuringHead, REQUEST_TIMEOUT)]
-fn a_non_idempotent_request_is_not_retried(#[case] behaviour: ReplicaBehaviour, #[case] timeout: Duration) {
-    let deployment = start_with_two_replicas("risky");
-    // Fills the retry budget, so that an empty budget is not the reason why no request is retried.
+/// Sends requests that are served, each of which adds to the retry budget.
+fn fill_retry_budget(deployment: &Deployment) {
     for number in 0..CLIENTS {
         let id = format!("healthy-{number}");
         let request = ClientRequest {
@@ -82,6 +77,16 @@
         };
         assert_eq!(deployment.send_request(0, &request).expect("a response").status(), 200);
     }
+}
+
+#[rstest]
+#[case::no_response(ReplicaBehaviour::NoResponse, NO_RESPONSE_TIMEOUT)]
+#[case::reset(ReplicaBehaviour::Reset, REQUEST_TIMEOUT)]
+#[case::reset_during_the_head(ReplicaBehaviour::ResetDuringHead, REQUEST_TIMEOUT)]
+fn a_non_idempotent_request_is_not_retried(#[case] behaviour: ReplicaBehaviour, #[case] timeout: Duration) {
+    let deployment = start_with_two_replicas("risky");
+    // An empty retry budget must not be the reason why no request is retried.
+    fill_retry_budget(&deployment);
     deployment.replicas.iter().for_each(|replica| replica.set_behaviour(behaviour));
     thread::scope(|scope| {
         for number in 0..FAULTY_REQUESTS {
@@ -109,16 +114,7 @@
 #[test]
 fn an_idempotent_request_is_retried_after_a_reset() {
     let deployment = start_with_two_replicas("harmless");
-    for number in 0..CLIENTS {
-        let id = format!("healthy-{number}");
-        let request = ClientRequest {
-            path: &route_path("echo"),
-            attempt_id: &id,
-            body: "",
-            timeout: REQUEST_TIMEOUT,
-        };
-        assert_eq!(deployment.send_request(0, &request).expect("a response").status(), 200);
-    }
+    fill_retry_budget(&deployment);
     deployment.replicas.iter().for_each(|replica| replica.set_behaviour(ReplicaBehaviour::Reset));
     let request = ClientRequest {
         path: &route_path("echo"),
--- a/src/engine/interface.rs
+++ b/src/engine/interface.rs
@@ -96,7 +96,7 @@
 }
 
 /// Why a request failed, for the response to the client.
-#[derive(Clone, Copy, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
     /// No replica has run the request: all replicas that were tried refused it.
     Refused,
@@ -107,7 +107,7 @@
 }
 
 /// The values as the log names them.
-impl fmt::Debug for FailureReason {
+impl fmt::Display for FailureReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             FailureReason::Refused => "Refused",
--- a/src/net/edge/waiting_client.rs
+++ b/src/net/edge/waiting_client.rs
@@ -55,7 +55,7 @@
     }
 
     async fn fail(mut self, reason: FailureReason) {
-        log::debug!(id = self.0.responder.id, after:? = self.0.started_at.elapsed(), why:? = reason; "failed: no replica produced a response; the client gets an error");
+        log::debug!(id = self.0.responder.id, after:? = self.0.started_at.elapsed(), why:% = reason; "failed: no replica produced a response; the client gets an error");
         if reason == FailureReason::Refused {
             self.0.charge.may_have_run = false;
         }
